--- a/src/main/java/io/indigoreach/api/Doubt.java
+++ b/src/main/java/io/indigoreach/api/CascadeFreshness.java
@@ -1,7 +1,7 @@
 package io.indigoreach.api;
 
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.SteadyClock;
 import java.util.Objects;
 import java.util.function.BooleanSupplier;
@@ -12,7 +12,7 @@
  * they wait. This node has then had a request to the state service fail, or seen another leadership, within that time; or it
  * has just started and cannot know.
  */
-final class Doubt {
+final class CascadeFreshness {
     private final SteadyClock clock;
     private final BooleanSupplier doubted;
     private Span lasts = Span.ZERO;
@@ -21,7 +21,7 @@
     private Moment since;
 
     /** {@code doubted}: the state service's answers are in doubt themselves. */
-    Doubt(SteadyClock clock, BooleanSupplier doubted) {
+    CascadeFreshness(SteadyClock clock, BooleanSupplier doubted) {
         this.clock = clock;
         this.doubted = doubted;
         this.since = clock.now();
--- a/src/main/java/io/indigoreach/api/ChainDesk.java
+++ b/src/main/java/io/indigoreach/api/DependencyService.java
@@ -1,9 +1,9 @@
 package io.indigoreach.api;
 
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.chain.Chain;
+import io.indigoreach.core.model.JobDependencies;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.SteadyClock;
 import io.vertx.core.Future;
 import java.util.LinkedHashMap;
@@ -16,15 +16,15 @@
  * calls open is below a cancelled one. The leader ends such jobs within moments; a node that cannot be sure that it was able to
  * looks for itself before it answers.
  */
-final class ChainDesk {
+final class DependencyService {
     private static final int REMEMBERED = 20_000;
     /** Of the time for which a job below a cancelled one may be called waiting: one look holds for this part. */
     private static final double LOOK_HOLDS = 0.5;
 
     private final SteadyClock clock;
-    private final NamedJobs atSubmission;
-    private final NamedJobs atQuestions;
-    private final Doubt doubt;
+    private final ReferencedJobs atSubmission;
+    private final ReferencedJobs atQuestions;
+    private final CascadeFreshness doubt;
     private Span within = Span.ZERO;
     private Supplier<Future<Boolean>> understoodByAll = () -> Future.succeededFuture(true);
     /** When a look began that found no cancelled job above a waiting one. */
@@ -36,14 +36,14 @@
     };
 
     /** {@code sparing}: finds a job at a cost that does not grow with how many are asked about, and later where that is many. */
-    ChainDesk(
+    DependencyService(
             SteadyClock clock,
-            Function<JobId, Future<NamedJob>> finder,
-            Function<JobId, Future<NamedJob>> sparing,
-            Doubt doubt) {
+            Function<JobId, Future<ReferencedJob>> finder,
+            Function<JobId, Future<ReferencedJob>> sparing,
+            CascadeFreshness doubt) {
         this.clock = clock;
-        this.atSubmission = new NamedJobs(finder);
-        this.atQuestions = new NamedJobs(sparing);
+        this.atSubmission = new ReferencedJobs(finder);
+        this.atQuestions = new ReferencedJobs(sparing);
         this.doubt = doubt;
     }
 
@@ -59,10 +59,10 @@
     }
 
     /**
-     * Whether a new job with this chain is cancelled from the start, as one that it names is. Fails with a {@link Refusal}
+     * Whether a new job with this chain is cancelled from the start, as one that it names is. Fails with a {@link RequestRejectedException}
      * if it names one that was never accepted, and otherwise if it cannot be accepted at this moment.
      */
-    Future<Boolean> isBornCancelled(Chain chain) {
+    Future<Boolean> isBornCancelled(JobDependencies chain) {
         if (chain.isEmpty()) {
             return Future.succeededFuture(false);
         }
@@ -70,11 +70,12 @@
                 .get()
                 .compose(all -> all
                         ? atSubmission.anyCancelled(chain.needs())
-                        : Future.failedFuture(new NotYet("not every controller knows chained jobs yet")));
+                        : Future.failedFuture(
+                                new DependencyUnknownException("not every controller knows chained jobs yet")));
     }
 
     /** Whether an open job whose record says that it waits is to be told cancelled. */
-    Future<Boolean> isBelowCancelled(JobId id, Chain chain, Function<JobId, Boolean> knownCancelled) {
+    Future<Boolean> isBelowCancelled(JobId id, JobDependencies chain, Function<JobId, Boolean> knownCancelled) {
         if (!chain.isWaiting()) {
             return Future.succeededFuture(false);
         }
@@ -94,8 +95,8 @@
     }
 
     /** Not accepted at this moment; its user is to come again. */
-    static final class NotYet extends RuntimeException {
-        NotYet(String reason) {
+    static final class DependencyUnknownException extends RuntimeException {
+        DependencyUnknownException(String reason) {
             super(reason, null, false, false);
         }
     }
--- a/src/main/java/io/indigoreach/api/FrontDoor.java
+++ b/src/main/java/io/indigoreach/api/HttpApi.java
@@ -1,12 +1,12 @@
 package io.indigoreach.api;
 
-import io.indigoreach.core.Turns;
-import io.indigoreach.net.Body;
+import io.indigoreach.core.query.FairAdmission;
 import io.indigoreach.net.Endpoint;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.RequestBody;
 import io.indigoreach.net.WireException;
-import io.indigoreach.worker.ReportDesk;
+import io.indigoreach.worker.HeartbeatEndpoint;
 import io.indigoreach.worker.WorkerCodec;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -27,30 +27,30 @@
 import org.slf4j.LoggerFactory;
 
 /** The listener for users, workers and health checks. */
-public final class FrontDoor {
-    private static final Logger LOG = LoggerFactory.getLogger(FrontDoor.class);
+public final class HttpApi {
+    private static final Logger LOG = LoggerFactory.getLogger(HttpApi.class);
     private static final String API = "/api/";
     private static final int IDLE_S = 75;
     private final Endpoint endpoint;
-    private final JobDesk jobs;
-    private final ReportDesk reports;
+    private final JobService jobs;
+    private final HeartbeatEndpoint reports;
     private final BooleanSupplier ready;
     /** What the parts beside the jobs serve, by their names. */
     private final Map<String, Resource> resources;
 
     private final HttpServer server;
     /** Of each kind so many wait for the state service at once; more are told to come back, and go first then. */
-    private final Turns questions = new Turns();
+    private final FairAdmission questions = new FairAdmission();
     /** Requests of the parts beside the jobs. */
-    private final Turns others = new Turns();
+    private final FairAdmission others = new FairAdmission();
     /** Submissions and cancellations: questions, however many, do not keep them out. */
-    private final Turns orders = new Turns();
+    private final FairAdmission orders = new FairAdmission();
 
-    public FrontDoor(
+    public HttpApi(
             Vertx vertx,
             Endpoint endpoint,
-            JobDesk jobs,
-            ReportDesk reports,
+            JobService jobs,
+            HeartbeatEndpoint reports,
             BooleanSupplier ready,
             Map<String, Resource> resources) {
         this.endpoint = endpoint;
@@ -87,7 +87,7 @@
             withBody(request, HttpMethod.POST, reports::report);
         } else if (JobCodec.READY.equals(path)) {
             if (allows(request, HttpMethod.GET)) {
-                write(request, ready.getAsBoolean() ? Answer.ok(Map.of()) : Answer.later("starting"));
+                write(request, ready.getAsBoolean() ? ApiResponse.ok(Map.of()) : ApiResponse.later("starting"));
             }
         } else if (JobCodec.JOBS.equals(path)) {
             withBody(request, HttpMethod.POST, body -> limited(orders, user(request), () -> jobs.submit(body)));
@@ -97,7 +97,7 @@
                 String id = rest.substring(0, rest.length() - JobCodec.CANCEL.length());
                 withBody(request, HttpMethod.POST, body -> limited(orders, id, () -> jobs.cancel(id)));
             } else if (rest.indexOf('/') >= 0) {
-                write(request, Answer.error(404, "no such path"));
+                write(request, ApiResponse.error(404, "no such path"));
             } else if (allows(request, HttpMethod.GET)) {
                 answer(request, b -> limited(questions, rest, () -> jobs.query(rest)), null);
             }
@@ -119,10 +119,10 @@
                                 () -> resource.serve(call(
                                         request,
                                         path,
-                                        body.length() == 0 ? new Fields(Map.of()) : Wire.readMap(body)))));
+                                        body.length() == 0 ? new Fields(Map.of()) : MessagePackFormat.readMap(body)))));
             }
         } else {
-            write(request, Answer.error(404, "no such path"));
+            write(request, ApiResponse.error(404, "no such path"));
         }
     }
 
@@ -150,11 +150,12 @@
         return request.connection().remoteAddress().toString();
     }
 
-    private static Future<Answer> limited(Turns kind, String who, java.util.function.Supplier<Future<Answer>> work) {
+    private static Future<ApiResponse> limited(
+            FairAdmission kind, String who, java.util.function.Supplier<Future<ApiResponse>> work) {
         if (!kind.enter(who)) {
-            return Future.succeededFuture(Answer.later("too many requests at this node"));
+            return Future.succeededFuture(ApiResponse.later("too many requests at this node"));
         }
-        Future<Answer> result;
+        Future<ApiResponse> result;
         try {
             result = work.get();
         } catch (RuntimeException e) {
@@ -169,37 +170,37 @@
             return true;
         }
         request.response().putHeader("Allow", method.name());
-        write(request, Answer.error(405, "method not allowed"));
+        write(request, ApiResponse.error(405, "method not allowed"));
         return false;
     }
 
     /** Hands the body to the work; one that is too long is refused. */
-    private void withBody(HttpServerRequest request, HttpMethod method, Function<Buffer, Future<Answer>> work) {
+    private void withBody(HttpServerRequest request, HttpMethod method, Function<Buffer, Future<ApiResponse>> work) {
         if (!allows(request, method)) {
             return;
         }
-        Body.gather(request, body -> answer(request, work, body), () -> refuseLong(request));
+        RequestBody.gather(request, body -> answer(request, work, body), () -> refuseLong(request));
     }
 
     private void refuseLong(HttpServerRequest request) {
         request.response().putHeader("Connection", "close");
-        write(request, Answer.error(413, "a body may have 64 KiB"))
+        write(request, ApiResponse.error(413, "a body may have 64 KiB"))
                 .onComplete(e -> request.connection().close());
     }
 
-    private void answer(HttpServerRequest request, Function<Buffer, Future<Answer>> work, Buffer body) {
-        Future<Answer> result;
+    private void answer(HttpServerRequest request, Function<Buffer, Future<ApiResponse>> work, Buffer body) {
+        Future<ApiResponse> result;
         try {
             result = work.apply(body);
         } catch (WireException e) {
-            write(request, Answer.error(400, e.getMessage()));
+            write(request, ApiResponse.error(400, e.getMessage()));
             return;
-        } catch (Refusal e) {
+        } catch (RequestRejectedException e) {
             write(request, e.answer());
             return;
         }
         result.onComplete(done -> {
-            if (done.cause() instanceof Refusal r) {
+            if (done.cause() instanceof RequestRejectedException r) {
                 write(request, r.answer());
             } else if (done.failed()) {
                 LOG.debug(
@@ -207,14 +208,14 @@
                         request.method(),
                         request.path(),
                         done.cause().toString());
-                write(request, Answer.later("the state service does not answer"));
+                write(request, ApiResponse.later("the state service does not answer"));
             } else {
                 write(request, done.result());
             }
         });
     }
 
-    private Future<Void> write(HttpServerRequest request, Answer answer) {
+    private Future<Void> write(HttpServerRequest request, ApiResponse answer) {
         HttpServerResponse response = request.response();
         if (response.closed() || response.ended()) {
             return Future.succeededFuture();
@@ -223,6 +224,6 @@
         if (answer.retryAfterS() > 0) {
             response.putHeader("Retry-After", Integer.toString(answer.retryAfterS()));
         }
-        return response.end(Wire.write(answer.body()));
+        return response.end(MessagePackFormat.write(answer.body()));
     }
 }
--- a/src/main/java/io/indigoreach/api/JobCodec.java
+++ b/src/main/java/io/indigoreach/api/JobCodec.java
@@ -1,15 +1,15 @@
 package io.indigoreach.api;
 
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.core.chain.Chain;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobDependencies;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.WireException;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -46,7 +46,7 @@
 
     /** A submission, as users write it. */
     public static Map<String, Object> write(JobSpec s) {
-        Map<String, Object> map = Wire.map(
+        Map<String, Object> map = MessagePackFormat.map(
                 "id",
                 s.id().text(),
                 "jobclass",
@@ -150,10 +150,10 @@
                 chain(id, f));
     }
 
-    private static Chain chain(String own, Fields f) {
+    private static JobDependencies chain(String own, Fields f) {
         List<String> names = f.optionalTexts(WAITS_ON);
         if (names == null) {
-            return Chain.NONE;
+            return JobDependencies.NONE;
         }
         // A repeated id is most likely a mistake for another one, which the job would then not wait for.
         if (names.size() > MOST_NAMED || names.contains(own) || new HashSet<>(names).size() < names.size()) {
@@ -166,7 +166,7 @@
             }
             needs.add(new JobId(name));
         }
-        return Chain.of(needs);
+        return JobDependencies.of(needs);
     }
 
     private static Map<String, Object> more(Fields f) {
@@ -179,10 +179,10 @@
         return more;
     }
 
-    private static Shape shape(String word) {
+    private static JobKind shape(String word) {
         return switch (word) {
-            case "array" -> Shape.ARRAY;
-            case "service" -> Shape.SERVICE;
+            case "array" -> JobKind.ARRAY;
+            case "service" -> JobKind.SERVICE;
             default -> throw Fields.invalid("shape");
         };
     }
@@ -225,11 +225,11 @@
     }
 
     static Map<String, Object> accepted(JobId id, JobStatus status) {
-        return Wire.map("id", id.text(), "status", word(status));
+        return MessagePackFormat.map("id", id.text(), "status", word(status));
     }
 
     static Map<String, Object> progress(JobId id, JobStatus status, int done, int running) {
-        return Wire.map("id", id.text(), "status", word(status), "done", done, "running", running);
+        return MessagePackFormat.map("id", id.text(), "status", word(status), "done", done, "running", running);
     }
 
     private static String word(JobStatus status) {
--- a/src/main/java/io/indigoreach/api/OpenReads.java
+++ b/src/main/java/io/indigoreach/api/JobReadBatcher.java
@@ -1,10 +1,10 @@
 package io.indigoreach.api;
 
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Round;
-import io.indigoreach.core.Span;
-import io.indigoreach.net.Budget;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.query.ListingCursor;
+import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.net.WireException;
 import io.indigoreach.state.RecordCodec;
@@ -23,7 +23,7 @@
  * <p>Whoever asks waits for a listing that begins after that, page by page; so its answer is never older than one that
  * anybody was given before the question.
  */
-final class OpenReads {
+final class JobReadBatcher {
     private static final int PAGE = 500;
     /** Of a node's part, what is kept for listings. */
     private static final double LISTINGS = 0.25;
@@ -35,21 +35,21 @@
     private final Vertx vertx;
     private final StateClient state;
     private final SteadyClock clock;
-    private final Budget single;
-    private final Budget pages;
+    private final RateLimiter single;
+    private final RateLimiter pages;
     /** By the keys of the records. */
     private Map<String, Promise<StateClient.Entry>> waiting = new HashMap<>();
 
-    private final Round<Promise<StateClient.Entry>> round = new Round<>();
+    private final ListingCursor<Promise<StateClient.Entry>> round = new ListingCursor<>();
     private boolean listing;
 
     /** {@code perSecond}: requests to the state service that this node may spend on users' questions. */
-    OpenReads(Vertx vertx, StateClient state, SteadyClock clock, double perSecond) {
+    JobReadBatcher(Vertx vertx, StateClient state, SteadyClock clock, double perSecond) {
         this.vertx = vertx;
         this.state = state;
         this.clock = clock;
-        this.single = new Budget(perSecond * (1 - LISTINGS), clock.now());
-        this.pages = new Budget(Math.max(1, perSecond * LISTINGS), clock.now());
+        this.single = new RateLimiter(perSecond * (1 - LISTINGS), clock.now());
+        this.pages = new RateLimiter(Math.max(1, perSecond * LISTINGS), clock.now());
     }
 
     /** The open job's record as it stands now; null if there is none. */
--- a/src/main/java/io/indigoreach/api/JobDesk.java
+++ b/src/main/java/io/indigoreach/api/JobService.java
@@ -1,23 +1,23 @@
 package io.indigoreach.api;
 
 import io.indigoreach.cloud.Catalogue;
-import io.indigoreach.core.Admission;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Team;
-import io.indigoreach.core.ToldCancellations;
-import io.indigoreach.core.loss.Remains;
-import io.indigoreach.core.records.Change;
+import io.indigoreach.core.leadership.ConfirmedCancellations;
+import io.indigoreach.core.loss.RememberedState;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.records.Transaction;
+import io.indigoreach.core.scheduling.Admission;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.net.WireException;
-import io.indigoreach.state.DoneBits;
+import io.indigoreach.state.CompletionBits;
 import io.indigoreach.state.FinalRecord;
-import io.indigoreach.state.JobMender;
 import io.indigoreach.state.JobRecord;
+import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
@@ -37,8 +37,8 @@
  * Serves the users at any node: each answer rests on the state service, except that a job once seen to be over stays
  * so and is answered from memory. Nobody is given an older answer by one node than by another.
  */
-public final class JobDesk {
-    private static final Logger LOG = LoggerFactory.getLogger(JobDesk.class);
+public final class JobService {
+    private static final Logger LOG = LoggerFactory.getLogger(JobService.class);
     private static final int REMEMBERED = 20_000;
     private static final int ACCEPTED = 5_000;
     private static final int MOST_TRIES = 3;
@@ -48,11 +48,11 @@
     private final Collection<Team> teams;
     private final SteadyClock clock;
     private final int valueBytes;
-    private final OpenReads questions;
-    private final JobMender mender;
-    private final ToldCancellations told;
-    private final ChainDesk chains;
-    private List<Joining> joinings = List.of();
+    private final JobReadBatcher questions;
+    private final JobRepairer mender;
+    private final ConfirmedCancellations told;
+    private final DependencyService chains;
+    private List<SubmissionParticipant> joinings = List.of();
     private Function<JobId, Future<Boolean>> others = id -> Future.succeededFuture(false);
     private final Map<JobId, FinalRecord> over = new LinkedHashMap<>() {
         @Override
@@ -62,21 +62,21 @@
     };
 
     /** Jobs accepted at this node that are not known to be over: what a loss of data would take, and none else may know. */
-    private final Map<JobId, Remains.Open> accepted = new LinkedHashMap<>() {
+    private final Map<JobId, RememberedState.OpenJob> accepted = new LinkedHashMap<>() {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<JobId, Remains.Open> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<JobId, RememberedState.OpenJob> eldest) {
             return size() > ACCEPTED;
         }
     };
 
     /** A job's state: open, over, or both null if it was never accepted. */
-    private record Found(JobRecord open, FinalRecord over) {}
+    private record StoredJob(JobRecord open, FinalRecord over) {}
 
     /** {@code questionsPerS}: requests to the state service that this node may spend on users' questions. */
-    public JobDesk(
+    public JobService(
             Vertx vertx,
             StateClient state,
-            JobMender mender,
+            JobRepairer mender,
             Catalogue catalogue,
             Collection<Team> teams,
             SteadyClock clock,
@@ -87,24 +87,25 @@
         this.catalogue = catalogue;
         this.teams = teams;
         this.clock = clock;
-        this.told = new ToldCancellations(clock.now());
+        this.told = new ConfirmedCancellations(clock.now());
         this.valueBytes = valueBytes;
-        this.questions = new OpenReads(vertx, state, clock, questionsPerS);
-        Doubt doubt = new Doubt(clock, state::isDoubted);
+        this.questions = new JobReadBatcher(vertx, state, clock, questionsPerS);
+        CascadeFreshness doubt = new CascadeFreshness(clock, state::isDoubted);
         state.onFailure(doubt::failure);
-        this.chains = new ChainDesk(clock, id -> named(id, this::readOpen), id -> named(id, questions::read), doubt);
+        this.chains =
+                new DependencyService(clock, id -> named(id, this::readOpen), id -> named(id, questions::read), doubt);
     }
 
     /** Throws {@link io.indigoreach.net.WireException} if the job is malformed. */
-    public Future<Answer> submit(Buffer body) {
-        JobSpec spec = JobCodec.read(Wire.readMap(body));
+    public Future<ApiResponse> submit(Buffer body) {
+        JobSpec spec = JobCodec.read(MessagePackFormat.readMap(body));
         joinings.stream().filter(j -> spec.more().containsKey(j.field())).forEach(j -> j.check(spec));
         FinalRecord known = over.get(spec.id());
         if (known != null) {
-            return Future.succeededFuture(Answer.ok(JobCodec.accepted(spec.id(), known.status())));
+            return Future.succeededFuture(ApiResponse.ok(JobCodec.accepted(spec.id(), known.status())));
         }
         if (!catalogue.isKnown()) {
-            return Future.succeededFuture(Answer.later("the machine types are not known yet"));
+            return Future.succeededFuture(ApiResponse.later("the machine types are not known yet"));
         }
         String refusal = Admission.refusal(spec, teams, catalogue.types());
         if (refusal == null && !spec.more().isEmpty()) {
@@ -117,27 +118,28 @@
         long now = clock.timeOfDay();
         Map<String, Object> record =
                 RecordCodec.writeJob(spec, now, JobStatus.PENDING, new BitSet(), 0, firstBound(spec));
-        int bytes = DoneBits.recordBytes(spec, now);
+        int bytes = CompletionBits.recordBytes(spec, now);
         int room = state.limits().room(valueBytes);
         if (refusal == null && bytes > room) {
             refusal = "the description is too long: " + bytes + " bytes, of at most " + room;
             if (!spec.chain().isEmpty()) {
-                return ifUnknown(spec.id(), Answer.error(400, refusal + ", with the jobs named"));
+                return ifUnknown(spec.id(), ApiResponse.error(400, refusal + ", with the jobs named"));
             }
         }
         if (refusal != null) {
             // Whatever was accepted once stays accepted, even under limits that have become stricter since.
-            return ifUnknown(spec.id(), Answer.error(422, refusal));
+            return ifUnknown(spec.id(), ApiResponse.error(422, refusal));
         }
         return chains.isBornCancelled(spec.chain())
                 .compose(
                         cancelled -> accept(spec, record, cancelled, now, 1),
-                        e -> e instanceof Refusal r
+                        e -> e instanceof RequestRejectedException r
                                 ? ifUnknown(spec.id(), r.answer())
-                                : e instanceof ChainDesk.NotYet
-                                        ? ifUnknown(spec.id(), Answer.later(e.getMessage()))
+                                : e instanceof DependencyService.DependencyUnknownException
+                                        ? ifUnknown(spec.id(), ApiResponse.later(e.getMessage()))
                                         : ifUnknown(
-                                                spec.id(), Answer.later("a job that this one names cannot be read")));
+                                                spec.id(),
+                                                ApiResponse.later("a job that this one names cannot be read")));
     }
 
     /**
@@ -150,13 +152,14 @@
     }
 
     /** Whatever was accepted once stays accepted: its state, or {@code otherwise} if it never was. */
-    private Future<Answer> ifUnknown(JobId id, Answer otherwise) {
+    private Future<ApiResponse> ifUnknown(JobId id, ApiResponse otherwise) {
         return find(id).compose(found ->
                 found.open == null && found.over == null ? Future.succeededFuture(otherwise) : current(id, found));
     }
 
     /** Only in an era that is known and whole: a job that was lost may have been over, and must not run once more. */
-    private Future<Answer> accept(JobSpec spec, Map<String, Object> record, boolean cancelled, long now, int attempt) {
+    private Future<ApiResponse> accept(
+            JobSpec spec, Map<String, Object> record, boolean cancelled, long now, int attempt) {
         if (!state.isEraKnown()) {
             // Without the condition, an acceptance that gets no answer could be carried out after a rebuilding that no
             // longer
@@ -164,15 +167,15 @@
             return state.check()
                     .compose(v -> state.isEraKnown()
                             ? accept(spec, record, cancelled, now, attempt)
-                            : Future.succeededFuture(Answer.later("the era is not known yet")));
+                            : Future.succeededFuture(ApiResponse.later("the era is not known yet")));
         }
         StateClient.Txn txn = state.inThisEra()
-                .when(RecordCodec.open(spec.id()), Stamp.ABSENT)
-                .when(RecordCodec.over(spec.id()), Stamp.ABSENT);
+                .when(RecordCodec.open(spec.id()), Revision.ABSENT)
+                .when(RecordCodec.over(spec.id()), Revision.ABSENT);
         if (state.losses().isHolding()) {
             return find(spec.id()).compose(found -> currentOrLater(spec.id(), found));
         }
-        return (cancelled ? Future.succeededFuture(new Change()) : joined(spec))
+        return (cancelled ? Future.succeededFuture(new Transaction()) : joined(spec))
                 .compose(
                         change -> commit(spec, record, cancelled, now, attempt, txn, change)
                                 .recover(e -> refused(spec, e)),
@@ -182,23 +185,23 @@
                                 find(spec.id())
                                         .compose(found -> found.open != null || found.over != null
                                                 ? current(spec.id(), found)
-                                                : e instanceof Refusal r
+                                                : e instanceof RequestRejectedException r
                                                         ? Future.succeededFuture(r.answer())
                                                         : Future.failedFuture(e)));
     }
 
     /** What the state service does not take as it is, it never will: a repeat would only fail again. */
-    private Future<Answer> refused(JobSpec spec, Throwable failure) {
-        if (!(failure instanceof StateClient.Unacceptable)) {
+    private Future<ApiResponse> refused(JobSpec spec, Throwable failure) {
+        if (!(failure instanceof StateClient.UnacceptableWriteException)) {
             return Future.failedFuture(failure);
         }
-        return ifUnknown(spec.id(), Answer.error(422, "the state service takes no record of this size"));
+        return ifUnknown(spec.id(), ApiResponse.error(422, "the state service takes no record of this size"));
     }
 
     /** What the parts beside the jobs have to say to this one; nothing for most. */
-    private Future<Change> joined(JobSpec spec) {
-        Future<Change> all = Future.succeededFuture(new Change());
-        for (Joining j : joinings) {
+    private Future<Transaction> joined(JobSpec spec) {
+        Future<Transaction> all = Future.succeededFuture(new Transaction());
+        for (SubmissionParticipant j : joinings) {
             if (spec.more().containsKey(j.field())) {
                 all = all.compose(change -> j.accepting(spec).map(change::and));
             }
@@ -206,14 +209,14 @@
         return all;
     }
 
-    private Future<Answer> commit(
+    private Future<ApiResponse> commit(
             JobSpec spec,
             Map<String, Object> record,
             boolean cancelled,
             long now,
             int attempt,
             StateClient.Txn txn,
-            Change change) {
+            Transaction change) {
         StateClient.Txn whole = cancelled
                 ? txn.put(RecordCodec.over(spec.id()), RecordCodec.writeFinal(JobStatus.CANCELLED, 0))
                 : txn.put(RecordCodec.open(spec.id()), record);
@@ -225,9 +228,9 @@
                 if (cancelled) {
                     remember(new FinalRecord(spec.id(), JobStatus.CANCELLED, 0));
                 } else {
-                    accepted.put(spec.id(), new Remains.Open(spec, now, new BitSet(), spec.tasks()));
+                    accepted.put(spec.id(), new RememberedState.OpenJob(spec, now, new BitSet(), spec.tasks()));
                 }
-                return Future.succeededFuture(new Answer(201, JobCodec.accepted(spec.id(), JobStatus.PENDING), 0));
+                return Future.succeededFuture(new ApiResponse(201, JobCodec.accepted(spec.id(), JobStatus.PENDING), 0));
             }
             if (outcome.failed().equals(List.of(RecordCodec.ERA)) && attempt < MOST_TRIES) {
                 return state.check().compose(v -> accept(spec, record, cancelled, now, attempt + 1));
@@ -240,21 +243,21 @@
     }
 
     /** A job that is nowhere at the second look was not accepted by this call: its user comes again. */
-    private Future<Answer> currentOrLater(JobId id, Found found) {
+    private Future<ApiResponse> currentOrLater(JobId id, StoredJob found) {
         return found.open == null && found.over == null
-                ? Future.succeededFuture(Answer.later("try again"))
+                ? Future.succeededFuture(ApiResponse.later("try again"))
                 : current(id, found);
     }
 
-    private Future<Answer> current(JobId id, Found read) {
+    private Future<ApiResponse> current(JobId id, StoredJob read) {
         return settled(id, read)
-                .map(found -> Answer.ok(
+                .map(found -> ApiResponse.ok(
                         JobCodec.accepted(id, found.open != null ? found.open.status() : found.over.status())));
     }
 
-    private Future<NamedJob> named(JobId id, Function<JobId, Future<StateClient.Entry>> reader) {
+    private Future<ReferencedJob> named(JobId id, Function<JobId, Future<StateClient.Entry>> reader) {
         return find(id, reader, null, 1)
-                .map(found -> new NamedJob(
+                .map(found -> new ReferencedJob(
                         found.open == null ? null : found.open.spec(),
                         found.over == null ? null : found.over.status()));
     }
@@ -267,7 +270,7 @@
      * An open job below a cancelled one is over, though its own end is not written yet: whoever finds that writes it before
      * anybody is told, so that nobody is told otherwise later.
      */
-    private Future<Found> settled(JobId id, Found found) {
+    private Future<StoredJob> settled(JobId id, StoredJob found) {
         if (found.open == null) {
             return Future.succeededFuture(found);
         }
@@ -275,7 +278,7 @@
                 .compose(below -> below ? cancelBelow(id, found.open) : Future.succeededFuture(found));
     }
 
-    private Future<Found> cancelBelow(JobId id, JobRecord open) {
+    private Future<StoredJob> cancelBelow(JobId id, JobRecord open) {
         StateClient.Txn txn = new StateClient.Txn()
                 .when(RecordCodec.open(id), open.stamp())
                 .delete(RecordCodec.open(id))
@@ -286,13 +289,13 @@
             }
             LOG.info("job {} is cancelled with one that it needs", id);
             return Future.succeededFuture(
-                    new Found(null, remember(new FinalRecord(id, JobStatus.CANCELLED, open.doneCount()))));
+                    new StoredJob(null, remember(new FinalRecord(id, JobStatus.CANCELLED, open.doneCount()))));
         });
     }
 
-    public Future<Answer> query(String text) {
+    public Future<ApiResponse> query(String text) {
         if (!JobId.isValid(text)) {
-            return Future.succeededFuture(Answer.error(404, "no such job"));
+            return Future.succeededFuture(ApiResponse.error(404, "no such job"));
         }
         JobId id = new JobId(text);
         return find(id, questions::read, null, 1)
@@ -300,28 +303,28 @@
                 .map(found -> {
                     if (found.open != null) {
                         JobRecord r = found.open;
-                        return Answer.ok(JobCodec.progress(id, r.status(), r.doneCount(), r.running()));
+                        return ApiResponse.ok(JobCodec.progress(id, r.status(), r.doneCount(), r.running()));
                     }
                     return found.over == null
-                            ? Answer.error(404, "no such job")
-                            : Answer.ok(JobCodec.progress(id, found.over.status(), found.over.done(), 0));
+                            ? ApiResponse.error(404, "no such job")
+                            : ApiResponse.ok(JobCodec.progress(id, found.over.status(), found.over.done(), 0));
                 });
     }
 
-    public Future<Answer> cancel(String text) {
+    public Future<ApiResponse> cancel(String text) {
         if (!JobId.isValid(text)) {
-            return Future.succeededFuture(Answer.error(404, "no such job"));
+            return Future.succeededFuture(ApiResponse.error(404, "no such job"));
         }
         return cancel(new JobId(text), 1);
     }
 
-    private Future<Answer> cancel(JobId id, int attempt) {
+    private Future<ApiResponse> cancel(JobId id, int attempt) {
         return find(id).compose(found -> {
             if (found.over != null) {
-                return Future.succeededFuture(Answer.ok(JobCodec.accepted(id, found.over.status())));
+                return Future.succeededFuture(ApiResponse.ok(JobCodec.accepted(id, found.over.status())));
             }
             if (found.open == null) {
-                return Future.succeededFuture(Answer.error(404, "no such job"));
+                return Future.succeededFuture(ApiResponse.error(404, "no such job"));
             }
             StateClient.Txn txn = new StateClient.Txn()
                     .when(RecordCodec.open(id), found.open.stamp())
@@ -333,17 +336,17 @@
                 if (outcome.done()) {
                     LOG.info("job {} cancelled by its user", id);
                     remember(new FinalRecord(id, JobStatus.CANCELLED, found.open.doneCount()));
-                    return Future.succeededFuture(Answer.ok(JobCodec.accepted(id, JobStatus.CANCELLED)));
+                    return Future.succeededFuture(ApiResponse.ok(JobCodec.accepted(id, JobStatus.CANCELLED)));
                 }
                 // The leader wrote the job's progress in between.
                 return attempt < MOST_TRIES
                         ? cancel(id, attempt + 1)
-                        : Future.succeededFuture(Answer.later("the job changes at this moment"));
+                        : Future.succeededFuture(ApiResponse.later("the job changes at this moment"));
             });
         });
     }
 
-    private Future<Found> find(JobId id) {
+    private Future<StoredJob> find(JobId id) {
         return find(id, this::readOpen, null, 1);
     }
 
@@ -356,11 +359,11 @@
      * comparing, as a read may come from before it was accepted; so is what is read while the service is in doubt. What cannot
      * be read is mended first; {@code offered}: the job as its user submits it again, or null.
      */
-    private Future<Found> find(
+    private Future<StoredJob> find(
             JobId id, Function<JobId, Future<StateClient.Entry>> reader, JobSpec offered, int attempt) {
         FinalRecord known = over.get(id);
         if (known != null) {
-            return Future.succeededFuture(new Found(null, known));
+            return Future.succeededFuture(new StoredJob(null, known));
         }
         return reader.apply(id).compose(open -> {
             if (open != null) {
@@ -373,17 +376,18 @@
                 if (record.status() == JobStatus.DONE) {
                     // Its end is written; the record has only not been moved yet.
                     return Future.succeededFuture(
-                            new Found(null, remember(new FinalRecord(id, JobStatus.DONE, record.doneCount()))));
+                            new StoredJob(null, remember(new FinalRecord(id, JobStatus.DONE, record.doneCount()))));
                 }
-                Found found = new Found(record, null);
+                StoredJob found = new StoredJob(record, null);
                 return state.isDoubted() ? confirmed(id, found, open.stamp(), attempt) : Future.succeededFuture(found);
             }
             return state.get(RecordCodec.over(id)).compose(ended -> {
                 if (ended == null) {
-                    return confirmed(id, new Found(null, null), Stamp.ABSENT, attempt);
+                    return confirmed(id, new StoredJob(null, null), Revision.ABSENT, attempt);
                 }
                 try {
-                    return Future.succeededFuture(new Found(null, remember(RecordCodec.readFinal(id, ended.value()))));
+                    return Future.succeededFuture(
+                            new StoredJob(null, remember(RecordCodec.readFinal(id, ended.value()))));
                 } catch (WireException e) {
                     return again(id, mender.over(id, ended, offered), offered, attempt, e.getMessage());
                 }
@@ -391,25 +395,25 @@
         });
     }
 
-    private Future<Found> again(JobId id, Future<Void> settled, JobSpec offered, int attempt, String failure) {
+    private Future<StoredJob> again(JobId id, Future<Void> settled, JobSpec offered, int attempt, String failure) {
         return settled.compose(v -> attempt < MOST_TRIES
                 ? find(id, this::readOpen, offered, attempt + 1)
                 : Future.failedFuture(new WireException(failure)));
     }
 
-    private Future<Found> confirmed(JobId id, Found found, Stamp open, int attempt) {
+    private Future<StoredJob> confirmed(JobId id, StoredJob found, Revision open, int attempt) {
         if (found.open == null && state.losses().isHolding()) {
             return Future.failedFuture(new WireException("data were lost, and this job may be among them"));
         }
         StateClient.Txn txn = found.open == null ? state.inThisEra() : new StateClient.Txn();
-        return state.confirm(txn.when(RecordCodec.open(id), open).when(RecordCodec.over(id), Stamp.ABSENT))
+        return state.confirm(txn.when(RecordCodec.open(id), open).when(RecordCodec.over(id), Revision.ABSENT))
                 .compose(holds -> holds
                         ? found.open == null ? unknownToAll(id, attempt) : Future.succeededFuture(found)
                         : again(id, state.check(), null, attempt, "the state service answers with the past"));
     }
 
     /** Nobody is told that a job does not exist as long as any controller remembers it: its record was lost. */
-    private Future<Found> unknownToAll(JobId id, int attempt) {
+    private Future<StoredJob> unknownToAll(JobId id, int attempt) {
         return (knows(id) ? Future.succeededFuture(true) : others.apply(id))
                 .compose(known -> known
                         ? state.confirm(nowhere(id)).compose(still -> {
@@ -421,11 +425,13 @@
                             state.recordGone(RecordCodec.open(id));
                             return Future.failedFuture(new WireException("the record of this job was lost"));
                         })
-                        : Future.succeededFuture(new Found(null, null)));
+                        : Future.succeededFuture(new StoredJob(null, null)));
     }
 
     private static StateClient.Txn nowhere(JobId id) {
-        return new StateClient.Txn().when(RecordCodec.open(id), Stamp.ABSENT).when(RecordCodec.over(id), Stamp.ABSENT);
+        return new StateClient.Txn()
+                .when(RecordCodec.open(id), Revision.ABSENT)
+                .when(RecordCodec.over(id), Revision.ABSENT);
     }
 
     /** Whether this node has accepted the job, or knows its end. */
@@ -449,7 +455,7 @@
     }
 
     /** The parts that have a say in acceptances. */
-    public void joining(List<Joining> parts) {
+    public void joining(List<SubmissionParticipant> parts) {
         joinings = parts;
     }
 
@@ -468,15 +474,18 @@
     }
 
     /** The cancellations that this node tells of, as they are learnt: before any user has the answer. */
-    public ToldCancellations told() {
+    public ConfirmedCancellations told() {
         return told;
     }
 
     /** What this node remembers of one job. */
-    public Remains remains(JobId id) {
-        Remains remains = new Remains();
+    public RememberedState remains(JobId id) {
+        RememberedState remains = new RememberedState();
         if (over.containsKey(id)) {
-            remains.add(id, new Remains.Over(over.get(id).status(), over.get(id).done()));
+            remains.add(
+                    id,
+                    new RememberedState.FinishedJob(
+                            over.get(id).status(), over.get(id).done()));
         } else if (accepted.containsKey(id)) {
             remains.add(accepted.get(id));
         }
@@ -484,9 +493,9 @@
     }
 
     /** What this node remembers of jobs. */
-    public Remains remains() {
-        Remains remains = new Remains();
-        over.values().forEach(r -> remains.add(r.id(), new Remains.Over(r.status(), r.done())));
+    public RememberedState remains() {
+        RememberedState remains = new RememberedState();
+        over.values().forEach(r -> remains.add(r.id(), new RememberedState.FinishedJob(r.status(), r.done())));
         accepted.values().forEach(remains::add);
         return remains;
     }
--- a/src/main/java/io/indigoreach/api/NamedJob.java
+++ b/src/main/java/io/indigoreach/api/ReferencedJob.java
@@ -1,7 +1,7 @@
 package io.indigoreach.api;
 
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
 
 /**
  * What is known of a job that another one names.
@@ -9,7 +9,7 @@
  * @param open its description if it is open, else null
  * @param end how it ended if it is over, else null; both are null if it was never accepted
  */
-record NamedJob(JobSpec open, JobStatus end) {
+record ReferencedJob(JobSpec open, JobStatus end) {
     boolean isUnknown() {
         return open == null && end == null;
     }
--- a/src/main/java/io/indigoreach/api/NamedJobs.java
+++ b/src/main/java/io/indigoreach/api/ReferencedJobs.java
@@ -1,7 +1,7 @@
 package io.indigoreach.api;
 
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.chain.Chain;
+import io.indigoreach.core.model.JobDependencies;
+import io.indigoreach.core.model.JobId;
 import io.indigoreach.net.WireException;
 import io.vertx.core.Future;
 import java.util.ArrayDeque;
@@ -14,19 +14,19 @@
 import java.util.function.Function;
 
 /** Looks up the jobs that others name, some at a time. */
-final class NamedJobs {
+final class ReferencedJobs {
     private static final int AT_ONCE = 8;
     /** One question looks at no more jobs than this; its user comes again, and what was found to be over is remembered. */
     private static final int MOST = 200;
 
-    private final Function<JobId, Future<NamedJob>> finder;
+    private final Function<JobId, Future<ReferencedJob>> finder;
 
-    NamedJobs(Function<JobId, Future<NamedJob>> finder) {
+    ReferencedJobs(Function<JobId, Future<ReferencedJob>> finder) {
         this.finder = finder;
     }
 
     /**
-     * At a submission: whether a named job is cancelled, so that the new one is too. Fails with a {@link Refusal} if one was
+     * At a submission: whether a named job is cancelled, so that the new one is too. Fails with a {@link RequestRejectedException} if one was
      * never accepted or is a service, and otherwise if that cannot be said at this moment.
      */
     Future<Boolean> anyCancelled(List<JobId> named) {
@@ -41,13 +41,14 @@
         return find(batch).compose(found -> {
             boolean any = cancelled;
             for (int n = 0; n < batch.size(); n++) {
-                NamedJob job = found.get(n);
+                ReferencedJob job = found.get(n);
                 if (job.isUnknown()) {
-                    return Future.failedFuture(Refusal.of(JobCodec.WAITS_ON, batch.get(n) + " was never accepted"));
+                    return Future.failedFuture(
+                            RequestRejectedException.of(JobCodec.WAITS_ON, batch.get(n) + " was never accepted"));
                 }
                 if (job.open() != null && job.open().isService()) {
-                    return Future.failedFuture(
-                            Refusal.of(JobCodec.WAITS_ON, batch.get(n) + " is a service, which is never done"));
+                    return Future.failedFuture(RequestRejectedException.of(
+                            JobCodec.WAITS_ON, batch.get(n) + " is a service, which is never done"));
                 }
                 any |= job.isCancelled();
             }
@@ -59,7 +60,7 @@
      * Whether a waiting job needs a cancelled one, directly or through others that are still open. Cancelled is said only of what
      * an end record says.
      */
-    Future<Boolean> isBelowCancelled(Chain chain) {
+    Future<Boolean> isBelowCancelled(JobDependencies chain) {
         return walk(new ArrayDeque<>(chain.needs()), new HashSet<>(chain.needs()));
     }
 
@@ -71,7 +72,7 @@
             return Future.failedFuture(new WireException("too many jobs before this one to look at all of them"));
         }
         return find(take(left)).compose(found -> {
-            for (NamedJob job : found) {
+            for (ReferencedJob job : found) {
                 if (job.isCancelled()) {
                     return Future.succeededFuture(true);
                 }
@@ -91,8 +92,8 @@
         return batch;
     }
 
-    private Future<List<NamedJob>> find(Collection<JobId> batch) {
-        List<Future<NamedJob>> all = batch.stream().map(finder).toList();
+    private Future<List<ReferencedJob>> find(Collection<JobId> batch) {
+        List<Future<ReferencedJob>> all = batch.stream().map(finder).toList();
         return Future.all(all).map(v -> all.stream().map(Future::result).toList());
     }
 }
--- a/src/main/java/io/indigoreach/api/Resource.java
+++ b/src/main/java/io/indigoreach/api/Resource.java
@@ -24,6 +24,6 @@
         }
     }
 
-    /** Throws {@link Refusal}, or {@link io.indigoreach.net.WireException} for a malformed body. */
-    Future<Answer> serve(Call call);
+    /** Throws {@link RequestRejectedException}, or {@link io.indigoreach.net.WireException} for a malformed body. */
+    Future<ApiResponse> serve(Call call);
 }
--- a/src/main/java/io/indigoreach/calendar/CalendarCache.java
+++ b/src/main/java/io/indigoreach/calendar/CalendarCache.java
@@ -1,16 +1,16 @@
 package io.indigoreach.calendar;
 
 import io.indigoreach.core.calendar.Calendar;
-import io.indigoreach.core.calendar.Head;
+import io.indigoreach.core.calendar.CalendarVersion;
 import io.indigoreach.core.calendar.Reading;
 import io.indigoreach.core.calendar.Register;
-import io.indigoreach.state.Records;
+import io.indigoreach.state.RoutineRunner;
 import io.vertx.core.Future;
 
 /** The version in force as this node read it last; its text is read and unpacked only when it is another. */
 final class CalendarCache {
     /** The version in force with its head; {@code version} null if no calendar was ever set. */
-    record Current(Head head, Head.Version version, CalendarCodec.Stored stored, String text) {
+    record Current(CalendarVersion head, CalendarVersion.Version version, CalendarCodec.Stored stored, String text) {
         int number() {
             return version == null ? 0 : version.number();
         }
@@ -21,7 +21,7 @@
     private Current current;
 
     /** As it stands now: one request where it has not changed. */
-    Future<Current> read(Records records) {
+    Future<Current> read(RoutineRunner records) {
         String known = current == null || current.version() == null
                 ? null
                 : current.version().digest();
@@ -36,7 +36,7 @@
     }
 
     /** An older version; null if it is not known any more. */
-    Future<Current> read(Records records, int number) {
+    Future<Current> read(RoutineRunner records, int number) {
         return records.run(new Reading(null, number))
                 .map(found -> found.version() == null
                         ? null
--- a/src/main/java/io/indigoreach/calendar/CalendarCodec.java
+++ b/src/main/java/io/indigoreach/calendar/CalendarCodec.java
@@ -1,7 +1,6 @@
 package io.indigoreach.calendar;
 
 import io.indigoreach.api.JobCodec;
-import io.indigoreach.core.Span;
 import io.indigoreach.core.calendar.Calendar;
 import io.indigoreach.core.calendar.Day;
 import io.indigoreach.core.calendar.Depot;
@@ -10,8 +9,9 @@
 import io.indigoreach.core.calendar.Register;
 import io.indigoreach.core.calendar.Season;
 import io.indigoreach.core.calendar.TimeOfDay;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.WireException;
 import io.vertx.core.buffer.Buffer;
 import java.io.ByteArrayInputStream;
@@ -57,7 +57,7 @@
         map.put("file", stored.file());
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (DeflaterOutputStream deflated = new DeflaterOutputStream(out)) {
-            deflated.write(Wire.write(map).getBytes());
+            deflated.write(MessagePackFormat.write(map).getBytes());
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -76,7 +76,7 @@
         if (bytes.length > LARGEST) {
             throw Fields.invalid("text");
         }
-        Fields f = Wire.readMap(Buffer.buffer(bytes));
+        Fields f = MessagePackFormat.readMap(Buffer.buffer(bytes));
         Map<String, Register.Entry> blocks = new LinkedHashMap<>();
         f.lists("blocks")
                 .forEach(b -> blocks.put((String) b.get(0), new Register.Entry(whole(b.get(1)), whole(b.get(2)))));
@@ -95,13 +95,13 @@
     }
 
     private static Map<String, Object> write(Calendar c) {
-        return Wire.map(
+        return MessagePackFormat.map(
                 "cores",
                 c.cores(),
                 "regions",
                 each(
                         c.regions(),
-                        r -> Wire.map(
+                        r -> MessagePackFormat.map(
                                 "name",
                                 r.name(),
                                 "years",
@@ -111,7 +111,7 @@
                 "seasons",
                 each(
                         c.seasons(),
-                        s -> Wire.map(
+                        s -> MessagePackFormat.map(
                                 "name",
                                 s.name(),
                                 "years",
@@ -119,7 +119,7 @@
                 "depots",
                 each(
                         c.depots(),
-                        d -> Wire.map(
+                        d -> MessagePackFormat.map(
                                 "name",
                                 d.name(),
                                 "zone",
@@ -133,7 +133,7 @@
                 "plans",
                 each(
                         c.plans(),
-                        p -> Wire.map(
+                        p -> MessagePackFormat.map(
                                 "name",
                                 p.name(),
                                 "depot",
--- a/src/main/java/io/indigoreach/calendar/CalendarPart.java
+++ b/src/main/java/io/indigoreach/calendar/CalendarPart.java
@@ -1,17 +1,17 @@
 package io.indigoreach.calendar;
 
-import io.indigoreach.api.Answer;
-import io.indigoreach.api.Joining;
+import io.indigoreach.api.ApiResponse;
 import io.indigoreach.api.Resource;
-import io.indigoreach.core.LeaderCore;
+import io.indigoreach.api.SubmissionParticipant;
+import io.indigoreach.core.calendar.CalendarVersion;
 import io.indigoreach.core.calendar.DayPage;
-import io.indigoreach.core.calendar.Head;
 import io.indigoreach.core.calendar.TimeSense;
-import io.indigoreach.core.records.Family;
+import io.indigoreach.core.records.RecordFamily;
+import io.indigoreach.core.scheduling.SchedulerCore;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.parts.Part;
 import io.indigoreach.parts.Parts;
-import io.indigoreach.state.Records;
+import io.indigoreach.state.RoutineRunner;
 import io.vertx.core.Future;
 import io.vertx.core.buffer.Buffer;
 import java.util.List;
@@ -20,26 +20,27 @@
 
 /** The deadline calendar: plans whose jobs are to be ready before tankers leave. */
 public final class CalendarPart implements Part {
-    public static final List<Family> FAMILIES = List.of(Head.FAMILY, Head.TEXT_FAMILY, DayPage.FAMILY, RunTimes.FAMILY);
+    public static final List<RecordFamily> FAMILIES =
+            List.of(CalendarVersion.FAMILY, CalendarVersion.TEXT_FAMILY, DayPage.FAMILY, RunTimes.FAMILY);
 
-    private final Parts.Ground ground;
+    private final Parts.Environment ground;
     private final LongSupplier time;
     private final CalendarCache calendars = new CalendarCache();
     private final PlanForecasts forecasts;
-    private Function<Buffer, Future<Answer>> desk;
+    private Function<Buffer, Future<ApiResponse>> desk;
 
-    public CalendarPart(Parts.Ground ground) {
+    public CalendarPart(Parts.Environment ground) {
         this(ground, sensed(ground));
     }
 
     /** With another time of day, in milliseconds since 1970. */
-    public CalendarPart(Parts.Ground ground, LongSupplier time) {
+    public CalendarPart(Parts.Environment ground, LongSupplier time) {
         this.ground = ground;
         this.time = time;
         this.forecasts = new PlanForecasts(ground.catalogue(), ground.config().teams());
     }
 
-    private static LongSupplier sensed(Parts.Ground ground) {
+    private static LongSupplier sensed(Parts.Environment ground) {
         TimeSense sense = new TimeSense(ground.config().clockOff());
         SteadyClock clock = ground.clock();
         return () -> sense.at(clock.now(), clock.timeOfDay());
@@ -51,7 +52,7 @@
     }
 
     @Override
-    public List<Family> families() {
+    public List<RecordFamily> families() {
         return FAMILIES;
     }
 
@@ -61,17 +62,17 @@
     }
 
     @Override
-    public Joining joining() {
+    public SubmissionParticipant joining() {
         return new PlanJoining(ground.records(), time);
     }
 
     @Override
-    public void submitting(Function<Buffer, Future<Answer>> submissions) {
+    public void submitting(Function<Buffer, Future<ApiResponse>> submissions) {
         desk = submissions;
     }
 
     @Override
-    public Reigning reigning(LeaderCore core, Records records) {
+    public Term reigning(SchedulerCore core, RoutineRunner records) {
         return new PlanScheduler(ground.vertx(), core, records, calendars, forecasts, desk, ground.clock(), time)
                 .start();
     }
--- a/src/main/java/io/indigoreach/calendar/CalendarResource.java
+++ b/src/main/java/io/indigoreach/calendar/CalendarResource.java
@@ -1,14 +1,14 @@
 package io.indigoreach.calendar;
 
-import io.indigoreach.api.Answer;
-import io.indigoreach.api.Refusal;
+import io.indigoreach.api.ApiResponse;
+import io.indigoreach.api.RequestRejectedException;
 import io.indigoreach.api.Resource;
 import io.indigoreach.core.calendar.Calendar;
 import io.indigoreach.core.calendar.CalendarCheck;
+import io.indigoreach.core.calendar.CalendarVersion;
 import io.indigoreach.core.calendar.Day;
 import io.indigoreach.core.calendar.DayPage;
 import io.indigoreach.core.calendar.Forecast;
-import io.indigoreach.core.calendar.Head;
 import io.indigoreach.core.calendar.Mark;
 import io.indigoreach.core.calendar.Occurrence;
 import io.indigoreach.core.calendar.Occurrences;
@@ -17,10 +17,10 @@
 import io.indigoreach.core.calendar.Plan;
 import io.indigoreach.core.calendar.Publishing;
 import io.indigoreach.core.calendar.Register;
-import io.indigoreach.core.records.Listing;
+import io.indigoreach.core.records.ListRecords;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
-import io.indigoreach.state.Records;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.state.RoutineRunner;
 import io.vertx.core.Future;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -39,13 +39,13 @@
     private static final int LONGEST_NOTE = 200;
     private static final long DAY_MS = 86_400_000;
 
-    private final Records records;
+    private final RoutineRunner records;
     private final CalendarCache calendars;
     private final PlanForecasts forecasts;
     private final LongSupplier time;
     private final JavaZones zones = new JavaZones();
 
-    CalendarResource(Records records, CalendarCache calendars, PlanForecasts forecasts, LongSupplier time) {
+    CalendarResource(RoutineRunner records, CalendarCache calendars, PlanForecasts forecasts, LongSupplier time) {
         this.records = records;
         this.calendars = calendars;
         this.forecasts = forecasts;
@@ -53,18 +53,18 @@
     }
 
     @Override
-    public Future<Answer> serve(Call call) {
+    public Future<ApiResponse> serve(Call call) {
         List<String> path = call.path();
         String what = path.isEmpty() ? "" : path.get(0);
         if (call.isPost() && path.isEmpty()) {
             return set(call.body());
         }
         if (!call.isGet()) {
-            return Future.succeededFuture(Answer.error(405, "method not allowed"));
+            return Future.succeededFuture(ApiResponse.error(405, "method not allowed"));
         }
         boolean foresees = "outlook".equals(what) || "explain".equals(what);
         if (foresees && !forecasts.isReady()) {
-            return Future.succeededFuture(Answer.later("the machine types are not known yet"));
+            return Future.succeededFuture(ApiResponse.later("the machine types are not known yet"));
         }
         return switch (what + path.size()) {
             case "0" -> calendars.read(records).map(this::shown);
@@ -75,7 +75,7 @@
             case "next1" -> calendars.read(records).map(c -> next(c, call.query()));
             case "outlook1" -> calendars.read(records).compose(c -> outlook(c, call.query()));
             case "explain3" -> calendars.read(records).compose(c -> explain(c, path.get(1), day(path.get(2), "day")));
-            default -> throw Refusal.notFound("no such path");
+            default -> throw RequestRejectedException.notFound("no such path");
         };
     }
 
@@ -88,42 +88,47 @@
         } catch (NumberFormatException e) {
             // Told below.
         }
-        throw Refusal.of(field, "must be " + least + " to " + most);
+        throw RequestRejectedException.of(field, "must be " + least + " to " + most);
     }
 
     private static Day day(String text, String field) {
         try {
             return Day.parse(text);
         } catch (IllegalArgumentException e) {
-            throw Refusal.of(field, e.getMessage());
+            throw RequestRejectedException.of(field, e.getMessage());
         }
     }
 
-    private Answer shown(CalendarCache.Current c) {
+    private ApiResponse shown(CalendarCache.Current c) {
         if (c == null) {
-            throw Refusal.notFound("no such version, or none that is still listed");
+            throw RequestRejectedException.notFound("no such version, or none that is still listed");
         }
         List<Object> history = new ArrayList<>();
-        c.head().versions().forEach(v -> history.add(Wire.map("version", v.number(), "at", v.at(), "note", v.note())));
-        return Answer.ok(Wire.map("version", c.number(), "text", c.text(), "history", history));
+        c.head()
+                .versions()
+                .forEach(
+                        v -> history.add(MessagePackFormat.map("version", v.number(), "at", v.at(), "note", v.note())));
+        return ApiResponse.ok(MessagePackFormat.map("version", c.number(), "text", c.text(), "history", history));
     }
 
     /** The next version, if the one that it was made from is still in force. */
-    private Future<Answer> set(Fields body) {
+    private Future<ApiResponse> set(Fields body) {
         int base = (int) body.whole("base");
         String note = body.has("note") ? body.text("note") : "";
         if (note.length() > LONGEST_NOTE) {
             throw Fields.invalid("note");
         }
         if (body.text("text").length() > CalendarCodec.LONGEST_TEXT) {
-            throw Refusal.of("text", "a calendar may have " + CalendarCodec.LONGEST_TEXT + " characters packed");
+            throw RequestRejectedException.of(
+                    "text", "a calendar may have " + CalendarCodec.LONGEST_TEXT + " characters packed");
         }
         CalendarCodec.Stored sent = CalendarCodec.unpack(body.text("text"));
         long now = time.getAsLong();
         List<CalendarCheck.Finding> findings =
                 CalendarCheck.of(sent.calendar(), zones, PlanForecasts.day(now), CalendarCheck.SOON);
         if (!findings.isEmpty()) {
-            throw Refusal.of(findings.get(0).field(), findings.get(0).reason());
+            throw RequestRejectedException.of(
+                    findings.get(0).field(), findings.get(0).reason());
         }
         return calendars.read(records).compose(c -> {
             if (c.number() != base) {
@@ -137,11 +142,11 @@
             return records.run(new Publishing(c.head(), CalendarCodec.digest(text), text, now, note))
                     .compose(done -> {
                         if (done) {
-                            return Future.succeededFuture(Answer.ok(Wire.map("version", base + 1)));
+                            return Future.succeededFuture(ApiResponse.ok(MessagePackFormat.map("version", base + 1)));
                         }
                         return calendars.read(records).map(other -> {
                             if (other.number() == base) {
-                                return Answer.later("try again");
+                                return ApiResponse.later("try again");
                             }
                             throw standing(other);
                         });
@@ -149,14 +154,16 @@
         });
     }
 
-    private static Refusal standing(CalendarCache.Current c) {
-        Head.Version v = c.version();
-        return Refusal.conflict(
+    private static RequestRejectedException standing(CalendarCache.Current c) {
+        CalendarVersion.Version v = c.version();
+        return RequestRejectedException.conflict(
                 "another version is in force",
-                v == null ? Wire.map("version", 0) : Wire.map("version", v.number(), "at", v.at(), "note", v.note()));
+                v == null
+                        ? MessagePackFormat.map("version", 0)
+                        : MessagePackFormat.map("version", v.number(), "at", v.at(), "note", v.note()));
     }
 
-    private Answer next(CalendarCache.Current c, Map<String, String> query) {
+    private ApiResponse next(CalendarCache.Current c, Map<String, String> query) {
         Day today = PlanForecasts.day(time.getAsLong());
         Day from = query.containsKey("from") ? day(query.get("from"), "from") : today;
         int days = number(query.getOrDefault("days", "30"), "days", 1, MOST_DAYS);
@@ -168,7 +175,7 @@
                 rows.add(row(c, o));
             }
         }
-        return Answer.ok(Wire.map(
+        return ApiResponse.ok(MessagePackFormat.map(
                 "version",
                 c.number(),
                 "occurrences",
@@ -180,7 +187,7 @@
     private Map<String, Object> row(CalendarCache.Current c, Occurrence o) {
         String zone = c.stored().calendar().depot(o.plan().depot()).zone();
         Register.Entry block = c.stored().register().entries().get(o.plan().name());
-        return Wire.map(
+        return MessagePackFormat.map(
                 "plan",
                 o.plan().name(),
                 "day",
@@ -204,7 +211,7 @@
     }
 
     private Future<RunTimes> seen() {
-        return records.run(new Listing(RunTimes.PREFIX)).map(all -> {
+        return records.run(new ListRecords(RunTimes.PREFIX)).map(all -> {
             RunTimes runs = new RunTimes();
             all.forEach(runs::read);
             return runs;
@@ -212,7 +219,7 @@
     }
 
     /** What leaves within some days, the bad ones first. */
-    private Future<Answer> outlook(CalendarCache.Current c, Map<String, String> query) {
+    private Future<ApiResponse> outlook(CalendarCache.Current c, Map<String, String> query) {
         int days = number(query.getOrDefault("days", "2"), "days", 1, OUTLOOK_DAYS);
         long now = time.getAsLong();
         return seen().compose(runs -> {
@@ -243,7 +250,7 @@
                                 .map(o -> o.name() + ": " + o.reason())
                                 .limit(MOST_ROWS)
                                 .toList();
-                        return Answer.ok(Wire.map(
+                        return ApiResponse.ok(MessagePackFormat.map(
                                 "version",
                                 c.number(),
                                 "bad",
@@ -279,7 +286,7 @@
 
     private Map<String, Object> row(CalendarCache.Current c, Outlook o) {
         Map<String, Object> row = row(c, o.entry().occurrence());
-        row.putAll(Wire.map(
+        row.putAll(MessagePackFormat.map(
                 "verdict",
                 word(o.verdict()),
                 "late_s",
@@ -301,7 +308,7 @@
     }
 
     private static Map<String, Object> decided(Mark m) {
-        return Wire.map(
+        return MessagePackFormat.map(
                 "state",
                 word(m.state()),
                 "id",
@@ -318,21 +325,22 @@
                 m.note());
     }
 
-    private Future<Answer> explain(CalendarCache.Current c, String name, Day day) {
+    private Future<ApiResponse> explain(CalendarCache.Current c, String name, Day day) {
         Calendar calendar = c.stored().calendar();
         Plan plan = calendar.plan(name);
         Occurrence o = plan == null ? null : new Occurrences(calendar, zones).of(plan, day);
         return records.run(PageChange.reading(day, name)).compose(page -> {
             Mark mark = page == null ? null : page.mark(name);
             if (o == null && mark == null) {
-                throw Refusal.notFound(
+                throw RequestRejectedException.notFound(
                         plan == null ? "no plan " + name + " is in force" : "plan " + name + " has nothing on " + day);
             }
             if (o == null || !o.runs()) {
-                Map<String, Object> row =
-                        o == null ? Wire.map("plan", name, "day", day.toString(), "kind", "removed") : row(c, o);
+                Map<String, Object> row = o == null
+                        ? MessagePackFormat.map("plan", name, "day", day.toString(), "kind", "removed")
+                        : row(c, o);
                 row.putAll(mark == null ? Map.of() : decided(mark));
-                return Future.succeededFuture(Answer.ok(row));
+                return Future.succeededFuture(ApiResponse.ok(row));
             }
             return seen().map(runs -> {
                 List<Occurrence> around = PlanForecasts.occurrences(
@@ -344,9 +352,9 @@
                 if (entry == null) {
                     Map<String, Object> row = row(c, o);
                     row.put("reason", "it departed before its plan was set");
-                    return Answer.ok(row);
+                    return ApiResponse.ok(row);
                 }
-                return Answer.ok(row(c, Outlook.of(entry, mark, time.getAsLong())));
+                return ApiResponse.ok(row(c, Outlook.of(entry, mark, time.getAsLong())));
             });
         });
     }
--- a/src/main/java/io/indigoreach/calendar/PlanForecasts.java
+++ b/src/main/java/io/indigoreach/calendar/PlanForecasts.java
@@ -1,7 +1,6 @@
 package io.indigoreach.calendar;
 
 import io.indigoreach.cloud.Catalogue;
-import io.indigoreach.core.Team;
 import io.indigoreach.core.calendar.Calendar;
 import io.indigoreach.core.calendar.Day;
 import io.indigoreach.core.calendar.Forecast;
@@ -9,6 +8,7 @@
 import io.indigoreach.core.calendar.Occurrence;
 import io.indigoreach.core.calendar.Occurrences;
 import io.indigoreach.core.calendar.Register;
+import io.indigoreach.core.model.Team;
 import java.util.Collection;
 import java.util.List;
 
--- a/src/main/java/io/indigoreach/calendar/PlanJoining.java
+++ b/src/main/java/io/indigoreach/calendar/PlanJoining.java
@@ -1,16 +1,16 @@
 package io.indigoreach.calendar;
 
-import io.indigoreach.api.Joining;
-import io.indigoreach.api.Refusal;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Stamp;
+import io.indigoreach.api.RequestRejectedException;
+import io.indigoreach.api.SubmissionParticipant;
 import io.indigoreach.core.calendar.Choice;
 import io.indigoreach.core.calendar.Day;
 import io.indigoreach.core.calendar.Mark;
 import io.indigoreach.core.calendar.PageChange;
-import io.indigoreach.core.records.Change;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.records.Transaction;
 import io.indigoreach.net.Fields;
-import io.indigoreach.state.Records;
+import io.indigoreach.state.RoutineRunner;
 import io.vertx.core.Future;
 import java.util.Map;
 import java.util.function.LongSupplier;
@@ -19,11 +19,11 @@
  * A plan's job is accepted in the transaction that marks its occurrence as accepted, and only under the id that stands there:
  * there is never a second one, whoever submits it.
  */
-final class PlanJoining implements Joining {
-    private final Records records;
+final class PlanJoining implements SubmissionParticipant {
+    private final RoutineRunner records;
     private final LongSupplier time;
 
-    PlanJoining(Records records, LongSupplier time) {
+    PlanJoining(RoutineRunner records, LongSupplier time) {
         this.records = records;
         this.time = time;
     }
@@ -59,25 +59,26 @@
     }
 
     @Override
-    public Future<Change> accepting(JobSpec spec) {
+    public Future<Transaction> accepting(JobSpec spec) {
         return records.run(PageChange.reading(day(spec), name(spec))).map(page -> {
-            Change change = page == null ? null : page.accepting(name(spec), spec.id(), spec.tasks(), time.getAsLong());
+            Transaction change =
+                    page == null ? null : page.accepting(name(spec), spec.id(), spec.tasks(), time.getAsLong());
             if (change != null) {
                 return change;
             }
             Mark mark = page == null ? null : page.mark(name(spec));
             throw mark != null && mark.isSettled() && spec.id().equals(mark.id())
-                    ? Refusal.conflict(
+                    ? RequestRejectedException.conflict(
                             "this occurrence is settled",
                             Map.of("plan", mark.plan(), "state", mark.state().name()))
-                    : Refusal.of(
+                    : RequestRejectedException.of(
                             Choice.FIELD,
                             "no occurrence is to be started by this job: plans submit their jobs themselves");
         });
     }
 
     @Override
-    public void accepted(Change change, Stamp stamp) {
+    public void accepted(Transaction change, Revision stamp) {
         records.wrote(change, stamp);
     }
 }
--- a/src/main/java/io/indigoreach/calendar/PlanScheduler.java
+++ b/src/main/java/io/indigoreach/calendar/PlanScheduler.java
@@ -1,12 +1,7 @@
 package io.indigoreach.calendar;
 
-import io.indigoreach.api.Answer;
+import io.indigoreach.api.ApiResponse;
 import io.indigoreach.api.JobCodec;
-import io.indigoreach.core.Job;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.LeaderCore;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
 import io.indigoreach.core.calendar.Choice;
 import io.indigoreach.core.calendar.DayPage;
 import io.indigoreach.core.calendar.Fetching;
@@ -16,15 +11,20 @@
 import io.indigoreach.core.calendar.Outlook;
 import io.indigoreach.core.calendar.PageChange;
 import io.indigoreach.core.calendar.Replacing;
-import io.indigoreach.core.records.Listing;
-import io.indigoreach.net.Duty;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.records.ListRecords;
+import io.indigoreach.core.scheduling.Job;
+import io.indigoreach.core.scheduling.SchedulerCore;
 import io.indigoreach.net.Fields;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.parts.Part;
 import io.indigoreach.state.FinalRecord;
 import io.indigoreach.state.RecordCodec;
-import io.indigoreach.state.Records;
+import io.indigoreach.state.RoutineRunner;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -46,7 +46,7 @@
  * to its end, and says what can't be ready. All that it must not do twice is decided on the occurrences' pages; what it remembers
  * only spares reading them. So it may end anywhere, and two of them at once do no harm.
  */
-final class PlanScheduler implements Part.Reigning {
+final class PlanScheduler implements Part.Term {
     private static final Logger LOG = LoggerFactory.getLogger(PlanScheduler.class);
     private static final Span STEP = Span.seconds(1);
     /** Between two submissions: 500 plans of one minute leave users most of the changes. See {@link Forecast}. */
@@ -62,15 +62,15 @@
 
     private static final long TOLD_AHEAD_MS = 48 * 3_600_000L;
 
-    private final LeaderCore core;
-    private final Records records;
+    private final SchedulerCore core;
+    private final RoutineRunner records;
     private final CalendarCache calendars;
     private final PlanForecasts forecasts;
     private final RunTimes runs = new RunTimes();
-    private final Function<Buffer, Future<Answer>> desk;
+    private final Function<Buffer, Future<ApiResponse>> desk;
     private final SteadyClock clock;
     private final LongSupplier time;
-    private final Duty duty;
+    private final PeriodicTask duty;
 
     private CalendarCache.Current current;
     private Moment looked = Moment.NEVER;
@@ -88,11 +88,11 @@
 
     PlanScheduler(
             Vertx vertx,
-            LeaderCore core,
-            Records records,
+            SchedulerCore core,
+            RoutineRunner records,
             CalendarCache calendars,
             PlanForecasts forecasts,
-            Function<Buffer, Future<Answer>> desk,
+            Function<Buffer, Future<ApiResponse>> desk,
             SteadyClock clock,
             LongSupplier time) {
         this.core = core;
@@ -102,7 +102,7 @@
         this.desk = desk;
         this.clock = clock;
         this.time = time;
-        this.duty = new Duty(vertx, "calendar", STEP, this::step);
+        this.duty = new PeriodicTask(vertx, "calendar", STEP, this::step);
         core.onRun(this::ran);
     }
 
@@ -155,7 +155,7 @@
         if (runsRead) {
             return Future.succeededFuture();
         }
-        return records.run(new Listing(RunTimes.PREFIX)).map(all -> {
+        return records.run(new ListRecords(RunTimes.PREFIX)).map(all -> {
             all.forEach(runs::read);
             runsRead = true;
             return null;
@@ -327,29 +327,32 @@
         Occurrence o = entry.occurrence();
         Mark mark = marks.get(o.name());
         refused.put(o.name(), clock.now().plus(STEP));
-        return desk.apply(Wire.write(JobCodec.write(Choice.job(o, mark, now)))).compose(answer -> {
-            // Whatever the answer says, the page says whether the job is this occurrence's.
-            return records.run(PageChange.reading(o.day(), o.plan().name())).compose(page -> {
-                if (page != null) {
-                    remember(o, page.mark(o.plan().name()));
-                }
-                Mark there = page == null ? null : page.mark(o.plan().name());
-                if (there != null && there.isSettled()) {
-                    refused.remove(o.name());
-                } else if (answer.status() == 200) {
-                    LOG.warn("plan {}: {} is a user's job; another id is taken", o.name(), mark.id());
-                    return decide(List.of(entry), true);
-                } else if (answer.status() != 503) {
-                    refused.put(o.name(), clock.now().plus(REFUSED));
-                    LOG.error(
-                            "plan {}: its job is refused: {} {}",
-                            o.name(),
-                            answer.status(),
-                            answer.body().get("error"));
-                }
-                return Future.succeededFuture();
-            });
-        });
+        return desk.apply(MessagePackFormat.write(JobCodec.write(Choice.job(o, mark, now))))
+                .compose(answer -> {
+                    // Whatever the answer says, the page says whether the job is this occurrence's.
+                    return records.run(PageChange.reading(o.day(), o.plan().name()))
+                            .compose(page -> {
+                                if (page != null) {
+                                    remember(o, page.mark(o.plan().name()));
+                                }
+                                Mark there =
+                                        page == null ? null : page.mark(o.plan().name());
+                                if (there != null && there.isSettled()) {
+                                    refused.remove(o.name());
+                                } else if (answer.status() == 200) {
+                                    LOG.warn("plan {}: {} is a user's job; another id is taken", o.name(), mark.id());
+                                    return decide(List.of(entry), true);
+                                } else if (answer.status() != 503) {
+                                    refused.put(o.name(), clock.now().plus(REFUSED));
+                                    LOG.error(
+                                            "plan {}: its job is refused: {} {}",
+                                            o.name(),
+                                            answer.status(),
+                                            answer.body().get("error"));
+                                }
+                                return Future.succeededFuture();
+                            });
+                });
     }
 
     /** Jobs that are over: the leader's core has them no more, and their end is recorded. */
--- a/src/main/java/io/indigoreach/calendar/RunTimes.java
+++ b/src/main/java/io/indigoreach/calendar/RunTimes.java
@@ -3,12 +3,12 @@
 import com.tdunning.math.stats.Centroid;
 import com.tdunning.math.stats.MergingDigest;
 import com.tdunning.math.stats.TDigest;
-import io.indigoreach.core.Span;
 import io.indigoreach.core.calendar.Means;
-import io.indigoreach.core.records.Family;
-import io.indigoreach.core.records.Kept;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.records.RecordFamily;
+import io.indigoreach.core.records.VersionedRecord;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import java.nio.ByteBuffer;
 import java.util.Base64;
 import java.util.HashMap;
@@ -23,7 +23,7 @@
 final class RunTimes implements Means.Seen {
     static final String PREFIX = "cal/runs/";
     /** Lost ones are learned again. */
-    static final Family FAMILY = new Family(PREFIX, 60, false, Family.Mending.NEWER);
+    static final RecordFamily FAMILY = new RecordFamily(PREFIX, 60, false, RecordFamily.Mending.NEWER);
 
     private static final double COMPRESSION = 50;
     private static final int HALVED_AT = 2_000;
@@ -110,10 +110,11 @@
         Sketch s = byKey.get(key);
         ByteBuffer bytes = ByteBuffer.allocate(s.digest.smallByteSize());
         s.digest.asSmallBytes(bytes);
-        return Wire.map("digest", Base64.getEncoder().encodeToString(bytes.array()), "failures", s.failures);
+        return MessagePackFormat.map(
+                "digest", Base64.getEncoder().encodeToString(bytes.array()), "failures", s.failures);
     }
 
-    void read(Kept record) {
+    void read(VersionedRecord record) {
         Fields f = new Fields(record.value());
         Sketch s = new Sketch();
         s.digest = MergingDigest.fromBytes(ByteBuffer.wrap(Base64.getDecoder().decode(f.text("digest"))));
--- a/src/main/java/io/indigoreach/checker/Checker.java
+++ b/src/main/java/io/indigoreach/checker/Checker.java
@@ -2,17 +2,17 @@
 
 import io.indigoreach.checker.Breach.Rule;
 import io.indigoreach.checker.Event.Question;
-import io.indigoreach.core.Attempt;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.TaskId;
-import io.indigoreach.core.Team;
+import io.indigoreach.core.model.Attempt;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskId;
+import io.indigoreach.core.model.Team;
 import io.indigoreach.net.Fields;
 import io.indigoreach.state.CounterRecord;
 import io.indigoreach.state.RecordCodec;
@@ -49,7 +49,7 @@
     private final Map<String, Team> teams = new HashMap<>();
     private final List<Event> events;
     private final Map<JobId, JobSpec> specs = new HashMap<>();
-    private final Map<MachineId, Pool> pools = new HashMap<>();
+    private final Map<MachineId, MachinePool> pools = new HashMap<>();
     private final List<Stay> stays = new ArrayList<>();
     private final List<Breach> breaches = new ArrayList<>();
 
@@ -144,7 +144,7 @@
 
     private void checkPlace(Stay s, List<Stay> mates) {
         JobSpec spec = specs.get(s.task.job());
-        Pool pool = pools.get(s.machine);
+        MachinePool pool = pools.get(s.machine);
         if (spec == null || pool == null) {
             return;
         }
@@ -371,7 +371,7 @@
     }
 
     private static boolean isGuarded(String key, Txn txn, Map<String, Long> stamps) {
-        Map<String, Stamp> conditions = txn.conditions();
+        Map<String, Revision> conditions = txn.conditions();
         if (conditions.containsKey(key)) {
             return true;
         }
--- a/src/main/java/io/indigoreach/checker/Event.java
+++ b/src/main/java/io/indigoreach/checker/Event.java
@@ -1,14 +1,14 @@
 package io.indigoreach.checker;
 
-import io.indigoreach.core.Attempt;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.TaskId;
-import io.indigoreach.core.Token;
+import io.indigoreach.core.model.Attempt;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.TaskId;
 import io.indigoreach.state.StateClient.Txn;
 
 /** Something that was seen to happen; a history is made of these. */
@@ -39,13 +39,13 @@
             implements Event {}
 
     /** A machine is up. */
-    record MachineUp(Moment at, MachineId machine, Pool pool) implements Event {}
+    record MachineUp(Moment at, MachineId machine, MachinePool pool) implements Event {}
 
     /** A machine is gone. */
     record MachineGone(Moment at, MachineId machine, String why) implements Event {}
 
     /** A worker executes a start order; the task may still be refused or wait for its image. */
-    record Started(Moment at, MachineId machine, TaskId task, Attempt attempt, Token token) implements Event {}
+    record Started(Moment at, MachineId machine, TaskId task, Attempt attempt, FencingToken token) implements Event {}
 
     /** A task has its image and is on its machine from now on. */
     record Running(Moment at, MachineId machine, TaskId task, Attempt attempt) implements Event {}
@@ -57,7 +57,7 @@
     record Forgotten(Moment at, MachineId machine, TaskId task, Attempt attempt) implements Event {}
 
     /** A node's answer to a worker carried a token. */
-    record TokenSeen(Moment at, String node, Token token) implements Event {}
+    record TokenSeen(Moment at, String node, FencingToken token) implements Event {}
 
     /** A transaction was done. */
     record Committed(Moment at, String node, Txn txn, long revision) implements Event {}
--- a/src/main/java/io/indigoreach/checker/JobRegisters.java
+++ b/src/main/java/io/indigoreach/checker/JobRegisters.java
@@ -2,8 +2,8 @@
 
 import io.indigoreach.checker.Breach.Rule;
 import io.indigoreach.checker.Event.Question;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobStatus;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobStatus;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
--- a/src/main/java/io/indigoreach/cli/Commands.java
+++ b/src/main/java/io/indigoreach/cli/Commands.java
@@ -5,7 +5,7 @@
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
 import io.indigoreach.config.SettingsFile;
-import io.indigoreach.net.Loop;
+import io.indigoreach.net.EventLoops;
 import java.nio.file.Path;
 import org.slf4j.LoggerFactory;
 
@@ -21,7 +21,7 @@
             throw new ConfigException("--config FILE is needed; see --help");
         }
         PlatformConfig platform = PlatformConfig.read(Path.of(config));
-        Node node = new Node(Loop.vertx(), platform, read(settings));
+        Node node = new Node(EventLoops.vertx(), platform, read(settings));
         node.start().onFailure(e -> {
             LoggerFactory.getLogger(Commands.class).error("cannot serve: {}", e.getMessage());
             System.exit(1);
@@ -42,7 +42,7 @@
     }
 
     static int list() {
-        for (Settings.Knob knob : Settings.Knob.values()) {
+        for (Settings.Setting knob : Settings.Setting.values()) {
             System.out.println(knob.help());
         }
         return 0;
--- a/src/main/java/io/indigoreach/cli/Rehearsal.java
+++ b/src/main/java/io/indigoreach/cli/Rehearsal.java
@@ -4,11 +4,11 @@
 import io.indigoreach.config.ConfigException;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
-import io.indigoreach.core.Span;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Endpoint;
-import io.indigoreach.net.Loop;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.EventLoops;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpServer;
@@ -59,7 +59,7 @@
     private Rehearsal() {}
 
     static int run() {
-        Vertx vertx = Loop.vertx();
+        Vertx vertx = EventLoops.vertx();
         Rehearsal rehearsal = new Rehearsal();
         HttpServer standIn = vertx.createHttpServer().requestHandler(rehearsal::answer);
         CountDownLatch over = new CountDownLatch(1);
@@ -80,7 +80,7 @@
             return new Node(vertx, config, Settings.standard())
                     .start()
                     .compose(own -> {
-                        Caller user = new Caller(vertx, new Endpoint("127.0.0.1", own), 2);
+                        ServiceClient user = new ServiceClient(vertx, new Endpoint("127.0.0.1", own), 2);
                         return vertx.timer(700, TimeUnit.MILLISECONDS)
                                 .compose(v -> user.get("/ready", wait))
                                 .compose(v -> user.post("/api/jobs", job(), wait))
@@ -106,20 +106,23 @@
         String path = request.path();
         request.body().onSuccess(body -> {
             if (path.equals("/store")) {
-                reply(request, 200, Wire.map("items", List.of(), "truncated", false, "ledger_rev", revision));
+                reply(
+                        request,
+                        200,
+                        MessagePackFormat.map("items", List.of(), "truncated", false, "ledger_rev", revision));
             } else if (path.equals("/store/era")) {
-                reply(request, 200, Wire.map("path", "era", "data", Map.of("token", 1L), "stamp", 1L));
+                reply(request, 200, MessagePackFormat.map("path", "era", "data", Map.of("token", 1L), "stamp", 1L));
             } else if (path.equals("/store/j/run-1")) {
-                reply(request, 200, Wire.map("path", "j/run-1", "data", record(), "stamp", 1L));
+                reply(request, 200, MessagePackFormat.map("path", "j/run-1", "data", record(), "stamp", 1L));
             } else if (path.startsWith("/store/")) {
-                reply(request, 404, Wire.map("ledger_rev", revision));
+                reply(request, 404, MessagePackFormat.map("ledger_rev", revision));
             } else if (path.equals("/catalog")) {
                 reply(
                         request,
                         200,
-                        Wire.map(
+                        MessagePackFormat.map(
                                 "boxkinds",
-                                List.of(Wire.map(
+                                List.of(MessagePackFormat.map(
                                         "label",
                                         "k",
                                         "cores",
@@ -145,38 +148,39 @@
                         request,
                         200,
                         request.method().name().equals("GET")
-                                ? Wire.map("boxes", List.of(), "truncated", false)
-                                : Wire.map("boxes", List.of("vm-1")));
+                                ? MessagePackFormat.map("boxes", List.of(), "truncated", false)
+                                : MessagePackFormat.map("boxes", List.of("vm-1")));
             } else if (path.equals("/grants")) {
-                reply(request, 200, Wire.map("permit", 1L));
+                reply(request, 200, MessagePackFormat.map("permit", 1L));
             } else if (path.equals("/changes") && !request.getParam("starts").equals("j/")) {
                 // Nothing changes there: the watch stays open.
                 request.response().closeHandler(v -> {});
             } else if (path.equals("/changes") && request.getParam("starts").equals("j/")) {
-                Map<String, Object> event = Wire.map("write", "j/run-1", "data", record(), "stamp", ++revision);
-                reply(request, 200, Wire.map("ledger_rev", revision, "events", List.of(event)));
+                Map<String, Object> event =
+                        MessagePackFormat.map("write", "j/run-1", "data", record(), "stamp", ++revision);
+                reply(request, 200, MessagePackFormat.map("ledger_rev", revision, "events", List.of(event)));
             } else {
-                reply(request, 200, Wire.map("ledger_rev", ++revision));
+                reply(request, 200, MessagePackFormat.map("ledger_rev", ++revision));
             }
         });
     }
 
     private static void reply(HttpServerRequest request, int status, Map<String, Object> body) {
-        request.response().setStatusCode(status).end(Wire.write(body));
+        request.response().setStatusCode(status).end(MessagePackFormat.write(body));
     }
 
     private static Map<String, Object> record() {
         return io.indigoreach.state.RecordCodec.writeJob(
-                io.indigoreach.api.JobCodec.read(Wire.readMap(Wire.write(job()))),
+                io.indigoreach.api.JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(job()))),
                 1L,
-                io.indigoreach.core.JobStatus.PENDING,
+                io.indigoreach.core.model.JobStatus.PENDING,
                 new java.util.BitSet(),
                 0,
                 4);
     }
 
     private static Map<String, Object> job() {
-        return Wire.map(
+        return MessagePackFormat.map(
                 "id",
                 "run-1",
                 "jobclass",
@@ -214,7 +218,7 @@
     }
 
     private static Map<String, Object> report(int serial, long token) {
-        return Wire.map(
+        return MessagePackFormat.map(
                 "box",
                 "vm-1",
                 "endpoint",
@@ -234,6 +238,6 @@
                 "warning_s",
                 null,
                 "pieces",
-                List.of(Wire.map("piece", "run-1/0", "try", 1, "status", "exited", "cause", "done")));
+                List.of(MessagePackFormat.map("piece", "run-1/0", "try", 1, "status", "exited", "cause", "done")));
     }
 }
--- a/src/main/java/io/indigoreach/cloud/Catalogue.java
+++ b/src/main/java/io/indigoreach/cloud/Catalogue.java
@@ -1,8 +1,8 @@
 package io.indigoreach.cloud;
 
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Span;
-import io.indigoreach.net.Duty;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
@@ -18,14 +18,14 @@
 
     private final StateClient state;
     private final CloudClient cloud;
-    private final Duty duty;
+    private final PeriodicTask duty;
     private List<MachineType> types = List.of();
     private boolean copied;
 
     public Catalogue(Vertx vertx, StateClient state, CloudClient cloud) {
         this.state = state;
         this.cloud = cloud;
-        this.duty = new Duty(vertx, "catalogue", RETRY, this::step);
+        this.duty = new PeriodicTask(vertx, "catalogue", RETRY, this::step);
     }
 
     public Catalogue start() {
@@ -74,7 +74,7 @@
             return Future.succeededFuture();
         }
         return state.commit(new StateClient.Txn()
-                        .when(RecordCodec.CATALOGUE, io.indigoreach.core.Stamp.ABSENT)
+                        .when(RecordCodec.CATALOGUE, io.indigoreach.core.model.Revision.ABSENT)
                         .put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(types)))
                 .map(outcome -> {
                     copied = true;
--- a/src/main/java/io/indigoreach/cloud/CloudClient.java
+++ b/src/main/java/io/indigoreach/cloud/CloudClient.java
@@ -1,13 +1,13 @@
 package io.indigoreach.cloud;
 
-import io.indigoreach.core.ListedMachine;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.Span;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.model.ListedMachine;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.WireException;
 import io.vertx.core.Future;
 import java.util.ArrayList;
@@ -20,9 +20,9 @@
 
     private static final Span TIMEOUT = Span.seconds(4);
 
-    private final Caller caller;
+    private final ServiceClient caller;
 
-    public CloudClient(Caller caller) {
+    public CloudClient(ServiceClient caller) {
         this.caller = caller;
     }
 
@@ -35,7 +35,7 @@
     }
 
     /** Rents up to {@code count} machines; a name that was answered once gets the same answer again. */
-    public Future<Rental> rent(String name, Pool pool, int count) {
+    public Future<Rental> rent(String name, MachinePool pool, int count) {
         return caller.post(
                         CloudCodec.MACHINES, CloudCodec.writeRental(new CloudCodec.Rental(name, pool, count)), TIMEOUT)
                 .map(r -> r.status() == 503
@@ -68,7 +68,7 @@
         });
     }
 
-    private static Fields ok(Reply reply) {
+    private static Fields ok(ServiceResponse reply) {
         if (reply.status() == 200) {
             return reply.body();
         }
--- a/src/main/java/io/indigoreach/cloud/CloudCodec.java
+++ b/src/main/java/io/indigoreach/cloud/CloudCodec.java
@@ -1,13 +1,13 @@
 package io.indigoreach.cloud;
 
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.ListedMachine;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.ListedMachine;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -27,7 +27,7 @@
     public static final int MOST_RETURNED = 100;
 
     /** A rental request. */
-    public record Rental(String name, Pool pool, int count) {}
+    public record Rental(String name, MachinePool pool, int count) {}
 
     /** A machine in the list, with its address; null while it is not known. */
     public record Listed(ListedMachine machine, String address) {}
@@ -44,7 +44,7 @@
     public static Map<String, Object> writeTypes(List<MachineType> types) {
         List<Object> list = new ArrayList<>();
         for (MachineType t : types) {
-            list.add(Wire.map(
+            list.add(MessagePackFormat.map(
                     "label",
                     t.name(),
                     "cores",
@@ -66,7 +66,7 @@
                     "halls",
                     t.zones()));
         }
-        return Wire.map("boxkinds", list);
+        return MessagePackFormat.map("boxkinds", list);
     }
 
     static List<MachineType> readTypes(Fields f) {
@@ -87,7 +87,7 @@
     }
 
     static Map<String, Object> writeRental(Rental r) {
-        return Wire.map(
+        return MessagePackFormat.map(
                 "hire",
                 r.name(),
                 "boxkind",
@@ -101,13 +101,15 @@
     }
 
     public static Rental readRental(Fields f) {
-        return new Rental(f.text("hire"), new Pool(f.text("boxkind"), f.text("hall"), f.flag("loaners", false)), (int)
-                f.whole("count"));
+        return new Rental(
+                f.text("hire"), new MachinePool(f.text("boxkind"), f.text("hall"), f.flag("loaners", false)), (int)
+                        f.whole("count"));
     }
 
     /** Machines by name: those rented, in an answer; those to be returned, in a request. */
     public static Map<String, Object> writeNames(List<MachineId> machines) {
-        return Wire.map("boxes", machines.stream().map(MachineId::text).toList());
+        return MessagePackFormat.map(
+                "boxes", machines.stream().map(MachineId::text).toList());
     }
 
     public static List<MachineId> readNames(Fields f) {
@@ -119,7 +121,7 @@
         List<Object> list = new ArrayList<>(page.machines().size());
         for (Listed l : page.machines()) {
             ListedMachine m = l.machine();
-            list.add(Wire.map(
+            list.add(MessagePackFormat.map(
                     "id",
                     m.id().text(),
                     "endpoint",
@@ -135,7 +137,7 @@
                     "held_s",
                     m.held().seconds()));
         }
-        return Wire.map("boxes", list, "truncated", page.more());
+        return MessagePackFormat.map("boxes", list, "truncated", page.more());
     }
 
     static Page readPage(Fields f) {
@@ -144,7 +146,7 @@
             list.add(new Listed(
                     new ListedMachine(
                             new MachineId(m.text("id")),
-                            new Pool(m.text("boxkind"), m.text("hall"), m.flag("loaners", false)),
+                            new MachinePool(m.text("boxkind"), m.text("hall"), m.flag("loaners", false)),
                             status(m.text("status")),
                             Span.seconds(m.number("held_s", 0))),
                     m.optionalText("endpoint")));
--- a/src/main/java/io/indigoreach/cluster/BlockBook.java
+++ b/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
@@ -1,12 +1,12 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.core.Job;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.net.Budget;
-import io.indigoreach.net.Duty;
-import io.indigoreach.state.DoneBits;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.scheduling.Job;
+import io.indigoreach.net.PeriodicTask;
+import io.indigoreach.net.RateLimiter;
+import io.indigoreach.state.CompletionBits;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
@@ -23,31 +23,31 @@
  * changes: carried out late it fails, and takes no newer block back. Blocks of a job that is over are of no use and do no harm,
  * so its end is one short transaction and they are removed afterwards, a few at a time; whoever leads next goes on with that.
  */
-final class BlockBook {
+final class CompletionBlockStore {
     private static final Span PERIOD = Span.seconds(0.5);
 
     /** What stands beside one job's record. */
-    private static final class Beside {
+    private static final class JobBlocks {
         final BitSet done = new BitSet();
         final Set<String> keys = new TreeSet<>();
         /** The blocks of the write that is under way. */
         Map<String, BitSet> underWay = Map.of();
     }
 
-    private final Reign.Surroundings env;
-    private final Stamp key;
+    private final LeadershipTerm.Context env;
+    private final Revision key;
     private final Runnable deposed;
-    private final Budget budget;
-    private final Duty duty;
-    private final Map<JobId, Beside> open = new HashMap<>();
+    private final RateLimiter budget;
+    private final PeriodicTask duty;
+    private final Map<JobId, JobBlocks> open = new HashMap<>();
     private final Map<JobId, Set<String>> leftOver = new LinkedHashMap<>();
 
-    BlockBook(Reign.Surroundings env, Stamp key, Runnable deposed, Budget budget) {
+    CompletionBlockStore(LeadershipTerm.Context env, Revision key, Runnable deposed, RateLimiter budget) {
         this.env = env;
         this.key = key;
         this.deposed = deposed;
         this.budget = budget;
-        this.duty = new Duty(env.vertx(), "blocks of jobs that are over", PERIOD, this::sweep);
+        this.duty = new PeriodicTask(env.vertx(), "blocks of jobs that are over", PERIOD, this::sweep);
     }
 
     void start() {
@@ -65,7 +65,7 @@
 
     /** A block that an earlier leader wrote. */
     void inherit(String block, BitSet done) {
-        Beside beside = beside(DoneBits.jobOf(block));
+        JobBlocks beside = beside(CompletionBits.jobOf(block));
         beside.keys.add(block);
         beside.done.or(done);
     }
@@ -79,7 +79,7 @@
 
     /** The job is over. */
     void over(JobId id) {
-        Beside beside = open.remove(id);
+        JobBlocks beside = open.remove(id);
         if (beside != null && !beside.keys.isEmpty()) {
             leftOver.put(id, beside.keys);
         }
@@ -102,12 +102,12 @@
         if (hasRoomInRecord(job)) {
             return;
         }
-        Beside beside = beside(job.id());
+        JobBlocks beside = beside(job.id());
         BitSet missing = (BitSet) done.clone();
         missing.andNot(beside.done);
         beside.underWay =
                 bits().blocksWith(job.id(), missing, done, env.limits().txnOps() - txn.size());
-        beside.underWay.forEach((block, covered) -> txn.put(block, DoneBits.writeBlock(block, covered)));
+        beside.underWay.forEach((block, covered) -> txn.put(block, CompletionBits.writeBlock(block, covered)));
     }
 
     /** What the job's write, which is done, has made durable of {@code done}. */
@@ -115,7 +115,7 @@
         if (hasRoomInRecord(job)) {
             return done;
         }
-        Beside beside = beside(job.id());
+        JobBlocks beside = beside(job.id());
         beside.underWay.forEach((block, covered) -> {
             beside.keys.add(block);
             beside.done.or(covered);
@@ -134,12 +134,12 @@
         return !missing.isEmpty();
     }
 
-    private Beside beside(JobId id) {
-        return open.computeIfAbsent(id, k -> new Beside());
+    private JobBlocks beside(JobId id) {
+        return open.computeIfAbsent(id, k -> new JobBlocks());
     }
 
-    private DoneBits bits() {
-        return new DoneBits(env.limits());
+    private CompletionBits bits() {
+        return new CompletionBits(env.limits());
     }
 
     private Future<Span> sweep() {
--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -1,19 +1,19 @@
 package io.indigoreach.cluster;
 
 import io.indigoreach.config.PlatformConfig;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Order;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.TokenClock;
-import io.indigoreach.core.WorkerReport;
+import io.indigoreach.core.leadership.TokenGenerator;
 import io.indigoreach.core.loss.LeaderMemory;
-import io.indigoreach.core.loss.Remains;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.loss.RememberedState;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.WorkerCommand;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.state.FormatGate;
-import io.indigoreach.state.Leadership;
+import io.indigoreach.state.LeaderElection;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -25,25 +25,25 @@
 import java.util.stream.Stream;
 
 /** This node's part among the controllers: it leads, or knows who does. */
-public final class Controller implements Leadership.Listener {
+public final class Controller implements LeaderElection.Listener {
     /** The answer to a worker: orders under a token, or where to go. */
-    public record Answer(boolean accepted, Token token, List<Order> orders, String leader) {
-        static Answer elsewhere(String leader) {
-            return new Answer(false, null, List.of(), leader);
+    public record HeartbeatResponse(boolean accepted, FencingToken token, List<WorkerCommand> orders, String leader) {
+        static HeartbeatResponse elsewhere(String leader) {
+            return new HeartbeatResponse(false, null, List.of(), leader);
         }
     }
 
-    private final Reign.Surroundings env;
-    private final Leadership leadership;
+    private final LeadershipTerm.Context env;
+    private final LeaderElection leadership;
     private final FormatGate formats;
-    private Supplier<Future<Remains>> jobs = () -> Future.succeededFuture(new Remains());
+    private Supplier<Future<RememberedState>> jobs = () -> Future.succeededFuture(new RememberedState());
     private final WarmUp warmUp;
-    private Reign reign;
+    private LeadershipTerm reign;
     private boolean cutOff;
     private final LeaderMemory memory = new LeaderMemory();
 
     /** {@code own}: an event loop for what must not wait for anything else. */
-    Controller(Reign.Surroundings env, Vertx own) {
+    Controller(LeadershipTerm.Context env, Vertx own) {
         this.env = env;
         this.warmUp = new WarmUp(env, () -> reign != null);
         String process = Long.toHexString(ThreadLocalRandom.current().nextLong()) + "-"
@@ -53,10 +53,10 @@
                         Stream.of(config.node()), config.peers().stream().map(PlatformConfig.Peer::node))
                 .sorted()
                 .toList();
-        StateClient renewals = new StateClient(new Caller(own, config.state(), 2), null);
-        TokenClock tokens =
-                new TokenClock(nodes.indexOf(config.node()), env.clock().timeOfDay(), config.clockOff());
-        this.leadership = new Leadership(
+        StateClient renewals = new StateClient(new ServiceClient(own, config.state(), 2), null);
+        TokenGenerator tokens =
+                new TokenGenerator(nodes.indexOf(config.node()), env.clock().timeOfDay(), config.clockOff());
+        this.leadership = new LeaderElection(
                 env.vertx(),
                 env.state(),
                 own,
@@ -72,7 +72,7 @@
     }
 
     /** Where to ask for what the controllers remember of jobs, besides what this node knew as a leader. */
-    void remembering(Supplier<Future<Remains>> jobs) {
+    void remembering(Supplier<Future<RememberedState>> jobs) {
         this.jobs = jobs;
     }
 
@@ -87,19 +87,19 @@
     }
 
     /** What this node knows of one job as the leader, or as the last thing it knew of its end. */
-    Remains remains(JobId id) {
+    RememberedState remains(JobId id) {
         if (reign != null) {
             return reign.remains(id);
         }
-        Remains remains = new Remains();
+        RememberedState remains = new RememberedState();
         if (memory.known().over().containsKey(id)) {
             remains.add(id, memory.known().over().get(id));
         }
         return remains;
     }
 
-    private Future<Remains> gather() {
-        Remains all = new Remains();
+    private Future<RememberedState> gather() {
+        RememberedState all = new RememberedState();
         all.add(memory.known());
         return jobs.get().map(others -> {
             all.add(others);
@@ -108,11 +108,11 @@
     }
 
     /** How to ask every other node for its pledge not to lead, and whether it does not lead now. */
-    void asking(Function<Span, Future<Pledges>> others, Supplier<Future<Boolean>> unled) {
+    void asking(Function<Span, Future<PeerPromises>> others, Supplier<Future<Boolean>> unled) {
         leadership.asking(
                 () -> {
                     Moment sent = env.clock().now();
-                    Reign asking = reign;
+                    LeadershipTerm asking = reign;
                     return others.apply(asking == null ? Span.ZERO : asking.unheard())
                             .map(pledges -> {
                                 if (asking != null && asking == reign) {
@@ -150,7 +150,7 @@
         return settled(leadership.key(), until);
     }
 
-    private Future<Void> settled(Stamp left, Moment until) {
+    private Future<Void> settled(Revision left, Moment until) {
         boolean begun = leadership.leader() != null && !leadership.key().equals(left);
         return leadership.isLeading() || begun || !env.clock().now().isBefore(until)
                 ? Future.succeededFuture()
@@ -179,12 +179,12 @@
     }
 
     /** Gives leadership up where this node alone is without the state service; null if it does not lead. */
-    Stamp standAside() {
+    Revision standAside() {
         return leadership.standAside("the state service serves others but not this node");
     }
 
     /** Removes the key of a leader that has stood aside. */
-    Future<Void> release(Stamp key) {
+    Future<Void> release(Revision key) {
         return leadership.release(key);
     }
 
@@ -192,22 +192,22 @@
      * Takes a worker's report, if this node may act for the controllers at this moment. Else it is not even read: after a
      * leader's end every machine asks every node, and a node that has just started is slow.
      */
-    public Future<Answer> onReport(Supplier<WorkerReport> report) {
+    public Future<HeartbeatResponse> onReport(Supplier<Heartbeat> report) {
         if (!mayAnswer()) {
-            return Future.succeededFuture(Answer.elsewhere(otherLeader()));
+            return Future.succeededFuture(HeartbeatResponse.elsewhere(otherLeader()));
         }
-        Reign asked = reign;
-        WorkerReport read = report.get();
+        LeadershipTerm asked = reign;
+        Heartbeat read = report.get();
         leadership.seen(read.token());
         return asked.onReport(read).map(orders -> {
             if (orders == null) {
                 leadership.deposed();
-                return Answer.elsewhere(null);
+                return HeartbeatResponse.elsewhere(null);
             }
             // Checked as the answer is written: the leadership may have ended while a record was waited for.
             return asked == reign && mayAnswer() && asked.answers(read.machine())
-                    ? new Answer(true, asked.token(), orders, null)
-                    : Answer.elsewhere(otherLeader());
+                    ? new HeartbeatResponse(true, asked.token(), orders, null)
+                    : HeartbeatResponse.elsewhere(otherLeader());
         });
     }
 
@@ -227,9 +227,9 @@
     }
 
     @Override
-    public void took(Token token, Stamp key, boolean bounds) {
+    public void took(FencingToken token, Revision key, boolean bounds) {
         memory.begins(leadership.succeedsItself());
-        reign = new Reign(env, token, key, leadership, bounds, this::gather);
+        reign = new LeadershipTerm(env, token, key, leadership, bounds, this::gather);
         reign.start();
     }
 
--- a/src/main/java/io/indigoreach/cluster/ChainDuty.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -1,15 +1,15 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.core.ChainedJobs;
-import io.indigoreach.core.Job;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.LeaderCore;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.net.Budget;
-import io.indigoreach.net.Duty;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.scheduling.DependentJobs;
+import io.indigoreach.core.scheduling.Job;
+import io.indigoreach.core.scheduling.SchedulerCore;
+import io.indigoreach.net.PeriodicTask;
+import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.WireException;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
@@ -26,8 +26,8 @@
  * of those below a cancelled one, each by a small transaction of its own. Stopped after any of them, the next leader derives
  * what is left from the ends that are written.
  */
-final class ChainDuty {
-    private static final Logger LOG = LoggerFactory.getLogger(ChainDuty.class);
+final class DependencyTask {
+    private static final Logger LOG = LoggerFactory.getLogger(DependencyTask.class);
     private static final Span PERIOD = Span.seconds(0.1);
     private static final int READS_AT_ONCE = 4;
     private static final int WRITES_AT_ONCE = 4;
@@ -40,20 +40,26 @@
 
     private static final String SAME_MOMENT = "a read came from the past";
 
-    private final Reign.Surroundings env;
-    private final LeaderCore core;
-    private final ChainedJobs chains;
-    private final Ledger ledger;
-    private final Stamp key;
+    private final LeadershipTerm.Context env;
+    private final SchedulerCore core;
+    private final DependentJobs chains;
+    private final JobStore ledger;
+    private final Revision key;
     private final Runnable deposed;
-    private final Budget writes;
-    private final Budget reads;
-    private final Duty duty;
+    private final RateLimiter writes;
+    private final RateLimiter reads;
+    private final PeriodicTask duty;
     private final Set<JobId> reading = new HashSet<>();
     private final Set<JobId> writing = new HashSet<>();
     private final Map<JobId, Moment> notBefore = new HashMap<>();
 
-    ChainDuty(Reign.Surroundings env, LeaderCore core, Ledger ledger, Stamp key, Runnable deposed, Budget writes) {
+    DependencyTask(
+            LeadershipTerm.Context env,
+            SchedulerCore core,
+            JobStore ledger,
+            Revision key,
+            Runnable deposed,
+            RateLimiter writes) {
         this.env = env;
         this.core = core;
         this.chains = core.chains();
@@ -61,10 +67,10 @@
         this.key = key;
         this.deposed = deposed;
         this.writes = writes;
-        this.reads = new Budget(
+        this.reads = new RateLimiter(
                 Math.max(1, env.config().stateLimits().requestsPerS() * READS),
                 env.clock().now());
-        this.duty = new Duty(env.vertx(), "chains", PERIOD, this::step);
+        this.duty = new PeriodicTask(env.vertx(), "chains", PERIOD, this::step);
     }
 
     void start() {
@@ -138,8 +144,8 @@
     private Future<Fate> nowhere(JobId id) {
         return env.state()
                 .confirm(new StateClient.Txn()
-                        .when(RecordCodec.open(id), Stamp.ABSENT)
-                        .when(RecordCodec.over(id), Stamp.ABSENT))
+                        .when(RecordCodec.open(id), Revision.ABSENT)
+                        .when(RecordCodec.over(id), Revision.ABSENT))
                 .compose(confirmed -> confirmed
                         ? Future.succeededFuture(Fate.NOWHERE)
                         : Future.failedFuture(new WireException(SAME_MOMENT)));
--- a/src/main/java/io/indigoreach/cluster/EndWatch.java
+++ b/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
@@ -1,7 +1,7 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.core.Span;
-import io.indigoreach.net.Duty;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
@@ -10,18 +10,18 @@
  * Notices that the record of a job's end is removed, which nobody does: without it the job's user, who comes again, would
  * have it run once more. Open jobs' records are watched in any case ({@link JobWatch}).
  */
-final class EndWatch {
+final class FinalRecordWatch {
     private static final Span LONGEST_WAIT = Span.seconds(10);
     /** Ends come by the second, and what is looked for hardly ever. */
     private static final Span PAUSE = Span.seconds(0.5);
 
     private final StateClient state;
-    private final Duty duty;
+    private final PeriodicTask duty;
     private long since;
 
-    EndWatch(Reign.Surroundings env) {
+    FinalRecordWatch(LeadershipTerm.Context env) {
         this.state = env.state();
-        this.duty = new Duty(env.vertx(), "end watch", PAUSE, this::step);
+        this.duty = new PeriodicTask(env.vertx(), "end watch", PAUSE, this::step);
     }
 
     void start(long revision) {
--- a/src/main/java/io/indigoreach/cluster/Fleet.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -2,14 +2,14 @@
 
 import io.indigoreach.cloud.CloudClient;
 import io.indigoreach.config.Settings;
-import io.indigoreach.core.LeaderCore;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.RentWish;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.duty.Intents;
-import io.indigoreach.net.Duty;
+import io.indigoreach.core.intent.Intents;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.scheduling.ScaleOutRequest;
+import io.indigoreach.core.scheduling.SchedulerCore;
+import io.indigoreach.net.PeriodicTask;
 import io.vertx.core.Future;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -21,30 +21,30 @@
 import org.slf4j.LoggerFactory;
 
 /** The leader's dealings with the cloud: one duty rents and returns, another reads the list. */
-final class Fleet {
-    private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
+final class FleetManager {
+    private static final Logger LOG = LoggerFactory.getLogger(FleetManager.class);
     private static final Span PAUSE = Span.seconds(1);
     private static final int MOST_TRIES = 5;
     private static final Span LONGEST_PAUSE = Span.seconds(16);
 
     /** A request to rent, next to be sent at a time; after some tries without an answer it does not hold up others. */
-    private record Request(String name, RentWish wish, Moment asked, int tries, Moment next) {
+    private record Request(String name, ScaleOutRequest wish, Moment asked, int tries, Moment next) {
         boolean isSlow() {
             return tries > MOST_TRIES;
         }
     }
 
-    private final Reign.Surroundings env;
-    private final LeaderCore core;
-    private final Token token;
+    private final LeadershipTerm.Context env;
+    private final SchedulerCore core;
+    private final FencingToken token;
     private final BooleanSupplier mayAct;
     /** Between requests to rent: with its answer's time it leaves room for returns and lists. */
     private final Span pace;
 
-    private final Duty renting;
-    private final Duty returning;
-    private final Duty listing;
-    private final IntentBook book;
+    private final PeriodicTask renting;
+    private final PeriodicTask returning;
+    private final PeriodicTask listing;
+    private final IntentLog book;
     /** To be sent, or sent without an answer so far; only what is recorded is sent. */
     private final Deque<Request> open = new ArrayDeque<>();
     /** Of them, those of earlier leaders. */
@@ -54,16 +54,21 @@
     private Moment checked = Moment.NEVER;
 
     /** {@code mayAct}: whether this node surely leads; otherwise another may be using the machines already. */
-    Fleet(Reign.Surroundings env, LeaderCore core, Token token, IntentBook book, BooleanSupplier mayAct) {
+    FleetManager(
+            LeadershipTerm.Context env,
+            SchedulerCore core,
+            FencingToken token,
+            IntentLog book,
+            BooleanSupplier mayAct) {
         this.env = env;
         this.book = book;
         this.mayAct = mayAct;
         this.pace = Span.seconds(1 / env.config().cloudLimits().requestsPerS());
         this.core = core;
         this.token = token;
-        this.renting = new Duty(env.vertx(), "renting", PAUSE, this::rent);
-        this.returning = new Duty(env.vertx(), "returning", PAUSE, this::giveBack);
-        this.listing = new Duty(env.vertx(), "machine list", PAUSE, this::list);
+        this.renting = new PeriodicTask(env.vertx(), "renting", PAUSE, this::rent);
+        this.returning = new PeriodicTask(env.vertx(), "returning", PAUSE, this::giveBack);
+        this.listing = new PeriodicTask(env.vertx(), "machine list", PAUSE, this::list);
     }
 
     void start() {
@@ -87,7 +92,7 @@
             book.intents().condemn(page.condemned());
             for (Intents.Rent r : page.rents()) {
                 Moment asked = now.minus(new Span(Math.max(0, env.clock().timeOfDay() - r.askedMs())));
-                open.add(new Request(r.name(), new RentWish(r.pool(), r.count()), asked, 0, now));
+                open.add(new Request(r.name(), new ScaleOutRequest(r.pool(), r.count()), asked, 0, now));
                 inherited.add(r.name());
             }
             if (!page.isEmpty()) {
@@ -126,7 +131,7 @@
             return;
         }
         checked = now;
-        for (RentWish wish : core.wishes(now)) {
+        for (ScaleOutRequest wish : core.wishes(now)) {
             Request request = new Request("t" + token + "-" + ++requests, wish, now, 0, now);
             Intents.Rent rent = new Intents.Rent(
                     request.name, wish.pool(), wish.count(), env.clock().timeOfDay());
@@ -229,7 +234,7 @@
                 core.onList(list, asked, env.clock().now());
             }
             // After a take-over the list tells which silent machines are gone, and work waits for that.
-            Span usual = env.settings().span(Settings.Knob.LIST_EVERY_S);
+            Span usual = env.settings().span(Settings.Setting.LIST_EVERY_S);
             return core.isSettled() || usual.compareTo(PAUSE) < 0 ? usual : PAUSE;
         });
     }
--- a/src/main/java/io/indigoreach/cluster/IntentBook.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -1,13 +1,13 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.duty.Intents;
-import io.indigoreach.net.Budget;
+import io.indigoreach.core.intent.Intents;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.JsonSize;
+import io.indigoreach.net.RateLimiter;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
@@ -26,21 +26,21 @@
  * write made while it was not there would bring back requests that are settled, and the next leader would repeat them. Nor is a
  * write without an answer the last one: what it says may have been given up meanwhile.
  */
-final class IntentBook {
+final class IntentLog {
     private static final Span TIDY = Span.seconds(2);
     private static final int EMPTY = JsonSize.of(RecordCodec.writeIntents(new Intents.Page(List.of(), List.of())));
 
-    private final Reign.Surroundings env;
-    private final Stamp key;
+    private final LeadershipTerm.Context env;
+    private final Revision key;
     private final Runnable deposed;
     private boolean cancelled;
-    private final Budget budget;
+    private final RateLimiter budget;
     private final String own;
     private final Intents intents = new Intents(new HalfEach());
     /** Earlier leaders' records, with their versions. */
-    private final Map<String, Stamp> earlier = new LinkedHashMap<>();
+    private final Map<String, Revision> earlier = new LinkedHashMap<>();
 
-    private Stamp stamp = Stamp.ABSENT;
+    private Revision stamp = Revision.ABSENT;
     /** The record's version is to be read before the next write. */
     private boolean unsure;
     /** A write had no answer and may be carried out at any time, until a later one has been. */
@@ -49,7 +49,7 @@
     private Future<Boolean> underWay;
     private Moment written = Moment.NEVER;
 
-    IntentBook(Reign.Surroundings env, Token token, Stamp key, Runnable deposed, Budget budget) {
+    IntentLog(LeadershipTerm.Context env, FencingToken token, Revision key, Runnable deposed, RateLimiter budget) {
         this.env = env;
         this.key = key;
         this.deposed = deposed;
@@ -96,7 +96,7 @@
         List<Intents.Rent> rents = new ArrayList<>();
         List<MachineId> condemned = new ArrayList<>();
         earlier.clear();
-        return Ledger.pages(env.state(), key, RecordCodec.INTENTS, e -> {
+        return JobStore.pages(env.state(), key, RecordCodec.INTENTS, e -> {
                     Intents.Page old = RecordCodec.readIntents(e.value());
                     rents.addAll(old.rents());
                     condemned.addAll(old.condemned());
@@ -155,7 +155,7 @@
     private Future<Boolean> write(Moment now) {
         if (unsure) {
             return env.state().get(own).map(entry -> {
-                stamp = entry == null ? Stamp.ABSENT : entry.stamp();
+                stamp = entry == null ? Revision.ABSENT : entry.stamp();
                 unsure = false;
                 return false;
             });
@@ -163,7 +163,7 @@
         Intents.Page page = intents.page();
         StateClient.Txn txn =
                 new StateClient.Txn().when(RecordCodec.LEADER, key).when(own, stamp);
-        boolean writes = unanswered || !page.isEmpty() || !stamp.equals(Stamp.ABSENT);
+        boolean writes = unanswered || !page.isEmpty() || !stamp.equals(Revision.ABSENT);
         if (writes) {
             txn.put(own, RecordCodec.writeIntents(page));
         }
@@ -172,7 +172,7 @@
                 .commit(txn)
                 .map(outcome -> {
                     if (outcome.done()) {
-                        stamp = writes ? outcome.stamp() : Stamp.ABSENT;
+                        stamp = writes ? outcome.stamp() : Revision.ABSENT;
                         unanswered = false;
                         intents.recorded(page);
                         return true;
--- a/src/main/java/io/indigoreach/cluster/Ledger.java
+++ b/src/main/java/io/indigoreach/cluster/JobStore.java
@@ -1,19 +1,19 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.core.CancellationHorizon;
-import io.indigoreach.core.Job;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.LeaderCore;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.loss.Remains;
-import io.indigoreach.net.Budget;
-import io.indigoreach.net.Duty;
+import io.indigoreach.core.leadership.CancellationHorizon;
+import io.indigoreach.core.loss.RememberedState;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.scheduling.Job;
+import io.indigoreach.core.scheduling.SchedulerCore;
 import io.indigoreach.net.Fields;
+import io.indigoreach.net.PeriodicTask;
+import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.WireException;
-import io.indigoreach.state.DoneBits;
+import io.indigoreach.state.CompletionBits;
 import io.indigoreach.state.JobRecord;
 import io.indigoreach.state.MachineRecord;
 import io.indigoreach.state.RecordCodec;
@@ -38,8 +38,8 @@
  * The leader's records: reads them when it takes over, and writes tasks' results, jobs' ends and machines. Every
  * write depends on the leadership key, and a job's also on the job's own key, which its user may cancel at any node.
  */
-final class Ledger {
-    private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
+final class JobStore {
+    private static final Logger LOG = LoggerFactory.getLogger(JobStore.class);
     private static final int PAGE = 500;
     private static final Span PERIOD = Span.seconds(0.1);
     /** Results of one job are gathered for this long; its end is written at once. */
@@ -52,18 +52,18 @@
     private static final int CLOSED_KEPT = 10_000;
 
     /** A record without which nobody may lead: trying again is of no use before somebody has mended it. */
-    static final class Unreadable extends RuntimeException {
-        Unreadable(String key, WireException cause) {
+    static final class UnreadableRecordException extends RuntimeException {
+        UnreadableRecordException(String key, WireException cause) {
             super("the record " + key + " cannot be read (" + cause.getMessage() + ")", cause, false, false);
         }
     }
 
-    private final Reign.Surroundings env;
-    private final LeaderCore core;
-    private final MachineBook book;
-    private final Stamp key;
+    private final LeadershipTerm.Context env;
+    private final SchedulerCore core;
+    private final MachineStore book;
+    private final Revision key;
     private final Runnable deposed;
-    private final Budget budget;
+    private final RateLimiter budget;
     private final boolean boundsKept;
     private final CancellationHorizon horizon;
     /**
@@ -72,13 +72,13 @@
      */
     private final Moment took;
 
-    private final BlockBook blocks;
-    private final Duty duty;
+    private final CompletionBlockStore blocks;
+    private final PeriodicTask duty;
     private final Set<Job> touched = new LinkedHashSet<>();
     private final Set<JobId> writing = new HashSet<>();
     private final Map<JobId, Moment> written = new HashMap<>();
     /** Ends written into the open job's record, to be moved when there is room for it. */
-    private final Map<JobId, Stamp> unmoved = new LinkedHashMap<>();
+    private final Map<JobId, Revision> unmoved = new LinkedHashMap<>();
 
     private final Map<JobId, JobStatus> shown = new HashMap<>();
     /** Open jobs whose records are longer than what the state service takes; each is said once. */
@@ -87,21 +87,21 @@
     /** Open jobs that stand still, as nobody could read or mend their records. */
     private final Set<JobId> unread = new HashSet<>();
     /** Jobs that are over, also those that were never open here: a late change of theirs must not open them. */
-    private final Map<JobId, Remains.Over> closed = new LinkedHashMap<>() {
+    private final Map<JobId, RememberedState.FinishedJob> closed = new LinkedHashMap<>() {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<JobId, Remains.Over> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<JobId, RememberedState.FinishedJob> eldest) {
             return size() > CLOSED_KEPT;
         }
     };
 
     /** {@code boundsKept}: every leader so far has kept to the jobs' start bounds. */
-    Ledger(
-            Reign.Surroundings env,
-            LeaderCore core,
-            MachineBook book,
-            Stamp key,
+    JobStore(
+            LeadershipTerm.Context env,
+            SchedulerCore core,
+            MachineStore book,
+            Revision key,
             Runnable deposed,
-            Budget budget,
+            RateLimiter budget,
             boolean boundsKept,
             CancellationHorizon horizon) {
         this.horizon = horizon;
@@ -113,8 +113,8 @@
         this.boundsKept = boundsKept;
         this.book = book;
         this.took = env.clock().now();
-        this.blocks = new BlockBook(env, key, deposed, budget);
-        this.duty = new Duty(env.vertx(), "ledger", PERIOD, this::step);
+        this.blocks = new CompletionBlockStore(env, key, deposed, budget);
+        this.duty = new PeriodicTask(env.vertx(), "ledger", PERIOD, this::step);
     }
 
     void start() {
@@ -143,7 +143,7 @@
         blocks.clear();
         // Blocks first: one that is written between the two readings would otherwise be newer than its job.
         return pages(RecordCodec.BITS, e -> readBlock(e, bits))
-                .compose(r -> pages(DoneBits.SMALL, e -> readBlock(e, bits)))
+                .compose(r -> pages(CompletionBits.SMALL, e -> readBlock(e, bits)))
                 .compose(r -> pages(RecordCodec.MACHINES, e -> {
                     List<MachineRecord> machines = RecordCodec.readMachines(e.value());
                     book.inherit(e.key(), e.stamp(), machines);
@@ -172,8 +172,9 @@
     private void readBlock(StateClient.Entry block, Map<JobId, BitSet> bits) {
         unlessUnreadable(block.key(), () -> {
             BitSet done = new BitSet();
-            DoneBits.readBlock(block.key(), block.value(), done);
-            bits.computeIfAbsent(DoneBits.jobOf(block.key()), k -> new BitSet()).or(done);
+            CompletionBits.readBlock(block.key(), block.value(), done);
+            bits.computeIfAbsent(CompletionBits.jobOf(block.key()), k -> new BitSet())
+                    .or(done);
             blocks.inherit(block.key(), done);
         });
     }
@@ -268,12 +269,17 @@
     }
 
     /** Every record with a prefix; the result is the revision to watch from. Nothing older than the leadership {@code key}. */
-    static Future<Long> pages(StateClient state, Stamp key, String prefix, Consumer<StateClient.Entry> each) {
+    static Future<Long> pages(StateClient state, Revision key, String prefix, Consumer<StateClient.Entry> each) {
         return page(state, key, prefix, null, -1, each);
     }
 
     private static Future<Long> page(
-            StateClient state, Stamp key, String prefix, String after, long first, Consumer<StateClient.Entry> each) {
+            StateClient state,
+            Revision key,
+            String prefix,
+            String after,
+            long first,
+            Consumer<StateClient.Entry> each) {
         return state.list(prefix, after, PAGE).compose(page -> {
             if (page.revision() < key.value()) {
                 // What an earlier leader recorded last could be missing: machines that hold tasks, above all.
@@ -284,7 +290,7 @@
                 try {
                     each.accept(item);
                 } catch (WireException e) {
-                    return Future.failedFuture(new Unreadable(item.key(), e));
+                    return Future.failedFuture(new UnreadableRecordException(item.key(), e));
                 }
             }
             // The oldest page counts: the watch then tells whatever a page does not have yet.
@@ -332,7 +338,7 @@
      * leader from hearing the rest, cancellations above all. A job that is known here is written anew; one that could not be read
      * until now is taken for an earlier leader's, whose tasks may be anywhere.
      */
-    void heard(JobId id, Fields value, Stamp stamp) {
+    void heard(JobId id, Fields value, Revision stamp) {
         Job job = core.job(id);
         if (job == null) {
             if (!closed.containsKey(id)) {
@@ -407,8 +413,8 @@
                                         ? Future.succeededFuture(Fate.STILL_OPEN)
                                         : env.state()
                                                 .confirm(new StateClient.Txn()
-                                                        .when(RecordCodec.open(id), Stamp.ABSENT)
-                                                        .when(RecordCodec.over(id), Stamp.ABSENT))
+                                                        .when(RecordCodec.open(id), Revision.ABSENT)
+                                                        .when(RecordCodec.over(id), Revision.ABSENT))
                                                 .compose(nowhere -> nowhere
                                                         ? Future.succeededFuture(Fate.LOST)
                                                         : Future.failedFuture(
@@ -426,16 +432,16 @@
             // Guards against its acceptance, which the watch may bring only now: it would open the job, and its end may
             // not be
             // readable for as long as an outage lasts.
-            closed.putIfAbsent(id, new Remains.Over(JobStatus.CANCELLED, 0));
+            closed.putIfAbsent(id, new RememberedState.FinishedJob(JobStatus.CANCELLED, 0));
         }
     }
 
     /** Jobs that ended under this leader. */
-    void addTo(Remains remains) {
+    void addTo(RememberedState remains) {
         closed.forEach(remains::add);
     }
 
-    void addTo(Remains remains, JobId id) {
+    void addTo(RememberedState remains, JobId id) {
         if (closed.containsKey(id)) {
             remains.add(id, closed.get(id));
         }
@@ -448,7 +454,9 @@
         blocks.over(job.id());
         tooLong.remove(job.id());
         closed.put(
-                job.id(), new Remains.Over(job.isCancelled() ? JobStatus.CANCELLED : JobStatus.DONE, job.doneCount()));
+                job.id(),
+                new RememberedState.FinishedJob(
+                        job.isCancelled() ? JobStatus.CANCELLED : JobStatus.DONE, job.doneCount()));
     }
 
     private Future<Span> step() {
@@ -544,8 +552,8 @@
     /** Moves one job whose end is written already. In vain if a later leader has done so, or whoever rebuilt. */
     private void move() {
         JobId id = unmoved.keySet().iterator().next();
-        Stamp stamp = unmoved.remove(id);
-        Remains.Over end = closed.get(id);
+        Revision stamp = unmoved.remove(id);
+        RememberedState.FinishedJob end = closed.get(id);
         if (end == null) {
             return;
         }
@@ -627,8 +635,8 @@
                         if (over == null) {
                             return env.state()
                                     .confirm(new StateClient.Txn()
-                                            .when(RecordCodec.open(id), Stamp.ABSENT)
-                                            .when(RecordCodec.over(id), Stamp.ABSENT))
+                                            .when(RecordCodec.open(id), Revision.ABSENT)
+                                            .when(RecordCodec.over(id), Revision.ABSENT))
                                     .onSuccess(gone -> {
                                         if (gone && !duty.isCancelled()) {
                                             env.state().recordGone(RecordCodec.open(id));
--- a/src/main/java/io/indigoreach/cluster/JobWatch.java
+++ b/src/main/java/io/indigoreach/cluster/JobWatch.java
@@ -1,10 +1,10 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.core.CancellationHorizon;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.net.Duty;
+import io.indigoreach.core.leadership.CancellationHorizon;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
@@ -17,17 +17,17 @@
     private static final Span LONGEST_WAIT = Span.seconds(2);
     private static final Span PAUSE = Span.seconds(0.3);
 
-    private final Reign.Surroundings env;
-    private final Ledger ledger;
-    private final Duty duty;
+    private final LeadershipTerm.Context env;
+    private final JobStore ledger;
+    private final PeriodicTask duty;
     private long since;
     private boolean readAgain;
     private final CancellationHorizon horizon;
 
-    JobWatch(Reign.Surroundings env, Ledger ledger, CancellationHorizon horizon) {
+    JobWatch(LeadershipTerm.Context env, JobStore ledger, CancellationHorizon horizon) {
         this.env = env;
         this.ledger = ledger;
-        this.duty = new Duty(env.vertx(), "job watch", PAUSE, this::step);
+        this.duty = new PeriodicTask(env.vertx(), "job watch", PAUSE, this::step);
         this.horizon = horizon;
     }
 
@@ -77,7 +77,7 @@
             since = Math.max(since, changes.revision());
             // First what it brings: a job that is gone holds the horizon until it is known why.
             for (StateClient.Change change : changes.changes()) {
-                Ledger.unlessUnreadable(change.key(), () -> apply(change));
+                JobStore.unlessUnreadable(change.key(), () -> apply(change));
             }
             horizon.heard(sent);
             return Span.ZERO;
--- a/src/main/java/io/indigoreach/cluster/Reign.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -4,29 +4,29 @@
 import io.indigoreach.cloud.CloudClient;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
-import io.indigoreach.core.Aims;
-import io.indigoreach.core.CancellationHorizon;
-import io.indigoreach.core.CancellationWord;
-import io.indigoreach.core.Job;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.LeaderCore;
-import io.indigoreach.core.Machine;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Notes;
-import io.indigoreach.core.Order;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.WorkerReport;
-import io.indigoreach.core.loss.Remains;
-import io.indigoreach.net.Budget;
-import io.indigoreach.net.Duty;
-import io.indigoreach.net.Pulse;
+import io.indigoreach.core.leadership.CancellationHorizon;
+import io.indigoreach.core.leadership.CancellationSummary;
+import io.indigoreach.core.loss.RememberedState;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.WorkerCommand;
+import io.indigoreach.core.scheduling.Job;
+import io.indigoreach.core.scheduling.Machine;
+import io.indigoreach.core.scheduling.SchedulerCore;
+import io.indigoreach.core.scheduling.SchedulerListener;
+import io.indigoreach.core.scheduling.ServiceLevelObjectives;
+import io.indigoreach.net.EventLoopMonitor;
+import io.indigoreach.net.PeriodicTask;
+import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.parts.Parts;
-import io.indigoreach.state.JobMender;
-import io.indigoreach.state.Leadership;
+import io.indigoreach.state.JobRepairer;
+import io.indigoreach.state.LeaderElection;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -37,8 +37,8 @@
 import org.slf4j.LoggerFactory;
 
 /** One leadership of this node, from taking the key to losing it: the core and the duties that serve it. */
-final class Reign implements Notes {
-    private static final Logger LOG = LoggerFactory.getLogger(Reign.class);
+final class LeadershipTerm implements SchedulerListener {
+    private static final Logger LOG = LoggerFactory.getLogger(LeadershipTerm.class);
     private static final Span TICK = Span.seconds(0.5);
     /** The part of the service's changes that the leader takes; the rest is for submissions and cancellations. */
     private static final double WRITES = 0.6;
@@ -50,10 +50,10 @@
     private static final Span UNREADABLE = Span.seconds(5);
 
     /** What a reign works with. */
-    record Surroundings(
+    record Context(
             Vertx vertx,
             SteadyClock clock,
-            Pulse pulse,
+            EventLoopMonitor pulse,
             StateClient state,
             CloudClient cloud,
             Catalogue catalogue,
@@ -61,11 +61,11 @@
             Settings settings,
             Span lease,
             Parts parts,
-            JobMender mender) {
-        Surroundings(
+            JobRepairer mender) {
+        Context(
                 Vertx vertx,
                 SteadyClock clock,
-                Pulse pulse,
+                EventLoopMonitor pulse,
                 StateClient state,
                 CloudClient cloud,
                 Catalogue catalogue,
@@ -75,10 +75,10 @@
             this(vertx, clock, pulse, state, cloud, catalogue, config, settings, lease, Parts.NONE);
         }
 
-        Surroundings(
+        Context(
                 Vertx vertx,
                 SteadyClock clock,
-                Pulse pulse,
+                EventLoopMonitor pulse,
                 StateClient state,
                 CloudClient cloud,
                 Catalogue catalogue,
@@ -97,7 +97,7 @@
                     settings,
                     lease,
                     parts,
-                    new JobMender(state, clock));
+                    new JobRepairer(state, clock));
         }
 
         /** By which values, transactions and budgets are sized. */
@@ -106,22 +106,22 @@
         }
     }
 
-    private final Surroundings env;
-    private final Token token;
-    private final Leadership leadership;
-    private final LeaderCore core;
-    private final MachineBook book;
-    private final Ledger ledger;
-    private final ChainDuty chains;
-    private final Fleet fleet;
+    private final Context env;
+    private final FencingToken token;
+    private final LeaderElection leadership;
+    private final SchedulerCore core;
+    private final MachineStore book;
+    private final JobStore ledger;
+    private final DependencyTask chains;
+    private final FleetManager fleet;
     private final JobWatch watch;
-    private final EndWatch ends;
-    private final PartsDuty parts;
-    private final Duty opening;
-    private final Duty tick;
-    private final Supplier<Future<Remains>> memory;
-    private final Budget budget;
-    private final Stamp key;
+    private final FinalRecordWatch ends;
+    private final PartsTask parts;
+    private final PeriodicTask opening;
+    private final PeriodicTask tick;
+    private final Supplier<Future<RememberedState>> memory;
+    private final RateLimiter budget;
+    private final Revision key;
     private Moment summarised = Moment.NEVER;
     private final CancellationHorizon horizon = new CancellationHorizon();
     private boolean boundsKept;
@@ -132,44 +132,44 @@
      * @param boundsKept the start bounds that earlier leaders recorded can be believed
      * @param memory what controllers remember, asked for where the state service has lost data
      */
-    Reign(
-            Surroundings env,
-            Token token,
-            Stamp key,
-            Leadership leadership,
+    LeadershipTerm(
+            Context env,
+            FencingToken token,
+            Revision key,
+            LeaderElection leadership,
             boolean boundsKept,
-            Supplier<Future<Remains>> memory) {
+            Supplier<Future<RememberedState>> memory) {
         this.memory = memory;
         this.key = key;
         this.env = env;
         this.token = token;
         this.leadership = leadership;
-        this.core = new LeaderCore(
+        this.core = new SchedulerCore(
                 token,
                 env.config().rules(),
                 env.settings().tuning(),
                 aims(env.config()),
                 env.config().teams(),
                 this);
-        this.budget = new Budget(
+        this.budget = new RateLimiter(
                 env.config().stateLimits().writesPerS() * WRITES, env.clock().now());
-        this.book = new MachineBook(env, core, token, key, leadership::deposed, budget);
-        this.ledger = new Ledger(env, core, book, key, leadership::deposed, budget, boundsKept, horizon);
-        this.chains = new ChainDuty(env, core, ledger, key, leadership::deposed, budget);
+        this.book = new MachineStore(env, core, token, key, leadership::deposed, budget);
+        this.ledger = new JobStore(env, core, book, key, leadership::deposed, budget, boundsKept, horizon);
+        this.chains = new DependencyTask(env, core, ledger, key, leadership::deposed, budget);
         this.boundsKept = boundsKept;
-        this.fleet = new Fleet(
-                env, core, token, new IntentBook(env, token, key, leadership::deposed, budget), leadership::isValid);
+        this.fleet = new FleetManager(
+                env, core, token, new IntentLog(env, token, key, leadership::deposed, budget), leadership::isValid);
         this.watch = new JobWatch(env, ledger, horizon);
-        this.ends = new EndWatch(env);
-        this.parts = new PartsDuty(env, core, key, budget);
-        this.opening = new Duty(env.vertx(), "opening", Span.seconds(0.3), this::open);
-        this.tick = new Duty(env.vertx(), "tick", TICK, this::tick);
+        this.ends = new FinalRecordWatch(env);
+        this.parts = new PartsTask(env, core, key, budget);
+        this.opening = new PeriodicTask(env.vertx(), "opening", Span.seconds(0.3), this::open);
+        this.tick = new PeriodicTask(env.vertx(), "tick", TICK, this::tick);
     }
 
-    private static Aims aims(PlatformConfig config) {
-        return new Aims(config.objectives().stream()
+    private static ServiceLevelObjectives aims(PlatformConfig config) {
+        return new ServiceLevelObjectives(config.objectives().stream()
                 .filter(o -> o.within().ms() > 0)
-                .map(o -> new Aims.Aim(o.jobClass(), "wait".equals(o.kind()), o.within()))
+                .map(o -> new ServiceLevelObjectives.Objective(o.jobClass(), "wait".equals(o.kind()), o.within()))
                 .toList());
     }
 
@@ -189,7 +189,7 @@
         fleet.cancel();
     }
 
-    Token token() {
+    FencingToken token() {
         return token;
     }
 
@@ -212,7 +212,7 @@
     }
 
     /** At {@code sent} every node was asked; this is what all of them say together of cancellations. */
-    void told(CancellationWord word, Moment sent) {
+    void told(CancellationSummary word, Moment sent) {
         // Without the records nothing can be done about it yet, and nothing is counted as heard.
         if (core.isLoaded()) {
             word.cancelled().forEach(ledger::cancelled);
@@ -221,14 +221,14 @@
     }
 
     /** The orders for a worker; null if a newer leader exists. A machine's first report waits for its record. */
-    Future<List<Order>> onReport(WorkerReport report) {
-        List<Order> orders = core.onReport(report, env.clock().now());
+    Future<List<WorkerCommand>> onReport(Heartbeat report) {
+        List<WorkerCommand> orders = core.onReport(report, env.clock().now());
         Machine unrecorded = orders == null || !core.isLoaded() ? null : core.unrecorded(report.machine());
         if (unrecorded == null) {
             return Future.succeededFuture(orders);
         }
         return book.record(unrecorded).map(done -> {
-            List<Order> all = new ArrayList<>(orders);
+            List<WorkerCommand> all = new ArrayList<>(orders);
             if (done) {
                 all.addAll(
                         core.fill(report.machine(), report.number(), env.clock().now()));
@@ -269,7 +269,7 @@
                     return TICK;
                 })
                 .recover(e -> {
-                    if (!(e instanceof Ledger.Unreadable)) {
+                    if (!(e instanceof JobStore.UnreadableRecordException)) {
                         return Future.failedFuture(e);
                     }
                     LOG.error(
@@ -282,7 +282,7 @@
     /** Before the records are read: what was lost of them is written anew. */
     private Future<Void> whole() {
         if (env.state().losses().isHolding()) {
-            return memory.get().compose(remains -> new Rebuilder(env, token, key, budget, remains).run());
+            return memory.get().compose(remains -> new StateRebuilder(env, token, key, budget, remains).run());
         }
         return Future.succeededFuture();
     }
@@ -293,21 +293,21 @@
     }
 
     /** What this leader knows of one job, while it knows them all. */
-    Remains remains(JobId id) {
-        Remains remains = new Remains();
+    RememberedState remains(JobId id) {
+        RememberedState remains = new RememberedState();
         if (core.isLoaded()) {
             ledger.addTo(remains, id);
             Job job = core.job(id);
             if (job != null) {
-                remains.add(LeaderCore.remains(job));
+                remains.add(SchedulerCore.remains(job));
             }
         }
         return remains;
     }
 
     /** What this leader knows beside what is recorded, while it knows it all. */
-    Remains remains() {
-        Remains remains = new Remains();
+    RememberedState remains() {
+        RememberedState remains = new RememberedState();
         if (core.isLoaded()) {
             ledger.addTo(remains);
             remains.add(core.remains());
--- a/src/main/java/io/indigoreach/cluster/MachineBook.java
+++ b/src/main/java/io/indigoreach/cluster/MachineStore.java
@@ -1,15 +1,15 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.core.LeaderCore;
-import io.indigoreach.core.Machine;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Token;
-import io.indigoreach.net.Budget;
-import io.indigoreach.net.Duty;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.scheduling.Machine;
+import io.indigoreach.core.scheduling.SchedulerCore;
 import io.indigoreach.net.JsonSize;
+import io.indigoreach.net.PeriodicTask;
+import io.indigoreach.net.RateLimiter;
 import io.indigoreach.state.MachineRecord;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
@@ -30,8 +30,8 @@
  * got no answer may still be applied, and must not then take machines off the page. Nor may it make a page anew: a page of this
  * leadership that is empty stays, to be filled again; the next leader removes it, as writes of this one depend on another key.
  */
-final class MachineBook {
-    private static final Logger LOG = LoggerFactory.getLogger(MachineBook.class);
+final class MachineStore {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineStore.class);
     private static final Span PERIOD = Span.seconds(0.1);
     /** Between two writes; machines that report meanwhile share the second one. */
     private static final Span GATHER = Span.seconds(0.2);
@@ -48,7 +48,7 @@
         /** Of this leadership: its first write, made while there was no such page, may still be carried out. */
         final boolean own;
 
-        Stamp stamp;
+        Revision stamp;
         /** A write of it had no answer: its version is to be read before the next one. */
         boolean unsure;
         /** Lines of it stand on other pages, and are still to be taken off this one. */
@@ -56,7 +56,7 @@
 
         final Map<MachineId, MachineRecord> lines = new LinkedHashMap<>();
 
-        Page(String key, Stamp stamp, boolean own) {
+        Page(String key, Revision stamp, boolean own) {
             this.key = key;
             this.own = own;
             this.stamp = stamp;
@@ -71,30 +71,36 @@
     /** A machine whose report waits for its record. */
     private record Waiting(Promise<Boolean> done, Moment since) {}
 
-    private final Reign.Surroundings env;
-    private final LeaderCore core;
-    private final Token token;
-    private final Stamp key;
+    private final LeadershipTerm.Context env;
+    private final SchedulerCore core;
+    private final FencingToken token;
+    private final Revision key;
     private final Runnable deposed;
-    private final Budget budget;
-    private final Duty duty;
+    private final RateLimiter budget;
+    private final PeriodicTask duty;
     private final List<Page> pages = new ArrayList<>();
     private final Map<MachineId, Waiting> waiting = new LinkedHashMap<>();
     private int pagesMade;
     private Moment written = Moment.NEVER;
 
-    MachineBook(Reign.Surroundings env, LeaderCore core, Token token, Stamp key, Runnable deposed, Budget budget) {
+    MachineStore(
+            LeadershipTerm.Context env,
+            SchedulerCore core,
+            FencingToken token,
+            Revision key,
+            Runnable deposed,
+            RateLimiter budget) {
         this.env = env;
         this.core = core;
         this.token = token;
         this.key = key;
         this.deposed = deposed;
         this.budget = budget;
-        this.duty = new Duty(env.vertx(), "machine book", PERIOD, this::step);
+        this.duty = new PeriodicTask(env.vertx(), "machine book", PERIOD, this::step);
     }
 
     /** How much a page may hold. */
-    static int pageBytes(Reign.Surroundings env) {
+    static int pageBytes(LeadershipTerm.Context env) {
         return env.limits().room() - PAGE_FRAME;
     }
 
@@ -109,7 +115,7 @@
     }
 
     /** A page that an earlier leader wrote, or this one when it rebuilt. */
-    void inherit(String pageKey, Stamp stamp, List<MachineRecord> lines) {
+    void inherit(String pageKey, Revision stamp, List<MachineRecord> lines) {
         Page page = new Page(pageKey, stamp, pageKey.startsWith(RecordCodec.machinePage(token, "")));
         lines.forEach(line -> page.lines.put(line.id(), line));
         // Read before, in a try that failed: two copies of a page would write over each other, and take machines off
@@ -137,7 +143,7 @@
         Page unsure = pages.stream().filter(p -> p.unsure).findFirst().orElse(null);
         if (unsure != null) {
             return env.state().get(unsure.key).map(entry -> {
-                unsure.stamp = entry == null ? Stamp.ABSENT : entry.stamp();
+                unsure.stamp = entry == null ? Revision.ABSENT : entry.stamp();
                 unsure.unsure = false;
                 if (entry == null && unsure.isLeft()) {
                     pages.remove(unsure);
@@ -185,7 +191,7 @@
                 }
             }
             if (page == null) {
-                page = new Page(RecordCodec.machinePage(token, ++pagesMade), Stamp.ABSENT, true);
+                page = new Page(RecordCodec.machinePage(token, ++pagesMade), Revision.ABSENT, true);
                 pages.add(page);
                 room.put(page, pageBytes(env));
             }
@@ -211,7 +217,7 @@
      * until the rest fits into one value; a machine that stands twice is read once.
      */
     private Future<Span> split(Page page) {
-        Page part = new Page(RecordCodec.machinePage(token, ++pagesMade), Stamp.ABSENT, true);
+        Page part = new Page(RecordCodec.machinePage(token, ++pagesMade), Revision.ABSENT, true);
         for (MachineRecord line : page.lines.values()) {
             part.lines.put(line.id(), line);
             if (room(part) < 0) {
@@ -221,7 +227,7 @@
         }
         StateClient.Txn txn = new StateClient.Txn()
                 .when(RecordCodec.LEADER, key)
-                .when(part.key, Stamp.ABSENT)
+                .when(part.key, Revision.ABSENT)
                 .put(part.key, RecordCodec.writeMachines(part.lines.values()));
         pages.add(part);
         return commit(txn, List.of(part), stamp -> {
@@ -288,7 +294,7 @@
         return Future.succeededFuture(PERIOD);
     }
 
-    private Future<Span> commit(StateClient.Txn txn, List<Page> touched, java.util.function.Consumer<Stamp> done) {
+    private Future<Span> commit(StateClient.Txn txn, List<Page> touched, java.util.function.Consumer<Revision> done) {
         return env.state()
                 .commit(txn)
                 .map(outcome -> {
--- a/src/main/java/io/indigoreach/cluster/Node.java
+++ b/src/main/java/io/indigoreach/cluster/Node.java
@@ -1,21 +1,21 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.api.FrontDoor;
-import io.indigoreach.api.JobDesk;
+import io.indigoreach.api.HttpApi;
+import io.indigoreach.api.JobService;
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
 import io.indigoreach.config.ConfigException;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
-import io.indigoreach.core.Span;
-import io.indigoreach.net.Caller;
-import io.indigoreach.net.Loop;
-import io.indigoreach.net.Pulse;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.net.EventLoopMonitor;
+import io.indigoreach.net.EventLoops;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.parts.Parts;
-import io.indigoreach.state.JobMender;
+import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.worker.ReportDesk;
+import io.indigoreach.worker.HeartbeatEndpoint;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.List;
@@ -28,13 +28,13 @@
     /** The longest that a node which starts while nobody leads does not listen, until it is known who does. */
     private static final Span UNHEARD = Span.seconds(3);
 
-    private final Vertx own = Loop.vertx();
+    private final Vertx own = EventLoops.vertx();
     private final SteadyClock clock = new SteadyClock();
-    private final Pulse pulse;
+    private final EventLoopMonitor pulse;
     private final Catalogue catalogue;
     private final Controller controller;
-    private final Standing standing;
-    private final FrontDoor door;
+    private final PeerProtocol standing;
+    private final HttpApi door;
 
     public Node(Vertx vertx, PlatformConfig config, Settings settings) throws ConfigException {
         this(vertx, config, settings, PartRegistry.switchedOn(settings));
@@ -42,15 +42,15 @@
 
     /** With these parts beside the jobs. */
     public Node(Vertx vertx, PlatformConfig config, Settings settings, List<Parts.Kind> kinds) throws ConfigException {
-        this.pulse = new Pulse(vertx, clock);
-        StateClient state =
-                new StateClient(new Caller(vertx, config.state(), 12), new Caller(vertx, config.state(), 3));
-        CloudClient cloud = new CloudClient(new Caller(vertx, config.cloud(), 3));
+        this.pulse = new EventLoopMonitor(vertx, clock);
+        StateClient state = new StateClient(
+                new ServiceClient(vertx, config.state(), 12), new ServiceClient(vertx, config.state(), 3));
+        CloudClient cloud = new CloudClient(new ServiceClient(vertx, config.cloud(), 3));
         this.catalogue = new Catalogue(vertx, state, cloud);
-        JobMender mender = new JobMender(state, clock, config.stateLimits());
+        JobRepairer mender = new JobRepairer(state, clock, config.stateLimits());
         Parts parts = Parts.of(kinds, vertx, state, clock, catalogue, config, settings);
         this.controller = new Controller(
-                new Reign.Surroundings(
+                new LeadershipTerm.Context(
                         vertx,
                         clock,
                         pulse,
@@ -63,7 +63,7 @@
                         parts,
                         mender),
                 own);
-        JobDesk jobs = new JobDesk(
+        JobService jobs = new JobService(
                 vertx,
                 state,
                 mender,
@@ -74,7 +74,7 @@
                 config.stateLimits().requestsPerS()
                         * QUESTIONS
                         / (config.peers().size() + 1));
-        this.standing = new Standing(vertx, clock, pulse, state, config, controller, jobs, parts.copies());
+        this.standing = new PeerProtocol(vertx, clock, pulse, state, config, controller, jobs, parts.copies());
         controller.remembering(standing::gather);
         controller.asking(standing::pledges, standing::othersDoNotLead);
         mender.asking(standing::recall);
@@ -84,11 +84,11 @@
         parts.all().forEach(p -> p.submitting(jobs::submit));
         jobs.asking(standing::know);
         state.onLoss(controller::onLoss);
-        this.door = new FrontDoor(
+        this.door = new HttpApi(
                 vertx,
                 config.listen(),
                 jobs,
-                new ReportDesk(controller),
+                new HeartbeatEndpoint(controller),
                 () -> catalogue.isKnown() && !standing.isOutOfTouch(),
                 parts.resources());
     }
--- a/src/main/java/io/indigoreach/cluster/PartRegistry.java
+++ b/src/main/java/io/indigoreach/cluster/PartRegistry.java
@@ -16,9 +16,9 @@
 public final class PartRegistry {
     /** Every part there is: a new one is added here, and nowhere else. */
     private static final List<Parts.Kind> KINDS = List.of(
-            new Parts.Kind(Settings.Knob.CALENDAR, CalendarPart.FAMILIES, CalendarPart::new),
-            new Parts.Kind(Settings.Knob.RECORD_OWNERSHIP, Registry.FAMILIES, OwnershipPart::new),
-            new Parts.Kind(Settings.Knob.WARM_POOLS, PoolRecords.FAMILIES, WarmPart::new));
+            new Parts.Kind(Settings.Setting.CALENDAR, CalendarPart.FAMILIES, CalendarPart::new),
+            new Parts.Kind(Settings.Setting.RECORD_OWNERSHIP, Registry.FAMILIES, OwnershipPart::new),
+            new Parts.Kind(Settings.Setting.WARM_POOLS, PoolRecords.FAMILIES, WarmPart::new));
 
     private PartRegistry() {}
 
--- a/src/main/java/io/indigoreach/cluster/PartsDuty.java
+++ b/src/main/java/io/indigoreach/cluster/PartsTask.java
@@ -1,15 +1,15 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.core.LeaderCore;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.records.Sweep;
-import io.indigoreach.net.Budget;
-import io.indigoreach.net.Duty;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.records.GarbageCollector;
+import io.indigoreach.core.scheduling.SchedulerCore;
+import io.indigoreach.net.PeriodicTask;
+import io.indigoreach.net.RateLimiter;
 import io.indigoreach.parts.Part;
 import io.indigoreach.state.RecordCodec;
-import io.indigoreach.state.Records;
+import io.indigoreach.state.RoutineRunner;
 import io.vertx.core.Future;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,22 +20,22 @@
  * The parts' work for one leadership: what each does while this node leads, and its clean-up, one round after the other. It
  * comes behind leases, cancellations, acceptances and ends: it writes only what the leader's budget has to spare.
  */
-final class PartsDuty {
+final class PartsTask {
     private static final Span PERIOD = Span.seconds(1);
 
-    private final Reign.Surroundings env;
-    private final LeaderCore core;
-    private final Records records;
-    private final Duty duty;
-    private final List<Part.Reigning> reigning = new ArrayList<>();
+    private final LeadershipTerm.Context env;
+    private final SchedulerCore core;
+    private final RoutineRunner records;
+    private final PeriodicTask duty;
+    private final List<Part.Term> reigning = new ArrayList<>();
     private final Map<Part, Moment> due = new HashMap<>();
 
-    PartsDuty(Reign.Surroundings env, LeaderCore core, Stamp key, Budget budget) {
+    PartsTask(LeadershipTerm.Context env, SchedulerCore core, Revision key, RateLimiter budget) {
         this.env = env;
         this.core = core;
         this.records =
                 env.parts().all().isEmpty() ? null : env.parts().records().leading(RecordCodec.LEADER, key, budget);
-        this.duty = new Duty(env.vertx(), "parts", PERIOD, this::step);
+        this.duty = new PeriodicTask(env.vertx(), "parts", PERIOD, this::step);
     }
 
     void start() {
@@ -47,13 +47,13 @@
 
     void cancel() {
         duty.cancel();
-        reigning.forEach(Part.Reigning::close);
+        reigning.forEach(Part.Term::close);
     }
 
     private Future<Span> step() {
         Moment now = env.clock().now();
         for (Part part : env.parts().all()) {
-            Sweep sweep = part.sweep();
+            GarbageCollector sweep = part.sweep();
             if (sweep != null && !now.isBefore(due.getOrDefault(part, Moment.NEVER))) {
                 // One that fails waits a period like the others, and does not keep them from their rounds.
                 due.put(part, now.plus(PERIOD));
--- a/src/main/java/io/indigoreach/cluster/Pledges.java
+++ b/src/main/java/io/indigoreach/cluster/PeerPromises.java
@@ -1,11 +1,11 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.core.CancellationWord;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.ToldCancellations;
+import io.indigoreach.core.leadership.CancellationSummary;
+import io.indigoreach.core.leadership.ConfirmedCancellations;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -17,16 +17,16 @@
  * @param all each has pledged not to lead for a while
  * @param word the cancellations that they have told users of
  */
-record Pledges(boolean all, CancellationWord word) {
-    static final Pledges NONE = new Pledges(false, CancellationWord.NONE);
+record PeerPromises(boolean all, CancellationSummary word) {
+    static final PeerPromises NONE = new PeerPromises(false, CancellationSummary.NONE);
 
-    Pledges and(Pledges other) {
-        return new Pledges(all && other.all, word.and(other.word));
+    PeerPromises and(PeerPromises other) {
+        return new PeerPromises(all && other.all, word.and(other.word));
     }
 
     /** The question: how far back the leader wants to know of cancellations. */
     static Map<String, Object> ask(Span back) {
-        return Wire.map("back_ms", back.ms());
+        return MessagePackFormat.map("back_ms", back.ms());
     }
 
     /** From a node of the version before there is no such wish. */
@@ -36,7 +36,7 @@
 
     /** {@code quiet}: for how long this node told of none, which is all that a leader of the version before understands. */
     Map<String, Object> write(Span quiet) {
-        return Wire.map(
+        return MessagePackFormat.map(
                 "pledged",
                 all,
                 "quiet_ms",
@@ -48,18 +48,18 @@
     }
 
     /** Throws {@link io.indigoreach.net.WireException} if it cannot be read, or is longer than any node's answer. */
-    static Pledges read(Fields answer) {
+    static PeerPromises read(Fields answer) {
         List<String> texts = answer.optionalTexts("cancelled");
         boolean pledged = answer.flag("pledged", false);
         if (texts == null) {
             // A node of the version before: that it told of none for a while is a word without names.
-            return new Pledges(pledged, new CancellationWord(Set.of(), new Span(answer.whole("quiet_ms", 0))));
+            return new PeerPromises(pledged, new CancellationSummary(Set.of(), new Span(answer.whole("quiet_ms", 0))));
         }
-        if (texts.size() > ToldCancellations.MOST || !texts.stream().allMatch(JobId::isValid)) {
+        if (texts.size() > ConfirmedCancellations.MOST || !texts.stream().allMatch(JobId::isValid)) {
             throw Fields.invalid("cancelled");
         }
         Set<JobId> jobs = new HashSet<>();
         texts.forEach(t -> jobs.add(new JobId(t)));
-        return new Pledges(pledged, new CancellationWord(jobs, new Span(answer.whole("covered_ms", 0))));
+        return new PeerPromises(pledged, new CancellationSummary(jobs, new Span(answer.whole("covered_ms", 0))));
     }
 }
--- a/src/main/java/io/indigoreach/cluster/Standing.java
+++ b/src/main/java/io/indigoreach/cluster/PeerProtocol.java
@@ -1,23 +1,23 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.api.JobDesk;
+import io.indigoreach.api.JobService;
 import io.indigoreach.config.PlatformConfig;
-import io.indigoreach.core.Isolation;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.loss.Remains;
-import io.indigoreach.core.records.Copies;
-import io.indigoreach.net.Caller;
-import io.indigoreach.net.Duty;
+import io.indigoreach.core.leadership.IsolationCheck;
+import io.indigoreach.core.loss.RememberedState;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.records.RecordCache;
+import io.indigoreach.net.EventLoopMonitor;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Pulse;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.PeriodicTask;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.net.WireException;
-import io.indigoreach.state.RemainsCodec;
+import io.indigoreach.state.RememberedStateCodec;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -32,12 +32,12 @@
 
 /**
  * Whether this node alone is without the state service. A node cannot tell an outage from a refusal that only it gets,
- * so it asks the others ({@link Isolation}). Refused alone or cut off, it is not ready and users are sent elsewhere; in an
+ * so it asks the others ({@link IsolationCheck}). Refused alone or cut off, it is not ready and users are sent elsewhere; in an
  * outage it stays ready, as being taken out and back in would cost more than the outage does. A leader that is refused alone
  * stands aside, and asks another node to remove its key, so that its lease need not run out first.
  */
-final class Standing {
-    private static final Logger LOG = LoggerFactory.getLogger(Standing.class);
+final class PeerProtocol {
+    private static final Logger LOG = LoggerFactory.getLogger(PeerProtocol.class);
     private static final Span PERIOD = Span.seconds(1);
     private static final Span PATIENCE = Span.seconds(2);
     private static final String PATH = "/standing";
@@ -51,30 +51,30 @@
     private static final Span WORD = Span.seconds(0.7);
 
     private final SteadyClock clock;
-    private final Pulse pulse;
+    private final EventLoopMonitor pulse;
     private final StateClient state;
     private final PlatformConfig config;
     private final Controller controller;
-    private final JobDesk jobs;
-    private final Copies copies;
-    private final List<Caller> peers = new ArrayList<>();
+    private final JobService jobs;
+    private final RecordCache copies;
+    private final List<ServiceClient> peers = new ArrayList<>();
     private final HttpServer server;
-    private final Duty duty;
+    private final PeriodicTask duty;
     private Moment served;
-    private final Isolation isolation = new Isolation();
-    private Isolation.Verdict said = Isolation.Verdict.TOGETHER;
+    private final IsolationCheck isolation = new IsolationCheck();
+    private IsolationCheck.Verdict said = IsolationCheck.Verdict.TOGETHER;
     /** The state service did not answer this node when it was last asked. */
     private boolean unserved;
 
-    Standing(
+    PeerProtocol(
             Vertx vertx,
             SteadyClock clock,
-            Pulse pulse,
+            EventLoopMonitor pulse,
             StateClient state,
             PlatformConfig config,
             Controller controller,
-            JobDesk jobs,
-            Copies copies) {
+            JobService jobs,
+            RecordCache copies) {
         this.copies = copies;
         this.pulse = pulse;
         this.jobs = jobs;
@@ -84,11 +84,11 @@
         this.config = config;
         this.served = clock.now();
         for (PlatformConfig.Peer peer : config.peers()) {
-            peers.add(new Caller(vertx, peer.endpoint(), 1));
+            peers.add(new ServiceClient(vertx, peer.endpoint(), 1));
         }
         this.server = vertx.createHttpServer(new HttpServerOptions().setIdleTimeout(30));
         server.requestHandler(this::answer);
-        this.duty = new Duty(vertx, "standing", PERIOD, this::step);
+        this.duty = new PeriodicTask(vertx, "standing", PERIOD, this::step);
     }
 
     void start() {
@@ -111,36 +111,44 @@
     private void answer(HttpServerRequest request) {
         if (HAND_OVER.equals(request.path())) {
             request.body()
-                    .map(body -> new Stamp(Wire.readMap(body).whole("stamp")))
+                    .map(body -> new Revision(MessagePackFormat.readMap(body).whole("stamp")))
                     .compose(controller::release)
                     .onComplete(done -> request.response()
                             .setStatusCode(done.succeeded() ? 200 : 503)
-                            .end(Wire.write(Map.of())));
+                            .end(MessagePackFormat.write(Map.of())));
         } else if (PLEDGE.equals(request.path())) {
             request.body()
-                    .map(body -> pledge(Pledges.asked(Wire.readMap(body))))
-                    .onSuccess(answer -> request.response().end(Wire.write(answer)))
+                    .map(body -> pledge(PeerPromises.asked(MessagePackFormat.readMap(body))))
+                    .onSuccess(answer -> request.response().end(MessagePackFormat.write(answer)))
                     .onFailure(e -> {
                         LOG.warn("a question for a pledge cannot be read: {}", e.getMessage());
-                        request.response().setStatusCode(400).end(Wire.write(Map.of()));
+                        request.response().setStatusCode(400).end(MessagePackFormat.write(Map.of()));
                     });
         } else if (LOSS.equals(request.path())) {
             request.body()
-                    .onSuccess(body -> state.toldOfLoss(Wire.readMap(body).whole("era")))
-                    .onComplete(done -> request.response().end(Wire.write(Map.of())));
+                    .onSuccess(body ->
+                            state.toldOfLoss(MessagePackFormat.readMap(body).whole("era")))
+                    .onComplete(done -> request.response().end(MessagePackFormat.write(Map.of())));
         } else if (REMAINS.equals(request.path()) && request.getParam("part") != null) {
-            request.response().end(Wire.write(RemainsCodec.write(own(), Integer.parseInt(request.getParam("part")))));
+            request.response()
+                    .end(MessagePackFormat.write(
+                            RememberedStateCodec.write(own(), Integer.parseInt(request.getParam("part")))));
         } else if (RECALL.equals(request.path()) && JobId.isValid(request.getParam("id"))) {
-            request.response().end(Wire.write(RemainsCodec.write(own(new JobId(request.getParam("id"))), 0)));
+            request.response()
+                    .end(MessagePackFormat.write(
+                            RememberedStateCodec.write(own(new JobId(request.getParam("id"))), 0)));
         } else if (KNOWS.equals(request.path())
                 && request.getParam("id") != null
                 && JobId.isValid(request.getParam("id"))) {
             JobId id = new JobId(request.getParam("id"));
-            request.response().end(Wire.write(Wire.map("known", jobs.knows(id) || controller.knows(id))));
+            request.response()
+                    .end(MessagePackFormat.write(
+                            MessagePackFormat.map("known", jobs.knows(id) || controller.knows(id))));
         } else {
             request.response()
                     .setStatusCode(PATH.equals(request.path()) ? 200 : 404)
-                    .end(Wire.write(Wire.map("served", isServed(), "leads", controller.leads())));
+                    .end(MessagePackFormat.write(
+                            MessagePackFormat.map("served", isServed(), "leads", controller.leads())));
         }
     }
 
@@ -167,14 +175,14 @@
                         : Future.succeededFuture(false))
                 .map(alone -> {
                     if (!unserved && isolation.served()) {
-                        said = Isolation.Verdict.TOGETHER;
+                        said = IsolationCheck.Verdict.TOGETHER;
                         LOG.info("the state service answers this node again");
                     }
                     controller.isCutOff(isolation.isCutOff());
                     if (state.losses().isHolding()) {
                         tellOfLoss();
                     }
-                    Stamp key = alone ? controller.standAside() : null;
+                    Revision key = alone ? controller.standAside() : null;
                     if (key != null) {
                         handOver(key, 0);
                     }
@@ -187,7 +195,7 @@
      * before an outage: it was told that others are served, as these had not noticed yet, and stood aside where nobody could follow,
      * so that all work of the fleet was lost. The second verdict costs nothing, as the lease ends by then in any case.
      */
-    private boolean judged(Isolation.Verdict verdict) {
+    private boolean judged(IsolationCheck.Verdict verdict) {
         boolean again = verdict == said;
         if (verdict != said) {
             said = verdict;
@@ -199,29 +207,29 @@
                         case TOGETHER -> "other nodes answer, and the state service serves none of them: an outage";
                     });
         }
-        return again && verdict == Isolation.Verdict.REFUSED_ALONE;
+        return again && verdict == IsolationCheck.Verdict.REFUSED_ALONE;
     }
 
     /** Tells the others that data were lost: who leads may not have seen it, and only a leader can mend it. */
     void tellOfLoss() {
         long era = state.losses().era();
-        peers.forEach(peer -> peer.post(LOSS, Wire.map("era", era), PATIENCE));
+        peers.forEach(peer -> peer.post(LOSS, MessagePackFormat.map("era", era), PATIENCE));
     }
 
     /** What this node and those that answer remember of one job. */
-    Future<Remains> recall(JobId id) {
-        Remains all = own(id);
+    Future<RememberedState> recall(JobId id) {
+        RememberedState all = own(id);
         List<Future<Boolean>> answers = new ArrayList<>();
         peers.forEach(peer -> answers.add(peer.get(RECALL + "?id=" + id.text(), WORD)
-                .map(r -> r.isOk() && RemainsCodec.read(r.body(), all))
+                .map(r -> r.isOk() && RememberedStateCodec.read(r.body(), all))
                 .otherwise(false)));
         return answers.isEmpty()
                 ? Future.succeededFuture(all)
                 : Future.all(answers).map(v -> all);
     }
 
-    private Remains own(JobId id) {
-        Remains own = jobs.remains(id);
+    private RememberedState own(JobId id) {
+        RememberedState own = jobs.remains(id);
         own.add(controller.remains(id));
         return own;
     }
@@ -248,39 +256,39 @@
             // turn is.
             duty.wake();
         }
-        return new Pledges(unserved && controller.pledge(), jobs.told().word(back, now))
+        return new PeerPromises(unserved && controller.pledge(), jobs.told().word(back, now))
                 .write(jobs.told().quiet(now));
     }
 
     /** Every other node's pledge not to lead, and its word on cancellations so far back; none without other nodes. */
-    Future<Pledges> pledges(Span back) {
-        List<Future<Pledges>> answers = new ArrayList<>();
-        peers.forEach(peer -> answers.add(peer.post(PLEDGE, Pledges.ask(back), PERIOD)
-                .map(r -> r.isOk() ? readPledge(r.body()) : Pledges.NONE)
-                .otherwise(Pledges.NONE)));
+    Future<PeerPromises> pledges(Span back) {
+        List<Future<PeerPromises>> answers = new ArrayList<>();
+        peers.forEach(peer -> answers.add(peer.post(PLEDGE, PeerPromises.ask(back), PERIOD)
+                .map(r -> r.isOk() ? readPledge(r.body()) : PeerPromises.NONE)
+                .otherwise(PeerPromises.NONE)));
         return answers.isEmpty()
-                ? Future.succeededFuture(Pledges.NONE)
+                ? Future.succeededFuture(PeerPromises.NONE)
                 : Future.all(answers).map(all -> {
-                    Pledges together = new Pledges(true, jobs.told().word(back, clock.now()));
-                    for (Pledges one : all.<Pledges>list()) {
+                    PeerPromises together = new PeerPromises(true, jobs.told().word(back, clock.now()));
+                    for (PeerPromises one : all.<PeerPromises>list()) {
                         together = together.and(one);
                     }
                     return together;
                 });
     }
 
-    private static Pledges readPledge(Fields answer) {
+    private static PeerPromises readPledge(Fields answer) {
         try {
-            return Pledges.read(answer);
+            return PeerPromises.read(answer);
         } catch (WireException e) {
             LOG.warn("a pledge cannot be read, and counts as none: {}", e.getMessage());
-            return Pledges.NONE;
+            return PeerPromises.NONE;
         }
     }
 
     /** What this node and those that answer remember of jobs. */
-    Future<Remains> gather() {
-        Remains all = new Remains();
+    Future<RememberedState> gather() {
+        RememberedState all = new RememberedState();
         all.add(own());
         List<Future<Void>> answers = new ArrayList<>();
         peers.forEach(peer -> answers.add(gather(peer, 0, all).otherwiseEmpty()));
@@ -289,25 +297,25 @@
                 : Future.all(answers).map(v -> all);
     }
 
-    private Remains own() {
-        Remains own = jobs.remains();
+    private RememberedState own() {
+        RememberedState own = jobs.remains();
         copies.all().forEach(own::add);
         return own;
     }
 
-    private Future<Void> gather(Caller peer, int part, Remains into) {
+    private Future<Void> gather(ServiceClient peer, int part, RememberedState into) {
         return peer.get(REMAINS + "?part=" + part, PATIENCE)
-                .compose(r -> r.isOk() && RemainsCodec.read(r.body(), into)
+                .compose(r -> r.isOk() && RememberedStateCodec.read(r.body(), into)
                         ? gather(peer, part + 1, into)
                         : Future.succeededFuture());
     }
 
     /** Asks the others, one after the other, to remove this node's key; failing that, its lease runs out. */
-    private void handOver(Stamp key, int asked) {
+    private void handOver(Revision key, int asked) {
         if (asked < peers.size()) {
             peers.get(asked)
-                    .post(HAND_OVER, Wire.map("stamp", key.value()), PATIENCE)
-                    .map(Reply::isOk)
+                    .post(HAND_OVER, MessagePackFormat.map("stamp", key.value()), PATIENCE)
+                    .map(ServiceResponse::isOk)
                     .otherwise(false)
                     .onSuccess(done -> {
                         if (!done) {
@@ -338,7 +346,7 @@
     /** What every other node says of itself; {@code unheard} for one that does not answer. */
     private Future<List<Boolean>> ask(String what, Boolean unheard) {
         List<Future<Boolean>> answers = new ArrayList<>();
-        for (Caller peer : peers) {
+        for (ServiceClient peer : peers) {
             answers.add(peer.get(PATH, PERIOD)
                     .map(r -> r.isOk() ? (Boolean) r.body().flag(what, Boolean.TRUE.equals(unheard)) : unheard)
                     .otherwise(unheard));
