--- a/src/main/java/io/indigoreach/cluster/Rebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -1,18 +1,18 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.loss.Remains;
-import io.indigoreach.core.records.Family;
-import io.indigoreach.core.records.Kept;
-import io.indigoreach.net.Budget;
+import io.indigoreach.core.loss.RememberedState;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.records.RecordFamily;
+import io.indigoreach.core.records.VersionedRecord;
 import io.indigoreach.net.JsonSize;
+import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.WireException;
-import io.indigoreach.state.DoneBits;
+import io.indigoreach.state.CompletionBits;
 import io.indigoreach.state.JobRecord;
 import io.indigoreach.state.MachineRecord;
 import io.indigoreach.state.RecordCodec;
@@ -42,8 +42,8 @@
  * theirs that came back open could be started. The new era is written last, and every write depends on the one before it: a job
  * that came back late, by an earlier try's write, would be taken for a new one, of which nothing runs anywhere.
  */
-final class Rebuilder {
-    private static final Logger LOG = LoggerFactory.getLogger(Rebuilder.class);
+final class StateRebuilder {
+    private static final Logger LOG = LoggerFactory.getLogger(StateRebuilder.class);
     /** Of a transaction, which may have 64 KiB; the rest is for what conditions repeat. */
     private static final int MOST_BYTES = 48 * 1024;
 
@@ -54,14 +54,14 @@
         }
     }
 
-    private final Reign.Surroundings env;
-    private final Token token;
-    private final Stamp key;
-    private final Budget budget;
-    private final Remains remains;
+    private final LeadershipTerm.Context env;
+    private final FencingToken token;
+    private final Revision key;
+    private final RateLimiter budget;
+    private final RememberedState remains;
     private final Map<JobId, JobRecord> open = new HashMap<>();
     /** The versions of all open jobs' records, also of those that cannot be read. */
-    private final Map<JobId, Stamp> standing = new HashMap<>();
+    private final Map<JobId, Revision> standing = new HashMap<>();
     /** Jobs whose ends are there. */
     private final Set<JobId> over = new HashSet<>();
 
@@ -69,13 +69,14 @@
     private final Set<MachineId> machines = new HashSet<>();
     private final Deque<Step> steps = new ArrayDeque<>();
     /** The version of the era in which data were lost. */
-    private Stamp era;
+    private Revision era;
 
     private int pages;
     private int written;
     private int there;
 
-    Rebuilder(Reign.Surroundings env, Token token, Stamp key, Budget budget, Remains remains) {
+    StateRebuilder(
+            LeadershipTerm.Context env, FencingToken token, Revision key, RateLimiter budget, RememberedState remains) {
         this.env = env;
         this.token = token;
         this.key = key;
@@ -88,19 +89,19 @@
         LOG.warn("rebuilding what was lost from {}", remains);
         return env.state()
                 .get(RecordCodec.ERA)
-                .map(entry -> era = entry == null ? Stamp.ABSENT : entry.stamp())
+                .map(entry -> era = entry == null ? Revision.ABSENT : entry.stamp())
                 .compose(v -> read(RecordCodec.BITS, this::readBlock))
-                .compose(v -> read(DoneBits.SMALL, this::readBlock))
+                .compose(v -> read(CompletionBits.SMALL, this::readBlock))
                 .compose(v -> read(
                         RecordCodec.OPEN,
-                        e -> Ledger.unlessUnreadable(e.key(), () -> {
+                        e -> JobStore.unlessUnreadable(e.key(), () -> {
                             JobId id = RecordCodec.jobOf(e.key());
                             standing.put(id, e.stamp());
                             open.put(id, RecordCodec.readJob(id, e.value(), e.stamp()));
                         })))
                 .compose(v -> read(
                         RecordCodec.FINAL,
-                        e -> Ledger.unlessUnreadable(e.key(), () -> {
+                        e -> JobStore.unlessUnreadable(e.key(), () -> {
                             JobId id = RecordCodec.overOf(e.key());
                             RecordCodec.readFinal(id, e.value());
                             over.add(id);
@@ -133,24 +134,26 @@
 
     /** Records of the parts beside the jobs, by what each family says. */
     private Future<Void> others() {
-        Map<Family, List<Kept>> remembered = new LinkedHashMap<>();
-        for (Kept kept : remains.records()) {
-            Family family = env.parts().copies().familyOf(kept.key());
+        Map<RecordFamily, List<VersionedRecord>> remembered = new LinkedHashMap<>();
+        for (VersionedRecord kept : remains.records()) {
+            RecordFamily family = env.parts().copies().familyOf(kept.key());
             if (family != null) {
                 remembered.computeIfAbsent(family, f -> new ArrayList<>()).add(kept);
             }
         }
         Future<Void> done = Future.succeededFuture();
-        for (Map.Entry<Family, List<Kept>> e : remembered.entrySet()) {
-            Map<String, Kept> present = new HashMap<>();
+        for (Map.Entry<RecordFamily, List<VersionedRecord>> e : remembered.entrySet()) {
+            Map<String, VersionedRecord> present = new HashMap<>();
             done = done.compose(v -> read(
                             e.getKey().prefix(),
                             entry -> present.put(
                                     entry.key(),
-                                    new Kept(entry.key(), entry.value().map(), entry.stamp()))))
+                                    new VersionedRecord(
+                                            entry.key(), entry.value().map(), entry.stamp()))))
                     .compose(v -> {
-                        for (Kept kept : e.getValue()) {
-                            Kept there = present.getOrDefault(kept.key(), Kept.absent(kept.key()));
+                        for (VersionedRecord kept : e.getValue()) {
+                            VersionedRecord there =
+                                    present.getOrDefault(kept.key(), VersionedRecord.absent(kept.key()));
                             Map<String, Object> value = e.getKey().mending().mend(there, kept);
                             if (value != null) {
                                 steps.add(new Step(
@@ -187,41 +190,42 @@
     }
 
     private Future<Long> read(String prefix, Consumer<StateClient.Entry> each) {
-        return Ledger.pages(env.state(), key, prefix, each);
+        return JobStore.pages(env.state(), key, prefix, each);
     }
 
     private void readBlock(StateClient.Entry block) {
-        Ledger.unlessUnreadable(
+        JobStore.unlessUnreadable(
                 block.key(),
-                () -> DoneBits.readBlock(
+                () -> CompletionBits.readBlock(
                         block.key(),
                         block.value(),
-                        beside.computeIfAbsent(DoneBits.jobOf(block.key()), k -> new BitSet())));
+                        beside.computeIfAbsent(CompletionBits.jobOf(block.key()), k -> new BitSet())));
     }
 
-    private void end(JobId id, Remains.Over end) {
+    private void end(JobId id, RememberedState.FinishedJob end) {
         open.remove(id);
-        Stamp stamp = standing.getOrDefault(id, Stamp.ABSENT);
-        StateClient.Txn txn = change().when(RecordCodec.over(id), Stamp.ABSENT)
+        Revision stamp = standing.getOrDefault(id, Revision.ABSENT);
+        StateClient.Txn txn = change().when(RecordCodec.over(id), Revision.ABSENT)
                 .when(RecordCodec.open(id), stamp)
                 .put(RecordCodec.over(id), RecordCodec.writeFinal(end.status(), end.done()));
-        if (!stamp.equals(Stamp.ABSENT)) {
+        if (!stamp.equals(Revision.ABSENT)) {
             txn.delete(RecordCodec.open(id));
         }
         steps.add(new Step(txn));
     }
 
-    private void reopen(Remains.Open job) {
+    private void reopen(RememberedState.OpenJob job) {
         JobId id = job.spec().id();
         if (over.contains(id)) {
             return;
         }
         JobRecord kept = open.get(id);
-        Remains.Open whole = job;
+        RememberedState.OpenJob whole = job;
         if (kept != null) {
             BitSet done = (BitSet) kept.done().clone();
             done.or(beside.getOrDefault(id, new BitSet()));
-            whole = Remains.merged(job, new Remains.Open(kept.spec(), kept.submittedMs(), done, kept.bound()));
+            whole = RememberedState.merged(
+                    job, new RememberedState.OpenJob(kept.spec(), kept.submittedMs(), done, kept.bound()));
             if (whole == null) {
                 return;
             }
@@ -241,12 +245,12 @@
 
     /** What writes of an open job depend on: that it stands as it was read, and is not over. */
     private StateClient.Txn openAs(JobId id) {
-        return change().when(RecordCodec.over(id), Stamp.ABSENT)
-                .when(RecordCodec.open(id), standing.getOrDefault(id, Stamp.ABSENT));
+        return change().when(RecordCodec.over(id), Revision.ABSENT)
+                .when(RecordCodec.open(id), standing.getOrDefault(id, Revision.ABSENT));
     }
 
     /** Before the record: a job whose record is there is taken to be whole by the next try. */
-    private void blocksBefore(JobId id, Remains.Open job) {
+    private void blocksBefore(JobId id, RememberedState.OpenJob job) {
         if (bits().areInRecord(job.spec(), job.submittedMs())) {
             return;
         }
@@ -254,27 +258,27 @@
         missing.andNot(beside.getOrDefault(id, new BitSet()));
         bits().blocksWith(id, missing, job.done(), Integer.MAX_VALUE)
                 .forEach((block, covered) ->
-                        steps.add(new Step(openAs(id).put(block, DoneBits.writeBlock(block, covered)))));
+                        steps.add(new Step(openAs(id).put(block, CompletionBits.writeBlock(block, covered)))));
     }
 
-    private DoneBits bits() {
-        return new DoneBits(env.limits());
+    private CompletionBits bits() {
+        return new CompletionBits(env.limits());
     }
 
     /** Machines that no page names, on pages of this leadership: as many to a page as in the machine book. */
-    private void enter(List<Remains.Rented> missing) {
+    private void enter(List<RememberedState.RentedMachine> missing) {
         Moment now = env.clock().now();
         long today = env.clock().timeOfDay();
         List<MachineRecord> lines = new ArrayList<>();
         int bytes = 0;
-        for (Remains.Rented m : missing) {
+        for (RememberedState.RentedMachine m : missing) {
             MachineRecord line = new MachineRecord(
                     m.id(),
                     m.pool(),
                     today - now.since(m.rented()).ms(),
                     today - now.since(m.existed()).ms());
             bytes += RecordCodec.bytes(line);
-            if (bytes > MachineBook.pageBytes(env)) {
+            if (bytes > MachineStore.pageBytes(env)) {
                 page(lines);
                 lines.clear();
                 bytes = RecordCodec.bytes(line);
@@ -288,7 +292,7 @@
 
     private void page(List<MachineRecord> lines) {
         String page = RecordCodec.machinePage(token, "r" + ++pages);
-        steps.add(new Step(change().when(page, Stamp.ABSENT).put(page, RecordCodec.writeMachines(lines))));
+        steps.add(new Step(change().when(page, Revision.ABSENT).put(page, RecordCodec.writeMachines(lines))));
     }
 
     /** Several records go into one transaction; where conditions fail, the others go once more without those. */
@@ -321,7 +325,7 @@
     }
 
     private Future<Void> write(List<Step> batch) {
-        Map<String, Stamp> conditions = new LinkedHashMap<>();
+        Map<String, Revision> conditions = new LinkedHashMap<>();
         StateClient.Txn all = new StateClient.Txn();
         for (Step step : batch) {
             conditions.putAll(step.txn.conditions());
--- a/src/main/java/io/indigoreach/cluster/WarmUp.java
+++ b/src/main/java/io/indigoreach/cluster/WarmUp.java
@@ -1,30 +1,30 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.core.Aims;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.ExitCause;
-import io.indigoreach.core.Job;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.LeaderCore;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Notes;
-import io.indigoreach.core.Order;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.ReportNumber;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.TaskReport;
-import io.indigoreach.core.TaskState;
-import io.indigoreach.core.Team;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.core.WorkerReport;
-import io.indigoreach.net.Duty;
-import io.indigoreach.net.Wire;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskState;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.model.WorkerCommand;
+import io.indigoreach.core.scheduling.Job;
+import io.indigoreach.core.scheduling.SchedulerCore;
+import io.indigoreach.core.scheduling.SchedulerListener;
+import io.indigoreach.core.scheduling.ServiceLevelObjectives;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.worker.WorkerCodec;
 import io.vertx.core.Future;
 import java.util.ArrayList;
@@ -48,18 +48,18 @@
     private static final int JOBS = 24;
     private static final Demand SIZE = new Demand(4, 0, 16);
 
-    private final Reign.Surroundings env;
+    private final LeadershipTerm.Context env;
     private final BooleanSupplier leads;
-    private final Duty duty;
-    private LeaderCore core;
-    private final Map<Integer, List<TaskReport>> tasks = new HashMap<>();
+    private final PeriodicTask duty;
+    private SchedulerCore core;
+    private final Map<Integer, List<TaskStatus>> tasks = new HashMap<>();
     private int reports;
     private int ordered;
 
-    WarmUp(Reign.Surroundings env, BooleanSupplier leads) {
+    WarmUp(LeadershipTerm.Context env, BooleanSupplier leads) {
         this.env = env;
         this.leads = leads;
-        this.duty = new Duty(env.vertx(), "warm-up", PAUSE, this::step);
+        this.duty = new PeriodicTask(env.vertx(), "warm-up", PAUSE, this::step);
     }
 
     void start() {
@@ -90,13 +90,14 @@
     }
 
     private void begin() {
-        core = new LeaderCore(
-                new Token(2),
+        core = new SchedulerCore(
+                new FencingToken(2),
                 env.config().rules(),
                 env.settings().tuning(),
-                new Aims(List.of(new Aims.Aim("c0", false, Span.seconds(200)))),
+                new ServiceLevelObjectives(
+                        List.of(new ServiceLevelObjectives.Objective("c0", false, Span.seconds(200)))),
                 List.of(new Team("t", 0, 0, 0, 0)),
-                new Notes() {
+                new SchedulerListener() {
                     @Override
                     public void progress(Job job) {}
 
@@ -117,7 +118,7 @@
                     new JobId("run-" + n),
                     "c" + n % 3,
                     "t",
-                    Shape.ARRAY,
+                    JobKind.ARRAY,
                     Urgency.values()[1 + n % 3],
                     40,
                     new Demand(1, 0, 1),
@@ -132,7 +133,7 @@
                     Span.ZERO,
                     Span.ZERO,
                     null);
-            core.addJob(new Job(spec, env.clock().timeOfDay(), now, new Stamp(1), new BitSet(), 40, false));
+            core.addJob(new Job(spec, env.clock().timeOfDay(), now, new Revision(1), new BitSet(), 40, false));
         }
     }
 
@@ -140,38 +141,38 @@
         return new MachineId("vm-" + n);
     }
 
-    private static Pool pool() {
-        return new Pool("k", "z", true);
+    private static MachinePool pool() {
+        return new MachinePool("k", "z", true);
     }
 
     /** Every third time a machine reports, its tasks have ended. */
     private void report(int n) {
-        WorkerReport sent = new WorkerReport(
+        Heartbeat sent = new Heartbeat(
                 machine(n),
                 "0.0.0.0:0",
                 pool(),
-                new ReportNumber(1, reports + 1),
-                new Token(2),
+                new HeartbeatNumber(1, reports + 1),
+                new FencingToken(2),
                 null,
                 tasks.getOrDefault(n, List.of()));
-        WorkerReport read = WorkerCodec.read(Wire.readMap(Wire.write(WorkerCodec.write(sent))));
-        List<Order> orders = core.onReport(read, env.clock().now());
-        Wire.write(WorkerCodec.answer(new Token(2), orders));
+        Heartbeat read = WorkerCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(WorkerCodec.write(sent))));
+        List<WorkerCommand> orders = core.onReport(read, env.clock().now());
+        MessagePackFormat.write(WorkerCodec.answer(new FencingToken(2), orders));
         core.expireLeases(env.clock().now());
         boolean ended = reports / MACHINES % 3 == 2;
-        List<TaskReport> next = new ArrayList<>();
+        List<TaskStatus> next = new ArrayList<>();
         if (!ended) {
             tasks.getOrDefault(n, List.of()).stream()
                     .filter(t -> t.state() == TaskState.RUNNING)
                     .forEach(next::add);
         }
-        for (Order order : orders) {
-            if (order instanceof Order.Start) {
+        for (WorkerCommand order : orders) {
+            if (order instanceof WorkerCommand.Start) {
                 ordered++;
                 next.add(
                         ended
-                                ? new TaskReport(order.task(), order.attempt(), TaskState.EXITED, ExitCause.DONE, false)
-                                : new TaskReport(order.task(), order.attempt(), TaskState.RUNNING, null, false));
+                                ? new TaskStatus(order.task(), order.attempt(), TaskState.EXITED, ExitCause.DONE, false)
+                                : new TaskStatus(order.task(), order.attempt(), TaskState.RUNNING, null, false));
             }
         }
         tasks.put(n, next);
--- a/src/main/java/io/indigoreach/config/PlatformConfig.java
+++ b/src/main/java/io/indigoreach/config/PlatformConfig.java
@@ -6,9 +6,9 @@
 import com.electronwill.nightconfig.core.io.ParsingException;
 import com.electronwill.nightconfig.toml.TomlParser;
 import com.electronwill.nightconfig.toml.TomlWriter;
-import io.indigoreach.core.Rules;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Team;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.scheduling.SafetyTimes;
 import io.indigoreach.net.Endpoint;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -35,7 +35,7 @@
         Span clockOff,
         List<Team> teams,
         List<Objective> objectives,
-        Rules rules,
+        SafetyTimes rules,
         StateLimits stateLimits,
         CloudLimits cloudLimits,
         int maxConnections) {
@@ -118,7 +118,7 @@
             objectives.add(new Objective(
                     o.text("kind"), o.text("class"), Span.seconds(o.amount("within_s", 0)), o.amount("share", 0)));
         }
-        Rules rules = new Rules(
+        SafetyTimes rules = new SafetyTimes(
                 workers.span("lease_s"),
                 workers.span("report_s"),
                 workers.span("cancel_s"),
--- a/src/main/java/io/indigoreach/config/Settings.java
+++ b/src/main/java/io/indigoreach/config/Settings.java
@@ -1,15 +1,15 @@
 package io.indigoreach.config;
 
-import io.indigoreach.core.Rules;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Tuning;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.scheduling.SafetyTimes;
+import io.indigoreach.core.scheduling.SchedulerSettings;
 import java.util.EnumMap;
 import java.util.Map;
 
 /** The operators' own settings: each with its unit, default, range and meaning. */
 public final class Settings {
     /** One setting; its name in the file is the constant's in lower case. */
-    public enum Knob {
+    public enum Setting {
         WAIT_LIMIT_S(10, 0, 3600, "s", "predicted wait of a queue's top job above which machines are rented"),
         SHORT_JOB_S(15, 0, 86400, "s", "estimated run time below which a job counts as short when renting"),
         LEAST_PAID_S(60, 1, 86400, "s", "what a machine costs at least; no machine is returned idle before"),
@@ -41,7 +41,7 @@
         final String unit;
         final String meaning;
 
-        Knob(double standard, double least, double most, String unit, String meaning) {
+        Setting(double standard, double least, double most, String unit, String meaning) {
             this.standard = standard;
             this.least = least;
             this.most = most;
@@ -71,60 +71,60 @@
         }
     }
 
-    private final Map<Knob, Double> values = new EnumMap<>(Knob.class);
+    private final Map<Setting, Double> values = new EnumMap<>(Setting.class);
 
     /** Every setting at its default. */
     public static Settings standard() {
         Settings settings = new Settings();
-        for (Knob knob : Knob.values()) {
+        for (Setting knob : Setting.values()) {
             settings.values.put(knob, knob.standard);
         }
         return settings;
     }
 
-    void set(Knob knob, double value) throws ConfigException {
+    void set(Setting knob, double value) throws ConfigException {
         if (!(value >= knob.least && value <= knob.most)) {
-            throw new ConfigException(knob.field() + ": must be from " + Knob.plain(knob.least) + " to "
-                    + Knob.plain(knob.most) + " " + knob.unit);
+            throw new ConfigException(knob.field() + ": must be from " + Setting.plain(knob.least) + " to "
+                    + Setting.plain(knob.most) + " " + knob.unit);
         }
         values.put(knob, value);
     }
 
-    public double get(Knob knob) {
+    public double get(Setting knob) {
         return values.get(knob);
     }
 
-    public Span span(Knob knob) {
+    public Span span(Setting knob) {
         return Span.seconds(get(knob));
     }
 
-    public Tuning tuning() {
-        return new Tuning(
-                span(Knob.WAIT_LIMIT_S),
-                span(Knob.SHORT_JOB_S),
-                span(Knob.LEAST_PAID_S),
-                span(Knob.TERM_S),
-                span(Knob.CHECK_S),
-                get(Knob.BOOT_PATIENCE),
-                get(Knob.BOOT_LIMIT),
-                span(Knob.SPOT_PATIENCE_S),
-                span(Knob.URGENT_SPOT_PATIENCE_S),
-                span(Knob.BACKLOG_LIMIT_S),
-                get(Knob.AIM_SHARE),
-                span(Knob.REFUSED_FOR_S));
+    public SchedulerSettings tuning() {
+        return new SchedulerSettings(
+                span(Setting.WAIT_LIMIT_S),
+                span(Setting.SHORT_JOB_S),
+                span(Setting.LEAST_PAID_S),
+                span(Setting.TERM_S),
+                span(Setting.CHECK_S),
+                get(Setting.BOOT_PATIENCE),
+                get(Setting.BOOT_LIMIT),
+                span(Setting.SPOT_PATIENCE_S),
+                span(Setting.URGENT_SPOT_PATIENCE_S),
+                span(Setting.BACKLOG_LIMIT_S),
+                get(Setting.AIM_SHARE),
+                span(Setting.REFUSED_FOR_S));
     }
 
     /**
      * The leader's lease: as set, but never longer than it may be without news of cancellations. The usual length lets a
      * worker whose leader falls silent find the next one as soon as it has given the old one up ({@link
-     * Rules#workerPatience} and a second); an outage of the state service is bridged by the other nodes' pledges.
+     * SafetyTimes#workerPatience} and a second); an outage of the state service is bridged by the other nodes' pledges.
      */
-    public Span leaderLease(Rules rules) throws ConfigException {
+    public Span leaderLease(SafetyTimes rules) throws ConfigException {
         Span most = rules.horizonAge();
         if (most.compareTo(Span.seconds(1)) < 0) {
             throw new ConfigException("settings.workers.cancel_s: too short beside lease_s for any leader's lease");
         }
-        Span wanted = span(Knob.LEADER_LEASE_S);
+        Span wanted = span(Setting.LEADER_LEASE_S);
         return wanted.compareTo(most) > 0 ? most : wanted;
     }
 }
--- a/src/main/java/io/indigoreach/config/SettingsFile.java
+++ b/src/main/java/io/indigoreach/config/SettingsFile.java
@@ -11,7 +11,7 @@
 import java.nio.file.Path;
 
 /**
- * Reads the operators' settings in protobuf text format. The message's descriptor is made from {@link Settings.Knob},
+ * Reads the operators' settings in protobuf text format. The message's descriptor is made from {@link Settings.Setting},
  * so that each setting is declared in one place. Loaded only when there is such a file.
  */
 public final class SettingsFile {
@@ -33,7 +33,7 @@
             Descriptors.Descriptor descriptor = descriptor();
             DynamicMessage.Builder message = DynamicMessage.newBuilder(descriptor);
             TextFormat.merge(text, message);
-            for (Settings.Knob knob : Settings.Knob.values()) {
+            for (Settings.Setting knob : Settings.Setting.values()) {
                 Descriptors.FieldDescriptor field = descriptor.findFieldByName(knob.field());
                 if (message.hasField(field)) {
                     settings.set(knob, (Double) message.getField(field));
@@ -51,7 +51,7 @@
 
     private static Descriptors.Descriptor descriptor() throws Descriptors.DescriptorValidationException {
         DescriptorProto.Builder message = DescriptorProto.newBuilder().setName("Settings");
-        for (Settings.Knob knob : Settings.Knob.values()) {
+        for (Settings.Setting knob : Settings.Setting.values()) {
             message.addField(FieldDescriptorProto.newBuilder()
                     .setName(knob.field())
                     .setNumber(knob.ordinal() + 1)
--- a/src/main/java/io/indigoreach/core/accounts/Line.java
+++ b/src/main/java/io/indigoreach/core/accounts/Line.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.accounts;
 
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Pool;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
 
 /**
  * An open interval: a machine that is being paid for, and what it is kept for. Times by the time of day.
@@ -13,7 +13,7 @@
  */
 public record Line(
         MachineId machine,
-        Pool where,
+        MachinePool where,
         long begunMs,
         long paidToMs,
         Account payer,
--- a/src/main/java/io/indigoreach/core/accounts/Meter.java
+++ b/src/main/java/io/indigoreach/core/accounts/Meter.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.accounts;
 
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Pool;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -30,7 +30,7 @@
     /** A machine as it is at a look. {@code seconds}: paid for at least so long if it is returned. */
     public record Look(
             MachineId machine,
-            Pool where,
+            MachinePool where,
             long rentedMs,
             Account payer,
             String image,
@@ -93,7 +93,7 @@
     }
 
     /** A page as an earlier leader left it; {@code perHour}: the price of machines that may be gone. */
-    public void recall(int page, Sheet sheet, ToDoubleFunction<Pool> perHour) {
+    public void recall(int page, Sheet sheet, ToDoubleFunction<MachinePool> perHour) {
         sheets.put(page, sheet);
         for (Line line : sheet.lines().values()) {
             Open o = new Open(line, page);
--- a/src/main/java/io/indigoreach/core/accounts/Sheet.java
+++ b/src/main/java/io/indigoreach/core/accounts/Sheet.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.accounts;
 
-import io.indigoreach.core.MachineId;
+import io.indigoreach.core.model.MachineId;
 import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/io/indigoreach/core/calendar/CalendarCheck.java
+++ b/src/main/java/io/indigoreach/core/calendar/CalendarCheck.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.calendar;
 
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Span;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
--- a/src/main/java/io/indigoreach/core/calendar/Head.java
+++ b/src/main/java/io/indigoreach/core/calendar/CalendarVersion.java
@@ -1,8 +1,8 @@
 package io.indigoreach.core.calendar;
 
-import io.indigoreach.core.records.Change;
-import io.indigoreach.core.records.Family;
-import io.indigoreach.core.records.Kept;
+import io.indigoreach.core.records.RecordFamily;
+import io.indigoreach.core.records.Transaction;
+import io.indigoreach.core.records.VersionedRecord;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -11,12 +11,12 @@
  * Which version of the calendar is in force. Its text stands in pieces under its digest: two edits at once write different
  * keys, or the same text. Texts are never removed, so that it stays known by what an occurrence was decided.
  */
-public final class Head {
+public final class CalendarVersion {
     public static final String KEY = "cal/head/now";
-    public static final Family FAMILY = new Family("cal/head/", 1, true, Family.Mending.NEWER);
+    public static final RecordFamily FAMILY = new RecordFamily("cal/head/", 1, true, RecordFamily.Mending.NEWER);
     private static final String TEXTS = "cal/text/";
     /** Pieces that a controller remembers: the version in force, and a few before it. */
-    public static final Family TEXT_FAMILY = new Family(TEXTS, 40, true, Family.Mending.NEWER);
+    public static final RecordFamily TEXT_FAMILY = new RecordFamily(TEXTS, 40, true, RecordFamily.Mending.NEWER);
 
     private static final int VERSIONS = 40;
 
@@ -36,9 +36,9 @@
         }
     }
 
-    private final Kept read;
+    private final VersionedRecord read;
 
-    public Head(Kept read) {
+    public CalendarVersion(VersionedRecord read) {
         this.read = read;
     }
 
@@ -61,11 +61,11 @@
     }
 
     /** Puts a version in force, if this is still the newest. */
-    Change with(Version next) {
+    Transaction with(Version next) {
         List<Object> rows = new ArrayList<>();
         rows.add(row(next));
         versions().stream().limit(VERSIONS - 1).forEach(v -> rows.add(row(v)));
-        return new Change().replace(read, Map.of("versions", rows));
+        return new Transaction().replace(read, Map.of("versions", rows));
     }
 
     private static List<Object> row(Version v) {
--- a/src/main/java/io/indigoreach/core/calendar/Choice.java
+++ b/src/main/java/io/indigoreach/core/calendar/Choice.java
@@ -1,8 +1,8 @@
 package io.indigoreach.core.calendar;
 
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Span;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
--- a/src/main/java/io/indigoreach/core/calendar/DayPage.java
+++ b/src/main/java/io/indigoreach/core/calendar/DayPage.java
@@ -1,9 +1,9 @@
 package io.indigoreach.core.calendar;
 
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.records.Change;
-import io.indigoreach.core.records.Family;
-import io.indigoreach.core.records.Kept;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.records.RecordFamily;
+import io.indigoreach.core.records.Transaction;
+import io.indigoreach.core.records.VersionedRecord;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -22,13 +22,13 @@
     /** Pages that a controller remembers: three days of a full calendar. */
     private static final int REMEMBERED = 3 * PAGES;
 
-    public static final Family FAMILY = new Family(PREFIX, REMEMBERED, true, Family.Mending.NEWER);
+    public static final RecordFamily FAMILY = new RecordFamily(PREFIX, REMEMBERED, true, RecordFamily.Mending.NEWER);
 
-    private final Kept read;
+    private final VersionedRecord read;
     private final Day day;
     private final Map<String, Mark> marks;
 
-    private DayPage(Kept read, Day day, Map<String, Mark> marks) {
+    private DayPage(VersionedRecord read, Day day, Map<String, Mark> marks) {
         this.read = read;
         this.day = day;
         this.marks = marks;
@@ -44,7 +44,7 @@
     }
 
     /** Null if a later day stands there: what was decided on this one is not known any more. */
-    static DayPage of(Kept read, Day day) {
+    static DayPage of(VersionedRecord read, Day day) {
         Map<String, Mark> marks = new LinkedHashMap<>();
         if (read.isThere()) {
             long there = ((Number) read.value().get("day")).longValue();
@@ -71,16 +71,16 @@
     }
 
     /** Puts other marks in place, if the page is still as it was read. */
-    Change with(List<Mark> others) {
+    Transaction with(List<Mark> others) {
         Map<String, Mark> all = new LinkedHashMap<>(marks);
         others.forEach(m -> all.put(m.plan(), m));
         List<Object> rows = new ArrayList<>();
         all.values().forEach(m -> rows.add(m.toList()));
-        return new Change().replace(read, Map.of("day", day.number(), "marks", rows));
+        return new Transaction().replace(read, Map.of("day", day.number(), "marks", rows));
     }
 
     /** The change that goes with the acceptance of this job; null if it is not the occurrence's job, or no more to be accepted. */
-    public Change accepting(String plan, JobId id, int tasks, long now) {
+    public Transaction accepting(String plan, JobId id, int tasks, long now) {
         Mark mark = marks.get(plan);
         return mark == null || mark.state() != Mark.State.CHOSEN || !mark.id().equals(id) || mark.tasks() != tasks
                 ? null
--- a/src/main/java/io/indigoreach/core/calendar/Forecast.java
+++ b/src/main/java/io/indigoreach/core/calendar/Forecast.java
@@ -1,9 +1,9 @@
 package io.indigoreach.core.calendar;
 
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Span;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/src/main/java/io/indigoreach/core/calendar/Means.java
+++ b/src/main/java/io/indigoreach/core/calendar/Means.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.calendar;
 
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Team;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Team;
 import java.util.Collection;
 
 /**
--- a/src/main/java/io/indigoreach/core/calendar/Outlook.java
+++ b/src/main/java/io/indigoreach/core/calendar/Outlook.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.calendar;
 
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Span;
 
 /**
  * How an occurrence stands: whether it will be ready, by how much it won't, why, and what would mend it.
--- a/src/main/java/io/indigoreach/core/calendar/PageChange.java
+++ b/src/main/java/io/indigoreach/core/calendar/PageChange.java
@@ -1,9 +1,9 @@
 package io.indigoreach.core.calendar;
 
-import io.indigoreach.core.records.Kept;
 import io.indigoreach.core.records.Routine;
-import io.indigoreach.core.records.Seen;
 import io.indigoreach.core.records.Step;
+import io.indigoreach.core.records.StepResult;
+import io.indigoreach.core.records.VersionedRecord;
 import java.util.List;
 import java.util.function.Function;
 
@@ -34,11 +34,11 @@
     }
 
     @Override
-    public Step<DayPage> next(Seen seen) {
+    public Step<DayPage> next(StepResult seen) {
         if (seen.isWritten()) {
             // What was written is what stands: the version that a further change needs is this write's.
-            return new Step.End<>(
-                    DayPage.of(new Kept(key, page.with(decided).writes().get(key), seen.written()), day));
+            return new Step.End<>(DayPage.of(
+                    new VersionedRecord(key, page.with(decided).writes().get(key), seen.written()), day));
         }
         if (!seen.records().containsKey(key)) {
             return tries++ == MOST_TRIES ? new Step.End<>(null) : new Step.Read<>(List.of(key));
--- a/src/main/java/io/indigoreach/core/calendar/Plan.java
+++ b/src/main/java/io/indigoreach/core/calendar/Plan.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.calendar;
 
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Span;
 import java.util.List;
 
 /**
--- a/src/main/java/io/indigoreach/core/calendar/Publishing.java
+++ b/src/main/java/io/indigoreach/core/calendar/Publishing.java
@@ -1,10 +1,10 @@
 package io.indigoreach.core.calendar;
 
-import io.indigoreach.core.records.Change;
-import io.indigoreach.core.records.Kept;
 import io.indigoreach.core.records.Routine;
-import io.indigoreach.core.records.Seen;
 import io.indigoreach.core.records.Step;
+import io.indigoreach.core.records.StepResult;
+import io.indigoreach.core.records.Transaction;
+import io.indigoreach.core.records.VersionedRecord;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -17,8 +17,8 @@
     private static final int PIECE = 7_000;
     private static final int MOST_TRIES = 3;
 
-    private final Head head;
-    private final Head.Version version;
+    private final CalendarVersion head;
+    private final CalendarVersion.Version version;
     private final String text;
     /** Pieces still to be written; null before it is known which are there. */
     private List<String> missing;
@@ -27,14 +27,15 @@
     private boolean naming;
 
     /** {@code head}: as it was read when the text was made. */
-    public Publishing(Head head, String digest, String text, long at, String note) {
+    public Publishing(CalendarVersion head, String digest, String text, long at, String note) {
         this.head = head;
         this.text = text;
-        this.version = new Head.Version(head.number() + 1, digest, (text.length() + PIECE - 1) / PIECE, at, note);
+        this.version =
+                new CalendarVersion.Version(head.number() + 1, digest, (text.length() + PIECE - 1) / PIECE, at, note);
     }
 
     @Override
-    public Step<Boolean> next(Seen seen) {
+    public Step<Boolean> next(StepResult seen) {
         if (naming) {
             return new Step.End<>(seen.isWritten());
         }
@@ -54,10 +55,10 @@
         return new Step.Write<>(naming ? head.with(version) : piece(missing.get(0), keys.indexOf(missing.get(0))));
     }
 
-    private Change piece(String key, int n) {
-        return new Change()
+    private Transaction piece(String key, int n) {
+        return new Transaction()
                 .replace(
-                        Kept.absent(key),
+                        VersionedRecord.absent(key),
                         Map.of("text", text.substring(n * PIECE, Math.min(text.length(), (n + 1) * PIECE))));
     }
 }
--- a/src/main/java/io/indigoreach/core/calendar/Reading.java
+++ b/src/main/java/io/indigoreach/core/calendar/Reading.java
@@ -1,20 +1,20 @@
 package io.indigoreach.core.calendar;
 
-import io.indigoreach.core.records.Kept;
 import io.indigoreach.core.records.Routine;
-import io.indigoreach.core.records.Seen;
 import io.indigoreach.core.records.Step;
+import io.indigoreach.core.records.StepResult;
+import io.indigoreach.core.records.VersionedRecord;
 import java.util.List;
 
 /** Reads which version is in force, and its text unless the reader has it. */
 public final class Reading implements Routine<Reading.Found> {
     /** {@code text}: null if the reader has it, or there is none. */
-    public record Found(Head head, Head.Version version, String text) {}
+    public record Found(CalendarVersion head, CalendarVersion.Version version, String text) {}
 
     private final String known;
     private final int wanted;
-    private Head head;
-    private Head.Version version;
+    private CalendarVersion head;
+    private CalendarVersion.Version version;
 
     /** {@code known}: the digest of the text that the reader has; null if none. */
     public Reading(String known) {
@@ -28,12 +28,12 @@
     }
 
     @Override
-    public Step<Found> next(Seen seen) {
+    public Step<Found> next(StepResult seen) {
         if (head == null) {
             if (seen.records().isEmpty()) {
-                return new Step.Read<>(List.of(Head.KEY));
+                return new Step.Read<>(List.of(CalendarVersion.KEY));
             }
-            head = new Head(seen.record(Head.KEY));
+            head = new CalendarVersion(seen.record(CalendarVersion.KEY));
             version = head.versions().stream()
                     .filter(v -> wanted == 0 || v.number() == wanted)
                     .findFirst()
@@ -44,7 +44,7 @@
         }
         StringBuilder text = new StringBuilder();
         for (String key : version.keys()) {
-            Kept piece = seen.record(key);
+            VersionedRecord piece = seen.record(key);
             if (!piece.isThere()) {
                 throw new IllegalStateException(
                         "calendar version " + version.number() + " lacks " + key + ": set it again");
--- a/src/main/java/io/indigoreach/core/calendar/Register.java
+++ b/src/main/java/io/indigoreach/core/calendar/Register.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.calendar;
 
-import io.indigoreach.core.JobId;
+import io.indigoreach.core.model.JobId;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/io/indigoreach/core/calendar/Replacing.java
+++ b/src/main/java/io/indigoreach/core/calendar/Replacing.java
@@ -1,9 +1,9 @@
 package io.indigoreach.core.calendar;
 
-import io.indigoreach.core.records.Change;
 import io.indigoreach.core.records.Routine;
-import io.indigoreach.core.records.Seen;
 import io.indigoreach.core.records.Step;
+import io.indigoreach.core.records.StepResult;
+import io.indigoreach.core.records.Transaction;
 import java.util.List;
 import java.util.Map;
 
@@ -18,12 +18,12 @@
     }
 
     @Override
-    public Step<Boolean> next(Seen seen) {
+    public Step<Boolean> next(StepResult seen) {
         if (seen.isWritten() || !seen.failed().isEmpty()) {
             return new Step.End<>(seen.isWritten());
         }
         return seen.records().isEmpty()
                 ? new Step.Read<>(List.of(key))
-                : new Step.Write<>(new Change().replace(seen.record(key), value));
+                : new Step.Write<>(new Transaction().replace(seen.record(key), value));
     }
 }
--- a/src/main/java/io/indigoreach/core/calendar/TimeSense.java
+++ b/src/main/java/io/indigoreach/core/calendar/TimeSense.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.calendar;
 
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 
 /**
  * The time of day by which occurrences are decided. A node's clock is within the platform's bound of true time, and may be set
--- a/src/main/java/io/indigoreach/core/chain/DependencyGraph.java
+++ b/src/main/java/io/indigoreach/core/dependency/DependencyGraph.java
@@ -1,6 +1,6 @@
-package io.indigoreach.core.chain;
+package io.indigoreach.core.dependency;
 
-import io.indigoreach.core.JobId;
+import io.indigoreach.core.model.JobId;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
--- a/src/main/java/io/indigoreach/core/chain/Lookahead.java
+++ b/src/main/java/io/indigoreach/core/dependency/Lookahead.java
@@ -1,7 +1,8 @@
-package io.indigoreach.core.chain;
+package io.indigoreach.core.dependency;
 
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobTarget;
+import io.indigoreach.core.model.Span;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Function;
@@ -20,14 +21,15 @@
      * @param own what is asked of a job by itself
      * @param run a job's expected run time
      */
-    public static Map<JobId, Target> of(DependencyGraph graph, Function<JobId, Target> own, Function<JobId, Span> run) {
-        Map<JobId, Target> asked = new HashMap<>();
+    public static Map<JobId, JobTarget> of(
+            DependencyGraph graph, Function<JobId, JobTarget> own, Function<JobId, Span> run) {
+        Map<JobId, JobTarget> asked = new HashMap<>();
         for (DependencyGraph.Edge edge : graph.fromTheEnds()) {
-            Target after = asked.get(edge.job());
-            Target whole = after == null
+            JobTarget after = asked.get(edge.job());
+            JobTarget whole = after == null
                     ? own.apply(edge.job())
                     : own.apply(edge.job()).and(after);
-            asked.merge(edge.need(), whole.before(run.apply(edge.job())), Target::and);
+            asked.merge(edge.need(), whole.before(run.apply(edge.job())), JobTarget::and);
         }
         return asked;
     }
--- a/src/main/java/io/indigoreach/core/duty/Intents.java
+++ b/src/main/java/io/indigoreach/core/intent/Intents.java
@@ -1,7 +1,7 @@
-package io.indigoreach.core.duty;
+package io.indigoreach.core.intent;
 
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Pool;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
@@ -19,7 +19,7 @@
  */
 public final class Intents {
     /** A request to rent; {@code askedMs}: when it was thought of, by the time of day. */
-    public record Rent(String name, Pool pool, int count, long askedMs) {}
+    public record Rent(String name, MachinePool pool, int count, long askedMs) {}
 
     /** What is to be recorded, or is. */
     public record Page(List<Rent> rents, List<MachineId> condemned) {
--- a/src/main/java/io/indigoreach/core/CancellationHorizon.java
+++ b/src/main/java/io/indigoreach/core/leadership/CancellationHorizon.java
@@ -1,12 +1,15 @@
-package io.indigoreach.core;
+package io.indigoreach.core.leadership;
 
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import java.util.HashMap;
 import java.util.Map;
 
 /**
  * Up to when a leader has heard of every cancellation that a user was told of, and has acted on it: by reading the records, by
  * its watch, or, while the state service does not answer it, by every node's word. Workers are answered for {@link
- * Rules#horizonAge} after that moment and no longer. Before the records are read there is no such moment: a cancellation that an
+ * SafetyTimes#horizonAge} after that moment and no longer. Before the records are read there is no such moment: a cancellation that an
  * earlier leader did not hear of, told any time ago, would let its tasks live on by this leader's answers.
  */
 public final class CancellationHorizon {
--- a/src/main/java/io/indigoreach/core/CancellationWord.java
+++ b/src/main/java/io/indigoreach/core/leadership/CancellationSummary.java
@@ -1,5 +1,7 @@
-package io.indigoreach.core;
+package io.indigoreach.core.leadership;
 
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Span;
 import java.util.HashSet;
 import java.util.Set;
 
@@ -10,13 +12,13 @@
  * @param covered for so long before the answer, none was told that is not among them; a node that has just started, or has
  *     forgotten earlier ones, covers less than it is asked for
  */
-public record CancellationWord(Set<JobId> cancelled, Span covered) {
+public record CancellationSummary(Set<JobId> cancelled, Span covered) {
     /** Of a node that does not answer, or says what cannot be read: never "nothing cancelled". */
-    public static final CancellationWord NONE = new CancellationWord(Set.of(), Span.ZERO);
+    public static final CancellationSummary NONE = new CancellationSummary(Set.of(), Span.ZERO);
 
-    public CancellationWord and(CancellationWord other) {
+    public CancellationSummary and(CancellationSummary other) {
         Set<JobId> both = new HashSet<>(cancelled);
         both.addAll(other.cancelled);
-        return new CancellationWord(both, covered.compareTo(other.covered) < 0 ? covered : other.covered);
+        return new CancellationSummary(both, covered.compareTo(other.covered) < 0 ? covered : other.covered);
     }
 }
--- a/src/main/java/io/indigoreach/core/ToldCancellations.java
+++ b/src/main/java/io/indigoreach/core/leadership/ConfirmedCancellations.java
@@ -1,5 +1,8 @@
-package io.indigoreach.core;
+package io.indigoreach.core.leadership;
 
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import java.util.ArrayDeque;
 import java.util.HashSet;
 import java.util.Set;
@@ -8,39 +11,39 @@
  * The cancellations that a node has told users of, the newest ones, for a leader that cannot hear of them from the state service.
  * A process knows nothing of what its predecessor told, so it answers for no time before it began.
  */
-public final class ToldCancellations {
+public final class ConfirmedCancellations {
     /** What fits into one answer; more are told within an outage's first seconds by no state service that we know of. */
     public static final int MOST = 1000;
 
-    private record Told(JobId job, Moment at) {}
+    private record ConfirmedCancellation(JobId job, Moment at) {}
 
-    private final ArrayDeque<Told> told = new ArrayDeque<>();
+    private final ArrayDeque<ConfirmedCancellation> told = new ArrayDeque<>();
     /** All told after this moment are kept. */
     private Moment since;
 
-    public ToldCancellations(Moment began) {
+    public ConfirmedCancellations(Moment began) {
         since = began;
     }
 
     /** This node has learnt that the job is cancelled, and tells or will tell so. */
     public void add(JobId job, Moment now) {
-        told.addLast(new Told(job, now));
+        told.addLast(new ConfirmedCancellation(job, now));
         if (told.size() > MOST) {
             since = told.removeFirst().at;
         }
     }
 
     /** What was told in the last {@code asked}, or as far back as is known. */
-    public CancellationWord word(Span asked, Moment now) {
+    public CancellationSummary word(Span asked, Moment now) {
         Span known = now.since(since);
         Span covered = asked.compareTo(known) < 0 ? asked : known;
         Set<JobId> jobs = new HashSet<>();
-        for (Told t : told) {
+        for (ConfirmedCancellation t : told) {
             if (now.since(t.at).compareTo(covered) <= 0) {
                 jobs.add(t.job);
             }
         }
-        return new CancellationWord(jobs, covered);
+        return new CancellationSummary(jobs, covered);
     }
 
     /** For how long none was told. */
--- a/src/main/java/io/indigoreach/core/Isolation.java
+++ b/src/main/java/io/indigoreach/core/leadership/IsolationCheck.java
@@ -1,5 +1,7 @@
-package io.indigoreach.core;
+package io.indigoreach.core.leadership;
 
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import java.util.List;
 
 /**
@@ -12,7 +14,7 @@
  * second verdict of being cut off needs a long silence: a node that is in and out of touch is removed once, and later only for
  * cuts that are longer than the pause that they bring.
  */
-public final class Isolation {
+public final class IsolationCheck {
     /** What the node is. */
     public enum Verdict {
         TOGETHER,
--- a/src/main/java/io/indigoreach/core/loss/LeaderMemory.java
+++ b/src/main/java/io/indigoreach/core/loss/LeaderMemory.java
@@ -5,7 +5,7 @@
  * nobody else has led since, and forgotten for good once somebody has: the job may be over since.
  */
 public final class LeaderMemory {
-    private Remains known = new Remains();
+    private RememberedState known = new RememberedState();
 
     /** {@code succeedsItself}: nobody else has led since this node's last leadership. */
     public void begins(boolean succeedsItself) {
@@ -13,18 +13,18 @@
             // Not only left out now: a leadership that ends before it has read the records adds nothing, and the next
             // one
             // succeeds itself. It would take for the newest what was open two leaderships ago.
-            Remains ends = new Remains();
+            RememberedState ends = new RememberedState();
             known.over().forEach(ends::add);
             known = ends;
         }
     }
 
     /** {@code last}: what this node knew as the leader; empty if it had not read the records, and then it knew less than before. */
-    public void ends(Remains last) {
+    public void ends(RememberedState last) {
         known = last.isEmpty() ? known : last;
     }
 
-    public Remains known() {
+    public RememberedState known() {
         return known;
     }
 }
--- a/src/main/java/io/indigoreach/core/loss/LossJudge.java
+++ b/src/main/java/io/indigoreach/core/loss/LossDetector.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.loss;
 
-import io.indigoreach.core.Token;
+import io.indigoreach.core.model.FencingToken;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -14,7 +14,7 @@
  * <p>While a loss is not mended nobody is told that a job does not exist, and nothing is accepted that may have been there
  * before. A later era mends it.
  */
-public final class LossJudge {
+public final class LossDetector {
     /** What showed that data were lost, in words for a person. */
     public record Finding(String what, long wanted, long found) {
         @Override
@@ -61,7 +61,7 @@
     }
 
     /** The counter of tokens as a leadership is taken, beside the highest token that this process has seen in use. */
-    public boolean counter(Token seen, Token counted) {
+    public boolean counter(FencingToken seen, FencingToken counted) {
         return counted.value() < seen.value() && found(new Finding("counter of tokens", seen.value(), counted.value()));
     }
 
--- a/src/main/java/io/indigoreach/core/loss/Salvage.java
+++ b/src/main/java/io/indigoreach/core/loss/RecordRepair.java
@@ -1,9 +1,9 @@
 package io.indigoreach.core.loss;
 
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Shape;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
 import java.util.BitSet;
 
 /**
@@ -12,11 +12,11 @@
  * comes first, then what the record still says of itself. A job that is opened again may have been ordered in whole, and
  * tasks that are done may be run again: their results are kept, so each exits at once.
  */
-public final class Salvage {
+public final class RecordRepair {
     /** What can still be read of a record; null where it cannot. */
     public record Rest(JobStatus status, Long done, Long submittedMs) {}
 
-    private Salvage() {}
+    private RecordRepair() {}
 
     /**
      * For the record of an open job, which is not among the jobs that are over. An end is written into it only in a flood of ends,
@@ -26,19 +26,21 @@
      * @param offered the description that its user submits again; null if it was only asked about
      * @return what is known of the job; empty if nobody knows what it is
      */
-    public static Remains open(JobId id, Rest rest, Remains remembered, JobSpec offered, long nowMs) {
-        Remains out = new Remains();
-        Remains.Over end = remembered.over().get(id);
-        Remains.Open job = job(id, remembered, offered, nowMs);
+    public static RememberedState open(JobId id, Rest rest, RememberedState remembered, JobSpec offered, long nowMs) {
+        RememberedState out = new RememberedState();
+        RememberedState.FinishedJob end = remembered.over().get(id);
+        RememberedState.OpenJob job = job(id, remembered, offered, nowMs);
         if (end != null) {
             out.add(id, end);
         } else if (rest.status == JobStatus.DONE || (rest.status == null && allDone(rest, job))) {
             out.add(
                     id,
-                    new Remains.Over(JobStatus.DONE, job != null ? job.spec().tasks() : count(rest)));
+                    new RememberedState.FinishedJob(
+                            JobStatus.DONE, job != null ? job.spec().tasks() : count(rest)));
         } else if (job != null) {
             long since = rest.submittedMs == null ? job.submittedMs() : Math.min(rest.submittedMs, job.submittedMs());
-            out.add(new Remains.Open(job.spec(), since, job.done(), job.spec().tasks()));
+            out.add(new RememberedState.OpenJob(
+                    job.spec(), since, job.done(), job.spec().tasks()));
         }
         return out;
     }
@@ -47,31 +49,35 @@
      * For the record of a job that is over, which is done if all its tasks are and else cancelled. Null if nobody knows which:
      * either word could be against what its user was told.
      */
-    public static Remains.Over end(JobId id, Rest rest, Remains remembered, JobSpec offered) {
-        Remains.Over end = remembered.over().get(id);
+    public static RememberedState.FinishedJob end(JobId id, Rest rest, RememberedState remembered, JobSpec offered) {
+        RememberedState.FinishedJob end = remembered.over().get(id);
         if (end != null) {
             return end;
         }
         if (rest.status == JobStatus.DONE || rest.status == JobStatus.CANCELLED) {
-            return new Remains.Over(rest.status, count(rest));
+            return new RememberedState.FinishedJob(rest.status, count(rest));
         }
-        Remains.Open job = job(id, remembered, offered, 0);
+        RememberedState.OpenJob job = job(id, remembered, offered, 0);
         return rest.done == null || job == null
                 ? null
-                : new Remains.Over(allDone(rest, job) ? JobStatus.DONE : JobStatus.CANCELLED, count(rest));
+                : new RememberedState.FinishedJob(
+                        allDone(rest, job) ? JobStatus.DONE : JobStatus.CANCELLED, count(rest));
     }
 
-    private static Remains.Open job(JobId id, Remains remembered, JobSpec offered, long nowMs) {
+    private static RememberedState.OpenJob job(JobId id, RememberedState remembered, JobSpec offered, long nowMs) {
         return remembered.open().stream()
                 .filter(o -> o.spec().id().equals(id))
                 .findFirst()
-                .orElse(offered == null ? null : new Remains.Open(offered, nowMs, new BitSet(), offered.tasks()));
+                .orElse(
+                        offered == null
+                                ? null
+                                : new RememberedState.OpenJob(offered, nowMs, new BitSet(), offered.tasks()));
     }
 
-    private static boolean allDone(Rest rest, Remains.Open job) {
+    private static boolean allDone(Rest rest, RememberedState.OpenJob job) {
         return rest.done != null
                 && job != null
-                && job.spec().shape() == Shape.ARRAY
+                && job.spec().shape() == JobKind.ARRAY
                 && rest.done == job.spec().tasks();
     }
 
--- a/src/main/java/io/indigoreach/core/Attempt.java
+++ b/src/main/java/io/indigoreach/core/model/Attempt.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core;
+package io.indigoreach.core.model;
 
 /** Tells one start of a task from every other start of it. */
 public record Attempt(long value) {
--- a/src/main/java/io/indigoreach/core/Demand.java
+++ b/src/main/java/io/indigoreach/core/model/Demand.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core;
+package io.indigoreach.core.model;
 
 /** What a task takes of its machine, or a machine has to give. */
 public record Demand(double cores, double gpus, double ramGb) {
--- a/src/main/java/io/indigoreach/core/ExitCause.java
+++ b/src/main/java/io/indigoreach/core/model/ExitCause.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core;
+package io.indigoreach.core.model;
 
 /** Why a task ended on its machine. */
 public enum ExitCause {
--- a/src/main/java/io/indigoreach/core/Token.java
+++ b/src/main/java/io/indigoreach/core/model/FencingToken.java
@@ -1,11 +1,11 @@
-package io.indigoreach.core;
+package io.indigoreach.core.model;
 
 /** Shows who may give orders: the leader's number, higher for each new leader. */
-public record Token(long value) {
-    public static final Token NONE = new Token(0);
+public record FencingToken(long value) {
+    public static final FencingToken NONE = new FencingToken(0);
 
-    public Token next() {
-        return new Token(value + 1);
+    public FencingToken next() {
+        return new FencingToken(value + 1);
     }
 
     /** The n-th attempt handed out under this token; no two leaders can hand out the same one. */
--- a/src/main/java/io/indigoreach/core/WorkerReport.java
+++ b/src/main/java/io/indigoreach/core/model/Heartbeat.java
@@ -1,17 +1,17 @@
-package io.indigoreach.core;
+package io.indigoreach.core.model;
 
 import java.util.List;
 
 /** A worker's report. {@code notice} is the time until the cloud takes the machine away, or null. */
-public record WorkerReport(
+public record Heartbeat(
         MachineId machine,
         String address,
-        Pool pool,
-        ReportNumber number,
-        Token token,
+        MachinePool pool,
+        HeartbeatNumber number,
+        FencingToken token,
         Span notice,
-        List<TaskReport> tasks) {
-    public WorkerReport {
+        List<TaskStatus> tasks) {
+    public Heartbeat {
         tasks = List.copyOf(tasks);
     }
 }
--- a/src/main/java/io/indigoreach/core/chain/Chain.java
+++ b/src/main/java/io/indigoreach/core/model/JobDependencies.java
@@ -1,6 +1,5 @@
-package io.indigoreach.core.chain;
+package io.indigoreach.core.model;
 
-import io.indigoreach.core.JobId;
 import java.util.List;
 
 /**
@@ -9,16 +8,16 @@
  * @param needs the named jobs; empty for most jobs
  * @param releasedMs when a leader found all of them done, by the time of day; 0 as long as no record says so
  */
-public record Chain(List<JobId> needs, long releasedMs) {
+public record JobDependencies(List<JobId> needs, long releasedMs) {
     /** Of a job that waits for no other. */
-    public static final Chain NONE = new Chain(List.of(), 0);
+    public static final JobDependencies NONE = new JobDependencies(List.of(), 0);
 
-    public Chain {
+    public JobDependencies {
         needs = List.copyOf(needs);
     }
 
-    public static Chain of(List<JobId> needs) {
-        return needs.isEmpty() ? NONE : new Chain(needs, 0);
+    public static JobDependencies of(List<JobId> needs) {
+        return needs.isEmpty() ? NONE : new JobDependencies(needs, 0);
     }
 
     public boolean isEmpty() {
@@ -34,7 +33,7 @@
         return !needs.isEmpty() && !isReleased();
     }
 
-    public Chain released(long atMs) {
-        return new Chain(needs, atMs);
+    public JobDependencies released(long atMs) {
+        return new JobDependencies(needs, atMs);
     }
 }
--- a/src/main/java/io/indigoreach/core/Shape.java
+++ b/src/main/java/io/indigoreach/core/model/JobKind.java
@@ -1,7 +1,7 @@
-package io.indigoreach.core;
+package io.indigoreach.core.model;
 
 /** Whether a job's tasks each run to completion, or run until the job is cancelled. */
-public enum Shape {
+public enum JobKind {
     ARRAY,
     SERVICE
 }
--- a/src/main/java/io/indigoreach/core/JobSpec.java
+++ b/src/main/java/io/indigoreach/core/model/JobSpec.java
@@ -1,6 +1,5 @@
-package io.indigoreach.core;
+package io.indigoreach.core.model;
 
-import io.indigoreach.core.chain.Chain;
 import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -22,7 +21,7 @@
         JobId id,
         String jobClass,
         String team,
-        Shape shape,
+        JobKind shape,
         Urgency urgency,
         int tasks,
         Demand demand,
@@ -38,7 +37,7 @@
         Span checkpointTime,
         Span due,
         Map<String, Object> more,
-        Chain chain) {
+        JobDependencies chain) {
     /** The further field that names records; the part that knows them says which tasks may start. */
     public static final String RECORDS = "records";
     /** The further field that names a holder's pool. */
@@ -54,7 +53,7 @@
             JobId id,
             String jobClass,
             String team,
-            Shape shape,
+            JobKind shape,
             Urgency urgency,
             int tasks,
             Demand demand,
@@ -90,7 +89,7 @@
                 checkpointTime,
                 due,
                 more,
-                Chain.NONE);
+                JobDependencies.NONE);
     }
 
     /** A job without further fields. */
@@ -98,7 +97,7 @@
             JobId id,
             String jobClass,
             String team,
-            Shape shape,
+            JobKind shape,
             Urgency urgency,
             int tasks,
             Demand demand,
@@ -133,7 +132,7 @@
                 checkpointTime,
                 due,
                 Map.of(),
-                Chain.NONE);
+                JobDependencies.NONE);
     }
 
     /** The same job with one further field. */
@@ -164,7 +163,7 @@
     }
 
     /** The same job, waiting for others or released from them. */
-    public JobSpec with(Chain other) {
+    public JobSpec with(JobDependencies other) {
         return new JobSpec(
                 id,
                 jobClass,
@@ -190,7 +189,7 @@
 
     /** Its tasks run until the job is cancelled. */
     public boolean isService() {
-        return shape == Shape.SERVICE;
+        return shape == JobKind.SERVICE;
     }
 
     /** Part of a calendar's plan: it comes as late as its prediction allows. */
--- a/src/main/java/io/indigoreach/core/JobStatus.java
+++ b/src/main/java/io/indigoreach/core/model/JobStatus.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core;
+package io.indigoreach.core.model;
 
 /** What a user is told of a job. */
 public enum JobStatus {
--- a/src/main/java/io/indigoreach/core/chain/Target.java
+++ b/src/main/java/io/indigoreach/core/model/JobTarget.java
@@ -1,23 +1,20 @@
-package io.indigoreach.core.chain;
-
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Urgency;
+package io.indigoreach.core.model;
 
 /**
  * What is asked of a job: how urgent it is, and by when it has to be done.
  *
  * @param due null if nothing says so
  */
-public record Target(Urgency urgency, Moment due) {
+public record JobTarget(Urgency urgency, Moment due) {
     /** Both together: the more urgent, the earlier. */
-    public Target and(Target other) {
-        return new Target(other.urgency.isMoreUrgentThan(urgency) ? other.urgency : urgency, earlier(due, other.due));
+    public JobTarget and(JobTarget other) {
+        return new JobTarget(
+                other.urgency.isMoreUrgentThan(urgency) ? other.urgency : urgency, earlier(due, other.due));
     }
 
     /** The same for a job that has to be done before one that runs for {@code run}. */
-    public Target before(Span run) {
-        return new Target(urgency, due == null ? null : due.minus(run));
+    public JobTarget before(Span run) {
+        return new JobTarget(urgency, due == null ? null : due.minus(run));
     }
 
     private static Moment earlier(Moment a, Moment b) {
--- a/src/main/java/io/indigoreach/core/MachineId.java
+++ b/src/main/java/io/indigoreach/core/model/MachineId.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core;
+package io.indigoreach.core.model;
 
 /** A rented machine's name, given by the cloud. */
 public record MachineId(String text) implements Comparable<MachineId> {
--- a/src/main/java/io/indigoreach/core/MachineType.java
+++ b/src/main/java/io/indigoreach/core/model/MachineType.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core;
+package io.indigoreach.core.model;
 
 import java.util.List;
 
--- a/src/main/java/io/indigoreach/core/Moment.java
+++ b/src/main/java/io/indigoreach/core/model/Moment.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core;
+package io.indigoreach.core.model;
 
 /** A point on this process's steady clock, in milliseconds from an arbitrary start. */
 public record Moment(long ms) implements Comparable<Moment> {
--- /dev/null
+++ b/src/main/java/io/indigoreach/core/model/Revision.java
@@ -0,0 +1,10 @@
+package io.indigoreach.core.model;
+
+/** The version of a key in the state service: the revision of its last change, or 0 if there is no such key. */
+public record Revision(long value) {
+    public static final Revision ABSENT = new Revision(0);
+
+    public boolean isAfter(Revision other) {
+        return value > other.value;
+    }
+}
--- a/src/main/java/io/indigoreach/core/Span.java
+++ b/src/main/java/io/indigoreach/core/model/Span.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core;
+package io.indigoreach.core.model;
 
 /** A length of time in milliseconds. */
 public record Span(long ms) implements Comparable<Span> {
--- a/src/main/java/io/indigoreach/core/TaskId.java
+++ b/src/main/java/io/indigoreach/core/model/TaskId.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core;
+package io.indigoreach.core.model;
 
 /** One task of a job, numbered from 0. */
 public record TaskId(JobId job, int index) {
--- a/src/main/java/io/indigoreach/core/TaskState.java
+++ b/src/main/java/io/indigoreach/core/model/TaskState.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core;
+package io.indigoreach.core.model;
 
 /** A task's state on a machine. ORDERED: a start was put into an answer, and no newer report has come yet. */
 public enum TaskState {
--- a/src/main/java/io/indigoreach/core/Team.java
+++ b/src/main/java/io/indigoreach/core/model/Team.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core;
+package io.indigoreach.core.model;
 
 /** A team: what it is guaranteed, and what its tasks may never exceed together. */
 public record Team(String name, double cores, double coresMax, double gpus, double gpusMax) {
--- a/src/main/java/io/indigoreach/core/Urgency.java
+++ b/src/main/java/io/indigoreach/core/model/Urgency.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core;
+package io.indigoreach.core.model;
 
 /** A job's priority, the most urgent first. */
 public enum Urgency {
--- a/src/main/java/io/indigoreach/core/Order.java
+++ b/src/main/java/io/indigoreach/core/model/WorkerCommand.java
@@ -1,16 +1,16 @@
-package io.indigoreach.core;
+package io.indigoreach.core.model;
 
 /** What a worker is told to do in the answer to its report. */
-public sealed interface Order {
+public sealed interface WorkerCommand {
     TaskId task();
 
     Attempt attempt();
 
-    record Start(TaskId task, Attempt attempt) implements Order {}
+    record Start(TaskId task, Attempt attempt) implements WorkerCommand {}
 
     /** Stop, letting the task save its progress if it can within {@code grace}. */
-    record Stop(TaskId task, Attempt attempt, Span grace) implements Order {}
+    record Stop(TaskId task, Attempt attempt, Span grace) implements WorkerCommand {}
 
     /** Removes an exited task from the worker's reports. */
-    record Forget(TaskId task, Attempt attempt) implements Order {}
+    record Reap(TaskId task, Attempt attempt) implements WorkerCommand {}
 }
--- a/src/main/java/io/indigoreach/core/ownership/Beginning.java
+++ b/src/main/java/io/indigoreach/core/ownership/Beginning.java
@@ -1,10 +1,10 @@
 package io.indigoreach.core.ownership;
 
-import io.indigoreach.core.records.Change;
-import io.indigoreach.core.records.Kept;
 import io.indigoreach.core.records.Routine;
-import io.indigoreach.core.records.Seen;
 import io.indigoreach.core.records.Step;
+import io.indigoreach.core.records.StepResult;
+import io.indigoreach.core.records.Transaction;
+import io.indigoreach.core.records.VersionedRecord;
 import java.util.List;
 
 /**
@@ -22,14 +22,14 @@
     }
 
     @Override
-    public Step<Outcome> next(Seen seen) {
+    public Step<Outcome> next(StepResult seen) {
         if (seen.isWritten()) {
             return new Step.End<>(Outcome.refused(List.of()));
         }
         if (seen.records().isEmpty()) {
             return new Step.Read<>(List.of(Registry.ROOT));
         }
-        Kept read = seen.record(Registry.ROOT);
+        VersionedRecord read = seen.record(Registry.ROOT);
         if (!read.isThere()) {
             return anew
                     ? write(read, new Registry.Root(seen.era(), Registry.baseOf(seen.timeOfDayMs()), reason))
@@ -45,7 +45,7 @@
                 : write(read, new Registry.Root(seen.era(), root.base(), reason));
     }
 
-    private static Step<Outcome> write(Kept read, Registry.Root root) {
-        return new Step.Write<>(new Change().replace(read, root.write()));
+    private static Step<Outcome> write(VersionedRecord read, Registry.Root root) {
+        return new Step.Write<>(new Transaction().replace(read, root.write()));
     }
 }
--- a/src/main/java/io/indigoreach/core/ownership/Tidy.java
+++ b/src/main/java/io/indigoreach/core/ownership/ClaimCollector.java
@@ -1,12 +1,12 @@
 package io.indigoreach.core.ownership;
 
-import io.indigoreach.core.Span;
-import io.indigoreach.core.records.Change;
-import io.indigoreach.core.records.Kept;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.records.GarbageCollector;
 import io.indigoreach.core.records.Routine;
-import io.indigoreach.core.records.Seen;
 import io.indigoreach.core.records.Step;
-import io.indigoreach.core.records.Sweep;
+import io.indigoreach.core.records.StepResult;
+import io.indigoreach.core.records.Transaction;
+import io.indigoreach.core.records.VersionedRecord;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.LinkedHashMap;
@@ -20,7 +20,7 @@
  * not begun off the pages, puts what they had begun in doubt, and forgets ended claims after a week, when no repeat comes. It may
  * stop after any write; the next round begins from the claims again. A held claim of an export is never ended here.
  */
-public final class Tidy implements Sweep {
+public final class ClaimCollector implements GarbageCollector {
     private static final long PREPARED_MS = 60_000;
     /** Of a run, whose claim takes several requests. */
     private static final long RUN_PREPARED_MS = 600_000;
@@ -37,7 +37,7 @@
     private final Jobs jobs;
     private String after;
 
-    public Tidy(Jobs jobs) {
+    public ClaimCollector(Jobs jobs) {
         this.jobs = jobs;
     }
 
@@ -59,18 +59,18 @@
             CLAIM_WRITTEN
         }
 
-        private final Deque<Kept> claims = new ArrayDeque<>();
+        private final Deque<VersionedRecord> claims = new ArrayDeque<>();
         private final Deque<String> prefixes = new ArrayDeque<>();
         private Phase phase = Phase.BEGIN;
         private boolean more;
-        private Kept at;
+        private VersionedRecord at;
         private String name;
         private Claim claim;
         private Registry.Root root;
         private String pageAfter;
 
         @Override
-        public Step<Span> next(Seen seen) {
+        public Step<Span> next(StepResult seen) {
             switch (phase) {
                 case BEGIN:
                     phase = Phase.LISTED;
@@ -104,7 +104,7 @@
             }
         }
 
-        private Step<Span> nextClaim(Seen seen) {
+        private Step<Span> nextClaim(StepResult seen) {
             while (!claims.isEmpty()) {
                 at = claims.poll();
                 name = at.key().substring(Registry.CLAIMS.length());
@@ -129,7 +129,7 @@
                 }
                 if (claim.state() == Claim.State.ENDED && idle > KEPT_MS) {
                     phase = Phase.CLAIM_WRITTEN;
-                    return new Step.Write<>(new Change().when(at).delete(at.key()));
+                    return new Step.Write<>(new Transaction().when(at).delete(at.key()));
                 }
             }
             return new Step.End<>(more ? SOON : LATER);
@@ -142,11 +142,11 @@
 
         private Step<Span> write(Claim next) {
             phase = Phase.CLAIM_WRITTEN;
-            return new Step.Write<>(new Change().replace(at, next.write()));
+            return new Step.Write<>(new Transaction().replace(at, next.write()));
         }
 
         /** The next pages; when there are none, no page names the claim any more. */
-        private Step<Span> scan(Seen seen) {
+        private Step<Span> scan(StepResult seen) {
             if (prefixes.isEmpty()) {
                 return write(claim.cleaned(seen.timeOfDayMs()));
             }
@@ -154,13 +154,13 @@
             return new Step.Scan<>(prefixes.peek(), pageAfter, PAGES);
         }
 
-        private Step<Span> clean(Seen seen) {
-            for (Kept kept : seen.records().values()) {
+        private Step<Span> clean(StepResult seen) {
+            for (VersionedRecord kept : seen.records().values()) {
                 Page page = Page.read(kept.value());
                 Map<String, Entry> cleaned = cleaned(page, seen);
                 if (!cleaned.isEmpty()) {
                     phase = Phase.PAGE_WRITTEN;
-                    return new Step.Write<>(new Change()
+                    return new Step.Write<>(new Transaction()
                             .replace(kept, page.with(cleaned).write())
                             .when(at));
                 }
@@ -174,7 +174,7 @@
         }
 
         /** What the ended claim left on a page, and what becomes of it. */
-        private Map<String, Entry> cleaned(Page page, Seen seen) {
+        private Map<String, Entry> cleaned(Page page, StepResult seen) {
             Map<String, Entry> cleaned = new LinkedHashMap<>();
             page.entries().forEach((id, e) -> {
                 boolean old = root.era() < seen.era() && !Registry.isOf(seen.era(), e.fence());
--- a/src/main/java/io/indigoreach/core/ownership/Grant.java
+++ b/src/main/java/io/indigoreach/core/ownership/Grant.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.ownership;
 
-import io.indigoreach.core.records.Change;
 import io.indigoreach.core.records.Step;
+import io.indigoreach.core.records.Transaction;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashSet;
@@ -24,7 +24,7 @@
      * @param against whom they wait for, some lines
      * @param never records that others have billed: the job can never run whole
      */
-    public record Given(Change commit, BitSet held, List<String> against, List<String> never) {}
+    public record Given(Transaction commit, BitSet held, List<String> against, List<String> never) {}
 
     private static final int MOST_LINES = 10;
 
@@ -95,12 +95,12 @@
             }
         }
         if (accepting && known != null && known.state() == Claim.State.HELD) {
-            return end(new Change(), held, against, List.of());
+            return end(new Transaction(), held, against, List.of());
         }
         if (accepting && !never.isEmpty()) {
             return known == null || known.state() == Claim.State.ENDED
-                    ? end(new Change(), held, against, never)
-                    : new Step.Write<>(new Change()
+                    ? end(new Transaction(), held, against, never)
+                    : new Step.Write<>(new Transaction()
                             .replace(
                                     kept(Registry.claimKey(job)),
                                     known.ended(never, now()).write()));
@@ -108,11 +108,11 @@
         if (known != null && wanted.isEmpty() && known.state() == (accepting ? Claim.State.OPEN : Claim.State.HELD)) {
             return end(
                     accepting
-                            ? new Change()
+                            ? new Transaction()
                                     .replace(
                                             kept(Registry.claimKey(job)),
                                             known.in(Claim.State.HELD, now()).write())
-                            : new Change(),
+                            : new Transaction(),
                     held,
                     against,
                     never);
@@ -129,7 +129,7 @@
         return new Step.Write<>(batch.change);
     }
 
-    private static Step<Given> end(Change commit, BitSet held, List<String> against, List<String> never) {
+    private static Step<Given> end(Transaction commit, BitSet held, List<String> against, List<String> never) {
         return new Step.End<>(new Given(commit, held, against, never));
     }
 }
--- a/src/main/java/io/indigoreach/core/ownership/Registry.java
+++ b/src/main/java/io/indigoreach/core/ownership/Registry.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.ownership;
 
-import io.indigoreach.core.records.Family;
-import io.indigoreach.core.records.Kept;
+import io.indigoreach.core.records.RecordFamily;
+import io.indigoreach.core.records.VersionedRecord;
 import java.util.Comparator;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -35,7 +35,7 @@
     private static final int CLAIMS_KEPT = 400;
 
     /** A billing in either copy is true whatever was written after it. */
-    private static final Family.Mending PAGE = (present, remembered) -> {
+    private static final RecordFamily.Mending PAGE = (present, remembered) -> {
         if (present.version() >= remembered.version()) {
             Page there = Page.read(present.value());
             Page both = there.and(Page.read(remembered.value()));
@@ -44,10 +44,10 @@
         return counted(Page.read(remembered.value()).and(Page.read(present.value())), present, remembered);
     };
 
-    public static final List<Family> FAMILIES = List.of(
-            new Family(PAGES, PAGES_KEPT, true, PAGE),
-            new Family(CLAIMS, CLAIMS_KEPT, false, Family.Mending.NEWER),
-            new Family(ROOTS, 1, true, Family.Mending.NEWER));
+    public static final List<RecordFamily> FAMILIES = List.of(
+            new RecordFamily(PAGES, PAGES_KEPT, true, PAGE),
+            new RecordFamily(CLAIMS, CLAIMS_KEPT, false, RecordFamily.Mending.NEWER),
+            new RecordFamily(ROOTS, 1, true, RecordFamily.Mending.NEWER));
 
     /**
      * The registry's beginning.
@@ -80,9 +80,9 @@
         this.hash = hash;
     }
 
-    private static Map<String, Object> counted(Page page, Kept present, Kept remembered) {
+    private static Map<String, Object> counted(Page page, VersionedRecord present, VersionedRecord remembered) {
         Map<String, Object> value = page.write();
-        value.put(Kept.VERSION, Math.max(present.version(), remembered.version()) + 1);
+        value.put(VersionedRecord.VERSION, Math.max(present.version(), remembered.version()) + 1);
         return value;
     }
 
--- a/src/main/java/io/indigoreach/core/ownership/Survey.java
+++ b/src/main/java/io/indigoreach/core/ownership/Survey.java
@@ -1,8 +1,8 @@
 package io.indigoreach.core.ownership;
 
 import io.indigoreach.core.records.Routine;
-import io.indigoreach.core.records.Seen;
 import io.indigoreach.core.records.Step;
+import io.indigoreach.core.records.StepResult;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public Step<Part> next(Seen seen) {
+    public Step<Part> next(StepResult seen) {
         if (!listed) {
             listed = true;
             return new Step.Scan<>(group == null ? Registry.PAGES : Registry.pagesOf(group), after, pages);
--- a/src/main/java/io/indigoreach/core/ownership/Take.java
+++ b/src/main/java/io/indigoreach/core/ownership/Take.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.ownership;
 
-import io.indigoreach.core.records.Change;
 import io.indigoreach.core.records.Step;
+import io.indigoreach.core.records.Transaction;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -53,7 +53,7 @@
                 if (!mine.isOlderThan(look.claim(), run, look.entry().holder())) {
                     return new Step.End<>(Outcome.waiting(look.words()));
                 }
-                return new Step.Write<>(new Change()
+                return new Step.Write<>(new Transaction()
                         .replace(
                                 kept(Registry.claimKey(look.entry().holder())),
                                 look.claim()
--- a/src/main/java/io/indigoreach/core/ownership/Work.java
+++ b/src/main/java/io/indigoreach/core/ownership/Work.java
@@ -1,10 +1,10 @@
 package io.indigoreach.core.ownership;
 
-import io.indigoreach.core.records.Change;
-import io.indigoreach.core.records.Kept;
 import io.indigoreach.core.records.Routine;
-import io.indigoreach.core.records.Seen;
 import io.indigoreach.core.records.Step;
+import io.indigoreach.core.records.StepResult;
+import io.indigoreach.core.records.Transaction;
+import io.indigoreach.core.records.VersionedRecord;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -29,13 +29,13 @@
     final Registry registry;
     private final int most;
     private final Collection<RecordId> ids;
-    private final Map<String, Kept> have = new HashMap<>();
+    private final Map<String, VersionedRecord> have = new HashMap<>();
     private final Map<String, Page> pages = new HashMap<>();
     private final Map<RecordId, String> leaves = new HashMap<>();
     /** What a refused write depended on. */
     private final Set<String> again = new LinkedHashSet<>();
 
-    private Change underWay;
+    private Transaction underWay;
     private int refused;
     private long era;
     private long now;
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public final Step<R> next(Seen seen) {
+    public final Step<R> next(StepResult seen) {
         if (seen.era() != era) {
             have.clear();
             pages.clear();
@@ -67,7 +67,7 @@
         if (underWay == null) {
             seen.records().values().forEach(this::has);
         } else if (seen.isWritten()) {
-            underWay.writes().forEach((key, value) -> has(new Kept(key, value, seen.written())));
+            underWay.writes().forEach((key, value) -> has(new VersionedRecord(key, value, seen.written())));
         } else {
             if (++refused > MOST_REFUSED) {
                 throw new Unsettled("these records change at this moment");
@@ -87,7 +87,7 @@
         return step;
     }
 
-    private void has(Kept record) {
+    private void has(VersionedRecord record) {
         have.put(record.key(), record);
         pages.remove(record.key());
         if (record.key().equals(Registry.ROOT)) {
@@ -135,8 +135,8 @@
         return era;
     }
 
-    final Kept kept(String key) {
-        return have.getOrDefault(key, Kept.absent(key));
+    final VersionedRecord kept(String key) {
+        return have.getOrDefault(key, VersionedRecord.absent(key));
     }
 
     final Registry.Root root() {
@@ -248,7 +248,7 @@
 
     /** A part of the wanted changes. */
     static final class Batch {
-        final Change change = new Change();
+        final Transaction change = new Transaction();
         final Set<RecordId> records = new LinkedHashSet<>();
         /** Nothing is left after it. */
         boolean whole;
--- a/src/main/java/io/indigoreach/core/Turns.java
+++ b/src/main/java/io/indigoreach/core/query/FairAdmission.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core;
+package io.indigoreach.core.query;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -8,7 +8,7 @@
  * room for it, which those who come for the first time do not get. With one limit for all, who asked at the wrong moments was
  * refused for minutes beside others that were always served.
  */
-public final class Turns {
+public final class FairAdmission {
     static final int PLACES = 100;
     /** Further places for each refusal before, up to {@link #STEPS} times: with questions 5 s apart, all after 25 s. */
     static final int STEP = 20;
--- a/src/main/java/io/indigoreach/core/Round.java
+++ b/src/main/java/io/indigoreach/core/query/ListingCursor.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core;
+package io.indigoreach.core.query;
 
 import java.util.Map;
 import java.util.SortedMap;
@@ -10,7 +10,7 @@
  *
  * @param <W> who waits
  */
-public final class Round<W> {
+public final class ListingCursor<W> {
     private final TreeMap<String, W> left = new TreeMap<>();
     private String place = "";
 
--- a/src/main/java/io/indigoreach/core/records/Listing.java
+++ b/src/main/java/io/indigoreach/core/records/ListRecords.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /** Reads all records with a prefix, as they may have stood a while ago. */
-public final class Listing implements Routine<List<Kept>> {
+public final class ListRecords implements Routine<List<VersionedRecord>> {
     private static final int AT_ONCE = 50;
 
     private final String prefix;
-    private final List<Kept> found = new ArrayList<>();
+    private final List<VersionedRecord> found = new ArrayList<>();
     private boolean begun;
 
-    public Listing(String prefix) {
+    public ListRecords(String prefix) {
         this.prefix = prefix;
     }
 
     @Override
-    public Step<List<Kept>> next(Seen seen) {
+    public Step<List<VersionedRecord>> next(StepResult seen) {
         found.addAll(seen.records().values());
         if (begun && !seen.more()) {
             return new Step.End<>(found);
--- a/src/main/java/io/indigoreach/core/records/Copies.java
+++ b/src/main/java/io/indigoreach/core/records/RecordCache.java
@@ -7,56 +7,56 @@
 import java.util.Map;
 
 /** What one controller remembers of the parts' records: the latest used of each family, bounded. */
-public final class Copies {
-    private final Map<Family, Map<String, Kept>> byFamily = new LinkedHashMap<>();
+public final class RecordCache {
+    private final Map<RecordFamily, Map<String, VersionedRecord>> byFamily = new LinkedHashMap<>();
 
-    public Copies(Collection<Family> families) {
-        for (Family family : families) {
+    public RecordCache(Collection<RecordFamily> families) {
+        for (RecordFamily family : families) {
             if (byFamily.keySet().stream().anyMatch(f -> f.has(family.prefix()) || family.has(f.prefix()))) {
                 throw new IllegalArgumentException("two families of records under " + family.prefix());
             }
             byFamily.put(family, new LinkedHashMap<>(16, 0.75f, true) {
                 @Override
-                protected boolean removeEldestEntry(Map.Entry<String, Kept> eldest) {
+                protected boolean removeEldestEntry(Map.Entry<String, VersionedRecord> eldest) {
                     return size() > family.remembered();
                 }
             });
         }
     }
 
-    public Collection<Family> families() {
+    public Collection<RecordFamily> families() {
         return byFamily.keySet();
     }
 
     /** The family of a key; null if it is of none. */
-    public Family familyOf(String key) {
+    public RecordFamily familyOf(String key) {
         return byFamily.keySet().stream().filter(f -> f.has(key)).findFirst().orElse(null);
     }
 
     /** The newest copy; null if there is none. */
-    public Kept of(String key) {
-        Family family = familyOf(key);
+    public VersionedRecord of(String key) {
+        RecordFamily family = familyOf(key);
         return family == null ? null : byFamily.get(family).get(key);
     }
 
     /** Read or written, and known to have been acknowledged. An older one than the copy is not taken. */
-    public void saw(Kept record) {
-        Family family = familyOf(record.key());
+    public void saw(VersionedRecord record) {
+        RecordFamily family = familyOf(record.key());
         if (family != null && record.isThere()) {
             byFamily.get(family).merge(record.key(), record, (a, b) -> b.version() >= a.version() ? b : a);
         }
     }
 
     public void removed(String key) {
-        Family family = familyOf(key);
+        RecordFamily family = familyOf(key);
         if (family != null) {
             byFamily.get(family).remove(key);
         }
     }
 
     /** Everything, whole families one after the other. */
-    public List<Kept> all() {
-        List<Kept> out = new ArrayList<>();
+    public List<VersionedRecord> all() {
+        List<VersionedRecord> out = new ArrayList<>();
         byFamily.values().forEach(m -> out.addAll(m.values()));
         return out;
     }
--- a/src/main/java/io/indigoreach/core/records/Family.java
+++ b/src/main/java/io/indigoreach/core/records/RecordFamily.java
@@ -10,7 +10,7 @@
  * @param permanent they are never removed: that one is gone, or older than a copy, shows a loss
  * @param mending what to write in place of a lost record
  */
-public record Family(String prefix, int remembered, boolean permanent, Mending mending) {
+public record RecordFamily(String prefix, int remembered, boolean permanent, Mending mending) {
     /** What is written where controllers remember a record that is absent or another in the state service. */
     @FunctionalInterface
     public interface Mending {
@@ -18,10 +18,10 @@
         Mending NEWER = (present, remembered) -> present.version() < remembered.version() ? remembered.value() : null;
 
         /** The value to be written, counting on from both; null if what is there stays. */
-        Map<String, Object> mend(Kept present, Kept remembered);
+        Map<String, Object> mend(VersionedRecord present, VersionedRecord remembered);
     }
 
-    public Family {
+    public RecordFamily {
         if (!prefix.endsWith("/")) {
             throw new IllegalArgumentException("a prefix ends in a slash: " + prefix);
         }
--- a/src/main/java/io/indigoreach/core/records/Routine.java
+++ b/src/main/java/io/indigoreach/core/records/Routine.java
@@ -7,5 +7,5 @@
  */
 public interface Routine<R> {
     /** At first {@code seen} is empty. */
-    Step<R> next(Seen seen);
+    Step<R> next(StepResult seen);
 }
--- a/src/main/java/io/indigoreach/core/records/Seen.java
+++ b/src/main/java/io/indigoreach/core/records/StepResult.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.records;
 
-import io.indigoreach.core.Stamp;
+import io.indigoreach.core.model.Revision;
 import java.util.List;
 import java.util.Map;
 
@@ -14,14 +14,19 @@
  * @param written the version of what was written; null if nothing was
  * @param failed the keys that did not have the given version when a write was refused
  */
-public record Seen(
-        long era, long timeOfDayMs, Map<String, Kept> records, boolean more, Stamp written, List<String> failed) {
-    public static Seen nothing(long era, long timeOfDayMs) {
-        return new Seen(era, timeOfDayMs, Map.of(), false, null, List.of());
+public record StepResult(
+        long era,
+        long timeOfDayMs,
+        Map<String, VersionedRecord> records,
+        boolean more,
+        Revision written,
+        List<String> failed) {
+    public static StepResult nothing(long era, long timeOfDayMs) {
+        return new StepResult(era, timeOfDayMs, Map.of(), false, null, List.of());
     }
 
-    public Kept record(String key) {
-        return records.getOrDefault(key, Kept.absent(key));
+    public VersionedRecord record(String key) {
+        return records.getOrDefault(key, VersionedRecord.absent(key));
     }
 
     public boolean isWritten() {
--- a/src/main/java/io/indigoreach/core/records/Change.java
+++ b/src/main/java/io/indigoreach/core/records/Transaction.java
@@ -1,48 +1,48 @@
 package io.indigoreach.core.records;
 
-import io.indigoreach.core.Stamp;
+import io.indigoreach.core.model.Revision;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** Writes that are done together or not at all, and the versions that keys must have for them. */
-public final class Change {
-    private final Map<String, Stamp> conditions = new LinkedHashMap<>();
+public final class Transaction {
+    private final Map<String, Revision> conditions = new LinkedHashMap<>();
     private final Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
 
-    public Change when(String key, Stamp stamp) {
+    public Transaction when(String key, Revision stamp) {
         conditions.put(key, stamp);
         return this;
     }
 
     /** Only if the record is still as it was read. */
-    public Change when(Kept read) {
+    public Transaction when(VersionedRecord read) {
         return when(read.key(), read.stamp());
     }
 
-    public Change put(String key, Map<String, Object> value) {
+    public Transaction put(String key, Map<String, Object> value) {
         writes.put(key, value);
         return this;
     }
 
     /** Puts a new value in place of what was read, if it still stands, and counts the change. */
-    public Change replace(Kept read, Map<String, Object> value) {
+    public Transaction replace(VersionedRecord read, Map<String, Object> value) {
         Map<String, Object> counted = new LinkedHashMap<>(value);
-        counted.put(Kept.VERSION, read.version() + 1);
+        counted.put(VersionedRecord.VERSION, read.version() + 1);
         return when(read).put(read.key(), counted);
     }
 
-    public Change delete(String key) {
+    public Transaction delete(String key) {
         writes.put(key, null);
         return this;
     }
 
-    public Change and(Change other) {
+    public Transaction and(Transaction other) {
         conditions.putAll(other.conditions);
         writes.putAll(other.writes);
         return this;
     }
 
-    public Map<String, Stamp> conditions() {
+    public Map<String, Revision> conditions() {
         return conditions;
     }
 
--- a/src/main/java/io/indigoreach/core/records/Kept.java
+++ b/src/main/java/io/indigoreach/core/records/VersionedRecord.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.records;
 
-import io.indigoreach.core.Stamp;
+import io.indigoreach.core.model.Revision;
 import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -9,18 +9,18 @@
  * A record of a part as it was read or written. Besides the state service's version, which begins anew when data are lost, its
  * value counts its own changes under {@link #VERSION}: of two copies the one with the higher count is the newer.
  *
- * @param stamp the state service's version; {@link Stamp#ABSENT} with a null value if there is no such record
+ * @param stamp the state service's version; {@link Revision#ABSENT} with a null value if there is no such record
  */
-public record Kept(String key, Map<String, Object> value, Stamp stamp) {
+public record VersionedRecord(String key, Map<String, Object> value, Revision stamp) {
     /** The field that counts a record's changes; a part's routine raises it with each write. */
     public static final String VERSION = "v";
 
-    public Kept {
+    public VersionedRecord {
         value = value == null ? null : Collections.unmodifiableMap(new LinkedHashMap<>(value));
     }
 
-    public static Kept absent(String key) {
-        return new Kept(key, null, Stamp.ABSENT);
+    public static VersionedRecord absent(String key) {
+        return new VersionedRecord(key, null, Revision.ABSENT);
     }
 
     public boolean isThere() {
--- a/src/main/java/io/indigoreach/core/Admission.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Admission.java
@@ -1,5 +1,9 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Team;
 import java.util.Collection;
 
 /** Whether a well-formed job can ever run here. */
@@ -18,7 +22,7 @@
         if (types.stream().noneMatch(t -> fits(spec, t))) {
             return "a task fits no allowed machine type";
         }
-        int atOnce = spec.shape() == Shape.SERVICE ? spec.tasks() : 1;
+        int atOnce = spec.shape() == JobKind.SERVICE ? spec.tasks() : 1;
         if (!team.allows(spec.demand().cores() * atOnce, spec.demand().gpus() * atOnce)) {
             return "more than the limit of team " + spec.team();
         }
--- a/src/main/java/io/indigoreach/core/Inflow.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ArrivalRate.java
@@ -1,5 +1,7 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import java.util.ArrayDeque;
 import java.util.Arrays;
 import java.util.Deque;
@@ -10,7 +12,7 @@
  * The jobs that came lately. A job whose aim is nearer than a boot is late if machines are rented for it as it waits;
  * only machines that are there for the flow of such jobs serve it in time.
  */
-final class Inflow {
+final class ArrivalRate {
     private static final int PARTS = 6;
     /** Of the time looked at: what came in less counts as if it had come in that much. */
     private static final double LEAST = 0.67;
--- a/src/main/java/io/indigoreach/core/OneWay.java
+++ b/src/main/java/io/indigoreach/core/scheduling/AsymmetricPartition.java
@@ -1,5 +1,12 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.TaskState;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.List;
 
 /**
@@ -14,17 +21,17 @@
  * worker that waits 4 s for each answer and is sent back at once, at 16.5 s; by the token alone at 12 s and 33 s. All that is
  * kept is one order, a count and three times.
  */
-final class OneWay {
+final class AsymmetricPartition {
     private static final int MISSED = 3;
 
-    private enum Sign {
+    private enum Evidence {
         TAKEN,
         MISSED,
         NOTHING
     }
 
     /** An order of the last answer, by which the next report shows whether it was taken; or null. */
-    private Order witness;
+    private WorkerCommand witness;
     /** When the report before was answered; null if it was not, or too late. */
     private Moment answered;
 
@@ -39,15 +46,16 @@
     private boolean told;
 
     /** A report newer than {@code before}; {@code awake}: until then the leader stood still, and may have answered late. */
-    void heard(WorkerReport report, ReportNumber before, Token token, Moment awake, Rules rules, Moment now) {
-        Sign sign = sign(report, before, token);
+    void heard(
+            Heartbeat report, HeartbeatNumber before, FencingToken token, Moment awake, SafetyTimes rules, Moment now) {
+        Evidence sign = sign(report, before, token);
         boolean goesOn = missed > 0 && now.since(lastMiss).compareTo(rules.leaseBound()) > 0;
-        if (sign == Sign.TAKEN || (sign == Sign.NOTHING && goesOn)) {
+        if (sign == Evidence.TAKEN || (sign == Evidence.NOTHING && goesOn)) {
             // A session that outlasts a lease was answered meanwhile, whatever else is known.
             missed = 0;
             told = false;
-            proved |= sign == Sign.TAKEN;
-        } else if (sign == Sign.MISSED && !awake.isAfter(answered)) {
+            proved |= sign == Evidence.TAKEN;
+        } else if (sign == Evidence.MISSED && !awake.isAfter(answered)) {
             since = missed == 0 ? answered : since;
             lastMiss = now;
             missed++;
@@ -59,40 +67,40 @@
         witness = null;
     }
 
-    private Sign sign(WorkerReport report, ReportNumber before, Token token) {
+    private Evidence sign(Heartbeat report, HeartbeatNumber before, FencingToken token) {
         if (!proved && report.token().equals(token)) {
-            return Sign.TAKEN;
+            return Evidence.TAKEN;
         }
         if (answered == null) {
-            return Sign.NOTHING;
+            return Evidence.NOTHING;
         }
         if (report.number().session() > before.session()) {
-            return Sign.MISSED;
+            return Evidence.MISSED;
         }
         if (report.token().value() < token.value()) {
-            return Sign.MISSED;
+            return Evidence.MISSED;
         }
-        return witness == null ? Sign.NOTHING : shown(report.tasks());
+        return witness == null ? Evidence.NOTHING : shown(report.tasks());
     }
 
-    private Sign shown(List<TaskReport> tasks) {
-        TaskReport shown = tasks.stream()
+    private Evidence shown(List<TaskStatus> tasks) {
+        TaskStatus shown = tasks.stream()
                 .filter(t -> t.task().equals(witness.task()) && t.attempt().equals(witness.attempt()))
                 .findFirst()
                 .orElse(null);
-        if (witness instanceof Order.Stop) {
+        if (witness instanceof WorkerCommand.Stop) {
             boolean goesOn =
                     shown != null && (shown.state() == TaskState.RUNNING || shown.state() == TaskState.FETCHING);
-            return goesOn ? Sign.MISSED : Sign.NOTHING;
+            return goesOn ? Evidence.MISSED : Evidence.NOTHING;
         }
-        return (shown != null) == witness instanceof Order.Start ? Sign.TAKEN : Sign.MISSED;
+        return (shown != null) == witness instanceof WorkerCommand.Start ? Evidence.TAKEN : Evidence.MISSED;
     }
 
     /** These orders are in the answer that goes out now: a start tells most, a stop least. */
-    void answered(List<Order> orders, Moment now) {
+    void answered(List<WorkerCommand> orders, Moment now) {
         answered = now;
-        for (Order o : orders) {
-            if (witness == null || o instanceof Order.Start || witness instanceof Order.Stop) {
+        for (WorkerCommand o : orders) {
+            if (witness == null || o instanceof WorkerCommand.Start || witness instanceof WorkerCommand.Stop) {
                 witness = o;
             }
         }
--- a/src/main/java/io/indigoreach/core/BestSize.java
+++ b/src/main/java/io/indigoreach/core/scheduling/BestSize.java
@@ -1,5 +1,11 @@
-package io.indigoreach.core;
-
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -26,14 +32,19 @@
     private final Cluster cluster;
     private final Dispatcher dispatcher;
     private final Estimates estimates;
-    private final Tuning tuning;
-    private final Silence silence;
+    private final SchedulerSettings tuning;
+    private final FailureDetector silence;
     /** Ordinary machines kept, per share and type: it follows the need up at once, and down over some time. */
     private final Map<String, Kept> kept = new HashMap<>();
 
-    private final Map<Pool, Moment> refusedUntil = new HashMap<>();
+    private final Map<MachinePool, Moment> refusedUntil = new HashMap<>();
 
-    BestSize(Cluster cluster, Dispatcher dispatcher, Estimates estimates, Tuning tuning, Silence silence) {
+    BestSize(
+            Cluster cluster,
+            Dispatcher dispatcher,
+            Estimates estimates,
+            SchedulerSettings tuning,
+            FailureDetector silence) {
         this.cluster = cluster;
         this.dispatcher = dispatcher;
         this.estimates = estimates;
@@ -41,35 +52,35 @@
         this.silence = silence;
     }
 
-    void refused(Pool pool, Moment now) {
+    void refused(MachinePool pool, Moment now) {
         refusedUntil.put(pool, now.plus(tuning.refusedFor()));
     }
 
     /** Whether it is of use to ask for machines there at this moment. */
-    boolean mayAsk(Pool pool, Moment now) {
+    boolean mayAsk(MachinePool pool, Moment now) {
         return !isRefused(pool, now) && !silence.isCutOff(pool.zone());
     }
 
-    private boolean isRefused(Pool pool, Moment now) {
+    private boolean isRefused(MachinePool pool, Moment now) {
         Moment until = refusedUntil.get(pool);
         return until != null && now.isBefore(until);
     }
 
-    List<RentWish> wishes(Moment now) {
-        Map<Pool, Integer> wanted = new HashMap<>();
-        for (Share share : cluster.shares()) {
+    List<ScaleOutRequest> wishes(Moment now) {
+        Map<MachinePool, Integer> wanted = new HashMap<>();
+        for (FairShareQueue share : cluster.shares()) {
             size(share, now, wanted);
         }
-        List<RentWish> out = new ArrayList<>();
+        List<ScaleOutRequest> out = new ArrayList<>();
         wanted.forEach((pool, n) -> {
             for (int left = n; left > 0; left -= MOST_PER_REQUEST) {
-                out.add(new RentWish(pool, Math.min(left, MOST_PER_REQUEST)));
+                out.add(new ScaleOutRequest(pool, Math.min(left, MOST_PER_REQUEST)));
             }
         });
         return out;
     }
 
-    private void size(Share share, Moment now, Map<Pool, Integer> wanted) {
+    private void size(FairShareQueue share, Moment now, Map<MachinePool, Integer> wanted) {
         Map<String, Need> needs = new HashMap<>();
         Map<String, Backlog> backlogs = backlogs(share, now);
         Job top = dispatcher.top(share, now);
@@ -79,7 +90,7 @@
         }
         boolean shortTaken = false;
         Map<String, Double> shortWork = new HashMap<>();
-        Map<TeamUse, Double> planned = new HashMap<>();
+        Map<TeamUsage, Double> planned = new HashMap<>();
         for (Job job : dispatcher.queue(share, now)) {
             int waiting = job.startable();
             // The leader before has seen to its own; what is there for them is not known before all have reported.
@@ -88,7 +99,7 @@
                 continue;
             }
             boolean isShort = estimates.run(job).compareTo(tuning.shortJob()) < 0;
-            TeamUse team = cluster.use(job);
+            TeamUsage team = cluster.use(job);
             waiting = Math.min(waiting, team.room(job.spec.demand(), planned.getOrDefault(team, 0.0)));
             planned.merge(team, Math.max(0, waiting) * job.spec.demand().cores(), Double::sum);
             MachineType type = cheapest(job);
@@ -225,7 +236,7 @@
      * still meets an aim, and all of it into the time that the settings allow for any queue. Those that are more than
      * that get no new tasks, and so come to be idle at the end of a term.
      */
-    private Map<String, Backlog> backlogs(Share share, Moment now) {
+    private Map<String, Backlog> backlogs(FairShareQueue share, Moment now) {
         Map<String, Backlog> backlogs = new HashMap<>();
         for (MachineType type : cluster.types.values()) {
             backlogs.put(
@@ -256,7 +267,7 @@
         return backlogs;
     }
 
-    private double flow(Share share, MachineType type, Moment now) {
+    private double flow(FairShareQueue share, MachineType type, Moment now) {
         return share.inflow()
                 .perSecond(
                         job -> type.equals(cheapest(job)) && dispatcher.isNear(job, type),
@@ -291,7 +302,7 @@
     }
 
     /** Ordinary machines beyond those needed take no new tasks, those with the least to do first. */
-    private void spare(Share share, Map<String, Backlog> backlogs, Map<String, Need> needs, Moment now) {
+    private void spare(FairShareQueue share, Map<String, Backlog> backlogs, Map<String, Need> needs, Moment now) {
         Map<String, List<Machine>> ordinary = new HashMap<>();
         for (Machine m : cluster.serving(share)) {
             if (!m.pool.spot() && m.phase == Machine.Phase.UP && m.seat == null) {
@@ -337,7 +348,7 @@
         }
     }
 
-    private Capacity capacity(Share share, MachineType type, boolean spot, Moment now) {
+    private Capacity capacity(FairShareQueue share, MachineType type, boolean spot, Moment now) {
         double up = 0;
         double idle = 0;
         int coming = 0;
@@ -404,7 +415,7 @@
         return !job.spec.spotAllowed() || now.since(job.arrived).compareTo(patience) >= 0;
     }
 
-    private boolean isDue(Share share, Job top, Moment now) {
+    private boolean isDue(FairShareQueue share, Job top, Moment now) {
         Moment start = dispatcher.reservation(share, top, now).lastStart();
         return start == null
                 || start.since(top.arrived).compareTo(tuning.waitLimit()) > 0
@@ -428,7 +439,7 @@
     }
 
     /** Machines idle or on order; one that is long overdue is not counted on. */
-    private int atHand(Share share, String type, boolean ordinaryOnly, Moment now) {
+    private int atHand(FairShareQueue share, String type, boolean ordinaryOnly, Moment now) {
         int n = 0;
         for (Machine m : cluster.serving(share)) {
             if (!m.pool.type().equals(type)
@@ -444,15 +455,16 @@
     }
 
     /** A machine of a warm pool is at hand for who waits for what it holds. */
-    private static boolean isWarmFor(Share share, Machine m) {
+    private static boolean isWarmFor(FairShareQueue share, Machine m) {
         return share.jobs().stream()
                 .anyMatch(j -> j.hasWaiting() && j.spec.image().equals(m.seat.image()) && m.allows(j.spec));
     }
 
     /** Not if every job that waits has failed on it. */
-    private static boolean isOfUse(Share share, Machine m) {
+    private static boolean isOfUse(FairShareQueue share, Machine m) {
         return m.failedJobs.isEmpty()
-                || share.jobs().stream().anyMatch(j -> j.hasWaiting() && !j.isSuspect() && !FaultJudge.bars(j, m));
+                || share.jobs().stream()
+                        .anyMatch(j -> j.hasWaiting() && !j.isSuspect() && !FaultAttribution.bars(j, m));
     }
 
     /** Of the types that are to be had where the job may be: a cheaper one elsewhere had been asked for in vain for ever. */
@@ -485,18 +497,19 @@
     private boolean canBeRented(Job job, MachineType type, Moment now) {
         return type.zones().stream()
                 .filter(zone -> mayBeIn(job, zone))
-                .anyMatch(zone -> (job.spec.spotAllowed() && !isRefused(new Pool(type.name(), zone, true), now))
-                        || !isRefused(new Pool(type.name(), zone, false), now));
+                .anyMatch(zone -> (job.spec.spotAllowed() && !isRefused(new MachinePool(type.name(), zone, true), now))
+                        || !isRefused(new MachinePool(type.name(), zone, false), now));
     }
 
     /**
      * Shares the machines out among the zones, a request at a time, the zone with fewer of our machines first; pools
      * that just refused are left alone. False if no pool can be asked.
      */
-    private boolean spread(Job job, MachineType type, boolean spot, int count, Moment now, Map<Pool, Integer> wanted) {
-        Map<Pool, Integer> have = new LinkedHashMap<>();
+    private boolean spread(
+            Job job, MachineType type, boolean spot, int count, Moment now, Map<MachinePool, Integer> wanted) {
+        Map<MachinePool, Integer> have = new LinkedHashMap<>();
         for (String zone : type.zones()) {
-            Pool pool = new Pool(type.name(), zone, spot);
+            MachinePool pool = new MachinePool(type.name(), zone, spot);
             if (mayBeIn(job, zone) && !isRefused(pool, now)) {
                 have.put(pool, 0);
             }
@@ -512,7 +525,7 @@
         }
         for (int left = count; left > 0; left -= MOST_PER_REQUEST) {
             int n = Math.min(left, MOST_PER_REQUEST);
-            Pool fewest = have.entrySet().stream()
+            MachinePool fewest = have.entrySet().stream()
                     .min(Map.Entry.comparingByValue())
                     .orElseThrow()
                     .getKey();
--- a/src/main/java/io/indigoreach/core/Floors.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ClassQuota.java
@@ -1,5 +1,7 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -15,7 +17,7 @@
  * class cannot become the flood of another. The same holds for any job that is older than anything should become. That
  * is ageing as in multilevel feedback queues (Corbató and others, 1962), with classes in place of single jobs.
  */
-final class Floors {
+final class ClassQuota {
     /** A class of which a smaller part can still be served in time is owed; above a half, as jobs it counts on may fail. */
     private static final double FLOOR = 0.7;
     /** Of the jobs served so many times those open are remembered: months of good service would hide a flood of today. */
@@ -98,7 +100,7 @@
         double begun = 0;
         for (Job job : jobs) {
             job.owed = !job.spec.isService() && (aged.test(job) || (!job.late && owed.contains(job.spec.jobClass())));
-            job.toBegin = Aims.isToBegin(job, now) && !job.hasBegun();
+            job.toBegin = ServiceLevelObjectives.isToBegin(job, now) && !job.hasBegun();
             first += job.owed ? job.active().size() * job.spec.demand().cores() : 0;
             begun += job.begunFirst && !job.active().isEmpty()
                     ? job.spec.demand().cores()
--- a/src/main/java/io/indigoreach/core/Cluster.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Cluster.java
@@ -1,5 +1,10 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Team;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -13,14 +18,14 @@
     final Map<JobId, Job> jobs = new HashMap<>();
     final TreeMap<MachineId, Machine> machines = new TreeMap<>();
     final Map<String, MachineType> types = new LinkedHashMap<>();
-    private final Map<String, TeamUse> teams = new HashMap<>();
-    private final Map<String, Share> shares = new LinkedHashMap<>();
+    private final Map<String, TeamUsage> teams = new HashMap<>();
+    private final Map<String, FairShareQueue> shares = new LinkedHashMap<>();
     /** On how many machines each image is. */
     private final Map<String, Integer> holders = new HashMap<>();
     /** Jobs whose tasks only keep images: in no queue. */
     final List<Job> holderJobs = new ArrayList<>();
 
-    Keeper keeper = Keeper.NONE;
+    WarmCapacity keeper = WarmCapacity.NONE;
     private int strangers;
     private long visits;
     /** The leader has not stood still since: what it did not hear before then may wait to be read. */
@@ -30,33 +35,33 @@
 
     Cluster(Collection<Team> teams) {
         for (Team team : teams) {
-            TeamUse use = new TeamUse(team);
+            TeamUsage use = new TeamUsage(team);
             this.teams.put(team.name(), use);
             shareOf(use);
         }
     }
 
-    Collection<Share> shares() {
+    Collection<FairShareQueue> shares() {
         return shares.values();
     }
 
     /** What the job's team uses; one that the settings no longer name keeps its jobs, without guarantee or limit. */
-    TeamUse use(Job job) {
-        return teams.computeIfAbsent(job.spec.team(), t -> new TeamUse(new Team(t, 0, 0, 0, 0)));
+    TeamUsage use(Job job) {
+        return teams.computeIfAbsent(job.spec.team(), t -> new TeamUsage(new Team(t, 0, 0, 0, 0)));
     }
 
-    private Share shareOf(TeamUse use) {
+    private FairShareQueue shareOf(TeamUsage use) {
         return shares.computeIfAbsent(
-                use.hasGuarantee() ? use.team.name() : Share.COMMON,
-                name -> new Share(name, use.hasGuarantee() ? use : null));
+                use.hasGuarantee() ? use.team.name() : FairShareQueue.COMMON,
+                name -> new FairShareQueue(name, use.hasGuarantee() ? use : null));
     }
 
-    Share share(Job job) {
+    FairShareQueue share(Job job) {
         return shareOf(use(job));
     }
 
     /** The share that the machine serves; null if it serves none yet. */
-    Share share(Machine m) {
+    FairShareQueue share(Machine m) {
         return m.share == null ? null : shares.get(m.share);
     }
 
@@ -171,7 +176,7 @@
         return machines.values();
     }
 
-    List<Machine> serving(Share share) {
+    List<Machine> serving(FairShareQueue share) {
         List<Machine> out = new ArrayList<>();
         visits += machines.size();
         for (Machine m : machines.values()) {
--- a/src/main/java/io/indigoreach/core/Consolidation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
@@ -1,5 +1,10 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskState;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -22,9 +27,9 @@
     private final Cluster cluster;
     private final Dispatcher dispatcher;
     private final Estimates estimates;
-    private final Rules rules;
+    private final SafetyTimes rules;
 
-    Consolidation(Cluster cluster, Dispatcher dispatcher, Estimates estimates, Rules rules) {
+    Consolidation(Cluster cluster, Dispatcher dispatcher, Estimates estimates, SafetyTimes rules) {
         this.cluster = cluster;
         this.dispatcher = dispatcher;
         this.estimates = estimates;
@@ -33,12 +38,12 @@
 
     /** Marks the machines that are to take no new tasks, and those of them that are to be emptied. */
     void plan(Moment now) {
-        for (Share share : cluster.shares()) {
+        for (FairShareQueue share : cluster.shares()) {
             plan(share, now);
         }
     }
 
-    private void plan(Share share, Moment now) {
+    private void plan(FairShareQueue share, Moment now) {
         List<Machine> machines = new ArrayList<>();
         for (Machine m : cluster.serving(share)) {
             // Until what was told to save has left it.
@@ -70,7 +75,7 @@
     }
 
     /** Chooses the machines to empty, from the end of the list. */
-    private void empty(Share share, List<Machine> machines, Moment now) {
+    private void empty(FairShareQueue share, List<Machine> machines, Moment now) {
         Map<Machine, Demand> free = new HashMap<>();
         double spareRoom = 0;
         for (Machine m : machines) {
@@ -131,7 +136,7 @@
                         && !t.spare
                         && t.images.contains(p.job.spec.image())
                         && t.allows(p.job.spec)
-                        && !FaultJudge.bars(p.job, t)
+                        && !FaultAttribution.bars(p.job, t)
                         && p.demand().fitsIn(after.getOrDefault(t, t.free()))) {
                     target = t;
                     break;
@@ -147,13 +152,13 @@
     }
 
     /** Stops for a machine that is to be emptied; what is stopped waits for a machine that has its image. */
-    List<Order> orders(Machine m, Moment now) {
-        List<Order> orders = new ArrayList<>();
+    List<WorkerCommand> orders(Machine m, Moment now) {
+        List<WorkerCommand> orders = new ArrayList<>();
         if (m.emptying && isMovable(m, now) && dispatcher.isAside(m, now)) {
             for (Placement p : m.tasksCopy()) {
                 p.stopping = true;
                 p.job.leftToHoldersUntil = now.plus(rules.report().times(3)).plus(p.job.spec.checkpointTime());
-                orders.add(new Order.Stop(
+                orders.add(new WorkerCommand.Stop(
                         p.task(), p.attempt, p.job.spec.checkpointTime().times(2)));
             }
         }
--- a/src/main/java/io/indigoreach/core/ChainedJobs.java
+++ b/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
@@ -1,8 +1,11 @@
-package io.indigoreach.core;
-
-import io.indigoreach.core.chain.DependencyGraph;
-import io.indigoreach.core.chain.Lookahead;
-import io.indigoreach.core.chain.Target;
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.dependency.DependencyGraph;
+import io.indigoreach.core.dependency.Lookahead;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobTarget;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
@@ -12,7 +15,7 @@
  * nothing: it is entered there when the ends of all that it needs are durable, and its times count from then, except its
  * deadline.
  */
-public final class ChainedJobs {
+public final class DependentJobs {
     private static final Span LOOK_AHEAD = Span.seconds(1);
 
     private final Cluster cluster;
@@ -25,7 +28,7 @@
 
     private Moment lookedAhead = Moment.NEVER;
 
-    ChainedJobs(Cluster cluster, Estimates estimates) {
+    DependentJobs(Cluster cluster, Estimates estimates) {
         this.cluster = cluster;
         this.estimates = estimates;
     }
@@ -101,7 +104,7 @@
         if (graph.isEmpty() && targeted.isEmpty()) {
             return;
         }
-        Map<JobId, Target> asked =
+        Map<JobId, JobTarget> asked =
                 Lookahead.of(graph, id -> cluster.jobs.get(id).ownTarget(), id -> runTime(cluster.jobs.get(id)));
         for (JobId id : targeted) {
             if (!asked.containsKey(id)) {
@@ -117,7 +120,7 @@
         return job.spec.isService() ? Span.ZERO : estimates.run(job);
     }
 
-    private void target(JobId id, Target target) {
+    private void target(JobId id, JobTarget target) {
         Job job = cluster.jobs.get(id);
         if (job != null) {
             job.asked = target;
--- a/src/main/java/io/indigoreach/core/Dispatcher.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
@@ -1,5 +1,16 @@
-package io.indigoreach.core;
-
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskState;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -38,42 +49,48 @@
     /** Places that the top job lacks, less those for which room is being made since they were counted. */
     private record Shortage(Job top, Moment counted, int places) {}
 
-    private record Reserved(Reservation reservation, Moment made) {}
+    private record CachedReservation(Reservation reservation, Moment made) {}
 
     private final Cluster cluster;
-    private final Aims aims;
+    private final ServiceLevelObjectives aims;
     private final Estimates estimates;
-    private final TakeOver takeOver;
-    private final Token token;
+    private final Failover takeOver;
+    private final FencingToken token;
     private final Span leastPaid;
-    private final Map<JobId, Reserved> reservations = new HashMap<>();
+    private final Map<JobId, CachedReservation> reservations = new HashMap<>();
     private Shortage shortage;
-    private final Map<Share, Shortage> claims = new HashMap<>();
+    private final Map<FairShareQueue, Shortage> claims = new HashMap<>();
     /** Usable machines of each pool, counted once in a while. */
-    private Map<Pool, Integer> usable = Map.of();
+    private Map<MachinePool, Integer> usable = Map.of();
 
     private Moment usableAt = Moment.NEVER;
     /** Cores that each share's fillers may still take, counted once in a while. */
-    private final Map<Share, Room> fillerRoom = new HashMap<>();
+    private final Map<FairShareQueue, CoreBudget> fillerRoom = new HashMap<>();
 
-    private final Corner corner;
+    private final ReservedCapacity corner;
     private long attempts;
 
-    private record Room(double cores, Moment counted) {}
+    private record CoreBudget(double cores, Moment counted) {}
 
-    Dispatcher(Cluster cluster, Aims aims, Estimates estimates, TakeOver takeOver, Token token, Span leastPaid) {
+    Dispatcher(
+            Cluster cluster,
+            ServiceLevelObjectives aims,
+            Estimates estimates,
+            Failover takeOver,
+            FencingToken token,
+            Span leastPaid) {
         this.cluster = cluster;
         this.aims = aims;
         this.estimates = estimates;
         this.takeOver = takeOver;
         this.token = token;
         this.leastPaid = leastPaid;
-        this.corner = new Corner(cluster, aims, estimates);
+        this.corner = new ReservedCapacity(cluster, aims, estimates);
     }
 
     /** Starts for {@code m}, to be put into the answer to its report {@code number}. */
-    List<Order> fill(Machine m, ReportNumber number, Moment now) {
-        List<Order> orders = new ArrayList<>();
+    List<WorkerCommand> fill(Machine m, HeartbeatNumber number, Moment now) {
+        List<WorkerCommand> orders = new ArrayList<>();
         if (!m.isUsable()) {
             return orders;
         }
@@ -81,7 +98,7 @@
             fillWithOverdue(m, number, now, orders);
             return orders;
         }
-        for (Share share : candidates(m)) {
+        for (FairShareQueue share : candidates(m)) {
             int before = orders.size();
             fillFrom(share, m, number, now, orders);
             if (orders.size() > before) {
@@ -101,7 +118,7 @@
     }
 
     /** A holder sits where a warm pool has a seat and nothing else keeps the image; elsewhere it is told to go. */
-    private void tendHolder(Machine m, ReportNumber number, Moment now, List<Order> orders) {
+    private void tendHolder(Machine m, HeartbeatNumber number, Moment now, List<WorkerCommand> orders) {
         Job due = m.seat == null ? null : m.seat.holder();
         Placement sits = m.holder();
         if (sits != null
@@ -118,7 +135,7 @@
                 && due.hasStartable()
                 && mayStart(due, now)
                 && !due.isSuspect()
-                && FaultJudge.allows(due, m, now)
+                && FaultAttribution.allows(due, m, now)
                 && m.allows(due.spec)
                 && due.spec.demand().fitsIn(m.free())
                 && placeable(due, m)) {
@@ -130,17 +147,17 @@
         }
     }
 
-    private static void stop(Placement p, List<Order> orders) {
+    private static void stop(Placement p, List<WorkerCommand> orders) {
         p.stopping = true;
-        orders.add(new Order.Stop(p.task(), p.attempt, Span.ZERO));
+        orders.add(new WorkerCommand.Stop(p.task(), p.attempt, Span.ZERO));
     }
 
-    private Placement place(Job job, Machine m, ReportNumber number, Moment now, List<Order> orders) {
+    private Placement place(Job job, Machine m, HeartbeatNumber number, Moment now, List<WorkerCommand> orders) {
         Placement p =
                 new Placement(job, job.nextStartable(), m, token.attempt(++attempts), TaskState.ORDERED, number, now);
         cluster.keeper.starting(job, m);
         cluster.place(p);
-        orders.add(new Order.Start(p.task(), p.attempt));
+        orders.add(new WorkerCommand.Start(p.task(), p.attempt));
         return p;
     }
 
@@ -149,17 +166,17 @@
      * would otherwise wait for longer than that takes. Stopped are tasks that keep their progress and, where an aim on
      * the top job's starts is about to be lost, tasks that have hardly begun.
      */
-    List<Order> makeRoom(Machine m, Moment now) {
-        List<Order> orders = giveBack(m, now);
+    List<WorkerCommand> makeRoom(Machine m, Moment now) {
+        List<WorkerCommand> orders = giveBack(m, now);
         if (!orders.isEmpty()) {
             return orders;
         }
-        Share share = cluster.share(m);
+        FairShareQueue share = cluster.share(m);
         Job top = share == null || !m.isUsable() ? null : top(share, now);
         if (top == null
                 || !mayAskForRoom(top, m.type)
                 || !m.allows(top.spec)
-                || !FaultJudge.allows(top, m, now)
+                || !FaultAttribution.allows(top, m, now)
                 || !placeable(top, m)
                 || isLeftToHolders(top, m, now)) {
             return orders;
@@ -179,7 +196,7 @@
                 break;
             }
             p.stopping = true;
-            orders.add(new Order.Stop(
+            orders.add(new WorkerCommand.Stop(
                     p.task(), p.attempt, p.job.spec.checkpointTime().times(2)));
             wanted -= top.spec.demand().timesIn(room) - before;
         }
@@ -193,7 +210,7 @@
     }
 
     /** How many places the top job lacks: counted over all machines once in a while, not for every report. */
-    private int wanted(Share share, Job top, Moment now) {
+    private int wanted(FairShareQueue share, Job top, Moment now) {
         if (shortage == null || shortage.top != top || !now.isBefore(shortage.counted.plus(SHORTAGE_LIFE))) {
             shortage = new Shortage(top, now, top.startable() - comingPlaces(cluster.serving(share), top, now));
         }
@@ -201,23 +218,23 @@
     }
 
     /** Stops work that its team runs beyond its guarantee where another team waits for its own. */
-    private List<Order> giveBack(Machine m, Moment now) {
-        List<Order> orders = new ArrayList<>();
-        for (Share due : cluster.shares()) {
+    private List<WorkerCommand> giveBack(Machine m, Moment now) {
+        List<WorkerCommand> orders = new ArrayList<>();
+        for (FairShareQueue due : cluster.shares()) {
             Job top = due.guaranteed != null ? top(due, now) : null;
             yieldSeat(due, top, m, now);
             if (top == null
                     || !m.isUsable()
                     || !due.isDue(top.spec.demand())
                     || !m.allows(top.spec)
-                    || !FaultJudge.allows(top, m, now)
+                    || !FaultAttribution.allows(top, m, now)
                     || !placeable(top, m)
                     || isProvidedFor(due, top, now)) {
                 continue;
             }
             Demand room = m.free();
             for (Placement p : m.tasksCopy()) {
-                Share borrower = cluster.share(p.job);
+                FairShareQueue borrower = cluster.share(p.job);
                 if (!top.spec.demand().fitsIn(room)
                         && borrower != due
                         && !p.stopping
@@ -225,7 +242,7 @@
                         && !borrower.isDue(Demand.NOTHING)) {
                     room = room.plus(p.demand());
                     p.stopping = true;
-                    orders.add(new Order.Stop(
+                    orders.add(new WorkerCommand.Stop(
                             p.task(), p.attempt, p.job.spec.checkpointTime().times(2)));
                 }
             }
@@ -238,7 +255,7 @@
     }
 
     /** An idle machine of a pool goes to a team that waits for its guarantee, as work beyond the payer's own would be stopped. */
-    private void yieldSeat(Share due, Job top, Machine m, Moment now) {
+    private void yieldSeat(FairShareQueue due, Job top, Machine m, Moment now) {
         Job holder = m.seat == null ? null : m.seat.holder();
         if (top != null
                 && holder != null
@@ -257,7 +274,7 @@
     }
 
     /** Whether places for a job within its team's guarantee come free without stopping more; counted like {@link #wanted}. */
-    private boolean isProvidedFor(Share due, Job top, Moment now) {
+    private boolean isProvidedFor(FairShareQueue due, Job top, Moment now) {
         Shortage claim = claims.get(due);
         if (claim == null || claim.top != top || !now.isBefore(claim.counted.plus(SHORTAGE_LIFE))) {
             claim = new Shortage(top, now, top.startable() - comingPlaces(cluster.all(), top, now));
@@ -320,11 +337,11 @@
      * What has waited for long starts wherever a machine has room, of whichever share, and also where only its price or the room
      * elsewhere speaks against it: nothing is to wait beside free room. It delays the own share's top job nowhere.
      */
-    private void fillWithOverdue(Machine m, ReportNumber number, Moment now, List<Order> orders) {
+    private void fillWithOverdue(Machine m, HeartbeatNumber number, Moment now, List<WorkerCommand> orders) {
         boolean tried = !m.spare && !isAside(m, now);
-        Share own = cluster.share(m);
+        FairShareQueue own = cluster.share(m);
         Job top = own == null ? null : top(own, now);
-        for (Share share : candidates(m)) {
+        for (FairShareQueue share : candidates(m)) {
             if (share == own && tried) {
                 continue;
             }
@@ -350,15 +367,16 @@
     }
 
     /** The machine's own share; an idle machine may pass to the share that has the least of what it is due. */
-    private List<Share> candidates(Machine m) {
-        List<Share> out = new ArrayList<>(cluster.shares());
-        out.sort(Comparator.<Share>comparingInt(s -> s.isDue(Demand.NOTHING) ? 0 : 1)
+    private List<FairShareQueue> candidates(Machine m) {
+        List<FairShareQueue> out = new ArrayList<>(cluster.shares());
+        out.sort(Comparator.<FairShareQueue>comparingInt(s -> s.isDue(Demand.NOTHING) ? 0 : 1)
                 .thenComparingInt(s -> s.name.equals(m.share) ? 0 : 1)
-                .thenComparingDouble(Share::beyond));
+                .thenComparingDouble(FairShareQueue::beyond));
         return out;
     }
 
-    private void fillFrom(Share share, Machine m, ReportNumber number, Moment now, List<Order> orders) {
+    private void fillFrom(
+            FairShareQueue share, Machine m, HeartbeatNumber number, Moment now, List<WorkerCommand> orders) {
         if (m.free().cores() <= 1e-6) {
             return;
         }
@@ -406,15 +424,15 @@
     }
 
     private void start(
-            Share share,
+            FairShareQueue share,
             Job job,
             Machine m,
             Reservation reservation,
-            ReportNumber number,
+            HeartbeatNumber number,
             Moment now,
-            List<Order> orders,
+            List<WorkerCommand> orders,
             boolean beforeAll) {
-        boolean suits = m.allows(job.spec) && FaultJudge.allows(job, m, now) && !isLeftToHolders(job, m, now);
+        boolean suits = m.allows(job.spec) && FaultAttribution.allows(job, m, now) && !isLeftToHolders(job, m, now);
         Span time = estimates.onMachine(job, m);
         boolean filler = suits && !beforeAll && isFiller(job);
         while (suits
@@ -434,7 +452,8 @@
             Placement p = place(job, m, number, now, orders);
             if (filler) {
                 fillerRoom.computeIfPresent(
-                        share, (s, room) -> new Room(room.cores - p.demand().cores(), room.counted));
+                        share,
+                        (s, room) -> new CoreBudget(room.cores - p.demand().cores(), room.counted));
             }
             job.begunFirst |= job.toBegin;
             suits = !job.isSuspect() && !job.toBegin;
@@ -455,8 +474,8 @@
     }
 
     /** Whether what is left beside all fillers is enough for the jobs with an aim: those that are here, and their flow. */
-    boolean leavesRoom(Share share, Job job, Moment now) {
-        Room room = fillerRoom.get(share);
+    boolean leavesRoom(FairShareQueue share, Job job, Moment now) {
+        CoreBudget room = fillerRoom.get(share);
         if (room == null || !now.isBefore(room.counted.plus(RESERVATION_LIFE))) {
             double cores = 0;
             for (Machine m : cluster.serving(share)) {
@@ -480,7 +499,7 @@
                             leastPaid,
                             now);
             double aside = Math.max(aimed, flow);
-            room = new Room(aside > 0 ? cores - aside : Double.MAX_VALUE, now);
+            room = new CoreBudget(aside > 0 ? cores - aside : Double.MAX_VALUE, now);
             fillerRoom.put(share, room);
         }
         return room.cores >= job.spec.demand().cores();
@@ -501,7 +520,7 @@
                 && cluster.isHeld(job.spec.image());
     }
 
-    List<Job> queue(Share share, Moment now) {
+    List<Job> queue(FairShareQueue share, Moment now) {
         return share.queue(
                 job -> aims.latestStart(job, estimates.run(job), rounds(job, now), now)
                         .minus(clearing(job)),
@@ -529,8 +548,8 @@
             }
         }
         int places = 0;
-        for (Map.Entry<Pool, Integer> e : usable.entrySet()) {
-            Pool pool = e.getKey();
+        for (Map.Entry<MachinePool, Integer> e : usable.entrySet()) {
+            MachinePool pool = e.getKey();
             if (job.spec.allowsType(pool.type())
                     && job.spec.allowsZone(pool.zone())
                     && job.spec.allowsKind(pool.spot())) {
@@ -600,7 +619,7 @@
     }
 
     /** The top job: the first in the queue that has tasks waiting and may start. */
-    Job top(Share share, Moment now) {
+    Job top(FairShareQueue share, Moment now) {
         for (Job job : queue(share, now)) {
             if (job.hasStartable() && mayStart(job, now) && !job.isSuspect() && !job.hadItsTurn()) {
                 return job;
@@ -610,7 +629,7 @@
     }
 
     /** Whether a start of the job on the machine would delay the top job, if that is another. */
-    boolean isReserved(Share share, Job job, Machine m, Moment now) {
+    boolean isReserved(FairShareQueue share, Job job, Machine m, Moment now) {
         Job top = top(share, now);
         return top != null
                 && top != job
@@ -618,8 +637,8 @@
                         .allows(m, job.spec.demand(), estimates.onMachine(job, m), estimates, now);
     }
 
-    Reservation reservation(Share share, Job top, Moment now) {
-        Reserved kept = reservations.get(top.id());
+    Reservation reservation(FairShareQueue share, Job top, Moment now) {
+        CachedReservation kept = reservations.get(top.id());
         if (kept != null && kept.reservation.top() == top && now.isBefore(kept.made.plus(RESERVATION_LIFE))) {
             return kept.reservation;
         }
@@ -629,7 +648,7 @@
             machines.removeIf(m -> corner.has(m, share, queue(share, now), now));
         }
         Reservation made = Reservation.of(top, machines, estimates, now);
-        reservations.put(top.id(), new Reserved(made, now));
+        reservations.put(top.id(), new CachedReservation(made, now));
         return made;
     }
 
@@ -638,7 +657,7 @@
      * Never where something waits that had better not be kept from any place: it is urgent, a replica, has an aim on its
      * starts, or may not use every machine.
      */
-    boolean fits(Share share, Collection<Demand> free, Moment now) {
+    boolean fits(FairShareQueue share, Collection<Demand> free, Moment now) {
         double cores = 0;
         for (Demand room : free) {
             cores += room.cores();
@@ -678,7 +697,7 @@
         if (m.spare || isAside(m, now)) {
             return false;
         }
-        for (Share share : cluster.shares()) {
+        for (FairShareQueue share : cluster.shares()) {
             if (m.share != null && !m.share.equals(share.name)) {
                 continue;
             }
--- a/src/main/java/io/indigoreach/core/Estimates.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Estimates.java
@@ -1,5 +1,9 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskState;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.BiConsumer;
--- a/src/main/java/io/indigoreach/core/TakeOver.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Failover.java
@@ -1,5 +1,7 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.Moment;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -8,7 +10,7 @@
  * orders to, and these are all in the state service. Until each of them has reported under the new token, or is gone,
  * or its lease has surely run out, nothing inherited may be started.
  */
-final class TakeOver {
+final class Failover {
     /** Of each, since when no earlier leader has answered it. */
     private final Map<MachineId, Moment> unaccounted = new HashMap<>();
 
--- a/src/main/java/io/indigoreach/core/Silence.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FailureDetector.java
@@ -1,5 +1,7 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -7,7 +9,7 @@
  * What the silence of machines shows. One that hangs or is dead is silent alone; where many of a zone are, the fault is
  * more likely on the way to them: they work on behind it, and come back when it ends.
  */
-final class Silence {
+final class FailureDetector {
     /** Part of a zone's machines whose reports may be overdue together by their own fault. */
     private static final double MOST_OVERDUE = 0.25;
 
@@ -15,7 +17,7 @@
     private static final double NEARLY_ALL = 0.9;
 
     private final Cluster cluster;
-    private final Rules rules;
+    private final SafetyTimes rules;
     /** Part of each zone's machines whose reports are overdue, of those that may hold tasks. */
     private final Map<String, Double> overdue = new HashMap<>();
     /** The same of all that were ever up: those whose leases have run out are silent too. */
@@ -23,7 +25,7 @@
     /** The same with those whose reports show that answers do not reach them. */
     private final Map<String, Double> unreached = new HashMap<>();
 
-    Silence(Cluster cluster, Rules rules) {
+    FailureDetector(Cluster cluster, SafetyTimes rules) {
         this.cluster = cluster;
         this.rules = rules;
     }
--- a/src/main/java/io/indigoreach/core/Share.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FairShareQueue.java
@@ -1,5 +1,9 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -12,19 +16,19 @@
  * got as many cores as the plans of the next morning, and kept its machines half used. Machines name the share that they
  * serve; the leader moves idle ones.
  */
-final class Share {
+final class FairShareQueue {
     /** How long an order of the queue is kept while no job comes or goes. */
     private static final Span ORDER_LIFE = Span.seconds(1);
 
     /** A job with what its place in the queue depends on. */
-    private record Ranked(Job job, int turn, Urgency urgency, Moment latestStart) {}
+    private record RankedJob(Job job, int turn, Urgency urgency, Moment latestStart) {}
 
     /**
      * The paper's priority queue, its priority from urgency and time: urgent jobs first, the others mixed, each by the
-     * latest start that still meets an aim; then the order of arrival. Before them what a class is owed ({@link Floors}), and
+     * latest start that still meets an aim; then the order of arrival. Before them what a class is owed ({@link ClassQuota}), and
      * before that one task of each job of which nothing has run for too long, in the order of arrival.
      */
-    private static final Comparator<Ranked> ORDER = Comparator.<Ranked, Integer>comparing(r -> r.turn)
+    private static final Comparator<RankedJob> ORDER = Comparator.<RankedJob, Integer>comparing(r -> r.turn)
             .thenComparing(r -> r.urgency)
             .thenComparing(r -> r.latestStart)
             .thenComparingLong(r -> r.job.submittedMs)
@@ -35,18 +39,18 @@
 
     final String name;
     /** Its team, if it has a guarantee; else null. */
-    final TeamUse guaranteed;
+    final TeamUsage guaranteed;
 
     private final List<Job> jobs = new ArrayList<>();
-    private final Inflow inflow = new Inflow();
-    private final Floors floors = new Floors();
+    private final ArrivalRate inflow = new ArrivalRate();
+    private final ClassQuota floors = new ClassQuota();
     private List<Job> ordered = List.of();
     private Moment orderedAt = Moment.NEVER;
     private double cores;
     /** What is free on the machines that are not put aside. */
     private List<Demand> roomBeside = List.of();
 
-    Share(String name, TeamUse guaranteed) {
+    FairShareQueue(String name, TeamUsage guaranteed) {
         this.name = name;
         this.guaranteed = guaranteed;
     }
@@ -67,7 +71,7 @@
         return jobs;
     }
 
-    Inflow inflow() {
+    ArrivalRate inflow() {
         return inflow;
     }
 
@@ -76,7 +80,7 @@
             Function<Job, Moment> latestStart, Function<Job, Moment> lastChance, Predicate<Job> aged, Moment now) {
         if (!now.isBefore(orderedAt.plus(ORDER_LIFE))) {
             floors.count(jobs, cores, lastChance, aged, now);
-            List<Ranked> ranked = new ArrayList<>(jobs.size());
+            List<RankedJob> ranked = new ArrayList<>(jobs.size());
             for (Job job : jobs) {
                 Urgency urgency = job.urgency() == Urgency.BEST_EFFORT ? Urgency.STANDARD : job.urgency();
                 // A replica that is down is worth more than any job that is late.
@@ -84,11 +88,11 @@
                 int turn = job.toBegin ? 0 : first ? 1 : 2;
                 ranked.add(
                         turn == 0
-                                ? new Ranked(job, turn, Urgency.PRODUCTION, job.arrived)
-                                : new Ranked(job, turn, urgency, latestStart.apply(job)));
+                                ? new RankedJob(job, turn, Urgency.PRODUCTION, job.arrived)
+                                : new RankedJob(job, turn, urgency, latestStart.apply(job)));
             }
             ranked.sort(ORDER);
-            ordered = ranked.stream().map(Ranked::job).toList();
+            ordered = ranked.stream().map(RankedJob::job).toList();
             orderedAt = now;
         }
         return ordered;
--- a/src/main/java/io/indigoreach/core/FaultJudge.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FaultAttribution.java
@@ -1,14 +1,17 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 
 /**
  * Decides from failed tasks whether the machine or the job is at fault. A faulty machine fails the tasks of whichever
  * job it is given; a job submitted with a mistake fails on every machine.
  */
-final class FaultJudge {
+final class FaultAttribution {
     private static final Span FIRST_PAUSE = Span.seconds(2);
     private static final Span LONGEST_PAUSE = Span.seconds(30);
 
-    private FaultJudge() {}
+    private FaultAttribution() {}
 
     static void failed(Placement p, Moment now) {
         Job job = p.job;
--- a/src/main/java/io/indigoreach/core/warm/Cache.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ImageCache.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core.warm;
+package io.indigoreach.core.scheduling;
 
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -10,7 +10,7 @@
  * Which images a machine has, as far as its reports show. The protocol names the size of the cache and that the most recently
  * used images stay; what is not shown by a report is not claimed. Sizes in GB.
  */
-public final class Cache {
+public final class ImageCache {
     /** A bound for images that take no room. */
     private static final int MOST = 256;
 
@@ -30,7 +30,7 @@
     private final Map<String, Entry> entries = new LinkedHashMap<>();
 
     /** {@code capacity} 0: not known, and nothing is ever pushed out. */
-    public Cache(double capacity) {
+    public ImageCache(double capacity) {
         this.capacity = capacity;
     }
 
--- a/src/main/java/io/indigoreach/core/Job.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Job.java
@@ -1,6 +1,15 @@
-package io.indigoreach.core;
-
-import io.indigoreach.core.chain.Target;
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.JobTarget;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collection;
@@ -41,12 +50,12 @@
     /** Tasks below may be on a machine that this leader has not heard yet. */
     private int heldBelow;
 
-    Stamp stamp;
+    Revision stamp;
     boolean cancelled;
     /** Others have to be done before any task of it starts. */
     private boolean waitsForJobs;
     /** What the jobs that need it ask of it; null if none does. */
-    Target asked;
+    JobTarget asked;
     /** Machines on which one of its tasks has failed since one last completed there. */
     final Set<MachineId> failedOn = new HashSet<>();
 
@@ -75,7 +84,8 @@
      * @param bound the job's recorded start bound: no task from this one on was ever ordered
      * @param inherited it was there before this leader took over
      */
-    public Job(JobSpec spec, long submittedMs, Moment arrived, Stamp stamp, BitSet done, int bound, boolean inherited) {
+    public Job(
+            JobSpec spec, long submittedMs, Moment arrived, Revision stamp, BitSet done, int bound, boolean inherited) {
         this.spec = spec;
         this.submittedMs = submittedMs;
         this.submitted = arrived;
@@ -135,8 +145,8 @@
     }
 
     /** What its own user asks of it. */
-    Target ownTarget() {
-        return new Target(spec.urgency(), ownDueAt());
+    JobTarget ownTarget() {
+        return new JobTarget(spec.urgency(), ownDueAt());
     }
 
     /** The start bound to be written with the job: at least the one that is recorded. */
@@ -199,7 +209,7 @@
         return spec;
     }
 
-    public Stamp stamp() {
+    public Revision stamp() {
         return stamp;
     }
 
@@ -230,7 +240,7 @@
 
     /** Every task has completed; a service never does. */
     public boolean isComplete() {
-        return doneCount == spec.tasks() && spec.shape() == Shape.ARRAY;
+        return doneCount == spec.tasks() && spec.shape() == JobKind.ARRAY;
     }
 
     public boolean hasUnrecorded() {
--- a/src/main/java/io/indigoreach/core/Machine.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Machine.java
@@ -1,7 +1,14 @@
-package io.indigoreach.core;
-
-import io.indigoreach.core.warm.Cache;
-import io.indigoreach.core.warm.Seat;
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.TaskId;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -20,7 +27,7 @@
     }
 
     final MachineId id;
-    final Pool pool;
+    final MachinePool pool;
     final MachineType type;
     Phase phase = Phase.BOOTING;
     /** When it was asked for: its paid terms count from here. */
@@ -28,7 +35,7 @@
     /** Known in the state service; only then may it get tasks, so that a later leader knows to wait for its report. */
     boolean recorded;
 
-    ReportNumber last = ReportNumber.NONE;
+    HeartbeatNumber last = HeartbeatNumber.NONE;
     /** When its last answered report came; its lease cannot outlast this by more than the lease bound. */
     Moment heard;
     /** Its lease has surely run out since: what it ran is over, and it reports under another session if it lives. */
@@ -40,17 +47,17 @@
 
     Moment idleSince;
     String share;
-    final Cache images;
+    final ImageCache images;
     /** Its place in a warm pool, or null. */
-    Seat seat;
+    PoolMembership seat;
 
     final Set<JobId> failedJobs = new HashSet<>();
     boolean condemned;
-    final OneWay oneWay = new OneWay();
+    final AsymmetricPartition oneWay = new AsymmetricPartition();
     /** More than is needed at its price: it gets no new tasks for now. */
     boolean spare;
     /** It takes no new tasks while the other machines of this share have room for all that waits; or null. */
-    Share aside;
+    FairShareQueue aside;
     /** Its tasks are to be moved to others. */
     boolean emptying;
     /** Tasks on it of jobs that are over, about which nothing else is known: they still count against their teams. */
@@ -65,7 +72,7 @@
     private int holders;
     private Demand used = Demand.NOTHING;
 
-    Machine(MachineId id, Pool pool, MachineType type, Moment rented) {
+    Machine(MachineId id, MachinePool pool, MachineType type, Moment rented) {
         this.id = id;
         this.pool = pool;
         this.type = type;
@@ -73,14 +80,14 @@
         this.heard = rented;
         this.idleSince = rented;
         this.existed = rented;
-        this.images = new Cache(type.cacheGb());
+        this.images = new ImageCache(type.cacheGb());
     }
 
     public MachineId id() {
         return id;
     }
 
-    public Pool pool() {
+    public MachinePool pool() {
         return pool;
     }
 
@@ -152,16 +159,16 @@
         return type;
     }
 
-    public Cache images() {
+    public ImageCache images() {
         return images;
     }
 
-    public Seat seat() {
+    public PoolMembership seat() {
         return seat;
     }
 
     /** Whoever keeps machines takes it, or with null lets it go. */
-    public void seat(Seat place) {
+    public void seat(PoolMembership place) {
         seat = place;
         spare &= place == null;
     }
--- a/src/main/java/io/indigoreach/core/Newcomers.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachineAdoption.java
@@ -1,5 +1,10 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.Moment;
 import java.util.Collection;
 import java.util.Collections;
 import java.util.LinkedHashMap;
@@ -11,14 +16,14 @@
  * one from the same machine, does: only this leader's answer to that one can have shown the token. What really runs without
  * showing that is taken on by the cloud's list.
  */
-final class Newcomers {
+final class MachineAdoption {
     private static final int KEPT = 1000;
 
-    private final Rules rules;
+    private final SafetyTimes rules;
     /** A report of each whose answer shows our token: the first that bore an older one, or the last before the records were read. */
-    private final Map<MachineId, ReportNumber> asked = new LinkedHashMap<>() {
+    private final Map<MachineId, HeartbeatNumber> asked = new LinkedHashMap<>() {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<MachineId, ReportNumber> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<MachineId, HeartbeatNumber> eldest) {
             return size() > KEPT;
         }
     };
@@ -29,7 +34,7 @@
     /** Machines up to this one were all known to a whole list that is new enough: an unknown one of them is gone. */
     private MachineId settled;
 
-    Newcomers(Rules rules) {
+    MachineAdoption(SafetyTimes rules) {
         this.rules = rules;
     }
 
@@ -37,11 +42,11 @@
      * Answered before it was known who is known. Else a copy of that report, and one of the next, would be taken for the first
      * that this leader sees and the proof after it.
      */
-    void answered(MachineId id, ReportNumber newest) {
+    void answered(MachineId id, HeartbeatNumber newest) {
         asked.put(id, newest);
     }
 
-    boolean isProved(WorkerReport report, Token token) {
+    boolean isProved(Heartbeat report, FencingToken token) {
         MachineId id = report.machine();
         if (settled != null && id.compareTo(settled) <= 0) {
             return false;
@@ -50,7 +55,7 @@
             asked.putIfAbsent(id, report.number());
             return false;
         }
-        ReportNumber first = asked.get(id);
+        HeartbeatNumber first = asked.get(id);
         boolean proved = first != null && report.number().compareTo(first) > 0;
         if (proved) {
             asked.remove(id);
--- a/src/main/java/io/indigoreach/core/Placement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Placement.java
@@ -1,4 +1,11 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.model.Attempt;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.TaskId;
+import io.indigoreach.core.model.TaskState;
 
 /** A task that may be on a machine. It counts against the machine, the job and the team until it surely is not. */
 public final class Placement {
@@ -8,7 +15,7 @@
     final Attempt attempt;
     TaskState state;
     /** The report whose answer carried the start; a newer report without the task shows it was never executed. */
-    final ReportNumber orderedIn;
+    final HeartbeatNumber orderedIn;
     /** When the task was ordered or first seen; once it runs, when that was first reported. */
     Moment since;
 
@@ -20,7 +27,7 @@
             Machine machine,
             Attempt attempt,
             TaskState state,
-            ReportNumber orderedIn,
+            HeartbeatNumber orderedIn,
             Moment since) {
         this.job = job;
         this.index = index;
--- a/src/main/java/io/indigoreach/core/warm/Seat.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PoolMembership.java
@@ -1,16 +1,15 @@
-package io.indigoreach.core.warm;
+package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.Job;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Span;
 
 /**
  * A machine's place in a pool: it is paid for by that pool alone, holds that pool's image, and takes others only as far as
  * neither the image nor a replica's start is spoilt. A machine has one seat at most, so no two pools pay for it, and two
  * images that do not fit one cache never meet.
  */
-public final class Seat {
+public final class PoolMembership {
     private final String pool;
     private final String image;
     private final double gb;
@@ -19,11 +18,7 @@
     private Span longestGuest = Span.ZERO;
     private boolean dropped;
 
-    Seat(PoolSpec spec) {
-        this(spec.name(), spec.image(), spec.gb(), spec.replica());
-    }
-
-    Seat(String pool, String image, double gb, Demand replica) {
+    public PoolMembership(String pool, String image, double gb, Demand replica) {
         this.pool = pool;
         this.image = image;
         this.gb = gb;
@@ -47,16 +42,16 @@
         return dropped ? null : holder;
     }
 
-    void holder(Job job) {
+    public void holder(Job job) {
         holder = job;
     }
 
-    void longestGuest(Span span) {
+    public void longestGuest(Span span) {
         longestGuest = span;
     }
 
     /** The pool pays no more. The guard stays until that is recorded, as a later leader would claim the image by the record. */
-    void drop() {
+    public void drop() {
         dropped = true;
     }
 
@@ -69,7 +64,7 @@
      * fetch would share its rate), where theirs fits beside it, and where they leave room for a replica or, by twice the
      * owner's estimate, are gone before one is expected.
      */
-    public boolean takes(JobSpec spec, Cache cache, Demand free) {
+    public boolean takes(JobSpec spec, ImageCache cache, Demand free) {
         if (spec.image().equals(image)) {
             return true;
         }
--- a/src/main/java/io/indigoreach/core/Reconciler.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Reconciler.java
@@ -1,5 +1,12 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskState;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -12,19 +19,19 @@
 
     private final Cluster cluster;
     private final Estimates estimates;
-    private final Notes notes;
+    private final SchedulerListener notes;
 
-    Reconciler(Cluster cluster, Estimates estimates, Notes notes) {
+    Reconciler(Cluster cluster, Estimates estimates, SchedulerListener notes) {
         this.cluster = cluster;
         this.estimates = estimates;
         this.notes = notes;
     }
 
-    List<Order> reconcile(Machine m, WorkerReport report, Moment now) {
-        List<Order> orders = new ArrayList<>();
+    List<WorkerCommand> reconcile(Machine m, Heartbeat report, Moment now) {
+        List<WorkerCommand> orders = new ArrayList<>();
         Set<Placement> seen = new HashSet<>();
         int strangers = 0;
-        for (TaskReport t : report.tasks()) {
+        for (TaskStatus t : report.tasks()) {
             Job job = cluster.jobs.get(t.task().job());
             if (job == null || t.task().index() >= job.spec.tasks()) {
                 // Cancelled or over. It counts against machine and team until a report shows it gone.
@@ -51,13 +58,13 @@
         return orders;
     }
 
-    private static Order ending(TaskReport t) {
+    private static WorkerCommand ending(TaskStatus t) {
         return t.state() == TaskState.EXITED
-                ? new Order.Forget(t.task(), t.attempt())
-                : new Order.Stop(t.task(), t.attempt(), Span.ZERO);
+                ? new WorkerCommand.Reap(t.task(), t.attempt())
+                : new WorkerCommand.Stop(t.task(), t.attempt(), Span.ZERO);
     }
 
-    private void exited(Machine m, Job job, TaskReport t, Moment now, List<Order> orders) {
+    private void exited(Machine m, Job job, TaskStatus t, Moment now, List<WorkerCommand> orders) {
         int index = t.task().index();
         Placement p = job.active(index);
         boolean here = p != null && p.machine == m && p.attempt.equals(t.attempt());
@@ -76,21 +83,21 @@
                     if (p.state == TaskState.RUNNING) {
                         estimates.observe(job, now.since(p.since));
                     }
-                    FaultJudge.completed(p);
+                    FaultAttribution.completed(p);
                     cluster.lift(p, now);
                 }
                 if (job.complete(index)) {
                     notes.progress(job);
                 }
                 if (job.isDurable(index)) {
-                    orders.add(new Order.Forget(t.task(), t.attempt()));
+                    orders.add(new WorkerCommand.Reap(t.task(), t.attempt()));
                 }
                 return;
             }
             case ERROR -> {
                 m.images.ran(job.spec.image());
                 if (here) {
-                    FaultJudge.failed(p, now);
+                    FaultAttribution.failed(p, now);
                     notes.failed(p);
                     cluster.lift(p, now);
                 }
@@ -108,10 +115,10 @@
                 }
             }
         }
-        orders.add(new Order.Forget(t.task(), t.attempt()));
+        orders.add(new WorkerCommand.Reap(t.task(), t.attempt()));
     }
 
-    private void alive(Machine m, Job job, TaskReport t, Moment now, List<Order> orders, Set<Placement> seen) {
+    private void alive(Machine m, Job job, TaskStatus t, Moment now, List<WorkerCommand> orders, Set<Placement> seen) {
         int index = t.task().index();
         Placement p = job.active(index);
         if (p == null || (p.machine == m && !p.attempt.equals(t.attempt()))) {
@@ -119,12 +126,12 @@
                 cluster.lift(p, now);
             }
             // Started by an earlier leader, or kept by a machine that was given up: it counts from now on.
-            p = new Placement(job, index, m, t.attempt(), t.state(), ReportNumber.NONE, now);
+            p = new Placement(job, index, m, t.attempt(), t.state(), HeartbeatNumber.NONE, now);
             cluster.place(p);
         } else if (p.machine != m) {
             // Possibly in two places: never let the second go on.
             notes.conflict(t.task(), m, p.machine);
-            orders.add(new Order.Stop(t.task(), t.attempt(), Span.ZERO));
+            orders.add(new WorkerCommand.Stop(t.task(), t.attempt(), Span.ZERO));
             return;
         }
         seen.add(p);
@@ -140,11 +147,11 @@
             cluster.version++;
         }
         if (job.cancelled || job.isDone(index)) {
-            orders.add(new Order.Stop(t.task(), t.attempt(), Span.ZERO));
+            orders.add(new WorkerCommand.Stop(t.task(), t.attempt(), Span.ZERO));
         } else if (m.condemned) {
-            orders.add(new Order.Stop(t.task(), t.attempt(), job.spec.checkpointTime()));
+            orders.add(new WorkerCommand.Stop(t.task(), t.attempt(), job.spec.checkpointTime()));
         } else if (m.notice != null && job.spec.savesProgress() && p.state == TaskState.RUNNING) {
-            orders.add(new Order.Stop(t.task(), t.attempt(), m.notice.since(now)));
+            orders.add(new WorkerCommand.Stop(t.task(), t.attempt(), m.notice.since(now)));
         }
     }
 }
--- a/src/main/java/io/indigoreach/core/Reservation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Reservation.java
@@ -1,5 +1,9 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -44,7 +48,7 @@
         int slots = 0;
         for (Machine m : machines) {
             boolean coming = m.phase == Machine.Phase.BOOTING;
-            if ((!coming && !m.isUsable()) || !m.allows(top.spec) || FaultJudge.bars(top, m)) {
+            if ((!coming && !m.isUsable()) || !m.allows(top.spec) || FaultAttribution.bars(top, m)) {
                 continue;
             }
             Moment start = now;
--- a/src/main/java/io/indigoreach/core/Corner.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ReservedCapacity.java
@@ -1,5 +1,8 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -14,19 +17,19 @@
  * machines, as a few such tasks on each machine would leave none empty for tasks that take a whole one: with as many cores
  * spread over all machines, such a class had 0.38 within its aim in place of 0.91.
  */
-final class Corner {
+final class ReservedCapacity {
     private static final double PART = 0.125;
     private static final Span LIFE = Span.seconds(1);
 
     /** Counted at a moment; empty where no such job waits. The jobs are those with the least work left first. */
-    private record Counted(Set<MachineId> machines, List<Job> jobs, Moment at) {}
+    private record Selection(Set<MachineId> machines, List<Job> jobs, Moment at) {}
 
     private final Cluster cluster;
-    private final Aims aims;
+    private final ServiceLevelObjectives aims;
     private final Estimates estimates;
-    private final Map<Share, Counted> byShare = new HashMap<>();
+    private final Map<FairShareQueue, Selection> byShare = new HashMap<>();
 
-    Corner(Cluster cluster, Aims aims, Estimates estimates) {
+    ReservedCapacity(Cluster cluster, ServiceLevelObjectives aims, Estimates estimates) {
         this.cluster = cluster;
         this.aims = aims;
         this.estimates = estimates;
@@ -34,17 +37,17 @@
 
     /** Nobody said by when it should be served, and it has waited for as long as something of any job should run. */
     boolean isFor(Job job, Moment now) {
-        return aims.isWithout(job) && !job.spec.isService() && Aims.isToBegin(job, now);
+        return aims.isWithout(job) && !job.spec.isService() && ServiceLevelObjectives.isToBegin(job, now);
     }
 
-    boolean has(Machine m, Share share, List<Job> queue, Moment now) {
-        Counted counted = byShare.get(share);
+    boolean has(Machine m, FairShareQueue share, List<Job> queue, Moment now) {
+        Selection counted = byShare.get(share);
         if (counted == null || !now.isBefore(counted.at.plus(LIFE))) {
             List<Job> waiting = queue.stream()
                     .filter(job -> isFor(job, now) && job.hasStartable())
                     .sorted(Comparator.comparingDouble(this::left))
                     .toList();
-            counted = new Counted(waiting.isEmpty() ? Set.of() : choose(share, now), waiting, now);
+            counted = new Selection(waiting.isEmpty() ? Set.of() : choose(share, now), waiting, now);
             byShare.put(share, counted);
         }
         return counted.machines.contains(m.id);
@@ -54,7 +57,7 @@
      * The jobs that go first there, those with the least work left before others: most of a class are over before one large
      * array is. That one goes on as soon as it is aged, or wherever there is room.
      */
-    List<Job> jobs(Share share) {
+    List<Job> jobs(FairShareQueue share) {
         return byShare.get(share).jobs;
     }
 
@@ -63,7 +66,7 @@
     }
 
     /** Those that do most such work already, so that they stay the same ones. */
-    private Set<MachineId> choose(Share share, Moment now) {
+    private Set<MachineId> choose(FairShareQueue share, Moment now) {
         Map<Machine, Double> work = new HashMap<>();
         List<Machine> usable = new ArrayList<>();
         for (Machine m : cluster.serving(share)) {
--- a/src/main/java/io/indigoreach/core/Rules.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SafetyTimes.java
@@ -1,4 +1,6 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.model.Span;
 
 /**
  * Times of the platform that safety rests on.
@@ -8,7 +10,7 @@
  * @param cancel a cancelled job's tasks must be gone after this long
  * @param listLag by how much the cloud's list of machines lags, sometimes up to twice that
  */
-public record Rules(Span workerLease, Span report, Span cancel, Span listLag) {
+public record SafetyTimes(Span workerLease, Span report, Span cancel, Span listLag) {
     private static final Span MARGIN = Span.seconds(0.3);
 
     /** After this long without an answered report, nothing runs on a machine: its lease, drift and a margin. */
--- a/src/main/java/io/indigoreach/core/ReleaseCheck.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
@@ -1,5 +1,7 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -7,14 +9,19 @@
  * Which machines to return. The design's part: an idle machine whose paid term ends before the next check, unless a
  * waiting job of its share can use it. Added to it: machines that will never be of use.
  */
-final class ReleaseCheck {
+final class ScaleInPolicy {
     private final Cluster cluster;
     private final Dispatcher dispatcher;
-    private final Rules rules;
-    private final Tuning tuning;
-    private final Silence silence;
+    private final SafetyTimes rules;
+    private final SchedulerSettings tuning;
+    private final FailureDetector silence;
 
-    ReleaseCheck(Cluster cluster, Dispatcher dispatcher, Rules rules, Tuning tuning, Silence silence) {
+    ScaleInPolicy(
+            Cluster cluster,
+            Dispatcher dispatcher,
+            SafetyTimes rules,
+            SchedulerSettings tuning,
+            FailureDetector silence) {
         this.cluster = cluster;
         this.dispatcher = dispatcher;
         this.rules = rules;
--- /dev/null
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleOutRequest.java
@@ -0,0 +1,6 @@
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.model.MachinePool;
+
+/** A wish for {@code count} more machines of a pool. */
+public record ScaleOutRequest(MachinePool pool, int count) {}
--- a/src/main/java/io/indigoreach/core/LeaderCore.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
@@ -1,6 +1,20 @@
-package io.indigoreach.core;
-
-import io.indigoreach.core.loss.Remains;
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.loss.RememberedState;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.ListedMachine;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collection;
@@ -17,31 +31,31 @@
  * The decisions of one leadership: events go in, orders, rents and returns come out. It does no input or output and
  * has no clock; every call says what time it is.
  */
-public final class LeaderCore {
+public final class SchedulerCore {
     private static final int DEAF_TO = 3;
     private static final int GONE_KEPT = 1000;
     private static final int GONE_PER_MACHINE = 8;
     /** One list would do by the cloud's word; a second one costs little. */
     private static final int SURELY_MISSING = 2;
 
-    private final Token token;
-    private final Rules rules;
+    private final FencingToken token;
+    private final SafetyTimes rules;
     private final Cluster cluster;
     private final Estimates estimates = new Estimates();
-    private final TakeOver takeOver;
+    private final Failover takeOver;
     /** Inherited jobs that were read after the records are not released yet. */
     private boolean late;
 
-    private final ChainedJobs chains;
+    private final DependentJobs chains;
     private final Dispatcher dispatcher;
     private final Reconciler reconciler;
     private final BestSize bestSize;
     private final StartBounds startBounds;
     private final Consolidation consolidation;
-    private final ReleaseCheck releaseCheck;
-    private final Notes notes;
-    private final Newcomers newcomers;
-    private final Waiting waiting;
+    private final ScaleInPolicy releaseCheck;
+    private final SchedulerListener notes;
+    private final MachineAdoption newcomers;
+    private final WaitExplainer waiting;
     /** Returned machines still appear in lists and late reports for a while; they are not taken on again. */
     private final Map<MachineId, Boolean> gone = new LinkedHashMap<>() {
         @Override
@@ -52,28 +66,34 @@
     /** Machines that an earlier leader was about to return: the request may still be executed, so they are of no use. */
     private final Set<MachineId> condemned = new HashSet<>();
     /** What was answered before the records were read, whether its machine was known by then or not. */
-    private final Map<MachineId, Early> early = new HashMap<>();
+    private final Map<MachineId, EarlyHeartbeat> early = new HashMap<>();
 
     private boolean loaded;
 
-    private record Early(ReportNumber number, Moment heard) {}
+    private record EarlyHeartbeat(HeartbeatNumber number, Moment heard) {}
 
-    public LeaderCore(Token token, Rules rules, Tuning tuning, Aims aims, Collection<Team> teams, Notes notes) {
+    public SchedulerCore(
+            FencingToken token,
+            SafetyTimes rules,
+            SchedulerSettings tuning,
+            ServiceLevelObjectives aims,
+            Collection<Team> teams,
+            SchedulerListener notes) {
         this.token = token;
         this.rules = rules;
         this.notes = notes;
-        this.newcomers = new Newcomers(rules);
+        this.newcomers = new MachineAdoption(rules);
         this.cluster = new Cluster(teams);
-        this.takeOver = new TakeOver();
-        this.chains = new ChainedJobs(cluster, estimates);
+        this.takeOver = new Failover();
+        this.chains = new DependentJobs(cluster, estimates);
         this.dispatcher = new Dispatcher(cluster, aims, estimates, takeOver, token, tuning.leastPaid());
-        this.waiting = new Waiting(cluster, dispatcher);
+        this.waiting = new WaitExplainer(cluster, dispatcher);
         this.reconciler = new Reconciler(cluster, estimates, notes);
         this.consolidation = new Consolidation(cluster, dispatcher, estimates, rules);
-        Silence silence = new Silence(cluster, rules);
+        FailureDetector silence = new FailureDetector(cluster, rules);
         this.bestSize = new BestSize(cluster, dispatcher, estimates, tuning, silence);
         this.startBounds = new StartBounds(cluster, dispatcher, tuning);
-        this.releaseCheck = new ReleaseCheck(cluster, dispatcher, rules, tuning, silence);
+        this.releaseCheck = new ScaleInPolicy(cluster, dispatcher, rules, tuning, silence);
     }
 
     public void setTypes(Collection<MachineType> types) {
@@ -83,7 +103,7 @@
     }
 
     /** A machine that an earlier leader recorded: it may hold any inherited task. No earlier leader leads since {@code now}. */
-    public void inherit(MachineId id, Pool pool, Moment rented, Moment existed, Moment now) {
+    public void inherit(MachineId id, MachinePool pool, Moment rented, Moment existed, Moment now) {
         MachineType type = cluster.types.get(pool.type());
         if (type == null) {
             return;
@@ -185,7 +205,7 @@
     }
 
     /** The jobs that wait for others. */
-    public ChainedJobs chains() {
+    public DependentJobs chains() {
         return chains;
     }
 
@@ -198,14 +218,14 @@
         }
     }
 
-    public void stamped(Job job, Stamp stamp) {
+    public void stamped(Job job, Revision stamp) {
         if (stamp.isAfter(job.stamp)) {
             job.stamp = stamp;
         }
     }
 
     /** The answer's orders; null if this report shows that a newer leader exists. */
-    public List<Order> onReport(WorkerReport report, Moment now) {
+    public List<WorkerCommand> onReport(Heartbeat report, Moment now) {
         if (report.token().value() > token.value()) {
             return null;
         }
@@ -213,7 +233,7 @@
             // It is answered all the same, and that renews its lease; a copy of an older one renews nothing.
             early.merge(
                     report.machine(),
-                    new Early(report.number(), now),
+                    new EarlyHeartbeat(report.number(), now),
                     (a, b) -> b.number.compareTo(a.number) > 0 ? b : a);
             return List.of();
         }
@@ -231,7 +251,7 @@
                 && cluster.types.containsKey(report.pool().type())) {
             m = replace(m, report.pool(), now);
         }
-        ReportNumber before = m.last;
+        HeartbeatNumber before = m.last;
         m.last = report.number();
         if (!m.isGivenUp()) {
             m.heard = now;
@@ -256,7 +276,7 @@
         }
         m.notice = report.notice() == null ? null : now.plus(report.notice());
         m.accounted = true;
-        List<Order> orders = reconciler.reconcile(m, report, now);
+        List<WorkerCommand> orders = reconciler.reconcile(m, report, now);
         accounted(m.id);
         releaseLate();
         if (m.phase == Machine.Phase.UP && !m.oneWay.isTold()) {
@@ -274,11 +294,11 @@
      * Not newer than the last one, or of a session that is over: without an answered report for the lease bound the machine
      * has killed its tasks and begun another session, so what comes then under the old one was sent before.
      */
-    private static boolean isOld(Machine m, ReportNumber number) {
+    private static boolean isOld(Machine m, HeartbeatNumber number) {
         return number.compareTo(m.last) <= 0 || (number.session() == m.last.session() && m.expired);
     }
 
-    private void hears(Machine m, WorkerReport report, ReportNumber before, Moment now) {
+    private void hears(Machine m, Heartbeat report, HeartbeatNumber before, Moment now) {
         boolean told = m.oneWay.isTold();
         m.oneWay.heard(report, before, token, cluster.awake, rules, now);
         if (m.oneWay.isTold() != told) {
@@ -310,7 +330,7 @@
      * A machine is what it says it is. The answer to a request to rent can be that to an older one of the same name, of
      * another leader: an ordinary machine was taken for a spot one then, and could have got what may not run there.
      */
-    private Machine replace(Machine m, Pool pool, Moment now) {
+    private Machine replace(Machine m, MachinePool pool, Moment now) {
         notes.say("machine " + m.id + " is of " + pool + ", not of " + m.pool);
         Machine real = new Machine(m.id, pool, cluster.types.get(pool.type()), m.rented);
         real.heard = m.heard;
@@ -320,7 +340,7 @@
         return real;
     }
 
-    private Machine adopt(WorkerReport report, Moment now) {
+    private Machine adopt(Heartbeat report, Moment now) {
         MachineType type = cluster.types.get(report.pool().type());
         if (type == null) {
             return null;
@@ -332,7 +352,7 @@
     }
 
     /** Machines that the cloud has just rented to this leader. */
-    public void rented(Pool pool, List<MachineId> ids, Moment asked, Moment now) {
+    public void rented(MachinePool pool, List<MachineId> ids, Moment asked, Moment now) {
         for (MachineId id : ids) {
             if (gone.containsKey(id) || condemned.contains(id)) {
                 continue;
@@ -352,7 +372,7 @@
         cluster.version++;
     }
 
-    public void refused(Pool pool, Moment now) {
+    public void refused(MachinePool pool, Moment now) {
         bestSize.refused(pool, now);
         cluster.keeper.refused(pool);
     }
@@ -371,12 +391,12 @@
     }
 
     /** Starts for a machine that was recorded after its report came, if that is still its newest. */
-    public List<Order> fill(MachineId id, ReportNumber number, Moment now) {
+    public List<WorkerCommand> fill(MachineId id, HeartbeatNumber number, Moment now) {
         Machine m = cluster.machines.get(id);
         if (m == null || !m.last.equals(number)) {
             return List.of();
         }
-        List<Order> orders = dispatcher.fill(m, number, now);
+        List<WorkerCommand> orders = dispatcher.fill(m, number, now);
         if (now.since(m.heard).compareTo(rules.workerPatience().times(0.5)) < 0) {
             m.oneWay.answered(orders, now);
         }
@@ -469,7 +489,7 @@
                 notes.say("machine " + m.id + " is silent: its lease has run out with " + m.taskCount() + " tasks");
                 cluster.liftAll(m, now);
             }
-            if (Silence.mayHoldTasks(m)) {
+            if (FailureDetector.mayHoldTasks(m)) {
                 m.phase = Machine.Phase.LOST;
                 cluster.version++;
             }
@@ -482,12 +502,12 @@
     }
 
     /** What to rent now: asked once each check, so that the wishes of several arrivals and completions are one. */
-    public List<RentWish> wishes(Moment now) {
+    public List<ScaleOutRequest> wishes(Moment now) {
         if (!loaded) {
             return List.of();
         }
-        List<RentWish> wishes = new ArrayList<>(bestSize.wishes(now));
-        for (RentWish wish : cluster.keeper.wishes(now)) {
+        List<ScaleOutRequest> wishes = new ArrayList<>(bestSize.wishes(now));
+        for (ScaleOutRequest wish : cluster.keeper.wishes(now)) {
             if (bestSize.mayAsk(wish.pool(), now)) {
                 wishes.add(wish);
             } else {
@@ -591,7 +611,7 @@
     }
 
     /** From now on machines are kept ahead of their work by what this says. */
-    public void keeping(Keeper keeper) {
+    public void keeping(WarmCapacity keeper) {
         cluster.keeper = keeper;
     }
 
@@ -609,26 +629,26 @@
     }
 
     /** What this leader knows of jobs and machines, should the records of them be lost. */
-    public Remains remains() {
-        Remains remains = new Remains();
+    public RememberedState remains() {
+        RememberedState remains = new RememberedState();
         for (Job job : cluster.jobs.values()) {
             remains.add(remains(job));
         }
         for (Machine m : cluster.machines.values()) {
             if (m.recorded) {
-                remains.add(new Remains.Rented(m.id, m.pool, m.rented, m.existed));
+                remains.add(new RememberedState.RentedMachine(m.id, m.pool, m.rented, m.existed));
             }
         }
         return remains;
     }
 
     /** What is known of one open job, whose end may be on its way into the records. */
-    public static Remains remains(Job job) {
-        Remains remains = new Remains();
+    public static RememberedState remains(Job job) {
+        RememberedState remains = new RememberedState();
         if (job.isComplete()) {
-            remains.add(job.id(), new Remains.Over(JobStatus.DONE, job.spec.tasks()));
+            remains.add(job.id(), new RememberedState.FinishedJob(JobStatus.DONE, job.spec.tasks()));
         } else {
-            remains.add(new Remains.Open(job.spec, job.submittedMs, job.doneTasks(), job.boundToWrite()));
+            remains.add(new RememberedState.OpenJob(job.spec, job.submittedMs, job.doneTasks(), job.boundToWrite()));
         }
         return remains;
     }
--- a/src/main/java/io/indigoreach/core/Notes.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerListener.java
@@ -1,7 +1,10 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.TaskId;
 
 /** What the core tells its surroundings while it works: for records to write and for the log. */
-public interface Notes {
+public interface SchedulerListener {
     /** A task of the job completed: its record is to be written. */
     void progress(Job job);
 
--- a/src/main/java/io/indigoreach/core/Tuning.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerSettings.java
@@ -1,4 +1,6 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.model.Span;
 
 /**
  * The operators' values for the design's thresholds and periods.
@@ -16,7 +18,7 @@
  * @param aimShare part of the time left until an aim into which the queue must fit, else ordinary machines are rented
  * @param refusedFor how long a pool that had no capacity is left alone
  */
-public record Tuning(
+public record SchedulerSettings(
         Span waitLimit,
         Span shortJob,
         Span leastPaid,
--- a/src/main/java/io/indigoreach/core/Aims.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ServiceLevelObjectives.java
@@ -1,14 +1,16 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** What the users expect of each class of jobs: tasks started, or jobs finished, within a time. */
-public final class Aims {
+public final class ServiceLevelObjectives {
     /** One expectation; {@code start}: of each task's start, else of the whole job's end. */
-    public record Aim(String jobClass, boolean start, Span within) {}
+    public record Objective(String jobClass, boolean start, Span within) {}
 
     /** A job past all its aims counts as expected this long after its arrival. */
     private static final Span SOMETIME = Span.seconds(600);
@@ -17,10 +19,10 @@
     /** A job of which nothing has run after this part of that goes first with one task. */
     private static final double BEGIN = 0.3;
 
-    private final Map<String, List<Aim>> byClass = new HashMap<>();
+    private final Map<String, List<Objective>> byClass = new HashMap<>();
 
-    public Aims(List<Aim> aims) {
-        for (Aim aim : aims) {
+    public ServiceLevelObjectives(List<Objective> aims) {
+        for (Objective aim : aims) {
             byClass.computeIfAbsent(aim.jobClass(), c -> new ArrayList<>()).add(aim);
         }
     }
@@ -34,7 +36,7 @@
     Moment latestStart(Job job, Span run, int rounds, Moment now) {
         Moment next = job.arrived.plus(SOMETIME);
         Moment lastRound = now.plus(run.times(Math.max(0, rounds - 1)));
-        for (Aim aim : byClass.getOrDefault(job.spec.jobClass(), List.of())) {
+        for (Objective aim : byClass.getOrDefault(job.spec.jobClass(), List.of())) {
             Moment latest =
                     job.arrived.plus(aim.start() ? aim.within() : aim.within().minus(run));
             next = earlier(next, latest, aim.start() ? now : lastRound);
@@ -51,7 +53,7 @@
      */
     Moment lastChance(Job job, Span run) {
         Moment last = null;
-        for (Aim aim : byClass.getOrDefault(job.spec.jobClass(), List.of())) {
+        for (Objective aim : byClass.getOrDefault(job.spec.jobClass(), List.of())) {
             Moment latest =
                     job.arrived.plus(aim.start() ? aim.within() : aim.within().minus(run));
             last = last == null || latest.isAfter(last) ? latest : last;
@@ -84,7 +86,7 @@
     /** The moment by which the job's tasks should have started by its users' nearest word on starts, or null. */
     Moment startBy(Job job) {
         return byClass.getOrDefault(job.spec.jobClass(), List.of()).stream()
-                .filter(Aim::start)
+                .filter(Objective::start)
                 .map(aim -> job.arrived.plus(aim.within()))
                 .min(Moment::compareTo)
                 .orElse(null);
--- a/src/main/java/io/indigoreach/core/StartBounds.java
+++ b/src/main/java/io/indigoreach/core/scheduling/StartBounds.java
@@ -1,5 +1,7 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -17,11 +19,11 @@
 
     private final Cluster cluster;
     private final Dispatcher dispatcher;
-    private final Tuning tuning;
+    private final SchedulerSettings tuning;
     private double places;
     private Moment countedAt = Moment.NEVER;
 
-    StartBounds(Cluster cluster, Dispatcher dispatcher, Tuning tuning) {
+    StartBounds(Cluster cluster, Dispatcher dispatcher, SchedulerSettings tuning) {
         this.cluster = cluster;
         this.dispatcher = dispatcher;
         this.tuning = tuning;
@@ -30,7 +32,7 @@
     List<Job> toRaise(Moment now) {
         count(now);
         List<Job> out = new ArrayList<>();
-        for (Share share : cluster.shares()) {
+        for (FairShareQueue share : cluster.shares()) {
             double ahead = 0;
             for (Job job : dispatcher.queue(share, now)) {
                 if (job.hasStartable() && !job.isSuspect() && ahead < places) {
--- a/src/main/java/io/indigoreach/core/TeamUse.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TeamUsage.java
@@ -1,12 +1,15 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.Team;
 
 /** What the tasks of one team use, against what it is guaranteed and what they may never exceed. */
-final class TeamUse {
+final class TeamUsage {
     final Team team;
     private double cores;
     private double gpus;
 
-    TeamUse(Team team) {
+    TeamUsage(Team team) {
         this.team = team;
     }
 
