--- a/src/main/java/io/indigoreach/core/Waiting.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
@@ -1,14 +1,15 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.Moment;
 import java.util.List;
 import java.util.Optional;
 
 /** Explains by name why a job waits, by the same conditions that the dispatcher starts tasks by. */
-final class Waiting {
+final class WaitExplainer {
     private final Cluster cluster;
     private final Dispatcher dispatcher;
 
-    Waiting(Cluster cluster, Dispatcher dispatcher) {
+    WaitExplainer(Cluster cluster, Dispatcher dispatcher) {
         this.cluster = cluster;
         this.dispatcher = dispatcher;
     }
@@ -46,7 +47,7 @@
     }
 
     private WaitReason machineReason(Job job, Moment now) {
-        Share share = cluster.share(job);
+        FairShareQueue share = cluster.share(job);
         List<Job> queue = dispatcher.queue(share, now);
         List<Job> ahead = queue.subList(0, Math.max(0, queue.indexOf(job)));
         WaitReason furthest = WaitReason.NO_MACHINE;
@@ -57,7 +58,7 @@
         return furthest;
     }
 
-    private WaitReason reasonOn(Machine m, Job job, Share share, List<Job> ahead, Moment now) {
+    private WaitReason reasonOn(Machine m, Job job, FairShareQueue share, List<Job> ahead, Moment now) {
         boolean coming = m.phase == Machine.Phase.BOOTING;
         if (!m.isOfKind(job.spec) || !job.spec.demand().fitsIn(m.type.capacity()) || (!coming && !m.isSound())) {
             return WaitReason.NO_MACHINE;
@@ -68,7 +69,7 @@
         if (coming || !m.recorded) {
             return coming ? WaitReason.BOOTING : WaitReason.MACHINE_RECORD;
         }
-        if (FaultJudge.bars(job, m)) {
+        if (FaultAttribution.bars(job, m)) {
             return WaitReason.FAILED_THERE;
         }
         if (!job.spec.demand().fitsIn(m.freeFor(job.spec))) {
@@ -86,7 +87,7 @@
         return reasonInQueue(m, job, share, ahead, now);
     }
 
-    private WaitReason reasonInQueue(Machine m, Job job, Share share, List<Job> ahead, Moment now) {
+    private WaitReason reasonInQueue(Machine m, Job job, FairShareQueue share, List<Job> ahead, Moment now) {
         if (ahead.stream().anyMatch(other -> dispatcher.keepsRoom(other, m))) {
             return WaitReason.KEPT_FOR_REPLICAS;
         }
--- a/src/main/java/io/indigoreach/core/WaitReason.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WaitReason.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
 /**
  * What keeps a job's next waiting task from starting, in the order in which a start passes these conditions: first those of
--- a/src/main/java/io/indigoreach/core/Keeper.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WarmCapacity.java
@@ -1,12 +1,14 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Moment;
 import java.util.Collection;
 import java.util.List;
 import java.util.function.Predicate;
 
 /** Who keeps machines ahead of the work that will need them. Without pools there is {@link #NONE}, which costs nothing. */
-public interface Keeper {
-    Keeper NONE = new Keeper() {};
+public interface WarmCapacity {
+    WarmCapacity NONE = new WarmCapacity() {};
 
     /** Once a check, before idle machines are returned: {@code termEnds} tells those whose paid term ends before the next. */
     default void plan(Collection<Machine> machines, Collection<Job> jobs, Predicate<Machine> termEnds, Moment now) {}
@@ -17,14 +19,14 @@
     }
 
     /** What to rent beside what the queue needs; at most one request to a pool of machines. */
-    default List<RentWish> wishes(Moment now) {
+    default List<ScaleOutRequest> wishes(Moment now) {
         return List.of();
     }
 
     /** A team waits for what it is guaranteed, and this machine would do. */
     default void yield(Machine m, Moment now) {}
 
-    default void refused(Pool pool) {}
+    default void refused(MachinePool pool) {}
 
     /** A task is ordered to start there. */
     default void starting(Job job, Machine m) {}
--- a/src/main/java/io/indigoreach/core/warm/Window.java
+++ b/src/main/java/io/indigoreach/core/warm/BurstWindow.java
@@ -1,9 +1,9 @@
 package io.indigoreach.core.warm;
 
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Span;
 
 /** A burst that is expected every day: minutes of the day (UTC), and how many replicas it asks for on average. */
-public record Window(int from, int to, double replicas) {
+public record BurstWindow(int from, int to, double replicas) {
     static final int DAY = 24 * 60;
     private static final long MINUTE_MS = 60_000;
 
@@ -13,7 +13,7 @@
     }
 
     /** Zero while it is open. One that ends before it begins goes over midnight; one that ends where it begins never ends. */
-    Span untilOpen(long atMs) {
+    public Span untilOpen(long atMs) {
         long dayMs = DAY * MINUTE_MS;
         long at = Math.floorMod(atMs, dayMs);
         long begins = from * MINUTE_MS;
--- a/src/main/java/io/indigoreach/core/warm/Seen.java
+++ b/src/main/java/io/indigoreach/core/warm/DemandHistory.java
@@ -1,10 +1,10 @@
 package io.indigoreach.core.warm;
 
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Span;
 import java.util.Arrays;
 
 /** The peaks of a model's replicas at each half hour of the last days: what bursts without a calendar are learned from. */
-public final class Seen {
+public final class DemandHistory {
     public static final int SLOTS = 48;
     public static final int DAYS = 7;
     private static final long SLOT_MS = 30 * 60_000L;
@@ -16,15 +16,15 @@
     private int peak;
     private long changes;
 
-    public Seen() {
+    public DemandHistory() {
         for (int[] days : peaks) {
             Arrays.fill(days, -1);
         }
     }
 
     /** What was recorded, a number for each slot and day. */
-    public static Seen of(int[] recorded) {
-        Seen seen = new Seen();
+    public static DemandHistory of(int[] recorded) {
+        DemandHistory seen = new DemandHistory();
         for (int i = 0; i < Math.min(recorded.length, SLOTS * DAYS); i++) {
             seen.peaks[i / DAYS][i % DAYS] = recorded[i];
         }
@@ -40,7 +40,7 @@
         return changes;
     }
 
-    void observe(long atMs, int replicas) {
+    public void observe(long atMs, int replicas) {
         long now = atMs / SLOT_MS;
         if (now != slot) {
             if (slot >= 0 && now > slot) {
@@ -56,14 +56,14 @@
     }
 
     /** What the slots from now for {@code ahead} ask for by earlier days. */
-    int expected(long atMs, Span ahead, double ratio) {
+    public int expected(long atMs, Span ahead, double ratio) {
         int most = 0;
         for (long s = atMs / SLOT_MS; s <= (atMs + ahead.ms()) / SLOT_MS; s++) {
             int[] days = Arrays.stream(peaks[(int) (s % SLOTS)])
                     .filter(n -> n >= 0)
                     .sorted()
                     .toArray();
-            most = Math.max(most, Sizing.seen(days, ratio));
+            most = Math.max(most, PoolSizing.seen(days, ratio));
         }
         return most;
     }
--- a/src/main/java/io/indigoreach/core/warm/SeatRecall.java
+++ b/src/main/java/io/indigoreach/core/warm/MembershipRecovery.java
@@ -1,10 +1,11 @@
 package io.indigoreach.core.warm;
 
-import io.indigoreach.core.Job;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Machine;
-import io.indigoreach.core.MachineId;
 import io.indigoreach.core.accounts.Line;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.scheduling.Job;
+import io.indigoreach.core.scheduling.Machine;
+import io.indigoreach.core.scheduling.PoolMembership;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -12,7 +13,7 @@
 import java.util.Set;
 
 /** Gives machines the seats that they had under an earlier leader, by the lines that it left or by the holder that runs there. */
-final class SeatRecall {
+final class MembershipRecovery {
     /** Lines of an earlier leader for machines that have not reported to this one. */
     private final Map<MachineId, Line> recalled = new HashMap<>();
     /** Machines that left a pool, and whose holder has not yet. */
@@ -40,10 +41,11 @@
         }
         PoolState s = states.get(line != null ? line.payer().pool() : holder == null ? "" : poolOf(holder));
         if (m.seat() == null && s != null && line != null) {
-            m.seat(new Seat(s.spec.name(), line.image(), line.gb(), s.spec.replica()));
+            m.seat(new PoolMembership(s.spec.name(), line.image(), line.gb(), s.spec.replica()));
         } else if (m.seat() == null && s != null && m.session() > 0 && !letGo.contains(m.id())) {
             // Its line was lost, or never written: a holder shows whose it is.
-            m.seat(new Seat(s.spec.name(), holder.spec().image(), holder.spec().imageGb(), s.spec.replica()));
+            m.seat(new PoolMembership(
+                    s.spec.name(), holder.spec().image(), holder.spec().imageGb(), s.spec.replica()));
         }
         if (line != null && m.session() > 0) {
             m.images().recall(line.image(), line.gb(), line.session() == m.session());
--- a/src/main/java/io/indigoreach/core/warm/Membership.java
+++ b/src/main/java/io/indigoreach/core/warm/PoolAssignment.java
@@ -1,15 +1,16 @@
 package io.indigoreach.core.warm;
 
-import io.indigoreach.core.Machine;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.scheduling.Machine;
+import io.indigoreach.core.scheduling.PoolMembership;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.function.Predicate;
 
 /** Decides which machines leave a pool and which of those that are there join it. */
-final class Membership {
+final class PoolAssignment {
     /** So long it takes on machines that boot, whoever asked for them: an earlier leader's requests are not told apart. */
     private static final Span INHERITS = Span.seconds(30);
     /** So long a pool takes no idle machine after one was asked of it for a guarantee. */
@@ -20,7 +21,7 @@
     private final Moment now;
 
     /** {@code termEnds}: whether a machine's paid term ends before the next check; {@code knownSince}: since when this leader plans. */
-    Membership(Predicate<Machine> termEnds, Moment knownSince, Moment now) {
+    PoolAssignment(Predicate<Machine> termEnds, Moment knownSince, Moment now) {
         this.termEnds = termEnds;
         this.knownSince = knownSince;
         this.now = now;
@@ -81,7 +82,7 @@
                     m.pool(),
                     (p, a) -> a.count() <= 1 ? null : new PoolState.Asked(a.count() - 1, a.since(), a.until()));
         }
-        m.seat(new Seat(s.spec));
+        m.seat(new PoolMembership(s.spec.name(), s.spec.image(), s.spec.gb(), s.spec.replica()));
         s.join(m);
         return true;
     }
--- a/src/main/java/io/indigoreach/core/warm/Plan.java
+++ b/src/main/java/io/indigoreach/core/warm/PoolPlanner.java
@@ -1,17 +1,18 @@
 package io.indigoreach.core.warm;
 
-import io.indigoreach.core.Job;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Keeper;
-import io.indigoreach.core.Machine;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.RentWish;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Team;
 import io.indigoreach.core.accounts.Line;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.scheduling.Job;
+import io.indigoreach.core.scheduling.Machine;
+import io.indigoreach.core.scheduling.PoolMembership;
+import io.indigoreach.core.scheduling.ScaleOutRequest;
+import io.indigoreach.core.scheduling.WarmCapacity;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -33,10 +34,10 @@
  * <p>A pool grows at once and shrinks by whole paid terms: a machine is let go where its term ends, after the wish was
  * lower for two terms, as letting go and renting again costs a boot, a fetch and the least that is paid.
  *
- * <p>What is decided where: {@link TargetSize} how many, {@link Membership} which of those that are there, {@link PoolRental}
- * where to rent what is missing, {@link SeatRecall} what an earlier leader had decided.
+ * <p>What is decided where: {@link TargetSize} how many, {@link PoolAssignment} which of those that are there, {@link PoolRental}
+ * where to rent what is missing, {@link MembershipRecovery} what an earlier leader had decided.
  */
-public final class Plan implements Keeper {
+public final class PoolPlanner implements WarmCapacity {
     /** A machine not up after so many boot times is no longer counted on. */
     private static final double BOOT_PATIENCE = 2;
     /** Before a new leader rents for pools: the cloud's list, and machines on their way, are known by then. */
@@ -47,7 +48,7 @@
     private final ToLongFunction<Moment> timeOfDay;
     private final TargetSize targetSize;
     private final PoolRental rental;
-    private final SeatRecall recall = new SeatRecall();
+    private final MembershipRecovery recall = new MembershipRecovery();
     private final Map<String, PoolState> states = new TreeMap<>();
     /** Who has the least of what it wants is first. */
     private List<PoolState> fair = List.of();
@@ -59,7 +60,7 @@
      * @param term a paid term
      * @param timeOfDay in ms
      */
-    public Plan(
+    public PoolPlanner(
             Collection<Team> teams,
             Supplier<? extends Collection<MachineType>> types,
             Span term,
@@ -71,7 +72,7 @@
     }
 
     /** The pools there are, as recorded; {@code seen} is asked for a pool that is new here. */
-    public void pools(Collection<PoolSpec> specs, Function<String, Seen> seen) {
+    public void pools(Collection<PoolSpec> specs, Function<String, DemandHistory> seen) {
         for (PoolSpec spec : specs) {
             PoolState s = states.computeIfAbsent(spec.name(), n -> new PoolState());
             s.spec = spec;
@@ -120,7 +121,7 @@
     }
 
     @Override
-    public void refused(Pool pool) {
+    public void refused(MachinePool pool) {
         if (planned != null) {
             rental.refused(pool, states.values(), planned);
         }
@@ -142,8 +143,8 @@
     }
 
     @Override
-    public List<RentWish> wishes(Moment now) {
-        List<RentWish> out = new ArrayList<>();
+    public List<ScaleOutRequest> wishes(Moment now) {
+        List<ScaleOutRequest> out = new ArrayList<>();
         if (planned != null && now.since(knownSince).compareTo(FIRST) >= 0) {
             fair.forEach(s -> rental.rent(s, out, now));
         }
@@ -157,7 +158,7 @@
         }
         machines.forEach(m -> recall.restore(m, states));
         count(machines, jobs, now);
-        Membership membership = new Membership(termEnds, knownSince, now);
+        PoolAssignment membership = new PoolAssignment(termEnds, knownSince, now);
         fair = new ArrayList<>(states.values());
         for (PoolState s : fair) {
             targetSize.decide(s, now);
@@ -206,7 +207,7 @@
     private void count(Job job) {
         JobSpec spec = job.spec();
         if (spec.isHolder()) {
-            PoolState own = states.get(SeatRecall.poolOf(job));
+            PoolState own = states.get(MembershipRecovery.poolOf(job));
             if (own != null && spec.team().equals(own.spec.team()) && !job.isCancelled()) {
                 own.holders.putIfAbsent(spec.image(), job);
             }
@@ -221,7 +222,7 @@
         Span guest = s.longestGuest(timeOfDay.applyAsLong(now), HALF_HOUR);
         int offered = 0;
         for (Machine m : s.live) {
-            Seat seat = m.seat();
+            PoolMembership seat = m.seat();
             seat.longestGuest(guest);
             boolean begins = !m.hasHolder() && !m.images().contains(seat.image());
             if (begins && offered >= PoolRental.AT_ONCE) {
@@ -234,12 +235,12 @@
     }
 
     /** How each pool stands. */
-    public List<Told> told() {
+    public List<PoolStatus> told() {
         return states.values().stream().map(PoolState::told).toList();
     }
 
     /** What was learned of a pool's bursts. */
-    public Seen seen(String pool) {
+    public DemandHistory seen(String pool) {
         return states.get(pool).seen;
     }
 }
--- a/src/main/java/io/indigoreach/core/warm/PoolRental.java
+++ b/src/main/java/io/indigoreach/core/warm/PoolRental.java
@@ -1,10 +1,10 @@
 package io.indigoreach.core.warm;
 
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.RentWish;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.scheduling.ScaleOutRequest;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.List;
@@ -21,38 +21,38 @@
     private static final Span ANSWERED = Span.seconds(5);
 
     private final Supplier<? extends Collection<MachineType>> types;
-    private final Map<Pool, Moment> refusedUntil = new HashMap<>();
+    private final Map<MachinePool, Moment> refusedUntil = new HashMap<>();
 
     PoolRental(Supplier<? extends Collection<MachineType>> types) {
         this.types = types;
     }
 
-    void refused(Pool pool, Collection<PoolState> states, Moment planned) {
+    void refused(MachinePool pool, Collection<PoolState> states, Moment planned) {
         refusedUntil.put(pool, planned.plus(ANSWERED.times(2)));
         Moment until = planned.plus(ANSWERED);
         states.forEach(s -> s.asked.computeIfPresent(pool, (p, a) -> new PoolState.Asked(a.count(), a.since(), until)));
     }
 
-    void rent(PoolState s, List<RentWish> out, Moment now) {
+    void rent(PoolState s, List<ScaleOutRequest> out, Moment now) {
         int left = Math.min(AT_ONCE, s.missing() - s.asked());
         while (left > 0) {
-            Pool from = fewest(s, out, now);
+            MachinePool from = fewest(s, out, now);
             if (from == null) {
                 return;
             }
             int count = Math.min(left, s.mostOfOneZone() - s.zone(from.zone()));
-            out.add(new RentWish(from, count));
+            out.add(new ScaleOutRequest(from, count));
             s.asked.put(from, new PoolState.Asked(count, now, now.plus(ASKED)));
             left -= count;
         }
     }
 
     /** Where to rent: the zone with the fewest, of those with room by the spread that do not refuse. */
-    private Pool fewest(PoolState s, List<RentWish> chosen, Moment now) {
-        Pool best = null;
+    private MachinePool fewest(PoolState s, List<ScaleOutRequest> chosen, Moment now) {
+        MachinePool best = null;
         for (MachineType type : types.get()) {
             for (String zone : type.zones()) {
-                Pool pool = new Pool(type.name(), zone, s.spec.spot());
+                MachinePool pool = new MachinePool(type.name(), zone, s.spec.spot());
                 if (mayRent(s, pool, chosen, now) && (best == null || s.zone(zone) < s.zone(best.zone()))) {
                     best = pool;
                 }
@@ -61,7 +61,7 @@
         return best;
     }
 
-    private boolean mayRent(PoolState s, Pool pool, List<RentWish> chosen, Moment now) {
+    private boolean mayRent(PoolState s, MachinePool pool, List<ScaleOutRequest> chosen, Moment now) {
         Moment refused = refusedUntil.get(pool);
         return s.spec.allows(pool)
                 && s.zone(pool.zone()) < s.mostOfOneZone()
--- a/src/main/java/io/indigoreach/core/warm/Sizing.java
+++ b/src/main/java/io/indigoreach/core/warm/PoolSizing.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.warm;
 
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Span;
 
 /**
  * How many machines a pool needs.
@@ -13,7 +13,7 @@
  *
  * <p>D is Poisson around what a window says (independent callers), or the peaks seen at this time of earlier days.
  */
-public final class Sizing {
+public final class PoolSizing {
     /** Boots take up to 1.5 times the usual time, fetches go down to two thirds of the usual rate (the cloud's catalogue). */
     private static final double LATE_BOOT = 1.5;
 
@@ -23,7 +23,7 @@
 
     private static final double MOST_LOST = 0.5;
 
-    private Sizing() {}
+    private PoolSizing() {}
 
     /** From a request to rent until the image is there, as late as is usual; another fetch may share the rate. */
     public static Span lead(MachineType type, double gb, boolean shared) {
--- a/src/main/java/io/indigoreach/core/warm/PoolSpec.java
+++ b/src/main/java/io/indigoreach/core/warm/PoolSpec.java
@@ -1,9 +1,9 @@
 package io.indigoreach.core.warm;
 
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.Team;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Team;
 import java.util.Collection;
 import java.util.List;
 
@@ -16,7 +16,7 @@
  * @param zones none: every zone of the types
  * @param zonePart the part of the pool that may stand in one zone
  * @param least machines held at any time; {@code most}: never more
- * @param wanted part of bursts whose replicas all start without a fetch: the newsvendor's ratio ({@link Sizing})
+ * @param wanted part of bursts whose replicas all start without a fetch: the newsvendor's ratio ({@link PoolSizing})
  * @param learned what bursts ask for is also learned from what replicas were seen
  * @param budget money that the pool's account may reach; then it shrinks
  * @param spot on spot machines, else on ordinary ones
@@ -33,7 +33,7 @@
         int least,
         int most,
         double wanted,
-        List<Window> windows,
+        List<BurstWindow> windows,
         boolean learned,
         double budget,
         boolean spot) {
@@ -80,8 +80,12 @@
         if (windows.size() > MOST_WINDOWS) {
             return new Fault("windows", "at most " + MOST_WINDOWS);
         }
-        for (Window w : windows) {
-            if (w.from() < 0 || w.from() >= Window.DAY || w.to() < 0 || w.to() >= Window.DAY || !(w.replicas() >= 0)) {
+        for (BurstWindow w : windows) {
+            if (w.from() < 0
+                    || w.from() >= BurstWindow.DAY
+                    || w.to() < 0
+                    || w.to() >= BurstWindow.DAY
+                    || !(w.replicas() >= 0)) {
                 return new Fault("windows", "each is [from, to, replicas], from and to in minutes of the day");
             }
         }
@@ -111,7 +115,7 @@
         return null;
     }
 
-    boolean allows(Pool where) {
+    boolean allows(MachinePool where) {
         return types.contains(where.type())
                 && (zones.isEmpty() || zones.contains(where.zone()))
                 && where.spot() == spot;
--- a/src/main/java/io/indigoreach/core/warm/PoolState.java
+++ b/src/main/java/io/indigoreach/core/warm/PoolState.java
@@ -1,11 +1,11 @@
 package io.indigoreach.core.warm;
 
-import io.indigoreach.core.Job;
-import io.indigoreach.core.Machine;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.scheduling.Job;
+import io.indigoreach.core.scheduling.Machine;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -24,7 +24,7 @@
     record Asked(int count, Moment since, Moment until) {}
 
     PoolSpec spec;
-    Seen seen;
+    DemandHistory seen;
     int target;
     String why = "";
     Moment lowSince;
@@ -32,7 +32,7 @@
     long hits;
     long misses;
     Moment yielded = Moment.NEVER;
-    final Map<Pool, Asked> asked = new HashMap<>();
+    final Map<MachinePool, Asked> asked = new HashMap<>();
     /** Of its holders, those that are open, by image. */
     Map<String, Job> holders = Map.of();
 
@@ -118,8 +118,8 @@
         return holders.containsKey(spec.image()) ? Math.min(target - fresh(), target + surge() - live.size()) : 0;
     }
 
-    Told told() {
-        return new Told(
+    PoolStatus told() {
+        return new PoolStatus(
                 spec.name(), target, why, live.size(), ready(), live.size() - ready(), hits, misses, lossRate());
     }
 
--- a/src/main/java/io/indigoreach/core/warm/Told.java
+++ b/src/main/java/io/indigoreach/core/warm/PoolStatus.java
@@ -8,5 +8,5 @@
  * @param hits replicas started where the image was; {@code misses}: where it was not, in this leadership
  * @param lost machines a machine and hour, as seen
  */
-public record Told(
+public record PoolStatus(
         String pool, int target, String why, int seats, int ready, int coming, long hits, long misses, double lost) {}
--- a/src/main/java/io/indigoreach/core/warm/TargetSize.java
+++ b/src/main/java/io/indigoreach/core/warm/TargetSize.java
@@ -1,10 +1,10 @@
 package io.indigoreach.core.warm;
 
-import io.indigoreach.core.Job;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Team;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.scheduling.Job;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
@@ -74,16 +74,16 @@
     private Wish expected(PoolState s, MachineType type, Moment now) {
         PoolSpec p = s.spec;
         long at = timeOfDay.applyAsLong(now);
-        Span lead = Sizing.lead(type, p.gb(), false).plus(SPREAD.times(p.most() / (double) PoolRental.AT_ONCE));
+        Span lead = PoolSizing.lead(type, p.gb(), false).plus(SPREAD.times(p.most() / (double) PoolRental.AT_ONCE));
         double expected = p.windows().stream()
                 .filter(window -> window.opensWithin(at, lead))
-                .mapToDouble(Window::replicas)
+                .mapToDouble(BurstWindow::replicas)
                 .max()
                 .orElse(0);
-        int replicas =
-                Math.max(Sizing.poisson(expected, p.wanted()), p.learned() ? s.seen.expected(at, lead, p.wanted()) : 0);
-        int need = Sizing.machines(replicas, p.replica().timesIn(type.capacity()));
-        int withLosses = p.spot() ? Sizing.withLosses(need, s.lossRate(), lead) : need;
+        int replicas = Math.max(
+                PoolSizing.poisson(expected, p.wanted()), p.learned() ? s.seen.expected(at, lead, p.wanted()) : 0);
+        int need = PoolSizing.machines(replicas, p.replica().timesIn(type.capacity()));
+        int withLosses = p.spot() ? PoolSizing.withLosses(need, s.lossRate(), lead) : need;
         return new Wish(
                 Math.min(p.most(), Math.max(p.least(), withLosses)),
                 false,
--- a/src/main/java/io/indigoreach/emulator/CloudServer.java
+++ b/src/main/java/io/indigoreach/emulator/CloudServer.java
@@ -1,14 +1,14 @@
 package io.indigoreach.emulator;
 
 import io.indigoreach.cloud.CloudCodec;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Moment;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.Moment;
 import io.indigoreach.emulator.model.CloudModel;
 import io.indigoreach.emulator.model.Gate;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.scenario.Deployment;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -70,10 +70,10 @@
                 .mapEmpty();
     }
 
-    private void serve(GatedListener.Request r, Consumer<Reply> reply) {
+    private void serve(GatedListener.Request r, Consumer<ServiceResponse> reply) {
         Moment now = clock.now();
         boolean post = r.is(HttpMethod.POST);
-        Reply answer;
+        ServiceResponse answer;
         try {
             answer = switch (r.path()) {
                 case CloudCodec.TYPES -> model.types(now);
@@ -85,10 +85,10 @@
                                     now,
                                     r.text(CloudCodec.AFTER) == null ? null : new MachineId(r.text(CloudCodec.AFTER)),
                                     (int) r.number(CloudCodec.MOST, 500));
-                default -> new Reply(404, new Fields(Wire.map("error", "no such path")));
+                default -> new ServiceResponse(404, new Fields(MessagePackFormat.map("error", "no such path")));
             };
         } catch (IllegalArgumentException e) {
-            answer = new Reply(400, new Fields(Wire.map("error", e.getMessage())));
+            answer = new ServiceResponse(400, new Fields(MessagePackFormat.map("error", e.getMessage())));
         }
         // A return is answered once the machines' workers are gone.
         advance();
--- a/src/main/java/io/indigoreach/emulator/DepotBook.java
+++ b/src/main/java/io/indigoreach/emulator/DepotBook.java
@@ -1,7 +1,7 @@
 package io.indigoreach.emulator;
 
 import io.indigoreach.emulator.model.Depot;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.store.RecordStore;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -23,7 +23,7 @@
             if (record.length == 0) {
                 starts++;
             } else {
-                DepotCodec.Upload upload = DepotCodec.read(Wire.readMap(Buffer.buffer(record)));
+                DepotCodec.Upload upload = DepotCodec.read(MessagePackFormat.readMap(Buffer.buffer(record)));
                 depot.upload(upload.spec(), upload.conduct());
             }
         });
@@ -40,7 +40,7 @@
     Future<Void> keep(DepotCodec.Upload upload) {
         Map<String, Object> record = DepotCodec.write(upload);
         return vertx.executeBlocking(() -> {
-            store.append(Wire.write(record).getBytes());
+            store.append(MessagePackFormat.write(record).getBytes());
             store.sync();
             return null;
         });
--- a/src/main/java/io/indigoreach/emulator/DepotCodec.java
+++ b/src/main/java/io/indigoreach/emulator/DepotCodec.java
@@ -1,11 +1,11 @@
 package io.indigoreach.emulator;
 
 import io.indigoreach.api.JobCodec;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.model.Depot;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import java.util.Map;
 
 /** The depot's words: how users upload what their jobs' tasks do, and what an emulator tells of itself. */
@@ -39,7 +39,7 @@
     }
 
     static Map<String, Object> write(Summary s) {
-        return Wire.map("booting", s.booting, "up", s.up, "failed", s.failed, "spent", s.spent);
+        return MessagePackFormat.map("booting", s.booting, "up", s.up, "failed", s.failed, "spent", s.spent);
     }
 
     public static Summary readSummary(Fields f) {
--- a/src/main/java/io/indigoreach/emulator/DiskDurability.java
+++ b/src/main/java/io/indigoreach/emulator/DiskDurability.java
@@ -3,7 +3,7 @@
 import io.indigoreach.emulator.model.Mutation;
 import io.indigoreach.emulator.model.StateModel;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.state.StateClient.Txn;
 import io.indigoreach.state.StateCodec;
 import io.indigoreach.store.RecordStore;
@@ -161,16 +161,16 @@
     static byte[] write(Mutation m) {
         Txn txn = new Txn();
         m.writes().forEach(w -> txn.put(w.key(), w.value(), w.lease()));
-        Map<String, Object> map = m.writes().isEmpty() ? Wire.map() : StateCodec.writeTxn(txn);
+        Map<String, Object> map = m.writes().isEmpty() ? MessagePackFormat.map() : StateCodec.writeTxn(txn);
         map.put("revision", m.revision());
         map.put("lease", m.lease());
         map.put("life", m.lifeMs());
         map.put("version", m.stamp());
-        return Wire.write(map).getBytes();
+        return MessagePackFormat.write(map).getBytes();
     }
 
     static Mutation read(byte[] record) {
-        Fields f = Wire.readMap(Buffer.buffer(record));
+        Fields f = MessagePackFormat.readMap(Buffer.buffer(record));
         return new Mutation(
                 f.whole("revision"),
                 StateCodec.readTxn(f).writes(),
--- a/src/main/java/io/indigoreach/emulator/Emulator.java
+++ b/src/main/java/io/indigoreach/emulator/Emulator.java
@@ -4,16 +4,16 @@
 import io.indigoreach.checker.History;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.PlatformConfig.StateLimits;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Rules;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.scheduling.SafetyTimes;
 import io.indigoreach.emulator.model.Depot;
 import io.indigoreach.emulator.model.Gate;
 import io.indigoreach.net.Endpoint;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.scenario.Deployment;
 import io.indigoreach.scenario.Fault;
 import io.indigoreach.scenario.Scenario;
@@ -288,7 +288,7 @@
                         .map(a -> new PlatformConfig.Objective(
                                 a.kind(), a.jobClass(), Span.seconds(a.withinS()), a.share()))
                         .toList(),
-                new Rules(
+                new SafetyTimes(
                         Span.seconds(d.workers().leaseS()),
                         Span.seconds(d.workers().reportS()),
                         Span.seconds(d.workers().cancelS()),
@@ -331,17 +331,17 @@
         });
     }
 
-    private void serveDepot(GatedListener.Request request, Consumer<Reply> reply) {
+    private void serveDepot(GatedListener.Request request, Consumer<ServiceResponse> reply) {
         if (request.path().equals(DepotCodec.UPLOAD)) {
             DepotCodec.Upload upload = DepotCodec.read(request.body());
             depot.upload(upload.spec(), upload.conduct());
             Future<Void> kept = book == null ? Future.succeededFuture() : book.keep(upload);
-            kept.onSuccess(v -> reply.accept(new Reply(200, new Fields(Wire.map()))))
+            kept.onSuccess(v -> reply.accept(new ServiceResponse(200, new Fields(MessagePackFormat.map()))))
                     .onFailure(broken::tryFail);
         } else if (request.path().equals(DepotCodec.SUMMARY)) {
-            reply.accept(new Reply(200, new Fields(DepotCodec.write(summaryNow()))));
+            reply.accept(new ServiceResponse(200, new Fields(DepotCodec.write(summaryNow()))));
         } else {
-            reply.accept(new Reply(404, new Fields(Wire.map("error", "no such path"))));
+            reply.accept(new ServiceResponse(404, new Fields(MessagePackFormat.map("error", "no such path"))));
         }
     }
 
--- a/src/main/java/io/indigoreach/emulator/GatedListener.java
+++ b/src/main/java/io/indigoreach/emulator/GatedListener.java
@@ -1,14 +1,14 @@
 package io.indigoreach.emulator;
 
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.model.Gate;
 import io.indigoreach.emulator.model.Verdict;
-import io.indigoreach.net.Body;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.RequestBody;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.net.WireException;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -82,7 +82,7 @@
 
     /** What serves the requests; throws {@link WireException} if one is malformed. */
     interface Service {
-        void serve(Request request, Consumer<Reply> reply);
+        void serve(Request request, Consumer<ServiceResponse> reply);
     }
 
     private final Vertx vertx;
@@ -140,14 +140,14 @@
     }
 
     private void take(HttpServerRequest http) {
-        Body.gather(
+        RequestBody.gather(
                 http,
                 body -> {
                     Verdict verdict =
                             gate.judge(clock.now(), from, to, !http.method().equals(HttpMethod.GET));
                     Fields fields;
                     try {
-                        fields = body.length() == 0 ? null : Wire.readMap(body);
+                        fields = body.length() == 0 ? null : MessagePackFormat.readMap(body);
                     } catch (WireException e) {
                         write(http, malformed(e));
                         return;
@@ -156,19 +156,25 @@
                 },
                 () -> {
                     http.response().putHeader("Connection", "close");
-                    write(http, new Reply(413, new Fields(Wire.map("error", "a body may have 64 KiB"))));
+                    write(
+                            http,
+                            new ServiceResponse(
+                                    413, new Fields(MessagePackFormat.map("error", "a body may have 64 KiB"))));
                 });
     }
 
     private void pass(HttpServerRequest http, Request request, Verdict verdict) {
-        Consumer<Reply> nobody = reply -> {};
-        Consumer<Reply> back = reply -> writeWhenServed(http, reply);
+        Consumer<ServiceResponse> nobody = reply -> {};
+        Consumer<ServiceResponse> back = reply -> writeWhenServed(http, reply);
         switch (verdict.fate()) {
             case PASS -> after(verdict.delay(), () -> serve(request, back));
             case REFUSE ->
                 after(
                         verdict.delay(),
-                        () -> write(http, new Reply(verdict.status(), new Fields(Wire.map("error", "trouble")))));
+                        () -> write(
+                                http,
+                                new ServiceResponse(
+                                        verdict.status(), new Fields(MessagePackFormat.map("error", "trouble")))));
             case LOSE_ANSWER -> serve(request, nobody);
             case LATE -> after(verdict.delay(), () -> serve(request, nobody));
             case REPEAT -> {
@@ -181,7 +187,7 @@
         }
     }
 
-    private void serve(Request request, Consumer<Reply> reply) {
+    private void serve(Request request, Consumer<ServiceResponse> reply) {
         try {
             service.serve(request, reply);
         } catch (WireException e) {
@@ -189,8 +195,8 @@
         }
     }
 
-    private static Reply malformed(WireException e) {
-        return new Reply(400, new Fields(Wire.map("error", e.getMessage())));
+    private static ServiceResponse malformed(WireException e) {
+        return new ServiceResponse(400, new Fields(MessagePackFormat.map("error", e.getMessage())));
     }
 
     private void after(Span delay, Runnable then) {
@@ -202,7 +208,7 @@
     }
 
     /** A caller that is not served meanwhile gets no answer to what it has open, a watch above all, before that is over. */
-    private void writeWhenServed(HttpServerRequest http, Reply reply) {
+    private void writeWhenServed(HttpServerRequest http, ServiceResponse reply) {
         Moment now = clock.now();
         Moment until = gate.heldUntil(now, from, to);
         if (until.isAfter(now)) {
@@ -212,12 +218,12 @@
         }
     }
 
-    private static void write(HttpServerRequest http, Reply reply) {
+    private static void write(HttpServerRequest http, ServiceResponse reply) {
         if (!http.response().ended() && !http.response().closed()) {
             http.response()
                     .setStatusCode(reply.status())
                     .putHeader("Content-Type", "application/msgpack")
-                    .end(Wire.write(reply.body().map()));
+                    .end(MessagePackFormat.write(reply.body().map()));
         }
     }
 }
--- a/src/main/java/io/indigoreach/emulator/Measurements.java
+++ b/src/main/java/io/indigoreach/emulator/Measurements.java
@@ -5,17 +5,17 @@
 import io.indigoreach.cloud.CloudCodec;
 import io.indigoreach.config.ConfigException;
 import io.indigoreach.config.PlatformConfig.StateLimits;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Token;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
 import io.indigoreach.emulator.model.Depot;
 import io.indigoreach.emulator.model.Gate;
 import io.indigoreach.emulator.model.Mutation;
 import io.indigoreach.emulator.model.StateModel;
 import io.indigoreach.net.Endpoint;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.scenario.Deployment;
 import io.indigoreach.scenario.TextForm;
 import io.indigoreach.state.StateClient;
@@ -82,7 +82,7 @@
                             .requestHandler(r -> r.body()
                                     .onSuccess(body -> r.response()
                                             .putHeader("Content-Type", "application/msgpack")
-                                            .end(Wire.write(StateCodec.writeRevision(1)))))
+                                            .end(MessagePackFormat.write(StateCodec.writeRevision(1)))))
                             .listen(0, HOST))
                     .actualPort();
             StateServer[] servers = new StateServer[2];
@@ -188,9 +188,12 @@
             over.complete();
             return;
         }
-        Buffer body = Wire.write(StateCodec.writeTxn(new StateClient.Txn()
-                .when("absent", Stamp.ABSENT)
-                .put("j/run-" + n, Wire.map("class", "c", "team", "t", "tasks", 16, "status", "RUNNING", "done", 3))));
+        Buffer body = MessagePackFormat.write(StateCodec.writeTxn(new StateClient.Txn()
+                .when("absent", Revision.ABSENT)
+                .put(
+                        "j/run-" + n,
+                        MessagePackFormat.map(
+                                "class", "c", "team", "t", "tasks", 16, "status", "RUNNING", "done", 3))));
         client.request(HttpMethod.POST, StateCodec.TXN)
                 .compose(r -> r.send(body))
                 .compose(r -> r.body())
@@ -206,7 +209,7 @@
         SteadyClock clock = new SteadyClock();
         Vertx vertx = Vertx.vertx();
         try {
-            Buffer yes = Wire.write(WorkerCodec.answer(new Token(1), List.of()));
+            Buffer yes = MessagePackFormat.write(WorkerCodec.answer(new FencingToken(1), List.of()));
             int port = await(vertx.createHttpServer()
                             .requestHandler(
                                     r -> r.body().onSuccess(body -> r.response().end(yes)))
@@ -232,7 +235,7 @@
                             .rent(
                                     clock.now(),
                                     new CloudCodec.Rental(
-                                            "r-" + rented, new Pool("m", "z", false), CloudCodec.MOST_RENTED));
+                                            "r-" + rented, new MachinePool("m", "z", false), CloudCodec.MOST_RENTED));
                 }
                 return vertx.timer(8, java.util.concurrent.TimeUnit.SECONDS);
             });
@@ -279,7 +282,7 @@
                         n,
                         List.of(new Write(
                                 "j/run-" + random.nextLong(KEYS),
-                                Wire.map(
+                                MessagePackFormat.map(
                                         "class", "tally", "team", "t", "tasks", 16L, "status", "RUNNING", "done",
                                         n % 16),
                                 0)),
--- a/src/main/java/io/indigoreach/emulator/Relay.java
+++ b/src/main/java/io/indigoreach/emulator/Relay.java
@@ -1,7 +1,7 @@
 package io.indigoreach.emulator;
 
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.model.Gate;
 import io.indigoreach.emulator.model.Verdict;
 import io.indigoreach.net.Endpoint;
--- a/src/main/java/io/indigoreach/emulator/StateServer.java
+++ b/src/main/java/io/indigoreach/emulator/StateServer.java
@@ -3,14 +3,14 @@
 import io.indigoreach.checker.Event;
 import io.indigoreach.checker.History;
 import io.indigoreach.config.PlatformConfig.StateLimits;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.model.Gate;
 import io.indigoreach.emulator.model.StateModel;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.state.StateClient.Txn;
 import io.indigoreach.state.StateCodec;
 import io.vertx.core.Future;
@@ -100,14 +100,14 @@
         durability.whenKept(() -> {});
     }
 
-    private void serve(GatedListener.Request r, Consumer<Reply> reply) {
+    private void serve(GatedListener.Request r, Consumer<ServiceResponse> reply) {
         Moment now = clock.now();
         String path = r.path();
-        Consumer<Reply> kept = answer -> durability.whenKept(() -> reply.accept(answer));
+        Consumer<ServiceResponse> kept = answer -> durability.whenKept(() -> reply.accept(answer));
         long asOf = r.behind() == 0 ? -1 : Math.max(0, model.revision() - r.behind());
         if (path.equals(StateCodec.TXN) && r.is(HttpMethod.POST)) {
             Txn txn = StateCodec.readTxn(r.body());
-            Reply answer = model.commit(now, txn);
+            ServiceResponse answer = model.commit(now, txn);
             if (answer.isOk() && txn.size() > 0) {
                 history.add(new Event.Committed(now, r.caller(), txn, model.revision()));
             }
@@ -136,22 +136,22 @@
         } else if (path.startsWith(StateCodec.LEASES + "/")) {
             kept.accept(lease(r, now, path.substring(StateCodec.LEASES.length() + 1)));
         } else {
-            reply.accept(new Reply(404, new Fields(Wire.map("error", "no such path"))));
+            reply.accept(new ServiceResponse(404, new Fields(MessagePackFormat.map("error", "no such path"))));
         }
     }
 
-    private Reply lease(GatedListener.Request r, Moment now, String rest) {
+    private ServiceResponse lease(GatedListener.Request r, Moment now, String rest) {
         boolean renews = rest.endsWith(StateCodec.RENEW);
         long lease;
         try {
             lease = Long.parseLong(renews ? rest.substring(0, rest.length() - StateCodec.RENEW.length()) : rest);
         } catch (NumberFormatException e) {
-            return new Reply(404, new Fields(Wire.map("error", "no such path")));
+            return new ServiceResponse(404, new Fields(MessagePackFormat.map("error", "no such path")));
         }
         return renews && r.is(HttpMethod.POST)
                 ? model.renew(now, lease)
                 : r.is(HttpMethod.DELETE)
                         ? model.drop(now, lease)
-                        : new Reply(405, new Fields(Wire.map("error", "method not allowed")));
+                        : new ServiceResponse(405, new Fields(MessagePackFormat.map("error", "method not allowed")));
     }
 }
--- a/src/main/java/io/indigoreach/emulator/WorkerPool.java
+++ b/src/main/java/io/indigoreach/emulator/WorkerPool.java
@@ -2,24 +2,24 @@
 
 import io.indigoreach.checker.Event;
 import io.indigoreach.checker.History;
-import io.indigoreach.core.Attempt;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.TaskId;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.WorkerReport;
+import io.indigoreach.core.model.Attempt;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskId;
 import io.indigoreach.emulator.model.CloudModel;
 import io.indigoreach.emulator.model.Depot;
 import io.indigoreach.emulator.model.Gate;
 import io.indigoreach.emulator.model.Verdict;
 import io.indigoreach.emulator.model.WorkerModel;
-import io.indigoreach.net.Caller;
 import io.indigoreach.net.Endpoint;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.scenario.Deployment;
 import io.indigoreach.worker.WorkerCodec;
 import io.vertx.core.Future;
@@ -46,7 +46,7 @@
     private final class Routine {
         final WorkerModel model;
         final GatedListener listener;
-        Caller caller;
+        ServiceClient caller;
         int target;
         long timer = -1;
         boolean ended;
@@ -82,14 +82,14 @@
             }
             vertx.cancelTimer(timer);
             Moment now = clock.now();
-            WorkerReport report = model.report(now);
+            Heartbeat report = model.report(now);
             if (report != null) {
                 send(report, now);
             }
             timer = vertx.setTimer(Math.max(1, model.nextDue(now).since(now).ms()), t -> step());
         }
 
-        private void send(WorkerReport report, Moment sent) {
+        private void send(Heartbeat report, Moment sent) {
             Node node = nodes.get(target);
             reports++;
             Verdict verdict = gate.judge(sent, PARTY, node.name(), true);
@@ -113,11 +113,11 @@
             }
         }
 
-        private void call(Node node, WorkerReport report, Moment sent, boolean hears) {
+        private void call(Node node, Heartbeat report, Moment sent, boolean hears) {
             if (ended && hears) {
                 return;
             }
-            Caller used = hears ? caller(node) : new Caller(vertx, node.endpoint(), 1);
+            ServiceClient used = hears ? caller(node) : new ServiceClient(vertx, node.endpoint(), 1);
             used.post(WorkerCodec.REPORT, WorkerCodec.write(report), PATIENCE).onComplete(done -> {
                 if (!hears) {
                     used.close();
@@ -132,7 +132,7 @@
             });
         }
 
-        private void heard(Node node, WorkerReport report, Moment sent, Reply reply) {
+        private void heard(Node node, Heartbeat report, Moment sent, ServiceResponse reply) {
             Moment now = clock.now();
             if (ended) {
                 return;
@@ -158,22 +158,22 @@
             }
         }
 
-        private void missed(WorkerReport report) {
+        private void missed(Heartbeat report) {
             if (!ended) {
                 move(report, (target + 1) % nodes.size(), PAUSE);
             }
         }
 
-        private void move(WorkerReport report, int to, Span pause) {
+        private void move(Heartbeat report, int to, Span pause) {
             target = to;
             closeCaller();
             model.unanswered(clock.now(), report.number(), pause);
             step();
         }
 
-        private Caller caller(Node node) {
+        private ServiceClient caller(Node node) {
             if (caller == null) {
-                caller = new Caller(vertx, node.endpoint(), 1);
+                caller = new ServiceClient(vertx, node.endpoint(), 1);
             }
             return caller;
         }
@@ -185,7 +185,7 @@
             }
         }
 
-        private void serve(GatedListener.Request request, Consumer<Reply> reply) {
+        private void serve(GatedListener.Request request, Consumer<ServiceResponse> reply) {
             Moment now = clock.now();
             if (ended) {
                 return;
@@ -199,19 +199,20 @@
             } else if (request.path().equals(WorkerCodec.DIRECT) && request.is(HttpMethod.POST)) {
                 WorkerCodec.Direct direct = WorkerCodec.readDirect(request.body());
                 if (direct.token() == null || direct.session() == null) {
-                    reply.accept(new Reply(400, new Fields(Wire.map("error", "token or session is missing"))));
+                    reply.accept(new ServiceResponse(
+                            400, new Fields(MessagePackFormat.map("error", "token or session is missing"))));
                     return;
                 }
                 boolean done = model.direct(now, direct);
                 reply.accept(report(done ? 200 : 409, now));
                 step();
             } else {
-                reply.accept(new Reply(404, new Fields(Wire.map("error", "no such path"))));
+                reply.accept(new ServiceResponse(404, new Fields(MessagePackFormat.map("error", "no such path"))));
             }
         }
 
-        private Reply report(int status, Moment now) {
-            return new Reply(status, new Fields(WorkerCodec.write(model.state(now))));
+        private ServiceResponse report(int status, Moment now) {
+            return new ServiceResponse(status, new Fields(WorkerCodec.write(model.state(now))));
         }
     }
 
@@ -340,7 +341,7 @@
     private WorkerModel.Listener listener() {
         return new WorkerModel.Listener() {
             @Override
-            public void started(Moment at, MachineId machine, TaskId task, Attempt attempt, Token token) {
+            public void started(Moment at, MachineId machine, TaskId task, Attempt attempt, FencingToken token) {
                 history.add(new Event.Started(at, machine, task, attempt, token));
             }
 
--- a/src/main/java/io/indigoreach/emulator/model/CloudModel.java
+++ b/src/main/java/io/indigoreach/emulator/model/CloudModel.java
@@ -1,16 +1,16 @@
 package io.indigoreach.emulator.model;
 
 import io.indigoreach.cloud.CloudCodec;
-import io.indigoreach.core.ListedMachine;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.Span;
-import io.indigoreach.net.Budget;
+import io.indigoreach.core.model.ListedMachine;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.RateLimiter;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.scenario.Deployment;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -45,7 +45,7 @@
     public static final class Machine {
         private final MachineId id;
         private final MachineType type;
-        private final Pool pool;
+        private final MachinePool pool;
         private final Moment rented;
         private final double meterAtStart;
         private final double speed;
@@ -60,7 +60,7 @@
         private double cost;
         private String address;
 
-        private Machine(MachineId id, MachineType type, Pool pool, Moment rented, double meter, double speed) {
+        private Machine(MachineId id, MachineType type, MachinePool pool, Moment rented, double meter, double speed) {
             this.id = id;
             this.type = type;
             this.pool = pool;
@@ -77,7 +77,7 @@
             return type;
         }
 
-        public Pool pool() {
+        public MachinePool pool() {
             return pool;
         }
 
@@ -108,7 +108,7 @@
     private final Deployment deployment;
     private final List<MachineType> types;
     private final RandomGenerator random;
-    private final Budget requests;
+    private final RateLimiter requests;
     private final TreeMap<MachineId, Machine> machines = new TreeMap<>();
     private final Map<String, List<MachineId>> answered = new HashMap<>();
     private final Map<String, Double> price = new HashMap<>();
@@ -125,7 +125,7 @@
         this.deployment = deployment;
         this.types = deployment.types();
         this.random = random;
-        this.requests = new Budget(deployment.cloud().rps(), BURST_S, now);
+        this.requests = new RateLimiter(deployment.cloud().rps(), BURST_S, now);
         this.metered = now;
         this.priceMoves = now;
         types.forEach(t -> price.put(t.name(), t.spotPrice()));
@@ -136,7 +136,7 @@
         noBoot = holds;
     }
 
-    public Reply types(Moment now) {
+    public ServiceResponse types(Moment now) {
         advance(now);
         if (!requests.take(1, now)) {
             return tooMany();
@@ -154,7 +154,7 @@
                 .toList()));
     }
 
-    public Reply rent(Moment now, CloudCodec.Rental r) {
+    public ServiceResponse rent(Moment now, CloudCodec.Rental r) {
         advance(now);
         if (!requests.take(1, now)) {
             return tooMany();
@@ -168,7 +168,8 @@
                 || r.count() < 1
                 || r.count() > CloudCodec.MOST_RENTED
                 || r.name().isEmpty()) {
-            return new Reply(400, new Fields(Wire.map("error", "no such type or zone, or not 1 to 50 machines")));
+            return new ServiceResponse(
+                    400, new Fields(MessagePackFormat.map("error", "no such type or zone, or not 1 to 50 machines")));
         }
         List<MachineId> known = answered.get(r.name());
         if (known != null) {
@@ -184,7 +185,7 @@
                 .sum();
         int n = (int) Math.min(r.count(), there - used);
         if (n <= 0) {
-            return new Reply(503, new Fields(Wire.map("error", CloudCodec.NO_CAPACITY)));
+            return new ServiceResponse(503, new Fields(MessagePackFormat.map("error", CloudCodec.NO_CAPACITY)));
         }
         List<MachineId> names = new ArrayList<>();
         for (int i = 0; i < n; i++) {
@@ -194,7 +195,7 @@
         return ok(CloudCodec.writeNames(names));
     }
 
-    private Machine create(Moment now, MachineType type, Pool pool) {
+    private Machine create(Moment now, MachineType type, MachinePool pool) {
         MachineId id = new MachineId(String.format("vm-%06d", ++names));
         Machine m = new Machine(id, type, pool, now, meter(pool), 0.95 + 0.1 * random.nextDouble());
         double boots = random.nextDouble();
@@ -220,13 +221,13 @@
         m.notice = noticeS <= 0 ? null : taken.minus(Span.seconds(noticeS * (0.5 + random.nextDouble())));
     }
 
-    public Reply giveBack(Moment now, List<MachineId> given) {
+    public ServiceResponse giveBack(Moment now, List<MachineId> given) {
         advance(now);
         if (!requests.take(1, now)) {
             return tooMany();
         }
         if (given.size() > CloudCodec.MOST_RETURNED) {
-            return new Reply(400, new Fields(Wire.map("error", "100 machines at most")));
+            return new ServiceResponse(400, new Fields(MessagePackFormat.map("error", "100 machines at most")));
         }
         for (MachineId id : given) {
             Machine m = machines.get(id);
@@ -238,7 +239,7 @@
     }
 
     /** The list as it was a while ago, and now and then as it was before the list given last. */
-    public Reply list(Moment now, MachineId after, int most) {
+    public ServiceResponse list(Moment now, MachineId after, int most) {
         advance(now);
         if (!requests.take(1, now)) {
             return tooMany();
@@ -372,7 +373,7 @@
     }
 
     /** What one spot machine of the type would have cost so far; each price counts while it holds. */
-    private double meter(Pool pool) {
+    private double meter(MachinePool pool) {
         return meter.getOrDefault(pool.type(), 0.0);
     }
 
@@ -384,11 +385,11 @@
         }
     }
 
-    private static Reply ok(Map<String, Object> body) {
-        return new Reply(200, new Fields(body));
+    private static ServiceResponse ok(Map<String, Object> body) {
+        return new ServiceResponse(200, new Fields(body));
     }
 
-    private static Reply tooMany() {
-        return new Reply(429, new Fields(Wire.map("error", "too many requests")));
+    private static ServiceResponse tooMany() {
+        return new ServiceResponse(429, new Fields(MessagePackFormat.map("error", "too many requests")));
     }
 }
--- a/src/main/java/io/indigoreach/emulator/model/Depot.java
+++ b/src/main/java/io/indigoreach/emulator/model/Depot.java
@@ -1,9 +1,9 @@
 package io.indigoreach.emulator.model;
 
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.TaskId;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskId;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
--- a/src/main/java/io/indigoreach/emulator/model/StateModel.java
+++ b/src/main/java/io/indigoreach/emulator/model/StateModel.java
@@ -1,14 +1,14 @@
 package io.indigoreach.emulator.model;
 
 import io.indigoreach.config.PlatformConfig.StateLimits;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.net.Budget;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Fields;
 import io.indigoreach.net.JsonSize;
-import io.indigoreach.net.Reply;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.RateLimiter;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.state.StateClient.Change;
 import io.indigoreach.state.StateClient.Changes;
 import io.indigoreach.state.StateClient.Entry;
@@ -67,9 +67,9 @@
         private final String prefix;
         private final long since;
         private final Moment until;
-        private final Consumer<Reply> reply;
+        private final Consumer<ServiceResponse> reply;
 
-        private Watch(String prefix, long since, Moment until, Consumer<Reply> reply) {
+        private Watch(String prefix, long since, Moment until, Consumer<ServiceResponse> reply) {
             this.prefix = prefix;
             this.since = since;
             this.until = until;
@@ -86,8 +86,8 @@
     private final TreeMap<Long, Lease> leases = new TreeMap<>();
     private final ArrayDeque<Logged> log = new ArrayDeque<>();
     private final List<Watch> watches = new ArrayList<>();
-    private Budget requests;
-    private Budget writes;
+    private RateLimiter requests;
+    private RateLimiter writes;
     private long revision;
     private long lastLease;
     private long forgotten;
@@ -97,15 +97,15 @@
         this.limits = limits;
         this.random = random;
         this.sink = sink;
-        this.requests = new Budget(limits.requestsPerS(), now);
-        this.writes = new Budget(limits.writesPerS(), now);
+        this.requests = new RateLimiter(limits.requestsPerS(), now);
+        this.writes = new RateLimiter(limits.writesPerS(), now);
     }
 
     /** From now on other limits hold; what is stored stays as it is. */
     public void limit(StateLimits from, Moment now) {
         limits = from;
-        requests = new Budget(limits.requestsPerS(), now);
-        writes = new Budget(limits.writesPerS(), now);
+        requests = new RateLimiter(limits.requestsPerS(), now);
+        writes = new RateLimiter(limits.writesPerS(), now);
     }
 
     /** Takes on a change of before a restart; leases get their full time again. */
@@ -143,7 +143,7 @@
     }
 
     /** The entry of a key as of a revision, a negative one meaning now: an older one is a service that breaks its word. */
-    public Reply get(Moment now, String key, long asOf) {
+    public ServiceResponse get(Moment now, String key, long asOf) {
         if (!requests.take(1, now)) {
             return tooMany();
         }
@@ -156,7 +156,7 @@
                 : reply(200, StateCodec.writeEntry(entry(key, item)));
     }
 
-    public Reply list(Moment now, String prefix, String after, int most, long asOf) {
+    public ServiceResponse list(Moment now, String prefix, String after, int most, long asOf) {
         if (!requests.take(1, now)) {
             return tooMany();
         }
@@ -185,7 +185,7 @@
     }
 
     /** Atomic: all of it, or nothing. */
-    public Reply commit(Moment now, Txn txn) {
+    public ServiceResponse commit(Moment now, Txn txn) {
         if (!requests.take(1, now)) {
             return tooMany();
         }
@@ -240,7 +240,7 @@
         return JsonSize.of(StateCodec.writeTxn(txn)) > TXN_BYTES ? "a transaction may have 64 KiB" : null;
     }
 
-    public Reply grant(Moment now, Span life) {
+    public ServiceResponse grant(Moment now, Span life) {
         if (!requests.take(1, now)) {
             return tooMany();
         }
@@ -254,7 +254,7 @@
         return reply(200, StateCodec.writeLease(lastLease));
     }
 
-    public Reply renew(Moment now, long id) {
+    public ServiceResponse renew(Moment now, long id) {
         if (!requests.take(1, now)) {
             return tooMany();
         }
@@ -265,7 +265,7 @@
         return reply(200, StateCodec.writeLease(id));
     }
 
-    public Reply drop(Moment now, long id) {
+    public ServiceResponse drop(Moment now, long id) {
         if (!requests.take(1, now)) {
             return tooMany();
         }
@@ -277,8 +277,8 @@
     }
 
     /** Answers at once or when something happens; the result can be given up, and is null if nothing is left to. */
-    public Watch watch(Moment now, String prefix, long since, Span wait, Consumer<Reply> reply) {
-        Reply refusal = !requests.take(1, now)
+    public Watch watch(Moment now, String prefix, long since, Span wait, Consumer<ServiceResponse> reply) {
+        ServiceResponse refusal = !requests.take(1, now)
                 ? tooMany()
                 : prefix == null || since < 0 || wait.ms() < 0 || wait.ms() > 60_000
                         ? malformed("a watch needs a prefix, " + "a revision and a wait of at most 60,000 ms")
@@ -336,7 +336,7 @@
             }
             if (l.key.startsWith(watch.prefix)) {
                 changes.add(
-                        new Change(l.key, l.after == null ? null : new Fields(l.after.data), new Stamp(l.revision)));
+                        new Change(l.key, l.after == null ? null : new Fields(l.after.data), new Revision(l.revision)));
             }
         }
         if (changes.isEmpty() && now.isBefore(watch.until)) {
@@ -452,18 +452,18 @@
     }
 
     private static Entry entry(String key, Item item) {
-        return new Entry(key, new Fields(item.data), new Stamp(item.stamp), item.lease);
+        return new Entry(key, new Fields(item.data), new Revision(item.stamp), item.lease);
     }
 
-    private static Reply reply(int status, Map<String, Object> body) {
-        return new Reply(status, new Fields(body));
+    private static ServiceResponse reply(int status, Map<String, Object> body) {
+        return new ServiceResponse(status, new Fields(body));
     }
 
-    private static Reply tooMany() {
-        return reply(429, Wire.map("error", "too many requests"));
+    private static ServiceResponse tooMany() {
+        return reply(429, MessagePackFormat.map("error", "too many requests"));
     }
 
-    private static Reply malformed(String why) {
-        return reply(400, Wire.map("error", why));
+    private static ServiceResponse malformed(String why) {
+        return reply(400, MessagePackFormat.map("error", why));
     }
 }
--- a/src/main/java/io/indigoreach/emulator/model/Verdict.java
+++ b/src/main/java/io/indigoreach/emulator/model/Verdict.java
@@ -1,7 +1,7 @@
 package io.indigoreach.emulator.model;
 
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 
 /**
  * What becomes of one message.
--- a/src/main/java/io/indigoreach/emulator/model/WorkerModel.java
+++ b/src/main/java/io/indigoreach/emulator/model/WorkerModel.java
@@ -1,19 +1,19 @@
 package io.indigoreach.emulator.model;
 
-import io.indigoreach.core.Attempt;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.ExitCause;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Order;
-import io.indigoreach.core.ReportNumber;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.TaskId;
-import io.indigoreach.core.TaskReport;
-import io.indigoreach.core.TaskState;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.WorkerReport;
+import io.indigoreach.core.model.Attempt;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskId;
+import io.indigoreach.core.model.TaskState;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.WorkerCommand;
 import io.indigoreach.worker.WorkerCodec;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -28,7 +28,7 @@
 
     /** Told of what becomes of tasks. */
     public interface Listener {
-        void started(Moment at, MachineId machine, TaskId task, Attempt attempt, Token token);
+        void started(Moment at, MachineId machine, TaskId task, Attempt attempt, FencingToken token);
 
         void running(Moment at, MachineId machine, TaskId task, Attempt attempt);
 
@@ -68,7 +68,7 @@
     private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
     private long session = 1;
     private long serial;
-    private Token token = Token.NONE;
+    private FencingToken token = FencingToken.NONE;
     private Moment leaseFrom;
     private Moment noticeUntil;
     private Moment hangsUntil = Moment.NEVER;
@@ -298,7 +298,7 @@
     }
 
     /** A report, if one is due now; it counts as under way until it is {@link #answered} or {@link #unanswered}. */
-    public WorkerReport report(Moment now) {
+    public Heartbeat report(Moment now) {
         advance(now);
         if (underWay || hangs(now) || now.isBefore(reportDue())) {
             return null;
@@ -329,21 +329,21 @@
     }
 
     /** The worker's report as it stands, which {@code GET /inspect} answers too. */
-    public WorkerReport state(Moment now) {
-        List<TaskReport> list = new ArrayList<>(tasks.size());
-        tasks.forEach((key, h) -> list.add(new TaskReport(key.task, key.attempt, h.state, h.cause, h.saved)));
-        return new WorkerReport(
+    public Heartbeat state(Moment now) {
+        List<TaskStatus> list = new ArrayList<>(tasks.size());
+        tasks.forEach((key, h) -> list.add(new TaskStatus(key.task, key.attempt, h.state, h.cause, h.saved)));
+        return new Heartbeat(
                 machine.id(),
                 machine.address(),
                 machine.pool(),
-                new ReportNumber(session, ++serial),
+                new HeartbeatNumber(session, ++serial),
                 token,
                 noticeUntil == null ? null : noticeUntil.isBefore(now) ? Span.ZERO : noticeUntil.since(now),
                 list);
     }
 
     /** Its report was not taken; it goes on at another node after {@code pause}. */
-    public void unanswered(Moment now, ReportNumber report, Span pause) {
+    public void unanswered(Moment now, HeartbeatNumber report, Span pause) {
         advance(now);
         if (report.session() == session) {
             underWay = false;
@@ -353,7 +353,7 @@
     }
 
     /** An answer of 200 to the report with this number, sent at {@code sent}. */
-    public void answered(Moment now, ReportNumber report, Moment sent, WorkerCodec.Answer answer) {
+    public void answered(Moment now, HeartbeatNumber report, Moment sent, WorkerCodec.Answer answer) {
         advance(now);
         if (report.session() != session) {
             return;
@@ -378,7 +378,7 @@
         return true;
     }
 
-    private void see(Token seen, Moment now) {
+    private void see(FencingToken seen, Moment now) {
         if (seen.value() > token.value()) {
             token = seen;
             if (now.since(tokenTold).compareTo(lease.times(0.5)) >= 0) {
@@ -388,14 +388,14 @@
         }
     }
 
-    private void execute(Order order, Moment now) {
+    private void execute(WorkerCommand order, Moment now) {
         Key key = new Key(order.task(), order.attempt());
         Held held = tasks.get(key);
-        if (order instanceof Order.Start) {
+        if (order instanceof WorkerCommand.Start) {
             if (held == null) {
                 start(key, now);
             }
-        } else if (order instanceof Order.Stop stop) {
+        } else if (order instanceof WorkerCommand.Stop stop) {
             if (held != null) {
                 stop(key, held, stop.grace(), now);
             }
--- a/src/main/java/io/indigoreach/experiment/Experiment.java
+++ b/src/main/java/io/indigoreach/experiment/Experiment.java
@@ -5,14 +5,14 @@
 import io.indigoreach.checker.History;
 import io.indigoreach.config.ConfigException;
 import io.indigoreach.config.PlatformConfig;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.DepotCodec;
 import io.indigoreach.emulator.Emulator;
 import io.indigoreach.load.Arrivals;
 import io.indigoreach.load.Users;
-import io.indigoreach.net.Caller;
 import io.indigoreach.net.Endpoint;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.scenario.Deployment;
 import io.indigoreach.scenario.Fault;
@@ -159,7 +159,8 @@
             at(Span.seconds(f.atS()), () -> emulator.rollBack(f.behind()));
         } else if (f.kind() == Fault.Kind.LOSE_KEYS) {
             Endpoint service = emulator.nodes().get(0).state();
-            StateClient state = new StateClient(new Caller(vertx, service, 1), new Caller(vertx, service, 1));
+            StateClient state =
+                    new StateClient(new ServiceClient(vertx, service, 1), new ServiceClient(vertx, service, 1));
             RandomGenerator random = new SplittableRandom(scenario.seed() + 31);
             at(Span.seconds(f.atS()), () -> lose(state, f, null, random));
         } else if (f.kind() == Fault.Kind.PAUSE) {
--- a/src/main/java/io/indigoreach/experiment/Figures.java
+++ b/src/main/java/io/indigoreach/experiment/Figures.java
@@ -1,11 +1,11 @@
 package io.indigoreach.experiment;
 
 import io.indigoreach.checker.Event;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.TaskId;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.TaskId;
 import io.indigoreach.load.Users;
 import io.indigoreach.scenario.Deployment;
 import io.indigoreach.scenario.JobClass;
--- a/src/main/java/io/indigoreach/load/Arrivals.java
+++ b/src/main/java/io/indigoreach/load/Arrivals.java
@@ -1,9 +1,9 @@
 package io.indigoreach.load;
 
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.model.Depot;
 import io.indigoreach.scenario.JobClass;
 import io.indigoreach.scenario.Scenario;
@@ -94,7 +94,7 @@
     private static Arrival arrival(JobClass c, Span at, RandomGenerator random) {
         int tasks = (int) Math.min(
                 c.mostTasks(), Math.max(1, Math.round(c.tasks() * (0.5 + random.nextExponential() / 2))));
-        boolean service = c.shape() == io.indigoreach.core.Shape.SERVICE;
+        boolean service = c.shape() == io.indigoreach.core.model.JobKind.SERVICE;
         double run = c.runS() * logNormal(c.runSpread() / 2, random);
         double estimate = service ? 0 : run * logNormal(c.estimateSpread(), random);
         boolean cancels = service ? run > 0 : random.nextDouble() < c.cancelShare();
--- a/src/main/java/io/indigoreach/load/Users.java
+++ b/src/main/java/io/indigoreach/load/Users.java
@@ -4,16 +4,16 @@
 import io.indigoreach.checker.Event;
 import io.indigoreach.checker.Event.Question;
 import io.indigoreach.checker.History;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.model.Gate;
 import io.indigoreach.emulator.model.Verdict;
-import io.indigoreach.net.Caller;
 import io.indigoreach.net.Endpoint;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -104,8 +104,8 @@
     private final RandomGenerator random;
     private final History history;
     private final List<String> names;
-    private final List<Caller> nodes = new ArrayList<>();
-    private final List<Caller> probes = new ArrayList<>();
+    private final List<ServiceClient> nodes = new ArrayList<>();
+    private final List<ServiceClient> probes = new ArrayList<>();
     private final boolean[] ready;
     private final Map<JobId, Mine> jobs = new LinkedHashMap<>();
     private final long probing;
@@ -129,8 +129,8 @@
         this.names = List.copyOf(names);
         this.ready = new boolean[names.size()];
         for (Endpoint e : endpoints) {
-            nodes.add(new Caller(vertx, e, CONNECTIONS));
-            probes.add(new Caller(vertx, e, 1));
+            nodes.add(new ServiceClient(vertx, e, CONNECTIONS));
+            probes.add(new ServiceClient(vertx, e, 1));
         }
         this.probing = vertx.setPeriodic(1, PROBE.ms(), t -> probe());
     }
@@ -235,7 +235,7 @@
                 });
     }
 
-    private void take(Mine mine, Reply r, Promise<Mine> over) {
+    private void take(Mine mine, ServiceResponse r, Promise<Mine> over) {
         if (mine.isOver()) {
             return;
         }
@@ -254,15 +254,16 @@
     }
 
     /** Never fails: no answer is a status of 0. */
-    private Future<Reply> ask(Question question, JobId job, String path, Map<String, Object> body, Span patience) {
+    private Future<ServiceResponse> ask(
+            Question question, JobId job, String path, Map<String, Object> body, Span patience) {
         int node = next();
         Moment asked = clock.now();
-        Promise<Reply> answer = Promise.promise();
+        Promise<ServiceResponse> answer = Promise.promise();
         Verdict verdict = gate.judge(asked, PARTY, names.get(node), body != null);
         Runnable send = () -> (body == null
                         ? nodes.get(node).get(path, patience)
                         : nodes.get(node).post(path, body, patience))
-                .otherwise(new Reply(0, null))
+                .otherwise(new ServiceResponse(0, null))
                 .onSuccess(r -> {
                     if (verdict.answers()) {
                         answer.tryComplete(r);
@@ -274,8 +275,8 @@
             default -> 0;
         };
         switch (verdict.fate()) {
-            case REFUSE -> answer.tryComplete(new Reply(verdict.status(), null));
-            case RESET -> answer.tryComplete(new Reply(0, null));
+            case REFUSE -> answer.tryComplete(new ServiceResponse(verdict.status(), null));
+            case RESET -> answer.tryComplete(new ServiceResponse(0, null));
             case LOSE_REQUEST -> {}
             default -> {
                 if (delay > 0) {
@@ -289,7 +290,7 @@
             }
         }
         if (!verdict.answers() || delay > 0) {
-            vertx.setTimer(patience.ms(), t -> answer.tryComplete(new Reply(0, null)));
+            vertx.setTimer(patience.ms(), t -> answer.tryComplete(new ServiceResponse(0, null)));
         }
         return answer.future().onSuccess(r -> {
             JobStatus status = r.isOk() || r.status() == 201
--- a/src/main/java/io/indigoreach/net/Pulse.java
+++ b/src/main/java/io/indigoreach/net/EventLoopMonitor.java
@@ -1,7 +1,7 @@
 package io.indigoreach.net;
 
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import io.vertx.core.Vertx;
 
 /**
@@ -10,7 +10,7 @@
  * that refute them; so it doubts itself before it says of anybody else that they are silent (Dadgar and others, "Lifeguard",
  * 2017).
  */
-public final class Pulse {
+public final class EventLoopMonitor {
     private static final Span BEAT = Span.seconds(0.25);
     /** A beat that comes later than this was held up by the node itself. */
     private static final Span STILL = Span.seconds(1);
@@ -21,7 +21,7 @@
     private Moment last;
     private Moment awake;
 
-    public Pulse(Vertx vertx, SteadyClock clock) {
+    public EventLoopMonitor(Vertx vertx, SteadyClock clock) {
         this.vertx = vertx;
         this.clock = clock;
         this.last = clock.now();
--- a/src/main/java/io/indigoreach/net/Loop.java
+++ b/src/main/java/io/indigoreach/net/EventLoops.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.TimeUnit;
 
 /** Vert.x cut down to one event loop: the machines have a tenth of a core and no disk. */
-public final class Loop {
-    private Loop() {}
+public final class EventLoops {
+    private EventLoops() {}
 
     public static Vertx vertx() {
         return Vertx.vertx(new VertxOptions()
--- a/src/main/java/io/indigoreach/net/Fields.java
+++ b/src/main/java/io/indigoreach/net/Fields.java
@@ -75,14 +75,14 @@
         if (!has(name)) {
             throw missing(name);
         }
-        return new Fields(Wire.asMap(map.get(name)));
+        return new Fields(MessagePackFormat.asMap(map.get(name)));
     }
 
     /** A list of maps; absent is empty. */
     public List<Fields> children(String name) {
         List<Fields> out = new ArrayList<>();
         for (Object o : list(name)) {
-            out.add(new Fields(Wire.asMap(o)));
+            out.add(new Fields(MessagePackFormat.asMap(o)));
         }
         return out;
     }
--- a/src/main/java/io/indigoreach/net/Wire.java
+++ b/src/main/java/io/indigoreach/net/MessagePackFormat.java
@@ -14,13 +14,13 @@
  * MessagePack bodies as maps, lists, text, numbers, booleans and null. Integers become {@link Long}, other numbers
  * {@link Double}. Depth and element counts are bounded, so that no body can claim more than it brings.
  */
-public final class Wire {
+public final class MessagePackFormat {
     private static final int MAX_DEPTH = 16;
     /** A reader's buffer for text that lies in pieces, in characters: a whole body never does, and 8,192 is the default. */
     private static final MessagePack.UnpackerConfig READER =
             new MessagePack.UnpackerConfig().withStringDecoderBufferSize(128);
 
-    private Wire() {}
+    private MessagePackFormat() {}
 
     /** The body's map; throws {@link WireException} if it is anything else. */
     public static Fields readMap(Buffer body) {
--- a/src/main/java/io/indigoreach/net/Duty.java
+++ b/src/main/java/io/indigoreach/net/PeriodicTask.java
@@ -1,6 +1,6 @@
 package io.indigoreach.net;
 
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Span;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.function.Supplier;
@@ -11,8 +11,8 @@
  * A long-lived routine: one step after the other, each saying how long to wait until the next. A step that fails is
  * logged and followed by a pause. Cancelling ends it after the step that is under way.
  */
-public final class Duty {
-    private static final Logger LOG = LoggerFactory.getLogger(Duty.class);
+public final class PeriodicTask {
+    private static final Logger LOG = LoggerFactory.getLogger(PeriodicTask.class);
 
     private final Vertx vertx;
     private final String name;
@@ -23,14 +23,14 @@
     private boolean again;
     private long timer = -1;
 
-    public Duty(Vertx vertx, String name, Span pauseAfterFailure, Supplier<Future<Span>> step) {
+    public PeriodicTask(Vertx vertx, String name, Span pauseAfterFailure, Supplier<Future<Span>> step) {
         this.vertx = vertx;
         this.name = name;
         this.pauseAfterFailure = pauseAfterFailure;
         this.step = step;
     }
 
-    public Duty start() {
+    public PeriodicTask start() {
         next();
         return this;
     }
--- a/src/main/java/io/indigoreach/net/Budget.java
+++ b/src/main/java/io/indigoreach/net/RateLimiter.java
@@ -1,20 +1,20 @@
 package io.indigoreach.net;
 
-import io.indigoreach.core.Moment;
+import io.indigoreach.core.model.Moment;
 
 /** A rate that is not to be exceeded, with a burst of up to one second's worth unless it says otherwise. */
-public final class Budget {
+public final class RateLimiter {
     private final double perSecond;
     private final double most;
     private double left;
     private Moment at;
 
-    public Budget(double perSecond, Moment now) {
+    public RateLimiter(double perSecond, Moment now) {
         this(perSecond, 1, now);
     }
 
     /** With a burst of {@code burstS} seconds' worth. */
-    public Budget(double perSecond, double burstS, Moment now) {
+    public RateLimiter(double perSecond, double burstS, Moment now) {
         this.perSecond = perSecond;
         this.most = Math.max(1, perSecond * burstS);
         this.left = most;
--- a/src/main/java/io/indigoreach/net/Body.java
+++ b/src/main/java/io/indigoreach/net/RequestBody.java
@@ -5,11 +5,11 @@
 import java.util.function.Consumer;
 
 /** Gathers a request's body up to a limit. */
-public final class Body {
+public final class RequestBody {
     /** What the protocol allows, in bytes. */
     public static final int MOST = 64 * 1024;
 
-    private Body() {}
+    private RequestBody() {}
 
     /** Hands over the whole body, or tells that it is longer than {@link #MOST}; a longer one is not kept. */
     public static void gather(HttpServerRequest request, Consumer<Buffer> whole, Runnable tooLong) {
--- a/src/main/java/io/indigoreach/net/Caller.java
+++ b/src/main/java/io/indigoreach/net/ServiceClient.java
@@ -1,6 +1,6 @@
 package io.indigoreach.net;
 
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Span;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpClient;
@@ -12,13 +12,13 @@
 import java.util.Map;
 
 /** Calls one other service. A failed future means no answer: what was asked may have happened, or may still happen. */
-public final class Caller {
+public final class ServiceClient {
     private static final Span CONNECT = Span.seconds(1);
 
     private final HttpClient client;
     private final Endpoint endpoint;
 
-    public Caller(Vertx vertx, Endpoint endpoint, int connections) {
+    public ServiceClient(Vertx vertx, Endpoint endpoint, int connections) {
         this.endpoint = endpoint;
         HttpClientOptions options = new HttpClientOptions()
                 .setConnectTimeout((int) CONNECT.ms())
@@ -29,19 +29,19 @@
                 options, new PoolOptions().setHttp1MaxSize(connections).setMaxWaitQueueSize(200));
     }
 
-    public Future<Reply> get(String path, Span timeout) {
+    public Future<ServiceResponse> get(String path, Span timeout) {
         return call(HttpMethod.GET, path, null, timeout);
     }
 
-    public Future<Reply> post(String path, Map<String, Object> body, Span timeout) {
+    public Future<ServiceResponse> post(String path, Map<String, Object> body, Span timeout) {
         return call(HttpMethod.POST, path, body, timeout);
     }
 
-    public Future<Reply> delete(String path, Span timeout) {
+    public Future<ServiceResponse> delete(String path, Span timeout) {
         return call(HttpMethod.DELETE, path, null, timeout);
     }
 
-    private Future<Reply> call(HttpMethod method, String path, Map<String, Object> body, Span timeout) {
+    private Future<ServiceResponse> call(HttpMethod method, String path, Map<String, Object> body, Span timeout) {
         RequestOptions options = new RequestOptions()
                 .setHost(endpoint.host())
                 .setPort(endpoint.port())
@@ -53,10 +53,10 @@
             if (body != null) {
                 request.putHeader("Content-Type", "application/msgpack");
             }
-            return (body == null ? request.send() : request.send(Wire.write(body)))
+            return (body == null ? request.send() : request.send(MessagePackFormat.write(body)))
                     .compose(response -> response.body().map(bytes -> {
                         Fields fields = bytes.length() == 0 ? new Fields(Map.of()) : read(response.statusCode(), bytes);
-                        return new Reply(response.statusCode(), fields);
+                        return new ServiceResponse(response.statusCode(), fields);
                     }));
         });
     }
@@ -73,7 +73,7 @@
     /** The body of an error may be anything; that of a success must be readable, or it counts as no answer. */
     private static Fields read(int status, io.vertx.core.buffer.Buffer bytes) {
         try {
-            return Wire.readMap(bytes);
+            return MessagePackFormat.readMap(bytes);
         } catch (WireException e) {
             if (status == 200) {
                 throw e;
--- a/src/main/java/io/indigoreach/net/SteadyClock.java
+++ b/src/main/java/io/indigoreach/net/SteadyClock.java
@@ -1,6 +1,6 @@
 package io.indigoreach.net;
 
-import io.indigoreach.core.Moment;
+import io.indigoreach.core.model.Moment;
 
 /** This process's steady clock and its time of day. */
 public final class SteadyClock {
--- a/src/main/java/io/indigoreach/ownership/Withholding.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipGate.java
@@ -1,18 +1,18 @@
 package io.indigoreach.ownership;
 
-import io.indigoreach.core.Job;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.LeaderCore;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.core.ownership.Grant;
 import io.indigoreach.core.ownership.JobRecords;
 import io.indigoreach.core.ownership.Registry;
-import io.indigoreach.net.Duty;
+import io.indigoreach.core.scheduling.Job;
+import io.indigoreach.core.scheduling.SchedulerCore;
+import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.net.WireException;
 import io.indigoreach.parts.Part;
 import io.indigoreach.parts.Parts;
-import io.indigoreach.state.Records;
+import io.indigoreach.state.RoutineRunner;
 import io.vertx.core.Future;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -27,32 +27,32 @@
  * While this node leads: of each open job that names records, which tasks wait for them. Such a job begins wholly withheld; once
  * all of its records are its own it is not asked for again, as nobody but a person can take them from it.
  */
-final class Withholding implements Part.Reigning {
-    private static final Logger LOG = LoggerFactory.getLogger(Withholding.class);
+final class OwnershipGate implements Part.Term {
+    private static final Logger LOG = LoggerFactory.getLogger(OwnershipGate.class);
     private static final Span PERIOD = Span.seconds(0.5);
     private static final Span AGAIN = Span.seconds(2);
     /** A job of thousands of records is looked at less often: some hundred pages are read for it. */
     private static final double PER_RECORD_S = 0.001;
 
-    private final Parts.Ground ground;
-    private final LeaderCore core;
-    private final Records records;
+    private final Parts.Environment ground;
+    private final SchedulerCore core;
+    private final RoutineRunner records;
     private final Registry registry;
     private final int most;
-    private final Duty duty;
+    private final PeriodicTask duty;
     private final Map<JobId, Moment> due = new HashMap<>();
     private final Set<JobId> whole = new HashSet<>();
 
-    Withholding(Parts.Ground ground, LeaderCore core, Records records, Registry registry, int most) {
+    OwnershipGate(Parts.Environment ground, SchedulerCore core, RoutineRunner records, Registry registry, int most) {
         this.ground = ground;
         this.core = core;
         this.records = records;
         this.registry = registry;
         this.most = most;
-        this.duty = new Duty(ground.vertx(), "withholding", PERIOD, this::step);
+        this.duty = new PeriodicTask(ground.vertx(), "withholding", PERIOD, this::step);
     }
 
-    Withholding start() {
+    OwnershipGate start() {
         duty.start();
         return this;
     }
--- a/src/main/java/io/indigoreach/ownership/OwnershipPart.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipPart.java
@@ -1,19 +1,19 @@
 package io.indigoreach.ownership;
 
 import com.dynatrace.hash4j.hashing.Hashing;
-import io.indigoreach.api.Joining;
 import io.indigoreach.api.Resource;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.LeaderCore;
+import io.indigoreach.api.SubmissionParticipant;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.ownership.ClaimCollector;
 import io.indigoreach.core.ownership.Registry;
-import io.indigoreach.core.ownership.Tidy;
-import io.indigoreach.core.records.Family;
-import io.indigoreach.core.records.Sweep;
-import io.indigoreach.net.Budget;
+import io.indigoreach.core.records.GarbageCollector;
+import io.indigoreach.core.records.RecordFamily;
+import io.indigoreach.core.scheduling.SchedulerCore;
+import io.indigoreach.net.RateLimiter;
 import io.indigoreach.parts.Part;
 import io.indigoreach.parts.Parts;
 import io.indigoreach.state.RecordCodec;
-import io.indigoreach.state.Records;
+import io.indigoreach.state.RoutineRunner;
 import java.util.List;
 
 /** Who may bill which record: jobs' tasks and export runs, one at any time. */
@@ -27,23 +27,23 @@
 
     private static final int MOST = 12;
 
-    private final Parts.Ground ground;
+    private final Parts.Environment ground;
     private final Registry registry = registry();
     private final OwnershipService desk;
     private final RecordsField field;
-    private final Tidy tidy;
+    private final ClaimCollector tidy;
 
-    public OwnershipPart(Parts.Ground ground) {
+    public OwnershipPart(Parts.Environment ground) {
         this.ground = ground;
         int most = Math.max(LEAST, Math.min(MOST, ground.config().stateLimits().txnOps()));
         double perS = ground.config().stateLimits().writesPerS()
                 * WRITES
                 / (ground.config().peers().size() + 1);
-        Records within = ground.records()
-                .within(new Budget(perS, 2 * most / perS, ground.clock().now()));
+        RoutineRunner within = ground.records()
+                .within(new RateLimiter(perS, 2 * most / perS, ground.clock().now()));
         this.desk = new OwnershipService(within, registry, most, ground.clock());
         this.field = new RecordsField(within, registry, most);
-        this.tidy = new Tidy(new Tidy.Jobs(
+        this.tidy = new ClaimCollector(new ClaimCollector.Jobs(
                 JobId::isValid, id -> RecordCodec.open(new JobId(id)), id -> RecordCodec.over(new JobId(id))));
     }
 
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public List<Family> families() {
+    public List<RecordFamily> families() {
         return Registry.FAMILIES;
     }
 
@@ -68,19 +68,19 @@
     }
 
     @Override
-    public Joining joining() {
+    public SubmissionParticipant joining() {
         return field;
     }
 
     @Override
-    public Sweep sweep() {
+    public GarbageCollector sweep() {
         return tidy;
     }
 
     @Override
-    public Reigning reigning(LeaderCore core, Records records) {
+    public Term reigning(SchedulerCore core, RoutineRunner records) {
         int most = (int)
                 Math.max(LEAST, Math.min(MOST, ground.config().stateLimits().writesPerS() * LEADERS));
-        return new Withholding(ground, core, records, registry, most).start();
+        return new OwnershipGate(ground, core, records, registry, most).start();
     }
 }
--- a/src/main/java/io/indigoreach/ownership/OwnershipService.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipService.java
@@ -1,10 +1,10 @@
 package io.indigoreach.ownership;
 
-import io.indigoreach.api.Answer;
-import io.indigoreach.api.Refusal;
+import io.indigoreach.api.ApiResponse;
+import io.indigoreach.api.RequestRejectedException;
 import io.indigoreach.api.Resource;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.ownership.Beginning;
 import io.indigoreach.core.ownership.Edit;
 import io.indigoreach.core.ownership.Ending;
@@ -16,15 +16,15 @@
 import io.indigoreach.core.ownership.Survey;
 import io.indigoreach.core.ownership.Take;
 import io.indigoreach.core.ownership.Unsettled;
-import io.indigoreach.core.records.Kept;
 import io.indigoreach.core.records.Routine;
-import io.indigoreach.core.records.Seen;
 import io.indigoreach.core.records.Step;
+import io.indigoreach.core.records.StepResult;
+import io.indigoreach.core.records.VersionedRecord;
 import io.indigoreach.net.Fields;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.state.RecordCodec;
-import io.indigoreach.state.Records;
+import io.indigoreach.state.RoutineRunner;
 import io.vertx.core.Future;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -43,13 +43,13 @@
     private static final int COUNTED_PAGES = 40;
     private static final long OVERDUE_S = 600;
 
-    private final Records records;
+    private final RoutineRunner records;
     private final Registry registry;
     private final int most;
     private final SteadyClock clock;
     private int working;
 
-    OwnershipService(Records records, Registry registry, int most, SteadyClock clock) {
+    OwnershipService(RoutineRunner records, Registry registry, int most, SteadyClock clock) {
         this.clock = clock;
         this.records = records;
         this.registry = registry;
@@ -57,18 +57,18 @@
     }
 
     @Override
-    public Future<Answer> serve(Call call) {
+    public Future<ApiResponse> serve(Call call) {
         String verb = call.path().isEmpty() ? "" : call.path().get(0);
-        Future<Answer> done = call.isPost() && call.path().size() == 1
+        Future<ApiResponse> done = call.isPost() && call.path().size() == 1
                 ? change(verb, call.body())
                 : call.isGet() ? look(verb, call) : null;
         if (done == null) {
-            throw Refusal.notFound("no such path: see the operators' page on records");
+            throw RequestRejectedException.notFound("no such path: see the operators' page on records");
         }
         return done;
     }
 
-    private Future<Answer> change(String verb, Fields f) {
+    private Future<ApiResponse> change(String verb, Fields f) {
         switch (verb) {
             case "claim":
                 return outcome(new Take(
@@ -108,21 +108,23 @@
         }
     }
 
-    private Future<Answer> look(String verb, Call call) {
+    private Future<ApiResponse> look(String verb, Call call) {
         String group = call.query().get("group");
         if (group != null && (!RecordId.isValid(group) || group.indexOf('/') >= 0)) {
             throw Fields.invalid("group");
         }
         switch (verb) {
             case "show":
-                return run(Edit.show(registry, asked(call))).map(shown -> Answer.ok(Wire.map("records", lines(shown))));
+                return run(Edit.show(registry, asked(call)))
+                        .map(shown -> ApiResponse.ok(MessagePackFormat.map("records", lines(shown))));
             case "doubt":
                 return run(new Survey(registry, group, call.query().get("after"), SHOWN_PAGES))
                         .map(part -> {
                             Map<RecordId, Shown> doubtful = new LinkedHashMap<>(part.records());
                             long now = clock.timeOfDay();
                             doubtful.values().removeIf(s -> !isDoubtful(s, now));
-                            return Answer.ok(Wire.map("records", lines(doubtful), "after", part.after()));
+                            return ApiResponse.ok(
+                                    MessagePackFormat.map("records", lines(doubtful), "after", part.after()));
                         });
             case "holders":
                 return run(new Survey(registry, group, call.query().get("after"), COUNTED_PAGES))
@@ -134,7 +136,7 @@
                                             s.name().replaceAll("^(run-\\d+)/.*", "$1") + " " + s.state(),
                                             1L,
                                             (a, b) -> (Long) a + (Long) b));
-                            return Answer.ok(Wire.map("holders", counts, "after", part.after()));
+                            return ApiResponse.ok(MessagePackFormat.map("holders", counts, "after", part.after()));
                         });
             case "jobs":
                 return call.path().size() == 2 && JobId.isValid(call.path().get(1))
@@ -167,22 +169,22 @@
     }
 
     /** For whom an open job's tasks wait. */
-    private Future<Answer> job(JobId id) {
+    private Future<ApiResponse> job(JobId id) {
         return records.run(read(RecordCodec.open(id))).compose(kept -> {
             if (!kept.isThere()) {
-                throw Refusal.notFound("no open job " + id);
+                throw RequestRejectedException.notFound("no open job " + id);
             }
             JobSpec spec = RecordCodec.readJob(id, new Fields(kept.value()), kept.stamp())
                     .spec();
             if (!spec.isGuarded()) {
-                throw Refusal.notFound("job " + id + " names no records");
+                throw RequestRejectedException.notFound("job " + id + " names no records");
             }
             JobRecords wants = RecordsCodec.readField(spec);
             return run(Edit.show(registry, wants.list())).map(shown -> {
                 Map<RecordId, Shown> waited = new LinkedHashMap<>(shown);
                 waited.entrySet().removeIf(e -> e.getValue().name().startsWith(id + "/"));
                 List<Object> some = lines(waited);
-                return Answer.ok(Wire.map(
+                return ApiResponse.ok(MessagePackFormat.map(
                         "id",
                         id.text(),
                         "records",
@@ -195,12 +197,12 @@
         });
     }
 
-    private static Routine<Kept> read(String key) {
+    private static Routine<VersionedRecord> read(String key) {
         return new Routine<>() {
             private boolean asked;
 
             @Override
-            public Step<Kept> next(Seen seen) {
+            public Step<VersionedRecord> next(StepResult seen) {
                 if (asked) {
                     return new Step.End<>(seen.record(key));
                 }
@@ -210,13 +212,13 @@
         };
     }
 
-    private Future<Answer> outcome(Routine<Outcome> routine) {
+    private Future<ApiResponse> outcome(Routine<Outcome> routine) {
         return run(routine)
                 .map(o -> o.waits()
-                        ? Answer.later(o.against().get(0))
-                        : new Answer(o.isDone() ? 200 : 409, RecordsCodec.write(o), 0))
+                        ? ApiResponse.later(o.against().get(0))
+                        : new ApiResponse(o.isDone() ? 200 : 409, RecordsCodec.write(o), 0))
                 .recover(e -> e instanceof Unsettled
-                        ? Future.succeededFuture(Answer.later(e.getMessage()))
+                        ? Future.succeededFuture(ApiResponse.later(e.getMessage()))
                         : Future.failedFuture(e));
     }
 
--- a/src/main/java/io/indigoreach/ownership/RecordsCodec.java
+++ b/src/main/java/io/indigoreach/ownership/RecordsCodec.java
@@ -1,15 +1,15 @@
 package io.indigoreach.ownership;
 
-import io.indigoreach.api.Refusal;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
+import io.indigoreach.api.RequestRejectedException;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.ownership.Entry;
 import io.indigoreach.core.ownership.JobRecords;
 import io.indigoreach.core.ownership.Outcome;
 import io.indigoreach.core.ownership.RecordId;
 import io.indigoreach.core.ownership.Shown;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.WireException;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -35,7 +35,8 @@
     static JobRecords readField(JobSpec spec) {
         List<RecordId> ids = ids(new Fields(spec.more()).child(JobSpec.RECORDS), JobRecords.MOST);
         if (spec.isService()) {
-            throw Refusal.of(JobSpec.RECORDS, "a service never ends, so its records would never be billed");
+            throw RequestRejectedException.of(
+                    JobSpec.RECORDS, "a service never ends, so its records would never be billed");
         }
         return new JobRecords(ids, spec.tasks());
     }
@@ -144,7 +145,7 @@
                 billed.add(id.text());
             }
         });
-        Map<String, Object> map = Wire.map("fences", fences, "billed", billed);
+        Map<String, Object> map = MessagePackFormat.map("fences", fences, "billed", billed);
         if (!outcome.isDone()) {
             map.put("error", outcome.against().get(0));
             map.put("against", outcome.against());
@@ -153,7 +154,7 @@
     }
 
     static Map<String, Object> write(RecordId id, Shown s) {
-        Map<String, Object> map = Wire.map("id", id.text(), "state", s.state());
+        Map<String, Object> map = MessagePackFormat.map("id", id.text(), "state", s.state());
         if (!s.name().isEmpty()) {
             map.put("by", s.name());
             map.put("since_s", s.sinceMs() / 1000);
--- a/src/main/java/io/indigoreach/ownership/RecordsField.java
+++ b/src/main/java/io/indigoreach/ownership/RecordsField.java
@@ -1,14 +1,14 @@
 package io.indigoreach.ownership;
 
-import io.indigoreach.api.Joining;
-import io.indigoreach.api.Refusal;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Stamp;
+import io.indigoreach.api.RequestRejectedException;
+import io.indigoreach.api.SubmissionParticipant;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.ownership.Grant;
 import io.indigoreach.core.ownership.Registry;
-import io.indigoreach.core.records.Change;
-import io.indigoreach.state.Records;
+import io.indigoreach.core.records.Transaction;
+import io.indigoreach.state.RoutineRunner;
 import io.vertx.core.Future;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -18,15 +18,15 @@
  * The records that a job names: prepared here, and made the job's own by one change of its claim in the acceptance's own
  * transaction, on however many pages they lie.
  */
-final class RecordsField implements Joining {
-    private final Records records;
+final class RecordsField implements SubmissionParticipant {
+    private final RoutineRunner records;
     private final Registry registry;
     private final int most;
 
     /** A user asks again every few seconds, and thousands of records take longer: two at work would refuse each other's writes. */
-    private final Map<JobId, Future<Change>> preparing = new HashMap<>();
+    private final Map<JobId, Future<Transaction>> preparing = new HashMap<>();
 
-    RecordsField(Records records, Registry registry, int most) {
+    RecordsField(RoutineRunner records, Registry registry, int most) {
         this.records = records;
         this.registry = registry;
         this.most = most;
@@ -43,23 +43,24 @@
     }
 
     @Override
-    public Future<Change> accepting(JobSpec spec) {
-        Future<Change> known = preparing.get(spec.id());
+    public Future<Transaction> accepting(JobSpec spec) {
+        Future<Transaction> known = preparing.get(spec.id());
         if (known != null) {
             return known;
         }
-        Future<Change> begun = records.run(
+        Future<Transaction> begun = records.run(
                         new Grant(registry, most, spec.id().text(), RecordsCodec.readField(spec), new BitSet(), true))
                 .compose(given -> given.never().isEmpty()
                         ? Future.succeededFuture(given.commit())
-                        : Future.failedFuture(Refusal.of(JobSpec.RECORDS, String.join("; ", given.never()))));
+                        : Future.failedFuture(
+                                RequestRejectedException.of(JobSpec.RECORDS, String.join("; ", given.never()))));
         preparing.put(spec.id(), begun);
         begun.onComplete(r -> preparing.remove(spec.id()));
         return begun;
     }
 
     @Override
-    public void accepted(Change change, Stamp stamp) {
+    public void accepted(Transaction change, Revision stamp) {
         records.wrote(change, stamp);
     }
 }
--- a/src/main/java/io/indigoreach/parts/Part.java
+++ b/src/main/java/io/indigoreach/parts/Part.java
@@ -1,12 +1,12 @@
 package io.indigoreach.parts;
 
-import io.indigoreach.api.Answer;
-import io.indigoreach.api.Joining;
+import io.indigoreach.api.ApiResponse;
 import io.indigoreach.api.Resource;
-import io.indigoreach.core.LeaderCore;
-import io.indigoreach.core.records.Family;
-import io.indigoreach.core.records.Sweep;
-import io.indigoreach.state.Records;
+import io.indigoreach.api.SubmissionParticipant;
+import io.indigoreach.core.records.GarbageCollector;
+import io.indigoreach.core.records.RecordFamily;
+import io.indigoreach.core.scheduling.SchedulerCore;
+import io.indigoreach.state.RoutineRunner;
 import io.vertx.core.Future;
 import io.vertx.core.buffer.Buffer;
 import java.util.List;
@@ -20,32 +20,32 @@
     /** Its word in the settings and in the address: {@code /api/NAME}. */
     String name();
 
-    List<Family> families();
+    List<RecordFamily> families();
 
     /** What it serves to people. */
     Resource resource();
 
     /** Its say in the acceptance of jobs; null if it has none. */
-    default Joining joining() {
+    default SubmissionParticipant joining() {
         return null;
     }
 
     /** Where it may submit jobs: the desk at which users' come in. */
-    default void submitting(Function<Buffer, Future<Answer>> desk) {}
+    default void submitting(Function<Buffer, Future<ApiResponse>> desk) {}
 
     /** The leader's clean-up; null if there is none. */
-    default Sweep sweep() {
+    default GarbageCollector sweep() {
         return null;
     }
 
     /** A leadership of this node begins, its records read. What the part does for it ends when the result is closed. */
-    default Reigning reigning(LeaderCore core, Records records) {
+    default Term reigning(SchedulerCore core, RoutineRunner records) {
         return () -> {};
     }
 
     /** A part's work for one leadership. */
     @FunctionalInterface
-    interface Reigning {
+    interface Term {
         void close();
     }
 }
--- a/src/main/java/io/indigoreach/parts/Parts.java
+++ b/src/main/java/io/indigoreach/parts/Parts.java
@@ -1,14 +1,14 @@
 package io.indigoreach.parts;
 
-import io.indigoreach.api.Joining;
 import io.indigoreach.api.Resource;
+import io.indigoreach.api.SubmissionParticipant;
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
-import io.indigoreach.core.records.Copies;
-import io.indigoreach.core.records.Family;
+import io.indigoreach.core.records.RecordCache;
+import io.indigoreach.core.records.RecordFamily;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.state.Records;
+import io.indigoreach.state.RoutineRunner;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Vertx;
 import java.util.List;
@@ -20,10 +20,10 @@
 /** The parts of a node beside the jobs: those that the settings switch on. */
 public final class Parts {
     /** What a part is built from. */
-    public record Ground(
+    public record Environment(
             Vertx vertx,
             SteadyClock clock,
-            Records records,
+            RoutineRunner records,
             Catalogue catalogue,
             PlatformConfig config,
             Settings settings) {}
@@ -34,15 +34,15 @@
      * @param knob the setting that does, by being 1
      * @param families its records
      */
-    public record Kind(Settings.Knob knob, List<Family> families, Function<Ground, Part> maker) {}
+    public record Kind(Settings.Setting knob, List<RecordFamily> families, Function<Environment, Part> maker) {}
 
-    public static final Parts NONE = new Parts(List.of(), new Copies(List.of()), null);
+    public static final Parts NONE = new Parts(List.of(), new RecordCache(List.of()), null);
 
     private final List<Part> all;
-    private final Copies copies;
-    private final Records records;
+    private final RecordCache copies;
+    private final RoutineRunner records;
 
-    private Parts(List<Part> all, Copies copies, Records records) {
+    private Parts(List<Part> all, RecordCache copies, RoutineRunner records) {
         this.all = all;
         this.copies = copies;
         this.records = records;
@@ -57,10 +57,10 @@
             Catalogue catalogue,
             PlatformConfig config,
             Settings settings) {
-        Copies copies =
-                new Copies(kinds.stream().flatMap(k -> k.families().stream()).toList());
-        Records records = new Records(vertx, state, clock, copies);
-        Ground ground = new Ground(vertx, clock, records, catalogue, config, settings);
+        RecordCache copies = new RecordCache(
+                kinds.stream().flatMap(k -> k.families().stream()).toList());
+        RoutineRunner records = new RoutineRunner(vertx, state, clock, copies);
+        Environment ground = new Environment(vertx, clock, records, catalogue, config, settings);
         return new Parts(kinds.stream().map(k -> k.maker().apply(ground)).toList(), copies, records);
     }
 
@@ -68,12 +68,12 @@
         return all;
     }
 
-    public Records records() {
+    public RoutineRunner records() {
         return records;
     }
 
     /** What this node remembers of their records. */
-    public Copies copies() {
+    public RecordCache copies() {
         return copies;
     }
 
@@ -81,7 +81,7 @@
         return all.stream().collect(Collectors.toMap(Part::name, Part::resource));
     }
 
-    public List<Joining> joinings() {
+    public List<SubmissionParticipant> joinings() {
         return all.stream().map(Part::joining).filter(Objects::nonNull).toList();
     }
 }
--- a/src/main/java/io/indigoreach/scenario/Deployment.java
+++ b/src/main/java/io/indigoreach/scenario/Deployment.java
@@ -1,9 +1,9 @@
 package io.indigoreach.scenario;
 
 import io.indigoreach.config.PlatformConfig;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Span;
 import java.util.List;
 
 /** What there is: controllers, zones, the state service's and the cloud's limits, machines, teams and aims. */
@@ -146,8 +146,8 @@
 
             @Setting(value = "most accelerators", standard = "0")
             double gpusMax) {
-        public io.indigoreach.core.Team rules() {
-            return new io.indigoreach.core.Team(name, cpus, cpusMax, gpus, gpusMax);
+        public io.indigoreach.core.model.Team rules() {
+            return new io.indigoreach.core.model.Team(name, cpus, cpusMax, gpus, gpusMax);
         }
     }
 
--- a/src/main/java/io/indigoreach/scenario/JobClass.java
+++ b/src/main/java/io/indigoreach/scenario/JobClass.java
@@ -1,7 +1,7 @@
 package io.indigoreach.scenario;
 
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Urgency;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.Urgency;
 
 /** Jobs of one kind: what they need, how long they take, and how they come. */
 public record JobClass(
@@ -9,7 +9,7 @@
         @Setting("team that owns the jobs") String team,
 
         @Setting(value = "array or service", standard = "array")
-        Shape shape,
+        JobKind shape,
 
         @Setting(value = "priority", standard = "standard") Urgency urgency,
         @Setting(value = "jobs a minute", standard = "0") double perMinute,
@@ -81,7 +81,7 @@
         double burstForS) {
 
     public JobClass {
-        if (shape == Shape.ARRAY && runS < 0.01) {
+        if (shape == JobKind.ARRAY && runS < 0.01) {
             throw new IllegalArgumentException("jobs: run_s of " + name + " must be at least 0.01");
         }
     }
--- a/src/main/java/io/indigoreach/scenario/JobFile.java
+++ b/src/main/java/io/indigoreach/scenario/JobFile.java
@@ -1,11 +1,11 @@
 package io.indigoreach.scenario;
 
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Urgency;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
 import java.util.List;
 import java.util.Map;
 
@@ -20,7 +20,7 @@
         @Setting("team that it counts for") String team,
 
         @Setting(value = "array: each task runs to its end; service: until it is cancelled", standard = "array")
-        Shape shape,
+        JobKind shape,
 
         @Setting(value = "priority", standard = "standard") Urgency urgency,
 
--- a/src/main/java/io/indigoreach/state/DoneBits.java
+++ b/src/main/java/io/indigoreach/state/CompletionBits.java
@@ -1,9 +1,9 @@
 package io.indigoreach.state;
 
 import io.indigoreach.config.PlatformConfig.StateLimits;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.net.Fields;
 import io.indigoreach.net.JsonSize;
 import java.util.BitSet;
@@ -18,7 +18,7 @@
  * <p>Small blocks have a prefix of their own, as an older version would read them as large ones: it does not see them, and runs
  * the tasks again, which end at once.
  */
-public final class DoneBits {
+public final class CompletionBits {
     /** Blocks named by their first task and as long as they happen to be. */
     public static final String SMALL = "d/";
 
@@ -32,7 +32,7 @@
     private final StateLimits limits;
     private final int blockTasks;
 
-    public DoneBits(StateLimits limits) {
+    public CompletionBits(StateLimits limits) {
         this.limits = limits;
         int tasks = RecordCodec.BLOCK;
         while (tasks > LEAST_BLOCK && blockBytes(tasks) > limits.room()) {
--- a/src/main/java/io/indigoreach/state/CounterRecord.java
+++ b/src/main/java/io/indigoreach/state/CounterRecord.java
@@ -1,8 +1,8 @@
 package io.indigoreach.state;
 
-import io.indigoreach.core.Token;
+import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.WireException;
 import java.util.Map;
 
@@ -16,7 +16,7 @@
  *     writes here says nothing, and then no bound is believed
  * @param format the data format, from {@link #FIRST} to {@link #KNOWN}
  */
-public record CounterRecord(Token highest, boolean bounds, int format) {
+public record CounterRecord(FencingToken highest, boolean bounds, int format) {
     /** The format of the versions that know no chained jobs. */
     public static final int FIRST = 1;
     /** From this format on every node knows chained jobs. */
@@ -25,7 +25,7 @@
     public static final int KNOWN = CHAINS;
 
     /** A deployment in which nobody has led. */
-    static final CounterRecord NONE = new CounterRecord(Token.NONE, true, FIRST);
+    static final CounterRecord NONE = new CounterRecord(FencingToken.NONE, true, FIRST);
 
     private static final String FIRST_HIGHEST = "value";
     private static final String HIGHEST = "highest";
@@ -36,13 +36,13 @@
     public static CounterRecord read(Fields f) {
         boolean bounds = f.flag(BOUNDS, false);
         if (!f.has(FORMAT)) {
-            return new CounterRecord(new Token(f.whole(FIRST_HIGHEST)), bounds, FIRST);
+            return new CounterRecord(new FencingToken(f.whole(FIRST_HIGHEST)), bounds, FIRST);
         }
         long format = f.whole(FORMAT);
         if (format <= FIRST || format > KNOWN) {
             throw new WireException("the data format " + format + " is not known to this version of the program");
         }
-        return new CounterRecord(new Token(f.whole(HIGHEST)), bounds, (int) format);
+        return new CounterRecord(new FencingToken(f.whole(HIGHEST)), bounds, (int) format);
     }
 
     /** {@link #NONE} if there is no counter. */
@@ -52,7 +52,7 @@
 
     /** The record as it is written. */
     public Map<String, Object> write() {
-        Map<String, Object> map = Wire.map(format == FIRST ? FIRST_HIGHEST : HIGHEST, highest.value());
+        Map<String, Object> map = MessagePackFormat.map(format == FIRST ? FIRST_HIGHEST : HIGHEST, highest.value());
         if (bounds) {
             map.put(BOUNDS, true);
         }
@@ -63,12 +63,12 @@
     }
 
     /** The next leadership's, of no lower a format. */
-    CounterRecord next(Token token, int atLeast) {
+    CounterRecord next(FencingToken token, int atLeast) {
         return new CounterRecord(token, bounds, Math.max(format, atLeast));
     }
 
     /** With the word of this leadership that start bounds can be believed. */
-    CounterRecord vouched(Token leader, int atLeast) {
+    CounterRecord vouched(FencingToken leader, int atLeast) {
         return new CounterRecord(leader, true, Math.max(format, atLeast));
     }
 
--- a/src/main/java/io/indigoreach/state/ChainCodec.java
+++ b/src/main/java/io/indigoreach/state/DependencyCodec.java
@@ -1,7 +1,7 @@
 package io.indigoreach.state;
 
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.chain.Chain;
+import io.indigoreach.core.model.JobDependencies;
+import io.indigoreach.core.model.JobId;
 import io.indigoreach.net.Fields;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -13,7 +13,7 @@
  * A job's chain within its record. It stands among the record's further fields, as a version of the program that does not
  * know it keeps those unchanged when it rewrites the record, and would drop a field of its own.
  */
-final class ChainCodec {
+final class DependencyCodec {
     private static final String NEEDS = "needs";
     private static final String RELEASED = "released";
     /** Every id begins so. Without it a hundred of the usual ids take as many bytes as half that many with it. */
@@ -21,10 +21,10 @@
 
     private static final String BETWEEN = ",";
 
-    private ChainCodec() {}
+    private DependencyCodec() {}
 
     /** The further fields with the chain among them. */
-    static Map<String, Object> write(Map<String, Object> more, Chain chain) {
+    static Map<String, Object> write(Map<String, Object> more, JobDependencies chain) {
         if (chain.isEmpty()) {
             return more;
         }
@@ -40,15 +40,15 @@
         return all;
     }
 
-    static Chain read(Fields more) {
+    static JobDependencies read(Fields more) {
         if (!more.has(NEEDS)) {
-            return Chain.NONE;
+            return JobDependencies.NONE;
         }
         List<JobId> needs = new ArrayList<>();
         for (String number : more.text(NEEDS).split(BETWEEN, -1)) {
             needs.add(new JobId(PREFIX + number));
         }
-        return new Chain(needs, more.whole(RELEASED, 0));
+        return new JobDependencies(needs, more.whole(RELEASED, 0));
     }
 
     /** The further fields without the chain. */
--- a/src/main/java/io/indigoreach/state/LimitsInForce.java
+++ b/src/main/java/io/indigoreach/state/EffectiveLimits.java
@@ -10,8 +10,8 @@
  * unnecessary; where they don't, a refusal lowers what is written from then on, step by step down to a floor, so that
  * nothing is repeated for ever as it was.
  */
-public final class LimitsInForce {
-    private static final Logger LOG = LoggerFactory.getLogger(LimitsInForce.class);
+public final class EffectiveLimits {
+    private static final Logger LOG = LoggerFactory.getLogger(EffectiveLimits.class);
     private static final int LEAST_VALUE_BYTES = 512;
 
     /** No limit at all. */
--- a/src/main/java/io/indigoreach/state/FormatGate.java
+++ b/src/main/java/io/indigoreach/state/FormatGate.java
@@ -1,12 +1,12 @@
 package io.indigoreach.state;
 
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.net.Duty;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Fields;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.net.WireException;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -40,23 +40,28 @@
 
     private final StateClient state;
     private final SteadyClock clock;
-    private final Leadership leadership;
+    private final LeaderElection leadership;
     private final String node;
     private final List<String> all;
-    private final Duty duty;
+    private final PeriodicTask duty;
     private Moment checked = Moment.NEVER;
     private Moment asked = Moment.NEVER;
     private Future<Boolean> answer = Future.succeededFuture(false);
 
     /** {@code all}: the names of all nodes of the deployment, with this one's. */
     public FormatGate(
-            Vertx vertx, StateClient state, SteadyClock clock, Leadership leadership, String node, List<String> all) {
+            Vertx vertx,
+            StateClient state,
+            SteadyClock clock,
+            LeaderElection leadership,
+            String node,
+            List<String> all) {
         this.state = state;
         this.clock = clock;
         this.leadership = leadership;
         this.node = node;
         this.all = List.copyOf(all);
-        this.duty = new Duty(vertx, "data format", LOOK, this::step);
+        this.duty = new PeriodicTask(vertx, "data format", LOOK, this::step);
     }
 
     public void start() {
@@ -120,7 +125,7 @@
                 checked = clock.now();
                 return Future.succeededFuture();
             }
-            Stamp stamp = entry == null ? Stamp.ABSENT : entry.stamp();
+            Revision stamp = entry == null ? Revision.ABSENT : entry.stamp();
             return state.commit(new StateClient.Txn().when(key, stamp).put(key, write()))
                     .map(outcome -> {
                         checked = outcome.done() ? clock.now() : checked;
@@ -131,7 +136,7 @@
 
     /** What a node of this version records. */
     static Map<String, Object> write() {
-        return Wire.map(FORMAT, (long) CounterRecord.KNOWN);
+        return MessagePackFormat.map(FORMAT, (long) CounterRecord.KNOWN);
     }
 
     private static boolean knows(Fields record) {
@@ -139,7 +144,7 @@
     }
 
     private Future<Void> raiseIfAllKnow() {
-        Stamp key = leadership.key();
+        Revision key = leadership.key();
         return state.list(NODES, null, MOST_NODES).compose(page -> {
             Set<String> know = new HashSet<>();
             page.items().stream()
@@ -153,7 +158,7 @@
      * Conditional on the leader's key, so that no leader of an older version is in office when it is done, and on the counter's
      * version, so that it is done once, and a campaign that read the counter before it fails.
      */
-    private Future<Void> raise(Stamp key) {
+    private Future<Void> raise(Revision key) {
         return readCounter().compose(entry -> {
             if (entry == null || leadership.raised().isNewest()) {
                 return Future.succeededFuture();
--- a/src/main/java/io/indigoreach/state/JobRecord.java
+++ b/src/main/java/io/indigoreach/state/JobRecord.java
@@ -1,9 +1,9 @@
 package io.indigoreach.state;
 
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Stamp;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Revision;
 import java.util.BitSet;
 
 /**
@@ -22,7 +22,7 @@
         int doneCount,
         int running,
         int bound,
-        Stamp stamp) {
+        Revision stamp) {
     public JobId id() {
         return spec.id();
     }
--- a/src/main/java/io/indigoreach/state/JobMender.java
+++ b/src/main/java/io/indigoreach/state/JobRepairer.java
@@ -1,12 +1,12 @@
 package io.indigoreach.state;
 
 import io.indigoreach.config.PlatformConfig.StateLimits;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.loss.Remains;
-import io.indigoreach.core.loss.Salvage;
+import io.indigoreach.core.loss.RecordRepair;
+import io.indigoreach.core.loss.RememberedState;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Revision;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.net.WireException;
 import io.vertx.core.Future;
@@ -16,29 +16,29 @@
 
 /**
  * Writes a job's record that cannot be read anew, from what the controllers remember of the job and what its user submits again
- * ({@link Salvage}). Any node may: each write is conditional on the version that cannot be read, so of two only one is done, and
+ * ({@link RecordRepair}). Any node may: each write is conditional on the version that cannot be read, so of two only one is done, and
  * nothing newer is overwritten.
  */
-public final class JobMender {
-    private static final Logger LOG = LoggerFactory.getLogger(JobMender.class);
+public final class JobRepairer {
+    private static final Logger LOG = LoggerFactory.getLogger(JobRepairer.class);
 
     private final StateClient state;
     private final SteadyClock clock;
     private final StateLimits limits;
-    private Function<JobId, Future<Remains>> memory = id -> Future.succeededFuture(new Remains());
+    private Function<JobId, Future<RememberedState>> memory = id -> Future.succeededFuture(new RememberedState());
 
-    public JobMender(StateClient state, SteadyClock clock) {
-        this(state, clock, LimitsInForce.NONE);
+    public JobRepairer(StateClient state, SteadyClock clock) {
+        this(state, clock, EffectiveLimits.NONE);
     }
 
-    public JobMender(StateClient state, SteadyClock clock, StateLimits limits) {
+    public JobRepairer(StateClient state, SteadyClock clock, StateLimits limits) {
         this.state = state;
         this.clock = clock;
         this.limits = limits;
     }
 
     /** Whom to ask what the controllers remember of a job. */
-    public void asking(Function<JobId, Future<Remains>> controllers) {
+    public void asking(Function<JobId, Future<RememberedState>> controllers) {
         memory = controllers;
     }
 
@@ -50,10 +50,10 @@
      */
     public Future<Void> open(JobId id, StateClient.Entry spoilt, JobSpec offered) {
         return memory.apply(id).compose(remembered -> {
-            Remains known =
-                    Salvage.open(id, RecordCodec.readRest(spoilt.value()), remembered, offered, clock.timeOfDay());
+            RememberedState known =
+                    RecordRepair.open(id, RecordCodec.readRest(spoilt.value()), remembered, offered, clock.timeOfDay());
             StateClient.Txn txn =
-                    state.inThisEra().when(spoilt.key(), spoilt.stamp()).when(RecordCodec.over(id), Stamp.ABSENT);
+                    state.inThisEra().when(spoilt.key(), spoilt.stamp()).when(RecordCodec.over(id), Revision.ABSENT);
             known.over()
                     .values()
                     .forEach(end -> txn.delete(spoilt.key())
@@ -61,7 +61,7 @@
             // Blocks of bits that stand beside the record are left as they are: what they say is done stays so. What
             // has no
             // place in the record either is run again and ends at once.
-            DoneBits bits = new DoneBits(state.limits().under(limits));
+            CompletionBits bits = new CompletionBits(state.limits().under(limits));
             known.open()
                     .forEach(job -> txn.put(
                             spoilt.key(),
@@ -74,7 +74,8 @@
     /** Mends the record of a job that is over; as {@link #open}. */
     public Future<Void> over(JobId id, StateClient.Entry spoilt, JobSpec offered) {
         return memory.apply(id).compose(remembered -> {
-            Remains.Over end = Salvage.end(id, RecordCodec.readRest(spoilt.value()), remembered, offered);
+            RememberedState.FinishedJob end =
+                    RecordRepair.end(id, RecordCodec.readRest(spoilt.value()), remembered, offered);
             StateClient.Txn txn = state.inThisEra().when(spoilt.key(), spoilt.stamp());
             return write(
                     end == null ? txn : txn.put(spoilt.key(), RecordCodec.writeFinal(end.status(), end.done())),
--- a/src/main/java/io/indigoreach/state/Leadership.java
+++ b/src/main/java/io/indigoreach/state/LeaderElection.java
@@ -1,11 +1,11 @@
 package io.indigoreach.state;
 
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.TokenClock;
-import io.indigoreach.net.Duty;
+import io.indigoreach.core.leadership.TokenGenerator;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.net.SteadyClock;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -16,7 +16,7 @@
 
 /**
  * Takes and keeps leadership: a key attached to a lease. The transaction that writes the key raises the counter that
- * becomes the token, by a clock that does not depend on what the counter was ({@link TokenClock}). The lease's time is
+ * becomes the token, by a clock that does not depend on what the counter was ({@link TokenGenerator}). The lease's time is
  * counted from when its renewal was sent, less drift, so this node stops before the state service can let another one in.
  * While the state service answers nobody, every other node's pledge not to lead stands in for renewals.
  *
@@ -24,20 +24,20 @@
  * leader watches its own key; and where the counter shows a loss, a node that did not lead waits for a whole lease, while
  * the one that led may take the key again at once, as long as its lease's time would have lasted.
  */
-public final class Leadership {
+public final class LeaderElection {
     /** Told of changes, on the event loop. */
     public interface Listener {
         /**
          * This node leads from now on; {@code key} is the version on which every write depends, {@code bounds} whether
          * the start bounds in the records can be believed.
          */
-        void took(Token token, Stamp key, boolean bounds);
+        void took(FencingToken token, Revision key, boolean bounds);
 
         /** This node does not lead any more. */
         void lost(String reason);
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
     private static final Span RETRY = Span.seconds(0.5);
     /** What the other nodes are given to take a key that was let go. */
     private static final Span GRACE = Span.seconds(0.6);
@@ -55,11 +55,11 @@
     private final String node;
     private final String process;
     private final Span life;
-    private final TokenClock tokens;
+    private final TokenGenerator tokens;
     private final Listener listener;
-    private final Duty duty;
-    private final Duty beat;
-    private final LeaseKeeper keeper;
+    private final PeriodicTask duty;
+    private final PeriodicTask beat;
+    private final LeaseRenewer keeper;
     private final Moment born;
     private Supplier<Future<Boolean>> pledges = () -> Future.succeededFuture(false);
     private Supplier<Future<Boolean>> unled = () -> Future.succeededFuture(false);
@@ -83,15 +83,15 @@
     /** Until then nobody else may have led, as far as the time of this node's own last lease tells. */
     private Moment ledUntil = Moment.NEVER;
 
-    private Token ledAs = Token.NONE;
+    private FencingToken ledAs = FencingToken.NONE;
     /** A try without an answer, before which nobody else had led since {@link #ledAs}; null if there was none. */
-    private Token unanswered;
+    private FencingToken unanswered;
 
     private Moment lossSeen = Moment.NEVER;
     private boolean succeedsItself;
 
     /** {@code own}: an event loop for renewals alone, and {@code renewals} the state service as it is called from there. */
-    public Leadership(
+    public LeaderElection(
             Vertx vertx,
             StateClient state,
             Vertx own,
@@ -101,7 +101,7 @@
             String process,
             int peers,
             Span life,
-            TokenClock tokens,
+            TokenGenerator tokens,
             Listener listener) {
         this.state = state;
         this.clock = clock;
@@ -111,9 +111,9 @@
         this.life = life;
         this.tokens = tokens;
         this.listener = listener;
-        this.duty = new Duty(vertx, "leadership", RETRY, this::step);
-        this.beat = new Duty(vertx, "beat", BEAT, this::beat);
-        this.keeper = new LeaseKeeper(vertx, own, renewals, clock, life);
+        this.duty = new PeriodicTask(vertx, "leadership", RETRY, this::step);
+        this.beat = new PeriodicTask(vertx, "beat", BEAT, this::beat);
+        this.keeper = new LeaseRenewer(vertx, own, renewals, clock, life);
         this.born = clock.now();
         this.mayBeBound = peers > 0;
     }
@@ -174,7 +174,7 @@
     }
 
     /** A worker has shown a token: what comes after must be above it. */
-    public void seen(Token token) {
+    public void seen(FencingToken token) {
         tokens.seen(token);
     }
 
@@ -200,11 +200,11 @@
      * Gives leadership up for a node that cannot reach the state service itself: the version of its key, which another
      * node may now {@link #release}; null if this node does not lead.
      */
-    public Stamp standAside(String reason) {
+    public Revision standAside(String reason) {
         if (!leading) {
             return null;
         }
-        Stamp key = current.stamp();
+        Revision key = current.stamp();
         abdicate(reason);
         return key;
     }
@@ -214,8 +214,8 @@
         if (!leading) {
             return Future.succeededFuture(false);
         }
-        Stamp key = current.stamp();
-        Token token = current.token();
+        Revision key = current.stamp();
+        FencingToken token = current.token();
         return state.get(RecordCodec.COUNTER).compose(entry -> {
             CounterRecord vouched = CounterRecord.of(entry).vouched(token, raised.highest());
             // The counter's version too: carried out late, after the data format was raised, it would lower it.
@@ -231,7 +231,7 @@
      * Removes the key of a leader that has given up and cannot say so itself. A request that comes late does no harm:
      * the key of a later leadership has another version.
      */
-    public Future<Void> release(Stamp key) {
+    public Future<Void> release(Revision key) {
         return state.commit(new StateClient.Txn().when(RecordCodec.LEADER, key).delete(RecordCodec.LEADER))
                 .mapEmpty();
     }
@@ -259,9 +259,9 @@
                 .otherwise(false);
     }
 
-    /** The version of the key by which somebody leads as far as is known; {@link Stamp#ABSENT} if nobody does. */
-    public Stamp key() {
-        return current == null ? Stamp.ABSENT : current.stamp();
+    /** The version of the key by which somebody leads as far as is known; {@link Revision#ABSENT} if nobody does. */
+    public Revision key() {
+        return current == null ? Revision.ABSENT : current.stamp();
     }
 
     private Future<Span> step() {
@@ -305,7 +305,7 @@
 
     /** Watches the key that this node leads by: once it is gone or another's, what was read under it does not hold. */
     private Future<Span> guard() {
-        Stamp own = current.stamp();
+        Revision own = current.stamp();
         return state.watch(RecordCodec.LEADER, own.value(), OWN_WATCH).map(changes -> {
             boolean changed = changes.changes().stream()
                     .anyMatch(c ->
@@ -324,7 +324,7 @@
     private Future<Span> letGo() {
         hasLetGo = true;
         LOG.info("removing the leadership key of the process before this one");
-        Stamp key = current.stamp();
+        Revision key = current.stamp();
         current = null;
         return state.commit(new StateClient.Txn().when(RecordCodec.LEADER, key).delete(RecordCodec.LEADER))
                 .map(GRACE);
@@ -353,12 +353,12 @@
     }
 
     private Future<Span> stand(boolean boundUnlessNew) {
-        Stamp held = current == null ? Stamp.ABSENT : current.stamp();
+        Revision held = current == null ? Revision.ABSENT : current.stamp();
         return state.get(RecordCodec.COUNTER).compose(entry -> {
             // Fails before anything is written if the counter is of a later version of the program.
             CounterRecord counter = CounterRecord.of(entry);
             raised.seen(counter);
-            Token counted = counter.highest();
+            FencingToken counted = counter.highest();
             if (counted.equals(unanswered)) {
                 // That try did take the key, and nobody has led since: no leadership of another's comes between.
                 ledAs = unanswered;
@@ -366,7 +366,7 @@
             if (boundUnlessNew && entry != null) {
                 return Future.succeededFuture(Span.seconds(0.1));
             }
-            Stamp counterStamp = StateClient.stampOf(entry);
+            Revision counterStamp = StateClient.stampOf(entry);
             if (tokens.isBehind(counted) && !mayTakeAgain()) {
                 return state.confirm(new StateClient.Txn().when(RecordCodec.COUNTER, counterStamp))
                         .map(is -> {
@@ -379,10 +379,10 @@
             // it: the
             // counter knows. Else what this node remembers as open would count as the newest there is.
             tokens.seen(counted);
-            Token before = tokens.highest();
+            FencingToken before = tokens.highest();
             Moment sent = clock.now();
             return state.grant(life).compose(granted -> {
-                Token token = tokens.next(counted, clock.timeOfDay());
+                FencingToken token = tokens.next(counted, clock.timeOfDay());
                 return state.commit(new StateClient.Txn()
                                 .when(RecordCodec.LEADER, held)
                                 .when(RecordCodec.COUNTER, counterStamp)
@@ -427,7 +427,7 @@
         return wasLeader || now.since(lossSeen).compareTo(life.withDrift()) >= 0;
     }
 
-    private void take(long granted, Token token, Stamp stamp, Moment sent, boolean bounds) {
+    private void take(long granted, FencingToken token, Revision stamp, Moment sent, boolean bounds) {
         lease = granted;
         leading = true;
         ledAs = token;
@@ -455,7 +455,7 @@
         if (!isValid() || sent.since(keeper.renewedAt()).compareTo(OVERDUE) < 0) {
             return Future.succeededFuture(BEAT);
         }
-        Stamp key = current.stamp();
+        Revision key = current.stamp();
         return pledges.get().map(all -> {
             // Never after a gap: another may have led in it, and ended.
             if (all && isValid() && current.stamp().equals(key)) {
--- a/src/main/java/io/indigoreach/state/LeaderKey.java
+++ b/src/main/java/io/indigoreach/state/LeaderKey.java
@@ -1,18 +1,18 @@
 package io.indigoreach.state;
 
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Token;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Revision;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import java.util.Map;
 
 /** The leadership key: which node leads, which of its processes, and under which token. */
-record LeaderKey(String node, String process, Token token, Stamp stamp) {
-    static LeaderKey read(Fields f, Stamp stamp) {
-        return new LeaderKey(f.text("node"), f.text("process"), new Token(f.whole("token")), stamp);
+record LeaderKey(String node, String process, FencingToken token, Revision stamp) {
+    static LeaderKey read(Fields f, Revision stamp) {
+        return new LeaderKey(f.text("node"), f.text("process"), new FencingToken(f.whole("token")), stamp);
     }
 
-    static Map<String, Object> write(String node, String process, Token token) {
-        return Wire.map("node", node, "process", process, "token", token.value());
+    static Map<String, Object> write(String node, String process, FencingToken token) {
+        return MessagePackFormat.map("node", node, "process", process, "token", token.value());
     }
 }
--- a/src/main/java/io/indigoreach/state/LeaseKeeper.java
+++ b/src/main/java/io/indigoreach/state/LeaseRenewer.java
@@ -1,8 +1,8 @@
 package io.indigoreach.state;
 
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.net.Duty;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.net.SteadyClock;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -13,7 +13,7 @@
  * leadership passed to another cold node with the same herd. The loop of the node must turn all the same: one that hangs
  * loses its lease.
  */
-final class LeaseKeeper {
+final class LeaseRenewer {
     /** The node's loop has not turned for so long that another node had better lead. */
     private static final Span HUNG = Span.seconds(10);
 
@@ -43,12 +43,12 @@
     private final SteadyClock clock;
     private final Span every;
     private final Span patience;
-    private final Duty duty;
+    private final PeriodicTask duty;
     private volatile Held held;
     private volatile Moment turned;
 
     /** {@code own}: the loop that renewals run on, of which {@code state} makes use; {@code node}: the node's. */
-    LeaseKeeper(Vertx node, Vertx own, StateClient state, SteadyClock clock, Span life) {
+    LeaseRenewer(Vertx node, Vertx own, StateClient state, SteadyClock clock, Span life) {
         this.node = node;
         this.own = own;
         this.state = state;
@@ -57,7 +57,7 @@
         this.every = Span.seconds(Math.min(1, life.seconds() * 0.2));
         this.patience = life.times(0.3);
         this.turned = clock.now();
-        this.duty = new Duty(own, "lease renewal", every, this::step);
+        this.duty = new PeriodicTask(own, "lease renewal", every, this::step);
         own.runOnContext(v -> duty.start());
     }
 
--- a/src/main/java/io/indigoreach/state/RecordCodec.java
+++ b/src/main/java/io/indigoreach/state/RecordCodec.java
@@ -1,23 +1,23 @@
 package io.indigoreach.state;
 
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.core.chain.Chain;
-import io.indigoreach.core.duty.Intents;
-import io.indigoreach.core.loss.Salvage;
+import io.indigoreach.core.intent.Intents;
+import io.indigoreach.core.loss.RecordRepair;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.JobDependencies;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
 import io.indigoreach.net.Fields;
 import io.indigoreach.net.JsonSize;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.WireException;
 import java.util.ArrayList;
 import java.util.Base64;
@@ -66,11 +66,11 @@
     }
 
     /** Page names hold the leader's token and a counter, so that none is ever used twice. */
-    public static String machinePage(Token token, int n) {
+    public static String machinePage(FencingToken token, int n) {
         return machinePage(token, Integer.toString(n));
     }
 
-    public static String machinePage(Token token, String n) {
+    public static String machinePage(FencingToken token, String n) {
         return MACHINES + token + "-" + n;
     }
 
@@ -82,7 +82,7 @@
         if (key.startsWith(FINAL)) {
             return OPEN + key.substring(FINAL.length());
         }
-        if (key.startsWith(BITS) || key.startsWith(DoneBits.SMALL)) {
+        if (key.startsWith(BITS) || key.startsWith(CompletionBits.SMALL)) {
             return open(jobOfBlock(key));
         }
         return key.startsWith(MACHINES) || key.startsWith(INTENTS) ? LEADER : null;
@@ -94,13 +94,13 @@
     }
 
     /** The era, by the token of the leadership that wrote it. */
-    public static Map<String, Object> writeEra(Token token) {
-        return Wire.map("token", token.value());
+    public static Map<String, Object> writeEra(FencingToken token) {
+        return MessagePackFormat.map("token", token.value());
     }
 
     /** The same after a loss, with what showed it and how many records were written anew; {@code atMs} by the time of day. */
-    public static Map<String, Object> writeEra(Token token, long atMs, List<String> findings, int written) {
-        return Wire.map("token", token.value(), "at", atMs, "findings", findings, "written", written);
+    public static Map<String, Object> writeEra(FencingToken token, long atMs, List<String> findings, int written) {
+        return MessagePackFormat.map("token", token.value(), "at", atMs, "findings", findings, "written", written);
     }
 
     /** What the loss before this era was, in words for a person; empty if there was none. */
@@ -169,7 +169,7 @@
     }
 
     static Map<String, Object> writeBits(BitSet block) {
-        return Wire.map(BITS_FIELD, bits(block));
+        return MessagePackFormat.map(BITS_FIELD, bits(block));
     }
 
     static BitSet readBits(Fields block) {
@@ -191,7 +191,7 @@
 
     public static Map<String, Object> writeJob(
             JobSpec s, long submittedMs, JobStatus status, BitSet done, int running, int bound) {
-        Map<String, Object> map = Wire.map(
+        Map<String, Object> map = MessagePackFormat.map(
                 "class",
                 s.jobClass(),
                 "team",
@@ -235,7 +235,7 @@
         putIf(
                 map,
                 "more",
-                ChainCodec.write(s.more(), s.chain()),
+                DependencyCodec.write(s.more(), s.chain()),
                 !s.more().isEmpty() || !s.chain().isEmpty());
         putIf(map, "bits", s.tasks() <= IN_RECORD ? bits(done) : null, s.tasks() <= IN_RECORD && !done.isEmpty());
         return map;
@@ -248,13 +248,13 @@
     }
 
     /** Throws {@link WireException} if it cannot be read. */
-    public static JobRecord readJob(JobId id, Fields f, Stamp stamp) {
+    public static JobRecord readJob(JobId id, Fields f, Revision stamp) {
         return readable(() -> job(id, f, stamp));
     }
 
     /** What a record that cannot be read as a whole still says; null where it does not. */
-    public static Salvage.Rest readRest(Fields f) {
-        return new Salvage.Rest(
+    public static RecordRepair.Rest readRest(Fields f) {
+        return new RecordRepair.Rest(
                 orNull(() -> JobStatus.valueOf(f.text("status"))),
                 orNull(() -> f.whole("done")),
                 orNull(() -> f.whole("at")));
@@ -268,7 +268,7 @@
         }
     }
 
-    private static JobRecord job(JobId id, Fields f, Stamp stamp) {
+    private static JobRecord job(JobId id, Fields f, Revision stamp) {
         if (f.whole("tasks") < 1) {
             throw Fields.invalid("tasks");
         }
@@ -276,7 +276,7 @@
                 id,
                 f.text("class"),
                 f.text("team"),
-                Shape.valueOf(f.text("shape")),
+                JobKind.valueOf(f.text("shape")),
                 Urgency.valueOf(f.text("urgency")),
                 (int) f.whole("tasks"),
                 new Demand(f.number("cores"), f.number("gpus"), f.number("ram")),
@@ -291,8 +291,8 @@
                 new Span(f.whole("save_every", 0)),
                 new Span(f.whole("save", 0)),
                 f.has("due") ? new Span(f.whole("due")) : null,
-                f.has("more") ? ChainCodec.without(f.child("more").map()) : Map.of(),
-                f.has("more") ? ChainCodec.read(f.child("more")) : Chain.NONE);
+                f.has("more") ? DependencyCodec.without(f.child("more").map()) : Map.of(),
+                f.has("more") ? DependencyCodec.read(f.child("more")) : JobDependencies.NONE);
         return new JobRecord(
                 spec,
                 f.whole("at"),
@@ -305,7 +305,7 @@
     }
 
     public static Map<String, Object> writeFinal(JobStatus status, int done) {
-        return Wire.map("status", status.name(), "done", done);
+        return MessagePackFormat.map("status", status.name(), "done", done);
     }
 
     /** Throws {@link WireException} if it cannot be read. */
@@ -319,7 +319,7 @@
         for (MachineRecord m : machines) {
             lines.add(line(m));
         }
-        return Wire.map("machines", lines);
+        return MessagePackFormat.map("machines", lines);
     }
 
     private static List<Object> line(MachineRecord m) {
@@ -335,14 +335,14 @@
         for (List<?> m : f.lists("machines")) {
             out.add(new MachineRecord(
                     new MachineId((String) m.get(0)),
-                    new Pool((String) m.get(1), (String) m.get(2), (Boolean) m.get(3)),
+                    new MachinePool((String) m.get(1), (String) m.get(2), (Boolean) m.get(3)),
                     (Long) m.get(4),
                     (Long) m.get(5)));
         }
         return out;
     }
 
-    public static String intents(Token token) {
+    public static String intents(FencingToken token) {
         return INTENTS + token;
     }
 
@@ -350,7 +350,7 @@
     public static Map<String, Object> writeIntents(Intents.Page page) {
         List<Object> rents = new ArrayList<>();
         page.rents().forEach(r -> rents.add(line(r)));
-        return Wire.map(
+        return MessagePackFormat.map(
                 "rents",
                 rents,
                 "condemned",
@@ -376,7 +376,7 @@
         for (List<?> r : f.lists("rents")) {
             rents.add(new Intents.Rent(
                     (String) r.get(0),
-                    new Pool((String) r.get(1), (String) r.get(2), (Boolean) r.get(3)),
+                    new MachinePool((String) r.get(1), (String) r.get(2), (Boolean) r.get(3)),
                     ((Long) r.get(4)).intValue(),
                     (Long) r.get(5)));
         }
@@ -394,7 +394,7 @@
     public static Map<String, Object> writeCatalogue(List<MachineType> types) {
         List<Object> list = new ArrayList<>();
         for (MachineType t : types) {
-            list.add(Wire.map(
+            list.add(MessagePackFormat.map(
                     "name",
                     t.name(),
                     "cores",
@@ -416,7 +416,7 @@
                     "zones",
                     t.zones()));
         }
-        return Wire.map("types", list);
+        return MessagePackFormat.map("types", list);
     }
 
     public static List<MachineType> readCatalogue(Fields f) {
--- a/src/main/java/io/indigoreach/state/RemainsCodec.java
+++ b/src/main/java/io/indigoreach/state/RememberedStateCodec.java
@@ -1,31 +1,31 @@
 package io.indigoreach.state;
 
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.loss.Remains;
-import io.indigoreach.core.records.Kept;
+import io.indigoreach.core.loss.RememberedState;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.records.VersionedRecord;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 
 /** What a controller remembers of jobs, as it tells it to another, a part at a time. */
-public final class RemainsCodec {
+public final class RememberedStateCodec {
     private static final int PART = 200;
     /** Records of the parts beside the jobs may be as large as the state service takes. */
     private static final int RECORDS = 20;
 
-    private RemainsCodec() {}
+    private RememberedStateCodec() {}
 
     /** The {@code part}-th part, counted from 0. */
-    public static Map<String, Object> write(Remains remains, int part) {
+    public static Map<String, Object> write(RememberedState remains, int part) {
         List<Object> over = new ArrayList<>();
         remains.over().entrySet().stream()
                 .skip((long) part * PART)
                 .limit(PART)
-                .forEach(e -> over.add(Wire.map(
+                .forEach(e -> over.add(MessagePackFormat.map(
                         "id",
                         e.getKey().text(),
                         "status",
@@ -36,7 +36,7 @@
         remains.open().stream()
                 .skip((long) part * PART)
                 .limit(PART)
-                .forEach(job -> open.add(Wire.map(
+                .forEach(job -> open.add(MessagePackFormat.map(
                         "id",
                         job.spec().id().text(),
                         "job",
@@ -46,8 +46,8 @@
         remains.records().stream()
                 .skip((long) part * RECORDS)
                 .limit(RECORDS)
-                .forEach(k -> records.add(Wire.map("key", k.key(), "value", k.value())));
-        Map<String, Object> map = Wire.map(
+                .forEach(k -> records.add(MessagePackFormat.map("key", k.key(), "value", k.value())));
+        Map<String, Object> map = MessagePackFormat.map(
                 "over",
                 over,
                 "open",
@@ -62,17 +62,17 @@
     }
 
     /** Adds a part to what is known; true if there are more. */
-    public static boolean read(Fields f, Remains into) {
+    public static boolean read(Fields f, RememberedState into) {
         for (Fields e : f.children("over")) {
-            into.add(new JobId(e.text("id")), new Remains.Over(JobStatus.valueOf(e.text("status")), (int)
+            into.add(new JobId(e.text("id")), new RememberedState.FinishedJob(JobStatus.valueOf(e.text("status")), (int)
                     e.whole("done")));
         }
         for (Fields e : f.children("open")) {
-            JobRecord r = RecordCodec.readJob(new JobId(e.text("id")), e.child("job"), Stamp.ABSENT);
-            into.add(new Remains.Open(r.spec(), r.submittedMs(), r.done(), r.bound()));
+            JobRecord r = RecordCodec.readJob(new JobId(e.text("id")), e.child("job"), Revision.ABSENT);
+            into.add(new RememberedState.OpenJob(r.spec(), r.submittedMs(), r.done(), r.bound()));
         }
         for (Fields e : f.children("records")) {
-            into.add(new Kept(e.text("key"), e.child("value").map(), Stamp.ABSENT));
+            into.add(new VersionedRecord(e.text("key"), e.child("value").map(), Revision.ABSENT));
         }
         return f.flag("more", false);
     }
--- a/src/main/java/io/indigoreach/state/Records.java
+++ b/src/main/java/io/indigoreach/state/RoutineRunner.java
@@ -1,15 +1,15 @@
 package io.indigoreach.state;
 
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.records.Change;
-import io.indigoreach.core.records.Copies;
-import io.indigoreach.core.records.Family;
-import io.indigoreach.core.records.Kept;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.records.RecordCache;
+import io.indigoreach.core.records.RecordFamily;
 import io.indigoreach.core.records.Routine;
-import io.indigoreach.core.records.Seen;
 import io.indigoreach.core.records.Step;
-import io.indigoreach.net.Budget;
+import io.indigoreach.core.records.StepResult;
+import io.indigoreach.core.records.Transaction;
+import io.indigoreach.core.records.VersionedRecord;
+import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.net.WireException;
 import io.vertx.core.Future;
@@ -25,7 +25,7 @@
  * is absent is said to be so only when a transaction has compared it in that era; while a loss of data is not mended nothing is
  * read or written at all, since "not there" would mean "lost". What is read or written is remembered for rebuilding.
  */
-public final class Records {
+public final class RoutineRunner {
     private static final int READ_AT_ONCE = 8;
     private static final int MOST_TRIES = 3;
     private static final Span PACE = Span.seconds(0.1);
@@ -33,17 +33,23 @@
     private final Vertx vertx;
     private final StateClient state;
     private final SteadyClock clock;
-    private final Copies copies;
+    private final RecordCache copies;
     /** Key and version of the leadership for which this writes; null where any node may. */
-    private final Kept leadership;
+    private final VersionedRecord leadership;
 
-    private final Budget budget;
+    private final RateLimiter budget;
 
-    public Records(Vertx vertx, StateClient state, SteadyClock clock, Copies copies) {
+    public RoutineRunner(Vertx vertx, StateClient state, SteadyClock clock, RecordCache copies) {
         this(vertx, state, clock, copies, null, null);
     }
 
-    private Records(Vertx vertx, StateClient state, SteadyClock clock, Copies copies, Kept leadership, Budget budget) {
+    private RoutineRunner(
+            Vertx vertx,
+            StateClient state,
+            SteadyClock clock,
+            RecordCache copies,
+            VersionedRecord leadership,
+            RateLimiter budget) {
         this.vertx = vertx;
         this.state = state;
         this.clock = clock;
@@ -53,16 +59,16 @@
     }
 
     /** The same for a leader: writes depend on its key, and take only what the leader's budget has to spare. */
-    public Records leading(String key, Stamp stamp, Budget spare) {
-        return new Records(vertx, state, clock, copies, new Kept(key, null, stamp), spare);
+    public RoutineRunner leading(String key, Revision stamp, RateLimiter spare) {
+        return new RoutineRunner(vertx, state, clock, copies, new VersionedRecord(key, null, stamp), spare);
     }
 
     /** The same, with no more changes than half of a budget has to spare: what people ask of a part comes behind jobs. */
-    public Records within(Budget spare) {
-        return new Records(vertx, state, clock, copies, null, spare);
+    public RoutineRunner within(RateLimiter spare) {
+        return new RoutineRunner(vertx, state, clock, copies, null, spare);
     }
 
-    public Copies copies() {
+    public RecordCache copies() {
         return copies;
     }
 
@@ -72,10 +78,10 @@
     }
 
     private <R> Future<R> begin(Routine<R> routine) {
-        return step(routine, Seen.nothing(state.losses().era(), clock.timeOfDay()));
+        return step(routine, StepResult.nothing(state.losses().era(), clock.timeOfDay()));
     }
 
-    private <R> Future<R> step(Routine<R> routine, Seen seen) {
+    private <R> Future<R> step(Routine<R> routine, StepResult seen) {
         if (state.losses().isHolding()) {
             return Future.failedFuture(new WireException("data were lost, and are not rebuilt yet"));
         }
@@ -83,7 +89,7 @@
         if (next instanceof Step.End<R> end) {
             return Future.succeededFuture(end.result());
         }
-        Future<Seen> done;
+        Future<StepResult> done;
         if (next instanceof Step.Read<R> read) {
             done = read(read.keys(), 0, new LinkedHashMap<>());
         } else if (next instanceof Step.Scan<R> scan) {
@@ -94,11 +100,11 @@
         return done.compose(s -> step(routine, s));
     }
 
-    private Seen seen(Map<String, Kept> records, boolean more) {
-        return new Seen(state.losses().era(), clock.timeOfDay(), records, more, null, List.of());
+    private StepResult seen(Map<String, VersionedRecord> records, boolean more) {
+        return new StepResult(state.losses().era(), clock.timeOfDay(), records, more, null, List.of());
     }
 
-    private Future<Seen> read(List<String> keys, int from, Map<String, Kept> into) {
+    private Future<StepResult> read(List<String> keys, int from, Map<String, VersionedRecord> into) {
         if (from >= keys.size()) {
             return Future.succeededFuture(seen(into, false));
         }
@@ -112,13 +118,15 @@
         });
     }
 
-    private Future<List<Kept>> readSome(List<String> keys, int attempt) {
-        List<Future<Kept>> reads = new ArrayList<>();
+    private Future<List<VersionedRecord>> readSome(List<String> keys, int attempt) {
+        List<Future<VersionedRecord>> reads = new ArrayList<>();
         keys.forEach(key -> reads.add(state.get(key)
-                .map(e -> e == null ? Kept.absent(key) : new Kept(key, e.value().map(), e.stamp()))));
+                .map(e -> e == null
+                        ? VersionedRecord.absent(key)
+                        : new VersionedRecord(key, e.value().map(), e.stamp()))));
         return Future.all(reads).compose(all -> {
-            List<Kept> read = all.list();
-            List<Kept> doubtful = read.stream()
+            List<VersionedRecord> read = all.list();
+            List<VersionedRecord> doubtful = read.stream()
                     .filter(k -> !k.isThere() || state.isDoubted() || isOlderThanCopy(k))
                     .toList();
             if (doubtful.isEmpty()) {
@@ -127,7 +135,8 @@
             }
             // Judged by what was known before the comparison was sent: what another routine writes meanwhile is newer
             // than it.
-            List<Kept> older = doubtful.stream().filter(this::isOlderThanCopy).toList();
+            List<VersionedRecord> older =
+                    doubtful.stream().filter(this::isOlderThanCopy).toList();
             StateClient.Txn comparison = state.inThisEra();
             doubtful.forEach(k -> comparison.when(k.key(), k.stamp()));
             return state.confirm(comparison).compose(holds -> {
@@ -146,14 +155,14 @@
         });
     }
 
-    private boolean isOlderThanCopy(Kept read) {
-        Kept copy = copies.of(read.key());
+    private boolean isOlderThanCopy(VersionedRecord read) {
+        VersionedRecord copy = copies.of(read.key());
         return copy != null && read.version() < copy.version();
     }
 
     /** It surely is older than what was acknowledged: only another family's way of removing records explains it. */
-    private void lost(Kept read) {
-        Family family = copies.familyOf(read.key());
+    private void lost(VersionedRecord read) {
+        RecordFamily family = copies.familyOf(read.key());
         if (family.permanent() || read.isThere()) {
             state.recordGone(read.key());
         } else {
@@ -161,11 +170,11 @@
         }
     }
 
-    private Future<Seen> scan(String prefix, String after, int most) {
+    private Future<StepResult> scan(String prefix, String after, int most) {
         return state.list(prefix, after, most).map(page -> {
-            Map<String, Kept> found = new LinkedHashMap<>();
+            Map<String, VersionedRecord> found = new LinkedHashMap<>();
             page.items().forEach(e -> {
-                Kept k = new Kept(e.key(), e.value().map(), e.stamp());
+                VersionedRecord k = new VersionedRecord(e.key(), e.value().map(), e.stamp());
                 found.put(e.key(), k);
                 // A list may come from the past: what it shows is told as it is, its writes depend on their versions.
                 copies.saw(k);
@@ -180,7 +189,7 @@
         return later.future();
     }
 
-    private Future<Seen> write(Change change, int attempt) {
+    private Future<StepResult> write(Transaction change, int attempt) {
         if (budget != null && !budget.takeSpare(change.writes().size(), clock.now())) {
             return pause().compose(v -> write(change, attempt));
         }
@@ -191,8 +200,8 @@
         return state.commit(txn).compose(outcome -> {
             if (outcome.done()) {
                 wrote(change, outcome.stamp());
-                return Future.succeededFuture(
-                        new Seen(state.losses().era(), clock.timeOfDay(), Map.of(), false, outcome.stamp(), List.of()));
+                return Future.succeededFuture(new StepResult(
+                        state.losses().era(), clock.timeOfDay(), Map.of(), false, outcome.stamp(), List.of()));
             }
             if (leadership != null && outcome.failed().contains(leadership.key())) {
                 return Future.failedFuture(new WireException("another node leads"));
@@ -201,17 +210,17 @@
                 return state.check().compose(v -> write(change, attempt + 1));
             }
             return Future.succeededFuture(
-                    new Seen(state.losses().era(), clock.timeOfDay(), Map.of(), false, null, outcome.failed()));
+                    new StepResult(state.losses().era(), clock.timeOfDay(), Map.of(), false, null, outcome.failed()));
         });
     }
 
     /** A change that went with another transaction is done. */
-    public void wrote(Change change, Stamp stamp) {
+    public void wrote(Transaction change, Revision stamp) {
         change.writes().forEach((key, value) -> {
             if (value == null) {
                 copies.removed(key);
             } else {
-                copies.saw(new Kept(key, value, stamp));
+                copies.saw(new VersionedRecord(key, value, stamp));
             }
         });
     }
--- a/src/main/java/io/indigoreach/state/Freshness.java
+++ b/src/main/java/io/indigoreach/state/StaleReadDetector.java
@@ -4,7 +4,7 @@
  * Whether the state service keeps its word that no answer is older than one before. Its revision only grows; an answer
  * with a lower one than this node knew when it asked comes from the past, and then reads are doubted for a while.
  */
-final class Freshness {
+final class StaleReadDetector {
     /** So many reads are confirmed after a sign that the service answers with the past. */
     static final int DOUBTED_READS = 1000;
 
--- a/src/main/java/io/indigoreach/state/StateClient.java
+++ b/src/main/java/io/indigoreach/state/StateClient.java
@@ -1,12 +1,12 @@
 package io.indigoreach.state;
 
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.loss.LossJudge;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.loss.LossDetector;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.ServiceResponse;
 import io.vertx.core.Future;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -30,8 +30,8 @@
     }
 
     /** The request was not executed, and never will be as it is: too large, or malformed. */
-    public static final class Unacceptable extends Refused {
-        Unacceptable() {
+    public static final class UnacceptableWriteException extends Refused {
+        UnacceptableWriteException() {
             super(MALFORMED);
         }
     }
@@ -39,21 +39,21 @@
     private static final int MALFORMED = 400;
 
     /** A key with its value, its version and the lease that it is attached to, or 0. */
-    public record Entry(String key, Fields value, Stamp stamp, long lease) {}
+    public record Entry(String key, Fields value, Revision stamp, long lease) {}
 
     /** A page of a listing. */
     public record Page(List<Entry> items, boolean more, long revision) {}
 
     /** A change of a key; the value is null if it was deleted. */
-    public record Change(String key, Fields value, Stamp stamp) {}
+    public record Change(String key, Fields value, Revision stamp) {}
 
     /** What a watch brought; {@code tooOld}: the keys are to be read again. */
     public record Changes(List<Change> changes, long revision, boolean tooOld) {}
 
     /** A transaction's outcome: done at a revision, or the keys that did not have the given version. */
     public record Outcome(boolean done, long revision, List<String> failed, boolean leaseGone) {
-        public Stamp stamp() {
-            return new Stamp(revision);
+        public Revision stamp() {
+            return new Revision(revision);
         }
     }
 
@@ -66,10 +66,10 @@
 
     /** A transaction being put together: versions that keys must have, and what is then written. */
     public static final class Txn {
-        private final Map<String, Stamp> conditions = new LinkedHashMap<>();
+        private final Map<String, Revision> conditions = new LinkedHashMap<>();
         private final List<Write> writes = new ArrayList<>();
 
-        public Txn when(String key, Stamp stamp) {
+        public Txn when(String key, Revision stamp) {
             conditions.put(key, stamp);
             return this;
         }
@@ -89,13 +89,13 @@
         }
 
         /** With what a part beside the jobs writes, and depends on. */
-        public Txn and(io.indigoreach.core.records.Change change) {
+        public Txn and(io.indigoreach.core.records.Transaction change) {
             conditions.putAll(change.conditions());
             change.writes().forEach((key, value) -> writes.add(new Write(key, value, 0)));
             return this;
         }
 
-        public Map<String, Stamp> conditions() {
+        public Map<String, Revision> conditions() {
             return conditions;
         }
 
@@ -109,31 +109,31 @@
     }
 
     /** The era of a deployment in which nothing was ever lost: below every leader's token. */
-    private static final Token FIRST = new Token(1);
+    private static final FencingToken FIRST = new FencingToken(1);
 
     private static final int OUTAGE = 503;
     private static final Span TIMEOUT = Span.seconds(2);
 
-    private final Caller caller;
-    private final Caller watcher;
-    private final Freshness freshness = new Freshness();
-    private final LossJudge losses = new LossJudge();
-    private final LimitsInForce limits = new LimitsInForce();
+    private final ServiceClient caller;
+    private final ServiceClient watcher;
+    private final StaleReadDetector freshness = new StaleReadDetector();
+    private final LossDetector losses = new LossDetector();
+    private final EffectiveLimits limits = new EffectiveLimits();
     /** The era's version as it was last confirmed. */
-    private Stamp eraStamp = Stamp.ABSENT;
+    private Revision eraStamp = Revision.ABSENT;
 
     private Runnable onLoss = () -> {};
     private Runnable onFailure = () -> {};
     private Future<Void> checking;
 
     /** Watches stay open, so they have connections of their own. */
-    public StateClient(Caller caller, Caller watcher) {
+    public StateClient(ServiceClient caller, ServiceClient watcher) {
         this.caller = caller;
         this.watcher = watcher;
     }
 
     /** What is known of losses of data; judged anew with each transaction and each {@link #check}. */
-    public LossJudge losses() {
+    public LossDetector losses() {
         return losses;
     }
 
@@ -143,7 +143,7 @@
     }
 
     /** What the service's refusals have shown of its limits. */
-    public LimitsInForce limits() {
+    public EffectiveLimits limits() {
         return limits;
     }
 
@@ -152,7 +152,7 @@
         onFailure = what;
     }
 
-    private Future<Reply> noted(Future<Reply> asked) {
+    private Future<ServiceResponse> noted(Future<ServiceResponse> asked) {
         return asked.onComplete(r -> {
             if (r.failed() || r.result().status() == OUTAGE) {
                 onFailure.run();
@@ -180,7 +180,7 @@
     }
 
     /** A leadership was taken with a counter below a token that had been in use. */
-    void counterWas(Token seen, Token counted) {
+    void counterWas(FencingToken seen, FencingToken counted) {
         judge(losses.counter(seen, counted));
     }
 
@@ -218,7 +218,7 @@
                         return Future.succeededFuture();
                     }
                     Entry entry = r.status() == 404 ? null : StateCodec.readEntry(ok(r));
-                    Stamp stamp = entry == null ? Stamp.ABSENT : entry.stamp();
+                    Revision stamp = entry == null ? Revision.ABSENT : entry.stamp();
                     long era = entry == null ? 0 : RecordCodec.readEra(entry.value());
                     if (losses.era() == 0) {
                         // Nothing is known to compare with; an answer from the past fails in the first transaction.
@@ -232,7 +232,7 @@
                 });
     }
 
-    private Future<Void> adopted(long era, Stamp stamp) {
+    private Future<Void> adopted(long era, Revision stamp) {
         judge(losses.era(era));
         if (!losses.isHolding()) {
             eraStamp = stamp;
@@ -244,14 +244,16 @@
      * A new deployment, as far as this process can know. Whoever knows better sees a lower era than there was, and says so.
      */
     private Future<Void> firstEra() {
-        return commit(new Txn().when(RecordCodec.ERA, Stamp.ABSENT).put(RecordCodec.ERA, RecordCodec.writeEra(FIRST)))
+        return commit(new Txn()
+                        .when(RecordCodec.ERA, Revision.ABSENT)
+                        .put(RecordCodec.ERA, RecordCodec.writeEra(FIRST)))
                 .compose(
                         outcome -> outcome.done() ? adopted(FIRST.value(), outcome.stamp()) : Future.succeededFuture());
     }
 
-    /** The version of what was read; {@link Stamp#ABSENT} if nothing was there. */
-    static Stamp stampOf(Entry entry) {
-        return entry == null ? Stamp.ABSENT : entry.stamp();
+    /** The version of what was read; {@link Revision#ABSENT} if nothing was there. */
+    static Revision stampOf(Entry entry) {
+        return entry == null ? Revision.ABSENT : entry.stamp();
     }
 
     /** The entry of a key; null if there is none. */
@@ -319,7 +321,7 @@
                     }
                     if (r.status() == MALFORMED) {
                         limits.refused(txn);
-                        throw new Unacceptable();
+                        throw new UnacceptableWriteException();
                     }
                     throw new Refused(r.status());
                 });
@@ -351,7 +353,7 @@
                 .map(r -> r.status() == 410 ? new Changes(List.of(), 0, true) : StateCodec.readChanges(ok(r)));
     }
 
-    private static Fields ok(Reply reply) {
+    private static Fields ok(ServiceResponse reply) {
         if (reply.status() == 200) {
             return reply.body();
         }
--- a/src/main/java/io/indigoreach/state/StateCodec.java
+++ b/src/main/java/io/indigoreach/state/StateCodec.java
@@ -1,9 +1,9 @@
 package io.indigoreach.state;
 
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -40,7 +40,7 @@
         Object value = f.map().get(name);
         return value instanceof Map<?, ?> map && !isWrapped(map)
                 ? f.child(name)
-                : new Fields(Wire.map(NAMELESS, value));
+                : new Fields(MessagePackFormat.map(NAMELESS, value));
     }
 
     /** A kept value as it is on the wire. */
@@ -70,7 +70,7 @@
     }
 
     public static Map<String, Object> writeEntry(StateClient.Entry e) {
-        Map<String, Object> map = Wire.map(
+        Map<String, Object> map = MessagePackFormat.map(
                 "path",
                 e.key(),
                 "data",
@@ -85,12 +85,12 @@
 
     public static StateClient.Entry readEntry(Fields f) {
         return new StateClient.Entry(
-                f.text("path"), kept(f, "data"), new Stamp(f.whole("stamp")), f.whole("permit", 0));
+                f.text("path"), kept(f, "data"), new Revision(f.whole("stamp")), f.whole("permit", 0));
     }
 
     /** What is said where there is only the revision to tell: a key that is absent, a transaction that is done. */
     public static Map<String, Object> writeRevision(long revision) {
-        return Wire.map("ledger_rev", revision);
+        return MessagePackFormat.map("ledger_rev", revision);
     }
 
     public static long readRevision(Fields f) {
@@ -100,7 +100,7 @@
     public static Map<String, Object> writePage(StateClient.Page page) {
         List<Object> items = new ArrayList<>(page.items().size());
         page.items().forEach(e -> items.add(writeEntry(e)));
-        return Wire.map("items", items, "truncated", page.more(), "ledger_rev", page.revision());
+        return MessagePackFormat.map("items", items, "truncated", page.more(), "ledger_rev", page.revision());
     }
 
     static StateClient.Page readPage(Fields f) {
@@ -112,7 +112,7 @@
 
     public static Map<String, Object> writeTxn(StateClient.Txn txn) {
         List<Object> when = new ArrayList<>();
-        txn.conditions().forEach((key, stamp) -> when.add(Wire.map("path", key, "stamp", stamp.value())));
+        txn.conditions().forEach((key, stamp) -> when.add(MessagePackFormat.map("path", key, "stamp", stamp.value())));
         List<Object> writes = new ArrayList<>();
         for (StateClient.Write w : txn.writes()) {
             Map<String, Object> map = new LinkedHashMap<>();
@@ -127,14 +127,14 @@
             }
             writes.add(map);
         }
-        return Wire.map("when", when, "writes", writes);
+        return MessagePackFormat.map("when", when, "writes", writes);
     }
 
     /** Throws {@link io.indigoreach.net.WireException} for anything that is not a transaction. */
     public static StateClient.Txn readTxn(Fields f) {
         StateClient.Txn txn = new StateClient.Txn();
         for (Fields c : f.children("when")) {
-            txn.when(c.text("path"), new Stamp(c.whole("stamp")));
+            txn.when(c.text("path"), new Revision(c.whole("stamp")));
         }
         for (Fields w : f.children("writes")) {
             if (w.has("delete")) {
@@ -147,7 +147,7 @@
     }
 
     public static Map<String, Object> writeConflict(List<String> failed, long revision) {
-        return Wire.map("failed", failed, "ledger_rev", revision);
+        return MessagePackFormat.map("failed", failed, "ledger_rev", revision);
     }
 
     static StateClient.Outcome readConflict(Fields f) {
@@ -156,7 +156,7 @@
     }
 
     public static Map<String, Object> writeLife(Span life) {
-        return Wire.map("life_ms", life.ms());
+        return MessagePackFormat.map("life_ms", life.ms());
     }
 
     public static Span readLife(Fields f) {
@@ -164,7 +164,7 @@
     }
 
     public static Map<String, Object> writeLease(long lease) {
-        return Wire.map("permit", lease);
+        return MessagePackFormat.map("permit", lease);
     }
 
     static long readLease(Fields f) {
@@ -176,8 +176,9 @@
         for (StateClient.Change c : changes.changes()) {
             events.add(
                     c.value() == null
-                            ? Wire.map("delete", c.key(), "stamp", c.stamp().value())
-                            : Wire.map(
+                            ? MessagePackFormat.map(
+                                    "delete", c.key(), "stamp", c.stamp().value())
+                            : MessagePackFormat.map(
                                     "write",
                                     c.key(),
                                     "data",
@@ -185,13 +186,13 @@
                                     "stamp",
                                     c.stamp().value()));
         }
-        return Wire.map("ledger_rev", changes.revision(), "events", events);
+        return MessagePackFormat.map("ledger_rev", changes.revision(), "events", events);
     }
 
     static StateClient.Changes readChanges(Fields f) {
         List<StateClient.Change> changes = new ArrayList<>();
         for (Fields e : f.children("events")) {
-            Stamp stamp = new Stamp(e.whole("stamp"));
+            Revision stamp = new Revision(e.whole("stamp"));
             changes.add(
                     e.has("write")
                             ? new StateClient.Change(e.text("write"), kept(e, "data"), stamp)
--- a/src/main/java/io/indigoreach/tools/CalendarVerb.java
+++ b/src/main/java/io/indigoreach/tools/CalendarVerb.java
@@ -3,8 +3,6 @@
 import io.indigoreach.calendar.CalendarCodec;
 import io.indigoreach.calendar.JavaZones;
 import io.indigoreach.config.ConfigException;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
 import io.indigoreach.core.calendar.Calendar;
 import io.indigoreach.core.calendar.CalendarCheck;
 import io.indigoreach.core.calendar.Choice;
@@ -13,9 +11,11 @@
 import io.indigoreach.core.calendar.Occurrence;
 import io.indigoreach.core.calendar.Occurrences;
 import io.indigoreach.core.calendar.Register;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.scenario.TextForm;
 import io.vertx.core.json.JsonObject;
 import java.io.IOException;
@@ -71,7 +71,7 @@
 
     /** Its answer, if it is what was asked for; 404 and 422 say why not. */
     private static Fields get(Cluster c, String path) {
-        Reply r = c.call("GET", PATH + path, null);
+        ServiceResponse r = c.call("GET", PATH + path, null);
         if (r.status() != 200) {
             throw new Failure(Tool.WRONG, String.valueOf(r.body().optionalText("error")));
         }
@@ -117,7 +117,7 @@
         String text = CalendarCodec.pack(new CalendarCodec.Stored(calendar, Register.EMPTY, Files.readString(file)));
         try (Cluster c = cluster.open()) {
             int from = base >= 0 ? base : (int) get(c, "").whole("version");
-            Reply r = c.call("POST", PATH, Wire.map("base", from, "text", text, "note", note));
+            ServiceResponse r = c.call("POST", PATH, MessagePackFormat.map("base", from, "text", text, "note", note));
             if (r.status() == 409) {
                 Fields against = r.body().child("against");
                 throw new Failure(
--- a/src/main/java/io/indigoreach/tools/CheckVerb.java
+++ b/src/main/java/io/indigoreach/tools/CheckVerb.java
@@ -75,8 +75,8 @@
     private static List<String> fields(Form form) {
         return switch (form) {
             case SETTINGS ->
-                java.util.Arrays.stream(Settings.Knob.values())
-                        .map(Settings.Knob::help)
+                java.util.Arrays.stream(Settings.Setting.values())
+                        .map(Settings.Setting::help)
                         .toList();
             case SCENARIO -> TextForm.fields(Scenario.class);
             case JOB -> TextForm.fields(JobFile.class);
--- a/src/main/java/io/indigoreach/tools/Cluster.java
+++ b/src/main/java/io/indigoreach/tools/Cluster.java
@@ -3,17 +3,17 @@
 import io.indigoreach.api.JobCodec;
 import io.indigoreach.cloud.CloudClient;
 import io.indigoreach.config.ConfigException;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.ListedMachine;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.duty.Intents;
+import io.indigoreach.core.intent.Intents;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.ListedMachine;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.DepotCodec;
 import io.indigoreach.emulator.model.Depot;
-import io.indigoreach.net.Caller;
 import io.indigoreach.net.Endpoint;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
@@ -56,12 +56,12 @@
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
     private final ClusterFile file;
-    private final List<Caller> nodes = new ArrayList<>();
+    private final List<ServiceClient> nodes = new ArrayList<>();
     private int turn;
 
     Cluster(ClusterFile file) {
         this.file = file;
-        file.node().forEach(n -> nodes.add(new Caller(vertx, Endpoint.parse(n), 2)));
+        file.node().forEach(n -> nodes.add(new ServiceClient(vertx, Endpoint.parse(n), 2)));
     }
 
     /** Submits a job; with an emulator, uploads first what its tasks do. */
@@ -73,8 +73,8 @@
     /** With an emulator, what a job's tasks do; else nothing. */
     void upload(JobSpec spec, Depot.Conduct conduct) {
         if (!file.depot().isEmpty()) {
-            Caller depot = new Caller(vertx, Endpoint.parse(file.depot()), 1);
-            Reply r = await(
+            ServiceClient depot = new ServiceClient(vertx, Endpoint.parse(file.depot()), 1);
+            ServiceResponse r = await(
                     depot.post(DepotCodec.UPLOAD, DepotCodec.write(new DepotCodec.Upload(spec, conduct)), PATIENCE));
             if (!r.isOk()) {
                 throw new Failure(
@@ -85,13 +85,13 @@
 
     /** How a job stands; null if there is none. */
     JobCodec.Progress status(JobId id) {
-        Reply r = ask(JobCodec.JOBS + "/" + id, null);
+        ServiceResponse r = ask(JobCodec.JOBS + "/" + id, null);
         return r.status() == 404 ? null : JobCodec.readProgress(r.body());
     }
 
     /** The state after cancelling; null if there is no such job. */
     JobCodec.Progress cancel(JobId id) {
-        Reply r = ask(JobCodec.JOBS + "/" + id + JobCodec.CANCEL, Map.of());
+        ServiceResponse r = ask(JobCodec.JOBS + "/" + id + JobCodec.CANCEL, Map.of());
         return r.status() == 404 ? null : JobCodec.readProgress(r.body());
     }
 
@@ -99,13 +99,13 @@
      * Tries the nodes in turn for a minute; {@code body} null: a question. Any answer but 429, 503 and 504, after which to come
      * back, is one.
      */
-    Reply call(String method, String path, Map<String, Object> body) {
+    ServiceResponse call(String method, String path, Map<String, Object> body) {
         Moment until = clock.now().plus(TRIES_FOR);
         String last = "no node answers";
         while (clock.now().isBefore(until)) {
-            Caller node = nodes.get(turn % nodes.size());
+            ServiceClient node = nodes.get(turn % nodes.size());
             try {
-                Reply r = await(
+                ServiceResponse r = await(
                         "DELETE".equals(method)
                                 ? node.delete(path, PATIENCE)
                                 : body == null ? node.get(path, PATIENCE) : node.post(path, body, PATIENCE));
@@ -170,20 +170,20 @@
         if (file.cloud().isEmpty()) {
             throw new Failure(Tool.WRONG, "the cluster's file names no cloud");
         }
-        return await(new CloudClient(new Caller(vertx, Endpoint.parse(file.cloud()), 1)).list());
+        return await(new CloudClient(new ServiceClient(vertx, Endpoint.parse(file.cloud()), 1)).list());
     }
 
     private StateClient state() {
         if (file.state().isEmpty()) {
             throw new Failure(Tool.WRONG, "the cluster's file names no state service");
         }
-        Caller caller = new Caller(vertx, Endpoint.parse(file.state()), 1);
+        ServiceClient caller = new ServiceClient(vertx, Endpoint.parse(file.state()), 1);
         return new StateClient(caller, caller);
     }
 
     /** A refusal for good is a {@link Failure}. */
-    private Reply ask(String path, Map<String, Object> body) {
-        Reply r = call(body == null ? "GET" : "POST", path, body);
+    private ServiceResponse ask(String path, Map<String, Object> body) {
+        ServiceResponse r = call(body == null ? "GET" : "POST", path, body);
         if (r.status() == 200 || r.status() == 201 || r.status() == 404) {
             return r;
         }
--- a/src/main/java/io/indigoreach/tools/DemoVerb.java
+++ b/src/main/java/io/indigoreach/tools/DemoVerb.java
@@ -1,7 +1,7 @@
 package io.indigoreach.tools;
 
 import io.indigoreach.config.ConfigException;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.experiment.Experiment;
 import io.indigoreach.experiment.Report;
 import io.indigoreach.load.Arrivals;
@@ -49,8 +49,9 @@
             for (Path file : files.sorted().toList()) {
                 JobFile job = TextForm.read(file, JobFile.class);
                 // A service runs until its user cancels it.
-                Span cancel =
-                        job.shape() == io.indigoreach.core.Shape.SERVICE ? Span.seconds(scenario.lengthS()) : null;
+                Span cancel = job.shape() == io.indigoreach.core.model.JobKind.SERVICE
+                        ? Span.seconds(scenario.lengthS())
+                        : null;
                 arrivals.add(new Arrivals.Arrival(
                         Span.ZERO, job.spec(SubmitVerb.madeUp()), SubmitVerb.conduct(job), cancel));
             }
--- a/src/main/java/io/indigoreach/tools/MachinesVerb.java
+++ b/src/main/java/io/indigoreach/tools/MachinesVerb.java
@@ -1,7 +1,7 @@
 package io.indigoreach.tools;
 
 import io.indigoreach.config.ConfigException;
-import io.indigoreach.core.ListedMachine;
+import io.indigoreach.core.model.ListedMachine;
 import io.vertx.core.json.JsonObject;
 import java.util.Locale;
 import java.util.concurrent.Callable;
