--- a/src/main/java/io/indigoreach/tools/PoolFile.java
+++ b/src/main/java/io/indigoreach/tools/PoolFile.java
@@ -1,6 +1,6 @@
 package io.indigoreach.tools;
 
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.scenario.Setting;
 import java.util.ArrayList;
 import java.util.List;
@@ -56,7 +56,7 @@
     Map<String, Object> body() {
         List<Object> windows = new ArrayList<>();
         window.forEach(w -> windows.add(List.of(w.from, w.to, w.replicas)));
-        return Wire.map(
+        return MessagePackFormat.map(
                 "team",
                 team,
                 "image",
--- a/src/main/java/io/indigoreach/tools/PoolsVerb.java
+++ b/src/main/java/io/indigoreach/tools/PoolsVerb.java
@@ -2,7 +2,7 @@
 
 import io.indigoreach.config.ConfigException;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.scenario.TextForm;
 import io.vertx.core.json.JsonObject;
 import java.nio.file.Path;
@@ -37,7 +37,7 @@
 
     private static Fields ask(Cluster.Choice choice, String path, Map<String, Object> body) throws ConfigException {
         try (Cluster c = choice.open()) {
-            Reply r = c.call(body == null ? "GET" : "POST", path, body);
+            ServiceResponse r = c.call(body == null ? "GET" : "POST", path, body);
             if (r.isOk()) {
                 return r.body();
             }
--- a/src/main/java/io/indigoreach/tools/RecordsAction.java
+++ b/src/main/java/io/indigoreach/tools/RecordsAction.java
@@ -2,7 +2,7 @@
 
 import io.indigoreach.config.ConfigException;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.ServiceResponse;
 import io.vertx.core.json.JsonObject;
 import java.io.IOException;
 import java.util.Map;
@@ -37,7 +37,7 @@
         return told(c.call("GET", PATH + path, null));
     }
 
-    private Fields told(Reply r) {
+    private Fields told(ServiceResponse r) {
         if (r.status() == 409) {
             r.body().optionalTexts("against").forEach(line -> System.err.println("indigoreach: " + line));
             code = Tool.REFUSED;
--- a/src/main/java/io/indigoreach/tools/RecordsAuthor.java
+++ b/src/main/java/io/indigoreach/tools/RecordsAuthor.java
@@ -1,6 +1,6 @@
 package io.indigoreach.tools;
 
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import java.util.Map;
 import picocli.CommandLine.Option;
 
@@ -13,6 +13,6 @@
     String reason;
 
     Map<String, Object> body() {
-        return Wire.map("by", by, "reason", reason);
+        return MessagePackFormat.map("by", by, "reason", reason);
     }
 }
--- a/src/main/java/io/indigoreach/tools/RecordsBiller.java
+++ b/src/main/java/io/indigoreach/tools/RecordsBiller.java
@@ -1,6 +1,6 @@
 package io.indigoreach.tools;
 
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import java.util.Map;
 import picocli.CommandLine.Option;
 
@@ -22,6 +22,6 @@
     private long attempt;
 
     Map<String, Object> body() {
-        return Wire.map("run", run, "job", job, "task", task, "attempt", attempt);
+        return MessagePackFormat.map("run", run, "job", job, "task", task, "attempt", attempt);
     }
 }
--- a/src/main/java/io/indigoreach/tools/RecordsBilling.java
+++ b/src/main/java/io/indigoreach/tools/RecordsBilling.java
@@ -1,7 +1,7 @@
 package io.indigoreach.tools;
 
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import java.io.IOException;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -36,11 +36,12 @@
                 post(
                         c,
                         "claim",
-                        Wire.map("run", run, "ids", RecordIds.first(parts.get(i)), "last", i == parts.size() - 1));
+                        MessagePackFormat.map(
+                                "run", run, "ids", RecordIds.first(parts.get(i)), "last", i == parts.size() - 1));
                 claimed += parts.get(i).size();
             }
             if (!isRefused()) {
-                print(Wire.map("run", run, "records", claimed), run + " holds " + claimed + " records");
+                print(MessagePackFormat.map("run", run, "records", claimed), run + " holds " + claimed + " records");
             }
         }
     }
@@ -59,11 +60,11 @@
         @Override
         void ask(Cluster c) throws IOException {
             if (ids.lines().isEmpty()) {
-                post(c, "release", Wire.map("run", run));
+                post(c, "release", MessagePackFormat.map("run", run));
                 return;
             }
             for (List<String[]> part : ids.parts()) {
-                post(c, "release", Wire.map("run", run, "ids", RecordIds.first(part)));
+                post(c, "release", MessagePackFormat.map("run", run, "ids", RecordIds.first(part)));
             }
         }
     }
@@ -90,7 +91,7 @@
                 f.child("fences")
                         .map()
                         .forEach((id, fence) -> print(
-                                Wire.map("id", id, "fence", fence, "billed", billed.contains(id)),
+                                MessagePackFormat.map("id", id, "fence", fence, "billed", billed.contains(id)),
                                 id + " " + (billed.contains(id) ? "billed" : fence)));
             }
         }
--- a/src/main/java/io/indigoreach/tools/RecordsDecisions.java
+++ b/src/main/java/io/indigoreach/tools/RecordsDecisions.java
@@ -1,7 +1,7 @@
 package io.indigoreach.tools;
 
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
@@ -65,7 +65,8 @@
                 Fields f = post(c, "resolve", body);
                 f.child("fences")
                         .map()
-                        .forEach((id, fence) -> print(Wire.map("id", id, "fence", fence), id + " " + fence));
+                        .forEach((id, fence) ->
+                                print(MessagePackFormat.map("id", id, "fence", fence), id + " " + fence));
             }
         }
     }
--- a/src/main/java/io/indigoreach/tools/RecordsQuestions.java
+++ b/src/main/java/io/indigoreach/tools/RecordsQuestions.java
@@ -1,7 +1,7 @@
 package io.indigoreach.tools;
 
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import java.io.IOException;
 import java.time.Instant;
 import java.util.List;
@@ -70,8 +70,8 @@
                 f.child("holders").map().forEach((k, n) -> counts.merge(k, (Long) n, Long::sum));
                 after = f.optionalText("after");
             } while (after != null);
-            counts.forEach((who, n) ->
-                    print(Wire.map("holder", who, "records", n), String.format(Locale.ROOT, "%8d  %s", n, who)));
+            counts.forEach((who, n) -> print(
+                    MessagePackFormat.map("holder", who, "records", n), String.format(Locale.ROOT, "%8d  %s", n, who)));
         }
     }
 
--- a/src/main/java/io/indigoreach/tools/StatusVerb.java
+++ b/src/main/java/io/indigoreach/tools/StatusVerb.java
@@ -2,7 +2,7 @@
 
 import io.indigoreach.api.JobCodec;
 import io.indigoreach.config.ConfigException;
-import io.indigoreach.core.JobId;
+import io.indigoreach.core.model.JobId;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
--- a/src/main/java/io/indigoreach/tools/SubmitVerb.java
+++ b/src/main/java/io/indigoreach/tools/SubmitVerb.java
@@ -2,9 +2,9 @@
 
 import io.indigoreach.api.JobCodec;
 import io.indigoreach.config.ConfigException;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.model.Depot;
 import io.indigoreach.scenario.JobFile;
 import io.indigoreach.scenario.TextForm;
--- a/src/main/java/io/indigoreach/warm/HolderJoining.java
+++ b/src/main/java/io/indigoreach/warm/HolderJoining.java
@@ -1,23 +1,23 @@
 package io.indigoreach.warm;
 
-import io.indigoreach.api.Joining;
-import io.indigoreach.api.Refusal;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.records.Change;
-import io.indigoreach.core.records.Kept;
+import io.indigoreach.api.RequestRejectedException;
+import io.indigoreach.api.SubmissionParticipant;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.records.Transaction;
+import io.indigoreach.core.records.VersionedRecord;
 import io.indigoreach.core.warm.PoolSpec;
 import io.indigoreach.net.Fields;
 import io.indigoreach.parts.Parts;
 import io.vertx.core.Future;
 
 /** A pool's holder: a service of its payer whose tasks take next to nothing and make machines fetch the pool's image. */
-final class HolderJoining implements Joining {
+final class HolderJoining implements SubmissionParticipant {
     private static final double MOST_CORES = 0.1;
     private static final double MOST_RAM_GB = 1;
 
-    private final Parts.Ground ground;
+    private final Parts.Environment ground;
 
-    HolderJoining(Parts.Ground ground) {
+    HolderJoining(Parts.Environment ground) {
         this.ground = ground;
     }
 
@@ -35,17 +35,17 @@
 
     /** Accepted only beside the pool as it was read. */
     @Override
-    public Future<Change> accepting(JobSpec spec) {
+    public Future<Transaction> accepting(JobSpec spec) {
         String name = (String) spec.more().get(JobSpec.WARM);
         return ground.records().run(PoolRoutines.read(PoolRecords.POOLS + name)).map(kept -> {
             refuse(spec, name, kept);
-            return new Change().when(kept);
+            return new Transaction().when(kept);
         });
     }
 
-    private static void refuse(JobSpec spec, String name, Kept kept) {
+    private static void refuse(JobSpec spec, String name, VersionedRecord kept) {
         if (!kept.isThere()) {
-            throw Refusal.of(JobSpec.WARM, "there is no pool " + name);
+            throw RequestRejectedException.of(JobSpec.WARM, "there is no pool " + name);
         }
         PoolSpec pool = PoolCodec.read(name, new Fields(kept.value()));
         check(spec.isService(), "shape", "a holder is a service");
@@ -71,7 +71,7 @@
 
     private static void check(boolean holds, String field, String reason) {
         if (!holds) {
-            throw Refusal.of(field, reason);
+            throw RequestRejectedException.of(field, reason);
         }
     }
 }
--- a/src/main/java/io/indigoreach/warm/PoolCodec.java
+++ b/src/main/java/io/indigoreach/warm/PoolCodec.java
@@ -1,17 +1,17 @@
 package io.indigoreach.warm;
 
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Pool;
 import io.indigoreach.core.accounts.Account;
 import io.indigoreach.core.accounts.Line;
 import io.indigoreach.core.accounts.Sheet;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.warm.BurstWindow;
+import io.indigoreach.core.warm.DemandHistory;
 import io.indigoreach.core.warm.PoolSpec;
-import io.indigoreach.core.warm.Seen;
-import io.indigoreach.core.warm.Told;
-import io.indigoreach.core.warm.Window;
+import io.indigoreach.core.warm.PoolStatus;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -31,7 +31,7 @@
     public static Map<String, Object> write(PoolSpec p) {
         List<Object> windows = new ArrayList<>();
         p.windows().forEach(w -> windows.add(List.of(clock(w.from()), clock(w.to()), w.replicas())));
-        return Wire.map(
+        return MessagePackFormat.map(
                 "team",
                 p.team(),
                 "image",
@@ -68,12 +68,12 @@
 
     /** Throws {@link io.indigoreach.net.WireException} with the name of a field that is missing or of the wrong kind. */
     public static PoolSpec read(String name, Fields f) {
-        List<Window> windows = new ArrayList<>();
+        List<BurstWindow> windows = new ArrayList<>();
         for (List<?> w : f.lists("windows")) {
             if (w.size() != 3 || !(w.get(2) instanceof Number n)) {
                 throw Fields.invalid("windows");
             }
-            windows.add(new Window(minutes(w.get(0)), minutes(w.get(1)), n.doubleValue()));
+            windows.add(new BurstWindow(minutes(w.get(0)), minutes(w.get(1)), n.doubleValue()));
         }
         List<String> types = f.optionalTexts("types");
         List<String> zones = f.optionalTexts("zones");
@@ -151,7 +151,7 @@
                         l.image(),
                         l.gb(),
                         l.session())));
-        return Wire.map("lines", lines, "sums", writeSums(sheet.sums()));
+        return MessagePackFormat.map("lines", lines, "sums", writeSums(sheet.sums()));
     }
 
     static List<Object> writeSums(Map<Account, Double> sums) {
@@ -169,7 +169,7 @@
                     id,
                     new Line(
                             id,
-                            new Pool((String) l.get(1), (String) l.get(2), (Boolean) l.get(3)),
+                            new MachinePool((String) l.get(1), (String) l.get(2), (Boolean) l.get(3)),
                             whole(l, 4),
                             whole(l, 5),
                             new Account((String) l.get(6), (String) l.get(7)),
@@ -193,8 +193,8 @@
         return ((Number) line.get(i)).longValue();
     }
 
-    static Map<String, Object> write(Told t) {
-        return Wire.map(
+    static Map<String, Object> write(PoolStatus t) {
+        return MessagePackFormat.map(
                 "target",
                 t.target(),
                 "why",
@@ -213,17 +213,18 @@
                 t.lost());
     }
 
-    static Map<String, Object> write(Seen seen) {
+    static Map<String, Object> write(DemandHistory seen) {
         List<Object> peaks = new ArrayList<>();
         for (int n : seen.recorded()) {
             peaks.add((long) n);
         }
-        return Wire.map("peaks", peaks);
+        return MessagePackFormat.map("peaks", peaks);
     }
 
-    static Seen readSeen(Map<String, Object> value) {
+    static DemandHistory readSeen(Map<String, Object> value) {
         return value != null && value.get("peaks") instanceof List<?> l
-                ? Seen.of(l.stream().mapToInt(n -> ((Number) n).intValue()).toArray())
-                : new Seen();
+                ? DemandHistory.of(
+                        l.stream().mapToInt(n -> ((Number) n).intValue()).toArray())
+                : new DemandHistory();
     }
 }
--- a/src/main/java/io/indigoreach/warm/PoolRecords.java
+++ b/src/main/java/io/indigoreach/warm/PoolRecords.java
@@ -1,6 +1,6 @@
 package io.indigoreach.warm;
 
-import io.indigoreach.core.records.Family;
+import io.indigoreach.core.records.RecordFamily;
 import java.util.List;
 
 /** The keys of pools and accounts. */
@@ -13,11 +13,11 @@
     /** What was learned of their bursts. */
     static final String SEEN = "warm/seen/";
 
-    public static final List<Family> FAMILIES = List.of(
-            new Family(POOLS, 300, true, Family.Mending.NEWER),
-            new Family(SHEETS, 300, true, Family.Mending.NEWER),
-            new Family(TOLD, 0, false, Family.Mending.NEWER),
-            new Family(SEEN, 100, false, Family.Mending.NEWER));
+    public static final List<RecordFamily> FAMILIES = List.of(
+            new RecordFamily(POOLS, 300, true, RecordFamily.Mending.NEWER),
+            new RecordFamily(SHEETS, 300, true, RecordFamily.Mending.NEWER),
+            new RecordFamily(TOLD, 0, false, RecordFamily.Mending.NEWER),
+            new RecordFamily(SEEN, 100, false, RecordFamily.Mending.NEWER));
 
     private PoolRecords() {}
 
--- a/src/main/java/io/indigoreach/warm/PoolsResource.java
+++ b/src/main/java/io/indigoreach/warm/PoolsResource.java
@@ -1,14 +1,14 @@
 package io.indigoreach.warm;
 
-import io.indigoreach.api.Answer;
-import io.indigoreach.api.Refusal;
+import io.indigoreach.api.ApiResponse;
+import io.indigoreach.api.RequestRejectedException;
 import io.indigoreach.api.Resource;
 import io.indigoreach.core.accounts.Account;
-import io.indigoreach.core.records.Kept;
+import io.indigoreach.core.records.VersionedRecord;
 import io.indigoreach.core.warm.PoolSpec;
 import io.indigoreach.net.Fields;
 import io.indigoreach.net.JsonSize;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.parts.Parts;
 import io.vertx.core.Future;
 import java.util.ArrayList;
@@ -27,23 +27,23 @@
 
     private static final int LISTED = 100;
 
-    private final Parts.Ground ground;
+    private final Parts.Environment ground;
 
-    PoolsResource(Parts.Ground ground) {
+    PoolsResource(Parts.Environment ground) {
         this.ground = ground;
     }
 
     @Override
-    public Future<Answer> serve(Call call) {
+    public Future<ApiResponse> serve(Call call) {
         if (call.path().isEmpty() && call.isGet()) {
             return call.query().containsKey("sums") ? sums() : list(call.query().get("after"));
         }
         if (call.path().size() != 1 || (!call.isGet() && !call.isPost())) {
-            throw Refusal.notFound("no such path");
+            throw RequestRejectedException.notFound("no such path");
         }
         String name = call.path().get(0);
         if (!PoolSpec.isName(name)) {
-            throw Refusal.of("name", "small letters, digits, dots and dashes, up to 60");
+            throw RequestRejectedException.of("name", "small letters, digits, dots and dashes, up to 60");
         }
         return call.isGet()
                 ? explain(name)
@@ -52,17 +52,17 @@
                         call.body().has(EXPECTED) ? call.body().whole(EXPECTED) : -1);
     }
 
-    private Future<Answer> list(String after) {
+    private Future<ApiResponse> list(String after) {
         return ground.records().run(PoolRoutines.all(PoolRecords.POOLS)).map(all -> {
             List<Object> pools = new ArrayList<>();
             boolean more = false;
-            for (Kept k : all) {
+            for (VersionedRecord k : all) {
                 String name = k.key().substring(PoolRecords.POOLS.length());
                 if (after == null || name.compareTo(after) > 0) {
                     more |= pools.size() >= LISTED;
                     if (pools.size() < LISTED) {
                         PoolSpec p = PoolCodec.read(name, new Fields(k.value()));
-                        pools.add(Wire.map(
+                        pools.add(MessagePackFormat.map(
                                 "name",
                                 name,
                                 "team",
@@ -78,28 +78,28 @@
                     }
                 }
             }
-            return Answer.ok(Wire.map("pools", pools, "more", more));
+            return ApiResponse.ok(MessagePackFormat.map("pools", pools, "more", more));
         });
     }
 
     /** All pages' sums together: each is as new as its last write. */
-    private Future<Answer> sums() {
+    private Future<ApiResponse> sums() {
         return ground.records().run(PoolRoutines.all(PoolRecords.SHEETS)).map(all -> {
             Map<Account, Double> sums = new TreeMap<>();
             long lines = 0;
-            for (Kept k : all) {
+            for (VersionedRecord k : all) {
                 PoolCodec.readSums(new Fields(k.value()))
                         .forEach((account, money) -> sums.merge(account, money, Double::sum));
                 lines += new Fields(k.value()).lists("lines").size();
             }
-            return Answer.ok(Wire.map("sums", PoolCodec.writeSums(sums), "machines", lines));
+            return ApiResponse.ok(MessagePackFormat.map("sums", PoolCodec.writeSums(sums), "machines", lines));
         });
     }
 
-    private Future<Answer> explain(String name) {
+    private Future<ApiResponse> explain(String name) {
         return ground.records().run(PoolRoutines.read(PoolRecords.POOLS + name)).compose(pool -> {
             if (!pool.isThere()) {
-                throw Refusal.notFound("no pool " + name);
+                throw RequestRejectedException.notFound("no pool " + name);
             }
             return ground.records()
                     .run(PoolRoutines.read(PoolRecords.TOLD + name))
@@ -111,24 +111,24 @@
                                 "stands",
                                 told.isThere()
                                         ? PoolRoutines.plain(told)
-                                        : Wire.map("why", "no leader has planned it yet"));
-                        return Answer.ok(answer);
+                                        : MessagePackFormat.map("why", "no leader has planned it yet"));
+                        return ApiResponse.ok(answer);
                     });
         });
     }
 
-    private Future<Answer> set(PoolSpec pool, long expected) {
+    private Future<ApiResponse> set(PoolSpec pool, long expected) {
         if (!ground.catalogue().isKnown()) {
-            return Future.succeededFuture(Answer.later("the machine types are not known yet"));
+            return Future.succeededFuture(ApiResponse.later("the machine types are not known yet"));
         }
         PoolSpec.Fault fault =
                 pool.fault(ground.config().teams(), ground.catalogue().types());
         if (fault != null) {
-            throw Refusal.of(fault.field(), fault.reason());
+            throw RequestRejectedException.of(fault.field(), fault.reason());
         }
         Map<String, Object> value = PoolCodec.write(pool);
         if (JsonSize.of(value) > ground.config().stateLimits().room()) {
-            throw Refusal.of("windows", "the description is too long");
+            throw RequestRejectedException.of("windows", "the description is too long");
         }
         long[] version = new long[1];
         return ground.records()
@@ -142,11 +142,11 @@
                                 return null;
                             }
                             if (old != null && !old.team().equals(pool.team())) {
-                                throw Refusal.of(
+                                throw RequestRejectedException.of(
                                         "team", "the account is that of team " + old.team() + "; set another pool");
                             }
                             if (expected >= 0 && expected != there.version()) {
-                                throw Refusal.conflict(
+                                throw RequestRejectedException.conflict(
                                         "the pool was changed: it is at version " + there.version(),
                                         old == null ? Map.of() : PoolCodec.write(old));
                             }
@@ -155,7 +155,7 @@
                         },
                         written -> {}))
                 .map(done -> done
-                        ? Answer.ok(Wire.map("name", pool.name(), "version", version[0]))
-                        : Answer.later("the pool changes at this moment"));
+                        ? ApiResponse.ok(MessagePackFormat.map("name", pool.name(), "version", version[0]))
+                        : ApiResponse.later("the pool changes at this moment"));
     }
 }
--- a/src/main/java/io/indigoreach/warm/WarmPart.java
+++ b/src/main/java/io/indigoreach/warm/WarmPart.java
@@ -1,19 +1,19 @@
 package io.indigoreach.warm;
 
-import io.indigoreach.api.Joining;
 import io.indigoreach.api.Resource;
-import io.indigoreach.core.LeaderCore;
-import io.indigoreach.core.records.Family;
+import io.indigoreach.api.SubmissionParticipant;
+import io.indigoreach.core.records.RecordFamily;
+import io.indigoreach.core.scheduling.SchedulerCore;
 import io.indigoreach.parts.Part;
 import io.indigoreach.parts.Parts;
-import io.indigoreach.state.Records;
+import io.indigoreach.state.RoutineRunner;
 import java.util.List;
 
 /** Machines that hold weights ahead of a burst: how many, for which models, and who pays. */
 public final class WarmPart implements Part {
-    private final Parts.Ground ground;
+    private final Parts.Environment ground;
 
-    public WarmPart(Parts.Ground ground) {
+    public WarmPart(Parts.Environment ground) {
         this.ground = ground;
     }
 
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public List<Family> families() {
+    public List<RecordFamily> families() {
         return PoolRecords.FAMILIES;
     }
 
@@ -33,12 +33,12 @@
     }
 
     @Override
-    public Joining joining() {
+    public SubmissionParticipant joining() {
         return new HolderJoining(ground);
     }
 
     @Override
-    public Reigning reigning(LeaderCore core, Records records) {
-        return new WarmReign(ground, core, records).start();
+    public Term reigning(SchedulerCore core, RoutineRunner records) {
+        return new WarmPoolTerm(ground, core, records).start();
     }
 }
--- a/src/main/java/io/indigoreach/warm/WarmReign.java
+++ b/src/main/java/io/indigoreach/warm/WarmPoolTerm.java
@@ -1,25 +1,25 @@
 package io.indigoreach.warm;
 
-import io.indigoreach.core.LeaderCore;
-import io.indigoreach.core.Machine;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.Span;
 import io.indigoreach.core.accounts.Account;
 import io.indigoreach.core.accounts.Meter;
 import io.indigoreach.core.accounts.Sheet;
-import io.indigoreach.core.records.Kept;
-import io.indigoreach.core.warm.Plan;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.records.VersionedRecord;
+import io.indigoreach.core.scheduling.Machine;
+import io.indigoreach.core.scheduling.PoolMembership;
+import io.indigoreach.core.scheduling.SchedulerCore;
+import io.indigoreach.core.warm.DemandHistory;
+import io.indigoreach.core.warm.PoolPlanner;
 import io.indigoreach.core.warm.PoolSpec;
-import io.indigoreach.core.warm.Seat;
-import io.indigoreach.core.warm.Seen;
-import io.indigoreach.core.warm.Told;
-import io.indigoreach.net.Duty;
+import io.indigoreach.core.warm.PoolStatus;
 import io.indigoreach.net.Fields;
+import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.parts.Part;
 import io.indigoreach.parts.Parts;
-import io.indigoreach.state.Records;
+import io.indigoreach.state.RoutineRunner;
 import io.vertx.core.Future;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -31,8 +31,8 @@
 import org.slf4j.LoggerFactory;
 
 /** The pools' work for one leadership: reads what earlier leaders recorded, looks at the machines, writes lines and sums. */
-final class WarmReign implements Part.Reigning {
-    private static final Logger LOG = LoggerFactory.getLogger(WarmReign.class);
+final class WarmPoolTerm implements Part.Term {
+    private static final Logger LOG = LoggerFactory.getLogger(WarmPoolTerm.class);
     private static final Span PERIOD = Span.seconds(1);
     private static final Span POOLS_EVERY = Span.seconds(5);
     private static final Span TOLD_EVERY = Span.seconds(2);
@@ -40,14 +40,14 @@
     /** Money is moved into the sums this often; what a machine is kept for is written as it changes. */
     private static final Span MONEY_EVERY = Span.seconds(10);
 
-    private final Parts.Ground ground;
-    private final LeaderCore core;
-    private final Records records;
-    private final Plan plan;
+    private final Parts.Environment ground;
+    private final SchedulerCore core;
+    private final RoutineRunner records;
+    private final PoolPlanner plan;
     private final Meter meter;
-    private final Duty duty;
+    private final PeriodicTask duty;
     private final Map<String, MachineType> prices = new HashMap<>();
-    private final Map<String, Told> told = new HashMap<>();
+    private final Map<String, PoolStatus> told = new HashMap<>();
     private final Map<String, Long> learned = new HashMap<>();
     private final Deque<Integer> pages = new ArrayDeque<>();
     private List<PoolSpec> pools = List.of();
@@ -60,23 +60,23 @@
     private Moment pricesAsked = Moment.NEVER;
     private Moment moneyAt;
 
-    WarmReign(Parts.Ground ground, LeaderCore core, Records records) {
+    WarmPoolTerm(Parts.Environment ground, SchedulerCore core, RoutineRunner records) {
         this.ground = ground;
         this.core = core;
         this.records = records;
         this.moneyAt = ground.clock().now();
-        this.plan = new Plan(
+        this.plan = new PoolPlanner(
                 ground.config().teams(),
                 ground.catalogue()::types,
                 ground.settings().tuning().term(),
                 this::timeOfDay,
                 LOG::info);
         this.meter = new Meter(ground.settings().tuning().leastPaid().ms());
-        this.duty = new Duty(ground.vertx(), "pools", PERIOD, this::step);
+        this.duty = new PeriodicTask(ground.vertx(), "pools", PERIOD, this::step);
         core.keeping(plan);
     }
 
-    WarmReign start() {
+    WarmPoolTerm start() {
         duty.start();
         return this;
     }
@@ -111,7 +111,7 @@
         return records.run(PoolRoutines.sheets())
                 .compose(sheets -> readPools(now).map(v -> {
                     ground.catalogue().types().forEach(t -> prices.put(t.name(), t));
-                    for (Kept k : sheets) {
+                    for (VersionedRecord k : sheets) {
                         meter.recall(PoolRecords.sheetOf(k.key()), PoolCodec.readSheet(k.value()), this::perHour);
                     }
                     plan.recall(meter.lines(), ground.clock().now());
@@ -134,14 +134,14 @@
                     .map(k -> PoolCodec.read(k.key().substring(PoolRecords.POOLS.length()), new Fields(k.value())))
                     .toList();
             boolean isNew = read.size() > pools.size();
-            Future<List<Kept>> earlier =
+            Future<List<VersionedRecord>> earlier =
                     isNew ? records.run(PoolRoutines.all(PoolRecords.SEEN)) : Future.succeededFuture(List.of());
             return earlier.map(seen -> {
-                Map<String, Seen> known = new HashMap<>();
+                Map<String, DemandHistory> known = new HashMap<>();
                 seen.forEach(
                         k -> known.put(k.key().substring(PoolRecords.SEEN.length()), PoolCodec.readSeen(k.value())));
                 pools = read;
-                plan.pools(read, name -> known.getOrDefault(name, new Seen()));
+                plan.pools(read, name -> known.getOrDefault(name, new DemandHistory()));
                 poolsRead = now;
                 return null;
             });
@@ -156,7 +156,7 @@
         }
     }
 
-    private double perHour(Pool pool) {
+    private double perHour(MachinePool pool) {
         MachineType type = prices.get(pool.type());
         return type == null ? 0 : pool.spot() ? type.spotPrice() : type.price();
     }
@@ -166,7 +166,7 @@
         Map<String, String> teams = new HashMap<>();
         pools.forEach(p -> teams.put(p.name(), p.team()));
         for (Machine m : core.machines()) {
-            Seat seat = m.seat() == null || m.seat().isDropped() ? null : m.seat();
+            PoolMembership seat = m.seat() == null || m.seat().isDropped() ? null : m.seat();
             Account payer =
                     seat == null ? new Account("", "") : new Account(seat.pool(), teams.getOrDefault(seat.pool(), ""));
             looks.add(new Meter.Look(
@@ -232,7 +232,7 @@
         }
     }
 
-    private Map<String, Object> told(Told t) {
+    private Map<String, Object> told(PoolStatus t) {
         Map<String, Object> value = PoolCodec.write(t);
         value.put("since", sinceMs);
         return value;
@@ -242,7 +242,7 @@
         if (now.since(toldAt).compareTo(TOLD_EVERY) < 0) {
             return Future.succeededFuture();
         }
-        for (Told t : plan.told()) {
+        for (PoolStatus t : plan.told()) {
             if (!t.equals(told.get(t.pool()))) {
                 toldAt = now;
                 return records.run(PoolRoutines.replace(
@@ -251,7 +251,7 @@
             }
         }
         for (PoolSpec p : pools) {
-            Seen seen = plan.seen(p.name());
+            DemandHistory seen = plan.seen(p.name());
             if (p.learned() && seen.changes() > learned.getOrDefault(p.name(), 0L)) {
                 long changes = seen.changes();
                 return records.run(PoolRoutines.replace(
--- a/src/main/java/io/indigoreach/worker/WorkerCodec.java
+++ b/src/main/java/io/indigoreach/worker/WorkerCodec.java
@@ -1,19 +1,19 @@
 package io.indigoreach.worker;
 
-import io.indigoreach.core.Attempt;
-import io.indigoreach.core.ExitCause;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Order;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.ReportNumber;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.TaskId;
-import io.indigoreach.core.TaskReport;
-import io.indigoreach.core.TaskState;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.WorkerReport;
+import io.indigoreach.core.model.Attempt;
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskId;
+import io.indigoreach.core.model.TaskState;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.WorkerCommand;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.WireException;
 import java.util.ArrayList;
 import java.util.List;
@@ -27,18 +27,18 @@
     public static final String INSPECT = "/inspect";
 
     /** The answer to a report that was taken: orders under a token. */
-    public record Answer(Token token, List<Order> orders) {}
+    public record Answer(FencingToken token, List<WorkerCommand> orders) {}
 
     /** Orders sent to a worker's own address, for one of its sessions. Without a token or session, these are null. */
-    public record Direct(Token token, Long session, List<Order> orders) {}
+    public record Direct(FencingToken token, Long session, List<WorkerCommand> orders) {}
 
     private WorkerCodec() {}
 
-    public static Map<String, Object> write(WorkerReport r) {
+    public static Map<String, Object> write(Heartbeat r) {
         List<Object> tasks = new ArrayList<>(r.tasks().size());
-        for (TaskReport t : r.tasks()) {
-            Map<String, Object> map =
-                    Wire.map("piece", t.task().toString(), "try", t.attempt().value(), "status", word(t.state()));
+        for (TaskStatus t : r.tasks()) {
+            Map<String, Object> map = MessagePackFormat.map(
+                    "piece", t.task().toString(), "try", t.attempt().value(), "status", word(t.state()));
             if (t.state() == TaskState.EXITED) {
                 map.put("cause", t.cause().name().toLowerCase(Locale.ROOT));
                 if (t.saved()) {
@@ -47,7 +47,7 @@
             }
             tasks.add(map);
         }
-        return Wire.map(
+        return MessagePackFormat.map(
                 "box",
                 r.machine().text(),
                 "endpoint",
@@ -70,24 +70,24 @@
                 tasks);
     }
 
-    public static WorkerReport read(Fields f) {
-        List<TaskReport> tasks = new ArrayList<>();
+    public static Heartbeat read(Fields f) {
+        List<TaskStatus> tasks = new ArrayList<>();
         try {
             for (Fields t : f.children("pieces")) {
                 TaskState state = state(t.text("status"));
-                tasks.add(new TaskReport(
+                tasks.add(new TaskStatus(
                         TaskId.parse(t.text("piece")),
                         new Attempt(t.whole("try")),
                         state,
                         state == TaskState.EXITED ? cause(t.optionalText("cause")) : null,
                         t.flag("kept", false)));
             }
-            return new WorkerReport(
+            return new Heartbeat(
                     new MachineId(f.text("box")),
                     f.text("endpoint"),
-                    new Pool(f.text("boxkind"), f.text("hall"), f.flag("loaners", false)),
-                    new ReportNumber(f.whole("shift"), f.whole("serial")),
-                    new Token(f.whole("baton", 0)),
+                    new MachinePool(f.text("boxkind"), f.text("hall"), f.flag("loaners", false)),
+                    new HeartbeatNumber(f.whole("shift"), f.whole("serial")),
+                    new FencingToken(f.whole("baton", 0)),
                     f.has("warning_s") ? Span.seconds(Math.max(0, f.number("warning_s"))) : null,
                     tasks);
         } catch (IllegalArgumentException e) {
@@ -126,8 +126,8 @@
         };
     }
 
-    public static Map<String, Object> answer(Token token, List<Order> orders) {
-        return Wire.map(
+    public static Map<String, Object> answer(FencingToken token, List<WorkerCommand> orders) {
+        return MessagePackFormat.map(
                 "baton",
                 token.value(),
                 "orders",
@@ -136,7 +136,7 @@
 
     /** An answer without a token is to be dropped: its token is lower than any. */
     public static Answer readAnswer(Fields f) {
-        return new Answer(new Token(f.whole("baton", -1)), orders(f));
+        return new Answer(new FencingToken(f.whole("baton", -1)), orders(f));
     }
 
     public static Map<String, Object> direct(Direct d) {
@@ -147,36 +147,38 @@
 
     public static Direct readDirect(Fields f) {
         return new Direct(
-                f.has("baton") ? new Token(f.whole("baton")) : null,
+                f.has("baton") ? new FencingToken(f.whole("baton")) : null,
                 f.has("shift") ? (Long) f.whole("shift") : null,
                 orders(f));
     }
 
-    private static Map<String, Object> write(Order order) {
-        String verb = order instanceof Order.Start ? "start" : order instanceof Order.Stop ? "stop" : "reap";
-        Map<String, Object> map = Wire.map(
+    private static Map<String, Object> write(WorkerCommand order) {
+        String verb =
+                order instanceof WorkerCommand.Start ? "start" : order instanceof WorkerCommand.Stop ? "stop" : "reap";
+        Map<String, Object> map = MessagePackFormat.map(
                 "verb",
                 verb,
                 "piece",
                 order.task().toString(),
                 "try",
                 order.attempt().value());
-        if (order instanceof Order.Stop stop) {
+        if (order instanceof WorkerCommand.Stop stop) {
             map.put("wind_down_s", Math.max(0, stop.grace().seconds()));
         }
         return map;
     }
 
-    private static List<Order> orders(Fields f) {
-        List<Order> orders = new ArrayList<>();
+    private static List<WorkerCommand> orders(Fields f) {
+        List<WorkerCommand> orders = new ArrayList<>();
         try {
             for (Fields o : f.children("orders")) {
                 TaskId task = TaskId.parse(o.text("piece"));
                 Attempt attempt = new Attempt(o.whole("try"));
                 switch (o.text("verb")) {
-                    case "start" -> orders.add(new Order.Start(task, attempt));
-                    case "stop" -> orders.add(new Order.Stop(task, attempt, Span.seconds(o.number("wind_down_s", 0))));
-                    case "reap" -> orders.add(new Order.Forget(task, attempt));
+                    case "start" -> orders.add(new WorkerCommand.Start(task, attempt));
+                    case "stop" ->
+                        orders.add(new WorkerCommand.Stop(task, attempt, Span.seconds(o.number("wind_down_s", 0))));
+                    case "reap" -> orders.add(new WorkerCommand.Reap(task, attempt));
                     default -> throw Fields.invalid("verb");
                 }
             }
@@ -188,7 +190,7 @@
 
     /** Where to report instead; without a node, the worker tries the next one. */
     public static Map<String, Object> elsewhere(String leader) {
-        return leader == null ? Map.of() : Wire.map("foreman", leader);
+        return leader == null ? Map.of() : MessagePackFormat.map("foreman", leader);
     }
 
     /** The node that an answer of 421 names, or null. */
--- a/src/test/java/io/indigoreach/ArchitectureTest.java
+++ b/src/test/java/io/indigoreach/ArchitectureTest.java
@@ -92,7 +92,7 @@
             "CloudCodec.java",
             "StateCodec.java",
             "Rehearsal.java",
-            "Standing.java");
+            "PeerProtocol.java");
     private static JavaClasses classes;
 
     @BeforeAll
--- a/src/test/java/io/indigoreach/CodecsTest.java
+++ b/src/test/java/io/indigoreach/CodecsTest.java
@@ -4,27 +4,27 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import io.indigoreach.api.JobCodec;
-import io.indigoreach.core.Attempt;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.ExitCause;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Order;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.ReportNumber;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.TaskId;
-import io.indigoreach.core.TaskReport;
-import io.indigoreach.core.TaskState;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.core.WorkerReport;
-import io.indigoreach.core.chain.Chain;
+import io.indigoreach.core.model.Attempt;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.JobDependencies;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskId;
+import io.indigoreach.core.model.TaskState;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.model.WorkerCommand;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.WireException;
 import io.indigoreach.state.StateClient.Txn;
 import io.indigoreach.state.StateCodec;
@@ -43,7 +43,7 @@
     private static final TaskId TASK = new TaskId(new JobId("run-000412"), 3);
 
     private static Fields sent(Map<String, Object> message) {
-        return Wire.readMap(Wire.write(message));
+        return MessagePackFormat.readMap(MessagePackFormat.write(message));
     }
 
     @Test
@@ -52,7 +52,7 @@
                 new JobId("run-000412"),
                 "train",
                 "vision",
-                Shape.SERVICE,
+                JobKind.SERVICE,
                 Urgency.BEST_EFFORT,
                 16,
                 new Demand(8, 1, 64),
@@ -71,7 +71,7 @@
                 new JobId("run-1"),
                 "c",
                 "t",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Urgency.HIGH,
                 1,
                 new Demand(1, 0, 1),
@@ -88,7 +88,7 @@
                 null);
         assertEquals(full, JobCodec.read(sent(JobCodec.write(full))));
         assertEquals(bare, JobCodec.read(sent(JobCodec.write(bare))));
-        JobSpec chained = bare.with(Chain.of(List.of(new JobId("run-007"), new JobId("run-8"))));
+        JobSpec chained = bare.with(JobDependencies.of(List.of(new JobId("run-007"), new JobId("run-8"))));
         assertEquals(chained, JobCodec.read(sent(JobCodec.write(chained))));
         assertEquals(
                 List.of(
@@ -117,20 +117,20 @@
 
     @Test
     void reports() {
-        List<TaskReport> tasks = new ArrayList<>();
+        List<TaskStatus> tasks = new ArrayList<>();
         for (TaskState s : List.of(TaskState.FETCHING, TaskState.RUNNING, TaskState.SAVING)) {
-            tasks.add(new TaskReport(TASK, new Attempt(2), s, null, false));
+            tasks.add(new TaskStatus(TASK, new Attempt(2), s, null, false));
         }
         for (ExitCause c : ExitCause.values()) {
-            tasks.add(new TaskReport(TASK, new Attempt(3), TaskState.EXITED, c, c == ExitCause.STOPPED));
+            tasks.add(new TaskStatus(TASK, new Attempt(3), TaskState.EXITED, c, c == ExitCause.STOPPED));
         }
         for (Span notice : new Span[] {null, Span.seconds(7)}) {
-            WorkerReport r = new WorkerReport(
+            Heartbeat r = new Heartbeat(
                     new MachineId("vm-000231"),
                     "10.1.0.232:9000",
-                    new Pool("g8", "a", true),
-                    new ReportNumber(1, 88),
-                    new Token(41),
+                    new MachinePool("g8", "a", true),
+                    new HeartbeatNumber(1, 88),
+                    new FencingToken(41),
                     notice,
                     tasks);
             assertEquals(r, WorkerCodec.read(sent(WorkerCodec.write(r))));
@@ -139,23 +139,25 @@
 
     static Stream<Arguments> orders() {
         return Stream.of(
-                Arguments.of(new Order.Start(TASK, new Attempt(2)), "{verb=start, piece=run-000412/3, try=2}"),
+                Arguments.of(new WorkerCommand.Start(TASK, new Attempt(2)), "{verb=start, piece=run-000412/3, try=2}"),
                 Arguments.of(
-                        new Order.Stop(TASK, new Attempt(2), Span.seconds(10)),
+                        new WorkerCommand.Stop(TASK, new Attempt(2), Span.seconds(10)),
                         "{verb=stop, piece=run-000412/3, try=2, wind_down_s=10.0}"),
-                Arguments.of(new Order.Forget(TASK, new Attempt(2)), "{verb=reap, piece=run-000412/3, try=2}"));
+                Arguments.of(new WorkerCommand.Reap(TASK, new Attempt(2)), "{verb=reap, piece=run-000412/3, try=2}"));
     }
 
     @ParameterizedTest
     @MethodSource
-    void orders(Order order, String words) {
-        WorkerCodec.Answer a = WorkerCodec.readAnswer(sent(WorkerCodec.answer(new Token(41), List.of(order))));
+    void orders(WorkerCommand order, String words) {
+        WorkerCodec.Answer a = WorkerCodec.readAnswer(sent(WorkerCodec.answer(new FencingToken(41), List.of(order))));
         assertEquals(List.of(order), a.orders());
         assertEquals(41, a.token().value());
         assertEquals(
                 "[" + words + "]",
-                WorkerCodec.answer(new Token(41), List.of(order)).get("orders").toString());
-        WorkerCodec.Direct d = new WorkerCodec.Direct(new Token(41), 5L, List.of(order));
+                WorkerCodec.answer(new FencingToken(41), List.of(order))
+                        .get("orders")
+                        .toString());
+        WorkerCodec.Direct d = new WorkerCodec.Direct(new FencingToken(41), 5L, List.of(order));
         assertEquals(d, WorkerCodec.readDirect(sent(WorkerCodec.direct(d))));
     }
 
@@ -165,20 +167,20 @@
         assertEquals(-1, WorkerCodec.readAnswer(sent(Map.of())).token().value());
         assertThrows(
                 WireException.class,
-                () -> WorkerCodec.readAnswer(
-                        sent(Wire.map("orders", List.of(Wire.map("verb", "dance", "piece", "run-1/0", "try", 1))))));
+                () -> WorkerCodec.readAnswer(sent(MessagePackFormat.map(
+                        "orders", List.of(MessagePackFormat.map("verb", "dance", "piece", "run-1/0", "try", 1))))));
         assertThrows(
                 WireException.class,
-                () -> WorkerCodec.readAnswer(
-                        sent(Wire.map("orders", List.of(Wire.map("verb", "reap", "piece", "nonsense", "try", 1))))));
+                () -> WorkerCodec.readAnswer(sent(MessagePackFormat.map(
+                        "orders", List.of(MessagePackFormat.map("verb", "reap", "piece", "nonsense", "try", 1))))));
     }
 
     @Test
     void transactions() {
         Txn txn = new Txn()
-                .when("a/b", Stamp.ABSENT)
-                .put("a/b", Wire.map("n", 1L), 7)
-                .put("x", Wire.map("n", 2L))
+                .when("a/b", Revision.ABSENT)
+                .put("a/b", MessagePackFormat.map("n", 1L), 7)
+                .put("x", MessagePackFormat.map("n", 2L))
                 .delete("c/d");
         Txn read = StateCodec.readTxn(sent(StateCodec.writeTxn(txn)));
         assertEquals(txn.conditions(), read.conditions());
--- a/src/test/java/io/indigoreach/api/JobCodecTest.java
+++ b/src/test/java/io/indigoreach/api/JobCodecTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import io.indigoreach.core.Admission;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Team;
-import io.indigoreach.net.Wire;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.scheduling.Admission;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.WireException;
 import io.vertx.core.buffer.Buffer;
 import java.util.ArrayList;
@@ -26,7 +26,7 @@
 /** What users may send, what is malformed, and what can never run. */
 class JobCodecTest {
     static Map<String, Object> job() {
-        return Wire.map(
+        return MessagePackFormat.map(
                 "id",
                 "run-000412",
                 "jobclass",
@@ -118,7 +118,8 @@
     void malformedJobsAreToldWhichField(String field, Object value) {
         Map<String, Object> job = job();
         job.put(field, value);
-        WireException e = assertThrows(WireException.class, () -> JobCodec.read(Wire.readMap(Wire.write(job))));
+        WireException e = assertThrows(
+                WireException.class, () -> JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(job))));
         assertEquals(field, e.getMessage().substring(e.getMessage().lastIndexOf(' ') + 1));
     }
 
@@ -130,7 +131,9 @@
         with.put("waits_on", List.of());
         Map<String, Object> lacking = job();
         lacking.keySet().removeAll(List.of("boxkinds", "due_s", "hall"));
-        assertEquals(JobCodec.read(Wire.readMap(Wire.write(with))), JobCodec.read(Wire.readMap(Wire.write(lacking))));
+        assertEquals(
+                JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(with))),
+                JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(lacking))));
     }
 
     @ParameterizedTest
@@ -151,7 +154,7 @@
                 value.matches("[0-9.]+")
                         ? (Object) (field.equals("pieces") ? (Object) 20 : (Object) Double.valueOf(value))
                         : value);
-        JobSpec spec = JobCodec.read(Wire.readMap(Wire.write(job)));
+        JobSpec spec = JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(job)));
         MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         String refusal = Admission.refusal(spec, List.of(new Team("t", 0, 8, 0, 0)), List.of(type));
         if (reason == null) {
@@ -180,6 +183,7 @@
     void bodiesThatAreNotMessagePackMaps(String hex) {
         assertThrows(
                 WireException.class,
-                () -> Wire.readMap(Buffer.buffer(java.util.HexFormat.of().parseHex(hex))));
+                () -> MessagePackFormat.readMap(
+                        Buffer.buffer(java.util.HexFormat.of().parseHex(hex))));
     }
 }
--- a/src/test/java/io/indigoreach/api/LossDeskTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceLossTest.java
@@ -4,18 +4,18 @@
 
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Team;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.loss.Remains;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.loss.RememberedState;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
-import io.indigoreach.state.JobMender;
+import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
@@ -32,13 +32,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What users are told while the state service has lost data, by one node and without a leader. */
-class LossDeskTest {
+class JobServiceLossTest {
     private final Vertx vertx = Vertx.vertx();
     private StateStandIn service;
     private StateClient state;
     private Catalogue catalogue;
-    private JobMender mender;
-    private JobDesk desk;
+    private JobRepairer mender;
+    private JobService desk;
 
     @BeforeEach
     void serve() throws Exception {
@@ -47,9 +47,9 @@
         MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         await(state.commit(
                 new StateClient.Txn().put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(List.of(type)))));
-        catalogue = new Catalogue(vertx, state, new CloudClient(new Caller(vertx, service.endpoint(), 1)));
-        mender = new JobMender(state, new SteadyClock());
-        desk = new JobDesk(
+        catalogue = new Catalogue(vertx, state, new CloudClient(new ServiceClient(vertx, service.endpoint(), 1)));
+        mender = new JobRepairer(state, new SteadyClock());
+        desk = new JobService(
                 vertx, state, mender, catalogue, List.of(new Team("t", 0, 0, 0, 0)), new SteadyClock(), 8192, 100);
         catalogue.start();
         while (!catalogue.isKnown()) {
@@ -64,7 +64,8 @@
     }
 
     private StateClient client() {
-        return new StateClient(new Caller(vertx, service.endpoint(), 4), new Caller(vertx, service.endpoint(), 1));
+        return new StateClient(
+                new ServiceClient(vertx, service.endpoint(), 4), new ServiceClient(vertx, service.endpoint(), 1));
     }
 
     private static <T> T await(Future<T> future) throws Exception {
@@ -72,8 +73,8 @@
     }
 
     /** A failure is answered with 503 by the front door. */
-    private static int status(Future<Answer> answer) throws Exception {
-        return await(answer.map(Answer::status).otherwise(503));
+    private static int status(Future<ApiResponse> answer) throws Exception {
+        return await(answer.map(ApiResponse::status).otherwise(503));
     }
 
     private int submit(int id) throws Exception {
@@ -81,7 +82,7 @@
     }
 
     private static Buffer job(int id) {
-        return Wire.write(Wire.map(
+        return MessagePackFormat.write(MessagePackFormat.map(
                 "id",
                 "run-" + id,
                 "jobclass",
@@ -130,7 +131,7 @@
         assertEquals(503, submit(3), "it may have been over");
         assertEquals(200, status(desk.query("run-2")), "what was told stays");
         assertEquals(200, submit(2));
-        await(client().commit(new StateClient.Txn().put(RecordCodec.ERA, RecordCodec.writeEra(new Token(77)))));
+        await(client().commit(new StateClient.Txn().put(RecordCodec.ERA, RecordCodec.writeEra(new FencingToken(77)))));
         await(state.check());
         assertEquals(List.of(404, 201), List.of(status(desk.query("run-9")), submit(3)));
     }
@@ -142,7 +143,7 @@
         await(client().commit(new StateClient.Txn().delete("j/run-1")));
         assertEquals(503, status(desk.query("run-1")));
         assertEquals(true, state.losses().isHolding());
-        await(client().commit(new StateClient.Txn().put(RecordCodec.ERA, RecordCodec.writeEra(new Token(77)))));
+        await(client().commit(new StateClient.Txn().put(RecordCodec.ERA, RecordCodec.writeEra(new FencingToken(77)))));
         await(state.check());
         desk.asking(id -> Future.succeededFuture(id.text().equals("run-8")));
         assertEquals(List.of(503, 503), List.of(status(desk.query("run-8")), status(desk.query("run-9"))));
@@ -164,13 +165,13 @@
         "nowhere, f/, 503 null"
     })
     void aRecordThatCannotBeReadIsMended(String remembered, String prefix, String answered) throws Exception {
-        JobDesk asked = remembered.equals("here") ? desk : other();
+        JobService asked = remembered.equals("here") ? desk : other();
         assertEquals(201, submit(1));
         if (remembered.equals("elsewhere")) {
             mender.asking(id -> Future.succeededFuture(desk.remains(id)));
         } else if (remembered.equals("ended")) {
-            Remains ended = new Remains();
-            ended.add(new JobId("run-1"), new Remains.Over(JobStatus.DONE, 2));
+            RememberedState ended = new RememberedState();
+            ended.add(new JobId("run-1"), new RememberedState.FinishedJob(JobStatus.DONE, 2));
             mender.asking(id -> Future.succeededFuture(ended));
         } else if (remembered.equals("here")) {
             mender.asking(id -> Future.succeededFuture(desk.remains(id)));
@@ -179,7 +180,7 @@
         if (prefix.equals("f/")) {
             txn.delete("j/run-1");
         }
-        await(client().commit(txn.put(prefix + "run-1", Wire.map("status", "SPOILT", "class", 5L))));
+        await(client().commit(txn.put(prefix + "run-1", MessagePackFormat.map("status", "SPOILT", "class", 5L))));
         assertEquals(answered, told(asked.query("run-1")));
         assertEquals(
                 prefix.equals("f/") && answered.startsWith("503")
@@ -193,13 +194,13 @@
     }
 
     /** Another node's desk, which has accepted nothing; with the same mender. */
-    private JobDesk other() {
-        return new JobDesk(
+    private JobService other() {
+        return new JobService(
                 vertx, state, mender, catalogue, List.of(new Team("t", 0, 0, 0, 0)), new SteadyClock(), 8192, 100);
     }
 
-    private static String told(Future<Answer> answer) throws Exception {
-        Answer told = await(answer.otherwise(Answer.later("no")));
+    private static String told(Future<ApiResponse> answer) throws Exception {
+        ApiResponse told = await(answer.otherwise(ApiResponse.later("no")));
         return told.status() + " " + told.body().get("status");
     }
 }
--- a/src/test/java/io/indigoreach/api/JobDeskTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceTest.java
@@ -5,20 +5,20 @@
 
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Team;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
 import io.indigoreach.net.Endpoint;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
-import io.indigoreach.state.JobMender;
+import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
@@ -39,13 +39,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The users' interface over HTTP, two nodes on one stand-in for the state service. */
-class JobDeskTest {
+class JobServiceTest {
     private static final Span WAIT = Span.seconds(10);
     private final Vertx vertx = Vertx.vertx();
     /** Vert.x closes a client that nothing refers to any more, in the middle of a call too: so all are kept. */
     private final List<Object> kept = new ArrayList<>();
 
-    private final List<JobDesk> desks = new ArrayList<>();
+    private final List<JobService> desks = new ArrayList<>();
     private StateStandIn service;
     private Endpoint first;
     private Endpoint second;
@@ -55,7 +55,7 @@
         service = await(new StateStandIn().listen(vertx));
         MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         await(client().commit(new StateClient.Txn()
-                .when(RecordCodec.CATALOGUE, Stamp.ABSENT)
+                .when(RecordCodec.CATALOGUE, Revision.ABSENT)
                 .put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(List.of(type)))));
         first = node();
         second = node();
@@ -67,8 +67,8 @@
     }
 
     private StateClient client() {
-        return keep(
-                new StateClient(new Caller(vertx, service.endpoint(), 4), new Caller(vertx, service.endpoint(), 1)));
+        return keep(new StateClient(
+                new ServiceClient(vertx, service.endpoint(), 4), new ServiceClient(vertx, service.endpoint(), 1)));
     }
 
     private <T> T keep(T client) {
@@ -81,12 +81,13 @@
     }
 
     private Endpoint node(double questionsPerS) throws Exception {
-        Catalogue catalogue = new Catalogue(vertx, client(), new CloudClient(new Caller(vertx, service.endpoint(), 1)));
+        Catalogue catalogue =
+                new Catalogue(vertx, client(), new CloudClient(new ServiceClient(vertx, service.endpoint(), 1)));
         StateClient state = client();
-        JobDesk desk = new JobDesk(
+        JobService desk = new JobService(
                 vertx,
                 state,
-                new JobMender(state, new SteadyClock()),
+                new JobRepairer(state, new SteadyClock()),
                 catalogue,
                 List.of(new Team("t", 0, 0, 0, 0)),
                 new SteadyClock(),
@@ -96,7 +97,7 @@
         Endpoint any = new Endpoint("127.0.0.1", 0);
         Endpoint endpoint = new Endpoint(
                 "127.0.0.1",
-                await(keep(new FrontDoor(vertx, any, desk, null, catalogue::isKnown, Map.of()))
+                await(keep(new HttpApi(vertx, any, desk, null, catalogue::isKnown, Map.of()))
                         .open()));
         catalogue.start();
         while (call(endpoint, HttpMethod.GET, "/ready", null).status() != 200) {
@@ -109,15 +110,16 @@
         return future.toCompletionStage().toCompletableFuture().get();
     }
 
-    private Reply call(Endpoint at, HttpMethod method, String path, Map<String, Object> body) throws Exception {
-        Caller caller = keep(new Caller(vertx, at, 1));
+    private ServiceResponse call(Endpoint at, HttpMethod method, String path, Map<String, Object> body)
+            throws Exception {
+        ServiceClient caller = keep(new ServiceClient(vertx, at, 1));
         return await(
                 method.equals(HttpMethod.GET)
                         ? caller.get(path, WAIT)
                         : method.equals(HttpMethod.DELETE) ? caller.delete(path, WAIT) : caller.post(path, body, WAIT));
     }
 
-    private String status(Reply reply) {
+    private String status(ServiceResponse reply) {
         return reply.status() + " " + reply.body().optionalText("status");
     }
 
@@ -126,18 +128,18 @@
     void aFurtherFieldThatNothingHereReadsIsRefused() throws Exception {
         Map<String, Object> job = JobCodecTest.job();
         job.put("records", Map.of("group", "g"));
-        Reply reply = call(first, HttpMethod.POST, "/api/jobs", job);
+        ServiceResponse reply = call(first, HttpMethod.POST, "/api/jobs", job);
         assertEquals(422, reply.status());
         assertEquals("records: this is not switched on here", reply.body().optionalText("error"));
-        JobSpec spec = JobCodec.read(Wire.readMap(Wire.write(job)));
+        JobSpec spec = JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(job)));
         assertEquals(Map.of("records", Map.of("group", "g")), spec.more());
         assertEquals(
                 spec,
                 RecordCodec.readJob(
                                 spec.id(),
-                                Wire.readMap(Wire.write(RecordCodec.writeJob(
+                                MessagePackFormat.readMap(MessagePackFormat.write(RecordCodec.writeJob(
                                         spec, 1, JobStatus.PENDING, new java.util.BitSet(), 0, 0))),
-                                Stamp.ABSENT)
+                                Revision.ABSENT)
                         .spec());
     }
 
@@ -232,7 +234,7 @@
         }
         assertEquals(
                 List.of(new JobId("run-1")),
-                RecordCodec.readJob(new JobId("run-000412"), service.value("j/run-000412"), Stamp.ABSENT)
+                RecordCodec.readJob(new JobId("run-000412"), service.value("j/run-000412"), Revision.ABSENT)
                         .spec()
                         .chain()
                         .needs());
@@ -269,12 +271,12 @@
             call(node, HttpMethod.POST, "/api/jobs", job);
         }
         int before = service.reads;
-        List<Future<Reply>> answers = new ArrayList<>();
-        Caller users = keep(new Caller(vertx, node, 90));
+        List<Future<ServiceResponse>> answers = new ArrayList<>();
+        ServiceClient users = keep(new ServiceClient(vertx, node, 90));
         for (int n = 0; n < 90; n++) {
             answers.add(users.get("/api/jobs/run-" + n % 30, WAIT));
         }
-        for (Reply reply : await(Future.all(answers)).<Reply>list()) {
+        for (ServiceResponse reply : await(Future.all(answers)).<ServiceResponse>list()) {
             assertEquals("200 pending", status(reply));
         }
         assertTrue(service.reads - before < 30, "reads: " + (service.reads - before));
@@ -284,7 +286,7 @@
     @Test
     void anEndThatIsNotMovedYetIsAnEnd() throws Exception {
         call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job());
-        JobSpec spec = RecordCodec.readJob(new JobId("run-000412"), service.value("j/run-000412"), Stamp.ABSENT)
+        JobSpec spec = RecordCodec.readJob(new JobId("run-000412"), service.value("j/run-000412"), Revision.ABSENT)
                 .spec();
         BitSet all = new BitSet();
         all.set(0, spec.tasks());
--- a/src/test/java/io/indigoreach/api/OddRequestsTest.java
+++ b/src/test/java/io/indigoreach/api/OddRequestsTest.java
@@ -5,17 +5,17 @@
 
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Team;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
 import io.indigoreach.net.Endpoint;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
-import io.indigoreach.state.JobMender;
+import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
@@ -49,7 +49,7 @@
     private final Vertx vertx = Vertx.vertx();
     private StateStandIn service;
     private HttpClient http;
-    private Caller user;
+    private ServiceClient user;
     private Endpoint node;
     /** Vert.x closes clients that nothing refers to any more. */
     private final List<Object> kept = new ArrayList<>();
@@ -61,17 +61,18 @@
         MachineType type = new MachineType("quad", new Demand(4, 1, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         MachineType far = new MachineType("far", new Demand(8, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("b"));
         await(state.commit(new StateClient.Txn()
-                .when(RecordCodec.CATALOGUE, Stamp.ABSENT)
+                .when(RecordCodec.CATALOGUE, Revision.ABSENT)
                 .put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(List.of(type, far)))));
         Catalogue catalogue = new Catalogue(vertx, state, new CloudClient(caller(1)));
         SteadyClock clock = new SteadyClock();
         List<Team> teams =
                 List.of(new Team("t", 0, 64, 0, 0), new Team("small", 0, 2, 0, 0), new Team("cpu", 0, 0, 0, 0.5));
-        JobDesk desk = new JobDesk(vertx, state, new JobMender(state, clock), catalogue, teams, clock, 8192, 1000);
-        FrontDoor door = new FrontDoor(vertx, new Endpoint("127.0.0.1", 0), desk, null, catalogue::isKnown, Map.of());
+        JobService desk =
+                new JobService(vertx, state, new JobRepairer(state, clock), catalogue, teams, clock, 8192, 1000);
+        HttpApi door = new HttpApi(vertx, new Endpoint("127.0.0.1", 0), desk, null, catalogue::isKnown, Map.of());
         kept.addAll(List.of(state, catalogue, door));
         node = new Endpoint("127.0.0.1", await(door.open()));
-        user = new Caller(vertx, node, 300);
+        user = new ServiceClient(vertx, node, 300);
         http = vertx.createHttpClient();
         catalogue.start();
         while (await(user.get("/ready", WAIT)).status() != 200) {
@@ -79,8 +80,8 @@
         }
     }
 
-    private Caller caller(int connections) {
-        return new Caller(vertx, service.endpoint(), connections);
+    private ServiceClient caller(int connections) {
+        return new ServiceClient(vertx, service.endpoint(), connections);
     }
 
     @AfterEach
@@ -97,7 +98,7 @@
         return future.toCompletionStage().toCompletableFuture().get();
     }
 
-    private Reply submit(Map<String, Object> job) throws Exception {
+    private ServiceResponse submit(Map<String, Object> job) throws Exception {
         return await(user.post("/api/jobs", job, WAIT));
     }
 
@@ -163,7 +164,7 @@
     @ParameterizedTest
     @MethodSource("malformed")
     void malformedIsToldAndNotStored(String field, Object value) throws Exception {
-        Reply reply = submit(with("run-1", field, value));
+        ServiceResponse reply = submit(with("run-1", field, value));
         assertEquals(400, reply.status());
         assertTrue(
                 reply.body().text("error").endsWith(" field " + field),
@@ -175,8 +176,8 @@
     @ParameterizedTest
     @CsvSource({"id", "pieces", "unheard_of"})
     void aFieldThatIsThereTwiceIsMalformed(String field) throws Exception {
-        byte[] once = Wire.write(with("run-1", field, 2)).getBytes();
-        byte[] again = Wire.write(Map.of(field, "run-2")).getBytes();
+        byte[] once = MessagePackFormat.write(with("run-1", field, 2)).getBytes();
+        byte[] again = MessagePackFormat.write(Map.of(field, "run-2")).getBytes();
         Buffer twice = Buffer.buffer().appendBytes(once).appendBytes(again, 1, again.length - 1);
         // A map of 21 entries has its number in the third byte.
         twice.setByte(2, (byte) (once[2] + 1));
@@ -235,10 +236,10 @@
         String id = "run-" + (70_000 + service.keys("j/").size());
         Map<String, Object> job = with(id, field, value);
         assertEquals(201, submit(job).status());
-        Reply again = submit(job);
+        ServiceResponse again = submit(job);
         assertEquals("200 pending", again.status() + " " + again.body().text("status"));
         // Whatever it says now, the job was accepted.
-        Reply other = submit(with(id, "hall", "nowhere"));
+        ServiceResponse other = submit(with(id, "hall", "nowhere"));
         assertEquals("200 pending", other.status() + " " + other.body().text("status"));
     }
 
@@ -247,7 +248,7 @@
     @CsvSource({"false", "true"})
     void aFloodIsToldToComeBack(boolean submissions) throws Exception {
         service.delaying = (door, path) -> path.startsWith("/store") || path.equals("/txn");
-        Map<Integer, Future<Reply>> answers = new LinkedHashMap<>();
+        Map<Integer, Future<ServiceResponse>> answers = new LinkedHashMap<>();
         int[] refused = {0};
         long begun = System.nanoTime();
         for (int n = 0; n < 250; n++) {
@@ -260,7 +261,8 @@
                             .onSuccess(r ->
                                     refused[0] += service.delayed() > 0 && System.nanoTime() - begun < 1.5e9 ? 1 : 0));
         }
-        for (Reply reply : await(Future.all(List.copyOf(answers.values()))).<Reply>list()) {
+        for (ServiceResponse reply :
+                await(Future.all(List.copyOf(answers.values()))).<ServiceResponse>list()) {
             assertEquals(503, reply.status());
         }
         double longest = (System.nanoTime() - begun) / 1e9;
--- a/src/test/java/io/indigoreach/calendar/RunTimesTest.java
+++ b/src/test/java/io/indigoreach/calendar/RunTimesTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
 import io.indigoreach.core.calendar.Means;
-import io.indigoreach.core.records.Kept;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.records.VersionedRecord;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
@@ -24,7 +24,7 @@
         String key = runs.nextChanged();
         assertTrue(runs.value(key).toString().length() < 1500, "" + runs.value(key));
         RunTimes next = new RunTimes();
-        next.read(new Kept(key, runs.value(key), new Stamp(1)));
+        next.read(new VersionedRecord(key, runs.value(key), new Revision(1)));
         Means.Runs read = next.of("tours", 50);
         assertEquals(150, read.mean(), 3);
         assertEquals(195, read.quantile(0.95), 3);
--- a/src/test/java/io/indigoreach/checker/CheckerTest.java
+++ b/src/test/java/io/indigoreach/checker/CheckerTest.java
@@ -4,22 +4,22 @@
 
 import io.indigoreach.checker.Breach.Rule;
 import io.indigoreach.checker.Event.Question;
-import io.indigoreach.core.Attempt;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.TaskId;
-import io.indigoreach.core.Team;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.net.Wire;
+import io.indigoreach.core.model.Attempt;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskId;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.state.StateClient.Txn;
 import java.util.ArrayList;
 import java.util.List;
@@ -48,7 +48,7 @@
                             id(n),
                             "c",
                             "t",
-                            Shape.ARRAY,
+                            JobKind.ARRAY,
                             Urgency.STANDARD,
                             2,
                             new Demand(1, 0, 1),
@@ -71,13 +71,14 @@
         }
 
         Story machine(String name, String type, String zone, boolean spot) {
-            history.add(new Event.MachineUp(at(0), new MachineId(name), new Pool(type, zone, spot)));
+            history.add(new Event.MachineUp(at(0), new MachineId(name), new MachinePool(type, zone, spot)));
             return this;
         }
 
         Story on(double s, String machine, int job, int index, long attempt) {
             TaskId task = new TaskId(id(job), index);
-            history.add(new Event.Started(at(s), new MachineId(machine), task, new Attempt(attempt), new Token(1)));
+            history.add(
+                    new Event.Started(at(s), new MachineId(machine), task, new Attempt(attempt), new FencingToken(1)));
             history.add(new Event.Running(at(s), new MachineId(machine), task, new Attempt(attempt)));
             return this;
         }
@@ -109,7 +110,7 @@
         }
 
         Story token(double s, String node, long token) {
-            history.add(new Event.TokenSeen(at(s), node, new Token(token)));
+            history.add(new Event.TokenSeen(at(s), node, new FencingToken(token)));
             return this;
         }
 
@@ -142,15 +143,15 @@
     }
 
     private static Txn lead(long token, long lease, boolean counts, boolean conditional) {
-        Txn txn = new Txn().put("leader", Wire.map("node", "n", "process", "p", "token", token), lease);
+        Txn txn = new Txn().put("leader", MessagePackFormat.map("node", "n", "process", "p", "token", token), lease);
         if (counts) {
-            txn.when("counter", new Stamp(0)).put("counter", Wire.map("value", token));
+            txn.when("counter", new Revision(0)).put("counter", MessagePackFormat.map("value", token));
         }
-        return conditional ? txn.when("leader", new Stamp(0)) : txn;
+        return conditional ? txn.when("leader", new Revision(0)) : txn;
     }
 
     private static Txn put(String key) {
-        return new Txn().put(key, Wire.map("v", 1));
+        return new Txn().put(key, MessagePackFormat.map("v", 1));
     }
 
     static Stream<Arguments> stories() {
@@ -277,24 +278,25 @@
                 all,
                 "a blind write",
                 Rule.BLIND_WRITE,
-                base().commit(1, put("j/run-1").when("j/run-1", Stamp.ABSENT)).commit(2, put("j/run-1")));
+                base().commit(1, put("j/run-1").when("j/run-1", Revision.ABSENT))
+                        .commit(2, put("j/run-1")));
         add(
                 all,
                 "written on its version",
                 null,
-                base().commit(1, put("j/run-1").when("j/run-1", Stamp.ABSENT))
-                        .commit(2, put("j/run-1").when("j/run-1", new Stamp(1)))
-                        .commit(3, put("f/run-1").delete("j/run-1").when("j/run-1", new Stamp(2))));
+                base().commit(1, put("j/run-1").when("j/run-1", Revision.ABSENT))
+                        .commit(2, put("j/run-1").when("j/run-1", new Revision(1)))
+                        .commit(3, put("f/run-1").delete("j/run-1").when("j/run-1", new Revision(2))));
         add(
                 all,
                 "an end on the absence of the open job",
                 Rule.BLIND_WRITE,
-                base().commit(1, put("f/run-1").when("j/run-1", Stamp.ABSENT)));
+                base().commit(1, put("f/run-1").when("j/run-1", Revision.ABSENT)));
         add(
                 all,
                 "machines as a leader",
                 null,
-                base().commit(1, lead(1, 7, true, true)).commit(2, put("m/1-1").when("leader", new Stamp(1))));
+                base().commit(1, lead(1, 7, true, true)).commit(2, put("m/1-1").when("leader", new Revision(1))));
         add(all, "machines as nobody", Rule.BLIND_WRITE, base().commit(1, put("m/1-1")));
         add(
                 all,
--- a/src/test/java/io/indigoreach/checker/CloseLooksTest.java
+++ b/src/test/java/io/indigoreach/checker/CloseLooksTest.java
@@ -3,15 +3,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.api.Answer;
-import io.indigoreach.api.JobDesk;
+import io.indigoreach.api.ApiResponse;
+import io.indigoreach.api.JobService;
 import io.indigoreach.checker.Breach.Rule;
 import io.indigoreach.checker.Event.Question;
 import io.indigoreach.checker.FrontDoors.Door;
 import io.indigoreach.checker.JobRegisters.Call;
 import io.indigoreach.checker.JobRegisters.Finding;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobStatus;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.net.Fields;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -47,7 +47,7 @@
         private final SplittableRandom random;
         private final List<JobId> jobs = new ArrayList<>();
 
-        Run(int nodes, long seed, Function<JobDesk, Door> planted) throws Exception {
+        Run(int nodes, long seed, Function<JobService, Door> planted) throws Exception {
             doors = new FrontDoors(nodes, planted);
             random = new SplittableRandom(seed);
             for (int n = 0; n < JOBS; n++) {
@@ -192,8 +192,8 @@
     enum Fault {
         JOINED_READ(Rule.WENT_BACK) {
             @Override
-            Door plant(JobDesk desk) {
-                Map<JobId, Future<Answer>> underWay = new HashMap<>();
+            Door plant(JobService desk) {
+                Map<JobId, Future<ApiResponse>> underWay = new HashMap<>();
                 return (question, spec) -> question == Question.POLL
                         ? underWay.computeIfAbsent(
                                 spec.id(),
@@ -204,21 +204,21 @@
         },
         CANCELLED_BEFORE_IT_IS_DURABLE(Rule.WENT_BACK) {
             @Override
-            Door plant(JobDesk desk) {
+            Door plant(JobService desk) {
                 return (question, spec) -> {
-                    Future<Answer> answer = FrontDoors.ask(desk, question, spec);
+                    Future<ApiResponse> answer = FrontDoors.ask(desk, question, spec);
                     return question == Question.CANCEL
-                            ? Future.succeededFuture(Answer.ok(Map.of("status", "cancelled")))
+                            ? Future.succeededFuture(ApiResponse.ok(Map.of("status", "cancelled")))
                             : answer;
                 };
             }
         },
         STALE_404(Rule.FORGOTTEN) {
             @Override
-            Door plant(JobDesk desk) {
+            Door plant(JobService desk) {
                 Set<JobId> unknown = new HashSet<>();
                 return (question, spec) -> question == Question.POLL && unknown.contains(spec.id())
-                        ? Future.succeededFuture(Answer.error(404, "no such job"))
+                        ? Future.succeededFuture(ApiResponse.error(404, "no such job"))
                         : FrontDoors.ask(desk, question, spec).onSuccess(answer -> {
                             if (answer.status() == 404) {
                                 unknown.add(spec.id());
@@ -233,7 +233,7 @@
             this.breaks = breaks;
         }
 
-        abstract Door plant(JobDesk desk);
+        abstract Door plant(JobService desk);
     }
 
     /** Whether calls meet as it takes is the machine's as well: other seeds are played until they do. */
--- a/src/test/java/io/indigoreach/checker/FrontDoors.java
+++ b/src/test/java/io/indigoreach/checker/FrontDoors.java
@@ -1,28 +1,28 @@
 package io.indigoreach.checker;
 
-import io.indigoreach.api.Answer;
+import io.indigoreach.api.ApiResponse;
 import io.indigoreach.api.JobCodec;
-import io.indigoreach.api.JobDesk;
+import io.indigoreach.api.JobService;
 import io.indigoreach.checker.Event.Question;
 import io.indigoreach.checker.JobRegisters.Call;
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Team;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.Urgency;
 import io.indigoreach.net.Endpoint;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
-import io.indigoreach.state.JobMender;
 import io.indigoreach.state.JobRecord;
+import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
@@ -53,11 +53,11 @@
 
     /** What users ask of a node: the desk itself, or one with a fault that is planted. */
     interface Door {
-        Future<Answer> ask(Question question, JobSpec spec);
+        Future<ApiResponse> ask(Question question, JobSpec spec);
     }
 
     /** One node's process; a restart makes another. */
-    private record Node(Context loop, Catalogue catalogue, JobDesk desk, Door door) {}
+    private record Node(Context loop, Catalogue catalogue, JobService desk, Door door) {}
 
     final StateStandIn service = new StateStandIn();
     private final Queue<Call> calls = new ConcurrentLinkedQueue<>();
@@ -65,21 +65,21 @@
     private final List<Vertx> runtimes = new ArrayList<>();
     private final List<Endpoint> ways = new ArrayList<>();
     private final AtomicReferenceArray<Node> nodes;
-    private final Function<JobDesk, Door> planted;
+    private final Function<JobService, Door> planted;
     private final StateClient leader;
     /** Vert.x closes a client that nothing refers to any more. */
     private final Queue<Object> kept = new ConcurrentLinkedQueue<>();
 
     private final Context serviceLoop = serviceRuntime.getOrCreateContext();
 
-    FrontDoors(int count, Function<JobDesk, Door> planted) throws Exception {
+    FrontDoors(int count, Function<JobService, Door> planted) throws Exception {
         this.planted = planted;
         this.nodes = new AtomicReferenceArray<>(count);
         await(on(serviceLoop, () -> service.listen(serviceRuntime)));
         leader = client(serviceRuntime, service.endpoint());
         MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         await(leader.commit(new StateClient.Txn()
-                .when(RecordCodec.CATALOGUE, Stamp.ABSENT)
+                .when(RecordCodec.CATALOGUE, Revision.ABSENT)
                 .put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(List.of(type)))));
         await(leader.check());
         for (int n = 0; n < count; n++) {
@@ -109,7 +109,7 @@
     }
 
     private StateClient client(Vertx runtime, Endpoint way) {
-        StateClient client = new StateClient(new Caller(runtime, way, 8), new Caller(runtime, way, 1));
+        StateClient client = new StateClient(new ServiceClient(runtime, way, 8), new ServiceClient(runtime, way, 1));
         kept.add(client);
         return client;
     }
@@ -122,11 +122,11 @@
         Node node = await(on(loop, () -> {
             StateClient state = client(runtime, ways.get(n));
             Catalogue catalogue =
-                    new Catalogue(runtime, state, new CloudClient(new Caller(runtime, service.endpoint(), 1)));
-            JobDesk desk = new JobDesk(
+                    new Catalogue(runtime, state, new CloudClient(new ServiceClient(runtime, service.endpoint(), 1)));
+            JobService desk = new JobService(
                     runtime,
                     state,
-                    new JobMender(state, clock),
+                    new JobRepairer(state, clock),
                     catalogue,
                     List.of(new Team("t", 0, 0, 0, 0)),
                     clock,
@@ -179,9 +179,9 @@
     }
 
     /** What the desk does with a question, without any fault. */
-    static Future<Answer> ask(JobDesk desk, Question question, JobSpec spec) {
+    static Future<ApiResponse> ask(JobService desk, Question question, JobSpec spec) {
         return switch (question) {
-            case SUBMIT -> desk.submit(Wire.write(JobCodec.write(spec)));
+            case SUBMIT -> desk.submit(MessagePackFormat.write(JobCodec.write(spec)));
             case POLL -> desk.query(spec.id().text());
             case CANCEL -> desk.cancel(spec.id().text());
         };
@@ -192,7 +192,7 @@
                 id,
                 "c",
                 "t",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Urgency.STANDARD,
                 TASKS,
                 new Demand(1, 0, 1),
--- a/src/test/java/io/indigoreach/checker/JobRegistersTest.java
+++ b/src/test/java/io/indigoreach/checker/JobRegistersTest.java
@@ -4,8 +4,8 @@
 
 import io.indigoreach.checker.Event.Question;
 import io.indigoreach.checker.JobRegisters.Call;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobStatus;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobStatus;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
--- a/src/test/java/io/indigoreach/cluster/BlockBookTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
@@ -4,20 +4,20 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.indigoreach.config.Settings;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.Job;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.net.Budget;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.scheduling.Job;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.RateLimiter;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
-import io.indigoreach.state.DoneBits;
+import io.indigoreach.state.CompletionBits;
 import io.indigoreach.state.JobRecord;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
@@ -36,19 +36,20 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Done tasks of large jobs, while the state service lowers its limits and leaders end between any two writes. */
-class BlockBookTest {
+class CompletionBlockStoreTest {
     static final String NEXT = "value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 20.0";
     private static final JobId ID = new JobId("run-1");
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
     private StateStandIn state;
     private StateClient client;
-    private Stamp leader;
+    private Revision leader;
 
     @BeforeEach
     void start() throws Exception {
         state = await(new StateStandIn().listen(vertx));
-        client = new StateClient(new Caller(vertx, state.endpoint(), 4), new Caller(vertx, state.endpoint(), 1));
+        client = new StateClient(
+                new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
     }
 
     @AfterEach
@@ -65,7 +66,7 @@
                 ID,
                 "c",
                 "t",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Urgency.STANDARD,
                 tasks,
                 new Demand(1, 0, 1),
@@ -82,29 +83,29 @@
                 null);
     }
 
-    private BlockBook book(String next) throws Exception {
-        leader = await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, Wire.map("t", 1L))))
+    private CompletionBlockStore book(String next) throws Exception {
+        leader = await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))))
                 .stamp();
-        Reign.Surroundings env = new Reign.Surroundings(
+        LeadershipTerm.Context env = new LeadershipTerm.Context(
                 vertx,
                 clock,
                 null,
                 client,
                 null,
                 null,
-                MachineBookTest.config(next),
+                MachineStoreTest.config(next),
                 Settings.standard(),
                 Span.seconds(10));
-        return new BlockBook(env, leader, () -> {}, new Budget(1000, clock.now()));
+        return new CompletionBlockStore(env, leader, () -> {}, new RateLimiter(1000, clock.now()));
     }
 
     /** What a leader that reads all of it takes to be done; {@code book} inherits the blocks. */
-    private BitSet read(BlockBook book) throws Exception {
+    private BitSet read(CompletionBlockStore book) throws Exception {
         BitSet done = new BitSet();
-        for (String prefix : List.of(RecordCodec.BITS, DoneBits.SMALL)) {
+        for (String prefix : List.of(RecordCodec.BITS, CompletionBits.SMALL)) {
             for (StateClient.Entry e : await(client.list(prefix, null, 1000)).items()) {
                 BitSet block = new BitSet();
-                DoneBits.readBlock(e.key(), e.value(), block);
+                CompletionBits.readBlock(e.key(), e.value(), block);
                 book.inherit(e.key(), block);
                 done.or(block);
             }
@@ -150,7 +151,7 @@
                 state.valueBytes = 2048;
                 state.txnOps = 4;
             }
-            BlockBook book = book(life < 2 ? "" : NEXT);
+            CompletionBlockStore book = book(life < 2 ? "" : NEXT);
             BitSet heard = read(book);
             BitSet lost = (BitSet) recorded.clone();
             lost.andNot(heard);
@@ -192,7 +193,7 @@
         done.set(0, tasks - 1);
         writeAsBefore(spec(tasks, 10), done);
         state.txnOps = 4;
-        BlockBook book = book(NEXT);
+        CompletionBlockStore book = book(NEXT);
         Job job = new Job(spec(tasks, 10), 1, clock.now(), open().stamp(), done, tasks, true);
         StateClient.Txn txn = new StateClient.Txn();
         book.progress(txn, job, done);
@@ -200,7 +201,7 @@
         await(client.commit(new StateClient.Txn()
                 .delete(RecordCodec.open(ID))
                 .put(RecordCodec.over(ID), RecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
-        BlockBook next = book(NEXT);
+        CompletionBlockStore next = book(NEXT);
         for (String key : blocks()) {
             next.inherit(key, new BitSet());
         }
@@ -214,7 +215,7 @@
 
     private List<String> blocks() {
         List<String> keys = new ArrayList<>(state.keys(RecordCodec.BITS));
-        keys.addAll(state.keys(DoneBits.SMALL));
+        keys.addAll(state.keys(CompletionBits.SMALL));
         return keys;
     }
 
@@ -222,7 +223,7 @@
     @ParameterizedTest
     @CsvSource({"2048, 4", "1500, 2"})
     void aRefusalForSizeIsFollowedBySmallerWrites(int valueBytes, int txnOps) throws Exception {
-        BlockBook book = book("");
+        CompletionBlockStore book = book("");
         JobSpec spec = spec(100_000, 10);
         BitSet done = new BitSet();
         writeAsBefore(spec, done);
--- a/src/test/java/io/indigoreach/cluster/ChainDutyTest.java
+++ b/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
@@ -5,27 +5,27 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.indigoreach.config.Settings;
-import io.indigoreach.core.Aims;
-import io.indigoreach.core.CancellationHorizon;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.Job;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.LeaderCore;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Notes;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Team;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.core.chain.Chain;
-import io.indigoreach.net.Budget;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.leadership.CancellationHorizon;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.JobDependencies;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.scheduling.Job;
+import io.indigoreach.core.scheduling.SchedulerCore;
+import io.indigoreach.core.scheduling.SchedulerListener;
+import io.indigoreach.core.scheduling.ServiceLevelObjectives;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.RateLimiter;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
@@ -45,7 +45,7 @@
 
 /** A leader's writes for chained jobs, and what the next leader makes of those that were cut short. */
 @Timeout(30)
-class ChainDutyTest {
+class DependencyTaskTest {
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
     private final List<Leader> leaders = new ArrayList<>();
@@ -54,39 +54,40 @@
 
     /** One leadership, as far as it serves jobs. */
     private final class Leader {
-        final LeaderCore core;
-        final Ledger ledger;
-        final ChainDuty chains;
+        final SchedulerCore core;
+        final JobStore ledger;
+        final DependencyTask chains;
 
         Leader(long token) throws Exception {
-            Stamp key = await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, Wire.map("t", token))))
+            Revision key = await(client.commit(
+                            new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", token))))
                     .stamp();
-            Reign.Surroundings env = new Reign.Surroundings(
+            LeadershipTerm.Context env = new LeadershipTerm.Context(
                     vertx,
                     clock,
                     null,
                     client,
                     null,
                     null,
-                    MachineBookTest.config(),
+                    MachineStoreTest.config(),
                     Settings.standard(),
                     Span.seconds(10));
-            core = new LeaderCore(
-                    new Token(token),
-                    MachineBookTest.config().rules(),
+            core = new SchedulerCore(
+                    new FencingToken(token),
+                    MachineStoreTest.config().rules(),
                     Settings.standard().tuning(),
-                    new Aims(List.of()),
+                    new ServiceLevelObjectives(List.of()),
                     List.of(new Team("t", 0, 0, 0, 0)),
-                    new Notes() {
+                    new SchedulerListener() {
                         @Override
                         public void progress(Job job) {}
 
                         @Override
                         public void say(String line) {}
                     });
-            Budget budget = new Budget(200, clock.now());
-            ledger = new Ledger(env, core, null, key, () -> {}, budget, true, new CancellationHorizon());
-            chains = new ChainDuty(env, core, ledger, key, () -> {}, budget);
+            RateLimiter budget = new RateLimiter(200, clock.now());
+            ledger = new JobStore(env, core, null, key, () -> {}, budget, true, new CancellationHorizon());
+            chains = new DependencyTask(env, core, ledger, key, () -> {}, budget);
             leaders.add(this);
             Promise<Void> begun = Promise.promise();
             vertx.runOnContext(v -> ledger.load()
@@ -116,7 +117,8 @@
     @BeforeEach
     void start() throws Exception {
         state = await(new StateStandIn().listen(vertx));
-        client = new StateClient(new Caller(vertx, state.endpoint(), 8), new Caller(vertx, state.endpoint(), 1));
+        client = new StateClient(
+                new ServiceClient(vertx, state.endpoint(), 8), new ServiceClient(vertx, state.endpoint(), 1));
     }
 
     @AfterEach
@@ -138,7 +140,7 @@
                         id(id),
                         "c",
                         "t",
-                        Shape.ARRAY,
+                        JobKind.ARRAY,
                         Urgency.STANDARD,
                         1,
                         new Demand(1, 0, 1),
@@ -153,7 +155,8 @@
                         Span.ZERO,
                         Span.ZERO,
                         null)
-                .with(Chain.of(IntStream.of(needs).mapToObj(ChainDutyTest::id).toList()));
+                .with(JobDependencies.of(
+                        IntStream.of(needs).mapToObj(DependencyTaskTest::id).toList()));
     }
 
     private void open(int id, int... needs) throws Exception {
--- a/src/test/java/io/indigoreach/cluster/GoldenMessagesTest.java
+++ b/src/test/java/io/indigoreach/cluster/GoldenMessagesTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.indigoreach.core.CancellationWord;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.leadership.CancellationSummary;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Fields;
 import io.indigoreach.state.Golden;
 import java.util.ArrayList;
@@ -21,13 +21,13 @@
     private static final String FILE = "pledges.txt";
 
     private static Golden answer(boolean pledged, Set<JobId> told) {
-        Pledges said = new Pledges(pledged, new CancellationWord(told, Span.seconds(7)));
-        return new Golden(said.write(Span.seconds(2)), Pledges::read, said);
+        PeerPromises said = new PeerPromises(pledged, new CancellationSummary(told, Span.seconds(7)));
+        return new Golden(said.write(Span.seconds(2)), PeerPromises::read, said);
     }
 
     static Map<String, Golden> all() {
         Map<String, Golden> all = new LinkedHashMap<>();
-        all.put("question", new Golden(Pledges.ask(Span.seconds(7)), Pledges::asked, Span.seconds(7)));
+        all.put("question", new Golden(PeerPromises.ask(Span.seconds(7)), PeerPromises::asked, Span.seconds(7)));
         all.put("no pledge, nothing told", answer(false, Set.of()));
         all.put("pledge, one told", answer(true, Set.of(new JobId("run-000398"))));
         return all;
--- a/src/test/java/io/indigoreach/cluster/IntentBookTest.java
+++ b/src/test/java/io/indigoreach/cluster/IntentLogTest.java
@@ -6,15 +6,15 @@
 
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.duty.Intents;
-import io.indigoreach.net.Budget;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.intent.Intents;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.RateLimiter;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
@@ -28,21 +28,22 @@
 import org.junit.jupiter.api.Test;
 
 /** Intents are recorded under the leadership key, and whoever leads next reads them. */
-class IntentBookTest {
-    private static final Intents.Rent RENT = new Intents.Rent("t3-1", new Pool("quad", "east", true), 50, 1000);
+class IntentLogTest {
+    private static final Intents.Rent RENT = new Intents.Rent("t3-1", new MachinePool("quad", "east", true), 50, 1000);
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
     private StateStandIn state;
     private StateClient client;
-    private Reign.Surroundings env;
+    private LeadershipTerm.Context env;
     private boolean deposed;
 
     @BeforeEach
     void start() throws Exception {
         state = await(new StateStandIn().listen(vertx));
-        client = new StateClient(new Caller(vertx, state.endpoint(), 4), new Caller(vertx, state.endpoint(), 1));
-        PlatformConfig config = MachineBookTest.config();
-        env = new Reign.Surroundings(
+        client = new StateClient(
+                new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
+        PlatformConfig config = MachineStoreTest.config();
+        env = new LeadershipTerm.Context(
                 vertx, clock, null, client, null, null, config, Settings.standard(), Span.seconds(10));
     }
 
@@ -56,19 +57,20 @@
     }
 
     /** The book of a leader that has just taken the key. */
-    private IntentBook leader(long token) throws Exception {
+    private IntentLog leader(long token) throws Exception {
         StateClient.Outcome taken =
-                await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, Wire.map("t", token))));
-        return new IntentBook(env, new Token(token), taken.stamp(), () -> deposed = true, new Budget(100, clock.now()));
+                await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", token))));
+        return new IntentLog(
+                env, new FencingToken(token), taken.stamp(), () -> deposed = true, new RateLimiter(100, clock.now()));
     }
 
     @Test
     void theNextLeaderReadsWhatWasUnderWayAndRemovesItWhenSettled() throws Exception {
-        IntentBook first = leader(3);
+        IntentLog first = leader(3);
         first.intents().add(RENT);
         first.intents().condemn(List.of(new MachineId("vm-1")));
         assertTrue(await(first.record()) && first.intents().mayAsk("t3-1"));
-        IntentBook next = leader(4);
+        IntentLog next = leader(4);
         Intents.Page page = await(next.load());
         assertEquals(new Intents.Page(List.of(RENT), List.of(new MachineId("vm-1"))), page);
         next.intents().condemn(page.condemned());
@@ -85,11 +87,11 @@
     @Test
     void manyEarlierRecordsAreRemovedInParts() throws Exception {
         for (int token = 10; token < 30; token++) {
-            IntentBook book = leader(token);
+            IntentLog book = leader(token);
             book.intents().add(RENT);
             assertTrue(await(book.record()));
         }
-        IntentBook last = leader(30);
+        IntentLog last = leader(30);
         assertEquals(20, await(last.load()).rents().size());
         await(last.forgetEarlier());
         assertEquals(8, state.keys("i/").size());
@@ -100,18 +102,18 @@
     /** As many as the smallest announced value takes, and one request in any case. */
     @Test
     void moreThanTheRecordTakesWaits() throws Exception {
-        env = new Reign.Surroundings(
+        env = new LeadershipTerm.Context(
                 vertx,
                 clock,
                 null,
                 client,
                 null,
                 null,
-                MachineBookTest.config("value_kb = 2.0"),
+                MachineStoreTest.config("value_kb = 2.0"),
                 Settings.standard(),
                 Span.seconds(10));
         state.valueBytes = 2048;
-        IntentBook book = leader(3);
+        IntentLog book = leader(3);
         int rents = 0;
         while (book.intents().hasRoomFor(rent(rents))) {
             book.intents().add(rent(rents++));
@@ -127,13 +129,14 @@
     }
 
     private static Intents.Rent rent(int n) {
-        return new Intents.Rent("t123-" + n, new Pool("quad", "a-zone-of-usual-length", true), 50, 1_800_000_000_000L);
+        return new Intents.Rent(
+                "t123-" + n, new MachinePool("quad", "a-zone-of-usual-length", true), 50, 1_800_000_000_000L);
     }
 
     /** Planted in the order of events: a holder that was replaced goes on between its condition and its call. */
     @Test
     void aHolderThatWasReplacedRecordsNothingAndMayAskNothing() throws Exception {
-        IntentBook old = leader(3);
+        IntentLog old = leader(3);
         leader(4);
         old.intents().add(RENT);
         assertFalse(await(old.record()));
@@ -145,7 +148,7 @@
     /** The same node has taken the key anew: what its earlier leadership had under way fails, and the new one goes on. */
     @Test
     void aLeadershipThatIsOverDoesNotDeposeTheNextOne() throws Exception {
-        IntentBook old = leader(3);
+        IntentLog old = leader(3);
         old.intents().add(RENT);
         old.cancel();
         leader(4);
@@ -155,7 +158,7 @@
 
     @Test
     void anIntentWhoseAnswerWasLostIsRecordedBeforeItIsAsked() throws Exception {
-        IntentBook book = leader(3);
+        IntentLog book = leader(3);
         book.intents().add(RENT);
         state.losingAnswers = 1;
         assertFalse(await(book.record().otherwise(false)));
--- a/src/test/java/io/indigoreach/cluster/LedgerTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -8,30 +8,30 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.indigoreach.config.Settings;
-import io.indigoreach.core.Aims;
-import io.indigoreach.core.CancellationHorizon;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.Job;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.LeaderCore;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Notes;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Team;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.net.Budget;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.leadership.CancellationHorizon;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.scheduling.Job;
+import io.indigoreach.core.scheduling.SchedulerCore;
+import io.indigoreach.core.scheduling.SchedulerListener;
+import io.indigoreach.core.scheduling.ServiceLevelObjectives;
 import io.indigoreach.net.Fields;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.RateLimiter;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.state.JobRecord;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
@@ -52,40 +52,41 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A flood of single tasks, where the state service takes few changes: machines stood idle behind the writing of ends. */
-class LedgerTest {
+class JobStoreTest {
     private static final int ENDS = 40;
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
     private StateStandIn state;
     private StateClient client;
-    private LeaderCore core;
-    private Reign.Surroundings env;
-    private Ledger ledger;
+    private SchedulerCore core;
+    private LeadershipTerm.Context env;
+    private JobStore ledger;
     private final CancellationHorizon horizon = new CancellationHorizon();
 
     @BeforeEach
     void start() throws Exception {
         state = await(new StateStandIn().listen(vertx));
-        client = new StateClient(new Caller(vertx, state.endpoint(), 4), new Caller(vertx, state.endpoint(), 1));
-        env = new Reign.Surroundings(
+        client = new StateClient(
+                new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
+        env = new LeadershipTerm.Context(
                 vertx,
                 clock,
                 null,
                 client,
                 null,
                 null,
-                MachineBookTest.config(),
+                MachineStoreTest.config(),
                 Settings.standard(),
                 Span.seconds(10));
         StateClient.Outcome taken =
-                await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, Wire.map("t", 1L))));
-        core = new LeaderCore(
-                new Token(3),
-                MachineBookTest.config().rules(),
+                await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))));
+        core = new SchedulerCore(
+                new FencingToken(3),
+                MachineStoreTest.config().rules(),
                 Settings.standard().tuning(),
-                new Aims(List.of()),
+                new ServiceLevelObjectives(List.of()),
                 List.of(new Team("t", 0, 0, 0, 0)),
-                new Notes() {
+                new SchedulerListener() {
                     @Override
                     public void progress(Job job) {}
 
@@ -95,7 +96,8 @@
         core.setTypes(
                 List.of(new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"))));
         core.loaded();
-        ledger = new Ledger(env, core, null, taken.stamp(), () -> {}, new Budget(20, clock.now()), true, horizon);
+        ledger =
+                new JobStore(env, core, null, taken.stamp(), () -> {}, new RateLimiter(20, clock.now()), true, horizon);
     }
 
     @AfterEach
@@ -112,7 +114,7 @@
                 new JobId("run-" + id),
                 "c",
                 "t",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Urgency.STANDARD,
                 tasks,
                 new Demand(1, 0, 1),
@@ -127,7 +129,7 @@
                 Span.ZERO,
                 Span.ZERO,
                 null);
-        Stamp stamp = await(client.commit(new StateClient.Txn()
+        Revision stamp = await(client.commit(new StateClient.Txn()
                         .put(
                                 RecordCodec.open(spec.id()),
                                 RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, bound))))
@@ -157,7 +159,7 @@
         }
         Job waiting = job(ENDS, 40_000, 0, 0);
         core.addJob(waiting);
-        core.rented(new Pool("quad", "a", true), List.of(new MachineId("vm-1")), clock.now(), clock.now());
+        core.rented(new MachinePool("quad", "a", true), List.of(new MachineId("vm-1")), clock.now(), clock.now());
         int before = state.changed;
         vertx.runOnContext(v -> ledger.start());
         Map<JobId, JobRecord> now = open();
@@ -209,7 +211,7 @@
             onLoop(() -> {});
         }
         assertTrue(job.isCancelled());
-        onLoop(() -> ledger.heard(job.id(), record(job, 2), new Stamp(99)));
+        onLoop(() -> ledger.heard(job.id(), record(job, 2), new Revision(99)));
         assertNull(core.job(job.id()), "nothing opens it again");
     }
 
@@ -227,7 +229,8 @@
 
     /** As a watch brings it. */
     private static Fields record(Job job, int bound) {
-        return Wire.readMap(Wire.write(RecordCodec.writeJob(job.spec(), 1, JobStatus.PENDING, new BitSet(), 0, bound)));
+        return MessagePackFormat.readMap(MessagePackFormat.write(
+                RecordCodec.writeJob(job.spec(), 1, JobStatus.PENDING, new BitSet(), 0, bound)));
     }
 
     /** The records fill two pages; when the first one was read and the second one not, a job of each is cancelled. */
@@ -302,23 +305,23 @@
     /** Accepted under wider limits: it is not refused again and again, and the jobs behind it go on, by few changes. */
     @Test
     void aRecordThatIsTooLongNowHoldsUpNobody() throws Exception {
-        env = new Reign.Surroundings(
+        env = new LeadershipTerm.Context(
                 vertx,
                 clock,
                 null,
                 client,
                 null,
                 null,
-                MachineBookTest.config(BlockBookTest.NEXT),
+                MachineStoreTest.config(CompletionBlockStoreTest.NEXT),
                 Settings.standard(),
                 Span.seconds(10));
-        JobSpec spec = BlockBookTest.spec(4, 3000);
-        Stamp stamp = await(client.commit(new StateClient.Txn()
+        JobSpec spec = CompletionBlockStoreTest.spec(4, 3000);
+        Revision stamp = await(client.commit(new StateClient.Txn()
                         .put("j/run-1", RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 0))))
                 .stamp();
         Job tooLong = new Job(spec, 1, clock.now(), stamp, new BitSet(), 0, false);
-        Stamp leader = await(client.get(RecordCodec.LEADER)).stamp();
-        ledger = new Ledger(env, core, null, leader, () -> {}, new Budget(20, clock.now()), true, horizon);
+        Revision leader = await(client.get(RecordCodec.LEADER)).stamp();
+        ledger = new JobStore(env, core, null, leader, () -> {}, new RateLimiter(20, clock.now()), true, horizon);
         state.valueBytes = 2048;
         state.txnOps = 4;
         int before = state.changed;
@@ -341,9 +344,9 @@
     void aKnownJobsRecordThatIsSpoiltIsWrittenAnew() throws Exception {
         Job job = job(1, 4, 2, 4);
         core.addJob(job);
-        Stamp spoilt = await(client.commit(new StateClient.Txn().put("j/run-1", Wire.map("class", 5L))))
+        Revision spoilt = await(client.commit(new StateClient.Txn().put("j/run-1", MessagePackFormat.map("class", 5L))))
                 .stamp();
-        ledger.heard(job.id(), new Fields(Wire.map("class", 5L)), spoilt);
+        ledger.heard(job.id(), new Fields(MessagePackFormat.map("class", 5L)), spoilt);
         vertx.runOnContext(v -> ledger.start());
         while (state.value("j/run-1").optionalText("team") == null) {
             Thread.onSpinWait();
@@ -381,28 +384,28 @@
     void aRecordThatCannotBeReadStopsItsOwnJobOnly() throws Exception {
         job(1, 1, 0, 0);
         await(client.commit(new StateClient.Txn()
-                .put("j/run-2", Wire.map("class", 5L))
-                .put("j/what", Wire.map())
-                .put("j/run-5", Wire.map("class", "c", "status", "NONE"))
-                .put("p/run-1/x", Wire.map("bits", "*"))));
+                .put("j/run-2", MessagePackFormat.map("class", 5L))
+                .put("j/what", MessagePackFormat.map())
+                .put("j/run-5", MessagePackFormat.map("class", "c", "status", "NONE"))
+                .put("p/run-1/x", MessagePackFormat.map("bits", "*"))));
         await(ledger.load());
         assertEquals(
                 List.of("run-1"), core.jobs().stream().map(j -> j.id().text()).toList());
-        ledger.heard(new JobId("run-3"), new Fields(Wire.map("class", 5L)), new Stamp(9));
+        ledger.heard(new JobId("run-3"), new Fields(MessagePackFormat.map("class", 5L)), new Revision(9));
         assertEquals(1, core.jobs().size(), "nor does it end the watch");
         Fields mended = record(core.job(new JobId("run-1")), 1);
-        ledger.heard(new JobId("run-3"), mended, new Stamp(10));
-        ledger.heard(new JobId("run-4"), mended, new Stamp(11));
+        ledger.heard(new JobId("run-3"), mended, new Revision(10));
+        ledger.heard(new JobId("run-4"), mended, new Revision(11));
         assertEquals(
                 List.of(true, false),
                 List.of(
                         core.job(new JobId("run-3")).isInherited(),
                         core.job(new JobId("run-4")).isInherited()),
                 "what could not be read may be on machines, what is new cannot");
-        await(client.commit(new StateClient.Txn().put("m/3-1", Wire.map("machines", "many"))));
+        await(client.commit(new StateClient.Txn().put("m/3-1", MessagePackFormat.map("machines", "many"))));
         Exception failed = assertThrows(Exception.class, () -> await(ledger.load()));
         assertTrue(
-                failed.getCause() instanceof Ledger.Unreadable
+                failed.getCause() instanceof JobStore.UnreadableRecordException
                         && failed.getCause().getMessage().contains("m/3-1"),
                 failed.getMessage());
     }
--- a/src/test/java/io/indigoreach/cluster/JobWatchTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobWatchTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Span;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
--- a/src/test/java/io/indigoreach/cluster/LastTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/LastTaskTest.java
@@ -4,36 +4,36 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.api.Answer;
+import io.indigoreach.api.ApiResponse;
 import io.indigoreach.api.JobCodec;
-import io.indigoreach.api.JobDesk;
+import io.indigoreach.api.JobService;
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
 import io.indigoreach.config.Settings;
-import io.indigoreach.core.Aims;
-import io.indigoreach.core.CancellationHorizon;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.Job;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.LeaderCore;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Notes;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Team;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.net.Budget;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.leadership.CancellationHorizon;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.scheduling.Job;
+import io.indigoreach.core.scheduling.SchedulerCore;
+import io.indigoreach.core.scheduling.SchedulerListener;
+import io.indigoreach.core.scheduling.ServiceLevelObjectives;
 import io.indigoreach.net.Endpoint;
 import io.indigoreach.net.Fields;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.RateLimiter;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
-import io.indigoreach.state.JobMender;
+import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
@@ -66,7 +66,7 @@
     /** More ends than are written at once: then an end goes into the open job's record first. */
     private static final int CROWD = 8;
 
-    private static final Notes SILENT = new Notes() {
+    private static final SchedulerListener SILENT = new SchedulerListener() {
         @Override
         public void progress(Job job) {}
 
@@ -83,44 +83,45 @@
     private final StateStandIn service = new StateStandIn();
     private StateClient leader;
     private Catalogue catalogue;
-    private LeaderCore core;
-    private Ledger ledger;
+    private SchedulerCore core;
+    private JobStore ledger;
 
     @BeforeEach
     void start() throws Exception {
         await(() -> service.listen(vertx));
         leader = client("leader");
-        catalogue = keep(new Catalogue(vertx, leader, new CloudClient(keep(new Caller(vertx, service.endpoint(), 1)))));
-        Stamp key = await(() -> leader.commit(new StateClient.Txn()
+        catalogue = keep(
+                new Catalogue(vertx, leader, new CloudClient(keep(new ServiceClient(vertx, service.endpoint(), 1)))));
+        Revision key = await(() -> leader.commit(new StateClient.Txn()
                         .put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(List.of(TYPE)))
-                        .put(RecordCodec.LEADER, Wire.map("t", 1L))))
+                        .put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))))
                 .stamp();
         await(() -> {
             catalogue.start();
             return Future.succeededFuture();
         });
         until(catalogue::isKnown);
-        Reign.Surroundings env = new Reign.Surroundings(
+        LeadershipTerm.Context env = new LeadershipTerm.Context(
                 vertx,
                 clock,
                 null,
                 leader,
                 null,
                 catalogue,
-                MachineBookTest.config(),
+                MachineStoreTest.config(),
                 Settings.standard(),
                 Span.seconds(10));
-        core = new LeaderCore(
-                new Token(3),
+        core = new SchedulerCore(
+                new FencingToken(3),
                 env.config().rules(),
                 env.settings().tuning(),
-                new Aims(List.of()),
+                new ServiceLevelObjectives(List.of()),
                 List.of(TEAM),
                 SILENT);
         core.setTypes(List.of(TYPE));
         core.loaded();
-        ledger = new Ledger(
-                env, core, null, key, () -> {}, new Budget(100, clock.now()), true, new CancellationHorizon());
+        ledger = new JobStore(
+                env, core, null, key, () -> {}, new RateLimiter(100, clock.now()), true, new CancellationHorizon());
     }
 
     @AfterEach
@@ -160,12 +161,13 @@
 
     private StateClient client(String node) throws Exception {
         Endpoint door = await(() -> service.door(vertx, node));
-        return keep(new StateClient(keep(new Caller(vertx, door, 4)), keep(new Caller(vertx, door, 1))));
+        return keep(new StateClient(keep(new ServiceClient(vertx, door, 4)), keep(new ServiceClient(vertx, door, 1))));
     }
 
-    private JobDesk desk(String node) throws Exception {
+    private JobService desk(String node) throws Exception {
         StateClient client = client(node);
-        return new JobDesk(vertx, client, new JobMender(client, clock), catalogue, List.of(TEAM), clock, 8192, 100);
+        return new JobService(
+                vertx, client, new JobRepairer(client, clock), catalogue, List.of(TEAM), clock, 8192, 100);
     }
 
     private static JobSpec spec(JobId id) {
@@ -173,7 +175,7 @@
                 id,
                 "c",
                 "t",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Urgency.STANDARD,
                 1,
                 new Demand(1, 0, 1),
@@ -192,7 +194,7 @@
 
     /** A job whose one task has ended, as its leader has just seen. */
     private void ended(JobId id) throws Exception {
-        Stamp stamp = await(() -> leader.commit(new StateClient.Txn().put(RecordCodec.open(id), record(id))))
+        Revision stamp = await(() -> leader.commit(new StateClient.Txn().put(RecordCodec.open(id), record(id))))
                 .stamp();
         BitSet done = new BitSet();
         done.set(0);
@@ -207,17 +209,17 @@
 
     private boolean isEnded() {
         return service.has(RecordCodec.over(JOB))
-                || RecordCodec.readJob(JOB, service.value(RecordCodec.open(JOB)), Stamp.ABSENT)
+                || RecordCodec.readJob(JOB, service.value(RecordCodec.open(JOB)), Revision.ABSENT)
                                 .status()
                         == JobStatus.DONE;
     }
 
-    private static String word(Answer answer) {
+    private static String word(ApiResponse answer) {
         return answer.status() + " " + answer.body().get("status");
     }
 
-    private Future<Answer> submit(JobDesk desk) {
-        return ask(() -> desk.submit(Wire.write(JobCodec.write(spec(JOB)))));
+    private Future<ApiResponse> submit(JobService desk) {
+        return ask(() -> desk.submit(MessagePackFormat.write(JobCodec.write(spec(JOB)))));
     }
 
     /** {@code held}: whose changes to the job wait while the other's is made, after both have read it. */
@@ -231,20 +233,20 @@
         "the leader, true, cancelled"
     })
     void oneWordForEver(String held, boolean crowded, String told) throws Exception {
-        JobDesk a = desk("a");
-        JobDesk b = desk("b");
+        JobService a = desk("a");
+        JobService b = desk("b");
         ended(JOB);
         for (int n = 2; crowded && n < CROWD; n++) {
             ended(new JobId("run-" + n));
         }
-        Fields before = Wire.readMap(Wire.write(record(JOB)));
+        Fields before = MessagePackFormat.readMap(MessagePackFormat.write(record(JOB)));
         // Those at the other node have come already, and are looked after when it is over.
         service.delaying = (door, path) -> door.equals("b")
                 || (path.equals("/txn") && (door.equals("a") ? held.equals("the user") : held.equals("the leader")));
-        Future<Answer> question = ask(() -> b.query(JOB.text()));
-        Future<Answer> repeated = submit(b);
+        Future<ApiResponse> question = ask(() -> b.query(JOB.text()));
+        Future<ApiResponse> repeated = submit(b);
         until(() -> service.delayed() == 2);
-        Future<Answer> cancellation = null;
+        Future<ApiResponse> cancellation = null;
         if (held.equals("the user")) {
             cancellation = ask(() -> a.cancel(JOB.text()));
             until(() -> service.delayed() == 3);
@@ -267,12 +269,12 @@
         assertEquals("200 " + told, word(await(question)));
         assertEquals("200 " + told, word(await(repeated)));
         until(() -> core.job(JOB) == null);
-        for (JobDesk desk : List.of(a, b, desk("begun since"))) {
+        for (JobService desk : List.of(a, b, desk("begun since"))) {
             assertEquals("200 " + told, word(await(() -> desk.query(JOB.text()))));
             assertEquals("200 " + told, word(await(submit(desk))));
             assertEquals("200 " + told, word(await(() -> desk.cancel(JOB.text()))));
         }
-        loop.runOnContext(v -> ledger.heard(JOB, before, new Stamp(11)));
+        loop.runOnContext(v -> ledger.heard(JOB, before, new Revision(11)));
         until(() -> !service.has(RecordCodec.open(JOB)));
         assertNull(core.job(JOB), "nothing of it can be started");
     }
--- a/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
@@ -5,55 +5,55 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.indigoreach.api.JobCodec;
-import io.indigoreach.api.JobDesk;
+import io.indigoreach.api.JobService;
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
 import io.indigoreach.config.Settings;
-import io.indigoreach.core.Aims;
-import io.indigoreach.core.CancellationHorizon;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.Job;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.LeaderCore;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Notes;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.ReportNumber;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Team;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.TokenClock;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.core.WorkerReport;
-import io.indigoreach.core.calendar.Head;
+import io.indigoreach.core.calendar.CalendarVersion;
 import io.indigoreach.core.calendar.Publishing;
 import io.indigoreach.core.calendar.Replacing;
-import io.indigoreach.core.duty.Intents;
-import io.indigoreach.core.loss.Remains;
+import io.indigoreach.core.intent.Intents;
+import io.indigoreach.core.leadership.CancellationHorizon;
+import io.indigoreach.core.leadership.TokenGenerator;
+import io.indigoreach.core.loss.RememberedState;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.Urgency;
 import io.indigoreach.core.ownership.Beginning;
 import io.indigoreach.core.ownership.Ending;
 import io.indigoreach.core.ownership.Registry;
-import io.indigoreach.core.records.Change;
-import io.indigoreach.core.records.Copies;
-import io.indigoreach.core.records.Family;
-import io.indigoreach.core.records.Kept;
+import io.indigoreach.core.records.RecordCache;
+import io.indigoreach.core.records.RecordFamily;
 import io.indigoreach.core.records.Routine;
 import io.indigoreach.core.records.Step;
-import io.indigoreach.net.Budget;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.records.Transaction;
+import io.indigoreach.core.records.VersionedRecord;
+import io.indigoreach.core.scheduling.Job;
+import io.indigoreach.core.scheduling.SchedulerCore;
+import io.indigoreach.core.scheduling.SchedulerListener;
+import io.indigoreach.core.scheduling.ServiceLevelObjectives;
 import io.indigoreach.net.Fields;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.RateLimiter;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
-import io.indigoreach.state.JobMender;
-import io.indigoreach.state.Leadership;
+import io.indigoreach.state.JobRepairer;
+import io.indigoreach.state.LeaderElection;
 import io.indigoreach.state.RecordCodec;
-import io.indigoreach.state.Records;
+import io.indigoreach.state.RoutineRunner;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -84,7 +84,7 @@
  * product's own; the state service stands in. Waits are for events, not times.
  */
 class LateTransactionsTest {
-    private static final Pool POOL = new Pool("quad", "a", true);
+    private static final MachinePool POOL = new MachinePool("quad", "a", true);
     private static final JobId JOB = new JobId("run-1");
     private static final String OPEN = RecordCodec.open(JOB);
     private static final Intents.Rent RENT = new Intents.Rent("t3-1", POOL, 50, 1000);
@@ -96,8 +96,8 @@
     private final BlockingQueue<String> events = new ArrayBlockingQueue<>(100);
     private StateStandIn service;
     private StateClient client;
-    private Reign.Surroundings env;
-    private LeaderCore core;
+    private LeadershipTerm.Context env;
+    private SchedulerCore core;
 
     /** When a transaction without an answer is carried out. */
     enum Unanswered {
@@ -116,25 +116,25 @@
     void start() throws Exception {
         service = await(new StateStandIn().listen(vertx));
         client = client();
-        Catalogue catalogue =
-                new Catalogue(vertx, client, keep(new CloudClient(keep(new Caller(vertx, service.endpoint(), 1)))));
-        env = new Reign.Surroundings(
+        Catalogue catalogue = new Catalogue(
+                vertx, client, keep(new CloudClient(keep(new ServiceClient(vertx, service.endpoint(), 1)))));
+        env = new LeadershipTerm.Context(
                 vertx,
                 clock,
                 null,
                 client,
                 null,
                 catalogue,
-                MachineBookTest.config(),
+                MachineStoreTest.config(),
                 Settings.standard(),
                 Span.seconds(10));
-        core = new LeaderCore(
-                new Token(3),
+        core = new SchedulerCore(
+                new FencingToken(3),
                 env.config().rules(),
                 env.settings().tuning(),
-                new Aims(List.of()),
+                new ServiceLevelObjectives(List.of()),
                 List.of(new Team("t", 0, 0, 0, 0)),
-                new Notes() {
+                new SchedulerListener() {
                     @Override
                     public void progress(Job job) {}
 
@@ -161,7 +161,8 @@
 
     private StateClient client() {
         return keep(new StateClient(
-                keep(new Caller(vertx, service.endpoint(), 4)), keep(new Caller(vertx, service.endpoint(), 2))));
+                keep(new ServiceClient(vertx, service.endpoint(), 4)),
+                keep(new ServiceClient(vertx, service.endpoint(), 2))));
     }
 
     private static <T> T await(Future<T> future) throws Exception {
@@ -236,16 +237,16 @@
     }
 
     /** Another leadership begins. */
-    private Stamp lead(long token) throws Exception {
-        return await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, Wire.map("t", token))))
+    private Revision lead(long token) throws Exception {
+        return await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", token))))
                 .stamp();
     }
 
     // Leadership.
 
-    private Leadership node(String node, int peers) {
-        Leadership[] made = new Leadership[1];
-        made[0] = new Leadership(
+    private LeaderElection node(String node, int peers) {
+        LeaderElection[] made = new LeaderElection[1];
+        made[0] = new LeaderElection(
                 vertx,
                 client,
                 vertx,
@@ -255,10 +256,10 @@
                 node + "1",
                 peers,
                 Span.seconds(10),
-                new TokenClock(node.charAt(0) - 'a', clock.timeOfDay(), Span.seconds(0.1)),
-                new Leadership.Listener() {
+                new TokenGenerator(node.charAt(0) - 'a', clock.timeOfDay(), Span.seconds(0.1)),
+                new LeaderElection.Listener() {
                     @Override
-                    public void took(Token token, Stamp key, boolean bounds) {
+                    public void took(FencingToken token, Revision key, boolean bounds) {
                         events.add(node + " took");
                     }
 
@@ -280,7 +281,7 @@
     }
 
     /** Its node stands no more, and the grants of its campaigns end by themselves. */
-    private void endGrants(Leadership of) throws Exception {
+    private void endGrants(LeaderElection of) throws Exception {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
         run(() -> {
             of.stop();
@@ -294,7 +295,7 @@
 
     static {
         LEADERSHIP.put("a campaign, after the next one", t -> {
-            Leadership a = t.node("a", 0);
+            LeaderElection a = t.node("a", 0);
             t.loseOne(RecordCodec.LEADER);
             t.run(a::start);
             t.took("a");
@@ -302,7 +303,7 @@
             assertTrue(a.isValid());
         });
         LEADERSHIP.put("a campaign, after its node led and gave up", t -> {
-            Leadership a = t.node("a", 0);
+            LeaderElection a = t.node("a", 0);
             t.loseOne(RecordCodec.LEADER);
             t.run(a::start);
             t.took("a");
@@ -312,7 +313,7 @@
             assertFalse(t.service.has(RecordCodec.LEADER));
         });
         LEADERSHIP.put("a campaign, after another node led and gave up", t -> {
-            Leadership a = t.node("a", 0);
+            LeaderElection a = t.node("a", 0);
             t.loseAll(RecordCodec.LEADER);
             t.run(a::start);
             t.untilUnanswered();
@@ -322,7 +323,7 @@
                 // The key stands under the campaign's grant, which ends by itself.
                 t.endGrants(a);
             }
-            Leadership b = t.node("b", 0);
+            LeaderElection b = t.node("b", 0);
             t.run(b::start);
             t.took("b");
             t.run(() -> b.abdicate("test"));
@@ -330,7 +331,7 @@
             t.changesNothingMore();
         });
         LEADERSHIP.put("a campaign, after its grant has ended", t -> {
-            Leadership a = t.node("a", 0);
+            LeaderElection a = t.node("a", 0);
             t.loseAll(RecordCodec.LEADER);
             t.run(a::start);
             t.untilUnanswered();
@@ -341,8 +342,8 @@
         LEADERSHIP.put("the removal of a predecessor's key, after its node took it", t -> {
             t.lead(1);
             await(t.client.commit(new StateClient.Txn()
-                    .put(RecordCodec.LEADER, Wire.map("node", "a", "process", "a0", "token", 1L))));
-            Leadership a = t.node("a", 2);
+                    .put(RecordCodec.LEADER, MessagePackFormat.map("node", "a", "process", "a0", "token", 1L))));
+            LeaderElection a = t.node("a", 2);
             t.loseOne(RecordCodec.LEADER);
             await(a.clear(node -> Future.succeededFuture(false)));
             t.run(a::start);
@@ -351,11 +352,11 @@
             assertTrue(t.service.has(RecordCodec.LEADER));
         });
         LEADERSHIP.put("the removal of the key of one that stood aside, after another took it", t -> {
-            Leadership a = t.node("a", 0);
+            LeaderElection a = t.node("a", 0);
             t.run(a::start);
             t.took("a");
-            Leadership b = t.node("b", 0);
-            Stamp key = a.key();
+            LeaderElection b = t.node("b", 0);
+            Revision key = a.key();
             t.loseOne(RecordCodec.LEADER);
             assertTrue(b.release(key)
                     .toCompletionStage()
@@ -371,8 +372,8 @@
             assertTrue(t.service.has(RecordCodec.LEADER));
         });
         LEADERSHIP.put("the word for start bounds, after the next leadership", t -> {
-            await(t.client.commit(new StateClient.Txn().put(RecordCodec.COUNTER, Wire.map("value", 7L))));
-            Leadership a = t.node("a", 0);
+            await(t.client.commit(new StateClient.Txn().put(RecordCodec.COUNTER, MessagePackFormat.map("value", 7L))));
+            LeaderElection a = t.node("a", 0);
             t.run(a::start);
             t.took("a");
             t.loseAll(RecordCodec.COUNTER);
@@ -393,7 +394,7 @@
     /** The key stands, by a transaction that its node gave up on: nobody leads by it, and a pledge given since binds. */
     @Test
     void aCampaignCarriedOutAfterItsNodeHasPledgedMakesNoLeader() throws Exception {
-        Leadership a = node("a", 0);
+        LeaderElection a = node("a", 0);
         loseAll(RecordCodec.LEADER);
         run(a::start);
         untilUnanswered();
@@ -415,11 +416,11 @@
 
     // Jobs.
 
-    private JobDesk desk() throws Exception {
-        JobDesk desk = keep(new JobDesk(
+    private JobService desk() throws Exception {
+        JobService desk = keep(new JobService(
                 vertx,
                 client,
-                new JobMender(client, clock),
+                new JobRepairer(client, clock),
                 env.catalogue(),
                 List.of(new Team("t", 0, 0, 0, 0)),
                 clock,
@@ -437,7 +438,7 @@
                 new JobId(id),
                 "c",
                 "t",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Urgency.STANDARD,
                 tasks,
                 new Demand(1, 0, 1),
@@ -454,13 +455,13 @@
                 null);
     }
 
-    private int submit(JobDesk desk) throws Exception {
-        return await(desk.submit(Wire.write(JobCodec.write(spec(JOB.text(), 4))))
+    private int submit(JobService desk) throws Exception {
+        return await(desk.submit(MessagePackFormat.write(JobCodec.write(spec(JOB.text(), 4))))
                 .map(a -> a.status())
                 .otherwise(503));
     }
 
-    private int cancel(JobDesk desk) throws Exception {
+    private int cancel(JobService desk) throws Exception {
         return await(desk.cancel(JOB.text()).map(a -> a.status()).otherwise(503));
     }
 
@@ -480,7 +481,7 @@
         Predicate<Fields> holding = service.holding;
         Predicate<Fields> losing = service.losing;
         pass();
-        Stamp stamp = await(client.commit(new StateClient.Txn()
+        Revision stamp = await(client.commit(new StateClient.Txn()
                         .put(
                                 RecordCodec.open(spec.id()),
                                 RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, bound))))
@@ -494,23 +495,23 @@
         return job;
     }
 
-    private Ledger ledger(Stamp key) throws Exception {
-        return keep(new Ledger(
+    private JobStore ledger(Revision key) throws Exception {
+        return keep(new JobStore(
                 env,
                 core,
-                new MachineBook(env, core, new Token(3), key, () -> {}, new Budget(100, clock.now())),
+                new MachineStore(env, core, new FencingToken(3), key, () -> {}, new RateLimiter(100, clock.now())),
                 key,
                 () -> events.add("deposed"),
-                new Budget(100, clock.now()),
+                new RateLimiter(100, clock.now()),
                 true,
                 new CancellationHorizon()));
     }
 
-    private Ledger leading() throws Exception {
+    private JobStore leading() throws Exception {
         return ledger(lead(1));
     }
 
-    private void begin(Ledger ledger, Job... jobs) {
+    private void begin(JobStore ledger, Job... jobs) {
         for (Job job : jobs) {
             ledger.touch(job);
         }
@@ -518,7 +519,7 @@
     }
 
     private int recorded(JobId id) {
-        return RecordCodec.readJob(id, service.value(RecordCodec.open(id)), Stamp.ABSENT)
+        return RecordCodec.readJob(id, service.value(RecordCodec.open(id)), Revision.ABSENT)
                 .doneCount();
     }
 
@@ -526,14 +527,14 @@
 
     static {
         JOBS.put("an acceptance, after its repeat", t -> {
-            JobDesk desk = t.desk();
+            JobService desk = t.desk();
             t.loseOne(OPEN);
             assertEquals(503, t.submit(desk));
             assertEquals(t.isAtOnce() ? 200 : 201, t.submit(desk));
             t.changesNothingMore();
         });
         JOBS.put("an acceptance, after its job was cancelled", t -> {
-            JobDesk desk = t.desk();
+            JobService desk = t.desk();
             t.loseOne(OPEN);
             assertEquals(503, t.submit(desk));
             assertEquals(t.isAtOnce() ? 200 : 201, t.submit(desk));
@@ -542,17 +543,17 @@
             assertFalse(t.service.has(OPEN));
         });
         JOBS.put("an acceptance, after its job was done under another leader", t -> {
-            JobDesk desk = t.desk();
+            JobService desk = t.desk();
             t.loseOne(OPEN);
             assertEquals(503, t.submit(desk));
-            Ledger ledger = t.ledger(t.lead(4));
+            JobStore ledger = t.ledger(t.lead(4));
             t.begin(ledger, t.job(JOB.text(), 4, 4, 4));
             t.until(() -> t.service.has(RecordCodec.over(JOB)) && t.core.job(JOB) == null);
             t.changesNothingMore();
             assertFalse(t.service.has(OPEN));
         });
         JOBS.put("a cancellation, after its repeat", t -> {
-            JobDesk desk = t.desk();
+            JobService desk = t.desk();
             t.submit(desk);
             t.loseOne(OPEN);
             assertEquals(503, t.cancel(desk));
@@ -560,8 +561,8 @@
             t.changesNothingMore();
         });
         JOBS.put("a cancellation, after the job's progress, and before it was done", t -> {
-            JobDesk desk = t.desk();
-            Ledger ledger = t.leading();
+            JobService desk = t.desk();
+            JobStore ledger = t.leading();
             Job job = t.job(JOB.text(), 4, 2, 4);
             t.loseOne(OPEN);
             assertEquals(503, t.cancel(desk));
@@ -572,8 +573,8 @@
             assertEquals(200, t.cancel(desk));
         });
         JOBS.put("a cancellation, after the job was done", t -> {
-            JobDesk desk = t.desk();
-            Ledger ledger = t.leading();
+            JobService desk = t.desk();
+            JobStore ledger = t.leading();
             Job job = t.job(JOB.text(), 4, 4, 4);
             t.loseOne(OPEN);
             assertEquals(503, t.cancel(desk));
@@ -584,11 +585,11 @@
         });
         for (boolean ended : new boolean[] {false, true}) {
             JOBS.put("the mending of an open job's record, after another" + (ended ? " and the job's end" : ""), t -> {
-                JobDesk desk = t.desk();
+                JobService desk = t.desk();
                 StateClient.Outcome spoilt =
-                        await(t.client.commit(new StateClient.Txn().put(OPEN, Wire.map("class", 5L))));
+                        await(t.client.commit(new StateClient.Txn().put(OPEN, MessagePackFormat.map("class", 5L))));
                 StateClient.Entry entry = new StateClient.Entry(OPEN, t.service.value(OPEN), spoilt.stamp(), 0);
-                JobMender mender = new JobMender(t.client, t.clock);
+                JobRepairer mender = new JobRepairer(t.client, t.clock);
                 t.loseOne(OPEN);
                 assertTrue(await(
                         mender.open(JOB, entry, spec(JOB.text(), 4)).map(false).otherwise(true)));
@@ -603,16 +604,16 @@
         JOBS.put("the mending of an end, after another", t -> {
             String over = RecordCodec.over(JOB);
             StateClient.Outcome spoilt =
-                    await(t.client.commit(new StateClient.Txn().put(over, Wire.map("status", "DONE"))));
+                    await(t.client.commit(new StateClient.Txn().put(over, MessagePackFormat.map("status", "DONE"))));
             StateClient.Entry entry = new StateClient.Entry(over, t.service.value(over), spoilt.stamp(), 0);
-            JobMender mender = new JobMender(t.client, t.clock);
+            JobRepairer mender = new JobRepairer(t.client, t.clock);
             t.loseOne(over);
             assertTrue(await(mender.over(JOB, entry, null).map(false).otherwise(true)));
             await(mender.over(JOB, entry, null));
             t.changesNothingMore();
         });
         JOBS.put("progress, after newer progress", t -> {
-            Ledger ledger = t.leading();
+            JobStore ledger = t.leading();
             t.loseOne(OPEN);
             Job job = t.job(JOB.text(), 4, 2, 4);
             t.begin(ledger, job);
@@ -620,7 +621,7 @@
             t.changesNothingMore();
         });
         JOBS.put("progress, after the job was cancelled", t -> {
-            Ledger ledger = t.leading();
+            JobStore ledger = t.leading();
             t.loseAll(OPEN);
             t.begin(ledger, t.job(JOB.text(), 4, 2, 4));
             t.untilUnanswered();
@@ -631,7 +632,7 @@
             assertFalse(t.service.has(OPEN));
         });
         JOBS.put("progress, after a change of leader", t -> {
-            Ledger ledger = t.leading();
+            JobStore ledger = t.leading();
             t.loseAll(OPEN);
             t.begin(ledger, t.job(JOB.text(), 4, 2, 4));
             t.untilUnanswered();
@@ -641,7 +642,7 @@
             assertEquals(t.isAtOnce() ? 2 : 0, t.recorded(JOB));
         });
         JOBS.put("a start bound, after a newer one", t -> {
-            Ledger ledger = t.leading();
+            JobStore ledger = t.leading();
             t.core.rented(POOL, List.of(new MachineId("vm-1")), t.clock.now(), t.clock.now());
             t.loseOne(OPEN);
             Job job = t.job(JOB.text(), 4, 0, 0);
@@ -650,7 +651,7 @@
             t.changesNothingMore();
         });
         JOBS.put("a start bound, after a change of leader: what that one orders by stands", t -> {
-            Ledger ledger = t.leading();
+            JobStore ledger = t.leading();
             t.core.rented(POOL, List.of(new MachineId("vm-1")), t.clock.now(), t.clock.now());
             t.loseAll(OPEN);
             Job job = t.job(JOB.text(), 4, 0, 0);
@@ -662,14 +663,14 @@
             assertTrue(job.wantsBound(), "not answered: nothing was ordered by it");
         });
         JOBS.put("an end, after its repeat", t -> {
-            Ledger ledger = t.leading();
+            JobStore ledger = t.leading();
             t.loseOne(OPEN);
             t.begin(ledger, t.job(JOB.text(), 4, 4, 4));
             t.until(() -> t.service.has(RecordCodec.over(JOB)) && t.core.job(JOB) == null);
             t.changesNothingMore();
         });
         JOBS.put("an end, after a change of leader", t -> {
-            Ledger ledger = t.leading();
+            JobStore ledger = t.leading();
             t.loseAll(OPEN);
             t.begin(ledger, t.job(JOB.text(), 4, 4, 4));
             t.untilUnanswered();
@@ -679,8 +680,8 @@
             assertEquals(t.isAtOnce(), !t.service.has(OPEN));
         });
         JOBS.put("an end, after its user cancelled", t -> {
-            Ledger ledger = t.leading();
-            JobDesk desk = t.desk();
+            JobStore ledger = t.leading();
+            JobService desk = t.desk();
             t.loseAll(OPEN);
             t.begin(ledger, t.job(JOB.text(), 4, 4, 4));
             t.untilUnanswered();
@@ -691,7 +692,7 @@
             t.isOver(t.isAtOnce() ? JobStatus.DONE : JobStatus.CANCELLED);
         });
         JOBS.put("an end in the open record, and its move, each after its repeat", t -> {
-            Ledger ledger = t.leading();
+            JobStore ledger = t.leading();
             Job[] jobs = new Job[8];
             for (int n = 0; n < jobs.length; n++) {
                 jobs[n] = t.job("run-" + (n + 1), 1, 1, 1);
@@ -715,12 +716,13 @@
 
     // Machines and intents.
 
-    private Future<Boolean> report(MachineBook book, int n) {
+    private Future<Boolean> report(MachineStore book, int n) {
         MachineId id = new MachineId("vm-" + n);
         Moment now = clock.now();
         core.rented(POOL, List.of(id), now, now);
         core.onReport(
-                new WorkerReport(id, "10.0.0.1:1", POOL, new ReportNumber(1, 1), new Token(3), null, List.of()), now);
+                new Heartbeat(id, "10.0.0.1:1", POOL, new HeartbeatNumber(1, 1), new FencingToken(3), null, List.of()),
+                now);
         return book.record(core.unrecorded(id));
     }
 
@@ -732,9 +734,9 @@
         return await(vertx.getOrCreateContext().executeBlocking(() -> null).compose(v -> work.get()));
     }
 
-    private MachineBook machines(Stamp key) {
-        MachineBook book = keep(new MachineBook(
-                env, core, new Token(3), key, () -> events.add("deposed"), new Budget(100, clock.now())));
+    private MachineStore machines(Revision key) {
+        MachineStore book = keep(new MachineStore(
+                env, core, new FencingToken(3), key, () -> events.add("deposed"), new RateLimiter(100, clock.now())));
         run(book::start);
         return book;
     }
@@ -745,11 +747,12 @@
                 .sum();
     }
 
-    private IntentBook intents(Stamp key) {
-        return keep(new IntentBook(env, new Token(3), key, () -> events.add("deposed"), new Budget(100, clock.now())));
+    private IntentLog intents(Revision key) {
+        return keep(new IntentLog(
+                env, new FencingToken(3), key, () -> events.add("deposed"), new RateLimiter(100, clock.now())));
     }
 
-    private static boolean record(IntentBook book) throws Exception {
+    private static boolean record(IntentLog book) throws Exception {
         return await(book.record().otherwise(false));
     }
 
@@ -763,7 +766,7 @@
 
     static {
         CLOUD.put("a page's first write, after its repeat", t -> {
-            MachineBook book = t.machines(t.lead(1));
+            MachineStore book = t.machines(t.lead(1));
             t.loseOne(RecordCodec.MACHINES);
             assertTrue(t.onLoop(() -> t.report(book, 1)));
             assertTrue(t.onLoop(() -> t.report(book, 2)));
@@ -771,7 +774,7 @@
             assertEquals(2, t.lines());
         });
         CLOUD.put("a page's first write, after all on it are gone", t -> {
-            MachineBook book = t.machines(t.lead(1));
+            MachineStore book = t.machines(t.lead(1));
             t.loseOne(RecordCodec.MACHINES);
             assertTrue(t.onLoop(() -> t.report(book, 1)));
             t.run(() -> t.gone(1));
@@ -780,7 +783,7 @@
             assertEquals(0, t.lines(), "a machine that is gone holds the next leader up");
         });
         CLOUD.put("a page's first write, after a change of leader", t -> {
-            MachineBook book = t.machines(t.lead(1));
+            MachineStore book = t.machines(t.lead(1));
             t.loseAll(RecordCodec.MACHINES);
             t.run(() -> t.report(book, 1));
             t.untilUnanswered();
@@ -789,7 +792,7 @@
             t.changesNothingMore();
         });
         CLOUD.put("a page's change, after a newer one", t -> {
-            MachineBook book = t.machines(t.lead(1));
+            MachineStore book = t.machines(t.lead(1));
             assertTrue(t.onLoop(() -> t.report(book, 1)));
             t.loseOne(RecordCodec.MACHINES);
             assertTrue(t.onLoop(() -> t.report(book, 2)));
@@ -798,15 +801,15 @@
             assertEquals(3, t.lines(), "it takes no machine off");
         });
         CLOUD.put("an earlier leader's page is removed, and again", t -> {
-            MachineBook first = t.machines(t.lead(1));
+            MachineStore first = t.machines(t.lead(1));
             assertTrue(t.onLoop(() -> t.report(first, 1)));
             t.run(first::cancel);
             t.run(() -> t.gone(1));
-            Stamp key = t.lead(4);
-            MachineBook next =
-                    new MachineBook(t.env, t.core, new Token(4), key, () -> {}, new Budget(100, t.clock.now()));
+            Revision key = t.lead(4);
+            MachineStore next = new MachineStore(
+                    t.env, t.core, new FencingToken(4), key, () -> {}, new RateLimiter(100, t.clock.now()));
             t.loseOne(RecordCodec.MACHINES);
-            await(Ledger.pages(
+            await(JobStore.pages(
                     t.client,
                     key,
                     RecordCodec.MACHINES,
@@ -817,7 +820,7 @@
             t.changesNothingMore();
         });
         CLOUD.put("an intent's first record, after its repeat", t -> {
-            IntentBook book = t.intents(t.lead(1));
+            IntentLog book = t.intents(t.lead(1));
             book.intents().add(RENT);
             t.loseOne(RecordCodec.INTENTS);
             assertFalse(record(book) || book.intents().mayAsk(RENT.name()), "it may be there or not");
@@ -825,7 +828,7 @@
             t.changesNothingMore();
         });
         CLOUD.put("an intent's first record, after all in it is settled", t -> {
-            IntentBook book = t.intents(t.lead(1));
+            IntentLog book = t.intents(t.lead(1));
             book.intents().add(RENT);
             t.loseOne(RecordCodec.INTENTS);
             assertFalse(record(book));
@@ -836,7 +839,7 @@
             assertTrue(t.intended().isEmpty(), "the next leader would ask once more");
         });
         CLOUD.put("an intent's first record, after it was given up", t -> {
-            IntentBook book = t.intents(t.lead(1));
+            IntentLog book = t.intents(t.lead(1));
             book.intents().add(RENT);
             t.loseOne(RecordCodec.INTENTS);
             assertFalse(record(book));
@@ -846,7 +849,7 @@
             assertTrue(t.intended().isEmpty(), "the next leader would rent what nobody wants");
         });
         CLOUD.put("an intent, after a change of leader", t -> {
-            IntentBook book = t.intents(t.lead(1));
+            IntentLog book = t.intents(t.lead(1));
             book.intents().add(RENT);
             t.loseOne(RecordCodec.INTENTS);
             assertFalse(record(book));
@@ -855,10 +858,11 @@
             assertFalse(book.intents().mayAsk(RENT.name()));
         });
         CLOUD.put("an earlier leader's intents are removed, and again", t -> {
-            IntentBook old = t.intents(t.lead(1));
+            IntentLog old = t.intents(t.lead(1));
             old.intents().add(RENT);
             assertTrue(record(old));
-            IntentBook next = new IntentBook(t.env, new Token(4), t.lead(4), () -> {}, new Budget(100, t.clock.now()));
+            IntentLog next =
+                    new IntentLog(t.env, new FencingToken(4), t.lead(4), () -> {}, new RateLimiter(100, t.clock.now()));
             await(next.load());
             t.loseOne(RecordCodec.INTENTS);
             await(next.forgetEarlier());
@@ -871,31 +875,31 @@
 
     // Rebuilding and the era.
 
-    private Remains remains() {
-        Remains remains = new Remains();
+    private RememberedState remains() {
+        RememberedState remains = new RememberedState();
         Moment now = clock.now();
-        remains.add(new Remains.Rented(new MachineId("vm-1"), POOL, now, now));
+        remains.add(new RememberedState.RentedMachine(new MachineId("vm-1"), POOL, now, now));
         BitSet oneInEachBlock = new BitSet();
         oneInEachBlock.set(0);
         oneInEachBlock.set(39_999);
-        remains.add(new Remains.Open(spec(JOB.text(), 40_000), 1, oneInEachBlock, 4));
-        remains.add(new JobId("run-2"), new Remains.Over(JobStatus.DONE, 1));
+        remains.add(new RememberedState.OpenJob(spec(JOB.text(), 40_000), 1, oneInEachBlock, 4));
+        remains.add(new JobId("run-2"), new RememberedState.FinishedJob(JobStatus.DONE, 1));
         return remains;
     }
 
-    private boolean rebuilds(Stamp key) throws Exception {
+    private boolean rebuilds(Revision key) throws Exception {
         return rebuilds(key, remains());
     }
 
-    private boolean rebuilds(Stamp key, Remains remains) throws Exception {
-        return await(new Rebuilder(env, new Token(3), key, new Budget(100, clock.now()), remains)
+    private boolean rebuilds(Revision key, RememberedState remains) throws Exception {
+        return await(new StateRebuilder(env, new FencingToken(3), key, new RateLimiter(100, clock.now()), remains)
                 .run()
                 .map(true)
                 .otherwise(false));
     }
 
     private int bound() {
-        return RecordCodec.readJob(JOB, service.value(OPEN), Stamp.ABSENT).bound();
+        return RecordCodec.readJob(JOB, service.value(OPEN), Revision.ABSENT).bound();
     }
 
     private static final Map<String, Case> LOSS = new LinkedHashMap<>();
@@ -904,7 +908,7 @@
         for (String key : List.of(RecordCodec.MACHINES, OPEN, RecordCodec.FINAL, RecordCodec.ERA)) {
             LOSS.put("a rebuilding's " + key + ", after the next try", t -> {
                 await(t.client.check());
-                Stamp leader = t.lead(1);
+                Revision leader = t.lead(1);
                 t.loseOne(key);
                 assertFalse(t.rebuilds(leader));
                 assertTrue(t.rebuilds(leader));
@@ -912,7 +916,7 @@
             });
             LOSS.put("a rebuilding's " + key + ", after a change of leader", t -> {
                 await(t.client.check());
-                Stamp leader = t.lead(1);
+                Revision leader = t.lead(1);
                 t.loseOne(key);
                 assertFalse(t.rebuilds(leader));
                 t.lead(4);
@@ -921,13 +925,13 @@
         }
         LOSS.put("a rebuilt page, after the next try and all on it are gone", t -> {
             await(t.client.check());
-            Stamp leader = t.lead(1);
+            Revision leader = t.lead(1);
             t.loseOne(RecordCodec.MACHINES);
             assertFalse(t.rebuilds(leader));
             assertTrue(t.rebuilds(leader));
-            MachineBook book =
-                    new MachineBook(t.env, t.core, new Token(3), leader, () -> {}, new Budget(100, t.clock.now()));
-            await(Ledger.pages(
+            MachineStore book = new MachineStore(
+                    t.env, t.core, new FencingToken(3), leader, () -> {}, new RateLimiter(100, t.clock.now()));
+            await(JobStore.pages(
                     t.client,
                     leader,
                     RecordCodec.MACHINES,
@@ -939,7 +943,7 @@
         });
         LOSS.put("a rebuilt job with blocks of bits, after the next try and its end", t -> {
             await(t.client.check());
-            Stamp leader = t.lead(1);
+            Revision leader = t.lead(1);
             t.loseOne(OPEN);
             assertFalse(t.rebuilds(leader));
             assertTrue(t.rebuilds(leader));
@@ -955,10 +959,10 @@
         });
         LOSS.put("a rebuilt job, after a next try that no longer knew of it", t -> {
             await(t.client.check());
-            Stamp leader = t.lead(1);
+            Revision leader = t.lead(1);
             t.loseOne(OPEN);
             assertFalse(t.rebuilds(leader));
-            assertTrue(t.rebuilds(leader, new Remains()));
+            assertTrue(t.rebuilds(leader, new RememberedState()));
             t.changesNothingMore();
             if (t.isAtOnce()) {
                 assertEquals(4, t.bound(), "it counts as ordered in whole");
@@ -968,13 +972,13 @@
         });
         LOSS.put("an acceptance, after a loss was mended and the job's end was lost", t -> {
             await(t.client.check());
-            JobDesk desk = t.desk();
+            JobService desk = t.desk();
             t.loseOne(OPEN);
             assertEquals(503, t.submit(desk));
             assertEquals(t.isAtOnce() ? 200 : 201, t.submit(desk));
             assertEquals(200, t.cancel(desk));
             await(t.client.commit(new StateClient.Txn().delete(RecordCodec.over(JOB))));
-            assertTrue(t.rebuilds(t.lead(1), new Remains()));
+            assertTrue(t.rebuilds(t.lead(1), new RememberedState()));
             t.changesNothingMore();
             assertFalse(t.service.has(OPEN));
         });
@@ -990,12 +994,12 @@
 
     // Parts beside the jobs.
 
-    private Records records() {
-        List<Family> families = new ArrayList<>(Registry.FAMILIES);
-        families.add(Head.FAMILY);
-        families.add(Head.TEXT_FAMILY);
-        families.add(new Family("x/", 10, false, Family.Mending.NEWER));
-        return new Records(vertx, client, clock, new Copies(families));
+    private RoutineRunner records() {
+        List<RecordFamily> families = new ArrayList<>(Registry.FAMILIES);
+        families.add(CalendarVersion.FAMILY);
+        families.add(CalendarVersion.TEXT_FAMILY);
+        families.add(new RecordFamily("x/", 10, false, RecordFamily.Mending.NEWER));
+        return new RoutineRunner(vertx, client, clock, new RecordCache(families));
     }
 
     private static Routine<Boolean> removing(String key) {
@@ -1003,11 +1007,12 @@
                 ? new Step.End<>(seen.isWritten())
                 : seen.records().isEmpty()
                         ? new Step.Read<>(List.of(key))
-                        : new Step.Write<>(new Change().when(seen.record(key)).delete(key));
+                        : new Step.Write<>(
+                                new Transaction().when(seen.record(key)).delete(key));
     }
 
     /** A part's write without an answer, then the same once more, then it comes late. */
-    private <R> void twice(String key, Records records, Supplier<Routine<R>> routine) throws Exception {
+    private <R> void twice(String key, RoutineRunner records, Supplier<Routine<R>> routine) throws Exception {
         loseOne(key);
         assertTrue(await(records.run(routine.get()).map(false).otherwise(true)));
         await(records.run(routine.get()));
@@ -1019,36 +1024,37 @@
     static {
         PARTS.put(
                 "a record's first write, after its repeat",
-                t -> t.twice("x/", t.records(), () -> new Replacing("x/1", Wire.map("n", 1L))));
+                t -> t.twice("x/", t.records(), () -> new Replacing("x/1", MessagePackFormat.map("n", 1L))));
         PARTS.put("a record's change, after its repeat", t -> {
-            Records records = t.records();
-            await(records.run(new Replacing("x/1", Wire.map("n", 1L))));
-            t.twice("x/", records, () -> new Replacing("x/1", Wire.map("n", 2L)));
+            RoutineRunner records = t.records();
+            await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L))));
+            t.twice("x/", records, () -> new Replacing("x/1", MessagePackFormat.map("n", 2L)));
         });
         PARTS.put("a leader's write, after a change of leader", t -> {
-            Records records = t.records().leading(RecordCodec.LEADER, t.lead(1), new Budget(100, t.clock.now()));
+            RoutineRunner records =
+                    t.records().leading(RecordCodec.LEADER, t.lead(1), new RateLimiter(100, t.clock.now()));
             t.loseOne("x/");
-            assertTrue(await(records.run(new Replacing("x/1", Wire.map("n", 1L)))
+            assertTrue(await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L)))
                     .map(false)
                     .otherwise(true)));
             t.lead(4);
             t.changesNothingMore();
         });
         PARTS.put("a record's removal, after it was written anew", t -> {
-            Records records = t.records();
-            await(records.run(new Replacing("x/1", Wire.map("n", 1L))));
+            RoutineRunner records = t.records();
+            await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L))));
             t.loseOne("x/");
             assertTrue(await(records.run(removing("x/1")).map(false).otherwise(true)));
-            await(records.run(new Replacing("x/1", Wire.map("n", 2L))));
+            await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 2L))));
             t.changesNothingMore();
         });
         PARTS.put("a write, after a loss and a new era", t -> {
-            Records records = t.records();
+            RoutineRunner records = t.records();
             t.loseOne("x/");
-            assertTrue(await(records.run(new Replacing("x/1", Wire.map("n", 1L)))
+            assertTrue(await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L)))
                     .map(false)
                     .otherwise(true)));
-            assertTrue(t.rebuilds(t.lead(1), new Remains()));
+            assertTrue(t.rebuilds(t.lead(1), new RememberedState()));
             t.changesNothingMore();
         });
         PARTS.put("the registry's beginning", t -> t.twice("own/", t.records(), () -> new Beginning(true, "by test")));
@@ -1058,22 +1064,32 @@
                 t -> t.twice(
                         "cal/text/",
                         t.records(),
-                        () -> new Publishing(new Head(Kept.absent(Head.KEY)), "d", "text", 1, "note")));
+                        () -> new Publishing(
+                                new CalendarVersion(VersionedRecord.absent(CalendarVersion.KEY)),
+                                "d",
+                                "text",
+                                1,
+                                "note")));
         PARTS.put(
                 "a calendar's head",
                 t -> t.twice(
-                        Head.KEY,
+                        CalendarVersion.KEY,
                         t.records(),
-                        () -> new Publishing(new Head(Kept.absent(Head.KEY)), "d", "text", 1, "note")));
+                        () -> new Publishing(
+                                new CalendarVersion(VersionedRecord.absent(CalendarVersion.KEY)),
+                                "d",
+                                "text",
+                                1,
+                                "note")));
     }
 
     /** Its bound says that nothing was ever ordered, while a controller remembers that all of it was. */
     @Test
     void anAcceptanceCarriedOutWhileItsJobIsRebuiltDoesNotTakeItsStartBoundBack() throws Exception {
-        JobDesk desk = desk();
+        JobService desk = desk();
         loseOne(OPEN);
         assertEquals(503, submit(desk));
-        Stamp leader = lead(1);
+        Revision leader = lead(1);
         List<Integer> late = new ArrayList<>();
         service.holding = txn -> {
             if (touches(txn, OPEN)) {
@@ -1081,8 +1097,8 @@
             }
             return false;
         };
-        Remains remains = new Remains();
-        remains.add(new Remains.Open(spec(JOB.text(), 4), 1, new BitSet(), 4));
+        RememberedState remains = new RememberedState();
+        remains.add(new RememberedState.OpenJob(spec(JOB.text(), 4), 1, new BitSet(), 4));
         until(() -> rebuilds(leader, remains));
         assertEquals(List.of(200), late);
         assertEquals(4, bound());
--- a/src/test/java/io/indigoreach/cluster/MachineBookTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -8,31 +8,31 @@
 import io.indigoreach.cloud.CloudClient;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
-import io.indigoreach.core.Aims;
-import io.indigoreach.core.CancellationHorizon;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.Job;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.LeaderCore;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Notes;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.ReportNumber;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.core.WorkerReport;
-import io.indigoreach.net.Budget;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.leadership.CancellationHorizon;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.scheduling.Job;
+import io.indigoreach.core.scheduling.SchedulerCore;
+import io.indigoreach.core.scheduling.SchedulerListener;
+import io.indigoreach.core.scheduling.ServiceLevelObjectives;
 import io.indigoreach.net.JsonSize;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.RateLimiter;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.state.MachineRecord;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
@@ -54,19 +54,19 @@
  * Machines that come up by the hundred are recorded in few changes. Guards against a fleet of 300 that stood idle for
  * up to 25 s, each machine waiting for a change of its own among the twelve a second that the leader may make.
  */
-class MachineBookTest {
+class MachineStoreTest {
     private static final int VALUE_BYTES = 8 * 1024;
-    private static final Pool POOL = new Pool("quad", "a-zone-of-usual-length", true);
-    private static final Stamp NOBODY = Stamp.ABSENT;
+    private static final MachinePool POOL = new MachinePool("quad", "a-zone-of-usual-length", true);
+    private static final Revision NOBODY = Revision.ABSENT;
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
     private StateStandIn state;
     private StateClient client;
-    private LeaderCore core;
-    private MachineBook book;
-    private Reign.Surroundings env;
+    private SchedulerCore core;
+    private MachineStore book;
+    private LeadershipTerm.Context env;
 
-    private Notes silent;
+    private SchedulerListener silent;
 
     /** A small node's settings. */
     static PlatformConfig config() throws Exception {
@@ -105,9 +105,10 @@
     @BeforeEach
     void start() throws Exception {
         state = await(new StateStandIn().listen(vertx));
-        client = new StateClient(new Caller(vertx, state.endpoint(), 4), new Caller(vertx, state.endpoint(), 1));
+        client = new StateClient(
+                new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
         PlatformConfig config = config();
-        silent = new Notes() {
+        silent = new SchedulerListener() {
             @Override
             public void progress(Job job) {}
 
@@ -115,13 +116,18 @@
             public void say(String line) {}
         };
         Settings settings = Settings.standard();
-        core = new LeaderCore(
-                new Token(3), config.rules(), settings.tuning(), new Aims(List.of()), config.teams(), silent);
+        core = new SchedulerCore(
+                new FencingToken(3),
+                config.rules(),
+                settings.tuning(),
+                new ServiceLevelObjectives(List.of()),
+                config.teams(),
+                silent);
         core.setTypes(List.of(new MachineType(
                 "quad", new Demand(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of(POOL.zone()))));
         core.loaded();
-        CloudClient cloud = new CloudClient(new Caller(vertx, state.endpoint(), 1));
-        env = new Reign.Surroundings(
+        CloudClient cloud = new CloudClient(new ServiceClient(vertx, state.endpoint(), 1));
+        env = new LeadershipTerm.Context(
                 vertx,
                 clock,
                 null,
@@ -131,7 +137,7 @@
                 config,
                 settings,
                 Span.seconds(10));
-        book = new MachineBook(env, core, new Token(3), NOBODY, () -> {}, new Budget(12, clock.now()));
+        book = new MachineStore(env, core, new FencingToken(3), NOBODY, () -> {}, new RateLimiter(12, clock.now()));
         onLoop(() -> {
             book.start();
             return Future.succeededFuture();
@@ -156,7 +162,8 @@
         Moment now = clock.now();
         core.rented(POOL, List.of(id), now, now);
         core.onReport(
-                new WorkerReport(id, "10.0.0.1:1", POOL, new ReportNumber(1, 1), new Token(3), null, List.of()), now);
+                new Heartbeat(id, "10.0.0.1:1", POOL, new HeartbeatNumber(1, 1), new FencingToken(3), null, List.of()),
+                now);
         return book.record(core.unrecorded(id));
     }
 
@@ -208,10 +215,19 @@
         MachineRecord earlier =
                 new MachineRecord(new MachineId("vm-000900"), POOL, clock.timeOfDay(), clock.timeOfDay());
         long revision = await(client.commit(new StateClient.Txn()
-                        .put(RecordCodec.machinePage(new Token(2), 1), RecordCodec.writeMachines(List.of(earlier)))))
+                        .put(
+                                RecordCodec.machinePage(new FencingToken(2), 1),
+                                RecordCodec.writeMachines(List.of(earlier)))))
                 .revision();
-        Ledger ledger = new Ledger(
-                env, core, book, new Stamp(revision), () -> {}, new Budget(12, now), true, new CancellationHorizon());
+        JobStore ledger = new JobStore(
+                env,
+                core,
+                book,
+                new Revision(revision),
+                () -> {},
+                new RateLimiter(12, now),
+                true,
+                new CancellationHorizon());
         onLoop(ledger::load);
         onLoop(ledger::load);
         assertTrue(onLoop(() -> report(0)));
@@ -242,12 +258,12 @@
                 core.inherit(id, POOL, now, now, now);
             }
         }
-        String wide = RecordCodec.machinePage(new Token(2), 1);
-        Stamp stamp = await(client.commit(new StateClient.Txn().put(wide, RecordCodec.writeMachines(lines))))
+        String wide = RecordCodec.machinePage(new FencingToken(2), 1);
+        Revision stamp = await(client.commit(new StateClient.Txn().put(wide, RecordCodec.writeMachines(lines))))
                 .stamp();
         state.valueBytes = 2048;
         state.txnOps = 4;
-        Reign.Surroundings narrow = new Reign.Surroundings(
+        LeadershipTerm.Context narrow = new LeadershipTerm.Context(
                 vertx,
                 clock,
                 null,
@@ -257,7 +273,7 @@
                 config("value_kb = 2.0\ntxn_ops = 4"),
                 Settings.standard(),
                 Span.seconds(10));
-        book = new MachineBook(narrow, core, new Token(3), NOBODY, () -> {}, new Budget(12, now));
+        book = new MachineStore(narrow, core, new FencingToken(3), NOBODY, () -> {}, new RateLimiter(12, now));
         onLoop(() -> {
             book.inherit(wide, stamp, lines);
             book.start();
@@ -279,26 +295,26 @@
         Moment before = clock.now();
         long revision = await(client.commit(new StateClient.Txn()
                         .put(
-                                RecordCodec.machinePage(new Token(2), 1),
+                                RecordCodec.machinePage(new FencingToken(2), 1),
                                 RecordCodec.writeMachines(List.of(new MachineRecord(
                                         new MachineId("vm-000900"), POOL, clock.timeOfDay(), clock.timeOfDay()))))))
                 .revision();
-        LeaderCore fresh = new LeaderCore(
-                new Token(3),
+        SchedulerCore fresh = new SchedulerCore(
+                new FencingToken(3),
                 env.config().rules(),
                 env.settings().tuning(),
-                new Aims(List.of()),
+                new ServiceLevelObjectives(List.of()),
                 env.config().teams(),
                 silent);
         fresh.setTypes(List.of(
                 new MachineType("quad", new Demand(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of("z"))));
-        Ledger ledger = new Ledger(
+        JobStore ledger = new JobStore(
                 env,
                 fresh,
                 book,
-                new Stamp(revision),
+                new Revision(revision),
                 () -> {},
-                new Budget(12, clock.now()),
+                new RateLimiter(12, clock.now()),
                 true,
                 new CancellationHorizon());
         Moment begun = clock.now();
@@ -344,16 +360,16 @@
      */
     @Test
     void recordsOlderThanTheLeadershipAreNotBelieved() throws Exception {
-        long revision = await(client.commit(new StateClient.Txn().put("leader", Wire.map("n", 1L))))
+        long revision = await(client.commit(new StateClient.Txn().put("leader", MessagePackFormat.map("n", 1L))))
                 .revision();
         for (long key : new long[] {revision, revision + 1}) {
-            Ledger ledger = new Ledger(
+            JobStore ledger = new JobStore(
                     env,
                     core,
                     book,
-                    new Stamp(key),
+                    new Revision(key),
                     () -> {},
-                    new Budget(12, clock.now()),
+                    new RateLimiter(12, clock.now()),
                     true,
                     new CancellationHorizon());
             assertEquals(
@@ -368,7 +384,7 @@
                 new JobId("run-1"),
                 "c",
                 "t",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Urgency.STANDARD,
                 3,
                 new Demand(1, 0, 1),
@@ -389,20 +405,20 @@
                                 RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 0))))
                 .revision();
         for (boolean kept : new boolean[] {false, true}) {
-            LeaderCore fresh = new LeaderCore(
-                    new Token(3),
+            SchedulerCore fresh = new SchedulerCore(
+                    new FencingToken(3),
                     env.config().rules(),
                     env.settings().tuning(),
-                    new Aims(List.of()),
+                    new ServiceLevelObjectives(List.of()),
                     env.config().teams(),
                     silent);
-            Ledger ledger = new Ledger(
+            JobStore ledger = new JobStore(
                     env,
                     fresh,
                     book,
-                    new Stamp(revision),
+                    new Revision(revision),
                     () -> {},
-                    new Budget(12, clock.now()),
+                    new RateLimiter(12, clock.now()),
                     kept,
                     new CancellationHorizon());
             onLoop(ledger::load);
