--- a/src/test/java/io/indigoreach/cluster/RebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -3,28 +3,28 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.config.Settings;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.core.loss.Remains;
-import io.indigoreach.core.records.Family;
-import io.indigoreach.core.records.Kept;
-import io.indigoreach.net.Budget;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.loss.RememberedState;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.records.RecordFamily;
+import io.indigoreach.core.records.VersionedRecord;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.RateLimiter;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.parts.Parts;
 import io.indigoreach.state.RecordCodec;
-import io.indigoreach.state.RemainsCodec;
+import io.indigoreach.state.RememberedStateCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -35,7 +35,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A try that ended half-way is followed by another of the same leadership, which names no page that is there. */
-class RebuilderTest {
+class StateRebuilderTest {
     private static <T> T await(Future<T> future) throws Exception {
         return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     }
@@ -45,26 +45,28 @@
         Vertx vertx = Vertx.vertx();
         try {
             StateStandIn state = await(new StateStandIn().listen(vertx));
-            StateClient client =
-                    new StateClient(new Caller(vertx, state.endpoint(), 2), new Caller(vertx, state.endpoint(), 1));
+            StateClient client = new StateClient(
+                    new ServiceClient(vertx, state.endpoint(), 2), new ServiceClient(vertx, state.endpoint(), 1));
             SteadyClock clock = new SteadyClock();
-            Reign.Surroundings env = new Reign.Surroundings(
+            LeadershipTerm.Context env = new LeadershipTerm.Context(
                     vertx,
                     clock,
                     null,
                     client,
                     null,
                     null,
-                    MachineBookTest.config(),
+                    MachineStoreTest.config(),
                     Settings.standard(),
                     Span.seconds(10));
             StateClient.Outcome taken =
-                    await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, Wire.map("t", 1L))));
-            Remains remains = new Remains();
+                    await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))));
+            RememberedState remains = new RememberedState();
             for (int n = 1; n < 3; n++) {
                 Moment now = clock.now();
-                remains.add(new Remains.Rented(new MachineId("vm-" + n), new Pool("quad", "a", true), now, now));
-                await(new Rebuilder(env, new Token(3), taken.stamp(), new Budget(100, now), remains).run());
+                remains.add(new RememberedState.RentedMachine(
+                        new MachineId("vm-" + n), new MachinePool("quad", "a", true), now, now));
+                await(new StateRebuilder(env, new FencingToken(3), taken.stamp(), new RateLimiter(100, now), remains)
+                        .run());
                 assertEquals(
                         n,
                         state.keys("m/").stream()
@@ -84,42 +86,45 @@
         Vertx vertx = Vertx.vertx();
         try {
             StateStandIn state = await(new StateStandIn().listen(vertx));
-            StateClient client =
-                    new StateClient(new Caller(vertx, state.endpoint(), 2), new Caller(vertx, state.endpoint(), 1));
+            StateClient client = new StateClient(
+                    new ServiceClient(vertx, state.endpoint(), 2), new ServiceClient(vertx, state.endpoint(), 1));
             SteadyClock clock = new SteadyClock();
             Parts parts = Parts.of(
                     List.of(new Parts.Kind(
-                            Settings.Knob.CHECK_S,
-                            List.of(new Family("x/", 10, true, Family.Mending.NEWER)),
+                            Settings.Setting.CHECK_S,
+                            List.of(new RecordFamily("x/", 10, true, RecordFamily.Mending.NEWER)),
                             ground -> null)),
                     vertx,
                     client,
                     clock,
                     null,
-                    MachineBookTest.config(),
+                    MachineStoreTest.config(),
                     Settings.standard());
-            Reign.Surroundings env = new Reign.Surroundings(
+            LeadershipTerm.Context env = new LeadershipTerm.Context(
                     vertx,
                     clock,
                     null,
                     client,
                     null,
                     null,
-                    MachineBookTest.config(),
+                    MachineStoreTest.config(),
                     Settings.standard(),
                     Span.seconds(10),
                     parts);
             StateClient.Outcome taken = await(client.commit(new StateClient.Txn()
-                    .put(RecordCodec.LEADER, Wire.map("t", 1L))
-                    .put("x/older", Wire.map("n", 1L, Kept.VERSION, 1L))
-                    .put("x/newer", Wire.map("n", 9L, Kept.VERSION, 9L))));
-            Remains remains = new Remains();
+                    .put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))
+                    .put("x/older", MessagePackFormat.map("n", 1L, VersionedRecord.VERSION, 1L))
+                    .put("x/newer", MessagePackFormat.map("n", 9L, VersionedRecord.VERSION, 9L))));
+            RememberedState remains = new RememberedState();
             for (String key : List.of("x/gone", "x/older", "x/newer", "y/other")) {
-                remains.add(new Kept(key, Wire.map("n", 4L, Kept.VERSION, 4L), Stamp.ABSENT));
+                remains.add(new VersionedRecord(
+                        key, MessagePackFormat.map("n", 4L, VersionedRecord.VERSION, 4L), Revision.ABSENT));
             }
-            Remains told = new Remains();
-            RemainsCodec.read(Wire.readMap(Wire.write(RemainsCodec.write(remains, 0))), told);
-            await(new Rebuilder(env, new Token(3), taken.stamp(), new Budget(100, clock.now()), told).run());
+            RememberedState told = new RememberedState();
+            RememberedStateCodec.read(
+                    MessagePackFormat.readMap(MessagePackFormat.write(RememberedStateCodec.write(remains, 0))), told);
+            await(new StateRebuilder(env, new FencingToken(3), taken.stamp(), new RateLimiter(100, clock.now()), told)
+                    .run());
             assertEquals(List.of("x/gone", "x/newer", "x/older"), state.keys("x/"));
             assertEquals(
                     List.of(4L, 9L, 4L),
@@ -141,29 +146,29 @@
         Vertx vertx = Vertx.vertx();
         try {
             StateStandIn state = await(new StateStandIn().listen(vertx));
-            StateClient client =
-                    new StateClient(new Caller(vertx, state.endpoint(), 2), new Caller(vertx, state.endpoint(), 1));
+            StateClient client = new StateClient(
+                    new ServiceClient(vertx, state.endpoint(), 2), new ServiceClient(vertx, state.endpoint(), 1));
             SteadyClock clock = new SteadyClock();
-            Reign.Surroundings env = new Reign.Surroundings(
+            LeadershipTerm.Context env = new LeadershipTerm.Context(
                     vertx,
                     clock,
                     null,
                     client,
                     null,
                     null,
-                    MachineBookTest.config(),
+                    MachineStoreTest.config(),
                     Settings.standard(),
                     Span.seconds(10));
             StateClient.Txn before = new StateClient.Txn()
-                    .put(RecordCodec.LEADER, Wire.map("t", 1L))
-                    .put("j/run-1", Wire.map("at", "x"))
-                    .put("j/run-2", Wire.map())
-                    .put("p/run-3/0", Wire.map("bits", 7L));
-            Remains remains = new Remains();
+                    .put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))
+                    .put("j/run-1", MessagePackFormat.map("at", "x"))
+                    .put("j/run-2", MessagePackFormat.map())
+                    .put("p/run-3/0", MessagePackFormat.map("bits", 7L));
+            RememberedState remains = new RememberedState();
             for (int n = 10; n < 500; n++) {
                 JobId id = new JobId("run-" + n);
                 before.put(RecordCodec.over(id), RecordCodec.writeFinal(JobStatus.DONE, 1));
-                remains.add(id, new Remains.Over(JobStatus.DONE, 1));
+                remains.add(id, new RememberedState.FinishedJob(JobStatus.DONE, 1));
             }
             int limit = state.txnOps;
             state.txnOps = before.size();
@@ -173,7 +178,7 @@
                     new JobId("run-1"),
                     "c",
                     "t",
-                    Shape.ARRAY,
+                    JobKind.ARRAY,
                     Urgency.STANDARD,
                     2,
                     new Demand(1, 0, 1),
@@ -188,13 +193,15 @@
                     Span.ZERO,
                     Span.ZERO,
                     null);
-            remains.add(new Remains.Open(spec, 1, new BitSet(), 2));
-            remains.add(new JobId("run-2"), new Remains.Over(JobStatus.CANCELLED, 0));
+            remains.add(new RememberedState.OpenJob(spec, 1, new BitSet(), 2));
+            remains.add(new JobId("run-2"), new RememberedState.FinishedJob(JobStatus.CANCELLED, 0));
             int changes = state.changed;
-            await(new Rebuilder(env, new Token(3), taken.stamp(), new Budget(1000, clock.now()), remains).run());
+            await(new StateRebuilder(
+                            env, new FencingToken(3), taken.stamp(), new RateLimiter(1000, clock.now()), remains)
+                    .run());
             assertEquals(
                     "t",
-                    RecordCodec.readJob(spec.id(), state.value("j/run-1"), Stamp.ABSENT)
+                    RecordCodec.readJob(spec.id(), state.value("j/run-1"), Revision.ABSENT)
                             .spec()
                             .team());
             assertEquals(List.of("j/run-1"), state.keys("j/"));
--- a/src/test/java/io/indigoreach/cluster/WarmUpTest.java
+++ b/src/test/java/io/indigoreach/cluster/WarmUpTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.indigoreach.config.Settings;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.SteadyClock;
 import io.vertx.core.Vertx;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -18,14 +18,14 @@
         Vertx vertx = Vertx.vertx();
         try {
             WarmUp warmUp = new WarmUp(
-                    new Reign.Surroundings(
+                    new LeadershipTerm.Context(
                             vertx,
                             new SteadyClock(),
                             null,
                             null,
                             null,
                             null,
-                            MachineBookTest.config(),
+                            MachineStoreTest.config(),
                             Settings.standard(),
                             Span.seconds(10)),
                     () -> leads);
--- a/src/test/java/io/indigoreach/config/ConfigTest.java
+++ b/src/test/java/io/indigoreach/config/ConfigTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Span;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/io/indigoreach/core/accounts/MeterTest.java
+++ b/src/test/java/io/indigoreach/core/accounts/MeterTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Pool;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -18,7 +18,7 @@
 /** The sum of all accounts against what a cloud charges, over any order of events and any change of leader. */
 @SuppressWarnings("ReferenceEquality") // A write is conditional on the very sheet that was read.
 class MeterTest {
-    private static final Pool WHERE = new Pool("big", "east", false);
+    private static final MachinePool WHERE = new MachinePool("big", "east", false);
     private static final double PRICE = 3.6;
     private static final long LEAST_MS = 60_000;
 
--- a/src/test/java/io/indigoreach/core/calendar/ForecastTest.java
+++ b/src/test/java/io/indigoreach/core/calendar/ForecastTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/io/indigoreach/core/calendar/OnceTest.java
+++ b/src/test/java/io/indigoreach/core/calendar/OnceTest.java
@@ -5,14 +5,14 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.records.Change;
-import io.indigoreach.core.records.Kept;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.core.records.Routine;
-import io.indigoreach.core.records.Seen;
 import io.indigoreach.core.records.Step;
+import io.indigoreach.core.records.StepResult;
+import io.indigoreach.core.records.Transaction;
+import io.indigoreach.core.records.VersionedRecord;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -25,43 +25,44 @@
 class OnceTest {
     /** A state service of a map. */
     private static final class Store {
-        final Map<String, Kept> records = new HashMap<>();
+        final Map<String, VersionedRecord> records = new HashMap<>();
         long revision;
 
-        boolean commit(Change change) {
+        boolean commit(Transaction change) {
             if (change.conditions().entrySet().stream()
                     .anyMatch(e -> !read(e.getKey()).stamp().equals(e.getValue()))) {
                 return false;
             }
             revision++;
-            change.writes().forEach((key, value) -> records.put(key, new Kept(key, value, new Stamp(revision))));
+            change.writes()
+                    .forEach((key, value) -> records.put(key, new VersionedRecord(key, value, new Revision(revision))));
             return true;
         }
 
-        Kept read(String key) {
-            return records.getOrDefault(key, Kept.absent(key));
+        VersionedRecord read(String key) {
+            return records.getOrDefault(key, VersionedRecord.absent(key));
         }
 
         /** Runs a routine to its end, or until it has made {@code most} steps: then null. */
         <R> R run(Routine<R> routine, int most) {
-            Seen seen = Seen.nothing(1, 0);
+            StepResult seen = StepResult.nothing(1, 0);
             for (int i = 0; i < most; i++) {
                 Step<R> step = routine.next(seen);
                 if (step instanceof Step.End<R> end) {
                     return end.result();
                 } else if (step instanceof Step.Read<R> read) {
-                    Map<String, Kept> found = new LinkedHashMap<>();
+                    Map<String, VersionedRecord> found = new LinkedHashMap<>();
                     read.keys().forEach(k -> found.put(k, read(k)));
-                    seen = new Seen(1, 0, found, false, null, List.of());
+                    seen = new StepResult(1, 0, found, false, null, List.of());
                 } else {
-                    Change change = ((Step.Write<R>) step).change();
+                    Transaction change = ((Step.Write<R>) step).change();
                     boolean done = commit(change);
-                    seen = new Seen(
+                    seen = new StepResult(
                             1,
                             0,
                             Map.of(),
                             false,
-                            done ? new Stamp(revision) : null,
+                            done ? new Revision(revision) : null,
                             done ? List.of() : List.copyOf(change.conditions().keySet()));
                 }
             }
@@ -70,7 +71,7 @@
     }
 
     /** An acceptance on its way: it may arrive late, or twice. */
-    private record Submission(JobId id, String plan, Change change) {}
+    private record Submission(JobId id, String plan, Transaction change) {}
 
     private static final int PLANS = 6;
     private static final Day DAY = Day.of(2027, 3, 1);
@@ -123,7 +124,7 @@
             }
             DayPage page = store.run(PageChange.reading(DAY, plan), 9);
             Mark mark = page.mark(plan);
-            Change change = mark == null || now > departs[n] ? null : page.accepting(plan, mark.id(), 8, now);
+            Transaction change = mark == null || now > departs[n] ? null : page.accepting(plan, mark.id(), 8, now);
             if (change != null && random.nextInt(4) == 0) {
                 under.add(new Submission(mark.id(), plan, change));
             }
@@ -131,7 +132,7 @@
                 Submission s = random.nextInt(2) == 0
                         ? under.get(random.nextInt(under.size()))
                         : under.remove(random.nextInt(under.size()));
-                if (!jobs.containsKey(s.id) && store.commit(marked ? s.change : new Change())) {
+                if (!jobs.containsKey(s.id) && store.commit(marked ? s.change : new Transaction())) {
                     jobs.put(s.id, s.plan);
                 }
             }
@@ -173,7 +174,7 @@
             Store store = new Store();
             String one = "a".repeat(15_000);
             String two = "b".repeat(20_000);
-            Head base = store.run(new Reading(null), 9).head();
+            CalendarVersion base = store.run(new Reading(null), 9).head();
             // The one ends after some of its steps, the other made from the same version does all of its own in
             // between.
             Publishing first = new Publishing(base, "1", one, 1, "");
--- a/src/test/java/io/indigoreach/core/calendar/Samples.java
+++ b/src/test/java/io/indigoreach/core/calendar/Samples.java
@@ -1,14 +1,14 @@
 package io.indigoreach.core.calendar;
 
 import io.indigoreach.calendar.JavaZones;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Team;
-import io.indigoreach.core.Urgency;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.Urgency;
 import java.time.ZonedDateTime;
 import java.util.List;
 
@@ -26,7 +26,7 @@
                 new JobId("run-0"),
                 "tours",
                 "t",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Urgency.HIGH,
                 tasks,
                 new Demand(1, 0, 1),
--- a/src/test/java/io/indigoreach/core/chain/DependencyGraphTest.java
+++ b/src/test/java/io/indigoreach/core/dependency/DependencyGraphTest.java
@@ -1,12 +1,13 @@
-package io.indigoreach.core.chain;
+package io.indigoreach.core.dependency;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Urgency;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobTarget;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
@@ -94,21 +95,21 @@
         add(3, 1, 2);
         add(4, 3);
         add(5, 3);
-        Map<JobId, Target> own = Map.of(
-                id(3), new Target(Urgency.BEST_EFFORT, null),
-                id(4), new Target(Urgency.HIGH, new Moment(100_000)),
-                id(5), new Target(Urgency.STANDARD, new Moment(98_000)));
-        Target first = new Target(Urgency.HIGH, new Moment(90_000));
+        Map<JobId, JobTarget> own = Map.of(
+                id(3), new JobTarget(Urgency.BEST_EFFORT, null),
+                id(4), new JobTarget(Urgency.HIGH, new Moment(100_000)),
+                id(5), new JobTarget(Urgency.STANDARD, new Moment(98_000)));
+        JobTarget first = new JobTarget(Urgency.HIGH, new Moment(90_000));
         assertEquals(
-                Map.of(id(1), first, id(2), first, id(3), new Target(Urgency.HIGH, new Moment(93_000))),
+                Map.of(id(1), first, id(2), first, id(3), new JobTarget(Urgency.HIGH, new Moment(93_000))),
                 Lookahead.of(graph, own::get, DependencyGraphTest::run));
         graph.cancelled(id(5));
         assertEquals(
-                new Target(Urgency.HIGH, new Moment(93_000)),
+                new JobTarget(Urgency.HIGH, new Moment(93_000)),
                 Lookahead.of(graph, own::get, DependencyGraphTest::run).get(id(1)));
         graph.cancelled(id(4));
         assertEquals(
-                new Target(Urgency.BEST_EFFORT, null),
+                new JobTarget(Urgency.BEST_EFFORT, null),
                 Lookahead.of(graph, own::get, DependencyGraphTest::run).get(id(1)));
     }
 
--- a/src/test/java/io/indigoreach/core/duty/IntentsTest.java
+++ b/src/test/java/io/indigoreach/core/intent/IntentsTest.java
@@ -1,11 +1,11 @@
-package io.indigoreach.core.duty;
+package io.indigoreach.core.intent;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Pool;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -20,7 +20,7 @@
 
 /** Nothing is asked of the cloud that is not recorded, and whoever leads next settles what was. */
 class IntentsTest {
-    private static final Pool POOL = new Pool("quad", "east", true);
+    private static final MachinePool POOL = new MachinePool("quad", "east", true);
 
     /** A guard that a run can do without, to see that it then breaks its rule. */
     enum Without {
--- a/src/test/java/io/indigoreach/core/CancellationHorizonTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/CancellationHorizonTest.java
@@ -1,9 +1,13 @@
-package io.indigoreach.core;
+package io.indigoreach.core.leadership;
 
-import static io.indigoreach.core.World.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.scheduling.SimulatedWorld;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -52,6 +56,6 @@
         horizon.told(Span.seconds(1e6), at(20), at(21));
         assertEquals(Moment.NEVER, horizon.until());
         assertEquals(Span.ZERO, horizon.missing(at(20), Span.seconds(3)));
-        assertTrue(at(20).since(horizon.until()).compareTo(World.RULES.horizonAge()) > 0);
+        assertTrue(at(20).since(horizon.until()).compareTo(SimulatedWorld.RULES.horizonAge()) > 0);
     }
 }
--- a/src/test/java/io/indigoreach/core/ToldCancellationsTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/ConfirmedCancellationsTest.java
@@ -1,8 +1,11 @@
-package io.indigoreach.core;
+package io.indigoreach.core.leadership;
 
-import static io.indigoreach.core.World.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
@@ -10,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A node's word never reaches further back than it remembers: what it leaves out, a leader must not take for nothing. */
-class ToldCancellationsTest {
+class ConfirmedCancellationsTest {
     /** A process that began at 100 s has told of run-1 at 110 s and run-2 at 120 s; asked at 130 s. */
     @ParameterizedTest
     @CsvSource({
@@ -23,10 +26,10 @@
         "0, 0, ''"
     })
     void coversWhatIsAskedForSinceItBegan(double asked, double covered, String jobs) {
-        ToldCancellations told = new ToldCancellations(at(100));
+        ConfirmedCancellations told = new ConfirmedCancellations(at(100));
         told.add(new JobId("run-1"), at(110));
         told.add(new JobId("run-2"), at(120));
-        CancellationWord word = told.word(Span.seconds(asked), at(130));
+        CancellationSummary word = told.word(Span.seconds(asked), at(130));
         assertEquals(Span.seconds(covered), word.covered());
         assertEquals(
                 Set.of(jobs.split(" ")),
@@ -39,13 +42,13 @@
     /** Guards against a word without the earliest ones that claims to be whole. */
     @Test
     void whatIsForgottenIsNotCovered() {
-        ToldCancellations told = new ToldCancellations(at(0));
-        for (int n = 0; n < ToldCancellations.MOST + 10; n++) {
+        ConfirmedCancellations told = new ConfirmedCancellations(at(0));
+        for (int n = 0; n < ConfirmedCancellations.MOST + 10; n++) {
             told.add(new JobId("run-" + n), at(10 + n));
         }
-        Moment now = at(10 + ToldCancellations.MOST + 9);
-        CancellationWord word = told.word(Span.seconds(5000), now);
-        assertEquals(ToldCancellations.MOST, word.cancelled().size());
+        Moment now = at(10 + ConfirmedCancellations.MOST + 9);
+        CancellationSummary word = told.word(Span.seconds(5000), now);
+        assertEquals(ConfirmedCancellations.MOST, word.cancelled().size());
         assertEquals(now.since(at(19)), word.covered(), "up to the last that was forgotten, told at 19 s");
     }
 }
--- a/src/test/java/io/indigoreach/core/IsolationTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/IsolationCheckTest.java
@@ -1,14 +1,17 @@
-package io.indigoreach.core;
+package io.indigoreach.core.leadership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.scheduling.SimulatedWorld;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What a node that the state service does not answer is to think, second by second. */
-class IsolationTest {
+class IsolationCheckTest {
     /**
      * A word for each second, a letter for each other node: s it is served, n it is not, - it does not answer, alone: there is none; ok: the state
      * service answers this node; a number repeats the word before it. Then the last verdict, and how often the node was removed.
@@ -36,9 +39,9 @@
         "---- 5, CUT_OFF, 1",
         "---n 9, TOGETHER, 0"
     })
-    void verdicts(String seconds, Isolation.Verdict last, int removals) {
-        Isolation node = new Isolation();
-        Moment now = World.at(100);
+    void verdicts(String seconds, IsolationCheck.Verdict last, int removals) {
+        IsolationCheck node = new IsolationCheck();
+        Moment now = SimulatedWorld.at(100);
         int removed = 0;
         String[] words = seconds.split(" ");
         for (int i = 0; i < words.length; i += 2) {
@@ -53,9 +56,9 @@
                 now = now.plus(Span.seconds(1));
             }
         }
-        Isolation.Verdict is = node.isCutOff()
-                ? Isolation.Verdict.CUT_OFF
-                : node.isOutOfTouch() ? Isolation.Verdict.REFUSED_ALONE : Isolation.Verdict.TOGETHER;
+        IsolationCheck.Verdict is = node.isCutOff()
+                ? IsolationCheck.Verdict.CUT_OFF
+                : node.isOutOfTouch() ? IsolationCheck.Verdict.REFUSED_ALONE : IsolationCheck.Verdict.TOGETHER;
         assertEquals(last + " " + removals, is + " " + removed);
     }
 
--- a/src/test/java/io/indigoreach/core/TokenClockTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/TokenGeneratorTest.java
@@ -1,9 +1,11 @@
-package io.indigoreach.core;
+package io.indigoreach.core.leadership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Span;
 import java.util.HashSet;
 import java.util.Random;
 import java.util.Set;
@@ -13,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Guards against a token that is used twice, which the state service's loss of its counter brought about. */
-class TokenClockTest {
+class TokenGeneratorTest {
     private static final long NOW = 1_800_000_000_000L;
     private static final Span OFF = Span.seconds(0.1);
 
@@ -22,20 +24,20 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void noneIsUsedTwiceWhateverHappensToTheCounter(long seed) {
         Random random = new Random(seed);
-        TokenClock[] nodes = new TokenClock[3];
-        Set<Token> used = new HashSet<>();
-        Token counter = Token.NONE;
-        Token older = Token.NONE;
+        TokenGenerator[] nodes = new TokenGenerator[3];
+        Set<FencingToken> used = new HashSet<>();
+        FencingToken counter = FencingToken.NONE;
+        FencingToken older = FencingToken.NONE;
         long now = NOW;
         for (int step = 0; step < 2000; step++) {
             now += 400 + random.nextInt(2000);
             int n = random.nextInt(3);
             long clock = now + random.nextInt((int) (2 * OFF.ms())) - OFF.ms();
             if (nodes[n] == null || random.nextInt(10) == 0) {
-                nodes[n] = new TokenClock(n, clock, OFF);
+                nodes[n] = new TokenGenerator(n, clock, OFF);
                 continue;
             }
-            Token token = nodes[n].next(counter, clock);
+            FencingToken token = nodes[n].next(counter, clock);
             assertTrue(used.add(token), token + " is used twice at step " + step);
             if (random.nextInt(4) > 0) {
                 nodes[n].seen(token);
@@ -43,7 +45,7 @@
             }
             older = random.nextInt(20) == 0 ? counter : older;
             counter = switch (random.nextInt(10)) {
-                case 0 -> Token.NONE;
+                case 0 -> FencingToken.NONE;
                 case 1 -> older;
                 default -> counter;
             };
@@ -54,11 +56,13 @@
     @ParameterizedTest
     @CsvSource({"0, 0, 0", "7, 0, 0", "99, 1800000000000, 0", "0, 1800000000000, 9000000000000", "9000000000000, 0, 5"})
     void theNextIsAboveAllThatIsKnown(long counted, long timeOfDay, long seen) {
-        TokenClock clock = new TokenClock(1, timeOfDay, OFF);
-        clock.seen(new Token(seen));
-        Token next = clock.next(new Token(counted), timeOfDay);
+        TokenGenerator clock = new TokenGenerator(1, timeOfDay, OFF);
+        clock.seen(new FencingToken(seen));
+        FencingToken next = clock.next(new FencingToken(counted), timeOfDay);
         assertTrue(next.value() > counted && next.value() > seen, next.toString());
-        assertTrue(clock.next(new Token(counted), timeOfDay).value() > next.value(), "a try that had no answer counts");
+        assertTrue(
+                clock.next(new FencingToken(counted), timeOfDay).value() > next.value(),
+                "a try that had no answer counts");
         assertTrue(
                 next.attempt(0xfffffff).value() > 0 || Math.max(counted, seen) > 1L << 35,
                 "attempts stay in their range");
@@ -66,11 +70,11 @@
 
     @Test
     void aCounterBelowWhatWasInUseShowsALoss() {
-        TokenClock clock = new TokenClock(0, NOW, OFF);
-        Token first = clock.next(Token.NONE, NOW);
-        assertFalse(clock.isBehind(Token.NONE), "a campaign that was not won is no leadership");
+        TokenGenerator clock = new TokenGenerator(0, NOW, OFF);
+        FencingToken first = clock.next(FencingToken.NONE, NOW);
+        assertFalse(clock.isBehind(FencingToken.NONE), "a campaign that was not won is no leadership");
         clock.seen(first);
-        assertTrue(clock.isBehind(Token.NONE));
+        assertTrue(clock.isBehind(FencingToken.NONE));
         assertFalse(clock.isBehind(first));
         assertEquals(first, clock.highest());
     }
--- a/src/test/java/io/indigoreach/core/loss/LeaderMemoryTest.java
+++ b/src/test/java/io/indigoreach/core/loss/LeaderMemoryTest.java
@@ -2,13 +2,13 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Urgency;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
 import java.util.BitSet;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -18,12 +18,12 @@
     private static final JobId OPEN = new JobId("run-1");
     private static final JobId OVER = new JobId("run-2");
 
-    private static Remains remains() {
+    private static RememberedState remains() {
         JobSpec spec = new JobSpec(
                 OPEN,
                 "c",
                 "t",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Urgency.STANDARD,
                 2,
                 new Demand(1, 0, 1),
@@ -38,9 +38,9 @@
                 Span.ZERO,
                 Span.ZERO,
                 null);
-        Remains r = new Remains();
-        r.add(new Remains.Open(spec, 1, new BitSet(), 2));
-        r.add(OVER, new Remains.Over(JobStatus.DONE, 1));
+        RememberedState r = new RememberedState();
+        r.add(new RememberedState.OpenJob(spec, 1, new BitSet(), 2));
+        r.add(OVER, new RememberedState.FinishedJob(JobStatus.DONE, 1));
         return r;
     }
 
@@ -53,7 +53,7 @@
         memory.ends(remains());
         for (char leadership : later.toCharArray()) {
             memory.begins(leadership == 'i');
-            memory.ends(new Remains());
+            memory.ends(new RememberedState());
         }
         assertEquals(open ? 1 : 0, memory.known().open().size());
         assertEquals(JobStatus.DONE, memory.known().over().get(OVER).status(), "for ever");
--- a/src/test/java/io/indigoreach/core/loss/LossTablesTest.java
+++ b/src/test/java/io/indigoreach/core/loss/LossTablesTest.java
@@ -3,14 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.Urgency;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collections;
@@ -48,14 +48,14 @@
         "e5 e0 e6 e0, true"
     })
     void holding(String steps, boolean holding) {
-        LossJudge judge = new LossJudge();
+        LossDetector judge = new LossDetector();
         for (String step : steps.split(" ")) {
             String[] numbers = step.substring(1).split("<");
             long first = numbers[0].isEmpty() ? 0 : Long.parseLong(numbers[0]);
             switch (step.charAt(0)) {
                 case 'e' -> judge.era(first);
                 case 'r' -> judge.revision(first, Long.parseLong(numbers[1]));
-                case 'c' -> judge.counter(new Token(first), new Token(Long.parseLong(numbers[1])));
+                case 'c' -> judge.counter(new FencingToken(first), new FencingToken(Long.parseLong(numbers[1])));
                 case 't' -> judge.told(first);
                 default -> judge.gone("j/run-1");
             }
@@ -63,17 +63,17 @@
         assertEquals(holding, judge.isHolding(), judge.findings().toString());
     }
 
-    private static Remains.Open open(int id, String done, int bound) {
+    private static RememberedState.OpenJob open(int id, String done, int bound) {
         BitSet bits = new BitSet();
         for (char c : done.toCharArray()) {
             bits.set(c - '0');
         }
-        return new Remains.Open(
+        return new RememberedState.OpenJob(
                 new JobSpec(
                         new JobId("run-" + id),
                         "c",
                         "t",
-                        Shape.ARRAY,
+                        JobKind.ARRAY,
                         Urgency.STANDARD,
                         8,
                         new Demand(1, 0, 1),
@@ -97,17 +97,18 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void theOrderOfCopiesDoesNotMatter(long seed) {
-        List<Remains> copies = new ArrayList<>();
-        for (Remains.Open job : List.of(open(1, "01", 2), open(1, "3", 5), open(2, "", 8), open(3, "0", 1))) {
-            Remains one = new Remains();
+        List<RememberedState> copies = new ArrayList<>();
+        for (RememberedState.OpenJob job :
+                List.of(open(1, "01", 2), open(1, "3", 5), open(2, "", 8), open(3, "0", 1))) {
+            RememberedState one = new RememberedState();
             one.add(job);
             copies.add(one);
         }
-        Remains ended = new Remains();
-        ended.add(new JobId("run-2"), new Remains.Over(JobStatus.CANCELLED, 1));
+        RememberedState ended = new RememberedState();
+        ended.add(new JobId("run-2"), new RememberedState.FinishedJob(JobStatus.CANCELLED, 1));
         copies.add(ended);
         Collections.shuffle(copies, new Random(seed));
-        Remains all = new Remains();
+        RememberedState all = new RememberedState();
         copies.forEach(all::add);
         assertEquals(
                 List.of("run-2"), all.over().keySet().stream().map(JobId::text).toList());
@@ -130,7 +131,7 @@
         "1, 5, 0, 7, 01 7"
     })
     void whatIsStillThereIsJoined(String remembered, int bound, String kept, int keptBound, String written) {
-        Remains.Open merged = Remains.merged(open(1, remembered, bound), open(1, kept, keptBound));
+        RememberedState.OpenJob merged = RememberedState.merged(open(1, remembered, bound), open(1, kept, keptBound));
         if (written == null) {
             assertNull(merged);
         } else {
--- a/src/test/java/io/indigoreach/core/loss/SalvageTest.java
+++ b/src/test/java/io/indigoreach/core/loss/RecordRepairTest.java
@@ -2,25 +2,25 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Urgency;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
 import java.util.BitSet;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What is written in place of a record that cannot be read; "?" is what it does not say either, "-" what nobody has. */
-class SalvageTest {
+class RecordRepairTest {
     private static final JobId ID = new JobId("run-1");
     private static final JobSpec SPEC = new JobSpec(
             ID,
             "c",
             "t",
-            Shape.ARRAY,
+            JobKind.ARRAY,
             Urgency.STANDARD,
             8,
             new Demand(1, 0, 1),
@@ -36,23 +36,23 @@
             Span.ZERO,
             null);
 
-    private static Salvage.Rest rest(String status, String done) {
-        return new Salvage.Rest(
+    private static RecordRepair.Rest rest(String status, String done) {
+        return new RecordRepair.Rest(
                 status.equals("?") ? null : JobStatus.valueOf(status),
                 done.equals("?") ? null : Long.valueOf(done),
                 60L);
     }
 
-    private static Remains memory(String remembered) {
-        Remains memory = new Remains();
+    private static RememberedState memory(String remembered) {
+        RememberedState memory = new RememberedState();
         switch (remembered) {
             case "-" -> {}
             case "open" -> {
                 BitSet two = new BitSet();
                 two.set(3, 5);
-                memory.add(new Remains.Open(SPEC, 100, two, 4));
+                memory.add(new RememberedState.OpenJob(SPEC, 100, two, 4));
             }
-            default -> memory.add(ID, new Remains.Over(JobStatus.valueOf(remembered), 8));
+            default -> memory.add(ID, new RememberedState.FinishedJob(JobStatus.valueOf(remembered), 8));
         }
         return memory;
     }
@@ -78,7 +78,7 @@
         "RUNNING, 8, -, true, open 0"
     })
     void ofAnOpenJob(String status, String done, String remembered, boolean offered, String written) {
-        Remains out = Salvage.open(ID, rest(status, done), memory(remembered), offered ? SPEC : null, 500);
+        RememberedState out = RecordRepair.open(ID, rest(status, done), memory(remembered), offered ? SPEC : null, 500);
         assertEquals(
                 written,
                 out.isEmpty()
@@ -106,7 +106,8 @@
         "DONE, 8, CANCELLED, false, CANCELLED"
     })
     void ofAJobThatIsOver(String status, String done, String remembered, boolean offered, String written) {
-        Remains.Over end = Salvage.end(ID, rest(status, done), memory(remembered), offered ? SPEC : null);
+        RememberedState.FinishedJob end =
+                RecordRepair.end(ID, rest(status, done), memory(remembered), offered ? SPEC : null);
         assertEquals(written, end == null ? "nothing" : end.status().name());
     }
 }
--- a/src/test/java/io/indigoreach/core/ownership/OwnershipTest.java
+++ b/src/test/java/io/indigoreach/core/ownership/OwnershipTest.java
@@ -6,13 +6,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.dynatrace.hash4j.hashing.Hashing;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.records.Change;
-import io.indigoreach.core.records.Kept;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.core.records.Routine;
-import io.indigoreach.core.records.Seen;
 import io.indigoreach.core.records.Step;
+import io.indigoreach.core.records.StepResult;
+import io.indigoreach.core.records.Transaction;
+import io.indigoreach.core.records.VersionedRecord;
 import java.util.BitSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -26,7 +26,7 @@
     private static final int MOST = 12;
     private static final int THOUSANDS = Integer.getInteger("ownership.records", 2_000);
 
-    private final TreeMap<String, Kept> store = new TreeMap<>();
+    private final TreeMap<String, VersionedRecord> store = new TreeMap<>();
     private final Registry registry = new Registry(Hashing.xxh3_64()::hashCharsToLong);
     private long era = 1;
     private long now = 1_800_000_000_000L;
@@ -41,15 +41,15 @@
     }
 
     private <R> R run(Routine<R> routine) {
-        Seen seen = Seen.nothing(era, now);
+        StepResult seen = StepResult.nothing(era, now);
         for (int steps = 0; steps < 100_000; steps++) {
             Step<R> step = routine.next(seen);
             if (step instanceof Step.End<R> end) {
                 return end.result();
             }
-            Map<String, Kept> found = new LinkedHashMap<>();
+            Map<String, VersionedRecord> found = new LinkedHashMap<>();
             if (step instanceof Step.Read<R> read) {
-                read.keys().forEach(k -> found.put(k, store.getOrDefault(k, Kept.absent(k))));
+                read.keys().forEach(k -> found.put(k, store.getOrDefault(k, VersionedRecord.absent(k))));
             } else if (step instanceof Step.Scan<R> scan) {
                 store.values().stream()
                         .filter(k -> k.key().startsWith(scan.prefix())
@@ -57,19 +57,20 @@
                         .limit(scan.most())
                         .forEach(k -> found.put(k.key(), k));
             } else {
-                Change change = ((Step.Write<R>) step).change();
+                Transaction change = ((Step.Write<R>) step).change();
                 change.conditions()
                         .forEach((k, s) -> assertEquals(
-                                s, store.getOrDefault(k, Kept.absent(k)).stamp()));
-                Stamp stamp = new Stamp(++revision);
-                change.writes().forEach((k, v) -> store.put(k, new Kept(k, v, stamp)));
+                                s,
+                                store.getOrDefault(k, VersionedRecord.absent(k)).stamp()));
+                Revision stamp = new Revision(++revision);
+                change.writes().forEach((k, v) -> store.put(k, new VersionedRecord(k, v, stamp)));
                 changes += change.writes().size();
                 transactions++;
                 assertTrue(change.writes().size() <= MOST);
-                seen = new Seen(era, now, Map.of(), false, stamp, List.of());
+                seen = new StepResult(era, now, Map.of(), false, stamp, List.of());
                 continue;
             }
-            seen = new Seen(
+            seen = new StepResult(
                     era,
                     now,
                     found,
@@ -176,7 +177,7 @@
         assertEquals("{0}", given.held().toString());
         assertEquals("free", state("a/0"), "nothing is kept while another is waited for");
         assertEquals("being claimed", state("a/2"));
-        given.commit().writes().forEach((k, v) -> store.put(k, new Kept(k, v, new Stamp(++revision))));
+        given.commit().writes().forEach((k, v) -> store.put(k, new VersionedRecord(k, v, new Revision(++revision))));
         assertTrue(billing("run-1", "1", 9, "a/3").isDone());
         assertFalse(billing("run-1", "0", 9, "a/2").isDone(), "another task's");
         run(Edit.release(registry, MOST, "e1", ids("a/1")));
@@ -196,10 +197,11 @@
         run(new Grant(registry, MOST, "run-1", wants, new BitSet(), true))
                 .commit()
                 .writes()
-                .forEach((k, v) -> store.put(k, new Kept(k, v, new Stamp(++revision))));
+                .forEach((k, v) -> store.put(k, new VersionedRecord(k, v, new Revision(++revision))));
         billing("run-1", "0", 3, "a/1");
-        store.put("f/run-1", new Kept("f/run-1", Map.of("n", 1L), new Stamp(++revision)));
-        Tidy tidy = new Tidy(new Tidy.Jobs(n -> n.startsWith("run-"), n -> "j/" + n, n -> "f/" + n));
+        store.put("f/run-1", new VersionedRecord("f/run-1", Map.of("n", 1L), new Revision(++revision)));
+        ClaimCollector tidy =
+                new ClaimCollector(new ClaimCollector.Jobs(n -> n.startsWith("run-"), n -> "j/" + n, n -> "f/" + n));
         for (int round = 0; round < 3; round++) {
             Span wait = run(tidy.round());
             assertTrue(wait.ms() > 0);
--- a/src/test/java/io/indigoreach/core/ownership/RegistryRun.java
+++ b/src/test/java/io/indigoreach/core/ownership/RegistryRun.java
@@ -1,14 +1,14 @@
 package io.indigoreach.core.ownership;
 
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.loss.Remains;
-import io.indigoreach.core.records.Change;
-import io.indigoreach.core.records.Copies;
-import io.indigoreach.core.records.Family;
-import io.indigoreach.core.records.Kept;
+import io.indigoreach.core.loss.RememberedState;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.records.RecordCache;
+import io.indigoreach.core.records.RecordFamily;
 import io.indigoreach.core.records.Routine;
-import io.indigoreach.core.records.Seen;
 import io.indigoreach.core.records.Step;
+import io.indigoreach.core.records.StepResult;
+import io.indigoreach.core.records.Transaction;
+import io.indigoreach.core.records.VersionedRecord;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -46,14 +46,14 @@
     private final List<RecordId> records = new ArrayList<>();
     private final List<String> breaches = new ArrayList<>();
 
-    private TreeMap<String, Kept> store = new TreeMap<>();
-    private final List<TreeMap<String, Kept>> snapshots = new ArrayList<>();
+    private TreeMap<String, VersionedRecord> store = new TreeMap<>();
+    private final List<TreeMap<String, VersionedRecord>> snapshots = new ArrayList<>();
     private final List<Runnable> late = new ArrayList<>();
     private long revision = 1;
     private long era = 1;
     private long now = 1_800_000_000_000L;
     private boolean calm;
-    private final List<Copies> copies = new ArrayList<>();
+    private final List<RecordCache> copies = new ArrayList<>();
     private final List<Registry> registries = new ArrayList<>();
 
     private final Map<RecordId, String> lines = new HashMap<>();
@@ -74,7 +74,7 @@
             records.add(new RecordId("KL-0012/a-farm-with-quite-a-long-name-as-some-have-in-the-books/" + i));
         }
         for (int i = 0; i < NODES; i++) {
-            copies.add(new Copies(Registry.FAMILIES));
+            copies.add(new RecordCache(Registry.FAMILIES));
             registries.add(new Registry(text -> new SplittableRandom(text.hashCode()).nextLong()));
         }
     }
@@ -95,7 +95,7 @@
             }
             if (random.nextInt(300) == 0) {
                 int node = random.nextInt(NODES);
-                copies.set(node, new Copies(Registry.FAMILIES));
+                copies.set(node, new RecordCache(Registry.FAMILIES));
                 registries.set(node, new Registry(text -> new SplittableRandom(text.hashCode()).nextLong()));
             }
             if (losing && random.nextInt(fault == Fault.MISSING_MEANS_FREE ? 100 : 500) == 0) {
@@ -161,7 +161,7 @@
         if (kind == 0) {
             store = new TreeMap<>(store.headMap("k", false));
         } else if (kind == 1 && !snapshots.isEmpty()) {
-            TreeMap<String, Kept> old = snapshots.get(random.nextInt(snapshots.size()));
+            TreeMap<String, VersionedRecord> old = snapshots.get(random.nextInt(snapshots.size()));
             store.keySet().removeIf(k -> k.startsWith("own/"));
             old.forEach((k, v) -> {
                 if (k.startsWith("own/")) {
@@ -173,18 +173,18 @@
             store.keySet().removeIf(k -> k.startsWith(prefix) && random.nextInt(2) == 0);
         }
         // Noticed, held, and rebuilt from what controllers remember: as Rebuilder does it.
-        Remains remains = new Remains();
+        RememberedState remains = new RememberedState();
         if (fault == Fault.MISSING_MEANS_FREE) {
-            copies.replaceAll(c -> new Copies(Registry.FAMILIES));
+            copies.replaceAll(c -> new RecordCache(Registry.FAMILIES));
         }
         copies.forEach(c -> c.all().forEach(remains::add));
         revision += 1_000;
-        for (Kept kept : remains.records()) {
-            Family family = copies.get(0).familyOf(kept.key());
-            Kept there = store.getOrDefault(kept.key(), Kept.absent(kept.key()));
+        for (VersionedRecord kept : remains.records()) {
+            RecordFamily family = copies.get(0).familyOf(kept.key());
+            VersionedRecord there = store.getOrDefault(kept.key(), VersionedRecord.absent(kept.key()));
             Map<String, Object> value = family.mending().mend(there, kept);
             if (value != null) {
-                store.put(kept.key(), new Kept(kept.key(), value, new Stamp(++revision)));
+                store.put(kept.key(), new VersionedRecord(kept.key(), value, new Revision(++revision)));
             }
         }
         era = Math.max(era + 1, Registry.baseOf(now) >> 16);
@@ -195,10 +195,10 @@
             if (fault != Fault.MISSING_MEANS_FREE) {
                 store.put(
                         Registry.ROOT,
-                        new Kept(
+                        new VersionedRecord(
                                 Registry.ROOT,
                                 new Registry.Root(era - 1, root.base(), root.reason()).write(),
-                                new Stamp(++revision)));
+                                new Revision(++revision)));
             }
         }
         actors.forEach(a -> a.call = null);
@@ -209,7 +209,7 @@
         private final Consumer<R> then;
         private final Runnable failed;
         private final int node = random.nextInt(NODES);
-        private Seen seen = Seen.nothing(era, now);
+        private StepResult seen = StepResult.nothing(era, now);
 
         Call(Routine<R> routine, Consumer<R> then, Runnable failed) {
             this.routine = routine;
@@ -238,12 +238,13 @@
                 return true;
             }
             if (step instanceof Step.Read<R> read) {
-                Map<String, Kept> found = new LinkedHashMap<>();
-                read.keys().forEach(k -> found.put(k, shown(store.getOrDefault(k, Kept.absent(k)), routine)));
+                Map<String, VersionedRecord> found = new LinkedHashMap<>();
+                read.keys()
+                        .forEach(k -> found.put(k, shown(store.getOrDefault(k, VersionedRecord.absent(k)), routine)));
                 found.values().forEach(copies.get(node)::saw);
-                seen = new Seen(era, now, found, false, null, List.of());
+                seen = new StepResult(era, now, found, false, null, List.of());
             } else if (step instanceof Step.Scan<R> scan) {
-                Map<String, Kept> found = new LinkedHashMap<>();
+                Map<String, VersionedRecord> found = new LinkedHashMap<>();
                 store
                         .tailMap(scan.after() == null ? scan.prefix() : scan.after(), scan.after() == null)
                         .values()
@@ -258,7 +259,7 @@
                             .findFirst()
                             .orElseThrow());
                 }
-                seen = new Seen(era, now, found, more, null, List.of());
+                seen = new StepResult(era, now, found, more, null, List.of());
             } else {
                 return write(((Step.Write<R>) step).change());
             }
@@ -269,7 +270,7 @@
             return false;
         }
 
-        private boolean write(Change change) {
+        private boolean write(Transaction change) {
             long in = era;
             int luck = calm ? 99 : random.nextInt(100);
             if (luck < 3) {
@@ -292,17 +293,17 @@
                 });
             }
             seen = refused.isEmpty()
-                    ? new Seen(era, now, Map.of(), false, new Stamp(revision), List.of())
-                    : new Seen(era, now, Map.of(), false, null, refused);
+                    ? new StepResult(era, now, Map.of(), false, new Revision(revision), List.of())
+                    : new StepResult(era, now, Map.of(), false, null, refused);
             return false;
         }
     }
 
     /** A record as a reader gets it, or as it would without what is left out. */
-    private Kept shown(Kept k, Routine<?> reader) {
+    private VersionedRecord shown(VersionedRecord k, Routine<?> reader) {
         if (fault == Fault.MISSING_MEANS_FREE && k.key().equals(Registry.ROOT) && k.isThere()) {
             Registry.Root root = Registry.Root.read(k.value());
-            return new Kept(
+            return new VersionedRecord(
                     k.key(), new Registry.Root(Long.MAX_VALUE >> 20, root.base(), root.reason()).write(), k.stamp());
         }
         if (fault == Fault.CLAIM_NOT_RESOLVED
@@ -312,17 +313,17 @@
                 && Claim.read(k.value()).state() == Claim.State.OPEN) {
             Map<String, Object> value = new LinkedHashMap<>(k.value());
             value.put("s", (long) Claim.State.HELD.ordinal());
-            return new Kept(k.key(), value, k.stamp());
+            return new VersionedRecord(k.key(), value, k.stamp());
         }
         return k;
     }
 
-    private List<String> commit(Change change, long in) {
+    private List<String> commit(Transaction change, long in) {
         if (in != era) {
             return List.of("era");
         }
         List<String> refused = change.conditions().entrySet().stream()
-                .filter(c -> !store.getOrDefault(c.getKey(), Kept.absent(c.getKey()))
+                .filter(c -> !store.getOrDefault(c.getKey(), VersionedRecord.absent(c.getKey()))
                         .stamp()
                         .equals(c.getValue()))
                 .map(Map.Entry::getKey)
@@ -333,7 +334,7 @@
                 if (value == null) {
                     store.remove(key);
                 } else {
-                    store.put(key, new Kept(key, value, new Stamp(revision)));
+                    store.put(key, new VersionedRecord(key, value, new Revision(revision)));
                 }
             });
             if (change.writes().size() > MOST
@@ -530,9 +531,9 @@
                 } else {
                     ask(new Grant(registry, MOST, name, wants, new BitSet(), true), g -> {
                         if (g.never().isEmpty()) {
-                            Change change = new Change()
+                            Transaction change = new Transaction()
                                     .and(g.commit())
-                                    .when("j/" + name, Stamp.ABSENT)
+                                    .when("j/" + name, Revision.ABSENT)
                                     .put("j/" + name, Map.of("n", 1L));
                             if (!calm && random.nextInt(10) == 0) {
                                 long in = era;
@@ -550,7 +551,7 @@
             if (done.cardinality() == wants.tasks() || random.nextInt(calm ? 300 : 150) == 0) {
                 over = true;
                 commit(
-                        new Change()
+                        new Transaction()
                                 .when("j/" + name, store.get("j/" + name).stamp())
                                 .delete("j/" + name)
                                 .put("f/" + name, Map.of("n", 1L)),
@@ -608,7 +609,8 @@
     }
 
     private final class Leader extends Actor {
-        private final Tidy tidy = new Tidy(new Tidy.Jobs(n -> n.startsWith("run-"), n -> "j/" + n, n -> "f/" + n));
+        private final ClaimCollector tidy =
+                new ClaimCollector(new ClaimCollector.Jobs(n -> n.startsWith("run-"), n -> "j/" + n, n -> "f/" + n));
 
         @Override
         void act() {
@@ -630,7 +632,7 @@
     private final class Person extends Actor {
         @Override
         void act() {
-            Kept root = store.get(Registry.ROOT);
+            VersionedRecord root = store.get(Registry.ROOT);
             if (Registry.Root.read(root.value()).era() < era && fault != Fault.MISSING_MEANS_FREE) {
                 records.forEach(id -> fences.merge(id, era << 16, Math::max));
                 afterLoss();
--- a/src/test/java/io/indigoreach/core/TurnsTest.java
+++ b/src/test/java/io/indigoreach/core/query/FairAdmissionTest.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core;
+package io.indigoreach.core.query;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Nobody is refused, or listed too late, again and again while others are served. */
-class TurnsTest {
+class FairAdmissionTest {
     /**
      * Twice as many ask, every 5 s, as there are places in the 2 s that each is taken; those of the first half always come first.
      * With one limit for all the others are never served.
@@ -22,8 +22,8 @@
     @ParameterizedTest
     @CsvSource({"true, 30", "false, 200"})
     void whoWasRefusedGoesFirst(boolean remembering, int longest) {
-        Turns turns = new Turns();
-        int users = 2 * Turns.PLACES;
+        FairAdmission turns = new FairAdmission();
+        int users = 2 * FairAdmission.PLACES;
         int[] servedAt = new int[users];
         int silence = 0;
         for (int s = 0; s < 200; s += 5) {
@@ -35,7 +35,7 @@
                 }
                 silence = Math.max(silence, s - servedAt[u]);
             }
-            assertTrue(in <= Turns.PLACES + Turns.STEP * Turns.STEPS, "waiting: " + in);
+            assertTrue(in <= FairAdmission.PLACES + FairAdmission.STEP * FairAdmission.STEPS, "waiting: " + in);
             for (; in > 0; in--) {
                 turns.leave();
             }
@@ -52,7 +52,7 @@
         for (int n = 0; n < 100; n++) {
             keys.put("j/run-" + random.nextInt(100_000), 0);
         }
-        Round<Integer> round = new Round<>();
+        ListingCursor<Integer> round = new ListingCursor<>();
         Map<String, Integer> answeredIn = new HashMap<>();
         for (int listing = 1; answeredIn.size() < keys.size(); listing++) {
             assertTrue(listing <= 6, "left: " + (keys.size() - answeredIn.size()));
--- a/src/test/java/io/indigoreach/core/OneWayTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/AsymmetricPartitionTest.java
@@ -1,16 +1,24 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.World.RULES;
-import static io.indigoreach.core.World.TOKEN;
-import static io.indigoreach.core.World.at;
-import static io.indigoreach.core.World.exited;
-import static io.indigoreach.core.World.running;
-import static io.indigoreach.core.World.spec;
-import static io.indigoreach.core.World.starts;
+import static io.indigoreach.core.scheduling.SimulatedWorld.RULES;
+import static io.indigoreach.core.scheduling.SimulatedWorld.TOKEN;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.exited;
+import static io.indigoreach.core.scheduling.SimulatedWorld.running;
+import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SimulatedWorld.starts;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.TaskId;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -19,8 +27,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Machines whose reports arrive and that answers do not reach: told within a few reports, and never by a lost answer. */
-class OneWayTest {
-    private static final Token OLDER = new Token(4);
+class AsymmetricPartitionTest {
+    private static final FencingToken OLDER = new FencingToken(4);
 
     /** Reports come every {@code every} s: how many starts it was given, by when it is given none, and is to be returned. */
     @ParameterizedTest
@@ -34,18 +42,18 @@
         "its sessions end, 15, 12, 45"
     })
     void isToldWithinAFewReports(String sign, double every, int started, double told) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.up("a", "east", 0);
         w.core.loaded();
         w.submit(spec(1, 4, 1, 500), 0);
-        Order foreign = new Order.Start(TaskId.parse("run-9/0"), TOKEN.attempt(9));
+        WorkerCommand foreign = new WorkerCommand.Start(TaskId.parse("run-9/0"), TOKEN.attempt(9));
         int given = 0;
         double last = -1;
         for (int i = 0; last < 0 && i < 150; i++) {
             double now = i * every;
-            TaskReport[] tasks = sign.startsWith("keeps")
-                    ? new TaskReport[] {exited(foreign, ExitCause.DONE)}
-                    : sign.startsWith("goes") ? new TaskReport[] {running(foreign)} : new TaskReport[0];
+            TaskStatus[] tasks = sign.startsWith("keeps")
+                    ? new TaskStatus[] {exited(foreign, ExitCause.DONE)}
+                    : sign.startsWith("goes") ? new TaskStatus[] {running(foreign)} : new TaskStatus[0];
             boolean mute = tasks.length > 0;
             if (mute && i == 0) {
                 w.core.cancelJob(new JobId("run-1"));
@@ -72,19 +80,20 @@
     @ParameterizedTest
     @CsvSource({"1, 8, 1", "2, 8, 2", "3, 8, 0", "8, 8, 0", "8, 90, 0", "8, 94, 8"})
     void aZoneOfThemIsTheWaysFault(int deaf, double seconds, int returned) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
-        List<TaskReport[]> held = new ArrayList<>();
+        List<TaskStatus[]> held = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             w.up("m" + i, "east", 0);
-            held.add(new TaskReport[0]);
+            held.add(new TaskStatus[0]);
         }
         w.submit(spec(1, 400, 1, 500), 0);
         int late = 0;
         for (double now = 0; now <= seconds; now += 2) {
             for (int i = 0; i < 8; i++) {
                 long session = i < deaf ? 1 + (long) now / 13 : 1;
-                List<Order> orders = w.core.onReport(w.report("m" + i, "east", session, TOKEN, held.get(i)), at(now));
+                List<WorkerCommand> orders =
+                        w.core.onReport(w.report("m" + i, "east", session, TOKEN, held.get(i)), at(now));
                 if (i >= deaf && held.get(i).length == 0) {
                     held.set(i, running(orders));
                 } else if (i < deaf && now > 6) {
@@ -109,16 +118,16 @@
         "the leader stands still"
     })
     void otherTroublesAreNotTakenForIt(String trouble) {
-        World w = new World();
-        w.core.inherit(new MachineId("a"), new Pool("quad", "east", true), at(0), at(0), at(0));
+        SimulatedWorld w = new SimulatedWorld();
+        w.core.inherit(new MachineId("a"), new MachinePool("quad", "east", true), at(0), at(0), at(0));
         if (trouble.startsWith("its record")) {
-            w = new World();
-            w.core.rented(new Pool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
+            w = new SimulatedWorld();
+            w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
         }
         w.core.loaded();
         long session = 1;
         int round = 0;
-        List<TaskReport> held = new ArrayList<>();
+        List<TaskStatus> held = new ArrayList<>();
         for (double now = 1; now < 180; now += 2, round++) {
             w.submit(spec(round + 1, 1, 0.25, 500), now);
             if (trouble.startsWith("hangs") && round % 6 == 5) {
@@ -130,9 +139,9 @@
             if (trouble.startsWith("the leader")) {
                 w.core.awakeSince(at(now - 0.1));
             }
-            Token token = trouble.startsWith("two reports") && round < 2 ? OLDER : TOKEN;
-            List<Order> orders =
-                    w.core.onReport(w.report("a", "east", session, token, held.toArray(new TaskReport[0])), at(now));
+            FencingToken token = trouble.startsWith("two reports") && round < 2 ? OLDER : TOKEN;
+            List<WorkerCommand> orders =
+                    w.core.onReport(w.report("a", "east", session, token, held.toArray(new TaskStatus[0])), at(now));
             if (trouble.startsWith("its record") && now > 60) {
                 w.core.recorded(new MachineId("a"));
             }
@@ -145,9 +154,9 @@
             };
             if (!lost) {
                 boolean refused = trouble.startsWith("every start");
-                for (Order o : orders) {
+                for (WorkerCommand o : orders) {
                     held.removeIf(t -> t.attempt().equals(o.attempt()));
-                    if (o instanceof Order.Start) {
+                    if (o instanceof WorkerCommand.Start) {
                         held.add(refused ? exited(o, ExitCause.FULL) : running(o));
                     }
                 }
@@ -161,11 +170,11 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void itsWorkIsCountedUntilTheReturnIsAnsweredOrItsLeaseIsOver(boolean answered) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.up("a", "east", 0);
         w.core.loaded();
         Job job = w.submit(spec(1, 2, 1, 500), 0);
-        TaskReport[] held = running(w.hear("a", 0));
+        TaskStatus[] held = running(w.hear("a", 0));
         w.hear("a", 2, held);
         w.submit(spec(2, 1, 1, 500), 0);
         double elsewhere = -1;
@@ -196,7 +205,7 @@
     /** Told while many of its zone were, so not returned: by a start taken, by the token, or by a session that goes on. */
     @Test
     void oneThatHearsAgainIsUsedAgain() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         for (int i = 0; i < 4; i++) {
             w.up("m" + i, "east", 0);
--- a/src/test/java/io/indigoreach/core/CancellationRun.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
@@ -1,5 +1,11 @@
-package io.indigoreach.core;
-
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.leadership.CancellationHorizon;
+import io.indigoreach.core.leadership.CancellationSummary;
+import io.indigoreach.core.leadership.ConfirmedCancellations;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -16,7 +22,7 @@
  * taken for granted, as pledges may carry one through any outage. Checked where the users look: from the first word to a user
  * that a job is cancelled until its last task is gone from a worker.
  */
-final class CancellationRun {
+final class CancellationSimulation {
     /** A guard that a run can do without, to see that the rule then breaks. */
     enum Without {
         NOTHING,
@@ -34,7 +40,7 @@
 
     private static final class Node {
         final double rate;
-        ToldCancellations told;
+        ConfirmedCancellations told;
         Set<JobId> knows = new HashSet<>();
         double refusedUntil;
         double silentUntil;
@@ -77,7 +83,7 @@
         }
     }
 
-    private final Rules rules;
+    private final SafetyTimes rules;
     private final Random random;
     private final Without without;
     final List<Node> nodes = new ArrayList<>();
@@ -95,13 +101,13 @@
     /** Cancelled jobs' tasks that a leader stopped while the state service did not answer it. */
     int stoppedByWord;
 
-    CancellationRun(Rules rules, int nodes, int jobs, long seed, Without without) {
+    CancellationSimulation(SafetyTimes rules, int nodes, int jobs, long seed, Without without) {
         this.rules = rules;
         this.random = new Random(seed);
         this.without = without;
         for (int n = 0; n < nodes; n++) {
             Node node = new Node(random.nextBoolean() ? 1 : 1.0005);
-            node.told = new ToldCancellations(node.at(0));
+            node.told = new ConfirmedCancellations(node.at(0));
             this.nodes.add(node);
         }
         for (int w = 0; w < 4; w++) {
@@ -127,7 +133,7 @@
         at(now + span, what);
     }
 
-    CancellationRun until(double end) {
+    CancellationSimulation until(double end) {
         while (!events.isEmpty() && events.peek().at <= end) {
             Event e = events.poll();
             now = e.at;
@@ -170,7 +176,7 @@
             Node n = nodes.get(node);
             n.downUntil = now + span;
             after(span, () -> {
-                n.told = new ToldCancellations(without == Without.BIRTH ? Moment.NEVER : n.at(now));
+                n.told = new ConfirmedCancellations(without == Without.BIRTH ? Moment.NEVER : n.at(now));
                 n.knows = new HashSet<>();
             });
             if (reign.node == n) {
@@ -198,7 +204,7 @@
             Node n = nodes.get(node);
             if (served(n) && now >= n.downUntil) {
                 cancelled.putIfAbsent(job, now);
-                ToldCancellations process = n.told;
+                ConfirmedCancellations process = n.told;
                 after(way, () -> {
                     if (n.told == process && now >= n.downUntil) {
                         learns(n, job, later);
@@ -305,14 +311,14 @@
         }
         Moment sent = mine.node.at(now);
         Span back = mine.horizon.missing(sent, Span.seconds(3));
-        List<CancellationWord> words = new ArrayList<>();
+        List<CancellationSummary> words = new ArrayList<>();
         for (Node other : nodes) {
             if (other != mine.node) {
                 after(
                         random.nextDouble() * 0.4,
                         () -> words.add(
                                 now < other.downUntil || now < other.silentUntil
-                                        ? CancellationWord.NONE
+                                        ? CancellationSummary.NONE
                                         : other.told.word(back, other.at(now))));
             }
         }
@@ -321,8 +327,8 @@
                 return;
             }
             Moment heard = mine.node.at(now);
-            CancellationWord all = mine.node.told.word(back, heard);
-            for (CancellationWord word : words) {
+            CancellationSummary all = mine.node.told.word(back, heard);
+            for (CancellationSummary word : words) {
                 all = all.and(word);
             }
             if (without != Without.NAMES && mine.stopped.addAll(all.cancelled())) {
--- a/src/test/java/io/indigoreach/core/CancellationRunTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancellationSimulationTest.java
@@ -1,10 +1,12 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.CancellationRun.Without;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.scheduling.CancellationSimulation.Without;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -18,12 +20,12 @@
  * longer than {@code cancel_s}: those jobs' tasks are gone in time all the same, and as long as all controllers answer each other
  * nothing else is lost.
  */
-class CancellationRunTest {
+class CancellationSimulationTest {
     private static final int JOBS = 8;
     private static final int SEEDS = 1000;
 
-    private static Rules rules(double lease, double report, double cancel) {
-        return new Rules(Span.seconds(lease), Span.seconds(report), Span.seconds(cancel), Span.seconds(3));
+    private static SafetyTimes rules(double lease, double report, double cancel) {
+        return new SafetyTimes(Span.seconds(lease), Span.seconds(report), Span.seconds(cancel), Span.seconds(3));
     }
 
     /** {@code lost}: whether the work of all must go for it, as nobody is left who can say what was told. */
@@ -58,12 +60,13 @@
             int silent,
             boolean lost,
             String what) {
-        CancellationRun run = new CancellationRun(rules(lease, report, cancel), 3, JOBS, 7, Without.NOTHING);
+        CancellationSimulation run =
+                new CancellationSimulation(rules(lease, report, cancel), 3, JOBS, 7, Without.NOTHING);
         run.refuse(30, 0, 14);
         run.outage(32, 60);
-        run.cancel(toldAt, by, CancellationRun.job(1), way, later);
+        run.cancel(toldAt, by, CancellationSimulation.job(1), way, later);
         if (poll > 0) {
-            run.poll(poll, by, CancellationRun.job(1));
+            run.poll(poll, by, CancellationSimulation.job(1));
         }
         if (restarted >= 0) {
             run.restart(restartsAt, restarted, 0.2);
@@ -92,13 +95,14 @@
     void theVeryMomentAndAgainBeforeItHasEnded(
             double lease, double report, double cancel, double outage, double pause) {
         for (double offset = -0.2; offset < 1; offset += 0.05) {
-            CancellationRun run = new CancellationRun(rules(lease, report, cancel), 3, JOBS, 7, Without.NOTHING);
+            CancellationSimulation run =
+                    new CancellationSimulation(rules(lease, report, cancel), 3, JOBS, 7, Without.NOTHING);
             for (int round = 0; round < 3; round++) {
                 double at = 30 + round * (1 + outage + pause);
                 run.refuse(at, 0, 3);
                 run.outage(at + 1, outage);
-                run.cancel(at + offset, 1, CancellationRun.job(2 * round), 0.01, 0);
-                run.cancel(at + offset, 2, CancellationRun.job(2 * round + 1), 0.4, 0.5);
+                run.cancel(at + offset, 1, CancellationSimulation.job(2 * round), 0.01, 0);
+                run.cancel(at + offset, 2, CancellationSimulation.job(2 * round + 1), 0.4, 0.5);
             }
             run.until(30 + 3 * (2 + outage) + 60);
             assertEquals(List.of(), run.broken, "at " + offset);
@@ -123,7 +127,7 @@
         for (double outageAt : new double[] {200, 29.99, 30.25, 31}) {
             for (int told = 0; told < 120; told++) {
                 double at = 28.5 + told * 0.025;
-                CancellationRun run = new CancellationRun(rules(12, 2, 32), 3, JOBS, told, without);
+                CancellationSimulation run = new CancellationSimulation(rules(12, 2, 32), 3, JOBS, told, without);
                 switch (ending) {
                     case REFUSED -> run.refuse(27, 0, 20);
                     case PLEDGED -> run.outage(22, 7.9);
@@ -132,8 +136,8 @@
                 }
                 run.lead(30, 1);
                 run.outage(outageAt, 60);
-                run.cancel(at, told % 3, CancellationRun.job(1), 0.05, 0);
-                run.cancel(at, 2, CancellationRun.job(2), 0.05, 0.2);
+                run.cancel(at, told % 3, CancellationSimulation.job(1), 0.05, 0);
+                run.cancel(at, 2, CancellationSimulation.job(2), 0.05, 0.2);
                 if (told / 3 % 2 == 0) {
                     run.restart(at + 0.06 + (told % 5) * 0.2, 2, 0.3);
                 }
@@ -153,12 +157,12 @@
     }
 
     /** Troubles of all kinds, one on the other; each guard that is left out is missed in some run. */
-    private static CancellationRun random(long seed, Without without) {
+    private static CancellationSimulation random(long seed, Without without) {
         Random r = new Random(seed);
         double[][] times = {{22, 5, 42}, {12, 2, 32}, {22, 4, 47}, {22, 4, 29}};
         double[] t = times[r.nextInt(times.length)];
         int nodes = r.nextBoolean() ? 3 : 5;
-        CancellationRun run = new CancellationRun(rules(t[0], t[1], t[2]), nodes, JOBS, seed, without);
+        CancellationSimulation run = new CancellationSimulation(rules(t[0], t[1], t[2]), nodes, JOBS, seed, without);
         int leader = 0;
         double at = 5;
         for (int n = 0; n < 4; n++) {
@@ -174,7 +178,7 @@
             }
             boolean burst = r.nextBoolean();
             for (int j = 0; j < (burst ? 4 : 2); j++) {
-                JobId job = CancellationRun.job(r.nextInt(JOBS));
+                JobId job = CancellationSimulation.job(r.nextInt(JOBS));
                 int by = r.nextInt(nodes);
                 double when = at - (burst ? 4 : 0.5) + r.nextDouble() * (burst ? 4 : 8);
                 run.cancel(when, by, job, r.nextDouble() * 0.5, r.nextInt(4) == 0 ? r.nextDouble() * 5 : 0);
@@ -191,7 +195,7 @@
     void noSeedBreaksTheRule() {
         int stopped = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
-            CancellationRun run = random(seed, Without.NOTHING);
+            CancellationSimulation run = random(seed, Without.NOTHING);
             assertEquals(List.of(), run.broken, "seed " + seed);
             stopped += run.stoppedByWord;
         }
--- a/src/test/java/io/indigoreach/core/MeetingsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ConcurrentFaultsTest.java
@@ -1,13 +1,20 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.World.RULES;
-import static io.indigoreach.core.World.at;
-import static io.indigoreach.core.World.spec;
+import static io.indigoreach.core.scheduling.SimulatedWorld.RULES;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.TaskId;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -16,8 +23,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Two troubles at once: a change of leader, or a machine that goes on, beside what is late, lost, or not recorded yet. */
-class MeetingsTest {
-    private final LedSite site = new LedSite();
+class ConcurrentFaultsTest {
+    private final SimulatedCluster site = new SimulatedCluster();
 
     /**
      * The first task ends long before the others, and the leader ends before that was reported, recorded or reaped; then one
@@ -56,7 +63,7 @@
         site.all(2.5);
         site.all(4);
         TaskId first = TaskId.parse("run-1/0");
-        LedSite.Box ran = site.runs(first);
+        SimulatedCluster.Box ran = site.runs(first);
         if (!point.equals("running")) {
             ran.end(first, ExitCause.DONE);
         }
@@ -86,7 +93,7 @@
                 }
             }
             boolean cut = !reached && now < 40;
-            for (LedSite.Box box : site.boxes()) {
+            for (SimulatedCluster.Box box : site.boxes()) {
                 if (!cut || box != ran) {
                     site.report(box.name, now);
                 }
@@ -188,13 +195,13 @@
         assertEquals(1, site.box("m").tasks.size());
         site.begin(0);
         site.box("m").deaf = !taken;
-        WorkerReport before = site.box("m").sent;
+        Heartbeat before = site.box("m").sent;
         site.report("m", heard);
         if (copied) {
             site.core.onReport(before, at(5));
             site.core.onReport(site.box("m").sent, at(5.5));
         }
-        WorkerReport late = site.box("m").write();
+        Heartbeat late = site.box("m").write();
         site.load();
         double inherited = -1;
         for (double now = 6; inherited < 0 && now < 40; now += 2) {
@@ -241,14 +248,14 @@
     }
 
     private static List<String> copies(String what, double delay, boolean change) {
-        LedSite s = new LedSite();
+        SimulatedCluster s = new SimulatedCluster();
         s.box("a", 0);
         s.box("b", 0);
         s.lead(0);
         s.submit(spec(1, 3, 4, 50), 1);
         TaskId first = TaskId.parse("run-1/0");
         List<String> trace = new ArrayList<>();
-        List<WorkerReport> sent = new ArrayList<>();
+        List<Heartbeat> sent = new ArrayList<>();
         List<Double> due = new ArrayList<>();
         for (double now = 2; now < 70; now += 1) {
             if (change && now == 21) {
@@ -286,10 +293,10 @@
     @ParameterizedTest
     @CsvSource({"1, false", "2, false", "1, true", "2, true"})
     void copiesRaiseNoMachineThatWasAnsweredTooEarly(int answered, boolean lives) {
-        World w = new World();
-        List<WorkerReport> sent = new ArrayList<>();
+        SimulatedWorld w = new SimulatedWorld();
+        List<Heartbeat> sent = new ArrayList<>();
         for (int i = 0; i < answered; i++) {
-            sent.add(w.report("x", "east", 1, i == 0 ? new Token(4) : World.TOKEN));
+            sent.add(w.report("x", "east", 1, i == 0 ? new FencingToken(4) : SimulatedWorld.TOKEN));
             w.core.onReport(sent.get(i), at(i));
         }
         w.core.loaded();
@@ -298,7 +305,7 @@
         }
         assertEquals(0, w.core.machineCount());
         if (lives) {
-            w.core.onReport(w.report("x", "east", 1, World.TOKEN), at(15));
+            w.core.onReport(w.report("x", "east", 1, SimulatedWorld.TOKEN), at(15));
             assertEquals(1, w.core.machineCount(), "its next report shows the answer");
         }
     }
@@ -311,7 +318,7 @@
         site.box("n", 0);
         site.lead(-40);
         site.submit(spec(1, 1, 4, 50), -40);
-        List<WorkerReport> copies = new ArrayList<>();
+        List<Heartbeat> copies = new ArrayList<>();
         for (double now = -30; now < 0; now++) {
             site.report("a", now);
             copies.add(site.box("a").sent);
@@ -350,7 +357,7 @@
         "attempt, 3, false, 2"
     })
     void whatIsHeldUp(String what, double held, boolean change, int orders) {
-        LedSite.Box a = site.box("a", 0);
+        SimulatedCluster.Box a = site.box("a", 0);
         site.box("n", 0);
         site.lead(-10);
         site.submit(spec(1, 1, 4, 500), -10);
@@ -367,8 +374,8 @@
             // It fails at once and is given again; the answer that stops or reaps the first attempt comes late.
             a.end(task, ExitCause.ERROR);
         }
-        WorkerReport report = a.write();
-        LedSite.Answer answer = what.equals("report") || what.equals("lease") ? null : site.answer(report, 0);
+        Heartbeat report = a.write();
+        SimulatedCluster.Answer answer = what.equals("report") || what.equals("lease") ? null : site.answer(report, 0);
         if (what.equals("lease")) {
             site.report("a", 0);
         }
@@ -383,8 +390,8 @@
             if (!done && now >= held) {
                 done = true;
                 a.live(now);
-                LedSite.Answer late = what.equals("report") ? site.answer(report, now) : answer;
-                if (late != null && held <= LedSite.PATIENCE_S) {
+                SimulatedCluster.Answer late = what.equals("report") ? site.answer(report, now) : answer;
+                if (late != null && held <= SimulatedCluster.PATIENCE_S) {
                     a.take(late, 0, now);
                 }
             } else if (done && Math.round(now * 10) % 20 == 0) {
@@ -403,20 +410,20 @@
     /** Two exits of earlier attempts in one list, in any order, beside the attempt that runs. */
     @Test
     void earlierAttemptsEndNothing() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.up("a", "east", 0);
         w.core.loaded();
         Job job = w.submit(spec(1, 1, 4, 500), 0);
-        Order first = w.hear("a", 1).get(0);
-        Order second = null;
-        for (Order o : w.hear("a", 2, World.exited(first, ExitCause.STOPPED))) {
-            second = o instanceof Order.Start ? o : second;
+        WorkerCommand first = w.hear("a", 1).get(0);
+        WorkerCommand second = null;
+        for (WorkerCommand o : w.hear("a", 2, SimulatedWorld.exited(first, ExitCause.STOPPED))) {
+            second = o instanceof WorkerCommand.Start ? o : second;
         }
         for (ExitCause cause : ExitCause.values()) {
             if (cause != ExitCause.DONE) {
-                List<Order> orders =
-                        w.hear("a", 3 + cause.ordinal(), World.running(second), World.exited(first, cause));
-                assertEquals(List.of(new Order.Forget(first.task(), first.attempt())), orders);
+                List<WorkerCommand> orders = w.hear(
+                        "a", 3 + cause.ordinal(), SimulatedWorld.running(second), SimulatedWorld.exited(first, cause));
+                assertEquals(List.of(new WorkerCommand.Reap(first.task(), first.attempt())), orders);
                 assertEquals(second.attempt(), job.active(0).attempt);
             }
         }
--- a/src/test/java/io/indigoreach/core/ConsolidationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ConsolidationTest.java
@@ -1,14 +1,20 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.World.at;
-import static io.indigoreach.core.World.exited;
-import static io.indigoreach.core.World.running;
-import static io.indigoreach.core.World.spec;
-import static io.indigoreach.core.World.starts;
-import static io.indigoreach.core.World.stops;
-import static io.indigoreach.core.World.with;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.exited;
+import static io.indigoreach.core.scheduling.SimulatedWorld.running;
+import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SimulatedWorld.starts;
+import static io.indigoreach.core.scheduling.SimulatedWorld.stops;
+import static io.indigoreach.core.scheduling.SimulatedWorld.with;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -16,9 +22,9 @@
 
 /** Tasks are moved together when little waits: on two fleets a fifth of what was paid was idle, a task on each machine. */
 class ConsolidationTest {
-    private final World w = new World();
-    private TaskReport[] onA;
-    private TaskReport[] onB;
+    private final SimulatedWorld w = new SimulatedWorld();
+    private TaskStatus[] onA;
+    private TaskStatus[] onB;
 
     /** Three or so tasks on machine a, one on b, each of one of four cores. */
     private void place(int tasksOnA, double estimate, double saveEvery, boolean oneZone) {
@@ -32,7 +38,7 @@
         hearBoth(2);
     }
 
-    private List<Order> hearBoth(double at) {
+    private List<WorkerCommand> hearBoth(double at) {
         w.hear("a", at, onA);
         return w.hear("b", at, onB);
     }
@@ -72,7 +78,7 @@
         place(3, 300, 10, false);
         hearBoth(39);
         w.core.check(at(40));
-        Order stop = w.hear("b", 40, onB).get(0);
+        WorkerCommand stop = w.hear("b", 40, onB).get(0);
         assertEquals(List.of(), starts(w.hear("a", 41, onA)), "it is still saving");
         w.core.check(at(42));
         assertEquals(List.of(), starts(w.hear("b", 42, exited(stop, ExitCause.STOPPED))), "b is being emptied");
@@ -90,7 +96,7 @@
     void anIdleMachineIsLeftAsideWhileOthersHaveRoom(int tasks, double cores, int started) {
         place(1, 300, 10, false);
         w.hear("b", 3);
-        w.hear("b", 3, exited(new Order.Stop(onB[0].task(), onB[0].attempt(), Span.ZERO), ExitCause.DONE));
+        w.hear("b", 3, exited(new WorkerCommand.Stop(onB[0].task(), onB[0].attempt(), Span.ZERO), ExitCause.DONE));
         w.core.check(at(4));
         w.submit(spec(3, tasks, cores, 100), 5);
         assertEquals(started, starts(w.hear("b", 6)).size());
@@ -103,7 +109,7 @@
         place(1, 300, 10, false);
         w.ordinary("c", 3);
         w.core.check(at(4));
-        w.submit(World.service(3, 1), 5);
+        w.submit(SimulatedWorld.service(3, 1), 5);
         assertEquals(List.of("run-3/0"), starts(w.hearOrdinary("c", 6)));
     }
 
@@ -112,7 +118,7 @@
     void theDearestMachineIsEmptiedFirst() {
         place(2, 300, 10, false);
         w.submit(with(spec(4, 1, 1, 300), Urgency.STANDARD, false, false, true, null, 10), 2);
-        TaskReport[] onC = running(w.ordinary("c", 2));
+        TaskStatus[] onC = running(w.ordinary("c", 2));
         w.hearOrdinary("c", 3, onC);
         hearBoth(39);
         w.hearOrdinary("c", 39, onC);
--- a/src/test/java/io/indigoreach/core/Steps.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
@@ -1,5 +1,24 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskId;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -13,8 +32,8 @@
  * A deployment in simulated steps of a second round the real core: jobs come, machines of four cores boot for 20 steps and
  * report every second one, pools run out. Nothing is random: the same classes give the same run.
  */
-final class Steps implements Notes {
-    static final Tuning STANDARD = new Tuning(
+final class CoreHarness implements SchedulerListener {
+    static final SchedulerSettings STANDARD = new SchedulerSettings(
             Span.seconds(10),
             Span.seconds(15),
             Span.seconds(60),
@@ -44,7 +63,7 @@
             int run,
             double cores,
             boolean saves,
-            Shape shape,
+            JobKind shape,
             double estimate) {
         static Kind of(String name, Urgency urgency, double perStep, int atStart, int tasks, int run, double cores) {
             return new Kind(
@@ -59,7 +78,7 @@
                     run,
                     cores,
                     false,
-                    Shape.ARRAY,
+                    JobKind.ARRAY,
                     1);
         }
 
@@ -85,7 +104,7 @@
 
         Kind service() {
             return new Kind(
-                    name, team, urgency, 0, atStart, from, until, tasks, run, cores, saves, Shape.SERVICE, estimate);
+                    name, team, urgency, 0, atStart, from, until, tasks, run, cores, saves, JobKind.SERVICE, estimate);
         }
     }
 
@@ -111,54 +130,60 @@
     }
 
     private static final class Box {
-        final Pool pool;
+        final MachinePool pool;
         final int up;
-        final Map<Order, Integer> tasks = new LinkedHashMap<>();
+        final Map<WorkerCommand, Integer> tasks = new LinkedHashMap<>();
         /** Tasks that were told to stop. */
         final List<TaskId> stopping = new ArrayList<>();
 
-        Box(Pool pool, int up) {
+        Box(MachinePool pool, int up) {
             this.pool = pool;
             this.up = up;
         }
     }
 
     final Map<JobId, Fate> fates = new TreeMap<>();
-    final List<RentWish> asked = new ArrayList<>();
-    private final Tuning tuning;
+    final List<ScaleOutRequest> asked = new ArrayList<>();
+    private final SchedulerSettings tuning;
     private final List<Kind> kinds;
-    private final Map<Pool, Integer> capacity;
+    private final Map<MachinePool, Integer> capacity;
     private final List<Team> teams;
-    private final Aims aims;
+    private final ServiceLevelObjectives aims;
     private final Map<String, Box> boxes = new TreeMap<>();
     private final Map<JobId, Job> open = new TreeMap<>();
     private final Map<Kind, Double> owed = new HashMap<>();
     private final Map<TaskId, Integer> left = new HashMap<>();
-    private LeaderCore core;
+    private SchedulerCore core;
     private long token;
     private long serial;
     private int names;
     private int now;
     int mostUp;
 
-    Steps(List<Kind> kinds, int spot, int ordinary, Aims aims, Team... teams) {
+    CoreHarness(List<Kind> kinds, int spot, int ordinary, ServiceLevelObjectives aims, Team... teams) {
         this(STANDARD, kinds, spot, ordinary, aims, teams);
     }
 
-    Steps(Tuning tuning, List<Kind> kinds, int spot, int ordinary, Aims aims, Team... teams) {
+    CoreHarness(
+            SchedulerSettings tuning,
+            List<Kind> kinds,
+            int spot,
+            int ordinary,
+            ServiceLevelObjectives aims,
+            Team... teams) {
         this.tuning = tuning;
         this.kinds = kinds;
         this.aims = aims;
-        this.teams = teams.length == 0 ? List.of(World.team(0)) : List.of(teams);
-        this.capacity =
-                new HashMap<>(Map.of(new Pool("quad", "east", true), spot, new Pool("quad", "east", false), ordinary));
+        this.teams = teams.length == 0 ? List.of(SimulatedWorld.team(0)) : List.of(teams);
+        this.capacity = new HashMap<>(
+                Map.of(new MachinePool("quad", "east", true), spot, new MachinePool("quad", "east", false), ordinary));
         newLeader();
     }
 
     /** The leader ends and another begins with the records; every machine will report to it. */
     void newLeader() {
-        core = new LeaderCore(new Token(++token), World.RULES, tuning, aims, teams, this);
-        MachineType t = World.TYPE;
+        core = new SchedulerCore(new FencingToken(++token), SimulatedWorld.RULES, tuning, aims, teams, this);
+        MachineType t = SimulatedWorld.TYPE;
         core.setTypes(List.of(new MachineType(
                 t.name(),
                 t.capacity(),
@@ -180,7 +205,7 @@
         return new Moment((BEGIN + step) * 1000L);
     }
 
-    Steps run(int steps) {
+    CoreHarness run(int steps) {
         for (int i = 0; i < steps; i++) {
             step();
         }
@@ -195,7 +220,7 @@
     /** The same of those that came from a step on. */
     double served(String name, int within, int from) {
         List<Fate> all = fates.values().stream()
-                .filter(f -> f.spec.shape() == Shape.ARRAY
+                .filter(f -> f.spec.shape() == JobKind.ARRAY
                         && now - f.came >= within
                         && f.came >= from
                         && (f.spec.jobClass().equals(name) || f.spec.team().equals(name)))
@@ -275,19 +300,19 @@
                 null,
                 false,
                 false,
-                kind.shape == Shape.ARRAY,
+                kind.shape == JobKind.ARRAY,
                 Span.seconds(kind.run * kind.estimate),
                 Span.seconds(kind.saves ? 10 : 0),
                 Span.seconds(kind.saves ? 2 : 0),
                 null);
-        Job job = new Job(spec, at(now).ms(), at(now), new Stamp(fates.size() + 1), new BitSet(), 0, false);
+        Job job = new Job(spec, at(now).ms(), at(now), new Revision(fates.size() + 1), new BitSet(), 0, false);
         fates.put(job.id(), new Fate(spec, now, kind.run));
         open.put(job.id(), job);
         core.addJob(job);
     }
 
     private void tend() {
-        for (RentWish wish : core.wishes(at(now))) {
+        for (ScaleOutRequest wish : core.wishes(at(now))) {
             asked.add(wish);
             int got = (int) Math.min(
                     wish.count(),
@@ -313,9 +338,11 @@
     }
 
     private void report(String name, Box box) {
-        List<TaskReport> list = new ArrayList<>();
-        for (Iterator<Map.Entry<Order, Integer>> i = box.tasks.entrySet().iterator(); i.hasNext(); ) {
-            Map.Entry<Order, Integer> e = i.next();
+        List<TaskStatus> list = new ArrayList<>();
+        for (Iterator<Map.Entry<WorkerCommand, Integer>> i =
+                        box.tasks.entrySet().iterator();
+                i.hasNext(); ) {
+            Map.Entry<WorkerCommand, Integer> e = i.next();
             boolean stopped = box.stopping.remove(e.getKey().task());
             boolean over = now >= e.getValue();
             if (stopped && !over) {
@@ -323,32 +350,34 @@
             }
             list.add(
                     stopped && !over
-                            ? World.exited(e.getKey(), ExitCause.STOPPED)
-                            : over ? World.exited(e.getKey(), ExitCause.DONE) : World.running(e.getKey()));
+                            ? SimulatedWorld.exited(e.getKey(), ExitCause.STOPPED)
+                            : over
+                                    ? SimulatedWorld.exited(e.getKey(), ExitCause.DONE)
+                                    : SimulatedWorld.running(e.getKey()));
             if (stopped || over) {
                 i.remove();
             }
         }
-        WorkerReport report = new WorkerReport(
+        Heartbeat report = new Heartbeat(
                 new MachineId(name),
                 "10.0.0.1:1",
                 box.pool,
-                new ReportNumber(1, ++serial),
-                new Token(token),
+                new HeartbeatNumber(1, ++serial),
+                new FencingToken(token),
                 null,
                 list);
-        List<Order> orders = new ArrayList<>(core.onReport(report, at(now)));
+        List<WorkerCommand> orders = new ArrayList<>(core.onReport(report, at(now)));
         if (core.unrecorded(new MachineId(name)) != null) {
             core.recorded(new MachineId(name));
             orders.addAll(core.fill(new MachineId(name), report.number(), at(now)));
         }
-        for (Order o : orders) {
+        for (WorkerCommand o : orders) {
             Fate fate = fates.get(o.task().job());
-            if (o instanceof Order.Start) {
-                int run = fate.spec.shape() == Shape.SERVICE ? 1_000_000 : fate.run;
+            if (o instanceof WorkerCommand.Start) {
+                int run = fate.spec.shape() == JobKind.SERVICE ? 1_000_000 : fate.run;
                 box.tasks.put(o, now + (fate.spec.savesProgress() ? left.getOrDefault(o.task(), run) : run));
                 fate.started.putIfAbsent(o.task(), now);
-            } else if (o instanceof Order.Stop) {
+            } else if (o instanceof WorkerCommand.Stop) {
                 box.stopping.add(o.task());
             }
         }
--- a/src/test/java/io/indigoreach/core/ChainRunTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
@@ -1,9 +1,14 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.chain.Chain;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.JobDependencies;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Revision;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collections;
@@ -22,7 +27,7 @@
  * order. Checked after each step against what the state service holds: nothing may start before all that its job needs is
  * durably done, and what is below a cancelled job is cancelled in time, and nothing else.
  */
-class ChainRunTest {
+class DependencySimulationTest {
     private static final int STEPS = 2_000;
     private static final int SUBMITTED_UNTIL = 1_500;
     /** Steps of a tenth of a second in the 32 s of a cancellation. */
@@ -43,7 +48,7 @@
     /** What the leader has not heard of yet. */
     private final List<Runnable> unheard = new ArrayList<>();
 
-    private LeaderCore leader;
+    private SchedulerCore leader;
     private long token;
     private int step;
     private int until;
@@ -76,7 +81,7 @@
             open().stream().skip(random.nextInt(open().size() + 1)).findFirst().ifPresent(id -> {
                 byUser.add(id);
                 end(id, JobStatus.CANCELLED);
-                LeaderCore then = leader;
+                SchedulerCore then = leader;
                 unheard.add(() -> then.cancelJob(id));
             });
         }
@@ -86,7 +91,7 @@
         List<JobId> before = new ArrayList<>(records.keySet());
         Collections.shuffle(before, random);
         List<JobId> needs = before.stream().limit(random.nextInt(4)).toList();
-        JobSpec spec = World.spec(records.size(), 2, 1, 20).with(Chain.of(needs));
+        JobSpec spec = SimulatedWorld.spec(records.size(), 2, 1, 20).with(JobDependencies.of(needs));
         records.put(id, spec);
         // A node's look-up may be older than the end of a job that was open: then the new one is accepted as open.
         if (needs.stream()
@@ -98,7 +103,7 @@
             bornCancelled.add(id);
             return;
         }
-        LeaderCore then = leader;
+        SchedulerCore then = leader;
         unheard.add(() -> {
             // The watch tells of a job before it tells of its end.
             if (!ends.containsKey(id)) {
@@ -118,12 +123,17 @@
     }
 
     private Job job(JobId id, boolean inherited) {
-        return new Job(records.get(id), 1, World.at(0), new Stamp(1), new BitSet(), 0, inherited);
+        return new Job(records.get(id), 1, SimulatedWorld.at(0), new Revision(1), new BitSet(), 0, inherited);
     }
 
     private void lead() {
-        leader = new LeaderCore(
-                new Token(++token), World.RULES, World.TUNING, World.NO_AIMS, List.of(World.team(0)), new World());
+        leader = new SchedulerCore(
+                new FencingToken(++token),
+                SimulatedWorld.RULES,
+                SimulatedWorld.TUNING,
+                SimulatedWorld.NO_AIMS,
+                List.of(SimulatedWorld.team(0)),
+                new SimulatedWorld());
         unheard.clear();
         List<JobId> listed = new ArrayList<>(open());
         Collections.shuffle(listed, random);
@@ -138,7 +148,7 @@
     }
 
     private void work() {
-        leader.chains().advance(World.at(step / 10.0), step * 100L);
+        leader.chains().advance(SimulatedWorld.at(step / 10.0), step * 100L);
         for (JobId id : Set.copyOf(leader.chains().lookUps())) {
             if (random.nextDouble() < 0.5 && ends.containsKey(id)) {
                 answer(id);
--- a/src/test/java/io/indigoreach/core/ChainedJobsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependentJobsTest.java
@@ -1,25 +1,33 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.chain.Chain;
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.JobDependencies;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.BitSet;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Chained jobs among the others of a leader: what they hold while they wait, and what counts from the release. */
-class ChainedJobsTest {
-    private final World world = new World(World.team(4));
+class DependentJobsTest {
+    private final SimulatedWorld world = new SimulatedWorld(SimulatedWorld.team(4));
 
-    ChainedJobsTest() {
+    DependentJobsTest() {
         world.core.loaded();
     }
 
     private static JobSpec chained(int id, JobSpec... needs) {
-        JobSpec spec = World.spec(id, 2, 1, 20);
-        return spec.with(Chain.of(List.of(needs).stream().map(JobSpec::id).toList()));
+        JobSpec spec = SimulatedWorld.spec(id, 2, 1, 20);
+        return spec.with(
+                JobDependencies.of(List.of(needs).stream().map(JobSpec::id).toList()));
     }
 
     private static JobSpec due(JobSpec s, Urgency urgency, double dueS) {
@@ -47,61 +55,62 @@
     }
 
     private void advance(double at) {
-        world.core.chains().advance(World.at(at), Math.round(at * 1000));
+        world.core.chains().advance(SimulatedWorld.at(at), Math.round(at * 1000));
     }
 
     /** Its need's tasks are all done, and the leader knows it: not before that end is recorded does anything of it move. */
     @Test
     void itHoldsNothingUntilTheEndIsDurable() {
-        JobSpec need = World.spec(1, 2, 1, 20);
+        JobSpec need = SimulatedWorld.spec(1, 2, 1, 20);
         Job first = world.submit(need, 0);
         Job waiting = world.submit(due(chained(2, need), Urgency.HIGH, 300), 0);
         world.up("vm-1", "east", 0);
         advance(1);
-        List<Order> started = world.hear("vm-1", 1);
-        assertEquals(List.of("run-1/0", "run-1/1"), World.starts(started));
+        List<WorkerCommand> started = world.hear("vm-1", 1);
+        assertEquals(List.of("run-1/0", "run-1/1"), SimulatedWorld.starts(started));
         advance(30);
-        TaskReport[] ended =
-                started.stream().map(o -> World.exited(o, ExitCause.DONE)).toArray(TaskReport[]::new);
-        assertEquals(List.of(), World.starts(world.hear("vm-1", 30, ended)));
+        TaskStatus[] ended = started.stream()
+                .map(o -> SimulatedWorld.exited(o, ExitCause.DONE))
+                .toArray(TaskStatus[]::new);
+        assertEquals(List.of(), SimulatedWorld.starts(world.hear("vm-1", 30, ended)));
         assertTrue(first.isComplete());
         advance(31);
         assertEquals(0, waiting.waiting() + waiting.startable());
         assertFalse(waiting.hasOrderable() || waiting.hasWaiting());
-        assertEquals(List.of(), world.core.wishes(World.at(31)));
-        assertTrue(world.core.boundsToRaise(World.at(31)).stream().noneMatch(waiting::equals));
+        assertEquals(List.of(), world.core.wishes(SimulatedWorld.at(31)));
+        assertTrue(world.core.boundsToRaise(SimulatedWorld.at(31)).stream().noneMatch(waiting::equals));
         world.core.closeJob(need.id());
         advance(40);
-        assertEquals(List.of("run-2/0", "run-2/1"), World.starts(world.hear("vm-1", 41)));
-        assertEquals(World.at(40), waiting.arrived);
-        assertEquals(World.at(300), waiting.dueAt());
+        assertEquals(List.of("run-2/0", "run-2/1"), SimulatedWorld.starts(world.hear("vm-1", 41)));
+        assertEquals(SimulatedWorld.at(40), waiting.arrived);
+        assertEquals(SimulatedWorld.at(300), waiting.dueAt());
         assertEquals(40_000, waiting.spec().chain().releasedMs(), "its next record tells a later leader");
     }
 
     /** Its record says when it was released; or a task of it is done, or seen on a machine. Else its needs are looked up. */
     @Test
     void aLaterLeaderKnowsWhatWasReleased() {
-        JobSpec need = World.spec(1, 2, 1, 20);
+        JobSpec need = SimulatedWorld.spec(1, 2, 1, 20);
         BitSet one = new BitSet();
         one.set(0);
         Job marked = new Job(
                 chained(2, need).with(chained(2, need).chain().released(25_000)),
                 5_000,
-                World.at(5),
-                new Stamp(1),
+                SimulatedWorld.at(5),
+                new Revision(1),
                 new BitSet(),
                 2,
                 true);
-        Job begun = new Job(chained(3, need), 5_000, World.at(5), new Stamp(1), one, 2, true);
-        Job seen = new Job(chained(4, need), 5_000, World.at(5), new Stamp(1), new BitSet(), 2, true);
+        Job begun = new Job(chained(3, need), 5_000, SimulatedWorld.at(5), new Revision(1), one, 2, true);
+        Job seen = new Job(chained(4, need), 5_000, SimulatedWorld.at(5), new Revision(1), new BitSet(), 2, true);
         List.of(marked, begun).forEach(world.core::addJob);
-        assertEquals(World.at(25), marked.arrived);
+        assertEquals(SimulatedWorld.at(25), marked.arrived);
         assertTrue(marked.hasWaiting() && begun.hasWaiting());
         assertTrue(world.core.chains().lookUps().isEmpty());
         world.core.addJob(seen);
         assertEquals(1, world.core.chains().lookUps().size());
         world.up("vm-1", "east", 0);
-        world.hear("vm-1", 30, World.foreign("run-4/0", 9));
+        world.hear("vm-1", 30, SimulatedWorld.foreign("run-4/0", 9));
         advance(31);
         assertTrue(seen.hasWaiting() && world.core.chains().lookUps().isEmpty());
     }
@@ -109,7 +118,7 @@
     /** A reading of the records that is repeated says nothing of how any job ended. */
     @Test
     void whatIsReadAnewIsNotDone() {
-        JobSpec need = World.spec(1, 2, 1, 20);
+        JobSpec need = SimulatedWorld.spec(1, 2, 1, 20);
         world.submit(need, 0);
         Job waiting = world.submit(chained(2, need), 0);
         world.core.forgetJobs();
@@ -121,7 +130,7 @@
 
     @Test
     void theJobsBeforeAnUrgentDeadlineAreTreatedAlike() {
-        JobSpec need = World.spec(1, 2, 1, 20);
+        JobSpec need = SimulatedWorld.spec(1, 2, 1, 20);
         Job first = world.submit(need, 0);
         JobSpec second = chained(2, need);
         world.submit(second, 0);
@@ -129,7 +138,7 @@
         world.submit(last, 10);
         advance(11);
         assertEquals(Urgency.HIGH, first.urgency());
-        assertEquals(World.at(110 - 40), first.dueAt());
+        assertEquals(SimulatedWorld.at(110 - 40), first.dueAt());
         world.core.cancelJob(last.id());
         advance(13);
         assertEquals(Urgency.STANDARD, first.urgency());
--- a/src/test/java/io/indigoreach/core/TakeOverTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FailoverTest.java
@@ -1,17 +1,27 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.World.at;
-import static io.indigoreach.core.World.exited;
-import static io.indigoreach.core.World.foreign;
-import static io.indigoreach.core.World.running;
-import static io.indigoreach.core.World.spec;
-import static io.indigoreach.core.World.starts;
-import static io.indigoreach.core.World.stops;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.exited;
+import static io.indigoreach.core.scheduling.SimulatedWorld.foreign;
+import static io.indigoreach.core.scheduling.SimulatedWorld.running;
+import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SimulatedWorld.starts;
+import static io.indigoreach.core.scheduling.SimulatedWorld.stops;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.ListedMachine;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
@@ -19,11 +29,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What a leader may believe and order, and when: each case is a way in which a task could come to run twice. */
-class TakeOverTest {
-    private final World w = new World();
+class FailoverTest {
+    private final SimulatedWorld w = new SimulatedWorld();
 
     private void inheritMachine(String name) {
-        w.core.inherit(new MachineId(name), new Pool("quad", "east", true), at(-100), at(0), at(0));
+        w.core.inherit(new MachineId(name), new MachinePool("quad", "east", true), at(-100), at(0), at(0));
     }
 
     @Test
@@ -35,7 +45,7 @@
         assertEquals(List.of(), starts(w.hear("a", 1)), "b may hold both tasks");
         assertEquals(
                 List.of(),
-                starts(w.core.onReport(w.report("b", "east", 1, new Token(4)), at(2))),
+                starts(w.core.onReport(w.report("b", "east", 1, new FencingToken(4)), at(2))),
                 "a list from before the token was seen can be overtaken by a late order of the old leader");
         assertEquals(List.of("run-1/1"), starts(w.hear("b", 3, foreign("run-1/0", 7))));
     }
@@ -64,7 +74,7 @@
         assertEquals(1, stops(w.hear("b", 1, foreign("run-1/0", 7))).size());
         w.inherited(spec(1, 2, 1, 50));
         assertEquals(List.of(), starts(w.hear("a", 2)), "b has one of its tasks");
-        List<Order> orders = stays ? w.hear("b", 3, foreign("run-1/0", 7)) : w.hear("b", 3);
+        List<WorkerCommand> orders = stays ? w.hear("b", 3, foreign("run-1/0", 7)) : w.hear("b", 3);
         assertEquals(first, starts(orders).get(0));
         w.inherited(spec(2, 1, 1, 50));
         assertEquals(List.of("run-2/0"), starts(w.hear("a", 4)), "no report shows a stranger");
@@ -81,9 +91,9 @@
 
     @Test
     void underALimitEvenNewJobsWaitForTheWholePicture() {
-        World limited = new World(World.team(4));
-        limited.core.inherit(new MachineId("a"), new Pool("quad", "east", true), at(-100), at(0), at(0));
-        limited.core.inherit(new MachineId("b"), new Pool("quad", "east", true), at(-100), at(0), at(0));
+        SimulatedWorld limited = new SimulatedWorld(SimulatedWorld.team(4));
+        limited.core.inherit(new MachineId("a"), new MachinePool("quad", "east", true), at(-100), at(0), at(0));
+        limited.core.inherit(new MachineId("b"), new MachinePool("quad", "east", true), at(-100), at(0), at(0));
         limited.core.loaded();
         limited.submit(spec(1, 1, 1, 50), 1);
         assertEquals(List.of(), starts(limited.hear("a", 2)));
@@ -92,7 +102,7 @@
     /** Tasks of a job that was cancelled before the take-over still use their team's limit until they are gone. */
     @Test
     void underALimitNothingStartsBesideTasksOfUnknownJobs() {
-        World limited = new World(World.team(4));
+        SimulatedWorld limited = new SimulatedWorld(SimulatedWorld.team(4));
         limited.core.loaded();
         limited.up("a", "east", 0);
         limited.submit(spec(1, 1, 1, 50), 1);
@@ -111,7 +121,7 @@
     void aMachineThatIsNotRecordedGetsNoTasks() {
         w.core.loaded();
         w.submit(spec(1, 1, 1, 50), 0);
-        w.core.rented(new Pool("quad", "east", true), List.of(new MachineId("x")), at(0), at(0));
+        w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("x")), at(0), at(0));
         assertEquals(List.of(), starts(w.hear("x", 1)), "a later leader would not wait for its report");
         w.core.recorded(new MachineId("x"));
         assertEquals(List.of("run-1/0"), starts(w.hear("x", 2)));
@@ -121,10 +131,11 @@
     @Test
     void onlyAMachineThatHasReportedIsToBeRecorded() {
         w.core.loaded();
-        w.core.rented(new Pool("quad", "east", true), List.of(new MachineId("a"), new MachineId("b")), at(0), at(0));
+        w.core.rented(
+                new MachinePool("quad", "east", true), List.of(new MachineId("a"), new MachineId("b")), at(0), at(0));
         w.submit(spec(1, 1, 1, 50), 0);
         assertNull(w.core.unrecorded(new MachineId("a")));
-        WorkerReport first = w.report("a", "east", 1, World.TOKEN);
+        Heartbeat first = w.report("a", "east", 1, SimulatedWorld.TOKEN);
         assertEquals(List.of(), starts(w.core.onReport(first, at(20))));
         assertNotNull(w.core.unrecorded(new MachineId("a")));
         assertNull(w.core.unrecorded(new MachineId("b")));
@@ -136,7 +147,7 @@
     void aRecordThatCameTooLateGivesNoOrdersToAnOldReport() {
         w.core.loaded();
         w.submit(spec(1, 1, 1, 50), 0);
-        WorkerReport first = w.report("a", "east", 1, World.TOKEN);
+        Heartbeat first = w.report("a", "east", 1, SimulatedWorld.TOKEN);
         w.core.onReport(first, at(20));
         w.hear("a", 22);
         w.core.recorded(new MachineId("a"));
@@ -149,12 +160,12 @@
         w.up("a", "east", 0);
         w.up("b", "east", 0);
         w.submit(spec(1, 1, 4, 50), 0);
-        WorkerReport stale = w.report("a", "east", 1, World.TOKEN);
-        List<Order> first = w.hear("a", 1);
+        Heartbeat stale = w.report("a", "east", 1, SimulatedWorld.TOKEN);
+        List<WorkerCommand> first = w.hear("a", 1);
         assertEquals(List.of("run-1/0"), starts(first));
         assertEquals(List.of(), w.core.onReport(stale, at(1.5)), "an older report shows nothing");
         assertEquals(List.of(), starts(w.hear("b", 2)));
-        List<Order> second = w.hear("a", 3);
+        List<WorkerCommand> second = w.hear("a", 3);
         assertEquals(List.of("run-1/0"), starts(second));
         assertTrue(second.get(0).attempt().value() != first.get(0).attempt().value(), "an attempt is used once");
     }
@@ -165,15 +176,16 @@
         w.up("a", "east", 0);
         w.up("b", "east", 0);
         w.submit(spec(1, 1, 4, 50), 0);
-        Order start = w.hear("a", 1).get(0);
+        WorkerCommand start = w.hear("a", 1).get(0);
         w.hear("a", 2, running(start));
-        assertEquals(List.of("run-1/0"), starts(w.core.onReport(w.report("a", "east", 2, World.TOKEN), at(9))));
+        assertEquals(
+                List.of("run-1/0"), starts(w.core.onReport(w.report("a", "east", 2, SimulatedWorld.TOKEN), at(9))));
     }
 
     @Test
     void aNewerLeadersTokenEndsThisLeadership() {
         w.core.loaded();
-        assertNull(w.core.onReport(w.report("a", "east", 1, new Token(6)), at(1)));
+        assertNull(w.core.onReport(w.report("a", "east", 1, new FencingToken(6)), at(1)));
     }
 
     @Test
@@ -181,15 +193,15 @@
         w.core.loaded();
         w.up("a", "east", 0);
         Job job = w.submit(spec(1, 2, 1, 50), 0);
-        List<Order> orders = w.hear("a", 1);
-        List<Order> before = w.hear("a", 2, exited(orders.get(0), ExitCause.DONE), running(orders.get(1)));
+        List<WorkerCommand> orders = w.hear("a", 1);
+        List<WorkerCommand> before = w.hear("a", 2, exited(orders.get(0), ExitCause.DONE), running(orders.get(1)));
         assertEquals(List.of(), before);
         assertEquals(List.of(job), w.progressed);
         job.recorded(job.doneTasks());
         assertTrue(
                 w.hear("a", 3, exited(orders.get(0), ExitCause.DONE), running(orders.get(1)))
                                 .get(0)
-                        instanceof Order.Forget);
+                        instanceof WorkerCommand.Reap);
     }
 
     @Test
@@ -198,7 +210,7 @@
         w.up("a", "east", 0);
         w.up("b", "east", 0);
         w.submit(spec(1, 1, 4, 50), 0);
-        Order start = w.hear("a", 1).get(0);
+        WorkerCommand start = w.hear("a", 1).get(0);
         w.hear("a", 2, running(start));
         assertEquals(List.of("run-1/0"), stops(w.hear("b", 3, foreign("run-1/0", 9))));
     }
@@ -208,11 +220,11 @@
         w.core.loaded();
         w.up("a", "east", 0);
         Job job = w.submit(spec(1, 1, 4, 50), 0);
-        Order start = w.hear("a", 1).get(0);
+        WorkerCommand start = w.hear("a", 1).get(0);
         w.hear("a", 2, running(start));
         w.core.cancelJob(job.id());
         w.submit(spec(2, 1, 4, 50), 2);
-        List<Order> orders = w.hear("a", 3, running(start));
+        List<WorkerCommand> orders = w.hear("a", 3, running(start));
         assertEquals(List.of("run-1/0"), stops(orders));
         assertEquals(List.of(), starts(orders));
         assertEquals(List.of("run-2/0"), starts(w.hear("a", 4, exited(start, ExitCause.STOPPED))));
@@ -226,7 +238,10 @@
         w.core.loaded();
         w.hear("a", 1);
         List<ListedMachine> list = List.of(new ListedMachine(
-                new MachineId("a"), new Pool("quad", "east", true), ListedMachine.Status.RUNNING, Span.seconds(100)));
+                new MachineId("a"),
+                new MachinePool("quad", "east", true),
+                ListedMachine.Status.RUNNING,
+                Span.seconds(100)));
         w.core.onList(list, at(2), at(2));
         w.core.onList(list, at(6), at(6));
         assertEquals(List.of(), starts(w.hear("a", 6.5)), "these lists may describe a time before b was rented");
@@ -255,7 +270,7 @@
     @CsvSource({"6.4, false", "6.6, true"})
     void aNewLeaderIsDeafOnlyWhenMachinesCouldHaveFoundIt(double seconds, boolean deaf) {
         for (String name : List.of("a", "b", "c")) {
-            w.core.inherit(new MachineId(name), new Pool("quad", "east", true), at(-90), at(-90), at(0));
+            w.core.inherit(new MachineId(name), new MachinePool("quad", "east", true), at(-90), at(-90), at(0));
         }
         w.core.loaded();
         assertEquals(deaf, w.core.isDeaf(at(seconds)));
@@ -271,7 +286,7 @@
         w.core.onList(
                 List.of(new ListedMachine(
                         new MachineId("a"),
-                        new Pool("quad", "east", true),
+                        new MachinePool("quad", "east", true),
                         ListedMachine.Status.RUNNING,
                         Span.seconds(3))),
                 at(3),
@@ -291,7 +306,8 @@
     void whatNobodyOrderedIsStartedBeforeAllMachinesAreHeard(int bound, boolean oneZone, String started) {
         inheritMachine("a");
         inheritMachine("b");
-        Job job = w.inherited(World.with(spec(1, 4, 1, 50), Urgency.STANDARD, oneZone, false, true, null, 0), bound);
+        Job job = w.inherited(
+                SimulatedWorld.with(spec(1, 4, 1, 50), Urgency.STANDARD, oneZone, false, true, null, 0), bound);
         w.core.loaded();
         job.boundRecorded(4);
         assertEquals(started, String.join(" ", starts(w.hear("a", 1))), "b may hold those below the bound");
@@ -304,7 +320,7 @@
     void nothingIsOrderedBeyondTheRecordedBound() {
         w.core.loaded();
         w.up("a", "east", 0);
-        Job job = new Job(spec(1, 9, 1, 50), 1, at(0), new Stamp(1), new java.util.BitSet(), 0, false);
+        Job job = new Job(spec(1, 9, 1, 50), 1, at(0), new Revision(1), new java.util.BitSet(), 0, false);
         w.core.addJob(job);
         assertEquals(List.of(job), w.core.boundsToRaise(at(1)));
         assertEquals(List.of(), starts(w.hear("a", 1)));
@@ -321,7 +337,7 @@
         for (int i = 0; i < 2000; i++) {
             w.core.inherit(
                     new MachineId("m" + i),
-                    new Pool("quad", i % 2 == 0 ? "east" : "west", true),
+                    new MachinePool("quad", i % 2 == 0 ? "east" : "west", true),
                     at(-100),
                     at(-90),
                     at(0));
@@ -337,7 +353,7 @@
         w.core.check(at(9));
         assertEquals(0, w.core.leaving(9).size());
         for (int i = 1; i < 2000; i += 2) {
-            starts += starts(w.core.onReport(w.report("m" + i, "west", 1, World.TOKEN), at(10 + i / 2000.0)))
+            starts += starts(w.core.onReport(w.report("m" + i, "west", 1, SimulatedWorld.TOKEN), at(10 + i / 2000.0)))
                     .size();
         }
         assertEquals(4004, starts, "the last report settles the take-over, and what it asked for can be started");
@@ -353,14 +369,17 @@
         List<MachineId> ids = IntStream.range(0, 2000)
                 .mapToObj(i -> new MachineId("m" + (10_000 + i)))
                 .toList();
-        w.core.rented(new Pool("quad", "east", true), ids.subList(0, 1500), at(0), at(0));
+        w.core.rented(new MachinePool("quad", "east", true), ids.subList(0, 1500), at(0), at(0));
         w.core.returned(ids.subList(0, 500), at(100));
-        w.core.rented(new Pool("quad", "east", true), ids.subList(1500, 2000), at(100), at(100));
+        w.core.rented(new MachinePool("quad", "east", true), ids.subList(1500, 2000), at(100), at(100));
         for (double asked : new double[] {101, 102, 103}) {
             w.core.onList(
                     ids.subList(0, 1500).stream()
                             .map(id -> new ListedMachine(
-                                    id, new Pool("quad", "east", true), ListedMachine.Status.RUNNING, Span.seconds(99)))
+                                    id,
+                                    new MachinePool("quad", "east", true),
+                                    ListedMachine.Status.RUNNING,
+                                    Span.seconds(99)))
                             .toList(),
                     at(asked),
                     at(asked + 0.1));
@@ -375,10 +394,10 @@
     /** The water kiosks' replicas were down longer: what nobody had ordered took their places before all was known. */
     @Test
     void untouchedWorkLeavesRoomForReplicasThatMayBeNowhere() {
-        w.core.inherit(new MachineId("o"), new Pool("quad", "east", false), at(-100), at(0), at(0));
+        w.core.inherit(new MachineId("o"), new MachinePool("quad", "east", false), at(-100), at(0), at(0));
         inheritMachine("a");
         inheritMachine("b");
-        w.inherited(World.service(1, 2), 2);
+        w.inherited(SimulatedWorld.service(1, 2), 2);
         w.inherited(spec(2, 9, 1, 50), 0).boundRecorded(9);
         w.core.loaded();
         assertEquals(List.of(), starts(w.hearOrdinary("o", 1)), "the replicas may go nowhere else");
--- a/src/test/java/io/indigoreach/core/SilenceTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FailureDetectorTest.java
@@ -1,11 +1,14 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.World.at;
-import static io.indigoreach.core.World.running;
-import static io.indigoreach.core.World.service;
-import static io.indigoreach.core.World.starts;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.running;
+import static io.indigoreach.core.scheduling.SimulatedWorld.service;
+import static io.indigoreach.core.scheduling.SimulatedWorld.starts;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.TaskStatus;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -15,14 +18,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Machines that hang or are dead are returned before their lease ends; a cut must not look like that. */
-class SilenceTest {
+class FailureDetectorTest {
     /** Of eight machines with a replica each, so many fall silent for so long; reports come every 2 s. */
     @ParameterizedTest
     @CsvSource({"1, 4, 0", "1, 5, 1", "2, 5, 2", "3, 5, 0", "8, 5, 0"})
     void silentMachinesAreReturnedUnlessManyAre(int silent, double seconds, int returned) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
-        List<TaskReport[]> tasks = fleet(w);
+        List<TaskStatus[]> tasks = fleet(w);
         for (int i = silent; i < 8; i++) {
             w.hearOrdinary("m" + i, 10 + seconds, tasks.get(i));
         }
@@ -30,8 +33,8 @@
         assertEquals(returned, w.core.leaving(9).size());
     }
 
-    private static List<TaskReport[]> fleet(World w) {
-        List<TaskReport[]> tasks = new ArrayList<>();
+    private static List<TaskStatus[]> fleet(SimulatedWorld w) {
+        List<TaskStatus[]> tasks = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             w.submit(service(i, 1), 0);
             tasks.add(running(w.ordinary("m" + i, 1)));
@@ -47,9 +50,9 @@
     @ParameterizedTest
     @CsvSource({"14.9, 0", "10, 2"})
     void aLeaderThatStoodStillDoubtsItselfFirst(double awake, int returned) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
-        List<TaskReport[]> tasks = fleet(w);
+        List<TaskStatus[]> tasks = fleet(w);
         w.core.awakeSince(at(awake));
         assertEquals(returned > 0, w.core.isDeaf(at(16.1)), "nothing heard since 10 s");
         for (int i = 2; i < 8; i++) {
@@ -62,9 +65,9 @@
     /** What was on it starts elsewhere once the return is answered, not before: it may still be running. */
     @Test
     void aReplicaStartsElsewhereOnlyOnceTheReturnIsAnswered() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
-        List<TaskReport[]> tasks = fleet(w);
+        List<TaskStatus[]> tasks = fleet(w);
         for (int i = 1; i < 8; i++) {
             w.hearOrdinary("m" + i, 15, tasks.get(i));
         }
@@ -81,18 +84,18 @@
     @ParameterizedTest
     @CsvSource({"8, 30, 0", "8, 92, 0", "8, 93, 8", "1, 30, 1"})
     void machinesBehindACutAreKept(int cut, double seconds, int returned) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         for (int i = 0; i < 8; i++) {
-            w.core.inherit(new MachineId("e" + i), new Pool("quad", "east", true), at(-90), at(-90), at(0));
-            w.core.inherit(new MachineId("w" + i), new Pool("quad", "west", true), at(-90), at(-90), at(0));
+            w.core.inherit(new MachineId("e" + i), new MachinePool("quad", "east", true), at(-90), at(-90), at(0));
+            w.core.inherit(new MachineId("w" + i), new MachinePool("quad", "west", true), at(-90), at(-90), at(0));
         }
         w.core.loaded();
-        w.submit(World.spec(1, 400, 1, 500), 0);
+        w.submit(SimulatedWorld.spec(1, 400, 1, 500), 0);
         for (double t = 1; t <= seconds; t++) {
             for (int i = 0; i < 8; i++) {
                 w.hear("e" + i, t);
                 if (i >= cut) {
-                    w.core.onReport(w.report("w" + i, "west", 1, World.TOKEN), at(t));
+                    w.core.onReport(w.report("w" + i, "west", 1, SimulatedWorld.TOKEN), at(t));
                 }
             }
             w.core.expireLeases(at(t));
@@ -115,9 +118,9 @@
     @ParameterizedTest
     @CsvSource({"8, 1, 8, 0", "8, 1, 9, 1", "8, 4, 9, 0", "40, 2, 6, 0", "40, 2, 7, 2", "40, 6, 7, 0", "40, 6, 9, 6"})
     void machinesSilentSinceATakeOverAreReturned(int machines, int dead, double seconds, int returned) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         for (int i = 0; i < machines; i++) {
-            w.core.inherit(new MachineId("m" + i), new Pool("quad", "east", true), at(0), at(0), at(0));
+            w.core.inherit(new MachineId("m" + i), new MachinePool("quad", "east", true), at(0), at(0), at(0));
         }
         w.core.loaded();
         for (int i = dead; i < machines; i++) {
--- a/src/test/java/io/indigoreach/core/FleetCostTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FleetCostTest.java
@@ -1,12 +1,19 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.World.at;
-import static io.indigoreach.core.World.running;
-import static io.indigoreach.core.World.spec;
-import static io.indigoreach.core.World.with;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.running;
+import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SimulatedWorld.with;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.Urgency;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -23,12 +30,12 @@
     @ParameterizedTest
     @ValueSource(ints = {50, 500})
     void reportsDoNotWalkTheFleet(int machines) {
-        World w = new World();
-        Map<String, TaskReport[]> tasks = busy(w, machines);
+        SimulatedWorld w = new SimulatedWorld();
+        Map<String, TaskStatus[]> tasks = busy(w, machines);
         long before = w.core.visits();
         int stops = 0;
         for (int i = 0; i < machines; i++) {
-            stops += World.stops(w.hear("m" + i, 40 + 0.9 * i / machines, tasks.get("m" + i)))
+            stops += SimulatedWorld.stops(w.hear("m" + i, 40 + 0.9 * i / machines, tasks.get("m" + i)))
                     .size();
         }
         assertTrue(stops > machines / 2, stops + " tasks make room");
@@ -39,8 +46,8 @@
     @ParameterizedTest
     @ValueSource(ints = {50, 500})
     void guaranteesDoNotWalkTheFleet(int machines) {
-        World w = new World(World.team(0), new Team("due", 4 * machines, 0, 0, 0));
-        Map<String, TaskReport[]> tasks = busy(w, machines);
+        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(0), new Team("due", 4 * machines, 0, 0, 0));
+        Map<String, TaskStatus[]> tasks = busy(w, machines);
         JobSpec s = spec(3, 4 * machines, 1, 20);
         w.submit(
                 new JobSpec(
@@ -66,7 +73,7 @@
         long before = w.core.visits();
         int stops = 0;
         for (int i = 0; i < machines; i++) {
-            stops += World.stops(w.hear("m" + i, 5 + 0.9 * i / machines, tasks.get("m" + i)))
+            stops += SimulatedWorld.stops(w.hear("m" + i, 5 + 0.9 * i / machines, tasks.get("m" + i)))
                     .size();
         }
         assertTrue(stops >= machines, stops + " tasks make room");
@@ -74,15 +81,15 @@
     }
 
     /** The fleet runs tasks that keep their progress, and urgent work waits that could take their place. */
-    private static Map<String, TaskReport[]> busy(World w, int machines) {
-        Map<String, TaskReport[]> all = new HashMap<>();
+    private static Map<String, TaskStatus[]> busy(SimulatedWorld w, int machines) {
+        Map<String, TaskStatus[]> all = new HashMap<>();
         w.core.loaded();
         w.submit(with(spec(1, 2 * machines, 2, 100), Urgency.BEST_EFFORT, false, false, true, null, 5), 0);
         for (int i = 0; i < machines; i++) {
             w.up("m" + i, "east", 0);
-            List<TaskReport> tasks = new ArrayList<>();
+            List<TaskStatus> tasks = new ArrayList<>();
             w.hear("m" + i, 1).forEach(o -> tasks.add(running(o)));
-            all.put("m" + i, tasks.toArray(TaskReport[]::new));
+            all.put("m" + i, tasks.toArray(TaskStatus[]::new));
             w.hear("m" + i, 2, all.get("m" + i));
         }
         w.submit(with(spec(2, 4 * machines, 1, 20), Urgency.HIGH, false, false, true, null, 0), 3);
@@ -92,16 +99,16 @@
     /** A new leader starts nothing inherited before the last of 500 machines has reported, and everything after it. */
     @Test
     void aTakeOverOfAWholeFleetSettlesWithItsLastReport() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         for (int i = 0; i < 500; i++) {
-            w.core.inherit(new MachineId("m" + i), new Pool("quad", "east", true), at(0), at(0), at(0));
+            w.core.inherit(new MachineId("m" + i), new MachinePool("quad", "east", true), at(0), at(0), at(0));
         }
         w.inherited(spec(1, 3000, 1, 20));
         w.core.loaded();
         for (int i = 0; i < 499; i++) {
-            assertEquals(0, World.starts(w.hear("m" + i, 1)).size());
+            assertEquals(0, SimulatedWorld.starts(w.hear("m" + i, 1)).size());
         }
-        assertEquals(4, World.starts(w.hear("m499", 2)).size());
-        assertEquals(4, World.starts(w.hear("m0", 2.5)).size());
+        assertEquals(4, SimulatedWorld.starts(w.hear("m499", 2)).size());
+        assertEquals(4, SimulatedWorld.starts(w.hear("m0", 2.5)).size());
     }
 }
--- a/src/test/java/io/indigoreach/core/FloodMemoryTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FloodMemoryTest.java
@@ -1,7 +1,15 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskId;
+import io.indigoreach.core.model.TaskState;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.WorkerCommand;
 import java.lang.reflect.Field;
 import java.lang.reflect.Modifier;
 import java.util.ArrayDeque;
@@ -21,8 +29,8 @@
     private static final int MACHINES = 30;
     private static final double RUN_S = 15;
 
-    private final World w = new World();
-    private final List<Map<TaskId, TaskReport>> machines = new ArrayList<>();
+    private final SimulatedWorld w = new SimulatedWorld();
+    private final List<Map<TaskId, TaskStatus>> machines = new ArrayList<>();
     private final Map<TaskId, Double> ends = new HashMap<>();
     private int finished;
 
@@ -45,9 +53,9 @@
             }
             closeDone();
             if (step % 20 == 0) {
-                w.core.expireLeases(World.at(now));
-                w.core.wishes(World.at(now));
-                w.core.check(World.at(now));
+                w.core.expireLeases(SimulatedWorld.at(now));
+                w.core.wishes(SimulatedWorld.at(now));
+                w.core.check(SimulatedWorld.at(now));
             }
             afterAThird = step == 4800 ? reachable(w.core) : afterAThird;
         }
@@ -57,7 +65,7 @@
     }
 
     private static JobSpec single(int id) {
-        JobSpec s = World.spec(id, 1, 1, RUN_S);
+        JobSpec s = SimulatedWorld.spec(id, 1, 1, RUN_S);
         return new JobSpec(
                 s.id(),
                 "class-" + id,
@@ -80,16 +88,16 @@
     }
 
     private void report(int m, double now) {
-        Map<TaskId, TaskReport> tasks = machines.get(m);
+        Map<TaskId, TaskStatus> tasks = machines.get(m);
         tasks.replaceAll((id, t) -> t.state() != TaskState.EXITED && now >= ends.get(id)
-                ? new TaskReport(id, t.attempt(), TaskState.EXITED, ExitCause.DONE, false)
+                ? new TaskStatus(id, t.attempt(), TaskState.EXITED, ExitCause.DONE, false)
                 : t);
-        for (Order o : w.hear("m" + m, now, tasks.values().toArray(TaskReport[]::new))) {
-            if (o instanceof Order.Start) {
-                tasks.put(o.task(), World.running(o));
+        for (WorkerCommand o : w.hear("m" + m, now, tasks.values().toArray(TaskStatus[]::new))) {
+            if (o instanceof WorkerCommand.Start) {
+                tasks.put(o.task(), SimulatedWorld.running(o));
                 ends.put(o.task(), now + RUN_S);
-            } else if (o instanceof Order.Stop) {
-                tasks.put(o.task(), World.exited(o, ExitCause.STOPPED));
+            } else if (o instanceof WorkerCommand.Stop) {
+                tasks.put(o.task(), SimulatedWorld.exited(o, ExitCause.STOPPED));
             } else {
                 tasks.remove(o.task());
             }
@@ -113,7 +121,7 @@
         int elements = 0;
         while (!left.isEmpty()) {
             Object o = left.pop();
-            if (o instanceof Notes || !seen.add(o)) {
+            if (o instanceof SchedulerListener || !seen.add(o)) {
                 continue;
             }
             List<Object> inside = new ArrayList<>();
--- a/src/test/java/io/indigoreach/core/WithheldTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/GatedTasksTest.java
@@ -1,21 +1,30 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 /** Tasks that wait for something else than machines. */
-class WithheldTest {
+class GatedTasksTest {
     private static final JobSpec PLAIN = new JobSpec(
             new JobId("run-1"),
             "c",
             "t",
-            Shape.ARRAY,
+            JobKind.ARRAY,
             Urgency.STANDARD,
             6,
             new Demand(1, 0, 1),
@@ -32,7 +41,7 @@
             null);
 
     private static Job job(JobSpec spec) {
-        return new Job(spec, 0, new Moment(0), new Stamp(1), new BitSet(), 0, false);
+        return new Job(spec, 0, new Moment(0), new Revision(1), new BitSet(), 0, false);
     }
 
     @Test
--- a/src/test/java/io/indigoreach/core/warm/CacheTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ImageCacheTest.java
@@ -1,17 +1,20 @@
-package io.indigoreach.core.warm;
+package io.indigoreach.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.warm.BurstWindow;
+import io.indigoreach.core.warm.DemandHistory;
+import io.indigoreach.core.warm.PoolSizing;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What a machine is said to hold, and how many machines a forecast asks for. */
-class CacheTest {
-    private final Cache cache = new Cache(100);
+class ImageCacheTest {
+    private final ImageCache cache = new ImageCache(100);
 
     private void held(String image, double gb) {
         cache.use(image, gb);
@@ -72,30 +75,33 @@
     @ParameterizedTest
     @CsvSource({"0, 0.95, 0", "1, 0.95, 3", "12, 0.95, 18", "12, 0.5, 12", "100, 0.99, 124", "10000, 0.95, 10165"})
     void theNewsvendorsQuantile(double mean, double ratio, int expected) {
-        assertEquals(expected, Sizing.poisson(mean, ratio));
+        assertEquals(expected, PoolSizing.poisson(mean, ratio));
     }
 
     @Test
     void lossesAreHeldBeside() {
-        assertEquals(10, Sizing.withLosses(10, 0, io.indigoreach.core.Span.seconds(120)));
-        assertEquals(11, Sizing.withLosses(10, 1, io.indigoreach.core.Span.seconds(120)));
-        assertEquals(20, Sizing.withLosses(10, 1000, io.indigoreach.core.Span.seconds(120)), "at most as many again");
+        assertEquals(10, PoolSizing.withLosses(10, 0, io.indigoreach.core.model.Span.seconds(120)));
+        assertEquals(11, PoolSizing.withLosses(10, 1, io.indigoreach.core.model.Span.seconds(120)));
+        assertEquals(
+                20,
+                PoolSizing.withLosses(10, 1000, io.indigoreach.core.model.Span.seconds(120)),
+                "at most as many again");
     }
 
     @Test
     void burstsAreLearnedByTheTimeOfDay() {
-        Seen seen = new Seen();
+        DemandHistory seen = new DemandHistory();
         long day = 24 * 3_600_000L;
         for (int d = 0; d < 5; d++) {
             for (long at = 0; at < day; at += 600_000) {
                 seen.observe(d * day + at, at / 3_600_000 == 9 ? 10 + d : 1);
             }
         }
-        Seen recorded = Seen.of(seen.recorded());
+        DemandHistory recorded = DemandHistory.of(seen.recorded());
         long nine = 5 * day + 9 * 3_600_000L;
-        assertEquals(14, recorded.expected(nine - 60_000, io.indigoreach.core.Span.seconds(120), 0.95));
-        assertEquals(12, recorded.expected(nine, io.indigoreach.core.Span.seconds(120), 0.5));
-        assertEquals(1, recorded.expected(nine - 7_200_000, io.indigoreach.core.Span.seconds(120), 0.95));
+        assertEquals(14, recorded.expected(nine - 60_000, io.indigoreach.core.model.Span.seconds(120), 0.95));
+        assertEquals(12, recorded.expected(nine, io.indigoreach.core.model.Span.seconds(120), 0.5));
+        assertEquals(1, recorded.expected(nine - 7_200_000, io.indigoreach.core.model.Span.seconds(120), 0.95));
     }
 
     @ParameterizedTest
@@ -110,6 +116,6 @@
     void windowsGoOverMidnight(int from, int to, int atMinute, int minutes) {
         assertEquals(
                 minutes * 60_000L,
-                new Window(from, to, 1).untilOpen(atMinute * 60_000L).ms());
+                new BurstWindow(from, to, 1).untilOpen(atMinute * 60_000L).ms());
     }
 }
--- a/src/test/java/io/indigoreach/core/OthersRequestsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/InheritedRequestsTest.java
@@ -1,25 +1,30 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.World.at;
-import static io.indigoreach.core.World.spec;
-import static io.indigoreach.core.World.starts;
-import static io.indigoreach.core.World.with;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SimulatedWorld.starts;
+import static io.indigoreach.core.scheduling.SimulatedWorld.with;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.model.ListedMachine;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What earlier leaders asked of the cloud, and what its answers were taken for. */
-class OthersRequestsTest {
+class InheritedRequestsTest {
     /** A name used twice brought an ordinary machine as the answer to a request for spot ones, and the reverse. */
     @Test
     void aMachineIsOfThePoolThatItReports() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
-        w.core.rented(new Pool("quad", "east", false), List.of(new MachineId("a")), at(0), at(0));
+        w.core.rented(new MachinePool("quad", "east", false), List.of(new MachineId("a")), at(0), at(0));
         w.core.recorded(new MachineId("a"));
         w.submit(with(spec(1, 4, 1, 50), Urgency.STANDARD, false, false, false, null, 0), 1);
         assertEquals(List.of(), w.hear("a", 20), "it says that it is a spot machine");
@@ -33,10 +38,10 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aMachineThatWasToBeReturnedIsNeverUsedAgain(boolean recorded) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         MachineId id = new MachineId("a");
         if (recorded) {
-            w.core.inherit(id, new Pool("quad", "east", true), at(0), at(0), at(0));
+            w.core.inherit(id, new MachinePool("quad", "east", true), at(0), at(0), at(0));
         }
         w.core.condemn(List.of(id), at(0));
         w.core.loaded();
@@ -44,10 +49,10 @@
         assertEquals(List.of(), starts(w.hear("a", 2)));
         w.core.onList(
                 List.of(new ListedMachine(
-                        id, new Pool("quad", "east", true), ListedMachine.Status.RUNNING, Span.seconds(9))),
+                        id, new MachinePool("quad", "east", true), ListedMachine.Status.RUNNING, Span.seconds(9))),
                 at(2),
                 at(3));
-        w.core.rented(new Pool("quad", "east", true), List.of(id), at(0), at(3));
+        w.core.rented(new MachinePool("quad", "east", true), List.of(id), at(0), at(3));
         assertEquals(List.of(), starts(w.hear("a", 4)));
         assertEquals(List.of(id), w.core.leaving(9), "its return is finished");
         w.core.returned(List.of(id), at(5));
--- a/src/test/java/io/indigoreach/core/LaggingWrites.java
+++ b/src/test/java/io/indigoreach/core/scheduling/LaggingWrites.java
@@ -1,11 +1,11 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 
 /**
- * The leader's writes in a {@link RandomRun}. While the state service lags they are carried out 2 s to 12 s later, in any order,
+ * The leader's writes in a {@link RandomSimulation}. While the state service lags they are carried out 2 s to 12 s later, in any order,
  * some without an answer; a write whose leader's key is gone by then is not carried out, as it is conditional on that key.
  */
 final class LaggingWrites {
--- a/src/test/java/io/indigoreach/core/LateCommands.java
+++ b/src/test/java/io/indigoreach/core/scheduling/LateCommands.java
@@ -1,11 +1,12 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 
 /**
- * Orders that a leader sends by direct command in a {@link RandomRun}, which the product never does: each is carried out once, 2 s
+ * Orders that a leader sends by direct command in a {@link RandomSimulation}, which the product never does: each is carried out once, 2 s
  * to 16 s later and unanswered, if the worker's token is not higher and its session the same.
  */
 final class LateCommands {
@@ -13,7 +14,7 @@
     private static final double DELAY_RANGE_S = 14;
 
     /** A command on its way to a worker. */
-    record Command(String machine, long session, long token, List<Order> orders, double due) {}
+    record Command(String machine, long session, long token, List<WorkerCommand> orders, double due) {}
 
     private final Random random;
     private final List<Command> onTheWay = new ArrayList<>();
@@ -22,7 +23,7 @@
         this.random = random;
     }
 
-    void send(String machine, long session, long token, List<Order> orders, double now) {
+    void send(String machine, long session, long token, List<WorkerCommand> orders, double now) {
         double due = now + LEAST_DELAY_S + DELAY_RANGE_S * random.nextDouble();
         onTheWay.add(new Command(machine, session, token, orders, due));
     }
--- a/src/test/java/io/indigoreach/core/LateCopyTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/LateHeartbeatCopyTest.java
@@ -1,14 +1,22 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.World.TOKEN;
-import static io.indigoreach.core.World.at;
-import static io.indigoreach.core.World.running;
-import static io.indigoreach.core.World.spec;
-import static io.indigoreach.core.World.starts;
+import static io.indigoreach.core.scheduling.SimulatedWorld.TOKEN;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.running;
+import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SimulatedWorld.starts;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.ListedMachine;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
@@ -17,9 +25,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Copies of reports that come late, up to minutes: they show nothing about now. */
-class LateCopyTest {
+class LateHeartbeatCopyTest {
     private static final MachineId A = new MachineId("vm-000001");
-    private static final Pool EAST = new Pool("quad", "east", true);
+    private static final MachinePool EAST = new MachinePool("quad", "east", true);
 
     private static ListedMachine listed(String name) {
         return new ListedMachine(new MachineId(name), EAST, ListedMachine.Status.RUNNING, Span.seconds(30));
@@ -37,13 +45,13 @@
         "its session ended, true"
     })
     void raiseNoDeadMachine(String when, boolean known) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.up(A.text(), "east", 0);
         w.core.loaded();
         Job job = w.submit(spec(1, 1, 1, 500), 0);
-        List<Order> orders = w.hear(A.text(), 1);
-        WorkerReport earlier = w.report(A.text(), "east", 1, TOKEN, running(orders.get(0)));
-        WorkerReport copy = w.report(A.text(), "east", 1, TOKEN, running(orders.get(0)));
+        List<WorkerCommand> orders = w.hear(A.text(), 1);
+        Heartbeat earlier = w.report(A.text(), "east", 1, TOKEN, running(orders.get(0)));
+        Heartbeat copy = w.report(A.text(), "east", 1, TOKEN, running(orders.get(0)));
         w.core.onReport(earlier, at(2));
         if (!when.startsWith("first time")) {
             w.core.onReport(copy, at(3));
@@ -63,12 +71,12 @@
         }
         if (when.startsWith("under a new")) {
             // Rented and returned under the leader before: nothing is recorded of it.
-            w = new World();
+            w = new SimulatedWorld();
             w.core.loaded();
-            job = new Job(spec(1, 1, 1, 500), 1, at(0), new Stamp(1), new BitSet(), 1, false);
+            job = new Job(spec(1, 1, 1, 500), 1, at(0), new Revision(1), new BitSet(), 1, false);
             w.core.addJob(job);
-            copy = withToken(copy, new Token(4));
-            earlier = withToken(earlier, new Token(4));
+            copy = withToken(copy, new FencingToken(4));
+            earlier = withToken(earlier, new FencingToken(4));
         }
         w.core.expireLeases(at(20));
         int machines = w.core.machineCount();
@@ -84,8 +92,8 @@
         assertEquals(1, starts(w.hear("vm-010001", 33)).size(), "held by a copy");
     }
 
-    private static WorkerReport withToken(WorkerReport r, Token token) {
-        return new WorkerReport(r.machine(), r.address(), r.pool(), r.number(), token, r.notice(), r.tasks());
+    private static Heartbeat withToken(Heartbeat r, FencingToken token) {
+        return new Heartbeat(r.machine(), r.address(), r.pool(), r.number(), token, r.notice(), r.tasks());
     }
 
     /** Nobody rented or listed it: one report or a copy of it is no proof, one that shows our answer is. */
@@ -100,12 +108,12 @@
         "then rented, 1"
     })
     void anUnknownMachineMustShowOurAnswer(String what, int machines) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.submit(spec(1, 4, 1, 500), 0);
-        WorkerReport first = w.report("x", "east", 1, new Token(4));
-        WorkerReport older = w.report("x", "east", 1, new Token(4));
-        WorkerReport second = w.report("x", "east", 1, TOKEN);
+        Heartbeat first = w.report("x", "east", 1, new FencingToken(4));
+        Heartbeat older = w.report("x", "east", 1, new FencingToken(4));
+        Heartbeat second = w.report("x", "east", 1, TOKEN);
         w.core.onReport(what.startsWith("wrong") ? second : first, at(1));
         assertEquals(0, w.core.machineCount());
         switch (what) {
@@ -120,7 +128,7 @@
         assertEquals(machines, w.core.machineCount());
         // It counts as none on order: what waits is rented for all the same.
         if (machines == 0) {
-            World fresh = new World();
+            SimulatedWorld fresh = new SimulatedWorld();
             fresh.core.loaded();
             fresh.submit(spec(1, 4, 1, 500), 0);
             assertEquals(fresh.core.wishes(at(20)), w.core.wishes(at(20)));
@@ -131,10 +139,10 @@
     /** Inherited and dead: copies with the older token settle no take-over and put it off once, not with each copy. */
     @Test
     void copiesOfOneReportPutATakeOverOffOnce() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.inherit(A, EAST, at(-50), at(-50), at(0));
         w.core.loaded();
-        WorkerReport copy = w.report(A.text(), "east", 1, new Token(4));
+        Heartbeat copy = w.report(A.text(), "east", 1, new FencingToken(4));
         List<Double> settled = new ArrayList<>();
         for (double now = 1; now < 60; now++) {
             w.core.onReport(copy, at(now));
@@ -149,9 +157,9 @@
     /** While the records are read, machines are answered: their leases count from then, not from when they were read. */
     @Test
     void whatIsAnsweredBeforeTheRecordsAreReadIsCounted() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.inherit(A, EAST, at(-50), at(-50), at(0));
-        w.core.onReport(w.report(A.text(), "east", 1, new Token(4)), at(6));
+        w.core.onReport(w.report(A.text(), "east", 1, new FencingToken(4)), at(6));
         w.core.loaded();
         w.core.expireLeases(at(17));
         assertFalse(w.core.isSettled(), "its lease may run until 18 s");
--- a/src/test/java/io/indigoreach/core/ServedTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/MinimumServiceTest.java
@@ -1,25 +1,29 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.Steps.Kind;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.scheduling.CoreHarness.Kind;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Every class and every team is served: floods, empty pools, queues behind urgent jobs; in steps of a second. */
-class ServedTest {
-    private static final Aims AIMS = new Aims(List.of(aim("urgent", 150), aim("usual", 180), aim("slow", 300)));
+class MinimumServiceTest {
+    private static final ServiceLevelObjectives AIMS =
+            new ServiceLevelObjectives(List.of(aim("urgent", 150), aim("usual", 180), aim("slow", 300)));
 
-    private static Aims.Aim aim(String jobClass, double within) {
-        return new Aims.Aim(jobClass, false, Span.seconds(within));
+    private static ServiceLevelObjectives.Objective aim(String jobClass, double within) {
+        return new ServiceLevelObjectives.Objective(jobClass, false, Span.seconds(within));
     }
 
     /** Some 1,100 of 1,200 cores' worth until 380, and between 80 and 230 so many times as many urgent jobs. */
-    private static Steps flood(int times, Aims aims) {
-        return new Steps(
+    private static CoreHarness flood(int times, ServiceLevelObjectives aims) {
+        return new CoreHarness(
                 List.of(
                         Kind.of("urgent", Urgency.HIGH, 0.4, 10, 35, 25, 1).between(0, 380),
                         Kind.of("urgent", Urgency.HIGH, 0.4 * (times - 1), 0, 35, 25, 1)
@@ -37,7 +41,7 @@
     @ParameterizedTest
     @CsvSource({"1, 1.0, 1.0, 1.0", "3, 0.95, 0.6, 0.6", "6, 0.6, 0.5, 0.5"})
     void noClassFallsUnderHalfWithinItsLongestAim(int times, double urgent, double usual, double slow) {
-        Steps s = flood(times, AIMS).run(130);
+        CoreHarness s = flood(times, AIMS).run(130);
         s.newLeader();
         s.run(870);
         String served = s.served("urgent", 150) + " " + s.served("usual", 180) + " " + s.served("slow", 300);
@@ -51,7 +55,7 @@
     @Test
     void anHourOfGoodServiceDoesNotHideAFlood() {
         int begin = 3600;
-        Steps s = new Steps(
+        CoreHarness s = new CoreHarness(
                 List.of(
                         Kind.of("urgent", Urgency.HIGH, 0.4, 0, 35, 25, 1).between(begin, begin + 300),
                         Kind.of("urgent", Urgency.HIGH, 2, 0, 35, 25, 1).between(begin + 50, begin + 200),
@@ -67,13 +71,13 @@
     /** An endless flood that takes all there is: what nobody has an aim for starts when it is ten minutes old all the same. */
     @Test
     void ageHasABound() {
-        Steps s = new Steps(
+        CoreHarness s = new CoreHarness(
                 List.of(
                         Kind.of("urgent", Urgency.HIGH, 2, 10, 35, 25, 1),
                         Kind.of("slow", Urgency.BEST_EFFORT, 0.01, 3, 10, 70, 4).saving()),
                 240,
                 60,
-                World.NO_AIMS);
+                SimulatedWorld.NO_AIMS);
         s.run(1500);
         assertTrue(s.longestWait("slow", 0) <= 750, "waits " + s.longestWait("slow", 0));
         assertTrue(s.served("urgent", 800) >= 0.5, "urgent " + s.served("urgent", 800));
@@ -86,7 +90,8 @@
     @ParameterizedTest
     @CsvSource({"0, 20", "3, 20", "0, 2"})
     void whereTheCheaperPoolIsEmptyWaitsAreBoundedAllTheSame(int spot, int ordinary) {
-        Steps s = new Steps(List.of(Kind.of("c", Urgency.STANDARD, 0, 1, 94, 20, 1)), spot, ordinary, World.NO_AIMS);
+        CoreHarness s = new CoreHarness(
+                List.of(Kind.of("c", Urgency.STANDARD, 0, 1, 94, 20, 1)), spot, ordinary, SimulatedWorld.NO_AIMS);
         s.run(400);
         int boots = 2 * 20;
         int atOnce = Math.min(9, spot + ordinary) * 4;
@@ -99,14 +104,14 @@
     /** Behind a service and short jobs that start at once, longer ones wait: the top job alone did not say so. */
     @Test
     void waitsFallUnderTheThresholdAfterAChangeOfLeader() {
-        Steps s = new Steps(
+        CoreHarness s = new CoreHarness(
                 List.of(
                         Kind.of("short", Urgency.STANDARD, 1.2, 30, 20, 6, 1),
                         Kind.of("long", Urgency.BEST_EFFORT, 0.2, 10, 8, 40, 1),
                         Kind.of("replicas", Urgency.PRODUCTION, 0, 1, 8, 0, 1).service()),
                 160,
                 80,
-                World.NO_AIMS);
+                SimulatedWorld.NO_AIMS);
         s.run(10);
         s.newLeader();
         s.run(350);
@@ -119,16 +124,18 @@
     @ParameterizedTest
     @CsvSource({"40, 0", "50, 2"})
     void whoWaitsBehindATopJobThatStartsAtOnceIsRentedFor(double at, int machines) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.up("a", "east", 0);
-        w.submit(World.spec(1, 1, 1, 900), 0);
+        w.submit(SimulatedWorld.spec(1, 1, 1, 900), 0);
         w.hear("a", 1);
-        w.submit(World.spec(2, 1, 4, 900), 2);
-        w.submit(World.with(World.spec(3, 1, 1, 20), Urgency.HIGH, false, false, true, null, 0), at);
+        w.submit(SimulatedWorld.spec(2, 1, 4, 900), 2);
+        w.submit(SimulatedWorld.with(SimulatedWorld.spec(3, 1, 1, 20), Urgency.HIGH, false, false, true, null, 0), at);
         assertEquals(
                 machines,
-                w.core.wishes(World.at(at)).stream().mapToInt(RentWish::count).sum());
+                w.core.wishes(SimulatedWorld.at(at)).stream()
+                        .mapToInt(ScaleOutRequest::count)
+                        .sum());
     }
 
     /**
@@ -144,7 +151,7 @@
         "20, 1, 0.25, 150, 2"
     })
     void theLargestBeginWithinFourMinutes(int jobs, int tasks, double cores, int run, double perStep) {
-        Steps s = new Steps(
+        CoreHarness s = new CoreHarness(
                 List.of(
                         Kind.of("urgent", Urgency.HIGH, 0.5, 10, 35, 25, 1),
                         Kind.of("urgent", Urgency.HIGH, 1.5, 0, 35, 25, 1).between(40, 160),
@@ -165,7 +172,7 @@
     /** Jobs without an aim go first on an eighth of the machines, whole ones: tasks of a whole machine find the others. */
     @Test
     void whatNobodySaidATimeForDoesNotTakeEveryMachineFromTasksOfAWholeOne() {
-        Steps s = new Steps(
+        CoreHarness s = new CoreHarness(
                 List.of(
                         Kind.of("usual", Urgency.STANDARD, 0.4, 10, 80, 18, 1),
                         Kind.of("slow", Urgency.BEST_EFFORT, 0.07, 3, 25, 70, 4).saving(),
@@ -184,7 +191,7 @@
         Team[] teams = {
             new Team("floods", 0, 0, 0, 0), new Team("guaranteed", 1200, 0, 0, 0), new Team("limited", 0, 600, 0, 0)
         };
-        Steps s = new Steps(
+        CoreHarness s = new CoreHarness(
                 List.of(
                         Kind.of("urgent", Urgency.HIGH, 6, 20, 40, 25, 1)
                                 .between(0, 200)
@@ -198,7 +205,7 @@
                                 .team("limited")),
                 800,
                 200,
-                new Aims(List.of(aim("urgent", 250), aim("usual", 180), aim("slow", 400))),
+                new ServiceLevelObjectives(List.of(aim("urgent", 250), aim("usual", 180), aim("slow", 400))),
                 teams);
         s.run(700);
         assertTrue(
--- a/src/test/java/io/indigoreach/core/MuteMachineTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/MuteMachineTest.java
@@ -1,23 +1,25 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.World.RULES;
-import static io.indigoreach.core.World.at;
-import static io.indigoreach.core.World.spec;
+import static io.indigoreach.core.scheduling.SimulatedWorld.RULES;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.TaskId;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
  * A machine that reaches no controller from the answer to its report of -1 s on, while direct commands would reach it. None is
- * sent, so its lease alone ends what it runs. A whole zone of them is {@code SilenceTest.machinesBehindACutAreKept}.
+ * sent, so its lease alone ends what it runs. A whole zone of them is {@code FailureDetectorTest.machinesBehindACutAreKept}.
  */
 class MuteMachineTest {
     private static final JobId JOB = new JobId("run-1");
     private static final TaskId TASK = TaskId.parse("run-1/0");
-    private final LedSite site = new LedSite();
+    private final SimulatedCluster site = new SimulatedCluster();
 
     private void begin() {
         site.box("mute", -10);
--- a/src/test/java/io/indigoreach/core/NearAimTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/NearObjectiveTest.java
@@ -1,11 +1,17 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.World.at;
-import static io.indigoreach.core.World.running;
-import static io.indigoreach.core.World.spec;
-import static io.indigoreach.core.World.with;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.running;
+import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SimulatedWorld.with;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.BitSet;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -13,9 +19,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Jobs whose aim is nearer than a boot: machines for their flow, room made for them, and room kept for bulky ones. */
-class NearAimTest {
+class NearObjectiveTest {
     private static Job job(int id, double arrived) {
-        return new Job(spec(id, 1, 1, 10), id, at(arrived), Stamp.ABSENT, new BitSet(), 99, false);
+        return new Job(spec(id, 1, 1, 10), id, at(arrived), Revision.ABSENT, new BitSet(), 99, false);
     }
 
     /** Jobs that arrive at these seconds, one unit each, asked about at 60 (a minute after the first question). */
@@ -27,7 +33,7 @@
         "'',                           0"
     })
     void aBurstIsNoFlow(String arrivals, double perSecond) {
-        Inflow inflow = new Inflow();
+        ArrivalRate inflow = new ArrivalRate();
         inflow.perSecond(j -> true, j -> 1, Span.seconds(60), at(0));
         int id = 0;
         for (String second : arrivals.isEmpty() ? new String[0] : arrivals.split(" ")) {
@@ -39,7 +45,7 @@
     /** Five seconds after a take-over one large job is no proof of a flow (334 machines were rented for such). */
     @Test
     void littleTimeTellsLittle() {
-        Inflow inflow = new Inflow();
+        ArrivalRate inflow = new ArrivalRate();
         inflow.perSecond(j -> true, j -> 100, Span.seconds(60), at(0));
         inflow.add(job(1, 1));
         inflow.add(job(2, 3));
@@ -50,7 +56,10 @@
     @ParameterizedTest
     @CsvSource({"60, STANDARD, 2", "60, BEST_EFFORT, 0", "300, STANDARD, 0"})
     void lowTasksMakeRoomForNearAims(double within, Urgency urgency, int stopped) {
-        World w = new World(World.TUNING, new Aims(List.of(new Aims.Aim("c", false, Span.seconds(within)))));
+        SimulatedWorld w = new SimulatedWorld(
+                SimulatedWorld.TUNING,
+                new ServiceLevelObjectives(
+                        List.of(new ServiceLevelObjectives.Objective("c", false, Span.seconds(within)))));
         w.core.loaded();
         JobSpec low = spec(1, 2, 2, 300);
         w.submit(
@@ -82,10 +91,11 @@
                         5),
                 0);
         w.up("a", "east", 0);
-        List<Order> orders = w.hear("a", 1);
+        List<WorkerCommand> orders = w.hear("a", 1);
         w.hear("a", 2, running(orders));
         w.submit(with(spec(2, 4, 1, 20), urgency, false, false, true, null, 0), 40);
-        assertEquals(stopped, World.stops(w.hear("a", 41, running(orders))).size());
+        assertEquals(
+                stopped, SimulatedWorld.stops(w.hear("a", 41, running(orders))).size());
     }
 
     /**
@@ -95,13 +105,16 @@
     @ParameterizedTest
     @CsvSource({"1, 1, 1", "10, 1, 0", "1, 3, 0"})
     void tasksThatHaveHardlyBegunMakeRoomForAStartThatIsDue(double begun, double waited, int stopped) {
-        World w = new World(World.TUNING, new Aims(List.of(new Aims.Aim("s", true, Span.seconds(2)))));
+        SimulatedWorld w = new SimulatedWorld(
+                SimulatedWorld.TUNING,
+                new ServiceLevelObjectives(List.of(new ServiceLevelObjectives.Objective("s", true, Span.seconds(2)))));
         w.core.loaded();
         w.submit(spec(1, 4, 1, 60), 0);
-        TaskReport[] tasks = running(w.ordinary("a", 20));
+        TaskStatus[] tasks = running(w.ordinary("a", 20));
         w.hearOrdinary("a", 20, tasks);
-        w.submit(World.service(2, 1), 20 + begun - waited);
+        w.submit(SimulatedWorld.service(2, 1), 20 + begun - waited);
         assertEquals(
-                stopped, World.stops(w.hearOrdinary("a", 20 + begun, tasks)).size());
+                stopped,
+                SimulatedWorld.stops(w.hearOrdinary("a", 20 + begun, tasks)).size());
     }
 }
--- a/src/test/java/io/indigoreach/core/PlacementTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/PlacementTest.java
@@ -1,15 +1,25 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.World.at;
-import static io.indigoreach.core.World.exited;
-import static io.indigoreach.core.World.running;
-import static io.indigoreach.core.World.spec;
-import static io.indigoreach.core.World.starts;
-import static io.indigoreach.core.World.stops;
-import static io.indigoreach.core.World.with;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.exited;
+import static io.indigoreach.core.scheduling.SimulatedWorld.running;
+import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SimulatedWorld.starts;
+import static io.indigoreach.core.scheduling.SimulatedWorld.stops;
+import static io.indigoreach.core.scheduling.SimulatedWorld.with;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskState;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -28,19 +38,19 @@
         "ordinary, false, false, false, ,     0, 0"
     })
     void placementRules(String name, boolean oneZone, boolean spread, boolean spot, String zone, int east, int west) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.up("e", "east", 0);
         w.up("w", "west", 0);
         w.submit(with(spec(1, 6, 1, 50), Urgency.STANDARD, oneZone, spread, spot, zone, 0), 0);
         assertEquals(
                 east,
-                starts(w.core.onReport(w.report("e", "east", 1, World.TOKEN), at(1)))
+                starts(w.core.onReport(w.report("e", "east", 1, SimulatedWorld.TOKEN), at(1)))
                         .size(),
                 name);
         assertEquals(
                 west,
-                starts(w.core.onReport(w.report("w", "west", 1, World.TOKEN), at(1)))
+                starts(w.core.onReport(w.report("w", "west", 1, SimulatedWorld.TOKEN), at(1)))
                         .size(),
                 name);
     }
@@ -48,7 +58,7 @@
     @ParameterizedTest
     @CsvSource({"0, 4", "3, 3", "2.5, 2", "0.5, 0"})
     void aTeamsLimitHolds(double coresMax, int started) {
-        World w = new World(World.team(coresMax));
+        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(coresMax));
         w.core.loaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 9, 1, 50), 0);
@@ -58,7 +68,7 @@
     /** A guest's batch work had as many cores as another team's urgent jobs, and kept the machines it once had. */
     @Test
     void teamsWithoutAGuaranteeShareOneQueue() {
-        World w = new World(World.team(0), new Team("guest", 0, 2, 0, 0));
+        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(0), new Team("guest", 0, 2, 0, 0));
         w.core.loaded();
         w.up("a", "east", 0);
         JobSpec batch = spec(1, 8, 1, 300);
@@ -83,18 +93,18 @@
                         Span.ZERO,
                         null),
                 0);
-        List<Order> guests = w.hear("a", 1);
+        List<WorkerCommand> guests = w.hear("a", 1);
         assertEquals(List.of("run-1/0", "run-1/1"), starts(guests), "its limit still holds");
         w.submit(with(spec(2, 8, 1, 20), Urgency.HIGH, false, false, true, null, 0), 2);
         assertEquals(
                 List.of("run-2/0", "run-2/1"),
-                starts(w.hear("a", 3, World.running(guests))),
+                starts(w.hear("a", 3, SimulatedWorld.running(guests))),
                 "the rest of a machine that a guest was given first is not left empty");
     }
 
     @Test
     void urgentJobsComeFirstThenTheOrderOfArrival() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.submit(spec(3, 1, 1, 50), 0);
         w.submit(spec(1, 1, 1, 50), 1);
@@ -107,7 +117,10 @@
     /** A long task that waits for a job with an aim came before it in the queue, and its reservation kept that job waiting. */
     @Test
     void whatLeavesRoomHoldsNoReservation() {
-        World w = new World(World.TUNING, new Aims(List.of(new Aims.Aim("c", true, Span.seconds(1000)))));
+        SimulatedWorld w = new SimulatedWorld(
+                SimulatedWorld.TUNING,
+                new ServiceLevelObjectives(
+                        List.of(new ServiceLevelObjectives.Objective("c", true, Span.seconds(1000)))));
         w.core.loaded();
         JobSpec s = spec(1, 1, 4, 300);
         w.submit(
@@ -147,13 +160,16 @@
         "g, 50, 1, soon over"
     })
     void longTasksWithoutAnAimLeaveRoomForThoseWithOne(String jobClass, double estimate, int started, String why) {
-        World w = new World(World.TUNING, new Aims(List.of(new Aims.Aim("c", true, Span.seconds(200)))));
+        SimulatedWorld w = new SimulatedWorld(
+                SimulatedWorld.TUNING,
+                new ServiceLevelObjectives(
+                        List.of(new ServiceLevelObjectives.Objective("c", true, Span.seconds(200)))));
         w.core.loaded();
         w.submit(spec(1, 2, 3, 20), 0);
         w.up("a", "east", 0);
         w.up("b", "east", 0);
-        List<Order> a = w.hear("a", 1);
-        List<Order> b = w.hear("b", 1);
+        List<WorkerCommand> a = w.hear("a", 1);
+        List<WorkerCommand> b = w.hear("b", 1);
         w.submit(spec(2, 1, 4, 50), 2);
         w.submit(spec(3, 1, 4, 50), 2);
         JobSpec s = spec(4, 2, 1, estimate);
@@ -180,19 +196,19 @@
                 3);
         assertEquals(
                 started,
-                starts(w.hear("a", 3, World.running(a))).size()
-                        + starts(w.hear("b", 3, World.running(b))).size(),
+                starts(w.hear("a", 3, SimulatedWorld.running(a))).size()
+                        + starts(w.hear("b", 3, SimulatedWorld.running(b))).size(),
                 why);
     }
 
     @ParameterizedTest
     @CsvSource({"20, 1, short enough to end before the top job's start", "200, 0, would delay the top job"})
     void backfillDoesNotDelayTheReservedTopJob(double estimate, int started, String why) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 1, 2, 60), 0);
-        Order first = w.hear("a", 1).get(0);
+        WorkerCommand first = w.hear("a", 1).get(0);
         w.submit(spec(2, 1, 4, 50), 2);
         w.submit(spec(3, 1, 1, estimate), 3);
         assertEquals(started, starts(w.hear("a", 4, running(first))).size(), why);
@@ -200,14 +216,14 @@
 
     @Test
     void roomIsMadeForUrgentJobsByTasksThatKeepTheirProgressOnly() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.up("a", "east", 0);
         w.up("b", "east", 0);
         w.submit(with(spec(1, 1, 4, 500), Urgency.BEST_EFFORT, false, false, true, null, 30), 0);
         w.submit(with(spec(2, 1, 4, 500), Urgency.BEST_EFFORT, false, false, true, null, 0), 0);
-        Order saving = w.hear("a", 1).get(0);
-        Order losing = w.hear("b", 1).get(0);
+        WorkerCommand saving = w.hear("a", 1).get(0);
+        WorkerCommand losing = w.hear("b", 1).get(0);
         w.hear("a", 2, running(saving));
         w.hear("b", 2, running(losing));
         w.submit(with(spec(3, 2, 1, 30), Urgency.HIGH, false, false, true, null, 0), 40);
@@ -216,17 +232,17 @@
         assertEquals(List.of("run-1/0"), stops(w.hear("a", 42, running(saving))), "the first stop was lost");
         assertEquals(
                 List.of(),
-                stops(w.hear("a", 43, new TaskReport(saving.task(), saving.attempt(), TaskState.SAVING, null, false))));
+                stops(w.hear("a", 43, new TaskStatus(saving.task(), saving.attempt(), TaskState.SAVING, null, false))));
     }
 
     @ParameterizedTest
     @CsvSource({"4, 1, the borrower is beyond its guarantee of none", "0, 0, nothing is guaranteed"})
     void borrowedMachinesGoBackToATeamWithinItsGuarantee(double guarantee, int stopped, String why) {
-        World w = new World(World.team(0), new Team("owner", guarantee, 0, 0, 0));
+        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(0), new Team("owner", guarantee, 0, 0, 0));
         w.core.loaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 1, 4, 500), 0);
-        Order borrowed = w.hear("a", 1).get(0);
+        WorkerCommand borrowed = w.hear("a", 1).get(0);
         w.hear("a", 2, running(borrowed));
         JobSpec s = spec(2, 1, 4, 50);
         w.submit(
@@ -258,14 +274,14 @@
 
     @Test
     void aMachineThatFailsWhateverItGetsIsGivenUp() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 1, 2, 50), 0);
         w.submit(spec(2, 1, 2, 50), 0);
-        List<TaskReport> failed = new ArrayList<>();
+        List<TaskStatus> failed = new ArrayList<>();
         w.hear("a", 1).forEach(o -> failed.add(exited(o, ExitCause.ERROR)));
-        assertEquals(List.of(), starts(w.hear("a", 2, failed.toArray(TaskReport[]::new))));
+        assertEquals(List.of(), starts(w.hear("a", 2, failed.toArray(TaskStatus[]::new))));
         w.core.check(at(3));
         assertEquals(List.of(new MachineId("a")), w.core.leaving(9));
     }
@@ -273,20 +289,20 @@
     /** A job with a mistake fails everywhere: good machines are kept, and it is tried ever more rarely. */
     @Test
     void aJobThatFailsEverywhereCondemnsNoMachine() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.submit(spec(1, 9, 4, 50), 0);
         int tries = 0;
-        List<List<TaskReport>> pending = new ArrayList<>(List.of(List.of(), List.of(), List.of(), List.of()));
+        List<List<TaskStatus>> pending = new ArrayList<>(List.of(List.of(), List.of(), List.of(), List.of()));
         for (int m = 0; m < 4; m++) {
             w.up("m" + m, "east", 0);
         }
         for (double t = 1; t < 100; t += 1) {
             for (int m = 0; m < 4; m++) {
-                List<Order> orders = w.hear("m" + m, t, pending.get(m).toArray(TaskReport[]::new));
-                List<TaskReport> next = new ArrayList<>();
-                for (Order o : orders) {
-                    if (o instanceof Order.Start) {
+                List<WorkerCommand> orders = w.hear("m" + m, t, pending.get(m).toArray(TaskStatus[]::new));
+                List<TaskStatus> next = new ArrayList<>();
+                for (WorkerCommand o : orders) {
+                    if (o instanceof WorkerCommand.Start) {
                         tries++;
                         next.add(exited(o, ExitCause.ERROR));
                     }
@@ -298,7 +314,7 @@
         w.submit(spec(2, 4, 4, 50), 100);
         long started = 0;
         for (int m = 0; m < 4; m++) {
-            started += starts(w.hear("m" + m, 101, pending.get(m).toArray(TaskReport[]::new))).stream()
+            started += starts(w.hear("m" + m, 101, pending.get(m).toArray(TaskStatus[]::new))).stream()
                     .filter(s -> s.startsWith("run-2"))
                     .count();
         }
@@ -307,16 +323,15 @@
 
     @Test
     void aSpotNoticeEndsNewStartsAndSavesWhatCanBeSaved() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.up("a", "east", 0);
         w.submit(with(spec(1, 1, 1, 500), Urgency.STANDARD, false, false, true, null, 30), 0);
-        Order start = w.hear("a", 1).get(0);
+        WorkerCommand start = w.hear("a", 1).get(0);
         w.submit(spec(2, 1, 1, 50), 2);
-        WorkerReport r = w.report("a", "east", 1, World.TOKEN, running(start));
-        List<Order> orders = w.core.onReport(
-                new WorkerReport(
-                        r.machine(), r.address(), r.pool(), r.number(), r.token(), Span.seconds(12), r.tasks()),
+        Heartbeat r = w.report("a", "east", 1, SimulatedWorld.TOKEN, running(start));
+        List<WorkerCommand> orders = w.core.onReport(
+                new Heartbeat(r.machine(), r.address(), r.pool(), r.number(), r.token(), Span.seconds(12), r.tasks()),
                 at(40));
         assertEquals(List.of(), starts(orders));
         assertEquals(List.of("run-1/0"), stops(orders));
--- a/src/test/java/io/indigoreach/core/RandomJobs.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomJobs.java
@@ -1,15 +1,20 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
 import java.util.Random;
 
-/** Jobs of a {@link RandomRun}: arrays of every urgency and placement, and each fourth a service. */
+/** Jobs of a {@link RandomSimulation}: arrays of every urgency and placement, and each fourth a service. */
 final class RandomJobs {
     private RandomJobs() {}
 
     static JobSpec next(Random random, int id) {
-        JobSpec s = World.spec(id, 1 + random.nextInt(12), 1 + random.nextInt(4), 3 + random.nextInt(20));
+        JobSpec s = SimulatedWorld.spec(id, 1 + random.nextInt(12), 1 + random.nextInt(4), 3 + random.nextInt(20));
         boolean oneZone = random.nextInt(4) == 0;
-        s = World.with(
+        s = SimulatedWorld.with(
                 s,
                 Urgency.values()[random.nextInt(4)],
                 oneZone,
@@ -24,7 +29,7 @@
                 s.id(),
                 s.jobClass(),
                 s.team(),
-                Shape.SERVICE,
+                JobKind.SERVICE,
                 s.urgency(),
                 1 + random.nextInt(3),
                 new Demand(1, 0, 1),
--- a/src/test/java/io/indigoreach/core/RandomRecords.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomRecords.java
@@ -1,5 +1,8 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineId;
 import java.util.BitSet;
 import java.util.LinkedHashSet;
 import java.util.Map;
@@ -8,7 +11,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** What the state service holds in a {@link RandomRun}: jobs and machines, and the leader's writes of them. */
+/** What the state service holds in a {@link RandomSimulation}: jobs and machines, and the leader's writes of them. */
 final class RandomRecords {
     static final class Stored {
         final JobSpec spec;
@@ -33,11 +36,11 @@
     final Set<String> machines = new LinkedHashSet<>();
 
     final LaggingWrites writes;
-    private final RandomRun.Without without;
+    private final RandomSimulation.Without without;
     private final Consumer<Stored> closed;
 
     /** {@code closed} is told of each job that is recorded as done. */
-    RandomRecords(Random random, RandomRun.Without without, Consumer<Stored> closed) {
+    RandomRecords(Random random, RandomSimulation.Without without, Consumer<Stored> closed) {
         this.writes = new LaggingWrites(random);
         this.without = without;
         this.closed = closed;
@@ -49,19 +52,19 @@
         writes.write(
                 now,
                 token,
-                () -> s.bound = without == RandomRun.Without.START_BOUND ? 0 : Math.max(s.bound, bound),
+                () -> s.bound = without == RandomSimulation.Without.START_BOUND ? 0 : Math.max(s.bound, bound),
                 answered ? () -> job.boundRecorded(bound) : () -> {});
     }
 
-    void writeMachine(double now, LeaderCore leader, long token, String name) {
+    void writeMachine(double now, SchedulerCore leader, long token, String name) {
         MachineId id = new MachineId(name);
-        if (without == RandomRun.Without.MACHINE_RECORD) {
+        if (without == RandomSimulation.Without.MACHINE_RECORD) {
             leader.recorded(id);
         }
         writes.write(now, token, () -> machines.add(name), () -> leader.recorded(id));
     }
 
-    void writeProgress(double now, LeaderCore leader, long token, Job job, boolean answered) {
+    void writeProgress(double now, SchedulerCore leader, long token, Job job, boolean answered) {
         Stored s = jobs.get(job.id());
         BitSet done = job.doneTasks();
         boolean complete = job.isComplete();
@@ -69,7 +72,7 @@
                 now,
                 token,
                 () -> {
-                    if (s.isOpen() && without != RandomRun.Without.RECORD_BEFORE_REAP) {
+                    if (s.isOpen() && without != RandomSimulation.Without.RECORD_BEFORE_REAP) {
                         s.done.or(done);
                         s.closed = complete;
                         if (s.closed) {
