--- a/src/test/java/io/indigoreach/core/RandomRun.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
@@ -1,5 +1,20 @@
-package io.indigoreach.core;
-
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskId;
+import io.indigoreach.core.model.TaskState;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.EnumSet;
@@ -17,8 +32,8 @@
  * After every step the protocol's rules are checked, that no copy of a report raises a machine, and that no take-over takes
  * longer than two leases. In the end all troubles are over, and every job that nobody cancelled has to be done.
  */
-final class RandomRun {
-    private static final double LEASE_S = World.RULES.workerLease().seconds();
+final class RandomSimulation {
+    private static final double LEASE_S = SimulatedWorld.RULES.workerLease().seconds();
     private static final double CORES_MAX = 24;
     private static final int TROUBLES = 4000;
     private static final int MOST_STEPS = 24_000;
@@ -26,7 +41,7 @@
     private static final double PATIENCE_S = 4;
     /** A machine that answered within the first lease of a take-over may be silent for one more. */
     private static final double LONGEST_TAKE_OVER_S =
-            2 * World.RULES.leaseBound().seconds() + 0.2;
+            2 * SimulatedWorld.RULES.leaseBound().seconds() + 0.2;
 
     /** A guard that a run can do without, to see that the rules then break. */
     enum Without {
@@ -63,7 +78,7 @@
     /** Decides about the further troubles, so that a run without them is the same with and without this code. */
     private final Random further;
 
-    private final KeptReports kept;
+    private final DelayedHeartbeats kept;
     private final LateCommands commands;
     /** Under a limit a new leader starts nothing before it has heard all; without one, what nobody ever ordered. */
     private final boolean limited;
@@ -75,7 +90,7 @@
     private final List<Runnable> late = new ArrayList<>();
     private double now;
     private long token;
-    private LeaderCore leader;
+    private SchedulerCore leader;
     private double ledSince;
     /** Until then the leader reads the records. */
     private double loadedAt;
@@ -92,17 +107,17 @@
     private int starts;
     private int replicaStarts;
 
-    RandomRun(long seed, Without without) {
+    RandomSimulation(long seed, Without without) {
         this(seed, without, EnumSet.noneOf(Trouble.class));
     }
 
-    RandomRun(long seed, Without without, EnumSet<Trouble> troubles) {
+    RandomSimulation(long seed, Without without, EnumSet<Trouble> troubles) {
         this.random = new Random(seed);
         this.without = without;
         this.troubles = troubles;
         this.further = new Random(~seed);
         this.records = new RandomRecords(further, without, this::checkDone);
-        this.kept = new KeptReports(further);
+        this.kept = new DelayedHeartbeats(further);
         this.commands = new LateCommands(further);
         this.limited = seed % 2 == 1;
     }
@@ -124,7 +139,7 @@
     }
 
     private Moment at() {
-        return World.at(now);
+        return SimulatedWorld.at(now);
     }
 
     void play() {
@@ -219,17 +234,27 @@
      */
     private void takeOver() {
         Team team = new Team("t", 0, limited && without != Without.TEAM_LIMIT ? CORES_MAX : 0, 0, 0);
-        Rules rules = without == Without.LEASE_BOUND
-                ? new Rules(Span.seconds(3), World.RULES.report(), World.RULES.cancel(), World.RULES.listLag())
-                : World.RULES;
-        leader = new LeaderCore(new Token(++token), rules, World.TUNING, World.NO_AIMS, List.of(team), new Notes() {
-            @Override
-            public void progress(Job job) {}
-
-            @Override
-            public void say(String line) {}
-        });
-        leader.setTypes(List.of(World.TYPE));
+        SafetyTimes rules = without == Without.LEASE_BOUND
+                ? new SafetyTimes(
+                        Span.seconds(3),
+                        SimulatedWorld.RULES.report(),
+                        SimulatedWorld.RULES.cancel(),
+                        SimulatedWorld.RULES.listLag())
+                : SimulatedWorld.RULES;
+        leader = new SchedulerCore(
+                new FencingToken(++token),
+                rules,
+                SimulatedWorld.TUNING,
+                SimulatedWorld.NO_AIMS,
+                List.of(team),
+                new SchedulerListener() {
+                    @Override
+                    public void progress(Job job) {}
+
+                    @Override
+                    public void say(String line) {}
+                });
+        leader.setTypes(List.of(SimulatedWorld.TYPE));
         loaded = false;
         ledSince = now;
         loadedAt = now + (random.nextBoolean() ? 0 : random.nextInt(50) / 10.0);
@@ -253,20 +278,25 @@
         }
         for (String name : records.machines) {
             if (without != Without.TAKE_OVER) {
-                leader.inherit(new MachineId(name), pool(name), World.at(0), World.at(ledSince), World.at(ledSince));
+                leader.inherit(
+                        new MachineId(name),
+                        pool(name),
+                        SimulatedWorld.at(0),
+                        SimulatedWorld.at(ledSince),
+                        SimulatedWorld.at(ledSince));
             }
         }
         for (RandomRecords.Stored s : records.jobs.values()) {
             if (s.isOpen()) {
-                leader.addJob(new Job(s.spec, s.at, at(), Stamp.ABSENT, s.done, s.bound, true));
+                leader.addJob(new Job(s.spec, s.at, at(), Revision.ABSENT, s.done, s.bound, true));
             }
         }
         leader.loaded();
         kept.arrive(token, this::copy);
     }
 
-    private static Pool pool(String name) {
-        return new Pool("quad", name.hashCode() % 2 == 0 ? "east" : "west", true);
+    private static MachinePool pool(String name) {
+        return new MachinePool("quad", name.hashCode() % 2 == 0 ? "east" : "west", true);
     }
 
     private void rent() {
@@ -283,7 +313,7 @@
         if (!loaded) {
             return;
         }
-        leader.addJob(new Job(s, jobs, at(), Stamp.ABSENT, new BitSet(), 0, false));
+        leader.addJob(new Job(s, jobs, at(), Revision.ABSENT, new BitSet(), 0, false));
     }
 
     private void cancel() {
@@ -383,7 +413,7 @@
             w.deafUntil = now + 8 + random.nextInt(16);
         }
         for (Map.Entry<TaskId, Double> end : new ArrayList<>(w.ends.entrySet())) {
-            TaskReport t = w.tasks.get(end.getKey());
+            TaskStatus t = w.tasks.get(end.getKey());
             if (now >= end.getValue() && t.state() != TaskState.EXITED) {
                 exit(w, t, !calm && random.nextInt(30) == 0 ? ExitCause.ERROR : ExitCause.DONE);
             }
@@ -400,8 +430,8 @@
         }
     }
 
-    private void exit(RandomWorker w, TaskReport t, ExitCause cause) {
-        w.tasks.put(t.task(), new TaskReport(t.task(), t.attempt(), TaskState.EXITED, cause, false));
+    private void exit(RandomWorker w, TaskStatus t, ExitCause cause) {
+        w.tasks.put(t.task(), new TaskStatus(t.task(), t.attempt(), TaskState.EXITED, cause, false));
         w.ends.remove(t.task());
         if (cause == ExitCause.DONE && !records.jobs.get(t.task().job()).spec.isService()) {
             completed.add(t.task());
@@ -413,12 +443,12 @@
      * and the worker sends none meanwhile.
      */
     private void report(RandomWorker w) {
-        WorkerReport r = new WorkerReport(
+        Heartbeat r = new Heartbeat(
                 new MachineId(w.name),
                 "x:1",
                 pool(w.name),
-                new ReportNumber(w.session, ++w.serial),
-                new Token(w.token),
+                new HeartbeatNumber(w.session, ++w.serial),
+                new FencingToken(w.token),
                 null,
                 new ArrayList<>(w.tasks.values()));
         int fate = calm ? 12 : random.nextInt(12);
@@ -453,7 +483,7 @@
     /** The leader of this moment reads the report and answers it, or does not. */
     private void arrive(RandomWorker w, RandomWorker.Flight f) {
         boolean early = !loaded && without == Without.EARLY_ANSWER;
-        List<Order> orders = early ? List.of() : leader.onReport(f.report, at());
+        List<WorkerCommand> orders = early ? List.of() : leader.onReport(f.report, at());
         if (orders != null && leader.answers(f.report.machine())) {
             f.token = token;
             f.orders = orders;
@@ -474,34 +504,35 @@
     }
 
     /** The same report once more, up to minutes later and under any leader; answered to nobody. */
-    private void copy(WorkerReport r) {
+    private void copy(Heartbeat r) {
         RandomWorker w = workers.get(r.machine().toString());
         boolean known = leader.knows(r.machine());
-        ReportNumber number = without == Without.REPORT_NUMBER ? new ReportNumber(w.session, w.serial + 1) : r.number();
-        Token shown = without == Without.OWN_TOKEN ? new Token(token) : r.token();
-        leader.onReport(new WorkerReport(r.machine(), r.address(), r.pool(), number, shown, null, r.tasks()), at());
+        HeartbeatNumber number =
+                without == Without.REPORT_NUMBER ? new HeartbeatNumber(w.session, w.serial + 1) : r.number();
+        FencingToken shown = without == Without.OWN_TOKEN ? new FencingToken(token) : r.token();
+        leader.onReport(new Heartbeat(r.machine(), r.address(), r.pool(), number, shown, null, r.tasks()), at());
         if (!known && leader.knows(r.machine())) {
             broken.add(now + ": raised " + r.machine());
         }
     }
 
-    private void execute(RandomWorker w, Order o) {
-        TaskReport t = w.tasks.get(o.task());
-        if (o instanceof Order.Start) {
+    private void execute(RandomWorker w, WorkerCommand o) {
+        TaskStatus t = w.tasks.get(o.task());
+        if (o instanceof WorkerCommand.Start) {
             if (t != null && (t.state() != TaskState.EXITED || t.attempt().equals(o.attempt()))) {
                 return;
             }
             starts++;
             replicaStarts += records.jobs.get(o.task().job()).spec.isService() ? 1 : 0;
             checkStart(w, o.task());
-            w.tasks.put(o.task(), new TaskReport(o.task(), o.attempt(), TaskState.RUNNING, null, false));
+            w.tasks.put(o.task(), new TaskStatus(o.task(), o.attempt(), TaskState.RUNNING, null, false));
             boolean replica = records.jobs.get(o.task().job()).spec.isService();
             int run = 1 + random.nextInt(replica ? 300 : random.nextInt(3) == 0 ? 80 : 20);
             w.ends.put(o.task(), completed.contains(o.task()) ? now : now + run);
         } else if (t != null && t.attempt().equals(o.attempt())) {
-            if (o instanceof Order.Stop && t.state() != TaskState.EXITED) {
+            if (o instanceof WorkerCommand.Stop && t.state() != TaskState.EXITED) {
                 exit(w, t, ExitCause.STOPPED);
-            } else if (o instanceof Order.Forget && t.state() == TaskState.EXITED) {
+            } else if (o instanceof WorkerCommand.Reap && t.state() == TaskState.EXITED) {
                 w.tasks.remove(o.task());
                 if (completed.contains(o.task()) && t.cause() == ExitCause.DONE) {
                     reaped.add(o.task());
@@ -512,7 +543,7 @@
 
     /** On its machine: until it exits, is killed with its session, or the machine is gone. */
     private boolean isOn(RandomWorker w, TaskId task) {
-        TaskReport t = w.tasks.get(task);
+        TaskStatus t = w.tasks.get(task);
         boolean killed = now - w.answered > LEASE_S;
         return !w.dead && !killed && t != null && t.state() != TaskState.EXITED;
     }
@@ -566,7 +597,8 @@
                     }
                     cores += s.spec.demand().cores();
                     if (s.cancelledAt >= 0
-                            && now - s.cancelledAt > World.RULES.cancel().seconds()) {
+                            && now - s.cancelledAt
+                                    > SimulatedWorld.RULES.cancel().seconds()) {
                         broken.add(now + ": ran_cancelled " + task);
                     }
                 }
--- a/src/test/java/io/indigoreach/core/RandomRunTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulationTest.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,12 +12,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The rules hold in random runs; that the check can fail is shown by runs with one guard taken out. */
-class RandomRunTest {
+class RandomSimulationTest {
     /** The last three found copies that raised machines which were answered before the records were read. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 50, 82, 100})
     void noRuleIsBroken(long seed) {
-        RandomRun run = new RandomRun(seed, RandomRun.Without.NOTHING);
+        RandomSimulation run = new RandomSimulation(seed, RandomSimulation.Without.NOTHING);
         run.play();
         assertEquals(List.of(), run.broken());
         assertTrue(run.starts() > 100, "too little happened: " + run.starts());
@@ -27,12 +27,12 @@
 
     @ParameterizedTest
     @EnumSource(
-            value = RandomRun.Without.class,
+            value = RandomSimulation.Without.class,
             mode = EnumSource.Mode.EXCLUDE,
             names = {"NOTHING", "OWN_TOKEN", "MACHINE_RECORD", "ORDERS_IN_ANSWERS"})
-    void theRulesBreakWithoutTheirGuards(RandomRun.Without guard) {
+    void theRulesBreakWithoutTheirGuards(RandomSimulation.Without guard) {
         assertTrue(LongStream.rangeClosed(1, 12).anyMatch(seed -> {
-            RandomRun run = new RandomRun(seed, guard);
+            RandomSimulation run = new RandomSimulation(seed, guard);
             run.play();
             return !run.broken().isEmpty();
         }));
@@ -42,7 +42,8 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void noRuleIsBrokenWhereTroublesReachTheNextLeader(long seed) {
-        RandomRun run = new RandomRun(seed, RandomRun.Without.NOTHING, EnumSet.allOf(RandomRun.Trouble.class));
+        RandomSimulation run = new RandomSimulation(
+                seed, RandomSimulation.Without.NOTHING, EnumSet.allOf(RandomSimulation.Trouble.class));
         run.play();
         assertEquals(List.of(), run.broken());
         assertTrue(run.starts() > 100, "too little happened: " + run.starts());
@@ -62,9 +63,10 @@
         "MUTE_MACHINES, ORDERS_IN_ANSWERS, ran_twice",
         "MUTE_MACHINES, ORDERS_IN_ANSWERS, started after its result was reaped"
     })
-    void eachTroubleFindsTheGuardThatIsLeftOut(RandomRun.Trouble trouble, RandomRun.Without guard, String rule) {
+    void eachTroubleFindsTheGuardThatIsLeftOut(
+            RandomSimulation.Trouble trouble, RandomSimulation.Without guard, String rule) {
         assertTrue(LongStream.rangeClosed(1, 12).anyMatch(seed -> {
-            RandomRun run = new RandomRun(seed, guard, EnumSet.of(trouble));
+            RandomSimulation run = new RandomSimulation(seed, guard, EnumSet.of(trouble));
             run.play();
             return run.broken().stream().anyMatch(line -> line.contains(rule));
         }));
--- a/src/test/java/io/indigoreach/core/RandomWorker.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomWorker.java
@@ -1,11 +1,15 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.TaskId;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
-/** The worker of a machine in a {@link RandomRun}, and the troubles that it has. */
+/** The worker of a machine in a {@link RandomSimulation}, and the troubles that it has. */
 final class RandomWorker {
     final String name;
     final String zone;
@@ -22,7 +26,7 @@
     /** Its report under way; or null. */
     Flight flight;
 
-    final Map<TaskId, TaskReport> tasks = new LinkedHashMap<>();
+    final Map<TaskId, TaskStatus> tasks = new LinkedHashMap<>();
     final Map<TaskId, Double> ends = new HashMap<>();
 
     RandomWorker(String name, String zone, double now) {
@@ -33,14 +37,14 @@
 
     /** A report on its way, and its answer; without a leader's token there is none yet. */
     static final class Flight {
-        final WorkerReport report;
+        final Heartbeat report;
         final double sent;
         final double arrives;
         final double back;
         long token;
-        List<Order> orders = List.of();
+        List<WorkerCommand> orders = List.of();
 
-        Flight(WorkerReport report, double sent, double arrives, double back) {
+        Flight(Heartbeat report, double sent, double arrives, double back) {
             this.report = report;
             this.sent = sent;
             this.arrives = arrives;
--- a/src/test/java/io/indigoreach/core/SizingTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ScaleOutTest.java
@@ -1,11 +1,19 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.World.at;
-import static io.indigoreach.core.World.running;
-import static io.indigoreach.core.World.spec;
-import static io.indigoreach.core.World.with;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.running;
+import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SimulatedWorld.with;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -14,7 +22,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The design's two decisions about money: how much to rent, and what to return. */
-class SizingTest {
+class ScaleOutTest {
     /** Jobs as "tasks x estimate", one core each, four to a machine: BestSize with a short cut of 60 s. */
     @ParameterizedTest
     @CsvSource({
@@ -26,7 +34,7 @@
         "1x100,               1"
     })
     void bestSize(String jobs, int machines) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         int id = 0;
         for (String job : jobs.split(" ")) {
@@ -35,15 +43,16 @@
         }
         assertEquals(
                 machines,
-                w.core.wishes(at(1)).stream().mapToInt(RentWish::count).sum());
+                w.core.wishes(at(1)).stream().mapToInt(ScaleOutRequest::count).sum());
     }
 
     @Test
     void machinesOnOrderAreNotAskedForAgainUntilOverdue() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.submit(spec(1, 8, 1, 100), 0);
-        w.core.rented(new Pool("quad", "east", true), List.of(new MachineId("a"), new MachineId("b")), at(1), at(1));
+        w.core.rented(
+                new MachinePool("quad", "east", true), List.of(new MachineId("a"), new MachineId("b")), at(1), at(1));
         assertEquals(List.of(), w.core.wishes(at(30)));
         assertEquals(2, w.core.wishes(at(60)).get(0).count());
     }
@@ -54,28 +63,30 @@
      */
     @Test
     void anIdleMachineWhereTheJobHasFailedIsNoPlaceForIt() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 1, 1, 20), 0);
-        Order start = w.hear("a", 1).get(0);
+        WorkerCommand start = w.hear("a", 1).get(0);
         w.hear("a", 2, running(start));
-        w.hear("a", 3, World.exited(start, ExitCause.ERROR));
-        assertEquals(List.of(), World.starts(w.hear("a", 4)));
-        assertEquals(1, w.core.wishes(at(5)).stream().mapToInt(RentWish::count).sum());
-        w.core.rented(new Pool("quad", "east", true), List.of(new MachineId("b")), at(5), at(5));
+        w.hear("a", 3, SimulatedWorld.exited(start, ExitCause.ERROR));
+        assertEquals(List.of(), SimulatedWorld.starts(w.hear("a", 4)));
+        assertEquals(
+                1,
+                w.core.wishes(at(5)).stream().mapToInt(ScaleOutRequest::count).sum());
+        w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("b")), at(5), at(5));
         assertEquals(List.of(), w.core.wishes(at(7)), "one is enough");
     }
 
     @Test
     void nothingIsRentedWhileTheTopJobIsPredictedToStartSoon() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 4, 1, 20), 0);
-        List<TaskReport> tasks = new ArrayList<>();
+        List<TaskStatus> tasks = new ArrayList<>();
         w.hear("a", 1).forEach(o -> tasks.add(running(o)));
-        w.hear("a", 2, tasks.toArray(TaskReport[]::new));
+        w.hear("a", 2, tasks.toArray(TaskStatus[]::new));
         w.submit(spec(2, 4, 1, 20), 3);
         assertEquals(List.of(), w.core.wishes(at(4)));
         w.submit(with(spec(3, 4, 1, 200), Urgency.HIGH, true, false, true, "west", 0), 5);
@@ -86,13 +97,13 @@
     @ParameterizedTest
     @CsvSource({"true, 60, 1", "true, 1000, 0", "false, 60, 0"})
     void plannedWorkRentsWhileItsBootStillFits(boolean planned, double dueS, int machines) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 4, 1, 20), 0);
-        List<TaskReport> tasks = new ArrayList<>();
+        List<TaskStatus> tasks = new ArrayList<>();
         w.hear("a", 1).forEach(o -> tasks.add(running(o)));
-        w.hear("a", 2, tasks.toArray(TaskReport[]::new));
+        w.hear("a", 2, tasks.toArray(TaskStatus[]::new));
         JobSpec s = spec(2, 4, 1, 20);
         JobSpec due = new JobSpec(
                 s.id(),
@@ -116,17 +127,17 @@
         w.submit(planned ? due.with("plan", Map.of("name", "p", "day", "2027-03-01")) : due, 3);
         assertEquals(
                 machines,
-                w.core.wishes(at(4)).stream().mapToInt(RentWish::count).sum());
+                w.core.wishes(at(4)).stream().mapToInt(ScaleOutRequest::count).sum());
     }
 
     @Test
     void spotFirstThenTheOtherZoneThenOrdinaryOnceThePatienceIsOver() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.submit(spec(1, 4, 1, 100), 0);
-        Pool first = w.core.wishes(at(1)).get(0).pool();
+        MachinePool first = w.core.wishes(at(1)).get(0).pool();
         w.core.refused(first, at(1));
-        Pool second = w.core.wishes(at(2)).get(0).pool();
+        MachinePool second = w.core.wishes(at(2)).get(0).pool();
         w.core.refused(second, at(2));
         assertEquals(List.of(true, true), List.of(first.spot(), second.spot()));
         assertEquals(List.of(), w.core.wishes(at(3)));
@@ -139,22 +150,22 @@
     @ParameterizedTest
     @CsvSource({"24, 0", "48, 2", "80, 4"})
     void aLongBacklogTakesOrdinaryMachines(int tasks, int ordinary) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.up("a", "east", 0);
         w.submit(spec(1, tasks, 1, 75), 0);
-        w.core.refused(new Pool("quad", "east", true), at(1));
-        w.core.refused(new Pool("quad", "west", true), at(1));
+        w.core.refused(new MachinePool("quad", "east", true), at(1));
+        w.core.refused(new MachinePool("quad", "west", true), at(1));
         assertEquals(
                 ordinary,
-                w.core.wishes(at(2)).stream().mapToInt(RentWish::count).sum());
+                w.core.wishes(at(2)).stream().mapToInt(ScaleOutRequest::count).sum());
     }
 
     /** A machine rented at 0 with terms of 60 s, checked every 5 s. */
     @ParameterizedTest
     @CsvSource({"30, false, 0", "54, false, 0", "56, false, 1", "90, false, 0", "116, false, 1", "56, true, 0"})
     void idleMachinesGoAtTheEndOfTheirTermUnlessAWaitingJobCanUseThem(double at, boolean waiting, int returned) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.up("a", "east", 0);
         w.hear("a", 20);
@@ -167,9 +178,9 @@
 
     @Test
     void aMachineThatNeverComesUpIsReturned() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
-        w.core.rented(new Pool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
+        w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
         w.core.check(at(79));
         assertEquals(0, w.core.leaving(9).size());
         w.core.check(at(81));
@@ -178,7 +189,7 @@
 
     @Test
     void aJobKnownToFailRentsNothing() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         Job job = w.submit(spec(1, 8, 1, 100), 0);
         for (int i = 0; i < 3; i++) {
@@ -194,7 +205,7 @@
     @ParameterizedTest
     @CsvSource({"0, 2", "45, 1", "90, 1", "400, 0"})
     void ordinaryMachinesAreLetGoSlowly(double later, int filled) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.up("s", "east", 0);
         w.hear("s", 1);
@@ -209,8 +220,8 @@
         assertEquals(
                 filled,
                 List.of("a", "b").stream()
-                        .filter(name ->
-                                !World.starts(w.hearOrdinary(name, 3 + later)).isEmpty())
+                        .filter(name -> !SimulatedWorld.starts(w.hearOrdinary(name, 3 + later))
+                                .isEmpty())
                         .count());
     }
 }
--- a/src/test/java/io/indigoreach/core/ServiceTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
@@ -1,14 +1,22 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.World.at;
-import static io.indigoreach.core.World.exited;
-import static io.indigoreach.core.World.running;
-import static io.indigoreach.core.World.service;
-import static io.indigoreach.core.World.spec;
-import static io.indigoreach.core.World.starts;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.exited;
+import static io.indigoreach.core.scheduling.SimulatedWorld.running;
+import static io.indigoreach.core.scheduling.SimulatedWorld.service;
+import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SimulatedWorld.starts;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.ListedMachine;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -16,8 +24,8 @@
 
 /** Replicas have no end of their own: what that means for every decision that rests on when tasks end. */
 class ServiceTest {
-    private static World loaded() {
-        World w = new World();
+    private static SimulatedWorld loaded() {
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         return w;
     }
@@ -26,25 +34,26 @@
     @ParameterizedTest
     @CsvSource({"0, 0", "2, 1", "4, 1"})
     void aPlaceThatAReplicaHoldsIsNoPlaceForWhatWaits(int replicas, int rented) {
-        World w = loaded();
+        SimulatedWorld w = loaded();
         if (replicas > 0) {
             w.submit(service(1, replicas), 0);
         }
         w.hearOrdinary("a", 2, running(w.ordinary("a", 1)));
         w.submit(spec(2, 12, 1, 15), 3);
         assertEquals(
-                rented, w.core.wishes(at(4)).stream().mapToInt(RentWish::count).sum());
+                rented,
+                w.core.wishes(at(4)).stream().mapToInt(ScaleOutRequest::count).sum());
     }
 
     /** Each end of a replica but its job's cancellation is followed by another start of it; the job is never done. */
     @ParameterizedTest
     @CsvSource({"DONE, 1", "STOPPED, 0", "FULL, 1", "OTHER, 0"})
     void aReplicaThatEndedIsStartedAgain(ExitCause cause, double after) {
-        World w = loaded();
+        SimulatedWorld w = loaded();
         Job job = w.submit(service(1, 1), 0);
-        Order start = w.ordinary("a", 1).get(0);
+        WorkerCommand start = w.ordinary("a", 1).get(0);
         w.hearOrdinary("a", 2, running(start));
-        List<Order> orders = w.hearOrdinary("a", 3, exited(start, cause));
+        List<WorkerCommand> orders = w.hearOrdinary("a", 3, exited(start, cause));
         assertEquals(after > 0 ? 0 : 1, starts(orders).size());
         if (after > 0) {
             assertEquals(1, starts(w.hearOrdinary("a", 3 + after)).size());
@@ -56,31 +65,31 @@
     /** With a service first in the queue, 150 spot machines' work was given to ordinary ones (water kiosks, steady). */
     @Test
     void spotMachinesAreAskedForBesideOrdinaryOnes() {
-        World w = loaded();
+        SimulatedWorld w = loaded();
         w.submit(service(1, 8), 0);
         w.submit(spec(2, 16, 1, 100), 0);
-        List<RentWish> wishes = w.core.wishes(at(20));
+        List<ScaleOutRequest> wishes = w.core.wishes(at(20));
         assertEquals(
                 2,
                 wishes.stream()
                         .filter(r -> !r.pool().spot())
-                        .mapToInt(RentWish::count)
+                        .mapToInt(ScaleOutRequest::count)
                         .sum());
         assertEquals(
                 4,
                 wishes.stream()
                         .filter(r -> r.pool().spot())
-                        .mapToInt(RentWish::count)
+                        .mapToInt(ScaleOutRequest::count)
                         .sum());
     }
 
     /** A machine that holds a replica is paid for in any case, so it is not kept empty beside it. */
     @Test
     void aMachineWithAReplicaIsNeverSpare() {
-        World w = loaded();
+        SimulatedWorld w = loaded();
         w.up("s", "east", 0);
         w.submit(service(1, 1), 0);
-        List<Order> replica = w.ordinary("a", 1);
+        List<WorkerCommand> replica = w.ordinary("a", 1);
         w.core.wishes(at(2));
         w.submit(spec(2, 2, 1, 20), 600);
         w.core.wishes(at(601));
@@ -94,8 +103,9 @@
     @ParameterizedTest
     @CsvSource({"0.5, true, 1", "1.5, true, 0", "1.5, false, 1", "3.1, true, 1"})
     void aStartThatWouldMissItsAimIsLeftToMachinesThatHaveTheImage(double waited, boolean held, int started) {
-        Aims aims = new Aims(List.of(new Aims.Aim("s", true, Span.seconds(3))));
-        World w = new World(World.TUNING, aims);
+        ServiceLevelObjectives aims =
+                new ServiceLevelObjectives(List.of(new ServiceLevelObjectives.Objective("s", true, Span.seconds(3))));
+        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.TUNING, aims);
         w.core.loaded();
         if (held) {
             w.submit(service(1, 4), 0);
@@ -130,9 +140,9 @@
     @ParameterizedTest
     @CsvSource({"listed as failed, 3", "lease run out, 14", "gone from two lists, 22"})
     void aLostReplicaStartsElsewhereOnceItSurelyIsGone(String loss, double from) {
-        World w = loaded();
+        SimulatedWorld w = loaded();
         w.submit(service(1, 1), 0);
-        TaskReport[] replica = running(w.ordinary("a", 1));
+        TaskStatus[] replica = running(w.ordinary("a", 1));
         w.hearOrdinary("a", 1.5, replica);
         w.ordinary("b", 1.5);
         lose(w, loss, from - 1);
@@ -142,7 +152,7 @@
     }
 
     /** What the leader's duties see at {@code now}: the machine fails at 2.5 s, or is never heard or listed again. */
-    private static void lose(World w, String loss, double now) {
+    private static void lose(SimulatedWorld w, String loss, double now) {
         ListedMachine b = listed("b", ListedMachine.Status.RUNNING);
         switch (loss) {
             case "listed as failed" ->
@@ -156,21 +166,21 @@
     }
 
     private static ListedMachine listed(String name, ListedMachine.Status status) {
-        return new ListedMachine(new MachineId(name), new Pool("quad", "east", false), status, Span.seconds(1));
+        return new ListedMachine(new MachineId(name), new MachinePool("quad", "east", false), status, Span.seconds(1));
     }
 
     /** A new leader starts no replica that a machine may still hold, and takes on those that are reported. */
     @ParameterizedTest
     @CsvSource({"true, 2, 1", "false, 2, 0", "false, 13, 2"})
     void afterAChangeOfLeaderReplicasAreTakenOnOrWaitedFor(boolean reported, double at, int started) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.inherited(service(1, 2));
         for (String name : List.of("a", "b")) {
-            w.core.inherit(new MachineId(name), new Pool("quad", "east", false), at(0), at(0), at(0));
+            w.core.inherit(new MachineId(name), new MachinePool("quad", "east", false), at(0), at(0), at(0));
         }
         w.core.loaded();
         if (reported) {
-            w.hearOrdinary("a", 1, World.foreign("run-1/0", 7));
+            w.hearOrdinary("a", 1, SimulatedWorld.foreign("run-1/0", 7));
         }
         w.core.expireLeases(at(at));
         assertEquals(started, starts(w.hearOrdinary("b", at)).size());
@@ -179,13 +189,13 @@
     /** A start ordered just before the user cancelled is answered with a stop as soon as it shows, and not repeated. */
     @Test
     void aReplicaOrderedBeforeTheCancellationIsStopped() {
-        World w = loaded();
+        SimulatedWorld w = loaded();
         Job job = w.submit(service(1, 1), 0);
-        List<Order> late = w.ordinary("a", 1);
+        List<WorkerCommand> late = w.ordinary("a", 1);
         w.core.cancelJob(job.id());
         assertEquals(0, starts(w.ordinary("b", 2)).size());
-        List<Order> answer = w.hearOrdinary("a", 3, running(late));
-        assertEquals(List.of("run-1/0"), World.stops(answer));
+        List<WorkerCommand> answer = w.hearOrdinary("a", 3, running(late));
+        assertEquals(List.of("run-1/0"), SimulatedWorld.stops(answer));
         assertEquals(0, starts(w.hearOrdinary("a", 4)).size());
     }
 }
--- a/src/test/java/io/indigoreach/core/ShortQueueTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ShortQueueTest.java
@@ -1,10 +1,11 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.World.at;
-import static io.indigoreach.core.World.spec;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.model.Urgency;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -21,7 +22,7 @@
     @ParameterizedTest
     @CsvSource({"1, 1", "20, 3", "200, 33", "1000, 167"})
     void theQueueCountsNotOnlyItsTop(int jobs, int machines) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 4, 1, 100), 0);
@@ -31,23 +32,24 @@
         }
         assertEquals(
                 machines,
-                w.core.wishes(at(100)).stream().mapToInt(RentWish::count).sum());
+                w.core.wishes(at(100)).stream().mapToInt(ScaleOutRequest::count).sum());
     }
 
     /** A job a second of 20 tasks of 5 s: 25 machines' work, on top of 120 jobs that came while nothing served. */
     @ParameterizedTest
     @CsvSource({"1, 75", "3, 75", "0.4, 90"})
     void waitsFallUnderTheLimitAndNoMoreIsRentedThanNeeded(double estimates, int mostMachines) {
-        Steps run = new Steps(
-                        World.TUNING,
-                        List.of(Steps.Kind.of("short", Urgency.STANDARD, 1, 120, 20, 5, 1)
+        CoreHarness run = new CoreHarness(
+                        SimulatedWorld.TUNING,
+                        List.of(CoreHarness.Kind.of("short", Urgency.STANDARD, 1, 120, 20, 5, 1)
                                 .estimated(estimates)),
                         500,
                         0,
-                        World.NO_AIMS)
+                        SimulatedWorld.NO_AIMS)
                 .run(400);
         assertTrue(
-                run.longestWait("short", 200) < World.TUNING.waitLimit().seconds(),
+                run.longestWait("short", 200)
+                        < SimulatedWorld.TUNING.waitLimit().seconds(),
                 "waits " + run.longestWait("short", 200));
         assertTrue(run.mostUp <= mostMachines && run.mostUp >= 25, "machines " + run.mostUp);
     }
--- a/src/test/java/io/indigoreach/core/LedSite.java
+++ b/src/test/java/io/indigoreach/core/scheduling/SimulatedCluster.java
@@ -1,5 +1,19 @@
-package io.indigoreach.core;
-
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.TaskId;
+import io.indigoreach.core.model.TaskState;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collection;
@@ -15,17 +29,17 @@
  * protocol: sessions, tokens, leases, results that are kept. Tests say when what happens; what breaks a rule on the workers'
  * side is noted.
  */
-final class LedSite implements Notes {
+final class SimulatedCluster implements SchedulerListener {
     /** A worker drops an answer after this long. */
     static final double PATIENCE_S = 4;
 
-    private static final double LEASE_S = World.RULES.workerLease().seconds();
+    private static final double LEASE_S = SimulatedWorld.RULES.workerLease().seconds();
 
-    record Answer(long token, ReportNumber number, List<Order> orders) {}
+    record Answer(long token, HeartbeatNumber number, List<WorkerCommand> orders) {}
 
     final class Box {
         final String name;
-        final Map<TaskId, TaskReport> tasks = new LinkedHashMap<>();
+        final Map<TaskId, TaskStatus> tasks = new LinkedHashMap<>();
         long session = 1;
         long token;
         /** When its last answered report was sent. */
@@ -33,7 +47,7 @@
         /** Its reports arrive, answers don't. */
         boolean deaf;
         /** The last report that it sent. */
-        WorkerReport sent;
+        Heartbeat sent;
 
         private long serial;
 
@@ -42,13 +56,13 @@
             this.answered = now;
         }
 
-        WorkerReport write() {
-            sent = new WorkerReport(
+        Heartbeat write() {
+            sent = new Heartbeat(
                     new MachineId(name),
                     "x:1",
                     POOL,
-                    new ReportNumber(session, ++serial),
-                    new Token(token),
+                    new HeartbeatNumber(session, ++serial),
+                    new FencingToken(token),
                     null,
                     new ArrayList<>(tasks.values()));
             return sent;
@@ -67,7 +81,7 @@
         }
 
         void end(TaskId task, ExitCause cause) {
-            tasks.computeIfPresent(task, (id, t) -> new TaskReport(id, t.attempt(), TaskState.EXITED, cause, false));
+            tasks.computeIfPresent(task, (id, t) -> new TaskStatus(id, t.attempt(), TaskState.EXITED, cause, false));
             if (cause == ExitCause.DONE) {
                 ended.add(task);
             }
@@ -82,9 +96,9 @@
             answer.orders.forEach(o -> execute(o, now));
         }
 
-        private void execute(Order o, double now) {
-            TaskReport t = tasks.get(o.task());
-            if (o instanceof Order.Start
+        private void execute(WorkerCommand o, double now) {
+            TaskStatus t = tasks.get(o.task());
+            if (o instanceof WorkerCommand.Start
                     && (t == null
                             || (t.state() == TaskState.EXITED && !t.attempt().equals(o.attempt())))) {
                 boxes.values().stream()
@@ -94,14 +108,14 @@
                     broken.add(now + ": started after its result was reaped " + o.task());
                 }
                 starts.merge(o.task(), 1, Integer::sum);
-                tasks.put(o.task(), World.running(o));
+                tasks.put(o.task(), SimulatedWorld.running(o));
                 if (ended.contains(o.task())) {
                     end(o.task(), ExitCause.DONE);
                 }
             } else if (t != null && t.attempt().equals(o.attempt())) {
-                if (o instanceof Order.Stop && t.state() != TaskState.EXITED) {
+                if (o instanceof WorkerCommand.Stop && t.state() != TaskState.EXITED) {
                     end(o.task(), ExitCause.STOPPED);
-                } else if (o instanceof Order.Forget && t.state() == TaskState.EXITED) {
+                } else if (o instanceof WorkerCommand.Reap && t.state() == TaskState.EXITED) {
                     tasks.remove(o.task());
                     if (t.cause() == ExitCause.DONE) {
                         reaped.add(o.task());
@@ -111,7 +125,7 @@
         }
 
         private boolean isOn(TaskId task, double now) {
-            TaskReport t = tasks.get(task);
+            TaskStatus t = tasks.get(task);
             return t != null && t.state() != TaskState.EXITED && now - answered <= LEASE_S;
         }
     }
@@ -129,7 +143,7 @@
         }
     }
 
-    private static final Pool POOL = new Pool("quad", "east", true);
+    private static final MachinePool POOL = new MachinePool("quad", "east", true);
 
     final List<String> broken = new ArrayList<>();
     final List<String> said = new ArrayList<>();
@@ -139,13 +153,13 @@
     private final Map<TaskId, Integer> ordered = new HashMap<>();
     private final Set<TaskId> ended = new HashSet<>();
     private final Set<TaskId> reaped = new HashSet<>();
-    LeaderCore core;
+    SchedulerCore core;
     private final List<Team> teams;
     private long token;
     private double begun;
 
-    LedSite(Team... teams) {
-        this.teams = teams.length == 0 ? List.of(World.team(0)) : List.of(teams);
+    SimulatedCluster(Team... teams) {
+        this.teams = teams.length == 0 ? List.of(SimulatedWorld.team(0)) : List.of(teams);
     }
 
     Box box(String name, double now) {
@@ -162,19 +176,30 @@
 
     /** A new leader has taken the key and answers, and has not read the records yet. */
     void begin(double now) {
-        core = new LeaderCore(new Token(++token), World.RULES, World.TUNING, World.NO_AIMS, teams, this);
-        core.setTypes(List.of(World.TYPE));
+        core = new SchedulerCore(
+                new FencingToken(++token),
+                SimulatedWorld.RULES,
+                SimulatedWorld.TUNING,
+                SimulatedWorld.NO_AIMS,
+                teams,
+                this);
+        core.setTypes(List.of(SimulatedWorld.TYPE));
         begun = now;
     }
 
     /** It has read them: every machine, every open job. */
     void load() {
         boxes.keySet()
-                .forEach(name ->
-                        core.inherit(new MachineId(name), POOL, World.at(-100), World.at(-100), World.at(begun)));
+                .forEach(name -> core.inherit(
+                        new MachineId(name),
+                        POOL,
+                        SimulatedWorld.at(-100),
+                        SimulatedWorld.at(-100),
+                        SimulatedWorld.at(begun)));
         records.values().stream()
                 .filter(r -> !r.closed)
-                .forEach(r -> core.addJob(new Job(r.spec, 1, World.at(begun), Stamp.ABSENT, r.done, r.bound, true)));
+                .forEach(r -> core.addJob(
+                        new Job(r.spec, 1, SimulatedWorld.at(begun), Revision.ABSENT, r.done, r.bound, true)));
         core.loaded();
     }
 
@@ -185,7 +210,7 @@
 
     void submit(JobSpec spec, double now) {
         records.put(spec.id(), new Recorded(spec));
-        core.addJob(new Job(spec, 1, World.at(now), Stamp.ABSENT, new BitSet(), 0, false));
+        core.addJob(new Job(spec, 1, SimulatedWorld.at(now), Revision.ABSENT, new BitSet(), 0, false));
     }
 
     /** Its user is told that it is cancelled, and the leader has heard of it. */
@@ -195,14 +220,14 @@
     }
 
     /** The leader's answer to a report; null if there is none. Bounds are recorded before any order goes out. */
-    Answer answer(WorkerReport report, double now) {
-        for (Job job : core.boundsToRaise(World.at(now))) {
+    Answer answer(Heartbeat report, double now) {
+        for (Job job : core.boundsToRaise(SimulatedWorld.at(now))) {
             records.get(job.id()).bound = job.boundToWrite();
             job.boundRecorded(job.boundToWrite());
         }
-        List<Order> orders = core.onReport(report, World.at(now));
-        for (Order o : orders == null ? List.<Order>of() : orders) {
-            if (o instanceof Order.Start) {
+        List<WorkerCommand> orders = core.onReport(report, SimulatedWorld.at(now));
+        for (WorkerCommand o : orders == null ? List.<WorkerCommand>of() : orders) {
+            if (o instanceof WorkerCommand.Start) {
                 ordered.merge(o.task(), 1, Integer::sum);
             }
         }
@@ -210,7 +235,7 @@
     }
 
     /** A machine reports, and takes the answer if it hears. */
-    List<Order> report(String name, double now) {
+    List<WorkerCommand> report(String name, double now) {
         Box box = boxes.get(name);
         box.live(now);
         Answer answer = answer(box.write(), now);
@@ -244,7 +269,7 @@
         }
     }
 
-    /** Its user is told that it is cancelled, whoever leads; the leader hears of it by {@link LeaderCore#cancelJob}. */
+    /** Its user is told that it is cancelled, whoever leads; the leader hears of it by {@link SchedulerCore#cancelJob}. */
     void cancel(JobId id, double now) {
         records.get(id).closed = true;
         records.get(id).cancelled = now;
@@ -257,7 +282,7 @@
             Recorded r = records.get(task.job());
             if (r.spec.team().equals(team.name())) {
                 cores += r.spec.demand().cores();
-                if (now > r.cancelled + World.RULES.cancel().seconds()) {
+                if (now > r.cancelled + SimulatedWorld.RULES.cancel().seconds()) {
                     broken.add(now + ": ran_cancelled " + task);
                 }
             }
--- a/src/test/java/io/indigoreach/core/World.java
+++ b/src/test/java/io/indigoreach/core/scheduling/SimulatedWorld.java
@@ -1,15 +1,37 @@
-package io.indigoreach.core;
-
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.model.Attempt;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskId;
+import io.indigoreach.core.model.TaskState;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
 
 /** A small setting for tests of the core: one machine type in two zones, a leader under token 5, jobs and reports. */
-final class World implements Notes {
+public final class SimulatedWorld implements SchedulerListener {
     static final MachineType TYPE = new MachineType(
             "quad", new Demand(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of("east", "west"));
-    static final Rules RULES = new Rules(Span.seconds(12), Span.seconds(2), Span.seconds(32), Span.seconds(3));
-    static final Tuning TUNING = new Tuning(
+    public static final SafetyTimes RULES =
+            new SafetyTimes(Span.seconds(12), Span.seconds(2), Span.seconds(32), Span.seconds(3));
+    static final SchedulerSettings TUNING = new SchedulerSettings(
             Span.seconds(45),
             Span.seconds(60),
             Span.seconds(60),
@@ -22,25 +44,26 @@
             Span.seconds(300),
             1,
             Span.seconds(10));
-    static final Aims NO_AIMS = new Aims(List.of());
-    static final Token TOKEN = new Token(5);
+    static final ServiceLevelObjectives NO_AIMS = new ServiceLevelObjectives(List.of());
+    static final FencingToken TOKEN = new FencingToken(5);
 
     final List<String> said = new ArrayList<>();
     final List<Job> progressed = new ArrayList<>();
-    final LeaderCore core;
+    final SchedulerCore core;
     private int jobs;
     private long serial;
 
-    World(Team... teams) {
+    SimulatedWorld(Team... teams) {
         this(TUNING, teams);
     }
 
-    World(Tuning tuning, Team... teams) {
+    SimulatedWorld(SchedulerSettings tuning, Team... teams) {
         this(tuning, NO_AIMS, teams);
     }
 
-    World(Tuning tuning, Aims aims, Team... teams) {
-        core = new LeaderCore(TOKEN, RULES, tuning, aims, teams.length == 0 ? List.of(team(0)) : List.of(teams), this);
+    SimulatedWorld(SchedulerSettings tuning, ServiceLevelObjectives aims, Team... teams) {
+        core = new SchedulerCore(
+                TOKEN, RULES, tuning, aims, teams.length == 0 ? List.of(team(0)) : List.of(teams), this);
         core.setTypes(List.of(TYPE));
     }
 
@@ -48,7 +71,7 @@
         return new Team("t", 0, coresMax, 0, 0);
     }
 
-    static Moment at(double seconds) {
+    public static Moment at(double seconds) {
         return new Moment(Math.round(seconds * 1000));
     }
 
@@ -57,7 +80,7 @@
                 new JobId("run-" + id),
                 "c",
                 "t",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Urgency.STANDARD,
                 tasks,
                 new Demand(cores, 0, 1),
@@ -103,7 +126,7 @@
                 new JobId("run-" + id),
                 "s",
                 "t",
-                Shape.SERVICE,
+                JobKind.SERVICE,
                 Urgency.PRODUCTION,
                 replicas,
                 new Demand(1, 0, 1),
@@ -122,7 +145,13 @@
 
     Job submit(JobSpec spec, double at) {
         Job job = new Job(
-                spec, Math.round(at * 1000) + ++jobs, at(at), new Stamp(100 + jobs), new BitSet(), spec.tasks(), false);
+                spec,
+                Math.round(at * 1000) + ++jobs,
+                at(at),
+                new Revision(100 + jobs),
+                new BitSet(),
+                spec.tasks(),
+                false);
         core.addJob(job);
         return job;
     }
@@ -133,42 +162,42 @@
 
     /** One of whose tasks an earlier leader may have started those below {@code bound}. */
     Job inherited(JobSpec spec, int bound) {
-        Job job = new Job(spec, ++jobs, at(0), new Stamp(jobs), new BitSet(), bound, true);
+        Job job = new Job(spec, ++jobs, at(0), new Revision(jobs), new BitSet(), bound, true);
         core.addJob(job);
         return job;
     }
 
     /** A machine that is rented, recorded, and has made its first report. */
     void up(String name, String zone, double at) {
-        core.rented(new Pool("quad", zone, true), List.of(new MachineId(name)), at(at), at(at));
+        core.rented(new MachinePool("quad", zone, true), List.of(new MachineId(name)), at(at), at(at));
         core.recorded(new MachineId(name));
     }
 
-    WorkerReport report(String name, String zone, long session, Token token, TaskReport... tasks) {
-        return new WorkerReport(
+    Heartbeat report(String name, String zone, long session, FencingToken token, TaskStatus... tasks) {
+        return new Heartbeat(
                 new MachineId(name),
                 "10.0.0.1:1",
-                new Pool("quad", zone, true),
-                new ReportNumber(session, ++serial),
+                new MachinePool("quad", zone, true),
+                new HeartbeatNumber(session, ++serial),
                 token,
                 null,
                 List.of(tasks));
     }
 
     /** An ordinary machine that is rented, recorded, and has made its first report. */
-    List<Order> ordinary(String name, double at) {
-        core.rented(new Pool("quad", "east", false), List.of(new MachineId(name)), at(at), at(at));
+    List<WorkerCommand> ordinary(String name, double at) {
+        core.rented(new MachinePool("quad", "east", false), List.of(new MachineId(name)), at(at), at(at));
         core.recorded(new MachineId(name));
         return hearOrdinary(name, at);
     }
 
-    List<Order> hearOrdinary(String name, double at, TaskReport... tasks) {
-        WorkerReport r = report(name, "east", 1, TOKEN, tasks);
+    List<WorkerCommand> hearOrdinary(String name, double at, TaskStatus... tasks) {
+        Heartbeat r = report(name, "east", 1, TOKEN, tasks);
         return core.onReport(
-                new WorkerReport(
+                new Heartbeat(
                         r.machine(),
                         r.address(),
-                        new Pool("quad", "east", false),
+                        new MachinePool("quad", "east", false),
                         r.number(),
                         r.token(),
                         null,
@@ -176,39 +205,39 @@
                 at(at));
     }
 
-    static TaskReport[] running(List<Order> orders) {
+    static TaskStatus[] running(List<WorkerCommand> orders) {
         return orders.stream()
-                .filter(o -> o instanceof Order.Start)
-                .map(World::running)
-                .toArray(TaskReport[]::new);
+                .filter(o -> o instanceof WorkerCommand.Start)
+                .map(SimulatedWorld::running)
+                .toArray(TaskStatus[]::new);
     }
 
-    List<Order> hear(String name, double at, TaskReport... tasks) {
+    List<WorkerCommand> hear(String name, double at, TaskStatus... tasks) {
         return core.onReport(report(name, "east", 1, TOKEN, tasks), at(at));
     }
 
-    static TaskReport running(Order o) {
-        return new TaskReport(o.task(), o.attempt(), TaskState.RUNNING, null, false);
+    static TaskStatus running(WorkerCommand o) {
+        return new TaskStatus(o.task(), o.attempt(), TaskState.RUNNING, null, false);
     }
 
-    static TaskReport exited(Order o, ExitCause cause) {
-        return new TaskReport(o.task(), o.attempt(), TaskState.EXITED, cause, false);
+    static TaskStatus exited(WorkerCommand o, ExitCause cause) {
+        return new TaskStatus(o.task(), o.attempt(), TaskState.EXITED, cause, false);
     }
 
-    static TaskReport foreign(String task, long attempt) {
-        return new TaskReport(TaskId.parse(task), new Attempt(attempt), TaskState.RUNNING, null, false);
+    static TaskStatus foreign(String task, long attempt) {
+        return new TaskStatus(TaskId.parse(task), new Attempt(attempt), TaskState.RUNNING, null, false);
     }
 
-    static List<String> starts(List<Order> orders) {
+    static List<String> starts(List<WorkerCommand> orders) {
         return orders.stream()
-                .filter(o -> o instanceof Order.Start)
+                .filter(o -> o instanceof WorkerCommand.Start)
                 .map(o -> o.task().toString())
                 .toList();
     }
 
-    static List<String> stops(List<Order> orders) {
+    static List<String> stops(List<WorkerCommand> orders) {
         return orders.stream()
-                .filter(o -> o instanceof Order.Stop)
+                .filter(o -> o instanceof WorkerCommand.Stop)
                 .map(o -> o.task().toString())
                 .toList();
     }
--- a/src/test/java/io/indigoreach/core/OldReportTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/StaleHeartbeatTest.java
@@ -1,17 +1,22 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.World.at;
-import static io.indigoreach.core.World.spec;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.TaskId;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A copy of an old report is kept and reaches a leader just as it begins. */
-class OldReportTest {
+class StaleHeartbeatTest {
     private enum Arrives {
         NEVER,
         BEFORE_THE_RECORDS_ARE_READ,
@@ -40,15 +45,15 @@
     }
 
     private static List<String> trace(String what, boolean lives, Arrives when) {
-        LedSite site = new LedSite();
-        LedSite.Box a = site.box("a", 0);
+        SimulatedCluster site = new SimulatedCluster();
+        SimulatedCluster.Box a = site.box("a", 0);
         site.box("n", 0);
         site.lead(-30);
         if (what.contains("rented")) {
-            site.core.rented(new Pool("quad", "east", true), List.of(new MachineId("a")), at(-30), at(-30));
+            site.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(-30), at(-30));
         }
         site.report("a", -21);
-        WorkerReport old = a.sent;
+        Heartbeat old = a.sent;
         site.submit(spec(1, 2, 4, 500), -20);
         if (!what.contains("rented")) {
             site.become("a", -19);
@@ -84,7 +89,7 @@
         }
         List<String> trace = new ArrayList<>(List.of(site.core.summary(at(0.5))));
         for (double now = 1; now < 40; now++) {
-            for (LedSite.Box box : List.copyOf(site.boxes())) {
+            for (SimulatedCluster.Box box : List.copyOf(site.boxes())) {
                 if (box != a || lives) {
                     trace.add(now + " " + box.name + " " + site.report(box.name, now));
                 }
--- a/src/test/java/io/indigoreach/core/LimitRun.java
+++ b/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulation.java
@@ -1,8 +1,15 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.World.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskId;
+import io.indigoreach.core.model.Team;
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.HashMap;
@@ -17,12 +24,13 @@
  * Every team is at its limit as all jobs that run are cancelled and the leader changes, so many times; half of the machines can't be
  * heard meanwhile. What the teams use is looked at on the workers at every step.
  */
-final class LimitRun {
+final class TeamLimitSimulation {
     private static final double STEP_S = 0.25;
     private static final int MACHINES = 8;
     private static final double CORES_MAX = 8;
     /** By then whoever leads has heard each machine and seen strangers go, or its lease is over. */
-    private static final double SETTLED_S = 2 * World.RULES.leaseBound().seconds() + 6;
+    private static final double SETTLED_S =
+            2 * SimulatedWorld.RULES.leaseBound().seconds() + 6;
 
     /** Longer than a lease. */
     private static final double AWAY_S = 20;
@@ -54,15 +62,15 @@
 
     private static final Set<Trouble> UNANSWERED = EnumSet.of(Trouble.CUT, Trouble.AWAY, Trouble.ZONE);
 
-    private record Late(LedSite.Box box, LedSite.Answer answer, double sent, double arrives) {}
+    private record Late(SimulatedCluster.Box box, SimulatedCluster.Answer answer, double sent, double arrives) {}
 
     private record Word(JobId job, double heard) {}
 
     private final Random random;
     private final Trouble trouble;
-    final LedSite site = new LedSite(PLAIN, GUARANTEED);
-    private final Map<LedSite.Box, Double> nextReport = new HashMap<>();
-    private final Map<LedSite.Box, Double> troubledUntil = new HashMap<>();
+    final SimulatedCluster site = new SimulatedCluster(PLAIN, GUARANTEED);
+    private final Map<SimulatedCluster.Box, Double> nextReport = new HashMap<>();
+    private final Map<SimulatedCluster.Box, Double> troubledUntil = new HashMap<>();
     private final List<Late> late = new ArrayList<>();
     private final List<Word> words = new ArrayList<>();
     private final Set<JobId> cancelled = new HashSet<>();
@@ -71,7 +79,7 @@
     /** Steps in which a cancelled task was on a machine that its leader could not hear. */
     int outOfReach;
 
-    LimitRun(long seed, Trouble trouble) {
+    TeamLimitSimulation(long seed, Trouble trouble) {
         this.random = new Random(seed);
         this.trouble = trouble;
     }
@@ -94,7 +102,7 @@
             }
             now = run(now, begins);
             site.begin(now);
-            for (LedSite.Box box : site.boxes()) {
+            for (SimulatedCluster.Box box : site.boxes()) {
                 if (trouble == Trouble.ZONE && isInZone(box)) {
                     troubledUntil.put(box, now + AWAY_S);
                 }
@@ -114,14 +122,14 @@
     /** Arrays, gangs and services of both teams, and more than their limits allow. */
     private void submitAll(double now) {
         for (Team team : List.of(PLAIN, GUARANTEED)) {
-            submit(team, Shape.SERVICE, 2, false, now);
-            submit(team, Shape.ARRAY, 2, true, now);
-            submit(team, Shape.ARRAY, 12, false, now);
+            submit(team, JobKind.SERVICE, 2, false, now);
+            submit(team, JobKind.ARRAY, 2, true, now);
+            submit(team, JobKind.ARRAY, 12, false, now);
         }
     }
 
-    private void submit(Team team, Shape shape, int tasks, boolean oneZone, double now) {
-        JobSpec s = World.spec(++jobs, tasks, 1, shape == Shape.SERVICE ? 0 : 500);
+    private void submit(Team team, JobKind shape, int tasks, boolean oneZone, double now) {
+        JobSpec s = SimulatedWorld.spec(++jobs, tasks, 1, shape == JobKind.SERVICE ? 0 : 500);
         site.submit(
                 new JobSpec(
                         s.id(),
@@ -145,13 +153,13 @@
                 now);
     }
 
-    private boolean isInZone(LedSite.Box box) {
+    private boolean isInZone(SimulatedCluster.Box box) {
         return box.name.compareTo("m" + MACHINES / 2) < 0;
     }
 
     /** Half of the machines, each for its own time; one that hangs goes on within its lease. */
     private void befall(double now, double begins) {
-        for (LedSite.Box box : site.boxes()) {
+        for (SimulatedCluster.Box box : site.boxes()) {
             if (trouble == Trouble.AWAY || trouble == Trouble.ZONE) {
                 troubledUntil.put(box, trouble == Trouble.ZONE && isInZone(box) ? now : begins);
             } else if (random.nextBoolean()) {
@@ -172,7 +180,7 @@
         submitAll(now);
     }
 
-    private boolean isTroubled(LedSite.Box box, double now) {
+    private boolean isTroubled(SimulatedCluster.Box box, double now) {
         return now < troubledUntil.getOrDefault(box, 0.0);
     }
 
@@ -201,7 +209,7 @@
                 late.remove(l);
             }
         }
-        for (LedSite.Box box : site.boxes()) {
+        for (SimulatedCluster.Box box : site.boxes()) {
             boolean troubled = isTroubled(box, now);
             if (now >= nextReport.get(box) && !(troubled && trouble == Trouble.HUNG)) {
                 nextReport.put(box, now + 1.5 + random.nextDouble());
@@ -214,13 +222,13 @@
         site.used(GUARANTEED, now);
     }
 
-    private void report(LedSite.Box box, Trouble meets, double now) {
+    private void report(SimulatedCluster.Box box, Trouble meets, double now) {
         box.live(now);
-        WorkerReport report = box.write();
-        LedSite.Answer answer = UNANSWERED.contains(meets) ? null : site.answer(report, now);
+        Heartbeat report = box.write();
+        SimulatedCluster.Answer answer = UNANSWERED.contains(meets) ? null : site.answer(report, now);
         if (answer != null && meets == Trouble.HELD_UP) {
-            late.add(new Late(box, answer, now, now + LedSite.PATIENCE_S - STEP_S));
-            nextReport.put(box, now + LedSite.PATIENCE_S);
+            late.add(new Late(box, answer, now, now + SimulatedCluster.PATIENCE_S - STEP_S));
+            nextReport.put(box, now + SimulatedCluster.PATIENCE_S);
         } else if (answer != null && meets != Trouble.DEAF) {
             box.take(answer, now, now);
         }
--- a/src/test/java/io/indigoreach/core/LimitRunTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulationTest.java
@@ -1,4 +1,4 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Limits, cancellations and changes of leader, each one on the others. */
-class LimitRunTest {
+class TeamLimitSimulationTest {
     private static final int SEEDS = 12;
 
     /** {@code everyS}: from one change of leader to the next. */
@@ -33,16 +33,16 @@
         "ZONE, 1, 0",
         "ZONE, 2, 6"
     })
-    void noTeamExceedsItsLimit(LimitRun.Trouble trouble, int changes, double everyS) {
+    void noTeamExceedsItsLimit(TeamLimitSimulation.Trouble trouble, int changes, double everyS) {
         int outOfReach = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
-            LimitRun run = new LimitRun(seed, trouble);
+            TeamLimitSimulation run = new TeamLimitSimulation(seed, trouble);
             run.play(changes, everyS);
             assertEquals(List.of(), run.site.broken, "seed " + seed);
             outOfReach += run.outOfReach;
         }
         assertTrue(
-                trouble == LimitRun.Trouble.NONE || outOfReach > 0,
+                trouble == TeamLimitSimulation.Trouble.NONE || outOfReach > 0,
                 "cancelled tasks ran on where nobody heard of them");
     }
 }
--- a/src/test/java/io/indigoreach/core/WaitCheck.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitCheck.java
@@ -1,5 +1,6 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.JobId;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -18,11 +19,11 @@
 
     private final Map<JobId, Wait> waits = new HashMap<>();
 
-    List<String> check(LeaderCore leader, boolean calm, double now) {
+    List<String> check(SchedulerCore leader, boolean calm, double now) {
         List<String> broken = new ArrayList<>();
         Map<JobId, Wait> next = new HashMap<>();
         for (Job job : leader.jobs()) {
-            Optional<WaitReason> reason = leader.waitsFor(job, World.at(now));
+            Optional<WaitReason> reason = leader.waitsFor(job, SimulatedWorld.at(now));
             if (reason.isEmpty() == job.hasWaiting()) {
                 broken.add(now + ": " + job.id() + " has " + job.waiting() + " tasks waiting for " + reason);
             }
--- a/src/test/java/io/indigoreach/core/WaitReasonTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
@@ -1,12 +1,27 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.World.at;
-import static io.indigoreach.core.World.exited;
-import static io.indigoreach.core.World.running;
-import static io.indigoreach.core.World.spec;
-import static io.indigoreach.core.World.with;
+import static io.indigoreach.core.scheduling.SimulatedWorld.at;
+import static io.indigoreach.core.scheduling.SimulatedWorld.exited;
+import static io.indigoreach.core.scheduling.SimulatedWorld.running;
+import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SimulatedWorld.with;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.indigoreach.core.model.Attempt;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskState;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
@@ -42,13 +57,13 @@
         "elsewhere, OTHER_ZONE"
     })
     void eachWaitHasItsName(String why, WaitReason expected) {
-        World w = new World(World.team(why.equals("limit") ? 3 : 0));
+        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(why.equals("limit") ? 3 : 0));
         if (why.equals("inherited")) {
-            w.core.inherit(new MachineId("old"), new Pool("quad", "east", true), at(0), at(0), at(0));
+            w.core.inherit(new MachineId("old"), new MachinePool("quad", "east", true), at(0), at(0), at(0));
         }
         w.core.loaded();
         if (why.equals("booting") || why.equals("unrecorded")) {
-            w.core.rented(new Pool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
+            w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
         } else {
             w.up("a", "east", 0);
         }
@@ -67,7 +82,7 @@
         s = with(s, Urgency.STANDARD, why.equals("elsewhere"), false, !why.equals("ordinary"), zone, 0);
         Job job = why.equals("inherited") ? w.inherited(s) : w.submit(s, 2);
         if (why.equals("unbound")) {
-            job = new Job(s, 3, at(2), Stamp.ABSENT, new BitSet(), 0, false);
+            job = new Job(s, 3, at(2), Revision.ABSENT, new BitSet(), 0, false);
             w.core.closeJob(job.id());
             w.core.addJob(job);
         }
@@ -78,15 +93,16 @@
         }
         job.retryAt = why.equals("suspect") ? at(10) : job.retryAt;
         if (why.equals("elsewhere")) {
-            Machine far = new Machine(new MachineId("b"), new Pool("quad", "west", true), World.TYPE, at(0));
-            job.place(new Placement(job, 0, far, new Attempt(1), TaskState.RUNNING, ReportNumber.NONE, at(2)));
+            Machine far =
+                    new Machine(new MachineId("b"), new MachinePool("quad", "west", true), SimulatedWorld.TYPE, at(0));
+            job.place(new Placement(job, 0, far, new Attempt(1), TaskState.RUNNING, HeartbeatNumber.NONE, at(2)));
         }
         assertEquals(Optional.of(expected), w.core.waitsFor(job, at(3)));
     }
 
     @Test
     void whatDoesNotWaitHasNoReason() {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         w.core.loaded();
         w.up("a", "east", 0);
         Job job = w.submit(spec(1, 1, 1, 100), 0);
@@ -97,42 +113,44 @@
     /** A team that used none of its guarantee and wanted nothing kept the others from the rest of every machine. */
     @Test
     void aTeamThatWantsNothingKeepsNoRoom() {
-        World w = new World(World.team(0), GUARANTEED);
+        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(0), GUARANTEED);
         w.core.loaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 6, 1, 100), 0);
-        List<Order> first = w.hear("a", 1);
-        assertEquals(4, World.starts(first).size());
-        assertEquals(1, World.starts(oneEnds(w, first, 10)).size());
+        List<WorkerCommand> first = w.hear("a", 1);
+        assertEquals(4, SimulatedWorld.starts(first).size());
+        assertEquals(1, SimulatedWorld.starts(oneEnds(w, first, 10)).size());
     }
 
-    private static List<Order> oneEnds(World w, List<Order> starts, double at) {
-        List<TaskReport> tasks = new ArrayList<>();
+    private static List<WorkerCommand> oneEnds(SimulatedWorld w, List<WorkerCommand> starts, double at) {
+        List<TaskStatus> tasks = new ArrayList<>();
         tasks.add(exited(starts.get(0), ExitCause.DONE));
         starts.subList(1, starts.size()).forEach(o -> tasks.add(running(o)));
-        return w.hear("a", at, tasks.toArray(TaskReport[]::new));
+        return w.hear("a", at, tasks.toArray(TaskStatus[]::new));
     }
 
     /** A machine at work stays with its share, and one that is put aside takes nothing, until a job has waited for a minute. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void nothingWaitsBesideRoomForLong(boolean spare) {
-        World w = spare ? new World() : new World(World.team(0), GUARANTEED, new Team("other", 8, 0, 0, 0));
+        SimulatedWorld w = spare
+                ? new SimulatedWorld()
+                : new SimulatedWorld(SimulatedWorld.team(0), GUARANTEED, new Team("other", 8, 0, 0, 0));
         w.core.loaded();
         w.up("a", "east", 0);
         Job own = w.submit(of(spec(1, 4, 1, 500), spare ? "t" : "guaranteed"), 0);
-        List<Order> first = w.hear("a", 1);
-        assertEquals(4, World.starts(first).size());
+        List<WorkerCommand> first = w.hear("a", 1);
+        assertEquals(4, SimulatedWorld.starts(first).size());
         w.core.machines().iterator().next().spare = spare;
         w.submit(spec(2, 1, 1, 500), 2);
-        assertEquals(List.of(), World.starts(oneEnds(w, first, 61)));
-        assertEquals(List.of("run-2/0"), World.starts(w.hear("a", 62.5, tasks(own))));
+        assertEquals(List.of(), SimulatedWorld.starts(oneEnds(w, first, 61)));
+        assertEquals(List.of("run-2/0"), SimulatedWorld.starts(w.hear("a", 62.5, tasks(own))));
     }
 
-    private static TaskReport[] tasks(Job job) {
+    private static TaskStatus[] tasks(Job job) {
         return job.active().stream()
-                .map(p -> new TaskReport(p.task(), p.attempt, TaskState.RUNNING, null, false))
-                .toArray(TaskReport[]::new);
+                .map(p -> new TaskStatus(p.task(), p.attempt, TaskState.RUNNING, null, false))
+                .toArray(TaskStatus[]::new);
     }
 
     private static JobSpec of(JobSpec s, String team) {
@@ -161,18 +179,18 @@
     @ParameterizedTest
     @CsvSource({"false, dear west", "true, quad east"})
     void aBoundJobIsRentedForWhereItMayBe(boolean refused, String expected) {
-        World w = new World();
+        SimulatedWorld w = new SimulatedWorld();
         MachineType east =
                 new MachineType("quad", new Demand(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of("east"));
         MachineType dear = new MachineType(
                 "dear", new Demand(4, 0, 16), 40, 0.5, 0.4, 0.1, Span.seconds(20), List.of("west", "east"));
-        w.core.setTypes(refused ? List.of(World.TYPE) : List.of(east, dear));
+        w.core.setTypes(refused ? List.of(SimulatedWorld.TYPE) : List.of(east, dear));
         w.core.loaded();
         w.submit(with(spec(1, 4, 1, 100), Urgency.STANDARD, false, false, true, "west", 0), 0);
         if (refused) {
             w.submit(spec(2, 4, 1, 100), 1);
-            w.core.refused(new Pool("quad", "west", true), at(19));
-            w.core.refused(new Pool("quad", "west", false), at(19));
+            w.core.refused(new MachinePool("quad", "west", true), at(19));
+            w.core.refused(new MachinePool("quad", "west", false), at(19));
         }
         assertEquals(
                 Set.of(expected),
--- a/src/test/java/io/indigoreach/core/WarmSteps.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
@@ -1,12 +1,33 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
 import io.indigoreach.core.accounts.Account;
 import io.indigoreach.core.accounts.Meter;
 import io.indigoreach.core.accounts.Sheet;
-import io.indigoreach.core.warm.Plan;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.ListedMachine;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskId;
+import io.indigoreach.core.model.TaskState;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.model.WorkerCommand;
+import io.indigoreach.core.warm.BurstWindow;
+import io.indigoreach.core.warm.DemandHistory;
+import io.indigoreach.core.warm.PoolPlanner;
 import io.indigoreach.core.warm.PoolSpec;
-import io.indigoreach.core.warm.Seen;
-import io.indigoreach.core.warm.Window;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -17,18 +38,18 @@
 import java.util.TreeMap;
 
 /** Pools on simulated machines with real caches, in steps of a second round the real core, plan and meter. */
-final class WarmSteps implements Notes {
+final class WarmPoolHarness implements SchedulerListener {
     static final String MODEL = "weights-1";
     private static final int BEGIN = 1000;
 
     /** A task on a machine. */
     private static final class Task {
-        final Order.Start start;
+        final WorkerCommand.Start start;
         final JobSpec spec;
         TaskState state = TaskState.FETCHING;
         int ends = Integer.MAX_VALUE;
 
-        Task(Order.Start start, JobSpec spec) {
+        Task(WorkerCommand.Start start, JobSpec spec) {
             this.start = start;
             this.spec = spec;
         }
@@ -36,7 +57,7 @@
 
     /** A machine; its cache is what it really has, the least recently used image first. */
     static final class Box {
-        final Pool pool;
+        final MachinePool pool;
         final int rented;
         final int up;
         long session = 1;
@@ -45,7 +66,7 @@
         String fetching;
         int fetched;
 
-        Box(Pool pool, int rented, int up) {
+        Box(MachinePool pool, int rented, int up) {
             this.pool = pool;
             this.rented = rented;
             this.up = up;
@@ -54,7 +75,7 @@
 
     final MachineType type;
     final Map<String, Box> boxes = new TreeMap<>();
-    final Map<Pool, Integer> capacity = new HashMap<>();
+    final Map<MachinePool, Integer> capacity = new HashMap<>();
     final Map<String, PoolSpec> pools = new TreeMap<>();
     final Map<JobId, Job> open = new TreeMap<>();
     final Map<JobId, List<Integer>> began = new TreeMap<>();
@@ -63,8 +84,8 @@
     final Map<Integer, Sheet> sheets = new TreeMap<>();
 
     List<Team> teams = List.of(new Team("t", 0, 0, 0, 0), new Team("g", 0, 0, 0, 0));
-    LeaderCore core;
-    Plan plan;
+    SchedulerCore core;
+    PoolPlanner plan;
     Meter meter;
     double bill;
     int rents;
@@ -78,19 +99,19 @@
     private long serial;
     private int names;
     private int jobs;
-    private final List<RentWish> asked = new ArrayList<>();
+    private final List<ScaleOutRequest> asked = new ArrayList<>();
 
-    WarmSteps(double cacheGb, int perZone) {
+    WarmPoolHarness(double cacheGb, int perZone) {
         type = new MachineType(
                 "big", new Demand(8, 0, 64), cacheGb, 1.0, 3.6, 1.2, Span.seconds(20), List.of("east", "west"));
         for (String zone : type.zones()) {
-            capacity.put(new Pool("big", zone, true), perZone);
-            capacity.put(new Pool("big", zone, false), perZone);
+            capacity.put(new MachinePool("big", zone, true), perZone);
+            capacity.put(new MachinePool("big", zone, false), perZone);
         }
         newLeader();
     }
 
-    static PoolSpec pool(String name, String image, double gb, int least, int most, Window... windows) {
+    static PoolSpec pool(String name, String image, double gb, int least, int most, BurstWindow... windows) {
         return new PoolSpec(
                 name,
                 "t",
@@ -150,12 +171,12 @@
     /** A pool and its holder, with a task for each machine. */
     Job keep(PoolSpec p) {
         pools.put(p.name(), p);
-        plan.pools(pools.values(), n -> new Seen());
+        plan.pools(pools.values(), n -> new DemandHistory());
         return submit(new JobSpec(
                         new JobId("run-" + ++jobs),
                         "hold",
                         p.team(),
-                        Shape.SERVICE,
+                        JobKind.SERVICE,
                         Urgency.STANDARD,
                         p.most(),
                         new Demand(0.01, 0, 0.1),
@@ -179,7 +200,7 @@
                 new JobId("run-" + ++jobs),
                 "serve",
                 "t",
-                Shape.SERVICE,
+                JobKind.SERVICE,
                 Urgency.PRODUCTION,
                 replicas,
                 new Demand(8, 0, 8),
@@ -202,7 +223,7 @@
                 new JobId("run-" + ++jobs),
                 "guest",
                 "g",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Urgency.BEST_EFFORT,
                 tasks,
                 new Demand(cores, 0, 1),
@@ -220,7 +241,7 @@
     }
 
     private Job submit(JobSpec spec) {
-        Job job = new Job(spec, at(now).ms(), at(now), new Stamp(jobs), new BitSet(), 0, false);
+        Job job = new Job(spec, at(now).ms(), at(now), new Revision(jobs), new BitSet(), 0, false);
         open.put(job.id(), job);
         began.put(job.id(), new ArrayList<>());
         core.addJob(job);
@@ -238,7 +259,13 @@
 
     /** The leader ends; the next has the jobs, the machines that were recorded, and the sheets. */
     void newLeader() {
-        core = new LeaderCore(new Token(++token), World.RULES, Steps.STANDARD, World.NO_AIMS, teams, this);
+        core = new SchedulerCore(
+                new FencingToken(++token),
+                SimulatedWorld.RULES,
+                CoreHarness.STANDARD,
+                SimulatedWorld.NO_AIMS,
+                teams,
+                this);
         core.setTypes(List.of(type));
         boxes.forEach((name, box) -> {
             if (box.up <= now) {
@@ -249,10 +276,10 @@
                 job.spec(), job.submittedMs(), job.arrived, job.stamp(), job.doneTasks(), job.boundToWrite(), true));
         open.values().forEach(core::addJob);
         core.loaded();
-        plan = new Plan(teams, () -> List.of(type), Steps.STANDARD.term(), Moment::ms, said::add);
-        meter = new Meter(Steps.STANDARD.leastPaid().ms());
+        plan = new PoolPlanner(teams, () -> List.of(type), CoreHarness.STANDARD.term(), Moment::ms, said::add);
+        meter = new Meter(CoreHarness.STANDARD.leastPaid().ms());
         core.keeping(plan);
-        plan.pools(pools.values(), n -> new Seen());
+        plan.pools(pools.values(), n -> new DemandHistory());
         sheets.forEach((n, sheet) -> meter.recall(n, sheet, this::price));
         plan.recall(meter.lines(), at(now));
         // The list of the cloud, which also names machines that are booting.
@@ -269,16 +296,16 @@
                 .toList());
     }
 
-    private double price(Pool where) {
+    private double price(MachinePool where) {
         return where.spot() ? type.spotPrice() : type.price();
     }
 
-    WarmSteps run(int steps) {
+    WarmPoolHarness run(int steps) {
         return run(steps, () -> {});
     }
 
     /** With a check of the test's after each step. */
-    WarmSteps run(int steps, Runnable check) {
+    WarmPoolHarness run(int steps, Runnable check) {
         for (int i = 0; i < steps; i++) {
             step();
             check.run();
@@ -316,7 +343,7 @@
     }
 
     private void tend() {
-        for (RentWish wish : core.wishes(at(now))) {
+        for (ScaleOutRequest wish : core.wishes(at(now))) {
             asked.add(wish);
             int got = (int) Math.min(
                     wish.count(),
@@ -364,7 +391,7 @@
         int n = 0;
         for (String name : new ArrayList<>(boxes.keySet())) {
             if (boxes.get(name).pool.spot() && n++ % 2 == 0) {
-                Pool where = boxes.get(name).pool;
+                MachinePool where = boxes.get(name).pool;
                 end(name);
                 List<ListedMachine> list = listed();
                 list.add(new ListedMachine(new MachineId(name), where, ListedMachine.Status.FAILED, Span.ZERO));
@@ -409,28 +436,28 @@
     }
 
     private void report(String name, Box box) {
-        List<TaskReport> list = new ArrayList<>();
+        List<TaskStatus> list = new ArrayList<>();
         box.tasks
                 .values()
                 .forEach(t -> list.add(
                         t.state == TaskState.EXITED
-                                ? World.exited(t.start, ExitCause.DONE)
-                                : new TaskReport(t.start.task(), t.start.attempt(), t.state, null, false)));
-        WorkerReport report = new WorkerReport(
+                                ? SimulatedWorld.exited(t.start, ExitCause.DONE)
+                                : new TaskStatus(t.start.task(), t.start.attempt(), t.state, null, false)));
+        Heartbeat report = new Heartbeat(
                 new MachineId(name),
                 "10.0.0.1:1",
                 box.pool,
-                new ReportNumber(box.session, ++serial),
-                new Token(token),
+                new HeartbeatNumber(box.session, ++serial),
+                new FencingToken(token),
                 null,
                 list);
-        List<Order> orders = new ArrayList<>(core.onReport(report, at(now)));
+        List<WorkerCommand> orders = new ArrayList<>(core.onReport(report, at(now)));
         if (core.unrecorded(new MachineId(name)) != null) {
             core.recorded(new MachineId(name));
             orders.addAll(core.fill(new MachineId(name), report.number(), at(now)));
         }
-        for (Order o : orders) {
-            if (o instanceof Order.Start s) {
+        for (WorkerCommand o : orders) {
+            if (o instanceof WorkerCommand.Start s) {
                 Job job = open.get(o.task().job());
                 double used = box.tasks.values().stream()
                         .filter(t -> t.state != TaskState.EXITED)
@@ -522,7 +549,7 @@
         return began.get(job.id()).stream().map(t -> t - from).sorted().toList();
     }
 
-    List<RentWish> asked() {
+    List<ScaleOutRequest> asked() {
         return asked;
     }
 
--- a/src/test/java/io/indigoreach/core/WarmMeasure.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolMeasurement.java
@@ -1,7 +1,7 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
 import io.indigoreach.core.accounts.Account;
-import io.indigoreach.core.warm.Window;
+import io.indigoreach.core.warm.BurstWindow;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 
-/** Not a test: what pools bring and cost, on simulated machines. {@code mvn test -Dtest=WarmMeasure -Dwarm.measure=1} */
+/** Not a test: what pools bring and cost, on simulated machines. {@code mvn test -Dtest=WarmPoolMeasurement -Dwarm.measure=1} */
 @EnabledIfSystemProperty(named = "warm.measure", matches = "1")
-class WarmMeasure {
+class WarmPoolMeasurement {
     private static final int HOUR = 3600;
     /** The simulated day begins at 00:16:40; the burst comes a minute after its window opens. */
     private static final int BURST = 800 + 60;
@@ -33,16 +33,16 @@
     private static void one(int machines, double gb, String way) {
         double mean = machines * 0.4;
         int replicas = poisson(new SplittableRandom(machines + (long) gb), mean);
-        WarmSteps w = new WarmSteps(200, machines / 2);
+        WarmPoolHarness w = new WarmPoolHarness(200, machines / 2);
         if (!way.equals("none")) {
             boolean all = way.equals("all");
-            w.keep(WarmSteps.pool(
+            w.keep(WarmPoolHarness.pool(
                     "p",
-                    WarmSteps.MODEL,
+                    WarmPoolHarness.MODEL,
                     gb,
                     all ? machines : machines / 50,
                     machines,
-                    all ? new Window[0] : new Window[] {new Window(30, 40, mean)}));
+                    all ? new BurstWindow[0] : new BurstWindow[] {new BurstWindow(30, 40, mean)}));
         }
         for (int minute = 0; minute < 60; minute++) {
             if (minute % 5 == 0) {
@@ -50,7 +50,7 @@
             }
             if (minute * 60 + 20 == BURST - BURST % 60 + 20) {
                 w.run(BURST - w.now);
-                Job burst = w.serve(WarmSteps.MODEL, gb, replicas);
+                Job burst = w.serve(WarmPoolHarness.MODEL, gb, replicas);
                 w.run(LASTS);
                 List<Integer> waits = w.waits(burst, BURST);
                 w.cancel(burst);
--- a/src/test/java/io/indigoreach/core/WarmPoolTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolTest.java
@@ -1,9 +1,11 @@
-package io.indigoreach.core;
+package io.indigoreach.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.warm.Window;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.warm.BurstWindow;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -13,14 +15,14 @@
 
 /** The hard cases of warm pools, on machines whose caches are simulated: what is claimed is compared with them. */
 class WarmPoolTest {
-    private static final String MODEL = WarmSteps.MODEL;
+    private static final String MODEL = WarmPoolHarness.MODEL;
     /** Boot, fetch of 40 GB at 1 GB/s, reports, and checks. */
     private static final int WARM = 20 + 40 + 12;
 
     @Test
     void aPoolIsFilledStaysAndServesABurstWithoutAFetch() {
-        WarmSteps w = new WarmSteps(200, 20);
-        w.keep(WarmSteps.pool("p", MODEL, 40, 10, 10));
+        WarmPoolHarness w = new WarmPoolHarness(200, 20);
+        w.keep(WarmPoolHarness.pool("p", MODEL, 40, 10, 10));
         w.run(WARM + 100, w::truthful);
         assertEquals(10, w.machines("p"));
         assertEquals(10, w.holding(MODEL));
@@ -39,7 +41,7 @@
 
     @Test
     void withoutAPoolTheSameBurstWaitsForBootAndFetch() {
-        WarmSteps w = new WarmSteps(200, 20);
+        WarmPoolHarness w = new WarmPoolHarness(200, 20);
         w.run(10);
         Job burst = w.serve(MODEL, 40, 10);
         int from = w.now;
@@ -49,8 +51,8 @@
 
     @Test
     void aWaveThatTakesHalfThePoolInTheFirstSecondOfABurst() {
-        WarmSteps w = new WarmSteps(200, 40);
-        w.keep(WarmSteps.spot(WarmSteps.pool("p", MODEL, 40, 20, 20)));
+        WarmPoolHarness w = new WarmPoolHarness(200, 40);
+        w.keep(WarmPoolHarness.spot(WarmPoolHarness.pool("p", MODEL, 40, 20, 20)));
         w.run(WARM + 20);
         int from = w.now;
         Job burst = w.serve(MODEL, 40, 20);
@@ -64,9 +66,9 @@
 
     @Test
     void twoModelsThatDoNotFitOneCacheNeverMeet() {
-        WarmSteps w = new WarmSteps(100, 10);
-        w.keep(WarmSteps.pool("a", "weights-a", 60, 5, 5));
-        w.keep(WarmSteps.pool("b", "weights-b", 70, 5, 5));
+        WarmPoolHarness w = new WarmPoolHarness(100, 10);
+        w.keep(WarmPoolHarness.pool("a", "weights-a", 60, 5, 5));
+        w.keep(WarmPoolHarness.pool("b", "weights-b", 70, 5, 5));
         w.run(200, w::truthful);
         assertEquals(5, w.holding("weights-a"));
         assertEquals(5, w.holding("weights-b"));
@@ -79,8 +81,8 @@
 
     @Test
     void thePayersLimitLoweredBelowThePool() {
-        WarmSteps w = new WarmSteps(200, 20);
-        w.keep(WarmSteps.pool("p", MODEL, 40, 12, 12));
+        WarmPoolHarness w = new WarmPoolHarness(200, 20);
+        w.keep(WarmPoolHarness.pool("p", MODEL, 40, 12, 12));
         w.run(WARM + 20);
         w.teams = List.of(new Team("t", 0, 0.05, 0, 0), new Team("g", 0, 0, 0, 0));
         w.newLeader();
@@ -92,8 +94,8 @@
 
     @Test
     void theLeaderEndsWhileTwoHundredMachinesFetch() {
-        WarmSteps w = new WarmSteps(200, 200);
-        w.keep(WarmSteps.pool("p", MODEL, 40, 200, 200));
+        WarmPoolHarness w = new WarmPoolHarness(200, 200);
+        w.keep(WarmPoolHarness.pool("p", MODEL, 40, 200, 200));
         for (int ends : new int[] {6, 9, 25, 40}) {
             w.run(ends - w.now, w::truthful);
             w.newLeader();
@@ -107,8 +109,8 @@
 
     @Test
     void theHolderIsCancelledDuringTheBurst() {
-        WarmSteps w = new WarmSteps(200, 20);
-        Job holder = w.keep(WarmSteps.pool("p", MODEL, 40, 8, 8));
+        WarmPoolHarness w = new WarmPoolHarness(200, 20);
+        Job holder = w.keep(WarmPoolHarness.pool("p", MODEL, 40, 8, 8));
         w.run(WARM + 20);
         Job burst = w.serve(MODEL, 40, 5);
         w.run(6);
@@ -121,10 +123,10 @@
 
     @Test
     void twoPoolsWantTheLastMachine() {
-        WarmSteps w = new WarmSteps(200, 3);
+        WarmPoolHarness w = new WarmPoolHarness(200, 3);
         w.capacity.replaceAll((pool, n) -> pool.spot() ? 0 : pool.zone().equals("east") ? 3 : 2);
-        w.keep(WarmSteps.pool("a", "weights-a", 40, 4, 4));
-        w.keep(WarmSteps.pool("b", "weights-b", 40, 4, 4));
+        w.keep(WarmPoolHarness.pool("a", "weights-a", 40, 4, 4));
+        w.keep(WarmPoolHarness.pool("b", "weights-b", 40, 4, 4));
         w.run(300, w::truthful);
         assertEquals(5, w.machines("a") + w.machines("b"));
         assertTrue(Math.abs(w.machines("a") - w.machines("b")) == 1);
@@ -135,12 +137,12 @@
 
     @Test
     void aNewVersionIsRolledOverUnderLoadWithNeverFewerThanTheLeast() {
-        WarmSteps w = new WarmSteps(60, 30);
-        Job old = w.keep(WarmSteps.pool("p", MODEL, 40, 10, 10));
+        WarmPoolHarness w = new WarmPoolHarness(60, 30);
+        Job old = w.keep(WarmPoolHarness.pool("p", MODEL, 40, 10, 10));
         w.run(WARM + 20);
         w.serve(MODEL, 40, 2);
         w.run(6);
-        w.keep(WarmSteps.pool("p", "weights-2", 40, 10, 10));
+        w.keep(WarmPoolHarness.pool("p", "weights-2", 40, 10, 10));
         int[] fewest = {10};
         w.run(1500, () -> {
             w.truthful();
@@ -162,8 +164,8 @@
 
     @Test
     void aZoneIsCutOffWithHalfThePool() {
-        WarmSteps w = new WarmSteps(200, 40);
-        w.keep(WarmSteps.pool("p", MODEL, 40, 10, 20));
+        WarmPoolHarness w = new WarmPoolHarness(200, 40);
+        w.keep(WarmPoolHarness.pool("p", MODEL, 40, 10, 20));
         w.pools.put("p", wide(w));
         w.plan.pools(w.pools.values(), n -> null);
         w.run(WARM + 20);
@@ -183,7 +185,7 @@
         assertEquals(10, w.machines("p"), "and what is too much goes when it comes back");
     }
 
-    private static io.indigoreach.core.warm.PoolSpec wide(WarmSteps w) {
+    private static io.indigoreach.core.warm.PoolSpec wide(WarmPoolHarness w) {
         var p = w.pools.get("p");
         return new io.indigoreach.core.warm.PoolSpec(
                 p.name(),
@@ -205,8 +207,8 @@
 
     @Test
     void theStateIsLostAndNothingIsClaimedUntilAStartShowsIt() {
-        WarmSteps w = new WarmSteps(200, 20);
-        w.keep(WarmSteps.pool("p", MODEL, 40, 8, 8));
+        WarmPoolHarness w = new WarmPoolHarness(200, 20);
+        w.keep(WarmPoolHarness.pool("p", MODEL, 40, 8, 8));
         w.run(WARM + 20);
         w.sheets.clear();
         w.newLeader();
@@ -220,8 +222,8 @@
     @ParameterizedTest
     @ValueSource(doubles = {30, 90, 170})
     void aGuestsArrayDoesNotPushTheWeightsOut(double gb) {
-        WarmSteps w = new WarmSteps(200, 8);
-        w.keep(WarmSteps.pool("p", MODEL, 140, 8, 8, new Window(12 * 60, 13 * 60, 8)));
+        WarmPoolHarness w = new WarmPoolHarness(200, 8);
+        w.keep(WarmPoolHarness.pool("p", MODEL, 140, 8, 8, new BurstWindow(12 * 60, 13 * 60, 8)));
         w.run(300);
         assertEquals(8, w.holding(MODEL));
         for (int n = 0; n < 6; n++) {
@@ -243,11 +245,11 @@
 
     @Test
     void aTeamThatWaitsForItsGuaranteeGetsTheLastMachines() {
-        WarmSteps w = new WarmSteps(200, 4);
+        WarmPoolHarness w = new WarmPoolHarness(200, 4);
         w.capacity.replaceAll((pool, n) -> pool.spot() ? 0 : 4);
         w.teams = List.of(new Team("t", 0, 0, 0, 0), new Team("g", 16, 0, 0, 0));
         w.newLeader();
-        w.keep(WarmSteps.pool("p", MODEL, 40, 8, 8));
+        w.keep(WarmPoolHarness.pool("p", MODEL, 40, 8, 8));
         w.run(WARM + 20);
         assertEquals(8, w.machines("p"));
         Job due = w.array("other", 170, 2, 8, 60);
@@ -261,8 +263,8 @@
 
     @Test
     void aBudgetThatIsOverShrinksThePoolAtTheTermsEndAndSaysSo() {
-        WarmSteps w = new WarmSteps(200, 8);
-        w.keep(WarmSteps.budget(WarmSteps.pool("p", MODEL, 40, 4, 4), 1.0));
+        WarmPoolHarness w = new WarmPoolHarness(200, 8);
+        w.keep(WarmPoolHarness.budget(WarmPoolHarness.pool("p", MODEL, 40, 4, 4), 1.0));
         w.run(400, w::truthful);
         assertEquals(0, w.boxes.size());
         double spent = w.meter.sums().entrySet().stream()
@@ -276,9 +278,9 @@
 
     @Test
     void aPoolGrowsBeforeItsWindowOpensAndShrinksAfterIt() {
-        WarmSteps w = new WarmSteps(200, 40);
+        WarmPoolHarness w = new WarmPoolHarness(200, 40);
         // The first step is at 1,000 s of the day: the window opens at 00:20, 200 s later, and closes at 00:25.
-        w.keep(WarmSteps.pool("p", MODEL, 40, 2, 40, new Window(20, 25, 12)));
+        w.keep(WarmPoolHarness.pool("p", MODEL, 40, 2, 40, new BurstWindow(20, 25, 12)));
         w.run(80);
         assertEquals(2, w.machines("p"));
         w.run(115);
@@ -291,10 +293,10 @@
     /** A later leader believes the record: a machine's guard stays until the record does not name it. */
     @Test
     void whatAPoolLetsGoIsGuardedUntilTheRecordSaysSo() {
-        WarmSteps w = new WarmSteps(60, 8);
-        w.keep(WarmSteps.pool("p", MODEL, 40, 6, 6));
+        WarmPoolHarness w = new WarmPoolHarness(60, 8);
+        w.keep(WarmPoolHarness.pool("p", MODEL, 40, 6, 6));
         w.run(WARM + 20);
-        w.keep(WarmSteps.pool("p", "weights-2", 40, 6, 6));
+        w.keep(WarmPoolHarness.pool("p", "weights-2", 40, 6, 6));
         w.writesEvery = 100_000;
         JobSpec other = w.array("other", 50, 1, 8, 1).spec();
         Machine dropped = null;
@@ -317,9 +319,9 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void whateverHappensNothingIsClaimedThatIsNotSoAndAllMoneyIsPutDown(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        WarmSteps w = new WarmSteps(150, 15);
-        w.keep(WarmSteps.pool("a", "weights-a", 60, 4, 10, new Window(20, 25, 5)));
-        w.keep(WarmSteps.spot(WarmSteps.pool("b", "weights-b", 100, 4, 8)));
+        WarmPoolHarness w = new WarmPoolHarness(150, 15);
+        w.keep(WarmPoolHarness.pool("a", "weights-a", 60, 4, 10, new BurstWindow(20, 25, 5)));
+        w.keep(WarmPoolHarness.spot(WarmPoolHarness.pool("b", "weights-b", 100, 4, 8)));
         List<Job> served = new ArrayList<>();
         int ends = 0;
         for (int round = 0; round < 40; round++) {
--- a/src/test/java/io/indigoreach/emulator/AskedJobs.java
+++ b/src/test/java/io/indigoreach/emulator/AskedJobs.java
@@ -5,14 +5,14 @@
 
 import io.indigoreach.api.JobCodec;
 import io.indigoreach.config.PlatformConfig;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.model.Depot;
-import io.indigoreach.net.Caller;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import java.util.ArrayList;
@@ -32,7 +32,7 @@
 
     final Map<String, String> expected = new TreeMap<>();
     LocalCluster cluster;
-    List<Caller> nodes = new ArrayList<>();
+    List<ServiceClient> nodes = new ArrayList<>();
     StateClient state;
 
     void open(int controllers, String faults) throws Exception {
@@ -43,19 +43,21 @@
         cluster = with.start();
         int controllers = cluster.emulator.nodes().size();
         PlatformConfig any = cluster.emulator.nodes().get(controllers - 1);
-        state = new StateClient(new Caller(cluster.vertx, any.state(), 1), new Caller(cluster.vertx, any.state(), 1));
+        state = new StateClient(
+                new ServiceClient(cluster.vertx, any.state(), 1), new ServiceClient(cluster.vertx, any.state(), 1));
         callers();
     }
 
     void callers() {
         nodes = cluster.emulator.nodes().stream()
-                .map(c -> new Caller(cluster.vertx, c.listen(), 8))
+                .map(c -> new ServiceClient(cluster.vertx, c.listen(), 8))
                 .toList();
     }
 
-    Reply submit(int node, JobSpec spec) throws Exception {
+    ServiceResponse submit(int node, JobSpec spec) throws Exception {
         for (int tries = 0; tries < 100; tries++) {
-            Reply r = LocalCluster.await(nodes.get(node).post(JobCodec.JOBS, JobCodec.write(spec), Span.seconds(5)));
+            ServiceResponse r =
+                    LocalCluster.await(nodes.get(node).post(JobCodec.JOBS, JobCodec.write(spec), Span.seconds(5)));
             if (r.status() < 300) {
                 return r;
             }
@@ -81,25 +83,25 @@
         expected.put("run-1", "done");
     }
 
-    static Reply ask(Caller node, String job) throws Exception {
-        return LocalCluster.await(
-                node.get(JobCodec.JOBS + "/" + job, Span.seconds(2)).otherwise(new Reply(0, new Fields(Map.of()))));
+    static ServiceResponse ask(ServiceClient node, String job) throws Exception {
+        return LocalCluster.await(node.get(JobCodec.JOBS + "/" + job, Span.seconds(2))
+                .otherwise(new ServiceResponse(0, new Fields(Map.of()))));
     }
 
-    static String told(Reply r) {
+    static String told(ServiceResponse r) {
         return r.status() == 200 ? r.body().optionalText("status") : null;
     }
 
     /** Asks in rounds until each node answers for every job in one round, or for too long: the result is how long that took. */
-    void allAreAnswered(List<Caller> asked) throws Exception {
+    void allAreAnswered(List<ServiceClient> asked) throws Exception {
         Moment since = cluster.clock.now();
         List<String> silent = List.of("all");
         while (!silent.isEmpty()) {
             assertTrue(cluster.clock.now().since(since).compareTo(LONGEST) < 0, "not answered: " + silent);
             silent = new ArrayList<>();
-            for (Caller node : asked) {
+            for (ServiceClient node : asked) {
                 for (String job : expected.keySet()) {
-                    Reply r = ask(node, job);
+                    ServiceResponse r = ask(node, job);
                     assertNotEquals(404, r.status(), job + " is told not to exist");
                     if (told(r) == null) {
                         silent.add(job);
@@ -112,7 +114,8 @@
     }
 
     void spoil(String key) throws Exception {
-        LocalCluster.await(state.commit(new StateClient.Txn().put(key, Wire.map("class", 5L, "status", "NONE"))));
+        LocalCluster.await(
+                state.commit(new StateClient.Txn().put(key, MessagePackFormat.map("class", 5L, "status", "NONE"))));
     }
 
     void until(double s) throws Exception {
@@ -126,7 +129,7 @@
         }
     }
 
-    void awaitReady(Caller node, int status, double latestS) throws Exception {
+    void awaitReady(ServiceClient node, int status, double latestS) throws Exception {
         while (LocalCluster.await(node.get(JobCodec.READY, Span.seconds(2))).status() != status) {
             assertTrue(
                     cluster.clock.now().isBefore(cluster.emulator.startedAt().plus(Span.seconds(latestS))),
--- a/src/test/java/io/indigoreach/emulator/OneWayDayTest.java
+++ b/src/test/java/io/indigoreach/emulator/AsymmetricPartitionDayTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.checker.Event;
-import io.indigoreach.core.JobStatus;
+import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.load.Users;
 import io.vertx.core.Future;
 import org.junit.jupiter.api.Test;
@@ -16,7 +16,7 @@
  * goes elsewhere, and no rule is broken.
  */
 @Execution(ExecutionMode.CONCURRENT)
-class OneWayDayTest {
+class AsymmetricPartitionDayTest {
     @Test
     void workGoesElsewhereAndNoRuleIsBroken() throws Exception {
         try (LocalCluster cluster = new LocalCluster(3, """
--- a/src/test/java/io/indigoreach/emulator/CalendarClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/CalendarClusterTest.java
@@ -9,9 +9,6 @@
 import io.indigoreach.checker.Event;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Span;
 import io.indigoreach.core.calendar.Calendar;
 import io.indigoreach.core.calendar.Choice;
 import io.indigoreach.core.calendar.Day;
@@ -22,12 +19,15 @@
 import io.indigoreach.core.calendar.Plan;
 import io.indigoreach.core.calendar.Register;
 import io.indigoreach.core.calendar.TimeOfDay;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.model.Depot.Conduct;
-import io.indigoreach.net.Caller;
 import io.indigoreach.net.Endpoint;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.parts.Parts;
 import io.indigoreach.state.RecordCodec;
 import java.util.ArrayList;
@@ -97,12 +97,12 @@
         return out;
     }
 
-    private static Reply ask(LocalCluster cluster, int node, Map<String, Object> body) throws Exception {
+    private static ServiceResponse ask(LocalCluster cluster, int node, Map<String, Object> body) throws Exception {
         Endpoint listen = cluster.emulator.nodes().get(node).listen();
-        Caller caller = new Caller(cluster.vertx, listen, 1);
+        ServiceClient caller = new ServiceClient(cluster.vertx, listen, 1);
         for (int tries = 0; ; tries++) {
             try {
-                Reply r = LocalCluster.await(
+                ServiceResponse r = LocalCluster.await(
                         body == null
                                 ? caller.get("/api/calendar/outlook?days=2", Span.seconds(5))
                                 : caller.post("/api/calendar", body, Span.seconds(5)));
@@ -144,8 +144,8 @@
         SplittableRandom random = new SplittableRandom(seed);
         long zero = System.nanoTime();
         LongSupplier fast = () -> BEGIN + (System.nanoTime() - zero) / 1_000_000 * FASTER;
-        List<Parts.Kind> kinds =
-                List.of(new Parts.Kind(Settings.Knob.CALENDAR, CalendarPart.FAMILIES, g -> new CalendarPart(g, fast)));
+        List<Parts.Kind> kinds = List.of(
+                new Parts.Kind(Settings.Setting.CALENDAR, CalendarPart.FAMILIES, g -> new CalendarPart(g, fast)));
         Calendar calendar = calendar(0);
         Map<JobId, Occurrence> wanted = wanted(calendar, BEGIN);
         assertTrue(wanted.size() >= 6, wanted.size() + " occurrences");
@@ -162,10 +162,11 @@
             }
             assertEquals(
                     200,
-                    ask(cluster, 0, Wire.map("base", 0, "text", packed(calendar), "note", "first"))
+                    ask(cluster, 0, MessagePackFormat.map("base", 0, "text", packed(calendar), "note", "first"))
                             .status());
             // Two edits made from the same version, at two nodes: the second is told what stands against it.
-            Reply one = ask(cluster, 1, Wire.map("base", 0, "text", packed(calendar(1)), "note", "other"));
+            ServiceResponse one =
+                    ask(cluster, 1, MessagePackFormat.map("base", 0, "text", packed(calendar(1)), "note", "other"));
             assertEquals(409, one.status());
             assertEquals("first", one.body().child("against").text("note"));
             int[] running = {0, 1, 2};
@@ -180,9 +181,9 @@
                                                 && RecordCodec.readJob(
                                                                         RecordCodec.jobOf(w.key()),
                                                                         new Fields(w.value()),
-                                                                        io.indigoreach.core.Stamp.ABSENT)
+                                                                        io.indigoreach.core.model.Revision.ABSENT)
                                                                 .status()
-                                                        == io.indigoreach.core.JobStatus.PENDING),
+                                                        == io.indigoreach.core.model.JobStatus.PENDING),
                         most);
                 int node = random.nextInt(3);
                 cluster.stop(running[node]);
--- a/src/test/java/io/indigoreach/emulator/CloseLooksClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/CloseLooksClusterTest.java
@@ -8,12 +8,12 @@
 import io.indigoreach.checker.Event.Question;
 import io.indigoreach.checker.JobRegisters;
 import io.indigoreach.checker.JobRegisters.Call;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.model.Depot;
-import io.indigoreach.net.Caller;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.ServiceResponse;
 import io.vertx.core.Future;
 import java.util.ArrayList;
 import java.util.List;
@@ -95,13 +95,13 @@
 
     private Future<Call> ask(Question question, JobSpec spec, int n) {
         int at = n % nodes.size();
-        Caller node = nodes.get(at);
+        ServiceClient node = nodes.get(at);
         String path = JobCodec.JOBS + "/" + spec.id();
         if (question == Question.CANCEL) {
             cluster.history.add(new Event.CancelAsked(cluster.clock.now(), spec.id()));
         }
         long begin = System.nanoTime();
-        Future<Reply> reply = switch (question) {
+        Future<ServiceResponse> reply = switch (question) {
             case SUBMIT -> node.post(JobCodec.JOBS, JobCodec.write(spec), PATIENCE);
             case POLL -> node.get(path, PATIENCE);
             case CANCEL -> node.post(path + JobCodec.CANCEL, Map.of(), PATIENCE);
--- a/src/test/java/io/indigoreach/emulator/CutOffTest.java
+++ b/src/test/java/io/indigoreach/emulator/CutOffTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.indigoreach.core.Span;
-import io.indigoreach.net.Caller;
-import io.indigoreach.net.Reply;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.worker.WorkerCodec;
@@ -54,10 +54,10 @@
                 LocalCluster.await(cluster.vertx.timer(500, TimeUnit.MILLISECONDS));
             }
             until(10);
-            Caller cut = nodes.get(0);
+            ServiceClient cut = nodes.get(0);
             until(controllers > 1 ? 10 : 20);
             awaitReady(cut, controllers > 1 ? 503 : 200, 24);
-            Reply sentOn = LocalCluster.await(cut.post(WorkerCodec.REPORT, Map.of(), Span.seconds(2)));
+            ServiceResponse sentOn = LocalCluster.await(cut.post(WorkerCodec.REPORT, Map.of(), Span.seconds(2)));
             assertEquals(421, sentOn.status());
             assertEquals(
                     Map.of(),
@@ -71,7 +71,7 @@
             }
             until(25);
             allAreAnswered(nodes);
-            for (Caller node : nodes) {
+            for (ServiceClient node : nodes) {
                 awaitReady(node, 200, 25 + LONGEST.seconds());
             }
             assertEquals(List.of(), cluster.breaches());
--- a/src/test/java/io/indigoreach/emulator/ChainClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/DependencyClusterTest.java
@@ -5,11 +5,11 @@
 
 import io.indigoreach.api.JobCodec;
 import io.indigoreach.checker.Event;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.chain.Chain;
+import io.indigoreach.core.model.JobDependencies;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.model.Depot;
 import io.indigoreach.state.RecordCodec;
 import java.util.Arrays;
@@ -21,7 +21,7 @@
 
 /** Chained jobs with real controllers. */
 @Isolated
-class ChainClusterTest extends AskedJobs {
+class DependencyClusterTest extends AskedJobs {
     private static final int LINE = 100;
 
     private void chained(int n, int tasks, double runS, int... needs) throws Exception {
@@ -29,7 +29,7 @@
                 n,
                 tasks,
                 runS,
-                s -> s.with(Chain.of(Arrays.stream(needs)
+                s -> s.with(JobDependencies.of(Arrays.stream(needs)
                         .mapToObj(need -> new JobId("run-" + need))
                         .toList())));
         LocalCluster.await(
--- a/src/test/java/io/indigoreach/emulator/FaultsTest.java
+++ b/src/test/java/io/indigoreach/emulator/FaultsTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.indigoreach.core.JobStatus;
+import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.load.Users;
 import io.vertx.core.Future;
 import java.util.ArrayList;
--- a/src/test/java/io/indigoreach/emulator/GoldenRoutesTest.java
+++ b/src/test/java/io/indigoreach/emulator/GoldenRoutesTest.java
@@ -4,7 +4,7 @@
 
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.state.Golden;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpClient;
@@ -26,9 +26,9 @@
         QUESTIONS.put("/knows?id=run-1", null);
         QUESTIONS.put("/recall?id=run-1", null);
         QUESTIONS.put("/remains?part=0", null);
-        QUESTIONS.put("/pledge", Wire.map("back_ms", 7000L));
-        QUESTIONS.put("/loss", Wire.map("era", 0L));
-        QUESTIONS.put("/handover", Wire.map("stamp", 1L));
+        QUESTIONS.put("/pledge", MessagePackFormat.map("back_ms", 7000L));
+        QUESTIONS.put("/loss", MessagePackFormat.map("era", 0L));
+        QUESTIONS.put("/handover", MessagePackFormat.map("stamp", 1L));
         QUESTIONS.put("/not-known", null);
     }
 
@@ -51,7 +51,7 @@
         HttpMethod method = body == null ? HttpMethod.GET : HttpMethod.POST;
         return LocalCluster.await(client.request(
                         method, config.peerListen().port(), config.peerListen().host(), path)
-                .compose(r -> r.send(body == null ? Buffer.buffer() : Wire.write(body)))
+                .compose(r -> r.send(body == null ? Buffer.buffer() : MessagePackFormat.write(body)))
                 .compose(r -> r.body().map(b -> r.statusCode() + ":" + Golden.hex(b))));
     }
 
--- a/src/test/java/io/indigoreach/emulator/HandoverDayTest.java
+++ b/src/test/java/io/indigoreach/emulator/HandoverDayTest.java
@@ -6,12 +6,12 @@
 
 import io.indigoreach.checker.Event;
 import io.indigoreach.config.PlatformConfig;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.load.Users;
-import io.indigoreach.net.Caller;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.worker.WorkerCodec;
@@ -53,7 +53,8 @@
     private void open(String faults) throws Exception {
         cluster = new LocalCluster(3, CANCEL_S, faults.replace('\'', '"'));
         PlatformConfig any = cluster.emulator.nodes().get(2);
-        state = new StateClient(new Caller(cluster.vertx, any.state(), 1), new Caller(cluster.vertx, any.state(), 1));
+        state = new StateClient(
+                new ServiceClient(cluster.vertx, any.state(), 1), new ServiceClient(cluster.vertx, any.state(), 1));
         callers();
         begin(0);
         // Alone so far, it leads.
@@ -121,7 +122,8 @@
         while (cluster.clock.now().isBefore(cutOver.minus(Span.seconds(2)))) {
             if (cluster.history.events().stream().anyMatch(e -> takesLeadership(e, "node-0"))) {
                 // It is not even read where it may not be answered; else it is malformed.
-                Reply report = LocalCluster.await(nodes.get(0).post(WorkerCodec.REPORT, Map.of(), Span.seconds(2)));
+                ServiceResponse report =
+                        LocalCluster.await(nodes.get(0).post(WorkerCodec.REPORT, Map.of(), Span.seconds(2)));
                 assertEquals(421, report.status(), "the old leader takes reports while the next one leads");
                 refused++;
             }
--- a/src/test/java/io/indigoreach/emulator/SilenceOfJobsTest.java
+++ b/src/test/java/io/indigoreach/emulator/JobVisibilityTest.java
@@ -4,7 +4,7 @@
 
 import io.indigoreach.checker.Breach;
 import io.indigoreach.config.PlatformConfig;
-import io.indigoreach.net.Caller;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.state.StateClient;
 import java.util.List;
 import org.junit.jupiter.api.parallel.Execution;
@@ -14,7 +14,7 @@
 
 /** After each trouble every job is asked for at every node until all have answered for each. */
 @Execution(ExecutionMode.CONCURRENT)
-class SilenceOfJobsTest extends AskedJobs {
+class JobVisibilityTest extends AskedJobs {
     /** Records are spoilt: each is answered for again, from a memory, by the leader or, where nobody remembers, by its user. */
     @ParameterizedTest
     @ValueSource(strings = {"open", "leader ends", "all end", "over", "in a loss"})
@@ -22,7 +22,7 @@
         try {
             open(3, "");
             jobs();
-            List<Caller> asked = nodes;
+            List<ServiceClient> asked = nodes;
             if (trouble.equals("leader ends") || trouble.equals("all end")) {
                 int leader = leader();
                 spoil("j/run-4");
--- a/src/test/java/io/indigoreach/emulator/LocalCluster.java
+++ b/src/test/java/io/indigoreach/emulator/LocalCluster.java
@@ -10,12 +10,12 @@
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
 import io.indigoreach.config.SettingsFile;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Urgency;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
 import io.indigoreach.emulator.model.Depot;
 import io.indigoreach.load.Users;
 import io.indigoreach.net.Endpoint;
@@ -155,7 +155,7 @@
                 new JobId("run-" + n),
                 "c",
                 "t",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Urgency.STANDARD,
                 tasks,
                 new Demand(1, 0, 1),
--- a/src/test/java/io/indigoreach/emulator/LossTest.java
+++ b/src/test/java/io/indigoreach/emulator/LossTest.java
@@ -5,9 +5,9 @@
 
 import io.indigoreach.checker.Event;
 import io.indigoreach.config.PlatformConfig;
-import io.indigoreach.core.JobStatus;
+import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.load.Users;
-import io.indigoreach.net.Caller;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
@@ -92,8 +92,8 @@
 
     private static void lose(LocalCluster cluster, String prefix) throws Exception {
         PlatformConfig any = cluster.emulator.nodes().get(0);
-        StateClient state =
-                new StateClient(new Caller(cluster.vertx, any.state(), 1), new Caller(cluster.vertx, any.state(), 1));
+        StateClient state = new StateClient(
+                new ServiceClient(cluster.vertx, any.state(), 1), new ServiceClient(cluster.vertx, any.state(), 1));
         // What changes between reading and deleting is read again, the transaction being conditional.
         for (int tries = 0; tries < 200; tries++) {
             StateClient.Page page = LocalCluster.await(state.list(prefix, null, 12));
--- a/src/test/java/io/indigoreach/emulator/PlantedTest.java
+++ b/src/test/java/io/indigoreach/emulator/PlantedTest.java
@@ -7,17 +7,17 @@
 import io.indigoreach.checker.Breach.Rule;
 import io.indigoreach.checker.Event;
 import io.indigoreach.config.PlatformConfig;
-import io.indigoreach.core.Attempt;
-import io.indigoreach.core.Order;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Token;
+import io.indigoreach.core.model.Attempt;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.WorkerCommand;
 import io.indigoreach.load.Users;
-import io.indigoreach.net.Body;
-import io.indigoreach.net.Caller;
 import io.indigoreach.net.Endpoint;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.RequestBody;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient.Txn;
 import io.indigoreach.state.StateCodec;
@@ -53,29 +53,29 @@
 
     /** Passes on requests and answers, changed. */
     private static final class Proxy {
-        private final Caller target;
+        private final ServiceClient target;
         private final UnaryOperator<Map<String, Object>> transactions;
-        private final UnaryOperator<Reply> reports;
+        private final UnaryOperator<ServiceResponse> reports;
 
         Proxy(
                 Vertx vertx,
                 Endpoint target,
                 UnaryOperator<Map<String, Object>> transactions,
-                UnaryOperator<Reply> reports) {
-            this.target = new Caller(vertx, target, 200);
+                UnaryOperator<ServiceResponse> reports) {
+            this.target = new ServiceClient(vertx, target, 200);
             this.transactions = transactions;
             this.reports = reports;
         }
 
         Future<Integer> listen(Vertx vertx, int port) {
             return vertx.createHttpServer()
-                    .requestHandler(r -> Body.gather(
+                    .requestHandler(r -> RequestBody.gather(
                             r,
                             body -> {
                                 Map<String, Object> sent = body.length() == 0
                                         ? null
-                                        : Wire.readMap(body).map();
-                                Future<Reply> answer = r.method().equals(HttpMethod.GET)
+                                        : MessagePackFormat.readMap(body).map();
+                                Future<ServiceResponse> answer = r.method().equals(HttpMethod.GET)
                                         ? target.get(r.uri(), Span.seconds(70))
                                         : r.method().equals(HttpMethod.DELETE)
                                                 ? target.delete(r.uri(), Span.seconds(5))
@@ -86,10 +86,12 @@
                                                                 : sent == null ? Map.of() : sent,
                                                         Span.seconds(5));
                                 answer.onSuccess(a -> {
-                                            Reply told = r.path().equals(WorkerCodec.REPORT) ? reports.apply(a) : a;
+                                            ServiceResponse told =
+                                                    r.path().equals(WorkerCodec.REPORT) ? reports.apply(a) : a;
                                             r.response()
                                                     .setStatusCode(told.status())
-                                                    .end(Wire.write(told.body().map()));
+                                                    .end(MessagePackFormat.write(
+                                                            told.body().map()));
                                         })
                                         .onFailure(e -> r.connection().close());
                             },
@@ -122,22 +124,23 @@
         };
     }
 
-    private static UnaryOperator<Reply> answers(UnaryOperator<WorkerCodec.Answer> change) {
+    private static UnaryOperator<ServiceResponse> answers(UnaryOperator<WorkerCodec.Answer> change) {
         return r -> {
             if (!r.isOk()) {
                 return r;
             }
             WorkerCodec.Answer a = change.apply(WorkerCodec.readAnswer(r.body()));
-            return new Reply(200, new Fields(WorkerCodec.answer(a.token(), a.orders())));
+            return new ServiceResponse(200, new Fields(WorkerCodec.answer(a.token(), a.orders())));
         };
     }
 
     /** After each attempt that is to be forgotten, the same start once more. */
     private static WorkerCodec.Answer startAgain(WorkerCodec.Answer a) {
-        List<Order> orders = new ArrayList<>(a.orders());
+        List<WorkerCommand> orders = new ArrayList<>(a.orders());
         a.orders().forEach(o -> {
-            if (o instanceof Order.Forget) {
-                orders.add(new Order.Start(o.task(), new Attempt(o.attempt().value())));
+            if (o instanceof WorkerCommand.Reap) {
+                orders.add(new WorkerCommand.Start(
+                        o.task(), new Attempt(o.attempt().value())));
             }
         });
         return new WorkerCodec.Answer(a.token(), orders);
@@ -153,7 +156,7 @@
     })
     void areFound(Planted planted, Rule rule) throws Exception {
         try (LocalCluster cluster = new LocalCluster(2, "")) {
-            AtomicReference<Token> first = new AtomicReference<>();
+            AtomicReference<FencingToken> first = new AtomicReference<>();
             for (PlatformConfig c : cluster.emulator.nodes()) {
                 Proxy state = new Proxy(
                         cluster.vertx,
--- a/src/test/java/io/indigoreach/emulator/RecordsClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/RecordsClusterTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.checker.Event;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.load.Users;
-import io.indigoreach.net.Reply;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceResponse;
 import io.vertx.core.Future;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -41,7 +41,7 @@
             RecordsContention run = new RecordsContention(cluster, 7, dir.resolve("books.txt"), GROUPS, EACH, PER_RUN);
             assertEquals(
                     200,
-                    LocalCluster.await(run.ask("begin", Wire.map("by", "anna", "reason", "first day")))
+                    LocalCluster.await(run.ask("begin", MessagePackFormat.map("by", "anna", "reason", "first day")))
                             .status());
             Map<String, JobSpec> jobs = new HashMap<>();
             for (int n = 0; n < JOBS; n++) {
@@ -50,7 +50,7 @@
                 JobSpec spec = LocalCluster.job(100 + n, tasks, 1)
                         .with(
                                 JobSpec.RECORDS,
-                                Wire.map(
+                                MessagePackFormat.map(
                                         "prefix",
                                         "coop-" + n % GROUPS + "/farm/",
                                         "from",
@@ -92,13 +92,13 @@
         try (LocalCluster cluster =
                 new LocalCluster(1, "").with("record_ownership: 1").start()) {
             RecordsContention run = new RecordsContention(cluster, 7, dir.resolve("books.txt"), 1, 2, 1);
-            LocalCluster.await(run.ask("begin", Wire.map("by", "anna", "reason", "first day")));
-            LocalCluster.await(run.ask("claim", Wire.map("run", "e1", "ids", List.of("coop/1"))));
+            LocalCluster.await(run.ask("begin", MessagePackFormat.map("by", "anna", "reason", "first day")));
+            LocalCluster.await(run.ask("claim", MessagePackFormat.map("run", "e1", "ids", List.of("coop/1"))));
             JobSpec spec = LocalCluster.job(1, 3, 0.5)
-                    .with(JobSpec.RECORDS, Wire.map("prefix", "coop/", "from", 0L, "to", 2L));
+                    .with(JobSpec.RECORDS, MessagePackFormat.map("prefix", "coop/", "from", 0L, "to", 2L));
             Future<Users.Mine> job = cluster.run(spec, 0);
             cluster.awaitEvents(e -> e instanceof Event.Off, 2);
-            Reply waits = LocalCluster.await(run.ask("jobs/run-1", null));
+            ServiceResponse waits = LocalCluster.await(run.ask("jobs/run-1", null));
             assertEquals(1, waits.body().whole("lacking"));
             assertEquals("e1", waits.body().children("waits_for").get(0).text("by"));
             assertEquals(
@@ -107,7 +107,7 @@
                             .filter(e ->
                                     e instanceof Event.Started s && s.task().index() == 1)
                             .toList());
-            LocalCluster.await(run.ask("release", Wire.map("run", "e1")));
+            LocalCluster.await(run.ask("release", MessagePackFormat.map("run", "e1")));
             assertEquals(JobStatus.DONE, LocalCluster.await(job).status());
             assertEquals(List.of(), cluster.breaches());
         }
--- a/src/test/java/io/indigoreach/emulator/RecordsContention.java
+++ b/src/test/java/io/indigoreach/emulator/RecordsContention.java
@@ -2,14 +2,14 @@
 
 import io.indigoreach.checker.Event;
 import io.indigoreach.config.PlatformConfig;
-import io.indigoreach.core.Attempt;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.TaskId;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.model.Attempt;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskId;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.ServiceResponse;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import java.io.IOException;
@@ -37,7 +37,7 @@
     private final LocalCluster cluster;
     private final SplittableRandom random;
     private final Path books;
-    private final List<Caller> nodes = new ArrayList<>();
+    private final List<ServiceClient> nodes = new ArrayList<>();
     private final List<String> records = new ArrayList<>();
     final List<String> breaches = Collections.synchronizedList(new ArrayList<>());
     private final Map<String, String> lines = new HashMap<>();
@@ -54,7 +54,7 @@
         this.books = books;
         this.perRun = perRun;
         for (PlatformConfig c : cluster.emulator.nodes()) {
-            nodes.add(new Caller(cluster.vertx, c.listen(), 40));
+            nodes.add(new ServiceClient(cluster.vertx, c.listen(), 40));
         }
         for (int g = 0; g < groups; g++) {
             for (int n = 0; n < each; n++) {
@@ -76,8 +76,8 @@
     }
 
     /** Asks any node until one decides: a repeat is the same request. */
-    Future<Reply> ask(String what, Map<String, Object> body) {
-        Caller node;
+    Future<ServiceResponse> ask(String what, Map<String, Object> body) {
+        ServiceClient node;
         synchronized (this) {
             node = nodes.get(random.nextInt(nodes.size()));
             requests++;
@@ -85,7 +85,7 @@
         return (body == null
                         ? node.get("/api/records/" + what, PATIENCE)
                         : node.post("/api/records/" + what, body, PATIENCE))
-                .otherwise(new Reply(503, new Fields(Map.of())))
+                .otherwise(new ServiceResponse(503, new Fields(Map.of())))
                 .compose(r -> r.status() == 200 || r.status() == 409
                         ? Future.succeededFuture(r)
                         : r.status() == 400 || r.status() == 422
@@ -157,7 +157,7 @@
                     if (spec != null) {
                         Fields f = new Fields(spec.more()).child(JobSpec.RECORDS);
                         bill(
-                                Wire.map(
+                                MessagePackFormat.map(
                                         "job",
                                         task.job().text(),
                                         "task",
@@ -189,8 +189,8 @@
             }
             run = "export-" + runs++;
         }
-        return ask("claim", Wire.map("run", run, "ids", new ArrayList<Object>(some)))
-                .compose(r -> r.status() == 200 ? bill(Wire.map("run", run), run, some) : pause(300))
+        return ask("claim", MessagePackFormat.map("run", run, "ids", new ArrayList<Object>(some)))
+                .compose(r -> r.status() == 200 ? bill(MessagePackFormat.map("run", run), run, some) : pause(300))
                 .compose(v -> export(until));
     }
 
--- a/src/test/java/io/indigoreach/emulator/StateServerTest.java
+++ b/src/test/java/io/indigoreach/emulator/StateServerTest.java
@@ -4,24 +4,24 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.api.Answer;
-import io.indigoreach.api.JobDesk;
+import io.indigoreach.api.ApiResponse;
+import io.indigoreach.api.JobService;
 import io.indigoreach.checker.History;
 import io.indigoreach.config.ConfigException;
 import io.indigoreach.config.PlatformConfig.StateLimits;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.model.Gate;
-import io.indigoreach.net.Caller;
 import io.indigoreach.net.Endpoint;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.scenario.Fault;
 import io.indigoreach.scenario.TextForm;
-import io.indigoreach.state.JobMender;
+import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
@@ -95,7 +95,7 @@
 
     private StateClient client() {
         Endpoint e = new Endpoint("127.0.0.1", port);
-        return new StateClient(new Caller(vertx, e, 4), new Caller(vertx, e, 2));
+        return new StateClient(new ServiceClient(vertx, e, 4), new ServiceClient(vertx, e, 2));
     }
 
     private static boolean fails(Future<?> future) throws Exception {
@@ -114,13 +114,14 @@
     @Test
     void keepsAnyDataAndRefusesWhatIsNoTransaction() throws Exception {
         open(null, 0);
-        Caller caller = new Caller(vertx, new Endpoint("127.0.0.1", port), 1);
+        ServiceClient caller = new ServiceClient(vertx, new Endpoint("127.0.0.1", port), 1);
         List<Object> values =
                 List.of("text", List.of(1L, "a"), 7L, Map.of("", 1L), Map.of("", List.of()), Map.of("a", 2L));
         for (int i = 0; i < values.size(); i++) {
             assertTrue(LocalCluster.await(caller.post(
                             "/txn",
-                            Wire.map("writes", List.of(Wire.map("write", "k/" + i, "data", values.get(i)))),
+                            MessagePackFormat.map(
+                                    "writes", List.of(MessagePackFormat.map("write", "k/" + i, "data", values.get(i)))),
                             Span.seconds(5)))
                     .isOk());
             assertEquals(
@@ -136,7 +137,7 @@
     }
 
     private static StateClient.Txn put(String key, long n) {
-        return new StateClient.Txn().put(key, Wire.map("n", n));
+        return new StateClient.Txn().put(key, MessagePackFormat.map("n", n));
     }
 
     /** Ended in the middle and started again on the same address, with clients connected: all that was answered is there. */
@@ -150,8 +151,9 @@
             writes.add(client.commit(put("k/" + i, i)));
         }
         LocalCluster.await(Future.all(writes));
-        LocalCluster.await(client.commit(
-                new StateClient.Txn().put("leased", Wire.map("n", 1), lease).delete("k/0")));
+        LocalCluster.await(client.commit(new StateClient.Txn()
+                .put("leased", MessagePackFormat.map("n", 1), lease)
+                .delete("k/0")));
         Future<StateClient.Changes> watch = client.watch("k/", server.model().revision(), Span.seconds(30));
         // What is on the disk at this moment is what a process that is killed now leaves.
         Path copy = data.resolve("copy");
@@ -179,8 +181,8 @@
     void executesLate() throws Exception {
         StateClient late = open(null, 0, "kind: late at_s: 0 for_s: 600 from: \"node-0\" writes: true delay_s: 1.9");
         StateClient other = another();
-        Future<StateClient.Outcome> first = late.commit(put("a", 1).when("a", Stamp.ABSENT));
-        assertTrue(LocalCluster.await(other.commit(put("a", 2).when("a", Stamp.ABSENT)))
+        Future<StateClient.Outcome> first = late.commit(put("a", 1).when("a", Revision.ABSENT));
+        assertTrue(LocalCluster.await(other.commit(put("a", 2).when("a", Revision.ABSENT)))
                 .done());
         assertTrue(fails(first), "it got no answer");
         assertEquals(2, LocalCluster.await(other.get("a")).value().whole("n"));
@@ -211,8 +213,8 @@
     void losesAnswers() throws Exception {
         StateClient deaf = open(null, 0, "kind: lose_answer at_s: 0 for_s: 600 from: \"node-0\" writes: true");
         StateClient other = another();
-        assertTrue(fails(deaf.commit(put("a", 1).when("a", Stamp.ABSENT))));
-        StateClient.Outcome again = LocalCluster.await(other.commit(put("a", 2).when("a", Stamp.ABSENT)));
+        assertTrue(fails(deaf.commit(put("a", 1).when("a", Revision.ABSENT))));
+        StateClient.Outcome again = LocalCluster.await(other.commit(put("a", 2).when("a", Revision.ABSENT)));
         assertEquals(List.of("a"), again.failed());
     }
 
@@ -220,10 +222,11 @@
     @Test
     void isCaughtAnsweringWithThePast() throws Exception {
         StateClient client = open(null, 0, "kind: stale at_s: 0 for_s: 600 behind: 3");
-        JobDesk desk = new JobDesk(vertx, client, new JobMender(client, clock), null, List.of(), clock, 8192, 100);
+        JobService desk =
+                new JobService(vertx, client, new JobRepairer(client, clock), null, List.of(), clock, 8192, 100);
         JobId id = new JobId("run-1");
         assertTrue(LocalCluster.await(client.commit(new StateClient.Txn()
-                        .when(RecordCodec.open(id), Stamp.ABSENT)
+                        .when(RecordCodec.open(id), Revision.ABSENT)
                         .put(
                                 RecordCodec.open(id),
                                 RecordCodec.writeJob(
@@ -246,7 +249,7 @@
         for (int i = 0; i < 3; i++) {
             LocalCluster.await(client.commit(put("other", i)));
         }
-        Answer over = LocalCluster.await(desk.query(id.text()));
+        ApiResponse over = LocalCluster.await(desk.query(id.text()));
         assertEquals("cancelled", over.body().get("status"));
         assertEquals(404, LocalCluster.await(desk.query("run-2")).status(), "confirmed to be nowhere");
     }
@@ -255,7 +258,8 @@
     @Test
     void readsThePastBetweenAFailureAndItsRetry() throws Exception {
         StateClient client = open(null, 0, "kind: stale at_s: 0 for_s: 600 behind: 1");
-        JobDesk desk = new JobDesk(vertx, client, new JobMender(client, clock), null, List.of(), clock, 8192, 100);
+        JobService desk =
+                new JobService(vertx, client, new JobRepairer(client, clock), null, List.of(), clock, 8192, 100);
         JobId id = new JobId("run-1");
         BitSet done = new BitSet();
         for (int progress = 0; progress < 2; progress++) {
@@ -273,8 +277,8 @@
     }
 
     /** What the user is told; a failure is told as 503. */
-    private static int status(Future<Answer> answer) throws Exception {
-        return LocalCluster.await(answer.map(Answer::status).otherwise(503));
+    private static int status(Future<ApiResponse> answer) throws Exception {
+        return LocalCluster.await(answer.map(ApiResponse::status).otherwise(503));
     }
 
     /** Silent connections by the thousand and bodies that are no messages leave others served. */
@@ -290,21 +294,21 @@
                 LocalCluster.await(Future.all(silent));
             }
         }
-        Caller caller = new Caller(vertx, new Endpoint("127.0.0.1", port), 1);
+        ServiceClient caller = new ServiceClient(vertx, new Endpoint("127.0.0.1", port), 1);
         Buffer[] nonsense = {
             Buffer.buffer("hello"),
             Buffer.buffer(new byte[] {(byte) 0xdf, -1, -1, -1, -1}),
             Buffer.buffer(new byte[] {(byte) 0xc1}),
             Buffer.buffer(new byte[] {(byte) 0x91, (byte) 0xa1, 'x'}),
-            Wire.write(Wire.map("writes", "no list")),
-            Wire.write(Wire.map("writes", List.of(1L))),
-            Wire.write(Wire.map("when", List.of(Wire.map("path", "a"))))
+            MessagePackFormat.write(MessagePackFormat.map("writes", "no list")),
+            MessagePackFormat.write(MessagePackFormat.map("writes", List.of(1L))),
+            MessagePackFormat.write(MessagePackFormat.map("when", List.of(MessagePackFormat.map("path", "a"))))
         };
         for (Buffer body : nonsense) {
-            Reply r = LocalCluster.await(vertx.createHttpClient()
+            ServiceResponse r = LocalCluster.await(vertx.createHttpClient()
                     .request(HttpMethod.POST, port, "127.0.0.1", "/txn")
                     .compose(q -> q.send(body))
-                    .map(a -> new Reply(a.statusCode(), null)));
+                    .map(a -> new ServiceResponse(a.statusCode(), null)));
             assertEquals(400, r.status());
         }
         for (String path : List.of("/changes?starts=a&since=x", "/changes", "/store", "/grants/x/renew", "/nowhere")) {
--- a/src/test/java/io/indigoreach/emulator/UnheardCancellationTest.java
+++ b/src/test/java/io/indigoreach/emulator/UnheardCancellationTest.java
@@ -5,13 +5,13 @@
 
 import io.indigoreach.api.JobCodec;
 import io.indigoreach.checker.Event;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.model.Depot;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.ServiceResponse;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Tag;
@@ -81,7 +81,7 @@
     private Moment cancel(int node, JobId job) throws Exception {
         Moment asked = cluster.clock.now();
         cluster.history.add(new Event.CancelAsked(asked, job));
-        Reply r = LocalCluster.await(
+        ServiceResponse r = LocalCluster.await(
                 nodes.get(node).post(JobCodec.JOBS + "/" + job + JobCodec.CANCEL, Map.of(), Span.seconds(5)));
         assertEquals("cancelled", told(r));
         cluster.history.add(new Event.Answered(
--- a/src/test/java/io/indigoreach/emulator/WarmPoolsTest.java
+++ b/src/test/java/io/indigoreach/emulator/WarmPoolsTest.java
@@ -6,17 +6,17 @@
 import io.indigoreach.api.JobCodec;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.SettingsFile;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Urgency;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
 import io.indigoreach.emulator.model.Depot;
-import io.indigoreach.net.Caller;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.ServiceResponse;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -32,7 +32,7 @@
     /** A successor, its first reading, and a machine that was on its way. */
     private static final int BACK_S = 15;
 
-    private final Map<String, Object> pool = new HashMap<>(Wire.map(
+    private final Map<String, Object> pool = new HashMap<>(MessagePackFormat.map(
             "team",
             "t",
             "image",
@@ -55,7 +55,7 @@
                         new JobId("run-" + n),
                         "hold",
                         team,
-                        Shape.SERVICE,
+                        JobKind.SERVICE,
                         Urgency.STANDARD,
                         6,
                         new Demand(0.01, 0, 0.1),
@@ -74,12 +74,14 @@
     }
 
     /** Asks each node in turn until one answers for good. */
-    private static Reply ask(LocalCluster cluster, String path, Map<String, Object> body) throws Exception {
+    private static ServiceResponse ask(LocalCluster cluster, String path, Map<String, Object> body) throws Exception {
         List<PlatformConfig> nodes = cluster.emulator.nodes();
         for (int n = 0; n < 200; n++) {
-            Caller node = new Caller(cluster.vertx, nodes.get(n % nodes.size()).listen(), 1);
+            ServiceClient node =
+                    new ServiceClient(cluster.vertx, nodes.get(n % nodes.size()).listen(), 1);
             try {
-                Reply r = LocalCluster.await(body == null ? node.get(path, PATIENCE) : node.post(path, body, PATIENCE));
+                ServiceResponse r =
+                        LocalCluster.await(body == null ? node.get(path, PATIENCE) : node.post(path, body, PATIENCE));
                 if (r.status() < 500) {
                     return r;
                 }
@@ -118,7 +120,7 @@
             assertEquals(
                     "gb", ask(cluster, "/api/pools/p", with("gb", 41.0)).body().text("field"), "more than the cache");
             assertEquals(200, ask(cluster, "/api/pools/p", pool).status());
-            Reply conflict = ask(cluster, "/api/pools/p", with("if_version", 0L, "most", 7L));
+            ServiceResponse conflict = ask(cluster, "/api/pools/p", with("if_version", 0L, "most", 7L));
             assertEquals(409, conflict.status());
             assertEquals(6, conflict.body().child("against").whole("most"));
             assertEquals(
@@ -160,7 +162,7 @@
                             s.id(),
                             "serve",
                             "t",
-                            Shape.SERVICE,
+                            JobKind.SERVICE,
                             Urgency.PRODUCTION,
                             6,
                             new Demand(4, 0, 1),
@@ -218,7 +220,7 @@
 
     private Map<String, Object> with(Object... changes) {
         Map<String, Object> changed = new HashMap<>(pool);
-        changed.putAll(Wire.map(changes));
+        changed.putAll(MessagePackFormat.map(changes));
         return changed;
     }
 }
--- a/src/test/java/io/indigoreach/emulator/model/CloudModelTest.java
+++ b/src/test/java/io/indigoreach/emulator/model/CloudModelTest.java
@@ -7,12 +7,12 @@
 
 import io.indigoreach.cloud.CloudCodec;
 import io.indigoreach.config.ConfigException;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.scenario.Deployment;
 import io.indigoreach.scenario.TextForm;
 import java.util.ArrayList;
@@ -27,8 +27,8 @@
 /** What the cloud does with requests, machines and money. */
 class CloudModelTest {
     private static final Moment T = new Moment(0);
-    private static final Pool ORDINARY = new Pool("m", "z", false);
-    private static final Pool SPOT = new Pool("m", "z", true);
+    private static final MachinePool ORDINARY = new MachinePool("m", "z", false);
+    private static final MachinePool SPOT = new MachinePool("m", "z", true);
 
     private static CloudModel cloud(String cloud, String spot) throws ConfigException {
         return new CloudModel(
@@ -46,8 +46,8 @@
         return T.plus(Span.seconds(s));
     }
 
-    private static List<MachineId> rent(CloudModel cloud, double s, String name, Pool pool, int count) {
-        Reply r = cloud.rent(at(s), new CloudCodec.Rental(name, pool, count));
+    private static List<MachineId> rent(CloudModel cloud, double s, String name, MachinePool pool, int count) {
+        ServiceResponse r = cloud.rent(at(s), new CloudCodec.Rental(name, pool, count));
         return r.isOk() ? CloudCodec.readNames(r.body()) : List.of();
     }
 
@@ -78,7 +78,7 @@
         assertEquals(
                 status,
                 cloud("", "")
-                        .rent(T, new CloudCodec.Rental("r", new Pool(type, zone, true), count))
+                        .rent(T, new CloudCodec.Rental("r", new MachinePool(type, zone, true), count))
                         .status());
     }
 
--- a/src/test/java/io/indigoreach/emulator/model/GateTest.java
+++ b/src/test/java/io/indigoreach/emulator/model/GateTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.indigoreach.config.ConfigException;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.model.Verdict.Fate;
 import io.indigoreach.scenario.Fault;
 import io.indigoreach.scenario.TextForm;
--- a/src/test/java/io/indigoreach/emulator/model/StateModelPropertyTest.java
+++ b/src/test/java/io/indigoreach/emulator/model/StateModelPropertyTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.indigoreach.config.PlatformConfig.StateLimits;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.state.StateClient.Txn;
 import java.util.ArrayList;
 import java.util.List;
@@ -70,18 +70,18 @@
             String key = KEYS.get(step.key);
             String other = KEYS.get(step.other);
             Plain before = plain.get(key);
-            Stamp guess = new Stamp(Math.max(0, (before == null ? 0 : before.stamp) - step.guess));
+            Revision guess = new Revision(Math.max(0, (before == null ? 0 : before.stamp) - step.guess));
             Txn txn = new Txn().when(key, guess);
             switch (step.kind) {
-                case PUT -> txn.put(key, Wire.map("n", (long) step.value));
+                case PUT -> txn.put(key, MessagePackFormat.map("n", (long) step.value));
                 case DELETE -> txn.delete(key);
                 case SWAP -> {
-                    txn.put(key, Wire.map("n", (long) step.value));
+                    txn.put(key, MessagePackFormat.map("n", (long) step.value));
                     if (!other.equals(key)) {
                         txn.delete(other);
                     }
                 }
-                case PUT_LEASED -> txn.put(key, Wire.map("n", (long) step.value), lease);
+                case PUT_LEASED -> txn.put(key, MessagePackFormat.map("n", (long) step.value), lease);
                 case GRANT -> lease = model.grant(now, Span.seconds(1)).body().whole("permit");
                 case END_LEASES -> {
                     now = now.plus(Span.seconds(2));
@@ -117,7 +117,7 @@
                 }
             }
             if (txn.size() > 0) {
-                Reply reply = model.commit(now, txn);
+                ServiceResponse reply = model.commit(now, txn);
                 boolean fits = guess.value() == (before == null ? 0 : before.stamp);
                 assertEquals(fits ? 200 : 409, reply.status());
                 if (fits) {
@@ -151,7 +151,7 @@
                 plain.put(
                         w.key(),
                         new Plain(
-                                (int) new Fields(Wire.readMap(Wire.write(w.value()))
+                                (int) new Fields(MessagePackFormat.readMap(MessagePackFormat.write(w.value()))
                                                 .map())
                                         .whole("n"),
                                 history.size(),
@@ -163,14 +163,14 @@
 
     private static void compare(StateModel model, Moment now, Map<String, Plain> plain, long asOf) {
         for (String key : KEYS) {
-            Reply reply = model.get(now, key, asOf);
+            ServiceResponse reply = model.get(now, key, asOf);
             Plain wanted = plain.get(key);
             assertEquals(wanted == null ? 404 : 200, reply.status());
             if (wanted != null) {
                 assertEquals(wanted.stamp, reply.body().whole("stamp"));
                 assertEquals(
                         wanted.value,
-                        new Fields(Wire.readMap(Wire.write(
+                        new Fields(MessagePackFormat.readMap(MessagePackFormat.write(
                                                 reply.body().child("data").map()))
                                         .map())
                                 .whole("n"));
@@ -186,7 +186,7 @@
         for (int since = 0; since < history.size(); since++) {
             TreeMap<String, Long> stamps = new TreeMap<>();
             history.get(since).forEach((key, p) -> stamps.put(key, p.stamp));
-            List<Reply> heard = new ArrayList<>();
+            List<ServiceResponse> heard = new ArrayList<>();
             model.watch(now, "", since, Span.ZERO, heard::add);
             long last = since;
             for (Fields event : heard.get(0).body().children("events")) {
--- a/src/test/java/io/indigoreach/emulator/model/StateModelTest.java
+++ b/src/test/java/io/indigoreach/emulator/model/StateModelTest.java
@@ -5,12 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.indigoreach.config.PlatformConfig.StateLimits;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Reply;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.state.StateClient.Txn;
 import java.util.ArrayList;
 import java.util.List;
@@ -31,10 +31,10 @@
             new StateModel(new StateLimits(1e6, 1e6, 200, 4), new SplittableRandom(1), T, kept::add);
 
     private static Map<String, Object> value(long n) {
-        return Wire.map("n", n);
+        return MessagePackFormat.map("n", n);
     }
 
-    private Reply put(String key, int n) {
+    private ServiceResponse put(String key, int n) {
         return model.commit(T, new Txn().put(key, value(n)));
     }
 
@@ -42,7 +42,7 @@
         Txn wide = new Txn();
         Txn careful = new Txn();
         for (int i = 0; i < 17; i++) {
-            careful.when("k" + i, Stamp.ABSENT);
+            careful.when("k" + i, Revision.ABSENT);
         }
         for (int i = 0; i < 5; i++) {
             wide.put("k" + i, value(i));
@@ -61,19 +61,23 @@
                 Arguments.of("a key with a space", new Txn().put("a b", value(1)), 400),
                 Arguments.of("a key of 201 bytes", new Txn().put("k".repeat(201), value(1)), 400),
                 Arguments.of("a key of 200 bytes", new Txn().put("k".repeat(200), value(1)), 200),
-                Arguments.of("a value just too long", new Txn().put("a", Wire.map("v", "x".repeat(193))), 400),
-                Arguments.of("a value just short enough", new Txn().put("a", Wire.map("v", "x".repeat(192))), 200),
+                Arguments.of(
+                        "a value just too long", new Txn().put("a", MessagePackFormat.map("v", "x".repeat(193))), 400),
+                Arguments.of(
+                        "a value just short enough",
+                        new Txn().put("a", MessagePackFormat.map("v", "x".repeat(192))),
+                        200),
                 Arguments.of("one key twice", new Txn().put("a", value(1)).delete("a"), 400),
                 Arguments.of("a lease that never was", new Txn().put("a", value(1), 99), 400),
                 Arguments.of(
                         "a lease that never was, and a condition that fails",
-                        new Txn().when("a", new Stamp(5)).put("a", value(1), 99),
+                        new Txn().when("a", new Revision(5)).put("a", value(1), 99),
                         400),
                 Arguments.of(
                         "a condition that fails",
-                        new Txn().when("a", new Stamp(5)).put("a", value(1)),
+                        new Txn().when("a", new Revision(5)).put("a", value(1)),
                         409),
-                Arguments.of("comparing only", new Txn().when("a", Stamp.ABSENT), 200));
+                Arguments.of("comparing only", new Txn().when("a", Revision.ABSENT), 200));
     }
 
     @ParameterizedTest(name = "{0}")
@@ -112,7 +116,7 @@
                     limited.commit(
                                     later,
                                     new Txn()
-                                            .when("a", new Stamp(9))
+                                            .when("a", new Revision(9))
                                             .put("a", value(1))
                                             .put("b", value(1))
                                             .put("c", value(1))
@@ -173,7 +177,7 @@
     /** A watch that is open across an outage stays open, then hears of what was changed before; leases start anew. */
     @Test
     void holdsWatchesAndLeasesInAnOutage() {
-        List<Reply> heard = new ArrayList<>();
+        List<ServiceResponse> heard = new ArrayList<>();
         long lease = model.grant(T, Span.seconds(1)).body().whole("permit");
         put("x/1", 1);
         model.watch(T, "x/", 1, Span.seconds(2), heard::add);
@@ -187,7 +191,7 @@
 
     @Test
     void tellsWatches() {
-        List<Reply> heard = new ArrayList<>();
+        List<ServiceResponse> heard = new ArrayList<>();
         put("x/1", 1);
         put("y/1", 1);
         assertNull(model.watch(T, "x/", 0, Span.seconds(5), heard::add));
@@ -209,10 +213,11 @@
         for (int i = 0; i <= StateModel.CHANGES_KEPT; i++) {
             put("k", i);
         }
-        List<Reply> heard = new ArrayList<>();
+        List<ServiceResponse> heard = new ArrayList<>();
         model.watch(T, "k", 0, Span.ZERO, heard::add);
         model.watch(T, "k", 1, Span.ZERO, heard::add);
-        assertEquals(List.of(410, 200), heard.stream().map(Reply::status).toList());
+        assertEquals(
+                List.of(410, 200), heard.stream().map(ServiceResponse::status).toList());
         assertEquals(
                 StateModel.CHANGES_KEPT, heard.get(1).body().children("events").size());
     }
@@ -222,7 +227,7 @@
     void limitsShrinkAndWhatIsStoredStays() {
         StateLimits today = new StateLimits(1e6, 100, 8192, 4);
         StateModel shrinking = new StateModel(today, new SplittableRandom(1), T, change -> {});
-        Txn large = new Txn().put("a", Wire.map("v", "x".repeat(4000)));
+        Txn large = new Txn().put("a", MessagePackFormat.map("v", "x".repeat(4000)));
         Txn many = new Txn().put("b", value(1)).put("c", value(1)).put("d", value(1));
         assertEquals(200, shrinking.commit(T, large).status());
         shrinking.limit(today.atMost(new StateLimits(1e6, 2, 2048, 2)), T);
@@ -245,12 +250,12 @@
             big.commit(T, new Txn().put(String.format("s/%04d", i), value(i)));
         }
         for (int i = 0; i < 100; i++) {
-            big.commit(T, new Txn().put(String.format("w/%04d", i), Wire.map("v", "x".repeat(8000))));
+            big.commit(T, new Txn().put(String.format("w/%04d", i), MessagePackFormat.map("v", "x".repeat(8000))));
         }
-        Reply first = big.list(T, "s/", null, 5000, -1);
+        ServiceResponse first = big.list(T, "s/", null, 5000, -1);
         assertEquals(1000, first.body().children("items").size());
         assertTrue(first.body().flag("truncated", false));
-        Reply rest = big.list(T, "s/", "s/0999", 5000, -1);
+        ServiceResponse rest = big.list(T, "s/", "s/0999", 5000, -1);
         assertEquals(100, rest.body().children("items").size());
         assertEquals(false, rest.body().flag("truncated", true));
         int wide = big.list(T, "w/", null, 1000, -1).body().children("items").size();
--- a/src/test/java/io/indigoreach/emulator/model/WorkerModelTest.java
+++ b/src/test/java/io/indigoreach/emulator/model/WorkerModelTest.java
@@ -8,23 +8,23 @@
 
 import io.indigoreach.cloud.CloudCodec;
 import io.indigoreach.config.ConfigException;
-import io.indigoreach.core.Attempt;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.ExitCause;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Order;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.TaskId;
-import io.indigoreach.core.TaskReport;
-import io.indigoreach.core.TaskState;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.core.WorkerReport;
+import io.indigoreach.core.model.Attempt;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskId;
+import io.indigoreach.core.model.TaskState;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.model.WorkerCommand;
 import io.indigoreach.scenario.Deployment;
 import io.indigoreach.scenario.TextForm;
 import io.indigoreach.worker.WorkerCodec;
@@ -51,7 +51,7 @@
                 new JobId("run-" + n),
                 "c",
                 "t",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Urgency.STANDARD,
                 4,
                 new Demand(cores, 0, 1),
@@ -77,7 +77,7 @@
                 capacity { type: "m" zone: "z" count: 1 }
                 team { name: "t" }
                 """, Deployment.class), new SplittableRandom(1), T, 0);
-        cloud.rent(T, new CloudCodec.Rental("r", new Pool("m", "z", false), 1));
+        cloud.rent(T, new CloudCodec.Rental("r", new MachinePool("m", "z", false), 1));
         for (int n = 1; n <= 5; n++) {
             depot.upload(job(n, n == 5 ? 3 : 1, n == 4 ? 2 : 0), new Depot.Conduct(Span.seconds(10), 0, n == 3));
         }
@@ -89,7 +89,8 @@
                 new SplittableRandom(2),
                 new WorkerModel.Listener() {
                     @Override
-                    public void started(Moment at, MachineId machine, TaskId task, Attempt attempt, Token token) {}
+                    public void started(
+                            Moment at, MachineId machine, TaskId task, Attempt attempt, FencingToken token) {}
 
                     @Override
                     public void running(Moment at, MachineId machine, TaskId task, Attempt attempt) {
@@ -109,37 +110,38 @@
                 T);
     }
 
-    private static Order start(int job, int index, long attempt) {
-        return new Order.Start(task(job, index), new Attempt(attempt));
+    private static WorkerCommand start(int job, int index, long attempt) {
+        return new WorkerCommand.Start(task(job, index), new Attempt(attempt));
     }
 
-    private static Order stop(int job, int index, long attempt, double grace) {
-        return new Order.Stop(task(job, index), new Attempt(attempt), Span.seconds(grace));
+    private static WorkerCommand stop(int job, int index, long attempt, double grace) {
+        return new WorkerCommand.Stop(task(job, index), new Attempt(attempt), Span.seconds(grace));
     }
 
-    private static Order reap(int job, int index, long attempt) {
-        return new Order.Forget(task(job, index), new Attempt(attempt));
+    private static WorkerCommand reap(int job, int index, long attempt) {
+        return new WorkerCommand.Reap(task(job, index), new Attempt(attempt));
     }
 
     /** Time goes on by small steps, every report being answered under a token, the first of them with orders. */
-    private void go(double s, long token, Order... orders) {
-        List<Order> rest = new ArrayList<>(List.of(orders));
+    private void go(double s, long token, WorkerCommand... orders) {
+        List<WorkerCommand> rest = new ArrayList<>(List.of(orders));
         Moment end = now.plus(Span.seconds(s));
         for (; now.isBefore(end); now = now.plus(new Span(50))) {
-            WorkerReport r = worker.report(now);
+            Heartbeat r = worker.report(now);
             if (r != null) {
-                worker.answered(now, r.number(), now, new WorkerCodec.Answer(new Token(token), List.copyOf(rest)));
+                worker.answered(
+                        now, r.number(), now, new WorkerCodec.Answer(new FencingToken(token), List.copyOf(rest)));
                 rest.clear();
             }
         }
     }
 
     /** Until the next report is answered with these orders, and no longer. */
-    private void deliver(long token, Order... orders) {
-        for (WorkerReport r = null; r == null; now = now.plus(new Span(50))) {
+    private void deliver(long token, WorkerCommand... orders) {
+        for (Heartbeat r = null; r == null; now = now.plus(new Span(50))) {
             r = worker.report(now);
             if (r != null) {
-                worker.answered(now, r.number(), now, new WorkerCodec.Answer(new Token(token), List.of(orders)));
+                worker.answered(now, r.number(), now, new WorkerCodec.Answer(new FencingToken(token), List.of(orders)));
             }
         }
     }
@@ -213,7 +215,7 @@
     @Test
     void losesItsTasksWithItsLease() {
         go(3, 1, start(1, 0, 7));
-        WorkerReport lost = null;
+        Heartbeat lost = null;
         for (Moment end = now.plus(Span.seconds(5)); now.isBefore(end); now = now.plus(new Span(50))) {
             lost = lost == null ? worker.report(now) : lost;
         }
@@ -222,10 +224,10 @@
         worker.advance(now);
         assertEquals("", states());
         assertTrue(seen.contains("off run-1/0 lease"));
-        WorkerReport next = worker.report(now);
+        Heartbeat next = worker.report(now);
         assertEquals(2, next.number().session());
         // An answer to a report of the session before is dropped.
-        worker.answered(now, lost.number(), now, new WorkerCodec.Answer(new Token(9), List.of(start(1, 1, 9))));
+        worker.answered(now, lost.number(), now, new WorkerCodec.Answer(new FencingToken(9), List.of(start(1, 1, 9))));
         assertEquals("", states());
         assertEquals(1, worker.state(now).token().value());
     }
@@ -234,14 +236,14 @@
     @Test
     void countsItsLeaseFromSending() {
         go(3, 1, start(1, 0, 7));
-        WorkerReport r = null;
+        Heartbeat r = null;
         while (r == null) {
             now = now.plus(new Span(50));
             r = worker.report(now);
         }
         Moment sent = now;
         now = now.plus(Span.seconds(3.5));
-        worker.answered(now, r.number(), sent, new WorkerCodec.Answer(new Token(1), List.of()));
+        worker.answered(now, r.number(), sent, new WorkerCodec.Answer(new FencingToken(1), List.of()));
         worker.advance(sent.plus(Span.seconds(5.9)));
         assertEquals(1, worker.state(now).number().session());
         worker.advance(sent.plus(Span.seconds(6)));
@@ -264,13 +266,14 @@
     @Test
     void takesDirectOrders() {
         go(3, 5);
-        assertFalse(worker.direct(now, new WorkerCodec.Direct(new Token(4), 1L, List.of(start(1, 0, 7)))));
-        assertFalse(worker.direct(now, new WorkerCodec.Direct(new Token(5), 2L, List.of(start(1, 0, 7)))));
-        assertTrue(worker.direct(now, new WorkerCodec.Direct(new Token(6), 1L, List.of(start(1, 0, 7)))));
+        assertFalse(worker.direct(now, new WorkerCodec.Direct(new FencingToken(4), 1L, List.of(start(1, 0, 7)))));
+        assertFalse(worker.direct(now, new WorkerCodec.Direct(new FencingToken(5), 2L, List.of(start(1, 0, 7)))));
+        assertTrue(worker.direct(now, new WorkerCodec.Direct(new FencingToken(6), 1L, List.of(start(1, 0, 7)))));
         assertEquals("run-1/0/7 FETCHING", states());
-        assertFalse(worker.direct(now, new WorkerCodec.Direct(new Token(5), 1L, List.of(stop(1, 0, 7, 0)))));
+        assertFalse(worker.direct(now, new WorkerCodec.Direct(new FencingToken(5), 1L, List.of(stop(1, 0, 7, 0)))));
         now = now.plus(Span.seconds(7));
-        assertFalse(worker.direct(now, new WorkerCodec.Direct(new Token(6), 1L, List.of())), "the session is over");
+        assertFalse(
+                worker.direct(now, new WorkerCodec.Direct(new FencingToken(6), 1L, List.of())), "the session is over");
     }
 
     /** A machine that hangs within its lease goes on where it was; beyond it, nothing is left. */
@@ -297,14 +300,14 @@
         List<Double> gaps = new ArrayList<>();
         Moment sent = null;
         for (; now.isBefore(T.plus(Span.seconds(60))); now = now.plus(new Span(10))) {
-            WorkerReport r = worker.report(now);
+            Heartbeat r = worker.report(now);
             if (r != null) {
                 if (sent != null) {
                     gaps.add(now.since(sent).seconds());
                 }
                 sent = now;
                 assertNull(worker.report(now.plus(new Span(5))));
-                worker.answered(now, r.number(), now, new WorkerCodec.Answer(new Token(1), List.of()));
+                worker.answered(now, r.number(), now, new WorkerCodec.Answer(new FencingToken(1), List.of()));
             }
         }
         assertTrue(gaps.remove(0) < 0.6, "the new token is a change");
@@ -327,7 +330,7 @@
     void failsOnASpoiltMachine() {
         worker.spoil();
         go(5, 1, start(1, 0, 7));
-        TaskReport t = worker.state(now).tasks().get(0);
+        TaskStatus t = worker.state(now).tasks().get(0);
         assertEquals(ExitCause.ERROR, t.cause());
     }
 }
--- a/src/test/java/io/indigoreach/experiment/ProcessesIT.java
+++ b/src/test/java/io/indigoreach/experiment/ProcessesIT.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.JobStatus;
+import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.load.Arrivals;
 import io.indigoreach.load.Users;
 import io.indigoreach.scenario.Scenario;
--- a/src/test/java/io/indigoreach/load/ArrivalsTest.java
+++ b/src/test/java/io/indigoreach/load/ArrivalsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.indigoreach.config.ConfigException;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.scenario.Scenario;
 import io.indigoreach.scenario.TextForm;
 import java.util.List;
--- a/src/test/java/io/indigoreach/net/CallerTest.java
+++ b/src/test/java/io/indigoreach/net/ServiceClientTest.java
@@ -2,17 +2,17 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Span;
 import io.vertx.core.Vertx;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class CallerTest {
+class ServiceClientTest {
     /** Routines that are between two steps as the process ends are not to log a fault. */
     @Test
     void aCallAfterTheEndFailsAndDoesNotThrow() throws Exception {
         Vertx vertx = Vertx.vertx();
-        Caller caller = new Caller(vertx, new Endpoint("127.0.0.1", 1), 1);
+        ServiceClient caller = new ServiceClient(vertx, new Endpoint("127.0.0.1", 1), 1);
         vertx.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
         assertTrue(caller.get("/", Span.seconds(1)).failed());
     }
--- a/src/test/java/io/indigoreach/state/FormatGateTest.java
+++ b/src/test/java/io/indigoreach/state/FormatGateTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Token;
-import io.indigoreach.net.Wire;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.net.MessagePackFormat;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -47,7 +47,7 @@
     }
 
     private void put(String key, Object... value) throws Exception {
-        VersionProcesses.await(site.client().commit(new StateClient.Txn().put(key, Wire.map(value))));
+        VersionProcesses.await(site.client().commit(new StateClient.Txn().put(key, MessagePackFormat.map(value))));
     }
 
     /** Nodes that are down now and have recorded their format before count; those that have not, or another one, do not. */
@@ -115,7 +115,7 @@
     @ParameterizedTest
     @CsvSource({"1, false", "1, true", "2, false", "2, true"})
     void aCampaignKeepsTheFormatAndTheWordForBounds(int format, boolean bounds) throws Exception {
-        CounterRecord before = new CounterRecord(new Token(7), bounds, format);
+        CounterRecord before = new CounterRecord(new FencingToken(7), bounds, format);
         VersionProcesses.await(site.client().commit(new StateClient.Txn().put(COUNTER, before.write())));
         VersionProcesses.Newer a = site.newer("a");
         until(a.leadership()::isLeading);
@@ -228,7 +228,7 @@
                 && COUNTER.equals(txn.children("writes").get(0).optionalText("write"));
         VersionProcesses.Newer a = site.newer("a");
         until(() -> site.service.held() > 0);
-        Stamp key = a.leadership().key();
+        Revision key = a.leadership().key();
         site.vertx.runOnContext(v -> a.leadership().deposed());
         until(() -> a.leadership().isLeading() && !a.leadership().key().equals(key));
         site.service.holding = txn -> false;
--- a/src/test/java/io/indigoreach/state/Golden.java
+++ b/src/test/java/io/indigoreach/state/Golden.java
@@ -1,7 +1,7 @@
 package io.indigoreach.state;
 
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import io.vertx.core.buffer.Buffer;
 import java.io.IOException;
 import java.io.InputStream;
@@ -36,12 +36,12 @@
     }
 
     public static Fields fields(String hex) {
-        return Wire.readMap(Buffer.buffer(HexFormat.of().parseHex(hex)));
+        return MessagePackFormat.readMap(Buffer.buffer(HexFormat.of().parseHex(hex)));
     }
 
     /** As it stands in a file. */
     public String hex() {
-        return hex(Wire.write(written));
+        return hex(MessagePackFormat.write(written));
     }
 
     public static String hex(Buffer bytes) {
--- a/src/test/java/io/indigoreach/state/GoldenRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenRecordsTest.java
@@ -2,22 +2,22 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.core.duty.Intents;
-import io.indigoreach.core.loss.Remains;
+import io.indigoreach.core.intent.Intents;
+import io.indigoreach.core.loss.RememberedState;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.LinkedHashMap;
@@ -32,9 +32,9 @@
 class GoldenRecordsTest {
     private static final String FILE = "records.txt";
     private static final JobId ID = new JobId("run-000412");
-    private static final Stamp STAMP = new Stamp(9);
-    private static final Token TOKEN = new Token(7_000_001);
-    private static final Pool POOL = new Pool("quad", "a", true);
+    private static final Revision STAMP = new Revision(9);
+    private static final FencingToken TOKEN = new FencingToken(7_000_001);
+    private static final MachinePool POOL = new MachinePool("quad", "a", true);
     /** What production writes into one value, and a later version may divide: it has to be read, and need not be written so. */
     private static final Set<String> READ_ONLY = Set.of("job of 5000", "job of 40000", "block 1 of 40000");
 
@@ -46,7 +46,7 @@
         return done;
     }
 
-    private static JobSpec small(Shape shape, int tasks) {
+    private static JobSpec small(JobKind shape, int tasks) {
         return new JobSpec(
                 ID,
                 "stock-reconcile",
@@ -73,7 +73,7 @@
                 ID,
                 "refill-routes",
                 "fleet-ops",
-                Shape.SERVICE,
+                JobKind.SERVICE,
                 Urgency.PRODUCTION,
                 tasks,
                 new Demand(2.5, 1, 3.8),
@@ -113,22 +113,22 @@
         return into;
     }
 
-    private static Remains remains() {
-        Remains all = new Remains();
-        all.add(new Remains.Open(full(6), 1_700_000_000_123L, everyThird(6), 4));
-        all.add(new JobId("run-000398"), new Remains.Over(JobStatus.CANCELLED, 2));
-        all.add(new JobId("run-000399"), new Remains.Over(JobStatus.DONE, 8));
+    private static RememberedState remains() {
+        RememberedState all = new RememberedState();
+        all.add(new RememberedState.OpenJob(full(6), 1_700_000_000_123L, everyThird(6), 4));
+        all.add(new JobId("run-000398"), new RememberedState.FinishedJob(JobStatus.CANCELLED, 2));
+        all.add(new JobId("run-000399"), new RememberedState.FinishedJob(JobStatus.DONE, 8));
         return all;
     }
 
     /** What there is to compare of remains, which have no equality of their own. */
-    private static Object content(Remains r) {
+    private static Object content(RememberedState r) {
         return List.of(List.copyOf(r.open()), r.over(), List.copyOf(r.records()));
     }
 
     private static Object remembered(Fields f) {
-        Remains into = new Remains();
-        RemainsCodec.read(f, into);
+        RememberedState into = new RememberedState();
+        RememberedStateCodec.read(f, into);
         return content(into);
     }
 
@@ -141,12 +141,12 @@
     static Map<String, Golden> all() {
         Map<String, Golden> all = new LinkedHashMap<>();
         for (JobStatus status : JobStatus.values()) {
-            all.put("array " + status, job(small(Shape.ARRAY, 100), status, everyThird(100)));
+            all.put("array " + status, job(small(JobKind.ARRAY, 100), status, everyThird(100)));
         }
-        all.put("service", job(small(Shape.SERVICE, 3), JobStatus.RUNNING, new BitSet()));
+        all.put("service", job(small(JobKind.SERVICE, 3), JobStatus.RUNNING, new BitSet()));
         all.put("every field", job(full(6), JobStatus.PENDING, everyThird(6)));
-        all.put("job of 5000", job(small(Shape.ARRAY, 5000), JobStatus.RUNNING, everyThird(5000)));
-        all.put("job of 40000", job(small(Shape.ARRAY, 40_000), JobStatus.RUNNING, everyThird(40_000)));
+        all.put("job of 5000", job(small(JobKind.ARRAY, 5000), JobStatus.RUNNING, everyThird(5000)));
+        all.put("job of 40000", job(small(JobKind.ARRAY, 40_000), JobStatus.RUNNING, everyThird(40_000)));
         BitSet second = everyThird(40_000);
         second.clear(0, 32_768);
         all.put(
@@ -187,7 +187,8 @@
                         new LeaderKey("worker-1", "5f-1700000000000", TOKEN, STAMP)));
         all.put(
                 "memory",
-                new Golden(RemainsCodec.write(remains(), 0), GoldenRecordsTest::remembered, content(remains())));
+                new Golden(
+                        RememberedStateCodec.write(remains(), 0), GoldenRecordsTest::remembered, content(remains())));
         return all;
     }
 
@@ -223,15 +224,16 @@
      */
     @Test
     void whatIsNewIsWrittenAsItWasShownToProduction() {
-        JobSpec chained = small(Shape.ARRAY, 100).with("waits_on", List.of("run-000398", "run-000405"));
+        JobSpec chained = small(JobKind.ARRAY, 100).with("waits_on", List.of("run-000398", "run-000405"));
         Map<String, String> lines = new LinkedHashMap<>();
         lines.put("chained job", job(chained, JobStatus.PENDING, new BitSet()).hex());
         for (boolean bounds : new boolean[] {false, true}) {
             CounterRecord counter = new CounterRecord(TOKEN, bounds, CounterRecord.CHAINS);
-            assertEquals(counter, CounterRecord.read(Wire.readMap(Wire.write(counter.write()))));
-            lines.put("raised counter " + bounds, Golden.hex(Wire.write(counter.write())));
+            assertEquals(
+                    counter, CounterRecord.read(MessagePackFormat.readMap(MessagePackFormat.write(counter.write()))));
+            lines.put("raised counter " + bounds, Golden.hex(MessagePackFormat.write(counter.write())));
         }
-        lines.put("a node's format", Golden.hex(Wire.write(FormatGate.write())));
+        lines.put("a node's format", Golden.hex(MessagePackFormat.write(FormatGate.write())));
         assertEquals(Golden.load("new.txt"), lines);
     }
 }
--- a/src/test/java/io/indigoreach/state/HandoverTest.java
+++ b/src/test/java/io/indigoreach/state/HandoverTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.TokenClock;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.leadership.TokenGenerator;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Endpoint;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
@@ -155,7 +155,7 @@
         final World world;
         final String node;
         final String name;
-        final Leadership leadership;
+        final LeaderElection leadership;
         boolean ended;
         boolean unserved;
         Moment renewedBefore = Moment.NEVER;
@@ -165,8 +165,9 @@
             this.node = node;
             this.name = node + "-" + Math.abs(world.random.nextInt());
             StateClient client = new StateClient(
-                    new Caller(vertx, world.doors.get(node), 4), new Caller(vertx, world.doors.get(node), 2));
-            this.leadership = new Leadership(
+                    new ServiceClient(vertx, world.doors.get(node), 4),
+                    new ServiceClient(vertx, world.doors.get(node), 2));
+            this.leadership = new LeaderElection(
                     vertx,
                     client,
                     vertx,
@@ -176,10 +177,10 @@
                     name,
                     NODES.size() - 1,
                     world.life,
-                    new TokenClock(NODES.indexOf(node), clock.timeOfDay(), Span.seconds(0.1)),
-                    new Leadership.Listener() {
+                    new TokenGenerator(NODES.indexOf(node), clock.timeOfDay(), Span.seconds(0.1)),
+                    new LeaderElection.Listener() {
                         @Override
-                        public void took(Token token, Stamp key, boolean bounds) {
+                        public void took(FencingToken token, Revision key, boolean bounds) {
                             if (!ended) {
                                 if (token.value() <= world.highest) {
                                     world.breaches.add(name + " took " + token + " after " + world.highest);
@@ -261,7 +262,7 @@
             }
             case 3 -> {
                 if (leader != null) {
-                    Stamp key = leader.leadership.standAside("test");
+                    Revision key = leader.leadership.standAside("test");
                     for (double late : new double[] {r.nextDouble(0.3), r.nextDouble(6)}) {
                         w.after(late, () -> {
                             if (w.running.containsKey(any)) {
@@ -366,7 +367,7 @@
             return;
         }
         w.until(a.leadership::isValid);
-        assertTrue(clock.now().since(pledged).compareTo(Leadership.PLEDGE) >= 0, "it had pledged");
+        assertTrue(clock.now().since(pledged).compareTo(LeaderElection.PLEDGE) >= 0, "it had pledged");
         assertEquals(List.of(), w.breaches);
     }
 
@@ -376,9 +377,9 @@
         World w = new World(1, Span.seconds(1));
         Process a = w.on(() -> w.start("a"));
         w.until(a.leadership::isValid);
-        Stamp first = w.on(() -> a.leadership.standAside("test"));
+        Revision first = w.on(() -> a.leadership.standAside("test"));
         w.until(() -> w.took.size() == 2 && a.leadership.isValid());
-        Stamp second = w.on(a.leadership::key);
+        Revision second = w.on(a.leadership::key);
         for (int times = 0; times < 2; times++) {
             await(w.on(() -> a.leadership.release(first)));
         }
@@ -404,7 +405,7 @@
         Moment sent = clock.now();
         w.until(() -> clock.now().since(sent).compareTo(Span.seconds(1)) > 0);
         w.on(() -> {
-            Stamp key = a.leadership.key();
+            Revision key = a.leadership.key();
             a.leadership.deposed();
             if (ended) {
                 w.service.endLeases();
@@ -474,15 +475,15 @@
     /** Tries that the service refuses use up no numbers: tokens do not run ahead of the time, from which the next process chooses. */
     @Test
     void refusedTriesDoNotTakeTokensAheadOfTheTime() {
-        TokenClock tokens = new TokenClock(1, clock.timeOfDay(), Span.seconds(0.1));
-        Token first = tokens.next(Token.NONE, clock.timeOfDay());
-        Token held = tokens.next(Token.NONE, clock.timeOfDay());
+        TokenGenerator tokens = new TokenGenerator(1, clock.timeOfDay(), Span.seconds(0.1));
+        FencingToken first = tokens.next(FencingToken.NONE, clock.timeOfDay());
+        FencingToken held = tokens.next(FencingToken.NONE, clock.timeOfDay());
         for (int n = 0; n < 100; n++) {
-            Token refused = tokens.next(Token.NONE, clock.timeOfDay());
+            FencingToken refused = tokens.next(FencingToken.NONE, clock.timeOfDay());
             assertTrue(
                     refused.value() > held.value() && held.value() > first.value(), "those may still be carried out");
             tokens.unused(refused);
         }
-        assertEquals(3 << 5, tokens.next(Token.NONE, clock.timeOfDay()).value() - (first.value() - (1 << 5)));
+        assertEquals(3 << 5, tokens.next(FencingToken.NONE, clock.timeOfDay()).value() - (first.value() - (1 << 5)));
     }
 }
