--- a/src/test/java/io/indigoreach/state/LeadershipTest.java
+++ b/src/test/java/io/indigoreach/state/LeaderElectionTest.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.TokenClock;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.leadership.TokenGenerator;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.List;
@@ -30,7 +30,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Taking, keeping and losing leadership, against a stand-in for the state service. Waits are for events, not times. */
-class LeadershipTest {
+class LeaderElectionTest {
     private final Vertx vertx = Vertx.vertx();
     private final BlockingQueue<String> events = new ArrayBlockingQueue<>(100);
     private final SteadyClock clock = new SteadyClock();
@@ -54,18 +54,18 @@
         vertx.close().toCompletionStage().toCompletableFuture().get();
     }
 
-    private Leadership node(String node, String process, int peers) {
+    private LeaderElection node(String node, String process, int peers) {
         return node(node, process, peers, Span.seconds(10));
     }
 
-    private Leadership node(String node, String process, int peers, Span life) {
+    private LeaderElection node(String node, String process, int peers, Span life) {
         return node(node, process, peers, life, () -> Future.succeededFuture(false));
     }
 
-    private Leadership node(String node, String process, int peers, Span life, Supplier<Future<Boolean>> unled) {
-        StateClient client =
-                new StateClient(new Caller(vertx, service.endpoint(), 4), new Caller(vertx, service.endpoint(), 2));
-        Leadership leadership = new Leadership(
+    private LeaderElection node(String node, String process, int peers, Span life, Supplier<Future<Boolean>> unled) {
+        StateClient client = new StateClient(
+                new ServiceClient(vertx, service.endpoint(), 4), new ServiceClient(vertx, service.endpoint(), 2));
+        LeaderElection leadership = new LeaderElection(
                 vertx,
                 client,
                 vertx,
@@ -75,10 +75,10 @@
                 process,
                 peers,
                 life,
-                new TokenClock(node.charAt(0) - 'a', clock.timeOfDay(), Span.seconds(0.1)),
-                new Leadership.Listener() {
+                new TokenGenerator(node.charAt(0) - 'a', clock.timeOfDay(), Span.seconds(0.1)),
+                new LeaderElection.Listener() {
                     @Override
-                    public void took(Token token, Stamp key, boolean bounds) {
+                    public void took(FencingToken token, Revision key, boolean bounds) {
                         boolean above = token.value() > highest.getAndSet(token.value());
                         events.add(process + " took " + (above ? taken.incrementAndGet() : "an old token")
                                 + (bounds ? "" : ", bounds in doubt"));
@@ -100,7 +100,7 @@
 
     @Test
     void theNextLeadersTokenIsHigherAndTheFirstIsNotValidAnyMore() throws Exception {
-        Leadership a = node("a", "a1", 0);
+        LeaderElection a = node("a", "a1", 0);
         assertEquals("a1 took 1", next());
         assertTrue(a.isValid());
         vertx.runOnContext(v -> a.stop());
@@ -120,17 +120,17 @@
     })
     void aNodeThatStartsKnowsWhetherAnybodyLeads(String leader, boolean counter, boolean answers, boolean leaderless)
             throws Exception {
-        StateClient client =
-                new StateClient(new Caller(vertx, service.endpoint(), 4), new Caller(vertx, service.endpoint(), 2));
+        StateClient client = new StateClient(
+                new ServiceClient(vertx, service.endpoint(), 4), new ServiceClient(vertx, service.endpoint(), 2));
         StateClient.Txn there = new StateClient.Txn();
         if (counter) {
-            there.put(RecordCodec.COUNTER, new CounterRecord(new Token(4), true, CounterRecord.FIRST).write());
+            there.put(RecordCodec.COUNTER, new CounterRecord(new FencingToken(4), true, CounterRecord.FIRST).write());
         }
         if (!leader.equals("-")) {
-            there.put(RecordCodec.LEADER, LeaderKey.write(leader, "p", new Token(4)));
+            there.put(RecordCodec.LEADER, LeaderKey.write(leader, "p", new FencingToken(4)));
         }
         client.commit(there).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
-        Leadership a = new Leadership(
+        LeaderElection a = new LeaderElection(
                 vertx,
                 client,
                 vertx,
@@ -140,7 +140,7 @@
                 "a2",
                 2,
                 Span.seconds(10),
-                new TokenClock(0, clock.timeOfDay(), Span.seconds(0.1)),
+                new TokenGenerator(0, clock.timeOfDay(), Span.seconds(0.1)),
                 null);
         assertEquals(
                 leaderless,
@@ -153,7 +153,7 @@
     /** Guards against waiting a whole lease for a process that surely has ended. */
     @Test
     void aRestartedNodeTakesItsPredecessorsPlace() throws Exception {
-        Leadership a = node("a", "a1", 0);
+        LeaderElection a = node("a", "a1", 0);
         assertEquals("a1 took 1", next());
         vertx.runOnContext(v -> a.stop());
         node("a", "a2", 0);
@@ -162,7 +162,7 @@
 
     @Test
     void aRestartedNodeLetsANodeThatIsUpLeadFirst() throws Exception {
-        Leadership a = node("a", "a1", 2);
+        LeaderElection a = node("a", "a1", 2);
         assertEquals("a1 took 1", next());
         vertx.runOnContext(v -> a.stop());
         node("b", "b1", 2);
@@ -183,7 +183,7 @@
 
     @Test
     void aLeaderWhoseLeaseHasEndedSaysSo() throws Exception {
-        Leadership a = node("a", "a1", 0);
+        LeaderElection a = node("a", "a1", 0);
         assertEquals("a1 took 1", next());
         service.endLeases();
         assertEquals("a1 lost", next());
@@ -196,11 +196,11 @@
     /** A leader that alone is refused by the state service held its key for a whole lease (water kiosks, apart). */
     @Test
     void anotherNodeRemovesTheKeyOfALeaderThatStoodAside() throws Exception {
-        Leadership a = node("a", "a1", 2);
+        LeaderElection a = node("a", "a1", 2);
         assertEquals("a1 took 1", next());
-        Leadership b = node("b", "b1", 2);
+        LeaderElection b = node("b", "b1", 2);
         service.keepingLeases = true;
-        CompletableFuture<Stamp> key = new CompletableFuture<>();
+        CompletableFuture<Revision> key = new CompletableFuture<>();
         vertx.runOnContext(v -> {
             key.complete(a.standAside("refused alone"));
             a.stop();
@@ -220,13 +220,13 @@
      */
     @Test
     void boundsAreNotBelievedAfterAnOlderVersionHasLed() throws Exception {
-        StateClient client =
-                new StateClient(new Caller(vertx, service.endpoint(), 1), new Caller(vertx, service.endpoint(), 1));
-        client.commit(new StateClient.Txn().put(RecordCodec.COUNTER, Wire.map("value", 7L)))
+        StateClient client = new StateClient(
+                new ServiceClient(vertx, service.endpoint(), 1), new ServiceClient(vertx, service.endpoint(), 1));
+        client.commit(new StateClient.Txn().put(RecordCodec.COUNTER, MessagePackFormat.map("value", 7L)))
                 .toCompletionStage()
                 .toCompletableFuture()
                 .get();
-        Leadership a = node("a", "a1", 0);
+        LeaderElection a = node("a", "a1", 0);
         assertEquals("a1 took 1, bounds in doubt", next());
         vertx.runOnContext(v -> a.deposed());
         assertEquals("a1 lost", next());
@@ -243,9 +243,9 @@
     @ParameterizedTest
     @ValueSource(strings = {"leader", "counter", "leader counter"})
     void noTokenIsTakenTwiceWhateverIsDeleted(String keys) throws Exception {
-        StateClient client =
-                new StateClient(new Caller(vertx, service.endpoint(), 1), new Caller(vertx, service.endpoint(), 1));
-        Leadership a = node("a", "a1", 2);
+        StateClient client = new StateClient(
+                new ServiceClient(vertx, service.endpoint(), 1), new ServiceClient(vertx, service.endpoint(), 1));
+        LeaderElection a = node("a", "a1", 2);
         assertEquals("a1 took 1", next());
         for (int round = 2; round < 4; round++) {
             StateClient.Txn loss = new StateClient.Txn();
@@ -266,7 +266,7 @@
     @ParameterizedTest
     @CsvSource({"always, true", "never, false", "late, false"})
     void pledgesBridgeAnOutageAndNothingElseDoes(String pledged, boolean valid) throws Exception {
-        Leadership a = node("a", "a1", 2, Span.seconds(3));
+        LeaderElection a = node("a", "a1", 2, Span.seconds(3));
         AtomicBoolean pledging = new AtomicBoolean("always".equals(pledged));
         vertx.runOnContext(
                 v -> a.asking(() -> Future.succeededFuture(pledging.get()), () -> Future.succeededFuture(false)));
@@ -298,10 +298,10 @@
     /** Guards against two leaders: who has pledged, or may have in a former process, does not take a key that is free. */
     @Test
     void whoHasPledgedDoesNotLeadForAsLong() throws Exception {
-        Leadership a = node("a", "a1", 2);
+        LeaderElection a = node("a", "a1", 2);
         assertEquals("a1 took 1", next());
         assertFalse(a.pledge(), "a leader does not pledge");
-        Leadership b = node("b", "b1", 2);
+        LeaderElection b = node("b", "b1", 2);
         while (service.transactions < 2 && b.leader() == null) {
             Thread.onSpinWait();
         }
@@ -314,19 +314,20 @@
         });
         Moment given = pledge.get();
         assertEquals("b1 took 2", next());
-        assertTrue(clock.now().since(given).compareTo(Leadership.PLEDGE) >= 0);
+        assertTrue(clock.now().since(given).compareTo(LeaderElection.PLEDGE) >= 0);
         vertx.runOnContext(v -> b.stop());
         Moment began = clock.now();
-        Leadership c = node("c", "c1", 2);
+        LeaderElection c = node("c", "c1", 2);
         service.endLeases();
         assertEquals("c1 took 3", next());
         assertTrue(
-                clock.now().since(began).compareTo(Leadership.PLEDGE) >= 0, "a former process of it may have pledged");
+                clock.now().since(began).compareTo(LeaderElection.PLEDGE) >= 0,
+                "a former process of it may have pledged");
         service.endLeases();
         assertEquals("c1 lost", next());
         vertx.runOnContext(v -> c.stop());
         AtomicBoolean asked = new AtomicBoolean();
-        Leadership d =
+        LeaderElection d =
                 node("d", "d1", 2, Span.seconds(10), () -> Future.succeededFuture(asked.compareAndSet(false, true)));
         service.endLeases();
         assertEquals("d1 took 4", next());
--- a/src/test/java/io/indigoreach/state/RecordCodecTest.java
+++ b/src/test/java/io/indigoreach/state/RecordCodecTest.java
@@ -3,16 +3,16 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.core.chain.Chain;
-import io.indigoreach.net.Wire;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobDependencies;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.net.MessagePackFormat;
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
@@ -30,7 +30,7 @@
                 new JobId("run-000000000000000001"),
                 "c".repeat(100),
                 "t",
-                Shape.SERVICE,
+                JobKind.SERVICE,
                 Urgency.PRODUCTION,
                 tasks,
                 new Demand(1.5, 2, 3.25),
@@ -56,21 +56,23 @@
         }
         done.set(tasks - 1);
         Map<String, Object> record = RecordCodec.writeJob(spec(tasks), 42, JobStatus.RUNNING, done, 7, 5);
-        assertTrue(Wire.write(record).length() <= VALUE_BYTES);
-        JobRecord back = RecordCodec.readJob(spec(tasks).id(), Wire.readMap(Wire.write(record)), new Stamp(9));
+        assertTrue(MessagePackFormat.write(record).length() <= VALUE_BYTES);
+        JobRecord back = RecordCodec.readJob(
+                spec(tasks).id(), MessagePackFormat.readMap(MessagePackFormat.write(record)), new Revision(9));
         BitSet bits = back.done();
         int blocks = RecordCodec.blocks(tasks);
         assertTrue(blocks + 2 <= TXN_OPS);
         for (int n = 0; n < blocks; n++) {
             Map<String, Object> block = RecordCodec.writeBlock(done, n);
-            assertTrue(Wire.write(block).length() <= VALUE_BYTES);
+            assertTrue(MessagePackFormat.write(block).length() <= VALUE_BYTES);
             String key = RecordCodec.block(back.id(), n);
             assertEquals(back.id(), RecordCodec.jobOfBlock(key));
-            RecordCodec.readBlock(key, Wire.readMap(Wire.write(block)), bits);
+            RecordCodec.readBlock(key, MessagePackFormat.readMap(MessagePackFormat.write(block)), bits);
         }
         assertEquals(done, bits);
         assertEquals(
-                new JobRecord(spec(tasks), 42, JobStatus.RUNNING, bits, done.cardinality(), 7, 5, new Stamp(9)), back);
+                new JobRecord(spec(tasks), 42, JobStatus.RUNNING, bits, done.cardinality(), 7, 5, new Revision(9)),
+                back);
     }
 
     /** An older version takes the chain for a further field and writes it back unchanged; with a hundred names it is short. */
@@ -80,10 +82,11 @@
         List<JobId> needs = IntStream.range(100_000, 100_100)
                 .mapToObj(n -> new JobId("run-" + n))
                 .toList();
-        JobSpec chained = spec(16).with(new Chain(needs, released)).with("plan", Map.of("day", "d"));
+        JobSpec chained = spec(16).with(new JobDependencies(needs, released)).with("plan", Map.of("day", "d"));
         Map<String, Object> record = RecordCodec.writeJob(chained, 42, JobStatus.PENDING, new BitSet(), 0, 0);
         assertTrue(record.get("more").toString().length() < 800);
-        JobRecord back = RecordCodec.readJob(chained.id(), Wire.readMap(Wire.write(record)), new Stamp(9));
+        JobRecord back = RecordCodec.readJob(
+                chained.id(), MessagePackFormat.readMap(MessagePackFormat.write(record)), new Revision(9));
         assertEquals(chained, back.spec());
         assertEquals(Map.of("plan", Map.of("day", "d")), back.spec().more());
     }
--- a/src/test/java/io/indigoreach/state/RecordsTest.java
+++ b/src/test/java/io/indigoreach/state/RoutineRunnerTest.java
@@ -5,15 +5,15 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.records.Change;
-import io.indigoreach.core.records.Copies;
-import io.indigoreach.core.records.Family;
-import io.indigoreach.core.records.Kept;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.records.RecordCache;
+import io.indigoreach.core.records.RecordFamily;
 import io.indigoreach.core.records.Routine;
 import io.indigoreach.core.records.Step;
-import io.indigoreach.net.Budget;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.records.Transaction;
+import io.indigoreach.core.records.VersionedRecord;
+import io.indigoreach.net.RateLimiter;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -26,21 +26,22 @@
 import org.junit.jupiter.api.Test;
 
 /** Parts' routines against a state service that loses records, and a leadership that ends. */
-class RecordsTest {
-    private static final Family LASTING = new Family("a/", 100, true, Family.Mending.NEWER);
-    private static final Family PASSING = new Family("b/", 100, false, Family.Mending.NEWER);
+class RoutineRunnerTest {
+    private static final RecordFamily LASTING = new RecordFamily("a/", 100, true, RecordFamily.Mending.NEWER);
+    private static final RecordFamily PASSING = new RecordFamily("b/", 100, false, RecordFamily.Mending.NEWER);
 
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
     private StateStandIn service;
     private StateClient client;
-    private Records records;
+    private RoutineRunner records;
 
     @BeforeEach
     void start() throws Exception {
         service = await(new StateStandIn().listen(vertx));
-        client = new StateClient(new Caller(vertx, service.endpoint(), 4), new Caller(vertx, service.endpoint(), 1));
-        records = new Records(vertx, client, clock, new Copies(List.of(LASTING, PASSING)));
+        client = new StateClient(
+                new ServiceClient(vertx, service.endpoint(), 4), new ServiceClient(vertx, service.endpoint(), 1));
+        records = new RoutineRunner(vertx, client, clock, new RecordCache(List.of(LASTING, PASSING)));
     }
 
     @AfterEach
@@ -58,7 +59,7 @@
             private long sum;
 
             @Override
-            public Step<Long> next(io.indigoreach.core.records.Seen seen) {
+            public Step<Long> next(io.indigoreach.core.records.StepResult seen) {
                 if (seen.isWritten()) {
                     return new Step.End<>(sum);
                 }
@@ -68,9 +69,9 @@
                 if (seen.records().isEmpty()) {
                     return new Step.Read<>(List.of(key));
                 }
-                Kept read = seen.record(key);
+                VersionedRecord read = seen.record(key);
                 sum = read.isThere() ? (Long) read.value().get("n") + 1 : 1;
-                return new Step.Write<>(new Change().replace(read, Map.of("n", sum)));
+                return new Step.Write<>(new Transaction().replace(read, Map.of("n", sum)));
             }
         };
     }
@@ -105,16 +106,16 @@
     void anOlderValueThanTheOneRememberedIsALossInAnyFamily() throws Exception {
         await(records.run(adding("b/1")));
         await(records.run(adding("b/1")));
-        client.commit(new StateClient.Txn().put("b/1", Map.of("n", 1L, Kept.VERSION, 1L)));
+        client.commit(new StateClient.Txn().put("b/1", Map.of("n", 1L, VersionedRecord.VERSION, 1L)));
         assertThrows(ExecutionException.class, () -> await(records.run(adding("b/1"))));
         assertTrue(client.losses().isHolding());
     }
 
     @Test
     void aLeaderWhoseKeyIsGoneWritesNothing() throws Exception {
-        Stamp key = await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, Map.of("t", 1L))))
+        Revision key = await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, Map.of("t", 1L))))
                 .stamp();
-        Records leading = records.leading(RecordCodec.LEADER, key, new Budget(100, clock.now()));
+        RoutineRunner leading = records.leading(RecordCodec.LEADER, key, new RateLimiter(100, clock.now()));
         assertEquals(1, await(leading.run(adding("a/1"))));
         await(client.commit(new StateClient.Txn().delete(RecordCodec.LEADER)));
         assertThrows(ExecutionException.class, () -> await(leading.run(adding("a/1"))));
@@ -125,6 +126,6 @@
     void familiesDoNotShareAPrefix() {
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new Copies(List.of(LASTING, new Family("a/b/", 1, true, Family.Mending.NEWER))));
+                () -> new RecordCache(List.of(LASTING, new RecordFamily("a/b/", 1, true, RecordFamily.Mending.NEWER))));
     }
 }
--- a/src/test/java/io/indigoreach/state/StateStandIn.java
+++ b/src/test/java/io/indigoreach/state/StateStandIn.java
@@ -3,8 +3,8 @@
 import io.indigoreach.net.Endpoint;
 import io.indigoreach.net.Fields;
 import io.indigoreach.net.JsonSize;
-import io.indigoreach.net.Reply;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceResponse;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -157,7 +157,7 @@
 
     private List<Integer> executeHeld() {
         List<Integer> statuses =
-                held.stream().map(this::execute).map(Reply::status).toList();
+                held.stream().map(this::execute).map(ServiceResponse::status).toList();
         held.clear();
         return statuses;
     }
@@ -208,7 +208,7 @@
             expire();
         }
         if (path.equals("/txn")) {
-            commit(request, Wire.readMap(body));
+            commit(request, MessagePackFormat.readMap(body));
         } else if (path.equals("/store")) {
             reads++;
             list(request);
@@ -219,12 +219,12 @@
                     request,
                     item == null ? 404 : 200,
                     item == null
-                            ? Wire.map("ledger_rev", revision)
-                            : Wire.map("path", path.substring(7), "data", item.data, "stamp", item.stamp));
+                            ? MessagePackFormat.map("ledger_rev", revision)
+                            : MessagePackFormat.map("path", path.substring(7), "data", item.data, "stamp", item.stamp));
         } else if (path.equals("/grants")) {
-            lives.put(++lastLease, Wire.readMap(body).whole("life_ms") * 1_000_000);
+            lives.put(++lastLease, MessagePackFormat.readMap(body).whole("life_ms") * 1_000_000);
             leases.put(lastLease, System.nanoTime() + lives.get(lastLease));
-            reply(request, 200, Wire.map("permit", lastLease));
+            reply(request, 200, MessagePackFormat.map("permit", lastLease));
         } else if (path.startsWith("/grants/")) {
             long lease = Long.parseLong(path.split("/")[2]);
             if (request.method().equals(HttpMethod.DELETE) && !keepingLeases) {
@@ -244,7 +244,7 @@
             request.connection().close();
             return;
         }
-        Reply reply = execute(txn);
+        ServiceResponse reply = execute(txn);
         if (reply.isOk() && losingAnswers > 0) {
             losingAnswers--;
             request.connection().close();
@@ -266,10 +266,10 @@
                                 w.has("write") && JsonSize.of(w.child("data").map()) > valueBytes);
     }
 
-    private Reply execute(Fields txn) {
+    private ServiceResponse execute(Fields txn) {
         if (isTooLarge(txn)) {
             tooLarge++;
-            return new Reply(400, new Fields(Wire.map("error", "too large")));
+            return new ServiceResponse(400, new Fields(MessagePackFormat.map("error", "too large")));
         }
         List<String> failed = new ArrayList<>();
         for (Fields when : txn.children("when")) {
@@ -280,11 +280,12 @@
         }
         for (Fields write : txn.children("writes")) {
             if (write.has("permit") && !leases.containsKey(write.whole("permit"))) {
-                return new Reply(400, new Fields(Wire.map("error", "no such lease")));
+                return new ServiceResponse(400, new Fields(MessagePackFormat.map("error", "no such lease")));
             }
         }
         if (!failed.isEmpty()) {
-            return new Reply(409, new Fields(Wire.map("failed", failed, "ledger_rev", revision)));
+            return new ServiceResponse(
+                    409, new Fields(MessagePackFormat.map("failed", failed, "ledger_rev", revision)));
         }
         revision++;
         for (Fields write : txn.children("writes")) {
@@ -295,16 +296,16 @@
             } else {
                 Map<String, Object> data = write.child("data").map();
                 items.put(write.text("write"), new Item(data, revision, write.whole("permit", 0)));
-                changes.add(Wire.map("write", write.text("write"), "data", data, "stamp", revision));
+                changes.add(MessagePackFormat.map("write", write.text("write"), "data", data, "stamp", revision));
             }
         }
         wakeWatchers();
-        return new Reply(200, new Fields(Wire.map("ledger_rev", revision)));
+        return new ServiceResponse(200, new Fields(MessagePackFormat.map("ledger_rev", revision)));
     }
 
     private void delete(String key) {
         if (items.remove(key) != null) {
-            changes.add(Wire.map("delete", key, "stamp", ++revision));
+            changes.add(MessagePackFormat.map("delete", key, "stamp", ++revision));
         } else {
             revision++;
         }
@@ -316,13 +317,13 @@
         String since = request.getParam("since");
         items.tailMap(since == null ? "" : since, false).forEach((key, item) -> {
             if (key.startsWith(request.getParam("starts"))) {
-                out.add(Wire.map("path", key, "data", item.data, "stamp", item.stamp));
+                out.add(MessagePackFormat.map("path", key, "data", item.data, "stamp", item.stamp));
             }
         });
         reply(
                 request,
                 200,
-                Wire.map(
+                MessagePackFormat.map(
                         "items",
                         out.subList(0, Math.min(most, out.size())),
                         "truncated",
@@ -343,7 +344,7 @@
             }
         }
         if (!events.isEmpty()) {
-            reply(request, 200, Wire.map("ledger_rev", revision, "events", events));
+            reply(request, 200, MessagePackFormat.map("ledger_rev", revision, "events", events));
             return;
         }
         Promise<Void> change = Promise.promise();
@@ -359,7 +360,7 @@
 
     private void reply(HttpServerRequest request, int status, Map<String, Object> body) {
         // As it is now: a listing's values are those of this moment.
-        Buffer written = Wire.write(body);
+        Buffer written = MessagePackFormat.write(body);
         int lag = lagMs.applyAsInt(request.path());
         if (lag > 0) {
             Vertx.currentContext().owner().setTimer(lag, t -> send(request, status, written));
--- a/src/test/java/io/indigoreach/state/VersionProcesses.java
+++ b/src/test/java/io/indigoreach/state/VersionProcesses.java
@@ -1,12 +1,12 @@
 package io.indigoreach.state;
 
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.TokenClock;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.leadership.TokenGenerator;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
@@ -19,7 +19,7 @@
     private static final Span LIFE = Span.seconds(1.5);
 
     /** A controller of this version. */
-    record Newer(Vertx vertx, StateClient client, Leadership leadership, FormatGate gate) {
+    record Newer(Vertx vertx, StateClient client, LeaderElection leadership, FormatGate gate) {
         boolean isOpen() throws Exception {
             return await(VersionProcesses.on(vertx, gate::isOpen));
         }
@@ -48,10 +48,10 @@
 
         private StateClient.Txn campaign(long token, StateClient.Entry counter, long lease) {
             return new StateClient.Txn()
-                    .when(RecordCodec.LEADER, Stamp.ABSENT)
+                    .when(RecordCodec.LEADER, Revision.ABSENT)
                     .when(RecordCodec.COUNTER, StateClient.stampOf(counter))
-                    .put(RecordCodec.LEADER, LeaderKey.write(node, "old", new Token(token)), lease)
-                    .put(RecordCodec.COUNTER, Wire.map("value", token));
+                    .put(RecordCodec.LEADER, LeaderKey.write(node, "old", new FencingToken(token)), lease)
+                    .put(RecordCodec.COUNTER, MessagePackFormat.map("value", token));
         }
     }
 
@@ -59,7 +59,7 @@
     final SteadyClock clock = new SteadyClock();
     final StateStandIn service;
     /** Vert.x closes a client that nothing refers to any more. */
-    private final List<Caller> callers = new ArrayList<>();
+    private final List<ServiceClient> callers = new ArrayList<>();
 
     VersionProcesses() throws Exception {
         service = await(new StateStandIn().listen(vertx));
@@ -80,8 +80,8 @@
         return new StateClient(caller(), caller());
     }
 
-    private Caller caller() {
-        callers.add(new Caller(vertx, service.endpoint(), 4));
+    private ServiceClient caller() {
+        callers.add(new ServiceClient(vertx, service.endpoint(), 4));
         return callers.get(callers.size() - 1);
     }
 
@@ -91,7 +91,7 @@
 
     Newer newer(String node) {
         StateClient client = client();
-        Leadership leadership = new Leadership(
+        LeaderElection leadership = new LeaderElection(
                 vertx,
                 client,
                 vertx,
@@ -101,10 +101,10 @@
                 node + "-" + callers.size(),
                 NODES.size() - 1,
                 LIFE,
-                new TokenClock(NODES.indexOf(node), clock.timeOfDay(), Span.seconds(0.1)),
-                new Leadership.Listener() {
+                new TokenGenerator(NODES.indexOf(node), clock.timeOfDay(), Span.seconds(0.1)),
+                new LeaderElection.Listener() {
                     @Override
-                    public void took(Token token, Stamp key, boolean bounds) {}
+                    public void took(FencingToken token, Revision key, boolean bounds) {}
 
                     @Override
                     public void lost(String reason) {}
--- a/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
+++ b/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
@@ -4,25 +4,25 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.api.FrontDoor;
-import io.indigoreach.api.Joining;
-import io.indigoreach.api.Refusal;
+import io.indigoreach.api.HttpApi;
+import io.indigoreach.api.RequestRejectedException;
+import io.indigoreach.api.SubmissionParticipant;
 import io.indigoreach.cluster.PartRegistry;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
 import io.indigoreach.config.SettingsFile;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.core.records.Change;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.records.Transaction;
 import io.indigoreach.net.Endpoint;
-import io.indigoreach.net.Reply;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.net.WireException;
 import io.indigoreach.parts.Parts;
 import io.indigoreach.state.StateClient;
@@ -49,7 +49,7 @@
 
     private final Vertx vertx = Vertx.vertx();
     private Parts parts;
-    private Caller http;
+    private ServiceClient http;
     private StateStandIn state;
     private String cluster;
 
@@ -76,14 +76,15 @@
         parts = Parts.of(
                 PartRegistry.switchedOn(settings),
                 vertx,
-                new StateClient(new Caller(vertx, state.endpoint(), 8), new Caller(vertx, state.endpoint(), 1)),
+                new StateClient(
+                        new ServiceClient(vertx, state.endpoint(), 8), new ServiceClient(vertx, state.endpoint(), 1)),
                 new SteadyClock(),
                 null,
                 config,
                 settings);
         int port = await(
-                new FrontDoor(vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources()).open());
-        http = new Caller(vertx, new Endpoint("127.0.0.1", port), 2);
+                new HttpApi(vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources()).open());
+        http = new ServiceClient(vertx, new Endpoint("127.0.0.1", port), 2);
         cluster = Files.writeString(
                         dir.resolve("cluster"), new ClusterFile(List.of("127.0.0.1:" + port), "", "", "").toText())
                 .toString();
@@ -102,8 +103,8 @@
         return ToolTest.tell(("records " + line + " --cluster " + cluster).split(" "));
     }
 
-    private Reply post(String what, Object... body) throws Exception {
-        return await(http.post("/api/records/" + what, Wire.map(body), Span.seconds(5)));
+    private ServiceResponse post(String what, Object... body) throws Exception {
+        return await(http.post("/api/records/" + what, MessagePackFormat.map(body), Span.seconds(5)));
     }
 
     private void begin() throws Exception {
@@ -112,7 +113,7 @@
 
     @Test
     void nothingIsFreeBeforeItHasBegun() throws Exception {
-        Reply r = post("claim", "run", "e1", "ids", List.of("a/1"));
+        ServiceResponse r = post("claim", "run", "e1", "ids", List.of("a/1"));
         assertEquals(503, r.status());
         assertTrue(r.body().text("error").contains("records begin"));
         begin();
@@ -134,7 +135,7 @@
     })
     void whatIsMalformedIsToldByItsField(String what, String name, String value, String field) throws Exception {
         begin();
-        Reply r = post(what, name, value);
+        ServiceResponse r = post(what, name, value);
         assertEquals(400, r.status());
         assertTrue(r.body().text("error").endsWith("field " + field), r.body().text("error"));
     }
@@ -191,12 +192,12 @@
         tell("claim --run e1 a/1 a/2");
         tell("billing --run e1 a/1");
         tell("billed --run e1 a/1=" + tell("billing --run e1 a/1").out().trim().split(" ")[1]);
-        Joining field = parts.joinings().get(0);
+        SubmissionParticipant field = parts.joinings().get(0);
         JobSpec plain = new JobSpec(
                 new JobId("run-1"),
                 "c",
                 "t",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Urgency.STANDARD,
                 2,
                 new Demand(1, 0, 1),
@@ -213,11 +214,11 @@
                 null);
         JobSpec never = plain.with(JobSpec.RECORDS, Map.of("ids", List.of("a/1", "a/3")));
         ExecutionException refused = assertThrows(ExecutionException.class, () -> await(field.accepting(never)));
-        assertTrue(refused.getCause() instanceof Refusal r
+        assertTrue(refused.getCause() instanceof RequestRejectedException r
                 && r.answer().status() == 422
                 && r.getMessage().contains("billed by e1"));
         JobSpec waits = plain.with(JobSpec.RECORDS, Map.of("prefix", "a/", "from", 2L, "to", 3L));
-        Change commit = await(field.accepting(waits));
+        Transaction commit = await(field.accepting(waits));
         assertEquals(List.of("own/c/run-1"), List.copyOf(commit.writes().keySet()));
         assertThrows(
                 WireException.class,
