--- a/src/main/java/io/indigoreach/calendar/PlanScheduler.java
+++ b/src/main/java/io/indigoreach/calendar/PlanScheduler.java
@@ -103,7 +103,7 @@
         this.clock = clock;
         this.time = time;
         this.duty = new PeriodicTask(vertx, "calendar", STEP, this::step);
-        core.onRun(this::ran);
+        core.onTaskCompleted(this::ran);
     }
 
     PlanScheduler start() {
--- a/src/main/java/io/indigoreach/cloud/CloudCodec.java
+++ b/src/main/java/io/indigoreach/cloud/CloudCodec.java
@@ -43,28 +43,28 @@
 
     public static Map<String, Object> writeTypes(List<MachineType> types) {
         List<Object> list = new ArrayList<>();
-        for (MachineType t : types) {
+        for (MachineType type : types) {
             list.add(MessagePackFormat.map(
                     "label",
-                    t.name(),
+                    type.name(),
                     "cores",
-                    t.capacity().cores(),
+                    type.capacity().cores(),
                     "gpus",
-                    t.capacity().gpus(),
+                    type.capacity().gpus(),
                     "ram_gb",
-                    t.capacity().ramGb(),
+                    type.capacity().ramGb(),
                     "cache_gb",
-                    t.cacheGb(),
+                    type.cacheGb(),
                     "fetch_gb_per_s",
-                    t.fetchGbPerS(),
+                    type.fetchGbPerS(),
                     "price",
-                    t.price(),
+                    type.price(),
                     "low_price",
-                    t.spotPrice(),
+                    type.spotPrice(),
                     "boot_s",
-                    t.boot().seconds(),
+                    type.boot().seconds(),
                     "halls",
-                    t.zones()));
+                    type.zones()));
         }
         return MessagePackFormat.map("boxkinds", list);
     }
--- a/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
+++ b/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
@@ -98,7 +98,13 @@
     void progress(StateClient.Txn txn, Job job, BitSet done) {
         txn.put(
                 RecordCodec.open(job.id()),
-                bits().writeJob(job.spec(), job.submittedMs(), job.status(), done, job.running(), job.boundToWrite()));
+                bits().writeJob(
+                                job.spec(),
+                                job.submittedMs(),
+                                job.status(),
+                                done,
+                                job.runningCount(),
+                                job.startBoundToWrite()));
         if (hasRoomInRecord(job)) {
             return;
         }
@@ -129,7 +135,7 @@
         if (hasRoomInRecord(job)) {
             return false;
         }
-        BitSet missing = job.doneTasks();
+        BitSet missing = job.completedTasks();
         missing.andNot(beside(job.id()).done);
         return !missing.isEmpty();
     }
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -62,7 +62,7 @@
             RateLimiter writes) {
         this.env = env;
         this.core = core;
-        this.chains = core.chains();
+        this.chains = core.dependentJobs();
         this.ledger = ledger;
         this.key = key;
         this.deposed = deposed;
@@ -181,7 +181,7 @@
             }
             StateClient.Txn txn = new StateClient.Txn()
                     .when(RecordCodec.LEADER, key)
-                    .when(RecordCodec.open(id), job.stamp())
+                    .when(RecordCodec.open(id), job.revision())
                     .delete(RecordCodec.open(id))
                     .put(RecordCodec.over(id), RecordCodec.writeFinal(JobStatus.CANCELLED, job.doneCount()));
             if (!writes.take(txn.size(), now)) {
@@ -218,7 +218,7 @@
         JobId id = job.id();
         return env.state().get(RecordCodec.open(id)).compose(open -> {
             if (open != null) {
-                core.stamped(job, open.stamp());
+                core.revisionSeen(job, open.stamp());
                 return Future.succeededFuture();
             }
             return env.state().get(RecordCodec.over(id)).map(over -> {
--- a/src/main/java/io/indigoreach/cluster/FleetManager.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -88,7 +88,7 @@
     Future<Void> load() {
         return book.load().map(page -> {
             Moment now = env.clock().now();
-            core.condemn(page.condemned(), now);
+            core.inheritReturns(page.condemned(), now);
             book.intents().condemn(page.condemned());
             for (Intents.Rent r : page.rents()) {
                 Moment asked = now.minus(new Span(Math.max(0, env.clock().timeOfDay() - r.askedMs())));
@@ -127,11 +127,11 @@
 
     /** Once a check: what is wanted now becomes requests. */
     private void think(Moment now) {
-        if (now.since(checked).compareTo(env.settings().tuning().check()) < 0) {
+        if (now.since(checked).compareTo(env.settings().tuning().checkPeriod()) < 0) {
             return;
         }
         checked = now;
-        for (ScaleOutRequest wish : core.wishes(now)) {
+        for (ScaleOutRequest wish : core.scaleOutRequests(now)) {
             Request request = new Request("t" + token + "-" + ++requests, wish, now, 0, now);
             Intents.Rent rent = new Intents.Rent(
                     request.name, wish.pool(), wish.count(), env.clock().timeOfDay());
@@ -202,13 +202,13 @@
     }
 
     private Future<Span> giveBack() {
-        Span period = env.settings().tuning().check();
+        Span period = env.settings().tuning().checkPeriod();
         if (!mayAct.getAsBoolean()) {
             return Future.succeededFuture(PAUSE);
         }
-        core.awakeSince(env.pulse().awakeSince());
-        core.check(env.clock().now());
-        List<MachineId> leaving = book.intents().condemn(core.leaving(CloudClient.mostReturned()));
+        core.setAwakeSince(env.pulse().awakeSince());
+        core.planScaleIn(env.clock().now());
+        List<MachineId> leaving = book.intents().condemn(core.machinesToReturn(CloudClient.mostReturned()));
         if (leaving.isEmpty()) {
             return Future.succeededFuture(period);
         }
@@ -231,11 +231,11 @@
         Moment asked = env.clock().now();
         return env.cloud().list().map(list -> {
             if (!listing.isCancelled()) {
-                core.onList(list, asked, env.clock().now());
+                core.onMachineListing(list, asked, env.clock().now());
             }
             // After a take-over the list tells which silent machines are gone, and work waits for that.
             Span usual = env.settings().span(Settings.Setting.LIST_EVERY_S);
-            return core.isSettled() || usual.compareTo(PAUSE) < 0 ? usual : PAUSE;
+            return core.isFailoverComplete() || usual.compareTo(PAUSE) < 0 ? usual : PAUSE;
         });
     }
 }
--- a/src/main/java/io/indigoreach/cluster/JobStore.java
+++ b/src/main/java/io/indigoreach/cluster/JobStore.java
@@ -151,7 +151,7 @@
                         // Another node wrote this time, by a clock that may be off as far the other way as this one's.
                         Moment existed = steady(m.existedMs())
                                 .plus(env.config().clockOff().times(2));
-                        core.inherit(m.id(), m.pool(), steady(m.rentedMs()), existed, took);
+                        core.inheritMachine(m.id(), m.pool(), steady(m.rentedMs()), existed, took);
                     }
                 }))
                 .compose(r -> listOpen(e -> {
@@ -182,7 +182,7 @@
     /** What was cancelled before it is asked for is not in it. */
     private Future<Long> listOpen(Consumer<StateClient.Entry> each) {
         Moment asked = env.clock().now();
-        return pages(RecordCodec.OPEN, each).onSuccess(revision -> horizon.heard(asked));
+        return pages(RecordCodec.OPEN, each).onSuccess(revision -> horizon.advanceTo(asked));
     }
 
     private void inherit(JobRecord record, Map<JobId, BitSet> bits) {
@@ -256,7 +256,7 @@
                         }))
                 .map(revision -> {
                     for (Job job : new ArrayList<>(core.jobs())) {
-                        if (!present.contains(job.id()) && job.stamp().value() <= revision) {
+                        if (!present.contains(job.id()) && job.revision().value() <= revision) {
                             heardGone(job.id());
                         }
                     }
@@ -352,7 +352,7 @@
                 duty.wake();
             }
         } else {
-            core.stamped(job, stamp);
+            core.revisionSeen(job, stamp);
             if (!unlessUnreadable(RecordCodec.open(id), () -> RecordCodec.readJob(id, value, stamp))) {
                 touch(job);
             }
@@ -372,7 +372,7 @@
             horizon.settled(id);
             return;
         }
-        horizon.gone(id);
+        horizon.recordGone(id);
         whyGone(id).onComplete(why -> {
             if (duty.isCancelled()) {
                 return;
@@ -469,11 +469,11 @@
         List<Job> ends = touched.stream().filter(Job::isComplete).toList();
         boolean crowded = ends.size() > MOST_AT_ONCE;
         List<Job> ready = new ArrayList<>();
-        merge(ends, core.boundsToRaise(now), ready);
+        merge(ends, core.startBoundsToRaise(now), ready);
         for (Job job : touched) {
             boolean gathered =
                     now.since(written.getOrDefault(job.id(), Moment.NEVER)).compareTo(GATHER) >= 0;
-            if (!job.isComplete() && !job.wantsBound() && gathered) {
+            if (!job.isComplete() && !job.needsHigherStartBound() && gathered) {
                 ready.add(job);
             }
         }
@@ -486,7 +486,7 @@
             }
             StateClient.Txn txn = transaction(job, crowded);
             // Progress, which there is always more of, may not take what an end or a start is waiting for.
-            if (!((job.isComplete() || job.wantsBound())
+            if (!((job.isComplete() || job.needsHigherStartBound())
                     ? budget.take(txn.size(), now)
                     : budget.takeSpare(txn.size(), now))) {
                 break;
@@ -535,9 +535,9 @@
      */
     private StateClient.Txn transaction(Job job, boolean crowded) {
         JobId id = job.id();
-        BitSet done = job.doneTasks();
+        BitSet done = job.completedTasks();
         StateClient.Txn txn =
-                new StateClient.Txn().when(RecordCodec.LEADER, key).when(RecordCodec.open(id), job.stamp());
+                new StateClient.Txn().when(RecordCodec.LEADER, key).when(RecordCodec.open(id), job.revision());
         // Without the bits, a later leader would not know from the open record that the job is over.
         if (job.isComplete() && !(crowded && blocks.hasRoomInRecord(job))) {
             return txn.delete(RecordCodec.open(id))
@@ -574,10 +574,10 @@
 
     private void write(Job job, StateClient.Txn txn, Moment now) {
         JobId id = job.id();
-        BitSet done = job.doneTasks();
+        BitSet done = job.completedTasks();
         boolean complete = job.isComplete();
         JobStatus status = job.status();
-        int bound = job.boundToWrite();
+        int bound = job.startBoundToWrite();
         touched.remove(job);
         writing.add(id);
         written.put(id, now);
@@ -597,9 +597,9 @@
                         unmoved.put(id, result.result().stamp());
                     }
                 } else {
-                    core.stamped(job, result.result().stamp());
-                    job.recorded(blocks.written(job, done));
-                    job.boundRecorded(bound);
+                    core.revisionSeen(job, result.result().stamp());
+                    job.completionsRecorded(blocks.written(job, done));
+                    job.startBoundRecorded(bound);
                     if (core.job(id) == job) {
                         // Else cancelled since, as its watch told before this answer came: it would be kept for ever.
                         shown.put(id, status);
@@ -628,7 +628,7 @@
                 .get(RecordCodec.open(id))
                 .compose(open -> {
                     if (open != null) {
-                        core.stamped(job, open.stamp());
+                        core.revisionSeen(job, open.stamp());
                         return Future.succeededFuture();
                     }
                     return env.state().get(RecordCodec.over(id)).compose(over -> {
--- a/src/main/java/io/indigoreach/cluster/JobWatch.java
+++ b/src/main/java/io/indigoreach/cluster/JobWatch.java
@@ -52,7 +52,7 @@
     }
 
     private Future<Span> step() {
-        return step(waitFor(env.config().rules().horizonAge()));
+        return step(waitFor(env.config().rules().maxCancellationAge()));
     }
 
     /** One watch that stays open for {@code longest} at most. */
@@ -62,7 +62,7 @@
             return ledger.readAgain().map(revision -> {
                 since = revision;
                 readAgain = false;
-                horizon.heard(sent);
+                horizon.advanceTo(sent);
                 return Span.ZERO;
             });
         }
@@ -79,7 +79,7 @@
             for (StateClient.Change change : changes.changes()) {
                 JobStore.unlessUnreadable(change.key(), () -> apply(change));
             }
-            horizon.heard(sent);
+            horizon.advanceTo(sent);
             return Span.ZERO;
         });
     }
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -198,40 +198,40 @@
      * knows of none: an earlier leader may have missed one for long, and an outage that begins now would keep them from being read.
      */
     boolean hearsCancellations() {
-        return core.isLoaded()
+        return core.areRecordsLoaded()
                 && env.clock()
                                 .now()
-                                .since(horizon.until())
-                                .compareTo(env.config().rules().horizonAge())
+                                .since(horizon.completeUntil())
+                                .compareTo(env.config().rules().maxCancellationAge())
                         < 0;
     }
 
     /** How far back this leader wants to be told of cancellations. */
     Span unheard() {
-        return horizon.missing(env.clock().now(), QUESTION);
+        return horizon.lookBack(env.clock().now(), QUESTION);
     }
 
     /** At {@code sent} every node was asked; this is what all of them say together of cancellations. */
     void told(CancellationSummary word, Moment sent) {
         // Without the records nothing can be done about it yet, and nothing is counted as heard.
-        if (core.isLoaded()) {
+        if (core.areRecordsLoaded()) {
             word.cancelled().forEach(ledger::cancelled);
-            horizon.told(word.covered(), sent, env.clock().now());
+            horizon.peersAnswered(word.covered(), sent, env.clock().now());
         }
     }
 
     /** The orders for a worker; null if a newer leader exists. A machine's first report waits for its record. */
-    Future<List<WorkerCommand>> onReport(Heartbeat report) {
-        List<WorkerCommand> orders = core.onReport(report, env.clock().now());
-        Machine unrecorded = orders == null || !core.isLoaded() ? null : core.unrecorded(report.machine());
+    Future<List<WorkerCommand>> onReport(Heartbeat heartbeat) {
+        List<WorkerCommand> orders = core.onHeartbeat(heartbeat, env.clock().now());
+        Machine unrecorded = orders == null || !core.areRecordsLoaded() ? null : core.unrecorded(heartbeat.machine());
         if (unrecorded == null) {
             return Future.succeededFuture(orders);
         }
         return book.record(unrecorded).map(done -> {
             List<WorkerCommand> all = new ArrayList<>(orders);
             if (done) {
-                all.addAll(
-                        core.fill(report.machine(), report.number(), env.clock().now()));
+                all.addAll(core.startTasks(
+                        heartbeat.machine(), heartbeat.number(), env.clock().now()));
             }
             return all;
         });
@@ -239,7 +239,7 @@
 
     /** Whether a machine's report may be answered; if not, its lease is to run out. */
     boolean answers(MachineId machine) {
-        return core.answers(machine);
+        return core.mayAnswer(machine);
     }
 
     private Future<Span> open() {
@@ -251,7 +251,7 @@
                 .compose(revision -> fleet.load().map(revision))
                 .compose(revision -> watch.catchUp(revision).map(revision))
                 .map(revision -> {
-                    core.loaded();
+                    core.recordsLoaded();
                     serves = env.clock().now();
                     LOG.info(
                             "records read: {} open jobs, {} machines",
@@ -295,11 +295,11 @@
     /** What this leader knows of one job, while it knows them all. */
     RememberedState remains(JobId id) {
         RememberedState remains = new RememberedState();
-        if (core.isLoaded()) {
+        if (core.areRecordsLoaded()) {
             ledger.addTo(remains, id);
             Job job = core.job(id);
             if (job != null) {
-                remains.add(SchedulerCore.remains(job));
+                remains.add(SchedulerCore.rememberedState(job));
             }
         }
         return remains;
@@ -308,9 +308,9 @@
     /** What this leader knows beside what is recorded, while it knows it all. */
     RememberedState remains() {
         RememberedState remains = new RememberedState();
-        if (core.isLoaded()) {
+        if (core.areRecordsLoaded()) {
             ledger.addTo(remains);
-            remains.add(core.remains());
+            remains.add(core.rememberedState());
         }
         return remains;
     }
@@ -318,13 +318,13 @@
     private Future<Span> tick() {
         Moment now = env.clock().now();
         Moment awake = env.pulse().awakeSince();
-        core.awakeSince(awake.isAfter(serves) ? awake : serves);
+        core.setAwakeSince(awake.isAfter(serves) ? awake : serves);
         core.expireLeases(now);
-        if (leadership.isValid() && !env.config().peers().isEmpty() && core.isDeaf(now)) {
+        if (leadership.isValid() && !env.config().peers().isEmpty() && core.isCutOffFromWorkers(now)) {
             leadership.abdicate("no worker's report reaches this node");
             return Future.succeededFuture(TICK);
         }
-        if (!boundsKept && core.isLoaded() && core.jobs().stream().noneMatch(Job::isInherited)) {
+        if (!boundsKept && core.areRecordsLoaded() && core.jobs().stream().noneMatch(Job::isInherited)) {
             // Whatever is open now, this leader has kept to the bounds of: a later one may believe them.
             return leadership.vouchForBounds().map(done -> {
                 boundsKept = done;
@@ -339,12 +339,12 @@
     }
 
     @Override
-    public void progress(Job job) {
+    public void taskCompleted(Job job) {
         ledger.touch(job);
     }
 
     @Override
-    public void say(String line) {
+    public void log(String line) {
         LOG.info("{}", line);
     }
 }
--- a/src/main/java/io/indigoreach/cluster/MachineStore.java
+++ b/src/main/java/io/indigoreach/cluster/MachineStore.java
@@ -125,9 +125,9 @@
     }
 
     /** Records a machine, so that its first report can be answered with tasks; false if that takes too long now. */
-    Future<Boolean> record(Machine m) {
+    Future<Boolean> record(Machine machine) {
         Moment now = env.clock().now();
-        Waiting w = waiting.computeIfAbsent(m.id(), id -> new Waiting(Promise.promise(), now));
+        Waiting w = waiting.computeIfAbsent(machine.id(), id -> new Waiting(Promise.promise(), now));
         if (now.since(written).compareTo(GATHER) >= 0) {
             duty.wake();
         }
@@ -176,12 +176,12 @@
         long today = env.clock().timeOfDay();
         Moment now = env.clock().now();
         for (MachineId id : waiting.keySet()) {
-            Machine m = core.unrecorded(id);
+            Machine machine = core.unrecorded(id);
             MachineRecord line = new MachineRecord(
                     id,
-                    m.pool(),
-                    today - now.since(m.rented()).ms(),
-                    today - now.since(m.existed()).ms());
+                    machine.pool(),
+                    today - now.since(machine.rentedAt()).ms(),
+                    today - now.since(machine.knownToExistAt()).ms());
             int bytes = RecordCodec.bytes(line);
             Page page = null;
             for (Page p : pages) {
--- a/src/main/java/io/indigoreach/cluster/Node.java
+++ b/src/main/java/io/indigoreach/cluster/Node.java
@@ -78,7 +78,7 @@
         controller.remembering(standing::gather);
         controller.asking(standing::pledges, standing::othersDoNotLead);
         mender.asking(standing::recall);
-        jobs.chaining(config.rules().cancel(), controller::leadership);
+        jobs.chaining(config.rules().cancellationTime(), controller::leadership);
         jobs.chainsUnderstoodByAll(() -> controller.formats().isOpen());
         jobs.joining(parts.joinings());
         parts.all().forEach(p -> p.submitting(jobs::submit));
--- a/src/main/java/io/indigoreach/cluster/PeerPromises.java
+++ b/src/main/java/io/indigoreach/cluster/PeerPromises.java
@@ -55,7 +55,8 @@
             // A node of the version before: that it told of none for a while is a word without names.
             return new PeerPromises(pledged, new CancellationSummary(Set.of(), new Span(answer.whole("quiet_ms", 0))));
         }
-        if (texts.size() > ConfirmedCancellations.MOST || !texts.stream().allMatch(JobId::isValid)) {
+        if (texts.size() > ConfirmedCancellations.MAX_REMEMBERED
+                || !texts.stream().allMatch(JobId::isValid)) {
             throw Fields.invalid("cancelled");
         }
         Set<JobId> jobs = new HashSet<>();
--- a/src/main/java/io/indigoreach/cluster/PeerProtocol.java
+++ b/src/main/java/io/indigoreach/cluster/PeerProtocol.java
@@ -256,8 +256,8 @@
             // turn is.
             duty.wake();
         }
-        return new PeerPromises(unserved && controller.pledge(), jobs.told().word(back, now))
-                .write(jobs.told().quiet(now));
+        return new PeerPromises(unserved && controller.pledge(), jobs.told().summary(back, now))
+                .write(jobs.told().timeSinceLast(now));
     }
 
     /** Every other node's pledge not to lead, and its word on cancellations so far back; none without other nodes. */
@@ -269,7 +269,7 @@
         return answers.isEmpty()
                 ? Future.succeededFuture(PeerPromises.NONE)
                 : Future.all(answers).map(all -> {
-                    PeerPromises together = new PeerPromises(true, jobs.told().word(back, clock.now()));
+                    PeerPromises together = new PeerPromises(true, jobs.told().summary(back, clock.now()));
                     for (PeerPromises one : all.<PeerPromises>list()) {
                         together = together.and(one);
                     }
--- a/src/main/java/io/indigoreach/cluster/WarmUp.java
+++ b/src/main/java/io/indigoreach/cluster/WarmUp.java
@@ -99,13 +99,13 @@
                 List.of(new Team("t", 0, 0, 0, 0)),
                 new SchedulerListener() {
                     @Override
-                    public void progress(Job job) {}
+                    public void taskCompleted(Job job) {}
 
                     @Override
-                    public void say(String line) {}
+                    public void log(String line) {}
                 });
         core.setTypes(List.of(new MachineType("k", SIZE, 40, 0.3, 1, 0.2, Span.seconds(20), List.of("z"))));
-        core.loaded();
+        core.recordsLoaded();
         Moment now = env.clock().now();
         List<MachineId> ids = new ArrayList<>();
         for (int n = 0; n < MACHINES; n++) {
@@ -156,23 +156,24 @@
                 null,
                 tasks.getOrDefault(n, List.of()));
         Heartbeat read = WorkerCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(WorkerCodec.write(sent))));
-        List<WorkerCommand> orders = core.onReport(read, env.clock().now());
+        List<WorkerCommand> orders = core.onHeartbeat(read, env.clock().now());
         MessagePackFormat.write(WorkerCodec.answer(new FencingToken(2), orders));
         core.expireLeases(env.clock().now());
         boolean ended = reports / MACHINES % 3 == 2;
         List<TaskStatus> next = new ArrayList<>();
         if (!ended) {
             tasks.getOrDefault(n, List.of()).stream()
-                    .filter(t -> t.state() == TaskState.RUNNING)
+                    .filter(status -> status.state() == TaskState.RUNNING)
                     .forEach(next::add);
         }
-        for (WorkerCommand order : orders) {
-            if (order instanceof WorkerCommand.Start) {
+        for (WorkerCommand command : orders) {
+            if (command instanceof WorkerCommand.Start) {
                 ordered++;
                 next.add(
                         ended
-                                ? new TaskStatus(order.task(), order.attempt(), TaskState.EXITED, ExitCause.DONE, false)
-                                : new TaskStatus(order.task(), order.attempt(), TaskState.RUNNING, null, false));
+                                ? new TaskStatus(
+                                        command.task(), command.attempt(), TaskState.EXITED, ExitCause.DONE, false)
+                                : new TaskStatus(command.task(), command.attempt(), TaskState.RUNNING, null, false));
             }
         }
         tasks.put(n, next);
--- a/src/main/java/io/indigoreach/config/PlatformConfig.java
+++ b/src/main/java/io/indigoreach/config/PlatformConfig.java
@@ -209,11 +209,11 @@
                 "workers",
                 table(
                         "report_s",
-                        rules.report().seconds(),
+                        rules.heartbeatPeriod().seconds(),
                         "lease_s",
                         rules.workerLease().seconds(),
                         "cancel_s",
-                        rules.cancel().seconds()));
+                        rules.cancellationTime().seconds()));
         settings.set(
                 "state",
                 table(
--- a/src/main/java/io/indigoreach/config/Settings.java
+++ b/src/main/java/io/indigoreach/config/Settings.java
@@ -117,10 +117,10 @@
     /**
      * The leader's lease: as set, but never longer than it may be without news of cancellations. The usual length lets a
      * worker whose leader falls silent find the next one as soon as it has given the old one up ({@link
-     * SafetyTimes#workerPatience} and a second); an outage of the state service is bridged by the other nodes' pledges.
+     * SafetyTimes#responseTimeout} and a second); an outage of the state service is bridged by the other nodes' pledges.
      */
     public Span leaderLease(SafetyTimes rules) throws ConfigException {
-        Span most = rules.horizonAge();
+        Span most = rules.maxCancellationAge();
         if (most.compareTo(Span.seconds(1)) < 0) {
             throw new ConfigException("settings.workers.cancel_s: too short beside lease_s for any leader's lease");
         }
--- a/src/main/java/io/indigoreach/core/leadership/CancellationHorizon.java
+++ b/src/main/java/io/indigoreach/core/leadership/CancellationHorizon.java
@@ -9,25 +9,25 @@
 /**
  * Up to when a leader has heard of every cancellation that a user was told of, and has acted on it: by reading the records, by
  * its watch, or, while the state service does not answer it, by every node's word. Workers are answered for {@link
- * SafetyTimes#horizonAge} after that moment and no longer. Before the records are read there is no such moment: a cancellation that an
+ * SafetyTimes#maxCancellationAge} after that moment and no longer. Before the records are read there is no such moment: a cancellation that an
  * earlier leader did not hear of, told any time ago, would let its tasks live on by this leader's answers.
  */
 public final class CancellationHorizon {
-    private Moment heard = Moment.NEVER;
+    private Moment advanceTo = Moment.NEVER;
     /** Jobs whose records are gone, from when on they may have been cancelled, until it is known why and acted on. */
     private final Map<JobId, Moment> unsettled = new HashMap<>();
 
     /** Everything that happened before {@code moment} has been heard. */
-    public void heard(Moment moment) {
-        heard = moment.isAfter(heard) ? moment : heard;
+    public void advanceTo(Moment moment) {
+        advanceTo = moment.isAfter(advanceTo) ? moment : advanceTo;
     }
 
     /**
      * An open job's record is gone, as was just heard: probably it is cancelled. Heard is not acted on, and why it is gone may not
      * be readable for as long as an outage lasts.
      */
-    public void gone(JobId job) {
-        unsettled.putIfAbsent(job, heard);
+    public void recordGone(JobId job) {
+        unsettled.putIfAbsent(job, advanceTo);
     }
 
     /** What became of that job is known, and nothing of it runs on by this leader's orders. */
@@ -40,15 +40,15 @@
      * before its answer is known here. If that goes back beyond what was heard last, nothing told before the question is missing;
      * one told after it has its whole time from then.
      */
-    public void told(Span covered, Moment sent, Moment now) {
-        if (covered.compareTo(now.since(heard).withDrift()) > 0) {
-            heard(sent);
+    public void peersAnswered(Span covered, Moment sent, Moment now) {
+        if (covered.compareTo(now.since(advanceTo).withDrift()) > 0) {
+            advanceTo(sent);
         }
     }
 
     /** Every cancellation that a user was told of before this moment is heard and acted on. */
-    public Moment until() {
-        Moment until = heard;
+    public Moment completeUntil() {
+        Moment until = advanceTo;
         for (Moment since : unsettled.values()) {
             until = since.isBefore(until) ? since : until;
         }
@@ -56,9 +56,9 @@
     }
 
     /** How far back other nodes must tell of cancellations to be of use, {@code way} being what question and answer may take. */
-    public Span missing(Moment now, Span way) {
-        return heard.equals(Moment.NEVER)
+    public Span lookBack(Moment now, Span way) {
+        return advanceTo.equals(Moment.NEVER)
                 ? Span.ZERO
-                : now.since(heard).plus(way).withDrift();
+                : now.since(advanceTo).plus(way).withDrift();
     }
 }
--- a/src/main/java/io/indigoreach/core/leadership/ConfirmedCancellations.java
+++ b/src/main/java/io/indigoreach/core/leadership/ConfirmedCancellations.java
@@ -13,11 +13,11 @@
  */
 public final class ConfirmedCancellations {
     /** What fits into one answer; more are told within an outage's first seconds by no state service that we know of. */
-    public static final int MOST = 1000;
+    public static final int MAX_REMEMBERED = 1000;
 
     private record ConfirmedCancellation(JobId job, Moment at) {}
 
-    private final ArrayDeque<ConfirmedCancellation> told = new ArrayDeque<>();
+    private final ArrayDeque<ConfirmedCancellation> confirmed = new ArrayDeque<>();
     /** All told after this moment are kept. */
     private Moment since;
 
@@ -27,18 +27,18 @@
 
     /** This node has learnt that the job is cancelled, and tells or will tell so. */
     public void add(JobId job, Moment now) {
-        told.addLast(new ConfirmedCancellation(job, now));
-        if (told.size() > MOST) {
-            since = told.removeFirst().at;
+        confirmed.addLast(new ConfirmedCancellation(job, now));
+        if (confirmed.size() > MAX_REMEMBERED) {
+            since = confirmed.removeFirst().at;
         }
     }
 
     /** What was told in the last {@code asked}, or as far back as is known. */
-    public CancellationSummary word(Span asked, Moment now) {
+    public CancellationSummary summary(Span asked, Moment now) {
         Span known = now.since(since);
         Span covered = asked.compareTo(known) < 0 ? asked : known;
         Set<JobId> jobs = new HashSet<>();
-        for (ConfirmedCancellation t : told) {
+        for (ConfirmedCancellation t : confirmed) {
             if (now.since(t.at).compareTo(covered) <= 0) {
                 jobs.add(t.job);
             }
@@ -47,7 +47,7 @@
     }
 
     /** For how long none was told. */
-    public Span quiet(Moment now) {
-        return now.since(told.isEmpty() ? since : told.getLast().at);
+    public Span timeSinceLast(Moment now) {
+        return now.since(confirmed.isEmpty() ? since : confirmed.getLast().at);
     }
 }
--- a/src/main/java/io/indigoreach/core/model/Heartbeat.java
+++ b/src/main/java/io/indigoreach/core/model/Heartbeat.java
@@ -9,7 +9,7 @@
         MachinePool pool,
         HeartbeatNumber number,
         FencingToken token,
-        Span notice,
+        Span preemptionNotice,
         List<TaskStatus> tasks) {
     public Heartbeat {
         tasks = List.copyOf(tasks);
--- a/src/main/java/io/indigoreach/core/scheduling/Admission.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Admission.java
@@ -19,7 +19,7 @@
         if (team == null) {
             return "unknown team " + spec.team();
         }
-        if (types.stream().noneMatch(t -> fits(spec, t))) {
+        if (types.stream().noneMatch(type -> fits(spec, type))) {
             return "a task fits no allowed machine type";
         }
         int atOnce = spec.shape() == JobKind.SERVICE ? spec.tasks() : 1;
--- a/src/main/java/io/indigoreach/core/scheduling/ArrivalRate.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ArrivalRate.java
@@ -36,7 +36,7 @@
         Span since = now.since(began).compareTo(most) < 0 ? now.since(began) : most;
         Span window = since.compareTo(most.times(LEAST)) < 0 ? most.times(LEAST) : since;
         Moment from = now.minus(since);
-        jobs.removeIf(job -> job.arrived.isBefore(now.minus(most.times(MEMORY))));
+        jobs.removeIf(job -> job.eligibleSince.isBefore(now.minus(most.times(MEMORY))));
         int[] parts = new int[PARTS];
         int known = 0;
         double sizes = 0;
@@ -46,8 +46,8 @@
             }
             known++;
             sizes += size.applyAsDouble(job);
-            if (job.arrived.isAfter(from)) {
-                parts[(int) (Math.max(0, now.since(job.arrived).ms()) * PARTS / window.ms())]++;
+            if (job.eligibleSince.isAfter(from)) {
+                parts[(int) (Math.max(0, now.since(job.eligibleSince).ms()) * PARTS / window.ms())]++;
             }
         }
         double came = Arrays.stream(parts).sum() - Arrays.stream(parts).max().orElse(0);
--- a/src/main/java/io/indigoreach/core/scheduling/AsymmetricPartition.java
+++ b/src/main/java/io/indigoreach/core/scheduling/AsymmetricPartition.java
@@ -33,7 +33,7 @@
     /** An order of the last answer, by which the next report shows whether it was taken; or null. */
     private WorkerCommand witness;
     /** When the report before was answered; null if it was not, or too late. */
-    private Moment answered;
+    private Moment answerSent;
 
     private int missed;
     /** When the first of the answers was given that were not taken, and when the last one showed. */
@@ -46,46 +46,52 @@
     private boolean told;
 
     /** A report newer than {@code before}; {@code awake}: until then the leader stood still, and may have answered late. */
-    void heard(
-            Heartbeat report, HeartbeatNumber before, FencingToken token, Moment awake, SafetyTimes rules, Moment now) {
-        Evidence sign = sign(report, before, token);
+    void observe(
+            Heartbeat heartbeat,
+            HeartbeatNumber before,
+            FencingToken token,
+            Moment awake,
+            SafetyTimes rules,
+            Moment now) {
+        Evidence sign = sign(heartbeat, before, token);
         boolean goesOn = missed > 0 && now.since(lastMiss).compareTo(rules.leaseBound()) > 0;
         if (sign == Evidence.TAKEN || (sign == Evidence.NOTHING && goesOn)) {
             // A session that outlasts a lease was answered meanwhile, whatever else is known.
             missed = 0;
             told = false;
             proved |= sign == Evidence.TAKEN;
-        } else if (sign == Evidence.MISSED && !awake.isAfter(answered)) {
-            since = missed == 0 ? answered : since;
+        } else if (sign == Evidence.MISSED && !awake.isAfter(answerSent)) {
+            since = missed == 0 ? answerSent : since;
             lastMiss = now;
             missed++;
             int times = proved ? 1 : 2;
             told = missed >= MISSED * times
                     && now.since(since).compareTo(rules.workerLease().times(0.5 * times)) >= 0;
         }
-        answered = null;
+        answerSent = null;
         witness = null;
     }
 
-    private Evidence sign(Heartbeat report, HeartbeatNumber before, FencingToken token) {
-        if (!proved && report.token().equals(token)) {
+    private Evidence sign(Heartbeat heartbeat, HeartbeatNumber before, FencingToken token) {
+        if (!proved && heartbeat.token().equals(token)) {
             return Evidence.TAKEN;
         }
-        if (answered == null) {
+        if (answerSent == null) {
             return Evidence.NOTHING;
         }
-        if (report.number().session() > before.session()) {
+        if (heartbeat.number().incarnation() > before.incarnation()) {
             return Evidence.MISSED;
         }
-        if (report.token().value() < token.value()) {
+        if (heartbeat.token().value() < token.value()) {
             return Evidence.MISSED;
         }
-        return witness == null ? Evidence.NOTHING : shown(report.tasks());
+        return witness == null ? Evidence.NOTHING : shown(heartbeat.tasks());
     }
 
     private Evidence shown(List<TaskStatus> tasks) {
         TaskStatus shown = tasks.stream()
-                .filter(t -> t.task().equals(witness.task()) && t.attempt().equals(witness.attempt()))
+                .filter(status ->
+                        status.task().equals(witness.task()) && status.attempt().equals(witness.attempt()))
                 .findFirst()
                 .orElse(null);
         if (witness instanceof WorkerCommand.Stop) {
@@ -97,22 +103,22 @@
     }
 
     /** These orders are in the answer that goes out now: a start tells most, a stop least. */
-    void answered(List<WorkerCommand> orders, Moment now) {
-        answered = now;
-        for (WorkerCommand o : orders) {
-            if (witness == null || o instanceof WorkerCommand.Start || witness instanceof WorkerCommand.Stop) {
-                witness = o;
+    void answerSent(List<WorkerCommand> orders, Moment now) {
+        answerSent = now;
+        for (WorkerCommand command : orders) {
+            if (witness == null || command instanceof WorkerCommand.Start || witness instanceof WorkerCommand.Stop) {
+                witness = command;
             }
         }
     }
 
     /** It has not taken the last answer. */
-    boolean isDoubted() {
+    boolean isSuspected() {
         return missed > 0;
     }
 
     /** Nothing more is to be given to it. */
-    boolean isTold() {
+    boolean isConfirmed() {
         return told;
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/BestSize.java
+++ b/src/main/java/io/indigoreach/core/scheduling/BestSize.java
@@ -25,17 +25,17 @@
 final class BestSize {
     private static final int MOST_PER_REQUEST = 50;
     /** Seconds in which the number of ordinary machines kept goes down by half. */
-    private static final double HALVES = 60;
+    private static final double RETENTION_HALF_LIFE_S = 60;
     /** Part of an estimate that counts for a queue of short jobs while nobody has seen one of their class end. */
-    private static final double UNSEEN = 1.0 / 3;
+    private static final double UNSEEN_ESTIMATE_SHARE = 1.0 / 3;
 
     private final Cluster cluster;
     private final Dispatcher dispatcher;
     private final Estimates estimates;
     private final SchedulerSettings tuning;
-    private final FailureDetector silence;
+    private final FailureDetector failureDetector;
     /** Ordinary machines kept, per share and type: it follows the need up at once, and down over some time. */
-    private final Map<String, Kept> kept = new HashMap<>();
+    private final Map<String, Kept> retained = new HashMap<>();
 
     private final Map<MachinePool, Moment> refusedUntil = new HashMap<>();
 
@@ -49,16 +49,16 @@
         this.dispatcher = dispatcher;
         this.estimates = estimates;
         this.tuning = tuning;
-        this.silence = silence;
+        this.failureDetector = silence;
     }
 
     void refused(MachinePool pool, Moment now) {
-        refusedUntil.put(pool, now.plus(tuning.refusedFor()));
+        refusedUntil.put(pool, now.plus(tuning.refusalBackoff()));
     }
 
     /** Whether it is of use to ask for machines there at this moment. */
     boolean mayAsk(MachinePool pool, Moment now) {
-        return !isRefused(pool, now) && !silence.isCutOff(pool.zone());
+        return !isRefused(pool, now) && !failureDetector.isZoneCutOff(pool.zone());
     }
 
     private boolean isRefused(MachinePool pool, Moment now) {
@@ -66,10 +66,10 @@
         return until != null && now.isBefore(until);
     }
 
-    List<ScaleOutRequest> wishes(Moment now) {
+    List<ScaleOutRequest> scaleOutRequests(Moment now) {
         Map<MachinePool, Integer> wanted = new HashMap<>();
-        for (FairShareQueue share : cluster.shares()) {
-            size(share, now, wanted);
+        for (FairShareQueue queue : cluster.queues()) {
+            sizeQueue(queue, now, wanted);
         }
         List<ScaleOutRequest> out = new ArrayList<>();
         wanted.forEach((pool, n) -> {
@@ -80,26 +80,26 @@
         return out;
     }
 
-    private void size(FairShareQueue share, Moment now, Map<MachinePool, Integer> wanted) {
+    private void sizeQueue(FairShareQueue queue, Moment now, Map<MachinePool, Integer> wanted) {
         Map<String, Need> needs = new HashMap<>();
-        Map<String, Backlog> backlogs = backlogs(share, now);
-        Job top = dispatcher.top(share, now);
-        if (top == null || !isDue(share, top, now)) {
-            spare(share, backlogs, needs, now);
+        Map<String, Backlog> backlogs = backlogs(queue, now);
+        Job top = dispatcher.topJob(queue, now);
+        if (top == null || !mustScaleOut(queue, top, now)) {
+            markSurplus(queue, backlogs, needs, now);
             return;
         }
         boolean shortTaken = false;
         Map<String, Double> shortWork = new HashMap<>();
         Map<TeamUsage, Double> planned = new HashMap<>();
-        for (Job job : dispatcher.queue(share, now)) {
-            int waiting = job.startable();
+        for (Job job : dispatcher.queue(queue, now)) {
+            int waiting = job.startableCount();
             // The leader before has seen to its own; what is there for them is not known before all have reported.
-            boolean seenTo = job.inherited && !dispatcher.isSettled();
-            if (waiting == 0 || seenTo || job.isSuspect() || !dispatcher.mayStart(job, now)) {
+            boolean seenTo = job.inherited && !dispatcher.isFailoverComplete();
+            if (waiting == 0 || seenTo || job.isSuspectedFaulty() || !dispatcher.mayStart(job, now)) {
                 continue;
             }
             boolean isShort = estimates.run(job).compareTo(tuning.shortJob()) < 0;
-            TeamUsage team = cluster.use(job);
+            TeamUsage team = cluster.teamUsage(job);
             waiting = Math.min(waiting, team.room(job.spec.demand(), planned.getOrDefault(team, 0.0)));
             planned.merge(team, Math.max(0, waiting) * job.spec.demand().cores(), Double::sum);
             MachineType type = cheapest(job);
@@ -107,7 +107,7 @@
                 continue;
             }
             if (isShort) {
-                shortWork.merge(type.name(), waiting * surely(job, type), Double::sum);
+                shortWork.merge(type.name(), waiting * confidentMachineSeconds(job, type), Double::sum);
                 if (shortTaken) {
                     continue;
                 }
@@ -125,31 +125,34 @@
             need.topShort = isShort ? more : need.topShort;
             need.shortOnOrdinary |= isShort && mayTakeOrdinary(job, now);
         }
-        spare(share, backlogs, needs, now);
+        markSurplus(queue, backlogs, needs, now);
         needs.forEach((name, need) -> {
             MachineType type = cluster.types.get(name);
-            double behind = Math.max(0, behind(shortWork.getOrDefault(name, 0.0), backlogs.get(name)) - need.topShort);
+            double behind = Math.max(
+                    0, machinesForShortBacklog(shortWork.getOrDefault(name, 0.0), backlogs.get(name)) - need.topShort);
             need.machines += behind;
             need.ordinary += need.shortOnOrdinary ? behind : 0;
-            int atHand = atHand(share, name, false, now);
+            int atHand = atHand(queue, name, false, now);
             int only = need.firstOrdinary == null
                     ? 0
-                    : Math.max(0, whole(need.ordinaryOnly) - atHand(share, name, true, now));
+                    : Math.max(0, roundUp(need.ordinaryOnly) - atHand(queue, name, true, now));
             if (only > 0) {
-                spread(need.firstOrdinary, type, false, only, now, wanted);
+                spreadOverZones(need.firstOrdinary, type, false, only, now, wanted);
             }
-            int rest = whole(need.machines) - atHand - only;
+            int rest = roundUp(need.machines) - atHand - only;
             Job job = need.firstSpot;
-            if (rest <= 0 || job == null || (type.spotPrice() > 0 && spread(job, type, true, rest, now, wanted))) {
+            if (rest <= 0
+                    || job == null
+                    || (type.spotPrice() > 0 && spreadOverZones(job, type, true, rest, now, wanted))) {
                 return;
             }
             Backlog backlog = backlogs.get(name);
             int missing = (int) Math.floor(backlog.needed - backlog.ordinary.machines());
-            spread(
+            spreadOverZones(
                     job,
                     type,
                     false,
-                    Math.min(rest, Math.max(missing, whole(need.ordinary) - atHand) - only),
+                    Math.min(rest, Math.max(missing, roundUp(need.ordinary) - atHand) - only),
                     now,
                     wanted);
         });
@@ -159,13 +162,13 @@
      * Machines for the short jobs' work, in seconds of a whole machine, that those up do not come to within the wait
      * limit. What is idle or coming is left out here, as it is taken off the whole need.
      */
-    private double behind(double work, Backlog backlog) {
+    private double machinesForShortBacklog(double work, Backlog backlog) {
         double limit = tuning.waitLimit().seconds();
         double there = backlog.spot.busyUntil(limit) + backlog.ordinary.busyUntil(limit);
-        return Math.max(0, work - there) / tuning.leastPaid().seconds();
+        return Math.max(0, work - there) / tuning.minimumPaidTime().seconds();
     }
 
-    private static int whole(double machines) {
+    private static int roundUp(double machines) {
         return (int) Math.ceil(machines - 1e-6);
     }
 
@@ -236,29 +239,29 @@
      * still meets an aim, and all of it into the time that the settings allow for any queue. Those that are more than
      * that get no new tasks, and so come to be idle at the end of a term.
      */
-    private Map<String, Backlog> backlogs(FairShareQueue share, Moment now) {
+    private Map<String, Backlog> backlogs(FairShareQueue queue, Moment now) {
         Map<String, Backlog> backlogs = new HashMap<>();
         for (MachineType type : cluster.types.values()) {
             backlogs.put(
                     type.name(),
                     new Backlog(
-                            capacity(share, type, true, now),
-                            capacity(share, type, false, now),
-                            flow(share, type, now)));
+                            capacity(queue, type, true, now),
+                            capacity(queue, type, false, now),
+                            arrivalLoad(queue, type, now)));
         }
-        for (Job job : dispatcher.queue(share, now)) {
+        for (Job job : dispatcher.queue(queue, now)) {
             MachineType type = cheapest(job);
-            if (type == null || !job.hasWaiting() || job.isSuspect() || job.spec.isService()) {
+            if (type == null || !job.hasWaiting() || job.isSuspectedFaulty() || job.spec.isService()) {
                 continue;
             }
             Backlog backlog = backlogs.get(type.name());
-            backlog.work += job.waiting() * run(job, type);
-            Moment latest = dispatcher.latestStart(job, now.plus(dispatcher.reach(type)));
+            backlog.work += job.waitingCount() * machineSeconds(job, type);
+            Moment latest = dispatcher.latestStart(job, now.plus(dispatcher.shortestRentableObjective(type)));
             backlog.mustStartWithin(
-                    latest.since(now).seconds() * tuning.aimShare(),
+                    latest.since(now).seconds() * tuning.objectiveShare(),
                     type.boot().seconds(),
-                    tuning.leastPaid().seconds(),
-                    dispatcher.isNear(job, type) ? 0 : backlog.flow);
+                    tuning.minimumPaidTime().seconds(),
+                    dispatcher.isObjectiveTooNearToRent(job, type) ? 0 : backlog.flow);
         }
         for (Backlog backlog : backlogs.values()) {
             double whole = Math.floor(backlog.work / tuning.backlogLimit().seconds()) - backlog.spot.machines();
@@ -267,23 +270,23 @@
         return backlogs;
     }
 
-    private double flow(FairShareQueue share, MachineType type, Moment now) {
-        return share.inflow()
+    private double arrivalLoad(FairShareQueue queue, MachineType type, Moment now) {
+        return queue.arrivalRate()
                 .perSecond(
-                        job -> type.equals(cheapest(job)) && dispatcher.isNear(job, type),
-                        job -> job.spec.tasks() * run(job, type),
-                        tuning.leastPaid(),
+                        job -> type.equals(cheapest(job)) && dispatcher.isObjectiveTooNearToRent(job, type),
+                        job -> job.spec.tasks() * machineSeconds(job, type),
+                        tuning.minimumPaidTime(),
                         now);
     }
 
     /** A task's run time in seconds of a whole machine. */
-    private double run(Job job, MachineType type) {
+    private double machineSeconds(Job job, MachineType type) {
         return estimates.run(job).seconds() / Math.max(1, job.spec.demand().timesIn(type.capacity()));
     }
 
     /** The same by what is sure: an estimate is often three times too long, and machines come for nothing then. */
-    private double surely(Job job, MachineType type) {
-        return run(job, type) * (estimates.hasSeen(job) ? 1 : UNSEEN);
+    private double confidentMachineSeconds(Job job, MachineType type) {
+        return machineSeconds(job, type) * (estimates.hasSeen(job) ? 1 : UNSEEN_ESTIMATE_SHARE);
     }
 
     private record Kept(double machines, Moment at) {}
@@ -293,39 +296,41 @@
      * number goes down by no more than half in that time. A new leader does not know what the machines that are there
      * have been kept for, and begins with all of them.
      */
-    private double kept(String what, double need, double there, Moment now) {
-        Kept old = kept.getOrDefault(what, new Kept(there, now));
-        double halves = now.since(old.at).seconds() / HALVES;
+    private double retained(String what, double need, double there, Moment now) {
+        Kept old = retained.getOrDefault(what, new Kept(there, now));
+        double halves = now.since(old.at).seconds() / RETENTION_HALF_LIFE_S;
         double keep = Math.max(need, old.machines * Math.pow(0.5, halves));
-        kept.put(what, new Kept(keep, now));
+        retained.put(what, new Kept(keep, now));
         return keep;
     }
 
     /** Ordinary machines beyond those needed take no new tasks, those with the least to do first. */
-    private void spare(FairShareQueue share, Map<String, Backlog> backlogs, Map<String, Need> needs, Moment now) {
+    private void markSurplus(FairShareQueue queue, Map<String, Backlog> backlogs, Map<String, Need> needs, Moment now) {
         Map<String, List<Machine>> ordinary = new HashMap<>();
-        for (Machine m : cluster.serving(share)) {
-            if (!m.pool.spot() && m.phase == Machine.Phase.UP && m.seat == null) {
-                ordinary.computeIfAbsent(m.pool.type(), t -> new ArrayList<>()).add(m);
+        for (Machine machine : cluster.machinesServing(queue)) {
+            if (!machine.pool.spot() && machine.phase == Machine.Phase.UP && machine.poolMembership == null) {
+                ordinary.computeIfAbsent(machine.pool.type(), t -> new ArrayList<>())
+                        .add(machine);
             }
         }
-        boolean ordinaryOnly = share.jobs().stream().anyMatch(j -> j.hasWaiting() && !j.spec.spotAllowed());
+        boolean ordinaryOnly = queue.jobs().stream().anyMatch(job -> job.hasWaiting() && !job.spec.spotAllowed());
         ordinary.forEach((type, machines) -> {
             Backlog backlog = backlogs.get(type);
             Need need = needs.get(type);
             double needed = backlog.needed + (need == null ? 0 : need.ordinary);
-            double there =
-                    machines.stream().mapToDouble(m -> 1 - heldByReplicas(m)).sum();
-            double keep = kept(share.name + " " + type, needed, there, now);
+            double there = machines.stream()
+                    .mapToDouble(machine -> 1 - heldByReplicas(machine))
+                    .sum();
+            double keep = retained(queue.name + " " + type, needed, there, now);
             if (ordinaryOnly || cluster.types.get(type).spotPrice() <= 0) {
                 keep = there;
             }
             machines.sort(Comparator.comparingInt(Machine::taskCount));
             double surplus = there - Math.round(keep);
-            for (Machine m : machines) {
+            for (Machine machine : machines) {
                 // One that holds replicas is paid for in any case, so the rest of it is used.
-                m.spare = heldByReplicas(m) == 0 && surplus >= 1;
-                surplus -= m.spare ? 1 : 0;
+                machine.surplus = heldByReplicas(machine) == 0 && surplus >= 1;
+                surplus -= machine.surplus ? 1 : 0;
             }
         });
     }
@@ -348,38 +353,41 @@
         }
     }
 
-    private Capacity capacity(FairShareQueue share, MachineType type, boolean spot, Moment now) {
+    private Capacity capacity(FairShareQueue queue, MachineType type, boolean spot, Moment now) {
         double up = 0;
         double idle = 0;
         int coming = 0;
         double busy = 0;
         double untilUp = 0;
-        for (Machine m : cluster.serving(share)) {
-            if (!m.pool.type().equals(type.name()) || m.pool.spot() != spot || m.seat != null) {
+        for (Machine machine : cluster.machinesServing(queue)) {
+            if (!machine.pool.type().equals(type.name())
+                    || machine.pool.spot() != spot
+                    || machine.poolMembership != null) {
                 continue;
             }
-            if (m.isSound()) {
-                up += 1 - heldByReplicas(m);
-                idle += m.isIdle() ? 1 : 0;
-                for (Placement p : m.tasks().values()) {
-                    busy += p.job.spec.isService()
+            if (machine.isHealthy()) {
+                up += 1 - heldByReplicas(machine);
+                idle += machine.isIdle() ? 1 : 0;
+                for (Placement placement : machine.placements().values()) {
+                    busy += placement.job.spec.isService()
                             ? 0
-                            : estimates.end(p, now).since(now).seconds()
-                                    / Math.max(1, p.demand().timesIn(type.capacity()));
+                            : estimates.end(placement, now).since(now).seconds()
+                                    / Math.max(1, placement.demand().timesIn(type.capacity()));
                 }
-            } else if (m.isComing(now, tuning.bootPatience())) {
+            } else if (machine.isBooting(now, tuning.bootPatience())) {
                 coming++;
-                untilUp += Math.max(0, m.rented.plus(type.boot()).since(now).seconds());
+                untilUp += Math.max(
+                        0, machine.rentedAt.plus(type.boot()).since(now).seconds());
             }
         }
         return new Capacity(up, idle, busy, coming, untilUp);
     }
 
     /** The part of a machine that replicas hold: it does not come free by itself. */
-    private static double heldByReplicas(Machine m) {
+    private static double heldByReplicas(Machine machine) {
         double held = 0;
-        for (Placement p : m.tasks().values()) {
-            held += p.job.spec.isService() ? p.demand().shareOf(m.type.capacity()) : 0;
+        for (Placement placement : machine.placements().values()) {
+            held += placement.job.spec.isService() ? placement.demand().shareOf(machine.type.capacity()) : 0;
         }
         return Math.min(1, held);
     }
@@ -390,7 +398,8 @@
      * boot no longer fits before the departure.
      */
     private boolean bootsTooLate(Job job, Moment now) {
-        MachineType type = job.spec.isPlanned() && job.hasStartable() && !job.isSuspect() ? cheapest(job) : null;
+        MachineType type =
+                job.spec.isPlanned() && job.hasStartable() && !job.isSuspectedFaulty() ? cheapest(job) : null;
         return type != null
                 && !now.plus(type.boot())
                         .plus(estimates.run(job))
@@ -408,46 +417,48 @@
     private boolean mayTakeOrdinary(Job job, Moment now) {
         Span patience =
                 job.urgency().isMoreUrgentThan(Urgency.STANDARD) ? tuning.urgentSpotPatience() : tuning.spotPatience();
-        if ((dispatcher.isUnderTheRuleAlone(job, now) || job.spec.isPlanned())
+        if ((dispatcher.hasNoReachableObjective(job, now) || job.spec.isPlanned())
                 && tuning.waitLimit().compareTo(patience) < 0) {
             patience = tuning.waitLimit();
         }
-        return !job.spec.spotAllowed() || now.since(job.arrived).compareTo(patience) >= 0;
+        return !job.spec.spotAllowed() || now.since(job.eligibleSince).compareTo(patience) >= 0;
     }
 
-    private boolean isDue(FairShareQueue share, Job top, Moment now) {
-        Moment start = dispatcher.reservation(share, top, now).lastStart();
+    private boolean mustScaleOut(FairShareQueue queue, Job top, Moment now) {
+        Moment start = dispatcher.reservation(queue, top, now).lastStart();
         return start == null
-                || start.since(top.arrived).compareTo(tuning.waitLimit()) > 0
-                || share.jobs().stream().anyMatch(job -> waitsTooLong(job, now) || bootsTooLate(job, now));
+                || start.since(top.eligibleSince).compareTo(tuning.waitLimit()) > 0
+                || queue.jobs().stream().anyMatch(job -> waitsTooLong(job, now) || bootsTooLate(job, now));
     }
 
     /** Behind an urgent job that is served at once others may wait for ever: their wait is past the limit, not predicted. */
     private boolean waitsTooLong(Job job, Moment now) {
         return job.hasStartable()
-                && !job.isSuspect()
-                && now.since(job.arrived).compareTo(tuning.waitLimit()) > 0
+                && !job.isSuspectedFaulty()
+                && now.since(job.eligibleSince).compareTo(tuning.waitLimit()) > 0
                 && dispatcher.mayStart(job, now);
     }
 
     private double machinesFor(Job job, MachineType type, int waiting) {
         int perMachine = Math.max(1, job.spec.demand().timesIn(type.capacity()));
         double run = estimates.run(job).seconds();
-        double share =
-                job.spec.isService() ? 1 : Math.min(1, run / tuning.leastPaid().seconds());
+        double share = job.spec.isService()
+                ? 1
+                : Math.min(1, run / tuning.minimumPaidTime().seconds());
         return waiting * share / perMachine;
     }
 
     /** Machines idle or on order; one that is long overdue is not counted on. */
-    private int atHand(FairShareQueue share, String type, boolean ordinaryOnly, Moment now) {
+    private int atHand(FairShareQueue queue, String type, boolean ordinaryOnly, Moment now) {
         int n = 0;
-        for (Machine m : cluster.serving(share)) {
-            if (!m.pool.type().equals(type)
-                    || (ordinaryOnly && m.pool.spot())
-                    || (m.seat != null && !isWarmFor(share, m))) {
+        for (Machine machine : cluster.machinesServing(queue)) {
+            if (!machine.pool.type().equals(type)
+                    || (ordinaryOnly && machine.pool.spot())
+                    || (machine.poolMembership != null && !isWarmFor(queue, machine))) {
                 continue;
             }
-            if (m.isComing(now, tuning.bootPatience()) || (m.isSound() && m.isIdle() && isOfUse(share, m))) {
+            if (machine.isBooting(now, tuning.bootPatience())
+                    || (machine.isHealthy() && machine.isIdle() && isUsableByQueue(queue, machine))) {
                 n++;
             }
         }
@@ -455,16 +466,20 @@
     }
 
     /** A machine of a warm pool is at hand for who waits for what it holds. */
-    private static boolean isWarmFor(FairShareQueue share, Machine m) {
-        return share.jobs().stream()
-                .anyMatch(j -> j.hasWaiting() && j.spec.image().equals(m.seat.image()) && m.allows(j.spec));
+    private static boolean isWarmFor(FairShareQueue queue, Machine machine) {
+        return queue.jobs().stream()
+                .anyMatch(job -> job.hasWaiting()
+                        && job.spec.image().equals(machine.poolMembership.image())
+                        && machine.allows(job.spec));
     }
 
     /** Not if every job that waits has failed on it. */
-    private static boolean isOfUse(FairShareQueue share, Machine m) {
-        return m.failedJobs.isEmpty()
-                || share.jobs().stream()
-                        .anyMatch(j -> j.hasWaiting() && !j.isSuspect() && !FaultAttribution.bars(j, m));
+    private static boolean isUsableByQueue(FairShareQueue queue, Machine machine) {
+        return machine.failedJobs.isEmpty()
+                || queue.jobs().stream()
+                        .anyMatch(job -> job.hasWaiting()
+                                && !job.isSuspectedFaulty()
+                                && !FaultAttribution.isExcluded(job, machine));
     }
 
     /** Of the types that are to be had where the job may be: a cheaper one elsewhere had been asked for in vain for ever. */
@@ -505,7 +520,7 @@
      * Shares the machines out among the zones, a request at a time, the zone with fewer of our machines first; pools
      * that just refused are left alone. False if no pool can be asked.
      */
-    private boolean spread(
+    private boolean spreadOverZones(
             Job job, MachineType type, boolean spot, int count, Moment now, Map<MachinePool, Integer> wanted) {
         Map<MachinePool, Integer> have = new LinkedHashMap<>();
         for (String zone : type.zones()) {
@@ -514,14 +529,14 @@
                 have.put(pool, 0);
             }
         }
-        if (have.keySet().stream().anyMatch(pool -> !silence.isCutOff(pool.zone()))) {
-            have.keySet().removeIf(pool -> silence.isCutOff(pool.zone()));
+        if (have.keySet().stream().anyMatch(pool -> !failureDetector.isZoneCutOff(pool.zone()))) {
+            have.keySet().removeIf(pool -> failureDetector.isZoneCutOff(pool.zone()));
         }
         if (have.isEmpty()) {
             return false;
         }
-        for (Machine m : cluster.machines.values()) {
-            have.computeIfPresent(m.pool, (pool, n) -> n + 1);
+        for (Machine machine : cluster.machines.values()) {
+            have.computeIfPresent(machine.pool, (pool, n) -> n + 1);
         }
         for (int left = count; left > 0; left -= MOST_PER_REQUEST) {
             int n = Math.min(left, MOST_PER_REQUEST);
--- a/src/main/java/io/indigoreach/core/scheduling/ClassQuota.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ClassQuota.java
@@ -49,8 +49,8 @@
     private boolean owedFirst;
 
     /** The job is off the queue: done or cancelled. */
-    void over(Job job) {
-        if (!job.late && job.isComplete()) {
+    void jobEnded(Job job) {
+        if (!job.missedObjectives && job.isComplete()) {
             tally(job).met++;
         }
     }
@@ -60,12 +60,12 @@
     }
 
     /**
-     * Counts the open jobs anew and says which go first on a part of the {@code cores} in use: {@link Job#toBegin}, {@link Job#owed}.
+     * Counts the open jobs anew and says which go first on a part of the {@code cores} in use: {@link Job#starved}, {@link Job#underServed}.
      *
      * @param lastChance when the longest aim is lost to a job that still waits
      * @param aged the job has waited for longer than anything should
      */
-    void count(List<Job> jobs, double cores, Function<Job, Moment> lastChance, Predicate<Job> aged, Moment now) {
+    void recount(List<Job> jobs, double cores, Function<Job, Moment> lastChance, Predicate<Job> aged, Moment now) {
         if (tallies.size() > CLASSES) {
             // Their names are the users' own; one with no job open is owed nothing.
             tallies.values().removeIf(t -> t.open == 0);
@@ -79,15 +79,15 @@
             t.open = t.safe = 0;
         });
         for (Job job : jobs) {
-            if (job.late || job.spec.isService()) {
+            if (job.missedObjectives || job.spec.isService()) {
                 continue;
             }
             Tally tally = tally(job);
-            Span whole = lastChance.apply(job).since(job.arrived);
-            Span waited = job.hasWaiting() ? now.since(job.arrived) : Span.ZERO;
-            job.late = waited.compareTo(whole) > 0;
-            tally.lost += job.late ? 1 : 0;
-            tally.open += job.late ? 0 : 1;
+            Span whole = lastChance.apply(job).since(job.eligibleSince);
+            Span waited = job.hasWaiting() ? now.since(job.eligibleSince) : Span.ZERO;
+            job.missedObjectives = waited.compareTo(whole) > 0;
+            tally.lost += job.missedObjectives ? 1 : 0;
+            tally.open += job.missedObjectives ? 0 : 1;
             tally.safe += waited.compareTo(whole.times(DANGER)) <= 0 ? 1 : 0;
         }
         owed.clear();
@@ -99,22 +99,25 @@
         double first = 0;
         double begun = 0;
         for (Job job : jobs) {
-            job.owed = !job.spec.isService() && (aged.test(job) || (!job.late && owed.contains(job.spec.jobClass())));
-            job.toBegin = ServiceLevelObjectives.isToBegin(job, now) && !job.hasBegun();
-            first += job.owed ? job.active().size() * job.spec.demand().cores() : 0;
-            begun += job.begunFirst && !job.active().isEmpty()
+            job.underServed = !job.spec.isService()
+                    && (aged.test(job) || (!job.missedObjectives && owed.contains(job.spec.jobClass())));
+            job.starved = ServiceLevelObjectives.isStarved(job, now) && !job.hasBegun();
+            first += job.underServed
+                    ? job.placements().size() * job.spec.demand().cores()
+                    : 0;
+            begun += job.startedAsStarved && !job.placements().isEmpty()
                     ? job.spec.demand().cores()
                     : 0;
         }
         owedFirst = first < PART * cores;
         boolean begin = begun < PART_TO_BEGIN * cores;
         for (Job job : jobs) {
-            job.toBegin &= begin;
+            job.starved &= begin;
         }
     }
 
     /** What is owed goes first at this moment: it uses less than its part. */
-    boolean isOwedFirst() {
+    boolean servesUnderServedFirst() {
         return owedFirst;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Cluster.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Cluster.java
@@ -19,17 +19,17 @@
     final TreeMap<MachineId, Machine> machines = new TreeMap<>();
     final Map<String, MachineType> types = new LinkedHashMap<>();
     private final Map<String, TeamUsage> teams = new HashMap<>();
-    private final Map<String, FairShareQueue> shares = new LinkedHashMap<>();
+    private final Map<String, FairShareQueue> queues = new LinkedHashMap<>();
     /** On how many machines each image is. */
-    private final Map<String, Integer> holders = new HashMap<>();
+    private final Map<String, Integer> machinesByImage = new HashMap<>();
     /** Jobs whose tasks only keep images: in no queue. */
     final List<Job> holderJobs = new ArrayList<>();
 
-    WarmCapacity keeper = WarmCapacity.NONE;
-    private int strangers;
-    private long visits;
+    WarmCapacity warmCapacity = WarmCapacity.NONE;
+    private int orphanTasks;
+    private long machineVisits;
     /** The leader has not stood still since: what it did not hear before then may wait to be read. */
-    Moment awake = Moment.NEVER;
+    Moment awakeSince = Moment.NEVER;
     /** Rises with every change that can alter a reservation. */
     long version;
 
@@ -37,37 +37,37 @@
         for (Team team : teams) {
             TeamUsage use = new TeamUsage(team);
             this.teams.put(team.name(), use);
-            shareOf(use);
+            queueOf(use);
         }
     }
 
-    Collection<FairShareQueue> shares() {
-        return shares.values();
+    Collection<FairShareQueue> queues() {
+        return queues.values();
     }
 
     /** What the job's team uses; one that the settings no longer name keeps its jobs, without guarantee or limit. */
-    TeamUsage use(Job job) {
+    TeamUsage teamUsage(Job job) {
         return teams.computeIfAbsent(job.spec.team(), t -> new TeamUsage(new Team(t, 0, 0, 0, 0)));
     }
 
-    private FairShareQueue shareOf(TeamUsage use) {
-        return shares.computeIfAbsent(
+    private FairShareQueue queueOf(TeamUsage use) {
+        return queues.computeIfAbsent(
                 use.hasGuarantee() ? use.team.name() : FairShareQueue.COMMON,
                 name -> new FairShareQueue(name, use.hasGuarantee() ? use : null));
     }
 
-    FairShareQueue share(Job job) {
-        return shareOf(use(job));
+    FairShareQueue queueOf(Job job) {
+        return queueOf(teamUsage(job));
     }
 
     /** The share that the machine serves; null if it serves none yet. */
-    FairShareQueue share(Machine m) {
-        return m.share == null ? null : shares.get(m.share);
+    FairShareQueue queueOf(Machine machine) {
+        return machine.queueName == null ? null : queues.get(machine.queueName);
     }
 
     void add(Job job) {
         jobs.put(job.id(), job);
-        if (!job.waitsForJobs()) {
+        if (!job.hasUnmetDependencies()) {
             enqueue(job);
         }
         version++;
@@ -78,110 +78,112 @@
         if (job.spec.isHolder()) {
             holderJobs.add(job);
         } else {
-            share(job).add(job);
+            queueOf(job).add(job);
         }
         version++;
     }
 
     /** Tasks of jobs that are over, on any machine. */
-    boolean hasStrangers() {
-        return strangers > 0;
+    boolean hasOrphanTasks() {
+        return orphanTasks > 0;
     }
 
-    void setStrangers(Machine m, int n) {
-        strangers += n - m.strangers;
-        m.strangers = n;
+    void setOrphanTasks(Machine machine, int n) {
+        orphanTasks += n - machine.orphanTasks;
+        machine.orphanTasks = n;
     }
 
     /** How many machines were looked at by walks over a share's machines: what decisions cost. */
-    long visits() {
-        return visits;
+    long machineVisits() {
+        return machineVisits;
     }
 
     /** Takes a job off the queue; its placements stay until they surely are gone. */
     void remove(Job job) {
         jobs.remove(job.id(), job);
         holderJobs.remove(job);
-        share(job).remove(job);
+        queueOf(job).remove(job);
         version++;
     }
 
-    void place(Placement p) {
-        p.job.place(p);
-        p.job.changedAt = p.since;
-        p.machine.put(p);
-        String image = p.job.spec.image();
-        if (!p.machine.images.contains(image)) {
-            holders.merge(image, 1, Integer::sum);
+    void addPlacement(Placement placement) {
+        placement.job.addPlacement(placement);
+        placement.job.placementsChangedAt = placement.stateSince;
+        placement.machine.addPlacement(placement);
+        String image = placement.job.spec.image();
+        if (!placement.machine.imageCache.contains(image)) {
+            machinesByImage.merge(image, 1, Integer::sum);
         }
-        p.machine.images.use(image, p.job.spec.imageGb()).forEach(this::holdsNoMore);
-        if (p.isRunning()) {
+        placement.machine.imageCache.use(image, placement.job.spec.imageGb()).forEach(this::imageRemoved);
+        if (placement.isRunning()) {
             // Started by an earlier leader: the image was here then, and may have been pushed out since.
-            p.machine.images.mayHave(image);
+            placement.machine.imageCache.mayHave(image);
         }
-        share(p.job).used(p.demand(), 1);
-        use(p.job).used(p.demand(), 1);
+        queueOf(placement.job).addUsage(placement.demand(), 1);
+        teamUsage(placement.job).addUsage(placement.demand(), 1);
         version++;
     }
 
     /** The task surely is not on its machine any more. */
-    void lift(Placement p, Moment now) {
-        p.job.remove(p);
-        p.job.changedAt = now;
-        p.machine.remove(p);
-        share(p.job).used(p.demand(), -1);
-        use(p.job).used(p.demand(), -1);
-        String image = p.job.spec.image();
-        if (p.machine.images.isComing(image) && !p.machine.hasTaskWith(image) && p.machine.images.givenUp(image)) {
-            holdsNoMore(image);
+    void removePlacement(Placement placement, Moment now) {
+        placement.job.removePlacement(placement);
+        placement.job.placementsChangedAt = now;
+        placement.machine.removePlacement(placement);
+        queueOf(placement.job).addUsage(placement.demand(), -1);
+        teamUsage(placement.job).addUsage(placement.demand(), -1);
+        String image = placement.job.spec.image();
+        if (placement.machine.imageCache.isComing(image)
+                && !placement.machine.hasTaskWith(image)
+                && placement.machine.imageCache.givenUp(image)) {
+            imageRemoved(image);
         }
-        if (p.machine.isIdle()) {
-            p.machine.idleSince = now;
+        if (placement.machine.isIdle()) {
+            placement.machine.idleSince = now;
         }
         version++;
     }
 
-    void liftAll(Machine m, Moment now) {
-        for (Placement p : m.tasksCopy()) {
-            lift(p, now);
+    void removeAllPlacements(Machine machine, Moment now) {
+        for (Placement placement : machine.placementsCopy()) {
+            removePlacement(placement, now);
         }
-        setStrangers(m, 0);
+        setOrphanTasks(machine, 0);
     }
 
     /** The machine is gone for good, and everything on it. */
-    void forget(Machine m, Moment now) {
-        liftAll(m, now);
-        machines.remove(m.id);
-        m.images.images().forEach(this::holdsNoMore);
+    void removeMachine(Machine machine, Moment now) {
+        removeAllPlacements(machine, now);
+        machines.remove(machine.id);
+        machine.imageCache.images().forEach(this::imageRemoved);
         version++;
     }
 
     /** Everything that earlier leaders have started is known: each waiting task may be started. */
-    void release() {
-        jobs.values().forEach(Job::release);
+    void releaseInheritedTasks() {
+        jobs.values().forEach(Job::releaseInheritedTasks);
         version++;
     }
 
-    private void holdsNoMore(String image) {
-        holders.computeIfPresent(image, (i, n) -> n > 1 ? n - 1 : null);
+    private void imageRemoved(String image) {
+        machinesByImage.computeIfPresent(image, (i, n) -> n > 1 ? n - 1 : null);
     }
 
-    boolean isHeld(String image) {
-        return holders.containsKey(image);
+    boolean isImageCached(String image) {
+        return machinesByImage.containsKey(image);
     }
 
     /** Every machine; a walk over them counts like one over a share's. */
-    Collection<Machine> all() {
-        visits += machines.size();
+    Collection<Machine> allMachines() {
+        machineVisits += machines.size();
         return machines.values();
     }
 
-    List<Machine> serving(FairShareQueue share) {
+    List<Machine> machinesServing(FairShareQueue queue) {
         List<Machine> out = new ArrayList<>();
-        visits += machines.size();
-        for (Machine m : machines.values()) {
-            if (m.share == null || m.share.equals(share.name)) {
-                out.add(m);
+        machineVisits += machines.size();
+        for (Machine machine : machines.values()) {
+            if (machine.queueName == null || machine.queueName.equals(queue.name)) {
+                out.add(machine);
             }
         }
         return out;
--- a/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
@@ -20,9 +20,9 @@
  */
 final class Consolidation {
     /** Part of the machines that may be emptied between two checks: what was moved is seen to run before more is. */
-    private static final double AT_ONCE = 0.02;
+    private static final double MAX_DRAINING_FRACTION = 0.02;
     /** A task is moved only if it has this many times longer to run than its move takes. */
-    private static final double WORTH = 3;
+    private static final double MIN_REMAINING_PER_MOVE = 3;
 
     private final Cluster cluster;
     private final Dispatcher dispatcher;
@@ -38,87 +38,96 @@
 
     /** Marks the machines that are to take no new tasks, and those of them that are to be emptied. */
     void plan(Moment now) {
-        for (FairShareQueue share : cluster.shares()) {
-            plan(share, now);
+        for (FairShareQueue queue : cluster.queues()) {
+            plan(queue, now);
         }
     }
 
-    private void plan(FairShareQueue share, Moment now) {
+    private void plan(FairShareQueue queue, Moment now) {
         List<Machine> machines = new ArrayList<>();
-        for (Machine m : cluster.serving(share)) {
+        for (Machine machine : cluster.machinesServing(queue)) {
             // Until what was told to save has left it.
-            m.emptying &= m.tasks().values().stream().anyMatch(p -> p.stopping);
-            m.aside = null;
-            if (m.isUsable()
-                    && m.accounted
-                    && m.seat == null
-                    && (m.share != null || cluster.shares().size() == 1)) {
-                machines.add(m);
+            machine.draining &= machine.placements().values().stream().anyMatch(placement -> placement.stopping);
+            machine.cordonedFor = null;
+            if (machine.isUsable()
+                    && machine.reconciled
+                    && machine.poolMembership == null
+                    && (machine.queueName != null || cluster.queues().size() == 1)) {
+                machines.add(machine);
             }
         }
-        if (!dispatcher.isSettled() || !dispatcher.fits(share, room(machines), now)) {
+        if (!dispatcher.isFailoverComplete() || !dispatcher.fitsIn(queue, room(machines), now)) {
             return;
         }
-        machines.sort(Comparator.comparing((Machine m) -> m.spare ? 1 : 0)
-                .thenComparing(m -> m.pool.spot() ? 0 : 1)
-                .thenComparing(m -> -m.used().shareOf(m.type.capacity())));
-        empty(share, machines, now);
-        for (Machine m : machines) {
-            m.aside = m.isIdle() || m.emptying ? share : null;
+        machines.sort(Comparator.comparing((Machine machine) -> machine.surplus ? 1 : 0)
+                .thenComparing(machine -> machine.pool.spot() ? 0 : 1)
+                .thenComparing(machine -> -machine.used().shareOf(machine.type.capacity())));
+        chooseMachinesToDrain(queue, machines, now);
+        for (Machine machine : machines) {
+            machine.cordonedFor = machine.isIdle() || machine.draining ? queue : null;
         }
-        share.roomBeside(room(machines));
+        queue.roomOutsideCordon(room(machines));
     }
 
     /** What is free on machines at work. */
     private static List<Demand> room(List<Machine> machines) {
-        return machines.stream().filter(m -> roomOn(m) > 0).map(Machine::free).toList();
+        return machines.stream()
+                .filter(machine -> roomOn(machine) > 0)
+                .map(Machine::free)
+                .toList();
     }
 
     /** Chooses the machines to empty, from the end of the list. */
-    private void empty(FairShareQueue share, List<Machine> machines, Moment now) {
+    private void chooseMachinesToDrain(FairShareQueue queue, List<Machine> machines, Moment now) {
         Map<Machine, Demand> free = new HashMap<>();
         double spareRoom = 0;
-        for (Machine m : machines) {
-            spareRoom += roomOn(m);
+        for (Machine machine : machines) {
+            spareRoom += roomOn(machine);
         }
-        for (Job job : share.jobs()) {
-            spareRoom -= job.startable() * job.spec.demand().cores();
+        for (Job job : queue.jobs()) {
+            spareRoom -= job.startableCount() * job.spec.demand().cores();
         }
-        int left = (int) Math.ceil(machines.size() * AT_ONCE);
+        int left = (int) Math.ceil(machines.size() * MAX_DRAINING_FRACTION);
         for (int i = machines.size() - 1; i > 0 && left > 0; i--) {
-            Machine m = machines.get(i);
+            Machine machine = machines.get(i);
             // Its tasks take room elsewhere, and its own is no room any more.
-            double cost = m.used().cores() + roomOn(m);
-            if (m.isIdle()
-                    || m.emptying
-                    || free.containsKey(m)
+            double cost = machine.used().cores() + roomOn(machine);
+            if (machine.isIdle()
+                    || machine.draining
+                    || free.containsKey(machine)
                     || spareRoom < cost
-                    || !isMovable(m, now)
-                    || !place(m, machines.subList(0, i), free)) {
+                    || !isMovable(machine, now)
+                    || !reserveTargets(machine, machines.subList(0, i), free)) {
                 continue;
             }
-            m.emptying = true;
+            machine.draining = true;
             spareRoom -= cost;
             left--;
         }
     }
 
-    private static double roomOn(Machine m) {
-        return m.isIdle() || m.emptying || m.spare ? 0 : m.free().cores();
+    private static double roomOn(Machine machine) {
+        return machine.isIdle() || machine.draining || machine.surplus
+                ? 0
+                : machine.free().cores();
     }
 
     /** Not what has hardly run, so that none is moved again and again, nor where a place depends on the job's other tasks. */
-    private boolean isMovable(Machine m, Moment now) {
-        for (Placement p : m.tasks().values()) {
-            Span move = p.job.spec.checkpointTime().plus(rules.report().times(2));
-            if (p.state != TaskState.RUNNING
-                    || p.stopping
-                    || !p.job.spec.savesProgress()
-                    || p.job.cancelled
-                    || p.job.spec.oneZone()
-                    || p.job.spec.spread()
-                    || now.since(p.since).compareTo(Dispatcher.LEAST_RUN) < 0
-                    || estimates.end(p, now).since(now).compareTo(move.times(WORTH)) < 0) {
+    private boolean isMovable(Machine machine, Moment now) {
+        for (Placement placement : machine.placements().values()) {
+            Span move = placement
+                    .job
+                    .spec
+                    .checkpointTime()
+                    .plus(rules.heartbeatPeriod().times(2));
+            if (placement.state != TaskState.RUNNING
+                    || placement.stopping
+                    || !placement.job.spec.savesProgress()
+                    || placement.job.cancelled
+                    || placement.job.spec.oneZone()
+                    || placement.job.spec.spread()
+                    || now.since(placement.stateSince).compareTo(Dispatcher.LEAST_RUN) < 0
+                    || estimates.end(placement, now).since(now).compareTo(move.times(MIN_REMAINING_PER_MOVE)) < 0) {
                 return false;
             }
         }
@@ -126,18 +135,18 @@
     }
 
     /** Finds a place for each task of {@code m} on a fuller machine that has its image; all or nothing. */
-    private static boolean place(Machine m, List<Machine> fuller, Map<Machine, Demand> free) {
+    private static boolean reserveTargets(Machine machine, List<Machine> fuller, Map<Machine, Demand> free) {
         Map<Machine, Demand> after = new HashMap<>(free);
-        for (Placement p : m.tasks().values()) {
+        for (Placement placement : machine.placements().values()) {
             Machine target = null;
             for (Machine t : fuller) {
                 if (!t.isIdle()
-                        && !t.emptying
-                        && !t.spare
-                        && t.images.contains(p.job.spec.image())
-                        && t.allows(p.job.spec)
-                        && !FaultAttribution.bars(p.job, t)
-                        && p.demand().fitsIn(after.getOrDefault(t, t.free()))) {
+                        && !t.draining
+                        && !t.surplus
+                        && t.imageCache.contains(placement.job.spec.image())
+                        && t.allows(placement.job.spec)
+                        && !FaultAttribution.isExcluded(placement.job, t)
+                        && placement.demand().fitsIn(after.getOrDefault(t, t.free()))) {
                     target = t;
                     break;
                 }
@@ -145,21 +154,24 @@
             if (target == null) {
                 return false;
             }
-            after.put(target, after.getOrDefault(target, target.free()).minus(p.demand()));
+            after.put(target, after.getOrDefault(target, target.free()).minus(placement.demand()));
         }
         free.putAll(after);
         return true;
     }
 
     /** Stops for a machine that is to be emptied; what is stopped waits for a machine that has its image. */
-    List<WorkerCommand> orders(Machine m, Moment now) {
+    List<WorkerCommand> drainCommands(Machine machine, Moment now) {
         List<WorkerCommand> orders = new ArrayList<>();
-        if (m.emptying && isMovable(m, now) && dispatcher.isAside(m, now)) {
-            for (Placement p : m.tasksCopy()) {
-                p.stopping = true;
-                p.job.leftToHoldersUntil = now.plus(rules.report().times(3)).plus(p.job.spec.checkpointTime());
+        if (machine.draining && isMovable(machine, now) && dispatcher.isCordoned(machine, now)) {
+            for (Placement placement : machine.placementsCopy()) {
+                placement.stopping = true;
+                placement.job.imageLocalityUntil =
+                        now.plus(rules.heartbeatPeriod().times(3)).plus(placement.job.spec.checkpointTime());
                 orders.add(new WorkerCommand.Stop(
-                        p.task(), p.attempt, p.job.spec.checkpointTime().times(2)));
+                        placement.task(),
+                        placement.attempt,
+                        placement.job.spec.checkpointTime().times(2)));
             }
         }
         return orders;
--- a/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
+++ b/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
@@ -35,7 +35,7 @@
 
     void added(Job job) {
         graph.opened(job.id());
-        if (job.waitsForJobs()) {
+        if (job.hasUnmetDependencies()) {
             graph.add(job.id(), job.spec.chain().needs(), cluster.jobs::containsKey);
             if (job.inherited) {
                 inherited.add(job);
@@ -93,9 +93,9 @@
 
     private void release(JobId id, Moment now, long timeOfDayMs) {
         Job job = cluster.jobs.get(id);
-        if (job != null && job.waitsForJobs()) {
+        if (job != null && job.hasUnmetDependencies()) {
             inherited.remove(job);
-            job.releaseFromNeeds(now, timeOfDayMs);
+            job.releaseFromDependencies(now, timeOfDayMs);
             cluster.enqueue(job);
         }
     }
@@ -123,7 +123,7 @@
     private void target(JobId id, JobTarget target) {
         Job job = cluster.jobs.get(id);
         if (job != null) {
-            job.asked = target;
+            job.dependentsTarget = target;
         }
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
@@ -52,22 +52,22 @@
     private record CachedReservation(Reservation reservation, Moment made) {}
 
     private final Cluster cluster;
-    private final ServiceLevelObjectives aims;
+    private final ServiceLevelObjectives objectives;
     private final Estimates estimates;
-    private final Failover takeOver;
+    private final Failover failover;
     private final FencingToken token;
-    private final Span leastPaid;
+    private final Span minimumPaidTime;
     private final Map<JobId, CachedReservation> reservations = new HashMap<>();
     private Shortage shortage;
     private final Map<FairShareQueue, Shortage> claims = new HashMap<>();
     /** Usable machines of each pool, counted once in a while. */
-    private Map<MachinePool, Integer> usable = Map.of();
+    private Map<MachinePool, Integer> usableMachines = Map.of();
 
-    private Moment usableAt = Moment.NEVER;
+    private Moment usableCountedAt = Moment.NEVER;
     /** Cores that each share's fillers may still take, counted once in a while. */
-    private final Map<FairShareQueue, CoreBudget> fillerRoom = new HashMap<>();
+    private final Map<FairShareQueue, CoreBudget> fillerBudgets = new HashMap<>();
 
-    private final ReservedCapacity corner;
+    private final ReservedCapacity reservedCapacity;
     private long attempts;
 
     private record CoreBudget(double cores, Moment counted) {}
@@ -80,85 +80,85 @@
             FencingToken token,
             Span leastPaid) {
         this.cluster = cluster;
-        this.aims = aims;
+        this.objectives = aims;
         this.estimates = estimates;
-        this.takeOver = takeOver;
+        this.failover = takeOver;
         this.token = token;
-        this.leastPaid = leastPaid;
-        this.corner = new ReservedCapacity(cluster, aims, estimates);
+        this.minimumPaidTime = leastPaid;
+        this.reservedCapacity = new ReservedCapacity(cluster, aims, estimates);
     }
 
     /** Starts for {@code m}, to be put into the answer to its report {@code number}. */
-    List<WorkerCommand> fill(Machine m, HeartbeatNumber number, Moment now) {
+    List<WorkerCommand> startTasks(Machine machine, HeartbeatNumber number, Moment now) {
         List<WorkerCommand> orders = new ArrayList<>();
-        if (!m.isUsable()) {
+        if (!machine.isUsable()) {
             return orders;
         }
-        if (m.spare || isAside(m, now)) {
-            fillWithOverdue(m, number, now, orders);
+        if (machine.surplus || isCordoned(machine, now)) {
+            startOverdue(machine, number, now, orders);
             return orders;
         }
-        for (FairShareQueue share : candidates(m)) {
+        for (FairShareQueue queue : queuesFor(machine)) {
             int before = orders.size();
-            fillFrom(share, m, number, now, orders);
+            startFromQueue(queue, machine, number, now, orders);
             if (orders.size() > before) {
-                m.share = share.name;
+                machine.queueName = queue.name;
             }
             // Not after the first share: one that is due and wants nothing kept the own share from the rest of every
             // machine.
-            if (!m.isIdle() && m.seat == null && share.name.equals(m.share)) {
+            if (!machine.isIdle() && machine.poolMembership == null && queue.name.equals(machine.queueName)) {
                 break;
             }
         }
-        if (!m.isIdle() && m.seat == null) {
-            fillWithOverdue(m, number, now, orders);
+        if (!machine.isIdle() && machine.poolMembership == null) {
+            startOverdue(machine, number, now, orders);
         }
-        tendHolder(m, number, now, orders);
+        reconcileHolder(machine, number, now, orders);
         return orders;
     }
 
     /** A holder sits where a warm pool has a seat and nothing else keeps the image; elsewhere it is told to go. */
-    private void tendHolder(Machine m, HeartbeatNumber number, Moment now, List<WorkerCommand> orders) {
-        Job due = m.seat == null ? null : m.seat.holder();
-        Placement sits = m.holder();
+    private void reconcileHolder(Machine machine, HeartbeatNumber number, Moment now, List<WorkerCommand> orders) {
+        Job due = machine.poolMembership == null ? null : machine.poolMembership.holder();
+        Placement sits = machine.holder();
         if (sits != null
-                && cluster.keeper.isKnown()
+                && cluster.warmCapacity.isKnown()
                 && (sits.job != due
                         || (sits.isRunning()
-                                && (!m.images.holds(sits.job.spec.image())
-                                        || m.images.isCrowded(sits.job.spec.image()))))) {
+                                && (!machine.imageCache.holds(sits.job.spec.image())
+                                        || machine.imageCache.isCrowded(sits.job.spec.image()))))) {
             // Started anew, it shows that its image is here, or fetches it, and the image counts as used last.
             stop(sits, orders);
         } else if (due != null
                 && !due.isCancelled()
-                && !m.hasTaskWith(m.seat.image())
+                && !machine.hasTaskWith(machine.poolMembership.image())
                 && due.hasStartable()
                 && mayStart(due, now)
-                && !due.isSuspect()
-                && FaultAttribution.allows(due, m, now)
-                && m.allows(due.spec)
-                && due.spec.demand().fitsIn(m.free())
-                && placeable(due, m)) {
-            if (due.hasOrderable()) {
-                place(due, m, number, now, orders);
+                && !due.isSuspectedFaulty()
+                && FaultAttribution.allows(due, machine, now)
+                && machine.allows(due.spec)
+                && due.spec.demand().fitsIn(machine.free())
+                && isPlaceable(due, machine)) {
+            if (due.isWithinStartBound()) {
+                place(due, machine, number, now, orders);
             } else {
-                due.wantOrderable(MOST_HOLDERS);
+                due.requestStartBoundFor(MOST_HOLDERS);
             }
         }
     }
 
-    private static void stop(Placement p, List<WorkerCommand> orders) {
-        p.stopping = true;
-        orders.add(new WorkerCommand.Stop(p.task(), p.attempt, Span.ZERO));
+    private static void stop(Placement placement, List<WorkerCommand> orders) {
+        placement.stopping = true;
+        orders.add(new WorkerCommand.Stop(placement.task(), placement.attempt, Span.ZERO));
     }
 
-    private Placement place(Job job, Machine m, HeartbeatNumber number, Moment now, List<WorkerCommand> orders) {
-        Placement p =
-                new Placement(job, job.nextStartable(), m, token.attempt(++attempts), TaskState.ORDERED, number, now);
-        cluster.keeper.starting(job, m);
-        cluster.place(p);
-        orders.add(new WorkerCommand.Start(p.task(), p.attempt));
-        return p;
+    private Placement place(Job job, Machine machine, HeartbeatNumber number, Moment now, List<WorkerCommand> orders) {
+        Placement placement = new Placement(
+                job, job.nextStartable(), machine, token.attempt(++attempts), TaskState.ORDERED, number, now);
+        cluster.warmCapacity.taskStarting(job, machine);
+        cluster.addPlacement(placement);
+        orders.add(new WorkerCommand.Start(placement.task(), placement.attempt));
+        return placement;
     }
 
     /**
@@ -166,38 +166,41 @@
      * would otherwise wait for longer than that takes. Stopped are tasks that keep their progress and, where an aim on
      * the top job's starts is about to be lost, tasks that have hardly begun.
      */
-    List<WorkerCommand> makeRoom(Machine m, Moment now) {
-        List<WorkerCommand> orders = giveBack(m, now);
+    List<WorkerCommand> preempt(Machine machine, Moment now) {
+        List<WorkerCommand> orders = preemptBorrowedWork(machine, now);
         if (!orders.isEmpty()) {
             return orders;
         }
-        FairShareQueue share = cluster.share(m);
-        Job top = share == null || !m.isUsable() ? null : top(share, now);
+        FairShareQueue queue = cluster.queueOf(machine);
+        Job top = queue == null || !machine.isUsable() ? null : topJob(queue, now);
         if (top == null
-                || !mayAskForRoom(top, m.type)
-                || !m.allows(top.spec)
-                || !FaultAttribution.allows(top, m, now)
-                || !placeable(top, m)
-                || isLeftToHolders(top, m, now)) {
+                || !mayAskForRoom(top, machine.type)
+                || !machine.allows(top.spec)
+                || !FaultAttribution.allows(top, machine, now)
+                || !isPlaceable(top, machine)
+                || awaitsImageLocality(top, machine, now)) {
             return orders;
         }
-        List<Placement> victims = m.tasksCopy();
-        victims.removeIf(p -> !mayYield(p, top, now));
+        List<Placement> victims = machine.placementsCopy();
+        victims.removeIf(placement -> !isPreemptible(placement, top, now));
         if (victims.isEmpty()) {
             return orders;
         }
-        int wanted = wanted(share, top, now);
-        victims.sort(Comparator.comparing((Placement p) -> p.job.urgency()).reversed());
-        Demand room = m.free();
-        for (Placement p : victims) {
+        int wanted = missingPlaces(queue, top, now);
+        victims.sort(Comparator.comparing((Placement placement) -> placement.job.urgency())
+                .reversed());
+        Demand room = machine.free();
+        for (Placement placement : victims) {
             int before = top.spec.demand().timesIn(room);
-            room = room.plus(p.demand());
+            room = room.plus(placement.demand());
             if (wanted <= 0) {
                 break;
             }
-            p.stopping = true;
+            placement.stopping = true;
             orders.add(new WorkerCommand.Stop(
-                    p.task(), p.attempt, p.job.spec.checkpointTime().times(2)));
+                    placement.task(),
+                    placement.attempt,
+                    placement.job.spec.checkpointTime().times(2)));
             wanted -= top.spec.demand().timesIn(room) - before;
         }
         shortage = new Shortage(top, shortage.counted, wanted);
@@ -206,44 +209,47 @@
 
     /** Urgent jobs, and those whose aim is too near to rent machines for them. */
     private boolean mayAskForRoom(Job top, MachineType type) {
-        return top.urgency().isMoreUrgentThan(Urgency.STANDARD) || isNear(top, type);
+        return top.urgency().isMoreUrgentThan(Urgency.STANDARD) || isObjectiveTooNearToRent(top, type);
     }
 
     /** How many places the top job lacks: counted over all machines once in a while, not for every report. */
-    private int wanted(FairShareQueue share, Job top, Moment now) {
+    private int missingPlaces(FairShareQueue queue, Job top, Moment now) {
         if (shortage == null || shortage.top != top || !now.isBefore(shortage.counted.plus(SHORTAGE_LIFE))) {
-            shortage = new Shortage(top, now, top.startable() - comingPlaces(cluster.serving(share), top, now));
+            shortage = new Shortage(
+                    top, now, top.startableCount() - comingPlaces(cluster.machinesServing(queue), top, now));
         }
         return shortage.places;
     }
 
     /** Stops work that its team runs beyond its guarantee where another team waits for its own. */
-    private List<WorkerCommand> giveBack(Machine m, Moment now) {
+    private List<WorkerCommand> preemptBorrowedWork(Machine machine, Moment now) {
         List<WorkerCommand> orders = new ArrayList<>();
-        for (FairShareQueue due : cluster.shares()) {
-            Job top = due.guaranteed != null ? top(due, now) : null;
-            yieldSeat(due, top, m, now);
+        for (FairShareQueue due : cluster.queues()) {
+            Job top = due.guaranteed != null ? topJob(due, now) : null;
+            yieldPoolMachine(due, top, machine, now);
             if (top == null
-                    || !m.isUsable()
-                    || !due.isDue(top.spec.demand())
-                    || !m.allows(top.spec)
-                    || !FaultAttribution.allows(top, m, now)
-                    || !placeable(top, m)
-                    || isProvidedFor(due, top, now)) {
+                    || !machine.isUsable()
+                    || !due.isBelowGuarantee(top.spec.demand())
+                    || !machine.allows(top.spec)
+                    || !FaultAttribution.allows(top, machine, now)
+                    || !isPlaceable(top, machine)
+                    || hasEnoughComingPlaces(due, top, now)) {
                 continue;
             }
-            Demand room = m.free();
-            for (Placement p : m.tasksCopy()) {
-                FairShareQueue borrower = cluster.share(p.job);
+            Demand room = machine.free();
+            for (Placement placement : machine.placementsCopy()) {
+                FairShareQueue borrower = cluster.queueOf(placement.job);
                 if (!top.spec.demand().fitsIn(room)
                         && borrower != due
-                        && !p.stopping
-                        && p.state == TaskState.RUNNING
-                        && !borrower.isDue(Demand.NOTHING)) {
-                    room = room.plus(p.demand());
-                    p.stopping = true;
+                        && !placement.stopping
+                        && placement.state == TaskState.RUNNING
+                        && !borrower.isBelowGuarantee(Demand.NOTHING)) {
+                    room = room.plus(placement.demand());
+                    placement.stopping = true;
                     orders.add(new WorkerCommand.Stop(
-                            p.task(), p.attempt, p.job.spec.checkpointTime().times(2)));
+                            placement.task(),
+                            placement.attempt,
+                            placement.job.spec.checkpointTime().times(2)));
                 }
             }
             if (top.spec.demand().fitsIn(room)) {
@@ -255,58 +261,58 @@
     }
 
     /** An idle machine of a pool goes to a team that waits for its guarantee, as work beyond the payer's own would be stopped. */
-    private void yieldSeat(FairShareQueue due, Job top, Machine m, Moment now) {
-        Job holder = m.seat == null ? null : m.seat.holder();
+    private void yieldPoolMachine(FairShareQueue due, Job top, Machine machine, Moment now) {
+        Job holder = machine.poolMembership == null ? null : machine.poolMembership.holder();
         if (top != null
                 && holder != null
-                && m.isIdle()
-                && m.isUsable()
-                && cluster.share(holder) != due
-                && !cluster.share(holder).isDue(Demand.NOTHING)
-                && due.isDue(top.spec.demand())
-                && m.isOfKind(top.spec)
-                && !m.allows(top.spec)
-                && top.spec.demand().fitsIn(m.type.capacity())
-                && !isProvidedFor(due, top, now)) {
-            cluster.keeper.yield(m, now);
+                && machine.isIdle()
+                && machine.isUsable()
+                && cluster.queueOf(holder) != due
+                && !cluster.queueOf(holder).isBelowGuarantee(Demand.NOTHING)
+                && due.isBelowGuarantee(top.spec.demand())
+                && machine.matchesPool(top.spec)
+                && !machine.allows(top.spec)
+                && top.spec.demand().fitsIn(machine.type.capacity())
+                && !hasEnoughComingPlaces(due, top, now)) {
+            cluster.warmCapacity.yield(machine, now);
             claims.computeIfPresent(due, (d, claim) -> new Shortage(top, claim.counted, claim.places - 1));
         }
     }
 
-    /** Whether places for a job within its team's guarantee come free without stopping more; counted like {@link #wanted}. */
-    private boolean isProvidedFor(FairShareQueue due, Job top, Moment now) {
+    /** Whether places for a job within its team's guarantee come free without stopping more; counted like {@link #missingPlaces}. */
+    private boolean hasEnoughComingPlaces(FairShareQueue due, Job top, Moment now) {
         Shortage claim = claims.get(due);
         if (claim == null || claim.top != top || !now.isBefore(claim.counted.plus(SHORTAGE_LIFE))) {
-            claim = new Shortage(top, now, top.startable() - comingPlaces(cluster.all(), top, now));
+            claim = new Shortage(top, now, top.startableCount() - comingPlaces(cluster.allMachines(), top, now));
             claims.put(due, claim);
         }
         return claim.places <= 0;
     }
 
-    private boolean mayYield(Placement p, Job top, Moment now) {
-        if (p.state != TaskState.RUNNING
-                || p.stopping
-                || p.job.owed
-                || !top.urgency().isMoreUrgentThan(p.job.urgency())) {
+    private boolean isPreemptible(Placement placement, Job top, Moment now) {
+        if (placement.state != TaskState.RUNNING
+                || placement.stopping
+                || placement.job.underServed
+                || !top.urgency().isMoreUrgentThan(placement.job.urgency())) {
             return false;
         }
-        if (!p.job.spec.savesProgress()) {
+        if (!placement.job.spec.savesProgress()) {
             return timeToStart(top, now).ms() > 0
-                    && now.since(p.since).compareTo(HARDLY_BEGUN) <= 0
-                    && aims.startBy(p.job) == null
-                    && !p.job.spec.isService();
+                    && now.since(placement.stateSince).compareTo(HARDLY_BEGUN) <= 0
+                    && objectives.latestStartForWait(placement.job) == null
+                    && !placement.job.spec.isService();
         }
-        return now.since(p.since).compareTo(LEAST_RUN) >= 0
+        return now.since(placement.stateSince).compareTo(LEAST_RUN) >= 0
                 && estimates
-                                .end(p, now)
+                                .end(placement, now)
                                 .since(now)
-                                .compareTo(p.job.spec.checkpointTime().times(2))
+                                .compareTo(placement.job.spec.checkpointTime().times(2))
                         > 0;
     }
 
     /** What is left until an aim on the job's starts is lost, if that is soon; else zero. */
     private Span timeToStart(Job top, Moment now) {
-        Moment due = aims.startBy(top);
+        Moment due = objectives.latestStartForWait(top);
         Span left = due == null ? Span.ZERO : due.since(now);
         return left.ms() < 0 || left.compareTo(SOON) > 0 ? Span.ZERO : left;
     }
@@ -316,16 +322,16 @@
         int places = 0;
         Span left = timeToStart(top, now);
         Span soon = left.ms() > 0 ? left : SOON;
-        for (Machine m : machines) {
-            if (!m.isUsable() || !m.allows(top.spec) || isLeftToHolders(top, m, now)) {
+        for (Machine machine : machines) {
+            if (!machine.isUsable() || !machine.allows(top.spec) || awaitsImageLocality(top, machine, now)) {
                 continue;
             }
-            Demand room = m.freeFor(top.spec);
-            for (Placement p : m.tasks().values()) {
-                if (p.stopping
-                        || p.state == TaskState.SAVING
-                        || estimates.end(p, now).since(now).compareTo(soon) <= 0) {
-                    room = room.plus(p.demand());
+            Demand room = machine.freeFor(top.spec);
+            for (Placement placement : machine.placements().values()) {
+                if (placement.stopping
+                        || placement.state == TaskState.SAVING
+                        || estimates.end(placement, now).since(now).compareTo(soon) <= 0) {
+                    room = room.plus(placement.demand());
                 }
             }
             places += top.spec.demand().timesIn(room);
@@ -337,23 +343,23 @@
      * What has waited for long starts wherever a machine has room, of whichever share, and also where only its price or the room
      * elsewhere speaks against it: nothing is to wait beside free room. It delays the own share's top job nowhere.
      */
-    private void fillWithOverdue(Machine m, HeartbeatNumber number, Moment now, List<WorkerCommand> orders) {
-        boolean tried = !m.spare && !isAside(m, now);
-        FairShareQueue own = cluster.share(m);
-        Job top = own == null ? null : top(own, now);
-        for (FairShareQueue share : candidates(m)) {
-            if (share == own && tried) {
+    private void startOverdue(Machine machine, HeartbeatNumber number, Moment now, List<WorkerCommand> orders) {
+        boolean tried = !machine.surplus && !isCordoned(machine, now);
+        FairShareQueue own = cluster.queueOf(machine);
+        Job top = own == null ? null : topJob(own, now);
+        for (FairShareQueue queue : queuesFor(machine)) {
+            if (queue == own && tried) {
                 continue;
             }
-            for (Job job : queue(share, now)) {
-                if (m.free().cores() <= 1e-6 || keepsRoom(job, m)) {
+            for (Job job : queue(queue, now)) {
+                if (machine.free().cores() <= 1e-6 || keepsRoomForReplica(job, machine)) {
                     return;
                 }
                 if (isOverdue(job, now) && job.hasStartable() && mayStart(job, now)) {
                     boolean first = top == null || top == job;
-                    boolean idle = m.isIdle();
-                    start(share, job, m, first ? null : reservation(own, top, now), number, now, orders, false);
-                    m.share = idle && !m.isIdle() ? share.name : m.share;
+                    boolean idle = machine.isIdle();
+                    start(queue, job, machine, first ? null : reservation(own, top, now), number, now, orders, false);
+                    machine.queueName = idle && !machine.isIdle() ? queue.name : machine.queueName;
                 }
             }
         }
@@ -361,50 +367,50 @@
 
     /** Not the rest of a job whose tasks start or end: nor one that was just stopped to empty the machine. */
     private static boolean isOverdue(Job job, Moment now) {
-        return !job.hadItsTurn()
-                && now.since(job.arrived).compareTo(OVERDUE) >= 0
-                && !now.isBefore(job.changedAt.plus(OVERDUE));
+        return !job.isStarvationRelieved()
+                && now.since(job.eligibleSince).compareTo(OVERDUE) >= 0
+                && !now.isBefore(job.placementsChangedAt.plus(OVERDUE));
     }
 
     /** The machine's own share; an idle machine may pass to the share that has the least of what it is due. */
-    private List<FairShareQueue> candidates(Machine m) {
-        List<FairShareQueue> out = new ArrayList<>(cluster.shares());
-        out.sort(Comparator.<FairShareQueue>comparingInt(s -> s.isDue(Demand.NOTHING) ? 0 : 1)
-                .thenComparingInt(s -> s.name.equals(m.share) ? 0 : 1)
-                .thenComparingDouble(FairShareQueue::beyond));
+    private List<FairShareQueue> queuesFor(Machine machine) {
+        List<FairShareQueue> out = new ArrayList<>(cluster.queues());
+        out.sort(Comparator.<FairShareQueue>comparingInt(queue -> queue.isBelowGuarantee(Demand.NOTHING) ? 0 : 1)
+                .thenComparingInt(queue -> queue.name.equals(machine.queueName) ? 0 : 1)
+                .thenComparingDouble(FairShareQueue::coresBeyondGuarantee));
         return out;
     }
 
-    private void fillFrom(
-            FairShareQueue share, Machine m, HeartbeatNumber number, Moment now, List<WorkerCommand> orders) {
-        if (m.free().cores() <= 1e-6) {
+    private void startFromQueue(
+            FairShareQueue share, Machine machine, HeartbeatNumber number, Moment now, List<WorkerCommand> orders) {
+        if (machine.free().cores() <= 1e-6) {
             return;
         }
         List<Job> queue = queue(share, now);
-        if (corner.has(m, share, queue, now)) {
-            for (Job job : corner.jobs(share)) {
-                if (job.hasStartable() && mayStart(job, now) && m.free().cores() > 1e-6) {
-                    start(share, job, m, null, number, now, orders, true);
+        if (reservedCapacity.isReserved(machine, share, queue, now)) {
+            for (Job job : reservedCapacity.jobs(share)) {
+                if (job.hasStartable() && mayStart(job, now) && machine.free().cores() > 1e-6) {
+                    start(share, job, machine, null, number, now, orders, true);
                 }
             }
         }
         Job top = null;
         for (Job job : queue) {
-            if (m.free().cores() <= 1e-6) {
+            if (machine.free().cores() <= 1e-6) {
                 return;
             }
-            if (keepsRoom(job, m)) {
+            if (keepsRoomForReplica(job, machine)) {
                 return;
             }
-            if (!job.hasStartable() || !mayStart(job, now) || job.hadItsTurn()) {
+            if (!job.hasStartable() || !mayStart(job, now) || job.isStarvationRelieved()) {
                 continue;
             }
-            start(share, job, m, top == null ? null : reservation(share, top, now), number, now, orders, false);
+            start(share, job, machine, top == null ? null : reservation(share, top, now), number, now, orders, false);
             // One that is kept waiting for the others must not keep places from them.
             if (top == null
                     && job.hasStartable()
-                    && !job.hadItsTurn()
-                    && (!isFiller(job) || leavesRoom(share, job, now))) {
+                    && !job.isStarvationRelieved()
+                    && (!isUnboundedFiller(job) || leavesRoomForObjectives(share, job, now))) {
                 top = job;
             }
         }
@@ -414,49 +420,52 @@
      * Before a take-over is settled: a replica that may turn out to be nowhere is not to find its places taken by work that
      * nobody had ordered yet and that it could not push aside.
      */
-    boolean keepsRoom(Job job, Machine m) {
-        return !takeOver.isSettled()
+    boolean keepsRoomForReplica(Job job, Machine machine) {
+        return !failover.isComplete()
                 && job.spec.isService()
                 && job.hasWaiting()
                 && !job.hasStartable()
-                && m.allows(job.spec)
-                && job.spec.demand().fitsIn(m.freeFor(job.spec));
+                && machine.allows(job.spec)
+                && job.spec.demand().fitsIn(machine.freeFor(job.spec));
     }
 
     private void start(
-            FairShareQueue share,
+            FairShareQueue queue,
             Job job,
-            Machine m,
+            Machine machine,
             Reservation reservation,
             HeartbeatNumber number,
             Moment now,
             List<WorkerCommand> orders,
             boolean beforeAll) {
-        boolean suits = m.allows(job.spec) && FaultAttribution.allows(job, m, now) && !isLeftToHolders(job, m, now);
-        Span time = estimates.onMachine(job, m);
-        boolean filler = suits && !beforeAll && isFiller(job);
+        boolean suits = machine.allows(job.spec)
+                && FaultAttribution.allows(job, machine, now)
+                && !awaitsImageLocality(job, machine, now);
+        Span time = estimates.onMachine(job, machine);
+        boolean filler = suits && !beforeAll && isUnboundedFiller(job);
         while (suits
                 && job.hasStartable()
-                && job.spec.demand().fitsIn(m.freeFor(job.spec))
-                && placeable(job, m)
-                && (!filler || leavesRoom(share, job, now))
-                && (reservation == null || reservation.allows(m, job.spec.demand(), time, estimates, now))) {
-            if (!job.hasOrderable()) {
+                && job.spec.demand().fitsIn(machine.freeFor(job.spec))
+                && isPlaceable(job, machine)
+                && (!filler || leavesRoomForObjectives(queue, job, now))
+                && (reservation == null || reservation.allows(machine, job.spec.demand(), time, estimates, now))) {
+            if (!job.isWithinStartBound()) {
                 // Deeper in the queue than the bounds were raised: it may start here when the machine reports next.
-                job.wantOrderable(job.spec.demand().timesIn(m.free()));
+                job.requestStartBoundFor(job.spec.demand().timesIn(machine.free()));
                 return;
             }
-            if (!job.spec.demand().fitsIn(m.free())) {
-                stop(m.holder(), orders);
+            if (!job.spec.demand().fitsIn(machine.free())) {
+                stop(machine.holder(), orders);
             }
-            Placement p = place(job, m, number, now, orders);
+            Placement placement = place(job, machine, number, now, orders);
             if (filler) {
-                fillerRoom.computeIfPresent(
-                        share,
-                        (s, room) -> new CoreBudget(room.cores - p.demand().cores(), room.counted));
+                fillerBudgets.computeIfPresent(
+                        queue,
+                        (key, room) ->
+                                new CoreBudget(room.cores - placement.demand().cores(), room.counted));
             }
-            job.begunFirst |= job.toBegin;
-            suits = !job.isSuspect() && !job.toBegin;
+            job.startedAsStarved |= job.starved;
+            suits = !job.isSuspectedFaulty() && !job.starved;
         }
     }
 
@@ -464,43 +473,43 @@
      * Long tasks that nobody has said a time for, and that nothing of their own urgency may push aside: once on every
      * machine they keep all who have an aim waiting until they end.
      */
-    boolean isFiller(Job job) {
-        return aims.isWithout(job)
-                && !job.owed
-                && !job.toBegin
+    boolean isUnboundedFiller(Job job) {
+        return objectives.hasNoObjective(job)
+                && !job.underServed
+                && !job.starved
                 && !job.spec.isService()
                 && !job.urgency().isMoreUrgentThan(Urgency.STANDARD)
-                && estimates.run(job).compareTo(leastPaid) >= 0;
+                && estimates.run(job).compareTo(minimumPaidTime) >= 0;
     }
 
     /** Whether what is left beside all fillers is enough for the jobs with an aim: those that are here, and their flow. */
-    boolean leavesRoom(FairShareQueue share, Job job, Moment now) {
-        CoreBudget room = fillerRoom.get(share);
+    boolean leavesRoomForObjectives(FairShareQueue queue, Job job, Moment now) {
+        CoreBudget room = fillerBudgets.get(queue);
         if (room == null || !now.isBefore(room.counted.plus(RESERVATION_LIFE))) {
             double cores = 0;
-            for (Machine m : cluster.serving(share)) {
-                cores += m.isUsable() ? m.type.capacity().cores() : 0;
+            for (Machine machine : cluster.machinesServing(queue)) {
+                cores += machine.isUsable() ? machine.type.capacity().cores() : 0;
             }
             double aimed = 0;
-            for (Job other : share.jobs()) {
+            for (Job other : queue.jobs()) {
                 double each = other.spec.demand().cores();
-                if (isFiller(other)) {
-                    cores -= other.active().size() * each;
-                } else if (!aims.isWithout(other)) {
-                    aimed += (other.active().size() + (other.late ? 0 : other.startable())) * each;
+                if (isUnboundedFiller(other)) {
+                    cores -= other.placements().size() * each;
+                } else if (!objectives.hasNoObjective(other)) {
+                    aimed += (other.placements().size() + (other.missedObjectives ? 0 : other.startableCount())) * each;
                 }
             }
-            double flow = share.inflow()
+            double flow = queue.arrivalRate()
                     .perSecond(
-                            other -> !aims.isWithout(other),
+                            other -> !objectives.hasNoObjective(other),
                             other -> other.spec.tasks()
                                     * estimates.run(other).seconds()
                                     * other.spec.demand().cores(),
-                            leastPaid,
+                            minimumPaidTime,
                             now);
             double aside = Math.max(aimed, flow);
             room = new CoreBudget(aside > 0 ? cores - aside : Double.MAX_VALUE, now);
-            fillerRoom.put(share, room);
+            fillerBudgets.put(queue, room);
         }
         return room.cores >= job.spec.demand().cores();
     }
@@ -509,23 +518,24 @@
      * Fetching its image here would make the task start too late for an aim that it can still meet on a machine which
      * has the image. Such a machine is waited for until the aim is lost; then any will do.
      */
-    boolean isLeftToHolders(Job job, Machine m, Moment now) {
-        if (now.isBefore(job.leftToHoldersUntil) && !m.images.contains(job.spec.image())) {
+    boolean awaitsImageLocality(Job job, Machine machine, Moment now) {
+        if (now.isBefore(job.imageLocalityUntil) && !machine.imageCache.contains(job.spec.image())) {
             return true;
         }
-        Moment due = m.images.contains(job.spec.image()) ? null : aims.startBy(job);
+        Moment due = machine.imageCache.contains(job.spec.image()) ? null : objectives.latestStartForWait(job);
         return due != null
-                && now.plus(Estimates.fetch(job, m.type)).isAfter(due)
+                && now.plus(Estimates.fetch(job, machine.type)).isAfter(due)
                 && now.isBefore(due)
-                && cluster.isHeld(job.spec.image());
+                && cluster.isImageCached(job.spec.image());
     }
 
-    List<Job> queue(FairShareQueue share, Moment now) {
-        return share.queue(
-                job -> aims.latestStart(job, estimates.run(job), rounds(job, now), now)
+    List<Job> queue(FairShareQueue queue, Moment now) {
+        return queue.ordered(
+                job -> objectives
+                        .latestStart(job, estimates.run(job), rounds(job, now), now)
                         .minus(clearing(job)),
-                job -> aims.lastChance(job, estimates.run(job)),
-                job -> aims.isAged(job, now),
+                job -> objectives.lastChance(job, estimates.run(job)),
+                job -> objectives.isAged(job, now),
                 now);
     }
 
@@ -533,22 +543,22 @@
     private Span clearing(Job job) {
         boolean whole = cluster.types.values().stream()
                 .allMatch(type -> job.spec.demand().timesIn(type.capacity()) <= 1);
-        return whole ? leastPaid : Span.ZERO;
+        return whole ? minimumPaidTime : Span.ZERO;
     }
 
     /** How many rounds the job's waiting tasks would take with every place there is. */
     private int rounds(Job job, Moment now) {
-        if (!now.isBefore(usableAt.plus(RESERVATION_LIFE))) {
-            usable = new HashMap<>();
-            usableAt = now;
-            for (Machine m : cluster.machines.values()) {
-                if (m.isUsable()) {
-                    usable.merge(m.pool, 1, Integer::sum);
+        if (!now.isBefore(usableCountedAt.plus(RESERVATION_LIFE))) {
+            usableMachines = new HashMap<>();
+            usableCountedAt = now;
+            for (Machine machine : cluster.machines.values()) {
+                if (machine.isUsable()) {
+                    usableMachines.merge(machine.pool, 1, Integer::sum);
                 }
             }
         }
         int places = 0;
-        for (Map.Entry<MachinePool, Integer> e : usable.entrySet()) {
+        for (Map.Entry<MachinePool, Integer> e : usableMachines.entrySet()) {
             MachinePool pool = e.getKey();
             if (job.spec.allowsType(pool.type())
                     && job.spec.allowsZone(pool.zone())
@@ -559,54 +569,55 @@
                                 .timesIn(cluster.types.get(pool.type()).capacity());
             }
         }
-        return places == 0 ? 1 : (job.waiting() + places - 1) / places;
+        return places == 0 ? 1 : (job.waitingCount() + places - 1) / places;
     }
 
     /**
      * Nothing says by when the job should be served, or it is past all that was said: the design's rule alone holds for it,
      * that machines are rented while the wait passes the limit.
      */
-    boolean isUnderTheRuleAlone(Job job, Moment now) {
-        return aims.isWithout(job) || aims.isAged(job, now);
+    boolean hasNoReachableObjective(Job job, Moment now) {
+        return objectives.hasNoObjective(job) || objectives.isAged(job, now);
     }
 
     /** By when the job's waiting tasks should have started for an aim whose latest start is not before {@code from}. */
     Moment latestStart(Job job, Moment from) {
-        return aims.latestStart(job, estimates.run(job), 1, from);
+        return objectives.latestStart(job, estimates.run(job), 1, from);
     }
 
     /** An aim nearer than this cannot be met by renting for what waits. */
-    Span reach(MachineType type) {
-        return type.boot().times(AIM_REACH).plus(leastPaid.times(0.5));
+    Span shortestRentableObjective(MachineType type) {
+        return type.boot().times(AIM_REACH).plus(minimumPaidTime.times(0.5));
     }
 
     /**
      * Whether the job had an aim, as it came, that is too near to be met by renting for it. Urgent jobs are not meant:
      * they go first, have room made for them and wait less for spot machines in any case.
      */
-    boolean isNear(Job job, MachineType type) {
+    boolean isObjectiveTooNearToRent(Job job, MachineType type) {
         return !job.urgency().isMoreUrgentThan(Urgency.STANDARD)
-                && latestStart(job, job.arrived).isBefore(job.arrived.plus(reach(type)));
+                && latestStart(job, job.eligibleSince)
+                        .isBefore(job.eligibleSince.plus(shortestRentableObjective(type)));
     }
 
     /** Under a team's limit nothing can be started before all that an earlier leader started is known. */
     boolean mayStart(Job job, Moment now) {
-        if (now.isBefore(job.retryAt)) {
+        if (now.isBefore(job.retryNotBefore)) {
             return false;
         }
-        if (cluster.use(job).team.isLimited()) {
-            return takeOver.isSettled() && !cluster.hasStrangers();
+        if (cluster.teamUsage(job).team.isLimited()) {
+            return failover.isComplete() && !cluster.hasOrphanTasks();
         }
         return true;
     }
 
-    boolean isSettled() {
-        return takeOver.isSettled();
+    boolean isFailoverComplete() {
+        return failover.isComplete();
     }
 
-    boolean placeable(Job job, Machine m) {
-        String zone = m.pool.zone();
-        if (!cluster.use(job).hasRoomFor(job.spec.demand())) {
+    boolean isPlaceable(Job job, Machine machine) {
+        String zone = machine.pool.zone();
+        if (!cluster.teamUsage(job).hasRoomFor(job.spec.demand())) {
             return false;
         }
         if (job.spec.oneZone()) {
@@ -615,13 +626,13 @@
                 return false;
             }
         }
-        return !job.spec.spread() || job.activeIn(zone) < job.spec.zoneLimit();
+        return !job.spec.spread() || job.placementsInZone(zone) < job.spec.zoneLimit();
     }
 
     /** The top job: the first in the queue that has tasks waiting and may start. */
-    Job top(FairShareQueue share, Moment now) {
-        for (Job job : queue(share, now)) {
-            if (job.hasStartable() && mayStart(job, now) && !job.isSuspect() && !job.hadItsTurn()) {
+    Job topJob(FairShareQueue queue, Moment now) {
+        for (Job job : queue(queue, now)) {
+            if (job.hasStartable() && mayStart(job, now) && !job.isSuspectedFaulty() && !job.isStarvationRelieved()) {
                 return job;
             }
         }
@@ -629,23 +640,23 @@
     }
 
     /** Whether a start of the job on the machine would delay the top job, if that is another. */
-    boolean isReserved(FairShareQueue share, Job job, Machine m, Moment now) {
-        Job top = top(share, now);
+    boolean isReserved(FairShareQueue queue, Job job, Machine machine, Moment now) {
+        Job top = topJob(queue, now);
         return top != null
                 && top != job
-                && !reservation(share, top, now)
-                        .allows(m, job.spec.demand(), estimates.onMachine(job, m), estimates, now);
+                && !reservation(queue, top, now)
+                        .allows(machine, job.spec.demand(), estimates.onMachine(job, machine), estimates, now);
     }
 
-    Reservation reservation(FairShareQueue share, Job top, Moment now) {
+    Reservation reservation(FairShareQueue queue, Job top, Moment now) {
         CachedReservation kept = reservations.get(top.id());
         if (kept != null && kept.reservation.top() == top && now.isBefore(kept.made.plus(RESERVATION_LIFE))) {
             return kept.reservation;
         }
         reservations.values().removeIf(r -> !now.isBefore(r.made.plus(RESERVATION_LIFE)));
-        List<Machine> machines = cluster.serving(share);
-        if (!corner.isFor(top, now)) {
-            machines.removeIf(m -> corner.has(m, share, queue(share, now), now));
+        List<Machine> machines = cluster.machinesServing(queue);
+        if (!reservedCapacity.isEligible(top, now)) {
+            machines.removeIf(machine -> reservedCapacity.isReserved(machine, queue, queue(queue, now), now));
         }
         Reservation made = Reservation.of(top, machines, estimates, now);
         reservations.put(top.id(), new CachedReservation(made, now));
@@ -657,16 +668,16 @@
      * Never where something waits that had better not be kept from any place: it is urgent, a replica, has an aim on its
      * starts, or may not use every machine.
      */
-    boolean fits(FairShareQueue share, Collection<Demand> free, Moment now) {
+    boolean fitsIn(FairShareQueue queue, Collection<Demand> free, Moment now) {
         double cores = 0;
         for (Demand room : free) {
             cores += room.cores();
         }
-        for (Job job : share.jobs()) {
-            if (!job.hasStartable() || job.isSuspect() || !mayStart(job, now)) {
+        for (Job job : queue.jobs()) {
+            if (!job.hasStartable() || job.isSuspectedFaulty() || !mayStart(job, now)) {
                 continue;
             }
-            Moment due = aims.startBy(job);
+            Moment due = objectives.latestStartForWait(job);
             if (job.urgency().isMoreUrgentThan(Urgency.STANDARD)
                     || job.spec.isService()
                     || !job.spec.spotAllowed()
@@ -675,8 +686,8 @@
                     || (due != null && now.isBefore(due))) {
                 return false;
             }
-            cores -= job.startable() * job.spec.demand().cores();
-            int lacking = job.startable();
+            cores -= job.startableCount() * job.spec.demand().cores();
+            int lacking = job.startableCount();
             for (Iterator<Demand> rooms = free.iterator(); lacking > 0 && rooms.hasNext(); ) {
                 lacking -= job.spec.demand().timesIn(rooms.next());
             }
@@ -688,26 +699,26 @@
     }
 
     /** Put aside, and since then no more has come than the other machines have room for. */
-    boolean isAside(Machine m, Moment now) {
-        return m.aside != null && fits(m.aside, m.aside.roomBeside(), now);
+    boolean isCordoned(Machine machine, Moment now) {
+        return machine.cordonedFor != null && fitsIn(machine.cordonedFor, machine.cordonedFor.roomOutsideCordon(), now);
     }
 
     /** Whether an idle machine can be used by a job that waits in its share. */
-    boolean isWanted(Machine m, Moment now) {
-        if (m.spare || isAside(m, now)) {
+    boolean isUsableByWaitingJob(Machine machine, Moment now) {
+        if (machine.surplus || isCordoned(machine, now)) {
             return false;
         }
-        for (FairShareQueue share : cluster.shares()) {
-            if (m.share != null && !m.share.equals(share.name)) {
+        for (FairShareQueue queue : cluster.queues()) {
+            if (machine.queueName != null && !machine.queueName.equals(queue.name)) {
                 continue;
             }
-            for (Job job : share.jobs()) {
+            for (Job job : queue.jobs()) {
                 if (job.hasWaiting()
-                        && !job.isSuspect()
-                        && m.allows(job.spec)
-                        && job.spec.demand().fitsIn(m.freeFor(job.spec))
-                        && !job.failedOn.contains(m.id)
-                        && placeable(job, m)) {
+                        && !job.isSuspectedFaulty()
+                        && machine.allows(job.spec)
+                        && job.spec.demand().fitsIn(machine.freeFor(job.spec))
+                        && !job.failedMachines.contains(machine.id)
+                        && isPlaceable(job, machine)) {
                     return true;
                 }
             }
--- a/src/main/java/io/indigoreach/core/scheduling/Estimates.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Estimates.java
@@ -39,8 +39,8 @@
         if (job.spec.isService()) {
             return UNTIL_CANCELLED;
         }
-        if (job.observed() >= ENOUGH) {
-            return job.observedMean();
+        if (job.observedRuns() >= ENOUGH) {
+            return job.meanObservedRunTime();
         }
         double factor = Math.exp(logFactor.getOrDefault(job.spec.jobClass(), 0.0));
         return job.spec.estimate().times(Math.min(3, Math.max(0.33, factor)));
@@ -49,7 +49,7 @@
     /** The expected time a task takes on a machine, image fetch included when it has to be fetched. */
     Span onMachine(Job job, Machine machine) {
         Span run = run(job);
-        return machine.images.contains(job.spec.image()) ? run : run.plus(fetch(job, machine.type));
+        return machine.imageCache.contains(job.spec.image()) ? run : run.plus(fetch(job, machine.type));
     }
 
     static Span fetch(Job job, MachineType type) {
@@ -62,7 +62,7 @@
     }
 
     void observe(Job job, Span run) {
-        job.observe(run);
+        job.observeRunTime(run);
         listener.accept(job, run);
         if (job.spec.estimate().ms() > 0) {
             double ratio =
@@ -72,9 +72,10 @@
     }
 
     /** When a task that may be on a machine is expected to be gone; a task over its time counts as soon over. */
-    Moment end(Placement p, Moment now) {
-        Span run = p.state == TaskState.RUNNING ? run(p.job) : onMachine(p.job, p.machine);
-        Moment end = p.since.plus(run);
+    Moment end(Placement placement, Moment now) {
+        Span run =
+                placement.state == TaskState.RUNNING ? run(placement.job) : onMachine(placement.job, placement.machine);
+        Moment end = placement.stateSince.plus(run);
         Moment soonest = now.plus(run.times(0.1));
         return end.isBefore(soonest) ? soonest : end;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Failover.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Failover.java
@@ -12,10 +12,10 @@
  */
 final class Failover {
     /** Of each, since when no earlier leader has answered it. */
-    private final Map<MachineId, Moment> unaccounted = new HashMap<>();
+    private final Map<MachineId, Moment> unreconciled = new HashMap<>();
 
     void expect(MachineId machine, Moment since) {
-        unaccounted.put(machine, since);
+        unreconciled.put(machine, since);
     }
 
     /**
@@ -25,21 +25,21 @@
      * {@code leaseEnds}. Guards against a take-over that waits for as long as a machine reports and hears nothing: each
      * report could be answered, and so each puts off when the machine is silent for a lease.
      */
-    boolean isOver(MachineId machine, Moment leaseEnds) {
-        Moment since = unaccounted.get(machine);
+    boolean isLeaseOver(MachineId machine, Moment leaseEnds) {
+        Moment since = unreconciled.get(machine);
         return since != null && since.isBefore(leaseEnds);
     }
 
     /** Nothing unknown is on this machine any more. */
-    void accounted(MachineId machine) {
-        unaccounted.remove(machine);
+    void reconciled(MachineId machine) {
+        unreconciled.remove(machine);
     }
 
-    int outstanding() {
-        return unaccounted.size();
+    int unreconciledCount() {
+        return unreconciled.size();
     }
 
-    boolean isSettled() {
-        return unaccounted.isEmpty();
+    boolean isComplete() {
+        return unreconciled.isEmpty();
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/FairShareQueue.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FairShareQueue.java
@@ -42,13 +42,13 @@
     final TeamUsage guaranteed;
 
     private final List<Job> jobs = new ArrayList<>();
-    private final ArrivalRate inflow = new ArrivalRate();
-    private final ClassQuota floors = new ClassQuota();
-    private List<Job> ordered = List.of();
+    private final ArrivalRate arrivalRate = new ArrivalRate();
+    private final ClassQuota classQuota = new ClassQuota();
+    private List<Job> cachedOrder = List.of();
     private Moment orderedAt = Moment.NEVER;
     private double cores;
     /** What is free on the machines that are not put aside. */
-    private List<Demand> roomBeside = List.of();
+    private List<Demand> roomOutsideCordon = List.of();
 
     FairShareQueue(String name, TeamUsage guaranteed) {
         this.name = name;
@@ -57,13 +57,13 @@
 
     void add(Job job) {
         jobs.add(job);
-        inflow.add(job);
+        arrivalRate.add(job);
         orderedAt = Moment.NEVER;
     }
 
     void remove(Job job) {
         jobs.remove(job);
-        floors.over(job);
+        classQuota.jobEnded(job);
         orderedAt = Moment.NEVER;
     }
 
@@ -71,43 +71,43 @@
         return jobs;
     }
 
-    ArrivalRate inflow() {
-        return inflow;
+    ArrivalRate arrivalRate() {
+        return arrivalRate;
     }
 
     /** The queue in the order in which it is served. */
-    List<Job> queue(
+    List<Job> ordered(
             Function<Job, Moment> latestStart, Function<Job, Moment> lastChance, Predicate<Job> aged, Moment now) {
         if (!now.isBefore(orderedAt.plus(ORDER_LIFE))) {
-            floors.count(jobs, cores, lastChance, aged, now);
+            classQuota.recount(jobs, cores, lastChance, aged, now);
             List<RankedJob> ranked = new ArrayList<>(jobs.size());
             for (Job job : jobs) {
                 Urgency urgency = job.urgency() == Urgency.BEST_EFFORT ? Urgency.STANDARD : job.urgency();
                 // A replica that is down is worth more than any job that is late.
-                boolean first = floors.isOwedFirst() && (job.owed || job.spec.isService());
-                int turn = job.toBegin ? 0 : first ? 1 : 2;
+                boolean first = classQuota.servesUnderServedFirst() && (job.underServed || job.spec.isService());
+                int turn = job.starved ? 0 : first ? 1 : 2;
                 ranked.add(
                         turn == 0
-                                ? new RankedJob(job, turn, Urgency.PRODUCTION, job.arrived)
+                                ? new RankedJob(job, turn, Urgency.PRODUCTION, job.eligibleSince)
                                 : new RankedJob(job, turn, urgency, latestStart.apply(job)));
             }
             ranked.sort(ORDER);
-            ordered = ranked.stream().map(RankedJob::job).toList();
+            cachedOrder = ranked.stream().map(RankedJob::job).toList();
             orderedAt = now;
         }
-        return ordered;
+        return cachedOrder;
     }
 
-    void used(Demand demand, int sign) {
+    void addUsage(Demand demand, int sign) {
         cores += sign * demand.cores();
     }
 
-    void roomBeside(List<Demand> free) {
-        roomBeside = free;
+    void roomOutsideCordon(List<Demand> free) {
+        roomOutsideCordon = free;
     }
 
-    List<Demand> roomBeside() {
-        return roomBeside;
+    List<Demand> roomOutsideCordon() {
+        return roomOutsideCordon;
     }
 
     double cores() {
@@ -115,12 +115,12 @@
     }
 
     /** Its team has a guarantee and uses less than that, with {@code more}. */
-    boolean isDue(Demand more) {
+    boolean isBelowGuarantee(Demand more) {
         return guaranteed != null && guaranteed.isWithinGuarantee(more);
     }
 
     /** Cores in use beyond the guarantee. */
-    double beyond() {
+    double coresBeyondGuarantee() {
         return cores - (guaranteed == null ? 0 : guaranteed.team.cores());
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/FaultAttribution.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FaultAttribution.java
@@ -13,39 +13,39 @@
 
     private FaultAttribution() {}
 
-    static void failed(Placement p, Moment now) {
-        Job job = p.job;
-        Machine m = p.machine;
+    static void failed(Placement placement, Moment now) {
+        Job job = placement.job;
+        Machine machine = placement.machine;
         job.failures++;
-        job.failedOn.add(m.id);
-        if (job.isSuspect()) {
+        job.failedMachines.add(machine.id);
+        if (job.isSuspectedFaulty()) {
             // Its failures say nothing about machines: take back what was held against them, and try rarely.
             Span pause = FIRST_PAUSE.times(Math.pow(2, Math.min(10, job.failures - 3)));
-            job.retryAt = now.plus(pause.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause);
-            m.failedJobs.remove(job.id());
+            job.retryNotBefore = now.plus(pause.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause);
+            machine.failedJobs.remove(job.id());
             return;
         }
-        m.failedJobs.add(job.id());
-        if (m.failedJobs.size() >= 2) {
-            m.condemned = true;
+        machine.failedJobs.add(job.id());
+        if (machine.failedJobs.size() >= 2) {
+            machine.quarantined = true;
         }
     }
 
-    static void completed(Placement p) {
-        p.machine.failedJobs.clear();
-        p.job.failedOn.remove(p.machine.id);
+    static void completed(Placement placement) {
+        placement.machine.failedJobs.clear();
+        placement.job.failedMachines.remove(placement.machine.id);
     }
 
     /** Whether the job may be tried on the machine: not where it has failed, unless it fails everywhere anyway. */
-    static boolean allows(Job job, Machine m, Moment now) {
-        if (now.isBefore(job.retryAt)) {
+    static boolean allows(Job job, Machine machine, Moment now) {
+        if (now.isBefore(job.retryNotBefore)) {
             return false;
         }
-        return job.isSuspect() ? job.active().isEmpty() : !bars(job, m);
+        return job.isSuspectedFaulty() ? job.placements().isEmpty() : !isExcluded(job, machine);
     }
 
     /** Whether the machine is no place for the job, however long it waits: it has failed there, and not everywhere. */
-    static boolean bars(Job job, Machine m) {
-        return !job.isSuspect() && job.failedOn.contains(m.id);
+    static boolean isExcluded(Job job, Machine machine) {
+        return !job.isSuspectedFaulty() && job.failedMachines.contains(machine.id);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Job.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Job.java
@@ -26,7 +26,7 @@
     /** When it was submitted, on this process's clock. */
     private final Moment submitted;
     /** Since when it could be served: its submission, or the moment when the last job that it needs was done. */
-    Moment arrived;
+    Moment eligibleSince;
     /** Submission by the time of day: the order in the queue, the same for every leader. */
     final long submittedMs;
     /** It was there before this leader took over: tasks below its bound may be on machines that have not reported yet. */
@@ -35,53 +35,53 @@
     private final BitSet done;
     private final BitSet durable;
     /** Done, on a machine, or withheld: all that nobody is to start. */
-    private final BitSet busy;
+    private final BitSet notStartable;
     /** Tasks that wait for something else than machines: they are not there for whoever starts, reserves or rents. */
-    private final BitSet withheld = new BitSet();
+    private final BitSet gated = new BitSet();
 
-    private final Map<Integer, Placement> active = new HashMap<>();
-    private final Map<String, Integer> byZone = new HashMap<>();
+    private final Map<Integer, Placement> placements = new HashMap<>();
+    private final Map<String, Integer> placementsByZone = new HashMap<>();
     private int doneCount;
     private int durableCount;
     /** Recorded: no leader has ever ordered a task from this one on. */
-    private int bound;
+    private int startBound;
     /** To be recorded: tasks up to here are about to be ordered. */
-    private int boundWanted;
+    private int requestedStartBound;
     /** Tasks below may be on a machine that this leader has not heard yet. */
-    private int heldBelow;
+    private int possiblyRunningBelow;
 
-    Revision stamp;
+    Revision revision;
     boolean cancelled;
     /** Others have to be done before any task of it starts. */
-    private boolean waitsForJobs;
+    private boolean hasUnmetDependencies;
     /** What the jobs that need it ask of it; null if none does. */
-    JobTarget asked;
+    JobTarget dependentsTarget;
     /** Machines on which one of its tasks has failed since one last completed there. */
-    final Set<MachineId> failedOn = new HashSet<>();
+    final Set<MachineId> failedMachines = new HashSet<>();
 
     int failures;
-    Moment retryAt = Moment.NEVER;
+    Moment retryNotBefore = Moment.NEVER;
     /** Until then its tasks wait for a machine that has their image: they were moved there. */
-    Moment leftToHoldersUntil = Moment.NEVER;
+    Moment imageLocalityUntil = Moment.NEVER;
     /** When one of its tasks last got a place, or lost one: what waits may have waited no longer. */
-    Moment changedAt = Moment.NEVER;
+    Moment placementsChangedAt = Moment.NEVER;
     /** The longest aim of its class is lost to it. */
-    boolean late;
+    boolean missedObjectives;
     /** Its class is served too little, or it has waited too long: it goes first on a part of the machines. */
-    boolean owed;
+    boolean underServed;
     /** One of its tasks has run, under this leader or, as far as it knows, an earlier one. */
-    private boolean ran;
+    private boolean hasRun;
     /** Nothing of it has run for too long: one task of it goes before all else. */
-    boolean toBegin;
+    boolean starved;
     /** It began that way. */
-    boolean begunFirst;
+    boolean startedAsStarved;
 
     private long observedMs;
-    private int observed;
+    private int observedRuns;
 
     /**
      * @param done tasks recorded as done
-     * @param bound the job's recorded start bound: no task from this one on was ever ordered
+     * @param startBound the job's recorded start bound: no task from this one on was ever ordered
      * @param inherited it was there before this leader took over
      */
     public Job(
@@ -89,26 +89,26 @@
         this.spec = spec;
         this.submittedMs = submittedMs;
         this.submitted = arrived;
-        this.arrived = arrived.plus(releasedAfter(spec, submittedMs));
-        this.stamp = stamp;
+        this.eligibleSince = arrived.plus(releasedAfter(spec, submittedMs));
+        this.revision = stamp;
         this.inherited = inherited;
         this.done = (BitSet) done.clone();
         this.durable = (BitSet) done.clone();
-        this.busy = (BitSet) done.clone();
+        this.notStartable = (BitSet) done.clone();
         if (spec.isGuarded()) {
-            withheld.set(0, spec.tasks());
-            busy.or(withheld);
+            gated.set(0, spec.tasks());
+            notStartable.or(gated);
         }
         this.doneCount = done.cardinality();
-        this.ran = doneCount > 0;
+        this.hasRun = doneCount > 0;
         this.durableCount = doneCount;
         // A task that is done was started, and so the job was released.
-        this.waitsForJobs = spec.chain().isWaiting() && !ran;
-        this.bound = bound;
-        this.boundWanted = bound;
+        this.hasUnmetDependencies = spec.chain().isWaiting() && !hasRun;
+        this.startBound = bound;
+        this.requestedStartBound = bound;
         // Where the others of its tasks are decides where one may go, so nothing of it is started before all is known.
         boolean together = spec.oneZone() || spec.spread();
-        this.heldBelow = !inherited ? 0 : together && bound > 0 ? spec.tasks() : bound;
+        this.possiblyRunningBelow = !inherited ? 0 : together && bound > 0 ? spec.tasks() : bound;
     }
 
     /** From its submission to the release that its record tells of. */
@@ -118,25 +118,29 @@
     }
 
     /** Jobs that it needs are not known to be done: it is in no queue, and nothing of it may start. */
-    boolean waitsForJobs() {
-        return waitsForJobs;
+    boolean hasUnmetDependencies() {
+        return hasUnmetDependencies;
     }
 
     /** All that it needs is done: its times count from now, and its next record says so. */
-    void releaseFromNeeds(Moment now, long timeOfDayMs) {
-        waitsForJobs = false;
-        arrived = now;
+    void releaseFromDependencies(Moment now, long timeOfDayMs) {
+        hasUnmetDependencies = false;
+        eligibleSince = now;
         spec = spec.with(spec.chain().released(timeOfDayMs));
     }
 
     /** Its priority: its own, or the higher one of a job that needs it. */
     Urgency urgency() {
-        return asked == null ? spec.urgency() : ownTarget().and(asked).urgency();
+        return dependentsTarget == null
+                ? spec.urgency()
+                : ownTarget().and(dependentsTarget).urgency();
     }
 
     /** By when it should be done, for its own deadline or that of a job that needs it; null if nothing says so. */
     Moment dueAt() {
-        return asked == null ? ownDueAt() : ownTarget().and(asked).due();
+        return dependentsTarget == null
+                ? ownDueAt()
+                : ownTarget().and(dependentsTarget).due();
     }
 
     /** By when it should be done for its own deadline, which counts from its submission; null if it has none. */
@@ -150,55 +154,55 @@
     }
 
     /** The start bound to be written with the job: at least the one that is recorded. */
-    public int boundToWrite() {
-        return boundWanted;
+    public int startBoundToWrite() {
+        return requestedStartBound;
     }
 
     /** Tasks wait to be ordered until the start bound is raised. */
-    public boolean wantsBound() {
-        return boundWanted > bound;
+    public boolean needsHigherStartBound() {
+        return requestedStartBound > startBound;
     }
 
     /** The start bound is in the state service: tasks below it may be ordered. */
-    public void boundRecorded(int recorded) {
-        bound = Math.max(bound, recorded);
+    public void startBoundRecorded(int recorded) {
+        startBound = Math.max(startBound, recorded);
     }
 
     /** Asks for {@code n} waiting tasks to be orderable. */
-    void wantOrderable(int n) {
-        boundWanted = Math.max(boundWanted, Math.min(spec.tasks(), nthStartable(n) + 1));
+    void requestStartBoundFor(int n) {
+        requestedStartBound = Math.max(requestedStartBound, Math.min(spec.tasks(), nthStartable(n) + 1));
     }
 
     /** The number of the {@code n}-th task that waits and surely is on no machine; beyond the last if there are fewer. */
     private int nthStartable(int n) {
-        int index = heldBelow - 1;
+        int index = possiblyRunningBelow - 1;
         for (int left = n; left > 0 && index < spec.tasks(); left--) {
-            index = busy.nextClearBit(index + 1);
+            index = notStartable.nextClearBit(index + 1);
         }
         return index;
     }
 
     /** These tasks wait for something else than machines, and no others; what is on a machine stays there. */
-    void withhold(BitSet tasks) {
-        withheld.clear();
-        withheld.or(tasks);
-        busy.clear();
-        busy.or(done);
-        busy.or(withheld);
-        active.keySet().forEach(busy::set);
+    void gate(BitSet tasks) {
+        gated.clear();
+        gated.or(tasks);
+        notStartable.clear();
+        notStartable.or(done);
+        notStartable.or(gated);
+        placements.keySet().forEach(notStartable::set);
     }
 
     /** Tasks that are neither done nor on a machine wait for something else than machines. */
-    boolean hasWithheld() {
-        BitSet left = (BitSet) withheld.clone();
+    boolean hasGatedTasks() {
+        BitSet left = (BitSet) gated.clone();
         left.andNot(done);
-        active.keySet().forEach(left::clear);
+        placements.keySet().forEach(left::clear);
         return !cancelled && !left.isEmpty();
     }
 
     /** Every task that an earlier leader may have started is known. */
-    void release() {
-        heldBelow = 0;
+    void releaseInheritedTasks() {
+        possiblyRunningBelow = 0;
     }
 
     public JobId id() {
@@ -209,8 +213,8 @@
         return spec;
     }
 
-    public Revision stamp() {
-        return stamp;
+    public Revision revision() {
+        return revision;
     }
 
     public long submittedMs() {
@@ -243,23 +247,23 @@
         return doneCount == spec.tasks() && spec.shape() == JobKind.ARRAY;
     }
 
-    public boolean hasUnrecorded() {
+    public boolean hasUnrecordedCompletions() {
         return doneCount > durableCount;
     }
 
     /** Tasks that have completed without being recorded yet. */
-    public BitSet unrecorded() {
-        BitSet out = doneTasks();
+    public BitSet unrecordedCompletions() {
+        BitSet out = completedTasks();
         out.andNot(durable);
         return out;
     }
 
-    public BitSet doneTasks() {
+    public BitSet completedTasks() {
         return (BitSet) done.clone();
     }
 
     /** The tasks in {@code recorded} are in the state service. */
-    public void recorded(BitSet recorded) {
+    public void completionsRecorded(BitSet recorded) {
         durable.or(recorded);
         durableCount = durable.cardinality();
     }
@@ -269,10 +273,10 @@
         return inherited;
     }
 
-    public int running() {
+    public int runningCount() {
         int n = 0;
-        for (Placement p : active.values()) {
-            n += p.isRunning() ? 1 : 0;
+        for (Placement placement : placements.values()) {
+            n += placement.isRunning() ? 1 : 0;
         }
         return n;
     }
@@ -284,8 +288,8 @@
         if (isComplete()) {
             return JobStatus.DONE;
         }
-        for (Placement p : active.values()) {
-            if (p.isRunning()) {
+        for (Placement placement : placements.values()) {
+            if (placement.isRunning()) {
                 return JobStatus.RUNNING;
             }
         }
@@ -293,78 +297,79 @@
     }
 
     /** Nothing of it may start. */
-    private boolean isHeld() {
-        return cancelled || waitsForJobs;
+    private boolean isBlocked() {
+        return cancelled || hasUnmetDependencies;
     }
 
-    int waiting() {
-        return isHeld() ? 0 : spec.tasks() - busy.cardinality();
+    int waitingCount() {
+        return isBlocked() ? 0 : spec.tasks() - notStartable.cardinality();
     }
 
     boolean hasWaiting() {
-        return !isHeld() && busy.nextClearBit(0) < spec.tasks();
+        return !isBlocked() && notStartable.nextClearBit(0) < spec.tasks();
     }
 
     /** Waiting tasks that surely are on no machine. */
-    int startable() {
-        int taken = heldBelow == 0
-                ? busy.cardinality()
-                : heldBelow + busy.get(heldBelow, spec.tasks()).cardinality();
-        return isHeld() ? 0 : spec.tasks() - taken;
+    int startableCount() {
+        int taken = possiblyRunningBelow == 0
+                ? notStartable.cardinality()
+                : possiblyRunningBelow
+                        + notStartable.get(possiblyRunningBelow, spec.tasks()).cardinality();
+        return isBlocked() ? 0 : spec.tasks() - taken;
     }
 
     boolean hasStartable() {
-        return !isHeld() && nextStartable() < spec.tasks();
+        return !isBlocked() && nextStartable() < spec.tasks();
     }
 
     int nextStartable() {
-        return busy.nextClearBit(heldBelow);
+        return notStartable.nextClearBit(possiblyRunningBelow);
     }
 
     /** Whether {@code n} waiting tasks lie below the start bound that is recorded or being recorded. */
-    boolean hasOrderable(int n) {
-        return nthStartable(n) < boundWanted;
+    boolean isWithinStartBound(int n) {
+        return nthStartable(n) < requestedStartBound;
     }
 
     /** Whether its next task lies below the recorded start bound. */
-    boolean hasOrderable() {
-        return !isHeld() && nextStartable() < bound;
+    boolean isWithinStartBound() {
+        return !isBlocked() && nextStartable() < startBound;
     }
 
-    Collection<Placement> active() {
-        return active.values();
+    Collection<Placement> placements() {
+        return placements.values();
     }
 
-    List<Placement> activeCopy() {
-        return new ArrayList<>(active.values());
+    List<Placement> placementsCopy() {
+        return new ArrayList<>(placements.values());
     }
 
     /** A task of it runs, has run, or is on its way to a machine. */
     boolean hasBegun() {
-        return ran || !active.isEmpty();
+        return hasRun || !placements.isEmpty();
     }
 
     /** Put first with one task, it has had its turn until the queue is ordered anew. */
-    boolean hadItsTurn() {
-        return toBegin && hasBegun();
+    boolean isStarvationRelieved() {
+        return starved && hasBegun();
     }
 
     /** One of its tasks was seen to run. */
-    void ran() {
-        ran = true;
+    void hasRun() {
+        hasRun = true;
     }
 
-    Placement active(int index) {
-        return active.get(index);
+    Placement placements(int index) {
+        return placements.get(index);
     }
 
-    int activeIn(String zone) {
-        return byZone.getOrDefault(zone, 0);
+    int placementsInZone(String zone) {
+        return placementsByZone.getOrDefault(zone, 0);
     }
 
     /** The zone that a one-zone job is bound to by tasks that may be on machines, or null. */
     String boundZone() {
-        for (Map.Entry<String, Integer> e : byZone.entrySet()) {
+        for (Map.Entry<String, Integer> e : placementsByZone.entrySet()) {
             if (e.getValue() > 0) {
                 return e.getKey();
             }
@@ -372,17 +377,17 @@
         return null;
     }
 
-    void place(Placement p) {
-        active.put(p.index, p);
-        busy.set(p.index);
-        byZone.merge(p.machine.pool.zone(), 1, Integer::sum);
+    void addPlacement(Placement placement) {
+        placements.put(placement.index, placement);
+        notStartable.set(placement.index);
+        placementsByZone.merge(placement.machine.pool.zone(), 1, Integer::sum);
     }
 
-    void remove(Placement p) {
-        if (active.remove(p.index, p)) {
-            byZone.merge(p.machine.pool.zone(), -1, Integer::sum);
-            if (!done.get(p.index)) {
-                busy.set(p.index, withheld.get(p.index));
+    void removePlacement(Placement placement) {
+        if (placements.remove(placement.index, placement)) {
+            placementsByZone.merge(placement.machine.pool.zone(), -1, Integer::sum);
+            if (!done.get(placement.index)) {
+                notStartable.set(placement.index, gated.get(placement.index));
             }
         }
     }
@@ -393,27 +398,27 @@
             return false;
         }
         done.set(index);
-        busy.set(index);
-        ran = true;
+        notStartable.set(index);
+        hasRun = true;
         doneCount++;
         return true;
     }
 
-    void observe(Span run) {
+    void observeRunTime(Span run) {
         observedMs += Math.max(1, run.ms());
-        observed++;
+        observedRuns++;
     }
 
-    int observed() {
-        return observed;
+    int observedRuns() {
+        return observedRuns;
     }
 
-    Span observedMean() {
-        return new Span(observedMs / Math.max(1, observed));
+    Span meanObservedRunTime() {
+        return new Span(observedMs / Math.max(1, observedRuns));
     }
 
     /** It failed on several machines and never completed a task: most likely submitted with a mistake. */
-    boolean isSuspect() {
-        return doneCount == 0 && failedOn.size() >= 3;
+    boolean isSuspectedFaulty() {
+        return doneCount == 0 && failedMachines.size() >= 3;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Machine.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Machine.java
@@ -23,7 +23,7 @@
         BOOTING,
         UP,
         LOST,
-        LEAVING
+        RETURNING
     }
 
     final MachineId id;
@@ -31,44 +31,44 @@
     final MachineType type;
     Phase phase = Phase.BOOTING;
     /** When it was asked for: its paid terms count from here. */
-    Moment rented;
+    Moment rentedAt;
     /** Known in the state service; only then may it get tasks, so that a later leader knows to wait for its report. */
     boolean recorded;
 
-    HeartbeatNumber last = HeartbeatNumber.NONE;
+    HeartbeatNumber lastHeartbeat = HeartbeatNumber.NONE;
     /** When its last answered report came; its lease cannot outlast this by more than the lease bound. */
-    Moment heard;
+    Moment lastHeardAt;
     /** Its lease has surely run out since: what it ran is over, and it reports under another session if it lives. */
-    boolean expired;
+    boolean leaseExpired;
     /** Its task list has been taken from a report under the present token. */
-    boolean accounted;
+    boolean reconciled;
     /** When the cloud is to take it away, or null. */
-    Moment notice;
+    Moment preemptionAt;
 
     Moment idleSince;
-    String share;
-    final ImageCache images;
+    String queueName;
+    final ImageCache imageCache;
     /** Its place in a warm pool, or null. */
-    PoolMembership seat;
+    PoolMembership poolMembership;
 
     final Set<JobId> failedJobs = new HashSet<>();
-    boolean condemned;
-    final AsymmetricPartition oneWay = new AsymmetricPartition();
+    boolean quarantined;
+    final AsymmetricPartition partition = new AsymmetricPartition();
     /** More than is needed at its price: it gets no new tasks for now. */
-    boolean spare;
+    boolean surplus;
     /** It takes no new tasks while the other machines of this share have room for all that waits; or null. */
-    FairShareQueue aside;
+    FairShareQueue cordonedFor;
     /** Its tasks are to be moved to others. */
-    boolean emptying;
+    boolean draining;
     /** Tasks on it of jobs that are over, about which nothing else is known: they still count against their teams. */
-    int strangers;
+    int orphanTasks;
     /** It surely existed at this moment: a list that describes a later one and lacks it shows that it is gone. */
-    Moment existed;
+    Moment knownToExistAt;
     /** In how many lists in a row it was missing. */
-    int missing;
+    int missedListings;
 
-    Moment leavingSince;
-    private final Map<TaskId, Placement> tasks = new HashMap<>();
+    Moment returningSince;
+    private final Map<TaskId, Placement> placements = new HashMap<>();
     private int holders;
     private Demand used = Demand.NOTHING;
 
@@ -76,11 +76,11 @@
         this.id = id;
         this.pool = pool;
         this.type = type;
-        this.rented = rented;
-        this.heard = rented;
+        this.rentedAt = rented;
+        this.lastHeardAt = rented;
         this.idleSince = rented;
-        this.existed = rented;
-        this.images = new ImageCache(type.cacheGb());
+        this.knownToExistAt = rented;
+        this.imageCache = new ImageCache(type.cacheGb());
     }
 
     public MachineId id() {
@@ -95,12 +95,12 @@
         return phase;
     }
 
-    public Moment rented() {
-        return rented;
+    public Moment rentedAt() {
+        return rentedAt;
     }
 
-    public Moment existed() {
-        return existed;
+    public Moment knownToExistAt() {
+        return knownToExistAt;
     }
 
     public boolean isRecorded() {
@@ -108,7 +108,7 @@
     }
 
     public int taskCount() {
-        return tasks.size();
+        return placements.size();
     }
 
     Demand free() {
@@ -121,7 +121,7 @@
      * and no replica could run before it is done.
      */
     Demand freeFor(JobSpec spec) {
-        Placement sits = seat == null || !seat.image().equals(spec.image()) ? null : holder();
+        Placement sits = poolMembership == null || !poolMembership.image().equals(spec.image()) ? null : holder();
         return sits == null || !sits.isRunning() ? free() : free().plus(sits.demand());
     }
 
@@ -129,58 +129,61 @@
         return used;
     }
 
-    Map<TaskId, Placement> tasks() {
-        return tasks;
+    Map<TaskId, Placement> placements() {
+        return placements;
     }
 
-    List<Placement> tasksCopy() {
-        return new ArrayList<>(tasks.values());
+    List<Placement> placementsCopy() {
+        return new ArrayList<>(placements.values());
     }
 
-    void put(Placement p) {
-        tasks.put(p.task(), p);
-        holders += p.job.spec.isHolder() ? 1 : 0;
-        used = used.plus(p.demand());
+    void addPlacement(Placement placement) {
+        placements.put(placement.task(), placement);
+        holders += placement.job.spec.isHolder() ? 1 : 0;
+        used = used.plus(placement.demand());
     }
 
-    void remove(Placement p) {
-        if (tasks.remove(p.task(), p)) {
-            holders -= p.job.spec.isHolder() ? 1 : 0;
-            used = tasks.isEmpty() ? Demand.NOTHING : used.minus(p.demand());
+    void removePlacement(Placement placement) {
+        if (placements.remove(placement.task(), placement)) {
+            holders -= placement.job.spec.isHolder() ? 1 : 0;
+            used = placements.isEmpty() ? Demand.NOTHING : used.minus(placement.demand());
         }
     }
 
     /** Nothing works on it; holders do not work. */
     public boolean isIdle() {
-        return tasks.size() == holders;
+        return placements.size() == holders;
     }
 
     public MachineType type() {
         return type;
     }
 
-    public ImageCache images() {
-        return images;
+    public ImageCache imageCache() {
+        return imageCache;
     }
 
-    public PoolMembership seat() {
-        return seat;
+    public PoolMembership poolMembership() {
+        return poolMembership;
     }
 
     /** Whoever keeps machines takes it, or with null lets it go. */
-    public void seat(PoolMembership place) {
-        seat = place;
-        spare &= place == null;
+    public void poolMembership(PoolMembership place) {
+        poolMembership = place;
+        surplus &= place == null;
     }
 
     /** The session of its last report; 0 before the first to this leader. */
-    public long session() {
-        return last.session();
+    public long incarnation() {
+        return lastHeartbeat.incarnation();
     }
 
     /** Rented and not to be given up: booting, up, or silent for less than its lease. */
-    public boolean isCountedOn() {
-        return (phase == Phase.BOOTING || phase == Phase.UP) && notice == null && !condemned && !oneWay.isTold();
+    public boolean isExpectedToServe() {
+        return (phase == Phase.BOOTING || phase == Phase.UP)
+                && preemptionAt == null
+                && !quarantined
+                && !partition.isConfirmed();
     }
 
     /** Whether a task sits here only to keep an image. */
@@ -191,9 +194,9 @@
     /** Cores that each team's tasks take; holders take none to speak of. */
     public Map<String, Double> coresByTeam() {
         Map<String, Double> cores = new HashMap<>();
-        for (Placement p : tasks.values()) {
-            if (!p.job.spec.isHolder()) {
-                cores.merge(p.job.spec.team(), p.demand().cores(), Double::sum);
+        for (Placement placement : placements.values()) {
+            if (!placement.job.spec.isHolder()) {
+                cores.merge(placement.job.spec.team(), placement.demand().cores(), Double::sum);
             }
         }
         return cores;
@@ -201,9 +204,9 @@
 
     /** The holder that sits here and is not told to go; or null. */
     Placement holder() {
-        for (Placement p : holders == 0 ? List.<Placement>of() : tasks.values()) {
-            if (p.job.spec.isHolder() && !p.stopping) {
-                return p;
+        for (Placement placement : holders == 0 ? List.<Placement>of() : placements.values()) {
+            if (placement.job.spec.isHolder() && !placement.stopping) {
+                return placement;
             }
         }
         return null;
@@ -216,8 +219,8 @@
     }
 
     boolean hasTaskWith(String image) {
-        for (Placement p : tasks.values()) {
-            if (p.job.spec.image().equals(image)) {
+        for (Placement placement : placements.values()) {
+            if (placement.job.spec.image().equals(image)) {
                 return true;
             }
         }
@@ -225,31 +228,31 @@
     }
 
     /** Up, not about to go, and not out of reach: counted on. */
-    boolean isSound() {
-        return phase == Phase.UP && notice == null && !condemned && !oneWay.isTold();
+    boolean isHealthy() {
+        return phase == Phase.UP && preemptionAt == null && !quarantined && !partition.isConfirmed();
     }
 
     /** Takes new tasks, as later leaders know of it. */
     public boolean isUsable() {
-        return recorded && isSound();
+        return recorded && isHealthy();
     }
 
     /** Being returned since it hears nothing: no answer may renew its lease, so that its work is not counted for longer. */
-    boolean isGivenUp() {
-        return phase == Phase.LEAVING && oneWay.isTold();
+    boolean isReturnedAsUnreachable() {
+        return phase == Phase.RETURNING && partition.isConfirmed();
     }
 
     /** Asked for and not up yet, but not overdue by so many of its type's boot times either. */
-    boolean isComing(Moment now, double bootTimes) {
-        return phase == Phase.BOOTING && now.isBefore(rented.plus(type.boot().times(bootTimes)));
+    boolean isBooting(Moment now, double bootTimes) {
+        return phase == Phase.BOOTING && now.isBefore(rentedAt.plus(type.boot().times(bootTimes)));
     }
 
     boolean allows(JobSpec spec) {
-        return isOfKind(spec) && (seat == null || seat.takes(spec, images, free()));
+        return matchesPool(spec) && (poolMembership == null || poolMembership.takes(spec, imageCache, free()));
     }
 
     /** The same whatever it is kept for. */
-    boolean isOfKind(JobSpec spec) {
+    boolean matchesPool(JobSpec spec) {
         return spec.allowsType(pool.type()) && spec.allowsZone(pool.zone()) && spec.allowsKind(pool.spot());
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/MachineAdoption.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachineAdoption.java
@@ -21,7 +21,7 @@
 
     private final SafetyTimes rules;
     /** A report of each whose answer shows our token: the first that bore an older one, or the last before the records were read. */
-    private final Map<MachineId, HeartbeatNumber> asked = new LinkedHashMap<>() {
+    private final Map<MachineId, HeartbeatNumber> answeredFirst = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<MachineId, HeartbeatNumber> eldest) {
             return size() > KEPT;
@@ -43,22 +43,22 @@
      * that this leader sees and the proof after it.
      */
     void answered(MachineId id, HeartbeatNumber newest) {
-        asked.put(id, newest);
+        answeredFirst.put(id, newest);
     }
 
-    boolean isProved(Heartbeat report, FencingToken token) {
-        MachineId id = report.machine();
+    boolean isAliveUnderToken(Heartbeat heartbeat, FencingToken token) {
+        MachineId id = heartbeat.machine();
         if (settled != null && id.compareTo(settled) <= 0) {
             return false;
         }
-        if (report.token().value() < token.value()) {
-            asked.putIfAbsent(id, report.number());
+        if (heartbeat.token().value() < token.value()) {
+            answeredFirst.putIfAbsent(id, heartbeat.number());
             return false;
         }
-        HeartbeatNumber first = asked.get(id);
-        boolean proved = first != null && report.number().compareTo(first) > 0;
+        HeartbeatNumber first = answeredFirst.get(id);
+        boolean proved = first != null && heartbeat.number().compareTo(first) > 0;
         if (proved) {
-            asked.remove(id);
+            answeredFirst.remove(id);
         }
         return proved;
     }
@@ -68,7 +68,7 @@
      * machine that an earlier list had, and is not in a list that describes a later moment, is gone for good.
      */
     void listed(Collection<MachineId> list, Moment asked, Moment now) {
-        if (newest != null && !seen.isAfter(asked.minus(rules.oldestList()))) {
+        if (newest != null && !seen.isAfter(asked.minus(rules.oldestListing()))) {
             settled = newest;
             newest = null;
         }
--- a/src/main/java/io/indigoreach/core/scheduling/Placement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Placement.java
@@ -15,9 +15,9 @@
     final Attempt attempt;
     TaskState state;
     /** The report whose answer carried the start; a newer report without the task shows it was never executed. */
-    final HeartbeatNumber orderedIn;
+    final HeartbeatNumber startedInResponseTo;
     /** When the task was ordered or first seen; once it runs, when that was first reported. */
-    Moment since;
+    Moment stateSince;
 
     boolean stopping;
 
@@ -34,8 +34,8 @@
         this.machine = machine;
         this.attempt = attempt;
         this.state = state;
-        this.orderedIn = orderedIn;
-        this.since = since;
+        this.startedInResponseTo = orderedIn;
+        this.stateSince = since;
     }
 
     TaskId task() {
--- a/src/main/java/io/indigoreach/core/scheduling/Reconciler.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Reconciler.java
@@ -27,131 +27,134 @@
         this.notes = notes;
     }
 
-    List<WorkerCommand> reconcile(Machine m, Heartbeat report, Moment now) {
+    List<WorkerCommand> reconcile(Machine machine, Heartbeat heartbeat, Moment now) {
         List<WorkerCommand> orders = new ArrayList<>();
         Set<Placement> seen = new HashSet<>();
         int strangers = 0;
-        for (TaskStatus t : report.tasks()) {
-            Job job = cluster.jobs.get(t.task().job());
-            if (job == null || t.task().index() >= job.spec.tasks()) {
+        for (TaskStatus status : heartbeat.tasks()) {
+            Job job = cluster.jobs.get(status.task().job());
+            if (job == null || status.task().index() >= job.spec.tasks()) {
                 // Cancelled or over. It counts against machine and team until a report shows it gone.
-                Placement p = m.tasks().get(t.task());
-                if (p != null && p.attempt.equals(t.attempt()) && t.state() != TaskState.EXITED) {
-                    seen.add(p);
-                } else if (t.state() != TaskState.EXITED) {
+                Placement placement = machine.placements().get(status.task());
+                if (placement != null
+                        && placement.attempt.equals(status.attempt())
+                        && status.state() != TaskState.EXITED) {
+                    seen.add(placement);
+                } else if (status.state() != TaskState.EXITED) {
                     strangers++;
                 }
-                orders.add(ending(t));
-            } else if (t.state() == TaskState.EXITED) {
-                exited(m, job, t, now, orders);
+                orders.add(ending(status));
+            } else if (status.state() == TaskState.EXITED) {
+                exited(machine, job, status, now, orders);
             } else {
-                alive(m, job, t, now, orders, seen);
+                alive(machine, job, status, now, orders, seen);
             }
         }
-        cluster.setStrangers(m, strangers);
+        cluster.setOrphanTasks(machine, strangers);
         // What is missing from a newer report was refused, lost with an answer, or killed with its session.
-        for (Placement p : m.tasksCopy()) {
-            if (!seen.contains(p)) {
-                cluster.lift(p, now);
+        for (Placement placement : machine.placementsCopy()) {
+            if (!seen.contains(placement)) {
+                cluster.removePlacement(placement, now);
             }
         }
         return orders;
     }
 
-    private static WorkerCommand ending(TaskStatus t) {
-        return t.state() == TaskState.EXITED
-                ? new WorkerCommand.Reap(t.task(), t.attempt())
-                : new WorkerCommand.Stop(t.task(), t.attempt(), Span.ZERO);
+    private static WorkerCommand ending(TaskStatus status) {
+        return status.state() == TaskState.EXITED
+                ? new WorkerCommand.Reap(status.task(), status.attempt())
+                : new WorkerCommand.Stop(status.task(), status.attempt(), Span.ZERO);
     }
 
-    private void exited(Machine m, Job job, TaskStatus t, Moment now, List<WorkerCommand> orders) {
-        int index = t.task().index();
-        Placement p = job.active(index);
-        boolean here = p != null && p.machine == m && p.attempt.equals(t.attempt());
-        switch (t.cause()) {
+    private void exited(Machine machine, Job job, TaskStatus status, Moment now, List<WorkerCommand> orders) {
+        int index = status.task().index();
+        Placement placement = job.placements(index);
+        boolean here = placement != null && placement.machine == machine && placement.attempt.equals(status.attempt());
+        switch (status.cause()) {
             case DONE -> {
-                m.images.ran(job.spec.image());
+                machine.imageCache.ran(job.spec.image());
                 if (job.spec.isService()) {
                     // A replica runs until its job is cancelled: one that ended is started again, not at once.
                     if (here) {
-                        job.retryAt = now.plus(RETRY);
-                        cluster.lift(p, now);
+                        job.retryNotBefore = now.plus(RETRY);
+                        cluster.removePlacement(placement, now);
                     }
                     break;
                 }
                 if (here) {
-                    if (p.state == TaskState.RUNNING) {
-                        estimates.observe(job, now.since(p.since));
+                    if (placement.state == TaskState.RUNNING) {
+                        estimates.observe(job, now.since(placement.stateSince));
                     }
-                    FaultAttribution.completed(p);
-                    cluster.lift(p, now);
+                    FaultAttribution.completed(placement);
+                    cluster.removePlacement(placement, now);
                 }
                 if (job.complete(index)) {
-                    notes.progress(job);
+                    notes.taskCompleted(job);
                 }
                 if (job.isDurable(index)) {
-                    orders.add(new WorkerCommand.Reap(t.task(), t.attempt()));
+                    orders.add(new WorkerCommand.Reap(status.task(), status.attempt()));
                 }
                 return;
             }
             case ERROR -> {
-                m.images.ran(job.spec.image());
+                machine.imageCache.ran(job.spec.image());
                 if (here) {
-                    FaultAttribution.failed(p, now);
-                    notes.failed(p);
-                    cluster.lift(p, now);
+                    FaultAttribution.failed(placement, now);
+                    notes.failed(placement);
+                    cluster.removePlacement(placement, now);
                 }
             }
             case FULL, IN_USE, UNKNOWN -> {
                 if (here) {
-                    notes.refused(p, t.cause());
-                    job.retryAt = now.plus(RETRY);
-                    cluster.lift(p, now);
+                    notes.refused(placement, status.cause());
+                    job.retryNotBefore = now.plus(RETRY);
+                    cluster.removePlacement(placement, now);
                 }
             }
             default -> {
                 if (here) {
-                    cluster.lift(p, now);
+                    cluster.removePlacement(placement, now);
                 }
             }
         }
-        orders.add(new WorkerCommand.Reap(t.task(), t.attempt()));
+        orders.add(new WorkerCommand.Reap(status.task(), status.attempt()));
     }
 
-    private void alive(Machine m, Job job, TaskStatus t, Moment now, List<WorkerCommand> orders, Set<Placement> seen) {
-        int index = t.task().index();
-        Placement p = job.active(index);
-        if (p == null || (p.machine == m && !p.attempt.equals(t.attempt()))) {
-            if (p != null) {
-                cluster.lift(p, now);
+    private void alive(
+            Machine machine, Job job, TaskStatus status, Moment now, List<WorkerCommand> orders, Set<Placement> seen) {
+        int index = status.task().index();
+        Placement placement = job.placements(index);
+        if (placement == null || (placement.machine == machine && !placement.attempt.equals(status.attempt()))) {
+            if (placement != null) {
+                cluster.removePlacement(placement, now);
             }
             // Started by an earlier leader, or kept by a machine that was given up: it counts from now on.
-            p = new Placement(job, index, m, t.attempt(), t.state(), HeartbeatNumber.NONE, now);
-            cluster.place(p);
-        } else if (p.machine != m) {
+            placement = new Placement(job, index, machine, status.attempt(), status.state(), HeartbeatNumber.NONE, now);
+            cluster.addPlacement(placement);
+        } else if (placement.machine != machine) {
             // Possibly in two places: never let the second go on.
-            notes.conflict(t.task(), m, p.machine);
-            orders.add(new WorkerCommand.Stop(t.task(), t.attempt(), Span.ZERO));
+            notes.conflict(status.task(), machine, placement.machine);
+            orders.add(new WorkerCommand.Stop(status.task(), status.attempt(), Span.ZERO));
             return;
         }
-        seen.add(p);
+        seen.add(placement);
         // A newer report that still shows it running: the stop was lost with its answer.
-        p.stopping &= t.state() != TaskState.RUNNING;
-        if (p.state != t.state()) {
-            if (t.state() == TaskState.RUNNING) {
-                p.since = now;
-                job.ran();
-                m.images.ran(job.spec.image());
+        placement.stopping &= status.state() != TaskState.RUNNING;
+        if (placement.state != status.state()) {
+            if (status.state() == TaskState.RUNNING) {
+                placement.stateSince = now;
+                job.hasRun();
+                machine.imageCache.ran(job.spec.image());
             }
-            p.state = t.state();
+            placement.state = status.state();
             cluster.version++;
         }
         if (job.cancelled || job.isDone(index)) {
-            orders.add(new WorkerCommand.Stop(t.task(), t.attempt(), Span.ZERO));
-        } else if (m.condemned) {
-            orders.add(new WorkerCommand.Stop(t.task(), t.attempt(), job.spec.checkpointTime()));
-        } else if (m.notice != null && job.spec.savesProgress() && p.state == TaskState.RUNNING) {
-            orders.add(new WorkerCommand.Stop(t.task(), t.attempt(), m.notice.since(now)));
+            orders.add(new WorkerCommand.Stop(status.task(), status.attempt(), Span.ZERO));
+        } else if (machine.quarantined) {
+            orders.add(new WorkerCommand.Stop(status.task(), status.attempt(), job.spec.checkpointTime()));
+        } else if (machine.preemptionAt != null && job.spec.savesProgress() && placement.state == TaskState.RUNNING) {
+            orders.add(new WorkerCommand.Stop(status.task(), status.attempt(), machine.preemptionAt.since(now)));
         }
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Reservation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Reservation.java
@@ -48,20 +48,20 @@
         int slots = 0;
         for (Machine m : machines) {
             boolean coming = m.phase == Machine.Phase.BOOTING;
-            if ((!coming && !m.isUsable()) || !m.allows(top.spec) || FaultAttribution.bars(top, m)) {
+            if ((!coming && !m.isUsable()) || !m.allows(top.spec) || FaultAttribution.isExcluded(top, m)) {
                 continue;
             }
             Moment start = now;
             if (coming) {
-                Moment up = m.rented.plus(m.type.boot());
+                Moment up = m.rentedAt.plus(m.type.boot());
                 start = up.isAfter(now) ? up : now;
             }
             Demand room = m.freeFor(top.spec);
-            List<Placement> running = m.tasksCopy();
-            running.removeIf(p -> p.job.spec.isService());
+            List<Placement> running = m.placementsCopy();
+            running.removeIf(placement -> placement.job.spec.isService());
             Map<Placement, Moment> ends = new HashMap<>();
-            for (Placement p : running) {
-                ends.put(p, estimates.end(p, now));
+            for (Placement placement : running) {
+                ends.put(placement, estimates.end(placement, now));
             }
             running.sort(Comparator.comparing(ends::get));
             int taken = 0;
@@ -83,7 +83,7 @@
         }
         places.sort(Comparator.comparing(Place::at));
         Map<MachineId, Hold> holds = new HashMap<>();
-        int left = top.startable();
+        int left = top.startableCount();
         Moment last = slots == 0 ? null : now;
         for (Place place : places) {
             if (left <= 0) {
@@ -104,15 +104,15 @@
     }
 
     /** Whether a task that takes {@code demand} for {@code time} may start on {@code m} without delaying the top job. */
-    boolean allows(Machine m, Demand demand, Span time, Estimates estimates, Moment now) {
-        Hold hold = holds.get(m.id);
+    boolean allows(Machine machine, Demand demand, Span time, Estimates estimates, Moment now) {
+        Hold hold = holds.get(machine.id);
         if (hold == null || !now.plus(time).isAfter(hold.at)) {
             return true;
         }
-        Demand room = m.type.capacity().minus(demand);
-        for (Placement p : m.tasks().values()) {
-            if (!p.job.spec.isHolder() && estimates.end(p, now).isAfter(hold.at)) {
-                room = room.minus(p.demand());
+        Demand room = machine.type.capacity().minus(demand);
+        for (Placement placement : machine.placements().values()) {
+            if (!placement.job.spec.isHolder() && estimates.end(placement, now).isAfter(hold.at)) {
+                room = room.minus(placement.demand());
             }
         }
         return top.spec.demand().timesIn(room) >= hold.tasks;
--- a/src/main/java/io/indigoreach/core/scheduling/ReservedCapacity.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ReservedCapacity.java
@@ -18,8 +18,8 @@
  * spread over all machines, such a class had 0.38 within its aim in place of 0.91.
  */
 final class ReservedCapacity {
-    private static final double PART = 0.125;
-    private static final Span LIFE = Span.seconds(1);
+    private static final double RESERVED_FRACTION = 0.125;
+    private static final Span SELECTION_LIFE = Span.seconds(1);
 
     /** Counted at a moment; empty where no such job waits. The jobs are those with the least work left first. */
     private record Selection(Set<MachineId> machines, List<Job> jobs, Moment at) {}
@@ -36,53 +36,56 @@
     }
 
     /** Nobody said by when it should be served, and it has waited for as long as something of any job should run. */
-    boolean isFor(Job job, Moment now) {
-        return aims.isWithout(job) && !job.spec.isService() && ServiceLevelObjectives.isToBegin(job, now);
+    boolean isEligible(Job job, Moment now) {
+        return aims.hasNoObjective(job) && !job.spec.isService() && ServiceLevelObjectives.isStarved(job, now);
     }
 
-    boolean has(Machine m, FairShareQueue share, List<Job> queue, Moment now) {
+    boolean isReserved(Machine machine, FairShareQueue share, List<Job> queue, Moment now) {
         Selection counted = byShare.get(share);
-        if (counted == null || !now.isBefore(counted.at.plus(LIFE))) {
+        if (counted == null || !now.isBefore(counted.at.plus(SELECTION_LIFE))) {
             List<Job> waiting = queue.stream()
-                    .filter(job -> isFor(job, now) && job.hasStartable())
+                    .filter(job -> isEligible(job, now) && job.hasStartable())
                     .sorted(Comparator.comparingDouble(this::left))
                     .toList();
             counted = new Selection(waiting.isEmpty() ? Set.of() : choose(share, now), waiting, now);
             byShare.put(share, counted);
         }
-        return counted.machines.contains(m.id);
+        return counted.machines.contains(machine.id);
     }
 
     /**
      * The jobs that go first there, those with the least work left before others: most of a class are over before one large
      * array is. That one goes on as soon as it is aged, or wherever there is room.
      */
-    List<Job> jobs(FairShareQueue share) {
-        return byShare.get(share).jobs;
+    List<Job> jobs(FairShareQueue queue) {
+        return byShare.get(queue).jobs;
     }
 
     private double left(Job job) {
-        return job.waiting() * job.spec.demand().cores() * estimates.run(job).seconds();
+        return job.waitingCount()
+                * job.spec.demand().cores()
+                * estimates.run(job).seconds();
     }
 
     /** Those that do most such work already, so that they stay the same ones. */
-    private Set<MachineId> choose(FairShareQueue share, Moment now) {
+    private Set<MachineId> choose(FairShareQueue queue, Moment now) {
         Map<Machine, Double> work = new HashMap<>();
         List<Machine> usable = new ArrayList<>();
-        for (Machine m : cluster.serving(share)) {
-            if (m.isUsable()) {
-                usable.add(m);
+        for (Machine machine : cluster.machinesServing(queue)) {
+            if (machine.isUsable()) {
+                usable.add(machine);
                 work.put(
-                        m,
-                        m.tasks().values().stream()
-                                .filter(p -> isFor(p.job, now))
-                                .mapToDouble(p -> p.demand().cores())
+                        machine,
+                        machine.placements().values().stream()
+                                .filter(placement -> isEligible(placement.job, now))
+                                .mapToDouble(placement -> placement.demand().cores())
                                 .sum());
             }
         }
-        usable.sort(Comparator.<Machine>comparingDouble(m -> -work.get(m)).thenComparing(m -> m.id));
+        usable.sort(Comparator.<Machine>comparingDouble(machine -> -work.get(machine))
+                .thenComparing(machine -> machine.id));
         Set<MachineId> chosen = new HashSet<>();
-        usable.subList(0, (int) (usable.size() * PART)).forEach(m -> chosen.add(m.id));
+        usable.subList(0, (int) (usable.size() * RESERVED_FRACTION)).forEach(machine -> chosen.add(machine.id));
         return chosen;
     }
 }
