--- a/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
@@ -14,7 +14,7 @@
     private final Dispatcher dispatcher;
     private final SafetyTimes rules;
     private final SchedulerSettings tuning;
-    private final FailureDetector silence;
+    private final FailureDetector failureDetector;
 
     ScaleInPolicy(
             Cluster cluster,
@@ -26,64 +26,67 @@
         this.dispatcher = dispatcher;
         this.rules = rules;
         this.tuning = tuning;
-        this.silence = silence;
+        this.failureDetector = silence;
     }
 
     /** The machines to return, each with the reason; they are LEAVING from now on. */
-    List<String> check(Moment now, boolean settled) {
+    List<String> selectMachines(Moment now, boolean settled) {
         List<String> reasons = new ArrayList<>();
         int up = 0;
         int lost = 0;
-        for (Machine m : cluster.machines.values()) {
-            up += m.phase == Machine.Phase.UP ? 1 : 0;
-            lost += m.phase == Machine.Phase.LOST ? 1 : 0;
+        for (Machine machine : cluster.machines.values()) {
+            up += machine.phase == Machine.Phase.UP ? 1 : 0;
+            lost += machine.phase == Machine.Phase.LOST ? 1 : 0;
         }
         boolean mostAreLost = lost > up;
-        silence.count(now);
-        for (Machine m : cluster.machines.values()) {
-            String reason = m.phase == Machine.Phase.LEAVING ? null : reason(m, now, settled, mostAreLost);
+        failureDetector.recount(now);
+        for (Machine machine : cluster.machines.values()) {
+            String reason =
+                    machine.phase == Machine.Phase.RETURNING ? null : reason(machine, now, settled, mostAreLost);
             if (reason != null) {
-                m.phase = Machine.Phase.LEAVING;
-                m.leavingSince = now;
+                machine.phase = Machine.Phase.RETURNING;
+                machine.returningSince = now;
                 cluster.version++;
-                reasons.add(m.id + " " + reason);
+                reasons.add(machine.id + " " + reason);
             }
         }
         return reasons;
     }
 
-    private String reason(Machine m, Moment now, boolean settled, boolean mostAreLost) {
-        if (m.oneWay.isTold()
-                && (!silence.isUnreached(m.pool.zone())
-                        || now.since(m.oneWay.since()).compareTo(behindCut(m)) > 0)) {
-            return "reports but has taken none of " + m.oneWay.missed() + " answers";
+    private String reason(Machine machine, Moment now, boolean settled, boolean mostAreLost) {
+        if (machine.partition.isConfirmed()
+                && (!failureDetector.isZonePartitioned(machine.pool.zone())
+                        || now.since(machine.partition.since()).compareTo(partitionPatience(machine)) > 0)) {
+            return "reports but has taken none of " + machine.partition.missed() + " answers";
         }
-        switch (m.phase) {
+        switch (machine.phase) {
             case BOOTING:
-                if (now.since(m.rented).compareTo(m.type.boot().times(tuning.bootLimit())) > 0
-                        && now.since(m.heard).compareTo(rules.leaseBound()) > 0) {
+                if (now.since(machine.rentedAt).compareTo(machine.type.boot().times(tuning.bootTimeout())) > 0
+                        && now.since(machine.lastHeardAt).compareTo(rules.leaseBound()) > 0) {
                     return "never came up";
                 }
-                return silence.isItsOwn(m, now) ? "silent since the take-over" : null;
+                return failureDetector.isMachineFailure(machine, now) ? "silent since the take-over" : null;
             case LOST:
                 // When most are silent the fault is likely between them and this leader: then keep them.
-                return !mostAreLost && now.since(m.heard).compareTo(patience(m)) > 0
+                return !mostAreLost && now.since(machine.lastHeardAt).compareTo(patience(machine)) > 0
                         ? "silent since its lease ran out"
                         : null;
             default:
-                if (silence.isItsOwn(m, now) && !m.isIdle()) {
-                    return "silent with " + m.taskCount() + " tasks";
+                if (failureDetector.isMachineFailure(machine, now) && !machine.isIdle()) {
+                    return "silent with " + machine.taskCount() + " tasks";
                 }
-                if (!m.accounted || !m.isIdle()) {
+                if (!machine.reconciled || !machine.isIdle()) {
                     return null;
                 }
-                if (m.condemned) {
+                if (machine.quarantined) {
                     return "fails what it is given";
                 }
                 if (!settled) {
                     return null;
                 }
-                return termEnds(m, now) && !cluster.keeper.keeps(m) && !dispatcher.isWanted(m, now)
+                return termEnds(machine, now)
+                                && !cluster.warmCapacity.isRetained(machine)
+                                && !dispatcher.isUsableByWaitingJob(machine, now)
                         ? "idle at the end of its term"
                         : null;
         }
@@ -95,23 +98,26 @@
      * paid (the rule of the ski rental). Two fleets gave 400 machines back seconds before a cut of 47 s ended, and
      * waited half a minute for others to boot.
      */
-    private Span patience(Machine m) {
+    private Span patience(Machine machine) {
         Span alone = rules.leaseBound().times(1.5);
-        Span behindCut = behindCut(m);
-        return silence.isOnTheWay(m.pool.zone()) && behindCut.compareTo(alone) > 0 ? behindCut : alone;
+        Span behindCut = partitionPatience(machine);
+        return failureDetector.isZoneUnreachable(machine.pool.zone()) && behindCut.compareTo(alone) > 0
+                ? behindCut
+                : alone;
     }
 
-    private Span behindCut(Machine m) {
-        return rules.leaseBound().plus(m.type.boot()).plus(tuning.leastPaid());
+    private Span partitionPatience(Machine machine) {
+        return rules.leaseBound().plus(machine.type.boot()).plus(tuning.minimumPaidTime());
     }
 
-    boolean termEnds(Machine m, Moment now) {
-        return residual(m, now).compareTo(tuning.check()) <= 0;
+    boolean termEnds(Machine machine, Moment now) {
+        return remainingTerm(machine, now).compareTo(tuning.checkPeriod()) <= 0;
     }
 
     /** What is left of the paid term. */
-    private Span residual(Machine m, Moment now) {
-        long beyond = now.since(m.rented).ms() - tuning.leastPaid().ms();
+    private Span remainingTerm(Machine machine, Moment now) {
+        long beyond =
+                now.since(machine.rentedAt).ms() - tuning.minimumPaidTime().ms();
         long term = Math.max(1, tuning.term().ms());
         return new Span(beyond < 0 ? -beyond : term - beyond % term);
     }
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
@@ -32,43 +32,43 @@
  * has no clock; every call says what time it is.
  */
 public final class SchedulerCore {
-    private static final int DEAF_TO = 3;
-    private static final int GONE_KEPT = 1000;
-    private static final int GONE_PER_MACHINE = 8;
+    private static final int MIN_SILENT_MACHINES = 3;
+    private static final int RETURNED_MACHINES_KEPT = 1000;
+    private static final int RETURNED_KEPT_PER_MACHINE = 8;
     /** One list would do by the cloud's word; a second one costs little. */
-    private static final int SURELY_MISSING = 2;
+    private static final int LISTINGS_TO_PRESUME_GONE = 2;
 
     private final FencingToken token;
-    private final SafetyTimes rules;
+    private final SafetyTimes safetyTimes;
     private final Cluster cluster;
     private final Estimates estimates = new Estimates();
-    private final Failover takeOver;
+    private final Failover failover;
     /** Inherited jobs that were read after the records are not released yet. */
-    private boolean late;
+    private boolean inheritedLate;
 
-    private final DependentJobs chains;
+    private final DependentJobs dependentJobs;
     private final Dispatcher dispatcher;
     private final Reconciler reconciler;
     private final BestSize bestSize;
     private final StartBounds startBounds;
     private final Consolidation consolidation;
-    private final ScaleInPolicy releaseCheck;
-    private final SchedulerListener notes;
-    private final MachineAdoption newcomers;
-    private final WaitExplainer waiting;
+    private final ScaleInPolicy scaleInPolicy;
+    private final SchedulerListener listener;
+    private final MachineAdoption adoption;
+    private final WaitExplainer waitExplainer;
     /** Returned machines still appear in lists and late reports for a while; they are not taken on again. */
-    private final Map<MachineId, Boolean> gone = new LinkedHashMap<>() {
+    private final Map<MachineId, Boolean> returnedMachines = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<MachineId, Boolean> eldest) {
-            return size() > Math.max(GONE_KEPT, GONE_PER_MACHINE * cluster.machines.size());
+            return size() > Math.max(RETURNED_MACHINES_KEPT, RETURNED_KEPT_PER_MACHINE * cluster.machines.size());
         }
     };
     /** Machines that an earlier leader was about to return: the request may still be executed, so they are of no use. */
-    private final Set<MachineId> condemned = new HashSet<>();
+    private final Set<MachineId> returnsInProgress = new HashSet<>();
     /** What was answered before the records were read, whether its machine was known by then or not. */
-    private final Map<MachineId, EarlyHeartbeat> early = new HashMap<>();
+    private final Map<MachineId, EarlyHeartbeat> earlyHeartbeats = new HashMap<>();
 
-    private boolean loaded;
+    private boolean recordsLoaded;
 
     private record EarlyHeartbeat(HeartbeatNumber number, Moment heard) {}
 
@@ -80,20 +80,20 @@
             Collection<Team> teams,
             SchedulerListener notes) {
         this.token = token;
-        this.rules = rules;
-        this.notes = notes;
-        this.newcomers = new MachineAdoption(rules);
+        this.safetyTimes = rules;
+        this.listener = notes;
+        this.adoption = new MachineAdoption(rules);
         this.cluster = new Cluster(teams);
-        this.takeOver = new Failover();
-        this.chains = new DependentJobs(cluster, estimates);
-        this.dispatcher = new Dispatcher(cluster, aims, estimates, takeOver, token, tuning.leastPaid());
-        this.waiting = new WaitExplainer(cluster, dispatcher);
+        this.failover = new Failover();
+        this.dependentJobs = new DependentJobs(cluster, estimates);
+        this.dispatcher = new Dispatcher(cluster, aims, estimates, failover, token, tuning.minimumPaidTime());
+        this.waitExplainer = new WaitExplainer(cluster, dispatcher);
         this.reconciler = new Reconciler(cluster, estimates, notes);
         this.consolidation = new Consolidation(cluster, dispatcher, estimates, rules);
         FailureDetector silence = new FailureDetector(cluster, rules);
         this.bestSize = new BestSize(cluster, dispatcher, estimates, tuning, silence);
         this.startBounds = new StartBounds(cluster, dispatcher, tuning);
-        this.releaseCheck = new ScaleInPolicy(cluster, dispatcher, rules, tuning, silence);
+        this.scaleInPolicy = new ScaleInPolicy(cluster, dispatcher, rules, tuning, silence);
     }
 
     public void setTypes(Collection<MachineType> types) {
@@ -103,46 +103,46 @@
     }
 
     /** A machine that an earlier leader recorded: it may hold any inherited task. No earlier leader leads since {@code now}. */
-    public void inherit(MachineId id, MachinePool pool, Moment rented, Moment existed, Moment now) {
+    public void inheritMachine(MachineId id, MachinePool pool, Moment rented, Moment existed, Moment now) {
         MachineType type = cluster.types.get(pool.type());
         if (type == null) {
             return;
         }
-        Machine m = new Machine(id, pool, type, rented);
-        m.recorded = true;
-        m.heard = now;
-        m.existed = existed;
-        cluster.machines.put(id, m);
-        takeOver.expect(id, now);
+        Machine machine = new Machine(id, pool, type, rented);
+        machine.recorded = true;
+        machine.lastHeardAt = now;
+        machine.knownToExistAt = existed;
+        cluster.machines.put(id, machine);
+        failover.expect(id, now);
     }
 
     /** Every record has been read: from now on task lists are taken and orders given. */
-    public void loaded() {
-        loaded = true;
-        early.forEach((id, answered) -> {
-            Machine m = cluster.machines.get(id);
-            if (m != null) {
+    public void recordsLoaded() {
+        recordsLoaded = true;
+        earlyHeartbeats.forEach((id, answered) -> {
+            Machine machine = cluster.machines.get(id);
+            if (machine != null) {
                 // Against a lease that counts as over while the answer has renewed it, and against a report that comes
                 // after it.
-                m.heard = answered.heard;
-                m.last = answered.number;
+                machine.lastHeardAt = answered.heard;
+                machine.lastHeartbeat = answered.number;
             } else {
-                newcomers.answered(id, answered.number);
+                adoption.answered(id, answered.number);
             }
         });
-        early.clear();
-        if (takeOver.isSettled()) {
-            cluster.release();
+        earlyHeartbeats.clear();
+        if (failover.isComplete()) {
+            cluster.releaseInheritedTasks();
         }
     }
 
     /** Who is told of the run time of each task that ends well. */
-    public void onRun(BiConsumer<Job, Span> told) {
+    public void onTaskCompleted(BiConsumer<Job, Span> told) {
         estimates.onRun(told);
     }
 
-    public boolean isLoaded() {
-        return loaded;
+    public boolean areRecordsLoaded() {
+        return recordsLoaded;
     }
 
     /**
@@ -152,16 +152,16 @@
     public void addJob(Job job) {
         if (!cluster.jobs.containsKey(job.id())) {
             cluster.add(job);
-            chains.added(job);
-            late |= loaded && job.isInherited();
-            releaseLate();
+            dependentJobs.added(job);
+            inheritedLate |= recordsLoaded && job.isInherited();
+            releaseInheritedLate();
         }
     }
 
-    private void releaseLate() {
-        if (late && takeOver.isSettled() && !cluster.hasStrangers()) {
-            late = false;
-            cluster.release();
+    private void releaseInheritedLate() {
+        if (inheritedLate && failover.isComplete() && !cluster.hasOrphanTasks()) {
+            inheritedLate = false;
+            cluster.releaseInheritedTasks();
         }
     }
 
@@ -174,8 +174,8 @@
     }
 
     /** What the open job's next task waits for; empty if none of its tasks waits. */
-    public Optional<WaitReason> waitsFor(Job job, Moment now) {
-        return waiting.reason(job, now);
+    public Optional<WaitReason> waitReason(Job job, Moment now) {
+        return waitExplainer.reason(job, now);
     }
 
     /** The job's user has cancelled it: nothing of it may start, and what is on machines is stopped. */
@@ -184,7 +184,7 @@
         if (job != null) {
             job.cancelled = true;
             cluster.remove(job);
-            chains.removed(job);
+            dependentJobs.removed(job);
         }
     }
 
@@ -193,99 +193,99 @@
         Job job = cluster.jobs.get(id);
         if (job != null) {
             cluster.remove(job);
-            chains.removed(job);
-            chains.done(id);
+            dependentJobs.removed(job);
+            dependentJobs.done(id);
         }
     }
 
     /** Before the open jobs are read anew: that a job is not known any more says nothing of its end. */
     public void forgetJobs() {
         new ArrayList<>(cluster.jobs.values()).forEach(cluster::remove);
-        chains.clear();
+        dependentJobs.clear();
     }
 
     /** The jobs that wait for others. */
-    public DependentJobs chains() {
-        return chains;
+    public DependentJobs dependentJobs() {
+        return dependentJobs;
     }
 
     /** Only these tasks of an open job wait for something else than machines. */
-    public void withhold(JobId id, BitSet tasks) {
+    public void gateTasks(JobId id, BitSet tasks) {
         Job job = cluster.jobs.get(id);
         if (job != null) {
-            job.withhold(tasks);
+            job.gate(tasks);
             cluster.version++;
         }
     }
 
-    public void stamped(Job job, Revision stamp) {
-        if (stamp.isAfter(job.stamp)) {
-            job.stamp = stamp;
+    public void revisionSeen(Job job, Revision stamp) {
+        if (stamp.isAfter(job.revision)) {
+            job.revision = stamp;
         }
     }
 
     /** The answer's orders; null if this report shows that a newer leader exists. */
-    public List<WorkerCommand> onReport(Heartbeat report, Moment now) {
-        if (report.token().value() > token.value()) {
+    public List<WorkerCommand> onHeartbeat(Heartbeat heartbeat, Moment now) {
+        if (heartbeat.token().value() > token.value()) {
             return null;
         }
-        if (!loaded) {
+        if (!recordsLoaded) {
             // It is answered all the same, and that renews its lease; a copy of an older one renews nothing.
-            early.merge(
-                    report.machine(),
-                    new EarlyHeartbeat(report.number(), now),
+            earlyHeartbeats.merge(
+                    heartbeat.machine(),
+                    new EarlyHeartbeat(heartbeat.number(), now),
                     (a, b) -> b.number.compareTo(a.number) > 0 ? b : a);
             return List.of();
         }
-        Machine m = cluster.machines.get(report.machine());
-        if (gone.containsKey(report.machine()) || condemned.contains(report.machine())) {
+        Machine machine = cluster.machines.get(heartbeat.machine());
+        if (returnedMachines.containsKey(heartbeat.machine()) || returnsInProgress.contains(heartbeat.machine())) {
             return List.of();
         }
-        if (m == null && newcomers.isProved(report, token)) {
-            m = adopt(report, now);
+        if (machine == null && adoption.isAliveUnderToken(heartbeat, token)) {
+            machine = adopt(heartbeat, now);
         }
-        if (m == null || isOld(m, report.number())) {
+        if (machine == null || isOld(machine, heartbeat.number())) {
             return List.of();
         }
-        if (!m.pool.equals(report.pool())
-                && cluster.types.containsKey(report.pool().type())) {
-            m = replace(m, report.pool(), now);
+        if (!machine.pool.equals(heartbeat.pool())
+                && cluster.types.containsKey(heartbeat.pool().type())) {
+            machine = replace(machine, heartbeat.pool(), now);
         }
-        HeartbeatNumber before = m.last;
-        m.last = report.number();
-        if (!m.isGivenUp()) {
-            m.heard = now;
-            m.expired = false;
-            hears(m, report, before, now);
+        HeartbeatNumber before = machine.lastHeartbeat;
+        machine.lastHeartbeat = heartbeat.number();
+        if (!machine.isReturnedAsUnreachable()) {
+            machine.lastHeardAt = now;
+            machine.leaseExpired = false;
+            observeAnswers(machine, heartbeat, before, now);
         }
-        if (report.token().value() < token.value()) {
-            if (takeOver.isOver(m.id, now.minus(rules.leaseBound()))) {
-                accounted(m.id);
+        if (heartbeat.token().value() < token.value()) {
+            if (failover.isLeaseOver(machine.id, now.minus(safetyTimes.leaseBound()))) {
+                machineReconciled(machine.id);
             }
-            m.oneWay.answered(List.of(), now);
+            machine.partition.answerSent(List.of(), now);
             return List.of();
         }
-        if (before.session() != 0 && m.last.session() > before.session()) {
-            cluster.liftAll(m, now);
-            m.images.doubt();
+        if (before.incarnation() != 0 && machine.lastHeartbeat.incarnation() > before.incarnation()) {
+            cluster.removeAllPlacements(machine, now);
+            machine.imageCache.doubt();
         }
-        if (m.phase == Machine.Phase.BOOTING || m.phase == Machine.Phase.LOST) {
-            m.phase = Machine.Phase.UP;
-            m.idleSince = now;
+        if (machine.phase == Machine.Phase.BOOTING || machine.phase == Machine.Phase.LOST) {
+            machine.phase = Machine.Phase.UP;
+            machine.idleSince = now;
             cluster.version++;
         }
-        m.notice = report.notice() == null ? null : now.plus(report.notice());
-        m.accounted = true;
-        List<WorkerCommand> orders = reconciler.reconcile(m, report, now);
-        accounted(m.id);
-        releaseLate();
-        if (m.phase == Machine.Phase.UP && !m.oneWay.isTold()) {
-            orders.addAll(dispatcher.fill(m, report.number(), now));
-            orders.addAll(dispatcher.makeRoom(m, now));
-            orders.addAll(consolidation.orders(m, now));
+        machine.preemptionAt = heartbeat.preemptionNotice() == null ? null : now.plus(heartbeat.preemptionNotice());
+        machine.reconciled = true;
+        List<WorkerCommand> orders = reconciler.reconcile(machine, heartbeat, now);
+        machineReconciled(machine.id);
+        releaseInheritedLate();
+        if (machine.phase == Machine.Phase.UP && !machine.partition.isConfirmed()) {
+            orders.addAll(dispatcher.startTasks(machine, heartbeat.number(), now));
+            orders.addAll(dispatcher.preempt(machine, now));
+            orders.addAll(consolidation.drainCommands(machine, now));
         }
-        if (!needsRecord(m) && !m.isGivenUp()) {
-            m.oneWay.answered(orders, now);
+        if (!needsRecord(machine) && !machine.isReturnedAsUnreachable()) {
+            machine.partition.answerSent(orders, now);
         }
         return orders;
     }
@@ -294,15 +294,17 @@
      * Not newer than the last one, or of a session that is over: without an answered report for the lease bound the machine
      * has killed its tasks and begun another session, so what comes then under the old one was sent before.
      */
-    private static boolean isOld(Machine m, HeartbeatNumber number) {
-        return number.compareTo(m.last) <= 0 || (number.session() == m.last.session() && m.expired);
+    private static boolean isOld(Machine machine, HeartbeatNumber number) {
+        return number.compareTo(machine.lastHeartbeat) <= 0
+                || (number.incarnation() == machine.lastHeartbeat.incarnation() && machine.leaseExpired);
     }
 
-    private void hears(Machine m, Heartbeat report, HeartbeatNumber before, Moment now) {
-        boolean told = m.oneWay.isTold();
-        m.oneWay.heard(report, before, token, cluster.awake, rules, now);
-        if (m.oneWay.isTold() != told) {
-            notes.say("machine " + m.id + (told ? " takes answers again" : " reports, but answers do not reach it"));
+    private void observeAnswers(Machine machine, Heartbeat heartbeat, HeartbeatNumber before, Moment now) {
+        boolean told = machine.partition.isConfirmed();
+        machine.partition.observe(heartbeat, before, token, cluster.awakeSince, safetyTimes, now);
+        if (machine.partition.isConfirmed() != told) {
+            listener.log("machine " + machine.id
+                    + (told ? " takes answers again" : " reports, but answers do not reach it"));
             cluster.version++;
         }
     }
@@ -311,17 +313,17 @@
      * Whether this machine's report is answered: not while it is returned since it hears nothing. Its lease, if it does hear,
      * runs from the last report that was answered.
      */
-    public boolean answers(MachineId id) {
-        Machine m = cluster.machines.get(id);
-        return m == null || !m.isGivenUp();
+    public boolean mayAnswer(MachineId id) {
+        Machine machine = cluster.machines.get(id);
+        return machine == null || !machine.isReturnedAsUnreachable();
     }
 
     /** Nothing unknown is on this machine any more; after the last one, every job's tasks may be started. */
-    private void accounted(MachineId id) {
-        if (!takeOver.isSettled()) {
-            takeOver.accounted(id);
-            if (loaded && takeOver.isSettled()) {
-                cluster.release();
+    private void machineReconciled(MachineId id) {
+        if (!failover.isComplete()) {
+            failover.reconciled(id);
+            if (recordsLoaded && failover.isComplete()) {
+                cluster.releaseInheritedTasks();
             }
         }
     }
@@ -330,43 +332,43 @@
      * A machine is what it says it is. The answer to a request to rent can be that to an older one of the same name, of
      * another leader: an ordinary machine was taken for a spot one then, and could have got what may not run there.
      */
-    private Machine replace(Machine m, MachinePool pool, Moment now) {
-        notes.say("machine " + m.id + " is of " + pool + ", not of " + m.pool);
-        Machine real = new Machine(m.id, pool, cluster.types.get(pool.type()), m.rented);
-        real.heard = m.heard;
-        real.existed = m.existed;
-        cluster.forget(m, now);
+    private Machine replace(Machine machine, MachinePool pool, Moment now) {
+        listener.log("machine " + machine.id + " is of " + pool + ", not of " + machine.pool);
+        Machine real = new Machine(machine.id, pool, cluster.types.get(pool.type()), machine.rentedAt);
+        real.lastHeardAt = machine.lastHeardAt;
+        real.knownToExistAt = machine.knownToExistAt;
+        cluster.removeMachine(machine, now);
         cluster.machines.put(real.id, real);
         return real;
     }
 
-    private Machine adopt(Heartbeat report, Moment now) {
-        MachineType type = cluster.types.get(report.pool().type());
+    private Machine adopt(Heartbeat heartbeat, Moment now) {
+        MachineType type = cluster.types.get(heartbeat.pool().type());
         if (type == null) {
             return null;
         }
-        notes.say("machine " + report.machine() + " reports and is not known: taken on");
-        Machine m = new Machine(report.machine(), report.pool(), type, now);
-        cluster.machines.put(m.id, m);
-        return m;
+        listener.log("machine " + heartbeat.machine() + " reports and is not known: taken on");
+        Machine machine = new Machine(heartbeat.machine(), heartbeat.pool(), type, now);
+        cluster.machines.put(machine.id, machine);
+        return machine;
     }
 
     /** Machines that the cloud has just rented to this leader. */
     public void rented(MachinePool pool, List<MachineId> ids, Moment asked, Moment now) {
         for (MachineId id : ids) {
-            if (gone.containsKey(id) || condemned.contains(id)) {
+            if (returnedMachines.containsKey(id) || returnsInProgress.contains(id)) {
                 continue;
             }
             Machine known = cluster.machines.get(id);
             if (known != null) {
-                known.rented = asked;
+                known.rentedAt = asked;
                 continue;
             }
             MachineType type = cluster.types.get(pool.type());
             if (type != null) {
-                Machine m = new Machine(id, pool, type, asked);
-                m.existed = now;
-                cluster.machines.put(id, m);
+                Machine machine = new Machine(id, pool, type, asked);
+                machine.knownToExistAt = now;
+                cluster.machines.put(id, machine);
             }
         }
         cluster.version++;
@@ -374,11 +376,11 @@
 
     public void refused(MachinePool pool, Moment now) {
         bestSize.refused(pool, now);
-        cluster.keeper.refused(pool);
+        cluster.warmCapacity.refused(pool);
     }
 
-    private static boolean needsRecord(Machine m) {
-        return !m.recorded && m.phase == Machine.Phase.UP;
+    private static boolean needsRecord(Machine machine) {
+        return !machine.recorded && machine.phase == Machine.Phase.UP;
     }
 
     /**
@@ -386,27 +388,29 @@
      * task, so a later leader need not wait for it and it needs no record.
      */
     public Machine unrecorded(MachineId id) {
-        Machine m = cluster.machines.get(id);
-        return m != null && needsRecord(m) ? m : null;
+        Machine machine = cluster.machines.get(id);
+        return machine != null && needsRecord(machine) ? machine : null;
     }
 
     /** Starts for a machine that was recorded after its report came, if that is still its newest. */
-    public List<WorkerCommand> fill(MachineId id, HeartbeatNumber number, Moment now) {
-        Machine m = cluster.machines.get(id);
-        if (m == null || !m.last.equals(number)) {
+    public List<WorkerCommand> startTasks(MachineId id, HeartbeatNumber number, Moment now) {
+        Machine machine = cluster.machines.get(id);
+        if (machine == null || !machine.lastHeartbeat.equals(number)) {
             return List.of();
         }
-        List<WorkerCommand> orders = dispatcher.fill(m, number, now);
-        if (now.since(m.heard).compareTo(rules.workerPatience().times(0.5)) < 0) {
-            m.oneWay.answered(orders, now);
+        List<WorkerCommand> orders = dispatcher.startTasks(machine, number, now);
+        if (now.since(machine.lastHeardAt)
+                        .compareTo(safetyTimes.responseTimeout().times(0.5))
+                < 0) {
+            machine.partition.answerSent(orders, now);
         }
         return orders;
     }
 
     public void recorded(MachineId id) {
-        Machine m = cluster.machines.get(id);
-        if (m != null) {
-            m.recorded = true;
+        Machine machine = cluster.machines.get(id);
+        if (machine != null) {
+            machine.recorded = true;
         }
     }
 
@@ -415,144 +419,150 @@
      * listed, a machine stays listed until it is gone, and the lag is bounded: a machine that surely existed before
      * the oldest moment this list can describe, and is not in it, is gone with everything on it.
      */
-    public void onList(List<ListedMachine> list, Moment asked, Moment now) {
+    public void onMachineListing(List<ListedMachine> list, Moment asked, Moment now) {
         Set<MachineId> present = new HashSet<>();
         for (ListedMachine listed : list) {
-            if (gone.containsKey(listed.id()) || condemned.contains(listed.id())) {
+            if (returnedMachines.containsKey(listed.id()) || returnsInProgress.contains(listed.id())) {
                 continue;
             }
             present.add(listed.id());
-            Machine m = cluster.machines.get(listed.id());
+            Machine machine = cluster.machines.get(listed.id());
             if (listed.status() == ListedMachine.Status.FAILED) {
-                if (m == null || m.phase != Machine.Phase.LEAVING) {
-                    failed(m, listed, now);
+                if (machine == null || machine.phase != Machine.Phase.RETURNING) {
+                    failed(machine, listed, now);
                 }
                 continue;
             }
-            if (m == null && cluster.types.containsKey(listed.pool().type())) {
-                notes.say("machine " + listed.id() + " is listed and not known: taken on");
-                m = new Machine(
+            if (machine == null && cluster.types.containsKey(listed.pool().type())) {
+                listener.log("machine " + listed.id() + " is listed and not known: taken on");
+                machine = new Machine(
                         listed.id(),
                         listed.pool(),
                         cluster.types.get(listed.pool().type()),
                         now.minus(listed.held()));
-                m.heard = now;
-                cluster.machines.put(m.id, m);
+                machine.lastHeardAt = now;
+                cluster.machines.put(machine.id, machine);
             }
-            if (m != null) {
-                m.missing = 0;
+            if (machine != null) {
+                machine.missedListings = 0;
             }
         }
-        newcomers.listed(present, asked, now);
-        for (Machine m : new ArrayList<>(cluster.machines.values())) {
-            if (present.contains(m.id)) {
+        adoption.listed(present, asked, now);
+        for (Machine machine : new ArrayList<>(cluster.machines.values())) {
+            if (present.contains(machine.id)) {
                 continue;
             }
-            if (m.existed.isBefore(asked.minus(rules.oldestList()))) {
-                m.missing++;
+            if (machine.knownToExistAt.isBefore(asked.minus(safetyTimes.oldestListing()))) {
+                machine.missedListings++;
             }
-            if (m.missing >= SURELY_MISSING) {
-                notes.say("machine " + m.id + " is gone with " + m.taskCount() + " tasks: the cloud lists it no more");
-                cluster.forget(m, now);
-                accounted(m.id);
-                gone.put(m.id, true);
+            if (machine.missedListings >= LISTINGS_TO_PRESUME_GONE) {
+                listener.log("machine " + machine.id + " is gone with " + machine.taskCount()
+                        + " tasks: the cloud lists it no more");
+                cluster.removeMachine(machine, now);
+                machineReconciled(machine.id);
+                returnedMachines.put(machine.id, true);
             }
         }
     }
 
     private void failed(Machine known, ListedMachine listed, Moment now) {
-        Machine m = known;
-        if (m == null) {
+        Machine machine = known;
+        if (machine == null) {
             MachineType type = cluster.types.get(listed.pool().type());
             if (type == null) {
                 return;
             }
-            m = new Machine(listed.id(), listed.pool(), type, now);
-            cluster.machines.put(m.id, m);
+            machine = new Machine(listed.id(), listed.pool(), type, now);
+            cluster.machines.put(machine.id, machine);
         }
-        notes.say("machine " + m.id + " stopped by itself with " + m.taskCount() + " tasks");
-        cluster.liftAll(m, now);
-        accounted(m.id);
-        m.phase = Machine.Phase.LEAVING;
-        m.leavingSince = now;
+        listener.log("machine " + machine.id + " stopped by itself with " + machine.taskCount() + " tasks");
+        cluster.removeAllPlacements(machine, now);
+        machineReconciled(machine.id);
+        machine.phase = Machine.Phase.RETURNING;
+        machine.returningSince = now;
     }
 
     /** Machines whose lease ran out: their tasks are free again. */
     public void expireLeases(Moment now) {
-        for (Machine m : cluster.machines.values()) {
-            if (now.since(m.heard).compareTo(rules.leaseBound()) <= 0) {
+        for (Machine machine : cluster.machines.values()) {
+            if (now.since(machine.lastHeardAt).compareTo(safetyTimes.leaseBound()) <= 0) {
                 continue;
             }
-            accounted(m.id);
-            m.expired = true;
-            if (m.phase == Machine.Phase.UP || (m.phase == Machine.Phase.LEAVING && !m.isIdle())) {
-                notes.say("machine " + m.id + " is silent: its lease has run out with " + m.taskCount() + " tasks");
-                cluster.liftAll(m, now);
+            machineReconciled(machine.id);
+            machine.leaseExpired = true;
+            if (machine.phase == Machine.Phase.UP || (machine.phase == Machine.Phase.RETURNING && !machine.isIdle())) {
+                listener.log("machine " + machine.id + " is silent: its lease has run out with " + machine.taskCount()
+                        + " tasks");
+                cluster.removeAllPlacements(machine, now);
             }
-            if (FailureDetector.mayHoldTasks(m)) {
-                m.phase = Machine.Phase.LOST;
+            if (FailureDetector.mayHoldTasks(machine)) {
+                machine.phase = Machine.Phase.LOST;
                 cluster.version++;
             }
         }
     }
 
     /** Jobs whose start bounds are to be recorded now, as their tasks are about to be ordered. */
-    public List<Job> boundsToRaise(Moment now) {
-        return loaded ? startBounds.toRaise(now) : List.of();
+    public List<Job> startBoundsToRaise(Moment now) {
+        return recordsLoaded ? startBounds.toRaise(now) : List.of();
     }
 
     /** What to rent now: asked once each check, so that the wishes of several arrivals and completions are one. */
-    public List<ScaleOutRequest> wishes(Moment now) {
-        if (!loaded) {
+    public List<ScaleOutRequest> scaleOutRequests(Moment now) {
+        if (!recordsLoaded) {
             return List.of();
         }
-        List<ScaleOutRequest> wishes = new ArrayList<>(bestSize.wishes(now));
-        for (ScaleOutRequest wish : cluster.keeper.wishes(now)) {
-            if (bestSize.mayAsk(wish.pool(), now)) {
-                wishes.add(wish);
+        List<ScaleOutRequest> wishes = new ArrayList<>(bestSize.scaleOutRequests(now));
+        for (ScaleOutRequest request : cluster.warmCapacity.scaleOutRequests(now)) {
+            if (bestSize.mayAsk(request.pool(), now)) {
+                wishes.add(request);
             } else {
-                cluster.keeper.refused(wish.pool());
+                cluster.warmCapacity.refused(request.pool());
             }
         }
         return wishes;
     }
 
     /** Since when this node has not stood still: silence before that may be its own. */
-    public void awakeSince(Moment since) {
-        cluster.awake = since;
+    public void setAwakeSince(Moment since) {
+        cluster.awakeSince = since;
     }
 
     /** Marks what is to be returned. */
-    public void check(Moment now) {
-        if (loaded) {
+    public void planScaleIn(Moment now) {
+        if (recordsLoaded) {
             consolidation.plan(now);
-            cluster.keeper.plan(
-                    cluster.machines.values(), cluster.jobs.values(), m -> releaseCheck.termEnds(m, now), now);
-            for (String reason : releaseCheck.check(now, takeOver.isSettled())) {
-                notes.say("returning machine " + reason);
+            cluster.warmCapacity.plan(
+                    cluster.machines.values(),
+                    cluster.jobs.values(),
+                    machine -> scaleInPolicy.termEnds(machine, now),
+                    now);
+            for (String reason : scaleInPolicy.selectMachines(now, failover.isComplete())) {
+                listener.log("returning machine " + reason);
             }
         }
     }
 
     /** An earlier leader has recorded that it returns these: nothing is started there, and the return is finished. */
-    public void condemn(Collection<MachineId> ids, Moment now) {
+    public void inheritReturns(Collection<MachineId> ids, Moment now) {
         for (MachineId id : ids) {
-            Machine m = cluster.machines.get(id);
-            if (m == null) {
-                condemned.add(id);
-            } else if (m.phase != Machine.Phase.LEAVING) {
-                m.phase = Machine.Phase.LEAVING;
-                m.leavingSince = now;
+            Machine machine = cluster.machines.get(id);
+            if (machine == null) {
+                returnsInProgress.add(id);
+            } else if (machine.phase != Machine.Phase.RETURNING) {
+                machine.phase = Machine.Phase.RETURNING;
+                machine.returningSince = now;
             }
         }
     }
 
     /** Machines to ask the cloud to take back, until it has said that they are gone. */
-    public List<MachineId> leaving(int most) {
-        List<MachineId> out = new ArrayList<>(condemned.stream().limit(most).toList());
-        for (Machine m : cluster.machines.values()) {
-            if (m.phase == Machine.Phase.LEAVING && out.size() < most) {
-                out.add(m.id);
+    public List<MachineId> machinesToReturn(int most) {
+        List<MachineId> out =
+                new ArrayList<>(returnsInProgress.stream().limit(most).toList());
+        for (Machine machine : cluster.machines.values()) {
+            if (machine.phase == Machine.Phase.RETURNING && out.size() < most) {
+                out.add(machine.id);
             }
         }
         return out;
@@ -561,25 +571,25 @@
     /** The cloud has answered that these machines are gone. */
     public void returned(List<MachineId> ids, Moment now) {
         for (MachineId id : ids) {
-            Machine m = cluster.machines.get(id);
-            if (m != null) {
-                cluster.forget(m, now);
+            Machine machine = cluster.machines.get(id);
+            if (machine != null) {
+                cluster.removeMachine(machine, now);
             }
-            accounted(id);
-            condemned.remove(id);
-            gone.put(id, true);
+            machineReconciled(id);
+            returnsInProgress.remove(id);
+            returnedMachines.put(id, true);
         }
     }
 
     /** How many machines decisions have looked at so far. */
-    long visits() {
-        return cluster.visits();
+    long machineVisits() {
+        return cluster.machineVisits();
     }
 
     /** Whether the machine's lease counts as over: nothing may run there. */
-    boolean countsOver(MachineId id) {
-        Machine m = cluster.machines.get(id);
-        return m != null && m.expired;
+    boolean isLeaseExpired(MachineId id) {
+        Machine machine = cluster.machines.get(id);
+        return machine != null && machine.leaseExpired;
     }
 
     public boolean knows(MachineId id) {
@@ -592,27 +602,27 @@
      * were sent back to it by the others, and their leases ended. Those of an earlier leader need their time to find this one: a
      * leader that gave up 4.7 s after it had taken over, as all 447 were still with one that stood still, cost 557 tasks.
      */
-    public boolean isDeaf(Moment now) {
-        Moment since = now.minus(rules.silence());
-        if (cluster.awake.isAfter(since)) {
+    public boolean isCutOffFromWorkers(Moment now) {
+        Moment since = now.minus(safetyTimes.suspicionTimeout());
+        if (cluster.awakeSince.isAfter(since)) {
             return false;
         }
-        Moment sinceTakeOver = now.minus(Span.longer(rules.silence(), rules.findsLeader()));
+        Moment sinceTakeOver = now.minus(Span.longer(safetyTimes.suspicionTimeout(), safetyTimes.leaderDiscovery()));
         int silent = 0;
-        for (Machine m : cluster.machines.values()) {
-            if (m.recorded && m.phase != Machine.Phase.LEAVING) {
-                if (m.heard.isAfter(m.accounted ? since : sinceTakeOver)) {
+        for (Machine machine : cluster.machines.values()) {
+            if (machine.recorded && machine.phase != Machine.Phase.RETURNING) {
+                if (machine.lastHeardAt.isAfter(machine.reconciled ? since : sinceTakeOver)) {
                     return false;
                 }
                 silent++;
             }
         }
-        return silent >= DEAF_TO;
+        return silent >= MIN_SILENT_MACHINES;
     }
 
     /** From now on machines are kept ahead of their work by what this says. */
-    public void keeping(WarmCapacity keeper) {
-        cluster.keeper = keeper;
+    public void useWarmCapacity(WarmCapacity keeper) {
+        cluster.warmCapacity = keeper;
     }
 
     public Collection<Machine> machines() {
@@ -624,31 +634,33 @@
     }
 
     /** Every task that an earlier leader may have started is known. */
-    public boolean isSettled() {
-        return takeOver.isSettled();
+    public boolean isFailoverComplete() {
+        return failover.isComplete();
     }
 
     /** What this leader knows of jobs and machines, should the records of them be lost. */
-    public RememberedState remains() {
+    public RememberedState rememberedState() {
         RememberedState remains = new RememberedState();
         for (Job job : cluster.jobs.values()) {
-            remains.add(remains(job));
+            remains.add(rememberedState(job));
         }
-        for (Machine m : cluster.machines.values()) {
-            if (m.recorded) {
-                remains.add(new RememberedState.RentedMachine(m.id, m.pool, m.rented, m.existed));
+        for (Machine machine : cluster.machines.values()) {
+            if (machine.recorded) {
+                remains.add(new RememberedState.RentedMachine(
+                        machine.id, machine.pool, machine.rentedAt, machine.knownToExistAt));
             }
         }
         return remains;
     }
 
     /** What is known of one open job, whose end may be on its way into the records. */
-    public static RememberedState remains(Job job) {
+    public static RememberedState rememberedState(Job job) {
         RememberedState remains = new RememberedState();
         if (job.isComplete()) {
             remains.add(job.id(), new RememberedState.FinishedJob(JobStatus.DONE, job.spec.tasks()));
         } else {
-            remains.add(new RememberedState.OpenJob(job.spec, job.submittedMs, job.doneTasks(), job.boundToWrite()));
+            remains.add(new RememberedState.OpenJob(
+                    job.spec, job.submittedMs, job.completedTasks(), job.startBoundToWrite()));
         }
         return remains;
     }
@@ -659,18 +671,19 @@
         int idle = 0;
         int booting = 0;
         int active = 0;
-        for (Machine m : cluster.machines.values()) {
-            up += m.phase == Machine.Phase.UP ? 1 : 0;
-            idle += m.phase == Machine.Phase.UP && m.isIdle() ? 1 : 0;
-            booting += m.phase == Machine.Phase.BOOTING ? 1 : 0;
-            active += m.taskCount();
+        for (Machine machine : cluster.machines.values()) {
+            up += machine.phase == Machine.Phase.UP ? 1 : 0;
+            idle += machine.phase == Machine.Phase.UP && machine.isIdle() ? 1 : 0;
+            booting += machine.phase == Machine.Phase.BOOTING ? 1 : 0;
+            active += machine.taskCount();
         }
         int waiting = 0;
         for (Job job : cluster.jobs.values()) {
-            waiting += job.waiting();
+            waiting += job.waitingCount();
         }
         return cluster.jobs.size() + " jobs, " + waiting + " tasks waiting, " + active + " placed; machines: " + up
                 + " up (" + idle + " idle), " + booting + " booting, " + (cluster.machines.size() - up - booting)
-                + " other" + (takeOver.isSettled() ? "" : "; take-over: " + takeOver.outstanding() + " to report");
+                + " other"
+                + (failover.isComplete() ? "" : "; take-over: " + failover.unreconciledCount() + " to report");
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerListener.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerListener.java
@@ -6,22 +6,25 @@
 /** What the core tells its surroundings while it works: for records to write and for the log. */
 public interface SchedulerListener {
     /** A task of the job completed: its record is to be written. */
-    void progress(Job job);
+    void taskCompleted(Job job);
 
     /** Something worth a line in the operators' log. */
-    void say(String line);
+    void log(String line);
 
-    default void failed(Placement p) {
-        say("task " + p.task() + " failed on " + p.machine.id + " (failures of the job: " + p.job.failures
-                + (p.machine.condemned ? "; the machine is given up" : p.job.isSuspect() ? "; the job is suspect" : "")
+    default void failed(Placement placement) {
+        log("task " + placement.task() + " failed on " + placement.machine.id + " (failures of the job: "
+                + placement.job.failures
+                + (placement.machine.quarantined
+                        ? "; the machine is given up"
+                        : placement.job.isSuspectedFaulty() ? "; the job is suspect" : "")
                 + ")");
     }
 
-    default void refused(Placement p, ExitCause cause) {
-        say("start of " + p.task() + " refused by " + p.machine.id + ": " + cause);
+    default void refused(Placement placement, ExitCause cause) {
+        log("start of " + placement.task() + " refused by " + placement.machine.id + ": " + cause);
     }
 
     default void conflict(TaskId task, Machine here, Machine there) {
-        say("task " + task + " reported by " + here.id + " while it may be on " + there.id + "; stopping it");
+        log("task " + task + " reported by " + here.id + " while it may be on " + there.id + "; stopping it");
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ServiceLevelObjectives.java
@@ -34,11 +34,11 @@
      *     reach even so is no reason to go before others
      */
     Moment latestStart(Job job, Span run, int rounds, Moment now) {
-        Moment next = job.arrived.plus(SOMETIME);
+        Moment next = job.eligibleSince.plus(SOMETIME);
         Moment lastRound = now.plus(run.times(Math.max(0, rounds - 1)));
         for (Objective aim : byClass.getOrDefault(job.spec.jobClass(), List.of())) {
-            Moment latest =
-                    job.arrived.plus(aim.start() ? aim.within() : aim.within().minus(run));
+            Moment latest = job.eligibleSince.plus(
+                    aim.start() ? aim.within() : aim.within().minus(run));
             next = earlier(next, latest, aim.start() ? now : lastRound);
         }
         if (job.dueAt() != null) {
@@ -54,8 +54,8 @@
     Moment lastChance(Job job, Span run) {
         Moment last = null;
         for (Objective aim : byClass.getOrDefault(job.spec.jobClass(), List.of())) {
-            Moment latest =
-                    job.arrived.plus(aim.start() ? aim.within() : aim.within().minus(run));
+            Moment latest = job.eligibleSince.plus(
+                    aim.start() ? aim.within() : aim.within().minus(run));
             last = last == null || latest.isAfter(last) ? latest : last;
         }
         // A deadline of a job after it makes it more urgent; it is no reason to be late for the aims of its own class.
@@ -64,30 +64,30 @@
             Moment latest = due.minus(run);
             last = last == null || latest.isAfter(last) ? latest : last;
         }
-        return last == null ? job.arrived.plus(WITHOUT) : last;
+        return last == null ? job.eligibleSince.plus(WITHOUT) : last;
     }
 
     /** Waiting for longer than anything should: whatever its class and urgency, it is served now. */
     boolean isAged(Job job, Moment now) {
-        return now.isAfter(job.arrived.plus(isWithout(job) ? WITHOUT : SOMETIME));
+        return now.isAfter(job.eligibleSince.plus(hasNoObjective(job) ? WITHOUT : SOMETIME));
     }
 
     /** It has waited for so long that something of it should run, whatever its class and urgency. */
-    static boolean isToBegin(Job job, Moment now) {
-        return now.isAfter(job.arrived.plus(WITHOUT.times(BEGIN)));
+    static boolean isStarved(Job job, Moment now) {
+        return now.isAfter(job.eligibleSince.plus(WITHOUT.times(BEGIN)));
     }
 
     /** Nothing says by when it should be served. */
-    boolean isWithout(Job job) {
+    boolean hasNoObjective(Job job) {
         return job.dueAt() == null
                 && byClass.getOrDefault(job.spec.jobClass(), List.of()).isEmpty();
     }
 
     /** The moment by which the job's tasks should have started by its users' nearest word on starts, or null. */
-    Moment startBy(Job job) {
+    Moment latestStartForWait(Job job) {
         return byClass.getOrDefault(job.spec.jobClass(), List.of()).stream()
                 .filter(Objective::start)
-                .map(aim -> job.arrived.plus(aim.within()))
+                .map(aim -> job.eligibleSince.plus(aim.within()))
                 .min(Moment::compareTo)
                 .orElse(null);
     }
--- a/src/main/java/io/indigoreach/core/scheduling/StartBounds.java
+++ b/src/main/java/io/indigoreach/core/scheduling/StartBounds.java
@@ -32,24 +32,25 @@
     List<Job> toRaise(Moment now) {
         count(now);
         List<Job> out = new ArrayList<>();
-        for (FairShareQueue share : cluster.shares()) {
+        for (FairShareQueue queue : cluster.queues()) {
             double ahead = 0;
-            for (Job job : dispatcher.queue(share, now)) {
-                if (job.hasStartable() && !job.isSuspect() && ahead < places) {
+            for (Job job : dispatcher.queue(queue, now)) {
+                if (job.hasStartable() && !job.isSuspectedFaulty() && ahead < places) {
                     double size = Math.max(1e-3, job.spec.demand().cores());
-                    int startable = job.startable();
-                    if (ahead < places * LOW && !job.hasOrderable(within(places * LOW - ahead, size, startable))) {
-                        job.wantOrderable(within(places - ahead, size, startable));
+                    int startable = job.startableCount();
+                    if (ahead < places * LOW
+                            && !job.isWithinStartBound(within(places * LOW - ahead, size, startable))) {
+                        job.requestStartBoundFor(within(places - ahead, size, startable));
                     }
                     ahead += startable * size;
                 }
-                if (job.wantsBound()) {
+                if (job.needsHigherStartBound()) {
                     out.add(job);
                 }
             }
         }
         for (Job holder : cluster.holderJobs) {
-            if (holder.wantsBound()) {
+            if (holder.needsHigherStartBound()) {
                 out.add(holder);
             }
         }
@@ -70,9 +71,10 @@
         }
         countedAt = now;
         places = 0;
-        for (Machine m : cluster.machines.values()) {
-            if (m.isComing(now, tuning.bootPatience()) || m.isSound()) {
-                places += Math.max(0, m.free().cores()) + m.type.capacity().cores();
+        for (Machine machine : cluster.machines.values()) {
+            if (machine.isBooting(now, tuning.bootPatience()) || machine.isHealthy()) {
+                places += Math.max(0, machine.free().cores())
+                        + machine.type.capacity().cores();
             }
         }
     }
--- a/src/main/java/io/indigoreach/core/scheduling/TeamUsage.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TeamUsage.java
@@ -13,7 +13,7 @@
         this.team = team;
     }
 
-    void used(Demand demand, int sign) {
+    void addUsage(Demand demand, int sign) {
         cores += sign * demand.cores();
         gpus += sign * demand.gpus();
     }
--- a/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
@@ -17,7 +17,7 @@
     /** What the job's next task waits for; empty if none of its tasks waits. */
     Optional<WaitReason> reason(Job job, Moment now) {
         if (!job.hasWaiting()) {
-            return job.hasWithheld() ? Optional.of(WaitReason.RECORDS_WITHHELD) : Optional.empty();
+            return job.hasGatedTasks() ? Optional.of(WaitReason.RECORDS_WITHHELD) : Optional.empty();
         }
         WaitReason own = ownReason(job, now);
         return Optional.of(own != null ? own : machineReason(job, now));
@@ -28,75 +28,77 @@
         if (!job.hasStartable()) {
             return WaitReason.TAKE_OVER;
         }
-        if (now.isBefore(job.retryAt)) {
+        if (now.isBefore(job.retryNotBefore)) {
             return WaitReason.RETRY_PAUSE;
         }
         if (!dispatcher.mayStart(job, now)) {
-            return dispatcher.isSettled() ? WaitReason.TASKS_OF_ENDED_JOBS : WaitReason.TAKE_OVER;
+            return dispatcher.isFailoverComplete() ? WaitReason.TASKS_OF_ENDED_JOBS : WaitReason.TAKE_OVER;
         }
-        if (job.isSuspect() && !job.active().isEmpty()) {
+        if (job.isSuspectedFaulty() && !job.placements().isEmpty()) {
             return WaitReason.TRIED_ALONE;
         }
-        if (job.hadItsTurn()) {
+        if (job.isStarvationRelieved()) {
             return WaitReason.HAD_ITS_TURN;
         }
-        if (!cluster.use(job).hasRoomFor(job.spec.demand())) {
+        if (!cluster.teamUsage(job).hasRoomFor(job.spec.demand())) {
             return WaitReason.TEAM_LIMIT;
         }
         return job.spec.isHolder() ? WaitReason.NO_SEAT : null;
     }
 
     private WaitReason machineReason(Job job, Moment now) {
-        FairShareQueue share = cluster.share(job);
+        FairShareQueue share = cluster.queueOf(job);
         List<Job> queue = dispatcher.queue(share, now);
         List<Job> ahead = queue.subList(0, Math.max(0, queue.indexOf(job)));
         WaitReason furthest = WaitReason.NO_MACHINE;
-        for (Machine m : cluster.machines.values()) {
-            WaitReason here = reasonOn(m, job, share, ahead, now);
+        for (Machine machine : cluster.machines.values()) {
+            WaitReason here = reasonOn(machine, job, share, ahead, now);
             furthest = here.compareTo(furthest) > 0 ? here : furthest;
         }
         return furthest;
     }
 
-    private WaitReason reasonOn(Machine m, Job job, FairShareQueue share, List<Job> ahead, Moment now) {
-        boolean coming = m.phase == Machine.Phase.BOOTING;
-        if (!m.isOfKind(job.spec) || !job.spec.demand().fitsIn(m.type.capacity()) || (!coming && !m.isSound())) {
+    private WaitReason reasonOn(Machine machine, Job job, FairShareQueue queue, List<Job> ahead, Moment now) {
+        boolean coming = machine.phase == Machine.Phase.BOOTING;
+        if (!machine.matchesPool(job.spec)
+                || !job.spec.demand().fitsIn(machine.type.capacity())
+                || (!coming && !machine.isHealthy())) {
             return WaitReason.NO_MACHINE;
         }
-        if (!dispatcher.placeable(job, m)) {
+        if (!dispatcher.isPlaceable(job, machine)) {
             return WaitReason.OTHER_ZONE;
         }
-        if (coming || !m.recorded) {
+        if (coming || !machine.recorded) {
             return coming ? WaitReason.BOOTING : WaitReason.MACHINE_RECORD;
         }
-        if (FaultAttribution.bars(job, m)) {
+        if (FaultAttribution.isExcluded(job, machine)) {
             return WaitReason.FAILED_THERE;
         }
-        if (!job.spec.demand().fitsIn(m.freeFor(job.spec))) {
+        if (!job.spec.demand().fitsIn(machine.freeFor(job.spec))) {
             return WaitReason.NO_ROOM;
         }
-        if (!m.allows(job.spec)) {
+        if (!machine.allows(job.spec)) {
             return WaitReason.KEPT_FOR_POOL;
         }
-        if (m.spare || dispatcher.isAside(m, now)) {
+        if (machine.surplus || dispatcher.isCordoned(machine, now)) {
             return WaitReason.SET_ASIDE;
         }
-        if (dispatcher.isLeftToHolders(job, m, now)) {
+        if (dispatcher.awaitsImageLocality(job, machine, now)) {
             return WaitReason.LEFT_TO_HOLDERS;
         }
-        return reasonInQueue(m, job, share, ahead, now);
+        return reasonInQueue(machine, job, queue, ahead, now);
     }
 
-    private WaitReason reasonInQueue(Machine m, Job job, FairShareQueue share, List<Job> ahead, Moment now) {
-        if (ahead.stream().anyMatch(other -> dispatcher.keepsRoom(other, m))) {
+    private WaitReason reasonInQueue(Machine machine, Job job, FairShareQueue queue, List<Job> ahead, Moment now) {
+        if (ahead.stream().anyMatch(other -> dispatcher.keepsRoomForReplica(other, machine))) {
             return WaitReason.KEPT_FOR_REPLICAS;
         }
-        if (dispatcher.isReserved(share, job, m, now)) {
+        if (dispatcher.isReserved(queue, job, machine, now)) {
             return WaitReason.RESERVATION;
         }
-        if (dispatcher.isFiller(job) && !dispatcher.leavesRoom(share, job, now)) {
+        if (dispatcher.isUnboundedFiller(job) && !dispatcher.leavesRoomForObjectives(queue, job, now)) {
             return WaitReason.KEPT_FOR_AIMS;
         }
-        return job.hasOrderable() ? WaitReason.NEXT_REPORT : WaitReason.START_BOUND;
+        return job.isWithinStartBound() ? WaitReason.NEXT_REPORT : WaitReason.START_BOUND;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/WarmCapacity.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WarmCapacity.java
@@ -14,22 +14,22 @@
     default void plan(Collection<Machine> machines, Collection<Job> jobs, Predicate<Machine> termEnds, Moment now) {}
 
     /** It is paid for ahead of its work, and stays though nothing that waits can use it. */
-    default boolean keeps(Machine m) {
+    default boolean isRetained(Machine machine) {
         return false;
     }
 
     /** What to rent beside what the queue needs; at most one request to a pool of machines. */
-    default List<ScaleOutRequest> wishes(Moment now) {
+    default List<ScaleOutRequest> scaleOutRequests(Moment now) {
         return List.of();
     }
 
     /** A team waits for what it is guaranteed, and this machine would do. */
-    default void yield(Machine m, Moment now) {}
+    default void yield(Machine machine, Moment now) {}
 
     default void refused(MachinePool pool) {}
 
     /** A task is ordered to start there. */
-    default void starting(Job job, Machine m) {}
+    default void taskStarting(Job job, Machine machine) {}
 
     /** Whether it is known which machines are kept: before that what sits on them is left alone. */
     default boolean isKnown() {
--- a/src/main/java/io/indigoreach/core/warm/MembershipRecovery.java
+++ b/src/main/java/io/indigoreach/core/warm/MembershipRecovery.java
@@ -33,23 +33,26 @@
         letGo.retainAll(there);
     }
 
-    void restore(Machine m, Map<String, PoolState> states) {
-        Line line = recalled.get(m.id());
-        Job holder = m.holderJob();
+    void restore(Machine machine, Map<String, PoolState> states) {
+        Line line = recalled.get(machine.id());
+        Job holder = machine.holderJob();
         if (holder == null) {
-            letGo.remove(m.id());
+            letGo.remove(machine.id());
         }
         PoolState s = states.get(line != null ? line.payer().pool() : holder == null ? "" : poolOf(holder));
-        if (m.seat() == null && s != null && line != null) {
-            m.seat(new PoolMembership(s.spec.name(), line.image(), line.gb(), s.spec.replica()));
-        } else if (m.seat() == null && s != null && m.session() > 0 && !letGo.contains(m.id())) {
+        if (machine.poolMembership() == null && s != null && line != null) {
+            machine.poolMembership(new PoolMembership(s.spec.name(), line.image(), line.gb(), s.spec.replica()));
+        } else if (machine.poolMembership() == null
+                && s != null
+                && machine.incarnation() > 0
+                && !letGo.contains(machine.id())) {
             // Its line was lost, or never written: a holder shows whose it is.
-            m.seat(new PoolMembership(
+            machine.poolMembership(new PoolMembership(
                     s.spec.name(), holder.spec().image(), holder.spec().imageGb(), s.spec.replica()));
         }
-        if (line != null && m.session() > 0) {
-            m.images().recall(line.image(), line.gb(), line.session() == m.session());
-            recalled.remove(m.id());
+        if (line != null && machine.incarnation() > 0) {
+            machine.imageCache().recall(line.image(), line.gb(), line.session() == machine.incarnation());
+            recalled.remove(machine.id());
         }
     }
 
--- a/src/main/java/io/indigoreach/core/warm/PoolAssignment.java
+++ b/src/main/java/io/indigoreach/core/warm/PoolAssignment.java
@@ -29,23 +29,25 @@
 
     /** Machines of an old image as far as the pool may change at once, and those that are too many at their terms' end. */
     void shrink(PoolState s) {
-        s.live.sort(Comparator.comparing((Machine m) -> m.seat().image().equals(s.spec.image()))
-                .thenComparing(m -> m.images().holds(m.seat().image()))
-                .thenComparing(m -> -s.zone(m.pool().zone())));
+        s.live.sort(Comparator.comparing(
+                        (Machine machine) -> machine.poolMembership().image().equals(s.spec.image()))
+                .thenComparing(machine ->
+                        machine.imageCache().holds(machine.poolMembership().image()))
+                .thenComparing(machine -> -s.zone(machine.pool().zone())));
         boolean rolls = s.holders.containsKey(s.spec.image());
         int ready = s.ready();
         int under = s.live.size() - ready;
         int surge = s.surge();
         int excess = s.live.size() - s.target - surge;
-        for (Machine m : new ArrayList<>(s.live)) {
-            boolean holds = m.images().holds(m.seat().image());
-            boolean old = rolls && !m.seat().image().equals(s.spec.image());
+        for (Machine machine : new ArrayList<>(s.live)) {
+            boolean holds = machine.imageCache().holds(machine.poolMembership().image());
+            boolean old = rolls && !machine.poolMembership().image().equals(s.spec.image());
             boolean mayRoll = old && under < surge && (!holds || ready > Math.min(s.spec.least(), s.target));
             boolean neededStill = old && holds && ready <= s.spec.least() && s.target > 0;
-            boolean isTooMuch = excess > 0 && termEnds.test(m) && !neededStill;
-            if ((m.isIdle() || s.target == 0) && (mayRoll || isTooMuch)) {
-                m.seat().drop();
-                s.leave(m);
+            boolean isTooMuch = excess > 0 && termEnds.test(machine) && !neededStill;
+            if ((machine.isIdle() || s.target == 0) && (mayRoll || isTooMuch)) {
+                machine.poolMembership().drop();
+                s.leave(machine);
                 excess--;
                 ready -= holds ? 1 : 0;
                 under++;
@@ -58,43 +60,44 @@
         if (s.missing() <= 0) {
             return false;
         }
-        for (Machine m : takeable) {
-            if (m.seat() == null
-                    && s.spec.allows(m.pool())
-                    && s.zone(m.pool().zone()) < s.mostOfOneZone()
-                    && take(s, m)) {
+        for (Machine machine : takeable) {
+            if (machine.poolMembership() == null
+                    && s.spec.allows(machine.pool())
+                    && s.zone(machine.pool().zone()) < s.mostOfOneZone()
+                    && take(s, machine)) {
                 return true;
             }
         }
         return false;
     }
 
-    private boolean take(PoolState s, Machine m) {
-        PoolState.Asked asked = s.asked.get(m.pool());
+    private boolean take(PoolState s, Machine machine) {
+        PoolState.Asked asked = s.asked.get(machine.pool());
         // Where it boots within seconds it may be up by now.
-        boolean free = m.phase() == Machine.Phase.BOOTING || (m.isUsable() && m.isIdle());
-        boolean ordered = asked != null && !m.rented().isBefore(asked.since());
-        if (!(free && (ordered || inherits(m))) && !mayTakeIdle(s, m)) {
+        boolean free = machine.phase() == Machine.Phase.BOOTING || (machine.isUsable() && machine.isIdle());
+        boolean ordered = asked != null && !machine.rentedAt().isBefore(asked.since());
+        if (!(free && (ordered || inherits(machine))) && !mayTakeIdle(s, machine)) {
             return false;
         }
         if (free && ordered) {
             s.asked.computeIfPresent(
-                    m.pool(),
+                    machine.pool(),
                     (p, a) -> a.count() <= 1 ? null : new PoolState.Asked(a.count() - 1, a.since(), a.until()));
         }
-        m.seat(new PoolMembership(s.spec.name(), s.spec.image(), s.spec.gb(), s.spec.replica()));
-        s.join(m);
+        machine.poolMembership(new PoolMembership(s.spec.name(), s.spec.image(), s.spec.gb(), s.spec.replica()));
+        s.join(machine);
         return true;
     }
 
-    private boolean inherits(Machine m) {
-        return now.since(knownSince).compareTo(INHERITS) < 0 && m.rented().isAfter(knownSince.minus(PoolRental.ASKED));
+    private boolean inherits(Machine machine) {
+        return now.since(knownSince).compareTo(INHERITS) < 0
+                && machine.rentedAt().isAfter(knownSince.minus(PoolRental.ASKED));
     }
 
-    private boolean mayTakeIdle(PoolState s, Machine m) {
+    private boolean mayTakeIdle(PoolState s, Machine machine) {
         return now.since(s.yielded).compareTo(YIELDED) >= 0
-                && m.isUsable()
-                && m.isIdle()
-                && (m.images().holds(s.spec.image()) || termEnds.test(m));
+                && machine.isUsable()
+                && machine.isIdle()
+                && (machine.imageCache().holds(s.spec.image()) || termEnds.test(machine));
     }
 }
--- a/src/main/java/io/indigoreach/core/warm/PoolPlanner.java
+++ b/src/main/java/io/indigoreach/core/warm/PoolPlanner.java
@@ -100,23 +100,25 @@
     }
 
     @Override
-    public boolean keeps(Machine m) {
-        return isKnown() ? m.seat() != null && !m.seat().isDropped() : m.hasHolder();
+    public boolean isRetained(Machine machine) {
+        return isKnown()
+                ? machine.poolMembership() != null && !machine.poolMembership().isDropped()
+                : machine.hasHolder();
     }
 
     /** The record does not name this machine any more: another leader would not claim its image. */
-    public void released(Machine m) {
-        if (m.seat() != null && m.seat().isDropped()) {
-            recall.letGo(m.id());
-            m.seat(null);
+    public void released(Machine machine) {
+        if (machine.poolMembership() != null && machine.poolMembership().isDropped()) {
+            recall.letGo(machine.id());
+            machine.poolMembership(null);
         }
     }
 
     @Override
-    public void yield(Machine m, Moment now) {
-        PoolState s = states.get(m.seat().pool());
-        m.seat().drop();
-        s.leave(m);
+    public void yield(Machine machine, Moment now) {
+        PoolState s = states.get(machine.poolMembership().pool());
+        machine.poolMembership().drop();
+        s.leave(machine);
         s.yielded = now;
     }
 
@@ -128,12 +130,12 @@
     }
 
     @Override
-    public void starting(Job job, Machine m) {
+    public void taskStarting(Job job, Machine machine) {
         if (job.spec().isHolder()) {
             return;
         }
         String image = job.spec().image();
-        boolean hit = m.images().holds(image);
+        boolean hit = machine.imageCache().holds(image);
         for (PoolState s : states.values()) {
             if (s.spec.image().equals(image)) {
                 s.hits += hit ? 1 : 0;
@@ -143,7 +145,7 @@
     }
 
     @Override
-    public List<ScaleOutRequest> wishes(Moment now) {
+    public List<ScaleOutRequest> scaleOutRequests(Moment now) {
         List<ScaleOutRequest> out = new ArrayList<>();
         if (planned != null && now.since(knownSince).compareTo(FIRST) >= 0) {
             fair.forEach(s -> rental.rent(s, out, now));
@@ -156,7 +158,7 @@
         if (!isKnown() || states.isEmpty()) {
             return;
         }
-        machines.forEach(m -> recall.restore(m, states));
+        machines.forEach(machine -> recall.restore(machine, states));
         count(machines, jobs, now);
         PoolAssignment membership = new PoolAssignment(termEnds, knownSince, now);
         fair = new ArrayList<>(states.values());
@@ -167,7 +169,7 @@
         // Who has the least of what it wants is asked first; the last machine goes to it.
         fair.sort(Comparator.comparingDouble(PoolState::filled));
         List<Machine> takeable = machines.stream()
-                .filter(m -> m.seat() == null && isLive(m, now))
+                .filter(machine -> machine.poolMembership() == null && isLive(machine, now))
                 .toList();
         boolean more = true;
         while (more) {
@@ -180,20 +182,21 @@
         planned = now;
     }
 
-    private static boolean isLive(Machine m, Moment now) {
-        return m.isCountedOn()
-                && (m.phase() != Machine.Phase.BOOTING
-                        || now.isBefore(m.rented().plus(m.type().boot().times(BOOT_PATIENCE))));
+    private static boolean isLive(Machine machine, Moment now) {
+        return machine.isExpectedToServe()
+                && (machine.phase() != Machine.Phase.BOOTING
+                        || now.isBefore(
+                                machine.rentedAt().plus(machine.type().boot().times(BOOT_PATIENCE))));
     }
 
     private void count(Collection<Machine> machines, Collection<Job> jobs, Moment now) {
         states.values().forEach(s -> s.clear(now));
         jobs.forEach(this::count);
         Set<MachineId> there = new HashSet<>();
-        for (Machine m : machines) {
-            there.add(m.id());
-            if (m.seat() != null && !m.seat().isDropped() && isLive(m, now)) {
-                states.get(m.seat().pool()).join(m);
+        for (Machine machine : machines) {
+            there.add(machine.id());
+            if (machine.poolMembership() != null && !machine.poolMembership().isDropped() && isLive(machine, now)) {
+                states.get(machine.poolMembership().pool()).join(machine);
             }
         }
         recall.retain(there);
@@ -221,15 +224,15 @@
     private void seatHolders(PoolState s, Moment now) {
         Span guest = s.longestGuest(timeOfDay.applyAsLong(now), HALF_HOUR);
         int offered = 0;
-        for (Machine m : s.live) {
-            PoolMembership seat = m.seat();
+        for (Machine machine : s.live) {
+            PoolMembership seat = machine.poolMembership();
             seat.longestGuest(guest);
-            boolean begins = !m.hasHolder() && !m.images().contains(seat.image());
+            boolean begins = !machine.hasHolder() && !machine.imageCache().contains(seat.image());
             if (begins && offered >= PoolRental.AT_ONCE) {
                 seat.holder(null);
             } else {
                 seat.holder(s.holders.get(seat.image()));
-                offered += begins && m.isUsable() ? 1 : 0;
+                offered += begins && machine.isUsable() ? 1 : 0;
             }
         }
     }
--- a/src/main/java/io/indigoreach/core/warm/PoolRental.java
+++ b/src/main/java/io/indigoreach/core/warm/PoolRental.java
@@ -67,6 +67,6 @@
                 && s.zone(pool.zone()) < s.mostOfOneZone()
                 && !s.asked.containsKey(pool)
                 && (refused == null || !now.isBefore(refused))
-                && chosen.stream().noneMatch(wish -> wish.pool().equals(pool));
+                && chosen.stream().noneMatch(request -> request.pool().equals(pool));
     }
 }
--- a/src/main/java/io/indigoreach/core/warm/PoolState.java
+++ b/src/main/java/io/indigoreach/core/warm/PoolState.java
@@ -62,7 +62,7 @@
         lost = lost * fades + gone;
         hours = hours * fades + live.size() * hoursSince;
         had.clear();
-        live.forEach(m -> had.add(m.id()));
+        live.forEach(machine -> had.add(machine.id()));
     }
 
     /** Losses a machine and hour; one machine-hour without any is taken to have been seen before. */
@@ -71,27 +71,30 @@
     }
 
     int fresh() {
-        return (int)
-                live.stream().filter(m -> m.seat().image().equals(spec.image())).count();
+        return (int) live.stream()
+                .filter(machine -> machine.poolMembership().image().equals(spec.image()))
+                .count();
     }
 
     int ready() {
-        return (int)
-                live.stream().filter(m -> m.images().holds(m.seat().image())).count();
+        return (int) live.stream()
+                .filter(machine ->
+                        machine.imageCache().holds(machine.poolMembership().image()))
+                .count();
     }
 
     int zone(String name) {
         return zones.getOrDefault(name, 0);
     }
 
-    void join(Machine m) {
-        live.add(m);
-        zones.merge(m.pool().zone(), 1, Integer::sum);
+    void join(Machine machine) {
+        live.add(machine);
+        zones.merge(machine.pool().zone(), 1, Integer::sum);
     }
 
-    void leave(Machine m) {
-        if (live.remove(m)) {
-            zones.merge(m.pool().zone(), -1, Integer::sum);
+    void leave(Machine machine) {
+        if (live.remove(machine)) {
+            zones.merge(machine.pool().zone(), -1, Integer::sum);
         }
     }
 
--- a/src/main/java/io/indigoreach/emulator/WorkerPool.java
+++ b/src/main/java/io/indigoreach/emulator/WorkerPool.java
@@ -82,92 +82,93 @@
             }
             vertx.cancelTimer(timer);
             Moment now = clock.now();
-            Heartbeat report = model.report(now);
-            if (report != null) {
-                send(report, now);
+            Heartbeat heartbeat = model.report(now);
+            if (heartbeat != null) {
+                send(heartbeat, now);
             }
             timer = vertx.setTimer(Math.max(1, model.nextDue(now).since(now).ms()), t -> step());
         }
 
-        private void send(Heartbeat report, Moment sent) {
+        private void send(Heartbeat heartbeat, Moment sent) {
             Node node = nodes.get(target);
             reports++;
             Verdict verdict = gate.judge(sent, PARTY, node.name(), true);
             switch (verdict.fate()) {
-                case PASS -> after(verdict.delay(), () -> call(node, report, sent, true));
+                case PASS -> after(verdict.delay(), () -> call(node, heartbeat, sent, true));
                 case REPEAT -> {
-                    call(node, report, sent, true);
-                    after(verdict.delay(), () -> call(node, report, sent, false));
+                    call(node, heartbeat, sent, true);
+                    after(verdict.delay(), () -> call(node, heartbeat, sent, false));
                 }
-                case REFUSE, RESET -> missed(report);
-                case LOSE_REQUEST -> after(PATIENCE, () -> missed(report));
+                case REFUSE, RESET -> missed(heartbeat);
+                case LOSE_REQUEST -> after(PATIENCE, () -> missed(heartbeat));
                 default -> {
                     // It arrives, perhaps late, but the worker hears nothing in time.
-                    after(PATIENCE, () -> missed(report));
+                    after(PATIENCE, () -> missed(heartbeat));
                     after(
                             verdict.fate() == Verdict.Fate.HOLD
                                     ? verdict.until().since(sent)
                                     : verdict.fate() == Verdict.Fate.LATE ? verdict.delay() : Span.ZERO,
-                            () -> call(node, report, sent, false));
+                            () -> call(node, heartbeat, sent, false));
                 }
             }
         }
 
-        private void call(Node node, Heartbeat report, Moment sent, boolean hears) {
+        private void call(Node node, Heartbeat heartbeat, Moment sent, boolean hears) {
             if (ended && hears) {
                 return;
             }
             ServiceClient used = hears ? caller(node) : new ServiceClient(vertx, node.endpoint(), 1);
-            used.post(WorkerCodec.REPORT, WorkerCodec.write(report), PATIENCE).onComplete(done -> {
-                if (!hears) {
-                    used.close();
-                } else if (!ended) {
-                    if (done.failed()) {
-                        missed(report);
-                    } else {
-                        // A machine that hangs takes the answer once it goes on, if that is in time.
-                        heard(node, report, sent, done.result());
-                    }
-                }
-            });
+            used.post(WorkerCodec.REPORT, WorkerCodec.write(heartbeat), PATIENCE)
+                    .onComplete(done -> {
+                        if (!hears) {
+                            used.close();
+                        } else if (!ended) {
+                            if (done.failed()) {
+                                missed(heartbeat);
+                            } else {
+                                // A machine that hangs takes the answer once it goes on, if that is in time.
+                                heard(node, heartbeat, sent, done.result());
+                            }
+                        }
+                    });
         }
 
-        private void heard(Node node, Heartbeat report, Moment sent, ServiceResponse reply) {
+        private void heard(Node node, Heartbeat heartbeat, Moment sent, ServiceResponse reply) {
             Moment now = clock.now();
             if (ended) {
                 return;
             }
             if (model.hangs(now) || (now.isBefore(deafUntil) && now.since(sent).compareTo(PATIENCE) < 0)) {
-                vertx.setTimer(50, t -> heard(node, report, sent, reply));
+                vertx.setTimer(50, t -> heard(node, heartbeat, sent, reply));
                 return;
             }
             if (now.since(sent).compareTo(PATIENCE) >= 0) {
-                missed(report);
+                missed(heartbeat);
             } else if (reply.isOk()) {
                 WorkerCodec.Answer answer = WorkerCodec.readAnswer(reply.body());
                 history.add(new Event.TokenSeen(now, node.name(), answer.token()));
-                model.answered(now, report.number(), sent, answer);
+                model.answered(now, heartbeat.number(), sent, answer);
                 step();
             } else {
                 int named = reply.status() == 421 ? index(WorkerCodec.readElsewhere(reply.body())) : -1;
                 if (named >= 0 && named != target) {
-                    move(report, named, MOVES_WITHIN.times(random.nextDouble()));
+                    move(heartbeat, named, MOVES_WITHIN.times(random.nextDouble()));
                 } else {
-                    missed(report);
+                    missed(heartbeat);
                 }
             }
         }
 
-        private void missed(Heartbeat report) {
+        private void missed(Heartbeat heartbeat) {
             if (!ended) {
-                move(report, (target + 1) % nodes.size(), PAUSE);
+                move(heartbeat, (target + 1) % nodes.size(), PAUSE);
             }
         }
 
-        private void move(Heartbeat report, int to, Span pause) {
+        private void move(Heartbeat heartbeat, int to, Span pause) {
             target = to;
             closeCaller();
-            model.unanswered(clock.now(), report.number(), pause);
+            model.unanswered(clock.now(), heartbeat.number(), pause);
             step();
         }
 
--- a/src/main/java/io/indigoreach/emulator/model/CloudModel.java
+++ b/src/main/java/io/indigoreach/emulator/model/CloudModel.java
@@ -128,7 +128,7 @@
         this.requests = new RateLimiter(deployment.cloud().rps(), BURST_S, now);
         this.metered = now;
         this.priceMoves = now;
-        types.forEach(t -> price.put(t.name(), t.spotPrice()));
+        types.forEach(type -> price.put(type.name(), type.spotPrice()));
     }
 
     /** Machines asked for while this holds never come up. */
@@ -142,15 +142,15 @@
             return tooMany();
         }
         return ok(CloudCodec.writeTypes(types.stream()
-                .map(t -> new MachineType(
-                        t.name(),
-                        t.capacity(),
-                        t.cacheGb(),
-                        t.fetchGbPerS(),
-                        t.price(),
-                        price.get(t.name()),
-                        t.boot(),
-                        t.zones()))
+                .map(type -> new MachineType(
+                        type.name(),
+                        type.capacity(),
+                        type.cacheGb(),
+                        type.fetchGbPerS(),
+                        type.price(),
+                        price.get(type.name()),
+                        type.boot(),
+                        type.zones()))
                 .toList()));
     }
 
@@ -176,7 +176,7 @@
             return ok(CloudCodec.writeNames(known));
         }
         long used = machines.values().stream()
-                .filter(m -> m.gone == null && m.pool.equals(r.pool()))
+                .filter(machine -> machine.gone == null && machine.pool.equals(r.pool()))
                 .count();
         long there = deployment.capacity().stream()
                 .filter(c -> c.type().equals(r.pool().type())
@@ -197,28 +197,28 @@
 
     private Machine create(Moment now, MachineType type, MachinePool pool) {
         MachineId id = new MachineId(String.format("vm-%06d", ++names));
-        Machine m = new Machine(id, type, pool, now, meter(pool), 0.95 + 0.1 * random.nextDouble());
+        Machine machine = new Machine(id, type, pool, now, meter(pool), 0.95 + 0.1 * random.nextDouble());
         double boots = random.nextDouble();
         boolean never = noBoot || random.nextDouble() < deployment.cloud().bootNever();
         double factor =
                 boots < deployment.cloud().bootLate() ? 3 + 3 * random.nextDouble() : 0.6 + 0.9 * random.nextDouble();
-        m.up = never ? null : now.plus(type.boot().times(factor));
+        machine.up = never ? null : now.plus(type.boot().times(factor));
         double perHour = deployment.spot().perHour();
         if (pool.spot() && perHour > 0) {
             plan(
-                    m,
+                    machine,
                     now.plus(Span.seconds(random.nextExponential() * HOUR_S / perHour)),
                     random.nextDouble() < deployment.spot().silent()
                             ? 0
                             : deployment.spot().noticeS());
         }
-        machines.put(id, m);
-        return m;
+        machines.put(id, machine);
+        return machine;
     }
 
-    private void plan(Machine m, Moment taken, double noticeS) {
-        m.taken = taken;
-        m.notice = noticeS <= 0 ? null : taken.minus(Span.seconds(noticeS * (0.5 + random.nextDouble())));
+    private void plan(Machine machine, Moment taken, double noticeS) {
+        machine.taken = taken;
+        machine.notice = noticeS <= 0 ? null : taken.minus(Span.seconds(noticeS * (0.5 + random.nextDouble())));
     }
 
     public ServiceResponse giveBack(Moment now, List<MachineId> given) {
@@ -230,9 +230,9 @@
             return new ServiceResponse(400, new Fields(MessagePackFormat.map("error", "100 machines at most")));
         }
         for (MachineId id : given) {
-            Machine m = machines.get(id);
-            if (m != null && m.gone == null) {
-                end(m, now, "returned");
+            Machine machine = machines.get(id);
+            if (machine != null && machine.gone == null) {
+                end(machine, now, "returned");
             }
         }
         return ok(Map.of());
@@ -249,8 +249,9 @@
                 lag * (random.nextInt(6) == 0 ? 1 + random.nextDouble() : 0.3 + 0.7 * random.nextDouble())));
         List<CloudCodec.Listed> page = new ArrayList<>();
         boolean more = false;
-        for (Machine m : (after == null ? machines : machines.tailMap(after, false)).values()) {
-            boolean there = (m.listed || !m.rented.isAfter(then)) && (m.gone == null || m.gone.isAfter(then));
+        for (Machine machine : (after == null ? machines : machines.tailMap(after, false)).values()) {
+            boolean there = (machine.listed || !machine.rented.isAfter(then))
+                    && (machine.gone == null || machine.gone.isAfter(then));
             if (!there) {
                 continue;
             }
@@ -258,18 +259,19 @@
                 more = true;
                 break;
             }
-            m.listed = true;
-            boolean booted = m.isUp && !m.up.isAfter(then);
-            boolean stopped = m.failed != null && !m.failed.plus(STILL_LISTED).isAfter(then);
+            machine.listed = true;
+            boolean booted = machine.isUp && !machine.up.isAfter(then);
+            boolean stopped =
+                    machine.failed != null && !machine.failed.plus(STILL_LISTED).isAfter(then);
             page.add(new CloudCodec.Listed(
                     new ListedMachine(
-                            m.id,
-                            m.pool,
+                            machine.id,
+                            machine.pool,
                             stopped
                                     ? ListedMachine.Status.FAILED
                                     : booted ? ListedMachine.Status.RUNNING : ListedMachine.Status.STARTING,
-                            then.isBefore(m.rented) ? Span.ZERO : then.since(m.rented)),
-                    m.address()));
+                            then.isBefore(machine.rented) ? Span.ZERO : then.since(machine.rented)),
+                    machine.address()));
         }
         return ok(CloudCodec.writePage(new CloudCodec.Page(page, more)));
     }
@@ -277,21 +279,21 @@
     /** Spot machines are taken back: each with this chance, after {@code noticeS} or without notice. */
     public void take(Moment now, double share, double noticeS) {
         machines.values().stream()
-                .filter(m -> m.isUp() && m.pool.spot() && random.nextDouble() < share)
-                .forEach(m -> {
-                    plan(m, now.plus(Span.seconds(noticeS)), noticeS);
-                    m.notice = noticeS > 0 ? now : null;
+                .filter(machine -> machine.isUp() && machine.pool.spot() && random.nextDouble() < share)
+                .forEach(machine -> {
+                    plan(machine, now.plus(Span.seconds(noticeS)), noticeS);
+                    machine.notice = noticeS > 0 ? now : null;
                 });
         advance(now);
     }
 
     /** Machines stop by themselves: each with this chance. */
     public void die(Moment now, double share) {
-        for (Machine m : machines.values()) {
-            if (m.isUp() && random.nextDouble() < share) {
-                m.failed = now;
-                m.cost = cost(m, now);
-                events.add(new Event.Gone(m, "failed"));
+        for (Machine machine : machines.values()) {
+            if (machine.isUp() && random.nextDouble() < share) {
+                machine.failed = now;
+                machine.cost = cost(machine, now);
+                events.add(new Event.Gone(machine, "failed"));
             }
         }
     }
@@ -300,26 +302,26 @@
     public void advance(Moment now) {
         for (; !now.isBefore(priceMoves.plus(PRICE_MOVES)); priceMoves = priceMoves.plus(PRICE_MOVES)) {
             meterTo(priceMoves.plus(PRICE_MOVES));
-            for (MachineType t : types) {
-                double moved = price.get(t.name()) * (0.93 + 0.14 * random.nextDouble());
-                price.put(t.name(), Math.max(t.spotPrice() * 2 / 3, Math.min(t.spotPrice() * 4 / 3, moved)));
+            for (MachineType type : types) {
+                double moved = price.get(type.name()) * (0.93 + 0.14 * random.nextDouble());
+                price.put(type.name(), Math.max(type.spotPrice() * 2 / 3, Math.min(type.spotPrice() * 4 / 3, moved)));
             }
         }
         meterTo(now);
-        for (Machine m : machines.values()) {
-            if (m.gone != null) {
+        for (Machine machine : machines.values()) {
+            if (machine.gone != null) {
                 continue;
             }
-            if (!m.isUp && m.failed == null && m.up != null && !now.isBefore(m.up)) {
-                m.isUp = true;
-                events.add(new Event.Up(m));
+            if (!machine.isUp && machine.failed == null && machine.up != null && !now.isBefore(machine.up)) {
+                machine.isUp = true;
+                events.add(new Event.Up(machine));
             }
-            if (m.isUp && !m.warned && m.notice != null && !now.isBefore(m.notice)) {
-                m.warned = true;
-                events.add(new Event.Notice(m, m.taken));
+            if (machine.isUp && !machine.warned && machine.notice != null && !now.isBefore(machine.notice)) {
+                machine.warned = true;
+                events.add(new Event.Notice(machine, machine.taken));
             }
-            if (m.taken != null && !now.isBefore(m.taken)) {
-                end(m, now, "taken");
+            if (machine.taken != null && !now.isBefore(machine.taken)) {
+                end(machine, now, "taken");
             }
         }
     }
@@ -331,31 +333,33 @@
         return out;
     }
 
-    private void end(Machine m, Moment now, String why) {
-        if (m.failed == null) {
+    private void end(Machine machine, Moment now, String why) {
+        if (machine.failed == null) {
             double least = why.equals("returned")
-                    ? Math.max(0, LEAST_PAID.minus(now.since(m.rented)).seconds())
+                    ? Math.max(0, LEAST_PAID.minus(now.since(machine.rented)).seconds())
                     : 0;
-            m.cost = cost(m, now) + least / HOUR_S * (m.pool.spot() ? price.get(m.type.name()) : m.type.price());
-            events.add(new Event.Gone(m, why));
+            machine.cost = cost(machine, now)
+                    + least / HOUR_S * (machine.pool.spot() ? price.get(machine.type.name()) : machine.type.price());
+            events.add(new Event.Gone(machine, why));
         }
-        m.gone = now;
+        machine.gone = now;
     }
 
     /** The money spent so far, on all machines. */
     public double spent(Moment now) {
         advance(now);
         return machines.values().stream()
-                .mapToDouble(m -> m.gone != null || m.failed != null ? m.cost : cost(m, now))
+                .mapToDouble(
+                        machine -> machine.gone != null || machine.failed != null ? machine.cost : cost(machine, now))
                 .sum();
     }
 
     /** How many machines there are: booting, up, failed. */
     public int[] counts() {
         int[] n = new int[3];
-        for (Machine m : machines.values()) {
-            if (m.gone == null) {
-                n[m.failed != null ? 2 : m.isUp ? 1 : 0]++;
+        for (Machine machine : machines.values()) {
+            if (machine.gone == null) {
+                n[machine.failed != null ? 2 : machine.isUp ? 1 : 0]++;
             }
         }
         return n;
@@ -366,10 +370,12 @@
         return List.copyOf(machines.values());
     }
 
-    private double cost(Machine m, Moment now) {
-        return m.pool.spot()
-                ? meter(m.pool) - m.meterAtStart
-                : m.type.price() * m.chargedUntil(now).since(m.rented).seconds() / HOUR_S;
+    private double cost(Machine machine, Moment now) {
+        return machine.pool.spot()
+                ? meter(machine.pool) - machine.meterAtStart
+                : machine.type.price()
+                        * machine.chargedUntil(now).since(machine.rented).seconds()
+                        / HOUR_S;
     }
 
     /** What one spot machine of the type would have cost so far; each price counts while it holds. */
@@ -380,7 +386,7 @@
     private void meterTo(Moment now) {
         double s = now.since(metered).seconds();
         if (s > 0) {
-            types.forEach(t -> meter.merge(t.name(), price.get(t.name()) * s / HOUR_S, Double::sum));
+            types.forEach(type -> meter.merge(type.name(), price.get(type.name()) * s / HOUR_S, Double::sum));
             metered = now;
         }
     }
--- a/src/main/java/io/indigoreach/emulator/model/WorkerModel.java
+++ b/src/main/java/io/indigoreach/emulator/model/WorkerModel.java
@@ -343,9 +343,9 @@
     }
 
     /** Its report was not taken; it goes on at another node after {@code pause}. */
-    public void unanswered(Moment now, HeartbeatNumber report, Span pause) {
+    public void unanswered(Moment now, HeartbeatNumber heartbeatNumber, Span pause) {
         advance(now);
-        if (report.session() == session) {
+        if (heartbeatNumber.incarnation() == session) {
             underWay = false;
             nextReport = now.plus(pause);
             lastSent = now.minus(LEAST_BETWEEN).plus(pause);
@@ -353,9 +353,9 @@
     }
 
     /** An answer of 200 to the report with this number, sent at {@code sent}. */
-    public void answered(Moment now, HeartbeatNumber report, Moment sent, WorkerCodec.Answer answer) {
+    public void answered(Moment now, HeartbeatNumber heartbeatNumber, Moment sent, WorkerCodec.Answer answer) {
         advance(now);
-        if (report.session() != session) {
+        if (heartbeatNumber.incarnation() != session) {
             return;
         }
         underWay = false;
@@ -364,7 +364,7 @@
         }
         see(answer.token(), now);
         leaseFrom = sent.isAfter(leaseFrom) ? sent : leaseFrom;
-        answer.orders().forEach(order -> execute(order, now));
+        answer.orders().forEach(command -> execute(command, now));
     }
 
     /** Direct orders; false: nothing was executed, as token or session do not match. */
@@ -374,7 +374,7 @@
             return false;
         }
         see(direct.token(), now);
-        direct.orders().forEach(order -> execute(order, now));
+        direct.orders().forEach(command -> execute(command, now));
         return true;
     }
 
@@ -388,14 +388,14 @@
         }
     }
 
-    private void execute(WorkerCommand order, Moment now) {
-        Key key = new Key(order.task(), order.attempt());
+    private void execute(WorkerCommand command, Moment now) {
+        Key key = new Key(command.task(), command.attempt());
         Held held = tasks.get(key);
-        if (order instanceof WorkerCommand.Start) {
+        if (command instanceof WorkerCommand.Start) {
             if (held == null) {
                 start(key, now);
             }
-        } else if (order instanceof WorkerCommand.Stop stop) {
+        } else if (command instanceof WorkerCommand.Stop stop) {
             if (held != null) {
                 stop(key, held, stop.grace(), now);
             }
--- a/src/main/java/io/indigoreach/ownership/OwnershipGate.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipGate.java
@@ -66,15 +66,15 @@
     private Future<Span> step() {
         Moment now = ground.clock().now();
         List<Job> guarded = new ArrayList<>(
-                core.jobs().stream().filter(j -> j.spec().isGuarded()).toList());
+                core.jobs().stream().filter(job -> job.spec().isGuarded()).toList());
         Set<JobId> open = new HashSet<>();
-        guarded.forEach(j -> open.add(j.id()));
+        guarded.forEach(job -> open.add(job.id()));
         whole.retainAll(open);
         due.keySet().retainAll(open);
         Job next = guarded.stream()
-                .filter(j -> !whole.contains(j.id())
-                        && !j.isCancelled()
-                        && !now.isBefore(due.getOrDefault(j.id(), Moment.NEVER)))
+                .filter(job -> !whole.contains(job.id())
+                        && !job.isCancelled()
+                        && !now.isBefore(due.getOrDefault(job.id(), Moment.NEVER)))
                 .min(java.util.Comparator.comparingLong(Job::submittedMs).thenComparing(Job::id))
                 .orElse(null);
         if (next == null) {
@@ -90,10 +90,10 @@
             return Future.succeededFuture(PERIOD);
         }
         due.put(id, now.plus(AGAIN).plus(Span.seconds(wants.list().size() * PER_RECORD_S)));
-        return records.run(new Grant(registry, most, id.text(), wants, next.doneTasks(), false))
+        return records.run(new Grant(registry, most, id.text(), wants, next.completedTasks(), false))
                 .map(given -> {
                     if (!duty.isCancelled()) {
-                        core.withhold(id, given.held());
+                        core.gateTasks(id, given.held());
                         if (given.held().isEmpty()) {
                             whole.add(id);
                         } else {
--- a/src/main/java/io/indigoreach/scenario/Deployment.java
+++ b/src/main/java/io/indigoreach/scenario/Deployment.java
@@ -165,7 +165,7 @@
             throw new IllegalArgumentException("deployment: needs zones, a machine_type, a capacity and a team");
         }
         for (Capacity c : capacity) {
-            if (machineType.stream().noneMatch(m -> m.name.equals(c.type)) || !zones.contains(c.zone)) {
+            if (machineType.stream().noneMatch(machine -> machine.name.equals(c.type)) || !zones.contains(c.zone)) {
                 throw new IllegalArgumentException("capacity: no such type or zone: " + c.type + ", " + c.zone);
             }
         }
@@ -174,8 +174,8 @@
     /** The machine types, each with the zones in which there are any. */
     public List<MachineType> types() {
         return machineType.stream()
-                .map(m -> m.type(capacity.stream()
-                        .filter(c -> c.type.equals(m.name))
+                .map(machine -> machine.type(capacity.stream()
+                        .filter(c -> c.type.equals(machine.name))
                         .map(Capacity::zone)
                         .distinct()
                         .toList()))
--- a/src/main/java/io/indigoreach/state/RecordCodec.java
+++ b/src/main/java/io/indigoreach/state/RecordCodec.java
@@ -393,28 +393,28 @@
 
     public static Map<String, Object> writeCatalogue(List<MachineType> types) {
         List<Object> list = new ArrayList<>();
-        for (MachineType t : types) {
+        for (MachineType type : types) {
             list.add(MessagePackFormat.map(
                     "name",
-                    t.name(),
+                    type.name(),
                     "cores",
-                    t.capacity().cores(),
+                    type.capacity().cores(),
                     "gpus",
-                    t.capacity().gpus(),
+                    type.capacity().gpus(),
                     "ram",
-                    t.capacity().ramGb(),
+                    type.capacity().ramGb(),
                     "cache",
-                    t.cacheGb(),
+                    type.cacheGb(),
                     "fetch",
-                    t.fetchGbPerS(),
+                    type.fetchGbPerS(),
                     "price",
-                    t.price(),
+                    type.price(),
                     "spot",
-                    t.spotPrice(),
+                    type.spotPrice(),
                     "boot",
-                    t.boot().ms(),
+                    type.boot().ms(),
                     "zones",
-                    t.zones()));
+                    type.zones()));
         }
         return MessagePackFormat.map("types", list);
     }
--- a/src/main/java/io/indigoreach/warm/WarmPoolTerm.java
+++ b/src/main/java/io/indigoreach/warm/WarmPoolTerm.java
@@ -71,9 +71,9 @@
                 ground.settings().tuning().term(),
                 this::timeOfDay,
                 LOG::info);
-        this.meter = new Meter(ground.settings().tuning().leastPaid().ms());
+        this.meter = new Meter(ground.settings().tuning().minimumPaidTime().ms());
         this.duty = new PeriodicTask(ground.vertx(), "pools", PERIOD, this::step);
-        core.keeping(plan);
+        core.useWarmCapacity(plan);
     }
 
     WarmPoolTerm start() {
@@ -110,7 +110,7 @@
         Moment now = ground.clock().now();
         return records.run(PoolRoutines.sheets())
                 .compose(sheets -> readPools(now).map(v -> {
-                    ground.catalogue().types().forEach(t -> prices.put(t.name(), t));
+                    ground.catalogue().types().forEach(type -> prices.put(type.name(), type));
                     for (VersionedRecord k : sheets) {
                         meter.recall(PoolRecords.sheetOf(k.key()), PoolCodec.readSheet(k.value()), this::perHour);
                     }
@@ -152,7 +152,7 @@
     private void ask(Moment now) {
         if (now.since(pricesAsked).compareTo(PRICES_EVERY) >= 0) {
             pricesAsked = now;
-            ground.catalogue().now().onSuccess(types -> types.forEach(t -> prices.put(t.name(), t)));
+            ground.catalogue().now().onSuccess(types -> types.forEach(type -> prices.put(type.name(), type)));
         }
     }
 
@@ -165,22 +165,25 @@
         List<Meter.Look> looks = new ArrayList<>();
         Map<String, String> teams = new HashMap<>();
         pools.forEach(p -> teams.put(p.name(), p.team()));
-        for (Machine m : core.machines()) {
-            PoolMembership seat = m.seat() == null || m.seat().isDropped() ? null : m.seat();
+        for (Machine machine : core.machines()) {
+            PoolMembership seat =
+                    machine.poolMembership() == null || machine.poolMembership().isDropped()
+                            ? null
+                            : machine.poolMembership();
             Account payer =
                     seat == null ? new Account("", "") : new Account(seat.pool(), teams.getOrDefault(seat.pool(), ""));
             looks.add(new Meter.Look(
-                    m.id(),
-                    m.pool(),
-                    timeOfDay(m.rented()),
+                    machine.id(),
+                    machine.pool(),
+                    timeOfDay(machine.rentedAt()),
                     payer,
                     seat == null ? "" : seat.image(),
                     seat == null ? 0 : seat.gb(),
-                    seat != null && m.images().holds(seat.image()) ? m.session() : 0,
-                    m.coresByTeam(),
-                    m.type().capacity().cores(),
-                    perHour(m.pool()),
-                    m.phase() == Machine.Phase.LEAVING));
+                    seat != null && machine.imageCache().holds(seat.image()) ? machine.incarnation() : 0,
+                    machine.coresByTeam(),
+                    machine.type().capacity().cores(),
+                    perHour(machine.pool()),
+                    machine.phase() == Machine.Phase.RETURNING));
         }
         meter.look(looks, timeOfDay(now));
         Map<String, Double> spent = new HashMap<>();
@@ -225,9 +228,11 @@
 
     /** Machines that left a pool take any image once no record names them. */
     private void release() {
-        for (Machine m : core.machines()) {
-            if (m.seat() != null && m.seat().isDropped() && !meter.isRecordedInPool(m.id())) {
-                plan.released(m);
+        for (Machine machine : core.machines()) {
+            if (machine.poolMembership() != null
+                    && machine.poolMembership().isDropped()
+                    && !meter.isRecordedInPool(machine.id())) {
+                plan.released(machine);
             }
         }
     }
--- a/src/main/java/io/indigoreach/worker/WorkerCodec.java
+++ b/src/main/java/io/indigoreach/worker/WorkerCodec.java
@@ -34,14 +34,14 @@
 
     private WorkerCodec() {}
 
-    public static Map<String, Object> write(Heartbeat r) {
-        List<Object> tasks = new ArrayList<>(r.tasks().size());
-        for (TaskStatus t : r.tasks()) {
+    public static Map<String, Object> write(Heartbeat heartbeat) {
+        List<Object> tasks = new ArrayList<>(heartbeat.tasks().size());
+        for (TaskStatus status : heartbeat.tasks()) {
             Map<String, Object> map = MessagePackFormat.map(
-                    "piece", t.task().toString(), "try", t.attempt().value(), "status", word(t.state()));
-            if (t.state() == TaskState.EXITED) {
-                map.put("cause", t.cause().name().toLowerCase(Locale.ROOT));
-                if (t.saved()) {
+                    "piece", status.task().toString(), "try", status.attempt().value(), "status", word(status.state()));
+            if (status.state() == TaskState.EXITED) {
+                map.put("cause", status.cause().name().toLowerCase(Locale.ROOT));
+                if (status.saved()) {
                     map.put("kept", true);
                 }
             }
@@ -49,23 +49,25 @@
         }
         return MessagePackFormat.map(
                 "box",
-                r.machine().text(),
+                heartbeat.machine().text(),
                 "endpoint",
-                r.address(),
+                heartbeat.address(),
                 "boxkind",
-                r.pool().type(),
+                heartbeat.pool().type(),
                 "hall",
-                r.pool().zone(),
+                heartbeat.pool().zone(),
                 "loaners",
-                r.pool().spot(),
+                heartbeat.pool().spot(),
                 "shift",
-                r.number().session(),
+                heartbeat.number().incarnation(),
                 "serial",
-                r.number().serial(),
+                heartbeat.number().sequence(),
                 "baton",
-                r.token().value(),
+                heartbeat.token().value(),
                 "warning_s",
-                r.notice() == null ? null : r.notice().seconds(),
+                heartbeat.preemptionNotice() == null
+                        ? null
+                        : heartbeat.preemptionNotice().seconds(),
                 "pieces",
                 tasks);
     }
@@ -152,17 +154,18 @@
                 orders(f));
     }
 
-    private static Map<String, Object> write(WorkerCommand order) {
-        String verb =
-                order instanceof WorkerCommand.Start ? "start" : order instanceof WorkerCommand.Stop ? "stop" : "reap";
+    private static Map<String, Object> write(WorkerCommand command) {
+        String verb = command instanceof WorkerCommand.Start
+                ? "start"
+                : command instanceof WorkerCommand.Stop ? "stop" : "reap";
         Map<String, Object> map = MessagePackFormat.map(
                 "verb",
                 verb,
                 "piece",
-                order.task().toString(),
+                command.task().toString(),
                 "try",
-                order.attempt().value());
-        if (order instanceof WorkerCommand.Stop stop) {
+                command.attempt().value());
+        if (command instanceof WorkerCommand.Stop stop) {
             map.put("wind_down_s", Math.max(0, stop.grace().seconds()));
         }
         return map;
--- a/src/test/java/io/indigoreach/CodecsTest.java
+++ b/src/test/java/io/indigoreach/CodecsTest.java
@@ -125,7 +125,7 @@
             tasks.add(new TaskStatus(TASK, new Attempt(3), TaskState.EXITED, c, c == ExitCause.STOPPED));
         }
         for (Span notice : new Span[] {null, Span.seconds(7)}) {
-            Heartbeat r = new Heartbeat(
+            Heartbeat heartbeat = new Heartbeat(
                     new MachineId("vm-000231"),
                     "10.1.0.232:9000",
                     new MachinePool("g8", "a", true),
@@ -133,7 +133,7 @@
                     new FencingToken(41),
                     notice,
                     tasks);
-            assertEquals(r, WorkerCodec.read(sent(WorkerCodec.write(r))));
+            assertEquals(heartbeat, WorkerCodec.read(sent(WorkerCodec.write(heartbeat))));
         }
     }
 
@@ -148,16 +148,16 @@
 
     @ParameterizedTest
     @MethodSource
-    void orders(WorkerCommand order, String words) {
-        WorkerCodec.Answer a = WorkerCodec.readAnswer(sent(WorkerCodec.answer(new FencingToken(41), List.of(order))));
-        assertEquals(List.of(order), a.orders());
+    void orders(WorkerCommand command, String words) {
+        WorkerCodec.Answer a = WorkerCodec.readAnswer(sent(WorkerCodec.answer(new FencingToken(41), List.of(command))));
+        assertEquals(List.of(command), a.orders());
         assertEquals(41, a.token().value());
         assertEquals(
                 "[" + words + "]",
-                WorkerCodec.answer(new FencingToken(41), List.of(order))
+                WorkerCodec.answer(new FencingToken(41), List.of(command))
                         .get("orders")
                         .toString());
-        WorkerCodec.Direct d = new WorkerCodec.Direct(new FencingToken(41), 5L, List.of(order));
+        WorkerCodec.Direct d = new WorkerCodec.Direct(new FencingToken(41), 5L, List.of(command));
         assertEquals(d, WorkerCodec.readDirect(sent(WorkerCodec.direct(d))));
     }
 
--- a/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
@@ -160,8 +160,9 @@
             for (int writes = 1 + random.nextInt(6); writes > 0; writes--) {
                 complete(random, done, tasks);
                 Job job = new Job(spec, 1, clock.now(), open().stamp(), done, tasks, true);
-                StateClient.Txn txn =
-                        new StateClient.Txn().when(RecordCodec.LEADER, leader).when(RecordCodec.open(ID), job.stamp());
+                StateClient.Txn txn = new StateClient.Txn()
+                        .when(RecordCodec.LEADER, leader)
+                        .when(RecordCodec.open(ID), job.revision());
                 book.progress(txn, job, done);
                 // The last write of this leader has no answer, and is carried out after the next leader's first.
                 boolean held = writes == 1 && random.nextBoolean();
--- a/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
@@ -80,10 +80,10 @@
                     List.of(new Team("t", 0, 0, 0, 0)),
                     new SchedulerListener() {
                         @Override
-                        public void progress(Job job) {}
+                        public void taskCompleted(Job job) {}
 
                         @Override
-                        public void say(String line) {}
+                        public void log(String line) {}
                     });
             RateLimiter budget = new RateLimiter(200, clock.now());
             ledger = new JobStore(env, core, null, key, () -> {}, budget, true, new CancellationHorizon());
@@ -92,7 +92,7 @@
             Promise<Void> begun = Promise.promise();
             vertx.runOnContext(v -> ledger.load()
                     .onSuccess(revision -> {
-                        core.loaded();
+                        core.recordsLoaded();
                         ledger.start();
                         chains.start();
                     })
--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -88,14 +88,14 @@
                 List.of(new Team("t", 0, 0, 0, 0)),
                 new SchedulerListener() {
                     @Override
-                    public void progress(Job job) {}
+                    public void taskCompleted(Job job) {}
 
                     @Override
-                    public void say(String line) {}
+                    public void log(String line) {}
                 });
         core.setTypes(
                 List.of(new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"))));
-        core.loaded();
+        core.recordsLoaded();
         ledger =
                 new JobStore(env, core, null, taken.stamp(), () -> {}, new RateLimiter(20, clock.now()), true, horizon);
     }
@@ -191,7 +191,7 @@
                 .delete(RecordCodec.open(job.id()))
                 .put(RecordCodec.over(job.id()), RecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
         Moment before = clock.now();
-        horizon.heard(before);
+        horizon.advanceTo(before);
         state.refusing = true;
         await(vertx.timer(20, TimeUnit.MILLISECONDS));
         onLoop(() -> ledger.heardGone(job.id()));
@@ -199,15 +199,15 @@
         while (state.refusals < refused + 2) {
             Thread.onSpinWait();
         }
-        onLoop(() -> horizon.heard(clock.now()));
-        assertEquals(before, horizon.until());
+        onLoop(() -> horizon.advanceTo(clock.now()));
+        assertEquals(before, horizon.completeUntil());
         assertFalse(job.isCancelled());
         if (told) {
             onLoop(() -> ledger.cancelled(job.id()));
             assertTrue(job.isCancelled());
         }
         state.refusing = told;
-        while (horizon.until().equals(before)) {
+        while (horizon.completeUntil().equals(before)) {
             onLoop(() -> {});
         }
         assertTrue(job.isCancelled());
@@ -223,7 +223,7 @@
     void aCancellationThatIsToldBeforeItsJobIsHeardOfKeepsItClosed() throws Exception {
         Job job = job(1, 1, 0, 1);
         onLoop(() -> ledger.cancelled(job.id()));
-        onLoop(() -> ledger.heard(job.id(), record(job, 1), job.stamp()));
+        onLoop(() -> ledger.heard(job.id(), record(job, 1), job.revision()));
         assertNull(core.job(job.id()), "the acceptance comes after the word that the job is cancelled");
     }
 
@@ -376,7 +376,7 @@
                 List.of(1, 2),
                 List.of(
                         core.job(new JobId("run-2")).doneCount(),
-                        core.job(new JobId("run-2")).boundToWrite()));
+                        core.job(new JobId("run-2")).startBoundToWrite()));
     }
 
     /** Written by a newer version, or spoilt: one job stands still, the others are served; nobody guesses what machines hold. */
@@ -390,7 +390,8 @@
                 .put("p/run-1/x", MessagePackFormat.map("bits", "*"))));
         await(ledger.load());
         assertEquals(
-                List.of("run-1"), core.jobs().stream().map(j -> j.id().text()).toList());
+                List.of("run-1"),
+                core.jobs().stream().map(job -> job.id().text()).toList());
         ledger.heard(new JobId("run-3"), new Fields(MessagePackFormat.map("class", 5L)), new Revision(9));
         assertEquals(1, core.jobs().size(), "nor does it end the watch");
         Fields mended = record(core.job(new JobId("run-1")), 1);
--- a/src/test/java/io/indigoreach/cluster/LastTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/LastTaskTest.java
@@ -68,10 +68,10 @@
 
     private static final SchedulerListener SILENT = new SchedulerListener() {
         @Override
-        public void progress(Job job) {}
+        public void taskCompleted(Job job) {}
 
         @Override
-        public void say(String line) {}
+        public void log(String line) {}
     };
 
     private final Vertx vertx = Vertx.vertx();
@@ -119,7 +119,7 @@
                 List.of(TEAM),
                 SILENT);
         core.setTypes(List.of(TYPE));
-        core.loaded();
+        core.recordsLoaded();
         ledger = new JobStore(
                 env, core, null, key, () -> {}, new RateLimiter(100, clock.now()), true, new CancellationHorizon());
     }
--- a/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
@@ -136,13 +136,13 @@
                 List.of(new Team("t", 0, 0, 0, 0)),
                 new SchedulerListener() {
                     @Override
-                    public void progress(Job job) {}
+                    public void taskCompleted(Job job) {}
 
                     @Override
-                    public void say(String line) {}
+                    public void log(String line) {}
                 });
         core.setTypes(List.of(type()));
-        core.loaded();
+        core.recordsLoaded();
     }
 
     @AfterEach
@@ -617,7 +617,7 @@
             t.loseOne(OPEN);
             Job job = t.job(JOB.text(), 4, 2, 4);
             t.begin(ledger, job);
-            t.until(() -> t.recorded(JOB) == 2 && job.unrecorded().isEmpty());
+            t.until(() -> t.recorded(JOB) == 2 && job.unrecordedCompletions().isEmpty());
             t.changesNothingMore();
         });
         JOBS.put("progress, after the job was cancelled", t -> {
@@ -647,7 +647,7 @@
             t.loseOne(OPEN);
             Job job = t.job(JOB.text(), 4, 0, 0);
             t.begin(ledger, job);
-            t.until(() -> t.service.value(OPEN).whole("bound", 0) > 0 && !job.wantsBound());
+            t.until(() -> t.service.value(OPEN).whole("bound", 0) > 0 && !job.needsHigherStartBound());
             t.changesNothingMore();
         });
         JOBS.put("a start bound, after a change of leader: what that one orders by stands", t -> {
@@ -660,7 +660,7 @@
             t.run(ledger::cancel);
             t.lead(4);
             t.changesNothingMore();
-            assertTrue(job.wantsBound(), "not answered: nothing was ordered by it");
+            assertTrue(job.needsHigherStartBound(), "not answered: nothing was ordered by it");
         });
         JOBS.put("an end, after its repeat", t -> {
             JobStore ledger = t.leading();
@@ -720,7 +720,7 @@
         MachineId id = new MachineId("vm-" + n);
         Moment now = clock.now();
         core.rented(POOL, List.of(id), now, now);
-        core.onReport(
+        core.onHeartbeat(
                 new Heartbeat(id, "10.0.0.1:1", POOL, new HeartbeatNumber(1, 1), new FencingToken(3), null, List.of()),
                 now);
         return book.record(core.unrecorded(id));
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -110,10 +110,10 @@
         PlatformConfig config = config();
         silent = new SchedulerListener() {
             @Override
-            public void progress(Job job) {}
+            public void taskCompleted(Job job) {}
 
             @Override
-            public void say(String line) {}
+            public void log(String line) {}
         };
         Settings settings = Settings.standard();
         core = new SchedulerCore(
@@ -125,7 +125,7 @@
                 silent);
         core.setTypes(List.of(new MachineType(
                 "quad", new Demand(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of(POOL.zone()))));
-        core.loaded();
+        core.recordsLoaded();
         CloudClient cloud = new CloudClient(new ServiceClient(vertx, state.endpoint(), 1));
         env = new LeadershipTerm.Context(
                 vertx,
@@ -161,7 +161,7 @@
         MachineId id = new MachineId(String.format("vm-%06d", n));
         Moment now = clock.now();
         core.rented(POOL, List.of(id), now, now);
-        core.onReport(
+        core.onHeartbeat(
                 new Heartbeat(id, "10.0.0.1:1", POOL, new HeartbeatNumber(1, 1), new FencingToken(3), null, List.of()),
                 now);
         return book.record(core.unrecorded(id));
@@ -255,7 +255,7 @@
             MachineId id = new MachineId(String.format("vm-%06d", n));
             lines.add(new MachineRecord(id, POOL, clock.timeOfDay(), clock.timeOfDay()));
             if (n != 7) {
-                core.inherit(id, POOL, now, now, now);
+                core.inheritMachine(id, POOL, now, now, now);
             }
         }
         String wide = RecordCodec.machinePage(new FencingToken(2), 1);
@@ -322,12 +322,12 @@
             Thread.onSpinWait();
         }
         onLoop(ledger::load);
-        fresh.loaded();
+        fresh.recordsLoaded();
         Span bound = env.config().rules().leaseBound();
         fresh.expireLeases(before.plus(bound));
-        assertFalse(fresh.isSettled(), "an earlier leader answered until then");
+        assertFalse(fresh.isFailoverComplete(), "an earlier leader answered until then");
         fresh.expireLeases(begun.plus(bound).plus(new Span(1)));
-        assertTrue(fresh.isSettled());
+        assertTrue(fresh.isFailoverComplete());
     }
 
     /**
@@ -422,7 +422,7 @@
                     kept,
                     new CancellationHorizon());
             onLoop(ledger::load);
-            assertEquals(kept ? 0 : 3, fresh.job(spec.id()).boundToWrite());
+            assertEquals(kept ? 0 : 3, fresh.job(spec.id()).startBoundToWrite());
         }
     }
 }
--- a/src/test/java/io/indigoreach/cluster/PeerPromisesTest.java
+++ b/src/test/java/io/indigoreach/cluster/PeerPromisesTest.java
@@ -48,7 +48,7 @@
 
     static Stream<Map<String, Object>> spoilt() {
         List<String> tooMany = new ArrayList<>();
-        for (int n = 0; n <= ConfirmedCancellations.MOST; n++) {
+        for (int n = 0; n <= ConfirmedCancellations.MAX_REMEMBERED; n++) {
             tooMany.add("run-" + n);
         }
         return Stream.of(
--- a/src/test/java/io/indigoreach/core/leadership/CancellationHorizonTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/CancellationHorizonTest.java
@@ -25,37 +25,37 @@
     })
     void whatEveryNodeSaysStandsInForTheWatch(double covered, double until, String why) {
         CancellationHorizon horizon = new CancellationHorizon();
-        horizon.heard(at(10));
-        horizon.told(Span.seconds(covered), at(20), at(21));
-        assertEquals(at(until), horizon.until(), why);
-        horizon.heard(at(15));
-        assertEquals(at(Math.max(15, until)), horizon.until(), "never back");
+        horizon.advanceTo(at(10));
+        horizon.peersAnswered(Span.seconds(covered), at(20), at(21));
+        assertEquals(at(until), horizon.completeUntil(), why);
+        horizon.advanceTo(at(15));
+        assertEquals(at(Math.max(15, until)), horizon.completeUntil(), "never back");
     }
 
     /** Guards against a leader that heard a job was gone, could not read why in the outage, and let it run on as if it had. */
     @Test
     void aJobThatIsGoneHoldsItUntilItIsKnownWhy() {
         CancellationHorizon horizon = new CancellationHorizon();
-        horizon.heard(at(10));
-        horizon.gone(new JobId("run-1"));
-        horizon.heard(at(12));
-        horizon.gone(new JobId("run-2"));
-        horizon.gone(new JobId("run-1"));
-        horizon.told(Span.seconds(30), at(20), at(21));
-        assertEquals(at(10), horizon.until());
+        horizon.advanceTo(at(10));
+        horizon.recordGone(new JobId("run-1"));
+        horizon.advanceTo(at(12));
+        horizon.recordGone(new JobId("run-2"));
+        horizon.recordGone(new JobId("run-1"));
+        horizon.peersAnswered(Span.seconds(30), at(20), at(21));
+        assertEquals(at(10), horizon.completeUntil());
         horizon.settled(new JobId("run-1"));
-        assertEquals(at(12), horizon.until());
+        assertEquals(at(12), horizon.completeUntil());
         horizon.settled(new JobId("run-2"));
-        assertEquals(at(20), horizon.until());
+        assertEquals(at(20), horizon.completeUntil());
     }
 
     /** Guards against a new leader whose records cannot be read: it knows of no cancellation, however old. */
     @Test
     void nothingIsHeardBeforeTheRecordsAreRead() {
         CancellationHorizon horizon = new CancellationHorizon();
-        horizon.told(Span.seconds(1e6), at(20), at(21));
-        assertEquals(Moment.NEVER, horizon.until());
-        assertEquals(Span.ZERO, horizon.missing(at(20), Span.seconds(3)));
-        assertTrue(at(20).since(horizon.until()).compareTo(SimulatedWorld.RULES.horizonAge()) > 0);
+        horizon.peersAnswered(Span.seconds(1e6), at(20), at(21));
+        assertEquals(Moment.NEVER, horizon.completeUntil());
+        assertEquals(Span.ZERO, horizon.lookBack(at(20), Span.seconds(3)));
+        assertTrue(at(20).since(horizon.completeUntil()).compareTo(SimulatedWorld.RULES.maxCancellationAge()) > 0);
     }
 }
--- a/src/test/java/io/indigoreach/core/leadership/ConfirmedCancellationsTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/ConfirmedCancellationsTest.java
@@ -29,26 +29,26 @@
         ConfirmedCancellations told = new ConfirmedCancellations(at(100));
         told.add(new JobId("run-1"), at(110));
         told.add(new JobId("run-2"), at(120));
-        CancellationSummary word = told.word(Span.seconds(asked), at(130));
+        CancellationSummary word = told.summary(Span.seconds(asked), at(130));
         assertEquals(Span.seconds(covered), word.covered());
         assertEquals(
                 Set.of(jobs.split(" ")),
                 word.cancelled().isEmpty()
                         ? Set.of("")
                         : word.cancelled().stream().map(JobId::text).collect(Collectors.toSet()));
-        assertEquals(Span.seconds(10), told.quiet(at(130)));
+        assertEquals(Span.seconds(10), told.timeSinceLast(at(130)));
     }
 
     /** Guards against a word without the earliest ones that claims to be whole. */
     @Test
     void whatIsForgottenIsNotCovered() {
         ConfirmedCancellations told = new ConfirmedCancellations(at(0));
-        for (int n = 0; n < ConfirmedCancellations.MOST + 10; n++) {
+        for (int n = 0; n < ConfirmedCancellations.MAX_REMEMBERED + 10; n++) {
             told.add(new JobId("run-" + n), at(10 + n));
         }
-        Moment now = at(10 + ConfirmedCancellations.MOST + 9);
-        CancellationSummary word = told.word(Span.seconds(5000), now);
-        assertEquals(ConfirmedCancellations.MOST, word.cancelled().size());
+        Moment now = at(10 + ConfirmedCancellations.MAX_REMEMBERED + 9);
+        CancellationSummary word = told.summary(Span.seconds(5000), now);
+        assertEquals(ConfirmedCancellations.MAX_REMEMBERED, word.cancelled().size());
         assertEquals(now.since(at(19)), word.covered(), "up to the last that was forgotten, told at 19 s");
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/AsymmetricPartitionTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/AsymmetricPartitionTest.java
@@ -44,7 +44,7 @@
     void isToldWithinAFewReports(String sign, double every, int started, double told) {
         SimulatedWorld w = new SimulatedWorld();
         w.up("a", "east", 0);
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.submit(spec(1, 4, 1, 500), 0);
         WorkerCommand foreign = new WorkerCommand.Start(TaskId.parse("run-9/0"), TOKEN.attempt(9));
         int given = 0;
@@ -59,7 +59,7 @@
                 w.core.cancelJob(new JobId("run-1"));
             }
             w.core.expireLeases(at(now));
-            given += starts(w.core.onReport(
+            given += starts(w.core.onHeartbeat(
                             w.report(
                                     "a",
                                     "east",
@@ -68,8 +68,8 @@
                                     tasks),
                             at(now)))
                     .size();
-            w.core.check(at(now));
-            last = w.core.leaving(9).isEmpty() ? -1 : now;
+            w.core.planScaleIn(at(now));
+            last = w.core.machinesToReturn(9).isEmpty() ? -1 : now;
         }
         assertEquals(told, last, 0.01);
         assertEquals(started, given);
@@ -81,7 +81,7 @@
     @CsvSource({"1, 8, 1", "2, 8, 2", "3, 8, 0", "8, 8, 0", "8, 90, 0", "8, 94, 8"})
     void aZoneOfThemIsTheWaysFault(int deaf, double seconds, int returned) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         List<TaskStatus[]> held = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             w.up("m" + i, "east", 0);
@@ -93,16 +93,16 @@
             for (int i = 0; i < 8; i++) {
                 long session = i < deaf ? 1 + (long) now / 13 : 1;
                 List<WorkerCommand> orders =
-                        w.core.onReport(w.report("m" + i, "east", session, TOKEN, held.get(i)), at(now));
+                        w.core.onHeartbeat(w.report("m" + i, "east", session, TOKEN, held.get(i)), at(now));
                 if (i >= deaf && held.get(i).length == 0) {
                     held.set(i, running(orders));
                 } else if (i < deaf && now > 6) {
                     late += starts(orders).size();
                 }
             }
-            w.core.check(at(now));
+            w.core.planScaleIn(at(now));
         }
-        assertEquals(returned, w.core.leaving(9).size());
+        assertEquals(returned, w.core.machinesToReturn(9).size());
         assertEquals(0, late, "no start once it is told");
     }
 
@@ -119,12 +119,12 @@
     })
     void otherTroublesAreNotTakenForIt(String trouble) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.inherit(new MachineId("a"), new MachinePool("quad", "east", true), at(0), at(0), at(0));
+        w.core.inheritMachine(new MachineId("a"), new MachinePool("quad", "east", true), at(0), at(0), at(0));
         if (trouble.startsWith("its record")) {
             w = new SimulatedWorld();
             w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
         }
-        w.core.loaded();
+        w.core.recordsLoaded();
         long session = 1;
         int round = 0;
         List<TaskStatus> held = new ArrayList<>();
@@ -137,11 +137,11 @@
                 session++;
             }
             if (trouble.startsWith("the leader")) {
-                w.core.awakeSince(at(now - 0.1));
+                w.core.setAwakeSince(at(now - 0.1));
             }
             FencingToken token = trouble.startsWith("two reports") && round < 2 ? OLDER : TOKEN;
             List<WorkerCommand> orders =
-                    w.core.onReport(w.report("a", "east", session, token, held.toArray(new TaskStatus[0])), at(now));
+                    w.core.onHeartbeat(w.report("a", "east", session, token, held.toArray(new TaskStatus[0])), at(now));
             if (trouble.startsWith("its record") && now > 60) {
                 w.core.recorded(new MachineId("a"));
             }
@@ -154,15 +154,15 @@
             };
             if (!lost) {
                 boolean refused = trouble.startsWith("every start");
-                for (WorkerCommand o : orders) {
-                    held.removeIf(t -> t.attempt().equals(o.attempt()));
-                    if (o instanceof WorkerCommand.Start) {
-                        held.add(refused ? exited(o, ExitCause.FULL) : running(o));
+                for (WorkerCommand command : orders) {
+                    held.removeIf(status -> status.attempt().equals(command.attempt()));
+                    if (command instanceof WorkerCommand.Start) {
+                        held.add(refused ? exited(command, ExitCause.FULL) : running(command));
                     }
                 }
             }
-            w.core.check(at(now));
-            assertEquals(List.of(), w.core.leaving(9), "at " + now);
+            w.core.planScaleIn(at(now));
+            assertEquals(List.of(), w.core.machinesToReturn(9), "at " + now);
         }
     }
 
@@ -172,7 +172,7 @@
     void itsWorkIsCountedUntilTheReturnIsAnsweredOrItsLeaseIsOver(boolean answered) {
         SimulatedWorld w = new SimulatedWorld();
         w.up("a", "east", 0);
-        w.core.loaded();
+        w.core.recordsLoaded();
         Job job = w.submit(spec(1, 2, 1, 500), 0);
         TaskStatus[] held = running(w.hear("a", 0));
         w.hear("a", 2, held);
@@ -181,32 +181,32 @@
         for (double now = 4; elsewhere < 0 && now < 60; now += 0.1) {
             if (Math.abs(now % 2) < 0.05 || Math.abs(now % 2) > 1.95) {
                 w.hear("a", now, held);
-                w.core.check(at(now));
+                w.core.planScaleIn(at(now));
             }
-            boolean leaving = !w.core.leaving(9).isEmpty();
+            boolean leaving = !w.core.machinesToReturn(9).isEmpty();
             assertEquals(
                     !leaving,
-                    w.core.answers(new MachineId("a")),
+                    w.core.mayAnswer(new MachineId("a")),
                     "no answer renews its lease once it is being returned");
             if (leaving && answered) {
-                w.core.returned(w.core.leaving(9), at(now));
+                w.core.returned(w.core.machinesToReturn(9), at(now));
             }
             w.core.expireLeases(at(now));
-            if (leaving && job.active().isEmpty()) {
+            if (leaving && job.placements().isEmpty()) {
                 elsewhere = now;
             }
         }
         assertEquals(answered ? 10 : 10 + RULES.leaseBound().seconds(), elsewhere, 0.15);
         assertEquals(0, job.failures, "its job is not at fault");
-        w.core.onReport(w.report("a", "east", 2, TOKEN), at(elsewhere + 20));
-        assertEquals(answered, w.core.answers(new MachineId("a")), "nor later, while the cloud has not answered");
+        w.core.onHeartbeat(w.report("a", "east", 2, TOKEN), at(elsewhere + 20));
+        assertEquals(answered, w.core.mayAnswer(new MachineId("a")), "nor later, while the cloud has not answered");
     }
 
     /** Told while many of its zone were, so not returned: by a start taken, by the token, or by a session that goes on. */
     @Test
     void oneThatHearsAgainIsUsedAgain() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         for (int i = 0; i < 4; i++) {
             w.up("m" + i, "east", 0);
         }
@@ -216,14 +216,14 @@
         for (double now = 0; again < 0 && now < 60; now += 2) {
             for (int i = 0; i < 4; i++) {
                 // What is lost until 20 s; then the session goes on, as answers arrive.
-                boolean given = !starts(w.core.onReport(
+                boolean given = !starts(w.core.onHeartbeat(
                                 w.report("m" + i, "east", now < 12 ? 1 : now < 24 ? 2 : 3, TOKEN), at(now)))
                         .isEmpty();
                 before += given && now < 20 ? 1 : 0;
                 again = given && now > 20 ? now : again;
             }
-            w.core.check(at(now));
-            assertTrue(w.core.leaving(9).isEmpty());
+            w.core.planScaleIn(at(now));
+            assertTrue(w.core.machinesToReturn(9).isEmpty());
         }
         assertEquals(12, before, "three answers to each");
         assertEquals(38, again, "a lease after the last session began");
--- a/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
@@ -78,7 +78,7 @@
         Reign(Node node) {
             this.node = node;
             if (without == Without.RECORDS) {
-                horizon.heard(node.at(now));
+                horizon.advanceTo(node.at(now));
             }
         }
     }
@@ -116,7 +116,7 @@
                 worker.tasks.add(job(j));
             }
             workers.add(worker);
-            at(random.nextDouble() * rules.report().seconds(), () -> report(worker));
+            at(random.nextDouble() * rules.heartbeatPeriod().seconds(), () -> report(worker));
         }
         lead(0, 0);
     }
@@ -152,7 +152,7 @@
             }
             for (JobId job : w.tasks) {
                 double limit = told.getOrDefault(job, Double.MAX_VALUE)
-                        + rules.cancel().seconds();
+                        + rules.cancellationTime().seconds();
                 if (now > limit) {
                     broken.add(job + " runs at " + now + ", told at " + told.get(job));
                 }
@@ -249,7 +249,7 @@
         Set<JobId> gone = new HashSet<>(cancelled.keySet());
         after(0.2, () -> {
             mine.stopped.addAll(gone);
-            mine.horizon.heard(asked);
+            mine.horizon.advanceTo(asked);
             mine.loaded = true;
             watch(mine, gone);
         });
@@ -264,7 +264,7 @@
             return;
         }
         Moment sent = mine.node.at(now);
-        answer(mine, known, sent, now + Math.min(2, rules.horizonAge().seconds() / 4));
+        answer(mine, known, sent, now + Math.min(2, rules.maxCancellationAge().seconds() / 4));
     }
 
     /** An open watch brings a change at once, or ends; while this node is not served it waits. */
@@ -279,14 +279,14 @@
             return;
         }
         news.forEach(job -> {
-            mine.horizon.gone(job);
+            mine.horizon.recordGone(job);
             if (without == Without.UNSETTLED) {
                 mine.horizon.settled(job);
             }
             // The state service may answer slowly, so that the refusal comes first.
             after(random.nextDouble() * (random.nextInt(4) == 0 ? 6 : 0.3), () -> why(mine, job));
         });
-        mine.horizon.heard(sent);
+        mine.horizon.advanceTo(sent);
         known.addAll(news);
         watch(mine, known);
     }
@@ -310,7 +310,7 @@
             return;
         }
         Moment sent = mine.node.at(now);
-        Span back = mine.horizon.missing(sent, Span.seconds(3));
+        Span back = mine.horizon.lookBack(sent, Span.seconds(3));
         List<CancellationSummary> words = new ArrayList<>();
         for (Node other : nodes) {
             if (other != mine.node) {
@@ -319,7 +319,7 @@
                         () -> words.add(
                                 now < other.downUntil || now < other.silentUntil
                                         ? CancellationSummary.NONE
-                                        : other.told.word(back, other.at(now))));
+                                        : other.told.summary(back, other.at(now))));
             }
         }
         after(0.4 + random.nextDouble() * 0.6, () -> {
@@ -327,14 +327,14 @@
                 return;
             }
             Moment heard = mine.node.at(now);
-            CancellationSummary all = mine.node.told.word(back, heard);
+            CancellationSummary all = mine.node.told.summary(back, heard);
             for (CancellationSummary word : words) {
                 all = all.and(word);
             }
             if (without != Without.NAMES && mine.stopped.addAll(all.cancelled())) {
                 stoppedByWord++;
             }
-            mine.horizon.told(all.covered(), sent, heard);
+            mine.horizon.peersAnswered(all.covered(), sent, heard);
         });
     }
 
@@ -352,12 +352,13 @@
                 w.tasks.removeAll(stops);
             });
         });
-        after(rules.report().seconds() * (0.75 + random.nextDouble() / 2), () -> report(w));
+        after(rules.heartbeatPeriod().seconds() * (0.75 + random.nextDouble() / 2), () -> report(w));
     }
 
     private boolean mayAnswer(Reign mine) {
         return without == Without.BACKSTOP
                 || ((mine.loaded || without == Without.RECORDS)
-                        && mine.node.at(now).since(mine.horizon.until()).compareTo(rules.horizonAge()) < 0);
+                        && mine.node.at(now).since(mine.horizon.completeUntil()).compareTo(rules.maxCancellationAge())
+                                < 0);
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/ConcurrentFaultsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ConcurrentFaultsTest.java
@@ -198,8 +198,8 @@
         Heartbeat before = site.box("m").sent;
         site.report("m", heard);
         if (copied) {
-            site.core.onReport(before, at(5));
-            site.core.onReport(site.box("m").sent, at(5.5));
+            site.core.onHeartbeat(before, at(5));
+            site.core.onHeartbeat(site.box("m").sent, at(5.5));
         }
         Heartbeat late = site.box("m").write();
         site.load();
@@ -210,8 +210,8 @@
             inherited = site.startsOf(new JobId("run-1")) > 1 ? now : inherited;
         }
         assertEquals(started, inherited);
-        site.core.onReport(late, at(40));
-        assertEquals(1, site.core.job(new JobId("run-1")).active().size());
+        site.core.onHeartbeat(late, at(40));
+        assertEquals(1, site.core.job(new JobId("run-1")).placements().size());
         assertTrue(
                 site.said.stream().noneMatch(line -> line.contains("while it may be on")),
                 "a report from before its lease ended");
@@ -277,12 +277,12 @@
             for (int i = 0; i < sent.size(); i++) {
                 // Both machines have shown themselves to a new leader by then.
                 if (due.get(i) <= now && (now < 21 || now > 22)) {
-                    s.core.onReport(sent.get(i), at(now + 0.5));
+                    s.core.onHeartbeat(sent.get(i), at(now + 0.5));
                     due.set(i, Double.MAX_VALUE);
                 }
             }
             s.core.expireLeases(at(now + 0.6));
-            trace.add(s.core.summary(at(now + 0.6)) + " over " + s.core.countsOver(new MachineId("a")));
+            trace.add(s.core.summary(at(now + 0.6)) + " over " + s.core.isLeaseExpired(new MachineId("a")));
             s.record();
         }
         assertEquals(List.of(), s.broken);
@@ -297,15 +297,15 @@
         List<Heartbeat> sent = new ArrayList<>();
         for (int i = 0; i < answered; i++) {
             sent.add(w.report("x", "east", 1, i == 0 ? new FencingToken(4) : SimulatedWorld.TOKEN));
-            w.core.onReport(sent.get(i), at(i));
+            w.core.onHeartbeat(sent.get(i), at(i));
         }
-        w.core.loaded();
+        w.core.recordsLoaded();
         for (int i = 0; i < 2 * answered; i++) {
-            w.core.onReport(sent.get(i % answered), at(10 + i));
+            w.core.onHeartbeat(sent.get(i % answered), at(10 + i));
         }
         assertEquals(0, w.core.machineCount());
         if (lives) {
-            w.core.onReport(w.report("x", "east", 1, SimulatedWorld.TOKEN), at(15));
+            w.core.onHeartbeat(w.report("x", "east", 1, SimulatedWorld.TOKEN), at(15));
             assertEquals(1, w.core.machineCount(), "its next report shows the answer");
         }
     }
@@ -326,10 +326,10 @@
         site.lead(0);
         double settled = -1;
         for (double now = 0; settled < 0; now += every) {
-            assertEquals(List.of(), site.core.onReport(copies.remove(0), at(now)));
+            assertEquals(List.of(), site.core.onHeartbeat(copies.remove(0), at(now)));
             site.core.expireLeases(at(now));
             site.report("n", now);
-            settled = site.core.isSettled() ? now : -1;
+            settled = site.core.isFailoverComplete() ? now : -1;
             assertEquals(settled >= 0, site.startsOf(new JobId("run-1")) > 1);
         }
         assertTrue(
@@ -374,8 +374,9 @@
             // It fails at once and is given again; the answer that stops or reaps the first attempt comes late.
             a.end(task, ExitCause.ERROR);
         }
-        Heartbeat report = a.write();
-        SimulatedCluster.Answer answer = what.equals("report") || what.equals("lease") ? null : site.answer(report, 0);
+        Heartbeat heartbeat = a.write();
+        SimulatedCluster.Answer answer =
+                what.equals("report") || what.equals("lease") ? null : site.answer(heartbeat, 0);
         if (what.equals("lease")) {
             site.report("a", 0);
         }
@@ -390,7 +391,7 @@
             if (!done && now >= held) {
                 done = true;
                 a.live(now);
-                SimulatedCluster.Answer late = what.equals("report") ? site.answer(report, now) : answer;
+                SimulatedCluster.Answer late = what.equals("report") ? site.answer(heartbeat, now) : answer;
                 if (late != null && held <= SimulatedCluster.PATIENCE_S) {
                     a.take(late, 0, now);
                 }
@@ -412,19 +413,19 @@
     void earlierAttemptsEndNothing() {
         SimulatedWorld w = new SimulatedWorld();
         w.up("a", "east", 0);
-        w.core.loaded();
+        w.core.recordsLoaded();
         Job job = w.submit(spec(1, 1, 4, 500), 0);
         WorkerCommand first = w.hear("a", 1).get(0);
         WorkerCommand second = null;
-        for (WorkerCommand o : w.hear("a", 2, SimulatedWorld.exited(first, ExitCause.STOPPED))) {
-            second = o instanceof WorkerCommand.Start ? o : second;
+        for (WorkerCommand command : w.hear("a", 2, SimulatedWorld.exited(first, ExitCause.STOPPED))) {
+            second = command instanceof WorkerCommand.Start ? command : second;
         }
         for (ExitCause cause : ExitCause.values()) {
             if (cause != ExitCause.DONE) {
                 List<WorkerCommand> orders = w.hear(
                         "a", 3 + cause.ordinal(), SimulatedWorld.running(second), SimulatedWorld.exited(first, cause));
                 assertEquals(List.of(new WorkerCommand.Reap(first.task(), first.attempt())), orders);
-                assertEquals(second.attempt(), job.active(0).attempt);
+                assertEquals(second.attempt(), job.placements(0).attempt);
             }
         }
     }
--- a/src/test/java/io/indigoreach/core/scheduling/ConsolidationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ConsolidationTest.java
@@ -28,7 +28,7 @@
 
     /** Three or so tasks on machine a, one on b, each of one of four cores. */
     private void place(int tasksOnA, double estimate, double saveEvery, boolean oneZone) {
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.submit(with(spec(1, tasksOnA, 1, 300), Urgency.STANDARD, false, false, true, null, saveEvery), 0);
         onA = running(w.hear("a", 1));
@@ -67,7 +67,7 @@
         if (waiting > 0) {
             w.submit(spec(3, waiting, 4, 100), when);
         }
-        w.core.check(at(when));
+        w.core.planScaleIn(at(when));
         assertEquals(moved ? List.of("run-2/0") : List.of(), stops(w.hear("b", when, onB)), why);
         assertEquals(List.of(), stops(w.hear("a", when, onA)), why);
     }
@@ -77,16 +77,16 @@
     void startsWhereItWasMovedTo() {
         place(3, 300, 10, false);
         hearBoth(39);
-        w.core.check(at(40));
+        w.core.planScaleIn(at(40));
         WorkerCommand stop = w.hear("b", 40, onB).get(0);
         assertEquals(List.of(), starts(w.hear("a", 41, onA)), "it is still saving");
-        w.core.check(at(42));
+        w.core.planScaleIn(at(42));
         assertEquals(List.of(), starts(w.hear("b", 42, exited(stop, ExitCause.STOPPED))), "b is being emptied");
         assertEquals(List.of("run-2/0"), starts(w.hear("a", 43, onA)));
-        w.core.check(at(58));
+        w.core.planScaleIn(at(58));
         assertEquals(
                 List.of("b"),
-                w.core.leaving(9).stream().map(MachineId::toString).toList(),
+                w.core.machinesToReturn(9).stream().map(MachineId::toString).toList(),
                 "returned with its term");
     }
 
@@ -97,7 +97,7 @@
         place(1, 300, 10, false);
         w.hear("b", 3);
         w.hear("b", 3, exited(new WorkerCommand.Stop(onB[0].task(), onB[0].attempt(), Span.ZERO), ExitCause.DONE));
-        w.core.check(at(4));
+        w.core.planScaleIn(at(4));
         w.submit(spec(3, tasks, cores, 100), 5);
         assertEquals(started, starts(w.hear("b", 6)).size());
         assertEquals(Math.min(3, tasks - started), starts(w.hear("a", 7, onA)).size());
@@ -108,7 +108,7 @@
     void aReplicaIsNotKeptFromAnIdleMachine() {
         place(1, 300, 10, false);
         w.ordinary("c", 3);
-        w.core.check(at(4));
+        w.core.planScaleIn(at(4));
         w.submit(SimulatedWorld.service(3, 1), 5);
         assertEquals(List.of("run-3/0"), starts(w.hearOrdinary("c", 6)));
     }
@@ -122,7 +122,7 @@
         w.hearOrdinary("c", 3, onC);
         hearBoth(39);
         w.hearOrdinary("c", 39, onC);
-        w.core.check(at(40));
+        w.core.planScaleIn(at(40));
         assertEquals(List.of("run-4/0"), stops(w.hearOrdinary("c", 40, onC)));
         assertEquals(List.of(), stops(w.hear("b", 40, onB)), "one at a time of so few");
     }
--- a/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
@@ -183,22 +183,28 @@
     /** The leader ends and another begins with the records; every machine will report to it. */
     void newLeader() {
         core = new SchedulerCore(new FencingToken(++token), SimulatedWorld.RULES, tuning, aims, teams, this);
-        MachineType t = SimulatedWorld.TYPE;
+        MachineType type = SimulatedWorld.TYPE;
         core.setTypes(List.of(new MachineType(
-                t.name(),
-                t.capacity(),
-                t.cacheGb(),
-                t.fetchGbPerS(),
-                t.price(),
-                t.spotPrice(),
-                t.boot(),
+                type.name(),
+                type.capacity(),
+                type.cacheGb(),
+                type.fetchGbPerS(),
+                type.price(),
+                type.spotPrice(),
+                type.boot(),
                 List.of("east"))));
-        boxes.forEach(
-                (name, box) -> core.inherit(new MachineId(name), box.pool, at(box.up - BOOT), at(box.up), at(now)));
+        boxes.forEach((name, box) ->
+                core.inheritMachine(new MachineId(name), box.pool, at(box.up - BOOT), at(box.up), at(now)));
         open.replaceAll((id, job) -> new Job(
-                job.spec(), job.submittedMs(), job.arrived, job.stamp(), job.doneTasks(), job.boundToWrite(), true));
+                job.spec(),
+                job.submittedMs(),
+                job.eligibleSince,
+                job.revision(),
+                job.completedTasks(),
+                job.startBoundToWrite(),
+                true));
         open.values().forEach(core::addJob);
-        core.loaded();
+        core.recordsLoaded();
     }
 
     private static Moment at(int step) {
@@ -264,8 +270,8 @@
         if (now % 2 == 0) {
             tend();
         }
-        for (Job job : core.boundsToRaise(at(now))) {
-            job.boundRecorded(job.boundToWrite());
+        for (Job job : core.startBoundsToRaise(at(now))) {
+            job.startBoundRecorded(job.startBoundToWrite());
         }
         int n = 0;
         for (Map.Entry<String, Box> e : boxes.entrySet()) {
@@ -275,7 +281,7 @@
         }
         for (Iterator<Job> i = open.values().iterator(); i.hasNext(); ) {
             Job job = i.next();
-            job.recorded(job.doneTasks());
+            job.completionsRecorded(job.completedTasks());
             if (job.isComplete()) {
                 fates.get(job.id()).over = now;
                 core.closeJob(job.id());
@@ -312,26 +318,26 @@
     }
 
     private void tend() {
-        for (ScaleOutRequest wish : core.wishes(at(now))) {
-            asked.add(wish);
+        for (ScaleOutRequest request : core.scaleOutRequests(at(now))) {
+            asked.add(request);
             int got = (int) Math.min(
-                    wish.count(),
-                    capacity.get(wish.pool())
+                    request.count(),
+                    capacity.get(request.pool())
                             - boxes.values().stream()
-                                    .filter(b -> b.pool.equals(wish.pool()))
+                                    .filter(b -> b.pool.equals(request.pool()))
                                     .count());
-            if (got < wish.count()) {
-                core.refused(wish.pool(), at(now));
+            if (got < request.count()) {
+                core.refused(request.pool(), at(now));
             }
             List<MachineId> ids = new ArrayList<>();
             for (int i = 0; i < got; i++) {
                 ids.add(new MachineId(String.format("m%05d", ++names)));
-                boxes.put(ids.get(i).toString(), new Box(wish.pool(), now + BOOT));
+                boxes.put(ids.get(i).toString(), new Box(request.pool(), now + BOOT));
             }
-            core.rented(wish.pool(), ids, at(now), at(now));
+            core.rented(request.pool(), ids, at(now), at(now));
         }
-        core.check(at(now));
-        List<MachineId> leaving = core.leaving(100);
+        core.planScaleIn(at(now));
+        List<MachineId> leaving = core.machinesToReturn(100);
         leaving.forEach(id -> boxes.remove(id.toString()));
         core.returned(leaving, at(now));
         mostUp = Math.max(mostUp, boxes.size());
@@ -358,7 +364,7 @@
                 i.remove();
             }
         }
-        Heartbeat report = new Heartbeat(
+        Heartbeat heartbeat = new Heartbeat(
                 new MachineId(name),
                 "10.0.0.1:1",
                 box.pool,
@@ -366,26 +372,27 @@
                 new FencingToken(token),
                 null,
                 list);
-        List<WorkerCommand> orders = new ArrayList<>(core.onReport(report, at(now)));
+        List<WorkerCommand> orders = new ArrayList<>(core.onHeartbeat(heartbeat, at(now)));
         if (core.unrecorded(new MachineId(name)) != null) {
             core.recorded(new MachineId(name));
-            orders.addAll(core.fill(new MachineId(name), report.number(), at(now)));
+            orders.addAll(core.startTasks(new MachineId(name), heartbeat.number(), at(now)));
         }
-        for (WorkerCommand o : orders) {
-            Fate fate = fates.get(o.task().job());
-            if (o instanceof WorkerCommand.Start) {
+        for (WorkerCommand command : orders) {
+            Fate fate = fates.get(command.task().job());
+            if (command instanceof WorkerCommand.Start) {
                 int run = fate.spec.shape() == JobKind.SERVICE ? 1_000_000 : fate.run;
-                box.tasks.put(o, now + (fate.spec.savesProgress() ? left.getOrDefault(o.task(), run) : run));
-                fate.started.putIfAbsent(o.task(), now);
-            } else if (o instanceof WorkerCommand.Stop) {
-                box.stopping.add(o.task());
+                box.tasks.put(
+                        command, now + (fate.spec.savesProgress() ? left.getOrDefault(command.task(), run) : run));
+                fate.started.putIfAbsent(command.task(), now);
+            } else if (command instanceof WorkerCommand.Stop) {
+                box.stopping.add(command.task());
             }
         }
     }
 
     @Override
-    public void progress(Job job) {}
+    public void taskCompleted(Job job) {}
 
     @Override
-    public void say(String line) {}
+    public void log(String line) {}
 }
--- a/src/test/java/io/indigoreach/core/scheduling/DelayedHeartbeats.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DelayedHeartbeats.java
@@ -20,11 +20,11 @@
     }
 
     /** Sent while the leader with this token led. */
-    void keep(Heartbeat report, long token) {
+    void keep(Heartbeat heartbeat, long token) {
         if (kept.size() == MOST) {
             kept.remove(random.nextInt(MOST));
         }
-        kept.add(new Kept(report, token));
+        kept.add(new Kept(heartbeat, token));
     }
 
     /** Hands some of the earlier leaders' to the one with this token, in any order; half of those go to a later one as well. */
--- a/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
@@ -138,7 +138,7 @@
         List<JobId> listed = new ArrayList<>(open());
         Collections.shuffle(listed, random);
         listed.forEach(id -> leader.addJob(job(id, true)));
-        leader.loaded();
+        leader.recordsLoaded();
     }
 
     private void hear() {
@@ -148,13 +148,13 @@
     }
 
     private void work() {
-        leader.chains().advance(SimulatedWorld.at(step / 10.0), step * 100L);
-        for (JobId id : Set.copyOf(leader.chains().lookUps())) {
+        leader.dependentJobs().advance(SimulatedWorld.at(step / 10.0), step * 100L);
+        for (JobId id : Set.copyOf(leader.dependentJobs().lookUps())) {
             if (random.nextDouble() < 0.5 && ends.containsKey(id)) {
                 answer(id);
             }
         }
-        for (JobId id : Set.copyOf(leader.chains().doomed())) {
+        for (JobId id : Set.copyOf(leader.dependentJobs().doomed())) {
             if (random.nextDouble() < 0.3) {
                 end(id, JobStatus.CANCELLED);
                 acknowledge(id);
@@ -183,10 +183,10 @@
 
     private void answer(JobId id) {
         if (ends.get(id) == JobStatus.DONE) {
-            leader.chains().done(id);
+            leader.dependentJobs().done(id);
             leader.closeJob(id);
         } else {
-            leader.chains().cancelled(id);
+            leader.dependentJobs().cancelled(id);
             leader.cancelJob(id);
         }
     }
--- a/src/test/java/io/indigoreach/core/scheduling/DependentJobsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependentJobsTest.java
@@ -21,7 +21,7 @@
     private final SimulatedWorld world = new SimulatedWorld(SimulatedWorld.team(4));
 
     DependentJobsTest() {
-        world.core.loaded();
+        world.core.recordsLoaded();
     }
 
     private static JobSpec chained(int id, JobSpec... needs) {
@@ -55,7 +55,7 @@
     }
 
     private void advance(double at) {
-        world.core.chains().advance(SimulatedWorld.at(at), Math.round(at * 1000));
+        world.core.dependentJobs().advance(SimulatedWorld.at(at), Math.round(at * 1000));
     }
 
     /** Its need's tasks are all done, and the leader knows it: not before that end is recorded does anything of it move. */
@@ -70,19 +70,19 @@
         assertEquals(List.of("run-1/0", "run-1/1"), SimulatedWorld.starts(started));
         advance(30);
         TaskStatus[] ended = started.stream()
-                .map(o -> SimulatedWorld.exited(o, ExitCause.DONE))
+                .map(command -> SimulatedWorld.exited(command, ExitCause.DONE))
                 .toArray(TaskStatus[]::new);
         assertEquals(List.of(), SimulatedWorld.starts(world.hear("vm-1", 30, ended)));
         assertTrue(first.isComplete());
         advance(31);
-        assertEquals(0, waiting.waiting() + waiting.startable());
-        assertFalse(waiting.hasOrderable() || waiting.hasWaiting());
-        assertEquals(List.of(), world.core.wishes(SimulatedWorld.at(31)));
-        assertTrue(world.core.boundsToRaise(SimulatedWorld.at(31)).stream().noneMatch(waiting::equals));
+        assertEquals(0, waiting.waitingCount() + waiting.startableCount());
+        assertFalse(waiting.isWithinStartBound() || waiting.hasWaiting());
+        assertEquals(List.of(), world.core.scaleOutRequests(SimulatedWorld.at(31)));
+        assertTrue(world.core.startBoundsToRaise(SimulatedWorld.at(31)).stream().noneMatch(waiting::equals));
         world.core.closeJob(need.id());
         advance(40);
         assertEquals(List.of("run-2/0", "run-2/1"), SimulatedWorld.starts(world.hear("vm-1", 41)));
-        assertEquals(SimulatedWorld.at(40), waiting.arrived);
+        assertEquals(SimulatedWorld.at(40), waiting.eligibleSince);
         assertEquals(SimulatedWorld.at(300), waiting.dueAt());
         assertEquals(40_000, waiting.spec().chain().releasedMs(), "its next record tells a later leader");
     }
@@ -104,15 +104,15 @@
         Job begun = new Job(chained(3, need), 5_000, SimulatedWorld.at(5), new Revision(1), one, 2, true);
         Job seen = new Job(chained(4, need), 5_000, SimulatedWorld.at(5), new Revision(1), new BitSet(), 2, true);
         List.of(marked, begun).forEach(world.core::addJob);
-        assertEquals(SimulatedWorld.at(25), marked.arrived);
+        assertEquals(SimulatedWorld.at(25), marked.eligibleSince);
         assertTrue(marked.hasWaiting() && begun.hasWaiting());
-        assertTrue(world.core.chains().lookUps().isEmpty());
+        assertTrue(world.core.dependentJobs().lookUps().isEmpty());
         world.core.addJob(seen);
-        assertEquals(1, world.core.chains().lookUps().size());
+        assertEquals(1, world.core.dependentJobs().lookUps().size());
         world.up("vm-1", "east", 0);
         world.hear("vm-1", 30, SimulatedWorld.foreign("run-4/0", 9));
         advance(31);
-        assertTrue(seen.hasWaiting() && world.core.chains().lookUps().isEmpty());
+        assertTrue(seen.hasWaiting() && world.core.dependentJobs().lookUps().isEmpty());
     }
 
     /** A reading of the records that is repeated says nothing of how any job ended. */
@@ -125,7 +125,7 @@
         world.core.addJob(waiting);
         advance(1);
         assertFalse(waiting.hasWaiting());
-        assertEquals(1, world.core.chains().lookUps().size());
+        assertEquals(1, world.core.dependentJobs().lookUps().size());
     }
 
     @Test
--- a/src/test/java/io/indigoreach/core/scheduling/FailoverTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FailoverTest.java
@@ -33,7 +33,7 @@
     private final SimulatedWorld w = new SimulatedWorld();
 
     private void inheritMachine(String name) {
-        w.core.inherit(new MachineId(name), new MachinePool("quad", "east", true), at(-100), at(0), at(0));
+        w.core.inheritMachine(new MachineId(name), new MachinePool("quad", "east", true), at(-100), at(0), at(0));
     }
 
     @Test
@@ -41,11 +41,11 @@
         inheritMachine("a");
         inheritMachine("b");
         w.inherited(spec(1, 2, 1, 50));
-        w.core.loaded();
+        w.core.recordsLoaded();
         assertEquals(List.of(), starts(w.hear("a", 1)), "b may hold both tasks");
         assertEquals(
                 List.of(),
-                starts(w.core.onReport(w.report("b", "east", 1, new FencingToken(4)), at(2))),
+                starts(w.core.onHeartbeat(w.report("b", "east", 1, new FencingToken(4)), at(2))),
                 "a list from before the token was seen can be overtaken by a late order of the old leader");
         assertEquals(List.of("run-1/1"), starts(w.hear("b", 3, foreign("run-1/0", 7))));
     }
@@ -55,7 +55,7 @@
         inheritMachine("a");
         inheritMachine("b");
         w.inherited(spec(1, 1, 1, 50));
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.hear("a", 1);
         w.core.expireLeases(at(12.1));
         assertEquals(List.of(), starts(w.hear("a", 12.1)));
@@ -69,7 +69,7 @@
     void aJobThatIsReadAfterTheTakeOverWaitsForStrangersToGo(boolean stays, String first) {
         inheritMachine("a");
         inheritMachine("b");
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.hear("a", 1);
         assertEquals(1, stops(w.hear("b", 1, foreign("run-1/0", 7))).size());
         w.inherited(spec(1, 2, 1, 50));
@@ -84,7 +84,7 @@
     void aJobAcceptedAfterTheTakeOverNeedNotWait() {
         inheritMachine("a");
         inheritMachine("b");
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.submit(spec(1, 1, 1, 50), 1);
         assertEquals(List.of("run-1/0"), starts(w.hear("a", 2)));
     }
@@ -92,9 +92,9 @@
     @Test
     void underALimitEvenNewJobsWaitForTheWholePicture() {
         SimulatedWorld limited = new SimulatedWorld(SimulatedWorld.team(4));
-        limited.core.inherit(new MachineId("a"), new MachinePool("quad", "east", true), at(-100), at(0), at(0));
-        limited.core.inherit(new MachineId("b"), new MachinePool("quad", "east", true), at(-100), at(0), at(0));
-        limited.core.loaded();
+        limited.core.inheritMachine(new MachineId("a"), new MachinePool("quad", "east", true), at(-100), at(0), at(0));
+        limited.core.inheritMachine(new MachineId("b"), new MachinePool("quad", "east", true), at(-100), at(0), at(0));
+        limited.core.recordsLoaded();
         limited.submit(spec(1, 1, 1, 50), 1);
         assertEquals(List.of(), starts(limited.hear("a", 2)));
     }
@@ -103,7 +103,7 @@
     @Test
     void underALimitNothingStartsBesideTasksOfUnknownJobs() {
         SimulatedWorld limited = new SimulatedWorld(SimulatedWorld.team(4));
-        limited.core.loaded();
+        limited.core.recordsLoaded();
         limited.up("a", "east", 0);
         limited.submit(spec(1, 1, 1, 50), 1);
         assertEquals(List.of(), starts(limited.hear("a", 2, foreign("run-9/0", 7))));
@@ -119,7 +119,7 @@
 
     @Test
     void aMachineThatIsNotRecordedGetsNoTasks() {
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.submit(spec(1, 1, 1, 50), 0);
         w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("x")), at(0), at(0));
         assertEquals(List.of(), starts(w.hear("x", 1)), "a later leader would not wait for its report");
@@ -130,40 +130,40 @@
     /** Two machines that never came up held a whole queue back for 24 s (incident inc-e504): they need no record. */
     @Test
     void onlyAMachineThatHasReportedIsToBeRecorded() {
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.core.rented(
                 new MachinePool("quad", "east", true), List.of(new MachineId("a"), new MachineId("b")), at(0), at(0));
         w.submit(spec(1, 1, 1, 50), 0);
         assertNull(w.core.unrecorded(new MachineId("a")));
         Heartbeat first = w.report("a", "east", 1, SimulatedWorld.TOKEN);
-        assertEquals(List.of(), starts(w.core.onReport(first, at(20))));
+        assertEquals(List.of(), starts(w.core.onHeartbeat(first, at(20))));
         assertNotNull(w.core.unrecorded(new MachineId("a")));
         assertNull(w.core.unrecorded(new MachineId("b")));
         w.core.recorded(new MachineId("a"));
-        assertEquals(List.of("run-1/0"), starts(w.core.fill(new MachineId("a"), first.number(), at(20))));
+        assertEquals(List.of("run-1/0"), starts(w.core.startTasks(new MachineId("a"), first.number(), at(20))));
     }
 
     @Test
     void aRecordThatCameTooLateGivesNoOrdersToAnOldReport() {
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.submit(spec(1, 1, 1, 50), 0);
         Heartbeat first = w.report("a", "east", 1, SimulatedWorld.TOKEN);
-        w.core.onReport(first, at(20));
+        w.core.onHeartbeat(first, at(20));
         w.hear("a", 22);
         w.core.recorded(new MachineId("a"));
-        assertEquals(List.of(), w.core.fill(new MachineId("a"), first.number(), at(23)));
+        assertEquals(List.of(), w.core.startTasks(new MachineId("a"), first.number(), at(23)));
     }
 
     @Test
     void aStartWhoseAnswerWasLostIsGivenAgainOnlyAfterANewerReport() {
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.up("b", "east", 0);
         w.submit(spec(1, 1, 4, 50), 0);
         Heartbeat stale = w.report("a", "east", 1, SimulatedWorld.TOKEN);
         List<WorkerCommand> first = w.hear("a", 1);
         assertEquals(List.of("run-1/0"), starts(first));
-        assertEquals(List.of(), w.core.onReport(stale, at(1.5)), "an older report shows nothing");
+        assertEquals(List.of(), w.core.onHeartbeat(stale, at(1.5)), "an older report shows nothing");
         assertEquals(List.of(), starts(w.hear("b", 2)));
         List<WorkerCommand> second = w.hear("a", 3);
         assertEquals(List.of("run-1/0"), starts(second));
@@ -172,32 +172,32 @@
 
     @Test
     void aNewSessionHasNoneOfTheOldTasks() {
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.up("b", "east", 0);
         w.submit(spec(1, 1, 4, 50), 0);
         WorkerCommand start = w.hear("a", 1).get(0);
         w.hear("a", 2, running(start));
         assertEquals(
-                List.of("run-1/0"), starts(w.core.onReport(w.report("a", "east", 2, SimulatedWorld.TOKEN), at(9))));
+                List.of("run-1/0"), starts(w.core.onHeartbeat(w.report("a", "east", 2, SimulatedWorld.TOKEN), at(9))));
     }
 
     @Test
     void aNewerLeadersTokenEndsThisLeadership() {
-        w.core.loaded();
-        assertNull(w.core.onReport(w.report("a", "east", 1, new FencingToken(6)), at(1)));
+        w.core.recordsLoaded();
+        assertNull(w.core.onHeartbeat(w.report("a", "east", 1, new FencingToken(6)), at(1)));
     }
 
     @Test
     void aResultIsForgottenByTheWorkerOnlyOnceRecorded() {
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         Job job = w.submit(spec(1, 2, 1, 50), 0);
         List<WorkerCommand> orders = w.hear("a", 1);
         List<WorkerCommand> before = w.hear("a", 2, exited(orders.get(0), ExitCause.DONE), running(orders.get(1)));
         assertEquals(List.of(), before);
         assertEquals(List.of(job), w.progressed);
-        job.recorded(job.doneTasks());
+        job.completionsRecorded(job.completedTasks());
         assertTrue(
                 w.hear("a", 3, exited(orders.get(0), ExitCause.DONE), running(orders.get(1)))
                                 .get(0)
@@ -206,7 +206,7 @@
 
     @Test
     void aTaskReportedFromTwoMachinesIsStoppedOnTheSecond() {
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.up("b", "east", 0);
         w.submit(spec(1, 1, 4, 50), 0);
@@ -217,7 +217,7 @@
 
     @Test
     void tasksOfACancelledJobAreStoppedAndCountUntilTheyAreGone() {
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         Job job = w.submit(spec(1, 1, 4, 50), 0);
         WorkerCommand start = w.hear("a", 1).get(0);
@@ -235,34 +235,36 @@
         inheritMachine("a");
         inheritMachine("b");
         w.inherited(spec(1, 1, 1, 50));
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.hear("a", 1);
         List<ListedMachine> list = List.of(new ListedMachine(
                 new MachineId("a"),
                 new MachinePool("quad", "east", true),
                 ListedMachine.Status.RUNNING,
                 Span.seconds(100)));
-        w.core.onList(list, at(2), at(2));
-        w.core.onList(list, at(6), at(6));
+        w.core.onMachineListing(list, at(2), at(2));
+        w.core.onMachineListing(list, at(6), at(6));
         assertEquals(List.of(), starts(w.hear("a", 6.5)), "these lists may describe a time before b was rented");
-        w.core.onList(list, at(7.5), at(7.5));
-        w.core.onList(list, at(9), at(9));
+        w.core.onMachineListing(list, at(7.5), at(7.5));
+        w.core.onMachineListing(list, at(9), at(9));
         assertEquals(List.of("run-1/0"), starts(w.hear("a", 9.5)));
     }
 
     /** A leader that only the workers cannot reach keeps its lease: it has to notice by itself, and hand over. */
     @Test
     void aLeaderThatHearsNoneOfSeveralMachinesIsDeaf() {
-        w.core.loaded();
+        w.core.recordsLoaded();
         for (String name : List.of("a", "b", "c")) {
             w.up(name, "east", 0);
             w.hear(name, 20);
         }
-        assertEquals(false, w.core.isDeaf(at(24)));
+        assertEquals(false, w.core.isCutOffFromWorkers(at(24)));
         assertEquals(
-                true, w.core.isDeaf(at(25)), "as soon as one would be called silent: workers' leases run meanwhile");
+                true,
+                w.core.isCutOffFromWorkers(at(25)),
+                "as soon as one would be called silent: workers' leases run meanwhile");
         w.hear("b", 24.5);
-        assertEquals(false, w.core.isDeaf(at(25)));
+        assertEquals(false, w.core.isCutOffFromWorkers(at(25)));
     }
 
     /** A new leader gave up before workers that were with one that stood still could have come to it. */
@@ -270,20 +272,20 @@
     @CsvSource({"6.4, false", "6.6, true"})
     void aNewLeaderIsDeafOnlyWhenMachinesCouldHaveFoundIt(double seconds, boolean deaf) {
         for (String name : List.of("a", "b", "c")) {
-            w.core.inherit(new MachineId(name), new MachinePool("quad", "east", true), at(-90), at(-90), at(0));
+            w.core.inheritMachine(new MachineId(name), new MachinePool("quad", "east", true), at(-90), at(-90), at(0));
         }
-        w.core.loaded();
-        assertEquals(deaf, w.core.isDeaf(at(seconds)));
+        w.core.recordsLoaded();
+        assertEquals(deaf, w.core.isCutOffFromWorkers(at(seconds)));
     }
 
     @Test
     void aReturnedMachineIsNotTakenOnAgainFromALateReportOrList() {
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.hear("a", 1);
         w.core.returned(List.of(new MachineId("a")), at(2));
         w.hear("a", 3);
-        w.core.onList(
+        w.core.onMachineListing(
                 List.of(new ListedMachine(
                         new MachineId("a"),
                         new MachinePool("quad", "east", true),
@@ -308,8 +310,8 @@
         inheritMachine("b");
         Job job = w.inherited(
                 SimulatedWorld.with(spec(1, 4, 1, 50), Urgency.STANDARD, oneZone, false, true, null, 0), bound);
-        w.core.loaded();
-        job.boundRecorded(4);
+        w.core.recordsLoaded();
+        job.startBoundRecorded(4);
         assertEquals(started, String.join(" ", starts(w.hear("a", 1))), "b may hold those below the bound");
         w.hear("b", 2);
         assertEquals(4, starts(w.hear("b", 3)).size() + (started.isEmpty() ? 0 : started.split(" ").length));
@@ -318,15 +320,15 @@
     /** A start goes out only under a bound that is recorded; what was asked for and not answered does not count. */
     @Test
     void nothingIsOrderedBeyondTheRecordedBound() {
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         Job job = new Job(spec(1, 9, 1, 50), 1, at(0), new Revision(1), new java.util.BitSet(), 0, false);
         w.core.addJob(job);
-        assertEquals(List.of(job), w.core.boundsToRaise(at(1)));
+        assertEquals(List.of(job), w.core.startBoundsToRaise(at(1)));
         assertEquals(List.of(), starts(w.hear("a", 1)));
-        int asked = job.boundToWrite();
+        int asked = job.startBoundToWrite();
         assertEquals(List.of(), starts(w.hear("a", 2)), "its write has no answer yet");
-        job.boundRecorded(asked);
+        job.startBoundRecorded(asked);
         assertEquals(4, starts(w.hear("a", 3)).size());
         assertEquals(8, asked, "what the machine takes now, and once more");
     }
@@ -335,7 +337,7 @@
     @Test
     void halfAFleetBehindACutDoesNotHoldUpTheOther() {
         for (int i = 0; i < 2000; i++) {
-            w.core.inherit(
+            w.core.inheritMachine(
                     new MachineId("m" + i),
                     new MachinePool("quad", i % 2 == 0 ? "east" : "west", true),
                     at(-100),
@@ -343,17 +345,18 @@
                     at(0));
         }
         w.inherited(spec(1, 4000, 1, 50), 4000);
-        w.inherited(spec(2, 4000, 1, 50), 0).boundRecorded(4000);
-        w.core.loaded();
+        w.inherited(spec(2, 4000, 1, 50), 0).startBoundRecorded(4000);
+        w.core.recordsLoaded();
         int starts = 0;
         for (int i = 0; i < 2000; i += 2) {
             starts += starts(w.hear("m" + i, 1 + i / 2000.0)).size();
         }
         assertEquals(4000, starts, "of the job that nobody had begun");
-        w.core.check(at(9));
-        assertEquals(0, w.core.leaving(9).size());
+        w.core.planScaleIn(at(9));
+        assertEquals(0, w.core.machinesToReturn(9).size());
         for (int i = 1; i < 2000; i += 2) {
-            starts += starts(w.core.onReport(w.report("m" + i, "west", 1, SimulatedWorld.TOKEN), at(10 + i / 2000.0)))
+            starts += starts(
+                            w.core.onHeartbeat(w.report("m" + i, "west", 1, SimulatedWorld.TOKEN), at(10 + i / 2000.0)))
                     .size();
         }
         assertEquals(4004, starts, "the last report settles the take-over, and what it asked for can be started");
@@ -365,7 +368,7 @@
      */
     @Test
     void aListOlderThanTheOneBeforeChangesNothing() {
-        w.core.loaded();
+        w.core.recordsLoaded();
         List<MachineId> ids = IntStream.range(0, 2000)
                 .mapToObj(i -> new MachineId("m" + (10_000 + i)))
                 .toList();
@@ -373,7 +376,7 @@
         w.core.returned(ids.subList(0, 500), at(100));
         w.core.rented(new MachinePool("quad", "east", true), ids.subList(1500, 2000), at(100), at(100));
         for (double asked : new double[] {101, 102, 103}) {
-            w.core.onList(
+            w.core.onMachineListing(
                     ids.subList(0, 1500).stream()
                             .map(id -> new ListedMachine(
                                     id,
@@ -386,20 +389,20 @@
         }
         assertEquals(1500, w.core.machineCount());
         assertTrue(ids.subList(500, 2000).stream().allMatch(w.core::knows));
-        w.core.onList(List.of(), at(108), at(108));
-        w.core.onList(List.of(), at(109), at(109));
+        w.core.onMachineListing(List.of(), at(108), at(108));
+        w.core.onMachineListing(List.of(), at(109), at(109));
         assertEquals(0, w.core.machineCount(), "absence of more than twice the lag, twice, is proof");
     }
 
     /** The water kiosks' replicas were down longer: what nobody had ordered took their places before all was known. */
     @Test
     void untouchedWorkLeavesRoomForReplicasThatMayBeNowhere() {
-        w.core.inherit(new MachineId("o"), new MachinePool("quad", "east", false), at(-100), at(0), at(0));
+        w.core.inheritMachine(new MachineId("o"), new MachinePool("quad", "east", false), at(-100), at(0), at(0));
         inheritMachine("a");
         inheritMachine("b");
         w.inherited(SimulatedWorld.service(1, 2), 2);
-        w.inherited(spec(2, 9, 1, 50), 0).boundRecorded(9);
-        w.core.loaded();
+        w.inherited(spec(2, 9, 1, 50), 0).startBoundRecorded(9);
+        w.core.recordsLoaded();
         assertEquals(List.of(), starts(w.hearOrdinary("o", 1)), "the replicas may go nowhere else");
         assertEquals(4, starts(w.hear("a", 1)).size(), "here they may not run");
         w.hear("b", 2);
--- a/src/test/java/io/indigoreach/core/scheduling/FailureDetectorTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FailureDetectorTest.java
@@ -24,13 +24,13 @@
     @CsvSource({"1, 4, 0", "1, 5, 1", "2, 5, 2", "3, 5, 0", "8, 5, 0"})
     void silentMachinesAreReturnedUnlessManyAre(int silent, double seconds, int returned) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         List<TaskStatus[]> tasks = fleet(w);
         for (int i = silent; i < 8; i++) {
             w.hearOrdinary("m" + i, 10 + seconds, tasks.get(i));
         }
-        w.core.check(at(10 + seconds));
-        assertEquals(returned, w.core.leaving(9).size());
+        w.core.planScaleIn(at(10 + seconds));
+        assertEquals(returned, w.core.machinesToReturn(9).size());
     }
 
     private static List<TaskStatus[]> fleet(SimulatedWorld w) {
@@ -51,29 +51,29 @@
     @CsvSource({"14.9, 0", "10, 2"})
     void aLeaderThatStoodStillDoubtsItselfFirst(double awake, int returned) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         List<TaskStatus[]> tasks = fleet(w);
-        w.core.awakeSince(at(awake));
-        assertEquals(returned > 0, w.core.isDeaf(at(16.1)), "nothing heard since 10 s");
+        w.core.setAwakeSince(at(awake));
+        assertEquals(returned > 0, w.core.isCutOffFromWorkers(at(16.1)), "nothing heard since 10 s");
         for (int i = 2; i < 8; i++) {
             w.hearOrdinary("m" + i, 15, tasks.get(i));
         }
-        w.core.check(at(15));
-        assertEquals(returned, w.core.leaving(9).size());
+        w.core.planScaleIn(at(15));
+        assertEquals(returned, w.core.machinesToReturn(9).size());
     }
 
     /** What was on it starts elsewhere once the return is answered, not before: it may still be running. */
     @Test
     void aReplicaStartsElsewhereOnlyOnceTheReturnIsAnswered() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         List<TaskStatus[]> tasks = fleet(w);
         for (int i = 1; i < 8; i++) {
             w.hearOrdinary("m" + i, 15, tasks.get(i));
         }
-        w.core.check(at(15));
+        w.core.planScaleIn(at(15));
         assertEquals(0, starts(w.hearOrdinary("m1", 15.5, tasks.get(1))).size());
-        w.core.returned(w.core.leaving(9), at(16));
+        w.core.returned(w.core.machinesToReturn(9), at(16));
         assertEquals(List.of("run-0/0"), starts(w.hearOrdinary("m1", 16.5, tasks.get(1))));
     }
 
@@ -86,30 +86,34 @@
     void machinesBehindACutAreKept(int cut, double seconds, int returned) {
         SimulatedWorld w = new SimulatedWorld();
         for (int i = 0; i < 8; i++) {
-            w.core.inherit(new MachineId("e" + i), new MachinePool("quad", "east", true), at(-90), at(-90), at(0));
-            w.core.inherit(new MachineId("w" + i), new MachinePool("quad", "west", true), at(-90), at(-90), at(0));
+            w.core.inheritMachine(
+                    new MachineId("e" + i), new MachinePool("quad", "east", true), at(-90), at(-90), at(0));
+            w.core.inheritMachine(
+                    new MachineId("w" + i), new MachinePool("quad", "west", true), at(-90), at(-90), at(0));
         }
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.submit(SimulatedWorld.spec(1, 400, 1, 500), 0);
         for (double t = 1; t <= seconds; t++) {
             for (int i = 0; i < 8; i++) {
                 w.hear("e" + i, t);
                 if (i >= cut) {
-                    w.core.onReport(w.report("w" + i, "west", 1, SimulatedWorld.TOKEN), at(t));
+                    w.core.onHeartbeat(w.report("w" + i, "west", 1, SimulatedWorld.TOKEN), at(t));
                 }
             }
             w.core.expireLeases(at(t));
-            w.core.check(at(t));
+            w.core.planScaleIn(at(t));
             if (t == 20 && cut == 8) {
                 assertEquals(
                         Set.of("east"),
-                        w.core.wishes(at(t)).stream().map(r -> r.pool().zone()).collect(Collectors.toSet()),
+                        w.core.scaleOutRequests(at(t)).stream()
+                                .map(r -> r.pool().zone())
+                                .collect(Collectors.toSet()),
                         "what is rented behind the cut cannot be reached");
             }
         }
         assertEquals(
                 returned,
-                w.core.leaving(99).stream()
+                w.core.machinesToReturn(99).stream()
                         .filter(id -> id.toString().startsWith("w"))
                         .count());
     }
@@ -120,13 +124,13 @@
     void machinesSilentSinceATakeOverAreReturned(int machines, int dead, double seconds, int returned) {
         SimulatedWorld w = new SimulatedWorld();
         for (int i = 0; i < machines; i++) {
-            w.core.inherit(new MachineId("m" + i), new MachinePool("quad", "east", true), at(0), at(0), at(0));
+            w.core.inheritMachine(new MachineId("m" + i), new MachinePool("quad", "east", true), at(0), at(0), at(0));
         }
-        w.core.loaded();
+        w.core.recordsLoaded();
         for (int i = dead; i < machines; i++) {
             w.hear("m" + i, seconds);
         }
-        w.core.check(at(seconds));
-        assertEquals(returned, w.core.leaving(9).size());
+        w.core.planScaleIn(at(seconds));
+        assertEquals(returned, w.core.machinesToReturn(9).size());
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/FleetCostTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FleetCostTest.java
@@ -32,14 +32,16 @@
     void reportsDoNotWalkTheFleet(int machines) {
         SimulatedWorld w = new SimulatedWorld();
         Map<String, TaskStatus[]> tasks = busy(w, machines);
-        long before = w.core.visits();
+        long before = w.core.machineVisits();
         int stops = 0;
         for (int i = 0; i < machines; i++) {
             stops += SimulatedWorld.stops(w.hear("m" + i, 40 + 0.9 * i / machines, tasks.get("m" + i)))
                     .size();
         }
         assertTrue(stops > machines / 2, stops + " tasks make room");
-        assertTrue(w.core.visits() - before <= 10L * machines, (w.core.visits() - before) + " machines looked at");
+        assertTrue(
+                w.core.machineVisits() - before <= 10L * machines,
+                (w.core.machineVisits() - before) + " machines looked at");
     }
 
     /** The same where another team waits for its guarantee: each report walked all machines to see what comes free. */
@@ -70,25 +72,27 @@
                         Span.ZERO,
                         null),
                 3);
-        long before = w.core.visits();
+        long before = w.core.machineVisits();
         int stops = 0;
         for (int i = 0; i < machines; i++) {
             stops += SimulatedWorld.stops(w.hear("m" + i, 5 + 0.9 * i / machines, tasks.get("m" + i)))
                     .size();
         }
         assertTrue(stops >= machines, stops + " tasks make room");
-        assertTrue(w.core.visits() - before <= 10L * machines, (w.core.visits() - before) + " machines looked at");
+        assertTrue(
+                w.core.machineVisits() - before <= 10L * machines,
+                (w.core.machineVisits() - before) + " machines looked at");
     }
 
     /** The fleet runs tasks that keep their progress, and urgent work waits that could take their place. */
     private static Map<String, TaskStatus[]> busy(SimulatedWorld w, int machines) {
         Map<String, TaskStatus[]> all = new HashMap<>();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.submit(with(spec(1, 2 * machines, 2, 100), Urgency.BEST_EFFORT, false, false, true, null, 5), 0);
         for (int i = 0; i < machines; i++) {
             w.up("m" + i, "east", 0);
             List<TaskStatus> tasks = new ArrayList<>();
-            w.hear("m" + i, 1).forEach(o -> tasks.add(running(o)));
+            w.hear("m" + i, 1).forEach(command -> tasks.add(running(command)));
             all.put("m" + i, tasks.toArray(TaskStatus[]::new));
             w.hear("m" + i, 2, all.get("m" + i));
         }
@@ -101,10 +105,10 @@
     void aTakeOverOfAWholeFleetSettlesWithItsLastReport() {
         SimulatedWorld w = new SimulatedWorld();
         for (int i = 0; i < 500; i++) {
-            w.core.inherit(new MachineId("m" + i), new MachinePool("quad", "east", true), at(0), at(0), at(0));
+            w.core.inheritMachine(new MachineId("m" + i), new MachinePool("quad", "east", true), at(0), at(0), at(0));
         }
         w.inherited(spec(1, 3000, 1, 20));
-        w.core.loaded();
+        w.core.recordsLoaded();
         for (int i = 0; i < 499; i++) {
             assertEquals(0, SimulatedWorld.starts(w.hear("m" + i, 1)).size());
         }
--- a/src/test/java/io/indigoreach/core/scheduling/FloodMemoryTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FloodMemoryTest.java
@@ -36,7 +36,7 @@
 
     @Test
     void anHourOfSingleTasksLeavesNothingBehind() throws Exception {
-        w.core.loaded();
+        w.core.recordsLoaded();
         for (int m = 0; m < MACHINES; m++) {
             machines.add(new HashMap<>());
             w.up("m" + m, "east", 0);
@@ -54,8 +54,8 @@
             closeDone();
             if (step % 20 == 0) {
                 w.core.expireLeases(SimulatedWorld.at(now));
-                w.core.wishes(SimulatedWorld.at(now));
-                w.core.check(SimulatedWorld.at(now));
+                w.core.scaleOutRequests(SimulatedWorld.at(now));
+                w.core.planScaleIn(SimulatedWorld.at(now));
             }
             afterAThird = step == 4800 ? reachable(w.core) : afterAThird;
         }
@@ -89,17 +89,17 @@
 
     private void report(int m, double now) {
         Map<TaskId, TaskStatus> tasks = machines.get(m);
-        tasks.replaceAll((id, t) -> t.state() != TaskState.EXITED && now >= ends.get(id)
-                ? new TaskStatus(id, t.attempt(), TaskState.EXITED, ExitCause.DONE, false)
-                : t);
-        for (WorkerCommand o : w.hear("m" + m, now, tasks.values().toArray(TaskStatus[]::new))) {
-            if (o instanceof WorkerCommand.Start) {
-                tasks.put(o.task(), SimulatedWorld.running(o));
-                ends.put(o.task(), now + RUN_S);
-            } else if (o instanceof WorkerCommand.Stop) {
-                tasks.put(o.task(), SimulatedWorld.exited(o, ExitCause.STOPPED));
+        tasks.replaceAll((id, status) -> status.state() != TaskState.EXITED && now >= ends.get(id)
+                ? new TaskStatus(id, status.attempt(), TaskState.EXITED, ExitCause.DONE, false)
+                : status);
+        for (WorkerCommand command : w.hear("m" + m, now, tasks.values().toArray(TaskStatus[]::new))) {
+            if (command instanceof WorkerCommand.Start) {
+                tasks.put(command.task(), SimulatedWorld.running(command));
+                ends.put(command.task(), now + RUN_S);
+            } else if (command instanceof WorkerCommand.Stop) {
+                tasks.put(command.task(), SimulatedWorld.exited(command, ExitCause.STOPPED));
             } else {
-                tasks.remove(o.task());
+                tasks.remove(command.task());
             }
         }
     }
@@ -107,7 +107,7 @@
     private void closeDone() {
         for (Job job : List.copyOf(w.core.jobs())) {
             if (job.isComplete()) {
-                job.recorded(job.doneTasks());
+                job.completionsRecorded(job.completedTasks());
                 w.core.closeJob(job.id());
                 finished++;
             }
--- a/src/test/java/io/indigoreach/core/scheduling/GatedTasksTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/GatedTasksTest.java
@@ -48,25 +48,25 @@
     void areNotThereForWhoeverStartsReservesOrRents() {
         Job job = job(PLAIN.with(JobSpec.RECORDS, Map.of("ids", List.of("a/1"))));
         assertFalse(job.hasWaiting(), "nothing is known of its records yet");
-        assertEquals(0, job.startable());
+        assertEquals(0, job.startableCount());
         BitSet held = new BitSet();
         held.set(0, 2);
         held.set(4);
-        job.withhold(held);
-        assertEquals(List.of(3, 3, 2), List.of(job.waiting(), job.startable(), job.nextStartable()));
+        job.gate(held);
+        assertEquals(List.of(3, 3, 2), List.of(job.waitingCount(), job.startableCount(), job.nextStartable()));
         assertEquals(JobStatus.PENDING, job.status());
         job.complete(2);
-        job.withhold(new BitSet());
-        assertEquals(List.of(5, 0), List.of(job.waiting(), job.nextStartable()));
+        job.gate(new BitSet());
+        assertEquals(List.of(5, 0), List.of(job.waitingCount(), job.nextStartable()));
         assertTrue(job.hasWaiting());
         held.set(0, 6);
-        job.withhold(held);
+        job.gate(held);
         assertFalse(job.isComplete(), "held tasks are not done");
         assertFalse(job.hasWaiting());
     }
 
     @Test
     void otherJobsHaveNone() {
-        assertEquals(6, job(PLAIN).startable());
+        assertEquals(6, job(PLAIN).startableCount());
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/InheritedRequestsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/InheritedRequestsTest.java
@@ -23,7 +23,7 @@
     @Test
     void aMachineIsOfThePoolThatItReports() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.core.rented(new MachinePool("quad", "east", false), List.of(new MachineId("a")), at(0), at(0));
         w.core.recorded(new MachineId("a"));
         w.submit(with(spec(1, 4, 1, 50), Urgency.STANDARD, false, false, false, null, 0), 1);
@@ -41,22 +41,22 @@
         SimulatedWorld w = new SimulatedWorld();
         MachineId id = new MachineId("a");
         if (recorded) {
-            w.core.inherit(id, new MachinePool("quad", "east", true), at(0), at(0), at(0));
+            w.core.inheritMachine(id, new MachinePool("quad", "east", true), at(0), at(0), at(0));
         }
-        w.core.condemn(List.of(id), at(0));
-        w.core.loaded();
+        w.core.inheritReturns(List.of(id), at(0));
+        w.core.recordsLoaded();
         w.submit(spec(1, 4, 1, 50), 1);
         assertEquals(List.of(), starts(w.hear("a", 2)));
-        w.core.onList(
+        w.core.onMachineListing(
                 List.of(new ListedMachine(
                         id, new MachinePool("quad", "east", true), ListedMachine.Status.RUNNING, Span.seconds(9))),
                 at(2),
                 at(3));
         w.core.rented(new MachinePool("quad", "east", true), List.of(id), at(0), at(3));
         assertEquals(List.of(), starts(w.hear("a", 4)));
-        assertEquals(List.of(id), w.core.leaving(9), "its return is finished");
+        assertEquals(List.of(id), w.core.machinesToReturn(9), "its return is finished");
         w.core.returned(List.of(id), at(5));
-        assertTrue(w.core.leaving(9).isEmpty() && w.core.isSettled());
+        assertTrue(w.core.machinesToReturn(9).isEmpty() && w.core.isFailoverComplete());
         assertEquals(List.of(), starts(w.hear("a", 6)), "a late report");
     }
 }
