--- a/src/test/java/io/indigoreach/core/scheduling/LateHeartbeatCopyTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/LateHeartbeatCopyTest.java
@@ -47,24 +47,24 @@
     void raiseNoDeadMachine(String when, boolean known) {
         SimulatedWorld w = new SimulatedWorld();
         w.up(A.text(), "east", 0);
-        w.core.loaded();
+        w.core.recordsLoaded();
         Job job = w.submit(spec(1, 1, 1, 500), 0);
         List<WorkerCommand> orders = w.hear(A.text(), 1);
         Heartbeat earlier = w.report(A.text(), "east", 1, TOKEN, running(orders.get(0)));
         Heartbeat copy = w.report(A.text(), "east", 1, TOKEN, running(orders.get(0)));
-        w.core.onReport(earlier, at(2));
+        w.core.onHeartbeat(earlier, at(2));
         if (!when.startsWith("first time")) {
-            w.core.onReport(copy, at(3));
+            w.core.onHeartbeat(copy, at(3));
         }
         if (when.startsWith("its session")) {
-            w.core.onReport(w.report(A.text(), "east", 2, TOKEN), at(4));
+            w.core.onHeartbeat(w.report(A.text(), "east", 2, TOKEN), at(4));
         }
         if (when.startsWith("after it was") || when.startsWith("its name")) {
             w.core.returned(List.of(A), at(4));
         }
         if (when.startsWith("its name")) {
-            w.core.onList(List.of(listed("vm-009999")), at(5), at(5));
-            w.core.onList(List.of(listed("vm-009999")), at(15), at(15));
+            w.core.onMachineListing(List.of(listed("vm-009999")), at(5), at(5));
+            w.core.onMachineListing(List.of(listed("vm-009999")), at(15), at(15));
             for (int i = 0; i < 2000; i++) {
                 w.core.returned(List.of(new MachineId("vm-0" + (20_000 + i))), at(16));
             }
@@ -72,7 +72,7 @@
         if (when.startsWith("under a new")) {
             // Rented and returned under the leader before: nothing is recorded of it.
             w = new SimulatedWorld();
-            w.core.loaded();
+            w.core.recordsLoaded();
             job = new Job(spec(1, 1, 1, 500), 1, at(0), new Revision(1), new BitSet(), 1, false);
             w.core.addJob(job);
             copy = withToken(copy, new FencingToken(4));
@@ -80,20 +80,27 @@
         }
         w.core.expireLeases(at(20));
         int machines = w.core.machineCount();
-        w.core.onReport(copy, at(30));
-        w.core.onReport(earlier, at(31));
-        w.core.onReport(copy, at(31.5));
+        w.core.onHeartbeat(copy, at(30));
+        w.core.onHeartbeat(earlier, at(31));
+        w.core.onHeartbeat(copy, at(31.5));
         assertEquals(machines, w.core.machineCount(), "taken on");
         assertEquals(known, w.core.knows(A));
-        assertTrue(job.active().isEmpty(), "a task placed on a dead machine");
-        assertEquals(List.of(), starts(w.core.onReport(copy, at(32))));
+        assertTrue(job.placements().isEmpty(), "a task placed on a dead machine");
+        assertEquals(List.of(), starts(w.core.onHeartbeat(copy, at(32))));
         // What it ran goes to a machine that lives, at once.
         w.up("vm-010001", "east", 32);
         assertEquals(1, starts(w.hear("vm-010001", 33)).size(), "held by a copy");
     }
 
-    private static Heartbeat withToken(Heartbeat r, FencingToken token) {
-        return new Heartbeat(r.machine(), r.address(), r.pool(), r.number(), token, r.notice(), r.tasks());
+    private static Heartbeat withToken(Heartbeat heartbeat, FencingToken token) {
+        return new Heartbeat(
+                heartbeat.machine(),
+                heartbeat.address(),
+                heartbeat.pool(),
+                heartbeat.number(),
+                token,
+                heartbeat.preemptionNotice(),
+                heartbeat.tasks());
     }
 
     /** Nobody rented or listed it: one report or a copy of it is no proof, one that shows our answer is. */
@@ -109,19 +116,19 @@
     })
     void anUnknownMachineMustShowOurAnswer(String what, int machines) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.submit(spec(1, 4, 1, 500), 0);
         Heartbeat first = w.report("x", "east", 1, new FencingToken(4));
         Heartbeat older = w.report("x", "east", 1, new FencingToken(4));
         Heartbeat second = w.report("x", "east", 1, TOKEN);
-        w.core.onReport(what.startsWith("wrong") ? second : first, at(1));
+        w.core.onHeartbeat(what.startsWith("wrong") ? second : first, at(1));
         assertEquals(0, w.core.machineCount());
         switch (what) {
-            case "twice the same" -> w.core.onReport(first, at(2));
-            case "two with the older token" -> w.core.onReport(older, at(2));
-            case "wrong order" -> w.core.onReport(first, at(2));
-            case "shows the answer" -> w.core.onReport(second, at(2));
-            case "then listed" -> w.core.onList(List.of(listed("x")), at(2), at(2));
+            case "twice the same" -> w.core.onHeartbeat(first, at(2));
+            case "two with the older token" -> w.core.onHeartbeat(older, at(2));
+            case "wrong order" -> w.core.onHeartbeat(first, at(2));
+            case "shows the answer" -> w.core.onHeartbeat(second, at(2));
+            case "then listed" -> w.core.onMachineListing(List.of(listed("x")), at(2), at(2));
             case "then rented" -> w.core.rented(EAST, List.of(new MachineId("x")), at(1), at(2));
             default -> {}
         }
@@ -129,10 +136,10 @@
         // It counts as none on order: what waits is rented for all the same.
         if (machines == 0) {
             SimulatedWorld fresh = new SimulatedWorld();
-            fresh.core.loaded();
+            fresh.core.recordsLoaded();
             fresh.submit(spec(1, 4, 1, 500), 0);
-            assertEquals(fresh.core.wishes(at(20)), w.core.wishes(at(20)));
-            assertFalse(w.core.wishes(at(20)).isEmpty());
+            assertEquals(fresh.core.scaleOutRequests(at(20)), w.core.scaleOutRequests(at(20)));
+            assertFalse(w.core.scaleOutRequests(at(20)).isEmpty());
         }
     }
 
@@ -140,14 +147,14 @@
     @Test
     void copiesOfOneReportPutATakeOverOffOnce() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.inherit(A, EAST, at(-50), at(-50), at(0));
-        w.core.loaded();
+        w.core.inheritMachine(A, EAST, at(-50), at(-50), at(0));
+        w.core.recordsLoaded();
         Heartbeat copy = w.report(A.text(), "east", 1, new FencingToken(4));
         List<Double> settled = new ArrayList<>();
         for (double now = 1; now < 60; now++) {
-            w.core.onReport(copy, at(now));
+            w.core.onHeartbeat(copy, at(now));
             w.core.expireLeases(at(now));
-            if (w.core.isSettled()) {
+            if (w.core.isFailoverComplete()) {
                 settled.add(now);
             }
         }
@@ -158,12 +165,12 @@
     @Test
     void whatIsAnsweredBeforeTheRecordsAreReadIsCounted() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.inherit(A, EAST, at(-50), at(-50), at(0));
-        w.core.onReport(w.report(A.text(), "east", 1, new FencingToken(4)), at(6));
-        w.core.loaded();
+        w.core.inheritMachine(A, EAST, at(-50), at(-50), at(0));
+        w.core.onHeartbeat(w.report(A.text(), "east", 1, new FencingToken(4)), at(6));
+        w.core.recordsLoaded();
         w.core.expireLeases(at(17));
-        assertFalse(w.core.isSettled(), "its lease may run until 18 s");
+        assertFalse(w.core.isFailoverComplete(), "its lease may run until 18 s");
         w.core.expireLeases(at(18.6));
-        assertTrue(w.core.isSettled());
+        assertTrue(w.core.isFailoverComplete());
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/MinimumServiceTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/MinimumServiceTest.java
@@ -97,7 +97,7 @@
         int atOnce = Math.min(9, spot + ordinary) * 4;
         int bound = boots + (94 + atOnce - 1) / atOnce * 24;
         assertTrue(s.longestWait("c", 0) <= bound, "waits " + s.longestWait("c", 0) + " of " + bound);
-        long asked = s.asked.stream().filter(wish -> wish.pool().spot()).count();
+        long asked = s.asked.stream().filter(request -> request.pool().spot()).count();
         assertTrue(asked <= 42, "spot machines asked for " + asked + " times");
     }
 
@@ -125,7 +125,7 @@
     @CsvSource({"40, 0", "50, 2"})
     void whoWaitsBehindATopJobThatStartsAtOnceIsRentedFor(double at, int machines) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.submit(SimulatedWorld.spec(1, 1, 1, 900), 0);
         w.hear("a", 1);
@@ -133,7 +133,7 @@
         w.submit(SimulatedWorld.with(SimulatedWorld.spec(3, 1, 1, 20), Urgency.HIGH, false, false, true, null, 0), at);
         assertEquals(
                 machines,
-                w.core.wishes(SimulatedWorld.at(at)).stream()
+                w.core.scaleOutRequests(SimulatedWorld.at(at)).stream()
                         .mapToInt(ScaleOutRequest::count)
                         .sum());
     }
--- a/src/test/java/io/indigoreach/core/scheduling/MuteMachineTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/MuteMachineTest.java
@@ -64,7 +64,7 @@
     void itsCancelledTaskIsGoneInTime(double cancelled, double change) {
         begin();
         double gone = -1;
-        for (double now = 0; now < cancelled + RULES.cancel().seconds(); now += 0.5) {
+        for (double now = 0; now < cancelled + RULES.cancellationTime().seconds(); now += 0.5) {
             if (now == cancelled) {
                 site.cancel(JOB);
             }
--- a/src/test/java/io/indigoreach/core/scheduling/NearObjectiveTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/NearObjectiveTest.java
@@ -34,22 +34,22 @@
     })
     void aBurstIsNoFlow(String arrivals, double perSecond) {
         ArrivalRate inflow = new ArrivalRate();
-        inflow.perSecond(j -> true, j -> 1, Span.seconds(60), at(0));
+        inflow.perSecond(job -> true, job -> 1, Span.seconds(60), at(0));
         int id = 0;
         for (String second : arrivals.isEmpty() ? new String[0] : arrivals.split(" ")) {
             inflow.add(job(++id, Double.parseDouble(second)));
         }
-        assertEquals(perSecond, inflow.perSecond(j -> true, j -> 1, Span.seconds(60), at(60)), 1e-9);
+        assertEquals(perSecond, inflow.perSecond(job -> true, job -> 1, Span.seconds(60), at(60)), 1e-9);
     }
 
     /** Five seconds after a take-over one large job is no proof of a flow (334 machines were rented for such). */
     @Test
     void littleTimeTellsLittle() {
         ArrivalRate inflow = new ArrivalRate();
-        inflow.perSecond(j -> true, j -> 100, Span.seconds(60), at(0));
+        inflow.perSecond(job -> true, job -> 100, Span.seconds(60), at(0));
         inflow.add(job(1, 1));
         inflow.add(job(2, 3));
-        assertEquals(true, inflow.perSecond(j -> true, j -> 100, Span.seconds(60), at(5)) <= 3);
+        assertEquals(true, inflow.perSecond(job -> true, job -> 100, Span.seconds(60), at(5)) <= 3);
     }
 
     /** A job due in {@code within} seconds that runs 20: low tasks that save are stopped for it only if it is near. */
@@ -60,7 +60,7 @@
                 SimulatedWorld.TUNING,
                 new ServiceLevelObjectives(
                         List.of(new ServiceLevelObjectives.Objective("c", false, Span.seconds(within)))));
-        w.core.loaded();
+        w.core.recordsLoaded();
         JobSpec low = spec(1, 2, 2, 300);
         w.submit(
                 with(
@@ -108,7 +108,7 @@
         SimulatedWorld w = new SimulatedWorld(
                 SimulatedWorld.TUNING,
                 new ServiceLevelObjectives(List.of(new ServiceLevelObjectives.Objective("s", true, Span.seconds(2)))));
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.submit(spec(1, 4, 1, 60), 0);
         TaskStatus[] tasks = running(w.ordinary("a", 20));
         w.hearOrdinary("a", 20, tasks);
--- a/src/test/java/io/indigoreach/core/scheduling/PlacementTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/PlacementTest.java
@@ -39,18 +39,18 @@
     })
     void placementRules(String name, boolean oneZone, boolean spread, boolean spot, String zone, int east, int west) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("e", "east", 0);
         w.up("w", "west", 0);
         w.submit(with(spec(1, 6, 1, 50), Urgency.STANDARD, oneZone, spread, spot, zone, 0), 0);
         assertEquals(
                 east,
-                starts(w.core.onReport(w.report("e", "east", 1, SimulatedWorld.TOKEN), at(1)))
+                starts(w.core.onHeartbeat(w.report("e", "east", 1, SimulatedWorld.TOKEN), at(1)))
                         .size(),
                 name);
         assertEquals(
                 west,
-                starts(w.core.onReport(w.report("w", "west", 1, SimulatedWorld.TOKEN), at(1)))
+                starts(w.core.onHeartbeat(w.report("w", "west", 1, SimulatedWorld.TOKEN), at(1)))
                         .size(),
                 name);
     }
@@ -59,7 +59,7 @@
     @CsvSource({"0, 4", "3, 3", "2.5, 2", "0.5, 0"})
     void aTeamsLimitHolds(double coresMax, int started) {
         SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(coresMax));
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 9, 1, 50), 0);
         assertEquals(started, starts(w.hear("a", 1)).size());
@@ -69,7 +69,7 @@
     @Test
     void teamsWithoutAGuaranteeShareOneQueue() {
         SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(0), new Team("guest", 0, 2, 0, 0));
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         JobSpec batch = spec(1, 8, 1, 300);
         w.submit(
@@ -105,7 +105,7 @@
     @Test
     void urgentJobsComeFirstThenTheOrderOfArrival() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.submit(spec(3, 1, 1, 50), 0);
         w.submit(spec(1, 1, 1, 50), 1);
         w.submit(with(spec(2, 1, 1, 50), Urgency.HIGH, false, false, true, null, 0), 2);
@@ -121,7 +121,7 @@
                 SimulatedWorld.TUNING,
                 new ServiceLevelObjectives(
                         List.of(new ServiceLevelObjectives.Objective("c", true, Span.seconds(1000)))));
-        w.core.loaded();
+        w.core.recordsLoaded();
         JobSpec s = spec(1, 1, 4, 300);
         w.submit(
                 new JobSpec(
@@ -164,7 +164,7 @@
                 SimulatedWorld.TUNING,
                 new ServiceLevelObjectives(
                         List.of(new ServiceLevelObjectives.Objective("c", true, Span.seconds(200)))));
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.submit(spec(1, 2, 3, 20), 0);
         w.up("a", "east", 0);
         w.up("b", "east", 0);
@@ -205,7 +205,7 @@
     @CsvSource({"20, 1, short enough to end before the top job's start", "200, 0, would delay the top job"})
     void backfillDoesNotDelayTheReservedTopJob(double estimate, int started, String why) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 1, 2, 60), 0);
         WorkerCommand first = w.hear("a", 1).get(0);
@@ -217,7 +217,7 @@
     @Test
     void roomIsMadeForUrgentJobsByTasksThatKeepTheirProgressOnly() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.up("b", "east", 0);
         w.submit(with(spec(1, 1, 4, 500), Urgency.BEST_EFFORT, false, false, true, null, 30), 0);
@@ -239,7 +239,7 @@
     @CsvSource({"4, 1, the borrower is beyond its guarantee of none", "0, 0, nothing is guaranteed"})
     void borrowedMachinesGoBackToATeamWithinItsGuarantee(double guarantee, int stopped, String why) {
         SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(0), new Team("owner", guarantee, 0, 0, 0));
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 1, 4, 500), 0);
         WorkerCommand borrowed = w.hear("a", 1).get(0);
@@ -275,22 +275,22 @@
     @Test
     void aMachineThatFailsWhateverItGetsIsGivenUp() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 1, 2, 50), 0);
         w.submit(spec(2, 1, 2, 50), 0);
         List<TaskStatus> failed = new ArrayList<>();
-        w.hear("a", 1).forEach(o -> failed.add(exited(o, ExitCause.ERROR)));
+        w.hear("a", 1).forEach(command -> failed.add(exited(command, ExitCause.ERROR)));
         assertEquals(List.of(), starts(w.hear("a", 2, failed.toArray(TaskStatus[]::new))));
-        w.core.check(at(3));
-        assertEquals(List.of(new MachineId("a")), w.core.leaving(9));
+        w.core.planScaleIn(at(3));
+        assertEquals(List.of(new MachineId("a")), w.core.machinesToReturn(9));
     }
 
     /** A job with a mistake fails everywhere: good machines are kept, and it is tried ever more rarely. */
     @Test
     void aJobThatFailsEverywhereCondemnsNoMachine() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.submit(spec(1, 9, 4, 50), 0);
         int tries = 0;
         List<List<TaskStatus>> pending = new ArrayList<>(List.of(List.of(), List.of(), List.of(), List.of()));
@@ -301,10 +301,10 @@
             for (int m = 0; m < 4; m++) {
                 List<WorkerCommand> orders = w.hear("m" + m, t, pending.get(m).toArray(TaskStatus[]::new));
                 List<TaskStatus> next = new ArrayList<>();
-                for (WorkerCommand o : orders) {
-                    if (o instanceof WorkerCommand.Start) {
+                for (WorkerCommand command : orders) {
+                    if (command instanceof WorkerCommand.Start) {
                         tries++;
-                        next.add(exited(o, ExitCause.ERROR));
+                        next.add(exited(command, ExitCause.ERROR));
                     }
                 }
                 pending.set(m, next);
@@ -324,14 +324,21 @@
     @Test
     void aSpotNoticeEndsNewStartsAndSavesWhatCanBeSaved() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.submit(with(spec(1, 1, 1, 500), Urgency.STANDARD, false, false, true, null, 30), 0);
         WorkerCommand start = w.hear("a", 1).get(0);
         w.submit(spec(2, 1, 1, 50), 2);
-        Heartbeat r = w.report("a", "east", 1, SimulatedWorld.TOKEN, running(start));
-        List<WorkerCommand> orders = w.core.onReport(
-                new Heartbeat(r.machine(), r.address(), r.pool(), r.number(), r.token(), Span.seconds(12), r.tasks()),
+        Heartbeat heartbeat = w.report("a", "east", 1, SimulatedWorld.TOKEN, running(start));
+        List<WorkerCommand> orders = w.core.onHeartbeat(
+                new Heartbeat(
+                        heartbeat.machine(),
+                        heartbeat.address(),
+                        heartbeat.pool(),
+                        heartbeat.number(),
+                        heartbeat.token(),
+                        Span.seconds(12),
+                        heartbeat.tasks()),
                 at(40));
         assertEquals(List.of(), starts(orders));
         assertEquals(List.of("run-1/0"), stops(orders));
--- a/src/test/java/io/indigoreach/core/scheduling/RandomRecords.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomRecords.java
@@ -48,12 +48,12 @@
 
     void writeBound(double now, long token, Job job, boolean answered) {
         Stored s = jobs.get(job.id());
-        int bound = job.boundToWrite();
+        int bound = job.startBoundToWrite();
         writes.write(
                 now,
                 token,
                 () -> s.bound = without == RandomSimulation.Without.START_BOUND ? 0 : Math.max(s.bound, bound),
-                answered ? () -> job.boundRecorded(bound) : () -> {});
+                answered ? () -> job.startBoundRecorded(bound) : () -> {});
     }
 
     void writeMachine(double now, SchedulerCore leader, long token, String name) {
@@ -66,7 +66,7 @@
 
     void writeProgress(double now, SchedulerCore leader, long token, Job job, boolean answered) {
         Stored s = jobs.get(job.id());
-        BitSet done = job.doneTasks();
+        BitSet done = job.completedTasks();
         boolean complete = job.isComplete();
         writes.write(
                 now,
@@ -82,7 +82,7 @@
                 },
                 () -> {
                     if (s.cancelledAt < 0 && answered) {
-                        job.recorded(done);
+                        job.completionsRecorded(done);
                         if (s.closed) {
                             leader.closeJob(job.id());
                         }
--- a/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
@@ -237,9 +237,9 @@
         SafetyTimes rules = without == Without.LEASE_BOUND
                 ? new SafetyTimes(
                         Span.seconds(3),
-                        SimulatedWorld.RULES.report(),
-                        SimulatedWorld.RULES.cancel(),
-                        SimulatedWorld.RULES.listLag())
+                        SimulatedWorld.RULES.heartbeatPeriod(),
+                        SimulatedWorld.RULES.cancellationTime(),
+                        SimulatedWorld.RULES.listingLag())
                 : SimulatedWorld.RULES;
         leader = new SchedulerCore(
                 new FencingToken(++token),
@@ -249,10 +249,10 @@
                 List.of(team),
                 new SchedulerListener() {
                     @Override
-                    public void progress(Job job) {}
+                    public void taskCompleted(Job job) {}
 
                     @Override
-                    public void say(String line) {}
+                    public void log(String line) {}
                 });
         leader.setTypes(List.of(SimulatedWorld.TYPE));
         loaded = false;
@@ -278,7 +278,7 @@
         }
         for (String name : records.machines) {
             if (without != Without.TAKE_OVER) {
-                leader.inherit(
+                leader.inheritMachine(
                         new MachineId(name),
                         pool(name),
                         SimulatedWorld.at(0),
@@ -291,7 +291,7 @@
                 leader.addJob(new Job(s.spec, s.at, at(), Revision.ABSENT, s.done, s.bound, true));
             }
         }
-        leader.loaded();
+        leader.recordsLoaded();
         kept.arrive(token, this::copy);
     }
 
@@ -333,7 +333,7 @@
     /** What the leader's duties do: leases, records, ends of jobs. */
     private void tend() {
         leader.expireLeases(at());
-        for (Job job : leader.boundsToRaise(at())) {
+        for (Job job : leader.startBoundsToRaise(at())) {
             // Written now or later; whether this leader hears of it is another matter.
             if (random.nextInt(3) == 0) {
                 records.writeBound(now, token, job, random.nextInt(4) > 0);
@@ -360,8 +360,8 @@
         if (random.nextInt(20) != 0) {
             return;
         }
-        leader.check(at());
-        List<MachineId> leaving = leader.leaving(100);
+        leader.planScaleIn(at());
+        List<MachineId> leaving = leader.machinesToReturn(100);
         int fate = now % 120 < 20 ? 1 : random.nextInt(6);
         if (fate == 0) {
             late.add(() -> leaving.forEach(this::destroy));
@@ -398,7 +398,7 @@
         for (LateCommands.Command c : commands.arriving(w.name, now)) {
             if (c.session() == w.session && c.token() >= w.token) {
                 w.token = c.token();
-                c.orders().forEach(o -> execute(w, o));
+                c.orders().forEach(command -> execute(w, command));
             }
         }
         int fate = calm ? 4000 : random.nextInt(4000);
@@ -413,9 +413,9 @@
             w.deafUntil = now + 8 + random.nextInt(16);
         }
         for (Map.Entry<TaskId, Double> end : new ArrayList<>(w.ends.entrySet())) {
-            TaskStatus t = w.tasks.get(end.getKey());
-            if (now >= end.getValue() && t.state() != TaskState.EXITED) {
-                exit(w, t, !calm && random.nextInt(30) == 0 ? ExitCause.ERROR : ExitCause.DONE);
+            TaskStatus status = w.tasks.get(end.getKey());
+            if (now >= end.getValue() && status.state() != TaskState.EXITED) {
+                exit(w, status, !calm && random.nextInt(30) == 0 ? ExitCause.ERROR : ExitCause.DONE);
             }
         }
         if (w.flight != null) {
@@ -430,11 +430,12 @@
         }
     }
 
-    private void exit(RandomWorker w, TaskStatus t, ExitCause cause) {
-        w.tasks.put(t.task(), new TaskStatus(t.task(), t.attempt(), TaskState.EXITED, cause, false));
-        w.ends.remove(t.task());
-        if (cause == ExitCause.DONE && !records.jobs.get(t.task().job()).spec.isService()) {
-            completed.add(t.task());
+    private void exit(RandomWorker w, TaskStatus status, ExitCause cause) {
+        w.tasks.put(status.task(), new TaskStatus(status.task(), status.attempt(), TaskState.EXITED, cause, false));
+        w.ends.remove(status.task());
+        if (cause == ExitCause.DONE
+                && !records.jobs.get(status.task().job()).spec.isService()) {
+            completed.add(status.task());
         }
     }
 
@@ -443,7 +444,7 @@
      * and the worker sends none meanwhile.
      */
     private void report(RandomWorker w) {
-        Heartbeat r = new Heartbeat(
+        Heartbeat heartbeat = new Heartbeat(
                 new MachineId(w.name),
                 "x:1",
                 pool(w.name),
@@ -456,18 +457,18 @@
             return;
         }
         if (troubles.contains(Trouble.KEPT_REPORTS) && further.nextBoolean()) {
-            kept.keep(r, token);
+            kept.keep(heartbeat, token);
         }
         if (fate == 0) {
-            late.add(() -> leader.onReport(r, at()));
+            late.add(() -> leader.onHeartbeat(heartbeat, at()));
             return;
         }
         if (fate < 4) {
-            late.add(() -> copy(r));
+            late.add(() -> copy(heartbeat));
         }
         double arrives = now + (fate == 4 ? random.nextInt(60) / 10.0 : 0);
         RandomWorker.Flight f = new RandomWorker.Flight(
-                r, now, arrives, arrives + (fate == 4 || fate == 5 ? random.nextInt(60) / 10.0 : 0));
+                heartbeat, now, arrives, arrives + (fate == 4 || fate == 5 ? random.nextInt(60) / 10.0 : 0));
         w.flight = f;
         if (arrives <= now) {
             arrive(w, f);
@@ -483,12 +484,12 @@
     /** The leader of this moment reads the report and answers it, or does not. */
     private void arrive(RandomWorker w, RandomWorker.Flight f) {
         boolean early = !loaded && without == Without.EARLY_ANSWER;
-        List<WorkerCommand> orders = early ? List.of() : leader.onReport(f.report, at());
-        if (orders != null && leader.answers(f.report.machine())) {
+        List<WorkerCommand> orders = early ? List.of() : leader.onHeartbeat(f.report, at());
+        if (orders != null && leader.mayAnswer(f.report.machine())) {
             f.token = token;
             f.orders = orders;
             if (without == Without.ORDERS_IN_ANSWERS) {
-                commands.send(w.name, f.report.number().session(), token, orders, now);
+                commands.send(w.name, f.report.number().incarnation(), token, orders, now);
             }
         } else {
             w.flight = null;
@@ -496,46 +497,57 @@
     }
 
     private void take(RandomWorker w, RandomWorker.Flight f) {
-        if (f.report.number().session() == w.session && f.token >= w.token) {
+        if (f.report.number().incarnation() == w.session && f.token >= w.token) {
             w.token = f.token;
             w.answered = Math.max(w.answered, f.sent);
-            f.orders.forEach(o -> execute(w, o));
+            f.orders.forEach(command -> execute(w, command));
         }
     }
 
     /** The same report once more, up to minutes later and under any leader; answered to nobody. */
-    private void copy(Heartbeat r) {
-        RandomWorker w = workers.get(r.machine().toString());
-        boolean known = leader.knows(r.machine());
+    private void copy(Heartbeat heartbeat) {
+        RandomWorker w = workers.get(heartbeat.machine().toString());
+        boolean known = leader.knows(heartbeat.machine());
         HeartbeatNumber number =
-                without == Without.REPORT_NUMBER ? new HeartbeatNumber(w.session, w.serial + 1) : r.number();
-        FencingToken shown = without == Without.OWN_TOKEN ? new FencingToken(token) : r.token();
-        leader.onReport(new Heartbeat(r.machine(), r.address(), r.pool(), number, shown, null, r.tasks()), at());
-        if (!known && leader.knows(r.machine())) {
-            broken.add(now + ": raised " + r.machine());
-        }
-    }
-
-    private void execute(RandomWorker w, WorkerCommand o) {
-        TaskStatus t = w.tasks.get(o.task());
-        if (o instanceof WorkerCommand.Start) {
-            if (t != null && (t.state() != TaskState.EXITED || t.attempt().equals(o.attempt()))) {
+                without == Without.REPORT_NUMBER ? new HeartbeatNumber(w.session, w.serial + 1) : heartbeat.number();
+        FencingToken shown = without == Without.OWN_TOKEN ? new FencingToken(token) : heartbeat.token();
+        leader.onHeartbeat(
+                new Heartbeat(
+                        heartbeat.machine(),
+                        heartbeat.address(),
+                        heartbeat.pool(),
+                        number,
+                        shown,
+                        null,
+                        heartbeat.tasks()),
+                at());
+        if (!known && leader.knows(heartbeat.machine())) {
+            broken.add(now + ": raised " + heartbeat.machine());
+        }
+    }
+
+    private void execute(RandomWorker w, WorkerCommand command) {
+        TaskStatus status = w.tasks.get(command.task());
+        if (command instanceof WorkerCommand.Start) {
+            if (status != null
+                    && (status.state() != TaskState.EXITED || status.attempt().equals(command.attempt()))) {
                 return;
             }
             starts++;
-            replicaStarts += records.jobs.get(o.task().job()).spec.isService() ? 1 : 0;
-            checkStart(w, o.task());
-            w.tasks.put(o.task(), new TaskStatus(o.task(), o.attempt(), TaskState.RUNNING, null, false));
-            boolean replica = records.jobs.get(o.task().job()).spec.isService();
+            replicaStarts += records.jobs.get(command.task().job()).spec.isService() ? 1 : 0;
+            checkStart(w, command.task());
+            w.tasks.put(
+                    command.task(), new TaskStatus(command.task(), command.attempt(), TaskState.RUNNING, null, false));
+            boolean replica = records.jobs.get(command.task().job()).spec.isService();
             int run = 1 + random.nextInt(replica ? 300 : random.nextInt(3) == 0 ? 80 : 20);
-            w.ends.put(o.task(), completed.contains(o.task()) ? now : now + run);
-        } else if (t != null && t.attempt().equals(o.attempt())) {
-            if (o instanceof WorkerCommand.Stop && t.state() != TaskState.EXITED) {
-                exit(w, t, ExitCause.STOPPED);
-            } else if (o instanceof WorkerCommand.Reap && t.state() == TaskState.EXITED) {
-                w.tasks.remove(o.task());
-                if (completed.contains(o.task()) && t.cause() == ExitCause.DONE) {
-                    reaped.add(o.task());
+            w.ends.put(command.task(), completed.contains(command.task()) ? now : now + run);
+        } else if (status != null && status.attempt().equals(command.attempt())) {
+            if (command instanceof WorkerCommand.Stop && status.state() != TaskState.EXITED) {
+                exit(w, status, ExitCause.STOPPED);
+            } else if (command instanceof WorkerCommand.Reap && status.state() == TaskState.EXITED) {
+                w.tasks.remove(command.task());
+                if (completed.contains(command.task()) && status.cause() == ExitCause.DONE) {
+                    reaped.add(command.task());
                 }
             }
         }
@@ -543,9 +555,9 @@
 
     /** On its machine: until it exits, is killed with its session, or the machine is gone. */
     private boolean isOn(RandomWorker w, TaskId task) {
-        TaskStatus t = w.tasks.get(task);
+        TaskStatus status = w.tasks.get(task);
         boolean killed = now - w.answered > LEASE_S;
-        return !w.dead && !killed && t != null && t.state() != TaskState.EXITED;
+        return !w.dead && !killed && status != null && status.state() != TaskState.EXITED;
     }
 
     private void checkDone(RandomRecords.Stored s) {
@@ -584,7 +596,7 @@
 
     private void checkRules() {
         broken.addAll(waits.check(leader, calm, now));
-        if (loaded && !leader.isSettled() && now - ledSince > LONGEST_TAKE_OVER_S) {
+        if (loaded && !leader.isFailoverComplete() && now - ledSince > LONGEST_TAKE_OVER_S) {
             broken.add(now + ": the take-over of " + ledSince + " waits");
         }
         double cores = 0;
@@ -592,13 +604,13 @@
             for (TaskId task : w.tasks.keySet()) {
                 if (isOn(w, task)) {
                     RandomRecords.Stored s = records.jobs.get(task.job());
-                    if (leader.countsOver(new MachineId(w.name))) {
+                    if (leader.isLeaseExpired(new MachineId(w.name))) {
                         broken.add(now + ": counted as over " + task + " on " + w.name);
                     }
                     cores += s.spec.demand().cores();
                     if (s.cancelledAt >= 0
                             && now - s.cancelledAt
-                                    > SimulatedWorld.RULES.cancel().seconds()) {
+                                    > SimulatedWorld.RULES.cancellationTime().seconds()) {
                         broken.add(now + ": ran_cancelled " + task);
                     }
                 }
--- a/src/test/java/io/indigoreach/core/scheduling/RandomWorker.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomWorker.java
@@ -44,8 +44,8 @@
         long token;
         List<WorkerCommand> orders = List.of();
 
-        Flight(Heartbeat report, double sent, double arrives, double back) {
-            this.report = report;
+        Flight(Heartbeat heartbeat, double sent, double arrives, double back) {
+            this.report = heartbeat;
             this.sent = sent;
             this.arrives = arrives;
             this.back = back;
--- a/src/test/java/io/indigoreach/core/scheduling/ScaleOutTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ScaleOutTest.java
@@ -35,7 +35,7 @@
     })
     void bestSize(String jobs, int machines) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         int id = 0;
         for (String job : jobs.split(" ")) {
             String[] parts = job.split("x");
@@ -43,18 +43,20 @@
         }
         assertEquals(
                 machines,
-                w.core.wishes(at(1)).stream().mapToInt(ScaleOutRequest::count).sum());
+                w.core.scaleOutRequests(at(1)).stream()
+                        .mapToInt(ScaleOutRequest::count)
+                        .sum());
     }
 
     @Test
     void machinesOnOrderAreNotAskedForAgainUntilOverdue() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.submit(spec(1, 8, 1, 100), 0);
         w.core.rented(
                 new MachinePool("quad", "east", true), List.of(new MachineId("a"), new MachineId("b")), at(1), at(1));
-        assertEquals(List.of(), w.core.wishes(at(30)));
-        assertEquals(2, w.core.wishes(at(60)).get(0).count());
+        assertEquals(List.of(), w.core.scaleOutRequests(at(30)));
+        assertEquals(2, w.core.scaleOutRequests(at(60)).get(0).count());
     }
 
     /**
@@ -64,7 +66,7 @@
     @Test
     void anIdleMachineWhereTheJobHasFailedIsNoPlaceForIt() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 1, 1, 20), 0);
         WorkerCommand start = w.hear("a", 1).get(0);
@@ -73,24 +75,27 @@
         assertEquals(List.of(), SimulatedWorld.starts(w.hear("a", 4)));
         assertEquals(
                 1,
-                w.core.wishes(at(5)).stream().mapToInt(ScaleOutRequest::count).sum());
+                w.core.scaleOutRequests(at(5)).stream()
+                        .mapToInt(ScaleOutRequest::count)
+                        .sum());
         w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("b")), at(5), at(5));
-        assertEquals(List.of(), w.core.wishes(at(7)), "one is enough");
+        assertEquals(List.of(), w.core.scaleOutRequests(at(7)), "one is enough");
     }
 
     @Test
     void nothingIsRentedWhileTheTopJobIsPredictedToStartSoon() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 4, 1, 20), 0);
         List<TaskStatus> tasks = new ArrayList<>();
-        w.hear("a", 1).forEach(o -> tasks.add(running(o)));
+        w.hear("a", 1).forEach(command -> tasks.add(running(command)));
         w.hear("a", 2, tasks.toArray(TaskStatus[]::new));
         w.submit(spec(2, 4, 1, 20), 3);
-        assertEquals(List.of(), w.core.wishes(at(4)));
+        assertEquals(List.of(), w.core.scaleOutRequests(at(4)));
         w.submit(with(spec(3, 4, 1, 200), Urgency.HIGH, true, false, true, "west", 0), 5);
-        assertEquals("west", w.core.wishes(at(6)).get(0).pool().zone(), "no machine can ever take the top job");
+        assertEquals(
+                "west", w.core.scaleOutRequests(at(6)).get(0).pool().zone(), "no machine can ever take the top job");
     }
 
     /** Planned work comes as late as its prediction allows: the trigger would come when a boot no longer fits before its deadline. */
@@ -98,11 +103,11 @@
     @CsvSource({"true, 60, 1", "true, 1000, 0", "false, 60, 0"})
     void plannedWorkRentsWhileItsBootStillFits(boolean planned, double dueS, int machines) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 4, 1, 20), 0);
         List<TaskStatus> tasks = new ArrayList<>();
-        w.hear("a", 1).forEach(o -> tasks.add(running(o)));
+        w.hear("a", 1).forEach(command -> tasks.add(running(command)));
         w.hear("a", 2, tasks.toArray(TaskStatus[]::new));
         JobSpec s = spec(2, 4, 1, 20);
         JobSpec due = new JobSpec(
@@ -127,23 +132,25 @@
         w.submit(planned ? due.with("plan", Map.of("name", "p", "day", "2027-03-01")) : due, 3);
         assertEquals(
                 machines,
-                w.core.wishes(at(4)).stream().mapToInt(ScaleOutRequest::count).sum());
+                w.core.scaleOutRequests(at(4)).stream()
+                        .mapToInt(ScaleOutRequest::count)
+                        .sum());
     }
 
     @Test
     void spotFirstThenTheOtherZoneThenOrdinaryOnceThePatienceIsOver() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.submit(spec(1, 4, 1, 100), 0);
-        MachinePool first = w.core.wishes(at(1)).get(0).pool();
+        MachinePool first = w.core.scaleOutRequests(at(1)).get(0).pool();
         w.core.refused(first, at(1));
-        MachinePool second = w.core.wishes(at(2)).get(0).pool();
+        MachinePool second = w.core.scaleOutRequests(at(2)).get(0).pool();
         w.core.refused(second, at(2));
         assertEquals(List.of(true, true), List.of(first.spot(), second.spot()));
-        assertEquals(List.of(), w.core.wishes(at(3)));
+        assertEquals(List.of(), w.core.scaleOutRequests(at(3)));
         w.core.refused(first, at(61));
         w.core.refused(second, at(61));
-        assertEquals(false, w.core.wishes(at(62)).get(0).pool().spot());
+        assertEquals(false, w.core.scaleOutRequests(at(62)).get(0).pool().spot());
     }
 
     /** A queue that spot machines cannot drain in 300 s gets ordinary ones at once (incident inc-5d96). */
@@ -151,14 +158,16 @@
     @CsvSource({"24, 0", "48, 2", "80, 4"})
     void aLongBacklogTakesOrdinaryMachines(int tasks, int ordinary) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, tasks, 1, 75), 0);
         w.core.refused(new MachinePool("quad", "east", true), at(1));
         w.core.refused(new MachinePool("quad", "west", true), at(1));
         assertEquals(
                 ordinary,
-                w.core.wishes(at(2)).stream().mapToInt(ScaleOutRequest::count).sum());
+                w.core.scaleOutRequests(at(2)).stream()
+                        .mapToInt(ScaleOutRequest::count)
+                        .sum());
     }
 
     /** A machine rented at 0 with terms of 60 s, checked every 5 s. */
@@ -166,36 +175,36 @@
     @CsvSource({"30, false, 0", "54, false, 0", "56, false, 1", "90, false, 0", "116, false, 1", "56, true, 0"})
     void idleMachinesGoAtTheEndOfTheirTermUnlessAWaitingJobCanUseThem(double at, boolean waiting, int returned) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.hear("a", 20);
         if (waiting) {
             w.submit(spec(1, 1, 1, 50), at);
         }
-        w.core.check(at(at));
-        assertEquals(returned, w.core.leaving(9).size());
+        w.core.planScaleIn(at(at));
+        assertEquals(returned, w.core.machinesToReturn(9).size());
     }
 
     @Test
     void aMachineThatNeverComesUpIsReturned() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
-        w.core.check(at(79));
-        assertEquals(0, w.core.leaving(9).size());
-        w.core.check(at(81));
-        assertEquals(1, w.core.leaving(9).size());
+        w.core.planScaleIn(at(79));
+        assertEquals(0, w.core.machinesToReturn(9).size());
+        w.core.planScaleIn(at(81));
+        assertEquals(1, w.core.machinesToReturn(9).size());
     }
 
     @Test
     void aJobKnownToFailRentsNothing() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         Job job = w.submit(spec(1, 8, 1, 100), 0);
         for (int i = 0; i < 3; i++) {
-            job.failedOn.add(new MachineId("m" + i));
+            job.failedMachines.add(new MachineId("m" + i));
         }
-        assertEquals(List.of(), w.core.wishes(at(100)));
+        assertEquals(List.of(), w.core.scaleOutRequests(at(100)));
     }
 
     /**
@@ -206,17 +215,17 @@
     @CsvSource({"0, 2", "45, 1", "90, 1", "400, 0"})
     void ordinaryMachinesAreLetGoSlowly(double later, int filled) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("s", "east", 0);
         w.hear("s", 1);
         for (String name : List.of("a", "b")) {
             w.ordinary(name, 0);
         }
         Job large = w.submit(spec(1, 48, 1, 75), 2);
-        w.core.wishes(at(3));
+        w.core.scaleOutRequests(at(3));
         w.core.cancelJob(large.id());
         w.submit(spec(2, 8, 1, 20), 3 + later);
-        w.core.wishes(at(3 + later));
+        w.core.scaleOutRequests(at(3 + later));
         assertEquals(
                 filled,
                 List.of("a", "b").stream()
--- a/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
@@ -26,7 +26,7 @@
 class ServiceTest {
     private static SimulatedWorld loaded() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         return w;
     }
 
@@ -42,7 +42,9 @@
         w.submit(spec(2, 12, 1, 15), 3);
         assertEquals(
                 rented,
-                w.core.wishes(at(4)).stream().mapToInt(ScaleOutRequest::count).sum());
+                w.core.scaleOutRequests(at(4)).stream()
+                        .mapToInt(ScaleOutRequest::count)
+                        .sum());
     }
 
     /** Each end of a replica but its job's cancellation is followed by another start of it; the job is never done. */
@@ -68,7 +70,7 @@
         SimulatedWorld w = loaded();
         w.submit(service(1, 8), 0);
         w.submit(spec(2, 16, 1, 100), 0);
-        List<ScaleOutRequest> wishes = w.core.wishes(at(20));
+        List<ScaleOutRequest> wishes = w.core.scaleOutRequests(at(20));
         assertEquals(
                 2,
                 wishes.stream()
@@ -90,9 +92,9 @@
         w.up("s", "east", 0);
         w.submit(service(1, 1), 0);
         List<WorkerCommand> replica = w.ordinary("a", 1);
-        w.core.wishes(at(2));
+        w.core.scaleOutRequests(at(2));
         w.submit(spec(2, 2, 1, 20), 600);
-        w.core.wishes(at(601));
+        w.core.scaleOutRequests(at(601));
         assertEquals(2, starts(w.hearOrdinary("a", 602, running(replica))).size());
     }
 
@@ -106,7 +108,7 @@
         ServiceLevelObjectives aims =
                 new ServiceLevelObjectives(List.of(new ServiceLevelObjectives.Objective("s", true, Span.seconds(3))));
         SimulatedWorld w = new SimulatedWorld(SimulatedWorld.TUNING, aims);
-        w.core.loaded();
+        w.core.recordsLoaded();
         if (held) {
             w.submit(service(1, 4), 0);
             w.ordinary("a", 1);
@@ -156,12 +158,12 @@
         ListedMachine b = listed("b", ListedMachine.Status.RUNNING);
         switch (loss) {
             case "listed as failed" ->
-                w.core.onList(
+                w.core.onMachineListing(
                         List.of(listed("a", now < 2.5 ? ListedMachine.Status.RUNNING : ListedMachine.Status.FAILED), b),
                         at(now),
                         at(now));
             case "lease run out" -> w.core.expireLeases(at(now));
-            default -> w.core.onList(List.of(b), at(now), at(now));
+            default -> w.core.onMachineListing(List.of(b), at(now), at(now));
         }
     }
 
@@ -176,9 +178,9 @@
         SimulatedWorld w = new SimulatedWorld();
         w.inherited(service(1, 2));
         for (String name : List.of("a", "b")) {
-            w.core.inherit(new MachineId(name), new MachinePool("quad", "east", false), at(0), at(0), at(0));
+            w.core.inheritMachine(new MachineId(name), new MachinePool("quad", "east", false), at(0), at(0), at(0));
         }
-        w.core.loaded();
+        w.core.recordsLoaded();
         if (reported) {
             w.hearOrdinary("a", 1, SimulatedWorld.foreign("run-1/0", 7));
         }
--- a/src/test/java/io/indigoreach/core/scheduling/ShortQueueTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ShortQueueTest.java
@@ -23,7 +23,7 @@
     @CsvSource({"1, 1", "20, 3", "200, 33", "1000, 167"})
     void theQueueCountsNotOnlyItsTop(int jobs, int machines) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 4, 1, 100), 0);
         w.hear("a", 1);
@@ -32,7 +32,9 @@
         }
         assertEquals(
                 machines,
-                w.core.wishes(at(100)).stream().mapToInt(ScaleOutRequest::count).sum());
+                w.core.scaleOutRequests(at(100)).stream()
+                        .mapToInt(ScaleOutRequest::count)
+                        .sum());
     }
 
     /** A job a second of 20 tasks of 5 s: 25 machines' work, on top of 120 jobs that came while nothing served. */
--- a/src/test/java/io/indigoreach/core/scheduling/SimulatedCluster.java
+++ b/src/test/java/io/indigoreach/core/scheduling/SimulatedCluster.java
@@ -81,52 +81,55 @@
         }
 
         void end(TaskId task, ExitCause cause) {
-            tasks.computeIfPresent(task, (id, t) -> new TaskStatus(id, t.attempt(), TaskState.EXITED, cause, false));
+            tasks.computeIfPresent(
+                    task, (id, status) -> new TaskStatus(id, status.attempt(), TaskState.EXITED, cause, false));
             if (cause == ExitCause.DONE) {
                 ended.add(task);
             }
         }
 
         void take(Answer answer, double sentAt, double now) {
-            if (answer.token < token || answer.number.session() != session) {
+            if (answer.token < token || answer.number.incarnation() != session) {
                 return;
             }
             token = answer.token;
             answered = Math.max(answered, sentAt);
-            answer.orders.forEach(o -> execute(o, now));
+            answer.orders.forEach(command -> execute(command, now));
         }
 
-        private void execute(WorkerCommand o, double now) {
-            TaskStatus t = tasks.get(o.task());
-            if (o instanceof WorkerCommand.Start
-                    && (t == null
-                            || (t.state() == TaskState.EXITED && !t.attempt().equals(o.attempt())))) {
+        private void execute(WorkerCommand command, double now) {
+            TaskStatus status = tasks.get(command.task());
+            if (command instanceof WorkerCommand.Start
+                    && (status == null
+                            || (status.state() == TaskState.EXITED
+                                    && !status.attempt().equals(command.attempt())))) {
                 boxes.values().stream()
-                        .filter(b -> b.isOn(o.task(), now))
-                        .forEach(b -> broken.add(now + ": ran_twice " + o.task() + " on " + name + " and " + b.name));
-                if (reaped.contains(o.task())) {
-                    broken.add(now + ": started after its result was reaped " + o.task());
+                        .filter(b -> b.isOn(command.task(), now))
+                        .forEach(b ->
+                                broken.add(now + ": ran_twice " + command.task() + " on " + name + " and " + b.name));
+                if (reaped.contains(command.task())) {
+                    broken.add(now + ": started after its result was reaped " + command.task());
                 }
-                starts.merge(o.task(), 1, Integer::sum);
-                tasks.put(o.task(), SimulatedWorld.running(o));
-                if (ended.contains(o.task())) {
-                    end(o.task(), ExitCause.DONE);
+                starts.merge(command.task(), 1, Integer::sum);
+                tasks.put(command.task(), SimulatedWorld.running(command));
+                if (ended.contains(command.task())) {
+                    end(command.task(), ExitCause.DONE);
                 }
-            } else if (t != null && t.attempt().equals(o.attempt())) {
-                if (o instanceof WorkerCommand.Stop && t.state() != TaskState.EXITED) {
-                    end(o.task(), ExitCause.STOPPED);
-                } else if (o instanceof WorkerCommand.Reap && t.state() == TaskState.EXITED) {
-                    tasks.remove(o.task());
-                    if (t.cause() == ExitCause.DONE) {
-                        reaped.add(o.task());
+            } else if (status != null && status.attempt().equals(command.attempt())) {
+                if (command instanceof WorkerCommand.Stop && status.state() != TaskState.EXITED) {
+                    end(command.task(), ExitCause.STOPPED);
+                } else if (command instanceof WorkerCommand.Reap && status.state() == TaskState.EXITED) {
+                    tasks.remove(command.task());
+                    if (status.cause() == ExitCause.DONE) {
+                        reaped.add(command.task());
                     }
                 }
             }
         }
 
         private boolean isOn(TaskId task, double now) {
-            TaskStatus t = tasks.get(task);
-            return t != null && t.state() != TaskState.EXITED && now - answered <= LEASE_S;
+            TaskStatus status = tasks.get(task);
+            return status != null && status.state() != TaskState.EXITED && now - answered <= LEASE_S;
         }
     }
 
@@ -190,7 +193,7 @@
     /** It has read them: every machine, every open job. */
     void load() {
         boxes.keySet()
-                .forEach(name -> core.inherit(
+                .forEach(name -> core.inheritMachine(
                         new MachineId(name),
                         POOL,
                         SimulatedWorld.at(-100),
@@ -200,7 +203,7 @@
                 .filter(r -> !r.closed)
                 .forEach(r -> core.addJob(
                         new Job(r.spec, 1, SimulatedWorld.at(begun), Revision.ABSENT, r.done, r.bound, true)));
-        core.loaded();
+        core.recordsLoaded();
     }
 
     void lead(double now) {
@@ -220,18 +223,20 @@
     }
 
     /** The leader's answer to a report; null if there is none. Bounds are recorded before any order goes out. */
-    Answer answer(Heartbeat report, double now) {
-        for (Job job : core.boundsToRaise(SimulatedWorld.at(now))) {
-            records.get(job.id()).bound = job.boundToWrite();
-            job.boundRecorded(job.boundToWrite());
+    Answer answer(Heartbeat heartbeat, double now) {
+        for (Job job : core.startBoundsToRaise(SimulatedWorld.at(now))) {
+            records.get(job.id()).bound = job.startBoundToWrite();
+            job.startBoundRecorded(job.startBoundToWrite());
         }
-        List<WorkerCommand> orders = core.onReport(report, SimulatedWorld.at(now));
-        for (WorkerCommand o : orders == null ? List.<WorkerCommand>of() : orders) {
-            if (o instanceof WorkerCommand.Start) {
-                ordered.merge(o.task(), 1, Integer::sum);
+        List<WorkerCommand> orders = core.onHeartbeat(heartbeat, SimulatedWorld.at(now));
+        for (WorkerCommand command : orders == null ? List.<WorkerCommand>of() : orders) {
+            if (command instanceof WorkerCommand.Start) {
+                ordered.merge(command.task(), 1, Integer::sum);
             }
         }
-        return orders == null || !core.answers(report.machine()) ? null : new Answer(token, report.number(), orders);
+        return orders == null || !core.mayAnswer(heartbeat.machine())
+                ? null
+                : new Answer(token, heartbeat.number(), orders);
     }
 
     /** A machine reports, and takes the answer if it hears. */
@@ -260,8 +265,8 @@
     void record() {
         for (Job job : new ArrayList<>(core.jobs())) {
             Recorded r = records.get(job.id());
-            r.done.or(job.doneTasks());
-            job.recorded(job.doneTasks());
+            r.done.or(job.completedTasks());
+            job.completionsRecorded(job.completedTasks());
             if (job.isComplete()) {
                 r.closed = true;
                 core.closeJob(job.id());
@@ -282,7 +287,7 @@
             Recorded r = records.get(task.job());
             if (r.spec.team().equals(team.name())) {
                 cores += r.spec.demand().cores();
-                if (now > r.cancelled + SimulatedWorld.RULES.cancel().seconds()) {
+                if (now > r.cancelled + SimulatedWorld.RULES.cancellationTime().seconds()) {
                     broken.add(now + ": ran_cancelled " + task);
                 }
             }
@@ -334,10 +339,10 @@
     }
 
     @Override
-    public void progress(Job job) {}
+    public void taskCompleted(Job job) {}
 
     @Override
-    public void say(String line) {
+    public void log(String line) {
         said.add(line);
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/SimulatedWorld.java
+++ b/src/test/java/io/indigoreach/core/scheduling/SimulatedWorld.java
@@ -192,36 +192,36 @@
     }
 
     List<WorkerCommand> hearOrdinary(String name, double at, TaskStatus... tasks) {
-        Heartbeat r = report(name, "east", 1, TOKEN, tasks);
-        return core.onReport(
+        Heartbeat heartbeat = report(name, "east", 1, TOKEN, tasks);
+        return core.onHeartbeat(
                 new Heartbeat(
-                        r.machine(),
-                        r.address(),
+                        heartbeat.machine(),
+                        heartbeat.address(),
                         new MachinePool("quad", "east", false),
-                        r.number(),
-                        r.token(),
+                        heartbeat.number(),
+                        heartbeat.token(),
                         null,
-                        r.tasks()),
+                        heartbeat.tasks()),
                 at(at));
     }
 
     static TaskStatus[] running(List<WorkerCommand> orders) {
         return orders.stream()
-                .filter(o -> o instanceof WorkerCommand.Start)
+                .filter(command -> command instanceof WorkerCommand.Start)
                 .map(SimulatedWorld::running)
                 .toArray(TaskStatus[]::new);
     }
 
     List<WorkerCommand> hear(String name, double at, TaskStatus... tasks) {
-        return core.onReport(report(name, "east", 1, TOKEN, tasks), at(at));
+        return core.onHeartbeat(report(name, "east", 1, TOKEN, tasks), at(at));
     }
 
-    static TaskStatus running(WorkerCommand o) {
-        return new TaskStatus(o.task(), o.attempt(), TaskState.RUNNING, null, false);
+    static TaskStatus running(WorkerCommand command) {
+        return new TaskStatus(command.task(), command.attempt(), TaskState.RUNNING, null, false);
     }
 
-    static TaskStatus exited(WorkerCommand o, ExitCause cause) {
-        return new TaskStatus(o.task(), o.attempt(), TaskState.EXITED, cause, false);
+    static TaskStatus exited(WorkerCommand command, ExitCause cause) {
+        return new TaskStatus(command.task(), command.attempt(), TaskState.EXITED, cause, false);
     }
 
     static TaskStatus foreign(String task, long attempt) {
@@ -230,25 +230,25 @@
 
     static List<String> starts(List<WorkerCommand> orders) {
         return orders.stream()
-                .filter(o -> o instanceof WorkerCommand.Start)
-                .map(o -> o.task().toString())
+                .filter(command -> command instanceof WorkerCommand.Start)
+                .map(command -> command.task().toString())
                 .toList();
     }
 
     static List<String> stops(List<WorkerCommand> orders) {
         return orders.stream()
-                .filter(o -> o instanceof WorkerCommand.Stop)
-                .map(o -> o.task().toString())
+                .filter(command -> command instanceof WorkerCommand.Stop)
+                .map(command -> command.task().toString())
                 .toList();
     }
 
     @Override
-    public void progress(Job job) {
+    public void taskCompleted(Job job) {
         progressed.add(job);
     }
 
     @Override
-    public void say(String line) {
+    public void log(String line) {
         said.add(line);
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/StaleHeartbeatTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/StaleHeartbeatTest.java
@@ -81,11 +81,11 @@
             site.report("a", 0.3);
         }
         if (when == Arrives.BEFORE_THE_RECORDS_ARE_READ) {
-            site.core.onReport(old, at(0.4));
+            site.core.onHeartbeat(old, at(0.4));
         }
         site.load();
         if (when == Arrives.AFTER_THE_RECORDS_ARE_READ) {
-            assertEquals(List.of(), site.core.onReport(old, at(0.4)));
+            assertEquals(List.of(), site.core.onHeartbeat(old, at(0.4)));
         }
         List<String> trace = new ArrayList<>(List.of(site.core.summary(at(0.5))));
         for (double now = 1; now < 40; now++) {
--- a/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulation.java
@@ -224,8 +224,8 @@
 
     private void report(SimulatedCluster.Box box, Trouble meets, double now) {
         box.live(now);
-        Heartbeat report = box.write();
-        SimulatedCluster.Answer answer = UNANSWERED.contains(meets) ? null : site.answer(report, now);
+        Heartbeat heartbeat = box.write();
+        SimulatedCluster.Answer answer = UNANSWERED.contains(meets) ? null : site.answer(heartbeat, now);
         if (answer != null && meets == Trouble.HELD_UP) {
             late.add(new Late(box, answer, now, now + SimulatedCluster.PATIENCE_S - STEP_S));
             nextReport.put(box, now + SimulatedCluster.PATIENCE_S);
--- a/src/test/java/io/indigoreach/core/scheduling/WaitCheck.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitCheck.java
@@ -23,16 +23,16 @@
         List<String> broken = new ArrayList<>();
         Map<JobId, Wait> next = new HashMap<>();
         for (Job job : leader.jobs()) {
-            Optional<WaitReason> reason = leader.waitsFor(job, SimulatedWorld.at(now));
+            Optional<WaitReason> reason = leader.waitReason(job, SimulatedWorld.at(now));
             if (reason.isEmpty() == job.hasWaiting()) {
-                broken.add(now + ": " + job.id() + " has " + job.waiting() + " tasks waiting for " + reason);
+                broken.add(now + ": " + job.id() + " has " + job.waitingCount() + " tasks waiting for " + reason);
             }
             if (!calm || reason.isEmpty() || reason.get().isLimitOrRoom()) {
                 continue;
             }
             Wait before = waits.get(job.id());
-            boolean goesOn = before != null && job.waiting() >= before.tasks;
-            next.put(job.id(), new Wait(goesOn ? before.since : now, job.waiting(), reason.get()));
+            boolean goesOn = before != null && job.waitingCount() >= before.tasks;
+            next.put(job.id(), new Wait(goesOn ? before.since : now, job.waitingCount(), reason.get()));
             if (goesOn && now - before.since > LONGEST_S) {
                 broken.add(now + ": " + job.id() + " waits since " + before.since + " for " + reason.get());
             }
--- a/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
@@ -59,9 +59,9 @@
     void eachWaitHasItsName(String why, WaitReason expected) {
         SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(why.equals("limit") ? 3 : 0));
         if (why.equals("inherited")) {
-            w.core.inherit(new MachineId("old"), new MachinePool("quad", "east", true), at(0), at(0), at(0));
+            w.core.inheritMachine(new MachineId("old"), new MachinePool("quad", "east", true), at(0), at(0), at(0));
         }
-        w.core.loaded();
+        w.core.recordsLoaded();
         if (why.equals("booting") || why.equals("unrecorded")) {
             w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
         } else {
@@ -87,34 +87,35 @@
             w.core.addJob(job);
         }
         Machine a = w.core.machines().iterator().next();
-        a.spare = why.equals("spare");
+        a.surplus = why.equals("spare");
         if (why.equals("failed") || why.equals("suspect")) {
-            job.failedOn.add(a.id);
+            job.failedMachines.add(a.id);
         }
-        job.retryAt = why.equals("suspect") ? at(10) : job.retryAt;
+        job.retryNotBefore = why.equals("suspect") ? at(10) : job.retryNotBefore;
         if (why.equals("elsewhere")) {
             Machine far =
                     new Machine(new MachineId("b"), new MachinePool("quad", "west", true), SimulatedWorld.TYPE, at(0));
-            job.place(new Placement(job, 0, far, new Attempt(1), TaskState.RUNNING, HeartbeatNumber.NONE, at(2)));
+            job.addPlacement(
+                    new Placement(job, 0, far, new Attempt(1), TaskState.RUNNING, HeartbeatNumber.NONE, at(2)));
         }
-        assertEquals(Optional.of(expected), w.core.waitsFor(job, at(3)));
+        assertEquals(Optional.of(expected), w.core.waitReason(job, at(3)));
     }
 
     @Test
     void whatDoesNotWaitHasNoReason() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         Job job = w.submit(spec(1, 1, 1, 100), 0);
         w.hear("a", 1);
-        assertEquals(Optional.empty(), w.core.waitsFor(job, at(2)));
+        assertEquals(Optional.empty(), w.core.waitReason(job, at(2)));
     }
 
     /** A team that used none of its guarantee and wanted nothing kept the others from the rest of every machine. */
     @Test
     void aTeamThatWantsNothingKeepsNoRoom() {
         SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(0), GUARANTEED);
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 6, 1, 100), 0);
         List<WorkerCommand> first = w.hear("a", 1);
@@ -125,7 +126,7 @@
     private static List<WorkerCommand> oneEnds(SimulatedWorld w, List<WorkerCommand> starts, double at) {
         List<TaskStatus> tasks = new ArrayList<>();
         tasks.add(exited(starts.get(0), ExitCause.DONE));
-        starts.subList(1, starts.size()).forEach(o -> tasks.add(running(o)));
+        starts.subList(1, starts.size()).forEach(command -> tasks.add(running(command)));
         return w.hear("a", at, tasks.toArray(TaskStatus[]::new));
     }
 
@@ -136,20 +137,20 @@
         SimulatedWorld w = spare
                 ? new SimulatedWorld()
                 : new SimulatedWorld(SimulatedWorld.team(0), GUARANTEED, new Team("other", 8, 0, 0, 0));
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.up("a", "east", 0);
         Job own = w.submit(of(spec(1, 4, 1, 500), spare ? "t" : "guaranteed"), 0);
         List<WorkerCommand> first = w.hear("a", 1);
         assertEquals(4, SimulatedWorld.starts(first).size());
-        w.core.machines().iterator().next().spare = spare;
+        w.core.machines().iterator().next().surplus = spare;
         w.submit(spec(2, 1, 1, 500), 2);
         assertEquals(List.of(), SimulatedWorld.starts(oneEnds(w, first, 61)));
         assertEquals(List.of("run-2/0"), SimulatedWorld.starts(w.hear("a", 62.5, tasks(own))));
     }
 
     private static TaskStatus[] tasks(Job job) {
-        return job.active().stream()
-                .map(p -> new TaskStatus(p.task(), p.attempt, TaskState.RUNNING, null, false))
+        return job.placements().stream()
+                .map(placement -> new TaskStatus(placement.task(), placement.attempt, TaskState.RUNNING, null, false))
                 .toArray(TaskStatus[]::new);
     }
 
@@ -185,7 +186,7 @@
         MachineType dear = new MachineType(
                 "dear", new Demand(4, 0, 16), 40, 0.5, 0.4, 0.1, Span.seconds(20), List.of("west", "east"));
         w.core.setTypes(refused ? List.of(SimulatedWorld.TYPE) : List.of(east, dear));
-        w.core.loaded();
+        w.core.recordsLoaded();
         w.submit(with(spec(1, 4, 1, 100), Urgency.STANDARD, false, false, true, "west", 0), 0);
         if (refused) {
             w.submit(spec(2, 4, 1, 100), 1);
@@ -194,7 +195,7 @@
         }
         assertEquals(
                 Set.of(expected),
-                w.core.wishes(at(20)).stream()
+                w.core.scaleOutRequests(at(20)).stream()
                         .map(r -> r.pool().type() + " " + r.pool().zone())
                         .collect(Collectors.toSet()));
     }
--- a/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
@@ -269,21 +269,27 @@
         core.setTypes(List.of(type));
         boxes.forEach((name, box) -> {
             if (box.up <= now) {
-                core.inherit(new MachineId(name), box.pool, at(box.rented), at(box.rented), at(now));
+                core.inheritMachine(new MachineId(name), box.pool, at(box.rented), at(box.rented), at(now));
             }
         });
         open.replaceAll((id, job) -> new Job(
-                job.spec(), job.submittedMs(), job.arrived, job.stamp(), job.doneTasks(), job.boundToWrite(), true));
+                job.spec(),
+                job.submittedMs(),
+                job.eligibleSince,
+                job.revision(),
+                job.completedTasks(),
+                job.startBoundToWrite(),
+                true));
         open.values().forEach(core::addJob);
-        core.loaded();
+        core.recordsLoaded();
         plan = new PoolPlanner(teams, () -> List.of(type), CoreHarness.STANDARD.term(), Moment::ms, said::add);
-        meter = new Meter(CoreHarness.STANDARD.leastPaid().ms());
-        core.keeping(plan);
+        meter = new Meter(CoreHarness.STANDARD.minimumPaidTime().ms());
+        core.useWarmCapacity(plan);
         plan.pools(pools.values(), n -> new DemandHistory());
         sheets.forEach((n, sheet) -> meter.recall(n, sheet, this::price));
         plan.recall(meter.lines(), at(now));
         // The list of the cloud, which also names machines that are booting.
-        core.onList(listed(), at(now), at(now));
+        core.onMachineListing(listed(), at(now), at(now));
     }
 
     private List<ListedMachine> listed() {
@@ -318,8 +324,8 @@
         if (now % 2 == 0) {
             tend();
         }
-        for (Job job : core.boundsToRaise(at(now))) {
-            job.boundRecorded(job.boundToWrite());
+        for (Job job : core.startBoundsToRaise(at(now))) {
+            job.startBoundRecorded(job.startBoundToWrite());
         }
         int n = 0;
         for (Map.Entry<String, Box> e : boxes.entrySet()) {
@@ -332,7 +338,7 @@
         }
         for (Iterator<Job> i = open.values().iterator(); i.hasNext(); ) {
             Job job = i.next();
-            job.recorded(job.doneTasks());
+            job.completionsRecorded(job.completedTasks());
             if (job.isComplete()) {
                 core.closeJob(job.id());
                 i.remove();
@@ -343,29 +349,29 @@
     }
 
     private void tend() {
-        for (ScaleOutRequest wish : core.wishes(at(now))) {
-            asked.add(wish);
+        for (ScaleOutRequest request : core.scaleOutRequests(at(now))) {
+            asked.add(request);
             int got = (int) Math.min(
-                    wish.count(),
-                    capacity.get(wish.pool())
+                    request.count(),
+                    capacity.get(request.pool())
                             - boxes.values().stream()
-                                    .filter(b -> b.pool.equals(wish.pool()))
+                                    .filter(b -> b.pool.equals(request.pool()))
                                     .count());
-            if (got < wish.count()) {
-                core.refused(wish.pool(), at(now));
+            if (got < request.count()) {
+                core.refused(request.pool(), at(now));
             }
             List<MachineId> ids = new ArrayList<>();
             for (int i = 0; i < got; i++) {
                 ids.add(new MachineId(String.format("m%05d", ++names)));
                 boxes.put(
                         ids.get(i).toString(),
-                        new Box(wish.pool(), now, now + (int) type.boot().seconds()));
+                        new Box(request.pool(), now, now + (int) type.boot().seconds()));
                 rents++;
             }
-            core.rented(wish.pool(), ids, at(now), at(now));
+            core.rented(request.pool(), ids, at(now), at(now));
         }
-        core.check(at(now));
-        List<MachineId> leaving = core.leaving(100);
+        core.planScaleIn(at(now));
+        List<MachineId> leaving = core.machinesToReturn(100);
         leaving.forEach(id -> end(id.toString()));
         core.returned(leaving, at(now));
     }
@@ -395,7 +401,7 @@
                 end(name);
                 List<ListedMachine> list = listed();
                 list.add(new ListedMachine(new MachineId(name), where, ListedMachine.Status.FAILED, Span.ZERO));
-                core.onList(list, at(now), at(now));
+                core.onMachineListing(list, at(now), at(now));
             }
         }
     }
@@ -443,7 +449,7 @@
                         t.state == TaskState.EXITED
                                 ? SimulatedWorld.exited(t.start, ExitCause.DONE)
                                 : new TaskStatus(t.start.task(), t.start.attempt(), t.state, null, false)));
-        Heartbeat report = new Heartbeat(
+        Heartbeat heartbeat = new Heartbeat(
                 new MachineId(name),
                 "10.0.0.1:1",
                 box.pool,
@@ -451,29 +457,29 @@
                 new FencingToken(token),
                 null,
                 list);
-        List<WorkerCommand> orders = new ArrayList<>(core.onReport(report, at(now)));
+        List<WorkerCommand> orders = new ArrayList<>(core.onHeartbeat(heartbeat, at(now)));
         if (core.unrecorded(new MachineId(name)) != null) {
             core.recorded(new MachineId(name));
-            orders.addAll(core.fill(new MachineId(name), report.number(), at(now)));
+            orders.addAll(core.startTasks(new MachineId(name), heartbeat.number(), at(now)));
         }
-        for (WorkerCommand o : orders) {
-            if (o instanceof WorkerCommand.Start s) {
-                Job job = open.get(o.task().job());
+        for (WorkerCommand command : orders) {
+            if (command instanceof WorkerCommand.Start s) {
+                Job job = open.get(command.task().job());
                 double used = box.tasks.values().stream()
                         .filter(t -> t.state != TaskState.EXITED)
                         .mapToDouble(t -> t.spec.demand().cores())
                         .sum();
                 if (used + job.spec().demand().cores() > type.capacity().cores() + 1e-6) {
-                    throw new AssertionError("no room on " + name + " for " + o.task());
+                    throw new AssertionError("no room on " + name + " for " + command.task());
                 }
                 Task task = new Task(s, job.spec());
-                box.tasks.put(o.task(), task);
+                box.tasks.put(command.task(), task);
                 Double held = box.cache.remove(job.spec().image());
                 if (held != null) {
                     box.cache.put(job.spec().image(), held);
                 }
             } else {
-                Task gone = box.tasks.remove(o.task());
+                Task gone = box.tasks.remove(command.task());
                 if (gone != null
                         && gone.spec.image().equals(box.fetching)
                         && box.tasks.values().stream()
@@ -486,20 +492,21 @@
 
     private void look() {
         List<Meter.Look> looks = new ArrayList<>();
-        for (Machine m : core.machines()) {
-            boolean in = m.seat() != null && !m.seat().isDropped();
+        for (Machine machine : core.machines()) {
+            boolean in = machine.poolMembership() != null
+                    && !machine.poolMembership().isDropped();
             looks.add(new Meter.Look(
-                    m.id(),
-                    m.pool(),
-                    m.rented().ms(),
-                    in ? new Account(m.seat().pool(), "t") : new Account("", ""),
-                    in ? m.seat().image() : "",
-                    in ? m.seat().gb() : 0,
-                    in && m.images().holds(m.seat().image()) ? m.session() : 0,
-                    m.coresByTeam(),
+                    machine.id(),
+                    machine.pool(),
+                    machine.rentedAt().ms(),
+                    in ? new Account(machine.poolMembership().pool(), "t") : new Account("", ""),
+                    in ? machine.poolMembership().image() : "",
+                    in ? machine.poolMembership().gb() : 0,
+                    in && machine.imageCache().holds(machine.poolMembership().image()) ? machine.incarnation() : 0,
+                    machine.coresByTeam(),
                     8,
-                    price(m.pool()),
-                    m.phase() == Machine.Phase.LEAVING));
+                    price(machine.pool()),
+                    machine.phase() == Machine.Phase.RETURNING));
         }
         meter.look(looks, at(now).ms());
         for (int page : now % writesEvery == 0 ? meter.behind(now % 20 == 0) : List.<Integer>of()) {
@@ -507,9 +514,9 @@
             sheets.put(page, next);
             meter.written(page, next);
         }
-        for (Machine m : core.machines()) {
-            if (!meter.isRecordedInPool(m.id())) {
-                plan.released(m);
+        for (Machine machine : core.machines()) {
+            if (!meter.isRecordedInPool(machine.id())) {
+                plan.released(machine);
             }
         }
         Map<String, Double> spent = new HashMap<>();
@@ -519,23 +526,23 @@
 
     /** What the leader claims of caches is so, and no machine is paid for by two. */
     void truthful() {
-        for (Machine m : core.machines()) {
-            Box box = boxes.get(m.id().toString());
+        for (Machine machine : core.machines()) {
+            Box box = boxes.get(machine.id().toString());
             if (box != null
-                    && m.seat() != null
-                    && m.images().holds(m.seat().image())
-                    && !box.cache.containsKey(m.seat().image())) {
-                throw new AssertionError("at " + now + " " + m.id() + " is said to hold "
-                        + m.seat().image() + " and has " + box.cache.keySet());
+                    && machine.poolMembership() != null
+                    && machine.imageCache().holds(machine.poolMembership().image())
+                    && !box.cache.containsKey(machine.poolMembership().image())) {
+                throw new AssertionError("at " + now + " " + machine.id() + " is said to hold "
+                        + machine.poolMembership().image() + " and has " + box.cache.keySet());
             }
         }
     }
 
     long machines(String pool) {
         return core.machines().stream()
-                .filter(m -> m.seat() != null
-                        && !m.seat().isDropped()
-                        && m.seat().pool().equals(pool))
+                .filter(machine -> machine.poolMembership() != null
+                        && !machine.poolMembership().isDropped()
+                        && machine.poolMembership().pool().equals(pool))
                 .count();
     }
 
@@ -554,8 +561,8 @@
     }
 
     @Override
-    public void progress(Job job) {}
+    public void taskCompleted(Job job) {}
 
     @Override
-    public void say(String line) {}
+    public void log(String line) {}
 }
--- a/src/test/java/io/indigoreach/core/scheduling/WarmPoolTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolTest.java
@@ -147,9 +147,10 @@
         w.run(1500, () -> {
             w.truthful();
             long ready = w.core.machines().stream()
-                    .filter(m -> m.seat() != null
-                            && !m.seat().isDropped()
-                            && m.images().holds(m.seat().image()))
+                    .filter(machine -> machine.poolMembership() != null
+                            && !machine.poolMembership().isDropped()
+                            && machine.imageCache()
+                                    .holds(machine.poolMembership().image()))
                     .count();
             fewest[0] = (int) Math.min(fewest[0], ready);
         });
@@ -173,10 +174,10 @@
         w.run(WARM + 40, w::truthful);
         assertTrue(
                 w.core.machines().stream()
-                                .filter(m -> m.seat() != null
-                                        && m.isUsable()
-                                        && m.pool().zone().equals("west")
-                                        && m.images().holds(MODEL))
+                                .filter(machine -> machine.poolMembership() != null
+                                        && machine.isUsable()
+                                        && machine.pool().zone().equals("west")
+                                        && machine.imageCache().holds(MODEL))
                                 .count()
                         >= 10,
                 "the other zone has the number");
@@ -240,7 +241,8 @@
         assertEquals(gb < 60, onWarm > 0, "idle cores serve guests whose image fits beside the weights, and no others");
         w.run(900);
         assertTrue(
-                w.open.values().stream().noneMatch(j -> j.spec().jobClass().equals("guest")), "all guests are served");
+                w.open.values().stream().noneMatch(job -> job.spec().jobClass().equals("guest")),
+                "all guests are served");
     }
 
     @Test
@@ -303,12 +305,13 @@
         for (int n = 0; n < 3 * WARM && dropped == null; n++) {
             w.run(1, w::truthful);
             dropped = w.core.machines().stream()
-                    .filter(m -> m.seat() != null && m.seat().isDropped())
+                    .filter(machine -> machine.poolMembership() != null
+                            && machine.poolMembership().isDropped())
                     .findFirst()
                     .orElse(null);
         }
         assertTrue(dropped != null, "the new version is held by one more, so one with the old is let go");
-        assertTrue(dropped.isOfKind(other) && !dropped.allows(other));
+        assertTrue(dropped.matchesPool(other) && !dropped.allows(other));
         w.writesEvery = 1;
         w.run(1);
         assertTrue(dropped.allows(other));
--- a/src/test/java/io/indigoreach/emulator/PlantedTest.java
+++ b/src/test/java/io/indigoreach/emulator/PlantedTest.java
@@ -137,10 +137,10 @@
     /** After each attempt that is to be forgotten, the same start once more. */
     private static WorkerCodec.Answer startAgain(WorkerCodec.Answer a) {
         List<WorkerCommand> orders = new ArrayList<>(a.orders());
-        a.orders().forEach(o -> {
-            if (o instanceof WorkerCommand.Reap) {
+        a.orders().forEach(command -> {
+            if (command instanceof WorkerCommand.Reap) {
                 orders.add(new WorkerCommand.Start(
-                        o.task(), new Attempt(o.attempt().value())));
+                        command.task(), new Attempt(command.attempt().value())));
             }
         });
         return new WorkerCodec.Answer(a.token(), orders);
--- a/src/test/java/io/indigoreach/emulator/model/WorkerModelTest.java
+++ b/src/test/java/io/indigoreach/emulator/model/WorkerModelTest.java
@@ -127,10 +127,13 @@
         List<WorkerCommand> rest = new ArrayList<>(List.of(orders));
         Moment end = now.plus(Span.seconds(s));
         for (; now.isBefore(end); now = now.plus(new Span(50))) {
-            Heartbeat r = worker.report(now);
-            if (r != null) {
+            Heartbeat heartbeat = worker.report(now);
+            if (heartbeat != null) {
                 worker.answered(
-                        now, r.number(), now, new WorkerCodec.Answer(new FencingToken(token), List.copyOf(rest)));
+                        now,
+                        heartbeat.number(),
+                        now,
+                        new WorkerCodec.Answer(new FencingToken(token), List.copyOf(rest)));
                 rest.clear();
             }
         }
@@ -138,18 +141,21 @@
 
     /** Until the next report is answered with these orders, and no longer. */
     private void deliver(long token, WorkerCommand... orders) {
-        for (Heartbeat r = null; r == null; now = now.plus(new Span(50))) {
-            r = worker.report(now);
-            if (r != null) {
-                worker.answered(now, r.number(), now, new WorkerCodec.Answer(new FencingToken(token), List.of(orders)));
+        for (Heartbeat heartbeat = null; heartbeat == null; now = now.plus(new Span(50))) {
+            heartbeat = worker.report(now);
+            if (heartbeat != null) {
+                worker.answered(
+                        now, heartbeat.number(), now, new WorkerCodec.Answer(new FencingToken(token), List.of(orders)));
             }
         }
     }
 
     private String states() {
         return worker.state(now).tasks().stream()
-                .map(t -> t.task() + "/" + t.attempt() + " "
-                        + (t.state() == TaskState.EXITED ? t.cause() + (t.saved() ? " saved" : "") : t.state()))
+                .map(status -> status.task() + "/" + status.attempt() + " "
+                        + (status.state() == TaskState.EXITED
+                                ? status.cause() + (status.saved() ? " saved" : "")
+                                : status.state()))
                 .reduce((a, b) -> a + ", " + b)
                 .orElse("");
     }
@@ -225,7 +231,7 @@
         assertEquals("", states());
         assertTrue(seen.contains("off run-1/0 lease"));
         Heartbeat next = worker.report(now);
-        assertEquals(2, next.number().session());
+        assertEquals(2, next.number().incarnation());
         // An answer to a report of the session before is dropped.
         worker.answered(now, lost.number(), now, new WorkerCodec.Answer(new FencingToken(9), List.of(start(1, 1, 9))));
         assertEquals("", states());
@@ -236,18 +242,18 @@
     @Test
     void countsItsLeaseFromSending() {
         go(3, 1, start(1, 0, 7));
-        Heartbeat r = null;
-        while (r == null) {
+        Heartbeat heartbeat = null;
+        while (heartbeat == null) {
             now = now.plus(new Span(50));
-            r = worker.report(now);
+            heartbeat = worker.report(now);
         }
         Moment sent = now;
         now = now.plus(Span.seconds(3.5));
-        worker.answered(now, r.number(), sent, new WorkerCodec.Answer(new FencingToken(1), List.of()));
+        worker.answered(now, heartbeat.number(), sent, new WorkerCodec.Answer(new FencingToken(1), List.of()));
         worker.advance(sent.plus(Span.seconds(5.9)));
-        assertEquals(1, worker.state(now).number().session());
+        assertEquals(1, worker.state(now).number().incarnation());
         worker.advance(sent.plus(Span.seconds(6)));
-        assertEquals(2, worker.state(now).number().session());
+        assertEquals(2, worker.state(now).number().incarnation());
     }
 
     /** A lower token, or none, is dropped, and renews nothing. */
@@ -258,7 +264,7 @@
         assertEquals("run-1/0/7 RUNNING", states());
         go(4, -1, start(1, 1, 8));
         assertEquals("", states());
-        assertEquals(2, worker.state(now).number().session());
+        assertEquals(2, worker.state(now).number().incarnation());
         assertEquals(5, worker.state(now).token().value());
     }
 
@@ -300,14 +306,14 @@
         List<Double> gaps = new ArrayList<>();
         Moment sent = null;
         for (; now.isBefore(T.plus(Span.seconds(60))); now = now.plus(new Span(10))) {
-            Heartbeat r = worker.report(now);
-            if (r != null) {
+            Heartbeat heartbeat = worker.report(now);
+            if (heartbeat != null) {
                 if (sent != null) {
                     gaps.add(now.since(sent).seconds());
                 }
                 sent = now;
                 assertNull(worker.report(now.plus(new Span(5))));
-                worker.answered(now, r.number(), now, new WorkerCodec.Answer(new FencingToken(1), List.of()));
+                worker.answered(now, heartbeat.number(), now, new WorkerCodec.Answer(new FencingToken(1), List.of()));
             }
         }
         assertTrue(gaps.remove(0) < 0.6, "the new token is a change");
@@ -330,7 +336,7 @@
     void failsOnASpoiltMachine() {
         worker.spoil();
         go(5, 1, start(1, 0, 7));
-        TaskStatus t = worker.state(now).tasks().get(0);
-        assertEquals(ExitCause.ERROR, t.cause());
+        TaskStatus status = worker.state(now).tasks().get(0);
+        assertEquals(ExitCause.ERROR, status.cause());
     }
 }
