--- a/src/main/java/io/indigoreach/api/ApiResponse.java
+++ b/src/main/java/io/indigoreach/api/ApiResponse.java
@@ -14,7 +14,7 @@
     }
 
     /** Not now: said at once, with the time to come back. */
-    public static ApiResponse later(String reason) {
+    public static ApiResponse retryLater(String reason) {
         return new ApiResponse(503, MessagePackFormat.map("error", reason), 1);
     }
 }
--- a/src/main/java/io/indigoreach/api/CascadeFreshness.java
+++ b/src/main/java/io/indigoreach/api/CascadeFreshness.java
@@ -14,36 +14,36 @@
  */
 final class CascadeFreshness {
     private final SteadyClock clock;
-    private final BooleanSupplier doubted;
-    private Span lasts = Span.ZERO;
+    private final BooleanSupplier stateServiceDoubted;
+    private Span cascadeTime = Span.ZERO;
     private Supplier<Object> leadership = () -> "";
     private Object lastSeen;
     private Moment since;
 
     /** {@code doubted}: the state service's answers are in doubt themselves. */
-    CascadeFreshness(SteadyClock clock, BooleanSupplier doubted) {
+    CascadeFreshness(SteadyClock clock, BooleanSupplier stateServiceDoubted) {
         this.clock = clock;
-        this.doubted = doubted;
+        this.stateServiceDoubted = stateServiceDoubted;
         this.since = clock.now();
     }
 
     /** {@code time}: how long a user may be told that a job waits after one before it was cancelled. */
-    void lasting(Span time, Supplier<Object> currentLeadership) {
-        lasts = time;
+    void cascadeWithin(Span time, Supplier<Object> currentLeadership) {
+        cascadeTime = time;
         leadership = currentLeadership;
     }
 
     /** A request to the state service has failed. */
-    void failure() {
+    void requestFailed() {
         since = clock.now();
     }
 
-    boolean isJustified() {
+    boolean mayBeStale() {
         Object current = leadership.get();
         if (!Objects.equals(current, lastSeen)) {
             lastSeen = current;
             since = clock.now();
         }
-        return doubted.getAsBoolean() || clock.now().since(since).compareTo(lasts) < 0;
+        return stateServiceDoubted.getAsBoolean() || clock.now().since(since).compareTo(cascadeTime) < 0;
     }
 }
--- a/src/main/java/io/indigoreach/api/DependencyService.java
+++ b/src/main/java/io/indigoreach/api/DependencyService.java
@@ -50,7 +50,7 @@
     /** {@code time}: within it after a cancellation, the jobs below are to be told cancelled too. */
     void within(Span time, Supplier<Object> leadership) {
         within = time;
-        doubt.lasting(time, leadership);
+        doubt.cascadeWithin(time, leadership);
     }
 
     /** Whether every node of the deployment knows what a chain is: one that does not would start such a job at once. */
@@ -84,7 +84,7 @@
         }
         Moment now = clock.now();
         Moment last = looks.getOrDefault(id, Moment.NEVER);
-        if (!doubt.isJustified() || now.since(last).compareTo(within.times(LOOK_HOLDS)) < 0) {
+        if (!doubt.mayBeStale() || now.since(last).compareTo(within.times(LOOK_HOLDS)) < 0) {
             return Future.succeededFuture(false);
         }
         return atQuestions.isBelowCancelled(chain).onSuccess(below -> {
--- a/src/main/java/io/indigoreach/api/HttpApi.java
+++ b/src/main/java/io/indigoreach/api/HttpApi.java
@@ -87,7 +87,7 @@
             withBody(request, HttpMethod.POST, reports::report);
         } else if (JobCodec.READY.equals(path)) {
             if (allows(request, HttpMethod.GET)) {
-                write(request, ready.getAsBoolean() ? ApiResponse.ok(Map.of()) : ApiResponse.later("starting"));
+                write(request, ready.getAsBoolean() ? ApiResponse.ok(Map.of()) : ApiResponse.retryLater("starting"));
             }
         } else if (JobCodec.JOBS.equals(path)) {
             withBody(request, HttpMethod.POST, body -> limited(orders, user(request), () -> jobs.submit(body)));
@@ -153,7 +153,7 @@
     private static Future<ApiResponse> limited(
             FairAdmission kind, String who, java.util.function.Supplier<Future<ApiResponse>> work) {
         if (!kind.enter(who)) {
-            return Future.succeededFuture(ApiResponse.later("too many requests at this node"));
+            return Future.succeededFuture(ApiResponse.retryLater("too many requests at this node"));
         }
         Future<ApiResponse> result;
         try {
@@ -208,7 +208,7 @@
                         request.method(),
                         request.path(),
                         done.cause().toString());
-                write(request, ApiResponse.later("the state service does not answer"));
+                write(request, ApiResponse.retryLater("the state service does not answer"));
             } else {
                 write(request, done.result());
             }
--- a/src/main/java/io/indigoreach/api/JobReadBatcher.java
+++ b/src/main/java/io/indigoreach/api/JobReadBatcher.java
@@ -40,7 +40,7 @@
     /** By the keys of the records. */
     private Map<String, Promise<StateClient.Entry>> waiting = new HashMap<>();
 
-    private final ListingCursor<Promise<StateClient.Entry>> round = new ListingCursor<>();
+    private final ListingCursor<Promise<StateClient.Entry>> cursor = new ListingCursor<>();
     private boolean listing;
 
     /** {@code perSecond}: requests to the state service that this node may spend on users' questions. */
@@ -55,9 +55,9 @@
     /** The open job's record as it stands now; null if there is none. */
     Future<StateClient.Entry> read(JobId id) {
         if (!listing && waiting.isEmpty() && single.take(1, clock.now())) {
-            return state.get(RecordCodec.open(id));
+            return state.get(RecordCodec.openKey(id));
         }
-        Promise<StateClient.Entry> promise = waiting.computeIfAbsent(RecordCodec.open(id), key -> Promise.promise());
+        Promise<StateClient.Entry> promise = waiting.computeIfAbsent(RecordCodec.openKey(id), key -> Promise.promise());
         begin();
         return promise.future();
     }
@@ -82,13 +82,13 @@
             return;
         }
         if (begun == null) {
-            round.begin(waiting);
+            cursor.begin(waiting);
             waiting = new HashMap<>();
         }
-        String from = round.next();
-        state.list(RecordCodec.OPEN, RecordCodec.before(from), PAGE).onComplete(read -> {
+        String from = cursor.next();
+        state.list(RecordCodec.OPEN, RecordCodec.keyBefore(from), PAGE).onComplete(read -> {
             if (read.failed()) {
-                round.failed(from);
+                cursor.failed(from);
                 end(new WireException(
                         "the open jobs cannot be listed: " + read.cause().getMessage()));
                 return;
@@ -98,8 +98,8 @@
             String last = read.result().more() && !items.isEmpty()
                     ? read.result().items().get(items.size() - 1).key()
                     : null;
-            round.answered(from, last).forEach((key, promise) -> promise.complete(items.get(key)));
-            if (round.isOver()) {
+            cursor.answered(from, last).forEach((key, promise) -> promise.complete(items.get(key)));
+            if (cursor.isOver()) {
                 end(null);
             } else {
                 page(begun == null ? now : begun);
@@ -109,7 +109,7 @@
 
     private void end(WireException failure) {
         listing = false;
-        round.end().values().forEach(promise -> promise.fail(failure));
+        cursor.end().values().forEach(promise -> promise.fail(failure));
         begin();
     }
 }
--- a/src/main/java/io/indigoreach/api/JobService.java
+++ b/src/main/java/io/indigoreach/api/JobService.java
@@ -39,8 +39,8 @@
  */
 public final class JobService {
     private static final Logger LOG = LoggerFactory.getLogger(JobService.class);
-    private static final int REMEMBERED = 20_000;
-    private static final int ACCEPTED = 5_000;
+    private static final int MAX_FINISHED_REMEMBERED = 20_000;
+    private static final int MAX_ACCEPTED_REMEMBERED = 5_000;
     private static final int MOST_TRIES = 3;
 
     private final StateClient state;
@@ -48,16 +48,16 @@
     private final Collection<Team> teams;
     private final SteadyClock clock;
     private final int valueBytes;
-    private final JobReadBatcher questions;
-    private final JobRepairer mender;
-    private final ConfirmedCancellations told;
-    private final DependencyService chains;
-    private List<SubmissionParticipant> joinings = List.of();
-    private Function<JobId, Future<Boolean>> others = id -> Future.succeededFuture(false);
-    private final Map<JobId, FinalRecord> over = new LinkedHashMap<>() {
+    private final JobReadBatcher queryReads;
+    private final JobRepairer repairer;
+    private final ConfirmedCancellations confirmedCancellations;
+    private final DependencyService dependencies;
+    private List<SubmissionParticipant> participants = List.of();
+    private Function<JobId, Future<Boolean>> isKnownToPeers = id -> Future.succeededFuture(false);
+    private final Map<JobId, FinalRecord> finished = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<JobId, FinalRecord> eldest) {
-            return size() > REMEMBERED;
+            return size() > MAX_FINISHED_REMEMBERED;
         }
     };
 
@@ -65,7 +65,7 @@
     private final Map<JobId, RememberedState.OpenJob> accepted = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<JobId, RememberedState.OpenJob> eldest) {
-            return size() > ACCEPTED;
+            return size() > MAX_ACCEPTED_REMEMBERED;
         }
     };
 
@@ -76,41 +76,41 @@
     public JobService(
             Vertx vertx,
             StateClient state,
-            JobRepairer mender,
+            JobRepairer repairer,
             Catalogue catalogue,
             Collection<Team> teams,
             SteadyClock clock,
             int valueBytes,
             double questionsPerS) {
         this.state = state;
-        this.mender = mender;
+        this.repairer = repairer;
         this.catalogue = catalogue;
         this.teams = teams;
         this.clock = clock;
-        this.told = new ConfirmedCancellations(clock.now());
+        this.confirmedCancellations = new ConfirmedCancellations(clock.now());
         this.valueBytes = valueBytes;
-        this.questions = new JobReadBatcher(vertx, state, clock, questionsPerS);
+        this.queryReads = new JobReadBatcher(vertx, state, clock, questionsPerS);
         CascadeFreshness doubt = new CascadeFreshness(clock, state::isDoubted);
-        state.onFailure(doubt::failure);
-        this.chains =
-                new DependencyService(clock, id -> named(id, this::readOpen), id -> named(id, questions::read), doubt);
+        state.onFailure(doubt::requestFailed);
+        this.dependencies = new DependencyService(
+                clock, id -> lookUpReferenced(id, this::readOpen), id -> lookUpReferenced(id, queryReads::read), doubt);
     }
 
     /** Throws {@link io.indigoreach.net.WireException} if the job is malformed. */
     public Future<ApiResponse> submit(Buffer body) {
         JobSpec spec = JobCodec.read(MessagePackFormat.readMap(body));
-        joinings.stream().filter(j -> spec.more().containsKey(j.field())).forEach(j -> j.check(spec));
-        FinalRecord known = over.get(spec.id());
+        participants.stream().filter(j -> spec.more().containsKey(j.field())).forEach(j -> j.check(spec));
+        FinalRecord known = finished.get(spec.id());
         if (known != null) {
             return Future.succeededFuture(ApiResponse.ok(JobCodec.accepted(spec.id(), known.status())));
         }
         if (!catalogue.isKnown()) {
-            return Future.succeededFuture(ApiResponse.later("the machine types are not known yet"));
+            return Future.succeededFuture(ApiResponse.retryLater("the machine types are not known yet"));
         }
         String refusal = Admission.refusal(spec, teams, catalogue.types());
         if (refusal == null && !spec.more().isEmpty()) {
             refusal = spec.more().keySet().stream()
-                    .filter(f -> joinings.stream().noneMatch(j -> j.field().equals(f)))
+                    .filter(f -> participants.stream().noneMatch(j -> j.field().equals(f)))
                     .findFirst()
                     .map(f -> f + ": this is not switched on here")
                     .orElse(null);
@@ -130,16 +130,17 @@
             // Whatever was accepted once stays accepted, even under limits that have become stricter since.
             return ifUnknown(spec.id(), ApiResponse.error(422, refusal));
         }
-        return chains.isBornCancelled(spec.chain())
+        return dependencies
+                .isBornCancelled(spec.chain())
                 .compose(
                         cancelled -> accept(spec, record, cancelled, now, 1),
                         e -> e instanceof RequestRejectedException r
                                 ? ifUnknown(spec.id(), r.answer())
                                 : e instanceof DependencyService.DependencyUnknownException
-                                        ? ifUnknown(spec.id(), ApiResponse.later(e.getMessage()))
+                                        ? ifUnknown(spec.id(), ApiResponse.retryLater(e.getMessage()))
                                         : ifUnknown(
                                                 spec.id(),
-                                                ApiResponse.later("a job that this one names cannot be read")));
+                                                ApiResponse.retryLater("a job that this one names cannot be read")));
     }
 
     /**
@@ -167,15 +168,15 @@
             return state.check()
                     .compose(v -> state.isEraKnown()
                             ? accept(spec, record, cancelled, now, attempt)
-                            : Future.succeededFuture(ApiResponse.later("the era is not known yet")));
+                            : Future.succeededFuture(ApiResponse.retryLater("the era is not known yet")));
         }
         StateClient.Txn txn = state.inThisEra()
-                .when(RecordCodec.open(spec.id()), Revision.ABSENT)
-                .when(RecordCodec.over(spec.id()), Revision.ABSENT);
+                .when(RecordCodec.openKey(spec.id()), Revision.ABSENT)
+                .when(RecordCodec.finalKey(spec.id()), Revision.ABSENT);
         if (state.losses().isHolding()) {
             return find(spec.id()).compose(found -> currentOrLater(spec.id(), found));
         }
-        return (cancelled ? Future.succeededFuture(new Transaction()) : joined(spec))
+        return (cancelled ? Future.succeededFuture(new Transaction()) : participantWrites(spec))
                 .compose(
                         change -> commit(spec, record, cancelled, now, attempt, txn, change)
                                 .recover(e -> refused(spec, e)),
@@ -199,9 +200,9 @@
     }
 
     /** What the parts beside the jobs have to say to this one; nothing for most. */
-    private Future<Transaction> joined(JobSpec spec) {
+    private Future<Transaction> participantWrites(JobSpec spec) {
         Future<Transaction> all = Future.succeededFuture(new Transaction());
-        for (SubmissionParticipant j : joinings) {
+        for (SubmissionParticipant j : participants) {
             if (spec.more().containsKey(j.field())) {
                 all = all.compose(change -> j.accepting(spec).map(change::and));
             }
@@ -218,11 +219,11 @@
             StateClient.Txn txn,
             Transaction change) {
         StateClient.Txn whole = cancelled
-                ? txn.put(RecordCodec.over(spec.id()), RecordCodec.writeFinal(JobStatus.CANCELLED, 0))
-                : txn.put(RecordCodec.open(spec.id()), record);
+                ? txn.put(RecordCodec.finalKey(spec.id()), RecordCodec.writeFinal(JobStatus.CANCELLED, 0))
+                : txn.put(RecordCodec.openKey(spec.id()), record);
         return state.commit(whole.and(change)).compose(outcome -> {
             if (outcome.done()) {
-                joinings.stream()
+                participants.stream()
                         .filter(j -> spec.more().containsKey(j.field()))
                         .forEach(j -> j.accepted(change, outcome.stamp()));
                 if (cancelled) {
@@ -245,17 +246,17 @@
     /** A job that is nowhere at the second look was not accepted by this call: its user comes again. */
     private Future<ApiResponse> currentOrLater(JobId id, StoredJob found) {
         return found.open == null && found.over == null
-                ? Future.succeededFuture(ApiResponse.later("try again"))
+                ? Future.succeededFuture(ApiResponse.retryLater("try again"))
                 : current(id, found);
     }
 
     private Future<ApiResponse> current(JobId id, StoredJob read) {
-        return settled(id, read)
+        return withCascadeApplied(id, read)
                 .map(found -> ApiResponse.ok(
                         JobCodec.accepted(id, found.open != null ? found.open.status() : found.over.status())));
     }
 
-    private Future<ReferencedJob> named(JobId id, Function<JobId, Future<StateClient.Entry>> reader) {
+    private Future<ReferencedJob> lookUpReferenced(JobId id, Function<JobId, Future<StateClient.Entry>> reader) {
         return find(id, reader, null, 1)
                 .map(found -> new ReferencedJob(
                         found.open == null ? null : found.open.spec(),
@@ -263,26 +264,27 @@
     }
 
     private boolean isKnownCancelled(JobId id) {
-        return over.containsKey(id) && over.get(id).status() == JobStatus.CANCELLED;
+        return finished.containsKey(id) && finished.get(id).status() == JobStatus.CANCELLED;
     }
 
     /**
      * An open job below a cancelled one is over, though its own end is not written yet: whoever finds that writes it before
      * anybody is told, so that nobody is told otherwise later.
      */
-    private Future<StoredJob> settled(JobId id, StoredJob found) {
+    private Future<StoredJob> withCascadeApplied(JobId id, StoredJob found) {
         if (found.open == null) {
             return Future.succeededFuture(found);
         }
-        return chains.isBelowCancelled(id, found.open.spec().chain(), this::isKnownCancelled)
-                .compose(below -> below ? cancelBelow(id, found.open) : Future.succeededFuture(found));
+        return dependencies
+                .isBelowCancelled(id, found.open.spec().chain(), this::isKnownCancelled)
+                .compose(below -> below ? cancelByCascade(id, found.open) : Future.succeededFuture(found));
     }
 
-    private Future<StoredJob> cancelBelow(JobId id, JobRecord open) {
+    private Future<StoredJob> cancelByCascade(JobId id, JobRecord open) {
         StateClient.Txn txn = new StateClient.Txn()
-                .when(RecordCodec.open(id), open.stamp())
-                .delete(RecordCodec.open(id))
-                .put(RecordCodec.over(id), RecordCodec.writeFinal(JobStatus.CANCELLED, open.doneCount()));
+                .when(RecordCodec.openKey(id), open.stamp())
+                .delete(RecordCodec.openKey(id))
+                .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(JobStatus.CANCELLED, open.doneCount()));
         return state.commit(txn).compose(outcome -> {
             if (!outcome.done()) {
                 return Future.failedFuture(new WireException("the job changes at this moment"));
@@ -298,12 +300,13 @@
             return Future.succeededFuture(ApiResponse.error(404, "no such job"));
         }
         JobId id = new JobId(text);
-        return find(id, questions::read, null, 1)
-                .compose(read -> settled(id, read))
+        return find(id, queryReads::read, null, 1)
+                .compose(read -> withCascadeApplied(id, read))
                 .map(found -> {
                     if (found.open != null) {
-                        JobRecord r = found.open;
-                        return ApiResponse.ok(JobCodec.progress(id, r.status(), r.doneCount(), r.running()));
+                        JobRecord record = found.open;
+                        return ApiResponse.ok(
+                                JobCodec.progress(id, record.status(), record.doneCount(), record.running()));
                     }
                     return found.over == null
                             ? ApiResponse.error(404, "no such job")
@@ -327,9 +330,9 @@
                 return Future.succeededFuture(ApiResponse.error(404, "no such job"));
             }
             StateClient.Txn txn = new StateClient.Txn()
-                    .when(RecordCodec.open(id), found.open.stamp())
-                    .delete(RecordCodec.open(id))
-                    .put(RecordCodec.over(id), RecordCodec.writeFinal(JobStatus.CANCELLED, found.open.doneCount()));
+                    .when(RecordCodec.openKey(id), found.open.stamp())
+                    .delete(RecordCodec.openKey(id))
+                    .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(JobStatus.CANCELLED, found.open.doneCount()));
             // Blocks of done tasks beside the record are removed by the leader: all of them may be more than a
             // transaction takes.
             return state.commit(txn).compose(outcome -> {
@@ -341,7 +344,7 @@
                 // The leader wrote the job's progress in between.
                 return attempt < MOST_TRIES
                         ? cancel(id, attempt + 1)
-                        : Future.succeededFuture(ApiResponse.later("the job changes at this moment"));
+                        : Future.succeededFuture(ApiResponse.retryLater("the job changes at this moment"));
             });
         });
     }
@@ -351,7 +354,7 @@
     }
 
     private Future<StateClient.Entry> readOpen(JobId id) {
-        return state.get(RecordCodec.open(id));
+        return state.get(RecordCodec.openKey(id));
     }
 
     /**
@@ -361,7 +364,7 @@
      */
     private Future<StoredJob> find(
             JobId id, Function<JobId, Future<StateClient.Entry>> reader, JobSpec offered, int attempt) {
-        FinalRecord known = over.get(id);
+        FinalRecord known = finished.get(id);
         if (known != null) {
             return Future.succeededFuture(new StoredJob(null, known));
         }
@@ -371,7 +374,7 @@
                 try {
                     record = RecordCodec.readJob(id, open.value(), open.stamp());
                 } catch (WireException e) {
-                    return again(id, mender.open(id, open, offered), offered, attempt, e.getMessage());
+                    return retryFind(id, repairer.repairOpen(id, open, offered), offered, attempt, e.getMessage());
                 }
                 if (record.status() == JobStatus.DONE) {
                     // Its end is written; the record has only not been moved yet.
@@ -379,50 +382,50 @@
                             new StoredJob(null, remember(new FinalRecord(id, JobStatus.DONE, record.doneCount()))));
                 }
                 StoredJob found = new StoredJob(record, null);
-                return state.isDoubted() ? confirmed(id, found, open.stamp(), attempt) : Future.succeededFuture(found);
+                return state.isDoubted() ? confirm(id, found, open.stamp(), attempt) : Future.succeededFuture(found);
             }
-            return state.get(RecordCodec.over(id)).compose(ended -> {
+            return state.get(RecordCodec.finalKey(id)).compose(ended -> {
                 if (ended == null) {
-                    return confirmed(id, new StoredJob(null, null), Revision.ABSENT, attempt);
+                    return confirm(id, new StoredJob(null, null), Revision.ABSENT, attempt);
                 }
                 try {
                     return Future.succeededFuture(
                             new StoredJob(null, remember(RecordCodec.readFinal(id, ended.value()))));
                 } catch (WireException e) {
-                    return again(id, mender.over(id, ended, offered), offered, attempt, e.getMessage());
+                    return retryFind(id, repairer.repairFinal(id, ended, offered), offered, attempt, e.getMessage());
                 }
             });
         });
     }
 
-    private Future<StoredJob> again(JobId id, Future<Void> settled, JobSpec offered, int attempt, String failure) {
+    private Future<StoredJob> retryFind(JobId id, Future<Void> settled, JobSpec offered, int attempt, String failure) {
         return settled.compose(v -> attempt < MOST_TRIES
                 ? find(id, this::readOpen, offered, attempt + 1)
                 : Future.failedFuture(new WireException(failure)));
     }
 
-    private Future<StoredJob> confirmed(JobId id, StoredJob found, Revision open, int attempt) {
+    private Future<StoredJob> confirm(JobId id, StoredJob found, Revision open, int attempt) {
         if (found.open == null && state.losses().isHolding()) {
             return Future.failedFuture(new WireException("data were lost, and this job may be among them"));
         }
         StateClient.Txn txn = found.open == null ? state.inThisEra() : new StateClient.Txn();
-        return state.confirm(txn.when(RecordCodec.open(id), open).when(RecordCodec.over(id), Revision.ABSENT))
+        return state.confirm(txn.when(RecordCodec.openKey(id), open).when(RecordCodec.finalKey(id), Revision.ABSENT))
                 .compose(holds -> holds
                         ? found.open == null ? unknownToAll(id, attempt) : Future.succeededFuture(found)
-                        : again(id, state.check(), null, attempt, "the state service answers with the past"));
+                        : retryFind(id, state.check(), null, attempt, "the state service answers with the past"));
     }
 
     /** Nobody is told that a job does not exist as long as any controller remembers it: its record was lost. */
     private Future<StoredJob> unknownToAll(JobId id, int attempt) {
-        return (knows(id) ? Future.succeededFuture(true) : others.apply(id))
+        return (knows(id) ? Future.succeededFuture(true) : isKnownToPeers.apply(id))
                 .compose(known -> known
                         ? state.confirm(nowhere(id)).compose(still -> {
                             if (!still) {
                                 // Accepted after it was looked for.
-                                return again(
+                                return retryFind(
                                         id, Future.succeededFuture(), null, attempt, "the job changes at this moment");
                             }
-                            state.recordGone(RecordCodec.open(id));
+                            state.recordGone(RecordCodec.openKey(id));
                             return Future.failedFuture(new WireException("the record of this job was lost"));
                         })
                         : Future.succeededFuture(new StoredJob(null, null)));
@@ -430,13 +433,13 @@
 
     private static StateClient.Txn nowhere(JobId id) {
         return new StateClient.Txn()
-                .when(RecordCodec.open(id), Revision.ABSENT)
-                .when(RecordCodec.over(id), Revision.ABSENT);
+                .when(RecordCodec.openKey(id), Revision.ABSENT)
+                .when(RecordCodec.finalKey(id), Revision.ABSENT);
     }
 
     /** Whether this node has accepted the job, or knows its end. */
     public boolean knows(JobId id) {
-        return accepted.containsKey(id) || over.containsKey(id);
+        return accepted.containsKey(id) || finished.containsKey(id);
     }
 
     /**
@@ -445,58 +448,59 @@
      * @param within after a cancellation, the time in which the jobs that need the cancelled one are told cancelled too
      * @param leadership what differs between any two leaderships
      */
-    public void chaining(Span within, Supplier<Object> leadership) {
-        chains.within(within, leadership);
+    public void cascadeWithin(Span within, Supplier<Object> leadership) {
+        dependencies.within(within, leadership);
     }
 
     /** Whether chained jobs may be accepted: every node of the deployment knows what they are. */
-    public void chainsUnderstoodByAll(Supplier<Future<Boolean>> all) {
-        chains.understoodByAll(all);
+    public void dependenciesUnderstoodBy(Supplier<Future<Boolean>> all) {
+        dependencies.understoodByAll(all);
     }
 
     /** The parts that have a say in acceptances. */
-    public void joining(List<SubmissionParticipant> parts) {
-        joinings = parts;
+    public void participants(List<SubmissionParticipant> parts) {
+        participants = parts;
     }
 
     /** Whom to ask whether any other controller knows a job. */
-    public void asking(Function<JobId, Future<Boolean>> peers) {
-        others = peers;
+    public void askPeersBy(Function<JobId, Future<Boolean>> peers) {
+        isKnownToPeers = peers;
     }
 
     private FinalRecord remember(FinalRecord record) {
         if (record.status() == JobStatus.CANCELLED) {
-            told.add(record.id(), clock.now());
+            confirmedCancellations.add(record.id(), clock.now());
         }
-        over.put(record.id(), record);
+        finished.put(record.id(), record);
         accepted.remove(record.id());
         return record;
     }
 
     /** The cancellations that this node tells of, as they are learnt: before any user has the answer. */
-    public ConfirmedCancellations told() {
-        return told;
+    public ConfirmedCancellations confirmedCancellations() {
+        return confirmedCancellations;
     }
 
     /** What this node remembers of one job. */
-    public RememberedState remains(JobId id) {
-        RememberedState remains = new RememberedState();
-        if (over.containsKey(id)) {
-            remains.add(
+    public RememberedState rememberedState(JobId id) {
+        RememberedState rememberedState = new RememberedState();
+        if (finished.containsKey(id)) {
+            rememberedState.add(
                     id,
                     new RememberedState.FinishedJob(
-                            over.get(id).status(), over.get(id).done()));
+                            finished.get(id).status(), finished.get(id).done()));
         } else if (accepted.containsKey(id)) {
-            remains.add(accepted.get(id));
+            rememberedState.add(accepted.get(id));
         }
-        return remains;
+        return rememberedState;
     }
 
     /** What this node remembers of jobs. */
-    public RememberedState remains() {
-        RememberedState remains = new RememberedState();
-        over.values().forEach(r -> remains.add(r.id(), new RememberedState.FinishedJob(r.status(), r.done())));
-        accepted.values().forEach(remains::add);
-        return remains;
+    public RememberedState rememberedState() {
+        RememberedState rememberedState = new RememberedState();
+        finished.values()
+                .forEach(r -> rememberedState.add(r.id(), new RememberedState.FinishedJob(r.status(), r.done())));
+        accepted.values().forEach(rememberedState::add);
+        return rememberedState;
     }
 }
--- a/src/main/java/io/indigoreach/calendar/CalendarResource.java
+++ b/src/main/java/io/indigoreach/calendar/CalendarResource.java
@@ -64,7 +64,7 @@
         }
         boolean foresees = "outlook".equals(what) || "explain".equals(what);
         if (foresees && !forecasts.isReady()) {
-            return Future.succeededFuture(ApiResponse.later("the machine types are not known yet"));
+            return Future.succeededFuture(ApiResponse.retryLater("the machine types are not known yet"));
         }
         return switch (what + path.size()) {
             case "0" -> calendars.read(records).map(this::shown);
@@ -146,7 +146,7 @@
                         }
                         return calendars.read(records).map(other -> {
                             if (other.number() == base) {
-                                return ApiResponse.later("try again");
+                                return ApiResponse.retryLater("try again");
                             }
                             throw standing(other);
                         });
--- a/src/main/java/io/indigoreach/calendar/PlanScheduler.java
+++ b/src/main/java/io/indigoreach/calendar/PlanScheduler.java
@@ -379,7 +379,7 @@
     }
 
     private Future<Void> ended(Occurrence o, Mark mark) {
-        String key = RecordCodec.over(mark.id());
+        String key = RecordCodec.finalKey(mark.id());
         return records.run(new Fetching(key)).compose(read -> {
             if (!read.isThere()) {
                 return Future.succeededFuture();
--- a/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
+++ b/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
@@ -34,38 +34,40 @@
         Map<String, BitSet> underWay = Map.of();
     }
 
-    private final LeadershipTerm.Context env;
-    private final Revision key;
-    private final Runnable deposed;
-    private final RateLimiter budget;
-    private final PeriodicTask duty;
-    private final Map<JobId, JobBlocks> open = new HashMap<>();
+    private final LeadershipTerm.Context context;
+    private final Revision leadershipRevision;
+    private final Runnable onDeposed;
+    private final RateLimiter writeLimiter;
+    private final PeriodicTask cleanupTask;
+    private final Map<JobId, JobBlocks> blocksByJob = new HashMap<>();
     private final Map<JobId, Set<String>> leftOver = new LinkedHashMap<>();
 
-    CompletionBlockStore(LeadershipTerm.Context env, Revision key, Runnable deposed, RateLimiter budget) {
-        this.env = env;
-        this.key = key;
-        this.deposed = deposed;
-        this.budget = budget;
-        this.duty = new PeriodicTask(env.vertx(), "blocks of jobs that are over", PERIOD, this::sweep);
+    CompletionBlockStore(
+            LeadershipTerm.Context context, Revision leadershipRevision, Runnable onDeposed, RateLimiter writeLimiter) {
+        this.context = context;
+        this.leadershipRevision = leadershipRevision;
+        this.onDeposed = onDeposed;
+        this.writeLimiter = writeLimiter;
+        this.cleanupTask =
+                new PeriodicTask(context.vertx(), "blocks of jobs that are over", PERIOD, this::deleteLeftOver);
     }
 
     void start() {
-        duty.start();
+        cleanupTask.start();
     }
 
     void cancel() {
-        duty.cancel();
+        cleanupTask.cancel();
     }
 
     void clear() {
-        open.clear();
+        blocksByJob.clear();
         leftOver.clear();
     }
 
     /** A block that an earlier leader wrote. */
     void inherit(String block, BitSet done) {
-        JobBlocks beside = beside(CompletionBits.jobOf(block));
+        JobBlocks beside = blocksOf(CompletionBits.jobOf(block));
         beside.keys.add(block);
         beside.done.or(done);
     }
@@ -73,13 +75,13 @@
     /** All open jobs are known: what stands beside others is left over. */
     void loaded(Set<JobId> jobs) {
         List<JobId> gone =
-                open.keySet().stream().filter(id -> !jobs.contains(id)).toList();
-        gone.forEach(this::over);
+                blocksByJob.keySet().stream().filter(id -> !jobs.contains(id)).toList();
+        gone.forEach(this::jobEnded);
     }
 
     /** The job is over. */
-    void over(JobId id) {
-        JobBlocks beside = open.remove(id);
+    void jobEnded(JobId id) {
+        JobBlocks beside = blocksByJob.remove(id);
         if (beside != null && !beside.keys.isEmpty()) {
             leftOver.put(id, beside.keys);
         }
@@ -95,9 +97,9 @@
     }
 
     /** Adds the job's progress to a transaction: its record, and of the blocks that are behind as many as fit beside it. */
-    void progress(StateClient.Txn txn, Job job, BitSet done) {
+    void addProgress(StateClient.Txn txn, Job job, BitSet done) {
         txn.put(
-                RecordCodec.open(job.id()),
+                RecordCodec.openKey(job.id()),
                 bits().writeJob(
                                 job.spec(),
                                 job.submittedMs(),
@@ -108,11 +110,11 @@
         if (hasRoomInRecord(job)) {
             return;
         }
-        JobBlocks beside = beside(job.id());
+        JobBlocks beside = blocksOf(job.id());
         BitSet missing = (BitSet) done.clone();
         missing.andNot(beside.done);
         beside.underWay =
-                bits().blocksWith(job.id(), missing, done, env.limits().txnOps() - txn.size());
+                bits().blocksWith(job.id(), missing, done, context.limits().txnOps() - txn.size());
         beside.underWay.forEach((block, covered) -> txn.put(block, CompletionBits.writeBlock(block, covered)));
     }
 
@@ -121,7 +123,7 @@
         if (hasRoomInRecord(job)) {
             return done;
         }
-        JobBlocks beside = beside(job.id());
+        JobBlocks beside = blocksOf(job.id());
         beside.underWay.forEach((block, covered) -> {
             beside.keys.add(block);
             beside.done.or(covered);
@@ -136,45 +138,46 @@
             return false;
         }
         BitSet missing = job.completedTasks();
-        missing.andNot(beside(job.id()).done);
+        missing.andNot(blocksOf(job.id()).done);
         return !missing.isEmpty();
     }
 
-    private JobBlocks beside(JobId id) {
-        return open.computeIfAbsent(id, k -> new JobBlocks());
+    private JobBlocks blocksOf(JobId id) {
+        return blocksByJob.computeIfAbsent(id, k -> new JobBlocks());
     }
 
     private CompletionBits bits() {
-        return new CompletionBits(env.limits());
+        return new CompletionBits(context.limits());
     }
 
-    private Future<Span> sweep() {
+    private Future<Span> deleteLeftOver() {
         if (leftOver.isEmpty()) {
             return Future.succeededFuture(PERIOD);
         }
         JobId id = leftOver.keySet().iterator().next();
         List<String> some =
-                leftOver.get(id).stream().limit(env.limits().txnOps()).toList();
-        if (!budget.takeSpare(some.size(), env.clock().now())) {
+                leftOver.get(id).stream().limit(context.limits().txnOps()).toList();
+        if (!writeLimiter.takeSpare(some.size(), context.clock().now())) {
             return Future.succeededFuture(PERIOD);
         }
-        return env.state().get(RecordCodec.over(id)).compose(over -> {
+        return context.state().get(RecordCodec.finalKey(id)).compose(over -> {
             if (over == null) {
                 // Its end was lost, or its record cannot be read: the blocks may be of use yet.
                 leftOver.remove(id);
                 return Future.succeededFuture(Span.ZERO);
             }
-            StateClient.Txn txn =
-                    new StateClient.Txn().when(RecordCodec.LEADER, key).when(over.key(), over.stamp());
+            StateClient.Txn txn = new StateClient.Txn()
+                    .when(RecordCodec.LEADER, leadershipRevision)
+                    .when(over.key(), over.stamp());
             some.forEach(txn::delete);
-            return env.state().commit(txn).map(outcome -> {
+            return context.state().commit(txn).map(outcome -> {
                 if (outcome.done()) {
                     leftOver.get(id).removeAll(some);
                     if (leftOver.get(id).isEmpty()) {
                         leftOver.remove(id);
                     }
-                } else if (!duty.isCancelled() && outcome.failed().contains(RecordCodec.LEADER)) {
-                    deposed.run();
+                } else if (!cleanupTask.isCancelled() && outcome.failed().contains(RecordCodec.LEADER)) {
+                    onDeposed.run();
                 }
                 return PERIOD;
             });
--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -33,90 +33,91 @@
         }
     }
 
-    private final LeadershipTerm.Context env;
-    private final LeaderElection leadership;
-    private final FormatGate formats;
-    private Supplier<Future<RememberedState>> jobs = () -> Future.succeededFuture(new RememberedState());
+    private final LeadershipTerm.Context context;
+    private final LeaderElection election;
+    private final FormatGate formatGate;
+    private Supplier<Future<RememberedState>> gatherPeerState = () -> Future.succeededFuture(new RememberedState());
     private final WarmUp warmUp;
-    private LeadershipTerm reign;
+    private LeadershipTerm term;
     private boolean cutOff;
-    private final LeaderMemory memory = new LeaderMemory();
+    private final LeaderMemory ownMemory = new LeaderMemory();
 
     /** {@code own}: an event loop for what must not wait for anything else. */
-    Controller(LeadershipTerm.Context env, Vertx own) {
-        this.env = env;
-        this.warmUp = new WarmUp(env, () -> reign != null);
+    Controller(LeadershipTerm.Context context, Vertx own) {
+        this.context = context;
+        this.warmUp = new WarmUp(context, () -> term != null);
         String process = Long.toHexString(ThreadLocalRandom.current().nextLong()) + "-"
-                + env.clock().timeOfDay();
-        PlatformConfig config = env.config();
+                + context.clock().timeOfDay();
+        PlatformConfig config = context.config();
         List<String> nodes = Stream.concat(
                         Stream.of(config.node()), config.peers().stream().map(PlatformConfig.Peer::node))
                 .sorted()
                 .toList();
         StateClient renewals = new StateClient(new ServiceClient(own, config.state(), 2), null);
         TokenGenerator tokens =
-                new TokenGenerator(nodes.indexOf(config.node()), env.clock().timeOfDay(), config.clockOff());
-        this.leadership = new LeaderElection(
-                env.vertx(),
-                env.state(),
+                new TokenGenerator(nodes.indexOf(config.node()), context.clock().timeOfDay(), config.clockOff());
+        this.election = new LeaderElection(
+                context.vertx(),
+                context.state(),
                 own,
                 renewals,
-                env.clock(),
+                context.clock(),
                 config.node(),
                 process,
                 config.peers().size(),
-                env.lease(),
+                context.lease(),
                 tokens,
                 this);
-        this.formats = new FormatGate(env.vertx(), env.state(), env.clock(), leadership, config.node(), nodes);
+        this.formatGate =
+                new FormatGate(context.vertx(), context.state(), context.clock(), election, config.node(), nodes);
     }
 
     /** Where to ask for what the controllers remember of jobs, besides what this node knew as a leader. */
-    void remembering(Supplier<Future<RememberedState>> jobs) {
-        this.jobs = jobs;
+    void recallBy(Supplier<Future<RememberedState>> jobs) {
+        this.gatherPeerState = jobs;
     }
 
     /** The state service has lost data: who leads keeps what it knows, and takes the key anew to rebuild from it. */
-    void onLoss() {
-        leadership.deposed();
+    void onStateLoss() {
+        election.deposed();
     }
 
     /** Whether this node leads and has the job open. */
-    boolean knows(JobId id) {
-        return reign != null && reign.knows(id);
+    boolean hasOpen(JobId id) {
+        return term != null && term.hasOpen(id);
     }
 
     /** What this node knows of one job as the leader, or as the last thing it knew of its end. */
-    RememberedState remains(JobId id) {
-        if (reign != null) {
-            return reign.remains(id);
+    RememberedState rememberedState(JobId id) {
+        if (term != null) {
+            return term.rememberedState(id);
         }
-        RememberedState remains = new RememberedState();
-        if (memory.known().over().containsKey(id)) {
-            remains.add(id, memory.known().over().get(id));
+        RememberedState rememberedState = new RememberedState();
+        if (ownMemory.known().over().containsKey(id)) {
+            rememberedState.add(id, ownMemory.known().over().get(id));
         }
-        return remains;
+        return rememberedState;
     }
 
-    private Future<RememberedState> gather() {
+    private Future<RememberedState> gatherRememberedState() {
         RememberedState all = new RememberedState();
-        all.add(memory.known());
-        return jobs.get().map(others -> {
+        all.add(ownMemory.known());
+        return gatherPeerState.get().map(others -> {
             all.add(others);
             return all;
         });
     }
 
     /** How to ask every other node for its pledge not to lead, and whether it does not lead now. */
-    void asking(Function<Span, Future<PeerPromises>> others, Supplier<Future<Boolean>> unled) {
-        leadership.asking(
+    void askPeersBy(Function<Span, Future<PeerPromises>> others, Supplier<Future<Boolean>> unled) {
+        election.askPeersBy(
                 () -> {
-                    Moment sent = env.clock().now();
-                    LeadershipTerm asking = reign;
-                    return others.apply(asking == null ? Span.ZERO : asking.unheard())
+                    Moment sent = context.clock().now();
+                    LeadershipTerm asking = term;
+                    return others.apply(asking == null ? Span.ZERO : asking.cancellationLookBack())
                             .map(pledges -> {
-                                if (asking != null && asking == reign) {
-                                    asking.told(pledges.word(), sent);
+                                if (asking != null && asking == term) {
+                                    asking.onPeerCancellations(pledges.word(), sent);
                                 }
                                 return pledges.all();
                             });
@@ -125,120 +126,121 @@
     }
 
     /** Whether every node knows this version's data format. */
-    FormatGate formats() {
-        return formats;
+    FormatGate formatGate() {
+        return formatGate;
     }
 
     boolean leads() {
-        return leadership.isLeading();
+        return election.isLeading();
     }
 
     boolean pledge() {
-        return leadership.pledge();
+        return election.pledge();
     }
 
     /** Removes what a predecessor of this process left behind; true if nobody leads any more. Never fails. */
-    public Future<Boolean> clear(Function<String, Future<Boolean>> leads) {
-        return leadership.clear(leads);
+    public Future<Boolean> clearPredecessor(Function<String, Future<Boolean>> leads) {
+        return election.clearPredecessor(leads);
     }
 
     /**
      * Somebody has begun to lead, or it has taken too long. Where all nodes have ended, hundreds of workers look for a leader at
      * each as soon as it listens: the three nodes of 450 machines came to take the leadership only 2.9 to 3.3 s after that.
      */
-    Future<Void> settled(Moment until) {
-        return settled(leadership.key(), until);
+    Future<Void> leaderKnown(Moment until) {
+        return leaderKnown(election.leadershipRevision(), until);
     }
 
-    private Future<Void> settled(Revision left, Moment until) {
-        boolean begun = leadership.leader() != null && !leadership.key().equals(left);
-        return leadership.isLeading() || begun || !env.clock().now().isBefore(until)
+    private Future<Void> leaderKnown(Revision left, Moment until) {
+        boolean begun =
+                election.leader() != null && !election.leadershipRevision().equals(left);
+        return election.isLeading() || begun || !context.clock().now().isBefore(until)
                 ? Future.succeededFuture()
-                : env.vertx().timer(50, TimeUnit.MILLISECONDS).compose(t -> settled(left, until));
+                : context.vertx().timer(50, TimeUnit.MILLISECONDS).compose(t -> leaderKnown(left, until));
     }
 
     public void start() {
-        leadership.start();
-        formats.start();
+        election.start();
+        formatGate.start();
         warmUp.start();
     }
 
     public void stop() {
-        leadership.stop();
-        formats.stop();
+        election.stop();
+        formatGate.stop();
         warmUp.cancel();
-        if (reign != null) {
-            reign.close();
-            reign = null;
+        if (term != null) {
+            term.close();
+            term = null;
         }
     }
 
     /** What differs between any two leaderships, as far as this node has heard of them. */
-    Object leadership() {
-        return leadership.key();
+    Object election() {
+        return election.leadershipRevision();
     }
 
     /** Gives leadership up where this node alone is without the state service; null if it does not lead. */
-    Revision standAside() {
-        return leadership.standAside("the state service serves others but not this node");
+    Revision stepAside() {
+        return election.stepAside("the state service serves others but not this node");
     }
 
     /** Removes the key of a leader that has stood aside. */
-    Future<Void> release(Revision key) {
-        return leadership.release(key);
+    Future<Void> removeKey(Revision key) {
+        return election.removeKey(key);
     }
 
     /**
      * Takes a worker's report, if this node may act for the controllers at this moment. Else it is not even read: after a
      * leader's end every machine asks every node, and a node that has just started is slow.
      */
-    public Future<HeartbeatResponse> onReport(Supplier<Heartbeat> report) {
+    public Future<HeartbeatResponse> onHeartbeat(Supplier<Heartbeat> report) {
         if (!mayAnswer()) {
             return Future.succeededFuture(HeartbeatResponse.elsewhere(otherLeader()));
         }
-        LeadershipTerm asked = reign;
+        LeadershipTerm asked = term;
         Heartbeat read = report.get();
-        leadership.seen(read.token());
-        return asked.onReport(read).map(orders -> {
+        election.tokenSeen(read.token());
+        return asked.onHeartbeat(read).map(orders -> {
             if (orders == null) {
-                leadership.deposed();
+                election.deposed();
                 return HeartbeatResponse.elsewhere(null);
             }
             // Checked as the answer is written: the leadership may have ended while a record was waited for.
-            return asked == reign && mayAnswer() && asked.answers(read.machine())
+            return asked == term && mayAnswer() && asked.mayAnswer(read.machine())
                     ? new HeartbeatResponse(true, asked.token(), orders, null)
                     : HeartbeatResponse.elsewhere(otherLeader());
         });
     }
 
     private boolean mayAnswer() {
-        return reign != null && leadership.isValid() && reign.hearsCancellations();
+        return term != null && election.isValid() && term.isInformedOfCancellations();
     }
 
     /** Neither the state service nor another node answers this one: what it knows of who leads is old. */
-    void isCutOff(boolean is) {
+    void setCutOff(boolean is) {
         cutOff = is;
     }
 
     /** Who else leads, for a worker to go to; null if that is not known, as a wrong name costs it more than none. */
     private String otherLeader() {
-        String leader = leadership.leader();
-        return cutOff || env.config().node().equals(leader) ? null : leader;
+        String leader = election.leader();
+        return cutOff || context.config().node().equals(leader) ? null : leader;
     }
 
     @Override
-    public void took(FencingToken token, Revision key, boolean bounds) {
-        memory.begins(leadership.succeedsItself());
-        reign = new LeadershipTerm(env, token, key, leadership, bounds, this::gather);
-        reign.start();
+    public void leadershipGained(FencingToken token, Revision key, boolean bounds) {
+        ownMemory.begins(election.succeedsItself());
+        term = new LeadershipTerm(context, token, key, election, bounds, this::gatherRememberedState);
+        term.start();
     }
 
     @Override
-    public void lost(String reason) {
-        if (reign != null) {
-            memory.ends(reign.remains());
-            reign.close();
-            reign = null;
+    public void leadershipLost(String reason) {
+        if (term != null) {
+            ownMemory.ends(term.rememberedState());
+            term.close();
+            term = null;
         }
     }
 }
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -121,12 +121,12 @@
 
     private Future<Fate> read(JobId id) {
         return env.state()
-                .get(RecordCodec.over(id))
+                .get(RecordCodec.finalKey(id))
                 .compose(over -> over != null
                         ? Future.succeededFuture(
                                 ended(RecordCodec.readFinal(id, over.value()).status()))
                         : env.state()
-                                .get(RecordCodec.open(id))
+                                .get(RecordCodec.openKey(id))
                                 .compose(open ->
                                         open != null ? Future.succeededFuture(standing(id, open)) : nowhere(id)));
     }
@@ -144,8 +144,8 @@
     private Future<Fate> nowhere(JobId id) {
         return env.state()
                 .confirm(new StateClient.Txn()
-                        .when(RecordCodec.open(id), Revision.ABSENT)
-                        .when(RecordCodec.over(id), Revision.ABSENT))
+                        .when(RecordCodec.openKey(id), Revision.ABSENT)
+                        .when(RecordCodec.finalKey(id), Revision.ABSENT))
                 .compose(confirmed -> confirmed
                         ? Future.succeededFuture(Fate.NOWHERE)
                         : Future.failedFuture(new WireException(SAME_MOMENT)));
@@ -181,9 +181,9 @@
             }
             StateClient.Txn txn = new StateClient.Txn()
                     .when(RecordCodec.LEADER, key)
-                    .when(RecordCodec.open(id), job.revision())
-                    .delete(RecordCodec.open(id))
-                    .put(RecordCodec.over(id), RecordCodec.writeFinal(JobStatus.CANCELLED, job.doneCount()));
+                    .when(RecordCodec.openKey(id), job.revision())
+                    .delete(RecordCodec.openKey(id))
+                    .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(JobStatus.CANCELLED, job.doneCount()));
             if (!writes.take(txn.size(), now)) {
                 return;
             }
@@ -216,12 +216,12 @@
     /** After a write that failed or has an unknown outcome: reads how the job stands. */
     private Future<Void> settle(Job job) {
         JobId id = job.id();
-        return env.state().get(RecordCodec.open(id)).compose(open -> {
+        return env.state().get(RecordCodec.openKey(id)).compose(open -> {
             if (open != null) {
                 core.revisionSeen(job, open.stamp());
                 return Future.succeededFuture();
             }
-            return env.state().get(RecordCodec.over(id)).map(over -> {
+            return env.state().get(RecordCodec.finalKey(id)).map(over -> {
                 if (over != null
                         && !duty.isCancelled()
                         && RecordCodec.readFinal(id, over.value()).status() == JobStatus.CANCELLED) {
@@ -234,6 +234,6 @@
 
     private void swept(JobId id) {
         chains.cancelled(id);
-        ledger.cancelled(id);
+        ledger.onCancelled(id);
     }
 }
--- a/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
+++ b/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
@@ -19,9 +19,9 @@
     private final PeriodicTask duty;
     private long since;
 
-    FinalRecordWatch(LeadershipTerm.Context env) {
-        this.state = env.state();
-        this.duty = new PeriodicTask(env.vertx(), "end watch", PAUSE, this::step);
+    FinalRecordWatch(LeadershipTerm.Context context) {
+        this.state = context.state();
+        this.duty = new PeriodicTask(context.vertx(), "end watch", PAUSE, this::step);
     }
 
     void start(long revision) {
--- a/src/main/java/io/indigoreach/cluster/FleetManager.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -34,121 +34,126 @@
         }
     }
 
-    private final LeadershipTerm.Context env;
+    private final LeadershipTerm.Context context;
     private final SchedulerCore core;
     private final FencingToken token;
     private final BooleanSupplier mayAct;
     /** Between requests to rent: with its answer's time it leaves room for returns and lists. */
-    private final Span pace;
+    private final Span requestInterval;
 
-    private final PeriodicTask renting;
-    private final PeriodicTask returning;
-    private final PeriodicTask listing;
-    private final IntentLog book;
+    private final PeriodicTask scaleOutTask;
+    private final PeriodicTask scaleInTask;
+    private final PeriodicTask listingTask;
+    private final IntentLog intentLog;
     /** To be sent, or sent without an answer so far; only what is recorded is sent. */
-    private final Deque<Request> open = new ArrayDeque<>();
+    private final Deque<Request> openRequests = new ArrayDeque<>();
     /** Of them, those of earlier leaders. */
-    private final Set<String> inherited = new HashSet<>();
+    private final Set<String> inheritedRequests = new HashSet<>();
 
     private int requests;
-    private Moment checked = Moment.NEVER;
+    private Moment lastCheckAt = Moment.NEVER;
 
     /** {@code mayAct}: whether this node surely leads; otherwise another may be using the machines already. */
     FleetManager(
-            LeadershipTerm.Context env,
+            LeadershipTerm.Context context,
             SchedulerCore core,
             FencingToken token,
-            IntentLog book,
+            IntentLog intentLog,
             BooleanSupplier mayAct) {
-        this.env = env;
-        this.book = book;
+        this.context = context;
+        this.intentLog = intentLog;
         this.mayAct = mayAct;
-        this.pace = Span.seconds(1 / env.config().cloudLimits().requestsPerS());
+        this.requestInterval = Span.seconds(1 / context.config().cloudLimits().requestsPerS());
         this.core = core;
         this.token = token;
-        this.renting = new PeriodicTask(env.vertx(), "renting", PAUSE, this::rent);
-        this.returning = new PeriodicTask(env.vertx(), "returning", PAUSE, this::giveBack);
-        this.listing = new PeriodicTask(env.vertx(), "machine list", PAUSE, this::list);
+        this.scaleOutTask = new PeriodicTask(context.vertx(), "renting", PAUSE, this::scaleOutStep);
+        this.scaleInTask = new PeriodicTask(context.vertx(), "returning", PAUSE, this::scaleInStep);
+        this.listingTask = new PeriodicTask(context.vertx(), "machine list", PAUSE, this::listingStep);
     }
 
     void start() {
-        renting.start();
-        returning.start();
-        listing.start();
+        scaleOutTask.start();
+        scaleInTask.start();
+        listingTask.start();
     }
 
     void cancel() {
-        renting.cancel();
-        returning.cancel();
-        listing.cancel();
-        book.cancel();
+        scaleOutTask.cancel();
+        scaleInTask.cancel();
+        listingTask.cancel();
+        intentLog.cancel();
     }
 
     /** Takes over what earlier leaders had under way with the cloud. */
     Future<Void> load() {
-        return book.load().map(page -> {
-            Moment now = env.clock().now();
-            core.inheritReturns(page.condemned(), now);
-            book.intents().condemn(page.condemned());
+        return intentLog.load().map(page -> {
+            Moment now = context.clock().now();
+            core.inheritReturns(page.returns(), now);
+            intentLog.intents().recordReturns(page.returns());
             for (Intents.Rent r : page.rents()) {
-                Moment asked = now.minus(new Span(Math.max(0, env.clock().timeOfDay() - r.askedMs())));
-                open.add(new Request(r.name(), new ScaleOutRequest(r.pool(), r.count()), asked, 0, now));
-                inherited.add(r.name());
+                Moment asked = now.minus(new Span(Math.max(0, context.clock().timeOfDay() - r.askedMs())));
+                openRequests.add(new Request(r.name(), new ScaleOutRequest(r.pool(), r.count()), asked, 0, now));
+                inheritedRequests.add(r.name());
             }
             if (!page.isEmpty()) {
                 LOG.info(
                         "settling what was under way: {} requests to rent, {} machines to be returned",
                         page.rents().size(),
-                        page.condemned().size());
+                        page.returns().size());
             }
             return null;
         });
     }
 
-    private Future<Span> rent() {
+    private Future<Span> scaleOutStep() {
         if (!mayAct.getAsBoolean()) {
             return Future.succeededFuture(PAUSE);
         }
-        Moment now = env.clock().now();
-        if (open.stream().allMatch(Request::isSlow)) {
-            think(now);
+        Moment now = context.clock().now();
+        if (openRequests.stream().allMatch(Request::isSlow)) {
+            openNewRequests(now);
         }
-        Request request =
-                open.stream().filter(r -> !now.isBefore(r.next)).findFirst().orElse(null);
-        return book.record().compose(done -> {
+        Request request = openRequests.stream()
+                .filter(r -> !now.isBefore(r.next))
+                .findFirst()
+                .orElse(null);
+        return intentLog.record().compose(done -> {
             if (request == null) {
                 Span rest = Span.seconds(0.25);
-                return done && inherited.isEmpty() ? book.forgetEarlier().map(rest) : Future.succeededFuture(rest);
+                return done && inheritedRequests.isEmpty()
+                        ? intentLog.forgetEarlier().map(rest)
+                        : Future.succeededFuture(rest);
             }
-            boolean mayAsk = inherited.contains(request.name) || book.intents().mayAsk(request.name);
-            return done && mayAsk ? ask(request) : Future.succeededFuture(Span.seconds(0.1));
+            boolean mayAsk = inheritedRequests.contains(request.name)
+                    || intentLog.intents().mayAsk(request.name);
+            return done && mayAsk ? sendRequest(request) : Future.succeededFuture(Span.seconds(0.1));
         });
     }
 
     /** Once a check: what is wanted now becomes requests. */
-    private void think(Moment now) {
-        if (now.since(checked).compareTo(env.settings().tuning().checkPeriod()) < 0) {
+    private void openNewRequests(Moment now) {
+        if (now.since(lastCheckAt).compareTo(context.settings().tuning().checkPeriod()) < 0) {
             return;
         }
-        checked = now;
+        lastCheckAt = now;
         for (ScaleOutRequest wish : core.scaleOutRequests(now)) {
             Request request = new Request("t" + token + "-" + ++requests, wish, now, 0, now);
             Intents.Rent rent = new Intents.Rent(
-                    request.name, wish.pool(), wish.count(), env.clock().timeOfDay());
-            if (!book.intents().hasRoomFor(rent)) {
+                    request.name, wish.pool(), wish.count(), context.clock().timeOfDay());
+            if (!intentLog.intents().hasRoomFor(rent)) {
                 break;
             }
-            book.intents().add(rent);
-            open.add(request);
+            intentLog.intents().add(rent);
+            openRequests.add(request);
         }
     }
 
-    private Future<Span> ask(Request request) {
-        open.remove(request);
-        return env.cloud()
+    private Future<Span> sendRequest(Request request) {
+        openRequests.remove(request);
+        return context.cloud()
                 .rent(request.name, request.wish.pool(), request.wish.count())
                 .map(rental -> {
-                    if (renting.isCancelled()) {
+                    if (scaleOutTask.isCancelled()) {
                         return PAUSE;
                     }
                     LOG.info(
@@ -156,29 +161,29 @@
                             request.wish.count(),
                             request.wish.pool(),
                             rental.noCapacity() ? "no capacity" : rental.machines());
-                    settled(request);
+                    requestSettled(request);
                     if (rental.noCapacity() || rental.machines().size() < request.wish.count()) {
-                        core.refused(request.wish.pool(), env.clock().now());
-                        open.removeIf(other -> {
+                        core.refused(request.wish.pool(), context.clock().now());
+                        openRequests.removeIf(other -> {
                             boolean useless = other.tries == 0
                                     && other.wish.pool().equals(request.wish.pool())
-                                    && !inherited.contains(other.name);
+                                    && !inheritedRequests.contains(other.name);
                             if (useless) {
-                                settled(other);
+                                requestSettled(other);
                             }
                             return useless;
                         });
-                        if (rental.noCapacity() && open.isEmpty()) {
+                        if (rental.noCapacity() && openRequests.isEmpty()) {
                             // Work waits and the pool is empty: ask the next one at once.
-                            checked = Moment.NEVER;
+                            lastCheckAt = Moment.NEVER;
                         }
                     }
                     core.rented(
                             request.wish.pool(),
                             rental.machines(),
                             request.asked,
-                            env.clock().now());
-                    return pace;
+                            context.clock().now());
+                    return requestInterval;
                 })
                 .recover(e -> {
                     // Without an answer the machines may be rented all the same: the same name gets the same answer.
@@ -186,40 +191,40 @@
                             "rent {} of {}: no answer ({})", request.wish.count(), request.wish.pool(), e.getMessage());
                     Span slow = PAUSE.times(Math.pow(2, Math.max(0, request.tries - MOST_TRIES)));
                     Span pause = slow.compareTo(LONGEST_PAUSE) < 0 ? slow : LONGEST_PAUSE;
-                    open.addFirst(new Request(
+                    openRequests.addFirst(new Request(
                             request.name,
                             request.wish,
                             request.asked,
                             request.tries + 1,
-                            env.clock().now().plus(pause)));
+                            context.clock().now().plus(pause)));
                     return Future.succeededFuture(PAUSE);
                 });
     }
 
-    private void settled(Request request) {
-        book.intents().settled(request.name);
-        inherited.remove(request.name);
+    private void requestSettled(Request request) {
+        intentLog.intents().settled(request.name);
+        inheritedRequests.remove(request.name);
     }
 
-    private Future<Span> giveBack() {
-        Span period = env.settings().tuning().checkPeriod();
+    private Future<Span> scaleInStep() {
+        Span period = context.settings().tuning().checkPeriod();
         if (!mayAct.getAsBoolean()) {
             return Future.succeededFuture(PAUSE);
         }
-        core.setAwakeSince(env.pulse().awakeSince());
-        core.planScaleIn(env.clock().now());
-        List<MachineId> leaving = book.intents().condemn(core.machinesToReturn(CloudClient.mostReturned()));
+        core.setAwakeSince(context.loopMonitor().turningSince());
+        core.planScaleIn(context.clock().now());
+        List<MachineId> leaving = intentLog.intents().recordReturns(core.machinesToReturn(CloudClient.mostReturned()));
         if (leaving.isEmpty()) {
             return Future.succeededFuture(period);
         }
-        return book.record().compose(done -> {
-            if (!done || !book.intents().mayReturn(leaving) || !mayAct.getAsBoolean()) {
+        return intentLog.record().compose(done -> {
+            if (!done || !intentLog.intents().mayReturn(leaving) || !mayAct.getAsBoolean()) {
                 return Future.succeededFuture(Span.seconds(0.2));
             }
-            return env.cloud().giveBack(leaving).map(v -> {
-                if (!returning.isCancelled()) {
-                    book.intents().gone(leaving);
-                    core.returned(leaving, env.clock().now());
+            return context.cloud().giveBack(leaving).map(v -> {
+                if (!scaleInTask.isCancelled()) {
+                    intentLog.intents().gone(leaving);
+                    core.returned(leaving, context.clock().now());
                     LOG.info("returned {}", leaving);
                 }
                 return period;
@@ -227,14 +232,14 @@
         });
     }
 
-    private Future<Span> list() {
-        Moment asked = env.clock().now();
-        return env.cloud().list().map(list -> {
-            if (!listing.isCancelled()) {
-                core.onMachineListing(list, asked, env.clock().now());
+    private Future<Span> listingStep() {
+        Moment asked = context.clock().now();
+        return context.cloud().list().map(list -> {
+            if (!listingTask.isCancelled()) {
+                core.onMachineListing(list, asked, context.clock().now());
             }
             // After a take-over the list tells which silent machines are gone, and work waits for that.
-            Span usual = env.settings().span(Settings.Setting.LIST_EVERY_S);
+            Span usual = context.settings().span(Settings.Setting.LIST_EVERY_S);
             return core.isFailoverComplete() || usual.compareTo(PAUSE) < 0 ? usual : PAUSE;
         });
     }
--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -54,7 +54,7 @@
         this.key = key;
         this.deposed = deposed;
         this.budget = budget;
-        this.own = RecordCodec.intents(token);
+        this.own = RecordCodec.intentsKey(token);
     }
 
     /** Requests and machines to be returned may fill half of the record's value each. */
@@ -99,7 +99,7 @@
         return JobStore.pages(env.state(), key, RecordCodec.INTENTS, e -> {
                     Intents.Page old = RecordCodec.readIntents(e.value());
                     rents.addAll(old.rents());
-                    condemned.addAll(old.condemned());
+                    condemned.addAll(old.returns());
                     earlier.put(e.key(), e.stamp());
                 })
                 .map(revision -> new Intents.Page(rents, condemned));
--- a/src/main/java/io/indigoreach/cluster/JobStore.java
+++ b/src/main/java/io/indigoreach/cluster/JobStore.java
@@ -43,13 +43,13 @@
     private static final int PAGE = 500;
     private static final Span PERIOD = Span.seconds(0.1);
     /** Results of one job are gathered for this long; its end is written at once. */
-    private static final Span GATHER = Span.seconds(1);
+    private static final Span PROGRESS_WRITE_PERIOD = Span.seconds(1);
 
-    private static final int MOST_AT_ONCE = 4;
+    private static final int MAX_WRITES_IN_FLIGHT = 4;
     /** For how long a new leader mends records that it cannot read, before it goes on without the rest. */
-    private static final Span MENDING = Span.seconds(2);
+    private static final Span REPAIR_TIME = Span.seconds(2);
 
-    private static final int CLOSED_KEPT = 10_000;
+    private static final int MAX_FINISHED_REMEMBERED = 10_000;
 
     /** A record without which nobody may lead: trying again is of no use before somebody has mended it. */
     static final class UnreadableRecordException extends RuntimeException {
@@ -58,78 +58,78 @@
         }
     }
 
-    private final LeadershipTerm.Context env;
+    private final LeadershipTerm.Context context;
     private final SchedulerCore core;
-    private final MachineStore book;
-    private final Revision key;
-    private final Runnable deposed;
-    private final RateLimiter budget;
-    private final boolean boundsKept;
+    private final MachineStore machineStore;
+    private final Revision leadershipRevision;
+    private final Runnable onDeposed;
+    private final RateLimiter writeLimiter;
+    private final boolean startBoundsTrusted;
     private final CancellationHorizon horizon;
     /**
      * When this leadership had begun: no earlier leader has answered since. Counted from the reading's begin, machines that are
      * silent or deaf would hold the take-over up for as long as a slow state service takes, and anew with each reading that fails.
      */
-    private final Moment took;
+    private final Moment termBeganAt;
 
-    private final CompletionBlockStore blocks;
-    private final PeriodicTask duty;
-    private final Set<Job> touched = new LinkedHashSet<>();
-    private final Set<JobId> writing = new HashSet<>();
-    private final Map<JobId, Moment> written = new HashMap<>();
+    private final CompletionBlockStore completionBlocks;
+    private final PeriodicTask writeTask;
+    private final Set<Job> dirty = new LinkedHashSet<>();
+    private final Set<JobId> writesInFlight = new HashSet<>();
+    private final Map<JobId, Moment> lastWriteAt = new HashMap<>();
     /** Ends written into the open job's record, to be moved when there is room for it. */
-    private final Map<JobId, Revision> unmoved = new LinkedHashMap<>();
+    private final Map<JobId, Revision> finishedInOpenRecords = new LinkedHashMap<>();
 
-    private final Map<JobId, JobStatus> shown = new HashMap<>();
+    private final Map<JobId, JobStatus> recordedStatus = new HashMap<>();
     /** Open jobs whose records are longer than what the state service takes; each is said once. */
-    private final Set<JobId> tooLong = new HashSet<>();
+    private final Set<JobId> reportedTooLong = new HashSet<>();
 
     /** Open jobs that stand still, as nobody could read or mend their records. */
-    private final Set<JobId> unread = new HashSet<>();
+    private final Set<JobId> unreadable = new HashSet<>();
     /** Jobs that are over, also those that were never open here: a late change of theirs must not open them. */
-    private final Map<JobId, RememberedState.FinishedJob> closed = new LinkedHashMap<>() {
+    private final Map<JobId, RememberedState.FinishedJob> finished = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<JobId, RememberedState.FinishedJob> eldest) {
-            return size() > CLOSED_KEPT;
+            return size() > MAX_FINISHED_REMEMBERED;
         }
     };
 
     /** {@code boundsKept}: every leader so far has kept to the jobs' start bounds. */
     JobStore(
-            LeadershipTerm.Context env,
+            LeadershipTerm.Context context,
             SchedulerCore core,
-            MachineStore book,
-            Revision key,
-            Runnable deposed,
-            RateLimiter budget,
-            boolean boundsKept,
+            MachineStore machineStore,
+            Revision leadershipRevision,
+            Runnable onDeposed,
+            RateLimiter writeLimiter,
+            boolean startBoundsTrusted,
             CancellationHorizon horizon) {
         this.horizon = horizon;
-        this.env = env;
+        this.context = context;
         this.core = core;
-        this.key = key;
-        this.deposed = deposed;
-        this.budget = budget;
-        this.boundsKept = boundsKept;
-        this.book = book;
-        this.took = env.clock().now();
-        this.blocks = new CompletionBlockStore(env, key, deposed, budget);
-        this.duty = new PeriodicTask(env.vertx(), "ledger", PERIOD, this::step);
+        this.leadershipRevision = leadershipRevision;
+        this.onDeposed = onDeposed;
+        this.writeLimiter = writeLimiter;
+        this.startBoundsTrusted = startBoundsTrusted;
+        this.machineStore = machineStore;
+        this.termBeganAt = context.clock().now();
+        this.completionBlocks = new CompletionBlockStore(context, leadershipRevision, onDeposed, writeLimiter);
+        this.writeTask = new PeriodicTask(context.vertx(), "ledger", PERIOD, this::step);
     }
 
     void start() {
-        duty.start();
-        blocks.start();
+        writeTask.start();
+        completionBlocks.start();
     }
 
     void cancel() {
-        duty.cancel();
-        blocks.cancel();
+        writeTask.cancel();
+        completionBlocks.cancel();
     }
 
     /** A job has something to be written. */
-    void touch(Job job) {
-        touched.add(job);
+    void markDirty(Job job) {
+        dirty.add(job);
     }
 
     /** Reads every open job and every machine; returns the revision to watch from. */
@@ -138,50 +138,51 @@
         List<StateClient.Entry> spoilt = new ArrayList<>();
         // From a reading that something failed after: a job that was cancelled since would never be heard of.
         core.forgetJobs();
-        touched.clear();
-        shown.clear();
-        blocks.clear();
+        dirty.clear();
+        recordedStatus.clear();
+        completionBlocks.clear();
         // Blocks first: one that is written between the two readings would otherwise be newer than its job.
         return pages(RecordCodec.BITS, e -> readBlock(e, bits))
                 .compose(r -> pages(CompletionBits.SMALL, e -> readBlock(e, bits)))
                 .compose(r -> pages(RecordCodec.MACHINES, e -> {
                     List<MachineRecord> machines = RecordCodec.readMachines(e.value());
-                    book.inherit(e.key(), e.stamp(), machines);
+                    machineStore.inherit(e.key(), e.stamp(), machines);
                     for (MachineRecord m : machines) {
                         // Another node wrote this time, by a clock that may be off as far the other way as this one's.
-                        Moment existed = steady(m.existedMs())
-                                .plus(env.config().clockOff().times(2));
-                        core.inheritMachine(m.id(), m.pool(), steady(m.rentedMs()), existed, took);
+                        Moment existed = toSteadyTime(m.existedMs())
+                                .plus(context.config().clockOff().times(2));
+                        core.inheritMachine(m.id(), m.pool(), toSteadyTime(m.rentedMs()), existed, termBeganAt);
                     }
                 }))
                 .compose(r -> listOpen(e -> {
-                    if (!unlessUnreadable(
+                    if (!readOrLog(
                             e.key(),
                             () -> inherit(
-                                    RecordCodec.readJob(RecordCodec.jobOf(e.key()), e.value(), e.stamp()), bits))) {
+                                    RecordCodec.readJob(RecordCodec.jobOfOpenKey(e.key()), e.value(), e.stamp()),
+                                    bits))) {
                         spoilt.add(e);
                     }
                 }))
-                .compose(revision -> mend(
-                                spoilt.iterator(), bits, env.clock().now().plus(MENDING))
+                .compose(revision -> repair(
+                                spoilt.iterator(), bits, context.clock().now().plus(REPAIR_TIME))
                         .map(revision))
-                .onSuccess(revision ->
-                        blocks.loaded(core.jobs().stream().map(Job::id).collect(Collectors.toSet())));
+                .onSuccess(revision -> completionBlocks.loaded(
+                        core.jobs().stream().map(Job::id).collect(Collectors.toSet())));
     }
 
     private void readBlock(StateClient.Entry block, Map<JobId, BitSet> bits) {
-        unlessUnreadable(block.key(), () -> {
+        readOrLog(block.key(), () -> {
             BitSet done = new BitSet();
             CompletionBits.readBlock(block.key(), block.value(), done);
             bits.computeIfAbsent(CompletionBits.jobOf(block.key()), k -> new BitSet())
                     .or(done);
-            blocks.inherit(block.key(), done);
+            completionBlocks.inherit(block.key(), done);
         });
     }
 
     /** What was cancelled before it is asked for is not in it. */
     private Future<Long> listOpen(Consumer<StateClient.Entry> each) {
-        Moment asked = env.clock().now();
+        Moment asked = context.clock().now();
         return pages(RecordCodec.OPEN, each).onSuccess(revision -> horizon.advanceTo(asked));
     }
 
@@ -193,25 +194,25 @@
      * Jobs whose records cannot be read, from what other controllers remember: before any order stops their tasks. Not for long,
      * as all others wait; a question about such a job mends it as well.
      */
-    private Future<Void> mend(Iterator<StateClient.Entry> spoilt, Map<JobId, BitSet> bits, Moment until) {
-        if (!spoilt.hasNext() || duty.isCancelled()) {
+    private Future<Void> repair(Iterator<StateClient.Entry> spoilt, Map<JobId, BitSet> bits, Moment until) {
+        if (!spoilt.hasNext() || writeTask.isCancelled()) {
             return Future.succeededFuture();
         }
         StateClient.Entry entry = spoilt.next();
         if (!JobId.isValid(entry.key().substring(RecordCodec.OPEN.length()))) {
-            return mend(spoilt, bits, until);
+            return repair(spoilt, bits, until);
         }
-        JobId id = RecordCodec.jobOf(entry.key());
-        unread.add(id);
-        Future<Void> mended = env.clock().now().isBefore(until)
-                ? env.mender()
-                        .open(id, entry, null)
-                        .compose(v -> env.state().get(entry.key()))
+        JobId id = RecordCodec.jobOfOpenKey(entry.key());
+        unreadable.add(id);
+        Future<Void> mended = context.clock().now().isBefore(until)
+                ? context.repairer()
+                        .repairOpen(id, entry, null)
+                        .compose(v -> context.state().get(entry.key()))
                         .map(now -> {
                             if (now != null) {
                                 inherit(RecordCodec.readJob(id, now.value(), now.stamp()), bits);
                             }
-                            unread.remove(id);
+                            unreadable.remove(id);
                             return null;
                         })
                 : Future.failedFuture(new WireException("others wait"));
@@ -223,7 +224,7 @@
                             e.getMessage());
                     return Future.succeededFuture();
                 })
-                .compose(v -> mend(spoilt, bits, until));
+                .compose(v -> repair(spoilt, bits, until));
     }
 
     /**
@@ -231,7 +232,7 @@
      * the tasks are run again, which does no harm: their results are kept. A page of machines is another matter, as what it holds
      * may run tasks: then nobody leads.
      */
-    static boolean unlessUnreadable(String key, Runnable read) {
+    static boolean readOrLog(String key, Runnable read) {
         try {
             read.run();
             return true;
@@ -245,19 +246,19 @@
     }
 
     /** Reads the open jobs once more after the watch has lost its place. */
-    Future<Long> readAgain() {
+    Future<Long> resynchronize() {
         Set<JobId> present = new HashSet<>();
         return pages(
                         RecordCodec.OPEN,
-                        e -> unlessUnreadable(e.key(), () -> {
-                            JobId id = RecordCodec.jobOf(e.key());
+                        e -> readOrLog(e.key(), () -> {
+                            JobId id = RecordCodec.jobOfOpenKey(e.key());
                             present.add(id);
-                            heard(id, e.value(), e.stamp());
+                            onOpenRecordWritten(id, e.value(), e.stamp());
                         }))
                 .map(revision -> {
                     for (Job job : new ArrayList<>(core.jobs())) {
                         if (!present.contains(job.id()) && job.revision().value() <= revision) {
-                            heardGone(job.id());
+                            onOpenRecordDeleted(job.id());
                         }
                     }
                     return revision;
@@ -265,7 +266,7 @@
     }
 
     private Future<Long> pages(String prefix, Consumer<StateClient.Entry> each) {
-        return pages(env.state(), key, prefix, each);
+        return pages(context.state(), leadershipRevision, prefix, each);
     }
 
     /** Every record with a prefix; the result is the revision to watch from. Nothing older than the leadership {@code key}. */
@@ -308,28 +309,28 @@
         });
     }
 
-    private Moment steady(long timeOfDay) {
-        long ago = Math.max(0, env.clock().timeOfDay() - timeOfDay);
-        return env.clock().now().minus(new Span(ago));
+    private Moment toSteadyTime(long timeOfDay) {
+        long ago = Math.max(0, context.clock().timeOfDay() - timeOfDay);
+        return context.clock().now().minus(new Span(ago));
     }
 
     private void add(JobRecord record, BitSet beside, boolean inherited) {
         BitSet done = (BitSet) beside.clone();
         done.or(record.done());
         // An earlier leader may have run a version of the program that started tasks without raising their bounds.
-        int bound = inherited && !boundsKept ? record.spec().tasks() : record.bound();
+        int bound = inherited && !startBoundsTrusted ? record.spec().tasks() : record.bound();
         Job job = new Job(
                 record.spec(),
                 record.submittedMs(),
-                steady(record.submittedMs()),
+                toSteadyTime(record.submittedMs()),
                 record.stamp(),
                 done,
                 bound,
                 inherited);
         core.addJob(job);
-        shown.put(job.id(), record.status());
+        recordedStatus.put(job.id(), record.status());
         if (job.isComplete()) {
-            touch(job);
+            markDirty(job);
         }
     }
 
@@ -338,55 +339,55 @@
      * leader from hearing the rest, cancellations above all. A job that is known here is written anew; one that could not be read
      * until now is taken for an earlier leader's, whose tasks may be anywhere.
      */
-    void heard(JobId id, Fields value, Revision stamp) {
+    void onOpenRecordWritten(JobId id, Fields value, Revision stamp) {
         Job job = core.job(id);
         if (job == null) {
-            if (!closed.containsKey(id)) {
-                boolean was = unread.contains(id);
-                if (unlessUnreadable(
-                        RecordCodec.open(id), () -> add(RecordCodec.readJob(id, value, stamp), new BitSet(), was))) {
-                    unread.remove(id);
+            if (!finished.containsKey(id)) {
+                boolean was = unreadable.contains(id);
+                if (readOrLog(
+                        RecordCodec.openKey(id), () -> add(RecordCodec.readJob(id, value, stamp), new BitSet(), was))) {
+                    unreadable.remove(id);
                 } else {
-                    unread.add(id);
+                    unreadable.add(id);
                 }
-                duty.wake();
+                writeTask.wake();
             }
         } else {
             core.revisionSeen(job, stamp);
-            if (!unlessUnreadable(RecordCodec.open(id), () -> RecordCodec.readJob(id, value, stamp))) {
-                touch(job);
+            if (!readOrLog(RecordCodec.openKey(id), () -> RecordCodec.readJob(id, value, stamp))) {
+                markDirty(job);
             }
         }
     }
 
     /** An open job's key is gone: its user has cancelled it, unless this leader has just written its end. */
-    void heardGone(JobId id) {
+    void onOpenRecordDeleted(JobId id) {
         Job job = core.job(id);
-        if (duty.isCancelled() || job == null || (writing.contains(id) && job.isComplete())) {
+        if (writeTask.isCancelled() || job == null || (writesInFlight.contains(id) && job.isComplete())) {
             horizon.settled(id);
             return;
         }
         if (job.isComplete()) {
             // The end was written and its answer lost, or the user cancelled first: the record tells.
-            touch(job);
+            markDirty(job);
             horizon.settled(id);
             return;
         }
         horizon.recordGone(id);
-        whyGone(id).onComplete(why -> {
-            if (duty.isCancelled()) {
+        fateOf(id).onComplete(why -> {
+            if (writeTask.isCancelled()) {
                 return;
             }
             if (why.failed()) {
                 // Until the state service says why, this job's tasks may run on although its user was told that it is
                 // cancelled.
-                env.vertx().setTimer(PERIOD.ms() * 5, t -> heardGone(id));
+                context.vertx().setTimer(PERIOD.ms() * 5, t -> onOpenRecordDeleted(id));
                 return;
             }
             if (core.job(id) == job) {
                 switch (why.result()) {
-                    case CANCELLED -> cancelled(id);
-                    case LOST -> env.state().recordGone(RecordCodec.open(id));
+                    case CANCELLED -> onCancelled(id);
+                    case LOST -> context.state().recordGone(RecordCodec.openKey(id));
                     default -> {}
                 }
             }
@@ -402,19 +403,19 @@
     }
 
     /** Cancelled by its user, which leaves a record of its end, or lost; or what was heard is from before a loss was mended. */
-    private Future<Fate> whyGone(JobId id) {
-        return env.state()
-                .get(RecordCodec.over(id))
+    private Future<Fate> fateOf(JobId id) {
+        return context.state()
+                .get(RecordCodec.finalKey(id))
                 .compose(over -> over != null
                         ? Future.succeededFuture(Fate.CANCELLED)
-                        : env.state()
-                                .get(RecordCodec.open(id))
+                        : context.state()
+                                .get(RecordCodec.openKey(id))
                                 .compose(open -> open != null
                                         ? Future.succeededFuture(Fate.STILL_OPEN)
-                                        : env.state()
+                                        : context.state()
                                                 .confirm(new StateClient.Txn()
-                                                        .when(RecordCodec.open(id), Revision.ABSENT)
-                                                        .when(RecordCodec.over(id), Revision.ABSENT))
+                                                        .when(RecordCodec.openKey(id), Revision.ABSENT)
+                                                        .when(RecordCodec.finalKey(id), Revision.ABSENT))
                                                 .compose(nowhere -> nowhere
                                                         ? Future.succeededFuture(Fate.LOST)
                                                         : Future.failedFuture(
@@ -422,79 +423,82 @@
     }
 
     /** The user of the job has cancelled it, by its record or by the word of a node that has told so: nothing undoes that. */
-    void cancelled(JobId id) {
+    void onCancelled(JobId id) {
         Job job = core.job(id);
         if (job != null) {
             LOG.info("job {} is cancelled", id);
             core.cancelJob(id);
-            drop(job);
+            forget(job);
         } else {
             // Guards against its acceptance, which the watch may bring only now: it would open the job, and its end may
             // not be
             // readable for as long as an outage lasts.
-            closed.putIfAbsent(id, new RememberedState.FinishedJob(JobStatus.CANCELLED, 0));
+            finished.putIfAbsent(id, new RememberedState.FinishedJob(JobStatus.CANCELLED, 0));
         }
     }
 
     /** Jobs that ended under this leader. */
-    void addTo(RememberedState remains) {
-        closed.forEach(remains::add);
+    void addTo(RememberedState rememberedState) {
+        finished.forEach(rememberedState::add);
     }
 
-    void addTo(RememberedState remains, JobId id) {
-        if (closed.containsKey(id)) {
-            remains.add(id, closed.get(id));
+    void addTo(RememberedState rememberedState, JobId id) {
+        if (finished.containsKey(id)) {
+            rememberedState.add(id, finished.get(id));
         }
     }
 
-    private void drop(Job job) {
-        touched.remove(job);
-        shown.remove(job.id());
-        written.remove(job.id());
-        blocks.over(job.id());
-        tooLong.remove(job.id());
-        closed.put(
+    private void forget(Job job) {
+        dirty.remove(job);
+        recordedStatus.remove(job.id());
+        lastWriteAt.remove(job.id());
+        completionBlocks.jobEnded(job.id());
+        reportedTooLong.remove(job.id());
+        finished.put(
                 job.id(),
                 new RememberedState.FinishedJob(
                         job.isCancelled() ? JobStatus.CANCELLED : JobStatus.DONE, job.doneCount()));
     }
 
     private Future<Span> step() {
-        Moment now = env.clock().now();
+        Moment now = context.clock().now();
         for (Job job : core.jobs()) {
-            if (job.status() != shown.get(job.id())) {
-                touched.add(job);
+            if (job.status() != recordedStatus.get(job.id())) {
+                dirty.add(job);
             }
         }
-        List<Job> ends = touched.stream().filter(Job::isComplete).toList();
-        boolean crowded = ends.size() > MOST_AT_ONCE;
+        List<Job> ends = dirty.stream().filter(Job::isComplete).toList();
+        boolean crowded = ends.size() > MAX_WRITES_IN_FLIGHT;
         List<Job> ready = new ArrayList<>();
-        merge(ends, core.startBoundsToRaise(now), ready);
-        for (Job job : touched) {
+        interleave(ends, core.startBoundsToRaise(now), ready);
+        for (Job job : dirty) {
             boolean gathered =
-                    now.since(written.getOrDefault(job.id(), Moment.NEVER)).compareTo(GATHER) >= 0;
+                    now.since(lastWriteAt.getOrDefault(job.id(), Moment.NEVER)).compareTo(PROGRESS_WRITE_PERIOD) >= 0;
             if (!job.isComplete() && !job.needsHigherStartBound() && gathered) {
                 ready.add(job);
             }
         }
         for (Job job : ready) {
-            if (writing.size() >= MOST_AT_ONCE) {
+            if (writesInFlight.size() >= MAX_WRITES_IN_FLIGHT) {
                 break;
             }
-            if (writing.contains(job.id()) || isStuck(job)) {
+            if (writesInFlight.contains(job.id()) || isTooLongToWrite(job)) {
                 continue;
             }
             StateClient.Txn txn = transaction(job, crowded);
             // Progress, which there is always more of, may not take what an end or a start is waiting for.
             if (!((job.isComplete() || job.needsHigherStartBound())
-                    ? budget.take(txn.size(), now)
-                    : budget.takeSpare(txn.size(), now))) {
+                    ? writeLimiter.take(txn.size(), now)
+                    : writeLimiter.takeSpare(txn.size(), now))) {
                 break;
             }
             write(job, txn, now);
         }
-        if (!unmoved.isEmpty() && !crowded && writing.size() < MOST_AT_ONCE && budget.takeSpare(2, now)) {
-            move();
+        if (!finishedInOpenRecords.isEmpty()
+                && !crowded
+                && writesInFlight.size() < MAX_WRITES_IN_FLIGHT
+                && writeLimiter.takeSpare(2, now)) {
+            moveFinished();
         }
         return Future.succeededFuture(PERIOD);
     }
@@ -503,22 +507,22 @@
      * Its record would be refused each time, and others would wait behind it: the tasks that may be ordered by its recorded bound go
      * on, and its end or cancellation, which are short, are written as ever.
      */
-    private boolean isStuck(Job job) {
-        if (job.isComplete() || blocks.canBeWritten(job)) {
+    private boolean isTooLongToWrite(Job job) {
+        if (job.isComplete() || completionBlocks.canBeWritten(job)) {
             return false;
         }
-        touched.remove(job);
-        if (tooLong.add(job.id())) {
+        dirty.remove(job);
+        if (reportedTooLong.add(job.id())) {
             LOG.error(
                     "the record {} is longer than the state service takes now: no further tasks of this job are started. Cancel it, and "
                             + "submit it with a shorter description",
-                    RecordCodec.open(job.id()));
+                    RecordCodec.openKey(job.id()));
         }
         return true;
     }
 
     /** Two ends and a start bound in turn: in a flood of ends machines stood idle, as no job could be begun. */
-    private static void merge(List<Job> ends, List<Job> bounds, List<Job> into) {
+    private static void interleave(List<Job> ends, List<Job> bounds, List<Job> into) {
         int b = 0;
         for (int e = 0; e < ends.size(); e++) {
             into.add(ends.get(e));
@@ -536,38 +540,39 @@
     private StateClient.Txn transaction(Job job, boolean crowded) {
         JobId id = job.id();
         BitSet done = job.completedTasks();
-        StateClient.Txn txn =
-                new StateClient.Txn().when(RecordCodec.LEADER, key).when(RecordCodec.open(id), job.revision());
+        StateClient.Txn txn = new StateClient.Txn()
+                .when(RecordCodec.LEADER, leadershipRevision)
+                .when(RecordCodec.openKey(id), job.revision());
         // Without the bits, a later leader would not know from the open record that the job is over.
-        if (job.isComplete() && !(crowded && blocks.hasRoomInRecord(job))) {
-            return txn.delete(RecordCodec.open(id))
+        if (job.isComplete() && !(crowded && completionBlocks.hasRoomInRecord(job))) {
+            return txn.delete(RecordCodec.openKey(id))
                     .put(
-                            RecordCodec.over(id),
+                            RecordCodec.finalKey(id),
                             RecordCodec.writeFinal(JobStatus.DONE, job.spec().tasks()));
         }
-        blocks.progress(txn, job, done);
+        completionBlocks.addProgress(txn, job, done);
         return txn;
     }
 
     /** Moves one job whose end is written already. In vain if a later leader has done so, or whoever rebuilt. */
-    private void move() {
-        JobId id = unmoved.keySet().iterator().next();
-        Revision stamp = unmoved.remove(id);
-        RememberedState.FinishedJob end = closed.get(id);
+    private void moveFinished() {
+        JobId id = finishedInOpenRecords.keySet().iterator().next();
+        Revision stamp = finishedInOpenRecords.remove(id);
+        RememberedState.FinishedJob end = finished.get(id);
         if (end == null) {
             return;
         }
-        writing.add(id);
-        env.state()
+        writesInFlight.add(id);
+        context.state()
                 .commit(new StateClient.Txn()
-                        .when(RecordCodec.LEADER, key)
-                        .when(RecordCodec.open(id), stamp)
-                        .delete(RecordCodec.open(id))
-                        .put(RecordCodec.over(id), RecordCodec.writeFinal(end.status(), end.done())))
+                        .when(RecordCodec.LEADER, leadershipRevision)
+                        .when(RecordCodec.openKey(id), stamp)
+                        .delete(RecordCodec.openKey(id))
+                        .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(end.status(), end.done())))
                 .onComplete(result -> {
-                    writing.remove(id);
-                    if (!duty.isCancelled() && result.failed()) {
-                        unmoved.put(id, stamp);
+                    writesInFlight.remove(id);
+                    if (!writeTask.isCancelled() && result.failed()) {
+                        finishedInOpenRecords.put(id, stamp);
                     }
                 });
     }
@@ -578,73 +583,73 @@
         boolean complete = job.isComplete();
         JobStatus status = job.status();
         int bound = job.startBoundToWrite();
-        touched.remove(job);
-        writing.add(id);
-        written.put(id, now);
-        env.state().commit(txn).onComplete(result -> {
-            writing.remove(id);
-            if (duty.isCancelled()) {
+        dirty.remove(job);
+        writesInFlight.add(id);
+        lastWriteAt.put(id, now);
+        context.state().commit(txn).onComplete(result -> {
+            writesInFlight.remove(id);
+            if (writeTask.isCancelled()) {
                 return;
             }
             if (result.failed()) {
-                settle(job, StateClient.surelyNotExecuted(result.cause()));
+                readOutcome(job, StateClient.surelyNotExecuted(result.cause()));
             } else if (result.result().done()) {
                 if (complete) {
                     LOG.info("job {} is done", id);
                     core.closeJob(id);
-                    drop(job);
+                    forget(job);
                     if (txn.writes().stream().noneMatch(StateClient.Write::isDelete)) {
-                        unmoved.put(id, result.result().stamp());
+                        finishedInOpenRecords.put(id, result.result().stamp());
                     }
                 } else {
                     core.revisionSeen(job, result.result().stamp());
-                    job.completionsRecorded(blocks.written(job, done));
+                    job.completionsRecorded(completionBlocks.written(job, done));
                     job.startBoundRecorded(bound);
                     if (core.job(id) == job) {
                         // Else cancelled since, as its watch told before this answer came: it would be kept for ever.
-                        shown.put(id, status);
-                        if (blocks.isBehind(job)) {
-                            touched.add(job);
+                        recordedStatus.put(id, status);
+                        if (completionBlocks.isBehind(job)) {
+                            dirty.add(job);
                         }
                     }
                 }
             } else if (result.result().failed().contains(RecordCodec.LEADER)) {
-                deposed.run();
+                onDeposed.run();
             } else {
-                settle(job, false);
+                readOutcome(job, false);
             }
         });
     }
 
     /** After a write that failed or has an unknown outcome: reads how the job stands. */
-    private void settle(Job job, boolean refused) {
+    private void readOutcome(Job job, boolean refused) {
         JobId id = job.id();
-        touched.add(job);
+        dirty.add(job);
         if (refused) {
             return;
         }
-        writing.add(id);
-        env.state()
-                .get(RecordCodec.open(id))
+        writesInFlight.add(id);
+        context.state()
+                .get(RecordCodec.openKey(id))
                 .compose(open -> {
                     if (open != null) {
                         core.revisionSeen(job, open.stamp());
                         return Future.succeededFuture();
                     }
-                    return env.state().get(RecordCodec.over(id)).compose(over -> {
+                    return context.state().get(RecordCodec.finalKey(id)).compose(over -> {
                         if (over == null) {
-                            return env.state()
+                            return context.state()
                                     .confirm(new StateClient.Txn()
-                                            .when(RecordCodec.open(id), Revision.ABSENT)
-                                            .when(RecordCodec.over(id), Revision.ABSENT))
+                                            .when(RecordCodec.openKey(id), Revision.ABSENT)
+                                            .when(RecordCodec.finalKey(id), Revision.ABSENT))
                                     .onSuccess(gone -> {
-                                        if (gone && !duty.isCancelled()) {
-                                            env.state().recordGone(RecordCodec.open(id));
+                                        if (gone && !writeTask.isCancelled()) {
+                                            context.state().recordGone(RecordCodec.openKey(id));
                                         }
                                     })
                                     .mapEmpty();
                         }
-                        if (!duty.isCancelled()) {
+                        if (!writeTask.isCancelled()) {
                             JobStatus status =
                                     RecordCodec.readFinal(id, over.value()).status();
                             LOG.info("job {} is {}", id, status);
@@ -653,11 +658,11 @@
                             } else {
                                 core.closeJob(id);
                             }
-                            drop(job);
+                            forget(job);
                         }
                         return Future.succeededFuture();
                     });
                 })
-                .onComplete(r -> writing.remove(id));
+                .onComplete(r -> writesInFlight.remove(id));
     }
 }
--- a/src/main/java/io/indigoreach/cluster/JobWatch.java
+++ b/src/main/java/io/indigoreach/cluster/JobWatch.java
@@ -59,7 +59,7 @@
     private Future<Span> step(Span longest) {
         Moment sent = env.clock().now();
         if (readAgain) {
-            return ledger.readAgain().map(revision -> {
+            return ledger.resynchronize().map(revision -> {
                 since = revision;
                 readAgain = false;
                 horizon.advanceTo(sent);
@@ -77,7 +77,7 @@
             since = Math.max(since, changes.revision());
             // First what it brings: a job that is gone holds the horizon until it is known why.
             for (StateClient.Change change : changes.changes()) {
-                JobStore.unlessUnreadable(change.key(), () -> apply(change));
+                JobStore.readOrLog(change.key(), () -> apply(change));
             }
             horizon.advanceTo(sent);
             return Span.ZERO;
@@ -94,11 +94,11 @@
     }
 
     private void apply(StateClient.Change change) {
-        JobId id = RecordCodec.jobOf(change.key());
+        JobId id = RecordCodec.jobOfOpenKey(change.key());
         if (change.value() != null) {
-            ledger.heard(id, change.value(), change.stamp());
+            ledger.onOpenRecordWritten(id, change.value(), change.stamp());
         } else {
-            ledger.heardGone(id);
+            ledger.onOpenRecordDeleted(id);
         }
         LOG.debug("heard of {} at {}", change.key(), change.stamp().value());
     }
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -41,19 +41,19 @@
     private static final Logger LOG = LoggerFactory.getLogger(LeadershipTerm.class);
     private static final Span TICK = Span.seconds(0.5);
     /** The part of the service's changes that the leader takes; the rest is for submissions and cancellations. */
-    private static final double WRITES = 0.6;
+    private static final double LEADER_WRITE_SHARE = 0.6;
     /** What a question to the other nodes and their answers may take and still be of use. */
-    private static final Span QUESTION = Span.seconds(3);
+    private static final Span PEER_QUESTION_TIME = Span.seconds(3);
 
     private static final Span SUMMARY = Span.seconds(10);
     /** Before records that could not be read are read once more. */
-    private static final Span UNREADABLE = Span.seconds(5);
+    private static final Span UNREADABLE_RETRY = Span.seconds(5);
 
     /** What a reign works with. */
     record Context(
             Vertx vertx,
             SteadyClock clock,
-            EventLoopMonitor pulse,
+            EventLoopMonitor loopMonitor,
             StateClient state,
             CloudClient cloud,
             Catalogue catalogue,
@@ -61,24 +61,24 @@
             Settings settings,
             Span lease,
             Parts parts,
-            JobRepairer mender) {
+            JobRepairer repairer) {
         Context(
                 Vertx vertx,
                 SteadyClock clock,
-                EventLoopMonitor pulse,
+                EventLoopMonitor loopMonitor,
                 StateClient state,
                 CloudClient cloud,
                 Catalogue catalogue,
                 PlatformConfig config,
                 Settings settings,
                 Span lease) {
-            this(vertx, clock, pulse, state, cloud, catalogue, config, settings, lease, Parts.NONE);
+            this(vertx, clock, loopMonitor, state, cloud, catalogue, config, settings, lease, Parts.NONE);
         }
 
         Context(
                 Vertx vertx,
                 SteadyClock clock,
-                EventLoopMonitor pulse,
+                EventLoopMonitor loopMonitor,
                 StateClient state,
                 CloudClient cloud,
                 Catalogue catalogue,
@@ -89,7 +89,7 @@
             this(
                     vertx,
                     clock,
-                    pulse,
+                    loopMonitor,
                     state,
                     cloud,
                     catalogue,
@@ -102,68 +102,82 @@
 
         /** By which values, transactions and budgets are sized. */
         PlatformConfig.StateLimits limits() {
-            return state.limits().under(config.stateLimits());
+            return state.limits().within(config.stateLimits());
         }
     }
 
-    private final Context env;
+    private final Context context;
     private final FencingToken token;
-    private final LeaderElection leadership;
+    private final LeaderElection election;
     private final SchedulerCore core;
-    private final MachineStore book;
-    private final JobStore ledger;
-    private final DependencyTask chains;
-    private final FleetManager fleet;
-    private final JobWatch watch;
-    private final FinalRecordWatch ends;
-    private final PartsTask parts;
-    private final PeriodicTask opening;
+    private final MachineStore machineStore;
+    private final JobStore jobStore;
+    private final DependencyTask dependencyTask;
+    private final FleetManager fleetManager;
+    private final JobWatch jobWatch;
+    private final FinalRecordWatch finalRecordWatch;
+    private final PartsTask partsTask;
+    private final PeriodicTask openingTask;
     private final PeriodicTask tick;
-    private final Supplier<Future<RememberedState>> memory;
-    private final RateLimiter budget;
-    private final Revision key;
-    private Moment summarised = Moment.NEVER;
-    private final CancellationHorizon horizon = new CancellationHorizon();
-    private boolean boundsKept;
+    private final Supplier<Future<RememberedState>> gatherRememberedState;
+    private final RateLimiter writeLimiter;
+    private final Revision leadershipRevision;
+    private Moment lastSummaryAt = Moment.NEVER;
+    private final CancellationHorizon cancellationHorizon = new CancellationHorizon();
+    private boolean startBoundsTrusted;
     /** Since when reports are taken; what machines were silent before that is this node's doing, however long the reading took. */
-    private Moment serves = Moment.NEVER;
+    private Moment servesSince = Moment.NEVER;
 
     /**
-     * @param boundsKept the start bounds that earlier leaders recorded can be believed
-     * @param memory what controllers remember, asked for where the state service has lost data
+     * @param startBoundsTrusted the start bounds that earlier leaders recorded can be believed
+     * @param gatherRememberedState what controllers remember, asked for where the state service has lost data
      */
     LeadershipTerm(
-            Context env,
+            Context context,
             FencingToken token,
-            Revision key,
-            LeaderElection leadership,
-            boolean boundsKept,
-            Supplier<Future<RememberedState>> memory) {
-        this.memory = memory;
-        this.key = key;
-        this.env = env;
+            Revision leadershipRevision,
+            LeaderElection election,
+            boolean startBoundsTrusted,
+            Supplier<Future<RememberedState>> gatherRememberedState) {
+        this.gatherRememberedState = gatherRememberedState;
+        this.leadershipRevision = leadershipRevision;
+        this.context = context;
         this.token = token;
-        this.leadership = leadership;
+        this.election = election;
         this.core = new SchedulerCore(
                 token,
-                env.config().rules(),
-                env.settings().tuning(),
-                aims(env.config()),
-                env.config().teams(),
+                context.config().rules(),
+                context.settings().tuning(),
+                aims(context.config()),
+                context.config().teams(),
                 this);
-        this.budget = new RateLimiter(
-                env.config().stateLimits().writesPerS() * WRITES, env.clock().now());
-        this.book = new MachineStore(env, core, token, key, leadership::deposed, budget);
-        this.ledger = new JobStore(env, core, book, key, leadership::deposed, budget, boundsKept, horizon);
-        this.chains = new DependencyTask(env, core, ledger, key, leadership::deposed, budget);
-        this.boundsKept = boundsKept;
-        this.fleet = new FleetManager(
-                env, core, token, new IntentLog(env, token, key, leadership::deposed, budget), leadership::isValid);
-        this.watch = new JobWatch(env, ledger, horizon);
-        this.ends = new FinalRecordWatch(env);
-        this.parts = new PartsTask(env, core, key, budget);
-        this.opening = new PeriodicTask(env.vertx(), "opening", Span.seconds(0.3), this::open);
-        this.tick = new PeriodicTask(env.vertx(), "tick", TICK, this::tick);
+        this.writeLimiter = new RateLimiter(
+                context.config().stateLimits().writesPerS() * LEADER_WRITE_SHARE,
+                context.clock().now());
+        this.machineStore = new MachineStore(context, core, token, leadershipRevision, election::deposed, writeLimiter);
+        this.jobStore = new JobStore(
+                context,
+                core,
+                machineStore,
+                leadershipRevision,
+                election::deposed,
+                writeLimiter,
+                startBoundsTrusted,
+                cancellationHorizon);
+        this.dependencyTask =
+                new DependencyTask(context, core, jobStore, leadershipRevision, election::deposed, writeLimiter);
+        this.startBoundsTrusted = startBoundsTrusted;
+        this.fleetManager = new FleetManager(
+                context,
+                core,
+                token,
+                new IntentLog(context, token, leadershipRevision, election::deposed, writeLimiter),
+                election::isValid);
+        this.jobWatch = new JobWatch(context, jobStore, cancellationHorizon);
+        this.finalRecordWatch = new FinalRecordWatch(context);
+        this.partsTask = new PartsTask(context, core, leadershipRevision, writeLimiter);
+        this.openingTask = new PeriodicTask(context.vertx(), "opening", Span.seconds(0.3), this::open);
+        this.tick = new PeriodicTask(context.vertx(), "tick", TICK, this::tick);
     }
 
     private static ServiceLevelObjectives aims(PlatformConfig config) {
@@ -174,19 +188,19 @@
     }
 
     void start() {
-        opening.start();
+        openingTask.start();
     }
 
     void close() {
-        opening.cancel();
+        openingTask.cancel();
         tick.cancel();
-        watch.cancel();
-        ends.cancel();
-        parts.cancel();
-        chains.cancel();
-        ledger.cancel();
-        book.cancel();
-        fleet.cancel();
+        jobWatch.cancel();
+        finalRecordWatch.cancel();
+        partsTask.cancel();
+        dependencyTask.cancel();
+        jobStore.cancel();
+        machineStore.cancel();
+        fleetManager.cancel();
     }
 
     FencingToken token() {
@@ -197,75 +211,77 @@
      * Whether it has heard of cancellations lately enough, and can act on them; else workers get no answer. Without the records it
      * knows of none: an earlier leader may have missed one for long, and an outage that begins now would keep them from being read.
      */
-    boolean hearsCancellations() {
+    boolean isInformedOfCancellations() {
         return core.areRecordsLoaded()
-                && env.clock()
+                && context.clock()
                                 .now()
-                                .since(horizon.completeUntil())
-                                .compareTo(env.config().rules().maxCancellationAge())
+                                .since(cancellationHorizon.completeUntil())
+                                .compareTo(context.config().rules().maxCancellationAge())
                         < 0;
     }
 
     /** How far back this leader wants to be told of cancellations. */
-    Span unheard() {
-        return horizon.lookBack(env.clock().now(), QUESTION);
+    Span cancellationLookBack() {
+        return cancellationHorizon.lookBack(context.clock().now(), PEER_QUESTION_TIME);
     }
 
     /** At {@code sent} every node was asked; this is what all of them say together of cancellations. */
-    void told(CancellationSummary word, Moment sent) {
+    void onPeerCancellations(CancellationSummary word, Moment sent) {
         // Without the records nothing can be done about it yet, and nothing is counted as heard.
         if (core.areRecordsLoaded()) {
-            word.cancelled().forEach(ledger::cancelled);
-            horizon.peersAnswered(word.covered(), sent, env.clock().now());
+            word.cancelled().forEach(jobStore::onCancelled);
+            cancellationHorizon.peersAnswered(
+                    word.covered(), sent, context.clock().now());
         }
     }
 
     /** The orders for a worker; null if a newer leader exists. A machine's first report waits for its record. */
-    Future<List<WorkerCommand>> onReport(Heartbeat heartbeat) {
-        List<WorkerCommand> orders = core.onHeartbeat(heartbeat, env.clock().now());
+    Future<List<WorkerCommand>> onHeartbeat(Heartbeat heartbeat) {
+        List<WorkerCommand> orders = core.onHeartbeat(heartbeat, context.clock().now());
         Machine unrecorded = orders == null || !core.areRecordsLoaded() ? null : core.unrecorded(heartbeat.machine());
         if (unrecorded == null) {
             return Future.succeededFuture(orders);
         }
-        return book.record(unrecorded).map(done -> {
+        return machineStore.record(unrecorded).map(done -> {
             List<WorkerCommand> all = new ArrayList<>(orders);
             if (done) {
                 all.addAll(core.startTasks(
-                        heartbeat.machine(), heartbeat.number(), env.clock().now()));
+                        heartbeat.machine(), heartbeat.number(), context.clock().now()));
             }
             return all;
         });
     }
 
     /** Whether a machine's report may be answered; if not, its lease is to run out. */
-    boolean answers(MachineId machine) {
+    boolean mayAnswer(MachineId machine) {
         return core.mayAnswer(machine);
     }
 
     private Future<Span> open() {
-        if (!env.catalogue().isKnown()) {
+        if (!context.catalogue().isKnown()) {
             return Future.succeededFuture(Span.seconds(0.2));
         }
-        core.setTypes(env.catalogue().types());
-        return whole().compose(v -> ledger.load())
-                .compose(revision -> fleet.load().map(revision))
-                .compose(revision -> watch.catchUp(revision).map(revision))
+        core.setTypes(context.catalogue().types());
+        return rebuildIfLost()
+                .compose(v -> jobStore.load())
+                .compose(revision -> fleetManager.load().map(revision))
+                .compose(revision -> jobWatch.catchUp(revision).map(revision))
                 .map(revision -> {
                     core.recordsLoaded();
-                    serves = env.clock().now();
+                    servesSince = context.clock().now();
                     LOG.info(
                             "records read: {} open jobs, {} machines",
                             core.jobs().size(),
                             core.machineCount());
-                    watch.start();
-                    ends.start(revision);
-                    ledger.start();
-                    chains.start();
-                    book.start();
-                    fleet.start();
-                    parts.start();
+                    jobWatch.start();
+                    finalRecordWatch.start(revision);
+                    jobStore.start();
+                    dependencyTask.start();
+                    machineStore.start();
+                    fleetManager.start();
+                    partsTask.start();
                     tick.start();
-                    opening.cancel();
+                    openingTask.cancel();
                     return TICK;
                 })
                 .recover(e -> {
@@ -275,64 +291,70 @@
                     LOG.error(
                             "this node cannot lead: {}. Was it written by a newer version? Run that, or restore the record",
                             e.getMessage());
-                    return Future.succeededFuture(UNREADABLE);
+                    return Future.succeededFuture(UNREADABLE_RETRY);
                 });
     }
 
     /** Before the records are read: what was lost of them is written anew. */
-    private Future<Void> whole() {
-        if (env.state().losses().isHolding()) {
-            return memory.get().compose(remains -> new StateRebuilder(env, token, key, budget, remains).run());
+    private Future<Void> rebuildIfLost() {
+        if (context.state().losses().isHolding()) {
+            return gatherRememberedState
+                    .get()
+                    .compose(rememberedState -> new StateRebuilder(
+                                    context, token, leadershipRevision, writeLimiter, rememberedState)
+                            .run());
         }
         return Future.succeededFuture();
     }
 
     /** Whether it is an open job here. */
-    boolean knows(JobId id) {
+    boolean hasOpen(JobId id) {
         return core.job(id) != null;
     }
 
     /** What this leader knows of one job, while it knows them all. */
-    RememberedState remains(JobId id) {
-        RememberedState remains = new RememberedState();
+    RememberedState rememberedState(JobId id) {
+        RememberedState rememberedState = new RememberedState();
         if (core.areRecordsLoaded()) {
-            ledger.addTo(remains, id);
+            jobStore.addTo(rememberedState, id);
             Job job = core.job(id);
             if (job != null) {
-                remains.add(SchedulerCore.rememberedState(job));
+                rememberedState.add(SchedulerCore.rememberedState(job));
             }
         }
-        return remains;
+        return rememberedState;
     }
 
     /** What this leader knows beside what is recorded, while it knows it all. */
-    RememberedState remains() {
-        RememberedState remains = new RememberedState();
+    RememberedState rememberedState() {
+        RememberedState rememberedState = new RememberedState();
         if (core.areRecordsLoaded()) {
-            ledger.addTo(remains);
-            remains.add(core.rememberedState());
+            jobStore.addTo(rememberedState);
+            rememberedState.add(core.rememberedState());
         }
-        return remains;
+        return rememberedState;
     }
 
     private Future<Span> tick() {
-        Moment now = env.clock().now();
-        Moment awake = env.pulse().awakeSince();
-        core.setAwakeSince(awake.isAfter(serves) ? awake : serves);
+        Moment now = context.clock().now();
+        Moment awake = context.loopMonitor().turningSince();
+        core.setAwakeSince(awake.isAfter(servesSince) ? awake : servesSince);
         core.expireLeases(now);
-        if (leadership.isValid() && !env.config().peers().isEmpty() && core.isCutOffFromWorkers(now)) {
-            leadership.abdicate("no worker's report reaches this node");
+        if (election.isValid() && !context.config().peers().isEmpty() && core.isCutOffFromWorkers(now)) {
+            election.abdicate("no worker's report reaches this node");
             return Future.succeededFuture(TICK);
         }
-        if (!boundsKept && core.areRecordsLoaded() && core.jobs().stream().noneMatch(Job::isInherited)) {
+        if (!startBoundsTrusted
+                && core.areRecordsLoaded()
+                && core.jobs().stream().noneMatch(Job::isInherited)) {
             // Whatever is open now, this leader has kept to the bounds of: a later one may believe them.
-            return leadership.vouchForBounds().map(done -> {
-                boundsKept = done;
+            return election.vouchForStartBounds().map(done -> {
+                startBoundsTrusted = done;
                 return TICK;
             });
         }
-        if (now.since(summarised).compareTo(SUMMARY) >= 0) {
-            summarised = now;
+        if (now.since(lastSummaryAt).compareTo(SUMMARY) >= 0) {
+            lastSummaryAt = now;
             LOG.info("{}", core.summary(now));
         }
         return Future.succeededFuture(TICK);
@@ -340,7 +362,7 @@
 
     @Override
     public void taskCompleted(Job job) {
-        ledger.touch(job);
+        jobStore.markDirty(job);
     }
 
     @Override
--- a/src/main/java/io/indigoreach/cluster/MachineStore.java
+++ b/src/main/java/io/indigoreach/cluster/MachineStore.java
@@ -34,11 +34,11 @@
     private static final Logger LOG = LoggerFactory.getLogger(MachineStore.class);
     private static final Span PERIOD = Span.seconds(0.1);
     /** Between two writes; machines that report meanwhile share the second one. */
-    private static final Span GATHER = Span.seconds(0.2);
+    private static final Span WRITE_PERIOD = Span.seconds(0.2);
     /** A report is not kept waiting for its machine's record for longer than this. */
-    private static final Span PATIENCE = Span.seconds(1);
+    private static final Span RECORD_TIMEOUT = Span.seconds(1);
 
-    private static final Span TIDY = Span.seconds(2);
+    private static final Span COMPACTION_PERIOD = Span.seconds(2);
     private static final int MOST_PAGES = 4;
     /** What a page takes besides its lines. */
     private static final int PAGE_FRAME = JsonSize.of(RecordCodec.writeMachines(List.of()));
@@ -71,52 +71,52 @@
     /** A machine whose report waits for its record. */
     private record Waiting(Promise<Boolean> done, Moment since) {}
 
-    private final LeadershipTerm.Context env;
+    private final LeadershipTerm.Context context;
     private final SchedulerCore core;
     private final FencingToken token;
-    private final Revision key;
-    private final Runnable deposed;
-    private final RateLimiter budget;
-    private final PeriodicTask duty;
+    private final Revision leadershipRevision;
+    private final Runnable onDeposed;
+    private final RateLimiter writeLimiter;
+    private final PeriodicTask writeTask;
     private final List<Page> pages = new ArrayList<>();
     private final Map<MachineId, Waiting> waiting = new LinkedHashMap<>();
     private int pagesMade;
-    private Moment written = Moment.NEVER;
+    private Moment lastWriteAt = Moment.NEVER;
 
     MachineStore(
-            LeadershipTerm.Context env,
+            LeadershipTerm.Context context,
             SchedulerCore core,
             FencingToken token,
-            Revision key,
-            Runnable deposed,
-            RateLimiter budget) {
-        this.env = env;
+            Revision leadershipRevision,
+            Runnable onDeposed,
+            RateLimiter writeLimiter) {
+        this.context = context;
         this.core = core;
         this.token = token;
-        this.key = key;
-        this.deposed = deposed;
-        this.budget = budget;
-        this.duty = new PeriodicTask(env.vertx(), "machine book", PERIOD, this::step);
+        this.leadershipRevision = leadershipRevision;
+        this.onDeposed = onDeposed;
+        this.writeLimiter = writeLimiter;
+        this.writeTask = new PeriodicTask(context.vertx(), "machine book", PERIOD, this::step);
     }
 
     /** How much a page may hold. */
-    static int pageBytes(LeadershipTerm.Context env) {
-        return env.limits().room() - PAGE_FRAME;
+    static int pageBytes(LeadershipTerm.Context context) {
+        return context.limits().room() - PAGE_FRAME;
     }
 
     void start() {
-        duty.start();
+        writeTask.start();
     }
 
     void cancel() {
-        duty.cancel();
+        writeTask.cancel();
         waiting.values().forEach(w -> w.done.tryComplete(false));
         waiting.clear();
     }
 
     /** A page that an earlier leader wrote, or this one when it rebuilt. */
     void inherit(String pageKey, Revision stamp, List<MachineRecord> lines) {
-        Page page = new Page(pageKey, stamp, pageKey.startsWith(RecordCodec.machinePage(token, "")));
+        Page page = new Page(pageKey, stamp, pageKey.startsWith(RecordCodec.machinePageKey(token, "")));
         lines.forEach(line -> page.lines.put(line.id(), line));
         // Read before, in a try that failed: two copies of a page would write over each other, and take machines off
         // it.
@@ -126,23 +126,23 @@
 
     /** Records a machine, so that its first report can be answered with tasks; false if that takes too long now. */
     Future<Boolean> record(Machine machine) {
-        Moment now = env.clock().now();
+        Moment now = context.clock().now();
         Waiting w = waiting.computeIfAbsent(machine.id(), id -> new Waiting(Promise.promise(), now));
-        if (now.since(written).compareTo(GATHER) >= 0) {
-            duty.wake();
+        if (now.since(lastWriteAt).compareTo(WRITE_PERIOD) >= 0) {
+            writeTask.wake();
         }
         return w.done.future();
     }
 
     private Future<Span> step() {
-        Moment now = env.clock().now();
+        Moment now = context.clock().now();
         List<Waiting> late = waiting.values().stream()
-                .filter(w -> now.since(w.since).compareTo(PATIENCE) >= 0)
+                .filter(w -> now.since(w.since).compareTo(RECORD_TIMEOUT) >= 0)
                 .toList();
         late.forEach(w -> w.done.tryComplete(false));
         Page unsure = pages.stream().filter(p -> p.unsure).findFirst().orElse(null);
         if (unsure != null) {
-            return env.state().get(unsure.key).map(entry -> {
+            return context.state().get(unsure.key).map(entry -> {
                 unsure.stamp = entry == null ? Revision.ABSENT : entry.stamp();
                 unsure.unsure = false;
                 if (entry == null && unsure.isLeft()) {
@@ -151,18 +151,18 @@
                 return Span.ZERO;
             });
         }
-        if (now.since(written).compareTo(GATHER) < 0) {
+        if (now.since(lastWriteAt).compareTo(WRITE_PERIOD) < 0) {
             return Future.succeededFuture(PERIOD);
         }
-        Map<Page, List<MachineRecord>> additions = enter();
+        Map<Page, List<MachineRecord>> additions = assignToPages();
         if (additions.isEmpty()) {
-            return tidy(now);
+            return compact(now);
         }
-        return budget.take(additions.size(), now) ? write(additions, now) : Future.succeededFuture(PERIOD);
+        return writeLimiter.take(additions.size(), now) ? write(additions, now) : Future.succeededFuture(PERIOD);
     }
 
     /** Finds pages with room for the machines that wait. */
-    private Map<Page, List<MachineRecord>> enter() {
+    private Map<Page, List<MachineRecord>> assignToPages() {
         Map<Page, List<MachineRecord>> additions = new LinkedHashMap<>();
         Map<Page, Integer> room = new HashMap<>();
         waiting.entrySet().removeIf(e -> {
@@ -173,8 +173,8 @@
             e.getValue().done.tryComplete(false);
             return true;
         });
-        long today = env.clock().timeOfDay();
-        Moment now = env.clock().now();
+        long today = context.clock().timeOfDay();
+        Moment now = context.clock().now();
         for (MachineId id : waiting.keySet()) {
             Machine machine = core.unrecorded(id);
             MachineRecord line = new MachineRecord(
@@ -191,11 +191,11 @@
                 }
             }
             if (page == null) {
-                page = new Page(RecordCodec.machinePage(token, ++pagesMade), Revision.ABSENT, true);
+                page = new Page(RecordCodec.machinePageKey(token, ++pagesMade), Revision.ABSENT, true);
                 pages.add(page);
-                room.put(page, pageBytes(env));
+                room.put(page, pageBytes(context));
             }
-            if (additions.size() >= Math.min(MOST_PAGES, env.limits().txnOps()) && !additions.containsKey(page)) {
+            if (additions.size() >= Math.min(MOST_PAGES, context.limits().txnOps()) && !additions.containsKey(page)) {
                 break;
             }
             additions.computeIfAbsent(page, p -> new ArrayList<>()).add(line);
@@ -209,7 +209,7 @@
         for (MachineRecord line : page.lines.values()) {
             used += core.knows(line.id()) ? RecordCodec.bytes(line) : 0;
         }
-        return pageBytes(env) - used;
+        return pageBytes(context) - used;
     }
 
     /**
@@ -217,7 +217,7 @@
      * until the rest fits into one value; a machine that stands twice is read once.
      */
     private Future<Span> split(Page page) {
-        Page part = new Page(RecordCodec.machinePage(token, ++pagesMade), Revision.ABSENT, true);
+        Page part = new Page(RecordCodec.machinePageKey(token, ++pagesMade), Revision.ABSENT, true);
         for (MachineRecord line : page.lines.values()) {
             part.lines.put(line.id(), line);
             if (room(part) < 0) {
@@ -226,7 +226,7 @@
             }
         }
         StateClient.Txn txn = new StateClient.Txn()
-                .when(RecordCodec.LEADER, key)
+                .when(RecordCodec.LEADER, leadershipRevision)
                 .when(part.key, Revision.ABSENT)
                 .put(part.key, RecordCodec.writeMachines(part.lines.values()));
         pages.add(part);
@@ -238,13 +238,13 @@
     }
 
     private Future<Span> write(Map<Page, List<MachineRecord>> additions, Moment now) {
-        StateClient.Txn txn = new StateClient.Txn().when(RecordCodec.LEADER, key);
+        StateClient.Txn txn = new StateClient.Txn().when(RecordCodec.LEADER, leadershipRevision);
         additions.forEach((page, lines) -> {
             page.lines.keySet().removeIf(id -> !core.knows(id));
             lines.forEach(line -> page.lines.put(line.id(), line));
             txn.when(page.key, page.stamp).put(page.key, RecordCodec.writeMachines(page.lines.values()));
         });
-        written = now;
+        lastWriteAt = now;
         return commit(txn, List.copyOf(additions.keySet()), stamp -> {
             additions.forEach((page, lines) -> {
                 page.stamp = stamp;
@@ -260,24 +260,25 @@
     }
 
     /** Machines that are gone are taken off their pages when there is nothing else to write. */
-    private Future<Span> tidy(Moment now) {
-        if (now.since(written).compareTo(TIDY) < 0) {
+    private Future<Span> compact(Moment now) {
+        if (now.since(lastWriteAt).compareTo(COMPACTION_PERIOD) < 0) {
             return Future.succeededFuture(PERIOD);
         }
         for (Page page : pages) {
             if (!page.isSplit && !page.isLeft() && page.lines.keySet().stream().allMatch(core::knows)) {
                 continue;
             }
-            if (!budget.takeSpare(1, now)) {
+            if (!writeLimiter.takeSpare(1, now)) {
                 break;
             }
             page.lines.keySet().removeIf(id -> !core.knows(id));
-            written = now;
+            lastWriteAt = now;
             if (room(page) < 0) {
                 return split(page);
             }
-            StateClient.Txn txn =
-                    new StateClient.Txn().when(RecordCodec.LEADER, key).when(page.key, page.stamp);
+            StateClient.Txn txn = new StateClient.Txn()
+                    .when(RecordCodec.LEADER, leadershipRevision)
+                    .when(page.key, page.stamp);
             if (page.isLeft()) {
                 txn.delete(page.key);
             } else {
@@ -295,16 +296,16 @@
     }
 
     private Future<Span> commit(StateClient.Txn txn, List<Page> touched, java.util.function.Consumer<Revision> done) {
-        return env.state()
+        return context.state()
                 .commit(txn)
                 .map(outcome -> {
-                    if (duty.isCancelled()) {
+                    if (writeTask.isCancelled()) {
                         return PERIOD;
                     }
                     if (outcome.done()) {
                         done.accept(outcome.stamp());
                     } else if (outcome.failed().contains(RecordCodec.LEADER)) {
-                        deposed.run();
+                        onDeposed.run();
                     } else {
                         touched.forEach(p -> p.unsure = true);
                     }
--- a/src/main/java/io/indigoreach/cluster/Node.java
+++ b/src/main/java/io/indigoreach/cluster/Node.java
@@ -47,7 +47,7 @@
                 new ServiceClient(vertx, config.state(), 12), new ServiceClient(vertx, config.state(), 3));
         CloudClient cloud = new CloudClient(new ServiceClient(vertx, config.cloud(), 3));
         this.catalogue = new Catalogue(vertx, state, cloud);
-        JobRepairer mender = new JobRepairer(state, clock, config.stateLimits());
+        JobRepairer repairer = new JobRepairer(state, clock, config.stateLimits());
         Parts parts = Parts.of(kinds, vertx, state, clock, catalogue, config, settings);
         this.controller = new Controller(
                 new LeadershipTerm.Context(
@@ -61,12 +61,12 @@
                         settings,
                         settings.leaderLease(config.rules()),
                         parts,
-                        mender),
+                        repairer),
                 own);
-        JobService jobs = new JobService(
+        JobService jobService = new JobService(
                 vertx,
                 state,
-                mender,
+                repairer,
                 catalogue,
                 config.teams(),
                 clock,
@@ -74,28 +74,28 @@
                 config.stateLimits().requestsPerS()
                         * QUESTIONS
                         / (config.peers().size() + 1));
-        this.standing = new PeerProtocol(vertx, clock, pulse, state, config, controller, jobs, parts.copies());
-        controller.remembering(standing::gather);
-        controller.asking(standing::pledges, standing::othersDoNotLead);
-        mender.asking(standing::recall);
-        jobs.chaining(config.rules().cancellationTime(), controller::leadership);
-        jobs.chainsUnderstoodByAll(() -> controller.formats().isOpen());
-        jobs.joining(parts.joinings());
-        parts.all().forEach(p -> p.submitting(jobs::submit));
-        jobs.asking(standing::know);
-        state.onLoss(controller::onLoss);
+        this.standing = new PeerProtocol(vertx, clock, pulse, state, config, controller, jobService, parts.copies());
+        controller.recallBy(standing::gather);
+        controller.askPeersBy(standing::pledges, standing::othersDoNotLead);
+        repairer.recallBy(standing::recall);
+        jobService.cascadeWithin(config.rules().cancellationTime(), controller::election);
+        jobService.dependenciesUnderstoodBy(() -> controller.formatGate().isOpen());
+        jobService.participants(parts.joinings());
+        parts.all().forEach(p -> p.submitting(jobService::submit));
+        jobService.askPeersBy(standing::isKnownToAny);
+        state.onLoss(controller::onStateLoss);
         this.door = new HttpApi(
                 vertx,
                 config.listen(),
-                jobs,
+                jobService,
                 new HeartbeatEndpoint(controller),
-                () -> catalogue.isKnown() && !standing.isOutOfTouch(),
+                () -> catalogue.isKnown() && !standing.isOutOfService(),
                 parts.resources());
     }
 
     /** Starts serving; the result is the port. */
     public Future<Integer> start() {
-        return controller.clear(standing::leads).compose(leaderless -> {
+        return controller.clearPredecessor(standing::leads).compose(leaderless -> {
             if (!leaderless) {
                 return door.open().map(port -> {
                     lead();
@@ -103,7 +103,7 @@
                 });
             }
             lead();
-            return controller.settled(clock.now().plus(UNHEARD)).compose(v -> door.open());
+            return controller.leaderKnown(clock.now().plus(UNHEARD)).compose(v -> door.open());
         });
     }
 
--- a/src/main/java/io/indigoreach/cluster/PartsTask.java
+++ b/src/main/java/io/indigoreach/cluster/PartsTask.java
@@ -30,11 +30,11 @@
     private final List<Part.Term> reigning = new ArrayList<>();
     private final Map<Part, Moment> due = new HashMap<>();
 
-    PartsTask(LeadershipTerm.Context env, SchedulerCore core, Revision key, RateLimiter budget) {
+    PartsTask(LeadershipTerm.Context env, SchedulerCore core, Revision key, RateLimiter limiter) {
         this.env = env;
         this.core = core;
         this.records =
-                env.parts().all().isEmpty() ? null : env.parts().records().leading(RecordCodec.LEADER, key, budget);
+                env.parts().all().isEmpty() ? null : env.parts().records().leading(RecordCodec.LEADER, key, limiter);
         this.duty = new PeriodicTask(env.vertx(), "parts", PERIOD, this::step);
     }
 
--- a/src/main/java/io/indigoreach/cluster/StateRebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -94,15 +94,15 @@
                 .compose(v -> read(CompletionBits.SMALL, this::readBlock))
                 .compose(v -> read(
                         RecordCodec.OPEN,
-                        e -> JobStore.unlessUnreadable(e.key(), () -> {
-                            JobId id = RecordCodec.jobOf(e.key());
+                        e -> JobStore.readOrLog(e.key(), () -> {
+                            JobId id = RecordCodec.jobOfOpenKey(e.key());
                             standing.put(id, e.stamp());
                             open.put(id, RecordCodec.readJob(id, e.value(), e.stamp()));
                         })))
                 .compose(v -> read(
                         RecordCodec.FINAL,
-                        e -> JobStore.unlessUnreadable(e.key(), () -> {
-                            JobId id = RecordCodec.overOf(e.key());
+                        e -> JobStore.readOrLog(e.key(), () -> {
+                            JobId id = RecordCodec.jobOfFinalKey(e.key());
                             RecordCodec.readFinal(id, e.value());
                             over.add(id);
                         })))
@@ -194,7 +194,7 @@
     }
 
     private void readBlock(StateClient.Entry block) {
-        JobStore.unlessUnreadable(
+        JobStore.readOrLog(
                 block.key(),
                 () -> CompletionBits.readBlock(
                         block.key(),
@@ -205,11 +205,11 @@
     private void end(JobId id, RememberedState.FinishedJob end) {
         open.remove(id);
         Revision stamp = standing.getOrDefault(id, Revision.ABSENT);
-        StateClient.Txn txn = change().when(RecordCodec.over(id), Revision.ABSENT)
-                .when(RecordCodec.open(id), stamp)
-                .put(RecordCodec.over(id), RecordCodec.writeFinal(end.status(), end.done()));
+        StateClient.Txn txn = change().when(RecordCodec.finalKey(id), Revision.ABSENT)
+                .when(RecordCodec.openKey(id), stamp)
+                .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(end.status(), end.done()));
         if (!stamp.equals(Revision.ABSENT)) {
-            txn.delete(RecordCodec.open(id));
+            txn.delete(RecordCodec.openKey(id));
         }
         steps.add(new Step(txn));
     }
@@ -233,7 +233,7 @@
         blocksBefore(id, whole);
         steps.add(new Step(openAs(id)
                 .put(
-                        RecordCodec.open(id),
+                        RecordCodec.openKey(id),
                         bits().writeJob(
                                         whole.spec(),
                                         whole.submittedMs(),
@@ -245,8 +245,8 @@
 
     /** What writes of an open job depend on: that it stands as it was read, and is not over. */
     private StateClient.Txn openAs(JobId id) {
-        return change().when(RecordCodec.over(id), Revision.ABSENT)
-                .when(RecordCodec.open(id), standing.getOrDefault(id, Revision.ABSENT));
+        return change().when(RecordCodec.finalKey(id), Revision.ABSENT)
+                .when(RecordCodec.openKey(id), standing.getOrDefault(id, Revision.ABSENT));
     }
 
     /** Before the record: a job whose record is there is taken to be whole by the next try. */
@@ -291,7 +291,7 @@
     }
 
     private void page(List<MachineRecord> lines) {
-        String page = RecordCodec.machinePage(token, "r" + ++pages);
+        String page = RecordCodec.machinePageKey(token, "r" + ++pages);
         steps.add(new Step(change().when(page, Revision.ABSENT).put(page, RecordCodec.writeMachines(lines))));
     }
 
--- a/src/main/java/io/indigoreach/core/intent/Intents.java
+++ b/src/main/java/io/indigoreach/core/intent/Intents.java
@@ -22,9 +22,9 @@
     public record Rent(String name, MachinePool pool, int count, long askedMs) {}
 
     /** What is to be recorded, or is. */
-    public record Page(List<Rent> rents, List<MachineId> condemned) {
+    public record Page(List<Rent> rents, List<MachineId> returns) {
         public boolean isEmpty() {
-            return rents.isEmpty() && condemned.isEmpty();
+            return rents.isEmpty() && returns.isEmpty();
         }
     }
 
@@ -75,7 +75,7 @@
     }
 
     /** Those of {@code machines} that can be condemned now; the others have to wait until returns are answered. */
-    public List<MachineId> condemn(Collection<MachineId> machines) {
+    public List<MachineId> recordReturns(Collection<MachineId> machines) {
         List<MachineId> now = new ArrayList<>();
         for (MachineId id : machines) {
             if (condemned.contains(id) || (condemned.size() < MOST_CONDEMNED && size.hasRoomFor(condemned, id))) {
@@ -123,6 +123,6 @@
         recordedRents.clear();
         page.rents.forEach(r -> recordedRents.add(r.name));
         recordedCondemned.clear();
-        recordedCondemned.addAll(page.condemned);
+        recordedCondemned.addAll(page.returns);
     }
 }
--- a/src/main/java/io/indigoreach/core/leadership/IsolationCheck.java
+++ b/src/main/java/io/indigoreach/core/leadership/IsolationCheck.java
@@ -34,7 +34,7 @@
     private Moment lastCutOff = Moment.NEVER;
 
     /** Whether users are better off with another node. */
-    public boolean isOutOfTouch() {
+    public boolean isOutOfService() {
         return verdict != Verdict.TOGETHER;
     }
 
@@ -44,7 +44,7 @@
 
     /** The state service answers; true if this ends a verdict. */
     public boolean served() {
-        boolean ends = isOutOfTouch();
+        boolean ends = isOutOfService();
         verdict = Verdict.TOGETHER;
         silentSince = Moment.NEVER;
         return ends;
--- a/src/main/java/io/indigoreach/core/scheduling/BestSize.java
+++ b/src/main/java/io/indigoreach/core/scheduling/BestSize.java
@@ -44,12 +44,12 @@
             Dispatcher dispatcher,
             Estimates estimates,
             SchedulerSettings tuning,
-            FailureDetector silence) {
+            FailureDetector failureDetector) {
         this.cluster = cluster;
         this.dispatcher = dispatcher;
         this.estimates = estimates;
         this.tuning = tuning;
-        this.failureDetector = silence;
+        this.failureDetector = failureDetector;
     }
 
     void refused(MachinePool pool, Moment now) {
--- a/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
@@ -74,18 +74,18 @@
 
     Dispatcher(
             Cluster cluster,
-            ServiceLevelObjectives aims,
+            ServiceLevelObjectives objectives,
             Estimates estimates,
-            Failover takeOver,
+            Failover failover,
             FencingToken token,
-            Span leastPaid) {
+            Span minimumPaidTime) {
         this.cluster = cluster;
-        this.objectives = aims;
+        this.objectives = objectives;
         this.estimates = estimates;
-        this.failover = takeOver;
+        this.failover = failover;
         this.token = token;
-        this.minimumPaidTime = leastPaid;
-        this.reservedCapacity = new ReservedCapacity(cluster, aims, estimates);
+        this.minimumPaidTime = minimumPaidTime;
+        this.reservedCapacity = new ReservedCapacity(cluster, objectives, estimates);
     }
 
     /** Starts for {@code m}, to be put into the answer to its report {@code number}. */
--- a/src/main/java/io/indigoreach/core/scheduling/Job.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Job.java
@@ -85,12 +85,18 @@
      * @param inherited it was there before this leader took over
      */
     public Job(
-            JobSpec spec, long submittedMs, Moment arrived, Revision stamp, BitSet done, int bound, boolean inherited) {
+            JobSpec spec,
+            long submittedMs,
+            Moment submitted,
+            Revision revision,
+            BitSet done,
+            int startBound,
+            boolean inherited) {
         this.spec = spec;
         this.submittedMs = submittedMs;
-        this.submitted = arrived;
-        this.eligibleSince = arrived.plus(releasedAfter(spec, submittedMs));
-        this.revision = stamp;
+        this.submitted = submitted;
+        this.eligibleSince = submitted.plus(releasedAfter(spec, submittedMs));
+        this.revision = revision;
         this.inherited = inherited;
         this.done = (BitSet) done.clone();
         this.durable = (BitSet) done.clone();
@@ -104,11 +110,11 @@
         this.durableCount = doneCount;
         // A task that is done was started, and so the job was released.
         this.hasUnmetDependencies = spec.chain().isWaiting() && !hasRun;
-        this.startBound = bound;
-        this.requestedStartBound = bound;
+        this.startBound = startBound;
+        this.requestedStartBound = startBound;
         // Where the others of its tasks are decides where one may go, so nothing of it is started before all is known.
         boolean together = spec.oneZone() || spec.spread();
-        this.possiblyRunningBelow = !inherited ? 0 : together && bound > 0 ? spec.tasks() : bound;
+        this.possiblyRunningBelow = !inherited ? 0 : together && startBound > 0 ? spec.tasks() : startBound;
     }
 
     /** From its submission to the release that its record tells of. */
--- a/src/main/java/io/indigoreach/core/scheduling/Machine.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Machine.java
@@ -72,14 +72,14 @@
     private int holders;
     private Demand used = Demand.NOTHING;
 
-    Machine(MachineId id, MachinePool pool, MachineType type, Moment rented) {
+    Machine(MachineId id, MachinePool pool, MachineType type, Moment knownToExistAt) {
         this.id = id;
         this.pool = pool;
         this.type = type;
-        this.rentedAt = rented;
-        this.lastHeardAt = rented;
-        this.idleSince = rented;
-        this.knownToExistAt = rented;
+        this.rentedAt = knownToExistAt;
+        this.lastHeardAt = knownToExistAt;
+        this.idleSince = knownToExistAt;
+        this.knownToExistAt = knownToExistAt;
         this.imageCache = new ImageCache(type.cacheGb());
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/Placement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Placement.java
@@ -27,15 +27,15 @@
             Machine machine,
             Attempt attempt,
             TaskState state,
-            HeartbeatNumber orderedIn,
-            Moment since) {
+            HeartbeatNumber startedInResponseTo,
+            Moment stateSince) {
         this.job = job;
         this.index = index;
         this.machine = machine;
         this.attempt = attempt;
         this.state = state;
-        this.startedInResponseTo = orderedIn;
-        this.stateSince = since;
+        this.startedInResponseTo = startedInResponseTo;
+        this.stateSince = stateSince;
     }
 
     TaskId task() {
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
@@ -21,12 +21,12 @@
             Dispatcher dispatcher,
             SafetyTimes rules,
             SchedulerSettings tuning,
-            FailureDetector silence) {
+            FailureDetector failureDetector) {
         this.cluster = cluster;
         this.dispatcher = dispatcher;
         this.rules = rules;
         this.tuning = tuning;
-        this.failureDetector = silence;
+        this.failureDetector = failureDetector;
     }
 
     /** The machines to return, each with the reason; they are LEAVING from now on. */
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
@@ -74,26 +74,26 @@
 
     public SchedulerCore(
             FencingToken token,
-            SafetyTimes rules,
+            SafetyTimes safetyTimes,
             SchedulerSettings tuning,
             ServiceLevelObjectives aims,
             Collection<Team> teams,
-            SchedulerListener notes) {
+            SchedulerListener listener) {
         this.token = token;
-        this.safetyTimes = rules;
-        this.listener = notes;
-        this.adoption = new MachineAdoption(rules);
+        this.safetyTimes = safetyTimes;
+        this.listener = listener;
+        this.adoption = new MachineAdoption(safetyTimes);
         this.cluster = new Cluster(teams);
         this.failover = new Failover();
         this.dependentJobs = new DependentJobs(cluster, estimates);
         this.dispatcher = new Dispatcher(cluster, aims, estimates, failover, token, tuning.minimumPaidTime());
         this.waitExplainer = new WaitExplainer(cluster, dispatcher);
-        this.reconciler = new Reconciler(cluster, estimates, notes);
-        this.consolidation = new Consolidation(cluster, dispatcher, estimates, rules);
-        FailureDetector silence = new FailureDetector(cluster, rules);
+        this.reconciler = new Reconciler(cluster, estimates, listener);
+        this.consolidation = new Consolidation(cluster, dispatcher, estimates, safetyTimes);
+        FailureDetector silence = new FailureDetector(cluster, safetyTimes);
         this.bestSize = new BestSize(cluster, dispatcher, estimates, tuning, silence);
         this.startBounds = new StartBounds(cluster, dispatcher, tuning);
-        this.scaleInPolicy = new ScaleInPolicy(cluster, dispatcher, rules, tuning, silence);
+        this.scaleInPolicy = new ScaleInPolicy(cluster, dispatcher, safetyTimes, tuning, silence);
     }
 
     public void setTypes(Collection<MachineType> types) {
@@ -640,29 +640,29 @@
 
     /** What this leader knows of jobs and machines, should the records of them be lost. */
     public RememberedState rememberedState() {
-        RememberedState remains = new RememberedState();
+        RememberedState rememberedState = new RememberedState();
         for (Job job : cluster.jobs.values()) {
-            remains.add(rememberedState(job));
+            rememberedState.add(rememberedState(job));
         }
         for (Machine machine : cluster.machines.values()) {
             if (machine.recorded) {
-                remains.add(new RememberedState.RentedMachine(
+                rememberedState.add(new RememberedState.RentedMachine(
                         machine.id, machine.pool, machine.rentedAt, machine.knownToExistAt));
             }
         }
-        return remains;
+        return rememberedState;
     }
 
     /** What is known of one open job, whose end may be on its way into the records. */
     public static RememberedState rememberedState(Job job) {
-        RememberedState remains = new RememberedState();
+        RememberedState rememberedState = new RememberedState();
         if (job.isComplete()) {
-            remains.add(job.id(), new RememberedState.FinishedJob(JobStatus.DONE, job.spec.tasks()));
+            rememberedState.add(job.id(), new RememberedState.FinishedJob(JobStatus.DONE, job.spec.tasks()));
         } else {
-            remains.add(new RememberedState.OpenJob(
+            rememberedState.add(new RememberedState.OpenJob(
                     job.spec, job.submittedMs, job.completedTasks(), job.startBoundToWrite()));
         }
-        return remains;
+        return rememberedState;
     }
 
     /** One line for the log: what there is and what waits. */
--- a/src/main/java/io/indigoreach/emulator/model/CloudModel.java
+++ b/src/main/java/io/indigoreach/emulator/model/CloudModel.java
@@ -120,14 +120,14 @@
     private boolean noBoot;
 
     /** Machine names go on after {@code names}, as none is ever given twice. */
-    public CloudModel(Deployment deployment, RandomGenerator random, Moment now, long names) {
+    public CloudModel(Deployment deployment, RandomGenerator random, Moment priceMoves, long names) {
         this.names = names;
         this.deployment = deployment;
         this.types = deployment.types();
         this.random = random;
-        this.requests = new RateLimiter(deployment.cloud().rps(), BURST_S, now);
-        this.metered = now;
-        this.priceMoves = now;
+        this.requests = new RateLimiter(deployment.cloud().rps(), BURST_S, priceMoves);
+        this.metered = priceMoves;
+        this.priceMoves = priceMoves;
         types.forEach(type -> price.put(type.name(), type.spotPrice()));
     }
 
--- a/src/main/java/io/indigoreach/emulator/model/WorkerModel.java
+++ b/src/main/java/io/indigoreach/emulator/model/WorkerModel.java
@@ -89,15 +89,15 @@
             Span reportEvery,
             RandomGenerator random,
             Listener listener,
-            Moment now) {
+            Moment nextReport) {
         this.machine = machine;
         this.depot = depot;
         this.lease = lease;
         this.reportEvery = reportEvery;
         this.random = random;
         this.listener = listener;
-        this.leaseFrom = now;
-        this.nextReport = now;
+        this.leaseFrom = nextReport;
+        this.nextReport = nextReport;
     }
 
     public CloudModel.Machine machine() {
--- a/src/main/java/io/indigoreach/net/EventLoopMonitor.java
+++ b/src/main/java/io/indigoreach/net/EventLoopMonitor.java
@@ -26,11 +26,11 @@
         this.clock = clock;
         this.last = clock.now();
         this.awake = last;
-        this.timer = vertx.setPeriodic(BEAT.ms(), t -> awakeSince());
+        this.timer = vertx.setPeriodic(BEAT.ms(), t -> turningSince());
     }
 
     /** Whoever asks first after a standstill notices it. */
-    public Moment awakeSince() {
+    public Moment turningSince() {
         Moment now = clock.now();
         if (now.since(last).compareTo(STILL) > 0) {
             awake = now;
@@ -39,8 +39,8 @@
         return awake;
     }
 
-    public boolean hasTurnedFor(Span time) {
-        return clock.now().since(awakeSince()).compareTo(time) >= 0;
+    public boolean hasTurnedWithoutPauseFor(Span time) {
+        return clock.now().since(turningSince()).compareTo(time) >= 0;
     }
 
     public void close() {
--- a/src/main/java/io/indigoreach/net/RateLimiter.java
+++ b/src/main/java/io/indigoreach/net/RateLimiter.java
@@ -9,16 +9,16 @@
     private double left;
     private Moment at;
 
-    public RateLimiter(double perSecond, Moment now) {
-        this(perSecond, 1, now);
+    public RateLimiter(double perSecond, Moment at) {
+        this(perSecond, 1, at);
     }
 
     /** With a burst of {@code burstS} seconds' worth. */
-    public RateLimiter(double perSecond, double burstS, Moment now) {
+    public RateLimiter(double perSecond, double burstS, Moment at) {
         this.perSecond = perSecond;
         this.most = Math.max(1, perSecond * burstS);
         this.left = most;
-        this.at = now;
+        this.at = at;
     }
 
     /** Takes {@code n} only if half of what a second brings is left after it: for what can wait. */
--- a/src/main/java/io/indigoreach/ownership/OwnershipPart.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipPart.java
@@ -44,7 +44,7 @@
         this.desk = new OwnershipService(within, registry, most, ground.clock());
         this.field = new RecordsField(within, registry, most);
         this.tidy = new ClaimCollector(new ClaimCollector.Jobs(
-                JobId::isValid, id -> RecordCodec.open(new JobId(id)), id -> RecordCodec.over(new JobId(id))));
+                JobId::isValid, id -> RecordCodec.openKey(new JobId(id)), id -> RecordCodec.finalKey(new JobId(id))));
     }
 
     /** With the hash by which all records are found. */
--- a/src/main/java/io/indigoreach/ownership/OwnershipService.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipService.java
@@ -170,7 +170,7 @@
 
     /** For whom an open job's tasks wait. */
     private Future<ApiResponse> job(JobId id) {
-        return records.run(read(RecordCodec.open(id))).compose(kept -> {
+        return records.run(read(RecordCodec.openKey(id))).compose(kept -> {
             if (!kept.isThere()) {
                 throw RequestRejectedException.notFound("no open job " + id);
             }
@@ -215,10 +215,10 @@
     private Future<ApiResponse> outcome(Routine<Outcome> routine) {
         return run(routine)
                 .map(o -> o.waits()
-                        ? ApiResponse.later(o.against().get(0))
+                        ? ApiResponse.retryLater(o.against().get(0))
                         : new ApiResponse(o.isDone() ? 200 : 409, RecordsCodec.write(o), 0))
                 .recover(e -> e instanceof Unsettled
-                        ? Future.succeededFuture(ApiResponse.later(e.getMessage()))
+                        ? Future.succeededFuture(ApiResponse.retryLater(e.getMessage()))
                         : Future.failedFuture(e));
     }
 
--- a/src/main/java/io/indigoreach/state/CompletionBits.java
+++ b/src/main/java/io/indigoreach/state/CompletionBits.java
@@ -34,11 +34,11 @@
 
     public CompletionBits(StateLimits limits) {
         this.limits = limits;
-        int tasks = RecordCodec.BLOCK;
-        while (tasks > LEAST_BLOCK && blockBytes(tasks) > limits.room()) {
-            tasks /= 2;
+        int blockTasks = RecordCodec.BLOCK;
+        while (blockTasks > LEAST_BLOCK && blockBytes(blockTasks) > limits.room()) {
+            blockTasks /= 2;
         }
-        this.blockTasks = tasks;
+        this.blockTasks = blockTasks;
     }
 
     /** What bits take as unpadded Base64. */
@@ -91,7 +91,7 @@
     }
 
     private String key(JobId id, int n) {
-        return blockTasks == RecordCodec.BLOCK ? RecordCodec.block(id, n) : SMALL + id.text() + "/" + n * blockTasks;
+        return blockTasks == RecordCodec.BLOCK ? RecordCodec.blockKey(id, n) : SMALL + id.text() + "/" + n * blockTasks;
     }
 
     /** The value of a block that {@link #blocksWith} has named. */
--- a/src/main/java/io/indigoreach/state/EffectiveLimits.java
+++ b/src/main/java/io/indigoreach/state/EffectiveLimits.java
@@ -22,13 +22,13 @@
     private int refusals;
 
     /** What holds under these settings. */
-    public StateLimits under(StateLimits settings) {
+    public StateLimits within(StateLimits settings) {
         return settings.atMost(shown);
     }
 
     /** How long a value may become where the settings allow {@code valueBytes}. */
     public int room(int valueBytes) {
-        return under(new StateLimits(NONE.requestsPerS(), NONE.writesPerS(), valueBytes, NONE.txnOps()))
+        return within(new StateLimits(NONE.requestsPerS(), NONE.writesPerS(), valueBytes, NONE.txnOps()))
                 .room();
     }
 
@@ -38,7 +38,7 @@
     }
 
     /** The service does not say which limit it was: both are taken to be lower than what was sent. */
-    void refused(StateClient.Txn txn) {
+    void transactionRefused(StateClient.Txn txn) {
         refusals++;
         String key = "";
         int largest = 0;
--- a/src/main/java/io/indigoreach/state/FormatGate.java
+++ b/src/main/java/io/indigoreach/state/FormatGate.java
@@ -74,26 +74,27 @@
 
     /** Whether all nodes know chained jobs; false also as long as the state service does not say. Never fails. */
     public Future<Boolean> isOpen() {
-        if (leadership.raised().isNewest()) {
+        if (leadership.raisedFormat().isNewest()) {
             return Future.succeededFuture(true);
         }
         Moment now = clock.now();
         if (asked.equals(Moment.NEVER) || now.since(asked).compareTo(ASK) >= 0) {
             asked = now;
-            answer = readCounter().map(c -> leadership.raised().isNewest()).otherwise(false);
+            answer =
+                    readCounter().map(c -> leadership.raisedFormat().isNewest()).otherwise(false);
         }
         return answer;
     }
 
     private Future<StateClient.Entry> readCounter() {
         return state.get(RecordCodec.COUNTER).map(entry -> {
-            leadership.raised().seen(CounterRecord.of(entry));
+            leadership.raisedFormat().seen(CounterRecord.of(entry));
             return entry;
         });
     }
 
     private Future<Span> step() {
-        if (leadership.raised().isNewest()) {
+        if (leadership.raisedFormat().isNewest()) {
             duty.cancel();
             return Future.succeededFuture(LOOK);
         }
@@ -108,7 +109,7 @@
     private Future<Void> check() {
         return readCounter()
                 .onFailure(this::sayIfLater)
-                .compose(v -> leadership.raised().isNewest() ? Future.succeededFuture() : record());
+                .compose(v -> leadership.raisedFormat().isNewest() ? Future.succeededFuture() : record());
     }
 
     private void sayIfLater(Throwable failure) {
@@ -144,7 +145,7 @@
     }
 
     private Future<Void> raiseIfAllKnow() {
-        Revision key = leadership.key();
+        Revision key = leadership.leadershipRevision();
         return state.list(NODES, null, MOST_NODES).compose(page -> {
             Set<String> know = new HashSet<>();
             page.items().stream()
@@ -160,7 +161,7 @@
      */
     private Future<Void> raise(Revision key) {
         return readCounter().compose(entry -> {
-            if (entry == null || leadership.raised().isNewest()) {
+            if (entry == null || leadership.raisedFormat().isNewest()) {
                 return Future.succeededFuture();
             }
             CounterRecord raised = CounterRecord.of(entry).raised();
@@ -170,7 +171,7 @@
                             .put(RecordCodec.COUNTER, raised.write()))
                     .map(outcome -> {
                         if (outcome.done()) {
-                            leadership.raised().seen(raised);
+                            leadership.raisedFormat().seen(raised);
                             LOG.info("all nodes know the data format {}: older versions cannot lead", raised.format());
                         }
                         return null;
--- a/src/main/java/io/indigoreach/state/JobRepairer.java
+++ b/src/main/java/io/indigoreach/state/JobRepairer.java
@@ -38,7 +38,7 @@
     }
 
     /** Whom to ask what the controllers remember of a job. */
-    public void asking(Function<JobId, Future<RememberedState>> controllers) {
+    public void recallBy(Function<JobId, Future<RememberedState>> controllers) {
         memory = controllers;
     }
 
@@ -48,42 +48,43 @@
      *
      * @param offered the job as its user submits it again, or null
      */
-    public Future<Void> open(JobId id, StateClient.Entry spoilt, JobSpec offered) {
+    public Future<Void> repairOpen(JobId id, StateClient.Entry spoilt, JobSpec offered) {
         return memory.apply(id).compose(remembered -> {
             RememberedState known =
                     RecordRepair.open(id, RecordCodec.readRest(spoilt.value()), remembered, offered, clock.timeOfDay());
-            StateClient.Txn txn =
-                    state.inThisEra().when(spoilt.key(), spoilt.stamp()).when(RecordCodec.over(id), Revision.ABSENT);
+            StateClient.Txn txn = state.inThisEra()
+                    .when(spoilt.key(), spoilt.stamp())
+                    .when(RecordCodec.finalKey(id), Revision.ABSENT);
             known.over()
                     .values()
                     .forEach(end -> txn.delete(spoilt.key())
-                            .put(RecordCodec.over(id), RecordCodec.writeFinal(end.status(), end.done())));
+                            .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(end.status(), end.done())));
             // Blocks of bits that stand beside the record are left as they are: what they say is done stays so. What
             // has no
             // place in the record either is run again and ends at once.
-            CompletionBits bits = new CompletionBits(state.limits().under(limits));
+            CompletionBits bits = new CompletionBits(state.limits().within(limits));
             known.open()
                     .forEach(job -> txn.put(
                             spoilt.key(),
                             bits.writeJob(
                                     job.spec(), job.submittedMs(), JobStatus.PENDING, job.done(), 0, job.bound())));
-            return write(txn, spoilt.key());
+            return writeRepair(txn, spoilt.key());
         });
     }
 
-    /** Mends the record of a job that is over; as {@link #open}. */
-    public Future<Void> over(JobId id, StateClient.Entry spoilt, JobSpec offered) {
+    /** Mends the record of a job that is over; as {@link #repairOpen}. */
+    public Future<Void> repairFinal(JobId id, StateClient.Entry spoilt, JobSpec offered) {
         return memory.apply(id).compose(remembered -> {
             RememberedState.FinishedJob end =
                     RecordRepair.end(id, RecordCodec.readRest(spoilt.value()), remembered, offered);
             StateClient.Txn txn = state.inThisEra().when(spoilt.key(), spoilt.stamp());
-            return write(
+            return writeRepair(
                     end == null ? txn : txn.put(spoilt.key(), RecordCodec.writeFinal(end.status(), end.done())),
                     spoilt.key());
         });
     }
 
-    private Future<Void> write(StateClient.Txn txn, String key) {
+    private Future<Void> writeRepair(StateClient.Txn txn, String key) {
         if (txn.size() == 0) {
             return Future.failedFuture(
                     new WireException("the record " + key + " cannot be read, and nobody remembers the job"));
--- a/src/main/java/io/indigoreach/state/LeaderElection.java
+++ b/src/main/java/io/indigoreach/state/LeaderElection.java
@@ -31,63 +31,63 @@
          * This node leads from now on; {@code key} is the version on which every write depends, {@code bounds} whether
          * the start bounds in the records can be believed.
          */
-        void took(FencingToken token, Revision key, boolean bounds);
+        void leadershipGained(FencingToken token, Revision key, boolean bounds);
 
         /** This node does not lead any more. */
-        void lost(String reason);
+        void leadershipLost(String reason);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
     private static final Span RETRY = Span.seconds(0.5);
     /** What the other nodes are given to take a key that was let go. */
-    private static final Span GRACE = Span.seconds(0.6);
-    /** For how long a pledge binds: some questions of {@link #BEAT} apart, and no longer than a process takes to start. */
-    static final Span PLEDGE = Span.seconds(2);
+    private static final Span CANDIDATE_DELAY = Span.seconds(0.6);
+    /** For how long a pledge binds: some questions of {@link #PLEDGE_PERIOD} apart, and no longer than a process takes to start. */
+    static final Span PLEDGE_TIME = Span.seconds(2);
 
-    private static final Span BEAT = Span.seconds(0.5);
+    private static final Span PLEDGE_PERIOD = Span.seconds(0.5);
     /** Renewals that have not been answered for so long are reason to ask the others for pledges. */
-    private static final Span OVERDUE = Span.seconds(1.5);
+    private static final Span RENEWAL_OVERDUE = Span.seconds(1.5);
     /** The longest that a leader's watch of its own key stays open. */
-    private static final Span OWN_WATCH = Span.seconds(2);
+    private static final Span OWN_KEY_WATCH = Span.seconds(2);
 
     private final StateClient state;
     private final SteadyClock clock;
     private final String node;
     private final String process;
-    private final Span life;
+    private final Span leaseTime;
     private final TokenGenerator tokens;
     private final Listener listener;
-    private final PeriodicTask duty;
-    private final PeriodicTask beat;
-    private final LeaseRenewer keeper;
-    private final Moment born;
-    private Supplier<Future<Boolean>> pledges = () -> Future.succeededFuture(false);
-    private Supplier<Future<Boolean>> unled = () -> Future.succeededFuture(false);
+    private final PeriodicTask electionTask;
+    private final PeriodicTask pledgeTask;
+    private final LeaseRenewer renewer;
+    private final Moment startedAt;
+    private Supplier<Future<Boolean>> askForPledges = () -> Future.succeededFuture(false);
+    private Supplier<Future<Boolean>> askWhetherNobodyLeads = () -> Future.succeededFuture(false);
     /** The process before this one may have pledged not to lead. */
-    private boolean mayBeBound;
+    private boolean predecessorMayHavePledged;
 
-    private final RaisedFormat raised = new RaisedFormat();
+    private final RaisedFormat raisedFormat = new RaisedFormat();
     private final int peers;
-    private boolean hasLetGo;
+    private boolean predecessorKeyRemoved;
     private LeaderKey current;
-    private long watchedTo = -1;
+    private long watchedRevision = -1;
     private boolean leading;
     private long lease;
     /** Until then every other node has pledged not to lead. */
     private Moment pledgedUntil = Moment.NEVER;
     /** Until then this node has pledged not to lead. */
-    private Moment bound = Moment.NEVER;
+    private Moment pledgeBindsUntil = Moment.NEVER;
 
     private boolean campaigning;
     private Moment standAsideUntil = Moment.NEVER;
     /** Until then nobody else may have led, as far as the time of this node's own last lease tells. */
     private Moment ledUntil = Moment.NEVER;
 
-    private FencingToken ledAs = FencingToken.NONE;
-    /** A try without an answer, before which nobody else had led since {@link #ledAs}; null if there was none. */
-    private FencingToken unanswered;
+    private FencingToken lastOwnToken = FencingToken.NONE;
+    /** A try without an answer, before which nobody else had led since {@link #lastOwnToken}; null if there was none. */
+    private FencingToken unansweredToken;
 
-    private Moment lossSeen = Moment.NEVER;
+    private Moment lossSeenAt = Moment.NEVER;
     private boolean succeedsItself;
 
     /** {@code own}: an event loop for renewals alone, and {@code renewals} the state service as it is called from there. */
@@ -100,7 +100,7 @@
             String node,
             String process,
             int peers,
-            Span life,
+            Span leaseTime,
             TokenGenerator tokens,
             Listener listener) {
         this.state = state;
@@ -108,31 +108,31 @@
         this.node = node;
         this.process = process;
         this.peers = peers;
-        this.life = life;
+        this.leaseTime = leaseTime;
         this.tokens = tokens;
         this.listener = listener;
-        this.duty = new PeriodicTask(vertx, "leadership", RETRY, this::step);
-        this.beat = new PeriodicTask(vertx, "beat", BEAT, this::beat);
-        this.keeper = new LeaseRenewer(vertx, own, renewals, clock, life);
-        this.born = clock.now();
-        this.mayBeBound = peers > 0;
+        this.electionTask = new PeriodicTask(vertx, "leadership", RETRY, this::step);
+        this.pledgeTask = new PeriodicTask(vertx, "beat", PLEDGE_PERIOD, this::pledgeTask);
+        this.renewer = new LeaseRenewer(vertx, own, renewals, clock, leaseTime);
+        this.startedAt = clock.now();
+        this.predecessorMayHavePledged = peers > 0;
     }
 
     public void start() {
-        duty.start();
-        beat.start();
+        electionTask.start();
+        pledgeTask.start();
     }
 
     public void stop() {
-        duty.cancel();
-        beat.cancel();
-        keeper.close();
+        electionTask.cancel();
+        pledgeTask.cancel();
+        renewer.close();
     }
 
     /** How to ask every other node: for a pledge, and whether it does not lead; true if all have answered so. */
-    public void asking(Supplier<Future<Boolean>> forPledges, Supplier<Future<Boolean>> whetherUnled) {
-        pledges = forPledges;
-        unled = whetherUnled;
+    public void askPeersBy(Supplier<Future<Boolean>> forPledges, Supplier<Future<Boolean>> whetherUnled) {
+        askForPledges = forPledges;
+        askWhetherNobodyLeads = whetherUnled;
     }
 
     /** Whether this node may act as the leader at this very moment. */
@@ -142,15 +142,15 @@
     }
 
     private Moment validUntil() {
-        return keeper.renewedAt().plus(usable());
+        return renewer.renewedAt().plus(usableLeaseTime());
     }
 
-    /** Pledges for {@link #PLEDGE} not to lead; not while this node leads or may be about to. */
+    /** Pledges for {@link #PLEDGE_TIME} not to lead; not while this node leads or may be about to. */
     public boolean pledge() {
         if (leading || campaigning) {
             return false;
         }
-        bound = clock.now().plus(PLEDGE);
+        pledgeBindsUntil = clock.now().plus(PLEDGE_TIME);
         return true;
     }
 
@@ -159,8 +159,8 @@
     }
 
     /** The data format that this process has seen raised. */
-    RaisedFormat raised() {
-        return raised;
+    RaisedFormat raisedFormat() {
+        return raisedFormat;
     }
 
     /** The node that leads as far as is known, or null. */
@@ -174,14 +174,14 @@
     }
 
     /** A worker has shown a token: what comes after must be above it. */
-    public void seen(FencingToken token) {
+    public void tokenSeen(FencingToken token) {
         tokens.seen(token);
     }
 
     /** The conditional write failed on the leadership key: another node has taken over. */
     public void deposed() {
         if (leading) {
-            lose("the leadership key or the data under it have changed");
+            loseLeadership("the leadership key or the data under it have changed");
         }
     }
 
@@ -191,16 +191,16 @@
             return Future.succeededFuture();
         }
         long held = lease;
-        standAsideUntil = clock.now().plus(life);
-        lose(reason);
+        standAsideUntil = clock.now().plus(leaseTime);
+        loseLeadership(reason);
         return state.drop(held);
     }
 
     /**
      * Gives leadership up for a node that cannot reach the state service itself: the version of its key, which another
-     * node may now {@link #release}; null if this node does not lead.
+     * node may now {@link #removeKey}; null if this node does not lead.
      */
-    public Revision standAside(String reason) {
+    public Revision stepAside(String reason) {
         if (!leading) {
             return null;
         }
@@ -210,14 +210,14 @@
     }
 
     /** Tells later leaders that start bounds can be believed again; whether that stands in the counter now. */
-    public Future<Boolean> vouchForBounds() {
+    public Future<Boolean> vouchForStartBounds() {
         if (!leading) {
             return Future.succeededFuture(false);
         }
         Revision key = current.stamp();
         FencingToken token = current.token();
         return state.get(RecordCodec.COUNTER).compose(entry -> {
-            CounterRecord vouched = CounterRecord.of(entry).vouched(token, raised.highest());
+            CounterRecord vouched = CounterRecord.of(entry).vouched(token, raisedFormat.highest());
             // The counter's version too: carried out late, after the data format was raised, it would lower it.
             return state.commit(new StateClient.Txn()
                             .when(RecordCodec.LEADER, key)
@@ -231,7 +231,7 @@
      * Removes the key of a leader that has given up and cannot say so itself. A request that comes late does no harm:
      * the key of a later leadership has another version.
      */
-    public Future<Void> release(Revision key) {
+    public Future<Void> removeKey(Revision key) {
         return state.commit(new StateClient.Txn().when(RecordCodec.LEADER, key).delete(RecordCodec.LEADER))
                 .mapEmpty();
     }
@@ -242,7 +242,7 @@
      * leads in a deployment where somebody has led, as far as {@code leads} tells, which is asked about the node that the key
      * names: a leader that ended lately may have left its key. Never fails.
      */
-    public Future<Boolean> clear(Function<String, Future<Boolean>> leads) {
+    public Future<Boolean> clearPredecessor(Function<String, Future<Boolean>> leads) {
         return Future.all(state.get(RecordCodec.LEADER), state.get(RecordCodec.COUNTER))
                 .compose(read -> {
                     read(read.resultAt(0));
@@ -253,43 +253,43 @@
                         return Future.succeededFuture(read.resultAt(1) != null);
                     }
                     return current.node().equals(node)
-                            ? letGo().map(true)
+                            ? removePredecessorKey().map(true)
                             : leads.apply(current.node()).map(is -> !is);
                 })
                 .otherwise(false);
     }
 
     /** The version of the key by which somebody leads as far as is known; {@link Revision#ABSENT} if nobody does. */
-    public Revision key() {
+    public Revision leadershipRevision() {
         return current == null ? Revision.ABSENT : current.stamp();
     }
 
     private Future<Span> step() {
         if (leading) {
-            return guard();
+            return watchOwnKey();
         }
-        if (watchedTo < 0) {
+        if (watchedRevision < 0) {
             return state.get(RecordCodec.LEADER).compose(entry -> {
                 read(entry);
                 // A key of this very node is that of a predecessor, which has ended, or comes from an attempt of this
                 // process whose answer was lost: nobody acts under it, so its lease need not be waited for.
-                if (current != null && current.node().equals(node) && !hasLetGo && peers > 0) {
-                    return letGo();
+                if (current != null && current.node().equals(node) && !predecessorKeyRemoved && peers > 0) {
+                    return removePredecessorKey();
                 }
                 if (current == null || current.node().equals(node)) {
                     return clock.now().isBefore(standAsideUntil) ? Future.succeededFuture(RETRY) : campaign();
                 }
-                watchedTo = entry.stamp().value();
+                watchedRevision = entry.stamp().value();
                 return Future.succeededFuture(Span.ZERO);
             });
         }
-        return state.watch(RecordCodec.LEADER, watchedTo, Span.seconds(10))
-                .onFailure(e -> watchedTo = -1)
+        return state.watch(RecordCodec.LEADER, watchedRevision, Span.seconds(10))
+                .onFailure(e -> watchedRevision = -1)
                 .map(changes -> {
-                    watchedTo = changes.tooOld() ? -1 : changes.revision();
+                    watchedRevision = changes.tooOld() ? -1 : changes.revision();
                     for (StateClient.Change change : changes.changes()) {
                         if (change.key().equals(RecordCodec.LEADER)) {
-                            watchedTo = -1;
+                            watchedRevision = -1;
                         }
                     }
                     return Span.ZERO;
@@ -304,14 +304,14 @@
     }
 
     /** Watches the key that this node leads by: once it is gone or another's, what was read under it does not hold. */
-    private Future<Span> guard() {
+    private Future<Span> watchOwnKey() {
         Revision own = current.stamp();
-        return state.watch(RecordCodec.LEADER, own.value(), OWN_WATCH).map(changes -> {
+        return state.watch(RecordCodec.LEADER, own.value(), OWN_KEY_WATCH).map(changes -> {
             boolean changed = changes.changes().stream()
                     .anyMatch(c ->
                             c.key().equals(RecordCodec.LEADER) && !c.stamp().equals(own));
             if (leading && current.stamp().equals(own) && changed) {
-                lose("the leadership key was removed or replaced");
+                loseLeadership("the leadership key was removed or replaced");
             }
             return Span.ZERO;
         });
@@ -321,57 +321,57 @@
      * This process has just started and its predecessor led. A node that has been up all along leads sooner and better
      * than one that is still warming up, so the key is removed, and taken only if nobody else does.
      */
-    private Future<Span> letGo() {
-        hasLetGo = true;
+    private Future<Span> removePredecessorKey() {
+        predecessorKeyRemoved = true;
         LOG.info("removing the leadership key of the process before this one");
         Revision key = current.stamp();
         current = null;
         return state.commit(new StateClient.Txn().when(RecordCodec.LEADER, key).delete(RecordCodec.LEADER))
-                .map(GRACE);
+                .map(CANDIDATE_DELAY);
     }
 
     private Future<Span> campaign() {
-        if (clock.now().isBefore(bound)) {
+        if (clock.now().isBefore(pledgeBindsUntil)) {
             return Future.succeededFuture(RETRY);
         }
         campaigning = true;
-        return stand().onComplete(done -> campaigning = false);
+        return campaignUnlessPledged().onComplete(done -> campaigning = false);
     }
 
     /**
      * What the process before this one may have pledged, it cannot know. It is not bound by it in a deployment that is new, once
      * the pledge is over, or if nobody leads to whom it was given: whoever leads from now on asks this process.
      */
-    private Future<Span> stand() {
-        mayBeBound &= clock.now().isBefore(born.plus(PLEDGE));
-        return !mayBeBound
-                ? stand(false)
-                : unled.get().compose(none -> {
-                    mayBeBound &= !none;
-                    return stand(mayBeBound);
+    private Future<Span> campaignUnlessPledged() {
+        predecessorMayHavePledged &= clock.now().isBefore(startedAt.plus(PLEDGE_TIME));
+        return !predecessorMayHavePledged
+                ? campaignUnlessPledged(false)
+                : askWhetherNobodyLeads.get().compose(none -> {
+                    predecessorMayHavePledged &= !none;
+                    return campaignUnlessPledged(predecessorMayHavePledged);
                 });
     }
 
-    private Future<Span> stand(boolean boundUnlessNew) {
+    private Future<Span> campaignUnlessPledged(boolean boundUnlessNew) {
         Revision held = current == null ? Revision.ABSENT : current.stamp();
         return state.get(RecordCodec.COUNTER).compose(entry -> {
             // Fails before anything is written if the counter is of a later version of the program.
             CounterRecord counter = CounterRecord.of(entry);
-            raised.seen(counter);
+            raisedFormat.seen(counter);
             FencingToken counted = counter.highest();
-            if (counted.equals(unanswered)) {
+            if (counted.equals(unansweredToken)) {
                 // That try did take the key, and nobody has led since: no leadership of another's comes between.
-                ledAs = unanswered;
+                lastOwnToken = unansweredToken;
             }
             if (boundUnlessNew && entry != null) {
                 return Future.succeededFuture(Span.seconds(0.1));
             }
             Revision counterStamp = StateClient.stampOf(entry);
-            if (tokens.isBehind(counted) && !mayTakeAgain()) {
+            if (tokens.isBehind(counted) && !mayLeadAfterLoss()) {
                 return state.confirm(new StateClient.Txn().when(RecordCodec.COUNTER, counterStamp))
                         .map(is -> {
                             // A read may come from the past; then nothing is lost.
-                            lossSeen = is ? lossSeen : Moment.NEVER;
+                            lossSeenAt = is ? lossSeenAt : Moment.NEVER;
                             return RETRY;
                         });
             }
@@ -381,7 +381,7 @@
             tokens.seen(counted);
             FencingToken before = tokens.highest();
             Moment sent = clock.now();
-            return state.grant(life).compose(granted -> {
+            return state.grant(leaseTime).compose(granted -> {
                 FencingToken token = tokens.next(counted, clock.timeOfDay());
                 return state.commit(new StateClient.Txn()
                                 .when(RecordCodec.LEADER, held)
@@ -389,21 +389,22 @@
                                 .put(RecordCodec.LEADER, LeaderKey.write(node, process, token), granted)
                                 .put(
                                         RecordCodec.COUNTER,
-                                        counter.next(token, raised.highest()).write()))
+                                        counter.next(token, raisedFormat.highest())
+                                                .write()))
                         .onFailure(e -> {
                             if (StateClient.surelyNotExecuted(e)) {
                                 tokens.unused(token);
-                            } else if (before.equals(ledAs)) {
-                                unanswered = token;
+                            } else if (before.equals(lastOwnToken)) {
+                                unansweredToken = token;
                             }
                         })
                         .map(outcome -> {
-                            watchedTo = -1;
-                            hasLetGo = true;
+                            watchedRevision = -1;
+                            predecessorKeyRemoved = true;
                             if (outcome.done()) {
-                                succeedsItself = before.equals(ledAs);
+                                succeedsItself = before.equals(lastOwnToken);
                                 state.counterWas(before, counted);
-                                take(granted, token, outcome.stamp(), sent, counter.bounds());
+                                becomeLeader(granted, token, outcome.stamp(), sent, counter.bounds());
                             } else {
                                 tokens.unused(token);
                             }
@@ -417,62 +418,62 @@
      * The counter is below a token that was in use: data were lost. Whoever led may not have noticed and go on until its
      * lease's time is over, unless it was this node.
      */
-    private boolean mayTakeAgain() {
+    private boolean mayLeadAfterLoss() {
         Moment now = clock.now();
-        if (lossSeen.equals(Moment.NEVER)) {
-            lossSeen = now;
+        if (lossSeenAt.equals(Moment.NEVER)) {
+            lossSeenAt = now;
             LOG.warn("the counter of tokens is gone or has gone back: data were lost");
         }
-        boolean wasLeader = now.isBefore(ledUntil) && !tokens.hasSeenAfter(ledAs);
-        return wasLeader || now.since(lossSeen).compareTo(life.withDrift()) >= 0;
+        boolean wasLeader = now.isBefore(ledUntil) && !tokens.hasSeenAfter(lastOwnToken);
+        return wasLeader || now.since(lossSeenAt).compareTo(leaseTime.withDrift()) >= 0;
     }
 
-    private void take(long granted, FencingToken token, Revision stamp, Moment sent, boolean bounds) {
+    private void becomeLeader(long granted, FencingToken token, Revision stamp, Moment sent, boolean bounds) {
         lease = granted;
         leading = true;
-        ledAs = token;
+        lastOwnToken = token;
         tokens.seen(token);
-        lossSeen = Moment.NEVER;
+        lossSeenAt = Moment.NEVER;
         current = new LeaderKey(node, process, token, stamp);
         pledgedUntil = Moment.NEVER;
-        keeper.keep(granted, sent, () -> lose("its lease has ended"));
+        renewer.renew(granted, sent, () -> loseLeadership("its lease has ended"));
         LOG.info("this node leads now, token {}", token);
-        listener.took(token, stamp, bounds);
+        listener.leadershipGained(token, stamp, bounds);
     }
 
-    private Span usable() {
-        return usable(life);
+    private Span usableLeaseTime() {
+        return usableLeaseTime(leaseTime);
     }
 
-    private static Span usable(Span life) {
+    private static Span usableLeaseTime(Span life) {
         return new Span(life.ms() - life.ms() / 1000 - 200);
     }
 
     /** While renewals stay without an answer, the others are asked to bridge what is probably an outage. */
-    private Future<Span> beat() {
-        keeper.turn();
+    private Future<Span> pledgeTask() {
+        renewer.eventLoopTurned();
         Moment sent = clock.now();
-        if (!isValid() || sent.since(keeper.renewedAt()).compareTo(OVERDUE) < 0) {
-            return Future.succeededFuture(BEAT);
+        if (!isValid() || sent.since(renewer.renewedAt()).compareTo(RENEWAL_OVERDUE) < 0) {
+            return Future.succeededFuture(PLEDGE_PERIOD);
         }
         Revision key = current.stamp();
-        return pledges.get().map(all -> {
+        return askForPledges.get().map(all -> {
             // Never after a gap: another may have led in it, and ended.
             if (all && isValid() && current.stamp().equals(key)) {
-                pledgedUntil = sent.plus(usable(PLEDGE));
+                pledgedUntil = sent.plus(usableLeaseTime(PLEDGE_TIME));
             }
-            return BEAT;
+            return PLEDGE_PERIOD;
         });
     }
 
-    private void lose(String reason) {
+    private void loseLeadership(String reason) {
         leading = false;
         ledUntil = validUntil();
-        keeper.letGo();
+        renewer.stopRenewing();
         pledgedUntil = Moment.NEVER;
-        watchedTo = -1;
+        watchedRevision = -1;
         current = null;
         LOG.info("this node does not lead any more: {}", reason);
-        listener.lost(reason);
+        listener.leadershipLost(reason);
     }
 }
--- a/src/main/java/io/indigoreach/state/LeaseRenewer.java
+++ b/src/main/java/io/indigoreach/state/LeaseRenewer.java
@@ -61,12 +61,12 @@
         own.runOnContext(v -> duty.start());
     }
 
-    void keep(long lease, Moment sent, Runnable ended) {
-        turn();
+    void renew(long lease, Moment sent, Runnable ended) {
+        eventLoopTurned();
         held = new Held(lease, ended, sent);
     }
 
-    void letGo() {
+    void stopRenewing() {
         held = null;
     }
 
@@ -77,7 +77,7 @@
     }
 
     /** The node's loop turns. */
-    void turn() {
+    void eventLoopTurned() {
         turned = clock.now();
     }
 
