--- a/src/main/java/io/indigoreach/state/RecordCodec.java
+++ b/src/main/java/io/indigoreach/state/RecordCodec.java
@@ -57,20 +57,20 @@
 
     private RecordCodec() {}
 
-    public static String open(JobId id) {
+    public static String openKey(JobId id) {
         return OPEN + id.text();
     }
 
-    public static String over(JobId id) {
+    public static String finalKey(JobId id) {
         return FINAL + id.text();
     }
 
     /** Page names hold the leader's token and a counter, so that none is ever used twice. */
-    public static String machinePage(FencingToken token, int n) {
-        return machinePage(token, Integer.toString(n));
+    public static String machinePageKey(FencingToken token, int n) {
+        return machinePageKey(token, Integer.toString(n));
     }
 
-    public static String machinePage(FencingToken token, String n) {
+    public static String machinePageKey(FencingToken token, String n) {
         return MACHINES + token + "-" + n;
     }
 
@@ -83,7 +83,7 @@
             return OPEN + key.substring(FINAL.length());
         }
         if (key.startsWith(BITS) || key.startsWith(CompletionBits.SMALL)) {
-            return open(jobOfBlock(key));
+            return openKey(jobOfBlock(key));
         }
         return key.startsWith(MACHINES) || key.startsWith(INTENTS) ? LEADER : null;
     }
@@ -119,17 +119,17 @@
         return era.whole("token");
     }
 
-    public static JobId jobOf(String key) {
+    public static JobId jobOfOpenKey(String key) {
         return readable(() -> new JobId(key.substring(OPEN.length())));
     }
 
     /** From where a listing is to begin for {@code key}, a job's, to be its first: ids are digits, which are below a tilde. */
-    public static String before(String key) {
+    public static String keyBefore(String key) {
         int last = key.length() - 1;
         return key.substring(0, last) + (char) (key.charAt(last) - 1) + "~";
     }
 
-    public static JobId overOf(String key) {
+    public static JobId jobOfFinalKey(String key) {
         return readable(() -> new JobId(key.substring(FINAL.length())));
     }
 
@@ -160,7 +160,7 @@
         return out;
     }
 
-    public static String block(JobId id, int n) {
+    public static String blockKey(JobId id, int n) {
         return BITS + id.text() + "/" + n;
     }
 
@@ -342,7 +342,7 @@
         return out;
     }
 
-    public static String intents(FencingToken token) {
+    public static String intentsKey(FencingToken token) {
         return INTENTS + token;
     }
 
@@ -354,7 +354,7 @@
                 "rents",
                 rents,
                 "condemned",
-                page.condemned().stream().map(MachineId::text).toList());
+                page.returns().stream().map(MachineId::text).toList());
     }
 
     private static List<Object> line(Intents.Rent r) {
--- a/src/main/java/io/indigoreach/state/RememberedStateCodec.java
+++ b/src/main/java/io/indigoreach/state/RememberedStateCodec.java
@@ -20,9 +20,9 @@
     private RememberedStateCodec() {}
 
     /** The {@code part}-th part, counted from 0. */
-    public static Map<String, Object> write(RememberedState remains, int part) {
+    public static Map<String, Object> write(RememberedState rememberedState, int part) {
         List<Object> over = new ArrayList<>();
-        remains.over().entrySet().stream()
+        rememberedState.over().entrySet().stream()
                 .skip((long) part * PART)
                 .limit(PART)
                 .forEach(e -> over.add(MessagePackFormat.map(
@@ -33,7 +33,7 @@
                         "done",
                         e.getValue().done())));
         List<Object> open = new ArrayList<>();
-        remains.open().stream()
+        rememberedState.open().stream()
                 .skip((long) part * PART)
                 .limit(PART)
                 .forEach(job -> open.add(MessagePackFormat.map(
@@ -43,7 +43,7 @@
                         RecordCodec.writeJob(
                                 job.spec(), job.submittedMs(), JobStatus.PENDING, job.done(), 0, job.bound()))));
         List<Object> records = new ArrayList<>();
-        remains.records().stream()
+        rememberedState.records().stream()
                 .skip((long) part * RECORDS)
                 .limit(RECORDS)
                 .forEach(k -> records.add(MessagePackFormat.map("key", k.key(), "value", k.value())));
@@ -53,8 +53,8 @@
                 "open",
                 open,
                 "more",
-                Math.max(remains.over().size(), remains.open().size()) > (part + 1) * PART
-                        || remains.records().size() > (part + 1) * RECORDS);
+                Math.max(rememberedState.over().size(), rememberedState.open().size()) > (part + 1) * PART
+                        || rememberedState.records().size() > (part + 1) * RECORDS);
         if (!records.isEmpty()) {
             map.put("records", records);
         }
@@ -68,8 +68,8 @@
                     e.whole("done")));
         }
         for (Fields e : f.children("open")) {
-            JobRecord r = RecordCodec.readJob(new JobId(e.text("id")), e.child("job"), Revision.ABSENT);
-            into.add(new RememberedState.OpenJob(r.spec(), r.submittedMs(), r.done(), r.bound()));
+            JobRecord record = RecordCodec.readJob(new JobId(e.text("id")), e.child("job"), Revision.ABSENT);
+            into.add(new RememberedState.OpenJob(record.spec(), record.submittedMs(), record.done(), record.bound()));
         }
         for (Fields e : f.children("records")) {
             into.add(new VersionedRecord(e.text("key"), e.child("value").map(), Revision.ABSENT));
--- a/src/main/java/io/indigoreach/state/StaleReadDetector.java
+++ b/src/main/java/io/indigoreach/state/StaleReadDetector.java
@@ -17,7 +17,7 @@
     }
 
     /** An answer told its revision; {@code known} is what {@link #highest} was as its request was sent. */
-    void told(long known, long revision) {
+    void observe(long known, long revision) {
         if (revision < known) {
             doubt();
         }
@@ -25,7 +25,7 @@
     }
 
     /** The service has gone back for good: what it tells from now on is measured by this. */
-    void beginAnew(long revision) {
+    void restartAt(long revision) {
         highest = revision;
     }
 
--- a/src/main/java/io/indigoreach/state/StateClient.java
+++ b/src/main/java/io/indigoreach/state/StateClient.java
@@ -261,7 +261,7 @@
         long known = freshness.highest();
         return noted(caller.get(StateCodec.keyPath(key), TIMEOUT)).map(r -> {
             if (r.status() == 404) {
-                freshness.told(known, StateCodec.readRevision(r.body()));
+                freshness.observe(known, StateCodec.readRevision(r.body()));
                 return null;
             }
             return StateCodec.readEntry(ok(r));
@@ -273,7 +273,7 @@
         return noted(caller.get(StateCodec.listPath(prefix, after, most), Span.seconds(4)))
                 .map(r -> {
                     Page page = StateCodec.readPage(ok(r));
-                    freshness.told(known, page.revision());
+                    freshness.observe(known, page.revision());
                     return page;
                 });
     }
@@ -303,16 +303,16 @@
                     if (r.status() == 200) {
                         Outcome done = new Outcome(true, StateCodec.readRevision(r.body()), List.of(), false);
                         boolean lost = losses.revision(known, done.revision());
-                        freshness.told(0, done.revision());
+                        freshness.observe(0, done.revision());
                         if (done.revision() < known) {
-                            freshness.beginAnew(done.revision());
+                            freshness.restartAt(done.revision());
                         }
                         judge(lost);
                         return done;
                     }
                     if (r.status() == 409) {
                         Outcome failed = StateCodec.readConflict(r.body());
-                        freshness.told(0, failed.revision());
+                        freshness.observe(0, failed.revision());
                         return failed;
                     }
                     if (r.status() == 400
@@ -320,7 +320,7 @@
                         return new Outcome(false, 0, List.of(), true);
                     }
                     if (r.status() == MALFORMED) {
-                        limits.refused(txn);
+                        limits.transactionRefused(txn);
                         throw new UnacceptableWriteException();
                     }
                     throw new Refused(r.status());
--- a/src/main/java/io/indigoreach/tools/Cluster.java
+++ b/src/main/java/io/indigoreach/tools/Cluster.java
@@ -130,7 +130,7 @@
         for (boolean more = true; more; ) {
             StateClient.Page page = await(state.list(RecordCodec.OPEN, after, PAGE));
             for (StateClient.Entry e : page.items()) {
-                jobs.add(RecordCodec.readJob(RecordCodec.jobOf(e.key()), e.value(), e.stamp()));
+                jobs.add(RecordCodec.readJob(RecordCodec.jobOfOpenKey(e.key()), e.value(), e.stamp()));
                 after = e.key();
             }
             more = page.more();
@@ -156,7 +156,7 @@
                     .forEach(r -> lines.add("renting    " + r.name() + ": " + r.count() + " "
                             + (r.pool().spot() ? "spot " : "") + r.pool().type() + " in "
                             + r.pool().zone() + ", for " + (clock.timeOfDay() - r.askedMs()) / 1000 + " s" + by));
-            page.condemned().forEach(id -> lines.add("returning  " + id + by));
+            page.returns().forEach(id -> lines.add("returning  " + id + by));
         }
         StateClient.Entry era = await(state.get(RecordCodec.ERA));
         lines.add("era        " + (era == null ? "none" : Long.toString(RecordCodec.readEra(era.value()))));
@@ -177,8 +177,8 @@
         if (file.state().isEmpty()) {
             throw new Failure(Tool.WRONG, "the cluster's file names no state service");
         }
-        ServiceClient caller = new ServiceClient(vertx, Endpoint.parse(file.state()), 1);
-        return new StateClient(caller, caller);
+        ServiceClient client = new ServiceClient(vertx, Endpoint.parse(file.state()), 1);
+        return new StateClient(client, client);
     }
 
     /** A refusal for good is a {@link Failure}. */
--- a/src/main/java/io/indigoreach/tools/JobsVerb.java
+++ b/src/main/java/io/indigoreach/tools/JobsVerb.java
@@ -20,29 +20,29 @@
     @Override
     public Integer call() throws ConfigException {
         try (Cluster c = cluster.open()) {
-            for (JobRecord r : c.openJobs()) {
-                String status = r.status().name().toLowerCase(Locale.ROOT);
+            for (JobRecord record : c.openJobs()) {
+                String status = record.status().name().toLowerCase(Locale.ROOT);
                 System.out.println(
                         cluster.json
                                 ? new JsonObject()
-                                        .put("id", r.id().text())
-                                        .put("class", r.spec().jobClass())
-                                        .put("team", r.spec().team())
+                                        .put("id", record.id().text())
+                                        .put("class", record.spec().jobClass())
+                                        .put("team", record.spec().team())
                                         .put("status", status)
-                                        .put("tasks", r.spec().tasks())
-                                        .put("done", r.doneCount())
-                                        .put("running", r.running())
+                                        .put("tasks", record.spec().tasks())
+                                        .put("done", record.doneCount())
+                                        .put("running", record.running())
                                         .encode()
                                 : String.format(
                                         Locale.ROOT,
                                         "%-24s %-20s %-14s %-8s %6d tasks %6d done %6d running",
-                                        r.id(),
-                                        r.spec().jobClass(),
-                                        r.spec().team(),
+                                        record.id(),
+                                        record.spec().jobClass(),
+                                        record.spec().team(),
                                         status,
-                                        r.spec().tasks(),
-                                        r.doneCount(),
-                                        r.running()));
+                                        record.spec().tasks(),
+                                        record.doneCount(),
+                                        record.running()));
             }
         }
         return Tool.DONE;
--- a/src/main/java/io/indigoreach/tools/WatchVerb.java
+++ b/src/main/java/io/indigoreach/tools/WatchVerb.java
@@ -32,7 +32,7 @@
         try (Cluster c = cluster.open()) {
             List<JobId> jobs = new ArrayList<>();
             if (ids == null || ids.isEmpty()) {
-                c.openJobs().forEach(r -> jobs.add(r.id()));
+                c.openJobs().forEach(record -> jobs.add(record.id()));
             } else {
                 for (String id : ids) {
                     if (!JobId.isValid(id)) {
--- a/src/main/java/io/indigoreach/warm/PoolsResource.java
+++ b/src/main/java/io/indigoreach/warm/PoolsResource.java
@@ -119,7 +119,7 @@
 
     private Future<ApiResponse> set(PoolSpec pool, long expected) {
         if (!ground.catalogue().isKnown()) {
-            return Future.succeededFuture(ApiResponse.later("the machine types are not known yet"));
+            return Future.succeededFuture(ApiResponse.retryLater("the machine types are not known yet"));
         }
         PoolSpec.Fault fault =
                 pool.fault(ground.config().teams(), ground.catalogue().types());
@@ -156,6 +156,6 @@
                         written -> {}))
                 .map(done -> done
                         ? ApiResponse.ok(MessagePackFormat.map("name", pool.name(), "version", version[0]))
-                        : ApiResponse.later("the pool changes at this moment"));
+                        : ApiResponse.retryLater("the pool changes at this moment"));
     }
 }
--- a/src/main/java/io/indigoreach/worker/HeartbeatEndpoint.java
+++ b/src/main/java/io/indigoreach/worker/HeartbeatEndpoint.java
@@ -17,7 +17,7 @@
     /** The answer to a report; throws {@link io.indigoreach.net.WireException} if it cannot be read. */
     public Future<ApiResponse> report(Buffer body) {
         return controller
-                .onReport(() -> WorkerCodec.read(MessagePackFormat.readMap(body)))
+                .onHeartbeat(() -> WorkerCodec.read(MessagePackFormat.readMap(body)))
                 .map(answer -> answer.accepted()
                         ? new ApiResponse(200, WorkerCodec.answer(answer.token(), answer.orders()), 0)
                         : new ApiResponse(421, WorkerCodec.elsewhere(answer.leader()), 0));
--- a/src/test/java/io/indigoreach/api/JobServiceLossTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceLossTest.java
@@ -145,10 +145,10 @@
         assertEquals(true, state.losses().isHolding());
         await(client().commit(new StateClient.Txn().put(RecordCodec.ERA, RecordCodec.writeEra(new FencingToken(77)))));
         await(state.check());
-        desk.asking(id -> Future.succeededFuture(id.text().equals("run-8")));
+        desk.askPeersBy(id -> Future.succeededFuture(id.text().equals("run-8")));
         assertEquals(List.of(503, 503), List.of(status(desk.query("run-8")), status(desk.query("run-9"))));
-        assertEquals(Map.of(), Map.copyOf(desk.remains().over()));
-        assertEquals(1, desk.remains().open().size());
+        assertEquals(Map.of(), Map.copyOf(desk.rememberedState().over()));
+        assertEquals(1, desk.rememberedState().open().size());
     }
 
     /**
@@ -168,13 +168,13 @@
         JobService asked = remembered.equals("here") ? desk : other();
         assertEquals(201, submit(1));
         if (remembered.equals("elsewhere")) {
-            mender.asking(id -> Future.succeededFuture(desk.remains(id)));
+            mender.recallBy(id -> Future.succeededFuture(desk.rememberedState(id)));
         } else if (remembered.equals("ended")) {
             RememberedState ended = new RememberedState();
             ended.add(new JobId("run-1"), new RememberedState.FinishedJob(JobStatus.DONE, 2));
-            mender.asking(id -> Future.succeededFuture(ended));
+            mender.recallBy(id -> Future.succeededFuture(ended));
         } else if (remembered.equals("here")) {
-            mender.asking(id -> Future.succeededFuture(desk.remains(id)));
+            mender.recallBy(id -> Future.succeededFuture(desk.rememberedState(id)));
         }
         StateClient.Txn txn = new StateClient.Txn();
         if (prefix.equals("f/")) {
@@ -200,7 +200,7 @@
     }
 
     private static String told(Future<ApiResponse> answer) throws Exception {
-        ApiResponse told = await(answer.otherwise(ApiResponse.later("no")));
+        ApiResponse told = await(answer.otherwise(ApiResponse.retryLater("no")));
         return told.status() + " " + told.body().get("status");
     }
 }
--- a/src/test/java/io/indigoreach/api/JobServiceTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceTest.java
@@ -112,11 +112,11 @@
 
     private ServiceResponse call(Endpoint at, HttpMethod method, String path, Map<String, Object> body)
             throws Exception {
-        ServiceClient caller = keep(new ServiceClient(vertx, at, 1));
+        ServiceClient client = keep(new ServiceClient(vertx, at, 1));
         return await(
                 method.equals(HttpMethod.GET)
-                        ? caller.get(path, WAIT)
-                        : method.equals(HttpMethod.DELETE) ? caller.delete(path, WAIT) : caller.post(path, body, WAIT));
+                        ? client.get(path, WAIT)
+                        : method.equals(HttpMethod.DELETE) ? client.delete(path, WAIT) : client.post(path, body, WAIT));
     }
 
     private String status(ServiceResponse reply) {
@@ -225,7 +225,7 @@
     @Test
     void aChainIsThatOfTheFirstAcceptance() throws Exception {
         named("open");
-        desks.get(0).chainsUnderstoodByAll(() -> Future.succeededFuture(false));
+        desks.get(0).dependenciesUnderstoodBy(() -> Future.succeededFuture(false));
         assertEquals(
                 503, call(first, HttpMethod.POST, "/api/jobs", chained("run-1")).status());
         assertEquals("201 pending", status(call(second, HttpMethod.POST, "/api/jobs", chained("run-1"))));
@@ -255,7 +255,7 @@
         int before = service.reads;
         assertEquals("200 pending", status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
         assertEquals(1, service.reads - before);
-        desks.get(0).chaining(Span.seconds(60), () -> "");
+        desks.get(0).cascadeWithin(Span.seconds(60), () -> "");
         assertEquals("200 cancelled", status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
         assertEquals("200 cancelled", status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
         assertEquals(List.of("j/run-2"), service.keys("j/"));
--- a/src/test/java/io/indigoreach/checker/FrontDoors.java
+++ b/src/test/java/io/indigoreach/checker/FrontDoors.java
@@ -132,7 +132,7 @@
                     clock,
                     8192,
                     QUESTIONS_PER_S);
-            desk.asking(id -> othersKnow(n, id));
+            desk.askPeersBy(id -> othersKnow(n, id));
             catalogue.start();
             return Future.succeededFuture(new Node(loop, catalogue, desk, planted.apply(desk)));
         }));
@@ -211,23 +211,23 @@
 
     /** The leader's next write of a job: it runs, it is done, or it is done and moved later. */
     Future<Void> lead(JobId id, boolean ends, boolean moves) {
-        return leader.get(RecordCodec.open(id))
+        return leader.get(RecordCodec.openKey(id))
                 .compose(open -> {
                     if (open == null) {
                         return Future.succeededFuture();
                     }
                     JobRecord job = RecordCodec.readJob(id, open.value(), open.stamp());
-                    StateClient.Txn txn = new StateClient.Txn().when(RecordCodec.open(id), open.stamp());
+                    StateClient.Txn txn = new StateClient.Txn().when(RecordCodec.openKey(id), open.stamp());
                     boolean marked = job.status() == JobStatus.DONE;
                     if (marked || (ends && moves)) {
-                        txn.delete(RecordCodec.open(id))
-                                .put(RecordCodec.over(id), RecordCodec.writeFinal(JobStatus.DONE, TASKS));
+                        txn.delete(RecordCodec.openKey(id))
+                                .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(JobStatus.DONE, TASKS));
                     } else {
                         BitSet done = new BitSet();
                         done.set(0, ends ? TASKS : 1);
                         JobStatus status = ends ? JobStatus.DONE : JobStatus.RUNNING;
                         txn.put(
-                                RecordCodec.open(id),
+                                RecordCodec.openKey(id),
                                 RecordCodec.writeJob(job.spec(), job.submittedMs(), status, done, 1, TASKS));
                     }
                     return leader.commit(txn).<Void>mapEmpty();
--- a/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
@@ -86,7 +86,7 @@
     private CompletionBlockStore book(String next) throws Exception {
         leader = await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))))
                 .stamp();
-        LeadershipTerm.Context env = new LeadershipTerm.Context(
+        LeadershipTerm.Context context = new LeadershipTerm.Context(
                 vertx,
                 clock,
                 null,
@@ -96,7 +96,7 @@
                 MachineStoreTest.config(next),
                 Settings.standard(),
                 Span.seconds(10));
-        return new CompletionBlockStore(env, leader, () -> {}, new RateLimiter(1000, clock.now()));
+        return new CompletionBlockStore(context, leader, () -> {}, new RateLimiter(1000, clock.now()));
     }
 
     /** What a leader that reads all of it takes to be done; {@code book} inherits the blocks. */
@@ -115,16 +115,16 @@
     }
 
     private JobRecord open() throws Exception {
-        StateClient.Entry e = await(client.get(RecordCodec.open(ID)));
+        StateClient.Entry e = await(client.get(RecordCodec.openKey(ID)));
         return RecordCodec.readJob(ID, e.value(), e.stamp());
     }
 
     /** As the version before wrote it. */
     private void writeAsBefore(JobSpec spec, BitSet done) throws Exception {
         StateClient.Txn txn = new StateClient.Txn()
-                .put(RecordCodec.open(ID), RecordCodec.writeJob(spec, 1, JobStatus.RUNNING, done, 0, spec.tasks()));
+                .put(RecordCodec.openKey(ID), RecordCodec.writeJob(spec, 1, JobStatus.RUNNING, done, 0, spec.tasks()));
         for (int n = 0; n < RecordCodec.blocks(spec.tasks()); n++) {
-            txn.put(RecordCodec.block(ID, n), RecordCodec.writeBlock(done, n));
+            txn.put(RecordCodec.blockKey(ID, n), RecordCodec.writeBlock(done, n));
         }
         assertTrue(await(client.commit(txn)).done());
     }
@@ -162,8 +162,8 @@
                 Job job = new Job(spec, 1, clock.now(), open().stamp(), done, tasks, true);
                 StateClient.Txn txn = new StateClient.Txn()
                         .when(RecordCodec.LEADER, leader)
-                        .when(RecordCodec.open(ID), job.revision());
-                book.progress(txn, job, done);
+                        .when(RecordCodec.openKey(ID), job.revision());
+                book.addProgress(txn, job, done);
                 // The last write of this leader has no answer, and is carried out after the next leader's first.
                 boolean held = writes == 1 && random.nextBoolean();
                 state.holding = t -> held;
@@ -197,11 +197,11 @@
         CompletionBlockStore book = book(NEXT);
         Job job = new Job(spec(tasks, 10), 1, clock.now(), open().stamp(), done, tasks, true);
         StateClient.Txn txn = new StateClient.Txn();
-        book.progress(txn, job, done);
+        book.addProgress(txn, job, done);
         assertTrue(await(client.commit(txn)).done() && txn.size() <= 4);
         await(client.commit(new StateClient.Txn()
-                .delete(RecordCodec.open(ID))
-                .put(RecordCodec.over(ID), RecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
+                .delete(RecordCodec.openKey(ID))
+                .put(RecordCodec.finalKey(ID), RecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
         CompletionBlockStore next = book(NEXT);
         for (String key : blocks()) {
             next.inherit(key, new BitSet());
@@ -211,7 +211,7 @@
         while (!blocks().isEmpty()) {
             Thread.onSpinWait();
         }
-        assertTrue(state.has(RecordCodec.over(ID)));
+        assertTrue(state.has(RecordCodec.finalKey(ID)));
     }
 
     private List<String> blocks() {
@@ -236,7 +236,7 @@
         while (book.isBehind(job) && tries < 60) {
             tries++;
             StateClient.Txn txn = new StateClient.Txn();
-            book.progress(txn, job, done);
+            book.addProgress(txn, job, done);
             boolean taken = await(client.commit(txn).map(true).otherwise(false));
             if (taken) {
                 book.written(job, done);
--- a/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
@@ -62,7 +62,7 @@
             Revision key = await(client.commit(
                             new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", token))))
                     .stamp();
-            LeadershipTerm.Context env = new LeadershipTerm.Context(
+            LeadershipTerm.Context context = new LeadershipTerm.Context(
                     vertx,
                     clock,
                     null,
@@ -85,9 +85,9 @@
                         @Override
                         public void log(String line) {}
                     });
-            RateLimiter budget = new RateLimiter(200, clock.now());
-            ledger = new JobStore(env, core, null, key, () -> {}, budget, true, new CancellationHorizon());
-            chains = new DependencyTask(env, core, ledger, key, () -> {}, budget);
+            RateLimiter limiter = new RateLimiter(200, clock.now());
+            ledger = new JobStore(context, core, null, key, () -> {}, limiter, true, new CancellationHorizon());
+            chains = new DependencyTask(context, core, ledger, key, () -> {}, limiter);
             leaders.add(this);
             Promise<Void> begun = Promise.promise();
             vertx.runOnContext(v -> ledger.load()
@@ -167,13 +167,13 @@
         BitSet bits = new BitSet();
         bits.set(0, done);
         await(client.commit(new StateClient.Txn()
-                .put(RecordCodec.open(spec.id()), RecordCodec.writeJob(spec, 1, JobStatus.PENDING, bits, 0, 0))));
+                .put(RecordCodec.openKey(spec.id()), RecordCodec.writeJob(spec, 1, JobStatus.PENDING, bits, 0, 0))));
     }
 
     private void over(int id, JobStatus status) throws Exception {
         await(client.commit(new StateClient.Txn()
-                .delete(RecordCodec.open(id(id)))
-                .put(RecordCodec.over(id(id)), RecordCodec.writeFinal(status, 0))));
+                .delete(RecordCodec.openKey(id(id)))
+                .put(RecordCodec.finalKey(id(id)), RecordCodec.writeFinal(status, 0))));
     }
 
     /** A spinning loop takes no notice of the test's own limit: it is bounded here. */
@@ -187,9 +187,9 @@
 
     private void awaitCancelled(int... ids) throws Exception {
         for (int id : ids) {
-            until(() -> state.has(RecordCodec.over(id(id))));
-            assertEquals("CANCELLED", state.value(RecordCodec.over(id(id))).text("status"));
-            assertFalse(state.has(RecordCodec.open(id(id))));
+            until(() -> state.has(RecordCodec.finalKey(id(id))));
+            assertEquals("CANCELLED", state.value(RecordCodec.finalKey(id(id))).text("status"));
+            assertFalse(state.has(RecordCodec.openKey(id(id))));
         }
     }
 
@@ -209,7 +209,7 @@
         assertEquals(2 * 3, state.changed - before);
         assertEquals(List.of("j/run-5", "j/run-9"), state.keys("j/"));
         over(9, JobStatus.CANCELLED);
-        vertx.runOnContext(v -> leader.ledger.heardGone(id(9)));
+        vertx.runOnContext(v -> leader.ledger.onOpenRecordDeleted(id(9)));
         awaitCancelled(5);
     }
 
--- a/src/test/java/io/indigoreach/cluster/IntentLogTest.java
+++ b/src/test/java/io/indigoreach/cluster/IntentLogTest.java
@@ -68,16 +68,16 @@
     void theNextLeaderReadsWhatWasUnderWayAndRemovesItWhenSettled() throws Exception {
         IntentLog first = leader(3);
         first.intents().add(RENT);
-        first.intents().condemn(List.of(new MachineId("vm-1")));
+        first.intents().recordReturns(List.of(new MachineId("vm-1")));
         assertTrue(await(first.record()) && first.intents().mayAsk("t3-1"));
         IntentLog next = leader(4);
         Intents.Page page = await(next.load());
         assertEquals(new Intents.Page(List.of(RENT), List.of(new MachineId("vm-1"))), page);
-        next.intents().condemn(page.condemned());
+        next.intents().recordReturns(page.returns());
         assertTrue(await(next.record()));
         await(next.forgetEarlier());
         assertEquals(List.of("i/4"), state.keys("i/"), "what is not settled is in its own record");
-        next.intents().gone(page.condemned());
+        next.intents().gone(page.returns());
         next.intents().add(RENT);
         assertTrue(await(next.record()));
         assertEquals(List.of("i/4"), state.keys("i/"));
@@ -121,7 +121,7 @@
         List<MachineId> machines = IntStream.range(0, 100)
                 .mapToObj(n -> new MachineId(String.format("vm-%06d", n)))
                 .toList();
-        int condemned = book.intents().condemn(machines).size();
+        int condemned = book.intents().recordReturns(machines).size();
         assertTrue(rents >= 10 && condemned >= 50, rents + " requests, " + condemned + " machines");
         assertTrue(await(book.record()));
         assertEquals(0, state.tooLarge);
--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -131,7 +131,7 @@
                 null);
         Revision stamp = await(client.commit(new StateClient.Txn()
                         .put(
-                                RecordCodec.open(spec.id()),
+                                RecordCodec.openKey(spec.id()),
                                 RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, bound))))
                 .stamp();
         BitSet over = new BitSet();
@@ -142,12 +142,14 @@
     /** What stands in the open jobs' records. */
     private Map<JobId, JobRecord> open() throws Exception {
         return await(client.list(RecordCodec.OPEN, null, 1000)).items().stream()
-                .map(e -> RecordCodec.readJob(RecordCodec.jobOf(e.key()), e.value(), e.stamp()))
-                .collect(Collectors.toMap(JobRecord::id, r -> r));
+                .map(e -> RecordCodec.readJob(RecordCodec.jobOfOpenKey(e.key()), e.value(), e.stamp()))
+                .collect(Collectors.toMap(JobRecord::id, record -> record));
     }
 
     private static long notOver(Map<JobId, JobRecord> open) {
-        return open.values().stream().filter(r -> r.status() != JobStatus.DONE).count();
+        return open.values().stream()
+                .filter(record -> record.status() != JobStatus.DONE)
+                .count();
     }
 
     @Test
@@ -155,7 +157,7 @@
         for (int id = 0; id < ENDS; id++) {
             Job job = job(id, 1, 1, 1);
             core.addJob(job);
-            ledger.touch(job);
+            ledger.markDirty(job);
         }
         Job waiting = job(ENDS, 40_000, 0, 0);
         core.addJob(waiting);
@@ -188,13 +190,13 @@
         Job job = job(1, 2, 0, 2);
         core.addJob(job);
         await(client.commit(new StateClient.Txn()
-                .delete(RecordCodec.open(job.id()))
-                .put(RecordCodec.over(job.id()), RecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
+                .delete(RecordCodec.openKey(job.id()))
+                .put(RecordCodec.finalKey(job.id()), RecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
         Moment before = clock.now();
         horizon.advanceTo(before);
         state.refusing = true;
         await(vertx.timer(20, TimeUnit.MILLISECONDS));
-        onLoop(() -> ledger.heardGone(job.id()));
+        onLoop(() -> ledger.onOpenRecordDeleted(job.id()));
         int refused = state.refusals;
         while (state.refusals < refused + 2) {
             Thread.onSpinWait();
@@ -203,7 +205,7 @@
         assertEquals(before, horizon.completeUntil());
         assertFalse(job.isCancelled());
         if (told) {
-            onLoop(() -> ledger.cancelled(job.id()));
+            onLoop(() -> ledger.onCancelled(job.id()));
             assertTrue(job.isCancelled());
         }
         state.refusing = told;
@@ -211,7 +213,7 @@
             onLoop(() -> {});
         }
         assertTrue(job.isCancelled());
-        onLoop(() -> ledger.heard(job.id(), record(job, 2), new Revision(99)));
+        onLoop(() -> ledger.onOpenRecordWritten(job.id(), record(job, 2), new Revision(99)));
         assertNull(core.job(job.id()), "nothing opens it again");
     }
 
@@ -222,8 +224,8 @@
     @Test
     void aCancellationThatIsToldBeforeItsJobIsHeardOfKeepsItClosed() throws Exception {
         Job job = job(1, 1, 0, 1);
-        onLoop(() -> ledger.cancelled(job.id()));
-        onLoop(() -> ledger.heard(job.id(), record(job, 1), job.revision()));
+        onLoop(() -> ledger.onCancelled(job.id()));
+        onLoop(() -> ledger.onOpenRecordWritten(job.id(), record(job, 1), job.revision()));
         assertNull(core.job(job.id()), "the acceptance comes after the word that the job is cancelled");
     }
 
@@ -326,10 +328,10 @@
         state.txnOps = 4;
         int before = state.changed;
         core.addJob(tooLong);
-        ledger.touch(tooLong);
+        ledger.markDirty(tooLong);
         Job large = job(2, 100_000, 100_000, 100_000);
         core.addJob(large);
-        ledger.touch(large);
+        ledger.markDirty(large);
         vertx.runOnContext(v -> ledger.start());
         while (!state.has("f/run-2")) {
             Thread.onSpinWait();
@@ -346,7 +348,7 @@
         core.addJob(job);
         Revision spoilt = await(client.commit(new StateClient.Txn().put("j/run-1", MessagePackFormat.map("class", 5L))))
                 .stamp();
-        ledger.heard(job.id(), new Fields(MessagePackFormat.map("class", 5L)), spoilt);
+        ledger.onOpenRecordWritten(job.id(), new Fields(MessagePackFormat.map("class", 5L)), spoilt);
         vertx.runOnContext(v -> ledger.start());
         while (state.value("j/run-1").optionalText("team") == null) {
             Thread.onSpinWait();
@@ -392,11 +394,11 @@
         assertEquals(
                 List.of("run-1"),
                 core.jobs().stream().map(job -> job.id().text()).toList());
-        ledger.heard(new JobId("run-3"), new Fields(MessagePackFormat.map("class", 5L)), new Revision(9));
+        ledger.onOpenRecordWritten(new JobId("run-3"), new Fields(MessagePackFormat.map("class", 5L)), new Revision(9));
         assertEquals(1, core.jobs().size(), "nor does it end the watch");
         Fields mended = record(core.job(new JobId("run-1")), 1);
-        ledger.heard(new JobId("run-3"), mended, new Revision(10));
-        ledger.heard(new JobId("run-4"), mended, new Revision(11));
+        ledger.onOpenRecordWritten(new JobId("run-3"), mended, new Revision(10));
+        ledger.onOpenRecordWritten(new JobId("run-4"), mended, new Revision(11));
         assertEquals(
                 List.of(true, false),
                 List.of(
--- a/src/test/java/io/indigoreach/cluster/LastTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/LastTaskTest.java
@@ -101,7 +101,7 @@
             return Future.succeededFuture();
         });
         until(catalogue::isKnown);
-        LeadershipTerm.Context env = new LeadershipTerm.Context(
+        LeadershipTerm.Context context = new LeadershipTerm.Context(
                 vertx,
                 clock,
                 null,
@@ -113,15 +113,15 @@
                 Span.seconds(10));
         core = new SchedulerCore(
                 new FencingToken(3),
-                env.config().rules(),
-                env.settings().tuning(),
+                context.config().rules(),
+                context.settings().tuning(),
                 new ServiceLevelObjectives(List.of()),
                 List.of(TEAM),
                 SILENT);
         core.setTypes(List.of(TYPE));
         core.recordsLoaded();
         ledger = new JobStore(
-                env, core, null, key, () -> {}, new RateLimiter(100, clock.now()), true, new CancellationHorizon());
+                context, core, null, key, () -> {}, new RateLimiter(100, clock.now()), true, new CancellationHorizon());
     }
 
     @AfterEach
@@ -194,13 +194,13 @@
 
     /** A job whose one task has ended, as its leader has just seen. */
     private void ended(JobId id) throws Exception {
-        Revision stamp = await(() -> leader.commit(new StateClient.Txn().put(RecordCodec.open(id), record(id))))
+        Revision stamp = await(() -> leader.commit(new StateClient.Txn().put(RecordCodec.openKey(id), record(id))))
                 .stamp();
         BitSet done = new BitSet();
         done.set(0);
         Job job = new Job(spec(id), 1, clock.now(), stamp, done, 1, false);
         core.addJob(job);
-        ledger.touch(job);
+        ledger.markDirty(job);
     }
 
     private static Map<String, Object> record(JobId id) {
@@ -208,8 +208,8 @@
     }
 
     private boolean isEnded() {
-        return service.has(RecordCodec.over(JOB))
-                || RecordCodec.readJob(JOB, service.value(RecordCodec.open(JOB)), Revision.ABSENT)
+        return service.has(RecordCodec.finalKey(JOB))
+                || RecordCodec.readJob(JOB, service.value(RecordCodec.openKey(JOB)), Revision.ABSENT)
                                 .status()
                         == JobStatus.DONE;
     }
@@ -274,8 +274,8 @@
             assertEquals("200 " + told, word(await(submit(desk))));
             assertEquals("200 " + told, word(await(() -> desk.cancel(JOB.text()))));
         }
-        loop.runOnContext(v -> ledger.heard(JOB, before, new Revision(11)));
-        until(() -> !service.has(RecordCodec.open(JOB)));
+        loop.runOnContext(v -> ledger.onOpenRecordWritten(JOB, before, new Revision(11)));
+        until(() -> !service.has(RecordCodec.openKey(JOB)));
         assertNull(core.job(JOB), "nothing of it can be started");
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
@@ -86,7 +86,7 @@
 class LateTransactionsTest {
     private static final MachinePool POOL = new MachinePool("quad", "a", true);
     private static final JobId JOB = new JobId("run-1");
-    private static final String OPEN = RecordCodec.open(JOB);
+    private static final String OPEN = RecordCodec.openKey(JOB);
     private static final Intents.Rent RENT = new Intents.Rent("t3-1", POOL, 50, 1000);
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
@@ -259,16 +259,16 @@
                 new TokenGenerator(node.charAt(0) - 'a', clock.timeOfDay(), Span.seconds(0.1)),
                 new LeaderElection.Listener() {
                     @Override
-                    public void took(FencingToken token, Revision key, boolean bounds) {
+                    public void leadershipGained(FencingToken token, Revision key, boolean bounds) {
                         events.add(node + " took");
                     }
 
                     @Override
-                    public void lost(String reason) {
+                    public void leadershipLost(String reason) {
                         events.add(node + " lost");
                     }
                 });
-        made[0].asking(() -> Future.succeededFuture(false), () -> Future.succeededFuture(true));
+        made[0].askPeersBy(() -> Future.succeededFuture(false), () -> Future.succeededFuture(true));
         return keep(made[0]);
     }
 
@@ -345,7 +345,7 @@
                     .put(RecordCodec.LEADER, MessagePackFormat.map("node", "a", "process", "a0", "token", 1L))));
             LeaderElection a = t.node("a", 2);
             t.loseOne(RecordCodec.LEADER);
-            await(a.clear(node -> Future.succeededFuture(false)));
+            await(a.clearPredecessor(node -> Future.succeededFuture(false)));
             t.run(a::start);
             t.took("a");
             t.changesNothingMore();
@@ -356,9 +356,9 @@
             t.run(a::start);
             t.took("a");
             LeaderElection b = t.node("b", 0);
-            Revision key = a.key();
+            Revision key = a.leadershipRevision();
             t.loseOne(RecordCodec.LEADER);
-            assertTrue(b.release(key)
+            assertTrue(b.removeKey(key)
                     .toCompletionStage()
                     .toCompletableFuture()
                     .handle((v, e) -> e != null)
@@ -377,7 +377,7 @@
             t.run(a::start);
             t.took("a");
             t.loseAll(RecordCodec.COUNTER);
-            t.run(a::vouchForBounds);
+            t.run(a::vouchForStartBounds);
             t.untilUnanswered();
             t.pass();
             t.run(a::deposed);
@@ -468,11 +468,12 @@
     private void isOver(JobStatus how) {
         assertEquals(
                 how,
-                RecordCodec.readFinal(JOB, service.value(RecordCodec.over(JOB))).status());
+                RecordCodec.readFinal(JOB, service.value(RecordCodec.finalKey(JOB)))
+                        .status());
     }
 
     private void untilOver(JobId id) throws Exception {
-        until(() -> service.has(RecordCodec.over(id)));
+        until(() -> service.has(RecordCodec.finalKey(id)));
     }
 
     /** A job in the state service and in the leader's memory; the first {@code done} of its tasks are done and not recorded. */
@@ -483,7 +484,7 @@
         pass();
         Revision stamp = await(client.commit(new StateClient.Txn()
                         .put(
-                                RecordCodec.open(spec.id()),
+                                RecordCodec.openKey(spec.id()),
                                 RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, bound))))
                 .stamp();
         service.holding = holding;
@@ -511,15 +512,15 @@
         return ledger(lead(1));
     }
 
-    private void begin(JobStore ledger, Job... jobs) {
+    private void begin(JobStore jobStore, Job... jobs) {
         for (Job job : jobs) {
-            ledger.touch(job);
+            jobStore.markDirty(job);
         }
-        run(ledger::start);
+        run(jobStore::start);
     }
 
     private int recorded(JobId id) {
-        return RecordCodec.readJob(id, service.value(RecordCodec.open(id)), Revision.ABSENT)
+        return RecordCodec.readJob(id, service.value(RecordCodec.openKey(id)), Revision.ABSENT)
                 .doneCount();
     }
 
@@ -546,9 +547,9 @@
             JobService desk = t.desk();
             t.loseOne(OPEN);
             assertEquals(503, t.submit(desk));
-            JobStore ledger = t.ledger(t.lead(4));
-            t.begin(ledger, t.job(JOB.text(), 4, 4, 4));
-            t.until(() -> t.service.has(RecordCodec.over(JOB)) && t.core.job(JOB) == null);
+            JobStore jobStore = t.ledger(t.lead(4));
+            t.begin(jobStore, t.job(JOB.text(), 4, 4, 4));
+            t.until(() -> t.service.has(RecordCodec.finalKey(JOB)) && t.core.job(JOB) == null);
             t.changesNothingMore();
             assertFalse(t.service.has(OPEN));
         });
@@ -562,11 +563,11 @@
         });
         JOBS.put("a cancellation, after the job's progress, and before it was done", t -> {
             JobService desk = t.desk();
-            JobStore ledger = t.leading();
+            JobStore jobStore = t.leading();
             Job job = t.job(JOB.text(), 4, 2, 4);
             t.loseOne(OPEN);
             assertEquals(503, t.cancel(desk));
-            t.begin(ledger, job);
+            t.begin(jobStore, job);
             t.until(() -> t.isAtOnce() ? t.core.job(JOB) == null : t.recorded(JOB) == 2);
             t.changesNothingMore();
             assertEquals(t.isAtOnce(), !t.service.has(OPEN), "its user was told nothing, and asks again");
@@ -574,11 +575,11 @@
         });
         JOBS.put("a cancellation, after the job was done", t -> {
             JobService desk = t.desk();
-            JobStore ledger = t.leading();
+            JobStore jobStore = t.leading();
             Job job = t.job(JOB.text(), 4, 4, 4);
             t.loseOne(OPEN);
             assertEquals(503, t.cancel(desk));
-            t.begin(ledger, job);
+            t.begin(jobStore, job);
             t.until(() -> t.core.job(JOB) == null);
             t.changesNothingMore();
             t.isOver(t.isAtOnce() ? JobStatus.CANCELLED : JobStatus.DONE);
@@ -589,11 +590,12 @@
                 StateClient.Outcome spoilt =
                         await(t.client.commit(new StateClient.Txn().put(OPEN, MessagePackFormat.map("class", 5L))));
                 StateClient.Entry entry = new StateClient.Entry(OPEN, t.service.value(OPEN), spoilt.stamp(), 0);
-                JobRepairer mender = new JobRepairer(t.client, t.clock);
+                JobRepairer repairer = new JobRepairer(t.client, t.clock);
                 t.loseOne(OPEN);
-                assertTrue(await(
-                        mender.open(JOB, entry, spec(JOB.text(), 4)).map(false).otherwise(true)));
-                await(mender.open(JOB, entry, spec(JOB.text(), 4)));
+                assertTrue(await(repairer.repairOpen(JOB, entry, spec(JOB.text(), 4))
+                        .map(false)
+                        .otherwise(true)));
+                await(repairer.repairOpen(JOB, entry, spec(JOB.text(), 4)));
                 if (ended) {
                     assertEquals(200, t.cancel(desk));
                 }
@@ -602,28 +604,28 @@
             });
         }
         JOBS.put("the mending of an end, after another", t -> {
-            String over = RecordCodec.over(JOB);
+            String over = RecordCodec.finalKey(JOB);
             StateClient.Outcome spoilt =
                     await(t.client.commit(new StateClient.Txn().put(over, MessagePackFormat.map("status", "DONE"))));
             StateClient.Entry entry = new StateClient.Entry(over, t.service.value(over), spoilt.stamp(), 0);
-            JobRepairer mender = new JobRepairer(t.client, t.clock);
+            JobRepairer repairer = new JobRepairer(t.client, t.clock);
             t.loseOne(over);
-            assertTrue(await(mender.over(JOB, entry, null).map(false).otherwise(true)));
-            await(mender.over(JOB, entry, null));
+            assertTrue(await(repairer.repairFinal(JOB, entry, null).map(false).otherwise(true)));
+            await(repairer.repairFinal(JOB, entry, null));
             t.changesNothingMore();
         });
         JOBS.put("progress, after newer progress", t -> {
-            JobStore ledger = t.leading();
+            JobStore jobStore = t.leading();
             t.loseOne(OPEN);
             Job job = t.job(JOB.text(), 4, 2, 4);
-            t.begin(ledger, job);
+            t.begin(jobStore, job);
             t.until(() -> t.recorded(JOB) == 2 && job.unrecordedCompletions().isEmpty());
             t.changesNothingMore();
         });
         JOBS.put("progress, after the job was cancelled", t -> {
-            JobStore ledger = t.leading();
+            JobStore jobStore = t.leading();
             t.loseAll(OPEN);
-            t.begin(ledger, t.job(JOB.text(), 4, 2, 4));
+            t.begin(jobStore, t.job(JOB.text(), 4, 2, 4));
             t.untilUnanswered();
             t.pass();
             t.until(() -> t.recorded(JOB) == 2);
@@ -632,67 +634,67 @@
             assertFalse(t.service.has(OPEN));
         });
         JOBS.put("progress, after a change of leader", t -> {
-            JobStore ledger = t.leading();
+            JobStore jobStore = t.leading();
             t.loseAll(OPEN);
-            t.begin(ledger, t.job(JOB.text(), 4, 2, 4));
+            t.begin(jobStore, t.job(JOB.text(), 4, 2, 4));
             t.untilUnanswered();
-            t.run(ledger::cancel);
+            t.run(jobStore::cancel);
             t.lead(4);
             t.changesNothingMore();
             assertEquals(t.isAtOnce() ? 2 : 0, t.recorded(JOB));
         });
         JOBS.put("a start bound, after a newer one", t -> {
-            JobStore ledger = t.leading();
+            JobStore jobStore = t.leading();
             t.core.rented(POOL, List.of(new MachineId("vm-1")), t.clock.now(), t.clock.now());
             t.loseOne(OPEN);
             Job job = t.job(JOB.text(), 4, 0, 0);
-            t.begin(ledger, job);
+            t.begin(jobStore, job);
             t.until(() -> t.service.value(OPEN).whole("bound", 0) > 0 && !job.needsHigherStartBound());
             t.changesNothingMore();
         });
         JOBS.put("a start bound, after a change of leader: what that one orders by stands", t -> {
-            JobStore ledger = t.leading();
+            JobStore jobStore = t.leading();
             t.core.rented(POOL, List.of(new MachineId("vm-1")), t.clock.now(), t.clock.now());
             t.loseAll(OPEN);
             Job job = t.job(JOB.text(), 4, 0, 0);
-            t.begin(ledger, job);
+            t.begin(jobStore, job);
             t.untilUnanswered();
-            t.run(ledger::cancel);
+            t.run(jobStore::cancel);
             t.lead(4);
             t.changesNothingMore();
             assertTrue(job.needsHigherStartBound(), "not answered: nothing was ordered by it");
         });
         JOBS.put("an end, after its repeat", t -> {
-            JobStore ledger = t.leading();
+            JobStore jobStore = t.leading();
             t.loseOne(OPEN);
-            t.begin(ledger, t.job(JOB.text(), 4, 4, 4));
-            t.until(() -> t.service.has(RecordCodec.over(JOB)) && t.core.job(JOB) == null);
+            t.begin(jobStore, t.job(JOB.text(), 4, 4, 4));
+            t.until(() -> t.service.has(RecordCodec.finalKey(JOB)) && t.core.job(JOB) == null);
             t.changesNothingMore();
         });
         JOBS.put("an end, after a change of leader", t -> {
-            JobStore ledger = t.leading();
+            JobStore jobStore = t.leading();
             t.loseAll(OPEN);
-            t.begin(ledger, t.job(JOB.text(), 4, 4, 4));
+            t.begin(jobStore, t.job(JOB.text(), 4, 4, 4));
             t.untilUnanswered();
-            t.run(ledger::cancel);
+            t.run(jobStore::cancel);
             t.lead(4);
             t.changesNothingMore();
             assertEquals(t.isAtOnce(), !t.service.has(OPEN));
         });
         JOBS.put("an end, after its user cancelled", t -> {
-            JobStore ledger = t.leading();
+            JobStore jobStore = t.leading();
             JobService desk = t.desk();
             t.loseAll(OPEN);
-            t.begin(ledger, t.job(JOB.text(), 4, 4, 4));
+            t.begin(jobStore, t.job(JOB.text(), 4, 4, 4));
             t.untilUnanswered();
-            t.run(ledger::cancel);
+            t.run(jobStore::cancel);
             t.pass();
             assertEquals(200, t.cancel(desk));
             t.changesNothingMore();
             t.isOver(t.isAtOnce() ? JobStatus.DONE : JobStatus.CANCELLED);
         });
         JOBS.put("an end in the open record, and its move, each after its repeat", t -> {
-            JobStore ledger = t.leading();
+            JobStore jobStore = t.leading();
             Job[] jobs = new Job[8];
             for (int n = 0; n < jobs.length; n++) {
                 jobs[n] = t.job("run-" + (n + 1), 1, 1, 1);
@@ -701,10 +703,10 @@
             AtomicBoolean move = new AtomicBoolean(true);
             // A mark puts the open record; the first transaction after it that deletes that record moves it.
             t.leaveUnanswered(txn -> touches(txn, OPEN)
-                    && (touches(txn, RecordCodec.over(JOB))
+                    && (touches(txn, RecordCodec.finalKey(JOB))
                             ? !mark.get() && move.getAndSet(false)
                             : mark.getAndSet(false)));
-            t.begin(ledger, jobs);
+            t.begin(jobStore, jobs);
             for (Job job : jobs) {
                 t.untilOver(job.id());
             }
@@ -716,14 +718,14 @@
 
     // Machines and intents.
 
-    private Future<Boolean> report(MachineStore book, int n) {
+    private Future<Boolean> report(MachineStore machineStore, int n) {
         MachineId id = new MachineId("vm-" + n);
         Moment now = clock.now();
         core.rented(POOL, List.of(id), now, now);
         core.onHeartbeat(
                 new Heartbeat(id, "10.0.0.1:1", POOL, new HeartbeatNumber(1, 1), new FencingToken(3), null, List.of()),
                 now);
-        return book.record(core.unrecorded(id));
+        return machineStore.record(core.unrecorded(id));
     }
 
     private void gone(int n) {
@@ -735,10 +737,10 @@
     }
 
     private MachineStore machines(Revision key) {
-        MachineStore book = keep(new MachineStore(
+        MachineStore machineStore = keep(new MachineStore(
                 env, core, new FencingToken(3), key, () -> events.add("deposed"), new RateLimiter(100, clock.now())));
-        run(book::start);
-        return book;
+        run(machineStore::start);
+        return machineStore;
     }
 
     private int lines() {
@@ -766,37 +768,37 @@
 
     static {
         CLOUD.put("a page's first write, after its repeat", t -> {
-            MachineStore book = t.machines(t.lead(1));
+            MachineStore machineStore = t.machines(t.lead(1));
             t.loseOne(RecordCodec.MACHINES);
-            assertTrue(t.onLoop(() -> t.report(book, 1)));
-            assertTrue(t.onLoop(() -> t.report(book, 2)));
+            assertTrue(t.onLoop(() -> t.report(machineStore, 1)));
+            assertTrue(t.onLoop(() -> t.report(machineStore, 2)));
             t.changesNothingMore();
             assertEquals(2, t.lines());
         });
         CLOUD.put("a page's first write, after all on it are gone", t -> {
-            MachineStore book = t.machines(t.lead(1));
+            MachineStore machineStore = t.machines(t.lead(1));
             t.loseOne(RecordCodec.MACHINES);
-            assertTrue(t.onLoop(() -> t.report(book, 1)));
+            assertTrue(t.onLoop(() -> t.report(machineStore, 1)));
             t.run(() -> t.gone(1));
             t.until(() -> t.lines() == 0);
             t.changesNothingMore();
             assertEquals(0, t.lines(), "a machine that is gone holds the next leader up");
         });
         CLOUD.put("a page's first write, after a change of leader", t -> {
-            MachineStore book = t.machines(t.lead(1));
+            MachineStore machineStore = t.machines(t.lead(1));
             t.loseAll(RecordCodec.MACHINES);
-            t.run(() -> t.report(book, 1));
+            t.run(() -> t.report(machineStore, 1));
             t.untilUnanswered();
-            t.run(book::cancel);
+            t.run(machineStore::cancel);
             t.lead(4);
             t.changesNothingMore();
         });
         CLOUD.put("a page's change, after a newer one", t -> {
-            MachineStore book = t.machines(t.lead(1));
-            assertTrue(t.onLoop(() -> t.report(book, 1)));
+            MachineStore machineStore = t.machines(t.lead(1));
+            assertTrue(t.onLoop(() -> t.report(machineStore, 1)));
             t.loseOne(RecordCodec.MACHINES);
-            assertTrue(t.onLoop(() -> t.report(book, 2)));
-            assertTrue(t.onLoop(() -> t.report(book, 3)));
+            assertTrue(t.onLoop(() -> t.report(machineStore, 2)));
+            assertTrue(t.onLoop(() -> t.report(machineStore, 3)));
             t.changesNothingMore();
             assertEquals(3, t.lines(), "it takes no machine off");
         });
@@ -876,26 +878,27 @@
     // Rebuilding and the era.
 
     private RememberedState remains() {
-        RememberedState remains = new RememberedState();
+        RememberedState rememberedState = new RememberedState();
         Moment now = clock.now();
-        remains.add(new RememberedState.RentedMachine(new MachineId("vm-1"), POOL, now, now));
+        rememberedState.add(new RememberedState.RentedMachine(new MachineId("vm-1"), POOL, now, now));
         BitSet oneInEachBlock = new BitSet();
         oneInEachBlock.set(0);
         oneInEachBlock.set(39_999);
-        remains.add(new RememberedState.OpenJob(spec(JOB.text(), 40_000), 1, oneInEachBlock, 4));
-        remains.add(new JobId("run-2"), new RememberedState.FinishedJob(JobStatus.DONE, 1));
-        return remains;
+        rememberedState.add(new RememberedState.OpenJob(spec(JOB.text(), 40_000), 1, oneInEachBlock, 4));
+        rememberedState.add(new JobId("run-2"), new RememberedState.FinishedJob(JobStatus.DONE, 1));
+        return rememberedState;
     }
 
     private boolean rebuilds(Revision key) throws Exception {
         return rebuilds(key, remains());
     }
 
-    private boolean rebuilds(Revision key, RememberedState remains) throws Exception {
-        return await(new StateRebuilder(env, new FencingToken(3), key, new RateLimiter(100, clock.now()), remains)
-                .run()
-                .map(true)
-                .otherwise(false));
+    private boolean rebuilds(Revision key, RememberedState rememberedState) throws Exception {
+        return await(
+                new StateRebuilder(env, new FencingToken(3), key, new RateLimiter(100, clock.now()), rememberedState)
+                        .run()
+                        .map(true)
+                        .otherwise(false));
     }
 
     private int bound() {
@@ -929,14 +932,14 @@
             t.loseOne(RecordCodec.MACHINES);
             assertFalse(t.rebuilds(leader));
             assertTrue(t.rebuilds(leader));
-            MachineStore book = new MachineStore(
+            MachineStore machineStore = new MachineStore(
                     t.env, t.core, new FencingToken(3), leader, () -> {}, new RateLimiter(100, t.clock.now()));
             await(JobStore.pages(
                     t.client,
                     leader,
                     RecordCodec.MACHINES,
-                    e -> book.inherit(e.key(), e.stamp(), RecordCodec.readMachines(e.value()))));
-            t.run(book::start);
+                    e -> machineStore.inherit(e.key(), e.stamp(), RecordCodec.readMachines(e.value()))));
+            t.run(machineStore::start);
             t.until(() -> t.lines() == 0);
             t.changesNothingMore();
             assertEquals(0, t.lines());
@@ -977,7 +980,7 @@
             assertEquals(503, t.submit(desk));
             assertEquals(t.isAtOnce() ? 200 : 201, t.submit(desk));
             assertEquals(200, t.cancel(desk));
-            await(t.client.commit(new StateClient.Txn().delete(RecordCodec.over(JOB))));
+            await(t.client.commit(new StateClient.Txn().delete(RecordCodec.finalKey(JOB))));
             assertTrue(t.rebuilds(t.lead(1), new RememberedState()));
             t.changesNothingMore();
             assertFalse(t.service.has(OPEN));
@@ -1097,9 +1100,9 @@
             }
             return false;
         };
-        RememberedState remains = new RememberedState();
-        remains.add(new RememberedState.OpenJob(spec(JOB.text(), 4), 1, new BitSet(), 4));
-        until(() -> rebuilds(leader, remains));
+        RememberedState rememberedState = new RememberedState();
+        rememberedState.add(new RememberedState.OpenJob(spec(JOB.text(), 4), 1, new BitSet(), 4));
+        until(() -> rebuilds(leader, rememberedState));
         assertEquals(List.of(200), late);
         assertEquals(4, bound());
     }
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -216,10 +216,10 @@
                 new MachineRecord(new MachineId("vm-000900"), POOL, clock.timeOfDay(), clock.timeOfDay());
         long revision = await(client.commit(new StateClient.Txn()
                         .put(
-                                RecordCodec.machinePage(new FencingToken(2), 1),
+                                RecordCodec.machinePageKey(new FencingToken(2), 1),
                                 RecordCodec.writeMachines(List.of(earlier)))))
                 .revision();
-        JobStore ledger = new JobStore(
+        JobStore jobStore = new JobStore(
                 env,
                 core,
                 book,
@@ -228,8 +228,8 @@
                 new RateLimiter(12, now),
                 true,
                 new CancellationHorizon());
-        onLoop(ledger::load);
-        onLoop(ledger::load);
+        onLoop(jobStore::load);
+        onLoop(jobStore::load);
         assertTrue(onLoop(() -> report(0)));
         List<Boolean> done = onLoop(() -> {
             List<Future<Boolean>> all = new ArrayList<>();
@@ -258,7 +258,7 @@
                 core.inheritMachine(id, POOL, now, now, now);
             }
         }
-        String wide = RecordCodec.machinePage(new FencingToken(2), 1);
+        String wide = RecordCodec.machinePageKey(new FencingToken(2), 1);
         Revision stamp = await(client.commit(new StateClient.Txn().put(wide, RecordCodec.writeMachines(lines))))
                 .stamp();
         state.valueBytes = 2048;
@@ -295,7 +295,7 @@
         Moment before = clock.now();
         long revision = await(client.commit(new StateClient.Txn()
                         .put(
-                                RecordCodec.machinePage(new FencingToken(2), 1),
+                                RecordCodec.machinePageKey(new FencingToken(2), 1),
                                 RecordCodec.writeMachines(List.of(new MachineRecord(
                                         new MachineId("vm-000900"), POOL, clock.timeOfDay(), clock.timeOfDay()))))))
                 .revision();
@@ -308,7 +308,7 @@
                 silent);
         fresh.setTypes(List.of(
                 new MachineType("quad", new Demand(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of("z"))));
-        JobStore ledger = new JobStore(
+        JobStore jobStore = new JobStore(
                 env,
                 fresh,
                 book,
@@ -321,7 +321,7 @@
         while (clock.now().since(begun).ms() < 50) {
             Thread.onSpinWait();
         }
-        onLoop(ledger::load);
+        onLoop(jobStore::load);
         fresh.recordsLoaded();
         Span bound = env.config().rules().leaseBound();
         fresh.expireLeases(before.plus(bound));
@@ -363,7 +363,7 @@
         long revision = await(client.commit(new StateClient.Txn().put("leader", MessagePackFormat.map("n", 1L))))
                 .revision();
         for (long key : new long[] {revision, revision + 1}) {
-            JobStore ledger = new JobStore(
+            JobStore jobStore = new JobStore(
                     env,
                     core,
                     book,
@@ -373,7 +373,7 @@
                     true,
                     new CancellationHorizon());
             assertEquals(
-                    key == revision, onLoop(() -> ledger.load().map(r -> true).otherwise(false)));
+                    key == revision, onLoop(() -> jobStore.load().map(r -> true).otherwise(false)));
         }
     }
 
@@ -401,7 +401,7 @@
                 null);
         long revision = await(client.commit(new StateClient.Txn()
                         .put(
-                                RecordCodec.open(spec.id()),
+                                RecordCodec.openKey(spec.id()),
                                 RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 0))))
                 .revision();
         for (boolean kept : new boolean[] {false, true}) {
@@ -412,7 +412,7 @@
                     new ServiceLevelObjectives(List.of()),
                     env.config().teams(),
                     silent);
-            JobStore ledger = new JobStore(
+            JobStore jobStore = new JobStore(
                     env,
                     fresh,
                     book,
@@ -421,7 +421,7 @@
                     new RateLimiter(12, clock.now()),
                     kept,
                     new CancellationHorizon());
-            onLoop(ledger::load);
+            onLoop(jobStore::load);
             assertEquals(kept ? 0 : 3, fresh.job(spec.id()).startBoundToWrite());
         }
     }
--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -48,7 +48,7 @@
             StateClient client = new StateClient(
                     new ServiceClient(vertx, state.endpoint(), 2), new ServiceClient(vertx, state.endpoint(), 1));
             SteadyClock clock = new SteadyClock();
-            LeadershipTerm.Context env = new LeadershipTerm.Context(
+            LeadershipTerm.Context context = new LeadershipTerm.Context(
                     vertx,
                     clock,
                     null,
@@ -60,12 +60,13 @@
                     Span.seconds(10));
             StateClient.Outcome taken =
                     await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))));
-            RememberedState remains = new RememberedState();
+            RememberedState rememberedState = new RememberedState();
             for (int n = 1; n < 3; n++) {
                 Moment now = clock.now();
-                remains.add(new RememberedState.RentedMachine(
+                rememberedState.add(new RememberedState.RentedMachine(
                         new MachineId("vm-" + n), new MachinePool("quad", "a", true), now, now));
-                await(new StateRebuilder(env, new FencingToken(3), taken.stamp(), new RateLimiter(100, now), remains)
+                await(new StateRebuilder(
+                                context, new FencingToken(3), taken.stamp(), new RateLimiter(100, now), rememberedState)
                         .run());
                 assertEquals(
                         n,
@@ -100,7 +101,7 @@
                     null,
                     MachineStoreTest.config(),
                     Settings.standard());
-            LeadershipTerm.Context env = new LeadershipTerm.Context(
+            LeadershipTerm.Context context = new LeadershipTerm.Context(
                     vertx,
                     clock,
                     null,
@@ -115,15 +116,17 @@
                     .put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))
                     .put("x/older", MessagePackFormat.map("n", 1L, VersionedRecord.VERSION, 1L))
                     .put("x/newer", MessagePackFormat.map("n", 9L, VersionedRecord.VERSION, 9L))));
-            RememberedState remains = new RememberedState();
+            RememberedState rememberedState = new RememberedState();
             for (String key : List.of("x/gone", "x/older", "x/newer", "y/other")) {
-                remains.add(new VersionedRecord(
+                rememberedState.add(new VersionedRecord(
                         key, MessagePackFormat.map("n", 4L, VersionedRecord.VERSION, 4L), Revision.ABSENT));
             }
             RememberedState told = new RememberedState();
             RememberedStateCodec.read(
-                    MessagePackFormat.readMap(MessagePackFormat.write(RememberedStateCodec.write(remains, 0))), told);
-            await(new StateRebuilder(env, new FencingToken(3), taken.stamp(), new RateLimiter(100, clock.now()), told)
+                    MessagePackFormat.readMap(MessagePackFormat.write(RememberedStateCodec.write(rememberedState, 0))),
+                    told);
+            await(new StateRebuilder(
+                            context, new FencingToken(3), taken.stamp(), new RateLimiter(100, clock.now()), told)
                     .run());
             assertEquals(List.of("x/gone", "x/newer", "x/older"), state.keys("x/"));
             assertEquals(
@@ -149,7 +152,7 @@
             StateClient client = new StateClient(
                     new ServiceClient(vertx, state.endpoint(), 2), new ServiceClient(vertx, state.endpoint(), 1));
             SteadyClock clock = new SteadyClock();
-            LeadershipTerm.Context env = new LeadershipTerm.Context(
+            LeadershipTerm.Context context = new LeadershipTerm.Context(
                     vertx,
                     clock,
                     null,
@@ -164,11 +167,11 @@
                     .put("j/run-1", MessagePackFormat.map("at", "x"))
                     .put("j/run-2", MessagePackFormat.map())
                     .put("p/run-3/0", MessagePackFormat.map("bits", 7L));
-            RememberedState remains = new RememberedState();
+            RememberedState rememberedState = new RememberedState();
             for (int n = 10; n < 500; n++) {
                 JobId id = new JobId("run-" + n);
-                before.put(RecordCodec.over(id), RecordCodec.writeFinal(JobStatus.DONE, 1));
-                remains.add(id, new RememberedState.FinishedJob(JobStatus.DONE, 1));
+                before.put(RecordCodec.finalKey(id), RecordCodec.writeFinal(JobStatus.DONE, 1));
+                rememberedState.add(id, new RememberedState.FinishedJob(JobStatus.DONE, 1));
             }
             int limit = state.txnOps;
             state.txnOps = before.size();
@@ -193,11 +196,15 @@
                     Span.ZERO,
                     Span.ZERO,
                     null);
-            remains.add(new RememberedState.OpenJob(spec, 1, new BitSet(), 2));
-            remains.add(new JobId("run-2"), new RememberedState.FinishedJob(JobStatus.CANCELLED, 0));
+            rememberedState.add(new RememberedState.OpenJob(spec, 1, new BitSet(), 2));
+            rememberedState.add(new JobId("run-2"), new RememberedState.FinishedJob(JobStatus.CANCELLED, 0));
             int changes = state.changed;
             await(new StateRebuilder(
-                            env, new FencingToken(3), taken.stamp(), new RateLimiter(1000, clock.now()), remains)
+                            context,
+                            new FencingToken(3),
+                            taken.stamp(),
+                            new RateLimiter(1000, clock.now()),
+                            rememberedState)
                     .run());
             assertEquals(
                     "t",
--- a/src/test/java/io/indigoreach/core/intent/IntentsTest.java
+++ b/src/test/java/io/indigoreach/core/intent/IntentsTest.java
@@ -49,7 +49,7 @@
         for (int i = 0; i < 150; i++) {
             many.add(new MachineId("vm-" + i));
         }
-        assertEquals(Intents.MOST_CONDEMNED, intents.condemn(many).size(), "no more than a record holds");
+        assertEquals(Intents.MOST_CONDEMNED, intents.recordReturns(many).size(), "no more than a record holds");
         assertFalse(intents.mayReturn(many.subList(0, 1)));
         intents.recorded(intents.page());
         assertTrue(intents.mayReturn(many.subList(0, 100)) && !intents.mayReturn(many.subList(99, 101)));
@@ -140,7 +140,7 @@
 
         private void giveUp(MachineId id) {
             useless.add(id);
-            intents.condemn(List.of(id));
+            intents.recordReturns(List.of(id));
         }
 
         private void write() {
@@ -182,7 +182,7 @@
         }
 
         private void giveBack() {
-            List<MachineId> ids = intents.page().condemned();
+            List<MachineId> ids = intents.page().returns();
             if (ids.isEmpty() || (without != Without.RECORD && !intents.mayReturn(ids))) {
                 return;
             }
@@ -215,8 +215,8 @@
                 record.rents().forEach(intents::add);
             }
             if (without != Without.CONDEMNATION) {
-                intents.condemn(record.condemned());
-                useless.addAll(record.condemned());
+                intents.recordReturns(record.returns());
+                useless.addAll(record.returns());
             }
             intents.recorded(record);
         }
--- a/src/test/java/io/indigoreach/core/leadership/IsolationCheckTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/IsolationCheckTest.java
@@ -46,19 +46,19 @@
         String[] words = seconds.split(" ");
         for (int i = 0; i < words.length; i += 2) {
             for (int n = Integer.parseInt(words[i + 1]); n > 0; n--) {
-                boolean was = node.isOutOfTouch();
+                boolean was = node.isOutOfService();
                 if (words[i].equals("ok")) {
                     node.served();
                 } else {
                     node.unserved(others(words[i]), now);
                 }
-                removed += !was && node.isOutOfTouch() ? 1 : 0;
+                removed += !was && node.isOutOfService() ? 1 : 0;
                 now = now.plus(Span.seconds(1));
             }
         }
         IsolationCheck.Verdict is = node.isCutOff()
                 ? IsolationCheck.Verdict.CUT_OFF
-                : node.isOutOfTouch() ? IsolationCheck.Verdict.REFUSED_ALONE : IsolationCheck.Verdict.TOGETHER;
+                : node.isOutOfService() ? IsolationCheck.Verdict.REFUSED_ALONE : IsolationCheck.Verdict.TOGETHER;
         assertEquals(last + " " + removals, is + " " + removed);
     }
 
--- a/src/test/java/io/indigoreach/core/ownership/RegistryRun.java
+++ b/src/test/java/io/indigoreach/core/ownership/RegistryRun.java
@@ -173,13 +173,13 @@
             store.keySet().removeIf(k -> k.startsWith(prefix) && random.nextInt(2) == 0);
         }
         // Noticed, held, and rebuilt from what controllers remember: as Rebuilder does it.
-        RememberedState remains = new RememberedState();
+        RememberedState rememberedState = new RememberedState();
         if (fault == Fault.MISSING_MEANS_FREE) {
             copies.replaceAll(c -> new RecordCache(Registry.FAMILIES));
         }
-        copies.forEach(c -> c.all().forEach(remains::add));
+        copies.forEach(c -> c.all().forEach(rememberedState::add));
         revision += 1_000;
-        for (VersionedRecord kept : remains.records()) {
+        for (VersionedRecord kept : rememberedState.records()) {
             RecordFamily family = copies.get(0).familyOf(kept.key());
             VersionedRecord there = store.getOrDefault(kept.key(), VersionedRecord.absent(kept.key()));
             Map<String, Object> value = family.mending().mend(there, kept);
--- a/src/test/java/io/indigoreach/core/scheduling/RandomRecords.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomRecords.java
@@ -56,15 +56,15 @@
                 answered ? () -> job.startBoundRecorded(bound) : () -> {});
     }
 
-    void writeMachine(double now, SchedulerCore leader, long token, String name) {
+    void writeMachine(double now, SchedulerCore core, long token, String name) {
         MachineId id = new MachineId(name);
         if (without == RandomSimulation.Without.MACHINE_RECORD) {
-            leader.recorded(id);
+            core.recorded(id);
         }
-        writes.write(now, token, () -> machines.add(name), () -> leader.recorded(id));
+        writes.write(now, token, () -> machines.add(name), () -> core.recorded(id));
     }
 
-    void writeProgress(double now, SchedulerCore leader, long token, Job job, boolean answered) {
+    void writeProgress(double now, SchedulerCore core, long token, Job job, boolean answered) {
         Stored s = jobs.get(job.id());
         BitSet done = job.completedTasks();
         boolean complete = job.isComplete();
@@ -84,7 +84,7 @@
                     if (s.cancelledAt < 0 && answered) {
                         job.completionsRecorded(done);
                         if (s.closed) {
-                            leader.closeJob(job.id());
+                            core.closeJob(job.id());
                         }
                     }
                 });
--- a/src/test/java/io/indigoreach/core/scheduling/WaitCheck.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitCheck.java
@@ -19,11 +19,11 @@
 
     private final Map<JobId, Wait> waits = new HashMap<>();
 
-    List<String> check(SchedulerCore leader, boolean calm, double now) {
+    List<String> check(SchedulerCore core, boolean calm, double now) {
         List<String> broken = new ArrayList<>();
         Map<JobId, Wait> next = new HashMap<>();
-        for (Job job : leader.jobs()) {
-            Optional<WaitReason> reason = leader.waitReason(job, SimulatedWorld.at(now));
+        for (Job job : core.jobs()) {
+            Optional<WaitReason> reason = core.waitReason(job, SimulatedWorld.at(now));
             if (reason.isEmpty() == job.hasWaiting()) {
                 broken.add(now + ": " + job.id() + " has " + job.waitingCount() + " tasks waiting for " + reason);
             }
--- a/src/test/java/io/indigoreach/emulator/CalendarClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/CalendarClusterTest.java
@@ -99,13 +99,13 @@
 
     private static ServiceResponse ask(LocalCluster cluster, int node, Map<String, Object> body) throws Exception {
         Endpoint listen = cluster.emulator.nodes().get(node).listen();
-        ServiceClient caller = new ServiceClient(cluster.vertx, listen, 1);
+        ServiceClient client = new ServiceClient(cluster.vertx, listen, 1);
         for (int tries = 0; ; tries++) {
             try {
                 ServiceResponse r = LocalCluster.await(
                         body == null
-                                ? caller.get("/api/calendar/outlook?days=2", Span.seconds(5))
-                                : caller.post("/api/calendar", body, Span.seconds(5)));
+                                ? client.get("/api/calendar/outlook?days=2", Span.seconds(5))
+                                : client.post("/api/calendar", body, Span.seconds(5)));
                 if (r.status() != 503 || tries > 200) {
                     return r;
                 }
@@ -130,7 +130,7 @@
                             if (w.isDelete()) {
                                 there.remove(w.key());
                             } else if (there.add(w.key())) {
-                                times.merge(RecordCodec.jobOf(w.key()), 1, Integer::sum);
+                                times.merge(RecordCodec.jobOfOpenKey(w.key()), 1, Integer::sum);
                             }
                         });
             }
@@ -179,7 +179,7 @@
                                         .anyMatch(w -> !w.isDelete()
                                                 && w.key().startsWith(RecordCodec.OPEN)
                                                 && RecordCodec.readJob(
-                                                                        RecordCodec.jobOf(w.key()),
+                                                                        RecordCodec.jobOfOpenKey(w.key()),
                                                                         new Fields(w.value()),
                                                                         io.indigoreach.core.model.Revision.ABSENT)
                                                                 .status()
--- a/src/test/java/io/indigoreach/emulator/StateServerTest.java
+++ b/src/test/java/io/indigoreach/emulator/StateServerTest.java
@@ -114,11 +114,11 @@
     @Test
     void keepsAnyDataAndRefusesWhatIsNoTransaction() throws Exception {
         open(null, 0);
-        ServiceClient caller = new ServiceClient(vertx, new Endpoint("127.0.0.1", port), 1);
+        ServiceClient client = new ServiceClient(vertx, new Endpoint("127.0.0.1", port), 1);
         List<Object> values =
                 List.of("text", List.of(1L, "a"), 7L, Map.of("", 1L), Map.of("", List.of()), Map.of("a", 2L));
         for (int i = 0; i < values.size(); i++) {
-            assertTrue(LocalCluster.await(caller.post(
+            assertTrue(LocalCluster.await(client.post(
                             "/txn",
                             MessagePackFormat.map(
                                     "writes", List.of(MessagePackFormat.map("write", "k/" + i, "data", values.get(i)))),
@@ -126,14 +126,14 @@
                     .isOk());
             assertEquals(
                     values.get(i),
-                    LocalCluster.await(caller.get("/store/k/" + i, Span.seconds(5)))
+                    LocalCluster.await(client.get("/store/k/" + i, Span.seconds(5)))
                             .body()
                             .map()
                             .get("data"));
         }
         assertEquals(
                 400,
-                LocalCluster.await(caller.post("/txn", null, Span.seconds(5))).status());
+                LocalCluster.await(client.post("/txn", null, Span.seconds(5))).status());
     }
 
     private static StateClient.Txn put(String key, long n) {
@@ -226,24 +226,24 @@
                 new JobService(vertx, client, new JobRepairer(client, clock), null, List.of(), clock, 8192, 100);
         JobId id = new JobId("run-1");
         assertTrue(LocalCluster.await(client.commit(new StateClient.Txn()
-                        .when(RecordCodec.open(id), Revision.ABSENT)
+                        .when(RecordCodec.openKey(id), Revision.ABSENT)
                         .put(
-                                RecordCodec.open(id),
+                                RecordCodec.openKey(id),
                                 RecordCodec.writeJob(
                                         LocalCluster.job(1, 1, 1), 1, JobStatus.PENDING, new BitSet(), 0, 0))))
                 .done());
-        assertNull(LocalCluster.await(client.get(RecordCodec.open(id))), "the read comes from before");
+        assertNull(LocalCluster.await(client.get(RecordCodec.openKey(id))), "the read comes from before");
         assertTrue(client.isDoubted());
         assertTrue(fails(desk.query(id.text())), "neither 404 nor anything else is known");
         for (int i = 0; i < 3; i++) {
             LocalCluster.await(client.commit(put("other", i)));
         }
         assertEquals(200, LocalCluster.await(desk.query(id.text())).status(), "three changes later the read is right");
-        StateClient.Entry open = LocalCluster.await(client.get(RecordCodec.open(id)));
+        StateClient.Entry open = LocalCluster.await(client.get(RecordCodec.openKey(id)));
         assertTrue(LocalCluster.await(client.commit(new StateClient.Txn()
-                        .when(RecordCodec.open(id), open.stamp())
-                        .delete(RecordCodec.open(id))
-                        .put(RecordCodec.over(id), RecordCodec.writeFinal(JobStatus.CANCELLED, 0))))
+                        .when(RecordCodec.openKey(id), open.stamp())
+                        .delete(RecordCodec.openKey(id))
+                        .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(JobStatus.CANCELLED, 0))))
                 .done());
         assertTrue(fails(desk.query(id.text())), "not told that it is open once it is cancelled");
         for (int i = 0; i < 3; i++) {
@@ -265,7 +265,7 @@
         for (int progress = 0; progress < 2; progress++) {
             LocalCluster.await(client.commit(new StateClient.Txn()
                     .put(
-                            RecordCodec.open(id),
+                            RecordCodec.openKey(id),
                             RecordCodec.writeJob(LocalCluster.job(1, 4, 1), 1, JobStatus.RUNNING, done, 1, 4))));
             done.set(progress);
         }
--- a/src/test/java/io/indigoreach/net/ServiceClientTest.java
+++ b/src/test/java/io/indigoreach/net/ServiceClientTest.java
@@ -12,8 +12,8 @@
     @Test
     void aCallAfterTheEndFailsAndDoesNotThrow() throws Exception {
         Vertx vertx = Vertx.vertx();
-        ServiceClient caller = new ServiceClient(vertx, new Endpoint("127.0.0.1", 1), 1);
+        ServiceClient client = new ServiceClient(vertx, new Endpoint("127.0.0.1", 1), 1);
         vertx.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
-        assertTrue(caller.get("/", Span.seconds(1)).failed());
+        assertTrue(client.get("/", Span.seconds(1)).failed());
     }
 }
--- a/src/test/java/io/indigoreach/state/FormatGateTest.java
+++ b/src/test/java/io/indigoreach/state/FormatGateTest.java
@@ -121,7 +121,7 @@
         until(a.leadership()::isLeading);
         CounterRecord after = CounterRecord.read(site.service.value(COUNTER));
         assertEquals(new CounterRecord(after.highest(), bounds, format), after);
-        assertTrue(VersionProcesses.await(a.leadership().vouchForBounds()));
+        assertTrue(VersionProcesses.await(a.leadership().vouchForStartBounds()));
         assertEquals(new CounterRecord(after.highest(), true, format), CounterRecord.read(site.service.value(COUNTER)));
     }
 
@@ -228,9 +228,10 @@
                 && COUNTER.equals(txn.children("writes").get(0).optionalText("write"));
         VersionProcesses.Newer a = site.newer("a");
         until(() -> site.service.held() > 0);
-        Revision key = a.leadership().key();
+        Revision key = a.leadership().leadershipRevision();
         site.vertx.runOnContext(v -> a.leadership().deposed());
-        until(() -> a.leadership().isLeading() && !a.leadership().key().equals(key));
+        until(() -> a.leadership().isLeading()
+                && !a.leadership().leadershipRevision().equals(key));
         site.service.holding = txn -> false;
         assertEquals(409, site.service.executeLate().get(0));
         until(a::isOpen);
@@ -243,7 +244,7 @@
         until(a.leadership()::isLeading);
         site.service.holding =
                 txn -> COUNTER.equals(txn.children("writes").get(0).optionalText("write"));
-        site.vertx.runOnContext(v -> a.leadership().vouchForBounds());
+        site.vertx.runOnContext(v -> a.leadership().vouchForStartBounds());
         until(() -> site.service.held() > 0);
         site.service.holding = txn -> false;
         put(FormatGate.NODES + "b", "format", 2L);
--- a/src/test/java/io/indigoreach/state/GoldenRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenRecordsTest.java
@@ -109,7 +109,7 @@
 
     private static Object block(int n, Fields f) {
         BitSet into = new BitSet();
-        RecordCodec.readBlock(RecordCodec.block(ID, n), f, into);
+        RecordCodec.readBlock(RecordCodec.blockKey(ID, n), f, into);
         return into;
     }
 
--- a/src/test/java/io/indigoreach/state/HandoverTest.java
+++ b/src/test/java/io/indigoreach/state/HandoverTest.java
@@ -180,7 +180,7 @@
                     new TokenGenerator(NODES.indexOf(node), clock.timeOfDay(), Span.seconds(0.1)),
                     new LeaderElection.Listener() {
                         @Override
-                        public void took(FencingToken token, Revision key, boolean bounds) {
+                        public void leadershipGained(FencingToken token, Revision key, boolean bounds) {
                             if (!ended) {
                                 if (token.value() <= world.highest) {
                                     world.breaches.add(name + " took " + token + " after " + world.highest);
@@ -192,10 +192,10 @@
                         }
 
                         @Override
-                        public void lost(String reason) {}
+                        public void leadershipLost(String reason) {}
                     });
             // As Standing does: who was served when it last asked leaves it to the state service.
-            leadership.asking(
+            leadership.askPeersBy(
                     () -> world.ask(node, other -> other.unserved && other.leadership.pledge()),
                     () -> world.ask(node, other -> !other.leadership.isLeading()));
             unserved = false;
@@ -262,11 +262,11 @@
             }
             case 3 -> {
                 if (leader != null) {
-                    Revision key = leader.leadership.standAside("test");
+                    Revision key = leader.leadership.stepAside("test");
                     for (double late : new double[] {r.nextDouble(0.3), r.nextDouble(6)}) {
                         w.after(late, () -> {
                             if (w.running.containsKey(any)) {
-                                w.running.get(any).leadership.release(key);
+                                w.running.get(any).leadership.removeKey(key);
                             }
                         });
                     }
@@ -367,7 +367,7 @@
             return;
         }
         w.until(a.leadership::isValid);
-        assertTrue(clock.now().since(pledged).compareTo(LeaderElection.PLEDGE) >= 0, "it had pledged");
+        assertTrue(clock.now().since(pledged).compareTo(LeaderElection.PLEDGE_TIME) >= 0, "it had pledged");
         assertEquals(List.of(), w.breaches);
     }
 
@@ -377,15 +377,16 @@
         World w = new World(1, Span.seconds(1));
         Process a = w.on(() -> w.start("a"));
         w.until(a.leadership::isValid);
-        Revision first = w.on(() -> a.leadership.standAside("test"));
+        Revision first = w.on(() -> a.leadership.stepAside("test"));
         w.until(() -> w.took.size() == 2 && a.leadership.isValid());
-        Revision second = w.on(a.leadership::key);
+        Revision second = w.on(a.leadership::leadershipRevision);
         for (int times = 0; times < 2; times++) {
-            await(w.on(() -> a.leadership.release(first)));
+            await(w.on(() -> a.leadership.removeKey(first)));
         }
         Moment asked = clock.now();
         w.until(() -> clock.now().since(asked).compareTo(Span.seconds(1.5)) > 0);
-        assertTrue(w.on(() -> a.leadership.isValid() && a.leadership.key().equals(second)));
+        assertTrue(w.on(() ->
+                a.leadership.isValid() && a.leadership.leadershipRevision().equals(second)));
         assertEquals(2, w.took.size());
         assertEquals(List.of(), w.breaches);
     }
@@ -405,13 +406,13 @@
         Moment sent = clock.now();
         w.until(() -> clock.now().since(sent).compareTo(Span.seconds(1)) > 0);
         w.on(() -> {
-            Revision key = a.leadership.key();
+            Revision key = a.leadership.leadershipRevision();
             a.leadership.deposed();
             if (ended) {
                 w.service.endLeases();
                 return null;
             }
-            return a.leadership.release(key);
+            return a.leadership.removeKey(key);
         });
         w.until(() -> w.took.size() == 2);
         Moment again = clock.now();
--- a/src/test/java/io/indigoreach/state/LeaderElectionTest.java
+++ b/src/test/java/io/indigoreach/state/LeaderElectionTest.java
@@ -65,7 +65,7 @@
     private LeaderElection node(String node, String process, int peers, Span life, Supplier<Future<Boolean>> unled) {
         StateClient client = new StateClient(
                 new ServiceClient(vertx, service.endpoint(), 4), new ServiceClient(vertx, service.endpoint(), 2));
-        LeaderElection leadership = new LeaderElection(
+        LeaderElection election = new LeaderElection(
                 vertx,
                 client,
                 vertx,
@@ -78,20 +78,20 @@
                 new TokenGenerator(node.charAt(0) - 'a', clock.timeOfDay(), Span.seconds(0.1)),
                 new LeaderElection.Listener() {
                     @Override
-                    public void took(FencingToken token, Revision key, boolean bounds) {
+                    public void leadershipGained(FencingToken token, Revision key, boolean bounds) {
                         boolean above = token.value() > highest.getAndSet(token.value());
                         events.add(process + " took " + (above ? taken.incrementAndGet() : "an old token")
                                 + (bounds ? "" : ", bounds in doubt"));
                     }
 
                     @Override
-                    public void lost(String reason) {
+                    public void leadershipLost(String reason) {
                         events.add(process + " lost");
                     }
                 });
-        leadership.asking(() -> Future.succeededFuture(false), unled);
-        vertx.runOnContext(v -> leadership.start());
-        return leadership;
+        election.askPeersBy(() -> Future.succeededFuture(false), unled);
+        vertx.runOnContext(v -> election.start());
+        return election;
     }
 
     private String next() throws InterruptedException {
@@ -144,7 +144,7 @@
                 null);
         assertEquals(
                 leaderless,
-                a.clear(node -> Future.succeededFuture(answers && node.equals("b")))
+                a.clearPredecessor(node -> Future.succeededFuture(answers && node.equals("b")))
                         .toCompletionStage()
                         .toCompletableFuture()
                         .get(20, TimeUnit.SECONDS));
@@ -202,15 +202,15 @@
         service.keepingLeases = true;
         CompletableFuture<Revision> key = new CompletableFuture<>();
         vertx.runOnContext(v -> {
-            key.complete(a.standAside("refused alone"));
+            key.complete(a.stepAside("refused alone"));
             a.stop();
         });
         assertEquals("a1 lost", next());
         vertx.runOnContext(v -> {
-            var unused = key.thenAccept(b::release);
+            var unused = key.thenAccept(b::removeKey);
         });
         assertEquals("b1 took 2", next());
-        b.release(key.get()).toCompletionStage().toCompletableFuture().get();
+        b.removeKey(key.get()).toCompletionStage().toCompletableFuture().get();
         assertTrue(service.has(RecordCodec.LEADER), "a late request leaves a later leader's key alone");
     }
 
@@ -232,7 +232,7 @@
         assertEquals("a1 lost", next());
         assertEquals("a1 took 2, bounds in doubt", next());
         CompletableFuture<Void> vouched = new CompletableFuture<>();
-        vertx.runOnContext(v -> a.vouchForBounds().onComplete(r -> vouched.complete(null)));
+        vertx.runOnContext(v -> a.vouchForStartBounds().onComplete(r -> vouched.complete(null)));
         vouched.get();
         vertx.runOnContext(v -> a.deposed());
         assertEquals("a1 lost", next());
@@ -269,7 +269,7 @@
         LeaderElection a = node("a", "a1", 2, Span.seconds(3));
         AtomicBoolean pledging = new AtomicBoolean("always".equals(pledged));
         vertx.runOnContext(
-                v -> a.asking(() -> Future.succeededFuture(pledging.get()), () -> Future.succeededFuture(false)));
+                v -> a.askPeersBy(() -> Future.succeededFuture(pledging.get()), () -> Future.succeededFuture(false)));
         assertEquals("a1 took 1", next());
         service.refusing = true;
         Moment over = clock.now().plus(Span.seconds(3.5));
@@ -278,7 +278,7 @@
         }
         pledging.set(!"never".equals(pledged));
         CompletableFuture<Boolean> asked = new CompletableFuture<>();
-        vertx.runOnContext(v -> a.asking(
+        vertx.runOnContext(v -> a.askPeersBy(
                 () -> {
                     vertx.setTimer(1, t -> asked.complete(true));
                     return Future.succeededFuture(pledging.get());
@@ -314,14 +314,14 @@
         });
         Moment given = pledge.get();
         assertEquals("b1 took 2", next());
-        assertTrue(clock.now().since(given).compareTo(LeaderElection.PLEDGE) >= 0);
+        assertTrue(clock.now().since(given).compareTo(LeaderElection.PLEDGE_TIME) >= 0);
         vertx.runOnContext(v -> b.stop());
         Moment began = clock.now();
         LeaderElection c = node("c", "c1", 2);
         service.endLeases();
         assertEquals("c1 took 3", next());
         assertTrue(
-                clock.now().since(began).compareTo(LeaderElection.PLEDGE) >= 0,
+                clock.now().since(began).compareTo(LeaderElection.PLEDGE_TIME) >= 0,
                 "a former process of it may have pledged");
         service.endLeases();
         assertEquals("c1 lost", next());
--- a/src/test/java/io/indigoreach/state/RecordCodecTest.java
+++ b/src/test/java/io/indigoreach/state/RecordCodecTest.java
@@ -65,7 +65,7 @@
         for (int n = 0; n < blocks; n++) {
             Map<String, Object> block = RecordCodec.writeBlock(done, n);
             assertTrue(MessagePackFormat.write(block).length() <= VALUE_BYTES);
-            String key = RecordCodec.block(back.id(), n);
+            String key = RecordCodec.blockKey(back.id(), n);
             assertEquals(back.id(), RecordCodec.jobOfBlock(key));
             RecordCodec.readBlock(key, MessagePackFormat.readMap(MessagePackFormat.write(block)), bits);
         }
--- a/src/test/java/io/indigoreach/state/VersionProcesses.java
+++ b/src/test/java/io/indigoreach/state/VersionProcesses.java
@@ -91,7 +91,7 @@
 
     Newer newer(String node) {
         StateClient client = client();
-        LeaderElection leadership = new LeaderElection(
+        LeaderElection election = new LeaderElection(
                 vertx,
                 client,
                 vertx,
@@ -104,18 +104,18 @@
                 new TokenGenerator(NODES.indexOf(node), clock.timeOfDay(), Span.seconds(0.1)),
                 new LeaderElection.Listener() {
                     @Override
-                    public void took(FencingToken token, Revision key, boolean bounds) {}
+                    public void leadershipGained(FencingToken token, Revision key, boolean bounds) {}
 
                     @Override
-                    public void lost(String reason) {}
+                    public void leadershipLost(String reason) {}
                 });
-        leadership.asking(() -> Future.succeededFuture(false), () -> Future.succeededFuture(true));
-        FormatGate gate = new FormatGate(vertx, client, clock, leadership, node, NODES);
+        election.askPeersBy(() -> Future.succeededFuture(false), () -> Future.succeededFuture(true));
+        FormatGate gate = new FormatGate(vertx, client, clock, election, node, NODES);
         vertx.runOnContext(v -> {
-            leadership.start();
+            election.start();
             gate.start();
         });
-        return new Newer(vertx, client, leadership, gate);
+        return new Newer(vertx, client, election, gate);
     }
 
     boolean isRaised() {
