--- /dev/null
+++ b/src/test/java/io/indigoreach/ArchitecturePageTest.java
@@ -0,0 +1,152 @@
+package io.indigoreach;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** The developers' pages name classes that exist: each is looked up among the sources, by file and by nested type. */
+class ArchitecturePageTest {
+    private static final String ROOT = "io.indigoreach.";
+    private static final Path MAIN = Path.of("src", "main", "java");
+    private static final Path TEST = Path.of("src", "test", "java");
+    private static final Pattern BLOCK = Pattern.compile("(?ms)^```(\\w*)\\n(.*?)^```$");
+    private static final Pattern QUOTED = Pattern.compile("`([^`\\n]+)`");
+    /** A class, qualified or not, as nested as it likes; words in capitals, such as a status, are none. */
+    private static final Pattern CLASS = Pattern.compile("(?:[a-z][a-z0-9]*\\.)*[A-Z]\\w*(?:\\.[A-Z]\\w*)*");
+
+    private static final Pattern TWO_HUMPS = Pattern.compile("\\b[A-Z][a-z0-9]+[A-Z]\\w*\\b");
+    private static final Pattern DECLARED =
+            Pattern.compile("(?m)^ *(?:(?:public|protected|private|static|final|abstract|"
+                    + "sealed|non-sealed) +)*(?:class|record|interface|enum) +([A-Z]\\w*)");
+
+    /** Every type under a directory: {@code core.Job}, and of a nested one {@code core.Outer.Inner}. */
+    private static Set<String> types(Path root) throws IOException {
+        Set<String> all = new TreeSet<>();
+        try (Stream<Path> files = Files.walk(root)) {
+            files.filter(f -> f.toString().endsWith(".java")).forEach(file -> {
+                String path = root.relativize(file).toString();
+                String name = path.substring(0, path.length() - ".java".length())
+                        .replace(file.getFileSystem().getSeparator(), ".");
+                String top = name.startsWith(ROOT) ? name.substring(ROOT.length()) : name;
+                all.add(top);
+                Matcher nested = DECLARED.matcher(read(file));
+                while (nested.find()) {
+                    if (!top.endsWith("." + nested.group(1)) && !top.equals(nested.group(1))) {
+                        all.add(top + "." + nested.group(1));
+                    }
+                }
+            });
+        }
+        return all;
+    }
+
+    private static String read(Path file) {
+        try {
+            return Files.readString(file);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
+    /** The classes that a page names, in the order of their mention: in back ticks, and in diagrams. */
+    private static List<String> named(String page) {
+        List<String> names = new ArrayList<>();
+        Matcher block = BLOCK.matcher(page);
+        StringBuilder text = new StringBuilder();
+        while (block.find()) {
+            if (block.group(1).equals("mermaid")) {
+                Matcher word = TWO_HUMPS.matcher(block.group(2));
+                while (word.find()) {
+                    names.add(word.group());
+                }
+            }
+            block.appendReplacement(text, "");
+        }
+        block.appendTail(text);
+        Matcher quoted = QUOTED.matcher(text);
+        while (quoted.find()) {
+            String name = quoted.group(1);
+            if (CLASS.matcher(name).matches()
+                    && name.chars().skip(name.lastIndexOf('.') + 1).anyMatch(Character::isLowerCase)) {
+                names.add(name.startsWith(ROOT) ? name.substring(ROOT.length()) : name);
+            }
+        }
+        return names;
+    }
+
+    private static boolean isAmong(Set<String> types, String name) {
+        return types.contains(name)
+                || (Character.isUpperCase(name.charAt(0)) && types.stream().anyMatch(t -> t.endsWith("." + name)));
+    }
+
+    private static Set<String> missing(String page) throws IOException {
+        Set<String> types = types(MAIN);
+        types.addAll(types(TEST));
+        Set<String> out = new LinkedHashSet<>();
+        for (String name : named(page)) {
+            if (!isAmong(types, name)) {
+                out.add(name);
+            }
+        }
+        return out;
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"ARCHITECTURE.md", "GLOSSARY.md", "DESIGN.md"})
+    void namesClassesThatExist(String page) throws IOException {
+        String text = Files.readString(Path.of("docs", page));
+        assertTrue(named(text).size() > 40, () -> page + " names " + named(text));
+        assertEquals(Set.of(), missing(text), page + " names what is no class");
+    }
+
+    @Test
+    void aStaleNameIsFound() throws IOException {
+        String page = """
+                `net.NoSuchTask` and `ArchitecturePageTest`, `core.ArchitecturePageTest`, `POST /do`, `DONE`, `Retry-After`
+                ```mermaid
+                participant A as NoSuchEndpoint
+                ```
+                `net.Endpoint.Gone`, `state.StateClient.Txn`, `Txn`
+                    NoSuchText
+                ```
+                `NoSuchCode`
+                ```
+                """;
+        assertEquals(
+                Set.of("NoSuchEndpoint", "net.NoSuchTask", "core.ArchitecturePageTest", "net.Endpoint.Gone"),
+                missing(page));
+    }
+
+    /** Where a reader meets a class for the first time, its package stands with it. */
+    @Test
+    void qualifiesAtTheFirstMention() throws IOException {
+        Set<String> seen = new LinkedHashSet<>();
+        Set<String> bare = new LinkedHashSet<>();
+        Set<String> tests = types(TEST);
+        String text = BLOCK.matcher(Files.readString(Path.of("docs", "ARCHITECTURE.md")))
+                .replaceAll("");
+        for (String name : named(text)) {
+            String simple = name.substring(name.lastIndexOf('.') + 1);
+            boolean isQualified = Character.isLowerCase(name.charAt(0)) || isAmong(tests, name);
+            if (seen.add(simple) && !isQualified) {
+                bare.add(name);
+            }
+        }
+        assertEquals(Set.of(), bare);
+    }
+}
