--- a/src/main/java/io/indigoreach/core/scheduling/BestSize.java
+++ b/src/main/java/io/indigoreach/core/scheduling/BestSize.java
@@ -329,7 +329,7 @@
             double surplus = there - Math.round(keep);
             for (Machine machine : machines) {
                 // One that holds replicas is paid for in any case, so the rest of it is used.
-                machine.surplus = heldByReplicas(machine) == 0 && surplus >= 1;
+                machine.markSurplus(heldByReplicas(machine) == 0 && surplus >= 1);
                 surplus -= machine.surplus ? 1 : 0;
             }
         });
--- a/src/main/java/io/indigoreach/core/scheduling/ClassQuota.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ClassQuota.java
@@ -85,7 +85,7 @@
             Tally tally = tally(job);
             Span whole = lastChance.apply(job).since(job.eligibleSince);
             Span waited = job.hasWaiting() ? now.since(job.eligibleSince) : Span.ZERO;
-            job.missedObjectives = waited.compareTo(whole) > 0;
+            job.objectivesMissed(waited.compareTo(whole) > 0);
             tally.lost += job.missedObjectives ? 1 : 0;
             tally.open += job.missedObjectives ? 0 : 1;
             tally.safe += waited.compareTo(whole.times(DANGER)) <= 0 ? 1 : 0;
@@ -99,9 +99,9 @@
         double first = 0;
         double begun = 0;
         for (Job job : jobs) {
-            job.underServed = !job.spec.isService()
-                    && (aged.test(job) || (!job.missedObjectives && owed.contains(job.spec.jobClass())));
-            job.starved = ServiceLevelObjectives.isStarved(job, now) && !job.hasBegun();
+            job.markUnderServed(!job.spec.isService()
+                    && (aged.test(job) || (!job.missedObjectives && owed.contains(job.spec.jobClass()))));
+            job.markStarved(ServiceLevelObjectives.isStarved(job, now) && !job.hasBegun());
             first += job.underServed
                     ? job.placements().size() * job.spec.demand().cores()
                     : 0;
@@ -112,7 +112,7 @@
         owedFirst = first < PART * cores;
         boolean begin = begun < PART_TO_BEGIN * cores;
         for (Job job : jobs) {
-            job.starved &= begin;
+            job.markStarved(job.starved && begin);
         }
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/Cluster.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Cluster.java
@@ -41,6 +41,19 @@
         }
     }
 
+    /** Something has changed that can alter a reservation. */
+    void changed() {
+        version++;
+    }
+
+    void setAwakeSince(Moment since) {
+        awakeSince = since;
+    }
+
+    void useWarmCapacity(WarmCapacity capacity) {
+        warmCapacity = capacity;
+    }
+
     Collection<FairShareQueue> queues() {
         return queues.values();
     }
@@ -90,7 +103,7 @@
 
     void setOrphanTasks(Machine machine, int n) {
         orphanTasks += n - machine.orphanTasks;
-        machine.orphanTasks = n;
+        machine.countOrphanTasks(n);
     }
 
     /** How many machines were looked at by walks over a share's machines: what decisions cost. */
@@ -108,7 +121,7 @@
 
     void addPlacement(Placement placement) {
         placement.job.addPlacement(placement);
-        placement.job.placementsChangedAt = placement.stateSince;
+        placement.job.placementsChanged(placement.stateSince);
         placement.machine.addPlacement(placement);
         String image = placement.job.spec.image();
         if (!placement.machine.imageCache.contains(image)) {
@@ -127,7 +140,7 @@
     /** The task surely is not on its machine any more. */
     void removePlacement(Placement placement, Moment now) {
         placement.job.removePlacement(placement);
-        placement.job.placementsChangedAt = now;
+        placement.job.placementsChanged(now);
         placement.machine.removePlacement(placement);
         queueOf(placement.job).addUsage(placement.demand(), -1);
         teamUsage(placement.job).addUsage(placement.demand(), -1);
@@ -138,7 +151,7 @@
             imageRemoved(image);
         }
         if (placement.machine.isIdle()) {
-            placement.machine.idleSince = now;
+            placement.machine.becameIdle(now);
         }
         version++;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
@@ -47,8 +47,8 @@
         List<Machine> machines = new ArrayList<>();
         for (Machine machine : cluster.machinesServing(queue)) {
             // Until what was told to save has left it.
-            machine.draining &= machine.placements().values().stream().anyMatch(placement -> placement.stopping);
-            machine.cordonedFor = null;
+            machine.endDrainingIfStopped();
+            machine.uncordon();
             if (machine.isUsable()
                     && machine.reconciled
                     && machine.poolMembership == null
@@ -64,7 +64,9 @@
                 .thenComparing(machine -> -machine.used().shareOf(machine.type.capacity())));
         chooseMachinesToDrain(queue, machines, now);
         for (Machine machine : machines) {
-            machine.cordonedFor = machine.isIdle() || machine.draining ? queue : null;
+            if (machine.isIdle() || machine.draining) {
+                machine.cordonFor(queue);
+            }
         }
         queue.roomOutsideCordon(room(machines));
     }
@@ -100,7 +102,7 @@
                     || !reserveTargets(machine, machines.subList(0, i), free)) {
                 continue;
             }
-            machine.draining = true;
+            machine.startDraining();
             spareRoom -= cost;
             left--;
         }
@@ -165,9 +167,9 @@
         List<WorkerCommand> orders = new ArrayList<>();
         if (machine.draining && isMovable(machine, now) && dispatcher.isCordoned(machine, now)) {
             for (Placement placement : machine.placementsCopy()) {
-                placement.stopping = true;
-                placement.job.imageLocalityUntil =
-                        now.plus(rules.heartbeatPeriod().times(3)).plus(placement.job.spec.checkpointTime());
+                placement.stopRequested();
+                placement.job.awaitImageLocality(
+                        now.plus(rules.heartbeatPeriod().times(3)).plus(placement.job.spec.checkpointTime()));
                 orders.add(new WorkerCommand.Stop(
                         placement.task(),
                         placement.attempt,
--- a/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
+++ b/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
@@ -123,7 +123,7 @@
     private void target(JobId id, JobTarget target) {
         Job job = cluster.jobs.get(id);
         if (job != null) {
-            job.dependentsTarget = target;
+            job.dependentsAsk(target);
         }
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
@@ -102,7 +102,7 @@
             int before = orders.size();
             startFromQueue(queue, machine, number, now, orders);
             if (orders.size() > before) {
-                machine.queueName = queue.name;
+                machine.serve(queue);
             }
             // Not after the first share: one that is due and wants nothing kept the own share from the rest of every
             // machine.
@@ -148,7 +148,7 @@
     }
 
     private static void stop(Placement placement, List<WorkerCommand> orders) {
-        placement.stopping = true;
+        placement.stopRequested();
         orders.add(new WorkerCommand.Stop(placement.task(), placement.attempt, Span.ZERO));
     }
 
@@ -196,7 +196,7 @@
             if (wanted <= 0) {
                 break;
             }
-            placement.stopping = true;
+            placement.stopRequested();
             orders.add(new WorkerCommand.Stop(
                     placement.task(),
                     placement.attempt,
@@ -245,7 +245,7 @@
                         && placement.state == TaskState.RUNNING
                         && !borrower.isBelowGuarantee(Demand.NOTHING)) {
                     room = room.plus(placement.demand());
-                    placement.stopping = true;
+                    placement.stopRequested();
                     orders.add(new WorkerCommand.Stop(
                             placement.task(),
                             placement.attempt,
@@ -359,7 +359,9 @@
                     boolean first = top == null || top == job;
                     boolean idle = machine.isIdle();
                     start(queue, job, machine, first ? null : reservation(own, top, now), number, now, orders, false);
-                    machine.queueName = idle && !machine.isIdle() ? queue.name : machine.queueName;
+                    if (idle && !machine.isIdle()) {
+                        machine.serve(queue);
+                    }
                 }
             }
         }
@@ -464,7 +466,7 @@
                         (key, room) ->
                                 new CoreBudget(room.cores - placement.demand().cores(), room.counted));
             }
-            job.startedAsStarved |= job.starved;
+            job.taskStarted();
             suits = !job.isSuspectedFaulty() && !job.starved;
         }
     }
--- a/src/main/java/io/indigoreach/core/scheduling/FaultAttribution.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FaultAttribution.java
@@ -16,18 +16,17 @@
     static void failed(Placement placement, Moment now) {
         Job job = placement.job;
         Machine machine = placement.machine;
-        job.failures++;
-        job.failedMachines.add(machine.id);
+        job.failedOn(machine);
         if (job.isSuspectedFaulty()) {
             // Its failures say nothing about machines: take back what was held against them, and try rarely.
             Span pause = FIRST_PAUSE.times(Math.pow(2, Math.min(10, job.failures - 3)));
-            job.retryNotBefore = now.plus(pause.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause);
+            job.retryNotBefore(now.plus(pause.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause));
             machine.failedJobs.remove(job.id());
             return;
         }
         machine.failedJobs.add(job.id());
         if (machine.failedJobs.size() >= 2) {
-            machine.quarantined = true;
+            machine.quarantine();
         }
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/Job.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Job.java
@@ -361,10 +361,68 @@
     }
 
     /** One of its tasks was seen to run. */
-    void hasRun() {
+    void markRun() {
         hasRun = true;
     }
 
+    /** A task of it is ordered to start. */
+    void taskStarted() {
+        startedAsStarved |= starved;
+    }
+
+    /** Its user has cancelled it: nothing of it may start. */
+    void cancel() {
+        cancelled = true;
+    }
+
+    /** Its record was written or read at {@code seen}; an older revision changes nothing. */
+    void revisionSeen(Revision seen) {
+        if (seen.isAfter(revision)) {
+            revision = seen;
+        }
+    }
+
+    /** One of its tasks got a place, or lost one, at {@code moment}. */
+    void placementsChanged(Moment moment) {
+        placementsChangedAt = moment;
+    }
+
+    /** What the jobs that depend on it ask of it; null if none does. */
+    void dependentsAsk(JobTarget target) {
+        dependentsTarget = target;
+    }
+
+    /** One of its tasks has failed on the machine. */
+    void failedOn(Machine machine) {
+        failures++;
+        failedMachines.add(machine.id);
+    }
+
+    /** None of its tasks is tried before {@code moment}. */
+    void retryNotBefore(Moment moment) {
+        retryNotBefore = moment;
+    }
+
+    /** Its tasks wait for a machine that has their image until {@code moment}. */
+    void awaitImageLocality(Moment moment) {
+        imageLocalityUntil = moment;
+    }
+
+    /** Whether the longest objective of its class can no longer be met. */
+    void objectivesMissed(boolean missed) {
+        missedObjectives = missed;
+    }
+
+    /** Whether it goes first on a part of the machines, as its class is served too little or it has aged. */
+    void markUnderServed(boolean isUnderServed) {
+        underServed = isUnderServed;
+    }
+
+    /** Whether one task of it goes before all else, as none has run for too long. */
+    void markStarved(boolean isStarved) {
+        starved = isStarved;
+    }
+
     Placement placements(int index) {
         return placements.get(index);
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Machine.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Machine.java
@@ -111,6 +111,148 @@
         return placements.size();
     }
 
+    private void transition(Phase to, Phase... allowedFrom) {
+        for (Phase from : allowedFrom) {
+            if (phase == from) {
+                phase = to;
+                return;
+            }
+        }
+        throw new IllegalStateException("machine " + id + " cannot become " + to + " while it is " + phase);
+    }
+
+    /** Its first heartbeat, or the first after its lease had expired. */
+    void becameUp(Moment now) {
+        transition(Phase.UP, Phase.BOOTING, Phase.LOST);
+        idleSince = now;
+    }
+
+    /** Its lease has expired without a heartbeat. */
+    void lose() {
+        transition(Phase.LOST, Phase.BOOTING, Phase.UP);
+    }
+
+    /** It is to be returned to the cloud and never used again. */
+    void beginReturn(Moment now) {
+        transition(Phase.RETURNING, Phase.BOOTING, Phase.UP, Phase.LOST);
+        returningSince = now;
+    }
+
+    /** A machine that an earlier leader recorded; no earlier leader leads since {@code now}. */
+    void inheritedFromRecord(Moment existed, Moment now) {
+        recorded = true;
+        lastHeardAt = now;
+        knownToExistAt = existed;
+    }
+
+    /** A heartbeat of it was answered, which renewed its lease, before the records had been read. */
+    void answeredBeforeLoading(HeartbeatNumber number, Moment answeredAt) {
+        lastHeardAt = answeredAt;
+        lastHeartbeat = number;
+    }
+
+    /** The machine stands in the state service. */
+    void markRecorded() {
+        recorded = true;
+    }
+
+    void heartbeatReceived(HeartbeatNumber number) {
+        lastHeartbeat = number;
+    }
+
+    /** A heartbeat of it is answered now. */
+    void renewLease(Moment now) {
+        lastHeardAt = now;
+        leaseExpired = false;
+    }
+
+    /** Its lease has surely expired. */
+    void expireLease() {
+        leaseExpired = true;
+    }
+
+    /** It was found in the cloud's list: its lease may have been renewed up to now. */
+    void adoptedAt(Moment now) {
+        lastHeardAt = now;
+    }
+
+    /** Its task list was taken from a heartbeat under the present fencing token. */
+    void markReconciled() {
+        reconciled = true;
+    }
+
+    /** When the cloud takes it away, as its last heartbeat says; null if it does not. */
+    void preemptionAnnounced(Moment at) {
+        preemptionAt = at;
+    }
+
+    /** The same machine under its real pool: what was learned of it stays. */
+    void takeHistoryOf(Machine other) {
+        lastHeardAt = other.lastHeardAt;
+        knownToExistAt = other.knownToExistAt;
+    }
+
+    /** The cloud has confirmed the rental that was requested at {@code asked}. */
+    void rentalConfirmed(Moment asked) {
+        rentedAt = asked;
+    }
+
+    void existsAt(Moment moment) {
+        knownToExistAt = moment;
+    }
+
+    /** The cloud's list has it. */
+    void listed() {
+        missedListings = 0;
+    }
+
+    /** A list that should have it lacks it. */
+    void missingFromListing() {
+        missedListings++;
+    }
+
+    void becameIdle(Moment now) {
+        idleSince = now;
+    }
+
+    void countOrphanTasks(int count) {
+        orphanTasks = count;
+    }
+
+    /** It fails what it is given: no new tasks, and it is returned once it is idle. */
+    void quarantine() {
+        quarantined = true;
+    }
+
+    /** From now on it serves this queue. */
+    void serve(FairShareQueue queue) {
+        queueName = queue.name;
+    }
+
+    /** Whether it is more than is needed at its price. */
+    void markSurplus(boolean isSurplus) {
+        surplus = isSurplus;
+    }
+
+    /** It takes no new tasks while the queue's other machines have room for all that waits. */
+    void cordonFor(FairShareQueue queue) {
+        cordonedFor = queue;
+    }
+
+    void uncordon() {
+        cordonedFor = null;
+    }
+
+    /** Its tasks are to be moved to other machines. */
+    void startDraining() {
+        draining = true;
+    }
+
+    /** Draining lasts until the tasks that were told to save have left. */
+    void endDrainingIfStopped() {
+        draining &= placements.values().stream().anyMatch(placement -> placement.stopping);
+    }
+
     Demand free() {
         return type.capacity().minus(used);
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Placement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Placement.java
@@ -38,6 +38,24 @@
         this.stateSince = stateSince;
     }
 
+    /** The worker is told to stop the task. */
+    void stopRequested() {
+        stopping = true;
+    }
+
+    /** A newer heartbeat that still shows the task running: the stop was lost with its response. */
+    void stopLostIfRunning(TaskState reported) {
+        stopping &= reported != TaskState.RUNNING;
+    }
+
+    /** A heartbeat shows another state; the time since which it runs counts from the first one that says so. */
+    void stateReported(TaskState reported, Moment now) {
+        if (reported == TaskState.RUNNING) {
+            stateSince = now;
+        }
+        state = reported;
+    }
+
     TaskId task() {
         return new TaskId(job.id(), index);
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Reconciler.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Reconciler.java
@@ -76,7 +76,7 @@
                 if (job.spec.isService()) {
                     // A replica runs until its job is cancelled: one that ended is started again, not at once.
                     if (here) {
-                        job.retryNotBefore = now.plus(RETRY);
+                        job.retryNotBefore(now.plus(RETRY));
                         cluster.removePlacement(placement, now);
                     }
                     break;
@@ -107,7 +107,7 @@
             case FULL, IN_USE, UNKNOWN -> {
                 if (here) {
                     notes.refused(placement, status.cause());
-                    job.retryNotBefore = now.plus(RETRY);
+                    job.retryNotBefore(now.plus(RETRY));
                     cluster.removePlacement(placement, now);
                 }
             }
@@ -139,15 +139,14 @@
         }
         seen.add(placement);
         // A newer report that still shows it running: the stop was lost with its answer.
-        placement.stopping &= status.state() != TaskState.RUNNING;
+        placement.stopLostIfRunning(status.state());
         if (placement.state != status.state()) {
+            placement.stateReported(status.state(), now);
             if (status.state() == TaskState.RUNNING) {
-                placement.stateSince = now;
-                job.hasRun();
+                job.markRun();
                 machine.imageCache.ran(job.spec.image());
             }
-            placement.state = status.state();
-            cluster.version++;
+            cluster.changed();
         }
         if (job.cancelled || job.isDone(index)) {
             orders.add(new WorkerCommand.Stop(status.task(), status.attempt(), Span.ZERO));
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
@@ -44,9 +44,8 @@
             String reason =
                     machine.phase == Machine.Phase.RETURNING ? null : reason(machine, now, settled, mostAreLost);
             if (reason != null) {
-                machine.phase = Machine.Phase.RETURNING;
-                machine.returningSince = now;
-                cluster.version++;
+                machine.beginReturn(now);
+                cluster.changed();
                 reasons.add(machine.id + " " + reason);
             }
         }
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
@@ -109,9 +109,7 @@
             return;
         }
         Machine machine = new Machine(id, pool, type, rented);
-        machine.recorded = true;
-        machine.lastHeardAt = now;
-        machine.knownToExistAt = existed;
+        machine.inheritedFromRecord(existed, now);
         cluster.machines.put(id, machine);
         failover.expect(id, now);
     }
@@ -124,8 +122,7 @@
             if (machine != null) {
                 // Against a lease that counts as over while the answer has renewed it, and against a report that comes
                 // after it.
-                machine.lastHeardAt = answered.heard;
-                machine.lastHeartbeat = answered.number;
+                machine.answeredBeforeLoading(answered.number, answered.heard);
             } else {
                 adoption.answered(id, answered.number);
             }
@@ -182,7 +179,7 @@
     public void cancelJob(JobId id) {
         Job job = cluster.jobs.get(id);
         if (job != null) {
-            job.cancelled = true;
+            job.cancel();
             cluster.remove(job);
             dependentJobs.removed(job);
         }
@@ -214,14 +211,12 @@
         Job job = cluster.jobs.get(id);
         if (job != null) {
             job.gate(tasks);
-            cluster.version++;
+            cluster.changed();
         }
     }
 
     public void revisionSeen(Job job, Revision stamp) {
-        if (stamp.isAfter(job.revision)) {
-            job.revision = stamp;
-        }
+        job.revisionSeen(stamp);
     }
 
     /** The answer's orders; null if this report shows that a newer leader exists. */
@@ -252,10 +247,9 @@
             machine = replace(machine, heartbeat.pool(), now);
         }
         HeartbeatNumber before = machine.lastHeartbeat;
-        machine.lastHeartbeat = heartbeat.number();
+        machine.heartbeatReceived(heartbeat.number());
         if (!machine.isReturnedAsUnreachable()) {
-            machine.lastHeardAt = now;
-            machine.leaseExpired = false;
+            machine.renewLease(now);
             observeAnswers(machine, heartbeat, before, now);
         }
         if (heartbeat.token().value() < token.value()) {
@@ -270,12 +264,12 @@
             machine.imageCache.doubt();
         }
         if (machine.phase == Machine.Phase.BOOTING || machine.phase == Machine.Phase.LOST) {
-            machine.phase = Machine.Phase.UP;
-            machine.idleSince = now;
-            cluster.version++;
+            machine.becameUp(now);
+            cluster.changed();
         }
-        machine.preemptionAt = heartbeat.preemptionNotice() == null ? null : now.plus(heartbeat.preemptionNotice());
-        machine.reconciled = true;
+        machine.preemptionAnnounced(
+                heartbeat.preemptionNotice() == null ? null : now.plus(heartbeat.preemptionNotice()));
+        machine.markReconciled();
         List<WorkerCommand> orders = reconciler.reconcile(machine, heartbeat, now);
         machineReconciled(machine.id);
         releaseInheritedLate();
@@ -305,7 +299,7 @@
         if (machine.partition.isConfirmed() != told) {
             listener.log("machine " + machine.id
                     + (told ? " takes answers again" : " reports, but answers do not reach it"));
-            cluster.version++;
+            cluster.changed();
         }
     }
 
@@ -335,8 +329,7 @@
     private Machine replace(Machine machine, MachinePool pool, Moment now) {
         listener.log("machine " + machine.id + " is of " + pool + ", not of " + machine.pool);
         Machine real = new Machine(machine.id, pool, cluster.types.get(pool.type()), machine.rentedAt);
-        real.lastHeardAt = machine.lastHeardAt;
-        real.knownToExistAt = machine.knownToExistAt;
+        real.takeHistoryOf(machine);
         cluster.removeMachine(machine, now);
         cluster.machines.put(real.id, real);
         return real;
@@ -361,17 +354,17 @@
             }
             Machine known = cluster.machines.get(id);
             if (known != null) {
-                known.rentedAt = asked;
+                known.rentalConfirmed(asked);
                 continue;
             }
             MachineType type = cluster.types.get(pool.type());
             if (type != null) {
                 Machine machine = new Machine(id, pool, type, asked);
-                machine.knownToExistAt = now;
+                machine.existsAt(now);
                 cluster.machines.put(id, machine);
             }
         }
-        cluster.version++;
+        cluster.changed();
     }
 
     public void refused(MachinePool pool, Moment now) {
@@ -410,7 +403,7 @@
     public void recorded(MachineId id) {
         Machine machine = cluster.machines.get(id);
         if (machine != null) {
-            machine.recorded = true;
+            machine.markRecorded();
         }
     }
 
@@ -440,11 +433,11 @@
                         listed.pool(),
                         cluster.types.get(listed.pool().type()),
                         now.minus(listed.held()));
-                machine.lastHeardAt = now;
+                machine.adoptedAt(now);
                 cluster.machines.put(machine.id, machine);
             }
             if (machine != null) {
-                machine.missedListings = 0;
+                machine.listed();
             }
         }
         adoption.listed(present, asked, now);
@@ -453,7 +446,7 @@
                 continue;
             }
             if (machine.knownToExistAt.isBefore(asked.minus(safetyTimes.oldestListing()))) {
-                machine.missedListings++;
+                machine.missingFromListing();
             }
             if (machine.missedListings >= LISTINGS_TO_PRESUME_GONE) {
                 listener.log("machine " + machine.id + " is gone with " + machine.taskCount()
@@ -478,8 +471,7 @@
         listener.log("machine " + machine.id + " stopped by itself with " + machine.taskCount() + " tasks");
         cluster.removeAllPlacements(machine, now);
         machineReconciled(machine.id);
-        machine.phase = Machine.Phase.RETURNING;
-        machine.returningSince = now;
+        machine.beginReturn(now);
     }
 
     /** Machines whose lease ran out: their tasks are free again. */
@@ -489,15 +481,15 @@
                 continue;
             }
             machineReconciled(machine.id);
-            machine.leaseExpired = true;
+            machine.expireLease();
             if (machine.phase == Machine.Phase.UP || (machine.phase == Machine.Phase.RETURNING && !machine.isIdle())) {
                 listener.log("machine " + machine.id + " is silent: its lease has run out with " + machine.taskCount()
                         + " tasks");
                 cluster.removeAllPlacements(machine, now);
             }
             if (FailureDetector.mayHoldTasks(machine)) {
-                machine.phase = Machine.Phase.LOST;
-                cluster.version++;
+                machine.lose();
+                cluster.changed();
             }
         }
     }
@@ -525,7 +517,7 @@
 
     /** Since when this node has not stood still: silence before that may be its own. */
     public void setAwakeSince(Moment since) {
-        cluster.awakeSince = since;
+        cluster.setAwakeSince(since);
     }
 
     /** Marks what is to be returned. */
@@ -550,8 +542,7 @@
             if (machine == null) {
                 returnsInProgress.add(id);
             } else if (machine.phase != Machine.Phase.RETURNING) {
-                machine.phase = Machine.Phase.RETURNING;
-                machine.returningSince = now;
+                machine.beginReturn(now);
             }
         }
     }
@@ -622,7 +613,7 @@
 
     /** From now on machines are kept ahead of their work by what this says. */
     public void useWarmCapacity(WarmCapacity keeper) {
-        cluster.warmCapacity = keeper;
+        cluster.useWarmCapacity(keeper);
     }
 
     public Collection<Machine> machines() {
--- a/src/test/java/io/indigoreach/ArchitectureTest.java
+++ b/src/test/java/io/indigoreach/ArchitectureTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.domain.JavaFieldAccess;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
 import java.io.IOException;
@@ -147,6 +148,21 @@
         slices().matching("io.indigoreach.core.(*)..").should().beFreeOfCycles().check(classes);
     }
 
+    /** A machine, a job, a placement and the cluster change by their own methods alone, so that every transition has a name. */
+    @Test
+    void schedulingStateIsWrittenByItsOwnerOnly() {
+        Set<String> owners = Set.of("Machine", "Job", "Placement", "Cluster");
+        List<String> writes = classes.stream()
+                .flatMap(c -> c.getFieldAccessesFromSelf().stream())
+                .filter(access -> access.getAccessType() == JavaFieldAccess.AccessType.SET)
+                .filter(access -> access.getTargetOwner().getPackageName().equals("io.indigoreach.core.scheduling"))
+                .filter(access -> owners.contains(access.getTargetOwner().getSimpleName()))
+                .filter(access -> !access.getOriginOwner().equals(access.getTargetOwner()))
+                .map(JavaFieldAccess::getDescription)
+                .toList();
+        assertEquals(List.of(), writes);
+    }
+
     /** What every part rests on names none of them, and no part names the composition root that does. */
     @Test
     void partsAreRegisteredFromOutside() {
