--- /dev/null
+++ b/src/test/java/io/indigoreach/GoldenSamples.java
@@ -0,0 +1,139 @@
+package io.indigoreach;
+
+import io.indigoreach.core.Demand;
+import io.indigoreach.core.JobId;
+import io.indigoreach.core.JobSpec;
+import io.indigoreach.core.MachineType;
+import io.indigoreach.core.Shape;
+import io.indigoreach.core.Span;
+import io.indigoreach.core.Urgency;
+import io.indigoreach.core.chain.Chain;
+import io.indigoreach.net.Wire;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** The jobs and machine types of golden files. Not to be changed: the files hold their bytes. */
+public final class GoldenSamples {
+    public static final JobId ID = new JobId("run-000412");
+    /** A time of day, in milliseconds since 1970. */
+    public static final long AT = 1_700_000_000_123L;
+
+    public static final List<MachineType> TYPES = List.of(
+            new MachineType("quad", new Demand(4, 0, 16), 40, 0.5, 1, 0.3, Span.seconds(20), List.of("a", "b")),
+            new MachineType("g8", new Demand(32.5, 8, 256), 500, 2, 12.25, 0, Span.seconds(90.5), List.of()));
+
+    private GoldenSamples() {}
+
+    /** No field that may be absent. */
+    public static JobSpec bare(int tasks) {
+        return new JobSpec(
+                ID,
+                "stock-reconcile",
+                "fleet-ops",
+                Shape.ARRAY,
+                Urgency.HIGH,
+                tasks,
+                new Demand(1, 0, 3.6),
+                "image",
+                0.9,
+                null,
+                null,
+                false,
+                false,
+                false,
+                Span.seconds(18),
+                Span.ZERO,
+                Span.ZERO,
+                null);
+    }
+
+    /** Every field but those of the parts beside the jobs. */
+    public static JobSpec full(int tasks, Urgency urgency) {
+        return new JobSpec(
+                ID,
+                "refill-routes",
+                "fleet-ops",
+                Shape.SERVICE,
+                urgency,
+                tasks,
+                new Demand(2.5, 1, 3.8),
+                "image",
+                1,
+                List.of("quad", "g8"),
+                "a",
+                true,
+                true,
+                true,
+                Span.seconds(25),
+                Span.seconds(30),
+                Span.seconds(4),
+                Span.seconds(900.25));
+    }
+
+    /** Jobs of every kind, by words for it. */
+    public static Map<String, JobSpec> jobs() {
+        Map<String, JobSpec> jobs = new LinkedHashMap<>();
+        jobs.put("bare", bare(100));
+        for (Urgency urgency : Urgency.values()) {
+            jobs.put("every field, urgency " + urgency.ordinal(), full(6, urgency));
+        }
+        jobs.put("chained", bare(4).with(Chain.of(List.of(new JobId("run-000398"), new JobId("run-7")))));
+        jobs.put(
+                "of a plan",
+                full(2, Urgency.STANDARD).with("plan", Wire.map("name", "kochi-tankers", "day", "2027-08-24")));
+        jobs.put("with records", bare(3).with(JobSpec.RECORDS, Wire.map("prefix", "KL-1/farm-", "from", 1L, "to", 3L)));
+        jobs.put("holder", bare(2).with(JobSpec.WARM, "model-a"));
+        jobs.put(
+                "chained, with records and a plan",
+                bare(1).with(JobSpec.RECORDS, Wire.map("ids", List.of("a/1")))
+                        .with("plan", Wire.map("name", "p", "day", "2027-08-24"))
+                        .with(Chain.of(List.of(new JobId("run-1")))));
+        return jobs;
+    }
+
+    /** A submission as a user may word it: whole numbers for amounts, absent and null fields, and fields unknown here. */
+    public static Map<String, Object> submission() {
+        return Wire.map(
+                "id",
+                ID.text(),
+                "jobclass",
+                "c",
+                "owner",
+                "t",
+                "shape",
+                "array",
+                "urgency",
+                "standard",
+                "pieces",
+                2L,
+                "cores",
+                1L,
+                "gpus",
+                0L,
+                "ram_gb",
+                1.5,
+                "bundle",
+                "image",
+                "pull_gb",
+                1L,
+                "boxkinds",
+                null,
+                "one_zone",
+                false,
+                "spread",
+                false,
+                "loaners",
+                true,
+                "expected_s",
+                10L,
+                "snapshot_every_s",
+                0L,
+                "snapshot_s",
+                0L,
+                "due_s",
+                null,
+                "some_new_field",
+                List.of(1L));
+    }
+}
--- /dev/null
+++ b/src/test/java/io/indigoreach/api/GoldenUsersTest.java
@@ -0,0 +1,275 @@
+package io.indigoreach.api;
+
+import io.indigoreach.GoldenFile;
+import io.indigoreach.GoldenHttp;
+import io.indigoreach.GoldenSamples;
+import io.indigoreach.cloud.Catalogue;
+import io.indigoreach.cloud.CloudClient;
+import io.indigoreach.core.Demand;
+import io.indigoreach.core.JobStatus;
+import io.indigoreach.core.MachineType;
+import io.indigoreach.core.Span;
+import io.indigoreach.core.Team;
+import io.indigoreach.net.Caller;
+import io.indigoreach.net.Endpoint;
+import io.indigoreach.net.SteadyClock;
+import io.indigoreach.net.Wire;
+import io.indigoreach.state.JobMender;
+import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.StateClient;
+import io.indigoreach.state.StateStandIn;
+import io.vertx.core.Future;
+import io.vertx.core.Vertx;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.Collections;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+
+/** What users send, and every kind of answer that they get. */
+class GoldenUsersTest {
+    private final Vertx vertx = Vertx.vertx();
+    /** Vert.x closes a client that nothing refers to any more. */
+    private final List<Object> kept = new ArrayList<>();
+
+    private StateStandIn state;
+    private Endpoint node;
+
+    @AfterEach
+    void close() throws Exception {
+        await(vertx.close());
+    }
+
+    private static <T> T await(Future<T> future) throws Exception {
+        return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
+    }
+
+    private static Map<String, Object> with(String field, Object value) {
+        Map<String, Object> job = GoldenSamples.submission();
+        job.put(field, value);
+        return job;
+    }
+
+    private static Map<String, Object> without(String field) {
+        Map<String, Object> job = GoldenSamples.submission();
+        job.remove(field);
+        return job;
+    }
+
+    @Test
+    void whatUsersAndNodesSay() {
+        GoldenFile golden = new GoldenFile("users.txt");
+        golden.text("path of jobs", JobCodec.JOBS)
+                .text("end of the path to cancel", JobCodec.CANCEL)
+                .text("path of readiness", JobCodec.READY);
+        GoldenSamples.jobs()
+                .forEach((name, spec) -> golden.both("submission " + name, spec, JobCodec::write, JobCodec::read));
+        golden.read("submission in other words", GoldenSamples.submission(), f -> JobCodec.write(JobCodec.read(f)));
+        for (String field : GoldenSamples.submission().keySet()) {
+            if (!Set.of("boxkinds", "due_s", "some_new_field").contains(field)) {
+                golden.refused("submission without " + field, without(field), JobCodec::read);
+            }
+        }
+        Wire.map(
+                        "id",
+                        "412",
+                        "jobclass",
+                        "",
+                        "owner",
+                        "x".repeat(201),
+                        "shape",
+                        "circle",
+                        "urgency",
+                        "low",
+                        "pieces",
+                        0L,
+                        "cores",
+                        -1.0,
+                        "gpus",
+                        "two",
+                        "ram_gb",
+                        1e10,
+                        "bundle",
+                        7L,
+                        "pull_gb",
+                        Double.NaN,
+                        "boxkinds",
+                        List.of(1L),
+                        "hall",
+                        "",
+                        "one_zone",
+                        "yes",
+                        "expected_s",
+                        null,
+                        "due_s",
+                        -1L,
+                        "waits_on",
+                        List.of("run-000412"))
+                .forEach((field, value) ->
+                        golden.refused("submission with another " + field, with(field, value), JobCodec::read));
+        golden.refused("submission of too many tasks", with("pieces", 100_001L), JobCodec::read)
+                .refused(
+                        "submission that names a job twice",
+                        with("waits_on", List.of("run-1", "run-1")),
+                        JobCodec::read)
+                .refused("submission that names no job", with("waits_on", List.of("one")), JobCodec::read);
+        for (JobStatus status : JobStatus.values()) {
+            golden.written("accepted, status " + status.ordinal(), JobCodec.accepted(GoldenSamples.ID, status))
+                    .both(
+                            "progress, status " + status.ordinal(),
+                            new JobCodec.Progress(GoldenSamples.ID, status, 7, 300),
+                            p -> JobCodec.progress(p.id(), p.status(), p.done(), p.running()),
+                            JobCodec::readProgress);
+        }
+        golden.read("accepted, read", JobCodec.accepted(GoldenSamples.ID, JobStatus.PENDING), f -> {
+            JobCodec.Progress p = JobCodec.readProgress(f);
+            return JobCodec.progress(p.id(), p.status(), p.done(), p.running());
+        });
+        answer(golden, "done", Answer.ok(Wire.map("id", "x")));
+        answer(golden, "error", Answer.error(400, "why"));
+        answer(golden, "later", Answer.later("why"));
+        answer(golden, "refusal of a field", Refusal.of("field", "why").answer());
+        answer(
+                golden,
+                "refusal by a conflict",
+                Refusal.conflict("why", Wire.map("version", 3L)).answer());
+        answer(golden, "refusal of what is not there", Refusal.notFound("why").answer());
+        golden.check();
+    }
+
+    private static void answer(GoldenFile golden, String name, Answer answer) {
+        golden.text("status of " + name, answer.status() + " " + answer.retryAfterS())
+                .written("answer " + name, answer.body());
+    }
+
+    private StateClient client() {
+        StateClient client =
+                new StateClient(new Caller(vertx, state.endpoint(), 4), new Caller(vertx, state.endpoint(), 1));
+        kept.add(client);
+        return client;
+    }
+
+    private Catalogue serve() throws Exception {
+        state = await(new StateStandIn().listen(vertx));
+        MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
+        await(client().commit(new StateClient.Txn()
+                .put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(List.of(type)))
+                .put("f/run-5", RecordCodec.writeFinal(JobStatus.DONE, 2))
+                .put("f/run-6", RecordCodec.writeFinal(JobStatus.CANCELLED, 0))
+                .put(
+                        "j/run-7",
+                        RecordCodec.writeJob(
+                                JobCodec.read(Wire.readMap(Wire.write(with("id", "run-7")))),
+                                1,
+                                JobStatus.RUNNING,
+                                BitSet.valueOf(new long[] {1}),
+                                1,
+                                2))));
+        Catalogue catalogue = new Catalogue(vertx, client(), new CloudClient(new Caller(vertx, state.endpoint(), 1)));
+        StateClient own = client();
+        JobDesk desk = new JobDesk(
+                vertx,
+                own,
+                new JobMender(own, new SteadyClock()),
+                catalogue,
+                List.of(new Team("t", 0, 8, 0, 0)),
+                new SteadyClock(),
+                8192,
+                100);
+        FrontDoor door = new FrontDoor(vertx, new Endpoint("127.0.0.1", 0), desk, null, catalogue::isKnown, Map.of());
+        kept.add(door);
+        node = new Endpoint("127.0.0.1", await(door.open()));
+        return catalogue;
+    }
+
+    private String submit(Map<String, Object> job) throws IOException {
+        return GoldenHttp.post(node, JobCodec.JOBS, job);
+    }
+
+    private String raw(String method, String path, String body) throws IOException {
+        return GoldenHttp.ask(node, method, path, body.getBytes(StandardCharsets.ISO_8859_1), Set.of());
+    }
+
+    @Test
+    void whatANodeAnswersOverHttp() throws Exception {
+        Catalogue catalogue = serve();
+        GoldenFile golden = new GoldenFile("users-http.txt");
+        golden.text("not ready", GoldenHttp.get(node, "/ready"))
+                .text("submission before the types are known", submit(GoldenSamples.submission()));
+        catalogue.start();
+        while (!catalogue.isKnown()) {
+            Thread.onSpinWait();
+        }
+        golden.text("ready", GoldenHttp.get(node, "/ready"))
+                .text("poll of no job", GoldenHttp.get(node, "/api/jobs/run-000412"))
+                .text("poll of a malformed id", GoldenHttp.get(node, "/api/jobs/412"))
+                .text("cancel of no job", GoldenHttp.post(node, "/api/jobs/run-000412/cancel", Map.of()))
+                .text("cancel of a malformed id", GoldenHttp.post(node, "/api/jobs/412/cancel", Map.of()))
+                .text("accepted", submit(GoldenSamples.submission()))
+                .text("accepted again", submit(GoldenSamples.submission()))
+                .text("poll", GoldenHttp.get(node, "/api/jobs/run-000412"))
+                .text("cancelled", GoldenHttp.post(node, "/api/jobs/run-000412/cancel", Map.of()))
+                .text("cancelled again", GoldenHttp.post(node, "/api/jobs/run-000412/cancel", Map.of()))
+                .text("poll of what is cancelled", GoldenHttp.get(node, "/api/jobs/run-000412"))
+                .text("submission of what is cancelled", submit(GoldenSamples.submission()))
+                .text("poll of what is done", GoldenHttp.get(node, "/api/jobs/run-5"))
+                .text("cancel of what is done", GoldenHttp.post(node, "/api/jobs/run-5/cancel", Map.of()))
+                .text("poll of what runs", GoldenHttp.get(node, "/api/jobs/run-7"));
+        golden.text("a field is missing", submit(without("pieces")))
+                .text("a field is invalid", submit(with("shape", "circle")))
+                .text("a team is unknown", submit(other(with("owner", "nobody"))))
+                .text("no type fits", submit(other(with("cores", 5.0))))
+                .text("more than the team may use", submit(other(service(9))))
+                .text("a part is off", submit(other(with("records", Map.of("ids", List.of("a/1"))))))
+                .text("too long a description", submit(other(with("boxkinds", Collections.nCopies(60, long200())))))
+                .text("after no job", submit(waiting("run-999")))
+                .text("after a cancelled job", submit(waiting("run-6")))
+                .text("poll after a cancelled job", GoldenHttp.get(node, "/api/jobs/run-61"));
+        golden.text("no body", raw("POST", "/api/jobs", ""))
+                .text("not a map", raw("POST", "/api/jobs", "\u0001"))
+                .text("not MessagePack", raw("POST", "/api/jobs", "\u00c1"))
+                .text("bytes behind", raw("POST", "/api/jobs", "\u0080\u0080"))
+                .text("too long a body", GoldenHttp.announce(node, "/api/jobs", 70_000))
+                .text("another method for jobs", GoldenHttp.get(node, "/api/jobs"))
+                .text("another method for a poll", raw("POST", "/api/jobs/run-5", ""))
+                .text("another method for a cancel", GoldenHttp.get(node, "/api/jobs/run-5/cancel"))
+                .text("another method for readiness", raw("POST", "/ready", ""))
+                .text("no path", GoldenHttp.get(node, "/nowhere"))
+                .text("no path below jobs", GoldenHttp.get(node, "/api/jobs/run-5/tasks"))
+                .text("a part's path where it is off", GoldenHttp.get(node, "/api/pools"));
+        state.refusing = true;
+        golden.text("submission in an outage", submit(with("id", "run-8")))
+                .text("poll in an outage", GoldenHttp.get(node, "/api/jobs/run-8"))
+                .text("cancel in an outage", GoldenHttp.post(node, "/api/jobs/run-8/cancel", Map.of()))
+                .text("poll of what is over, in an outage", GoldenHttp.get(node, "/api/jobs/run-5"));
+        golden.check();
+    }
+
+    private static String long200() {
+        return "k".repeat(200);
+    }
+
+    /** Of a job that is not there yet. */
+    private static Map<String, Object> other(Map<String, Object> job) {
+        job.put("id", "run-62");
+        return job;
+    }
+
+    private static Map<String, Object> service(long tasks) {
+        Map<String, Object> job = with("shape", "service");
+        job.put("pieces", tasks);
+        return job;
+    }
+
+    private static Map<String, Object> waiting(String on) {
+        Map<String, Object> job = with("id", "run-61");
+        job.put("waits_on", List.of(on));
+        return job;
+    }
+}
--- /dev/null
+++ b/src/test/java/io/indigoreach/cloud/GoldenCloudTest.java
@@ -0,0 +1,82 @@
+package io.indigoreach.cloud;
+
+import io.indigoreach.GoldenFile;
+import io.indigoreach.GoldenSamples;
+import io.indigoreach.core.ListedMachine;
+import io.indigoreach.core.MachineId;
+import io.indigoreach.core.Pool;
+import io.indigoreach.core.Span;
+import io.indigoreach.net.Wire;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/** What is asked of the cloud, and its answers. */
+class GoldenCloudTest {
+    private static final Pool POOL = new Pool("quad", "a", true);
+
+    private static List<CloudCodec.Listed> machines() {
+        List<CloudCodec.Listed> machines = new ArrayList<>();
+        for (ListedMachine.Status status : ListedMachine.Status.values()) {
+            MachineId id = new MachineId("vm-00023" + machines.size());
+            machines.add(new CloudCodec.Listed(
+                    new ListedMachine(id, POOL, status, Span.seconds(1.5)),
+                    status == ListedMachine.Status.STARTING ? null : "10.1.0.232:9000"));
+        }
+        return machines;
+    }
+
+    @Test
+    void whatIsAskedAndAnswered() {
+        GoldenFile golden = new GoldenFile("cloud.txt");
+        golden.text("path of types", CloudCodec.TYPES)
+                .text("path of machines", CloudCodec.MACHINES)
+                .text("path of returns", CloudCodec.RETURN)
+                .text("first page", CloudCodec.listPath(null))
+                .text("next page", CloudCodec.listPath(new MachineId("vm-000231")))
+                .text("reason without capacity", CloudCodec.NO_CAPACITY)
+                .text(
+                        "most at once",
+                        CloudCodec.MOST_LISTED + " " + CloudCodec.MOST_RENTED + " " + CloudCodec.MOST_RETURNED);
+        golden.both("types", GoldenSamples.TYPES, CloudCodec::writeTypes, CloudCodec::readTypes)
+                .read(
+                        "types with the fewest fields",
+                        Wire.map("boxkinds", List.of(Wire.map("label", "k", "cores", 4L, "ram_gb", 16L, "price", 1L))),
+                        f -> CloudCodec.writeTypes(CloudCodec.readTypes(f)))
+                .refused(
+                        "types without a price",
+                        Wire.map("boxkinds", List.of(Wire.map("label", "k", "cores", 4L, "ram_gb", 16L))),
+                        CloudCodec::readTypes);
+        golden.both(
+                        "rental",
+                        new CloudCodec.Rental("7000001-1", POOL, 50),
+                        CloudCodec::writeRental,
+                        CloudCodec::readRental)
+                .both(
+                        "rental of ordinary machines",
+                        new CloudCodec.Rental("7000001-2", new Pool("g8", "b", false), 1),
+                        CloudCodec::writeRental,
+                        CloudCodec::readRental);
+        golden.both(
+                        "names",
+                        List.of(new MachineId("vm-000231"), new MachineId("vm-000232")),
+                        CloudCodec::writeNames,
+                        CloudCodec::readNames)
+                .both("no names", List.of(), CloudCodec::writeNames, CloudCodec::readNames)
+                .read("no field of names", Map.of(), f -> CloudCodec.writeNames(CloudCodec.readNames(f)));
+        golden.both(
+                        "page of machines",
+                        new CloudCodec.Page(machines(), true),
+                        CloudCodec::writePage,
+                        CloudCodec::readPage)
+                .both("last page", new CloudCodec.Page(List.of(), false), CloudCodec::writePage, CloudCodec::readPage)
+                .read(
+                        "machine of an unknown status",
+                        Wire.map(
+                                "boxes",
+                                List.of(Wire.map("id", "vm-1", "boxkind", "k", "hall", "z", "status", "asleep"))),
+                        f -> CloudCodec.writePage(CloudCodec.readPage(f)));
+        golden.check();
+    }
+}
--- /dev/null
+++ b/src/test/java/io/indigoreach/state/GoldenKeptRecordsTest.java
@@ -0,0 +1,253 @@
+package io.indigoreach.state;
+
+import io.indigoreach.GoldenFile;
+import io.indigoreach.GoldenSamples;
+import io.indigoreach.config.PlatformConfig;
+import io.indigoreach.core.JobId;
+import io.indigoreach.core.JobSpec;
+import io.indigoreach.core.JobStatus;
+import io.indigoreach.core.MachineId;
+import io.indigoreach.core.Moment;
+import io.indigoreach.core.Pool;
+import io.indigoreach.core.Stamp;
+import io.indigoreach.core.Token;
+import io.indigoreach.core.Urgency;
+import io.indigoreach.core.chain.Chain;
+import io.indigoreach.core.duty.Intents;
+import io.indigoreach.core.loss.Remains;
+import io.indigoreach.core.records.Kept;
+import io.indigoreach.net.Fields;
+import io.indigoreach.net.Wire;
+import java.util.BitSet;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/** The records of jobs, machines and leaderships with their keys, and what controllers tell each other of them. */
+class GoldenKeptRecordsTest {
+    private static final JobId ID = GoldenSamples.ID;
+    private static final Stamp STAMP = new Stamp(9);
+    private static final Token TOKEN = new Token(7_000_001);
+    private static final Pool POOL = new Pool("quad", "a", true);
+
+    private final GoldenFile golden = new GoldenFile("records.txt");
+
+    private static Fields sent(Map<String, Object> message) {
+        return Wire.readMap(Wire.write(message));
+    }
+
+    private static BitSet first(int tasks) {
+        BitSet done = new BitSet();
+        done.set(0, tasks);
+        return done;
+    }
+
+    private static BitSet everyThird(int tasks) {
+        BitSet done = new BitSet();
+        for (int i = 0; i < tasks; i += 3) {
+            done.set(i);
+        }
+        return done;
+    }
+
+    /** Of a job whose bits stand beside its record these are as many, and any. */
+    private static Map<String, Object> write(JobRecord r) {
+        BitSet done = r.done().isEmpty() ? first(r.doneCount()) : r.done();
+        return RecordCodec.writeJob(r.spec(), r.submittedMs(), r.status(), done, r.running(), r.bound());
+    }
+
+    private void job(String name, JobSpec spec, JobStatus status, BitSet done) {
+        BitSet inside = RecordCodec.blocks(spec.tasks()) > 0 ? new BitSet() : done;
+        JobRecord record =
+                new JobRecord(spec, GoldenSamples.AT, status, inside, done.cardinality(), 3, spec.tasks(), STAMP);
+        golden.both(name, record, GoldenKeptRecordsTest::write, f -> RecordCodec.readJob(ID, f, STAMP));
+    }
+
+    private void jobs() {
+        GoldenSamples.jobs().forEach((name, spec) -> job("job " + name, spec, JobStatus.PENDING, new BitSet()));
+        for (JobStatus status : JobStatus.values()) {
+            job("job of status " + status.ordinal(), GoldenSamples.bare(100), status, everyThird(100));
+        }
+        Chain released = GoldenSamples.jobs().get("chained").chain();
+        job(
+                "job released from its chain",
+                GoldenSamples.bare(4).with(new Chain(released.needs(), GoldenSamples.AT)),
+                JobStatus.RUNNING,
+                new BitSet());
+        job("job of 8192", GoldenSamples.bare(8192), JobStatus.RUNNING, everyThird(8192));
+        job("job of 40000", GoldenSamples.bare(40_000), JobStatus.RUNNING, first(20_000));
+        Map<String, Object> without =
+                write(new JobRecord(GoldenSamples.bare(2), 1, JobStatus.PENDING, new BitSet(), 0, 0, 0, STAMP));
+        without.remove("bound");
+        golden.read("job without a start bound", without, f -> write(RecordCodec.readJob(ID, f, STAMP)));
+        golden.refused("job without tasks", Wire.map("class", "c"), f -> RecordCodec.readJob(ID, f, STAMP));
+        for (JobStatus status : List.of(JobStatus.DONE, JobStatus.CANCELLED)) {
+            golden.both(
+                    "end of status " + status.ordinal(),
+                    new FinalRecord(ID, status, 17),
+                    r -> RecordCodec.writeFinal(r.status(), r.done()),
+                    f -> RecordCodec.readFinal(ID, f));
+        }
+    }
+
+    private void bits() {
+        BitSet done = everyThird(40_000);
+        for (int n = 0; n < 2; n++) {
+            int block = n;
+            golden.again("block " + n + " of 40000", done, all -> RecordCodec.writeBlock(all, block), f -> {
+                BitSet into = new BitSet();
+                RecordCodec.readBlock(RecordCodec.block(ID, block), f, into);
+                return into;
+            });
+        }
+        for (int bytes : new int[] {8192, 2048, 512}) {
+            DoneBits bits = new DoneBits(new PlatformConfig.StateLimits(100, 100, bytes, 16));
+            BitSet missing = new BitSet();
+            missing.set(9_000);
+            missing.set(39_999);
+            bits.blocksWith(ID, missing, done, 16)
+                    .forEach((key, covered) -> golden.again(
+                            "blocks of values of " + bytes + " bytes, " + key,
+                            covered,
+                            some -> DoneBits.writeBlock(key, some),
+                            f -> {
+                                BitSet into = new BitSet();
+                                DoneBits.readBlock(key, f, into);
+                                return into;
+                            }));
+            golden.written(
+                    "job in values of " + bytes + " bytes",
+                    bits.writeJob(
+                            GoldenSamples.bare(2000), GoldenSamples.AT, JobStatus.RUNNING, everyThird(2000), 1, 2));
+        }
+    }
+
+    private void machines() {
+        List<MachineRecord> machines = List.of(
+                new MachineRecord(new MachineId("vm-000231"), POOL, GoldenSamples.AT, GoldenSamples.AT + 20_000),
+                new MachineRecord(new MachineId("vm-000232"), new Pool("g8", "b", false), GoldenSamples.AT, 0));
+        golden.both("page of machines", machines, RecordCodec::writeMachines, RecordCodec::readMachines)
+                .both("empty page of machines", List.of(), RecordCodec::writeMachines, RecordCodec::readMachines)
+                .both(
+                        "intents",
+                        new Intents.Page(
+                                List.of(new Intents.Rent("7000001-1", POOL, 50, GoldenSamples.AT)),
+                                List.of(new MachineId("vm-000233"))),
+                        RecordCodec::writeIntents,
+                        RecordCodec::readIntents)
+                .both(
+                        "no intents",
+                        new Intents.Page(List.of(), List.of()),
+                        RecordCodec::writeIntents,
+                        RecordCodec::readIntents)
+                .both("catalogue", GoldenSamples.TYPES, RecordCodec::writeCatalogue, RecordCodec::readCatalogue)
+                .text(
+                        "bytes that limits are kept by",
+                        RecordCodec.bytes(machines.get(0)) + " "
+                                + RecordCodec.bytes(new Intents.Rent("7000001-1", POOL, 50, GoldenSamples.AT)) + " "
+                                + RecordCodec.bytes(new MachineId("vm-000233")) + " "
+                                + DoneBits.recordBytes(GoldenSamples.full(6, Urgency.HIGH), GoldenSamples.AT));
+    }
+
+    private void leaderships() {
+        for (int format : new int[] {CounterRecord.FIRST, CounterRecord.CHAINS}) {
+            for (boolean bounds : new boolean[] {false, true}) {
+                golden.both(
+                        "counter of format " + format + (bounds ? " with bounds" : ""),
+                        new CounterRecord(TOKEN, bounds, format),
+                        CounterRecord::write,
+                        CounterRecord::read);
+            }
+        }
+        golden.refused(
+                "counter of a later format",
+                Wire.map("highest", 7L, "format", CounterRecord.KNOWN + 1L),
+                CounterRecord::read);
+        golden.written("format that a node knows", FormatGate.write())
+                .both(
+                        "leader",
+                        new LeaderKey("worker-1", "5f-1700000000000", TOKEN, STAMP),
+                        k -> LeaderKey.write(k.node(), k.process(), k.token()),
+                        f -> LeaderKey.read(f, STAMP))
+                .both("era", TOKEN.value(), t -> RecordCodec.writeEra(new Token(t)), RecordCodec::readEra)
+                .written(
+                        "era after a loss",
+                        RecordCodec.writeEra(TOKEN, GoldenSamples.AT, List.of("era: 0 where 1 was known"), 12))
+                .text(
+                        "words for a loss",
+                        String.join(
+                                "\n",
+                                RecordCodec.readLoss(sent(RecordCodec.writeEra(
+                                        TOKEN, GoldenSamples.AT, List.of("era: 0 where 1 was known"), 12)))));
+    }
+
+    private void keys() {
+        golden.text(
+                "keys",
+                String.join(
+                        " ",
+                        RecordCodec.LEADER,
+                        RecordCodec.COUNTER,
+                        RecordCodec.ERA,
+                        RecordCodec.CATALOGUE,
+                        RecordCodec.open(ID),
+                        RecordCodec.over(ID),
+                        RecordCodec.block(ID, 1),
+                        RecordCodec.machinePage(TOKEN, 3),
+                        RecordCodec.intents(TOKEN),
+                        FormatGate.NODES,
+                        DoneBits.SMALL,
+                        RecordCodec.before(RecordCodec.open(ID))));
+    }
+
+    private static Remains remains() {
+        Remains all = new Remains();
+        all.add(new Remains.Open(
+                GoldenSamples.jobs().get("chained, with records and a plan"), GoldenSamples.AT, new BitSet(), 1));
+        all.add(new JobId("run-000398"), new Remains.Over(JobStatus.CANCELLED, 2));
+        all.add(new JobId("run-000399"), new Remains.Over(JobStatus.DONE, 8));
+        all.add(new Remains.Rented(new MachineId("vm-1"), POOL, new Moment(1), new Moment(2)));
+        all.add(new Kept("warm/pool/a", Wire.map("team", "t", Kept.VERSION, 3L), STAMP));
+        return all;
+    }
+
+    private static Remains many() {
+        Remains all = new Remains();
+        for (int n = 0; n < 201; n++) {
+            all.add(new JobId("run-" + n), new Remains.Over(JobStatus.DONE, n));
+        }
+        for (int n = 0; n < 21; n++) {
+            all.add(new Kept("own/c/run-" + n, Wire.map(Kept.VERSION, 1L), STAMP));
+        }
+        return all;
+    }
+
+    private void memory() {
+        golden.again("memory", remains(), r -> RemainsCodec.write(r, 0), GoldenKeptRecordsTest::remembered)
+                .again("empty memory", new Remains(), r -> RemainsCodec.write(r, 0), GoldenKeptRecordsTest::remembered)
+                .written("first part of a long memory", RemainsCodec.write(many(), 0))
+                .written("second part of a long memory", RemainsCodec.write(many(), 1))
+                .text(
+                        "whether there are more parts",
+                        RemainsCodec.read(sent(RemainsCodec.write(many(), 0)), new Remains())
+                                + " "
+                                + RemainsCodec.read(sent(RemainsCodec.write(many(), 1)), new Remains()));
+    }
+
+    private static Remains remembered(Fields f) {
+        Remains into = new Remains();
+        RemainsCodec.read(f, into);
+        return into;
+    }
+
+    @Test
+    void whatIsKept() {
+        jobs();
+        bits();
+        machines();
+        leaderships();
+        keys();
+        memory();
+        golden.check();
+    }
+}
--- /dev/null
+++ b/src/test/java/io/indigoreach/state/GoldenStateServiceTest.java
@@ -0,0 +1,110 @@
+package io.indigoreach.state;
+
+import io.indigoreach.GoldenFile;
+import io.indigoreach.core.Span;
+import io.indigoreach.core.Stamp;
+import io.indigoreach.net.Fields;
+import io.indigoreach.net.Wire;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/** What is asked of the state service, and its answers. */
+class GoldenStateServiceTest {
+    private static final Map<String, Object> VALUE =
+            Wire.map("n", 1L, "list", List.of("a", 2.5, true), "nothing", null, "map", Wire.map("x", -7L));
+
+    private static StateClient.Entry entry(String key, Map<String, Object> value, long lease) {
+        return new StateClient.Entry(key, new Fields(value), new Stamp(4_000_000_000L), lease);
+    }
+
+    private static StateClient.Txn txn() {
+        return new StateClient.Txn()
+                .when("era", new Stamp(9))
+                .when("j/run-1", Stamp.ABSENT)
+                .put("j/run-1", VALUE)
+                .put("leader", Wire.map("n", 1L), 7)
+                .put("any data", Wire.map("", List.of(1L, "text")))
+                .delete("f/run-1");
+    }
+
+    /** A transaction, which has no equality of its own, by what it says. */
+    private static StateClient.Txn read(Fields f) {
+        return StateCodec.readTxn(f);
+    }
+
+    private static Map<String, Object> write(StateClient.Outcome conflict) {
+        return StateCodec.writeConflict(conflict.failed(), conflict.revision());
+    }
+
+    @Test
+    void whatIsAskedAndAnswered() {
+        GoldenFile golden = new GoldenFile("state-service.txt");
+        golden.text("path of transactions", StateCodec.TXN)
+                .text("path of a key", StateCodec.keyPath("j/run-1"))
+                .text("first page", StateCodec.listPath("j/", null, 500))
+                .text("next page", StateCodec.listPath("j/", "j/run-1", 500))
+                .text("watch", StateCodec.watchPath("j/", 41, Span.seconds(20.5)))
+                .text("path of leases", StateCodec.LEASES)
+                .text("path of a lease", StateCodec.leasePath(7))
+                .text("path of a renewal", StateCodec.leasePath(7) + StateCodec.RENEW)
+                .text("reason where a lease is gone", StateCodec.NO_SUCH_LEASE);
+        golden.both("entry", entry("j/run-1", VALUE, 0), StateCodec::writeEntry, StateCodec::readEntry)
+                .both(
+                        "entry under a lease",
+                        entry("leader", Wire.map("n", 1L), 7),
+                        StateCodec::writeEntry,
+                        StateCodec::readEntry)
+                .both(
+                        "entry of any data",
+                        entry("x", Wire.map("", "text"), 0),
+                        StateCodec::writeEntry,
+                        StateCodec::readEntry)
+                .refused("entry without a version", Wire.map("path", "x", "data", Map.of()), StateCodec::readEntry)
+                .both("revision", 41L, StateCodec::writeRevision, StateCodec::readRevision);
+        golden.both(
+                        "page",
+                        new StateClient.Page(
+                                List.of(entry("j/run-1", VALUE, 0), entry("j/run-2", Map.of(), 3)), true, 41),
+                        StateCodec::writePage,
+                        StateCodec::readPage)
+                .both(
+                        "last page",
+                        new StateClient.Page(List.of(), false, 41),
+                        StateCodec::writePage,
+                        StateCodec::readPage);
+        golden.again("transaction", txn(), StateCodec::writeTxn, GoldenStateServiceTest::read)
+                .again(
+                        "comparison",
+                        new StateClient.Txn().when("era", new Stamp(9)),
+                        StateCodec::writeTxn,
+                        GoldenStateServiceTest::read)
+                .refused(
+                        "transaction without a key",
+                        Wire.map("writes", List.of(Wire.map("data", Map.of()))),
+                        GoldenStateServiceTest::read)
+                .both(
+                        "conflict",
+                        new StateClient.Outcome(false, 41, List.of("era", "j/run-1"), false),
+                        GoldenStateServiceTest::write,
+                        StateCodec::readConflict);
+        golden.both("life of a lease", Span.seconds(4.5), StateCodec::writeLife, StateCodec::readLife)
+                .both("lease", 7L, StateCodec::writeLease, StateCodec::readLease);
+        golden.both(
+                        "changes",
+                        new StateClient.Changes(
+                                List.of(
+                                        new StateClient.Change("j/run-1", new Fields(VALUE), new Stamp(40)),
+                                        new StateClient.Change("j/run-2", null, new Stamp(41))),
+                                41,
+                                false),
+                        StateCodec::writeChanges,
+                        StateCodec::readChanges)
+                .both(
+                        "no changes",
+                        new StateClient.Changes(List.of(), 41, false),
+                        StateCodec::writeChanges,
+                        StateCodec::readChanges);
+        golden.check();
+    }
+}
