--- /dev/null
+++ b/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
@@ -0,0 +1,317 @@
+package io.indigoreach.ownership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.indigoreach.GoldenFile;
+import io.indigoreach.GoldenHttp;
+import io.indigoreach.GoldenSamples;
+import io.indigoreach.api.FrontDoor;
+import io.indigoreach.cluster.PartRegistry;
+import io.indigoreach.config.PlatformConfig;
+import io.indigoreach.config.Settings;
+import io.indigoreach.config.SettingsFile;
+import io.indigoreach.core.JobSpec;
+import io.indigoreach.core.JobStatus;
+import io.indigoreach.core.Span;
+import io.indigoreach.core.Stamp;
+import io.indigoreach.core.Urgency;
+import io.indigoreach.core.ownership.Beginning;
+import io.indigoreach.core.ownership.Edit;
+import io.indigoreach.core.ownership.Ending;
+import io.indigoreach.core.ownership.Entry;
+import io.indigoreach.core.ownership.Grant;
+import io.indigoreach.core.ownership.JobRecords;
+import io.indigoreach.core.ownership.Outcome;
+import io.indigoreach.core.ownership.RecordId;
+import io.indigoreach.core.ownership.Registry;
+import io.indigoreach.core.ownership.Shown;
+import io.indigoreach.core.ownership.Take;
+import io.indigoreach.core.records.Change;
+import io.indigoreach.core.records.Kept;
+import io.indigoreach.core.records.Routine;
+import io.indigoreach.core.records.Seen;
+import io.indigoreach.core.records.Step;
+import io.indigoreach.net.Caller;
+import io.indigoreach.net.Endpoint;
+import io.indigoreach.net.Fields;
+import io.indigoreach.net.SteadyClock;
+import io.indigoreach.net.Wire;
+import io.indigoreach.parts.Parts;
+import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.StateClient;
+import io.indigoreach.state.StateStandIn;
+import io.vertx.core.Future;
+import io.vertx.core.Vertx;
+import java.util.Arrays;
+import java.util.BitSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Function;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+
+/** Who may bill which record: the records that say so, people's words, and what they are answered. */
+class GoldenOwnershipTest {
+    private static final Set<String> OF_THE_MOMENT = Set.of("fence", "fences", "since_s");
+    private static final long ERA = 7_000_001;
+
+    /** What a part's routines have written, at times that are the same in every run. */
+    private static final class Store {
+        private final TreeMap<String, Kept> records = new TreeMap<>();
+        private long now = GoldenSamples.AT;
+        private long revision = 10;
+
+        <R> R run(Routine<R> routine) {
+            Seen seen = Seen.nothing(ERA, now);
+            while (true) {
+                Step<R> next = routine.next(seen);
+                now += 1000;
+                if (next instanceof Step.End<R> end) {
+                    return end.result();
+                }
+                Map<String, Kept> found = new LinkedHashMap<>();
+                Stamp written = null;
+                if (next instanceof Step.Read<R> read) {
+                    read.keys().forEach(k -> found.put(k, records.getOrDefault(k, Kept.absent(k))));
+                } else if (next instanceof Step.Scan<R> scan) {
+                    records.tailMap(scan.prefix()).forEach((k, v) -> {
+                        if (k.startsWith(scan.prefix())) {
+                            found.put(k, v);
+                        }
+                    });
+                } else if (next instanceof Step.Write<R> write) {
+                    written = commit(write.change());
+                }
+                seen = new Seen(ERA, now, found, false, written, List.of());
+            }
+        }
+
+        Stamp commit(Change change) {
+            Stamp stamp = new Stamp(++revision);
+            change.writes().forEach((key, value) -> {
+                if (value == null) {
+                    records.remove(key);
+                } else {
+                    records.put(key, new Kept(key, value, stamp));
+                }
+            });
+            return stamp;
+        }
+    }
+
+    private static List<RecordId> ids(String... texts) {
+        return Arrays.stream(texts).map(RecordId::new).toList();
+    }
+
+    private void kept(GoldenFile golden, String after, Store store) {
+        golden.text("keys " + after, String.join(" ", store.records.keySet()));
+        store.records.forEach((key, record) -> golden.written(after + ", " + key, record.value()));
+    }
+
+    /** Each of them reads what those before it have written, so what is written is read too. */
+    @Test
+    void whatIsKept() {
+        GoldenFile golden = new GoldenFile("ownership-records.txt");
+        Store store = new Store();
+        Registry registry = OwnershipPart.registry();
+        store.run(new Beginning(true, "anna: first day"));
+        kept(golden, "begun", store);
+        store.run(new Take(registry, 12, "export-1", ids("a/1", "a/2", "b/1"), true));
+        kept(golden, "claimed", store);
+        store.run(Edit.billing(registry, 12, "export-1", "", 2, ids("a/1", "a/2")));
+        kept(golden, "billing", store);
+        Map<RecordId, Long> fences = new LinkedHashMap<>();
+        Map<RecordId, Shown> shown = store.run(Edit.show(registry, ids("a/1")));
+        shown.forEach((id, s) -> fences.put(id, s.fence()));
+        store.run(Edit.billed(registry, 12, "export-1", "", 2, fences));
+        kept(golden, "billed", store);
+        store.run(Edit.resolve(registry, 12, Entry.State.DOUBT, "anna: gone", ids("a/2")));
+        kept(golden, "in doubt", store);
+        store.run(Edit.resolve(registry, 12, Entry.State.FREE, "anna: line 4711", ids("a/2")));
+        kept(golden, "free again", store);
+        store.run(new Ending("export-1"));
+        kept(golden, "ended", store);
+        JobRecords records = new JobRecords(ids("a/2", "c/1"), 2);
+        Grant.Given given = store.run(new Grant(registry, 12, "run-1", records, new BitSet(), true));
+        kept(golden, "prepared for a job", store);
+        store.commit(given.commit());
+        kept(golden, "accepted with a job", store);
+        Registry another = OwnershipPart.registry();
+        Map<RecordId, Shown> read = store.run(Edit.show(another, ids("a/1", "a/2", "b/1", "c/1", "d/1")));
+        read.forEach((id, s) -> golden.written("shown " + id, RecordsCodec.write(id, s)));
+        golden.check();
+    }
+
+    private static String told(Fields f, Function<Fields, Object> reader) {
+        return String.valueOf(reader.apply(f));
+    }
+
+    private static String one(String name, Object value) {
+        return name + "=" + value;
+    }
+
+    @Test
+    void whatPeopleSay() {
+        GoldenFile golden = new GoldenFile("ownership-words.txt");
+        golden.text("list", told(new Fields(Wire.map("ids", List.of("a/1", "b"))), f -> RecordsCodec.ids(f, 400)))
+                .text(
+                        "range",
+                        told(
+                                new Fields(Wire.map("prefix", "KL-1/farm-", "from", 9L, "to", 11L)),
+                                f -> RecordsCodec.ids(f, 400)))
+                .text("run", RecordsCodec.run(new Fields(Wire.map("run", "export-1"))))
+                .text("task", holder(Wire.map("job", "run-1", "task", 3L, "attempt", 2L)))
+                .text("export", holder(Wire.map("run", "export-1")))
+                .text(
+                        "fences",
+                        RecordsCodec.fences(new Fields(Wire.map("fences", Wire.map("a/1", 7L, "a/2", 8L))))
+                                .toString())
+                .text("reason", RecordsCodec.reason(new Fields(Wire.map("by", "anna", "reason", " why "))));
+        assertEquals(
+                List.of(Entry.State.FREE, Entry.State.BILLED, Entry.State.DOUBT),
+                Stream.of("free", "billed", "doubt")
+                        .map(as -> RecordsCodec.state(new Fields(Wire.map("as", as))))
+                        .toList());
+        golden.refused("no ids", Map.of(), f -> RecordsCodec.ids(f, 400))
+                .refused("too many ids", Wire.map("ids", List.of("a", "b")), f -> RecordsCodec.ids(f, 1))
+                .refused("malformed id", Wire.map("ids", List.of("a//b")), f -> RecordsCodec.ids(f, 400))
+                .refused("id twice", Wire.map("ids", List.of("a", "a")), f -> RecordsCodec.ids(f, 400))
+                .refused(
+                        "range backwards",
+                        Wire.map("prefix", "a/", "from", 2L, "to", 1L),
+                        f -> RecordsCodec.ids(f, 400))
+                .refused("job's name for a run", Wire.map("run", "run-1"), RecordsCodec::run)
+                .refused("malformed job", Wire.map("job", "1", "task", 1L), RecordsCodec::holder)
+                .refused("negative task", Wire.map("job", "run-1", "task", -1L), RecordsCodec::holder)
+                .refused("negative attempt", Wire.map("run", "e", "attempt", -1L), RecordsCodec::holder)
+                .refused("no fences", Wire.map("fences", Map.of()), RecordsCodec::fences)
+                .refused("malformed author", Wire.map("by", "an na", "reason", "why"), RecordsCodec::reason)
+                .refused("no reason", Wire.map("by", "anna", "reason", " "), RecordsCodec::reason)
+                .refused("reason with quotes", Wire.map("by", "anna", "reason", "\""), RecordsCodec::reason)
+                .refused("another state", Wire.map("as", "gone"), RecordsCodec::state);
+        Map<RecordId, Entry> done = new LinkedHashMap<>();
+        for (Entry.State s : Entry.State.values()) {
+            done.put(new RecordId("a/" + s.ordinal()), new Entry(s, 900 + s.ordinal(), "export-1", "", 2, 5));
+        }
+        golden.written("outcome", RecordsCodec.write(new Outcome(done, List.of(), false)))
+                .written(
+                        "outcome against others",
+                        RecordsCodec.write(new Outcome(Map.of(), List.of("a/1 is billed by x", "and b"), false)))
+                .written(
+                        "shown",
+                        RecordsCodec.write(
+                                new RecordId("a/1"), new Shown("billing", "run-1/3", 917, 2, GoldenSamples.AT)))
+                .written("shown as free", RecordsCodec.write(new RecordId("a/2"), new Shown("free", "", 0, 0, 0)))
+                .text(
+                        "records of a job",
+                        RecordsCodec.readField(GoldenSamples.jobs().get("with records"))
+                                .list()
+                                .toString())
+                .text(
+                        "records of a service",
+                        GoldenFile.fault(() -> RecordsCodec.readField(
+                                GoldenSamples.full(1, Urgency.HIGH).with("records", Wire.map("ids", List.of("a"))))));
+        golden.check();
+    }
+
+    private static String holder(Map<String, Object> words) {
+        RecordsCodec.Holder h = RecordsCodec.holder(new Fields(words));
+        return String.join(" ", one("name", h.name()), one("task", h.task()), one("attempt", h.attempt()));
+    }
+
+    private static <T> T await(Future<T> future) throws Exception {
+        return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
+    }
+
+    private static String post(Endpoint node, String what, Object... body) throws Exception {
+        return GoldenHttp.ask(
+                node, "POST", "/api/records/" + what, Wire.write(Wire.map(body)).getBytes(), OF_THE_MOMENT);
+    }
+
+    private static String get(Endpoint node, String what) throws Exception {
+        return GoldenHttp.ask(node, "GET", "/api/records/" + what, new byte[0], OF_THE_MOMENT);
+    }
+
+    private static PlatformConfig config() {
+        return new PlatformConfig(
+                "a",
+                "z",
+                null,
+                null,
+                List.of(),
+                null,
+                null,
+                List.of("z"),
+                Span.ZERO,
+                List.of(),
+                List.of(),
+                null,
+                new PlatformConfig.StateLimits(1000, 1000, 8192, 12),
+                null,
+                100);
+    }
+
+    @Test
+    void whatPeopleAreAnswered() throws Exception {
+        Vertx vertx = Vertx.vertx();
+        try {
+            StateStandIn state = await(new StateStandIn().listen(vertx));
+            Settings settings = SettingsFile.parse("test", "record_ownership: 1");
+            StateClient client =
+                    new StateClient(new Caller(vertx, state.endpoint(), 8), new Caller(vertx, state.endpoint(), 1));
+            Parts parts = Parts.of(
+                    PartRegistry.switchedOn(settings), vertx, client, new SteadyClock(), null, config(), settings);
+            FrontDoor door =
+                    new FrontDoor(vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources());
+            Endpoint node = new Endpoint("127.0.0.1", await(door.open()));
+            answers(node, client);
+        } finally {
+            await(vertx.close());
+        }
+    }
+
+    private void answers(Endpoint node, StateClient client) throws Exception {
+        GoldenFile golden = new GoldenFile("ownership-http.txt");
+        golden.text("claim before the beginning", post(node, "claim", "run", "e1", "ids", List.of("a/1")))
+                .text("begin", post(node, "begin", "by", "anna", "reason", "first day"))
+                .text("begin again", post(node, "begin", "by", "anna", "reason", "once more"))
+                .text("compared", post(node, "compared", "by", "anna", "reason", "books"))
+                .text("claim", post(node, "claim", "run", "e1", "ids", List.of("a/1", "a/2", "b/1")))
+                .text("claim of another", post(node, "claim", "run", "e2", "ids", List.of("a/1", "a/3")))
+                .text("billing", post(node, "billing", "run", "e1", "ids", List.of("a/1", "a/2")))
+                .text("billing of another", post(node, "billing", "run", "e2", "ids", List.of("a/1")))
+                .text("billed under another fence", post(node, "billed", "run", "e1", "fences", Wire.map("a/2", 1L)))
+                .text("show", get(node, "show?id=a/1,b/1,c/1"))
+                .text("show of a malformed id", get(node, "show?id=a//1"))
+                .text("holders", get(node, "holders"))
+                .text("holders of a group", get(node, "holders?group=b"))
+                .text("holders of a malformed group", get(node, "holders?group=a/b"))
+                .text(
+                        "put in doubt",
+                        post(node, "resolve", "as", "doubt", "by", "anna", "reason", "gone", "ids", List.of("a/2")))
+                .text("doubt", get(node, "doubt"))
+                .text(
+                        "resolved",
+                        post(node, "resolve", "as", "billed", "by", "anna", "reason", "x", "ids", List.of("a/2")))
+                .text("billing what is billed", post(node, "billing", "run", "e3", "ids", List.of("a/2")))
+                .text("release", post(node, "release", "run", "e1"))
+                .text("malformed run", post(node, "claim", "run", "run-1", "ids", List.of("a/1")))
+                .text("no open job", get(node, "jobs/run-1"))
+                .text("no path", post(node, "dance"))
+                .text("no question", get(node, "dance"));
+        await(client.commit(new StateClient.Txn()
+                .put("j/run-1", job(GoldenSamples.jobs().get("with records")))
+                .put("j/run-2", job(GoldenSamples.bare(1)))));
+        golden.text("what a job waits for", get(node, "jobs/run-1"))
+                .text("a job without records", get(node, "jobs/run-2"));
+        golden.check();
+    }
+
+    private static Map<String, Object> job(JobSpec spec) {
+        return RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 0);
+    }
+}
--- /dev/null
+++ b/src/test/java/io/indigoreach/warm/GoldenPoolsTest.java
@@ -0,0 +1,137 @@
+package io.indigoreach.warm;
+
+import io.indigoreach.GoldenFile;
+import io.indigoreach.GoldenSamples;
+import io.indigoreach.core.Demand;
+import io.indigoreach.core.MachineId;
+import io.indigoreach.core.Pool;
+import io.indigoreach.core.accounts.Account;
+import io.indigoreach.core.accounts.Line;
+import io.indigoreach.core.accounts.Sheet;
+import io.indigoreach.core.warm.PoolSpec;
+import io.indigoreach.core.warm.Seen;
+import io.indigoreach.core.warm.Told;
+import io.indigoreach.core.warm.Window;
+import io.indigoreach.net.Wire;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/** Pools, their accounts and what was seen of them, as they stand in records and are sent by people. */
+class GoldenPoolsTest {
+    private static final PoolSpec FULL = new PoolSpec(
+            "model-a",
+            "vision",
+            "img-07",
+            6.2,
+            new Demand(8, 1, 64),
+            List.of("g8", "quad"),
+            List.of("a", "b"),
+            0.5,
+            2,
+            40,
+            0.95,
+            List.of(new Window(510, 600, 12.5), new Window(1439, 0, 3)),
+            true,
+            100.25,
+            true);
+
+    private static Map<String, Object> fewest() {
+        return Wire.map("team", "t", "image", "i", "gb", 1L, "cores", 1L, "least", 0L, "most", 3L);
+    }
+
+    private static Map<String, Object> with(String field, Object value) {
+        Map<String, Object> pool = fewest();
+        pool.put(field, value);
+        return pool;
+    }
+
+    private static Sheet sheet() {
+        Map<MachineId, Line> lines = new LinkedHashMap<>();
+        MachineId first = new MachineId("vm-000231");
+        lines.put(
+                first,
+                new Line(
+                        first,
+                        new Pool("g8", "a", true),
+                        GoldenSamples.AT,
+                        GoldenSamples.AT + 1,
+                        new Account("model-a", "vision"),
+                        "img-07",
+                        6.2,
+                        88));
+        MachineId second = new MachineId("vm-000232");
+        lines.put(
+                second,
+                new Line(
+                        second,
+                        new Pool("quad", "b", false),
+                        GoldenSamples.AT,
+                        GoldenSamples.AT,
+                        new Account("", ""),
+                        "",
+                        0,
+                        0));
+        return new Sheet(
+                lines,
+                Map.of(new Account("model-a", "vision"), 1.25, new Account("", "t"), 0.1, new Account("", ""), 7.0));
+    }
+
+    private static Seen seen() {
+        int[] peaks = new int[Seen.SLOTS * Seen.DAYS];
+        for (int i = 0; i < peaks.length; i++) {
+            peaks[i] = i % 5 - 1;
+        }
+        return Seen.of(peaks);
+    }
+
+    @Test
+    void whatIsKeptAndSent() {
+        GoldenFile golden = new GoldenFile("pools.txt");
+        golden.text(
+                "keys",
+                String.join(
+                        " ",
+                        PoolRecords.POOLS,
+                        PoolRecords.SHEETS,
+                        PoolRecords.TOLD,
+                        PoolRecords.SEEN,
+                        PoolRecords.sheet(7),
+                        Integer.toString(PoolRecords.sheetOf(PoolRecords.sheet(12)))));
+        golden.both("pool", FULL, PoolCodec::write, f -> PoolCodec.read("model-a", f))
+                .read("pool with the fewest fields", fewest(), f -> PoolCodec.write(PoolCodec.read("p", f)));
+        for (String field : fewest().keySet()) {
+            golden.refused("pool without " + field, with(field, null), f -> PoolCodec.read("p", f));
+        }
+        Wire.map(
+                        "team",
+                        "",
+                        "gb",
+                        -1L,
+                        "cores",
+                        "two",
+                        "gpus",
+                        1e10,
+                        "least",
+                        -1L,
+                        "most",
+                        1.5,
+                        "wanted",
+                        "all",
+                        "windows",
+                        List.of(List.of("8:30", "10:00", 1L)),
+                        "types",
+                        "g8",
+                        "spot",
+                        1L)
+                .forEach((field, value) ->
+                        golden.refused("pool with another " + field, with(field, value), f -> PoolCodec.read("p", f)));
+        golden.both("sheet", sheet(), PoolCodec::write, f -> PoolCodec.readSheet(f.map()))
+                .both("empty sheet", Sheet.EMPTY, PoolCodec::write, f -> PoolCodec.readSheet(f.map()))
+                .written("told", PoolCodec.write(new Told("model-a", 12, "two bursts", 10, 8, 2, 300, 4, 0.125)))
+                .again("seen", seen(), PoolCodec::write, f -> PoolCodec.readSeen(f.map()))
+                .again("nothing seen", new Seen(), PoolCodec::write, f -> PoolCodec.readSeen(f.map()));
+        golden.check();
+    }
+}
