--- a/src/main/java/io/indigoreach/scenario/TextForm.java
+++ b/src/main/java/io/indigoreach/scenario/TextForm.java
@@ -14,6 +14,7 @@
 import com.google.protobuf.TextFormatParseInfoTree;
 import com.google.protobuf.TextFormatParseLocation;
 import io.indigoreach.config.ConfigException;
+import io.indigoreach.core.model.JobKind;
 import java.io.IOException;
 import java.lang.reflect.Constructor;
 import java.lang.reflect.InvocationTargetException;
@@ -171,14 +172,14 @@
         declare(form, file, declared);
         try {
             return Descriptors.FileDescriptor.buildFrom(file.build(), new Descriptors.FileDescriptor[0])
-                    .findMessageTypeByName(form.getSimpleName());
+                    .findMessageTypeByName(formName(form));
         } catch (Descriptors.DescriptorValidationException e) {
             throw new IllegalStateException(e);
         }
     }
 
     private static void declare(Class<?> type, FileDescriptorProto.Builder file, Map<Class<?>, String> declared) {
-        if (declared.putIfAbsent(type, type.getSimpleName()) != null) {
+        if (declared.putIfAbsent(type, formName(type)) != null) {
             return;
         }
         if (type.isEnum()) {
@@ -190,10 +191,10 @@
                         EnumValueDescriptorProto.newBuilder().setName(word).setNumber(n++));
             }
             file.addMessageType(
-                    DescriptorProto.newBuilder().setName(type.getSimpleName()).addEnumType(words));
+                    DescriptorProto.newBuilder().setName(formName(type)).addEnumType(words));
             return;
         }
-        DescriptorProto.Builder message = DescriptorProto.newBuilder().setName(type.getSimpleName());
+        DescriptorProto.Builder message = DescriptorProto.newBuilder().setName(formName(type));
         int number = 1;
         for (RecordComponent c : type.getRecordComponents()) {
             Class<?> element = element(c);
@@ -207,7 +208,7 @@
             if (element.isRecord() || element.isEnum()) {
                 declare(element, file, declared);
                 fd.setType(element.isEnum() ? Type.TYPE_ENUM : Type.TYPE_MESSAGE)
-                        .setTypeName(".io.indigoreach." + element.getSimpleName() + (element.isEnum() ? ".Word" : ""));
+                        .setTypeName(".io.indigoreach." + formName(element) + (element.isEnum() ? ".Word" : ""));
             } else {
                 fd.setType(
                         element == double.class || element == Double.class
@@ -258,4 +259,9 @@
     private static String plain(double d) {
         return d == Math.rint(d) ? String.format(Locale.ROOT, "%.0f", d) : Double.toString(d);
     }
+
+    /** What error lines call a form. They keep its name when its class is renamed, as users' scripts may look for it. */
+    private static String formName(Class<?> type) {
+        return type == JobKind.class ? "Shape" : type.getSimpleName();
+    }
 }
--- a/src/test/java/io/indigoreach/GoldenFile.java
+++ b/src/test/java/io/indigoreach/GoldenFile.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.fail;
 
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import io.vertx.core.buffer.Buffer;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -60,11 +60,11 @@
     }
 
     public static String hex(Map<String, Object> message) {
-        return HexFormat.of().formatHex(Wire.write(message).getBytes());
+        return HexFormat.of().formatHex(MessagePackFormat.write(message).getBytes());
     }
 
     private static Fields fields(String hex) {
-        return Wire.readMap(Buffer.buffer(HexFormat.of().parseHex(hex)));
+        return MessagePackFormat.readMap(Buffer.buffer(HexFormat.of().parseHex(hex)));
     }
 
     /** A text that has to be the same, such as an answer, a path or the line that tells a fault. */
--- a/src/test/java/io/indigoreach/GoldenHttp.java
+++ b/src/test/java/io/indigoreach/GoldenHttp.java
@@ -1,7 +1,7 @@
 package io.indigoreach;
 
 import io.indigoreach.net.Endpoint;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import io.vertx.core.buffer.Buffer;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -29,7 +29,7 @@
     }
 
     public static String post(Endpoint at, String path, Map<String, Object> body) throws IOException {
-        return ask(at, "POST", path, Wire.write(body).getBytes(), Set.of());
+        return ask(at, "POST", path, MessagePackFormat.write(body).getBytes(), Set.of());
     }
 
     /** Status, headers and body; the fields named in {@code ofTheMoment} have values of the moment, and show no more than their type. */
@@ -71,7 +71,8 @@
         }
         byte[] body = Arrays.copyOfRange(bytes, end + 4, bytes.length);
         if (!ofTheMoment.isEmpty() && body.length > 0) {
-            body = Wire.write(still(Wire.readMap(Buffer.buffer(body)).map(), ofTheMoment))
+            body = MessagePackFormat.write(
+                            still(MessagePackFormat.readMap(Buffer.buffer(body)).map(), ofTheMoment))
                     .getBytes();
         }
         return head[0].split(" ")[1] + " " + headers + " " + HexFormat.of().formatHex(body);
--- a/src/test/java/io/indigoreach/GoldenListTest.java
+++ b/src/test/java/io/indigoreach/GoldenListTest.java
@@ -25,7 +25,7 @@
 class GoldenListTest {
     private static final Path SOURCES = Path.of("src", "main", "java");
     /** What builds a message, a record or a line of JSON by itself. */
-    private static final Pattern SERIALISES = Pattern.compile("\\bWire\\.map\\(|\\bnew JsonObject\\(");
+    private static final Pattern SERIALISES = Pattern.compile("\\bMessagePackFormat\\.map\\(|\\bnew JsonObject\\(");
 
     /** By source file: the golden file, and how its cases there begin. */
     private static final Map<String, Set<String>> GOLDEN = new LinkedHashMap<>();
@@ -36,8 +36,8 @@
 
     static {
         golden("JobCodec.java", "users.txt#submission ", "users.txt#accepted", "users.txt#progress");
-        golden("Answer.java", "users.txt#answer ", "users-http.txt#");
-        golden("Refusal.java", "users.txt#answer refusal");
+        golden("ApiResponse.java", "users.txt#answer ", "users-http.txt#");
+        golden("RequestRejectedException.java", "users.txt#answer refusal");
         golden("WorkerCodec.java", "workers.txt#report", "workers.txt#answer", "workers.txt#direct");
         golden("CloudCodec.java", "cloud.txt#types", "cloud.txt#rental", "cloud.txt#names", "cloud.txt#page");
         golden(
@@ -46,18 +46,18 @@
                 "state-service.txt#transaction",
                 "state-service.txt#changes");
         golden("RecordCodec.java", "records.txt#job", "records.txt#block", "records.txt#intents", "records.txt#era");
-        golden("ChainCodec.java", "records.txt#job chained", "records.txt#job released from its chain");
-        golden("RemainsCodec.java", "records.txt#memory");
+        golden("DependencyCodec.java", "records.txt#job chained", "records.txt#job released from its chain");
+        golden("RememberedStateCodec.java", "records.txt#memory");
         golden("CounterRecord.java", "records.txt#counter");
         golden("FormatGate.java", "records.txt#format that a node knows");
         golden("LeaderKey.java", "records.txt#leader");
         golden("FinalRecord.java", "records.txt#end");
         golden("JobRecord.java", "records.txt#job");
         golden("MachineRecord.java", "records.txt#page of machines");
-        golden("DoneBits.java", "records.txt#blocks of values");
-        golden("Pledges.java", "pledges.txt#question", "pledges.txt#pledge");
+        golden("CompletionBits.java", "records.txt#blocks of values");
+        golden("PeerPromises.java", "pledges.txt#question", "pledges.txt#pledge");
         golden(
-                "Standing.java",
+                "PeerProtocol.java",
                 "peers.txt#standing",
                 "peers.txt#pledge",
                 "peers.txt#a job recalled",
@@ -67,7 +67,7 @@
         golden("RunTimes.java", "calendar.txt#run times");
         golden("DayPage.java", "calendar.txt#page of state");
         golden("Mark.java", "calendar.txt#page of state");
-        golden("Head.java", "calendar.txt#calendar cal/head/");
+        golden("CalendarVersion.java", "calendar.txt#calendar cal/head/");
         golden("Publishing.java", "calendar.txt#text cal/text/");
         golden("RecordsCodec.java", "ownership-words.txt#outcome", "ownership-words.txt#shown");
         golden("OwnershipService.java", "ownership-http.txt#");
@@ -97,7 +97,7 @@
 
     /** What only plays another's part, or is read by nobody but its writer: no golden cases, and the reason. No codec is among them. */
     private static final Map<String, String> WITHOUT = Map.ofEntries(
-            Map.entry("Wire.java", "writes whatever it is given"),
+            Map.entry("MessagePackFormat.java", "writes whatever it is given"),
             Map.entry("Rehearsal.java", "a stand-in, within the build"),
             Map.entry("GatedListener.java", "errors of the emulator's listeners"),
             Map.entry("CloudServer.java", "errors of the emulated cloud"),
--- a/src/test/java/io/indigoreach/GoldenSamples.java
+++ b/src/test/java/io/indigoreach/GoldenSamples.java
@@ -1,14 +1,14 @@
 package io.indigoreach;
 
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Shape;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.core.chain.Chain;
-import io.indigoreach.net.Wire;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobDependencies;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobKind;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.net.MessagePackFormat;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -31,7 +31,7 @@
                 ID,
                 "stock-reconcile",
                 "fleet-ops",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Urgency.HIGH,
                 tasks,
                 new Demand(1, 0, 3.6),
@@ -54,7 +54,7 @@
                 ID,
                 "refill-routes",
                 "fleet-ops",
-                Shape.SERVICE,
+                JobKind.SERVICE,
                 urgency,
                 tasks,
                 new Demand(2.5, 1, 3.8),
@@ -78,23 +78,26 @@
         for (Urgency urgency : Urgency.values()) {
             jobs.put("every field, urgency " + urgency.ordinal(), full(6, urgency));
         }
-        jobs.put("chained", bare(4).with(Chain.of(List.of(new JobId("run-000398"), new JobId("run-7")))));
+        jobs.put("chained", bare(4).with(JobDependencies.of(List.of(new JobId("run-000398"), new JobId("run-7")))));
         jobs.put(
                 "of a plan",
-                full(2, Urgency.STANDARD).with("plan", Wire.map("name", "kochi-tankers", "day", "2027-08-24")));
-        jobs.put("with records", bare(3).with(JobSpec.RECORDS, Wire.map("prefix", "KL-1/farm-", "from", 1L, "to", 3L)));
+                full(2, Urgency.STANDARD)
+                        .with("plan", MessagePackFormat.map("name", "kochi-tankers", "day", "2027-08-24")));
+        jobs.put(
+                "with records",
+                bare(3).with(JobSpec.RECORDS, MessagePackFormat.map("prefix", "KL-1/farm-", "from", 1L, "to", 3L)));
         jobs.put("holder", bare(2).with(JobSpec.WARM, "model-a"));
         jobs.put(
                 "chained, with records and a plan",
-                bare(1).with(JobSpec.RECORDS, Wire.map("ids", List.of("a/1")))
-                        .with("plan", Wire.map("name", "p", "day", "2027-08-24"))
-                        .with(Chain.of(List.of(new JobId("run-1")))));
+                bare(1).with(JobSpec.RECORDS, MessagePackFormat.map("ids", List.of("a/1")))
+                        .with("plan", MessagePackFormat.map("name", "p", "day", "2027-08-24"))
+                        .with(JobDependencies.of(List.of(new JobId("run-1")))));
         return jobs;
     }
 
     /** A submission as a user may word it: whole numbers for amounts, absent and null fields, and fields unknown here. */
     public static Map<String, Object> submission() {
-        return Wire.map(
+        return MessagePackFormat.map(
                 "id",
                 ID.text(),
                 "jobclass",
--- a/src/test/java/io/indigoreach/api/GoldenUsersTest.java
+++ b/src/test/java/io/indigoreach/api/GoldenUsersTest.java
@@ -5,16 +5,16 @@
 import io.indigoreach.GoldenSamples;
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.MachineType;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Team;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
 import io.indigoreach.net.Endpoint;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
-import io.indigoreach.state.JobMender;
+import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
@@ -76,7 +76,7 @@
                 golden.refused("submission without " + field, without(field), JobCodec::read);
             }
         }
-        Wire.map(
+        MessagePackFormat.map(
                         "id",
                         "412",
                         "jobclass",
@@ -131,26 +131,33 @@
             JobCodec.Progress p = JobCodec.readProgress(f);
             return JobCodec.progress(p.id(), p.status(), p.done(), p.running());
         });
-        answer(golden, "done", Answer.ok(Wire.map("id", "x")));
-        answer(golden, "error", Answer.error(400, "why"));
-        answer(golden, "later", Answer.later("why"));
-        answer(golden, "refusal of a field", Refusal.of("field", "why").answer());
+        answer(golden, "done", ApiResponse.ok(MessagePackFormat.map("id", "x")));
+        answer(golden, "error", ApiResponse.error(400, "why"));
+        answer(golden, "later", ApiResponse.retryLater("why"));
+        answer(
+                golden,
+                "refusal of a field",
+                RequestRejectedException.of("field", "why").answer());
         answer(
                 golden,
                 "refusal by a conflict",
-                Refusal.conflict("why", Wire.map("version", 3L)).answer());
-        answer(golden, "refusal of what is not there", Refusal.notFound("why").answer());
+                RequestRejectedException.conflict("why", MessagePackFormat.map("version", 3L))
+                        .answer());
+        answer(
+                golden,
+                "refusal of what is not there",
+                RequestRejectedException.notFound("why").answer());
         golden.check();
     }
 
-    private static void answer(GoldenFile golden, String name, Answer answer) {
+    private static void answer(GoldenFile golden, String name, ApiResponse answer) {
         golden.text("status of " + name, answer.status() + " " + answer.retryAfterS())
                 .written("answer " + name, answer.body());
     }
 
     private StateClient client() {
-        StateClient client =
-                new StateClient(new Caller(vertx, state.endpoint(), 4), new Caller(vertx, state.endpoint(), 1));
+        StateClient client = new StateClient(
+                new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
         kept.add(client);
         return client;
     }
@@ -165,24 +172,25 @@
                 .put(
                         "j/run-7",
                         RecordCodec.writeJob(
-                                JobCodec.read(Wire.readMap(Wire.write(with("id", "run-7")))),
+                                JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(with("id", "run-7")))),
                                 1,
                                 JobStatus.RUNNING,
                                 BitSet.valueOf(new long[] {1}),
                                 1,
                                 2))));
-        Catalogue catalogue = new Catalogue(vertx, client(), new CloudClient(new Caller(vertx, state.endpoint(), 1)));
+        Catalogue catalogue =
+                new Catalogue(vertx, client(), new CloudClient(new ServiceClient(vertx, state.endpoint(), 1)));
         StateClient own = client();
-        JobDesk desk = new JobDesk(
+        JobService desk = new JobService(
                 vertx,
                 own,
-                new JobMender(own, new SteadyClock()),
+                new JobRepairer(own, new SteadyClock()),
                 catalogue,
                 List.of(new Team("t", 0, 8, 0, 0)),
                 new SteadyClock(),
                 8192,
                 100);
-        FrontDoor door = new FrontDoor(vertx, new Endpoint("127.0.0.1", 0), desk, null, catalogue::isKnown, Map.of());
+        HttpApi door = new HttpApi(vertx, new Endpoint("127.0.0.1", 0), desk, null, catalogue::isKnown, Map.of());
         kept.add(door);
         node = new Endpoint("127.0.0.1", await(door.open()));
         return catalogue;
--- a/src/test/java/io/indigoreach/calendar/GoldenCalendarTest.java
+++ b/src/test/java/io/indigoreach/calendar/GoldenCalendarTest.java
@@ -2,17 +2,11 @@
 
 import io.indigoreach.GoldenFile;
 import io.indigoreach.GoldenSamples;
-import io.indigoreach.api.Answer;
-import io.indigoreach.api.Refusal;
+import io.indigoreach.api.ApiResponse;
+import io.indigoreach.api.RequestRejectedException;
 import io.indigoreach.api.Resource;
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Team;
-import io.indigoreach.core.Urgency;
 import io.indigoreach.core.calendar.Calendar;
 import io.indigoreach.core.calendar.Choice;
 import io.indigoreach.core.calendar.Day;
@@ -24,15 +18,21 @@
 import io.indigoreach.core.calendar.Register;
 import io.indigoreach.core.calendar.Season;
 import io.indigoreach.core.calendar.TimeOfDay;
-import io.indigoreach.core.records.Copies;
-import io.indigoreach.core.records.Kept;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.records.RecordCache;
+import io.indigoreach.core.records.VersionedRecord;
 import io.indigoreach.net.Fields;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.net.WireException;
 import io.indigoreach.state.RecordCodec;
-import io.indigoreach.state.Records;
+import io.indigoreach.state.RoutineRunner;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -125,7 +125,7 @@
                 new ByteArrayInputStream(Base64.getDecoder().decode(text)))) {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             in.transferTo(out);
-            return Wire.readMap(Buffer.buffer(out.toByteArray())).map();
+            return MessagePackFormat.readMap(Buffer.buffer(out.toByteArray())).map();
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -134,7 +134,7 @@
     private static String packed(Fields f) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (java.util.zip.DeflaterOutputStream deflated = new java.util.zip.DeflaterOutputStream(out)) {
-            deflated.write(Wire.write(f.map()).getBytes());
+            deflated.write(MessagePackFormat.write(f.map()).getBytes());
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -165,7 +165,9 @@
                 .refused("calendar without cores", with("cores", null), GoldenCalendarTest::unpack)
                 .refused(
                         "calendar with a plan of another kind",
-                        with("plans", List.of(Wire.map("name", "p", "depot", "d", "at", 1L, "margin_ms", 1L))),
+                        with(
+                                "plans",
+                                List.of(MessagePackFormat.map("name", "p", "depot", "d", "at", 1L, "margin_ms", 1L))),
                         GoldenCalendarTest::unpack)
                 .refused("calendar with other depots", with("depots", List.of(1L)), GoldenCalendarTest::unpack)
                 .text("not packed", GoldenFile.fault(() -> CalendarCodec.unpack("no base 64!")))
@@ -181,7 +183,7 @@
         String key = runs.nextChanged();
         golden.text("key of run times", key).again("run times", runs, r -> r.value(key), f -> {
             RunTimes read = new RunTimes();
-            read.read(new Kept(key, f.map(), Stamp.ABSENT));
+            read.read(new VersionedRecord(key, f.map(), Revision.ABSENT));
             return read;
         });
     }
@@ -191,12 +193,13 @@
                 "kochi-tankers", state, id, 3, NOW + 1, NOW - 1, NOW, 20, state == Mark.State.MISSED ? "too late" : "");
     }
 
-    private static Records records(Vertx vertx, StateStandIn state) {
-        return new Records(
+    private static RoutineRunner records(Vertx vertx, StateStandIn state) {
+        return new RoutineRunner(
                 vertx,
-                new StateClient(new Caller(vertx, state.endpoint(), 4), new Caller(vertx, state.endpoint(), 1)),
+                new StateClient(
+                        new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1)),
                 new SteadyClock(),
-                new Copies(CalendarPart.FAMILIES));
+                new RecordCache(CalendarPart.FAMILIES));
     }
 
     private void kept(String name, String prefix) {
@@ -224,7 +227,7 @@
         return out;
     }
 
-    private void pages(Records records) throws Exception {
+    private void pages(RoutineRunner records) throws Exception {
         List<Mark> marks = new ArrayList<>();
         for (Mark.State s : Mark.State.values()) {
             marks.add(mark(s, s == Mark.State.MISSED ? null : new JobId("run-900000102105500")));
@@ -252,30 +255,31 @@
 
     private void ask(Resource resource, String name, String method, String path, Map<String, Object> body)
             throws Exception {
-        Answer answer;
+        ApiResponse answer;
         try {
             answer = await(resource.serve(call(method, path, body)));
         } catch (ExecutionException e) {
-            if (!(e.getCause() instanceof Refusal r)) {
+            if (!(e.getCause() instanceof RequestRejectedException r)) {
                 throw e;
             }
             answer = r.answer();
-        } catch (Refusal e) {
+        } catch (RequestRejectedException e) {
             answer = e.answer();
         } catch (WireException e) {
-            answer = Answer.error(400, e.getMessage());
+            answer = ApiResponse.error(400, e.getMessage());
         }
         golden.text("status of " + name, answer.status() + " " + answer.retryAfterS())
                 .written("answer " + name, withoutText(answer.body()));
     }
 
-    private void resource(Records records, Catalogue catalogue) throws Exception {
+    private void resource(RoutineRunner records, Catalogue catalogue) throws Exception {
         CalendarResource resource = new CalendarResource(
                 records,
                 new CalendarCache(),
                 new PlanForecasts(catalogue, List.of(new Team("fleet-ops", 0, 0, 0, 0))),
                 () -> NOW);
-        Map<String, Object> set = Wire.map("base", 0L, "text", CalendarCodec.pack(stored()), "note", "Onam's dates");
+        Map<String, Object> set =
+                MessagePackFormat.map("base", 0L, "text", CalendarCodec.pack(stored()), "note", "Onam's dates");
         ask(resource, "no calendar", "GET", "", Map.of());
         ask(resource, "outlook before the types are known", "GET", "/outlook", Map.of());
         catalogue.start();
@@ -300,8 +304,8 @@
         ask(resource, "explanation of no plan", "GET", "/explain/nothing/2027-08-24", Map.of());
         ask(resource, "no path", "GET", "/nowhere", Map.of());
         ask(resource, "another method", "DELETE", "", Map.of());
-        ask(resource, "text of another kind", "POST", "", Wire.map("base", 1L, "text", "no"));
-        ask(resource, "set without a text", "POST", "", Wire.map("base", 1L));
+        ask(resource, "text of another kind", "POST", "", MessagePackFormat.map("base", 1L, "text", "no"));
+        ask(resource, "set without a text", "POST", "", MessagePackFormat.map("base", 1L));
         Calendar wrong = new Calendar(
                 0, List.of(), List.of(), List.of(new Depot("kochi", "Nowhere", "", List.of(), List.of())), List.of());
         ask(
@@ -309,25 +313,26 @@
                 "calendar with a fault",
                 "POST",
                 "",
-                Wire.map("base", 1L, "text", CalendarCodec.pack(new CalendarCodec.Stored(wrong, Register.EMPTY, ""))));
+                MessagePackFormat.map(
+                        "base", 1L, "text", CalendarCodec.pack(new CalendarCodec.Stored(wrong, Register.EMPTY, ""))));
     }
 
     /** A plan's job that nobody started, or whose occurrence is settled. */
-    private void joining(Records records) {
+    private void joining(RoutineRunner records) {
         PlanJoining joining = new PlanJoining(records, () -> NOW);
         golden.text("field of plans", joining.field());
         for (String day : List.of("2027-08-24", "2027-08-25", "tomorrow")) {
             JobSpec spec = GoldenSamples.full(2, Urgency.HIGH)
-                    .with(Choice.FIELD, Wire.map("name", "kochi-tankers", "day", day));
-            Answer answer;
+                    .with(Choice.FIELD, MessagePackFormat.map("name", "kochi-tankers", "day", day));
+            ApiResponse answer;
             try {
                 joining.check(spec);
                 await(joining.accepting(spec));
-                answer = Answer.ok(Map.of());
+                answer = ApiResponse.ok(Map.of());
             } catch (WireException e) {
-                answer = Answer.error(400, e.getMessage());
+                answer = ApiResponse.error(400, e.getMessage());
             } catch (Exception e) {
-                answer = ((Refusal) e.getCause()).answer();
+                answer = ((RequestRejectedException) e.getCause()).answer();
             }
             golden.text("status of a plan's job " + day, answer.status() + " " + answer.retryAfterS())
                     .unordered("answer to a plan's job " + day, answer.body());
@@ -339,13 +344,14 @@
         texts();
         runs();
         state = await(new StateStandIn().listen(vertx));
-        StateClient client =
-                new StateClient(new Caller(vertx, state.endpoint(), 4), new Caller(vertx, state.endpoint(), 1));
+        StateClient client = new StateClient(
+                new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
         await(client.commit(
                 new StateClient.Txn().put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(GoldenSamples.TYPES))));
-        Records records = records(vertx, state);
+        RoutineRunner records = records(vertx, state);
         pages(records);
-        Catalogue catalogue = new Catalogue(vertx, client, new CloudClient(new Caller(vertx, state.endpoint(), 1)));
+        Catalogue catalogue =
+                new Catalogue(vertx, client, new CloudClient(new ServiceClient(vertx, state.endpoint(), 1)));
         resource(records, catalogue);
         joining(records);
         golden.check();
--- a/src/test/java/io/indigoreach/cloud/GoldenCloudTest.java
+++ b/src/test/java/io/indigoreach/cloud/GoldenCloudTest.java
@@ -2,11 +2,11 @@
 
 import io.indigoreach.GoldenFile;
 import io.indigoreach.GoldenSamples;
-import io.indigoreach.core.ListedMachine;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.Span;
-import io.indigoreach.net.Wire;
+import io.indigoreach.core.model.ListedMachine;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.net.MessagePackFormat;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -14,7 +14,7 @@
 
 /** What is asked of the cloud, and its answers. */
 class GoldenCloudTest {
-    private static final Pool POOL = new Pool("quad", "a", true);
+    private static final MachinePool POOL = new MachinePool("quad", "a", true);
 
     private static List<CloudCodec.Listed> machines() {
         List<CloudCodec.Listed> machines = new ArrayList<>();
@@ -42,11 +42,14 @@
         golden.both("types", GoldenSamples.TYPES, CloudCodec::writeTypes, CloudCodec::readTypes)
                 .read(
                         "types with the fewest fields",
-                        Wire.map("boxkinds", List.of(Wire.map("label", "k", "cores", 4L, "ram_gb", 16L, "price", 1L))),
+                        MessagePackFormat.map(
+                                "boxkinds",
+                                List.of(MessagePackFormat.map("label", "k", "cores", 4L, "ram_gb", 16L, "price", 1L))),
                         f -> CloudCodec.writeTypes(CloudCodec.readTypes(f)))
                 .refused(
                         "types without a price",
-                        Wire.map("boxkinds", List.of(Wire.map("label", "k", "cores", 4L, "ram_gb", 16L))),
+                        MessagePackFormat.map(
+                                "boxkinds", List.of(MessagePackFormat.map("label", "k", "cores", 4L, "ram_gb", 16L))),
                         CloudCodec::readTypes);
         golden.both(
                         "rental",
@@ -55,7 +58,7 @@
                         CloudCodec::readRental)
                 .both(
                         "rental of ordinary machines",
-                        new CloudCodec.Rental("7000001-2", new Pool("g8", "b", false), 1),
+                        new CloudCodec.Rental("7000001-2", new MachinePool("g8", "b", false), 1),
                         CloudCodec::writeRental,
                         CloudCodec::readRental);
         golden.both(
@@ -73,9 +76,10 @@
                 .both("last page", new CloudCodec.Page(List.of(), false), CloudCodec::writePage, CloudCodec::readPage)
                 .read(
                         "machine of an unknown status",
-                        Wire.map(
+                        MessagePackFormat.map(
                                 "boxes",
-                                List.of(Wire.map("id", "vm-1", "boxkind", "k", "hall", "z", "status", "asleep"))),
+                                List.of(MessagePackFormat.map(
+                                        "id", "vm-1", "boxkind", "k", "hall", "z", "status", "asleep"))),
                         f -> CloudCodec.writePage(CloudCodec.readPage(f)));
         golden.check();
     }
--- a/src/test/java/io/indigoreach/config/GoldenSettingsTest.java
+++ b/src/test/java/io/indigoreach/config/GoldenSettingsTest.java
@@ -124,7 +124,9 @@
         }
         golden.text(
                 "settings, listed",
-                Arrays.stream(Settings.Knob.values()).map(Settings.Knob::help).collect(Collectors.joining("\n")));
+                Arrays.stream(Settings.Setting.values())
+                        .map(Settings.Setting::help)
+                        .collect(Collectors.joining("\n")));
         golden.text("no such file", GoldenFile.fault(() -> PlatformConfig.read(java.nio.file.Path.of("/nowhere/x"))))
                 .text(
                         "no such settings",
--- a/src/test/java/io/indigoreach/emulator/GoldenDepotTest.java
+++ b/src/test/java/io/indigoreach/emulator/GoldenDepotTest.java
@@ -2,11 +2,11 @@
 
 import io.indigoreach.GoldenFile;
 import io.indigoreach.GoldenSamples;
-import io.indigoreach.core.Span;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.model.Depot;
 import io.indigoreach.emulator.model.Mutation;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.buffer.Buffer;
 import java.util.List;
@@ -31,11 +31,11 @@
     }
 
     private static Mutation read(Fields f) {
-        return DiskDurability.read(Wire.write(f.map()).getBytes());
+        return DiskDurability.read(MessagePackFormat.write(f.map()).getBytes());
     }
 
     private static Map<String, Object> write(Mutation m) {
-        return Wire.readMap(Buffer.buffer(DiskDurability.write(m))).map();
+        return MessagePackFormat.readMap(Buffer.buffer(DiskDurability.write(m))).map();
     }
 
     /** The state service's changes on disk: an emulator goes on from the files of the version before. */
@@ -43,8 +43,8 @@
     void whatIsKeptOnDisk() {
         GoldenFile golden = new GoldenFile("disk.txt");
         List<StateClient.Write> writes = List.of(
-                new StateClient.Write("j/run-1", Wire.map("n", 1L), 0),
-                new StateClient.Write("leader", Wire.map("", List.of(1L)), 7),
+                new StateClient.Write("j/run-1", MessagePackFormat.map("n", 1L), 0),
+                new StateClient.Write("leader", MessagePackFormat.map("", List.of(1L)), 7),
                 new StateClient.Write("f/run-2", null, 0));
         golden.both("writes", new Mutation(41, writes, 0, 0, 0), GoldenDepotTest::write, GoldenDepotTest::read)
                 .both(
--- a/src/test/java/io/indigoreach/emulator/GoldenPeersTest.java
+++ b/src/test/java/io/indigoreach/emulator/GoldenPeersTest.java
@@ -5,17 +5,17 @@
 import io.indigoreach.GoldenFile;
 import io.indigoreach.GoldenHttp;
 import io.indigoreach.config.PlatformConfig;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.ReportNumber;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.WorkerReport;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.model.Depot;
-import io.indigoreach.net.Caller;
 import io.indigoreach.net.Endpoint;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.state.Golden;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
@@ -42,7 +42,7 @@
     }
 
     private static String post(Endpoint at, String path, Map<String, Object> body) throws Exception {
-        return GoldenHttp.ask(at, "POST", path, Wire.write(body).getBytes(), OF_THE_MOMENT);
+        return GoldenHttp.ask(at, "POST", path, MessagePackFormat.write(body).getBytes(), OF_THE_MOMENT);
     }
 
     @Test
@@ -65,12 +65,16 @@
                     .text("a job recalled", get(peers, "/recall?id=run-1"))
                     .text("a job remembered", get(peers, "/remains?part=0"))
                     .text("no later part", get(peers, "/remains?part=1"))
-                    .text("pledge of what is served", post(peers, "/pledge", Wire.map("back_ms", 7000L)));
+                    .text("pledge of what is served", post(peers, "/pledge", MessagePackFormat.map("back_ms", 7000L)));
             GoldenHttp.post(users, "/api/jobs/run-1/cancel", Map.of());
-            golden.text("pledge with a told cancellation", post(peers, "/pledge", Wire.map("back_ms", 7000L)))
-                    .text("malformed question for a pledge", post(peers, "/pledge", Wire.map("back_ms", "long")))
-                    .text("told of a loss", post(peers, "/loss", Wire.map("era", 0L)))
-                    .text("asked to remove another key", post(peers, "/handover", Wire.map("stamp", 1L)))
+            golden.text(
+                            "pledge with a told cancellation",
+                            post(peers, "/pledge", MessagePackFormat.map("back_ms", 7000L)))
+                    .text(
+                            "malformed question for a pledge",
+                            post(peers, "/pledge", MessagePackFormat.map("back_ms", "long")))
+                    .text("told of a loss", post(peers, "/loss", MessagePackFormat.map("era", 0L)))
+                    .text("asked to remove another key", post(peers, "/handover", MessagePackFormat.map("stamp", 1L)))
                     .text("asked for a job without an id", get(peers, "/knows?id=one"))
                     .text("answer to a worker's first report", post(users, WorkerCodec.REPORT, report()))
                     .text("answer to a malformed report", post(users, WorkerCodec.REPORT, Map.of()))
@@ -100,13 +104,14 @@
             request.body().onSuccess(body -> {
                 String sent = body.length() == 0
                         ? ""
-                        : Golden.hex(
-                                Wire.write(GoldenHttp.still(Wire.readMap(body).map(), OF_THE_MOMENT)));
+                        : Golden.hex(MessagePackFormat.write(
+                                GoldenHttp.still(MessagePackFormat.readMap(body).map(), OF_THE_MOMENT)));
                 asked.putIfAbsent(request.path(), request.method() + " " + request.uri() + " " + sent);
                 boolean isKnown = request.path().equals("/standing");
                 request.response()
                         .setStatusCode(isKnown ? 200 : 404)
-                        .end(Wire.write(isKnown ? Wire.map("served", served, "leads", false) : Map.of()));
+                        .end(MessagePackFormat.write(
+                                isKnown ? MessagePackFormat.map("served", served, "leads", false) : Map.of()));
             });
         }
 
@@ -117,7 +122,7 @@
 
     /** It leads, and listens to the others. */
     private static void awaitLeading(PlatformConfig node) throws Exception {
-        String leads = hex(Wire.map("served", true, "leads", true));
+        String leads = hex(MessagePackFormat.map("served", true, "leads", true));
         await(
                 () -> {
                     try {
@@ -149,12 +154,12 @@
     }
 
     private static Map<String, Object> report() {
-        return WorkerCodec.write(new WorkerReport(
+        return WorkerCodec.write(new Heartbeat(
                 new MachineId("vm-000231"),
                 "127.0.0.1:9",
-                new Pool("quad", "a", false),
-                new ReportNumber(1, 1),
-                new Token(0),
+                new MachinePool("quad", "a", false),
+                new HeartbeatNumber(1, 1),
+                new FencingToken(0),
                 null,
                 List.of()));
     }
@@ -174,12 +179,14 @@
             GoldenHttp.get(users, "/api/jobs/run-000412");
             others.await("/knows");
             StateClient client = new StateClient(
-                    new Caller(cluster.vertx, state.endpoint(), 1), new Caller(cluster.vertx, state.endpoint(), 1));
-            LocalCluster.await(client.commit(
-                    new StateClient.Txn().put(RecordCodec.open(new JobId("run-000413")), Wire.map("spoilt", 1L))));
+                    new ServiceClient(cluster.vertx, state.endpoint(), 1),
+                    new ServiceClient(cluster.vertx, state.endpoint(), 1));
+            LocalCluster.await(client.commit(new StateClient.Txn()
+                    .put(RecordCodec.openKey(new JobId("run-000413")), MessagePackFormat.map("spoilt", 1L))));
             GoldenHttp.get(users, "/api/jobs/run-000413");
             others.await("/recall");
-            LocalCluster.await(client.commit(new StateClient.Txn().delete(RecordCodec.open(new JobId("run-000413")))));
+            LocalCluster.await(
+                    client.commit(new StateClient.Txn().delete(RecordCodec.openKey(new JobId("run-000413")))));
             others.served = true;
             state.refusing = true;
             others.await("/standing");
--- a/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
+++ b/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
@@ -5,16 +5,16 @@
 import io.indigoreach.GoldenFile;
 import io.indigoreach.GoldenHttp;
 import io.indigoreach.GoldenSamples;
-import io.indigoreach.api.FrontDoor;
+import io.indigoreach.api.HttpApi;
 import io.indigoreach.cluster.PartRegistry;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
 import io.indigoreach.config.SettingsFile;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Urgency;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Urgency;
 import io.indigoreach.core.ownership.Beginning;
 import io.indigoreach.core.ownership.Edit;
 import io.indigoreach.core.ownership.Ending;
@@ -26,16 +26,16 @@
 import io.indigoreach.core.ownership.Registry;
 import io.indigoreach.core.ownership.Shown;
 import io.indigoreach.core.ownership.Take;
-import io.indigoreach.core.records.Change;
-import io.indigoreach.core.records.Kept;
 import io.indigoreach.core.records.Routine;
-import io.indigoreach.core.records.Seen;
 import io.indigoreach.core.records.Step;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.records.StepResult;
+import io.indigoreach.core.records.Transaction;
+import io.indigoreach.core.records.VersionedRecord;
 import io.indigoreach.net.Endpoint;
 import io.indigoreach.net.Fields;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.parts.Parts;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
@@ -61,22 +61,22 @@
 
     /** What a part's routines have written, at times that are the same in every run. */
     private static final class Store {
-        private final TreeMap<String, Kept> records = new TreeMap<>();
+        private final TreeMap<String, VersionedRecord> records = new TreeMap<>();
         private long now = GoldenSamples.AT;
         private long revision = 10;
 
         <R> R run(Routine<R> routine) {
-            Seen seen = Seen.nothing(ERA, now);
+            StepResult seen = StepResult.nothing(ERA, now);
             while (true) {
                 Step<R> next = routine.next(seen);
                 now += 1000;
                 if (next instanceof Step.End<R> end) {
                     return end.result();
                 }
-                Map<String, Kept> found = new LinkedHashMap<>();
-                Stamp written = null;
+                Map<String, VersionedRecord> found = new LinkedHashMap<>();
+                Revision written = null;
                 if (next instanceof Step.Read<R> read) {
-                    read.keys().forEach(k -> found.put(k, records.getOrDefault(k, Kept.absent(k))));
+                    read.keys().forEach(k -> found.put(k, records.getOrDefault(k, VersionedRecord.absent(k))));
                 } else if (next instanceof Step.Scan<R> scan) {
                     records.tailMap(scan.prefix()).forEach((k, v) -> {
                         if (k.startsWith(scan.prefix())) {
@@ -86,17 +86,17 @@
                 } else if (next instanceof Step.Write<R> write) {
                     written = commit(write.change());
                 }
-                seen = new Seen(ERA, now, found, false, written, List.of());
+                seen = new StepResult(ERA, now, found, false, written, List.of());
             }
         }
 
-        Stamp commit(Change change) {
-            Stamp stamp = new Stamp(++revision);
+        Revision commit(Transaction change) {
+            Revision stamp = new Revision(++revision);
             change.writes().forEach((key, value) -> {
                 if (value == null) {
                     records.remove(key);
                 } else {
-                    records.put(key, new Kept(key, value, stamp));
+                    records.put(key, new VersionedRecord(key, value, stamp));
                 }
             });
             return stamp;
@@ -157,42 +157,51 @@
     @Test
     void whatPeopleSay() {
         GoldenFile golden = new GoldenFile("ownership-words.txt");
-        golden.text("list", told(new Fields(Wire.map("ids", List.of("a/1", "b"))), f -> RecordsCodec.ids(f, 400)))
+        golden.text(
+                        "list",
+                        told(
+                                new Fields(MessagePackFormat.map("ids", List.of("a/1", "b"))),
+                                f -> RecordsCodec.ids(f, 400)))
                 .text(
                         "range",
                         told(
-                                new Fields(Wire.map("prefix", "KL-1/farm-", "from", 9L, "to", 11L)),
+                                new Fields(MessagePackFormat.map("prefix", "KL-1/farm-", "from", 9L, "to", 11L)),
                                 f -> RecordsCodec.ids(f, 400)))
-                .text("run", RecordsCodec.run(new Fields(Wire.map("run", "export-1"))))
-                .text("task", holder(Wire.map("job", "run-1", "task", 3L, "attempt", 2L)))
-                .text("export", holder(Wire.map("run", "export-1")))
+                .text("run", RecordsCodec.run(new Fields(MessagePackFormat.map("run", "export-1"))))
+                .text("task", holder(MessagePackFormat.map("job", "run-1", "task", 3L, "attempt", 2L)))
+                .text("export", holder(MessagePackFormat.map("run", "export-1")))
                 .text(
                         "fences",
-                        RecordsCodec.fences(new Fields(Wire.map("fences", Wire.map("a/1", 7L, "a/2", 8L))))
+                        RecordsCodec.fences(new Fields(
+                                        MessagePackFormat.map("fences", MessagePackFormat.map("a/1", 7L, "a/2", 8L))))
                                 .toString())
-                .text("reason", RecordsCodec.reason(new Fields(Wire.map("by", "anna", "reason", " why "))));
+                .text(
+                        "reason",
+                        RecordsCodec.reason(new Fields(MessagePackFormat.map("by", "anna", "reason", " why "))));
         assertEquals(
                 List.of(Entry.State.FREE, Entry.State.BILLED, Entry.State.DOUBT),
                 Stream.of("free", "billed", "doubt")
-                        .map(as -> RecordsCodec.state(new Fields(Wire.map("as", as))))
+                        .map(as -> RecordsCodec.state(new Fields(MessagePackFormat.map("as", as))))
                         .toList());
         golden.refused("no ids", Map.of(), f -> RecordsCodec.ids(f, 400))
-                .refused("too many ids", Wire.map("ids", List.of("a", "b")), f -> RecordsCodec.ids(f, 1))
-                .refused("malformed id", Wire.map("ids", List.of("a//b")), f -> RecordsCodec.ids(f, 400))
-                .refused("id twice", Wire.map("ids", List.of("a", "a")), f -> RecordsCodec.ids(f, 400))
+                .refused("too many ids", MessagePackFormat.map("ids", List.of("a", "b")), f -> RecordsCodec.ids(f, 1))
+                .refused("malformed id", MessagePackFormat.map("ids", List.of("a//b")), f -> RecordsCodec.ids(f, 400))
+                .refused("id twice", MessagePackFormat.map("ids", List.of("a", "a")), f -> RecordsCodec.ids(f, 400))
                 .refused(
                         "range backwards",
-                        Wire.map("prefix", "a/", "from", 2L, "to", 1L),
+                        MessagePackFormat.map("prefix", "a/", "from", 2L, "to", 1L),
                         f -> RecordsCodec.ids(f, 400))
-                .refused("job's name for a run", Wire.map("run", "run-1"), RecordsCodec::run)
-                .refused("malformed job", Wire.map("job", "1", "task", 1L), RecordsCodec::holder)
-                .refused("negative task", Wire.map("job", "run-1", "task", -1L), RecordsCodec::holder)
-                .refused("negative attempt", Wire.map("run", "e", "attempt", -1L), RecordsCodec::holder)
-                .refused("no fences", Wire.map("fences", Map.of()), RecordsCodec::fences)
-                .refused("malformed author", Wire.map("by", "an na", "reason", "why"), RecordsCodec::reason)
-                .refused("no reason", Wire.map("by", "anna", "reason", " "), RecordsCodec::reason)
-                .refused("reason with quotes", Wire.map("by", "anna", "reason", "\""), RecordsCodec::reason)
-                .refused("another state", Wire.map("as", "gone"), RecordsCodec::state);
+                .refused("job's name for a run", MessagePackFormat.map("run", "run-1"), RecordsCodec::run)
+                .refused("malformed job", MessagePackFormat.map("job", "1", "task", 1L), RecordsCodec::holder)
+                .refused("negative task", MessagePackFormat.map("job", "run-1", "task", -1L), RecordsCodec::holder)
+                .refused("negative attempt", MessagePackFormat.map("run", "e", "attempt", -1L), RecordsCodec::holder)
+                .refused("no fences", MessagePackFormat.map("fences", Map.of()), RecordsCodec::fences)
+                .refused(
+                        "malformed author", MessagePackFormat.map("by", "an na", "reason", "why"), RecordsCodec::reason)
+                .refused("no reason", MessagePackFormat.map("by", "anna", "reason", " "), RecordsCodec::reason)
+                .refused(
+                        "reason with quotes", MessagePackFormat.map("by", "anna", "reason", "\""), RecordsCodec::reason)
+                .refused("another state", MessagePackFormat.map("as", "gone"), RecordsCodec::state);
         Map<RecordId, Entry> done = new LinkedHashMap<>();
         for (Entry.State s : Entry.State.values()) {
             done.put(new RecordId("a/" + s.ordinal()), new Entry(s, 900 + s.ordinal(), "export-1", "", 2, 5));
@@ -213,8 +222,8 @@
                                 .toString())
                 .text(
                         "records of a service",
-                        GoldenFile.fault(() -> RecordsCodec.readField(
-                                GoldenSamples.full(1, Urgency.HIGH).with("records", Wire.map("ids", List.of("a"))))));
+                        GoldenFile.fault(() -> RecordsCodec.readField(GoldenSamples.full(1, Urgency.HIGH)
+                                .with("records", MessagePackFormat.map("ids", List.of("a"))))));
         golden.check();
     }
 
@@ -229,7 +238,11 @@
 
     private static String post(Endpoint node, String what, Object... body) throws Exception {
         return GoldenHttp.ask(
-                node, "POST", "/api/records/" + what, Wire.write(Wire.map(body)).getBytes(), OF_THE_MOMENT);
+                node,
+                "POST",
+                "/api/records/" + what,
+                MessagePackFormat.write(MessagePackFormat.map(body)).getBytes(),
+                OF_THE_MOMENT);
     }
 
     private static String get(Endpoint node, String what) throws Exception {
@@ -261,12 +274,11 @@
         try {
             StateStandIn state = await(new StateStandIn().listen(vertx));
             Settings settings = SettingsFile.parse("test", "record_ownership: 1");
-            StateClient client =
-                    new StateClient(new Caller(vertx, state.endpoint(), 8), new Caller(vertx, state.endpoint(), 1));
+            StateClient client = new StateClient(
+                    new ServiceClient(vertx, state.endpoint(), 8), new ServiceClient(vertx, state.endpoint(), 1));
             Parts parts = Parts.of(
                     PartRegistry.switchedOn(settings), vertx, client, new SteadyClock(), null, config(), settings);
-            FrontDoor door =
-                    new FrontDoor(vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources());
+            HttpApi door = new HttpApi(vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources());
             Endpoint node = new Endpoint("127.0.0.1", await(door.open()));
             answers(node, client);
         } finally {
@@ -284,7 +296,9 @@
                 .text("claim of another", post(node, "claim", "run", "e2", "ids", List.of("a/1", "a/3")))
                 .text("billing", post(node, "billing", "run", "e1", "ids", List.of("a/1", "a/2")))
                 .text("billing of another", post(node, "billing", "run", "e2", "ids", List.of("a/1")))
-                .text("billed under another fence", post(node, "billed", "run", "e1", "fences", Wire.map("a/2", 1L)))
+                .text(
+                        "billed under another fence",
+                        post(node, "billed", "run", "e1", "fences", MessagePackFormat.map("a/2", 1L)))
                 .text("show", get(node, "show?id=a/1,b/1,c/1"))
                 .text("show of a malformed id", get(node, "show?id=a//1"))
                 .text("holders", get(node, "holders"))
--- a/src/test/java/io/indigoreach/state/GoldenKeptRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenKeptRecordsTest.java
@@ -3,21 +3,21 @@
 import io.indigoreach.GoldenFile;
 import io.indigoreach.GoldenSamples;
 import io.indigoreach.config.PlatformConfig;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.JobSpec;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Moment;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.Stamp;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.Urgency;
-import io.indigoreach.core.chain.Chain;
-import io.indigoreach.core.duty.Intents;
-import io.indigoreach.core.loss.Remains;
-import io.indigoreach.core.records.Kept;
+import io.indigoreach.core.intent.Intents;
+import io.indigoreach.core.loss.RememberedState;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.JobDependencies;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Urgency;
+import io.indigoreach.core.records.VersionedRecord;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
@@ -26,14 +26,14 @@
 /** The records of jobs, machines and leaderships with their keys, and what controllers tell each other of them. */
 class GoldenKeptRecordsTest {
     private static final JobId ID = GoldenSamples.ID;
-    private static final Stamp STAMP = new Stamp(9);
-    private static final Token TOKEN = new Token(7_000_001);
-    private static final Pool POOL = new Pool("quad", "a", true);
+    private static final Revision STAMP = new Revision(9);
+    private static final FencingToken TOKEN = new FencingToken(7_000_001);
+    private static final MachinePool POOL = new MachinePool("quad", "a", true);
 
     private final GoldenFile golden = new GoldenFile("records.txt");
 
     private static Fields sent(Map<String, Object> message) {
-        return Wire.readMap(Wire.write(message));
+        return MessagePackFormat.readMap(MessagePackFormat.write(message));
     }
 
     private static BitSet first(int tasks) {
@@ -51,9 +51,10 @@
     }
 
     /** Of a job whose bits stand beside its record these are as many, and any. */
-    private static Map<String, Object> write(JobRecord r) {
-        BitSet done = r.done().isEmpty() ? first(r.doneCount()) : r.done();
-        return RecordCodec.writeJob(r.spec(), r.submittedMs(), r.status(), done, r.running(), r.bound());
+    private static Map<String, Object> write(JobRecord record) {
+        BitSet done = record.done().isEmpty() ? first(record.doneCount()) : record.done();
+        return RecordCodec.writeJob(
+                record.spec(), record.submittedMs(), record.status(), done, record.running(), record.bound());
     }
 
     private void job(String name, JobSpec spec, JobStatus status, BitSet done) {
@@ -68,10 +69,10 @@
         for (JobStatus status : JobStatus.values()) {
             job("job of status " + status.ordinal(), GoldenSamples.bare(100), status, everyThird(100));
         }
-        Chain released = GoldenSamples.jobs().get("chained").chain();
+        JobDependencies released = GoldenSamples.jobs().get("chained").chain();
         job(
                 "job released from its chain",
-                GoldenSamples.bare(4).with(new Chain(released.needs(), GoldenSamples.AT)),
+                GoldenSamples.bare(4).with(new JobDependencies(released.needs(), GoldenSamples.AT)),
                 JobStatus.RUNNING,
                 new BitSet());
         job("job of 8192", GoldenSamples.bare(8192), JobStatus.RUNNING, everyThird(8192));
@@ -80,7 +81,8 @@
                 write(new JobRecord(GoldenSamples.bare(2), 1, JobStatus.PENDING, new BitSet(), 0, 0, 0, STAMP));
         without.remove("bound");
         golden.read("job without a start bound", without, f -> write(RecordCodec.readJob(ID, f, STAMP)));
-        golden.refused("job without tasks", Wire.map("class", "c"), f -> RecordCodec.readJob(ID, f, STAMP));
+        golden.refused(
+                "job without tasks", MessagePackFormat.map("class", "c"), f -> RecordCodec.readJob(ID, f, STAMP));
         for (JobStatus status : List.of(JobStatus.DONE, JobStatus.CANCELLED)) {
             golden.both(
                     "end of status " + status.ordinal(),
@@ -96,12 +98,12 @@
             int block = n;
             golden.again("block " + n + " of 40000", done, all -> RecordCodec.writeBlock(all, block), f -> {
                 BitSet into = new BitSet();
-                RecordCodec.readBlock(RecordCodec.block(ID, block), f, into);
+                RecordCodec.readBlock(RecordCodec.blockKey(ID, block), f, into);
                 return into;
             });
         }
         for (int bytes : new int[] {8192, 2048, 512}) {
-            DoneBits bits = new DoneBits(new PlatformConfig.StateLimits(100, 100, bytes, 16));
+            CompletionBits bits = new CompletionBits(new PlatformConfig.StateLimits(100, 100, bytes, 16));
             BitSet missing = new BitSet();
             missing.set(9_000);
             missing.set(39_999);
@@ -109,10 +111,10 @@
                     .forEach((key, covered) -> golden.again(
                             "blocks of values of " + bytes + " bytes, " + key,
                             covered,
-                            some -> DoneBits.writeBlock(key, some),
+                            some -> CompletionBits.writeBlock(key, some),
                             f -> {
                                 BitSet into = new BitSet();
-                                DoneBits.readBlock(key, f, into);
+                                CompletionBits.readBlock(key, f, into);
                                 return into;
                             }));
             golden.written(
@@ -125,7 +127,7 @@
     private void machines() {
         List<MachineRecord> machines = List.of(
                 new MachineRecord(new MachineId("vm-000231"), POOL, GoldenSamples.AT, GoldenSamples.AT + 20_000),
-                new MachineRecord(new MachineId("vm-000232"), new Pool("g8", "b", false), GoldenSamples.AT, 0));
+                new MachineRecord(new MachineId("vm-000232"), new MachinePool("g8", "b", false), GoldenSamples.AT, 0));
         golden.both("page of machines", machines, RecordCodec::writeMachines, RecordCodec::readMachines)
                 .both("empty page of machines", List.of(), RecordCodec::writeMachines, RecordCodec::readMachines)
                 .both(
@@ -146,7 +148,7 @@
                         RecordCodec.bytes(machines.get(0)) + " "
                                 + RecordCodec.bytes(new Intents.Rent("7000001-1", POOL, 50, GoldenSamples.AT)) + " "
                                 + RecordCodec.bytes(new MachineId("vm-000233")) + " "
-                                + DoneBits.recordBytes(GoldenSamples.full(6, Urgency.HIGH), GoldenSamples.AT));
+                                + CompletionBits.recordBytes(GoldenSamples.full(6, Urgency.HIGH), GoldenSamples.AT));
     }
 
     private void leaderships() {
@@ -161,7 +163,7 @@
         }
         golden.refused(
                 "counter of a later format",
-                Wire.map("highest", 7L, "format", CounterRecord.KNOWN + 1L),
+                MessagePackFormat.map("highest", 7L, "format", CounterRecord.KNOWN + 1L),
                 CounterRecord::read);
         golden.written("format that a node knows", FormatGate.write())
                 .both(
@@ -169,7 +171,7 @@
                         new LeaderKey("worker-1", "5f-1700000000000", TOKEN, STAMP),
                         k -> LeaderKey.write(k.node(), k.process(), k.token()),
                         f -> LeaderKey.read(f, STAMP))
-                .both("era", TOKEN.value(), t -> RecordCodec.writeEra(new Token(t)), RecordCodec::readEra)
+                .both("era", TOKEN.value(), t -> RecordCodec.writeEra(new FencingToken(t)), RecordCodec::readEra)
                 .written(
                         "era after a loss",
                         RecordCodec.writeEra(TOKEN, GoldenSamples.AT, List.of("era: 0 where 1 was known"), 12))
@@ -190,53 +192,59 @@
                         RecordCodec.COUNTER,
                         RecordCodec.ERA,
                         RecordCodec.CATALOGUE,
-                        RecordCodec.open(ID),
-                        RecordCodec.over(ID),
-                        RecordCodec.block(ID, 1),
-                        RecordCodec.machinePage(TOKEN, 3),
-                        RecordCodec.intents(TOKEN),
+                        RecordCodec.openKey(ID),
+                        RecordCodec.finalKey(ID),
+                        RecordCodec.blockKey(ID, 1),
+                        RecordCodec.machinePageKey(TOKEN, 3),
+                        RecordCodec.intentsKey(TOKEN),
                         FormatGate.NODES,
-                        DoneBits.SMALL,
-                        RecordCodec.before(RecordCodec.open(ID))));
+                        CompletionBits.SMALL,
+                        RecordCodec.keyBefore(RecordCodec.openKey(ID))));
     }
 
-    private static Remains remains() {
-        Remains all = new Remains();
-        all.add(new Remains.Open(
+    private static RememberedState remains() {
+        RememberedState all = new RememberedState();
+        all.add(new RememberedState.OpenJob(
                 GoldenSamples.jobs().get("chained, with records and a plan"), GoldenSamples.AT, new BitSet(), 1));
-        all.add(new JobId("run-000398"), new Remains.Over(JobStatus.CANCELLED, 2));
-        all.add(new JobId("run-000399"), new Remains.Over(JobStatus.DONE, 8));
-        all.add(new Remains.Rented(new MachineId("vm-1"), POOL, new Moment(1), new Moment(2)));
-        all.add(new Kept("warm/pool/a", Wire.map("team", "t", Kept.VERSION, 3L), STAMP));
+        all.add(new JobId("run-000398"), new RememberedState.FinishedJob(JobStatus.CANCELLED, 2));
+        all.add(new JobId("run-000399"), new RememberedState.FinishedJob(JobStatus.DONE, 8));
+        all.add(new RememberedState.RentedMachine(new MachineId("vm-1"), POOL, new Moment(1), new Moment(2)));
+        all.add(new VersionedRecord(
+                "warm/pool/a", MessagePackFormat.map("team", "t", VersionedRecord.VERSION, 3L), STAMP));
         return all;
     }
 
-    private static Remains many() {
-        Remains all = new Remains();
+    private static RememberedState many() {
+        RememberedState all = new RememberedState();
         for (int n = 0; n < 201; n++) {
-            all.add(new JobId("run-" + n), new Remains.Over(JobStatus.DONE, n));
+            all.add(new JobId("run-" + n), new RememberedState.FinishedJob(JobStatus.DONE, n));
         }
         for (int n = 0; n < 21; n++) {
-            all.add(new Kept("own/c/run-" + n, Wire.map(Kept.VERSION, 1L), STAMP));
+            all.add(new VersionedRecord("own/c/run-" + n, MessagePackFormat.map(VersionedRecord.VERSION, 1L), STAMP));
         }
         return all;
     }
 
     private void memory() {
-        golden.again("memory", remains(), r -> RemainsCodec.write(r, 0), GoldenKeptRecordsTest::remembered)
-                .again("empty memory", new Remains(), r -> RemainsCodec.write(r, 0), GoldenKeptRecordsTest::remembered)
-                .written("first part of a long memory", RemainsCodec.write(many(), 0))
-                .written("second part of a long memory", RemainsCodec.write(many(), 1))
+        golden.again("memory", remains(), r -> RememberedStateCodec.write(r, 0), GoldenKeptRecordsTest::remembered)
+                .again(
+                        "empty memory",
+                        new RememberedState(),
+                        r -> RememberedStateCodec.write(r, 0),
+                        GoldenKeptRecordsTest::remembered)
+                .written("first part of a long memory", RememberedStateCodec.write(many(), 0))
+                .written("second part of a long memory", RememberedStateCodec.write(many(), 1))
                 .text(
                         "whether there are more parts",
-                        RemainsCodec.read(sent(RemainsCodec.write(many(), 0)), new Remains())
+                        RememberedStateCodec.read(sent(RememberedStateCodec.write(many(), 0)), new RememberedState())
                                 + " "
-                                + RemainsCodec.read(sent(RemainsCodec.write(many(), 1)), new Remains()));
+                                + RememberedStateCodec.read(
+                                        sent(RememberedStateCodec.write(many(), 1)), new RememberedState()));
     }
 
-    private static Remains remembered(Fields f) {
-        Remains into = new Remains();
-        RemainsCodec.read(f, into);
+    private static RememberedState remembered(Fields f) {
+        RememberedState into = new RememberedState();
+        RememberedStateCodec.read(f, into);
         return into;
     }
 
--- a/src/test/java/io/indigoreach/state/GoldenStateServiceTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenStateServiceTest.java
@@ -1,30 +1,30 @@
 package io.indigoreach.state;
 
 import io.indigoreach.GoldenFile;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Stamp;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 /** What is asked of the state service, and its answers. */
 class GoldenStateServiceTest {
-    private static final Map<String, Object> VALUE =
-            Wire.map("n", 1L, "list", List.of("a", 2.5, true), "nothing", null, "map", Wire.map("x", -7L));
+    private static final Map<String, Object> VALUE = MessagePackFormat.map(
+            "n", 1L, "list", List.of("a", 2.5, true), "nothing", null, "map", MessagePackFormat.map("x", -7L));
 
     private static StateClient.Entry entry(String key, Map<String, Object> value, long lease) {
-        return new StateClient.Entry(key, new Fields(value), new Stamp(4_000_000_000L), lease);
+        return new StateClient.Entry(key, new Fields(value), new Revision(4_000_000_000L), lease);
     }
 
     private static StateClient.Txn txn() {
         return new StateClient.Txn()
-                .when("era", new Stamp(9))
-                .when("j/run-1", Stamp.ABSENT)
+                .when("era", new Revision(9))
+                .when("j/run-1", Revision.ABSENT)
                 .put("j/run-1", VALUE)
-                .put("leader", Wire.map("n", 1L), 7)
-                .put("any data", Wire.map("", List.of(1L, "text")))
+                .put("leader", MessagePackFormat.map("n", 1L), 7)
+                .put("any data", MessagePackFormat.map("", List.of(1L, "text")))
                 .delete("f/run-1");
     }
 
@@ -52,15 +52,18 @@
         golden.both("entry", entry("j/run-1", VALUE, 0), StateCodec::writeEntry, StateCodec::readEntry)
                 .both(
                         "entry under a lease",
-                        entry("leader", Wire.map("n", 1L), 7),
+                        entry("leader", MessagePackFormat.map("n", 1L), 7),
                         StateCodec::writeEntry,
                         StateCodec::readEntry)
                 .both(
                         "entry of any data",
-                        entry("x", Wire.map("", "text"), 0),
+                        entry("x", MessagePackFormat.map("", "text"), 0),
                         StateCodec::writeEntry,
                         StateCodec::readEntry)
-                .refused("entry without a version", Wire.map("path", "x", "data", Map.of()), StateCodec::readEntry)
+                .refused(
+                        "entry without a version",
+                        MessagePackFormat.map("path", "x", "data", Map.of()),
+                        StateCodec::readEntry)
                 .both("revision", 41L, StateCodec::writeRevision, StateCodec::readRevision);
         golden.both(
                         "page",
@@ -76,12 +79,12 @@
         golden.again("transaction", txn(), StateCodec::writeTxn, GoldenStateServiceTest::read)
                 .again(
                         "comparison",
-                        new StateClient.Txn().when("era", new Stamp(9)),
+                        new StateClient.Txn().when("era", new Revision(9)),
                         StateCodec::writeTxn,
                         GoldenStateServiceTest::read)
                 .refused(
                         "transaction without a key",
-                        Wire.map("writes", List.of(Wire.map("data", Map.of()))),
+                        MessagePackFormat.map("writes", List.of(MessagePackFormat.map("data", Map.of()))),
                         GoldenStateServiceTest::read)
                 .both(
                         "conflict",
@@ -94,8 +97,8 @@
                         "changes",
                         new StateClient.Changes(
                                 List.of(
-                                        new StateClient.Change("j/run-1", new Fields(VALUE), new Stamp(40)),
-                                        new StateClient.Change("j/run-2", null, new Stamp(41))),
+                                        new StateClient.Change("j/run-1", new Fields(VALUE), new Revision(40)),
+                                        new StateClient.Change("j/run-2", null, new Revision(41))),
                                 41,
                                 false),
                         StateCodec::writeChanges,
--- a/src/test/java/io/indigoreach/tools/GoldenVerbsTest.java
+++ b/src/test/java/io/indigoreach/tools/GoldenVerbsTest.java
@@ -4,12 +4,12 @@
 import io.indigoreach.GoldenSamples;
 import io.indigoreach.calendar.CalendarCodec;
 import io.indigoreach.config.ConfigException;
-import io.indigoreach.core.JobStatus;
-import io.indigoreach.core.Token;
 import io.indigoreach.core.calendar.Calendar;
 import io.indigoreach.core.calendar.Register;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.net.Endpoint;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.scenario.TextForm;
 import io.indigoreach.state.RecordCodec;
 import io.vertx.core.Future;
@@ -73,8 +73,9 @@
         request.body().onSuccess(body -> {
             asked.add(request.method() + " " + request.uri() + " " + hex(body));
             Canned canned = answers.getOrDefault(
-                    request.method() + " " + request.path(), new Canned(404, Wire.map("error", "no such path")));
-            request.response().setStatusCode(canned.status).end(Wire.write(canned.body));
+                    request.method() + " " + request.path(),
+                    new Canned(404, MessagePackFormat.map("error", "no such path")));
+            request.response().setStatusCode(canned.status).end(MessagePackFormat.write(canned.body));
         });
     }
 
@@ -83,9 +84,10 @@
         if (body.length() == 0) {
             return "";
         }
-        Map<String, Object> map = new LinkedHashMap<>(Wire.readMap(body).map());
+        Map<String, Object> map =
+                new LinkedHashMap<>(MessagePackFormat.readMap(body).map());
         map.computeIfPresent("text", (k, v) -> CalendarCodec.unpack((String) v).file());
-        return HexFormat.of().formatHex(Wire.write(map).getBytes());
+        return HexFormat.of().formatHex(MessagePackFormat.write(map).getBytes());
     }
 
     private void when(String methodAndPath, int status, Map<String, Object> body) {
@@ -118,16 +120,16 @@
     }
 
     private void jobs() throws Exception {
-        Map<String, Object> done = Wire.map("id", "run-5", "status", "done", "done", 2L, "running", 0L);
+        Map<String, Object> done = MessagePackFormat.map("id", "run-5", "status", "done", "done", 2L, "running", 0L);
         when("POST /upload", 200, Map.of());
-        when("POST /api/jobs", 201, Wire.map("id", "run-000412", "status", "pending"));
+        when("POST /api/jobs", 201, MessagePackFormat.map("id", "run-000412", "status", "pending"));
         when("GET /api/jobs/run-5", 200, done);
         when("POST /api/jobs/run-5/cancel", 200, done);
         String job = file(
                 "job",
                 "id: \"run-000412\" job_class: \"c\" team: \"t\" image: \"i\" tasks: 3 estimate_s: 5 zone: \"a\"\n");
         tell("submit", "submit", job);
-        when("POST /api/jobs", 422, Wire.map("error", "unknown team t"));
+        when("POST /api/jobs", 422, MessagePackFormat.map("error", "unknown team t"));
         tell("submit, refused", "submit", job);
         tell("status", "status", "run-5");
         tell("status of no job", "status", "run-6");
@@ -136,7 +138,7 @@
         List<Object> items = new ArrayList<>();
         GoldenSamples.jobs().values().stream()
                 .limit(2)
-                .forEach(spec -> items.add(Wire.map(
+                .forEach(spec -> items.add(MessagePackFormat.map(
                         "path",
                         "j/run-00041" + items.size(),
                         "data",
@@ -144,12 +146,12 @@
                                 spec, GoldenSamples.AT, JobStatus.RUNNING, BitSet.valueOf(new long[] {5}), 3, 4),
                         "stamp",
                         9L)));
-        when("GET /store", 200, Wire.map("items", items, "truncated", false, "ledger_rev", 9L));
+        when("GET /store", 200, MessagePackFormat.map("items", items, "truncated", false, "ledger_rev", 9L));
         tell("jobs", "jobs");
     }
 
     private void machines() {
-        Map<String, Object> machine = Wire.map(
+        Map<String, Object> machine = MessagePackFormat.map(
                 "id",
                 "vm-1",
                 "endpoint",
@@ -164,20 +166,20 @@
                 "running",
                 "held_s",
                 12.5);
-        when("GET /machines", 200, Wire.map("boxes", List.of(machine), "truncated", false));
+        when("GET /machines", 200, MessagePackFormat.map("boxes", List.of(machine), "truncated", false));
         tell("machines", "machines");
         when(
                 "GET /store/leader",
                 200,
-                entry("leader", Wire.map("node", "node-0", "process", "5f", "token", 7_000_001L)));
+                entry("leader", MessagePackFormat.map("node", "node-0", "process", "5f", "token", 7_000_001L)));
         when(
                 "GET /store",
                 200,
-                Wire.map(
+                MessagePackFormat.map(
                         "items",
                         List.of(entry(
                                 "i/7000001",
-                                Wire.map(
+                                MessagePackFormat.map(
                                         "rents",
                                         List.of(List.of("7000001-1", "quad", "a", true, 50L, GoldenSamples.AT)),
                                         "condemned",
@@ -192,15 +194,18 @@
                 entry(
                         "era",
                         RecordCodec.writeEra(
-                                new Token(7_000_001), GoldenSamples.AT, List.of("era: 0 where 1 was known"), 12)));
+                                new FencingToken(7_000_001),
+                                GoldenSamples.AT,
+                                List.of("era: 0 where 1 was known"),
+                                12)));
         tell("duties", "duties");
-        when("GET /store/leader", 404, Wire.map("ledger_rev", 9L));
-        when("GET /store/era", 404, Wire.map("ledger_rev", 9L));
+        when("GET /store/leader", 404, MessagePackFormat.map("ledger_rev", 9L));
+        when("GET /store/era", 404, MessagePackFormat.map("ledger_rev", 9L));
         tell("duties of nobody", "duties");
     }
 
     private static Map<String, Object> entry(String key, Map<String, Object> value) {
-        return Wire.map("path", key, "data", value, "stamp", 9L);
+        return MessagePackFormat.map("path", key, "data", value, "stamp", 9L);
     }
 
     private void calendars() throws Exception {
@@ -210,30 +215,30 @@
         when(
                 "GET /api/calendar",
                 200,
-                Wire.map(
+                MessagePackFormat.map(
                         "version",
                         3L,
                         "text",
                         text,
                         "history",
-                        List.of(Wire.map("version", 3L, "at", GoldenSamples.AT, "note", "Onam's dates"))));
+                        List.of(MessagePackFormat.map("version", 3L, "at", GoldenSamples.AT, "note", "Onam's dates"))));
         String file = file("calendar", form);
-        when("POST /api/calendar", 200, Wire.map("version", 4L));
+        when("POST /api/calendar", 200, MessagePackFormat.map("version", 4L));
         tell("calendar set", "calendar", "set", file, "--note", "a note");
         when(
                 "POST /api/calendar",
                 409,
-                Wire.map(
+                MessagePackFormat.map(
                         "error",
                         "another version is in force",
                         "against",
-                        Wire.map("version", 9L, "at", GoldenSamples.AT, "note", "by others")));
+                        MessagePackFormat.map("version", 9L, "at", GoldenSamples.AT, "note", "by others")));
         tell("calendar set, another is in force", "calendar", "set", file, "--base", "2");
-        when("POST /api/calendar", 422, Wire.map("error", "text: why", "field", "text"));
+        when("POST /api/calendar", 422, MessagePackFormat.map("error", "text: why", "field", "text"));
         tell("calendar set, refused", "calendar", "set", file);
         tell("calendar show", "calendar", "show");
         tell("calendar file", "calendar", "show", "--file");
-        Map<String, Object> next = Wire.map(
+        Map<String, Object> next = MessagePackFormat.map(
                 "plan",
                 "kochi",
                 "day",
@@ -250,10 +255,13 @@
                 "",
                 "id",
                 "run-900000102105500");
-        when("GET /api/calendar/next", 200, Wire.map("version", 3L, "occurrences", List.of(next), "more", null));
+        when(
+                "GET /api/calendar/next",
+                200,
+                MessagePackFormat.map("version", 3L, "occurrences", List.of(next), "more", null));
         tell("calendar next", "calendar", "next", "--days", "3", "--plan", "kochi");
         Map<String, Object> late = new LinkedHashMap<>(next);
-        late.putAll(Wire.map(
+        late.putAll(MessagePackFormat.map(
                 "verdict",
                 "late",
                 "late_s",
@@ -279,7 +287,7 @@
         when(
                 "GET /api/calendar/outlook",
                 200,
-                Wire.map(
+                MessagePackFormat.map(
                         "version",
                         3L,
                         "bad",
@@ -295,9 +303,9 @@
     }
 
     private void pools() throws Exception {
-        Map<String, Object> row = Wire.map(
+        Map<String, Object> row = MessagePackFormat.map(
                 "name", "model-a", "team", "vision", "image", "img-07", "least", 2L, "most", 40L, "version", 3L);
-        when("POST /api/pools/models", 200, Wire.map("name", "models", "version", 4L));
+        when("POST /api/pools/models", 200, MessagePackFormat.map("name", "models", "version", 4L));
         String pool = file("pool", """
                 name: "models" team: "vision" image: "img-07" image_gb: 6.2 cores: 2 machine_type: "quad" least: 2
                 most: 40 window { from: "08:30" to: "10:00" replicas: 12.5 }
@@ -306,11 +314,15 @@
         when(
                 "POST /api/pools/models",
                 409,
-                Wire.map("error", "the pool was changed: it is at version 5", "against", Wire.map("team", "vision")));
+                MessagePackFormat.map(
+                        "error",
+                        "the pool was changed: it is at version 5",
+                        "against",
+                        MessagePackFormat.map("team", "vision")));
         tell("pools set, changed", "pools", "set", pool);
-        when("GET /api/pools", 200, Wire.map("pools", List.of(row), "more", false));
+        when("GET /api/pools", 200, MessagePackFormat.map("pools", List.of(row), "more", false));
         tell("pools show", "pools", "show");
-        Map<String, Object> stands = Wire.map(
+        Map<String, Object> stands = MessagePackFormat.map(
                 "target",
                 12L,
                 "why",
@@ -334,14 +346,16 @@
         when(
                 "GET /api/pools",
                 200,
-                Wire.map("sums", List.of(List.of("model-a", "vision", 1.25), List.of("", "", 0.5)), "machines", 2L));
+                MessagePackFormat.map(
+                        "sums", List.of(List.of("model-a", "vision", 1.25), List.of("", "", 0.5)), "machines", 2L));
         tell("pools pay", "pools", "pay");
     }
 
     private void records() {
-        when("POST /api/records/begin", 200, Wire.map("fences", Map.of(), "billed", List.of()));
-        when("POST /api/records/compared", 200, Wire.map("fences", Map.of(), "billed", List.of()));
-        Map<String, Object> done = Wire.map("fences", Wire.map("a/1", 917L, "a/2", 918L), "billed", List.of("a/2"));
+        when("POST /api/records/begin", 200, MessagePackFormat.map("fences", Map.of(), "billed", List.of()));
+        when("POST /api/records/compared", 200, MessagePackFormat.map("fences", Map.of(), "billed", List.of()));
+        Map<String, Object> done = MessagePackFormat.map(
+                "fences", MessagePackFormat.map("a/1", 917L, "a/2", 918L), "billed", List.of("a/2"));
         for (String what : List.of("claim", "release", "billing", "billed", "resolve")) {
             when("POST /api/records/" + what, 200, done);
         }
@@ -356,18 +370,22 @@
         tell("records billed", "records", "billed", "--run", "e1", "a/1=917");
         tell("records billed without a fence", "records", "billed", "--run", "e1", "a/1");
         tell("records resolve", "records", "resolve", "--as", "doubt", "--by", "anna", "--reason", "x", "a/1");
-        Map<String, Object> row = Wire.map(
+        Map<String, Object> row = MessagePackFormat.map(
                 "id", "a/1", "state", "billing", "by", "e1", "since_s", 1_700_000_000L, "fence", 917L, "attempt", 2L);
-        when("GET /api/records/show", 200, Wire.map("records", List.of(row, Wire.map("id", "a/2", "state", "free"))));
-        when("GET /api/records/doubt", 200, Wire.map("records", List.of(row), "after", null));
+        when(
+                "GET /api/records/show",
+                200,
+                MessagePackFormat.map("records", List.of(row, MessagePackFormat.map("id", "a/2", "state", "free"))));
+        when("GET /api/records/doubt", 200, MessagePackFormat.map("records", List.of(row), "after", null));
         when(
                 "GET /api/records/holders",
                 200,
-                Wire.map("holders", Wire.map("e1 billing", 2L, "e2 billed", 1L), "after", null));
+                MessagePackFormat.map(
+                        "holders", MessagePackFormat.map("e1 billing", 2L, "e2 billed", 1L), "after", null));
         when(
                 "GET /api/records/jobs/run-1",
                 200,
-                Wire.map("id", "run-1", "records", 3L, "lacking", 1L, "waits_for", List.of(row)));
+                MessagePackFormat.map("id", "run-1", "records", 3L, "lacking", 1L, "waits_for", List.of(row)));
         tell("records show", "records", "show", "a/1", "a/2");
         tell("records show of a job", "records", "show", "--job", "run-1");
         tell("records doubt", "records", "doubt", "--group", "a");
@@ -375,7 +393,7 @@
         when(
                 "POST /api/records/claim",
                 409,
-                Wire.map(
+                MessagePackFormat.map(
                         "fences",
                         Map.of(),
                         "billed",
@@ -385,7 +403,7 @@
                         "against",
                         List.of("a/1 is billed by e2")));
         tell("records claim, another has it", "records", "claim", "--run", "e1", "a/1");
-        when("POST /api/records/claim", 400, Wire.map("error", "invalid field run"));
+        when("POST /api/records/claim", 400, MessagePackFormat.map("error", "invalid field run"));
         tell("records claim, malformed", "records", "claim", "--run", "run-1", "a/1");
     }
 
--- a/src/test/java/io/indigoreach/warm/GoldenPoolAnswersTest.java
+++ b/src/test/java/io/indigoreach/warm/GoldenPoolAnswersTest.java
@@ -3,20 +3,20 @@
 import io.indigoreach.GoldenFile;
 import io.indigoreach.GoldenHttp;
 import io.indigoreach.GoldenSamples;
-import io.indigoreach.api.FrontDoor;
+import io.indigoreach.api.HttpApi;
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
 import io.indigoreach.cluster.PartRegistry;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
 import io.indigoreach.config.SettingsFile;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.Team;
-import io.indigoreach.core.warm.Told;
-import io.indigoreach.net.Caller;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.Team;
+import io.indigoreach.core.warm.PoolStatus;
 import io.indigoreach.net.Endpoint;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.net.Wire;
 import io.indigoreach.parts.Parts;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
@@ -54,7 +54,7 @@
     }
 
     private static Map<String, Object> pool(String field, Object value) {
-        Map<String, Object> pool = Wire.map(
+        Map<String, Object> pool = MessagePackFormat.map(
                 "team",
                 "vision",
                 "image",
@@ -80,16 +80,16 @@
         Vertx vertx = Vertx.vertx();
         try {
             StateStandIn state = await(new StateStandIn().listen(vertx));
-            StateClient client =
-                    new StateClient(new Caller(vertx, state.endpoint(), 8), new Caller(vertx, state.endpoint(), 1));
+            StateClient client = new StateClient(
+                    new ServiceClient(vertx, state.endpoint(), 8), new ServiceClient(vertx, state.endpoint(), 1));
             await(client.commit(
                     new StateClient.Txn().put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(GoldenSamples.TYPES))));
             Settings settings = SettingsFile.parse("test", "warm_pools: 1");
-            Catalogue catalogue = new Catalogue(vertx, client, new CloudClient(new Caller(vertx, state.endpoint(), 1)));
+            Catalogue catalogue =
+                    new Catalogue(vertx, client, new CloudClient(new ServiceClient(vertx, state.endpoint(), 1)));
             Parts parts = Parts.of(
                     PartRegistry.switchedOn(settings), vertx, client, new SteadyClock(), catalogue, config(), settings);
-            FrontDoor door =
-                    new FrontDoor(vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources());
+            HttpApi door = new HttpApi(vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources());
             answers(new Endpoint("127.0.0.1", await(door.open())), client, catalogue);
         } finally {
             await(vertx.close());
@@ -119,14 +119,15 @@
                 .text("explained before it is planned", GoldenHttp.get(node, "/api/pools/model-a"))
                 .text("no pool", GoldenHttp.get(node, "/api/pools/model-z"))
                 .text("no path", GoldenHttp.get(node, "/api/pools/a/b"));
-        Map<String, Object> sheet = Wire.map(
+        Map<String, Object> sheet = MessagePackFormat.map(
                 "lines",
                 List.of(List.of("vm-1", "quad", "a", true, 1L, 2L, "model-a", "vision", "img-07", 6.2, 8L)),
                 "sums",
                 List.of(List.of("model-a", "vision", 1.25), List.of("", "", 0.5)),
                 "v",
                 4L);
-        Map<String, Object> told = PoolCodec.write(new Told("model-a", 12, "two bursts", 10, 8, 2, 300, 4, 0.125));
+        Map<String, Object> told =
+                PoolCodec.write(new PoolStatus("model-a", 12, "two bursts", 10, 8, 2, 300, 4, 0.125));
         told.put("v", 9L);
         await(client.commit(
                 new StateClient.Txn().put(PoolRecords.sheet(0), sheet).put(PoolRecords.TOLD + "model-a", told)));
--- a/src/test/java/io/indigoreach/warm/GoldenPoolsTest.java
+++ b/src/test/java/io/indigoreach/warm/GoldenPoolsTest.java
@@ -2,17 +2,17 @@
 
 import io.indigoreach.GoldenFile;
 import io.indigoreach.GoldenSamples;
-import io.indigoreach.core.Demand;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Pool;
 import io.indigoreach.core.accounts.Account;
 import io.indigoreach.core.accounts.Line;
 import io.indigoreach.core.accounts.Sheet;
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.warm.BurstWindow;
+import io.indigoreach.core.warm.DemandHistory;
 import io.indigoreach.core.warm.PoolSpec;
-import io.indigoreach.core.warm.Seen;
-import io.indigoreach.core.warm.Told;
-import io.indigoreach.core.warm.Window;
-import io.indigoreach.net.Wire;
+import io.indigoreach.core.warm.PoolStatus;
+import io.indigoreach.net.MessagePackFormat;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -32,13 +32,13 @@
             2,
             40,
             0.95,
-            List.of(new Window(510, 600, 12.5), new Window(1439, 0, 3)),
+            List.of(new BurstWindow(510, 600, 12.5), new BurstWindow(1439, 0, 3)),
             true,
             100.25,
             true);
 
     private static Map<String, Object> fewest() {
-        return Wire.map("team", "t", "image", "i", "gb", 1L, "cores", 1L, "least", 0L, "most", 3L);
+        return MessagePackFormat.map("team", "t", "image", "i", "gb", 1L, "cores", 1L, "least", 0L, "most", 3L);
     }
 
     private static Map<String, Object> with(String field, Object value) {
@@ -54,7 +54,7 @@
                 first,
                 new Line(
                         first,
-                        new Pool("g8", "a", true),
+                        new MachinePool("g8", "a", true),
                         GoldenSamples.AT,
                         GoldenSamples.AT + 1,
                         new Account("model-a", "vision"),
@@ -66,7 +66,7 @@
                 second,
                 new Line(
                         second,
-                        new Pool("quad", "b", false),
+                        new MachinePool("quad", "b", false),
                         GoldenSamples.AT,
                         GoldenSamples.AT,
                         new Account("", ""),
@@ -78,12 +78,12 @@
                 Map.of(new Account("model-a", "vision"), 1.25, new Account("", "t"), 0.1, new Account("", ""), 7.0));
     }
 
-    private static Seen seen() {
-        int[] peaks = new int[Seen.SLOTS * Seen.DAYS];
+    private static DemandHistory seen() {
+        int[] peaks = new int[DemandHistory.SLOTS * DemandHistory.DAYS];
         for (int i = 0; i < peaks.length; i++) {
             peaks[i] = i % 5 - 1;
         }
-        return Seen.of(peaks);
+        return DemandHistory.of(peaks);
     }
 
     @Test
@@ -104,7 +104,7 @@
         for (String field : fewest().keySet()) {
             golden.refused("pool without " + field, with(field, null), f -> PoolCodec.read("p", f));
         }
-        Wire.map(
+        MessagePackFormat.map(
                         "team",
                         "",
                         "gb",
@@ -129,9 +129,9 @@
                         golden.refused("pool with another " + field, with(field, value), f -> PoolCodec.read("p", f)));
         golden.both("sheet", sheet(), PoolCodec::write, f -> PoolCodec.readSheet(f.map()))
                 .both("empty sheet", Sheet.EMPTY, PoolCodec::write, f -> PoolCodec.readSheet(f.map()))
-                .written("told", PoolCodec.write(new Told("model-a", 12, "two bursts", 10, 8, 2, 300, 4, 0.125)))
+                .written("told", PoolCodec.write(new PoolStatus("model-a", 12, "two bursts", 10, 8, 2, 300, 4, 0.125)))
                 .again("seen", seen(), PoolCodec::write, f -> PoolCodec.readSeen(f.map()))
-                .again("nothing seen", new Seen(), PoolCodec::write, f -> PoolCodec.readSeen(f.map()));
+                .again("nothing seen", new DemandHistory(), PoolCodec::write, f -> PoolCodec.readSeen(f.map()));
         golden.check();
     }
 }
--- a/src/test/java/io/indigoreach/worker/GoldenWorkersTest.java
+++ b/src/test/java/io/indigoreach/worker/GoldenWorkersTest.java
@@ -1,21 +1,21 @@
 package io.indigoreach.worker;
 
 import io.indigoreach.GoldenFile;
-import io.indigoreach.core.Attempt;
-import io.indigoreach.core.ExitCause;
-import io.indigoreach.core.JobId;
-import io.indigoreach.core.MachineId;
-import io.indigoreach.core.Order;
-import io.indigoreach.core.Pool;
-import io.indigoreach.core.ReportNumber;
-import io.indigoreach.core.Span;
-import io.indigoreach.core.TaskId;
-import io.indigoreach.core.TaskReport;
-import io.indigoreach.core.TaskState;
-import io.indigoreach.core.Token;
-import io.indigoreach.core.WorkerReport;
+import io.indigoreach.core.model.Attempt;
+import io.indigoreach.core.model.ExitCause;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskId;
+import io.indigoreach.core.model.TaskState;
+import io.indigoreach.core.model.TaskStatus;
+import io.indigoreach.core.model.WorkerCommand;
 import io.indigoreach.net.Fields;
-import io.indigoreach.net.Wire;
+import io.indigoreach.net.MessagePackFormat;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -25,42 +25,42 @@
 class GoldenWorkersTest {
     private static final JobId JOB = new JobId("run-000412");
 
-    private static WorkerReport report(Span notice, List<TaskReport> tasks) {
-        return new WorkerReport(
+    private static Heartbeat report(Span notice, List<TaskStatus> tasks) {
+        return new Heartbeat(
                 new MachineId("vm-000231"),
                 "10.1.0.232:9000",
-                new Pool("g8", "a", true),
-                new ReportNumber(1_700_000_000_123L, 88),
-                new Token(7_000_001),
+                new MachinePool("g8", "a", true),
+                new HeartbeatNumber(1_700_000_000_123L, 88),
+                new FencingToken(7_000_001),
                 notice,
                 tasks);
     }
 
-    private static List<TaskReport> tasks() {
-        List<TaskReport> tasks = new ArrayList<>();
+    private static List<TaskStatus> tasks() {
+        List<TaskStatus> tasks = new ArrayList<>();
         for (TaskState s : List.of(TaskState.FETCHING, TaskState.RUNNING, TaskState.SAVING)) {
-            tasks.add(new TaskReport(new TaskId(JOB, tasks.size()), new Attempt(2), s, null, false));
+            tasks.add(new TaskStatus(new TaskId(JOB, tasks.size()), new Attempt(2), s, null, false));
         }
         for (ExitCause c : ExitCause.values()) {
             for (boolean saved : new boolean[] {false, true}) {
-                tasks.add(new TaskReport(
+                tasks.add(new TaskStatus(
                         new TaskId(JOB, tasks.size()), new Attempt(7_000_001_000L), TaskState.EXITED, c, saved));
             }
         }
         return tasks;
     }
 
-    private static List<Order> orders() {
+    private static List<WorkerCommand> orders() {
         TaskId task = new TaskId(JOB, 3);
         return List.of(
-                new Order.Start(task, new Attempt(2)),
-                new Order.Stop(task, new Attempt(7_000_001_000L), Span.seconds(10.5)),
-                new Order.Stop(task, new Attempt(1), Span.ZERO),
-                new Order.Forget(task, new Attempt(2)));
+                new WorkerCommand.Start(task, new Attempt(2)),
+                new WorkerCommand.Stop(task, new Attempt(7_000_001_000L), Span.seconds(10.5)),
+                new WorkerCommand.Stop(task, new Attempt(1), Span.ZERO),
+                new WorkerCommand.Reap(task, new Attempt(2)));
     }
 
     private static Map<String, Object> sent(Map<String, Object> task) {
-        return Wire.map(
+        return MessagePackFormat.map(
                 "box",
                 "vm-1",
                 "endpoint",
@@ -96,63 +96,67 @@
                 .both("report with notice", report(Span.seconds(7.5), tasks()), WorkerCodec::write, WorkerCodec::read)
                 .read(
                         "report of a first contact",
-                        sent(Wire.map("piece", "run-1/0", "try", 1L, "status", "dancing")),
+                        sent(MessagePackFormat.map("piece", "run-1/0", "try", 1L, "status", "dancing")),
                         GoldenWorkersTest::readReport)
                 .read(
                         "report of another cause",
-                        sent(Wire.map("piece", "run-1/0", "try", 1L, "status", "exited", "cause", "meteor")),
+                        sent(MessagePackFormat.map(
+                                "piece", "run-1/0", "try", 1L, "status", "exited", "cause", "meteor")),
                         GoldenWorkersTest::readReport)
                 .read(
                         "report without a cause",
-                        sent(Wire.map("piece", "run-1/0", "try", 1L, "status", "exited")),
+                        sent(MessagePackFormat.map("piece", "run-1/0", "try", 1L, "status", "exited")),
                         GoldenWorkersTest::readReport)
                 .refused(
                         "report of no task",
-                        sent(Wire.map("piece", "run-1", "try", 1L, "status", "running")),
+                        sent(MessagePackFormat.map("piece", "run-1", "try", 1L, "status", "running")),
                         WorkerCodec::read)
                 .refused(
                         "report of a task without a try",
-                        sent(Wire.map("piece", "run-1/0", "status", "running")),
+                        sent(MessagePackFormat.map("piece", "run-1/0", "status", "running")),
                         WorkerCodec::read)
                 .refused("empty report", Map.of(), WorkerCodec::read);
         golden.both(
                         "answer without orders",
-                        new WorkerCodec.Answer(new Token(41), List.of()),
+                        new WorkerCodec.Answer(new FencingToken(41), List.of()),
                         GoldenWorkersTest::write,
                         WorkerCodec::readAnswer)
                 .both(
                         "answer of every order",
-                        new WorkerCodec.Answer(new Token(7_000_001), orders()),
+                        new WorkerCodec.Answer(new FencingToken(7_000_001), orders()),
                         GoldenWorkersTest::write,
                         WorkerCodec::readAnswer)
-                .read("answer without a token", Wire.map("orders", List.of()), f -> write(WorkerCodec.readAnswer(f)))
+                .read(
+                        "answer without a token",
+                        MessagePackFormat.map("orders", List.of()),
+                        f -> write(WorkerCodec.readAnswer(f)))
                 .read(
                         "stop without a time",
-                        Wire.map(
+                        MessagePackFormat.map(
                                 "baton",
                                 3L,
                                 "orders",
-                                List.of(Wire.map("verb", "stop", "piece", "run-1/0", "try", 1L))),
+                                List.of(MessagePackFormat.map("verb", "stop", "piece", "run-1/0", "try", 1L))),
                         f -> write(WorkerCodec.readAnswer(f)))
                 .refused(
                         "answer of another order",
-                        Wire.map(
+                        MessagePackFormat.map(
                                 "baton",
                                 3L,
                                 "orders",
-                                List.of(Wire.map("verb", "dance", "piece", "run-1/0", "try", 1L))),
+                                List.of(MessagePackFormat.map("verb", "dance", "piece", "run-1/0", "try", 1L))),
                         WorkerCodec::readAnswer)
                 .written("sent elsewhere", WorkerCodec.elsewhere("10.0.0.1:8080"))
                 .written("sent to anyone", WorkerCodec.elsewhere(null))
                 .again("sent elsewhere, read", "10.0.0.1:8080", WorkerCodec::elsewhere, WorkerCodec::readElsewhere);
         golden.both(
                         "direct orders",
-                        new WorkerCodec.Direct(new Token(41), 5L, orders()),
+                        new WorkerCodec.Direct(new FencingToken(41), 5L, orders()),
                         WorkerCodec::direct,
                         WorkerCodec::readDirect)
                 .both(
                         "direct orders without a session",
-                        new WorkerCodec.Direct(new Token(41), null, List.of()),
+                        new WorkerCodec.Direct(new FencingToken(41), null, List.of()),
                         WorkerCodec::direct,
                         WorkerCodec::readDirect);
         golden.check();
