--- /dev/null
+++ b/src/main/java/io/indigoreach/checker/package-info.java
@@ -0,0 +1,2 @@
+/** Checks a recorded history against the rules of the protocol. */
+package io.indigoreach.checker;
--- /dev/null
+++ b/src/main/java/io/indigoreach/tools/package-info.java
@@ -0,0 +1,2 @@
+/** The command line of the tools. */
+package io.indigoreach.tools;
