--- a/src/main/java/io/indigoreach/api/JobService.java
+++ b/src/main/java/io/indigoreach/api/JobService.java
@@ -90,7 +90,7 @@
         this.confirmedCancellations = new ConfirmedCancellations(clock.now());
         this.valueBytes = valueBytes;
         this.queryReads = new JobReadBatcher(vertx, state, clock, questionsPerS);
-        CascadeFreshness doubt = new CascadeFreshness(clock, state::isDoubted);
+        CascadeFreshness doubt = new CascadeFreshness(clock, state::areReadsSuspect);
         state.onFailure(doubt::requestFailed);
         this.dependencies = new DependencyService(
                 clock, id -> lookUpReferenced(id, this::readOpen), id -> lookUpReferenced(id, queryReads::read), doubt);
@@ -170,7 +170,7 @@
                             ? accept(spec, record, cancelled, now, attempt)
                             : Future.succeededFuture(ApiResponse.retryLater("the era is not known yet")));
         }
-        StateClient.Txn txn = state.inThisEra()
+        StateClient.Txn txn = state.transactionInEra()
                 .when(RecordCodec.openKey(spec.id()), Revision.ABSENT)
                 .when(RecordCodec.finalKey(spec.id()), Revision.ABSENT);
         if (state.losses().isHolding()) {
@@ -225,7 +225,7 @@
             if (outcome.done()) {
                 participants.stream()
                         .filter(j -> spec.more().containsKey(j.field()))
-                        .forEach(j -> j.accepted(change, outcome.stamp()));
+                        .forEach(j -> j.accepted(change, outcome.writtenRevision()));
                 if (cancelled) {
                     remember(new FinalRecord(spec.id(), JobStatus.CANCELLED, 0));
                 } else {
@@ -282,7 +282,7 @@
 
     private Future<StoredJob> cancelByCascade(JobId id, JobRecord open) {
         StateClient.Txn txn = new StateClient.Txn()
-                .when(RecordCodec.openKey(id), open.stamp())
+                .when(RecordCodec.openKey(id), open.revision())
                 .delete(RecordCodec.openKey(id))
                 .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(JobStatus.CANCELLED, open.doneCount()));
         return state.commit(txn).compose(outcome -> {
@@ -330,7 +330,7 @@
                 return Future.succeededFuture(ApiResponse.error(404, "no such job"));
             }
             StateClient.Txn txn = new StateClient.Txn()
-                    .when(RecordCodec.openKey(id), found.open.stamp())
+                    .when(RecordCodec.openKey(id), found.open.revision())
                     .delete(RecordCodec.openKey(id))
                     .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(JobStatus.CANCELLED, found.open.doneCount()));
             // Blocks of done tasks beside the record are removed by the leader: all of them may be more than a
@@ -372,7 +372,7 @@
             if (open != null) {
                 JobRecord record;
                 try {
-                    record = RecordCodec.readJob(id, open.value(), open.stamp());
+                    record = RecordCodec.readJob(id, open.value(), open.revision());
                 } catch (WireException e) {
                     return retryFind(id, repairer.repairOpen(id, open, offered), offered, attempt, e.getMessage());
                 }
@@ -382,7 +382,9 @@
                             new StoredJob(null, remember(new FinalRecord(id, JobStatus.DONE, record.doneCount()))));
                 }
                 StoredJob found = new StoredJob(record, null);
-                return state.isDoubted() ? confirm(id, found, open.stamp(), attempt) : Future.succeededFuture(found);
+                return state.areReadsSuspect()
+                        ? confirm(id, found, open.revision(), attempt)
+                        : Future.succeededFuture(found);
             }
             return state.get(RecordCodec.finalKey(id)).compose(ended -> {
                 if (ended == null) {
@@ -408,7 +410,7 @@
         if (found.open == null && state.losses().isHolding()) {
             return Future.failedFuture(new WireException("data were lost, and this job may be among them"));
         }
-        StateClient.Txn txn = found.open == null ? state.inThisEra() : new StateClient.Txn();
+        StateClient.Txn txn = found.open == null ? state.transactionInEra() : new StateClient.Txn();
         return state.confirm(txn.when(RecordCodec.openKey(id), open).when(RecordCodec.finalKey(id), Revision.ABSENT))
                 .compose(holds -> holds
                         ? found.open == null ? unknownToAll(id, attempt) : Future.succeededFuture(found)
@@ -425,7 +427,7 @@
                                 return retryFind(
                                         id, Future.succeededFuture(), null, attempt, "the job changes at this moment");
                             }
-                            state.recordGone(RecordCodec.openKey(id));
+                            state.recordMissing(RecordCodec.openKey(id));
                             return Future.failedFuture(new WireException("the record of this job was lost"));
                         })
                         : Future.succeededFuture(new StoredJob(null, null)));
--- a/src/main/java/io/indigoreach/calendar/PlanScheduler.java
+++ b/src/main/java/io/indigoreach/calendar/PlanScheduler.java
@@ -381,7 +381,7 @@
     private Future<Void> ended(Occurrence o, Mark mark) {
         String key = RecordCodec.finalKey(mark.id());
         return records.run(new Fetching(key)).compose(read -> {
-            if (!read.isThere()) {
+            if (!read.exists()) {
                 return Future.succeededFuture();
             }
             FinalRecord end = RecordCodec.readFinal(mark.id(), new Fields(read.value()));
--- a/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
+++ b/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
@@ -168,7 +168,7 @@
             }
             StateClient.Txn txn = new StateClient.Txn()
                     .when(RecordCodec.LEADER, leadershipRevision)
-                    .when(over.key(), over.stamp());
+                    .when(over.key(), over.revision());
             some.forEach(txn::delete);
             return context.state().commit(txn).map(outcome -> {
                 if (outcome.done()) {
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -137,7 +137,7 @@
 
     /** An end that is written into the open record is as final as one that stands by itself. */
     private static Fate standing(JobId id, StateClient.Entry open) {
-        boolean done = RecordCodec.readJob(id, open.value(), open.stamp()).status() == JobStatus.DONE;
+        boolean done = RecordCodec.readJob(id, open.value(), open.revision()).status() == JobStatus.DONE;
         return done ? Fate.DONE : Fate.OPEN;
     }
 
@@ -218,7 +218,7 @@
         JobId id = job.id();
         return env.state().get(RecordCodec.openKey(id)).compose(open -> {
             if (open != null) {
-                core.revisionSeen(job, open.stamp());
+                core.revisionSeen(job, open.revision());
                 return Future.succeededFuture();
             }
             return env.state().get(RecordCodec.finalKey(id)).map(over -> {
--- a/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
+++ b/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
@@ -45,7 +45,7 @@
             changes.changes().stream()
                     .filter(c -> c.value() == null && !duty.isCancelled())
                     .findFirst()
-                    .ifPresent(c -> state.recordGone(c.key()));
+                    .ifPresent(c -> state.recordMissing(c.key()));
             return Future.succeededFuture(PAUSE);
         });
     }
--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -100,7 +100,7 @@
                     Intents.Page old = RecordCodec.readIntents(e.value());
                     rents.addAll(old.rents());
                     condemned.addAll(old.returns());
-                    earlier.put(e.key(), e.stamp());
+                    earlier.put(e.key(), e.revision());
                 })
                 .map(revision -> new Intents.Page(rents, condemned));
     }
@@ -155,7 +155,7 @@
     private Future<Boolean> write(Moment now) {
         if (unsure) {
             return env.state().get(own).map(entry -> {
-                stamp = entry == null ? Revision.ABSENT : entry.stamp();
+                stamp = entry == null ? Revision.ABSENT : entry.revision();
                 unsure = false;
                 return false;
             });
@@ -172,7 +172,7 @@
                 .commit(txn)
                 .map(outcome -> {
                     if (outcome.done()) {
-                        stamp = writes ? outcome.stamp() : Revision.ABSENT;
+                        stamp = writes ? outcome.writtenRevision() : Revision.ABSENT;
                         unanswered = false;
                         intents.recorded(page);
                         return true;
--- a/src/main/java/io/indigoreach/cluster/JobStore.java
+++ b/src/main/java/io/indigoreach/cluster/JobStore.java
@@ -143,10 +143,10 @@
         completionBlocks.clear();
         // Blocks first: one that is written between the two readings would otherwise be newer than its job.
         return pages(RecordCodec.BITS, e -> readBlock(e, bits))
-                .compose(r -> pages(CompletionBits.SMALL, e -> readBlock(e, bits)))
+                .compose(r -> pages(CompletionBits.SMALL_BLOCKS, e -> readBlock(e, bits)))
                 .compose(r -> pages(RecordCodec.MACHINES, e -> {
                     List<MachineRecord> machines = RecordCodec.readMachines(e.value());
-                    machineStore.inherit(e.key(), e.stamp(), machines);
+                    machineStore.inherit(e.key(), e.revision(), machines);
                     for (MachineRecord m : machines) {
                         // Another node wrote this time, by a clock that may be off as far the other way as this one's.
                         Moment existed = toSteadyTime(m.existedMs())
@@ -158,7 +158,7 @@
                     if (!readOrLog(
                             e.key(),
                             () -> inherit(
-                                    RecordCodec.readJob(RecordCodec.jobOfOpenKey(e.key()), e.value(), e.stamp()),
+                                    RecordCodec.readJob(RecordCodec.jobOfOpenKey(e.key()), e.value(), e.revision()),
                                     bits))) {
                         spoilt.add(e);
                     }
@@ -210,7 +210,7 @@
                         .compose(v -> context.state().get(entry.key()))
                         .map(now -> {
                             if (now != null) {
-                                inherit(RecordCodec.readJob(id, now.value(), now.stamp()), bits);
+                                inherit(RecordCodec.readJob(id, now.value(), now.revision()), bits);
                             }
                             unreadable.remove(id);
                             return null;
@@ -253,7 +253,7 @@
                         e -> readOrLog(e.key(), () -> {
                             JobId id = RecordCodec.jobOfOpenKey(e.key());
                             present.add(id);
-                            onOpenRecordWritten(id, e.value(), e.stamp());
+                            onOpenRecordWritten(id, e.value(), e.revision());
                         }))
                 .map(revision -> {
                     for (Job job : new ArrayList<>(core.jobs())) {
@@ -323,7 +323,7 @@
                 record.spec(),
                 record.submittedMs(),
                 toSteadyTime(record.submittedMs()),
-                record.stamp(),
+                record.revision(),
                 done,
                 bound,
                 inherited);
@@ -387,7 +387,7 @@
             if (core.job(id) == job) {
                 switch (why.result()) {
                     case CANCELLED -> onCancelled(id);
-                    case LOST -> context.state().recordGone(RecordCodec.openKey(id));
+                    case LOST -> context.state().recordMissing(RecordCodec.openKey(id));
                     default -> {}
                 }
             }
@@ -599,10 +599,10 @@
                     core.closeJob(id);
                     forget(job);
                     if (txn.writes().stream().noneMatch(StateClient.Write::isDelete)) {
-                        finishedInOpenRecords.put(id, result.result().stamp());
+                        finishedInOpenRecords.put(id, result.result().writtenRevision());
                     }
                 } else {
-                    core.revisionSeen(job, result.result().stamp());
+                    core.revisionSeen(job, result.result().writtenRevision());
                     job.completionsRecorded(completionBlocks.written(job, done));
                     job.startBoundRecorded(bound);
                     if (core.job(id) == job) {
@@ -633,7 +633,7 @@
                 .get(RecordCodec.openKey(id))
                 .compose(open -> {
                     if (open != null) {
-                        core.revisionSeen(job, open.stamp());
+                        core.revisionSeen(job, open.revision());
                         return Future.succeededFuture();
                     }
                     return context.state().get(RecordCodec.finalKey(id)).compose(over -> {
@@ -644,7 +644,7 @@
                                             .when(RecordCodec.finalKey(id), Revision.ABSENT))
                                     .onSuccess(gone -> {
                                         if (gone && !writeTask.isCancelled()) {
-                                            context.state().recordGone(RecordCodec.openKey(id));
+                                            context.state().recordMissing(RecordCodec.openKey(id));
                                         }
                                     })
                                     .mapEmpty();
--- a/src/main/java/io/indigoreach/cluster/JobWatch.java
+++ b/src/main/java/io/indigoreach/cluster/JobWatch.java
@@ -96,10 +96,10 @@
     private void apply(StateClient.Change change) {
         JobId id = RecordCodec.jobOfOpenKey(change.key());
         if (change.value() != null) {
-            ledger.onOpenRecordWritten(id, change.value(), change.stamp());
+            ledger.onOpenRecordWritten(id, change.value(), change.revision());
         } else {
             ledger.onOpenRecordDeleted(id);
         }
-        LOG.debug("heard of {} at {}", change.key(), change.stamp().value());
+        LOG.debug("heard of {} at {}", change.key(), change.revision().value());
     }
 }
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -348,7 +348,7 @@
                 && core.areRecordsLoaded()
                 && core.jobs().stream().noneMatch(Job::isInherited)) {
             // Whatever is open now, this leader has kept to the bounds of: a later one may believe them.
-            return election.vouchForStartBounds().map(done -> {
+            return election.confirmStartBounds().map(done -> {
                 startBoundsTrusted = done;
                 return TICK;
             });
--- a/src/main/java/io/indigoreach/cluster/MachineStore.java
+++ b/src/main/java/io/indigoreach/cluster/MachineStore.java
@@ -143,7 +143,7 @@
         Page unsure = pages.stream().filter(p -> p.unsure).findFirst().orElse(null);
         if (unsure != null) {
             return context.state().get(unsure.key).map(entry -> {
-                unsure.stamp = entry == null ? Revision.ABSENT : entry.stamp();
+                unsure.stamp = entry == null ? Revision.ABSENT : entry.revision();
                 unsure.unsure = false;
                 if (entry == null && unsure.isLeft()) {
                     pages.remove(unsure);
@@ -303,7 +303,7 @@
                         return PERIOD;
                     }
                     if (outcome.done()) {
-                        done.accept(outcome.stamp());
+                        done.accept(outcome.writtenRevision());
                     } else if (outcome.failed().contains(RecordCodec.LEADER)) {
                         onDeposed.run();
                     } else {
--- a/src/main/java/io/indigoreach/cluster/Node.java
+++ b/src/main/java/io/indigoreach/cluster/Node.java
@@ -77,7 +77,7 @@
         this.standing = new PeerProtocol(vertx, clock, pulse, state, config, controller, jobService, parts.copies());
         controller.recallBy(standing::gather);
         controller.askPeersBy(standing::pledges, standing::othersDoNotLead);
-        repairer.recallBy(standing::recall);
+        repairer.recallFrom(standing::recall);
         jobService.cascadeWithin(config.rules().cancellationTime(), controller::election);
         jobService.dependenciesUnderstoodBy(() -> controller.formatGate().isOpen());
         jobService.participants(parts.joinings());
--- a/src/main/java/io/indigoreach/cluster/PeerProtocol.java
+++ b/src/main/java/io/indigoreach/cluster/PeerProtocol.java
@@ -126,8 +126,8 @@
                     });
         } else if (LOSS_PATH.equals(request.path())) {
             request.body()
-                    .onSuccess(body ->
-                            state.toldOfLoss(MessagePackFormat.readMap(body).whole("era")))
+                    .onSuccess(body -> state.lossReportedByPeer(
+                            MessagePackFormat.readMap(body).whole("era")))
                     .onComplete(done -> request.response().end(MessagePackFormat.write(Map.of())));
         } else if (REMEMBERED_PATH.equals(request.path()) && request.getParam("part") != null) {
             request.response()
--- a/src/main/java/io/indigoreach/cluster/StateRebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -89,15 +89,15 @@
         LOG.warn("rebuilding what was lost from {}", remains);
         return env.state()
                 .get(RecordCodec.ERA)
-                .map(entry -> era = entry == null ? Revision.ABSENT : entry.stamp())
+                .map(entry -> era = entry == null ? Revision.ABSENT : entry.revision())
                 .compose(v -> read(RecordCodec.BITS, this::readBlock))
-                .compose(v -> read(CompletionBits.SMALL, this::readBlock))
+                .compose(v -> read(CompletionBits.SMALL_BLOCKS, this::readBlock))
                 .compose(v -> read(
                         RecordCodec.OPEN,
                         e -> JobStore.readOrLog(e.key(), () -> {
                             JobId id = RecordCodec.jobOfOpenKey(e.key());
-                            standing.put(id, e.stamp());
-                            open.put(id, RecordCodec.readJob(id, e.value(), e.stamp()));
+                            standing.put(id, e.revision());
+                            open.put(id, RecordCodec.readJob(id, e.value(), e.revision()));
                         })))
                 .compose(v -> read(
                         RecordCodec.FINAL,
@@ -149,15 +149,15 @@
                             entry -> present.put(
                                     entry.key(),
                                     new VersionedRecord(
-                                            entry.key(), entry.value().map(), entry.stamp()))))
+                                            entry.key(), entry.value().map(), entry.revision()))))
                     .compose(v -> {
                         for (VersionedRecord kept : e.getValue()) {
                             VersionedRecord there =
                                     present.getOrDefault(kept.key(), VersionedRecord.absent(kept.key()));
                             Map<String, Object> value = e.getKey().mending().mend(there, kept);
                             if (value != null) {
-                                steps.add(new Step(
-                                        change().when(kept.key(), there.stamp()).put(kept.key(), value)));
+                                steps.add(new Step(change().when(kept.key(), there.revision())
+                                        .put(kept.key(), value)));
                             }
                         }
                         return next();
--- a/src/main/java/io/indigoreach/core/calendar/CalendarVersion.java
+++ b/src/main/java/io/indigoreach/core/calendar/CalendarVersion.java
@@ -45,7 +45,7 @@
     /** The newest first; none if no calendar was ever set. */
     public List<Version> versions() {
         List<Version> out = new ArrayList<>();
-        if (read.isThere()) {
+        if (read.exists()) {
             for (Object row : (List<?>) read.value().get("versions")) {
                 List<?> r = (List<?>) row;
                 out.add(new Version(
--- a/src/main/java/io/indigoreach/core/calendar/DayPage.java
+++ b/src/main/java/io/indigoreach/core/calendar/DayPage.java
@@ -46,7 +46,7 @@
     /** Null if a later day stands there: what was decided on this one is not known any more. */
     static DayPage of(VersionedRecord read, Day day) {
         Map<String, Mark> marks = new LinkedHashMap<>();
-        if (read.isThere()) {
+        if (read.exists()) {
             long there = ((Number) read.value().get("day")).longValue();
             if (there > day.number()) {
                 return null;
--- a/src/main/java/io/indigoreach/core/calendar/Publishing.java
+++ b/src/main/java/io/indigoreach/core/calendar/Publishing.java
@@ -42,7 +42,7 @@
         List<String> keys = version.keys();
         if (!seen.records().isEmpty()) {
             missing = new ArrayList<>(
-                    keys.stream().filter(k -> !seen.record(k).isThere()).toList());
+                    keys.stream().filter(k -> !seen.record(k).exists()).toList());
         } else if (seen.isWritten()) {
             missing.remove(0);
         } else if (tries++ == MOST_TRIES) {
--- a/src/main/java/io/indigoreach/core/calendar/Reading.java
+++ b/src/main/java/io/indigoreach/core/calendar/Reading.java
@@ -45,7 +45,7 @@
         StringBuilder text = new StringBuilder();
         for (String key : version.keys()) {
             VersionedRecord piece = seen.record(key);
-            if (!piece.isThere()) {
+            if (!piece.exists()) {
                 throw new IllegalStateException(
                         "calendar version " + version.number() + " lacks " + key + ": set it again");
             }
--- a/src/main/java/io/indigoreach/core/ownership/Beginning.java
+++ b/src/main/java/io/indigoreach/core/ownership/Beginning.java
@@ -30,7 +30,7 @@
             return new Step.Read<>(List.of(Registry.ROOT));
         }
         VersionedRecord read = seen.record(Registry.ROOT);
-        if (!read.isThere()) {
+        if (!read.exists()) {
             return anew
                     ? write(read, new Registry.Root(seen.era(), Registry.baseOf(seen.timeOfDayMs()), reason))
                     : new Step.End<>(Outcome.refused(
--- a/src/main/java/io/indigoreach/core/ownership/ClaimCollector.java
+++ b/src/main/java/io/indigoreach/core/ownership/ClaimCollector.java
@@ -81,15 +81,15 @@
                     after = more ? claims.getLast().key() : null;
                     return nextClaim(seen);
                 case JOB_OPEN:
-                    return seen.record(jobs.open.apply(name)).isThere()
+                    return seen.record(jobs.open.apply(name)).exists()
                             ? nextClaim(seen)
                             : read(Phase.JOB_OVER, jobs.over.apply(name));
                 case JOB_OVER:
-                    return seen.record(jobs.over.apply(name)).isThere()
+                    return seen.record(jobs.over.apply(name)).exists()
                             ? write(claim.ended(List.of("its job is over"), seen.timeOfDayMs()))
                             : nextClaim(seen);
                 case ROOT:
-                    if (!seen.record(Registry.ROOT).isThere()) {
+                    if (!seen.record(Registry.ROOT).exists()) {
                         return new Step.End<>(LATER);
                     }
                     root = Registry.Root.read(seen.record(Registry.ROOT).value());
--- a/src/main/java/io/indigoreach/core/ownership/Work.java
+++ b/src/main/java/io/indigoreach/core/ownership/Work.java
@@ -91,7 +91,7 @@
         have.put(record.key(), record);
         pages.remove(record.key());
         if (record.key().equals(Registry.ROOT)) {
-            if (!record.isThere()) {
+            if (!record.exists()) {
                 throw new Unsettled("no registry of records has begun here: an operator begins it with records begin");
             }
             registry.saw(Registry.Root.read(record.value()), era);
--- a/src/main/java/io/indigoreach/core/records/ListRecords.java
+++ b/src/main/java/io/indigoreach/core/records/ListRecords.java
@@ -5,11 +5,11 @@
 
 /** Reads all records with a prefix, as they may have stood a while ago. */
 public final class ListRecords implements Routine<List<VersionedRecord>> {
-    private static final int AT_ONCE = 50;
+    private static final int PAGE_SIZE = 50;
 
     private final String prefix;
     private final List<VersionedRecord> found = new ArrayList<>();
-    private boolean begun;
+    private boolean started;
 
     public ListRecords(String prefix) {
         this.prefix = prefix;
@@ -18,11 +18,11 @@
     @Override
     public Step<List<VersionedRecord>> next(StepResult seen) {
         found.addAll(seen.records().values());
-        if (begun && !seen.more()) {
+        if (started && !seen.more()) {
             return new Step.End<>(found);
         }
-        begun = true;
+        started = true;
         return new Step.Scan<>(
-                prefix, found.isEmpty() ? null : found.get(found.size() - 1).key(), AT_ONCE);
+                prefix, found.isEmpty() ? null : found.get(found.size() - 1).key(), PAGE_SIZE);
     }
 }
--- a/src/main/java/io/indigoreach/core/records/RecordCache.java
+++ b/src/main/java/io/indigoreach/core/records/RecordCache.java
@@ -12,7 +12,7 @@
 
     public RecordCache(Collection<RecordFamily> families) {
         for (RecordFamily family : families) {
-            if (byFamily.keySet().stream().anyMatch(f -> f.has(family.prefix()) || family.has(f.prefix()))) {
+            if (byFamily.keySet().stream().anyMatch(f -> f.contains(family.prefix()) || family.contains(f.prefix()))) {
                 throw new IllegalArgumentException("two families of records under " + family.prefix());
             }
             byFamily.put(family, new LinkedHashMap<>(16, 0.75f, true) {
@@ -30,24 +30,27 @@
 
     /** The family of a key; null if it is of none. */
     public RecordFamily familyOf(String key) {
-        return byFamily.keySet().stream().filter(f -> f.has(key)).findFirst().orElse(null);
+        return byFamily.keySet().stream()
+                .filter(f -> f.contains(key))
+                .findFirst()
+                .orElse(null);
     }
 
     /** The newest copy; null if there is none. */
-    public VersionedRecord of(String key) {
+    public VersionedRecord get(String key) {
         RecordFamily family = familyOf(key);
         return family == null ? null : byFamily.get(family).get(key);
     }
 
     /** Read or written, and known to have been acknowledged. An older one than the copy is not taken. */
-    public void saw(VersionedRecord record) {
+    public void add(VersionedRecord record) {
         RecordFamily family = familyOf(record.key());
-        if (family != null && record.isThere()) {
+        if (family != null && record.exists()) {
             byFamily.get(family).merge(record.key(), record, (a, b) -> b.version() >= a.version() ? b : a);
         }
     }
 
-    public void removed(String key) {
+    public void remove(String key) {
         RecordFamily family = familyOf(key);
         if (family != null) {
             byFamily.get(family).remove(key);
--- a/src/main/java/io/indigoreach/core/records/RecordFamily.java
+++ b/src/main/java/io/indigoreach/core/records/RecordFamily.java
@@ -27,7 +27,7 @@
         }
     }
 
-    public boolean has(String key) {
+    public boolean contains(String key) {
         return key.startsWith(prefix);
     }
 }
--- a/src/main/java/io/indigoreach/core/records/Transaction.java
+++ b/src/main/java/io/indigoreach/core/records/Transaction.java
@@ -9,14 +9,14 @@
     private final Map<String, Revision> conditions = new LinkedHashMap<>();
     private final Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
 
-    public Transaction when(String key, Revision stamp) {
-        conditions.put(key, stamp);
+    public Transaction when(String key, Revision revision) {
+        conditions.put(key, revision);
         return this;
     }
 
     /** Only if the record is still as it was read. */
     public Transaction when(VersionedRecord read) {
-        return when(read.key(), read.stamp());
+        return when(read.key(), read.revision());
     }
 
     public Transaction put(String key, Map<String, Object> value) {
--- a/src/main/java/io/indigoreach/core/records/VersionedRecord.java
+++ b/src/main/java/io/indigoreach/core/records/VersionedRecord.java
@@ -9,9 +9,9 @@
  * A record of a part as it was read or written. Besides the state service's version, which begins anew when data are lost, its
  * value counts its own changes under {@link #VERSION}: of two copies the one with the higher count is the newer.
  *
- * @param stamp the state service's version; {@link Revision#ABSENT} with a null value if there is no such record
+ * @param revision the state service's version; {@link Revision#ABSENT} with a null value if there is no such record
  */
-public record VersionedRecord(String key, Map<String, Object> value, Revision stamp) {
+public record VersionedRecord(String key, Map<String, Object> value, Revision revision) {
     /** The field that counts a record's changes; a part's routine raises it with each write. */
     public static final String VERSION = "v";
 
@@ -23,7 +23,7 @@
         return new VersionedRecord(key, null, Revision.ABSENT);
     }
 
-    public boolean isThere() {
+    public boolean exists() {
         return value != null;
     }
 
--- a/src/main/java/io/indigoreach/emulator/StateServer.java
+++ b/src/main/java/io/indigoreach/emulator/StateServer.java
@@ -117,7 +117,7 @@
                     now,
                     r.text(StateCodec.PREFIX),
                     r.text(StateCodec.SINCE),
-                    (int) Math.min(Integer.MAX_VALUE, r.number(StateCodec.MOST, 1000)),
+                    (int) Math.min(Integer.MAX_VALUE, r.number(StateCodec.LIMIT, 1000)),
                     asOf));
         } else if (path.startsWith(StateCodec.STORE + "/") && r.is(HttpMethod.GET)) {
             kept.accept(model.get(now, path.substring(StateCodec.STORE.length() + 1), asOf));
--- a/src/main/java/io/indigoreach/emulator/model/StateModel.java
+++ b/src/main/java/io/indigoreach/emulator/model/StateModel.java
@@ -230,7 +230,7 @@
             if (!written.add(w.key())) {
                 return "a key is changed twice";
             }
-            if (!w.isDelete() && JsonSize.of(StateCodec.plain(w.value())) > limits.valueBytes()) {
+            if (!w.isDelete() && JsonSize.of(StateCodec.toWire(w.value())) > limits.valueBytes()) {
                 return "a value may have " + limits.valueBytes() + " bytes";
             }
         }
--- a/src/main/java/io/indigoreach/experiment/Experiment.java
+++ b/src/main/java/io/indigoreach/experiment/Experiment.java
@@ -177,7 +177,7 @@
                     StateClient.Txn loss = new StateClient.Txn();
                     page.items().stream()
                             .filter(e -> random.nextDouble() < f.share())
-                            .forEach(e -> loss.when(e.key(), e.stamp()).delete(e.key()));
+                            .forEach(e -> loss.when(e.key(), e.revision()).delete(e.key()));
                     // What has changed meanwhile is tried again; what is spared is passed over.
                     return state.commit(loss)
                             .map(outcome -> outcome.done()
--- a/src/main/java/io/indigoreach/ownership/OwnershipService.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipService.java
@@ -171,10 +171,10 @@
     /** For whom an open job's tasks wait. */
     private Future<ApiResponse> job(JobId id) {
         return records.run(read(RecordCodec.openKey(id))).compose(kept -> {
-            if (!kept.isThere()) {
+            if (!kept.exists()) {
                 throw RequestRejectedException.notFound("no open job " + id);
             }
-            JobSpec spec = RecordCodec.readJob(id, new Fields(kept.value()), kept.stamp())
+            JobSpec spec = RecordCodec.readJob(id, new Fields(kept.value()), kept.revision())
                     .spec();
             if (!spec.isGuarded()) {
                 throw RequestRejectedException.notFound("job " + id + " names no records");
--- a/src/main/java/io/indigoreach/ownership/RecordsField.java
+++ b/src/main/java/io/indigoreach/ownership/RecordsField.java
@@ -61,6 +61,6 @@
 
     @Override
     public void accepted(Transaction change, Revision stamp) {
-        records.wrote(change, stamp);
+        records.written(change, stamp);
     }
 }
--- a/src/main/java/io/indigoreach/state/CompletionBits.java
+++ b/src/main/java/io/indigoreach/state/CompletionBits.java
@@ -20,14 +20,14 @@
  */
 public final class CompletionBits {
     /** Blocks named by their first task and as long as they happen to be. */
-    public static final String SMALL = "d/";
+    public static final String SMALL_BLOCKS = "d/";
 
-    private static final int LEAST_BLOCK = 1024;
+    private static final int MIN_BLOCK_TASKS = 1024;
     /** What a block takes besides its bits. */
-    private static final int FRAME = JsonSize.of(RecordCodec.writeBits(new BitSet()));
+    private static final int FRAME_BYTES = JsonSize.of(RecordCodec.writeBits(new BitSet()));
 
     /** Digits that a record's counters may gain while the job runs. */
-    private static final int MOST_TASKS = 100_000;
+    private static final int MAX_TASKS = 100_000;
 
     private final StateLimits limits;
     private final int blockTasks;
@@ -35,7 +35,7 @@
     public CompletionBits(StateLimits limits) {
         this.limits = limits;
         int blockTasks = RecordCodec.BLOCK;
-        while (blockTasks > LEAST_BLOCK && blockBytes(blockTasks) > limits.room()) {
+        while (blockTasks > MIN_BLOCK_TASKS && blockBytes(blockTasks) > limits.room()) {
             blockTasks /= 2;
         }
         this.blockTasks = blockTasks;
@@ -44,14 +44,14 @@
     /** What bits take as unpadded Base64. */
     private static int blockBytes(int tasks) {
         int bytes = (tasks + Byte.SIZE - 1) / Byte.SIZE;
-        return FRAME + (bytes * 4 + 2) / 3;
+        return FRAME_BYTES + (bytes * 4 + 2) / 3;
     }
 
     /** How long the job's record becomes without bits. */
     public static int recordBytes(JobSpec spec, long submittedMs) {
         return JsonSize.of(RecordCodec.writeJob(
-                        spec, submittedMs, JobStatus.CANCELLED, new BitSet(), MOST_TASKS, MOST_TASKS))
-                + Integer.toString(MOST_TASKS).length();
+                        spec, submittedMs, JobStatus.CANCELLED, new BitSet(), MAX_TASKS, MAX_TASKS))
+                + Integer.toString(MAX_TASKS).length();
     }
 
     /** Whether the record fits at all: an earlier version may have accepted a longer description. */
@@ -91,7 +91,9 @@
     }
 
     private String key(JobId id, int n) {
-        return blockTasks == RecordCodec.BLOCK ? RecordCodec.blockKey(id, n) : SMALL + id.text() + "/" + n * blockTasks;
+        return blockTasks == RecordCodec.BLOCK
+                ? RecordCodec.blockKey(id, n)
+                : SMALL_BLOCKS + id.text() + "/" + n * blockTasks;
     }
 
     /** The value of a block that {@link #blocksWith} has named. */
@@ -109,7 +111,7 @@
 
     private static int firstOf(String key) {
         int number = RecordCodec.readable(() -> Integer.parseInt(key.substring(key.lastIndexOf('/') + 1)));
-        return key.startsWith(SMALL) ? number : number * RecordCodec.BLOCK;
+        return key.startsWith(SMALL_BLOCKS) ? number : number * RecordCodec.BLOCK;
     }
 
     /** Of whose tasks this block's are. */
--- a/src/main/java/io/indigoreach/state/CounterRecord.java
+++ b/src/main/java/io/indigoreach/state/CounterRecord.java
@@ -12,11 +12,11 @@
  * name than the later ones: what knows only the first finds no token (docs/notes/versions.md).
  *
  * @param highest the highest token so far
- * @param bounds whether every leader that had a part in any open job kept to start bounds: what a version before these
+ * @param startBounds whether every leader that had a part in any open job kept to start bounds: what a version before these
  *     writes here says nothing, and then no bound is believed
  * @param format the data format, from {@link #FIRST} to {@link #KNOWN}
  */
-public record CounterRecord(FencingToken highest, boolean bounds, int format) {
+public record CounterRecord(FencingToken highest, boolean startBounds, int format) {
     /** The format of the versions that know no chained jobs. */
     public static final int FIRST = 1;
     /** From this format on every node knows chained jobs. */
@@ -53,7 +53,7 @@
     /** The record as it is written. */
     public Map<String, Object> write() {
         Map<String, Object> map = MessagePackFormat.map(format == FIRST ? FIRST_HIGHEST : HIGHEST, highest.value());
-        if (bounds) {
+        if (startBounds) {
             map.put(BOUNDS, true);
         }
         if (format != FIRST) {
@@ -64,15 +64,15 @@
 
     /** The next leadership's, of no lower a format. */
     CounterRecord next(FencingToken token, int atLeast) {
-        return new CounterRecord(token, bounds, Math.max(format, atLeast));
+        return new CounterRecord(token, startBounds, Math.max(format, atLeast));
     }
 
     /** With the word of this leadership that start bounds can be believed. */
-    CounterRecord vouched(FencingToken leader, int atLeast) {
+    CounterRecord withStartBounds(FencingToken leader, int atLeast) {
         return new CounterRecord(leader, true, Math.max(format, atLeast));
     }
 
     CounterRecord raised() {
-        return new CounterRecord(highest, bounds, KNOWN);
+        return new CounterRecord(highest, startBounds, KNOWN);
     }
 }
--- a/src/main/java/io/indigoreach/state/DependencyCodec.java
+++ b/src/main/java/io/indigoreach/state/DependencyCodec.java
@@ -19,7 +19,7 @@
     /** Every id begins so. Without it a hundred of the usual ids take as many bytes as half that many with it. */
     private static final String PREFIX = "run-";
 
-    private static final String BETWEEN = ",";
+    private static final String SEPARATOR = ",";
 
     private DependencyCodec() {}
 
@@ -33,7 +33,7 @@
                 NEEDS,
                 chain.needs().stream()
                         .map(id -> id.text().substring(PREFIX.length()))
-                        .collect(Collectors.joining(BETWEEN)));
+                        .collect(Collectors.joining(SEPARATOR)));
         if (chain.isReleased()) {
             all.put(RELEASED, chain.releasedMs());
         }
@@ -45,7 +45,7 @@
             return JobDependencies.NONE;
         }
         List<JobId> needs = new ArrayList<>();
-        for (String number : more.text(NEEDS).split(BETWEEN, -1)) {
+        for (String number : more.text(NEEDS).split(SEPARATOR, -1)) {
             needs.add(new JobId(PREFIX + number));
         }
         return new JobDependencies(needs, more.whole(RELEASED, 0));
--- a/src/main/java/io/indigoreach/state/EffectiveLimits.java
+++ b/src/main/java/io/indigoreach/state/EffectiveLimits.java
@@ -12,18 +12,18 @@
  */
 public final class EffectiveLimits {
     private static final Logger LOG = LoggerFactory.getLogger(EffectiveLimits.class);
-    private static final int LEAST_VALUE_BYTES = 512;
+    private static final int MIN_VALUE_BYTES = 512;
 
     /** No limit at all. */
     static final StateLimits NONE =
             new StateLimits(Double.MAX_VALUE, Double.MAX_VALUE, Integer.MAX_VALUE, Integer.MAX_VALUE);
 
-    private StateLimits shown = NONE;
+    private StateLimits observed = NONE;
     private int refusals;
 
     /** What holds under these settings. */
     public StateLimits within(StateLimits settings) {
-        return settings.atMost(shown);
+        return settings.atMost(observed);
     }
 
     /** How long a value may become where the settings allow {@code valueBytes}. */
@@ -56,12 +56,12 @@
                 key,
                 largest,
                 refusals);
-        shown = shown.atMost(new StateLimits(
-                shown.requestsPerS(),
-                shown.writesPerS(),
-                largest > LEAST_VALUE_BYTES ? Math.max(LEAST_VALUE_BYTES, largest / 2) : shown.valueBytes(),
+        observed = observed.atMost(new StateLimits(
+                observed.requestsPerS(),
+                observed.writesPerS(),
+                largest > MIN_VALUE_BYTES ? Math.max(MIN_VALUE_BYTES, largest / 2) : observed.valueBytes(),
                 txn.size() > StateLimits.LEAST_TXN_OPS
                         ? Math.max(StateLimits.LEAST_TXN_OPS, txn.size() / 2)
-                        : shown.txnOps()));
+                        : observed.txnOps()));
     }
 }
--- a/src/main/java/io/indigoreach/state/FormatGate.java
+++ b/src/main/java/io/indigoreach/state/FormatGate.java
@@ -30,23 +30,23 @@
 
     private static final String FORMAT = "format";
     /** Between the looks of a leader at what the nodes have recorded. */
-    private static final Span LOOK = Span.seconds(1);
+    private static final Span RAISE_INTERVAL = Span.seconds(1);
     /** A node makes sure of its own record this often, as data may be lost. */
-    private static final Span CHECK = Span.seconds(5);
+    private static final Span CHECK_INTERVAL = Span.seconds(5);
     /** Those who ask in a row share one reading. */
-    private static final Span ASK = Span.seconds(0.5);
+    private static final Span SHARED_READ_TIME = Span.seconds(0.5);
     /** Deployments have a handful of nodes; nodes that were removed may have left records. */
-    private static final int MOST_NODES = 500;
+    private static final int MAX_NODES = 500;
 
     private final StateClient state;
     private final SteadyClock clock;
-    private final LeaderElection leadership;
+    private final LeaderElection election;
     private final String node;
-    private final List<String> all;
-    private final PeriodicTask duty;
-    private Moment checked = Moment.NEVER;
-    private Moment asked = Moment.NEVER;
-    private Future<Boolean> answer = Future.succeededFuture(false);
+    private final List<String> allNodes;
+    private final PeriodicTask task;
+    private Moment checkedAt = Moment.NEVER;
+    private Moment readAt = Moment.NEVER;
+    private Future<Boolean> sharedRead = Future.succeededFuture(false);
 
     /** {@code all}: the names of all nodes of the deployment, with this one's. */
     public FormatGate(
@@ -58,78 +58,78 @@
             List<String> all) {
         this.state = state;
         this.clock = clock;
-        this.leadership = leadership;
+        this.election = leadership;
         this.node = node;
-        this.all = List.copyOf(all);
-        this.duty = new PeriodicTask(vertx, "data format", LOOK, this::step);
+        this.allNodes = List.copyOf(all);
+        this.task = new PeriodicTask(vertx, "data format", RAISE_INTERVAL, this::step);
     }
 
     public void start() {
-        duty.start();
+        task.start();
     }
 
     public void stop() {
-        duty.cancel();
+        task.cancel();
     }
 
     /** Whether all nodes know chained jobs; false also as long as the state service does not say. Never fails. */
     public Future<Boolean> isOpen() {
-        if (leadership.raisedFormat().isNewest()) {
+        if (election.raisedFormat().isNewest()) {
             return Future.succeededFuture(true);
         }
         Moment now = clock.now();
-        if (asked.equals(Moment.NEVER) || now.since(asked).compareTo(ASK) >= 0) {
-            asked = now;
-            answer =
-                    readCounter().map(c -> leadership.raisedFormat().isNewest()).otherwise(false);
+        if (readAt.equals(Moment.NEVER) || now.since(readAt).compareTo(SHARED_READ_TIME) >= 0) {
+            readAt = now;
+            sharedRead =
+                    readCounter().map(c -> election.raisedFormat().isNewest()).otherwise(false);
         }
-        return answer;
+        return sharedRead;
     }
 
     private Future<StateClient.Entry> readCounter() {
         return state.get(RecordCodec.COUNTER).map(entry -> {
-            leadership.raisedFormat().seen(CounterRecord.of(entry));
+            election.raisedFormat().seen(CounterRecord.of(entry));
             return entry;
         });
     }
 
     private Future<Span> step() {
-        if (leadership.raisedFormat().isNewest()) {
-            duty.cancel();
-            return Future.succeededFuture(LOOK);
+        if (election.raisedFormat().isNewest()) {
+            task.cancel();
+            return Future.succeededFuture(RAISE_INTERVAL);
         }
         boolean isDue =
-                checked.equals(Moment.NEVER) || clock.now().since(checked).compareTo(CHECK) >= 0;
+                checkedAt.equals(Moment.NEVER) || clock.now().since(checkedAt).compareTo(CHECK_INTERVAL) >= 0;
         return (isDue ? check() : Future.<Void>succeededFuture())
-                .compose(v -> leadership.isLeading() ? raiseIfAllKnow() : Future.succeededFuture())
-                .map(LOOK);
+                .compose(v -> election.isLeading() ? raiseIfAllSupport() : Future.succeededFuture())
+                .map(RAISE_INTERVAL);
     }
 
     /** Learns whether the format is raised; if not, sees to it that this node's record says what this version knows. */
     private Future<Void> check() {
         return readCounter()
-                .onFailure(this::sayIfLater)
-                .compose(v -> leadership.raisedFormat().isNewest() ? Future.succeededFuture() : record());
+                .onFailure(this::reportIfUnreadable)
+                .compose(v -> election.raisedFormat().isNewest() ? Future.succeededFuture() : recordSupport());
     }
 
-    private void sayIfLater(Throwable failure) {
+    private void reportIfUnreadable(Throwable failure) {
         if (failure instanceof WireException) {
-            checked = clock.now();
+            checkedAt = clock.now();
             LOG.error("this process cannot lead: {}", failure.getMessage());
         }
     }
 
-    private Future<Void> record() {
+    private Future<Void> recordSupport() {
         String key = NODES + node;
         return state.get(key).compose(entry -> {
-            if (entry != null && knows(entry.value())) {
-                checked = clock.now();
+            if (entry != null && supportsNewest(entry.value())) {
+                checkedAt = clock.now();
                 return Future.succeededFuture();
             }
-            Revision stamp = entry == null ? Revision.ABSENT : entry.stamp();
-            return state.commit(new StateClient.Txn().when(key, stamp).put(key, write()))
+            Revision revision = entry == null ? Revision.ABSENT : entry.revision();
+            return state.commit(new StateClient.Txn().when(key, revision).put(key, write()))
                     .map(outcome -> {
-                        checked = outcome.done() ? clock.now() : checked;
+                        checkedAt = outcome.done() ? clock.now() : checkedAt;
                         return null;
                     });
         });
@@ -140,18 +140,18 @@
         return MessagePackFormat.map(FORMAT, (long) CounterRecord.KNOWN);
     }
 
-    private static boolean knows(Fields record) {
+    private static boolean supportsNewest(Fields record) {
         return record.whole(FORMAT, CounterRecord.FIRST) >= CounterRecord.KNOWN;
     }
 
-    private Future<Void> raiseIfAllKnow() {
-        Revision key = leadership.leadershipRevision();
-        return state.list(NODES, null, MOST_NODES).compose(page -> {
+    private Future<Void> raiseIfAllSupport() {
+        Revision key = election.leadershipRevision();
+        return state.list(NODES, null, MAX_NODES).compose(page -> {
             Set<String> know = new HashSet<>();
             page.items().stream()
-                    .filter(e -> knows(e.value()))
+                    .filter(e -> supportsNewest(e.value()))
                     .forEach(e -> know.add(e.key().substring(NODES.length())));
-            return know.containsAll(all) ? raise(key) : Future.succeededFuture();
+            return know.containsAll(allNodes) ? raise(key) : Future.succeededFuture();
         });
     }
 
@@ -161,17 +161,17 @@
      */
     private Future<Void> raise(Revision key) {
         return readCounter().compose(entry -> {
-            if (entry == null || leadership.raisedFormat().isNewest()) {
+            if (entry == null || election.raisedFormat().isNewest()) {
                 return Future.succeededFuture();
             }
             CounterRecord raised = CounterRecord.of(entry).raised();
             return state.commit(new StateClient.Txn()
                             .when(RecordCodec.LEADER, key)
-                            .when(RecordCodec.COUNTER, entry.stamp())
+                            .when(RecordCodec.COUNTER, entry.revision())
                             .put(RecordCodec.COUNTER, raised.write()))
                     .map(outcome -> {
                         if (outcome.done()) {
-                            leadership.raisedFormat().seen(raised);
+                            election.raisedFormat().seen(raised);
                             LOG.info("all nodes know the data format {}: older versions cannot lead", raised.format());
                         }
                         return null;
--- a/src/main/java/io/indigoreach/state/JobRecord.java
+++ b/src/main/java/io/indigoreach/state/JobRecord.java
@@ -22,7 +22,7 @@
         int doneCount,
         int running,
         int bound,
-        Revision stamp) {
+        Revision revision) {
     public JobId id() {
         return spec.id();
     }
--- a/src/main/java/io/indigoreach/state/JobRepairer.java
+++ b/src/main/java/io/indigoreach/state/JobRepairer.java
@@ -25,7 +25,7 @@
     private final StateClient state;
     private final SteadyClock clock;
     private final StateLimits limits;
-    private Function<JobId, Future<RememberedState>> memory = id -> Future.succeededFuture(new RememberedState());
+    private Function<JobId, Future<RememberedState>> recall = id -> Future.succeededFuture(new RememberedState());
 
     public JobRepairer(StateClient state, SteadyClock clock) {
         this(state, clock, EffectiveLimits.NONE);
@@ -38,8 +38,8 @@
     }
 
     /** Whom to ask what the controllers remember of a job. */
-    public void recallBy(Function<JobId, Future<RememberedState>> controllers) {
-        memory = controllers;
+    public void recallFrom(Function<JobId, Future<RememberedState>> controllers) {
+        recall = controllers;
     }
 
     /**
@@ -49,11 +49,11 @@
      * @param offered the job as its user submits it again, or null
      */
     public Future<Void> repairOpen(JobId id, StateClient.Entry spoilt, JobSpec offered) {
-        return memory.apply(id).compose(remembered -> {
+        return recall.apply(id).compose(remembered -> {
             RememberedState known =
                     RecordRepair.open(id, RecordCodec.readRest(spoilt.value()), remembered, offered, clock.timeOfDay());
-            StateClient.Txn txn = state.inThisEra()
-                    .when(spoilt.key(), spoilt.stamp())
+            StateClient.Txn txn = state.transactionInEra()
+                    .when(spoilt.key(), spoilt.revision())
                     .when(RecordCodec.finalKey(id), Revision.ABSENT);
             known.over()
                     .values()
@@ -74,10 +74,10 @@
 
     /** Mends the record of a job that is over; as {@link #repairOpen}. */
     public Future<Void> repairFinal(JobId id, StateClient.Entry spoilt, JobSpec offered) {
-        return memory.apply(id).compose(remembered -> {
+        return recall.apply(id).compose(remembered -> {
             RememberedState.FinishedJob end =
                     RecordRepair.end(id, RecordCodec.readRest(spoilt.value()), remembered, offered);
-            StateClient.Txn txn = state.inThisEra().when(spoilt.key(), spoilt.stamp());
+            StateClient.Txn txn = state.transactionInEra().when(spoilt.key(), spoilt.revision());
             return writeRepair(
                     end == null ? txn : txn.put(spoilt.key(), RecordCodec.writeFinal(end.status(), end.done())),
                     spoilt.key());
--- a/src/main/java/io/indigoreach/state/LeaderElection.java
+++ b/src/main/java/io/indigoreach/state/LeaderElection.java
@@ -204,24 +204,24 @@
         if (!leading) {
             return null;
         }
-        Revision key = current.stamp();
+        Revision key = current.revision();
         abdicate(reason);
         return key;
     }
 
     /** Tells later leaders that start bounds can be believed again; whether that stands in the counter now. */
-    public Future<Boolean> vouchForStartBounds() {
+    public Future<Boolean> confirmStartBounds() {
         if (!leading) {
             return Future.succeededFuture(false);
         }
-        Revision key = current.stamp();
+        Revision key = current.revision();
         FencingToken token = current.token();
         return state.get(RecordCodec.COUNTER).compose(entry -> {
-            CounterRecord vouched = CounterRecord.of(entry).vouched(token, raisedFormat.highest());
+            CounterRecord vouched = CounterRecord.of(entry).withStartBounds(token, raisedFormat.highest());
             // The counter's version too: carried out late, after the data format was raised, it would lower it.
             return state.commit(new StateClient.Txn()
                             .when(RecordCodec.LEADER, key)
-                            .when(RecordCodec.COUNTER, StateClient.stampOf(entry))
+                            .when(RecordCodec.COUNTER, StateClient.revisionOf(entry))
                             .put(RecordCodec.COUNTER, vouched.write()))
                     .map(StateClient.Outcome::done);
         });
@@ -261,7 +261,7 @@
 
     /** The version of the key by which somebody leads as far as is known; {@link Revision#ABSENT} if nobody does. */
     public Revision leadershipRevision() {
-        return current == null ? Revision.ABSENT : current.stamp();
+        return current == null ? Revision.ABSENT : current.revision();
     }
 
     private Future<Span> step() {
@@ -279,7 +279,7 @@
                 if (current == null || current.node().equals(node)) {
                     return clock.now().isBefore(standAsideUntil) ? Future.succeededFuture(RETRY) : campaign();
                 }
-                watchedRevision = entry.stamp().value();
+                watchedRevision = entry.revision().value();
                 return Future.succeededFuture(Span.ZERO);
             });
         }
@@ -297,7 +297,7 @@
     }
 
     private void read(StateClient.Entry entry) {
-        current = entry == null ? null : LeaderKey.read(entry.value(), entry.stamp());
+        current = entry == null ? null : LeaderKey.read(entry.value(), entry.revision());
         if (current != null) {
             tokens.seen(current.token());
         }
@@ -305,12 +305,12 @@
 
     /** Watches the key that this node leads by: once it is gone or another's, what was read under it does not hold. */
     private Future<Span> watchOwnKey() {
-        Revision own = current.stamp();
+        Revision own = current.revision();
         return state.watch(RecordCodec.LEADER, own.value(), OWN_KEY_WATCH).map(changes -> {
             boolean changed = changes.changes().stream()
                     .anyMatch(c ->
-                            c.key().equals(RecordCodec.LEADER) && !c.stamp().equals(own));
-            if (leading && current.stamp().equals(own) && changed) {
+                            c.key().equals(RecordCodec.LEADER) && !c.revision().equals(own));
+            if (leading && current.revision().equals(own) && changed) {
                 loseLeadership("the leadership key was removed or replaced");
             }
             return Span.ZERO;
@@ -324,7 +324,7 @@
     private Future<Span> removePredecessorKey() {
         predecessorKeyRemoved = true;
         LOG.info("removing the leadership key of the process before this one");
-        Revision key = current.stamp();
+        Revision key = current.revision();
         current = null;
         return state.commit(new StateClient.Txn().when(RecordCodec.LEADER, key).delete(RecordCodec.LEADER))
                 .map(CANDIDATE_DELAY);
@@ -353,7 +353,7 @@
     }
 
     private Future<Span> campaignUnlessPledged(boolean boundUnlessNew) {
-        Revision held = current == null ? Revision.ABSENT : current.stamp();
+        Revision held = current == null ? Revision.ABSENT : current.revision();
         return state.get(RecordCodec.COUNTER).compose(entry -> {
             // Fails before anything is written if the counter is of a later version of the program.
             CounterRecord counter = CounterRecord.of(entry);
@@ -366,9 +366,9 @@
             if (boundUnlessNew && entry != null) {
                 return Future.succeededFuture(Span.seconds(0.1));
             }
-            Revision counterStamp = StateClient.stampOf(entry);
+            Revision counterRevision = StateClient.revisionOf(entry);
             if (tokens.isBehind(counted) && !mayLeadAfterLoss()) {
-                return state.confirm(new StateClient.Txn().when(RecordCodec.COUNTER, counterStamp))
+                return state.confirm(new StateClient.Txn().when(RecordCodec.COUNTER, counterRevision))
                         .map(is -> {
                             // A read may come from the past; then nothing is lost.
                             lossSeenAt = is ? lossSeenAt : Moment.NEVER;
@@ -385,7 +385,7 @@
                 FencingToken token = tokens.next(counted, clock.timeOfDay());
                 return state.commit(new StateClient.Txn()
                                 .when(RecordCodec.LEADER, held)
-                                .when(RecordCodec.COUNTER, counterStamp)
+                                .when(RecordCodec.COUNTER, counterRevision)
                                 .put(RecordCodec.LEADER, LeaderKey.write(node, process, token), granted)
                                 .put(
                                         RecordCodec.COUNTER,
@@ -403,8 +403,8 @@
                             predecessorKeyRemoved = true;
                             if (outcome.done()) {
                                 succeedsItself = before.equals(lastOwnToken);
-                                state.counterWas(before, counted);
-                                becomeLeader(granted, token, outcome.stamp(), sent, counter.bounds());
+                                state.compareCounter(before, counted);
+                                becomeLeader(granted, token, outcome.writtenRevision(), sent, counter.startBounds());
                             } else {
                                 tokens.unused(token);
                             }
@@ -428,17 +428,17 @@
         return wasLeader || now.since(lossSeenAt).compareTo(leaseTime.withDrift()) >= 0;
     }
 
-    private void becomeLeader(long granted, FencingToken token, Revision stamp, Moment sent, boolean bounds) {
+    private void becomeLeader(long granted, FencingToken token, Revision revision, Moment sent, boolean bounds) {
         lease = granted;
         leading = true;
         lastOwnToken = token;
         tokens.seen(token);
         lossSeenAt = Moment.NEVER;
-        current = new LeaderKey(node, process, token, stamp);
+        current = new LeaderKey(node, process, token, revision);
         pledgedUntil = Moment.NEVER;
         renewer.renew(granted, sent, () -> loseLeadership("its lease has ended"));
         LOG.info("this node leads now, token {}", token);
-        listener.leadershipGained(token, stamp, bounds);
+        listener.leadershipGained(token, revision, bounds);
     }
 
     private Span usableLeaseTime() {
@@ -456,10 +456,10 @@
         if (!isValid() || sent.since(renewer.renewedAt()).compareTo(RENEWAL_OVERDUE) < 0) {
             return Future.succeededFuture(PLEDGE_PERIOD);
         }
-        Revision key = current.stamp();
+        Revision key = current.revision();
         return askForPledges.get().map(all -> {
             // Never after a gap: another may have led in it, and ended.
-            if (all && isValid() && current.stamp().equals(key)) {
+            if (all && isValid() && current.revision().equals(key)) {
                 pledgedUntil = sent.plus(usableLeaseTime(PLEDGE_TIME));
             }
             return PLEDGE_PERIOD;
--- a/src/main/java/io/indigoreach/state/LeaderKey.java
+++ b/src/main/java/io/indigoreach/state/LeaderKey.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /** The leadership key: which node leads, which of its processes, and under which token. */
-record LeaderKey(String node, String process, FencingToken token, Revision stamp) {
-    static LeaderKey read(Fields f, Revision stamp) {
-        return new LeaderKey(f.text("node"), f.text("process"), new FencingToken(f.whole("token")), stamp);
+record LeaderKey(String node, String process, FencingToken token, Revision revision) {
+    static LeaderKey read(Fields f, Revision revision) {
+        return new LeaderKey(f.text("node"), f.text("process"), new FencingToken(f.whole("token")), revision);
     }
 
     static Map<String, Object> write(String node, String process, FencingToken token) {
--- a/src/main/java/io/indigoreach/state/LeaseRenewer.java
+++ b/src/main/java/io/indigoreach/state/LeaseRenewer.java
@@ -37,28 +37,28 @@
         }
     }
 
-    private final Vertx node;
-    private final Vertx own;
+    private final Vertx nodeVertx;
+    private final Vertx renewalVertx;
     private final StateClient state;
     private final SteadyClock clock;
-    private final Span every;
-    private final Span patience;
-    private final PeriodicTask duty;
+    private final Span interval;
+    private final Span timeout;
+    private final PeriodicTask renewalTask;
     private volatile Held held;
-    private volatile Moment turned;
+    private volatile Moment lastTurn;
 
     /** {@code own}: the loop that renewals run on, of which {@code state} makes use; {@code node}: the node's. */
     LeaseRenewer(Vertx node, Vertx own, StateClient state, SteadyClock clock, Span life) {
-        this.node = node;
-        this.own = own;
+        this.nodeVertx = node;
+        this.renewalVertx = own;
         this.state = state;
         this.clock = clock;
         // Often: how long an outage is bridged counts from the last renewal before it.
-        this.every = Span.seconds(Math.min(1, life.seconds() * 0.2));
-        this.patience = life.times(0.3);
-        this.turned = clock.now();
-        this.duty = new PeriodicTask(own, "lease renewal", every, this::step);
-        own.runOnContext(v -> duty.start());
+        this.interval = Span.seconds(Math.min(1, life.seconds() * 0.2));
+        this.timeout = life.times(0.3);
+        this.lastTurn = clock.now();
+        this.renewalTask = new PeriodicTask(own, "lease renewal", interval, this::step);
+        own.runOnContext(v -> renewalTask.start());
     }
 
     void renew(long lease, Moment sent, Runnable ended) {
@@ -78,32 +78,32 @@
 
     /** The node's loop turns. */
     void eventLoopTurned() {
-        turned = clock.now();
+        lastTurn = clock.now();
     }
 
     void close() {
         held = null;
-        own.runOnContext(v -> duty.cancel());
+        renewalVertx.runOnContext(v -> renewalTask.cancel());
     }
 
     private Future<Span> step() {
         Held mine = held;
         Moment sent = clock.now();
-        if (mine == null || sent.since(turned).compareTo(HUNG) > 0) {
+        if (mine == null || sent.since(lastTurn).compareTo(HUNG) > 0) {
             return Future.succeededFuture(IDLE);
         }
-        return state.renew(mine.lease, patience).map(alive -> {
+        return state.renew(mine.lease, timeout).map(alive -> {
             if (alive) {
                 mine.renewed = sent;
             } else {
                 // Asked again there: the lease may have been let go meanwhile, and the leadership taken anew.
-                node.runOnContext(v -> {
+                nodeVertx.runOnContext(v -> {
                     if (held == mine) {
                         mine.ended.run();
                     }
                 });
             }
-            return every;
+            return interval;
         });
     }
 }
--- a/src/main/java/io/indigoreach/state/RecordCodec.java
+++ b/src/main/java/io/indigoreach/state/RecordCodec.java
@@ -82,7 +82,7 @@
         if (key.startsWith(FINAL)) {
             return OPEN + key.substring(FINAL.length());
         }
-        if (key.startsWith(BITS) || key.startsWith(CompletionBits.SMALL)) {
+        if (key.startsWith(BITS) || key.startsWith(CompletionBits.SMALL_BLOCKS)) {
             return openKey(jobOfBlock(key));
         }
         return key.startsWith(MACHINES) || key.startsWith(INTENTS) ? LEADER : null;
@@ -248,8 +248,8 @@
     }
 
     /** Throws {@link WireException} if it cannot be read. */
-    public static JobRecord readJob(JobId id, Fields f, Revision stamp) {
-        return readable(() -> job(id, f, stamp));
+    public static JobRecord readJob(JobId id, Fields f, Revision revision) {
+        return readable(() -> job(id, f, revision));
     }
 
     /** What a record that cannot be read as a whole still says; null where it does not. */
@@ -268,7 +268,7 @@
         }
     }
 
-    private static JobRecord job(JobId id, Fields f, Revision stamp) {
+    private static JobRecord job(JobId id, Fields f, Revision revision) {
         if (f.whole("tasks") < 1) {
             throw Fields.invalid("tasks");
         }
@@ -301,7 +301,7 @@
                 (int) f.whole("done", 0),
                 (int) f.whole("running", 0),
                 (int) f.whole("bound", spec.tasks()),
-                stamp);
+                revision);
     }
 
     public static Map<String, Object> writeFinal(JobStatus status, int done) {
--- a/src/main/java/io/indigoreach/state/RememberedStateCodec.java
+++ b/src/main/java/io/indigoreach/state/RememberedStateCodec.java
@@ -13,9 +13,9 @@
 
 /** What a controller remembers of jobs, as it tells it to another, a part at a time. */
 public final class RememberedStateCodec {
-    private static final int PART = 200;
+    private static final int JOBS_PER_PART = 200;
     /** Records of the parts beside the jobs may be as large as the state service takes. */
-    private static final int RECORDS = 20;
+    private static final int RECORDS_PER_PART = 20;
 
     private RememberedStateCodec() {}
 
@@ -23,8 +23,8 @@
     public static Map<String, Object> write(RememberedState rememberedState, int part) {
         List<Object> over = new ArrayList<>();
         rememberedState.over().entrySet().stream()
-                .skip((long) part * PART)
-                .limit(PART)
+                .skip((long) part * JOBS_PER_PART)
+                .limit(JOBS_PER_PART)
                 .forEach(e -> over.add(MessagePackFormat.map(
                         "id",
                         e.getKey().text(),
@@ -34,8 +34,8 @@
                         e.getValue().done())));
         List<Object> open = new ArrayList<>();
         rememberedState.open().stream()
-                .skip((long) part * PART)
-                .limit(PART)
+                .skip((long) part * JOBS_PER_PART)
+                .limit(JOBS_PER_PART)
                 .forEach(job -> open.add(MessagePackFormat.map(
                         "id",
                         job.spec().id().text(),
@@ -44,8 +44,8 @@
                                 job.spec(), job.submittedMs(), JobStatus.PENDING, job.done(), 0, job.bound()))));
         List<Object> records = new ArrayList<>();
         rememberedState.records().stream()
-                .skip((long) part * RECORDS)
-                .limit(RECORDS)
+                .skip((long) part * RECORDS_PER_PART)
+                .limit(RECORDS_PER_PART)
                 .forEach(k -> records.add(MessagePackFormat.map("key", k.key(), "value", k.value())));
         Map<String, Object> map = MessagePackFormat.map(
                 "over",
@@ -53,8 +53,8 @@
                 "open",
                 open,
                 "more",
-                Math.max(rememberedState.over().size(), rememberedState.open().size()) > (part + 1) * PART
-                        || rememberedState.records().size() > (part + 1) * RECORDS);
+                Math.max(rememberedState.over().size(), rememberedState.open().size()) > (part + 1) * JOBS_PER_PART
+                        || rememberedState.records().size() > (part + 1) * RECORDS_PER_PART);
         if (!records.isEmpty()) {
             map.put("records", records);
         }
--- a/src/main/java/io/indigoreach/state/RoutineRunner.java
+++ b/src/main/java/io/indigoreach/state/RoutineRunner.java
@@ -27,7 +27,7 @@
  */
 public final class RoutineRunner {
     private static final int READ_AT_ONCE = 8;
-    private static final int MOST_TRIES = 3;
+    private static final int MAX_ATTEMPTS = 3;
     private static final Span PACE = Span.seconds(0.1);
 
     private final Vertx vertx;
@@ -59,8 +59,8 @@
     }
 
     /** The same for a leader: writes depend on its key, and take only what the leader's budget has to spare. */
-    public RoutineRunner leading(String key, Revision stamp, RateLimiter spare) {
-        return new RoutineRunner(vertx, state, clock, copies, new VersionedRecord(key, null, stamp), spare);
+    public RoutineRunner leading(String key, Revision revision, RateLimiter spare) {
+        return new RoutineRunner(vertx, state, clock, copies, new VersionedRecord(key, null, revision), spare);
     }
 
     /** The same, with no more changes than half of a budget has to spare: what people ask of a part comes behind jobs. */
@@ -123,25 +123,25 @@
         keys.forEach(key -> reads.add(state.get(key)
                 .map(e -> e == null
                         ? VersionedRecord.absent(key)
-                        : new VersionedRecord(key, e.value().map(), e.stamp()))));
+                        : new VersionedRecord(key, e.value().map(), e.revision()))));
         return Future.all(reads).compose(all -> {
             List<VersionedRecord> read = all.list();
             List<VersionedRecord> doubtful = read.stream()
-                    .filter(k -> !k.isThere() || state.isDoubted() || isOlderThanCopy(k))
+                    .filter(k -> !k.exists() || state.areReadsSuspect() || isOlderThanCopy(k))
                     .toList();
             if (doubtful.isEmpty()) {
-                read.forEach(copies::saw);
+                read.forEach(copies::add);
                 return Future.succeededFuture(read);
             }
             // Judged by what was known before the comparison was sent: what another routine writes meanwhile is newer
             // than it.
             List<VersionedRecord> older =
                     doubtful.stream().filter(this::isOlderThanCopy).toList();
-            StateClient.Txn comparison = state.inThisEra();
-            doubtful.forEach(k -> comparison.when(k.key(), k.stamp()));
+            StateClient.Txn comparison = state.transactionInEra();
+            doubtful.forEach(k -> comparison.when(k.key(), k.revision()));
             return state.confirm(comparison).compose(holds -> {
                 if (!holds) {
-                    return attempt < MOST_TRIES
+                    return attempt < MAX_ATTEMPTS
                             ? state.check().compose(v -> readSome(keys, attempt + 1))
                             : Future.failedFuture(new WireException("the records change at this moment"));
                 }
@@ -149,24 +149,24 @@
                 if (state.losses().isHolding()) {
                     return Future.failedFuture(new WireException("data were lost"));
                 }
-                read.forEach(copies::saw);
+                read.forEach(copies::add);
                 return Future.succeededFuture(read);
             });
         });
     }
 
     private boolean isOlderThanCopy(VersionedRecord read) {
-        VersionedRecord copy = copies.of(read.key());
+        VersionedRecord copy = copies.get(read.key());
         return copy != null && read.version() < copy.version();
     }
 
     /** It surely is older than what was acknowledged: only another family's way of removing records explains it. */
     private void lost(VersionedRecord read) {
         RecordFamily family = copies.familyOf(read.key());
-        if (family.permanent() || read.isThere()) {
-            state.recordGone(read.key());
+        if (family.permanent() || read.exists()) {
+            state.recordMissing(read.key());
         } else {
-            copies.removed(read.key());
+            copies.remove(read.key());
         }
     }
 
@@ -174,10 +174,10 @@
         return state.list(prefix, after, most).map(page -> {
             Map<String, VersionedRecord> found = new LinkedHashMap<>();
             page.items().forEach(e -> {
-                VersionedRecord k = new VersionedRecord(e.key(), e.value().map(), e.stamp());
+                VersionedRecord k = new VersionedRecord(e.key(), e.value().map(), e.revision());
                 found.put(e.key(), k);
                 // A list may come from the past: what it shows is told as it is, its writes depend on their versions.
-                copies.saw(k);
+                copies.add(k);
             });
             return seen(found, page.more());
         });
@@ -193,20 +193,25 @@
         if (budget != null && !budget.takeSpare(change.writes().size(), clock.now())) {
             return pause().compose(v -> write(change, attempt));
         }
-        StateClient.Txn txn = state.inThisEra().and(change);
+        StateClient.Txn txn = state.transactionInEra().and(change);
         if (leadership != null) {
-            txn.when(leadership.key(), leadership.stamp());
+            txn.when(leadership.key(), leadership.revision());
         }
         return state.commit(txn).compose(outcome -> {
             if (outcome.done()) {
-                wrote(change, outcome.stamp());
+                written(change, outcome.writtenRevision());
                 return Future.succeededFuture(new StepResult(
-                        state.losses().era(), clock.timeOfDay(), Map.of(), false, outcome.stamp(), List.of()));
+                        state.losses().era(),
+                        clock.timeOfDay(),
+                        Map.of(),
+                        false,
+                        outcome.writtenRevision(),
+                        List.of()));
             }
             if (leadership != null && outcome.failed().contains(leadership.key())) {
                 return Future.failedFuture(new WireException("another node leads"));
             }
-            if (outcome.failed().equals(List.of(RecordCodec.ERA)) && attempt < MOST_TRIES) {
+            if (outcome.failed().equals(List.of(RecordCodec.ERA)) && attempt < MAX_ATTEMPTS) {
                 return state.check().compose(v -> write(change, attempt + 1));
             }
             return Future.succeededFuture(
@@ -215,12 +220,12 @@
     }
 
     /** A change that went with another transaction is done. */
-    public void wrote(Transaction change, Revision stamp) {
+    public void written(Transaction change, Revision revision) {
         change.writes().forEach((key, value) -> {
             if (value == null) {
-                copies.removed(key);
+                copies.remove(key);
             } else {
-                copies.saw(new VersionedRecord(key, value, stamp));
+                copies.add(new VersionedRecord(key, value, revision));
             }
         });
     }
--- a/src/main/java/io/indigoreach/state/StaleReadDetector.java
+++ b/src/main/java/io/indigoreach/state/StaleReadDetector.java
@@ -6,10 +6,10 @@
  */
 final class StaleReadDetector {
     /** So many reads are confirmed after a sign that the service answers with the past. */
-    static final int DOUBTED_READS = 1000;
+    static final int READS_TO_CONFIRM = 1000;
 
     private long highest;
-    private int doubted;
+    private int readsToConfirm;
 
     /** The highest revision told so far, to be taken note of as a request is sent. */
     long highest() {
@@ -19,7 +19,7 @@
     /** An answer told its revision; {@code known} is what {@link #highest} was as its request was sent. */
     void observe(long known, long revision) {
         if (revision < known) {
-            doubt();
+            suspectReads();
         }
         highest = Math.max(highest, revision);
     }
@@ -29,12 +29,12 @@
         highest = revision;
     }
 
-    void doubt() {
-        doubted = DOUBTED_READS;
+    void suspectReads() {
+        readsToConfirm = READS_TO_CONFIRM;
     }
 
     /** Counts a read: true if it is to be confirmed. */
-    boolean isDoubted() {
-        return doubted > 0 && doubted-- > 0;
+    boolean shouldConfirm() {
+        return readsToConfirm > 0 && readsToConfirm-- > 0;
     }
 }
--- a/src/main/java/io/indigoreach/state/StateClient.java
+++ b/src/main/java/io/indigoreach/state/StateClient.java
@@ -39,20 +39,20 @@
     private static final int MALFORMED = 400;
 
     /** A key with its value, its version and the lease that it is attached to, or 0. */
-    public record Entry(String key, Fields value, Revision stamp, long lease) {}
+    public record Entry(String key, Fields value, Revision revision, long lease) {}
 
     /** A page of a listing. */
     public record Page(List<Entry> items, boolean more, long revision) {}
 
     /** A change of a key; the value is null if it was deleted. */
-    public record Change(String key, Fields value, Revision stamp) {}
+    public record Change(String key, Fields value, Revision revision) {}
 
     /** What a watch brought; {@code tooOld}: the keys are to be read again. */
     public record Changes(List<Change> changes, long revision, boolean tooOld) {}
 
     /** A transaction's outcome: done at a revision, or the keys that did not have the given version. */
     public record Outcome(boolean done, long revision, List<String> failed, boolean leaseGone) {
-        public Revision stamp() {
+        public Revision writtenRevision() {
             return new Revision(revision);
         }
     }
@@ -69,8 +69,8 @@
         private final Map<String, Revision> conditions = new LinkedHashMap<>();
         private final List<Write> writes = new ArrayList<>();
 
-        public Txn when(String key, Revision stamp) {
-            conditions.put(key, stamp);
+        public Txn when(String key, Revision revision) {
+            conditions.put(key, revision);
             return this;
         }
 
@@ -116,15 +116,15 @@
 
     private final ServiceClient caller;
     private final ServiceClient watcher;
-    private final StaleReadDetector freshness = new StaleReadDetector();
+    private final StaleReadDetector staleReads = new StaleReadDetector();
     private final LossDetector losses = new LossDetector();
     private final EffectiveLimits limits = new EffectiveLimits();
     /** The era's version as it was last confirmed. */
-    private Revision eraStamp = Revision.ABSENT;
+    private Revision eraRevision = Revision.ABSENT;
 
     private Runnable onLoss = () -> {};
     private Runnable onFailure = () -> {};
-    private Future<Void> checking;
+    private Future<Void> pendingCheck;
 
     /** Watches stay open, so they have connections of their own. */
     public StateClient(ServiceClient caller, ServiceClient watcher) {
@@ -152,7 +152,7 @@
         onFailure = what;
     }
 
-    private Future<ServiceResponse> noted(Future<ServiceResponse> asked) {
+    private Future<ServiceResponse> reportingFailure(Future<ServiceResponse> asked) {
         return asked.onComplete(r -> {
             if (r.failed() || r.result().status() == OUTAGE) {
                 onFailure.run();
@@ -160,7 +160,7 @@
         });
     }
 
-    private void judge(boolean lost) {
+    private void reportLoss(boolean lost) {
         if (lost) {
             LOG.error(
                     "the state service has lost data: {}; nobody is told that a job does not exist until it is mended",
@@ -170,29 +170,29 @@
     }
 
     /** Another controller says that data of this era were lost. */
-    public void toldOfLoss(long era) {
-        judge(losses.told(era));
+    public void lossReportedByPeer(long era) {
+        reportLoss(losses.told(era));
     }
 
     /** A record that only a loss can have removed is gone. */
-    public void recordGone(String key) {
-        judge(losses.gone(key));
+    public void recordMissing(String key) {
+        reportLoss(losses.gone(key));
     }
 
     /** A leadership was taken with a counter below a token that had been in use. */
-    void counterWas(FencingToken seen, FencingToken counted) {
-        judge(losses.counter(seen, counted));
+    void compareCounter(FencingToken seen, FencingToken counted) {
+        reportLoss(losses.counter(seen, counted));
     }
 
     /**
      * A condition under which nothing was lost since the era was last confirmed. A process that has just started knows none:
      * whatever is there is the content to it.
      */
-    public Txn inThisEra() {
-        return losses.era() == 0 ? new Txn() : new Txn().when(RecordCodec.ERA, eraStamp);
+    public Txn transactionInEra() {
+        return losses.era() == 0 ? new Txn() : new Txn().when(RecordCodec.ERA, eraRevision);
     }
 
-    /** Whether {@link #inThisEra} says anything: this process has read the era. */
+    /** Whether {@link #transactionInEra} says anything: this process has read the era. */
     public boolean isEraKnown() {
         return losses.era() != 0;
     }
@@ -202,40 +202,40 @@
      * comparing. Who asks while another asks gets the same answer: after a change every submission under way comes here.
      */
     public Future<Void> check() {
-        if (checking == null) {
+        if (pendingCheck == null) {
             Future<Void> begun = readEra();
-            checking = begun;
-            begun.onComplete(r -> checking = null);
+            pendingCheck = begun;
+            begun.onComplete(r -> pendingCheck = null);
             return begun;
         }
-        return checking;
+        return pendingCheck;
     }
 
     private Future<Void> readEra() {
-        return noted(caller.get(StateCodec.keyPath(RecordCodec.ERA), Span.seconds(1)))
+        return reportingFailure(caller.get(StateCodec.keyPath(RecordCodec.ERA), Span.seconds(1)))
                 .compose(r -> {
                     if (r.status() == 429) {
                         return Future.succeededFuture();
                     }
-                    Entry entry = r.status() == 404 ? null : StateCodec.readEntry(ok(r));
-                    Revision stamp = entry == null ? Revision.ABSENT : entry.stamp();
+                    Entry entry = r.status() == 404 ? null : StateCodec.readEntry(requireOk(r));
+                    Revision revision = entry == null ? Revision.ABSENT : entry.revision();
                     long era = entry == null ? 0 : RecordCodec.readEra(entry.value());
                     if (losses.era() == 0) {
                         // Nothing is known to compare with; an answer from the past fails in the first transaction.
-                        return entry == null ? firstEra() : adopted(era, stamp);
+                        return entry == null ? firstEra() : adoptEra(era, revision);
                     }
-                    if (stamp.equals(eraStamp) && era == losses.era()) {
+                    if (revision.equals(eraRevision) && era == losses.era()) {
                         return Future.succeededFuture();
                     }
-                    return commit(new Txn().when(RecordCodec.ERA, stamp))
-                            .compose(outcome -> outcome.done() ? adopted(era, stamp) : Future.succeededFuture());
+                    return commit(new Txn().when(RecordCodec.ERA, revision))
+                            .compose(outcome -> outcome.done() ? adoptEra(era, revision) : Future.succeededFuture());
                 });
     }
 
-    private Future<Void> adopted(long era, Revision stamp) {
-        judge(losses.era(era));
+    private Future<Void> adoptEra(long era, Revision revision) {
+        reportLoss(losses.era(era));
         if (!losses.isHolding()) {
-            eraStamp = stamp;
+            eraRevision = revision;
         }
         return Future.succeededFuture();
     }
@@ -247,40 +247,40 @@
         return commit(new Txn()
                         .when(RecordCodec.ERA, Revision.ABSENT)
                         .put(RecordCodec.ERA, RecordCodec.writeEra(FIRST)))
-                .compose(
-                        outcome -> outcome.done() ? adopted(FIRST.value(), outcome.stamp()) : Future.succeededFuture());
+                .compose(outcome ->
+                        outcome.done() ? adoptEra(FIRST.value(), outcome.writtenRevision()) : Future.succeededFuture());
     }
 
     /** The version of what was read; {@link Revision#ABSENT} if nothing was there. */
-    static Revision stampOf(Entry entry) {
-        return entry == null ? Revision.ABSENT : entry.stamp();
+    static Revision revisionOf(Entry entry) {
+        return entry == null ? Revision.ABSENT : entry.revision();
     }
 
     /** The entry of a key; null if there is none. */
     public Future<Entry> get(String key) {
-        long known = freshness.highest();
-        return noted(caller.get(StateCodec.keyPath(key), TIMEOUT)).map(r -> {
+        long known = staleReads.highest();
+        return reportingFailure(caller.get(StateCodec.keyPath(key), TIMEOUT)).map(r -> {
             if (r.status() == 404) {
-                freshness.observe(known, StateCodec.readRevision(r.body()));
+                staleReads.observe(known, StateCodec.readRevision(r.body()));
                 return null;
             }
-            return StateCodec.readEntry(ok(r));
+            return StateCodec.readEntry(requireOk(r));
         });
     }
 
     public Future<Page> list(String prefix, String after, int most) {
-        long known = freshness.highest();
-        return noted(caller.get(StateCodec.listPath(prefix, after, most), Span.seconds(4)))
+        long known = staleReads.highest();
+        return reportingFailure(caller.get(StateCodec.listPath(prefix, after, most), Span.seconds(4)))
                 .map(r -> {
-                    Page page = StateCodec.readPage(ok(r));
-                    freshness.observe(known, page.revision());
+                    Page page = StateCodec.readPage(requireOk(r));
+                    staleReads.observe(known, page.revision());
                     return page;
                 });
     }
 
     /** Whether the service has lately answered with what was there before something it had told already. */
-    public boolean isDoubted() {
-        return freshness.isDoubted();
+    public boolean areReadsSuspect() {
+        return staleReads.shouldConfirm();
     }
 
     /**
@@ -290,29 +290,29 @@
     public Future<Boolean> confirm(Txn comparison) {
         return commit(comparison).map(outcome -> {
             if (!outcome.done() && !outcome.failed().equals(List.of(RecordCodec.ERA))) {
-                freshness.doubt();
+                staleReads.suspectReads();
             }
             return outcome.done();
         });
     }
 
     public Future<Outcome> commit(Txn txn) {
-        long known = freshness.highest();
-        return noted(caller.post(StateCodec.TXN, StateCodec.writeTxn(txn), TIMEOUT))
+        long known = staleReads.highest();
+        return reportingFailure(caller.post(StateCodec.TXN, StateCodec.writeTxn(txn), TIMEOUT))
                 .map(r -> {
                     if (r.status() == 200) {
                         Outcome done = new Outcome(true, StateCodec.readRevision(r.body()), List.of(), false);
                         boolean lost = losses.revision(known, done.revision());
-                        freshness.observe(0, done.revision());
+                        staleReads.observe(0, done.revision());
                         if (done.revision() < known) {
-                            freshness.restartAt(done.revision());
+                            staleReads.restartAt(done.revision());
                         }
-                        judge(lost);
+                        reportLoss(lost);
                         return done;
                     }
                     if (r.status() == 409) {
                         Outcome failed = StateCodec.readConflict(r.body());
-                        freshness.observe(0, failed.revision());
+                        staleReads.observe(0, failed.revision());
                         return failed;
                     }
                     if (r.status() == 400
@@ -329,7 +329,7 @@
 
     public Future<Long> grant(Span life) {
         return caller.post(StateCodec.LEASES, StateCodec.writeLife(life), TIMEOUT)
-                .map(r -> StateCodec.readLease(ok(r)));
+                .map(r -> StateCodec.readLease(requireOk(r)));
     }
 
     /** Whether the lease goes on; false if it has ended. */
@@ -339,7 +339,7 @@
                     if (r.status() == 404) {
                         return false;
                     }
-                    ok(r);
+                    requireOk(r);
                     return true;
                 });
     }
@@ -350,10 +350,10 @@
 
     public Future<Changes> watch(String prefix, long since, Span wait) {
         return watcher.get(StateCodec.watchPath(prefix, since, wait), wait.plus(TIMEOUT))
-                .map(r -> r.status() == 410 ? new Changes(List.of(), 0, true) : StateCodec.readChanges(ok(r)));
+                .map(r -> r.status() == 410 ? new Changes(List.of(), 0, true) : StateCodec.readChanges(requireOk(r)));
     }
 
-    private static Fields ok(ServiceResponse reply) {
+    private static Fields requireOk(ServiceResponse reply) {
         if (reply.status() == 200) {
             return reply.body();
         }
--- a/src/main/java/io/indigoreach/state/StateCodec.java
+++ b/src/main/java/io/indigoreach/state/StateCodec.java
@@ -21,7 +21,7 @@
     public static final String RENEW = "/renew";
     public static final String PREFIX = "starts";
     public static final String SINCE = "since";
-    public static final String MOST = "most";
+    public static final String LIMIT = "most";
     public static final String WAIT = "wait_ms";
     public static final String NO_SUCH_LEASE = "no such lease";
 
@@ -33,7 +33,7 @@
      * A value as it is kept: this project's are maps, the protocol allows any data. What is no map becomes the only
      * field, without a name, of one; so does a map that looks like that, and thus each comes back as it was.
      */
-    private static Fields kept(Fields f, String name) {
+    private static Fields unwrapped(Fields f, String name) {
         if (!f.has(name)) {
             return f.child(name);
         }
@@ -44,7 +44,7 @@
     }
 
     /** A kept value as it is on the wire. */
-    public static Object plain(Map<String, Object> kept) {
+    public static Object toWire(Map<String, Object> kept) {
         return isWrapped(kept) ? kept.get(NAMELESS) : kept;
     }
 
@@ -57,8 +57,8 @@
     }
 
     static String listPath(String prefix, String after, int most) {
-        return STORE + "?" + PREFIX + "=" + prefix + (after == null ? "" : "&" + SINCE + "=" + after) + "&" + MOST + "="
-                + most;
+        return STORE + "?" + PREFIX + "=" + prefix + (after == null ? "" : "&" + SINCE + "=" + after) + "&" + LIMIT
+                + "=" + most;
     }
 
     static String watchPath(String prefix, long since, Span wait) {
@@ -74,9 +74,9 @@
                 "path",
                 e.key(),
                 "data",
-                plain(e.value().map()),
+                toWire(e.value().map()),
                 "stamp",
-                e.stamp().value());
+                e.revision().value());
         if (e.lease() > 0) {
             map.put("permit", e.lease());
         }
@@ -85,7 +85,7 @@
 
     public static StateClient.Entry readEntry(Fields f) {
         return new StateClient.Entry(
-                f.text("path"), kept(f, "data"), new Revision(f.whole("stamp")), f.whole("permit", 0));
+                f.text("path"), unwrapped(f, "data"), new Revision(f.whole("stamp")), f.whole("permit", 0));
     }
 
     /** What is said where there is only the revision to tell: a key that is absent, a transaction that is done. */
@@ -112,7 +112,8 @@
 
     public static Map<String, Object> writeTxn(StateClient.Txn txn) {
         List<Object> when = new ArrayList<>();
-        txn.conditions().forEach((key, stamp) -> when.add(MessagePackFormat.map("path", key, "stamp", stamp.value())));
+        txn.conditions()
+                .forEach((key, revision) -> when.add(MessagePackFormat.map("path", key, "stamp", revision.value())));
         List<Object> writes = new ArrayList<>();
         for (StateClient.Write w : txn.writes()) {
             Map<String, Object> map = new LinkedHashMap<>();
@@ -120,7 +121,7 @@
                 map.put("delete", w.key());
             } else {
                 map.put("write", w.key());
-                map.put("data", plain(w.value()));
+                map.put("data", toWire(w.value()));
                 if (w.lease() > 0) {
                     map.put("permit", w.lease());
                 }
@@ -140,7 +141,7 @@
             if (w.has("delete")) {
                 txn.delete(w.text("delete"));
             } else {
-                txn.put(w.text("write"), kept(w, "data").map(), w.whole("permit", 0));
+                txn.put(w.text("write"), unwrapped(w, "data").map(), w.whole("permit", 0));
             }
         }
         return txn;
@@ -177,14 +178,14 @@
             events.add(
                     c.value() == null
                             ? MessagePackFormat.map(
-                                    "delete", c.key(), "stamp", c.stamp().value())
+                                    "delete", c.key(), "stamp", c.revision().value())
                             : MessagePackFormat.map(
                                     "write",
                                     c.key(),
                                     "data",
-                                    plain(c.value().map()),
+                                    toWire(c.value().map()),
                                     "stamp",
-                                    c.stamp().value()));
+                                    c.revision().value()));
         }
         return MessagePackFormat.map("ledger_rev", changes.revision(), "events", events);
     }
@@ -192,11 +193,11 @@
     static StateClient.Changes readChanges(Fields f) {
         List<StateClient.Change> changes = new ArrayList<>();
         for (Fields e : f.children("events")) {
-            Revision stamp = new Revision(e.whole("stamp"));
+            Revision revision = new Revision(e.whole("stamp"));
             changes.add(
                     e.has("write")
-                            ? new StateClient.Change(e.text("write"), kept(e, "data"), stamp)
-                            : new StateClient.Change(e.text("delete"), null, stamp));
+                            ? new StateClient.Change(e.text("write"), unwrapped(e, "data"), revision)
+                            : new StateClient.Change(e.text("delete"), null, revision));
         }
         return new StateClient.Changes(changes, readRevision(f), false);
     }
--- a/src/main/java/io/indigoreach/tools/Cluster.java
+++ b/src/main/java/io/indigoreach/tools/Cluster.java
@@ -130,7 +130,7 @@
         for (boolean more = true; more; ) {
             StateClient.Page page = await(state.list(RecordCodec.OPEN, after, PAGE));
             for (StateClient.Entry e : page.items()) {
-                jobs.add(RecordCodec.readJob(RecordCodec.jobOfOpenKey(e.key()), e.value(), e.stamp()));
+                jobs.add(RecordCodec.readJob(RecordCodec.jobOfOpenKey(e.key()), e.value(), e.revision()));
                 after = e.key();
             }
             more = page.more();
--- a/src/main/java/io/indigoreach/warm/HolderJoining.java
+++ b/src/main/java/io/indigoreach/warm/HolderJoining.java
@@ -44,7 +44,7 @@
     }
 
     private static void refuse(JobSpec spec, String name, VersionedRecord kept) {
-        if (!kept.isThere()) {
+        if (!kept.exists()) {
             throw RequestRejectedException.of(JobSpec.WARM, "there is no pool " + name);
         }
         PoolSpec pool = PoolCodec.read(name, new Fields(kept.value()));
--- a/src/main/java/io/indigoreach/warm/PoolsResource.java
+++ b/src/main/java/io/indigoreach/warm/PoolsResource.java
@@ -98,7 +98,7 @@
 
     private Future<ApiResponse> explain(String name) {
         return ground.records().run(PoolRoutines.read(PoolRecords.POOLS + name)).compose(pool -> {
-            if (!pool.isThere()) {
+            if (!pool.exists()) {
                 throw RequestRejectedException.notFound("no pool " + name);
             }
             return ground.records()
@@ -109,7 +109,7 @@
                         answer.put("version", pool.version());
                         answer.put(
                                 "stands",
-                                told.isThere()
+                                told.exists()
                                         ? PoolRoutines.plain(told)
                                         : MessagePackFormat.map("why", "no leader has planned it yet"));
                         return ApiResponse.ok(answer);
@@ -136,7 +136,7 @@
                         PoolRecords.POOLS + pool.name(),
                         there -> {
                             PoolSpec old =
-                                    there.isThere() ? PoolCodec.read(pool.name(), new Fields(there.value())) : null;
+                                    there.exists() ? PoolCodec.read(pool.name(), new Fields(there.value())) : null;
                             version[0] = there.version();
                             if (pool.equals(old)) {
                                 return null;
--- a/src/test/java/io/indigoreach/api/JobServiceLossTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceLossTest.java
@@ -168,13 +168,13 @@
         JobService asked = remembered.equals("here") ? desk : other();
         assertEquals(201, submit(1));
         if (remembered.equals("elsewhere")) {
-            mender.recallBy(id -> Future.succeededFuture(desk.rememberedState(id)));
+            mender.recallFrom(id -> Future.succeededFuture(desk.rememberedState(id)));
         } else if (remembered.equals("ended")) {
             RememberedState ended = new RememberedState();
             ended.add(new JobId("run-1"), new RememberedState.FinishedJob(JobStatus.DONE, 2));
-            mender.recallBy(id -> Future.succeededFuture(ended));
+            mender.recallFrom(id -> Future.succeededFuture(ended));
         } else if (remembered.equals("here")) {
-            mender.recallBy(id -> Future.succeededFuture(desk.rememberedState(id)));
+            mender.recallFrom(id -> Future.succeededFuture(desk.rememberedState(id)));
         }
         StateClient.Txn txn = new StateClient.Txn();
         if (prefix.equals("f/")) {
--- a/src/test/java/io/indigoreach/checker/FrontDoors.java
+++ b/src/test/java/io/indigoreach/checker/FrontDoors.java
@@ -216,8 +216,8 @@
                     if (open == null) {
                         return Future.succeededFuture();
                     }
-                    JobRecord job = RecordCodec.readJob(id, open.value(), open.stamp());
-                    StateClient.Txn txn = new StateClient.Txn().when(RecordCodec.openKey(id), open.stamp());
+                    JobRecord job = RecordCodec.readJob(id, open.value(), open.revision());
+                    StateClient.Txn txn = new StateClient.Txn().when(RecordCodec.openKey(id), open.revision());
                     boolean marked = job.status() == JobStatus.DONE;
                     if (marked || (ends && moves)) {
                         txn.delete(RecordCodec.openKey(id))
--- a/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
@@ -85,7 +85,7 @@
 
     private CompletionBlockStore book(String next) throws Exception {
         leader = await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))))
-                .stamp();
+                .writtenRevision();
         LeadershipTerm.Context context = new LeadershipTerm.Context(
                 vertx,
                 clock,
@@ -102,7 +102,7 @@
     /** What a leader that reads all of it takes to be done; {@code book} inherits the blocks. */
     private BitSet read(CompletionBlockStore book) throws Exception {
         BitSet done = new BitSet();
-        for (String prefix : List.of(RecordCodec.BITS, CompletionBits.SMALL)) {
+        for (String prefix : List.of(RecordCodec.BITS, CompletionBits.SMALL_BLOCKS)) {
             for (StateClient.Entry e : await(client.list(prefix, null, 1000)).items()) {
                 BitSet block = new BitSet();
                 CompletionBits.readBlock(e.key(), e.value(), block);
@@ -116,7 +116,7 @@
 
     private JobRecord open() throws Exception {
         StateClient.Entry e = await(client.get(RecordCodec.openKey(ID)));
-        return RecordCodec.readJob(ID, e.value(), e.stamp());
+        return RecordCodec.readJob(ID, e.value(), e.revision());
     }
 
     /** As the version before wrote it. */
@@ -159,7 +159,7 @@
             done = heard;
             for (int writes = 1 + random.nextInt(6); writes > 0; writes--) {
                 complete(random, done, tasks);
-                Job job = new Job(spec, 1, clock.now(), open().stamp(), done, tasks, true);
+                Job job = new Job(spec, 1, clock.now(), open().revision(), done, tasks, true);
                 StateClient.Txn txn = new StateClient.Txn()
                         .when(RecordCodec.LEADER, leader)
                         .when(RecordCodec.openKey(ID), job.revision());
@@ -195,7 +195,7 @@
         writeAsBefore(spec(tasks, 10), done);
         state.txnOps = 4;
         CompletionBlockStore book = book(NEXT);
-        Job job = new Job(spec(tasks, 10), 1, clock.now(), open().stamp(), done, tasks, true);
+        Job job = new Job(spec(tasks, 10), 1, clock.now(), open().revision(), done, tasks, true);
         StateClient.Txn txn = new StateClient.Txn();
         book.addProgress(txn, job, done);
         assertTrue(await(client.commit(txn)).done() && txn.size() <= 4);
@@ -216,7 +216,7 @@
 
     private List<String> blocks() {
         List<String> keys = new ArrayList<>(state.keys(RecordCodec.BITS));
-        keys.addAll(state.keys(CompletionBits.SMALL));
+        keys.addAll(state.keys(CompletionBits.SMALL_BLOCKS));
         return keys;
     }
 
@@ -231,7 +231,7 @@
         done.set(0, 90_000);
         state.valueBytes = valueBytes;
         state.txnOps = txnOps;
-        Job job = new Job(spec, 1, clock.now(), open().stamp(), done, 100_000, true);
+        Job job = new Job(spec, 1, clock.now(), open().revision(), done, 100_000, true);
         int tries = 0;
         while (book.isBehind(job) && tries < 60) {
             tries++;
--- a/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
@@ -61,7 +61,7 @@
         Leader(long token) throws Exception {
             Revision key = await(client.commit(
                             new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", token))))
-                    .stamp();
+                    .writtenRevision();
             LeadershipTerm.Context context = new LeadershipTerm.Context(
                     vertx,
                     clock,
--- a/src/test/java/io/indigoreach/cluster/IntentLogTest.java
+++ b/src/test/java/io/indigoreach/cluster/IntentLogTest.java
@@ -61,7 +61,11 @@
         StateClient.Outcome taken =
                 await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", token))));
         return new IntentLog(
-                env, new FencingToken(token), taken.stamp(), () -> deposed = true, new RateLimiter(100, clock.now()));
+                env,
+                new FencingToken(token),
+                taken.writtenRevision(),
+                () -> deposed = true,
+                new RateLimiter(100, clock.now()));
     }
 
     @Test
--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -96,8 +96,8 @@
         core.setTypes(
                 List.of(new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"))));
         core.recordsLoaded();
-        ledger =
-                new JobStore(env, core, null, taken.stamp(), () -> {}, new RateLimiter(20, clock.now()), true, horizon);
+        ledger = new JobStore(
+                env, core, null, taken.writtenRevision(), () -> {}, new RateLimiter(20, clock.now()), true, horizon);
     }
 
     @AfterEach
@@ -133,7 +133,7 @@
                         .put(
                                 RecordCodec.openKey(spec.id()),
                                 RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, bound))))
-                .stamp();
+                .writtenRevision();
         BitSet over = new BitSet();
         over.set(0, done);
         return new Job(spec, 1, clock.now(), stamp, over, bound, false);
@@ -142,7 +142,7 @@
     /** What stands in the open jobs' records. */
     private Map<JobId, JobRecord> open() throws Exception {
         return await(client.list(RecordCodec.OPEN, null, 1000)).items().stream()
-                .map(e -> RecordCodec.readJob(RecordCodec.jobOfOpenKey(e.key()), e.value(), e.stamp()))
+                .map(e -> RecordCodec.readJob(RecordCodec.jobOfOpenKey(e.key()), e.value(), e.revision()))
                 .collect(Collectors.toMap(JobRecord::id, record -> record));
     }
 
@@ -320,9 +320,9 @@
         JobSpec spec = CompletionBlockStoreTest.spec(4, 3000);
         Revision stamp = await(client.commit(new StateClient.Txn()
                         .put("j/run-1", RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 0))))
-                .stamp();
+                .writtenRevision();
         Job tooLong = new Job(spec, 1, clock.now(), stamp, new BitSet(), 0, false);
-        Revision leader = await(client.get(RecordCodec.LEADER)).stamp();
+        Revision leader = await(client.get(RecordCodec.LEADER)).revision();
         ledger = new JobStore(env, core, null, leader, () -> {}, new RateLimiter(20, clock.now()), true, horizon);
         state.valueBytes = 2048;
         state.txnOps = 4;
@@ -347,7 +347,7 @@
         Job job = job(1, 4, 2, 4);
         core.addJob(job);
         Revision spoilt = await(client.commit(new StateClient.Txn().put("j/run-1", MessagePackFormat.map("class", 5L))))
-                .stamp();
+                .writtenRevision();
         ledger.onOpenRecordWritten(job.id(), new Fields(MessagePackFormat.map("class", 5L)), spoilt);
         vertx.runOnContext(v -> ledger.start());
         while (state.value("j/run-1").optionalText("team") == null) {
--- a/src/test/java/io/indigoreach/cluster/LastTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/LastTaskTest.java
@@ -95,7 +95,7 @@
         Revision key = await(() -> leader.commit(new StateClient.Txn()
                         .put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(List.of(TYPE)))
                         .put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))))
-                .stamp();
+                .writtenRevision();
         await(() -> {
             catalogue.start();
             return Future.succeededFuture();
@@ -195,7 +195,7 @@
     /** A job whose one task has ended, as its leader has just seen. */
     private void ended(JobId id) throws Exception {
         Revision stamp = await(() -> leader.commit(new StateClient.Txn().put(RecordCodec.openKey(id), record(id))))
-                .stamp();
+                .writtenRevision();
         BitSet done = new BitSet();
         done.set(0);
         Job job = new Job(spec(id), 1, clock.now(), stamp, done, 1, false);
--- a/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
@@ -239,7 +239,7 @@
     /** Another leadership begins. */
     private Revision lead(long token) throws Exception {
         return await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", token))))
-                .stamp();
+                .writtenRevision();
     }
 
     // Leadership.
@@ -377,7 +377,7 @@
             t.run(a::start);
             t.took("a");
             t.loseAll(RecordCodec.COUNTER);
-            t.run(a::vouchForStartBounds);
+            t.run(a::confirmStartBounds);
             t.untilUnanswered();
             t.pass();
             t.run(a::deposed);
@@ -486,7 +486,7 @@
                         .put(
                                 RecordCodec.openKey(spec.id()),
                                 RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, bound))))
-                .stamp();
+                .writtenRevision();
         service.holding = holding;
         service.losing = losing;
         BitSet over = new BitSet();
@@ -589,7 +589,8 @@
                 JobService desk = t.desk();
                 StateClient.Outcome spoilt =
                         await(t.client.commit(new StateClient.Txn().put(OPEN, MessagePackFormat.map("class", 5L))));
-                StateClient.Entry entry = new StateClient.Entry(OPEN, t.service.value(OPEN), spoilt.stamp(), 0);
+                StateClient.Entry entry =
+                        new StateClient.Entry(OPEN, t.service.value(OPEN), spoilt.writtenRevision(), 0);
                 JobRepairer repairer = new JobRepairer(t.client, t.clock);
                 t.loseOne(OPEN);
                 assertTrue(await(repairer.repairOpen(JOB, entry, spec(JOB.text(), 4))
@@ -607,7 +608,7 @@
             String over = RecordCodec.finalKey(JOB);
             StateClient.Outcome spoilt =
                     await(t.client.commit(new StateClient.Txn().put(over, MessagePackFormat.map("status", "DONE"))));
-            StateClient.Entry entry = new StateClient.Entry(over, t.service.value(over), spoilt.stamp(), 0);
+            StateClient.Entry entry = new StateClient.Entry(over, t.service.value(over), spoilt.writtenRevision(), 0);
             JobRepairer repairer = new JobRepairer(t.client, t.clock);
             t.loseOne(over);
             assertTrue(await(repairer.repairFinal(JOB, entry, null).map(false).otherwise(true)));
@@ -815,7 +816,7 @@
                     t.client,
                     key,
                     RecordCodec.MACHINES,
-                    e -> next.inherit(e.key(), e.stamp(), RecordCodec.readMachines(e.value()))));
+                    e -> next.inherit(e.key(), e.revision(), RecordCodec.readMachines(e.value()))));
             t.run(next::start);
             t.until(() ->
                     t.unanswered() == 1 && t.service.keys(RecordCodec.MACHINES).isEmpty());
@@ -938,7 +939,7 @@
                     t.client,
                     leader,
                     RecordCodec.MACHINES,
-                    e -> machineStore.inherit(e.key(), e.stamp(), RecordCodec.readMachines(e.value()))));
+                    e -> machineStore.inherit(e.key(), e.revision(), RecordCodec.readMachines(e.value()))));
             t.run(machineStore::start);
             t.until(() -> t.lines() == 0);
             t.changesNothingMore();
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -260,7 +260,7 @@
         }
         String wide = RecordCodec.machinePageKey(new FencingToken(2), 1);
         Revision stamp = await(client.commit(new StateClient.Txn().put(wide, RecordCodec.writeMachines(lines))))
-                .stamp();
+                .writtenRevision();
         state.valueBytes = 2048;
         state.txnOps = 4;
         LeadershipTerm.Context narrow = new LeadershipTerm.Context(
@@ -341,9 +341,9 @@
                 .put("m/2-1", RecordCodec.writeMachines(gone))
                 .put("m/2-2", RecordCodec.writeMachines(gone))));
         assertTrue(onLoop(() -> {
-            book.inherit("m/2-1", pages.stamp(), gone);
-            book.inherit("m/2-1", pages.stamp(), gone);
-            book.inherit("m/2-2", pages.stamp(), gone);
+            book.inherit("m/2-1", pages.writtenRevision(), gone);
+            book.inherit("m/2-1", pages.writtenRevision(), gone);
+            book.inherit("m/2-2", pages.writtenRevision(), gone);
             return report(1);
         }));
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -66,7 +66,11 @@
                 rememberedState.add(new RememberedState.RentedMachine(
                         new MachineId("vm-" + n), new MachinePool("quad", "a", true), now, now));
                 await(new StateRebuilder(
-                                context, new FencingToken(3), taken.stamp(), new RateLimiter(100, now), rememberedState)
+                                context,
+                                new FencingToken(3),
+                                taken.writtenRevision(),
+                                new RateLimiter(100, now),
+                                rememberedState)
                         .run());
                 assertEquals(
                         n,
@@ -126,7 +130,11 @@
                     MessagePackFormat.readMap(MessagePackFormat.write(RememberedStateCodec.write(rememberedState, 0))),
                     told);
             await(new StateRebuilder(
-                            context, new FencingToken(3), taken.stamp(), new RateLimiter(100, clock.now()), told)
+                            context,
+                            new FencingToken(3),
+                            taken.writtenRevision(),
+                            new RateLimiter(100, clock.now()),
+                            told)
                     .run());
             assertEquals(List.of("x/gone", "x/newer", "x/older"), state.keys("x/"));
             assertEquals(
@@ -202,7 +210,7 @@
             await(new StateRebuilder(
                             context,
                             new FencingToken(3),
-                            taken.stamp(),
+                            taken.writtenRevision(),
                             new RateLimiter(1000, clock.now()),
                             rememberedState)
                     .run());
--- a/src/test/java/io/indigoreach/core/calendar/OnceTest.java
+++ b/src/test/java/io/indigoreach/core/calendar/OnceTest.java
@@ -30,7 +30,7 @@
 
         boolean commit(Transaction change) {
             if (change.conditions().entrySet().stream()
-                    .anyMatch(e -> !read(e.getKey()).stamp().equals(e.getValue()))) {
+                    .anyMatch(e -> !read(e.getKey()).revision().equals(e.getValue()))) {
                 return false;
             }
             revision++;
--- a/src/test/java/io/indigoreach/core/ownership/OwnershipTest.java
+++ b/src/test/java/io/indigoreach/core/ownership/OwnershipTest.java
@@ -61,7 +61,7 @@
                 change.conditions()
                         .forEach((k, s) -> assertEquals(
                                 s,
-                                store.getOrDefault(k, VersionedRecord.absent(k)).stamp()));
+                                store.getOrDefault(k, VersionedRecord.absent(k)).revision()));
                 Revision stamp = new Revision(++revision);
                 change.writes().forEach((k, v) -> store.put(k, new VersionedRecord(k, v, stamp)));
                 changes += change.writes().size();
--- a/src/test/java/io/indigoreach/core/ownership/RegistryRun.java
+++ b/src/test/java/io/indigoreach/core/ownership/RegistryRun.java
@@ -241,7 +241,7 @@
                 Map<String, VersionedRecord> found = new LinkedHashMap<>();
                 read.keys()
                         .forEach(k -> found.put(k, shown(store.getOrDefault(k, VersionedRecord.absent(k)), routine)));
-                found.values().forEach(copies.get(node)::saw);
+                found.values().forEach(copies.get(node)::add);
                 seen = new StepResult(era, now, found, false, null, List.of());
             } else if (step instanceof Step.Scan<R> scan) {
                 Map<String, VersionedRecord> found = new LinkedHashMap<>();
@@ -286,9 +286,9 @@
             if (refused.isEmpty()) {
                 change.writes().keySet().forEach(k -> {
                     if (store.containsKey(k)) {
-                        copies.get(node).saw(store.get(k));
+                        copies.get(node).add(store.get(k));
                     } else {
-                        copies.get(node).removed(k);
+                        copies.get(node).remove(k);
                     }
                 });
             }
@@ -301,19 +301,19 @@
 
     /** A record as a reader gets it, or as it would without what is left out. */
     private VersionedRecord shown(VersionedRecord k, Routine<?> reader) {
-        if (fault == Fault.MISSING_MEANS_FREE && k.key().equals(Registry.ROOT) && k.isThere()) {
+        if (fault == Fault.MISSING_MEANS_FREE && k.key().equals(Registry.ROOT) && k.exists()) {
             Registry.Root root = Registry.Root.read(k.value());
             return new VersionedRecord(
-                    k.key(), new Registry.Root(Long.MAX_VALUE >> 20, root.base(), root.reason()).write(), k.stamp());
+                    k.key(), new Registry.Root(Long.MAX_VALUE >> 20, root.base(), root.reason()).write(), k.revision());
         }
         if (fault == Fault.CLAIM_NOT_RESOLVED
                 && reader instanceof Edit
                 && k.key().startsWith(Registry.CLAIMS)
-                && k.isThere()
+                && k.exists()
                 && Claim.read(k.value()).state() == Claim.State.OPEN) {
             Map<String, Object> value = new LinkedHashMap<>(k.value());
             value.put("s", (long) Claim.State.HELD.ordinal());
-            return new VersionedRecord(k.key(), value, k.stamp());
+            return new VersionedRecord(k.key(), value, k.revision());
         }
         return k;
     }
@@ -324,7 +324,7 @@
         }
         List<String> refused = change.conditions().entrySet().stream()
                 .filter(c -> !store.getOrDefault(c.getKey(), VersionedRecord.absent(c.getKey()))
-                        .stamp()
+                        .revision()
                         .equals(c.getValue()))
                 .map(Map.Entry::getKey)
                 .toList();
@@ -552,7 +552,7 @@
                 over = true;
                 commit(
                         new Transaction()
-                                .when("j/" + name, store.get("j/" + name).stamp())
+                                .when("j/" + name, store.get("j/" + name).revision())
                                 .delete("j/" + name)
                                 .put("f/" + name, Map.of("n", 1L)),
                         era);
--- a/src/test/java/io/indigoreach/emulator/AskedJobs.java
+++ b/src/test/java/io/indigoreach/emulator/AskedJobs.java
@@ -143,7 +143,7 @@
         for (int tries = 0; tries < 8 && leader() != node; tries++) {
             LocalCluster.await(state.get(RecordCodec.LEADER)
                     .compose(key -> state.commit(new StateClient.Txn()
-                            .when(RecordCodec.LEADER, key.stamp())
+                            .when(RecordCodec.LEADER, key.revision())
                             .delete(RecordCodec.LEADER))));
             LocalCluster.await(cluster.vertx.timer(500, TimeUnit.MILLISECONDS));
         }
--- a/src/test/java/io/indigoreach/emulator/CutOffTest.java
+++ b/src/test/java/io/indigoreach/emulator/CutOffTest.java
@@ -49,7 +49,7 @@
             for (int tries = 0; !who.equals("all") && tries < 4 && (leader() == 0) != who.equals("leader"); tries++) {
                 LocalCluster.await(state.get(RecordCodec.LEADER)
                         .compose(key -> state.commit(new StateClient.Txn()
-                                .when(RecordCodec.LEADER, key.stamp())
+                                .when(RecordCodec.LEADER, key.revision())
                                 .delete(RecordCodec.LEADER))));
                 LocalCluster.await(cluster.vertx.timer(500, TimeUnit.MILLISECONDS));
             }
--- a/src/test/java/io/indigoreach/emulator/LossTest.java
+++ b/src/test/java/io/indigoreach/emulator/LossTest.java
@@ -101,7 +101,7 @@
                 return;
             }
             StateClient.Txn txn = new StateClient.Txn();
-            page.items().forEach(e -> txn.when(e.key(), e.stamp()).delete(e.key()));
+            page.items().forEach(e -> txn.when(e.key(), e.revision()).delete(e.key()));
             LocalCluster.await(state.commit(txn));
             if ((prefix.isEmpty() || prefix.endsWith("/")) ? page.items().size() < 12 : true) {
                 return;
--- a/src/test/java/io/indigoreach/emulator/StateServerTest.java
+++ b/src/test/java/io/indigoreach/emulator/StateServerTest.java
@@ -233,7 +233,7 @@
                                         LocalCluster.job(1, 1, 1), 1, JobStatus.PENDING, new BitSet(), 0, 0))))
                 .done());
         assertNull(LocalCluster.await(client.get(RecordCodec.openKey(id))), "the read comes from before");
-        assertTrue(client.isDoubted());
+        assertTrue(client.areReadsSuspect());
         assertTrue(fails(desk.query(id.text())), "neither 404 nor anything else is known");
         for (int i = 0; i < 3; i++) {
             LocalCluster.await(client.commit(put("other", i)));
@@ -241,7 +241,7 @@
         assertEquals(200, LocalCluster.await(desk.query(id.text())).status(), "three changes later the read is right");
         StateClient.Entry open = LocalCluster.await(client.get(RecordCodec.openKey(id)));
         assertTrue(LocalCluster.await(client.commit(new StateClient.Txn()
-                        .when(RecordCodec.openKey(id), open.stamp())
+                        .when(RecordCodec.openKey(id), open.revision())
                         .delete(RecordCodec.openKey(id))
                         .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(JobStatus.CANCELLED, 0))))
                 .done());
--- a/src/test/java/io/indigoreach/state/FormatGateTest.java
+++ b/src/test/java/io/indigoreach/state/FormatGateTest.java
@@ -121,7 +121,7 @@
         until(a.leadership()::isLeading);
         CounterRecord after = CounterRecord.read(site.service.value(COUNTER));
         assertEquals(new CounterRecord(after.highest(), bounds, format), after);
-        assertTrue(VersionProcesses.await(a.leadership().vouchForStartBounds()));
+        assertTrue(VersionProcesses.await(a.leadership().confirmStartBounds()));
         assertEquals(new CounterRecord(after.highest(), true, format), CounterRecord.read(site.service.value(COUNTER)));
     }
 
@@ -244,7 +244,7 @@
         until(a.leadership()::isLeading);
         site.service.holding =
                 txn -> COUNTER.equals(txn.children("writes").get(0).optionalText("write"));
-        site.vertx.runOnContext(v -> a.leadership().vouchForStartBounds());
+        site.vertx.runOnContext(v -> a.leadership().confirmStartBounds());
         until(() -> site.service.held() > 0);
         site.service.holding = txn -> false;
         put(FormatGate.NODES + "b", "format", 2L);
--- a/src/test/java/io/indigoreach/state/LeaderElectionTest.java
+++ b/src/test/java/io/indigoreach/state/LeaderElectionTest.java
@@ -232,7 +232,7 @@
         assertEquals("a1 lost", next());
         assertEquals("a1 took 2, bounds in doubt", next());
         CompletableFuture<Void> vouched = new CompletableFuture<>();
-        vertx.runOnContext(v -> a.vouchForStartBounds().onComplete(r -> vouched.complete(null)));
+        vertx.runOnContext(v -> a.confirmStartBounds().onComplete(r -> vouched.complete(null)));
         vouched.get();
         vertx.runOnContext(v -> a.deposed());
         assertEquals("a1 lost", next());
--- a/src/test/java/io/indigoreach/state/RoutineRunnerTest.java
+++ b/src/test/java/io/indigoreach/state/RoutineRunnerTest.java
@@ -70,7 +70,7 @@
                     return new Step.Read<>(List.of(key));
                 }
                 VersionedRecord read = seen.record(key);
-                sum = read.isThere() ? (Long) read.value().get("n") + 1 : 1;
+                sum = read.exists() ? (Long) read.value().get("n") + 1 : 1;
                 return new Step.Write<>(new Transaction().replace(read, Map.of("n", sum)));
             }
         };
@@ -80,7 +80,7 @@
     void aRoutineReadsAndWritesAndItsRecordsAreRemembered() throws Exception {
         assertEquals(1, await(records.run(adding("a/1"))));
         assertEquals(2, await(records.run(adding("a/1"))));
-        assertEquals(2, records.copies().of("a/1").version());
+        assertEquals(2, records.copies().get("a/1").version());
         assertEquals(2, service.value("a/1").whole("n"));
     }
 
@@ -114,7 +114,7 @@
     @Test
     void aLeaderWhoseKeyIsGoneWritesNothing() throws Exception {
         Revision key = await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, Map.of("t", 1L))))
-                .stamp();
+                .writtenRevision();
         RoutineRunner leading = records.leading(RecordCodec.LEADER, key, new RateLimiter(100, clock.now()));
         assertEquals(1, await(leading.run(adding("a/1"))));
         await(client.commit(new StateClient.Txn().delete(RecordCodec.LEADER)));
--- a/src/test/java/io/indigoreach/state/VersionProcesses.java
+++ b/src/test/java/io/indigoreach/state/VersionProcesses.java
@@ -49,7 +49,7 @@
         private StateClient.Txn campaign(long token, StateClient.Entry counter, long lease) {
             return new StateClient.Txn()
                     .when(RecordCodec.LEADER, Revision.ABSENT)
-                    .when(RecordCodec.COUNTER, StateClient.stampOf(counter))
+                    .when(RecordCodec.COUNTER, StateClient.revisionOf(counter))
                     .put(RecordCodec.LEADER, LeaderKey.write(node, "old", new FencingToken(token)), lease)
                     .put(RecordCodec.COUNTER, MessagePackFormat.map("value", token));
         }
