--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -12,8 +12,11 @@
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.WorkerCommand;
 import io.indigoreach.net.ServiceClient;
+import io.indigoreach.state.Candidate;
+import io.indigoreach.state.ElectionSettings;
 import io.indigoreach.state.FormatGate;
 import io.indigoreach.state.LeaderElection;
+import io.indigoreach.state.StateAccess;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -57,16 +60,13 @@
         TokenGenerator tokens =
                 new TokenGenerator(nodes.indexOf(config.node()), context.clock().timeOfDay(), config.clockOff());
         this.election = new LeaderElection(
-                context.vertx(),
-                context.state(),
-                own,
-                renewals,
-                context.clock(),
-                config.node(),
-                process,
-                config.peers().size(),
-                context.lease(),
-                tokens,
+                new ElectionSettings(
+                        new StateAccess(context.vertx(), context.state()),
+                        new StateAccess(own, renewals),
+                        context.clock(),
+                        new Candidate(config.node(), process, config.peers().size()),
+                        context.lease(),
+                        tokens),
                 this);
         this.formatGate =
                 new FormatGate(context.vertx(), context.state(), context.clock(), election, config.node(), nodes);
@@ -182,7 +182,7 @@
 
     /** Gives leadership up where this node alone is without the state service; null if it does not lead. */
     Revision stepAside() {
-        return election.stepAside("the state service serves others but not this node");
+        return election.stepAside("unreachable-from-this-node-only");
     }
 
     /** Removes the key of a leader that has stood aside. */
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -341,7 +341,7 @@
         core.setAwakeSince(awake.isAfter(servesSince) ? awake : servesSince);
         core.expireLeases(now);
         if (election.isValid() && !context.config().peers().isEmpty() && core.isCutOffFromWorkers(now)) {
-            election.abdicate("no worker's report reaches this node");
+            election.abdicate("no-heartbeats");
             return Future.succeededFuture(TICK);
         }
         if (!startBoundsTrusted
--- /dev/null
+++ b/src/main/java/io/indigoreach/state/Candidate.java
@@ -0,0 +1,14 @@
+package io.indigoreach.state;
+
+/**
+ * Who takes part in leader election.
+ *
+ * @param node the node's name, the same after a restart
+ * @param process identifies this process of the node
+ * @param peers how many other nodes the deployment has
+ */
+public record Candidate(String node, String process, int peers) {
+    boolean hasPeers() {
+        return peers > 0;
+    }
+}
--- a/src/main/java/io/indigoreach/state/LeaseRenewer.java
+++ b/src/main/java/io/indigoreach/state/LeaseRenewer.java
@@ -20,12 +20,12 @@
     private static final Span IDLE = Span.seconds(0.25);
 
     /**
-     * The lease that is kept, and when its last renewal that was answered was sent. Each lease has its own: an answer that comes
-     * when this one was let go and another taken says nothing of that one.
+     * The lease that is kept, and when its last answered renewal was sent. Each lease has its own: an answer that comes
+     * after this lease was let go and another was taken says nothing about the new one.
      */
     private static final class Held {
         final long lease;
-        /** Told on the node's loop when the service says that it has ended. */
+        /** Run on the node's event loop when the service reports that the lease has ended. */
         final Runnable ended;
 
         volatile Moment renewed;
@@ -47,18 +47,18 @@
     private volatile Held held;
     private volatile Moment lastTurn;
 
-    /** {@code own}: the loop that renewals run on, of which {@code state} makes use; {@code node}: the node's. */
-    LeaseRenewer(Vertx node, Vertx own, StateClient state, SteadyClock clock, Span life) {
-        this.nodeVertx = node;
-        this.renewalVertx = own;
-        this.state = state;
+    /** {@code nodeVertx} runs the node's event loop; renewals run on that of {@code renewals}. */
+    LeaseRenewer(Vertx nodeVertx, StateAccess renewals, SteadyClock clock, Span leaseTime) {
+        this.nodeVertx = nodeVertx;
+        this.renewalVertx = renewals.vertx();
+        this.state = renewals.client();
         this.clock = clock;
         // Often: how long an outage is bridged counts from the last renewal before it.
-        this.interval = Span.seconds(Math.min(1, life.seconds() * 0.2));
-        this.timeout = life.times(0.3);
+        this.interval = Span.seconds(Math.min(1, leaseTime.seconds() * 0.2));
+        this.timeout = leaseTime.times(0.3);
         this.lastTurn = clock.now();
-        this.renewalTask = new PeriodicTask(own, "lease renewal", interval, this::step);
-        own.runOnContext(v -> renewalTask.start());
+        this.renewalTask = new PeriodicTask(renewalVertx, "lease renewal", interval, this::step);
+        renewalVertx.runOnContext(v -> renewalTask.start());
     }
 
     void renew(long lease, Moment sent, Runnable ended) {
--- a/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
@@ -50,10 +50,13 @@
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.Candidate;
+import io.indigoreach.state.ElectionSettings;
 import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.LeaderElection;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.RoutineRunner;
+import io.indigoreach.state.StateAccess;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -247,16 +250,13 @@
     private LeaderElection node(String node, int peers) {
         LeaderElection[] made = new LeaderElection[1];
         made[0] = new LeaderElection(
-                vertx,
-                client,
-                vertx,
-                client,
-                clock,
-                node,
-                node + "1",
-                peers,
-                Span.seconds(10),
-                new TokenGenerator(node.charAt(0) - 'a', clock.timeOfDay(), Span.seconds(0.1)),
+                new ElectionSettings(
+                        new StateAccess(vertx, client),
+                        new StateAccess(vertx, client),
+                        clock,
+                        new Candidate(node, node + "1", peers),
+                        Span.seconds(10),
+                        new TokenGenerator(node.charAt(0) - 'a', clock.timeOfDay(), Span.seconds(0.1))),
                 new LeaderElection.Listener() {
                     @Override
                     public void leadershipGained(FencingToken token, Revision key, boolean bounds) {
--- a/src/test/java/io/indigoreach/state/HandoverTest.java
+++ b/src/test/java/io/indigoreach/state/HandoverTest.java
@@ -168,16 +168,13 @@
                     new ServiceClient(vertx, world.doors.get(node), 4),
                     new ServiceClient(vertx, world.doors.get(node), 2));
             this.leadership = new LeaderElection(
-                    vertx,
-                    client,
-                    vertx,
-                    client,
-                    clock,
-                    node,
-                    name,
-                    NODES.size() - 1,
-                    world.life,
-                    new TokenGenerator(NODES.indexOf(node), clock.timeOfDay(), Span.seconds(0.1)),
+                    new ElectionSettings(
+                            new StateAccess(vertx, client),
+                            new StateAccess(vertx, client),
+                            clock,
+                            new Candidate(node, name, NODES.size() - 1),
+                            world.life,
+                            new TokenGenerator(NODES.indexOf(node), clock.timeOfDay(), Span.seconds(0.1))),
                     new LeaderElection.Listener() {
                         @Override
                         public void leadershipGained(FencingToken token, Revision key, boolean bounds) {
@@ -367,7 +364,7 @@
             return;
         }
         w.until(a.leadership::isValid);
-        assertTrue(clock.now().since(pledged).compareTo(LeaderElection.PLEDGE_TIME) >= 0, "it had pledged");
+        assertTrue(clock.now().since(pledged).compareTo(GivenPledges.PLEDGE_TIME) >= 0, "it had pledged");
         assertEquals(List.of(), w.breaches);
     }
 
--- a/src/test/java/io/indigoreach/state/LeaderElectionTest.java
+++ b/src/test/java/io/indigoreach/state/LeaderElectionTest.java
@@ -66,16 +66,13 @@
         StateClient client = new StateClient(
                 new ServiceClient(vertx, service.endpoint(), 4), new ServiceClient(vertx, service.endpoint(), 2));
         LeaderElection election = new LeaderElection(
-                vertx,
-                client,
-                vertx,
-                client,
-                clock,
-                node,
-                process,
-                peers,
-                life,
-                new TokenGenerator(node.charAt(0) - 'a', clock.timeOfDay(), Span.seconds(0.1)),
+                new ElectionSettings(
+                        new StateAccess(vertx, client),
+                        new StateAccess(vertx, client),
+                        clock,
+                        new Candidate(node, process, peers),
+                        life,
+                        new TokenGenerator(node.charAt(0) - 'a', clock.timeOfDay(), Span.seconds(0.1))),
                 new LeaderElection.Listener() {
                     @Override
                     public void leadershipGained(FencingToken token, Revision key, boolean bounds) {
@@ -131,16 +128,13 @@
         }
         client.commit(there).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
         LeaderElection a = new LeaderElection(
-                vertx,
-                client,
-                vertx,
-                client,
-                clock,
-                "a",
-                "a2",
-                2,
-                Span.seconds(10),
-                new TokenGenerator(0, clock.timeOfDay(), Span.seconds(0.1)),
+                new ElectionSettings(
+                        new StateAccess(vertx, client),
+                        new StateAccess(vertx, client),
+                        clock,
+                        new Candidate("a", "a2", 2),
+                        Span.seconds(10),
+                        new TokenGenerator(0, clock.timeOfDay(), Span.seconds(0.1))),
                 null);
         assertEquals(
                 leaderless,
@@ -314,14 +308,14 @@
         });
         Moment given = pledge.get();
         assertEquals("b1 took 2", next());
-        assertTrue(clock.now().since(given).compareTo(LeaderElection.PLEDGE_TIME) >= 0);
+        assertTrue(clock.now().since(given).compareTo(GivenPledges.PLEDGE_TIME) >= 0);
         vertx.runOnContext(v -> b.stop());
         Moment began = clock.now();
         LeaderElection c = node("c", "c1", 2);
         service.endLeases();
         assertEquals("c1 took 3", next());
         assertTrue(
-                clock.now().since(began).compareTo(LeaderElection.PLEDGE_TIME) >= 0,
+                clock.now().since(began).compareTo(GivenPledges.PLEDGE_TIME) >= 0,
                 "a former process of it may have pledged");
         service.endLeases();
         assertEquals("c1 lost", next());
--- a/src/test/java/io/indigoreach/state/VersionProcesses.java
+++ b/src/test/java/io/indigoreach/state/VersionProcesses.java
@@ -92,16 +92,13 @@
     Newer newer(String node) {
         StateClient client = client();
         LeaderElection election = new LeaderElection(
-                vertx,
-                client,
-                vertx,
-                client,
-                clock,
-                node,
-                node + "-" + callers.size(),
-                NODES.size() - 1,
-                LIFE,
-                new TokenGenerator(NODES.indexOf(node), clock.timeOfDay(), Span.seconds(0.1)),
+                new ElectionSettings(
+                        new StateAccess(vertx, client),
+                        new StateAccess(vertx, client),
+                        clock,
+                        new Candidate(node, node + "-" + callers.size(), NODES.size() - 1),
+                        LIFE,
+                        new TokenGenerator(NODES.indexOf(node), clock.timeOfDay(), Span.seconds(0.1))),
                 new LeaderElection.Listener() {
                     @Override
                     public void leadershipGained(FencingToken token, Revision key, boolean bounds) {}
