--- a/src/main/java/io/indigoreach/api/JobReadBatcher.java
+++ b/src/main/java/io/indigoreach/api/JobReadBatcher.java
@@ -7,7 +7,7 @@
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.net.WireException;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -55,9 +55,9 @@
     /** The open job's record as it stands now; null if there is none. */
     Future<StateClient.Entry> read(JobId id) {
         if (!listing && waiting.isEmpty() && single.take(1, clock.now())) {
-            return state.get(RecordCodec.openKey(id));
+            return state.get(RecordKeys.openKey(id));
         }
-        Promise<StateClient.Entry> promise = waiting.computeIfAbsent(RecordCodec.openKey(id), key -> Promise.promise());
+        Promise<StateClient.Entry> promise = waiting.computeIfAbsent(RecordKeys.openKey(id), key -> Promise.promise());
         begin();
         return promise.future();
     }
@@ -86,7 +86,7 @@
             waiting = new HashMap<>();
         }
         String from = cursor.next();
-        state.list(RecordCodec.OPEN, RecordCodec.keyBefore(from), PAGE).onComplete(read -> {
+        state.list(RecordKeys.OPEN_JOBS, RecordKeys.keyBefore(from), PAGE).onComplete(read -> {
             if (read.failed()) {
                 cursor.failed(from);
                 end(new WireException(
--- a/src/main/java/io/indigoreach/api/JobService.java
+++ b/src/main/java/io/indigoreach/api/JobService.java
@@ -17,8 +17,9 @@
 import io.indigoreach.state.CompletionBits;
 import io.indigoreach.state.FinalRecord;
 import io.indigoreach.state.JobRecord;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.JobRepairer;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -117,7 +118,7 @@
         }
         long now = clock.timeOfDay();
         Map<String, Object> record =
-                RecordCodec.writeJob(spec, now, JobStatus.PENDING, new BitSet(), 0, firstBound(spec));
+                JobRecordCodec.writeJob(spec, now, JobStatus.PENDING, new BitSet(), 0, firstBound(spec));
         int bytes = CompletionBits.recordBytes(spec, now);
         int room = state.limits().room(valueBytes);
         if (refusal == null && bytes > room) {
@@ -171,8 +172,8 @@
                             : Future.succeededFuture(ApiResponse.retryLater("the era is not known yet")));
         }
         StateClient.Txn txn = state.transactionInEra()
-                .when(RecordCodec.openKey(spec.id()), Revision.ABSENT)
-                .when(RecordCodec.finalKey(spec.id()), Revision.ABSENT);
+                .when(RecordKeys.openKey(spec.id()), Revision.ABSENT)
+                .when(RecordKeys.finalKey(spec.id()), Revision.ABSENT);
         if (state.losses().isHolding()) {
             return find(spec.id()).compose(found -> currentOrLater(spec.id(), found));
         }
@@ -219,8 +220,8 @@
             StateClient.Txn txn,
             Transaction change) {
         StateClient.Txn whole = cancelled
-                ? txn.put(RecordCodec.finalKey(spec.id()), RecordCodec.writeFinal(JobStatus.CANCELLED, 0))
-                : txn.put(RecordCodec.openKey(spec.id()), record);
+                ? txn.put(RecordKeys.finalKey(spec.id()), JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))
+                : txn.put(RecordKeys.openKey(spec.id()), record);
         return state.commit(whole.and(change)).compose(outcome -> {
             if (outcome.done()) {
                 participants.stream()
@@ -233,7 +234,7 @@
                 }
                 return Future.succeededFuture(new ApiResponse(201, JobCodec.accepted(spec.id(), JobStatus.PENDING), 0));
             }
-            if (outcome.failed().equals(List.of(RecordCodec.ERA)) && attempt < MOST_TRIES) {
+            if (outcome.failed().equals(List.of(RecordKeys.ERA)) && attempt < MOST_TRIES) {
                 return state.check().compose(v -> accept(spec, record, cancelled, now, attempt + 1));
             }
             if (outcome.failed().stream().anyMatch(change.conditions()::containsKey) && attempt < MOST_TRIES) {
@@ -282,9 +283,9 @@
 
     private Future<StoredJob> cancelByCascade(JobId id, JobRecord open) {
         StateClient.Txn txn = new StateClient.Txn()
-                .when(RecordCodec.openKey(id), open.revision())
-                .delete(RecordCodec.openKey(id))
-                .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(JobStatus.CANCELLED, open.doneCount()));
+                .when(RecordKeys.openKey(id), open.revision())
+                .delete(RecordKeys.openKey(id))
+                .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(JobStatus.CANCELLED, open.doneCount()));
         return state.commit(txn).compose(outcome -> {
             if (!outcome.done()) {
                 return Future.failedFuture(new WireException("the job changes at this moment"));
@@ -330,9 +331,11 @@
                 return Future.succeededFuture(ApiResponse.error(404, "no such job"));
             }
             StateClient.Txn txn = new StateClient.Txn()
-                    .when(RecordCodec.openKey(id), found.open.revision())
-                    .delete(RecordCodec.openKey(id))
-                    .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(JobStatus.CANCELLED, found.open.doneCount()));
+                    .when(RecordKeys.openKey(id), found.open.revision())
+                    .delete(RecordKeys.openKey(id))
+                    .put(
+                            RecordKeys.finalKey(id),
+                            JobRecordCodec.writeFinal(JobStatus.CANCELLED, found.open.doneCount()));
             // Blocks of done tasks beside the record are removed by the leader: all of them may be more than a
             // transaction takes.
             return state.commit(txn).compose(outcome -> {
@@ -354,7 +357,7 @@
     }
 
     private Future<StateClient.Entry> readOpen(JobId id) {
-        return state.get(RecordCodec.openKey(id));
+        return state.get(RecordKeys.openKey(id));
     }
 
     /**
@@ -372,7 +375,7 @@
             if (open != null) {
                 JobRecord record;
                 try {
-                    record = RecordCodec.readJob(id, open.value(), open.revision());
+                    record = JobRecordCodec.readJob(id, open.value(), open.revision());
                 } catch (WireException e) {
                     return retryFind(id, repairer.repairOpen(id, open, offered), offered, attempt, e.getMessage());
                 }
@@ -386,13 +389,13 @@
                         ? confirm(id, found, open.revision(), attempt)
                         : Future.succeededFuture(found);
             }
-            return state.get(RecordCodec.finalKey(id)).compose(ended -> {
+            return state.get(RecordKeys.finalKey(id)).compose(ended -> {
                 if (ended == null) {
                     return confirm(id, new StoredJob(null, null), Revision.ABSENT, attempt);
                 }
                 try {
                     return Future.succeededFuture(
-                            new StoredJob(null, remember(RecordCodec.readFinal(id, ended.value()))));
+                            new StoredJob(null, remember(JobRecordCodec.readFinal(id, ended.value()))));
                 } catch (WireException e) {
                     return retryFind(id, repairer.repairFinal(id, ended, offered), offered, attempt, e.getMessage());
                 }
@@ -411,7 +414,7 @@
             return Future.failedFuture(new WireException("data were lost, and this job may be among them"));
         }
         StateClient.Txn txn = found.open == null ? state.transactionInEra() : new StateClient.Txn();
-        return state.confirm(txn.when(RecordCodec.openKey(id), open).when(RecordCodec.finalKey(id), Revision.ABSENT))
+        return state.confirm(txn.when(RecordKeys.openKey(id), open).when(RecordKeys.finalKey(id), Revision.ABSENT))
                 .compose(holds -> holds
                         ? found.open == null ? unknownToAll(id, attempt) : Future.succeededFuture(found)
                         : retryFind(id, state.check(), null, attempt, "the state service answers with the past"));
@@ -427,7 +430,7 @@
                                 return retryFind(
                                         id, Future.succeededFuture(), null, attempt, "the job changes at this moment");
                             }
-                            state.recordMissing(RecordCodec.openKey(id));
+                            state.recordMissing(RecordKeys.openKey(id));
                             return Future.failedFuture(new WireException("the record of this job was lost"));
                         })
                         : Future.succeededFuture(new StoredJob(null, null)));
@@ -435,8 +438,8 @@
 
     private static StateClient.Txn nowhere(JobId id) {
         return new StateClient.Txn()
-                .when(RecordCodec.openKey(id), Revision.ABSENT)
-                .when(RecordCodec.finalKey(id), Revision.ABSENT);
+                .when(RecordKeys.openKey(id), Revision.ABSENT)
+                .when(RecordKeys.finalKey(id), Revision.ABSENT);
     }
 
     /** Whether this node has accepted the job, or knows its end. */
--- a/src/main/java/io/indigoreach/calendar/PlanScheduler.java
+++ b/src/main/java/io/indigoreach/calendar/PlanScheduler.java
@@ -23,7 +23,8 @@
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.parts.Part;
 import io.indigoreach.state.FinalRecord;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.RoutineRunner;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -379,12 +380,12 @@
     }
 
     private Future<Void> ended(Occurrence o, Mark mark) {
-        String key = RecordCodec.finalKey(mark.id());
+        String key = RecordKeys.finalKey(mark.id());
         return records.run(new Fetching(key)).compose(read -> {
             if (!read.exists()) {
                 return Future.succeededFuture();
             }
-            FinalRecord end = RecordCodec.readFinal(mark.id(), new Fields(read.value()));
+            FinalRecord end = JobRecordCodec.readFinal(mark.id(), new Fields(read.value()));
             long now = time.getAsLong();
             failures.remove(mark.id());
             return records.run(new PageChange(o.day(), o.plan().name(), page -> {
--- a/src/main/java/io/indigoreach/checker/Checker.java
+++ b/src/main/java/io/indigoreach/checker/Checker.java
@@ -15,7 +15,8 @@
 import io.indigoreach.core.model.Team;
 import io.indigoreach.net.Fields;
 import io.indigoreach.state.CounterRecord;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.LeaderKey;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient.Txn;
 import io.indigoreach.state.StateClient.Write;
 import java.util.ArrayList;
@@ -337,10 +338,10 @@
                             c.node() + " writes " + w.key() + " without a condition on what it " + "replaces",
                             List.of(c));
                 }
-                if (w.key().equals(RecordCodec.LEADER) && !w.isDelete()) {
-                    long token = RecordCodec.token(w.value());
+                if (w.key().equals(RecordKeys.LEADER) && !w.isDelete()) {
+                    long token = LeaderKey.tokenOf(w.value());
                     boolean counted = c.txn().writes().stream()
-                            .anyMatch(o -> o.key().equals(RecordCodec.COUNTER)
+                            .anyMatch(o -> o.key().equals(RecordKeys.COUNTER)
                                     && CounterRecord.read(new Fields(o.value()))
                                                     .highest()
                                                     .value()
@@ -375,7 +376,7 @@
         if (conditions.containsKey(key)) {
             return true;
         }
-        String guard = RecordCodec.guardOf(key);
+        String guard = RecordKeys.guardOf(key);
         if (guard == null || !conditions.containsKey(guard)) {
             return false;
         }
--- a/src/main/java/io/indigoreach/cli/Rehearsal.java
+++ b/src/main/java/io/indigoreach/cli/Rehearsal.java
@@ -170,7 +170,7 @@
     }
 
     private static Map<String, Object> record() {
-        return io.indigoreach.state.RecordCodec.writeJob(
+        return io.indigoreach.state.JobRecordCodec.writeJob(
                 io.indigoreach.api.JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(job()))),
                 1L,
                 io.indigoreach.core.model.JobStatus.PENDING,
--- a/src/main/java/io/indigoreach/cloud/Catalogue.java
+++ b/src/main/java/io/indigoreach/cloud/Catalogue.java
@@ -3,7 +3,8 @@
 import io.indigoreach.core.model.MachineType;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.PeriodicTask;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -55,9 +56,9 @@
             duty.cancel();
             return Future.succeededFuture(RETRY);
         }
-        return state.get(RecordCodec.CATALOGUE).compose(entry -> {
+        return state.get(RecordKeys.CATALOGUE).compose(entry -> {
             if (entry != null) {
-                types = RecordCodec.readCatalogue(entry.value());
+                types = CatalogueRecordCodec.readCatalogue(entry.value());
                 copied = isKnown();
                 return Future.succeededFuture(Span.ZERO);
             }
@@ -74,8 +75,8 @@
             return Future.succeededFuture();
         }
         return state.commit(new StateClient.Txn()
-                        .when(RecordCodec.CATALOGUE, io.indigoreach.core.model.Revision.ABSENT)
-                        .put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(types)))
+                        .when(RecordKeys.CATALOGUE, io.indigoreach.core.model.Revision.ABSENT)
+                        .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(types)))
                 .map(outcome -> {
                     copied = true;
                     return null;
--- a/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
+++ b/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
@@ -7,7 +7,7 @@
 import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.state.CompletionBits;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import java.util.BitSet;
@@ -99,7 +99,7 @@
     /** Adds the job's progress to a transaction: its record, and of the blocks that are behind as many as fit beside it. */
     void addProgress(StateClient.Txn txn, Job job, BitSet done) {
         txn.put(
-                RecordCodec.openKey(job.id()),
+                RecordKeys.openKey(job.id()),
                 bits().writeJob(
                                 job.spec(),
                                 job.submittedMs(),
@@ -160,14 +160,14 @@
         if (!writeLimiter.takeSpare(some.size(), context.clock().now())) {
             return Future.succeededFuture(PERIOD);
         }
-        return context.state().get(RecordCodec.finalKey(id)).compose(over -> {
+        return context.state().get(RecordKeys.finalKey(id)).compose(over -> {
             if (over == null) {
                 // Its end was lost, or its record cannot be read: the blocks may be of use yet.
                 leftOver.remove(id);
                 return Future.succeededFuture(Span.ZERO);
             }
             StateClient.Txn txn = new StateClient.Txn()
-                    .when(RecordCodec.LEADER, leadershipRevision)
+                    .when(RecordKeys.LEADER, leadershipRevision)
                     .when(over.key(), over.revision());
             some.forEach(txn::delete);
             return context.state().commit(txn).map(outcome -> {
@@ -176,7 +176,7 @@
                     if (leftOver.get(id).isEmpty()) {
                         leftOver.remove(id);
                     }
-                } else if (!cleanupTask.isCancelled() && outcome.failed().contains(RecordCodec.LEADER)) {
+                } else if (!cleanupTask.isCancelled() && outcome.failed().contains(RecordKeys.LEADER)) {
                     onDeposed.run();
                 }
                 return PERIOD;
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -11,7 +11,8 @@
 import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.WireException;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import java.util.HashMap;
@@ -121,12 +122,12 @@
 
     private Future<Fate> read(JobId id) {
         return env.state()
-                .get(RecordCodec.finalKey(id))
+                .get(RecordKeys.finalKey(id))
                 .compose(over -> over != null
                         ? Future.succeededFuture(
-                                ended(RecordCodec.readFinal(id, over.value()).status()))
+                                ended(JobRecordCodec.readFinal(id, over.value()).status()))
                         : env.state()
-                                .get(RecordCodec.openKey(id))
+                                .get(RecordKeys.openKey(id))
                                 .compose(open ->
                                         open != null ? Future.succeededFuture(standing(id, open)) : nowhere(id)));
     }
@@ -137,15 +138,15 @@
 
     /** An end that is written into the open record is as final as one that stands by itself. */
     private static Fate standing(JobId id, StateClient.Entry open) {
-        boolean done = RecordCodec.readJob(id, open.value(), open.revision()).status() == JobStatus.DONE;
+        boolean done = JobRecordCodec.readJob(id, open.value(), open.revision()).status() == JobStatus.DONE;
         return done ? Fate.DONE : Fate.OPEN;
     }
 
     private Future<Fate> nowhere(JobId id) {
         return env.state()
                 .confirm(new StateClient.Txn()
-                        .when(RecordCodec.openKey(id), Revision.ABSENT)
-                        .when(RecordCodec.finalKey(id), Revision.ABSENT))
+                        .when(RecordKeys.openKey(id), Revision.ABSENT)
+                        .when(RecordKeys.finalKey(id), Revision.ABSENT))
                 .compose(confirmed -> confirmed
                         ? Future.succeededFuture(Fate.NOWHERE)
                         : Future.failedFuture(new WireException(SAME_MOMENT)));
@@ -180,10 +181,10 @@
                 continue;
             }
             StateClient.Txn txn = new StateClient.Txn()
-                    .when(RecordCodec.LEADER, key)
-                    .when(RecordCodec.openKey(id), job.revision())
-                    .delete(RecordCodec.openKey(id))
-                    .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(JobStatus.CANCELLED, job.doneCount()));
+                    .when(RecordKeys.LEADER, key)
+                    .when(RecordKeys.openKey(id), job.revision())
+                    .delete(RecordKeys.openKey(id))
+                    .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(JobStatus.CANCELLED, job.doneCount()));
             if (!writes.take(txn.size(), now)) {
                 return;
             }
@@ -204,7 +205,7 @@
                                 swept(job.id());
                                 return Future.succeededFuture();
                             }
-                            if (outcome.failed().contains(RecordCodec.LEADER)) {
+                            if (outcome.failed().contains(RecordKeys.LEADER)) {
                                 deposed.run();
                                 return Future.succeededFuture();
                             }
@@ -216,15 +217,15 @@
     /** After a write that failed or has an unknown outcome: reads how the job stands. */
     private Future<Void> settle(Job job) {
         JobId id = job.id();
-        return env.state().get(RecordCodec.openKey(id)).compose(open -> {
+        return env.state().get(RecordKeys.openKey(id)).compose(open -> {
             if (open != null) {
                 core.revisionSeen(job, open.revision());
                 return Future.succeededFuture();
             }
-            return env.state().get(RecordCodec.finalKey(id)).map(over -> {
+            return env.state().get(RecordKeys.finalKey(id)).map(over -> {
                 if (over != null
                         && !duty.isCancelled()
-                        && RecordCodec.readFinal(id, over.value()).status() == JobStatus.CANCELLED) {
+                        && JobRecordCodec.readFinal(id, over.value()).status() == JobStatus.CANCELLED) {
                     swept(id);
                 }
                 return null;
--- a/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
+++ b/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
@@ -2,7 +2,7 @@
 
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.PeriodicTask;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 
@@ -34,9 +34,9 @@
     }
 
     private Future<Span> step() {
-        return state.watch(RecordCodec.FINAL, since, LONGEST_WAIT).compose(changes -> {
+        return state.watch(RecordKeys.FINAL_JOBS, since, LONGEST_WAIT).compose(changes -> {
             if (changes.tooOld()) {
-                return state.list(RecordCodec.FINAL, null, 1).map(page -> {
+                return state.list(RecordKeys.FINAL_JOBS, null, 1).map(page -> {
                     since = page.revision();
                     return PAUSE;
                 });
--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -8,7 +8,8 @@
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.JsonSize;
 import io.indigoreach.net.RateLimiter;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.IntentRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import java.util.ArrayList;
@@ -28,7 +29,8 @@
  */
 final class IntentLog {
     private static final Span TIDY = Span.seconds(2);
-    private static final int EMPTY = JsonSize.of(RecordCodec.writeIntents(new Intents.Page(List.of(), List.of())));
+    private static final int EMPTY =
+            JsonSize.of(IntentRecordCodec.writeIntents(new Intents.Page(List.of(), List.of())));
 
     private final LeadershipTerm.Context env;
     private final Revision key;
@@ -54,7 +56,7 @@
         this.key = key;
         this.deposed = deposed;
         this.budget = budget;
-        this.own = RecordCodec.intentsKey(token);
+        this.own = RecordKeys.intentsKey(token);
     }
 
     /** Requests and machines to be returned may fill half of the record's value each. */
@@ -65,14 +67,14 @@
 
         @Override
         public boolean hasRoomForRent(Collection<Intents.Rent> rents, Intents.Rent next) {
-            int used = rents.stream().mapToInt(RecordCodec::bytes).sum();
-            return used + RecordCodec.bytes(next) <= half();
+            int used = rents.stream().mapToInt(IntentRecordCodec::bytes).sum();
+            return used + IntentRecordCodec.bytes(next) <= half();
         }
 
         @Override
         public boolean hasRoomFor(Collection<MachineId> condemned, MachineId next) {
-            int used = condemned.stream().mapToInt(RecordCodec::bytes).sum();
-            return used + RecordCodec.bytes(next) <= half();
+            int used = condemned.stream().mapToInt(IntentRecordCodec::bytes).sum();
+            return used + IntentRecordCodec.bytes(next) <= half();
         }
     }
 
@@ -96,8 +98,8 @@
         List<Intents.Rent> rents = new ArrayList<>();
         List<MachineId> condemned = new ArrayList<>();
         earlier.clear();
-        return JobStore.pages(env.state(), key, RecordCodec.INTENTS, e -> {
-                    Intents.Page old = RecordCodec.readIntents(e.value());
+        return JobStore.pages(env.state(), key, RecordKeys.INTENTS, e -> {
+                    Intents.Page old = IntentRecordCodec.readIntents(e.value());
                     rents.addAll(old.rents());
                     condemned.addAll(old.returns());
                     earlier.put(e.key(), e.revision());
@@ -112,14 +114,14 @@
         if (some.isEmpty() || !budget.takeSpare(some.size(), env.clock().now())) {
             return Future.succeededFuture();
         }
-        StateClient.Txn txn = new StateClient.Txn().when(RecordCodec.LEADER, key);
+        StateClient.Txn txn = new StateClient.Txn().when(RecordKeys.LEADER, key);
         some.forEach(name -> txn.when(name, earlier.get(name)).delete(name));
         return env.state()
                 .commit(txn)
                 .map(outcome -> {
                     if (outcome.done()) {
                         some.forEach(earlier::remove);
-                    } else if (outcome.failed().contains(RecordCodec.LEADER)) {
+                    } else if (outcome.failed().contains(RecordKeys.LEADER)) {
                         failedOnKey();
                     } else {
                         // Removed by a write whose answer was lost, or added to by a holder that was not replaced then.
@@ -161,11 +163,10 @@
             });
         }
         Intents.Page page = intents.page();
-        StateClient.Txn txn =
-                new StateClient.Txn().when(RecordCodec.LEADER, key).when(own, stamp);
+        StateClient.Txn txn = new StateClient.Txn().when(RecordKeys.LEADER, key).when(own, stamp);
         boolean writes = unanswered || !page.isEmpty() || !stamp.equals(Revision.ABSENT);
         if (writes) {
-            txn.put(own, RecordCodec.writeIntents(page));
+            txn.put(own, IntentRecordCodec.writeIntents(page));
         }
         written = now;
         return env.state()
@@ -177,7 +178,7 @@
                         intents.recorded(page);
                         return true;
                     }
-                    if (outcome.failed().contains(RecordCodec.LEADER)) {
+                    if (outcome.failed().contains(RecordKeys.LEADER)) {
                         failedOnKey();
                     }
                     unsure = true;
--- a/src/main/java/io/indigoreach/cluster/JobStore.java
+++ b/src/main/java/io/indigoreach/cluster/JobStore.java
@@ -15,8 +15,10 @@
 import io.indigoreach.net.WireException;
 import io.indigoreach.state.CompletionBits;
 import io.indigoreach.state.JobRecord;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.MachineRecord;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.MachineRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import java.util.ArrayList;
@@ -142,10 +144,10 @@
         recordedStatus.clear();
         completionBlocks.clear();
         // Blocks first: one that is written between the two readings would otherwise be newer than its job.
-        return pages(RecordCodec.BITS, e -> readBlock(e, bits))
+        return pages(RecordKeys.COMPLETION_BLOCKS, e -> readBlock(e, bits))
                 .compose(r -> pages(CompletionBits.SMALL_BLOCKS, e -> readBlock(e, bits)))
-                .compose(r -> pages(RecordCodec.MACHINES, e -> {
-                    List<MachineRecord> machines = RecordCodec.readMachines(e.value());
+                .compose(r -> pages(RecordKeys.MACHINE_PAGES, e -> {
+                    List<MachineRecord> machines = MachineRecordCodec.readMachines(e.value());
                     machineStore.inherit(e.key(), e.revision(), machines);
                     for (MachineRecord m : machines) {
                         // Another node wrote this time, by a clock that may be off as far the other way as this one's.
@@ -158,7 +160,7 @@
                     if (!readOrLog(
                             e.key(),
                             () -> inherit(
-                                    RecordCodec.readJob(RecordCodec.jobOfOpenKey(e.key()), e.value(), e.revision()),
+                                    JobRecordCodec.readJob(RecordKeys.jobOfOpenKey(e.key()), e.value(), e.revision()),
                                     bits))) {
                         spoilt.add(e);
                     }
@@ -183,7 +185,7 @@
     /** What was cancelled before it is asked for is not in it. */
     private Future<Long> listOpen(Consumer<StateClient.Entry> each) {
         Moment asked = context.clock().now();
-        return pages(RecordCodec.OPEN, each).onSuccess(revision -> horizon.advanceTo(asked));
+        return pages(RecordKeys.OPEN_JOBS, each).onSuccess(revision -> horizon.advanceTo(asked));
     }
 
     private void inherit(JobRecord record, Map<JobId, BitSet> bits) {
@@ -199,10 +201,10 @@
             return Future.succeededFuture();
         }
         StateClient.Entry entry = spoilt.next();
-        if (!JobId.isValid(entry.key().substring(RecordCodec.OPEN.length()))) {
+        if (!JobId.isValid(entry.key().substring(RecordKeys.OPEN_JOBS.length()))) {
             return repair(spoilt, bits, until);
         }
-        JobId id = RecordCodec.jobOfOpenKey(entry.key());
+        JobId id = RecordKeys.jobOfOpenKey(entry.key());
         unreadable.add(id);
         Future<Void> mended = context.clock().now().isBefore(until)
                 ? context.repairer()
@@ -210,7 +212,7 @@
                         .compose(v -> context.state().get(entry.key()))
                         .map(now -> {
                             if (now != null) {
-                                inherit(RecordCodec.readJob(id, now.value(), now.revision()), bits);
+                                inherit(JobRecordCodec.readJob(id, now.value(), now.revision()), bits);
                             }
                             unreadable.remove(id);
                             return null;
@@ -249,9 +251,9 @@
     Future<Long> resynchronize() {
         Set<JobId> present = new HashSet<>();
         return pages(
-                        RecordCodec.OPEN,
+                        RecordKeys.OPEN_JOBS,
                         e -> readOrLog(e.key(), () -> {
-                            JobId id = RecordCodec.jobOfOpenKey(e.key());
+                            JobId id = RecordKeys.jobOfOpenKey(e.key());
                             present.add(id);
                             onOpenRecordWritten(id, e.value(), e.revision());
                         }))
@@ -345,7 +347,8 @@
             if (!finished.containsKey(id)) {
                 boolean was = unreadable.contains(id);
                 if (readOrLog(
-                        RecordCodec.openKey(id), () -> add(RecordCodec.readJob(id, value, stamp), new BitSet(), was))) {
+                        RecordKeys.openKey(id),
+                        () -> add(JobRecordCodec.readJob(id, value, stamp), new BitSet(), was))) {
                     unreadable.remove(id);
                 } else {
                     unreadable.add(id);
@@ -354,7 +357,7 @@
             }
         } else {
             core.revisionSeen(job, stamp);
-            if (!readOrLog(RecordCodec.openKey(id), () -> RecordCodec.readJob(id, value, stamp))) {
+            if (!readOrLog(RecordKeys.openKey(id), () -> JobRecordCodec.readJob(id, value, stamp))) {
                 markDirty(job);
             }
         }
@@ -387,7 +390,7 @@
             if (core.job(id) == job) {
                 switch (why.result()) {
                     case CANCELLED -> onCancelled(id);
-                    case LOST -> context.state().recordMissing(RecordCodec.openKey(id));
+                    case LOST -> context.state().recordMissing(RecordKeys.openKey(id));
                     default -> {}
                 }
             }
@@ -405,17 +408,17 @@
     /** Cancelled by its user, which leaves a record of its end, or lost; or what was heard is from before a loss was mended. */
     private Future<Fate> fateOf(JobId id) {
         return context.state()
-                .get(RecordCodec.finalKey(id))
+                .get(RecordKeys.finalKey(id))
                 .compose(over -> over != null
                         ? Future.succeededFuture(Fate.CANCELLED)
                         : context.state()
-                                .get(RecordCodec.openKey(id))
+                                .get(RecordKeys.openKey(id))
                                 .compose(open -> open != null
                                         ? Future.succeededFuture(Fate.STILL_OPEN)
                                         : context.state()
                                                 .confirm(new StateClient.Txn()
-                                                        .when(RecordCodec.openKey(id), Revision.ABSENT)
-                                                        .when(RecordCodec.finalKey(id), Revision.ABSENT))
+                                                        .when(RecordKeys.openKey(id), Revision.ABSENT)
+                                                        .when(RecordKeys.finalKey(id), Revision.ABSENT))
                                                 .compose(nowhere -> nowhere
                                                         ? Future.succeededFuture(Fate.LOST)
                                                         : Future.failedFuture(
@@ -516,7 +519,7 @@
             LOG.error(
                     "the record {} is longer than the state service takes now: no further tasks of this job are started. Cancel it, and "
                             + "submit it with a shorter description",
-                    RecordCodec.openKey(job.id()));
+                    RecordKeys.openKey(job.id()));
         }
         return true;
     }
@@ -541,14 +544,14 @@
         JobId id = job.id();
         BitSet done = job.completedTasks();
         StateClient.Txn txn = new StateClient.Txn()
-                .when(RecordCodec.LEADER, leadershipRevision)
-                .when(RecordCodec.openKey(id), job.revision());
+                .when(RecordKeys.LEADER, leadershipRevision)
+                .when(RecordKeys.openKey(id), job.revision());
         // Without the bits, a later leader would not know from the open record that the job is over.
         if (job.isComplete() && !(crowded && completionBlocks.hasRoomInRecord(job))) {
-            return txn.delete(RecordCodec.openKey(id))
+            return txn.delete(RecordKeys.openKey(id))
                     .put(
-                            RecordCodec.finalKey(id),
-                            RecordCodec.writeFinal(JobStatus.DONE, job.spec().tasks()));
+                            RecordKeys.finalKey(id),
+                            JobRecordCodec.writeFinal(JobStatus.DONE, job.spec().tasks()));
         }
         completionBlocks.addProgress(txn, job, done);
         return txn;
@@ -565,10 +568,10 @@
         writesInFlight.add(id);
         context.state()
                 .commit(new StateClient.Txn()
-                        .when(RecordCodec.LEADER, leadershipRevision)
-                        .when(RecordCodec.openKey(id), stamp)
-                        .delete(RecordCodec.openKey(id))
-                        .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(end.status(), end.done())))
+                        .when(RecordKeys.LEADER, leadershipRevision)
+                        .when(RecordKeys.openKey(id), stamp)
+                        .delete(RecordKeys.openKey(id))
+                        .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(end.status(), end.done())))
                 .onComplete(result -> {
                     writesInFlight.remove(id);
                     if (!writeTask.isCancelled() && result.failed()) {
@@ -613,7 +616,7 @@
                         }
                     }
                 }
-            } else if (result.result().failed().contains(RecordCodec.LEADER)) {
+            } else if (result.result().failed().contains(RecordKeys.LEADER)) {
                 onDeposed.run();
             } else {
                 readOutcome(job, false);
@@ -630,28 +633,28 @@
         }
         writesInFlight.add(id);
         context.state()
-                .get(RecordCodec.openKey(id))
+                .get(RecordKeys.openKey(id))
                 .compose(open -> {
                     if (open != null) {
                         core.revisionSeen(job, open.revision());
                         return Future.succeededFuture();
                     }
-                    return context.state().get(RecordCodec.finalKey(id)).compose(over -> {
+                    return context.state().get(RecordKeys.finalKey(id)).compose(over -> {
                         if (over == null) {
                             return context.state()
                                     .confirm(new StateClient.Txn()
-                                            .when(RecordCodec.openKey(id), Revision.ABSENT)
-                                            .when(RecordCodec.finalKey(id), Revision.ABSENT))
+                                            .when(RecordKeys.openKey(id), Revision.ABSENT)
+                                            .when(RecordKeys.finalKey(id), Revision.ABSENT))
                                     .onSuccess(gone -> {
                                         if (gone && !writeTask.isCancelled()) {
-                                            context.state().recordMissing(RecordCodec.openKey(id));
+                                            context.state().recordMissing(RecordKeys.openKey(id));
                                         }
                                     })
                                     .mapEmpty();
                         }
                         if (!writeTask.isCancelled()) {
                             JobStatus status =
-                                    RecordCodec.readFinal(id, over.value()).status();
+                                    JobRecordCodec.readFinal(id, over.value()).status();
                             LOG.info("job {} is {}", id, status);
                             if (status == JobStatus.CANCELLED) {
                                 core.cancelJob(id);
--- a/src/main/java/io/indigoreach/cluster/JobWatch.java
+++ b/src/main/java/io/indigoreach/cluster/JobWatch.java
@@ -5,7 +5,7 @@
 import io.indigoreach.core.model.Moment;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.PeriodicTask;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import org.slf4j.Logger;
@@ -66,7 +66,7 @@
                 return Span.ZERO;
             });
         }
-        return env.state().watch(RecordCodec.OPEN, since, longest).map(changes -> {
+        return env.state().watch(RecordKeys.OPEN_JOBS, since, longest).map(changes -> {
             if (duty.isCancelled()) {
                 return PAUSE;
             }
@@ -94,7 +94,7 @@
     }
 
     private void apply(StateClient.Change change) {
-        JobId id = RecordCodec.jobOfOpenKey(change.key());
+        JobId id = RecordKeys.jobOfOpenKey(change.key());
         if (change.value() != null) {
             ledger.onOpenRecordWritten(id, change.value(), change.revision());
         } else {
--- a/src/main/java/io/indigoreach/cluster/MachineStore.java
+++ b/src/main/java/io/indigoreach/cluster/MachineStore.java
@@ -11,7 +11,8 @@
 import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.state.MachineRecord;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.MachineRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -41,7 +42,7 @@
     private static final Span COMPACTION_PERIOD = Span.seconds(2);
     private static final int MOST_PAGES = 4;
     /** What a page takes besides its lines. */
-    private static final int PAGE_FRAME = JsonSize.of(RecordCodec.writeMachines(List.of()));
+    private static final int PAGE_FRAME = JsonSize.of(MachineRecordCodec.writeMachines(List.of()));
 
     private static final class Page {
         final String key;
@@ -116,7 +117,7 @@
 
     /** A page that an earlier leader wrote, or this one when it rebuilt. */
     void inherit(String pageKey, Revision stamp, List<MachineRecord> lines) {
-        Page page = new Page(pageKey, stamp, pageKey.startsWith(RecordCodec.machinePageKey(token, "")));
+        Page page = new Page(pageKey, stamp, pageKey.startsWith(RecordKeys.machinePageKey(token, "")));
         lines.forEach(line -> page.lines.put(line.id(), line));
         // Read before, in a try that failed: two copies of a page would write over each other, and take machines off
         // it.
@@ -182,7 +183,7 @@
                     machine.pool(),
                     today - now.since(machine.rentedAt()).ms(),
                     today - now.since(machine.knownToExistAt()).ms());
-            int bytes = RecordCodec.bytes(line);
+            int bytes = MachineRecordCodec.bytes(line);
             Page page = null;
             for (Page p : pages) {
                 if (room.computeIfAbsent(p, this::room) >= bytes) {
@@ -191,7 +192,7 @@
                 }
             }
             if (page == null) {
-                page = new Page(RecordCodec.machinePageKey(token, ++pagesMade), Revision.ABSENT, true);
+                page = new Page(RecordKeys.machinePageKey(token, ++pagesMade), Revision.ABSENT, true);
                 pages.add(page);
                 room.put(page, pageBytes(context));
             }
@@ -207,7 +208,7 @@
     private int room(Page page) {
         int used = 0;
         for (MachineRecord line : page.lines.values()) {
-            used += core.knows(line.id()) ? RecordCodec.bytes(line) : 0;
+            used += core.knows(line.id()) ? MachineRecordCodec.bytes(line) : 0;
         }
         return pageBytes(context) - used;
     }
@@ -217,7 +218,7 @@
      * until the rest fits into one value; a machine that stands twice is read once.
      */
     private Future<Span> split(Page page) {
-        Page part = new Page(RecordCodec.machinePageKey(token, ++pagesMade), Revision.ABSENT, true);
+        Page part = new Page(RecordKeys.machinePageKey(token, ++pagesMade), Revision.ABSENT, true);
         for (MachineRecord line : page.lines.values()) {
             part.lines.put(line.id(), line);
             if (room(part) < 0) {
@@ -226,9 +227,9 @@
             }
         }
         StateClient.Txn txn = new StateClient.Txn()
-                .when(RecordCodec.LEADER, leadershipRevision)
+                .when(RecordKeys.LEADER, leadershipRevision)
                 .when(part.key, Revision.ABSENT)
-                .put(part.key, RecordCodec.writeMachines(part.lines.values()));
+                .put(part.key, MachineRecordCodec.writeMachines(part.lines.values()));
         pages.add(part);
         return commit(txn, List.of(part), stamp -> {
             part.stamp = stamp;
@@ -238,11 +239,11 @@
     }
 
     private Future<Span> write(Map<Page, List<MachineRecord>> additions, Moment now) {
-        StateClient.Txn txn = new StateClient.Txn().when(RecordCodec.LEADER, leadershipRevision);
+        StateClient.Txn txn = new StateClient.Txn().when(RecordKeys.LEADER, leadershipRevision);
         additions.forEach((page, lines) -> {
             page.lines.keySet().removeIf(id -> !core.knows(id));
             lines.forEach(line -> page.lines.put(line.id(), line));
-            txn.when(page.key, page.stamp).put(page.key, RecordCodec.writeMachines(page.lines.values()));
+            txn.when(page.key, page.stamp).put(page.key, MachineRecordCodec.writeMachines(page.lines.values()));
         });
         lastWriteAt = now;
         return commit(txn, List.copyOf(additions.keySet()), stamp -> {
@@ -277,12 +278,12 @@
                 return split(page);
             }
             StateClient.Txn txn = new StateClient.Txn()
-                    .when(RecordCodec.LEADER, leadershipRevision)
+                    .when(RecordKeys.LEADER, leadershipRevision)
                     .when(page.key, page.stamp);
             if (page.isLeft()) {
                 txn.delete(page.key);
             } else {
-                txn.put(page.key, RecordCodec.writeMachines(page.lines.values()));
+                txn.put(page.key, MachineRecordCodec.writeMachines(page.lines.values()));
             }
             return commit(txn, List.of(page), stamp -> {
                 page.stamp = stamp;
@@ -304,7 +305,7 @@
                     }
                     if (outcome.done()) {
                         done.accept(outcome.writtenRevision());
-                    } else if (outcome.failed().contains(RecordCodec.LEADER)) {
+                    } else if (outcome.failed().contains(RecordKeys.LEADER)) {
                         onDeposed.run();
                     } else {
                         touched.forEach(p -> p.unsure = true);
--- a/src/main/java/io/indigoreach/cluster/PartsTask.java
+++ b/src/main/java/io/indigoreach/cluster/PartsTask.java
@@ -8,7 +8,7 @@
 import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.parts.Part;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.RoutineRunner;
 import io.vertx.core.Future;
 import java.util.ArrayList;
@@ -34,7 +34,7 @@
         this.env = env;
         this.core = core;
         this.records =
-                env.parts().all().isEmpty() ? null : env.parts().records().leading(RecordCodec.LEADER, key, limiter);
+                env.parts().all().isEmpty() ? null : env.parts().records().leading(RecordKeys.LEADER, key, limiter);
         this.duty = new PeriodicTask(env.vertx(), "parts", PERIOD, this::step);
     }
 
--- a/src/main/java/io/indigoreach/cluster/StateRebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -13,9 +13,12 @@
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.WireException;
 import io.indigoreach.state.CompletionBits;
+import io.indigoreach.state.EraRecordCodec;
 import io.indigoreach.state.JobRecord;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.MachineRecord;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.MachineRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateCodec;
 import io.vertx.core.Future;
@@ -88,28 +91,28 @@
     Future<Void> run() {
         LOG.warn("rebuilding what was lost from {}", remains);
         return env.state()
-                .get(RecordCodec.ERA)
+                .get(RecordKeys.ERA)
                 .map(entry -> era = entry == null ? Revision.ABSENT : entry.revision())
-                .compose(v -> read(RecordCodec.BITS, this::readBlock))
+                .compose(v -> read(RecordKeys.COMPLETION_BLOCKS, this::readBlock))
                 .compose(v -> read(CompletionBits.SMALL_BLOCKS, this::readBlock))
                 .compose(v -> read(
-                        RecordCodec.OPEN,
+                        RecordKeys.OPEN_JOBS,
                         e -> JobStore.readOrLog(e.key(), () -> {
-                            JobId id = RecordCodec.jobOfOpenKey(e.key());
+                            JobId id = RecordKeys.jobOfOpenKey(e.key());
                             standing.put(id, e.revision());
-                            open.put(id, RecordCodec.readJob(id, e.value(), e.revision()));
+                            open.put(id, JobRecordCodec.readJob(id, e.value(), e.revision()));
                         })))
                 .compose(v -> read(
-                        RecordCodec.FINAL,
+                        RecordKeys.FINAL_JOBS,
                         e -> JobStore.readOrLog(e.key(), () -> {
-                            JobId id = RecordCodec.jobOfFinalKey(e.key());
-                            RecordCodec.readFinal(id, e.value());
+                            JobId id = RecordKeys.jobOfFinalKey(e.key());
+                            JobRecordCodec.readFinal(id, e.value());
                             over.add(id);
                         })))
-                .compose(v -> read(RecordCodec.MACHINES, e -> {
+                .compose(v -> read(RecordKeys.MACHINE_PAGES, e -> {
                     // Names of an earlier try of this leadership are among them.
                     pages++;
-                    RecordCodec.readMachines(e.value()).forEach(m -> machines.add(m.id()));
+                    MachineRecordCodec.readMachines(e.value()).forEach(m -> machines.add(m.id()));
                 }))
                 .compose(v -> {
                     // Of thousands that are remembered a few are missing: the others cost no change.
@@ -173,12 +176,12 @@
                 .map(Object::toString)
                 .distinct()
                 .toList());
-        Map<String, Object> next = RecordCodec.writeEra(token, env.clock().timeOfDay(), findings, written);
+        Map<String, Object> next = EraRecordCodec.writeEra(token, env.clock().timeOfDay(), findings, written);
         while (JsonSize.of(next) > env.limits().room() && !findings.isEmpty()) {
             findings.remove(0);
-            next = RecordCodec.writeEra(token, env.clock().timeOfDay(), findings, written);
+            next = EraRecordCodec.writeEra(token, env.clock().timeOfDay(), findings, written);
         }
-        return state.commit(change().put(RecordCodec.ERA, next))
+        return state.commit(change().put(RecordKeys.ERA, next))
                 .compose(outcome -> outcome.done()
                         ? state.check()
                         : Future.failedFuture(new WireException("another node leads, or the era is another")));
@@ -186,7 +189,7 @@
 
     /** What every write depends on. */
     private StateClient.Txn change() {
-        return new StateClient.Txn().when(RecordCodec.LEADER, key).when(RecordCodec.ERA, era);
+        return new StateClient.Txn().when(RecordKeys.LEADER, key).when(RecordKeys.ERA, era);
     }
 
     private Future<Long> read(String prefix, Consumer<StateClient.Entry> each) {
@@ -205,11 +208,11 @@
     private void end(JobId id, RememberedState.FinishedJob end) {
         open.remove(id);
         Revision stamp = standing.getOrDefault(id, Revision.ABSENT);
-        StateClient.Txn txn = change().when(RecordCodec.finalKey(id), Revision.ABSENT)
-                .when(RecordCodec.openKey(id), stamp)
-                .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(end.status(), end.done()));
+        StateClient.Txn txn = change().when(RecordKeys.finalKey(id), Revision.ABSENT)
+                .when(RecordKeys.openKey(id), stamp)
+                .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(end.status(), end.done()));
         if (!stamp.equals(Revision.ABSENT)) {
-            txn.delete(RecordCodec.openKey(id));
+            txn.delete(RecordKeys.openKey(id));
         }
         steps.add(new Step(txn));
     }
@@ -233,7 +236,7 @@
         blocksBefore(id, whole);
         steps.add(new Step(openAs(id)
                 .put(
-                        RecordCodec.openKey(id),
+                        RecordKeys.openKey(id),
                         bits().writeJob(
                                         whole.spec(),
                                         whole.submittedMs(),
@@ -245,8 +248,8 @@
 
     /** What writes of an open job depend on: that it stands as it was read, and is not over. */
     private StateClient.Txn openAs(JobId id) {
-        return change().when(RecordCodec.finalKey(id), Revision.ABSENT)
-                .when(RecordCodec.openKey(id), standing.getOrDefault(id, Revision.ABSENT));
+        return change().when(RecordKeys.finalKey(id), Revision.ABSENT)
+                .when(RecordKeys.openKey(id), standing.getOrDefault(id, Revision.ABSENT));
     }
 
     /** Before the record: a job whose record is there is taken to be whole by the next try. */
@@ -277,11 +280,11 @@
                     m.pool(),
                     today - now.since(m.rented()).ms(),
                     today - now.since(m.existed()).ms());
-            bytes += RecordCodec.bytes(line);
+            bytes += MachineRecordCodec.bytes(line);
             if (bytes > MachineStore.pageBytes(env)) {
                 page(lines);
                 lines.clear();
-                bytes = RecordCodec.bytes(line);
+                bytes = MachineRecordCodec.bytes(line);
             }
             lines.add(line);
         }
@@ -291,8 +294,8 @@
     }
 
     private void page(List<MachineRecord> lines) {
-        String page = RecordCodec.machinePageKey(token, "r" + ++pages);
-        steps.add(new Step(change().when(page, Revision.ABSENT).put(page, RecordCodec.writeMachines(lines))));
+        String page = RecordKeys.machinePageKey(token, "r" + ++pages);
+        steps.add(new Step(change().when(page, Revision.ABSENT).put(page, MachineRecordCodec.writeMachines(lines))));
     }
 
     /** Several records go into one transaction; where conditions fail, the others go once more without those. */
@@ -337,12 +340,12 @@
                 written += batch.size();
                 return Future.succeededFuture();
             }
-            if (outcome.failed().contains(RecordCodec.LEADER)
-                    || outcome.failed().contains(RecordCodec.ERA)) {
+            if (outcome.failed().contains(RecordKeys.LEADER) || outcome.failed().contains(RecordKeys.ERA)) {
                 return Future.failedFuture(new WireException("another node leads, or the era is another"));
             }
             if (outcome.failed().stream()
-                    .anyMatch(name -> name.startsWith(RecordCodec.MACHINES) || name.startsWith(RecordCodec.OPEN))) {
+                    .anyMatch(name ->
+                            name.startsWith(RecordKeys.MACHINE_PAGES) || name.startsWith(RecordKeys.OPEN_JOBS))) {
                 // A page of a try before, whose answer was lost: it may lack machines that hold tasks. An acceptance
                 // that comes late:
                 // it says that nothing of the job was ever ordered. All is read anew.
--- a/src/main/java/io/indigoreach/core/records/RecordCache.java
+++ b/src/main/java/io/indigoreach/core/records/RecordCache.java
@@ -6,10 +6,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** What one controller remembers of the parts' records: the latest used of each family, bounded. */
+/** One controller's copies of the optional features' records: the most recently used of each family, bounded. */
 public final class RecordCache {
     private final Map<RecordFamily, Map<String, VersionedRecord>> byFamily = new LinkedHashMap<>();
 
+    /** {@code families}: none may have a prefix that begins with another's. */
     public RecordCache(Collection<RecordFamily> families) {
         for (RecordFamily family : families) {
             if (byFamily.keySet().stream().anyMatch(f -> f.contains(family.prefix()) || family.contains(f.prefix()))) {
@@ -24,6 +25,7 @@
         }
     }
 
+    /** The families whose records are kept. */
     public Collection<RecordFamily> families() {
         return byFamily.keySet();
     }
@@ -46,10 +48,12 @@
     public void add(VersionedRecord record) {
         RecordFamily family = familyOf(record.key());
         if (family != null && record.exists()) {
-            byFamily.get(family).merge(record.key(), record, (a, b) -> b.version() >= a.version() ? b : a);
+            byFamily.get(family)
+                    .merge(record.key(), record, (copy, newer) -> newer.version() >= copy.version() ? newer : copy);
         }
     }
 
+    /** The record was deleted. */
     public void remove(String key) {
         RecordFamily family = familyOf(key);
         if (family != null) {
--- a/src/main/java/io/indigoreach/core/records/RecordFamily.java
+++ b/src/main/java/io/indigoreach/core/records/RecordFamily.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /**
- * The records of a part that stand under one prefix, as the loss judge, rebuilding and clean-up know them.
+ * The records of an optional feature under one prefix, as loss detection, rebuilding and garbage collection treat them.
  *
  * @param prefix ends in a slash; none may begin with another's
  * @param remembered how many of them each controller remembers at most, for when the state service loses them
@@ -21,12 +21,14 @@
         Map<String, Object> mend(VersionedRecord present, VersionedRecord remembered);
     }
 
+    /** Checks that the prefix ends in a slash. */
     public RecordFamily {
         if (!prefix.endsWith("/")) {
             throw new IllegalArgumentException("a prefix ends in a slash: " + prefix);
         }
     }
 
+    /** Whether a key is of this family. */
     public boolean contains(String key) {
         return key.startsWith(prefix);
     }
--- a/src/main/java/io/indigoreach/core/records/StepResult.java
+++ b/src/main/java/io/indigoreach/core/records/StepResult.java
@@ -21,14 +21,17 @@
         boolean more,
         Revision written,
         List<String> failed) {
+    /** The result before the first step. */
     public static StepResult nothing(long era, long timeOfDayMs) {
         return new StepResult(era, timeOfDayMs, Map.of(), false, null, List.of());
     }
 
+    /** The record of a key; an absent one if it was not read. */
     public VersionedRecord record(String key) {
         return records.getOrDefault(key, VersionedRecord.absent(key));
     }
 
+    /** Whether the last step was a write that was executed. */
     public boolean isWritten() {
         return written != null;
     }
--- a/src/main/java/io/indigoreach/core/records/VersionedRecord.java
+++ b/src/main/java/io/indigoreach/core/records/VersionedRecord.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * A record of a part as it was read or written. Besides the state service's version, which begins anew when data are lost, its
+ * A record of an optional feature as it was read or written. Besides the state service's revision, which begins anew when data are lost, its
  * value counts its own changes under {@link #VERSION}: of two copies the one with the higher count is the newer.
  *
  * @param revision the state service's version; {@link Revision#ABSENT} with a null value if there is no such record
@@ -15,14 +15,17 @@
     /** The field that counts a record's changes; a part's routine raises it with each write. */
     public static final String VERSION = "v";
 
+    /** Copies the value. */
     public VersionedRecord {
         value = value == null ? null : Collections.unmodifiableMap(new LinkedHashMap<>(value));
     }
 
+    /** There is no record under this key. */
     public static VersionedRecord absent(String key) {
         return new VersionedRecord(key, null, Revision.ABSENT);
     }
 
+    /** Whether there is such a record. */
     public boolean exists() {
         return value != null;
     }
--- a/src/main/java/io/indigoreach/ownership/OwnershipPart.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipPart.java
@@ -12,7 +12,7 @@
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.parts.Part;
 import io.indigoreach.parts.Parts;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.RoutineRunner;
 import java.util.List;
 
@@ -44,7 +44,7 @@
         this.desk = new OwnershipService(within, registry, most, ground.clock());
         this.field = new RecordsField(within, registry, most);
         this.tidy = new ClaimCollector(new ClaimCollector.Jobs(
-                JobId::isValid, id -> RecordCodec.openKey(new JobId(id)), id -> RecordCodec.finalKey(new JobId(id))));
+                JobId::isValid, id -> RecordKeys.openKey(new JobId(id)), id -> RecordKeys.finalKey(new JobId(id))));
     }
 
     /** With the hash by which all records are found. */
--- a/src/main/java/io/indigoreach/ownership/OwnershipService.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipService.java
@@ -23,7 +23,8 @@
 import io.indigoreach.net.Fields;
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.RoutineRunner;
 import io.vertx.core.Future;
 import java.util.ArrayList;
@@ -170,11 +171,11 @@
 
     /** For whom an open job's tasks wait. */
     private Future<ApiResponse> job(JobId id) {
-        return records.run(read(RecordCodec.openKey(id))).compose(kept -> {
+        return records.run(read(RecordKeys.openKey(id))).compose(kept -> {
             if (!kept.exists()) {
                 throw RequestRejectedException.notFound("no open job " + id);
             }
-            JobSpec spec = RecordCodec.readJob(id, new Fields(kept.value()), kept.revision())
+            JobSpec spec = JobRecordCodec.readJob(id, new Fields(kept.value()), kept.revision())
                     .spec();
             if (!spec.isGuarded()) {
                 throw RequestRejectedException.notFound("job " + id + " names no records");
--- a/src/main/java/io/indigoreach/state/Campaign.java
+++ b/src/main/java/io/indigoreach/state/Campaign.java
@@ -41,7 +41,7 @@
      * @param boundUnlessNew a pledge of a former process may bind this node, unless nobody has ever led
      */
     Future<CampaignResult> run(Revision held, boolean boundUnlessNew) {
-        return state.get(RecordCodec.COUNTER).compose(entry -> attempt(held, entry, boundUnlessNew));
+        return state.get(RecordKeys.COUNTER).compose(entry -> attempt(held, entry, boundUnlessNew));
     }
 
     private Future<CampaignResult> attempt(Revision held, StateClient.Entry counterEntry, boolean boundUnlessNew) {
@@ -73,7 +73,7 @@
 
     /** A read may be stale; then nothing is lost. */
     private Future<CampaignResult> confirmRegression(Revision counterRevision) {
-        return state.confirm(new StateClient.Txn().when(RecordCodec.COUNTER, counterRevision))
+        return state.confirm(new StateClient.Txn().when(RecordKeys.COUNTER, counterRevision))
                 .map(confirmed -> {
                     if (!confirmed) {
                         ownTokens.regressionRefuted();
@@ -100,11 +100,11 @@
 
     private StateClient.Txn transaction(Attempt attempt, FencingToken token) {
         return new StateClient.Txn()
-                .when(RecordCodec.LEADER, attempt.held)
-                .when(RecordCodec.COUNTER, attempt.counterRevision)
-                .put(RecordCodec.LEADER, LeaderKey.write(candidate.node(), candidate.process(), token), attempt.lease)
+                .when(RecordKeys.LEADER, attempt.held)
+                .when(RecordKeys.COUNTER, attempt.counterRevision)
+                .put(RecordKeys.LEADER, LeaderKey.write(candidate.node(), candidate.process(), token), attempt.lease)
                 .put(
-                        RecordCodec.COUNTER,
+                        RecordKeys.COUNTER,
                         attempt.counter.next(token, raisedFormat.highest()).write());
     }
 
--- a/src/main/java/io/indigoreach/state/CompletionBits.java
+++ b/src/main/java/io/indigoreach/state/CompletionBits.java
@@ -24,7 +24,7 @@
 
     private static final int MIN_BLOCK_TASKS = 1024;
     /** What a block takes besides its bits. */
-    private static final int FRAME_BYTES = JsonSize.of(RecordCodec.writeBits(new BitSet()));
+    private static final int FRAME_BYTES = JsonSize.of(CompletionBlockCodec.writeBits(new BitSet()));
 
     /** Digits that a record's counters may gain while the job runs. */
     private static final int MAX_TASKS = 100_000;
@@ -34,7 +34,7 @@
 
     public CompletionBits(StateLimits limits) {
         this.limits = limits;
-        int blockTasks = RecordCodec.BLOCK;
+        int blockTasks = CompletionBlockCodec.BLOCK_TASKS;
         while (blockTasks > MIN_BLOCK_TASKS && blockBytes(blockTasks) > limits.room()) {
             blockTasks /= 2;
         }
@@ -49,7 +49,7 @@
 
     /** How long the job's record becomes without bits. */
     public static int recordBytes(JobSpec spec, long submittedMs) {
-        return JsonSize.of(RecordCodec.writeJob(
+        return JsonSize.of(JobRecordCodec.writeJob(
                         spec, submittedMs, JobStatus.CANCELLED, new BitSet(), MAX_TASKS, MAX_TASKS))
                 + Integer.toString(MAX_TASKS).length();
     }
@@ -61,16 +61,16 @@
 
     /** Whether the record takes the bits of all the job's tasks. */
     public boolean areInRecord(JobSpec spec, long submittedMs) {
-        return spec.tasks() <= RecordCodec.IN_RECORD
+        return spec.tasks() <= CompletionBlockCodec.MAX_TASKS_IN_RECORD
                 && recordBytes(spec, submittedMs) + blockBytes(spec.tasks()) <= limits.room();
     }
 
     /** A job's record, with the bits or without them as the limits have it. */
     public Map<String, Object> writeJob(
             JobSpec spec, long submittedMs, JobStatus status, BitSet done, int running, int bound) {
-        Map<String, Object> record = RecordCodec.writeJob(spec, submittedMs, status, done, running, bound);
+        Map<String, Object> record = JobRecordCodec.writeJob(spec, submittedMs, status, done, running, bound);
         if (!areInRecord(spec, submittedMs)) {
-            record.remove(RecordCodec.BITS_FIELD);
+            record.remove(CompletionBlockCodec.BITS_FIELD);
         }
         return record;
     }
@@ -91,31 +91,31 @@
     }
 
     private String key(JobId id, int n) {
-        return blockTasks == RecordCodec.BLOCK
-                ? RecordCodec.blockKey(id, n)
+        return blockTasks == CompletionBlockCodec.BLOCK_TASKS
+                ? RecordKeys.blockKey(id, n)
                 : SMALL_BLOCKS + id.text() + "/" + n * blockTasks;
     }
 
     /** The value of a block that {@link #blocksWith} has named. */
     public static Map<String, Object> writeBlock(String key, BitSet covered) {
         int from = firstOf(key);
-        return RecordCodec.writeBits(covered.get(from, Math.max(from, covered.length())));
+        return CompletionBlockCodec.writeBits(covered.get(from, Math.max(from, covered.length())));
     }
 
     /** Adds a block's bits; throws {@link io.indigoreach.net.WireException} if it cannot be read. */
     public static void readBlock(String key, Fields value, BitSet into) {
-        BitSet block = RecordCodec.readBits(value);
+        BitSet block = CompletionBlockCodec.readBits(value);
         int from = firstOf(key);
         block.stream().forEach(i -> into.set(from + i));
     }
 
     private static int firstOf(String key) {
-        int number = RecordCodec.readable(() -> Integer.parseInt(key.substring(key.lastIndexOf('/') + 1)));
-        return key.startsWith(SMALL_BLOCKS) ? number : number * RecordCodec.BLOCK;
+        int number = RecordReader.read(() -> Integer.parseInt(key.substring(key.lastIndexOf('/') + 1)));
+        return key.startsWith(SMALL_BLOCKS) ? number : number * CompletionBlockCodec.BLOCK_TASKS;
     }
 
     /** Of whose tasks this block's are. */
     public static JobId jobOf(String key) {
-        return RecordCodec.jobOfBlock(key);
+        return RecordKeys.jobOfBlock(key);
     }
 }
--- a/src/main/java/io/indigoreach/state/EffectiveLimits.java
+++ b/src/main/java/io/indigoreach/state/EffectiveLimits.java
@@ -50,8 +50,7 @@
             }
         }
         LOG.error(
-                "the state service takes no transaction of {} changes whose largest value, of {}, has {} bytes: smaller ones are written "
-                        + "from now on. Are its limits lower than the settings say? ({} such refusals so far)",
+                "transaction rejected by limits changes={} largest_key={} largest_bytes={} refusals={}",
                 txn.size(),
                 key,
                 largest,
--- a/src/main/java/io/indigoreach/state/FormatGate.java
+++ b/src/main/java/io/indigoreach/state/FormatGate.java
@@ -87,7 +87,7 @@
     }
 
     private Future<StateClient.Entry> readCounter() {
-        return state.get(RecordCodec.COUNTER).map(entry -> {
+        return state.get(RecordKeys.COUNTER).map(entry -> {
             election.raisedFormat().seen(CounterRecord.of(entry));
             return entry;
         });
@@ -115,7 +115,7 @@
     private void reportIfUnreadable(Throwable failure) {
         if (failure instanceof WireException) {
             checkedAt = clock.now();
-            LOG.error("this process cannot lead: {}", failure.getMessage());
+            LOG.error("leadership blocked by data format cause={}", failure.getMessage());
         }
     }
 
@@ -166,13 +166,13 @@
             }
             CounterRecord raised = CounterRecord.of(entry).raised();
             return state.commit(new StateClient.Txn()
-                            .when(RecordCodec.LEADER, key)
-                            .when(RecordCodec.COUNTER, entry.revision())
-                            .put(RecordCodec.COUNTER, raised.write()))
+                            .when(RecordKeys.LEADER, key)
+                            .when(RecordKeys.COUNTER, entry.revision())
+                            .put(RecordKeys.COUNTER, raised.write()))
                     .map(outcome -> {
                         if (outcome.done()) {
                             election.raisedFormat().seen(raised);
-                            LOG.info("all nodes know the data format {}: older versions cannot lead", raised.format());
+                            LOG.info("data format raised format={}", raised.format());
                         }
                         return null;
                     });
--- a/src/main/java/io/indigoreach/state/JobRepairer.java
+++ b/src/main/java/io/indigoreach/state/JobRepairer.java
@@ -50,15 +50,15 @@
      */
     public Future<Void> repairOpen(JobId id, StateClient.Entry spoilt, JobSpec offered) {
         return recall.apply(id).compose(remembered -> {
-            RememberedState known =
-                    RecordRepair.open(id, RecordCodec.readRest(spoilt.value()), remembered, offered, clock.timeOfDay());
+            RememberedState known = RecordRepair.open(
+                    id, JobRecordCodec.readRest(spoilt.value()), remembered, offered, clock.timeOfDay());
             StateClient.Txn txn = state.transactionInEra()
                     .when(spoilt.key(), spoilt.revision())
-                    .when(RecordCodec.finalKey(id), Revision.ABSENT);
+                    .when(RecordKeys.finalKey(id), Revision.ABSENT);
             known.over()
                     .values()
                     .forEach(end -> txn.delete(spoilt.key())
-                            .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(end.status(), end.done())));
+                            .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(end.status(), end.done())));
             // Blocks of bits that stand beside the record are left as they are: what they say is done stays so. What
             // has no
             // place in the record either is run again and ends at once.
@@ -76,10 +76,10 @@
     public Future<Void> repairFinal(JobId id, StateClient.Entry spoilt, JobSpec offered) {
         return recall.apply(id).compose(remembered -> {
             RememberedState.FinishedJob end =
-                    RecordRepair.end(id, RecordCodec.readRest(spoilt.value()), remembered, offered);
+                    RecordRepair.end(id, JobRecordCodec.readRest(spoilt.value()), remembered, offered);
             StateClient.Txn txn = state.transactionInEra().when(spoilt.key(), spoilt.revision());
             return writeRepair(
-                    end == null ? txn : txn.put(spoilt.key(), RecordCodec.writeFinal(end.status(), end.done())),
+                    end == null ? txn : txn.put(spoilt.key(), JobRecordCodec.writeFinal(end.status(), end.done())),
                     spoilt.key());
         });
     }
@@ -91,7 +91,7 @@
         }
         return state.commit(txn).map(outcome -> {
             if (outcome.done()) {
-                LOG.warn("the record {} could not be read: written anew from memory", key);
+                LOG.warn("record repaired key={}", key);
             }
             return null;
         });
--- a/src/main/java/io/indigoreach/state/LeaderElection.java
+++ b/src/main/java/io/indigoreach/state/LeaderElection.java
@@ -190,7 +190,7 @@
             return Future.succeededFuture(false);
         }
         LeaderKey key = current;
-        return state.get(RecordCodec.COUNTER)
+        return state.get(RecordKeys.COUNTER)
                 .compose(entry -> state.commit(startBoundsConfirmation(key, entry)))
                 .map(StateClient.Outcome::done);
     }
@@ -199,9 +199,9 @@
         CounterRecord confirmed = CounterRecord.of(counterEntry).withStartBounds(key.token(), raisedFormat.highest());
         // The counter's revision too: carried out late, after the data format was raised, it would lower it.
         return new StateClient.Txn()
-                .when(RecordCodec.LEADER, key.revision())
-                .when(RecordCodec.COUNTER, StateClient.revisionOf(counterEntry))
-                .put(RecordCodec.COUNTER, confirmed.write());
+                .when(RecordKeys.LEADER, key.revision())
+                .when(RecordKeys.COUNTER, StateClient.revisionOf(counterEntry))
+                .put(RecordKeys.COUNTER, confirmed.write());
     }
 
     /**
@@ -209,7 +209,7 @@
      * the key of a later leadership has another revision.
      */
     public Future<Void> removeKey(Revision key) {
-        return state.commit(new StateClient.Txn().when(RecordCodec.LEADER, key).delete(RecordCodec.LEADER))
+        return state.commit(new StateClient.Txn().when(RecordKeys.LEADER, key).delete(RecordKeys.LEADER))
                 .mapEmpty();
     }
 
@@ -220,7 +220,7 @@
      * names: a leader that ended lately may have left its key. Never fails.
      */
     public Future<Boolean> clearPredecessor(Function<String, Future<Boolean>> leads) {
-        return Future.all(state.get(RecordCodec.LEADER), state.get(RecordCodec.COUNTER))
+        return Future.all(state.get(RecordKeys.LEADER), state.get(RecordKeys.COUNTER))
                 .compose(entries -> {
                     observeKey(entries.resultAt(0));
                     return isLeaderless(entries.resultAt(1) != null, leads);
@@ -253,7 +253,7 @@
         if (leading) {
             return watchOwnKey();
         }
-        return watchedRevision < 0 ? state.get(RecordCodec.LEADER).compose(this::followOrCampaign) : watchLeader();
+        return watchedRevision < 0 ? state.get(RecordKeys.LEADER).compose(this::followOrCampaign) : watchLeader();
     }
 
     private Future<Span> followOrCampaign(StateClient.Entry entry) {
@@ -272,11 +272,11 @@
 
     /** Waits for a change of the key by which another node leads. */
     private Future<Span> watchLeader() {
-        return state.watch(RecordCodec.LEADER, watchedRevision, FOLLOWER_WATCH)
+        return state.watch(RecordKeys.LEADER, watchedRevision, FOLLOWER_WATCH)
                 .onFailure(failure -> watchedRevision = NOT_WATCHED)
                 .map(changes -> {
                     boolean changed = changes.changes().stream()
-                            .anyMatch(change -> change.key().equals(RecordCodec.LEADER));
+                            .anyMatch(change -> change.key().equals(RecordKeys.LEADER));
                     watchedRevision = changes.tooOld() || changed ? NOT_WATCHED : changes.revision();
                     return Span.ZERO;
                 });
@@ -292,9 +292,9 @@
     /** Watches the key that this node leads by: once it is gone or another's, what was read under it does not hold. */
     private Future<Span> watchOwnKey() {
         Revision own = current.revision();
-        return state.watch(RecordCodec.LEADER, own.value(), OWN_KEY_WATCH).map(changes -> {
+        return state.watch(RecordKeys.LEADER, own.value(), OWN_KEY_WATCH).map(changes -> {
             boolean changed = changes.changes().stream()
-                    .anyMatch(change -> change.key().equals(RecordCodec.LEADER)
+                    .anyMatch(change -> change.key().equals(RecordKeys.LEADER)
                             && !change.revision().equals(own));
             if (leading && current.revision().equals(own) && changed) {
                 loseLeadership("key-replaced");
--- a/src/main/java/io/indigoreach/state/LeaderKey.java
+++ b/src/main/java/io/indigoreach/state/LeaderKey.java
@@ -7,9 +7,15 @@
 import java.util.Map;
 
 /** The leadership key: which node leads, which of its processes, and under which token. */
-record LeaderKey(String node, String process, FencingToken token, Revision revision) {
-    static LeaderKey read(Fields f, Revision revision) {
-        return new LeaderKey(f.text("node"), f.text("process"), new FencingToken(f.whole("token")), revision);
+public record LeaderKey(String node, String process, FencingToken token, Revision revision) {
+    static LeaderKey read(Fields value, Revision revision) {
+        return new LeaderKey(
+                value.text("node"), value.text("process"), new FencingToken(value.whole("token")), revision);
+    }
+
+    /** The token in the value of a leadership key. */
+    public static long tokenOf(Map<String, Object> value) {
+        return new Fields(value).whole("token");
     }
 
     static Map<String, Object> write(String node, String process, FencingToken token) {
--- a/src/main/java/io/indigoreach/state/RememberedStateCodec.java
+++ b/src/main/java/io/indigoreach/state/RememberedStateCodec.java
@@ -40,7 +40,7 @@
                         "id",
                         job.spec().id().text(),
                         "job",
-                        RecordCodec.writeJob(
+                        JobRecordCodec.writeJob(
                                 job.spec(), job.submittedMs(), JobStatus.PENDING, job.done(), 0, job.bound()))));
         List<Object> records = new ArrayList<>();
         rememberedState.records().stream()
@@ -68,7 +68,7 @@
                     e.whole("done")));
         }
         for (Fields e : f.children("open")) {
-            JobRecord record = RecordCodec.readJob(new JobId(e.text("id")), e.child("job"), Revision.ABSENT);
+            JobRecord record = JobRecordCodec.readJob(new JobId(e.text("id")), e.child("job"), Revision.ABSENT);
             into.add(new RememberedState.OpenJob(record.spec(), record.submittedMs(), record.done(), record.bound()));
         }
         for (Fields e : f.children("records")) {
--- a/src/main/java/io/indigoreach/state/RoutineRunner.java
+++ b/src/main/java/io/indigoreach/state/RoutineRunner.java
@@ -211,7 +211,7 @@
             if (leadership != null && outcome.failed().contains(leadership.key())) {
                 return Future.failedFuture(new WireException("another node leads"));
             }
-            if (outcome.failed().equals(List.of(RecordCodec.ERA)) && attempt < MAX_ATTEMPTS) {
+            if (outcome.failed().equals(List.of(RecordKeys.ERA)) && attempt < MAX_ATTEMPTS) {
                 return state.check().compose(v -> write(change, attempt + 1));
             }
             return Future.succeededFuture(
--- a/src/main/java/io/indigoreach/state/StateClient.java
+++ b/src/main/java/io/indigoreach/state/StateClient.java
@@ -163,7 +163,7 @@
     private void reportLoss(boolean lost) {
         if (lost) {
             LOG.error(
-                    "the state service has lost data: {}; nobody is told that a job does not exist until it is mended",
+                    "state data lost evidence={}",
                     losses.findings().get(losses.findings().size() - 1));
             onLoss.run();
         }
@@ -189,7 +189,7 @@
      * whatever is there is the content to it.
      */
     public Txn transactionInEra() {
-        return losses.era() == 0 ? new Txn() : new Txn().when(RecordCodec.ERA, eraRevision);
+        return losses.era() == 0 ? new Txn() : new Txn().when(RecordKeys.ERA, eraRevision);
     }
 
     /** Whether {@link #transactionInEra} says anything: this process has read the era. */
@@ -212,14 +212,14 @@
     }
 
     private Future<Void> readEra() {
-        return reportingFailure(caller.get(StateCodec.keyPath(RecordCodec.ERA), Span.seconds(1)))
+        return reportingFailure(caller.get(StateCodec.keyPath(RecordKeys.ERA), Span.seconds(1)))
                 .compose(r -> {
                     if (r.status() == 429) {
                         return Future.succeededFuture();
                     }
                     Entry entry = r.status() == 404 ? null : StateCodec.readEntry(requireOk(r));
                     Revision revision = entry == null ? Revision.ABSENT : entry.revision();
-                    long era = entry == null ? 0 : RecordCodec.readEra(entry.value());
+                    long era = entry == null ? 0 : EraRecordCodec.readEra(entry.value());
                     if (losses.era() == 0) {
                         // Nothing is known to compare with; an answer from the past fails in the first transaction.
                         return entry == null ? firstEra() : adoptEra(era, revision);
@@ -227,7 +227,7 @@
                     if (revision.equals(eraRevision) && era == losses.era()) {
                         return Future.succeededFuture();
                     }
-                    return commit(new Txn().when(RecordCodec.ERA, revision))
+                    return commit(new Txn().when(RecordKeys.ERA, revision))
                             .compose(outcome -> outcome.done() ? adoptEra(era, revision) : Future.succeededFuture());
                 });
     }
@@ -245,8 +245,8 @@
      */
     private Future<Void> firstEra() {
         return commit(new Txn()
-                        .when(RecordCodec.ERA, Revision.ABSENT)
-                        .put(RecordCodec.ERA, RecordCodec.writeEra(FIRST)))
+                        .when(RecordKeys.ERA, Revision.ABSENT)
+                        .put(RecordKeys.ERA, EraRecordCodec.writeEra(FIRST)))
                 .compose(outcome ->
                         outcome.done() ? adoptEra(FIRST.value(), outcome.writtenRevision()) : Future.succeededFuture());
     }
@@ -289,7 +289,7 @@
      */
     public Future<Boolean> confirm(Txn comparison) {
         return commit(comparison).map(outcome -> {
-            if (!outcome.done() && !outcome.failed().equals(List.of(RecordCodec.ERA))) {
+            if (!outcome.done() && !outcome.failed().equals(List.of(RecordKeys.ERA))) {
                 staleReads.suspectReads();
             }
             return outcome.done();
--- a/src/main/java/io/indigoreach/tools/Cluster.java
+++ b/src/main/java/io/indigoreach/tools/Cluster.java
@@ -15,7 +15,11 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.EraRecordCodec;
+import io.indigoreach.state.IntentRecordCodec;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.LeaderKey;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -128,9 +132,9 @@
         List<io.indigoreach.state.JobRecord> jobs = new ArrayList<>();
         String after = null;
         for (boolean more = true; more; ) {
-            StateClient.Page page = await(state.list(RecordCodec.OPEN, after, PAGE));
+            StateClient.Page page = await(state.list(RecordKeys.OPEN_JOBS, after, PAGE));
             for (StateClient.Entry e : page.items()) {
-                jobs.add(RecordCodec.readJob(RecordCodec.jobOfOpenKey(e.key()), e.value(), e.revision()));
+                jobs.add(JobRecordCodec.readJob(RecordKeys.jobOfOpenKey(e.key()), e.value(), e.revision()));
                 after = e.key();
             }
             more = page.more();
@@ -142,26 +146,26 @@
     List<String> duties() {
         StateClient state = state();
         List<String> lines = new ArrayList<>();
-        StateClient.Entry leader = await(state.get(RecordCodec.LEADER));
+        StateClient.Entry leader = await(state.get(RecordKeys.LEADER));
         lines.add("leads      "
                 + (leader == null
                         ? "nobody"
                         : leader.value().text("node") + ", token "
-                                + RecordCodec.token(leader.value().map())));
+                                + LeaderKey.tokenOf(leader.value().map())));
         for (StateClient.Entry e :
-                await(state.list(RecordCodec.INTENTS, null, PAGE)).items()) {
-            String by = " (token " + e.key().substring(RecordCodec.INTENTS.length()) + ")";
-            Intents.Page page = RecordCodec.readIntents(e.value());
+                await(state.list(RecordKeys.INTENTS, null, PAGE)).items()) {
+            String by = " (token " + e.key().substring(RecordKeys.INTENTS.length()) + ")";
+            Intents.Page page = IntentRecordCodec.readIntents(e.value());
             page.rents()
                     .forEach(r -> lines.add("renting    " + r.name() + ": " + r.count() + " "
                             + (r.pool().spot() ? "spot " : "") + r.pool().type() + " in "
                             + r.pool().zone() + ", for " + (clock.timeOfDay() - r.askedMs()) / 1000 + " s" + by));
             page.returns().forEach(id -> lines.add("returning  " + id + by));
         }
-        StateClient.Entry era = await(state.get(RecordCodec.ERA));
-        lines.add("era        " + (era == null ? "none" : Long.toString(RecordCodec.readEra(era.value()))));
+        StateClient.Entry era = await(state.get(RecordKeys.ERA));
+        lines.add("era        " + (era == null ? "none" : Long.toString(EraRecordCodec.readEra(era.value()))));
         if (era != null) {
-            RecordCodec.readLoss(era.value()).forEach(line -> lines.add("loss       " + line));
+            EraRecordCodec.readLoss(era.value()).forEach(line -> lines.add("loss       " + line));
         }
         return lines;
     }
--- a/src/test/java/io/indigoreach/api/JobServiceLossTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceLossTest.java
@@ -15,8 +15,10 @@
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.EraRecordCodec;
 import io.indigoreach.state.JobRepairer;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -46,7 +48,7 @@
         state = client();
         MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         await(state.commit(
-                new StateClient.Txn().put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(List.of(type)))));
+                new StateClient.Txn().put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type)))));
         catalogue = new Catalogue(vertx, state, new CloudClient(new ServiceClient(vertx, service.endpoint(), 1)));
         mender = new JobRepairer(state, new SteadyClock());
         desk = new JobService(
@@ -131,7 +133,8 @@
         assertEquals(503, submit(3), "it may have been over");
         assertEquals(200, status(desk.query("run-2")), "what was told stays");
         assertEquals(200, submit(2));
-        await(client().commit(new StateClient.Txn().put(RecordCodec.ERA, RecordCodec.writeEra(new FencingToken(77)))));
+        await(client().commit(
+                        new StateClient.Txn().put(RecordKeys.ERA, EraRecordCodec.writeEra(new FencingToken(77)))));
         await(state.check());
         assertEquals(List.of(404, 201), List.of(status(desk.query("run-9")), submit(3)));
     }
@@ -143,7 +146,8 @@
         await(client().commit(new StateClient.Txn().delete("j/run-1")));
         assertEquals(503, status(desk.query("run-1")));
         assertEquals(true, state.losses().isHolding());
-        await(client().commit(new StateClient.Txn().put(RecordCodec.ERA, RecordCodec.writeEra(new FencingToken(77)))));
+        await(client().commit(
+                        new StateClient.Txn().put(RecordKeys.ERA, EraRecordCodec.writeEra(new FencingToken(77)))));
         await(state.check());
         desk.askPeersBy(id -> Future.succeededFuture(id.text().equals("run-8")));
         assertEquals(List.of(503, 503), List.of(status(desk.query("run-8")), status(desk.query("run-9"))));
--- a/src/test/java/io/indigoreach/api/JobServiceTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceTest.java
@@ -18,8 +18,10 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.JobRepairer;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -55,8 +57,8 @@
         service = await(new StateStandIn().listen(vertx));
         MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         await(client().commit(new StateClient.Txn()
-                .when(RecordCodec.CATALOGUE, Revision.ABSENT)
-                .put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(List.of(type)))));
+                .when(RecordKeys.CATALOGUE, Revision.ABSENT)
+                .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type)))));
         first = node();
         second = node();
     }
@@ -135,9 +137,9 @@
         assertEquals(Map.of("records", Map.of("group", "g")), spec.more());
         assertEquals(
                 spec,
-                RecordCodec.readJob(
+                JobRecordCodec.readJob(
                                 spec.id(),
-                                MessagePackFormat.readMap(MessagePackFormat.write(RecordCodec.writeJob(
+                                MessagePackFormat.readMap(MessagePackFormat.write(JobRecordCodec.writeJob(
                                         spec, 1, JobStatus.PENDING, new java.util.BitSet(), 0, 0))),
                                 Revision.ABSENT)
                         .spec());
@@ -199,7 +201,7 @@
         if (how.equals("done") || how.equals("cancelled")) {
             await(client().commit(new StateClient.Txn()
                     .delete("j/run-1")
-                    .put("f/run-1", RecordCodec.writeFinal(JobStatus.valueOf(how.toUpperCase(Locale.ROOT)), 0))));
+                    .put("f/run-1", JobRecordCodec.writeFinal(JobStatus.valueOf(how.toUpperCase(Locale.ROOT)), 0))));
         }
         service.refusing = how.equals("refused");
     }
@@ -234,7 +236,7 @@
         }
         assertEquals(
                 List.of(new JobId("run-1")),
-                RecordCodec.readJob(new JobId("run-000412"), service.value("j/run-000412"), Revision.ABSENT)
+                JobRecordCodec.readJob(new JobId("run-000412"), service.value("j/run-000412"), Revision.ABSENT)
                         .spec()
                         .chain()
                         .needs());
@@ -286,12 +288,12 @@
     @Test
     void anEndThatIsNotMovedYetIsAnEnd() throws Exception {
         call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job());
-        JobSpec spec = RecordCodec.readJob(new JobId("run-000412"), service.value("j/run-000412"), Revision.ABSENT)
+        JobSpec spec = JobRecordCodec.readJob(new JobId("run-000412"), service.value("j/run-000412"), Revision.ABSENT)
                 .spec();
         BitSet all = new BitSet();
         all.set(0, spec.tasks());
         await(client().commit(new StateClient.Txn()
-                .put("j/run-000412", RecordCodec.writeJob(spec, 1, JobStatus.DONE, all, 0, spec.tasks()))));
+                .put("j/run-000412", JobRecordCodec.writeJob(spec, 1, JobStatus.DONE, all, 0, spec.tasks()))));
         assertEquals("200 done", status(call(first, HttpMethod.POST, "/api/jobs/run-000412/cancel", Map.of())));
         assertEquals("200 done", status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
         assertEquals("200 done", status(call(second, HttpMethod.POST, "/api/jobs", JobCodecTest.job())));
@@ -322,7 +324,7 @@
             return false;
         };
         assertEquals("201 pending", status(call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job())));
-        assertEquals(List.of(List.of(RecordCodec.ERA, "j/run-000412", "f/run-000412")), conditions);
+        assertEquals(List.of(List.of(RecordKeys.ERA, "j/run-000412", "f/run-000412")), conditions);
     }
 
     @Test
--- a/src/test/java/io/indigoreach/api/OddRequestsTest.java
+++ b/src/test/java/io/indigoreach/api/OddRequestsTest.java
@@ -15,8 +15,9 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.CatalogueRecordCodec;
 import io.indigoreach.state.JobRepairer;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -61,8 +62,8 @@
         MachineType type = new MachineType("quad", new Demand(4, 1, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         MachineType far = new MachineType("far", new Demand(8, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("b"));
         await(state.commit(new StateClient.Txn()
-                .when(RecordCodec.CATALOGUE, Revision.ABSENT)
-                .put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(List.of(type, far)))));
+                .when(RecordKeys.CATALOGUE, Revision.ABSENT)
+                .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type, far)))));
         Catalogue catalogue = new Catalogue(vertx, state, new CloudClient(caller(1)));
         SteadyClock clock = new SteadyClock();
         List<Team> teams =
--- a/src/test/java/io/indigoreach/checker/FrontDoors.java
+++ b/src/test/java/io/indigoreach/checker/FrontDoors.java
@@ -21,9 +21,11 @@
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.CatalogueRecordCodec;
 import io.indigoreach.state.JobRecord;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.JobRepairer;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Context;
@@ -79,8 +81,8 @@
         leader = client(serviceRuntime, service.endpoint());
         MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         await(leader.commit(new StateClient.Txn()
-                .when(RecordCodec.CATALOGUE, Revision.ABSENT)
-                .put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(List.of(type)))));
+                .when(RecordKeys.CATALOGUE, Revision.ABSENT)
+                .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type)))));
         await(leader.check());
         for (int n = 0; n < count; n++) {
             String name = name(n);
@@ -211,24 +213,24 @@
 
     /** The leader's next write of a job: it runs, it is done, or it is done and moved later. */
     Future<Void> lead(JobId id, boolean ends, boolean moves) {
-        return leader.get(RecordCodec.openKey(id))
+        return leader.get(RecordKeys.openKey(id))
                 .compose(open -> {
                     if (open == null) {
                         return Future.succeededFuture();
                     }
-                    JobRecord job = RecordCodec.readJob(id, open.value(), open.revision());
-                    StateClient.Txn txn = new StateClient.Txn().when(RecordCodec.openKey(id), open.revision());
+                    JobRecord job = JobRecordCodec.readJob(id, open.value(), open.revision());
+                    StateClient.Txn txn = new StateClient.Txn().when(RecordKeys.openKey(id), open.revision());
                     boolean marked = job.status() == JobStatus.DONE;
                     if (marked || (ends && moves)) {
-                        txn.delete(RecordCodec.openKey(id))
-                                .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(JobStatus.DONE, TASKS));
+                        txn.delete(RecordKeys.openKey(id))
+                                .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(JobStatus.DONE, TASKS));
                     } else {
                         BitSet done = new BitSet();
                         done.set(0, ends ? TASKS : 1);
                         JobStatus status = ends ? JobStatus.DONE : JobStatus.RUNNING;
                         txn.put(
-                                RecordCodec.openKey(id),
-                                RecordCodec.writeJob(job.spec(), job.submittedMs(), status, done, 1, TASKS));
+                                RecordKeys.openKey(id),
+                                JobRecordCodec.writeJob(job.spec(), job.submittedMs(), status, done, 1, TASKS));
                     }
                     return leader.commit(txn).<Void>mapEmpty();
                 })
--- a/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
@@ -19,9 +19,11 @@
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.CompletionBits;
 import io.indigoreach.state.JobRecord;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
+import io.indigoreach.state.TestBlocks;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
@@ -84,7 +86,7 @@
     }
 
     private CompletionBlockStore book(String next) throws Exception {
-        leader = await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))))
+        leader = await(client.commit(new StateClient.Txn().put(RecordKeys.LEADER, MessagePackFormat.map("t", 1L))))
                 .writtenRevision();
         LeadershipTerm.Context context = new LeadershipTerm.Context(
                 vertx,
@@ -102,7 +104,7 @@
     /** What a leader that reads all of it takes to be done; {@code book} inherits the blocks. */
     private BitSet read(CompletionBlockStore book) throws Exception {
         BitSet done = new BitSet();
-        for (String prefix : List.of(RecordCodec.BITS, CompletionBits.SMALL_BLOCKS)) {
+        for (String prefix : List.of(RecordKeys.COMPLETION_BLOCKS, CompletionBits.SMALL_BLOCKS)) {
             for (StateClient.Entry e : await(client.list(prefix, null, 1000)).items()) {
                 BitSet block = new BitSet();
                 CompletionBits.readBlock(e.key(), e.value(), block);
@@ -115,16 +117,18 @@
     }
 
     private JobRecord open() throws Exception {
-        StateClient.Entry e = await(client.get(RecordCodec.openKey(ID)));
-        return RecordCodec.readJob(ID, e.value(), e.revision());
+        StateClient.Entry e = await(client.get(RecordKeys.openKey(ID)));
+        return JobRecordCodec.readJob(ID, e.value(), e.revision());
     }
 
     /** As the version before wrote it. */
     private void writeAsBefore(JobSpec spec, BitSet done) throws Exception {
         StateClient.Txn txn = new StateClient.Txn()
-                .put(RecordCodec.openKey(ID), RecordCodec.writeJob(spec, 1, JobStatus.RUNNING, done, 0, spec.tasks()));
-        for (int n = 0; n < RecordCodec.blocks(spec.tasks()); n++) {
-            txn.put(RecordCodec.blockKey(ID, n), RecordCodec.writeBlock(done, n));
+                .put(
+                        RecordKeys.openKey(ID),
+                        JobRecordCodec.writeJob(spec, 1, JobStatus.RUNNING, done, 0, spec.tasks()));
+        for (int n = 0; n < TestBlocks.blocks(spec.tasks()); n++) {
+            txn.put(RecordKeys.blockKey(ID, n), TestBlocks.writeBlock(done, n));
         }
         assertTrue(await(client.commit(txn)).done());
     }
@@ -161,8 +165,8 @@
                 complete(random, done, tasks);
                 Job job = new Job(spec, 1, clock.now(), open().revision(), done, tasks, true);
                 StateClient.Txn txn = new StateClient.Txn()
-                        .when(RecordCodec.LEADER, leader)
-                        .when(RecordCodec.openKey(ID), job.revision());
+                        .when(RecordKeys.LEADER, leader)
+                        .when(RecordKeys.openKey(ID), job.revision());
                 book.addProgress(txn, job, done);
                 // The last write of this leader has no answer, and is carried out after the next leader's first.
                 boolean held = writes == 1 && random.nextBoolean();
@@ -200,8 +204,8 @@
         book.addProgress(txn, job, done);
         assertTrue(await(client.commit(txn)).done() && txn.size() <= 4);
         await(client.commit(new StateClient.Txn()
-                .delete(RecordCodec.openKey(ID))
-                .put(RecordCodec.finalKey(ID), RecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
+                .delete(RecordKeys.openKey(ID))
+                .put(RecordKeys.finalKey(ID), JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
         CompletionBlockStore next = book(NEXT);
         for (String key : blocks()) {
             next.inherit(key, new BitSet());
@@ -211,11 +215,11 @@
         while (!blocks().isEmpty()) {
             Thread.onSpinWait();
         }
-        assertTrue(state.has(RecordCodec.finalKey(ID)));
+        assertTrue(state.has(RecordKeys.finalKey(ID)));
     }
 
     private List<String> blocks() {
-        List<String> keys = new ArrayList<>(state.keys(RecordCodec.BITS));
+        List<String> keys = new ArrayList<>(state.keys(RecordKeys.COMPLETION_BLOCKS));
         keys.addAll(state.keys(CompletionBits.SMALL_BLOCKS));
         return keys;
     }
--- a/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
@@ -26,7 +26,8 @@
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -60,7 +61,7 @@
 
         Leader(long token) throws Exception {
             Revision key = await(client.commit(
-                            new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", token))))
+                            new StateClient.Txn().put(RecordKeys.LEADER, MessagePackFormat.map("t", token))))
                     .writtenRevision();
             LeadershipTerm.Context context = new LeadershipTerm.Context(
                     vertx,
@@ -167,13 +168,13 @@
         BitSet bits = new BitSet();
         bits.set(0, done);
         await(client.commit(new StateClient.Txn()
-                .put(RecordCodec.openKey(spec.id()), RecordCodec.writeJob(spec, 1, JobStatus.PENDING, bits, 0, 0))));
+                .put(RecordKeys.openKey(spec.id()), JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, bits, 0, 0))));
     }
 
     private void over(int id, JobStatus status) throws Exception {
         await(client.commit(new StateClient.Txn()
-                .delete(RecordCodec.openKey(id(id)))
-                .put(RecordCodec.finalKey(id(id)), RecordCodec.writeFinal(status, 0))));
+                .delete(RecordKeys.openKey(id(id)))
+                .put(RecordKeys.finalKey(id(id)), JobRecordCodec.writeFinal(status, 0))));
     }
 
     /** A spinning loop takes no notice of the test's own limit: it is bounded here. */
@@ -187,9 +188,9 @@
 
     private void awaitCancelled(int... ids) throws Exception {
         for (int id : ids) {
-            until(() -> state.has(RecordCodec.finalKey(id(id))));
-            assertEquals("CANCELLED", state.value(RecordCodec.finalKey(id(id))).text("status"));
-            assertFalse(state.has(RecordCodec.openKey(id(id))));
+            until(() -> state.has(RecordKeys.finalKey(id(id))));
+            assertEquals("CANCELLED", state.value(RecordKeys.finalKey(id(id))).text("status"));
+            assertFalse(state.has(RecordKeys.openKey(id(id))));
         }
     }
 
--- a/src/test/java/io/indigoreach/cluster/IntentLogTest.java
+++ b/src/test/java/io/indigoreach/cluster/IntentLogTest.java
@@ -15,7 +15,7 @@
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -59,7 +59,7 @@
     /** The book of a leader that has just taken the key. */
     private IntentLog leader(long token) throws Exception {
         StateClient.Outcome taken =
-                await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", token))));
+                await(client.commit(new StateClient.Txn().put(RecordKeys.LEADER, MessagePackFormat.map("t", token))));
         return new IntentLog(
                 env,
                 new FencingToken(token),
--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -33,7 +33,8 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.JobRecord;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -79,7 +80,7 @@
                 Settings.standard(),
                 Span.seconds(10));
         StateClient.Outcome taken =
-                await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))));
+                await(client.commit(new StateClient.Txn().put(RecordKeys.LEADER, MessagePackFormat.map("t", 1L))));
         core = new SchedulerCore(
                 new FencingToken(3),
                 MachineStoreTest.config().rules(),
@@ -131,8 +132,8 @@
                 null);
         Revision stamp = await(client.commit(new StateClient.Txn()
                         .put(
-                                RecordCodec.openKey(spec.id()),
-                                RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, bound))))
+                                RecordKeys.openKey(spec.id()),
+                                JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, bound))))
                 .writtenRevision();
         BitSet over = new BitSet();
         over.set(0, done);
@@ -141,8 +142,8 @@
 
     /** What stands in the open jobs' records. */
     private Map<JobId, JobRecord> open() throws Exception {
-        return await(client.list(RecordCodec.OPEN, null, 1000)).items().stream()
-                .map(e -> RecordCodec.readJob(RecordCodec.jobOfOpenKey(e.key()), e.value(), e.revision()))
+        return await(client.list(RecordKeys.OPEN_JOBS, null, 1000)).items().stream()
+                .map(e -> JobRecordCodec.readJob(RecordKeys.jobOfOpenKey(e.key()), e.value(), e.revision()))
                 .collect(Collectors.toMap(JobRecord::id, record -> record));
     }
 
@@ -190,8 +191,8 @@
         Job job = job(1, 2, 0, 2);
         core.addJob(job);
         await(client.commit(new StateClient.Txn()
-                .delete(RecordCodec.openKey(job.id()))
-                .put(RecordCodec.finalKey(job.id()), RecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
+                .delete(RecordKeys.openKey(job.id()))
+                .put(RecordKeys.finalKey(job.id()), JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
         Moment before = clock.now();
         horizon.advanceTo(before);
         state.refusing = true;
@@ -232,7 +233,7 @@
     /** As a watch brings it. */
     private static Fields record(Job job, int bound) {
         return MessagePackFormat.readMap(MessagePackFormat.write(
-                RecordCodec.writeJob(job.spec(), 1, JobStatus.PENDING, new BitSet(), 0, bound)));
+                JobRecordCodec.writeJob(job.spec(), 1, JobStatus.PENDING, new BitSet(), 0, bound)));
     }
 
     /** The records fill two pages; when the first one was read and the second one not, a job of each is cancelled. */
@@ -242,7 +243,7 @@
         for (int first = 1000; first < 1600; first += 10) {
             StateClient.Txn jobs = new StateClient.Txn();
             for (int n = first; n < first + 10; n++) {
-                jobs.put("j/run-" + n, RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 1));
+                jobs.put("j/run-" + n, JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 1));
             }
             assertTrue(await(client.commit(jobs)).done());
         }
@@ -256,7 +257,7 @@
         for (String id : List.of("run-1000", "run-1599")) {
             await(client.commit(new StateClient.Txn()
                     .delete("j/" + id)
-                    .put("f/" + id, RecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
+                    .put("f/" + id, JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
         }
         onLoop(state::letThrough);
         long revision = await(loaded);
@@ -280,11 +281,11 @@
         await(client.commit(new StateClient.Txn()
                 .put(
                         "j/" + id,
-                        RecordCodec.writeJob(job(1, 1, 0, 1).spec(), 1, JobStatus.PENDING, new BitSet(), 0, 1))));
+                        JobRecordCodec.writeJob(job(1, 1, 0, 1).spec(), 1, JobStatus.PENDING, new BitSet(), 0, 1))));
         long revision = await(ledger.load());
         await(client.commit(new StateClient.Txn()
                 .delete("j/" + id)
-                .put("f/" + id, RecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
+                .put("f/" + id, JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
         Promise<Void> heard = Promise.promise();
         onLoop(() -> new JobWatch(env, ledger, horizon).catchUp(revision).onComplete(heard));
         await(heard.future());
@@ -319,10 +320,10 @@
                 Span.seconds(10));
         JobSpec spec = CompletionBlockStoreTest.spec(4, 3000);
         Revision stamp = await(client.commit(new StateClient.Txn()
-                        .put("j/run-1", RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 0))))
+                        .put("j/run-1", JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 0))))
                 .writtenRevision();
         Job tooLong = new Job(spec, 1, clock.now(), stamp, new BitSet(), 0, false);
-        Revision leader = await(client.get(RecordCodec.LEADER)).revision();
+        Revision leader = await(client.get(RecordKeys.LEADER)).revision();
         ledger = new JobStore(env, core, null, leader, () -> {}, new RateLimiter(20, clock.now()), true, horizon);
         state.valueBytes = 2048;
         state.txnOps = 4;
@@ -365,13 +366,14 @@
         assertEquals(2, core.jobs().size());
         await(client.commit(new StateClient.Txn()
                 .delete("j/run-1")
-                .put("f/run-1", RecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
+                .put("f/run-1", JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
         BitSet done = new BitSet();
         done.set(0);
         await(client.commit(new StateClient.Txn()
                 .put(
                         "j/run-2",
-                        RecordCodec.writeJob(core.job(new JobId("run-2")).spec(), 1, JobStatus.RUNNING, done, 1, 2))));
+                        JobRecordCodec.writeJob(
+                                core.job(new JobId("run-2")).spec(), 1, JobStatus.RUNNING, done, 1, 2))));
         await(ledger.load());
         assertEquals(null, core.job(cancelled.id()), "its tasks are to be stopped, and no watch will tell");
         assertEquals(
--- a/src/test/java/io/indigoreach/cluster/LastTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/LastTaskTest.java
@@ -33,8 +33,10 @@
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.JobRepairer;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Context;
@@ -93,8 +95,8 @@
         catalogue = keep(
                 new Catalogue(vertx, leader, new CloudClient(keep(new ServiceClient(vertx, service.endpoint(), 1)))));
         Revision key = await(() -> leader.commit(new StateClient.Txn()
-                        .put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(List.of(TYPE)))
-                        .put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))))
+                        .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(TYPE)))
+                        .put(RecordKeys.LEADER, MessagePackFormat.map("t", 1L))))
                 .writtenRevision();
         await(() -> {
             catalogue.start();
@@ -194,7 +196,7 @@
 
     /** A job whose one task has ended, as its leader has just seen. */
     private void ended(JobId id) throws Exception {
-        Revision stamp = await(() -> leader.commit(new StateClient.Txn().put(RecordCodec.openKey(id), record(id))))
+        Revision stamp = await(() -> leader.commit(new StateClient.Txn().put(RecordKeys.openKey(id), record(id))))
                 .writtenRevision();
         BitSet done = new BitSet();
         done.set(0);
@@ -204,12 +206,12 @@
     }
 
     private static Map<String, Object> record(JobId id) {
-        return RecordCodec.writeJob(spec(id), 1, JobStatus.RUNNING, new BitSet(), 1, 1);
+        return JobRecordCodec.writeJob(spec(id), 1, JobStatus.RUNNING, new BitSet(), 1, 1);
     }
 
     private boolean isEnded() {
-        return service.has(RecordCodec.finalKey(JOB))
-                || RecordCodec.readJob(JOB, service.value(RecordCodec.openKey(JOB)), Revision.ABSENT)
+        return service.has(RecordKeys.finalKey(JOB))
+                || JobRecordCodec.readJob(JOB, service.value(RecordKeys.openKey(JOB)), Revision.ABSENT)
                                 .status()
                         == JobStatus.DONE;
     }
@@ -275,7 +277,7 @@
             assertEquals("200 " + told, word(await(() -> desk.cancel(JOB.text()))));
         }
         loop.runOnContext(v -> ledger.onOpenRecordWritten(JOB, before, new Revision(11)));
-        until(() -> !service.has(RecordCodec.openKey(JOB)));
+        until(() -> !service.has(RecordKeys.openKey(JOB)));
         assertNull(core.job(JOB), "nothing of it can be started");
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
@@ -51,10 +51,15 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.Candidate;
+import io.indigoreach.state.CatalogueRecordCodec;
 import io.indigoreach.state.ElectionSettings;
+import io.indigoreach.state.IntentRecordCodec;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.LeaderElection;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.LeaderKey;
+import io.indigoreach.state.MachineRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.RoutineRunner;
 import io.indigoreach.state.StateAccess;
 import io.indigoreach.state.StateClient;
@@ -89,7 +94,7 @@
 class LateTransactionsTest {
     private static final MachinePool POOL = new MachinePool("quad", "a", true);
     private static final JobId JOB = new JobId("run-1");
-    private static final String OPEN = RecordCodec.openKey(JOB);
+    private static final String OPEN = RecordKeys.openKey(JOB);
     private static final Intents.Rent RENT = new Intents.Rent("t3-1", POOL, 50, 1000);
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
@@ -241,7 +246,7 @@
 
     /** Another leadership begins. */
     private Revision lead(long token) throws Exception {
-        return await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", token))))
+        return await(client.commit(new StateClient.Txn().put(RecordKeys.LEADER, MessagePackFormat.map("t", token))))
                 .writtenRevision();
     }
 
@@ -296,7 +301,7 @@
     static {
         LEADERSHIP.put("a campaign, after the next one", t -> {
             LeaderElection a = t.node("a", 0);
-            t.loseOne(RecordCodec.LEADER);
+            t.loseOne(RecordKeys.LEADER);
             t.run(a::start);
             t.took("a");
             t.changesNothingMore();
@@ -304,17 +309,17 @@
         });
         LEADERSHIP.put("a campaign, after its node led and gave up", t -> {
             LeaderElection a = t.node("a", 0);
-            t.loseOne(RecordCodec.LEADER);
+            t.loseOne(RecordKeys.LEADER);
             t.run(a::start);
             t.took("a");
             t.run(() -> a.abdicate("test"));
-            t.until(() -> !t.service.has(RecordCodec.LEADER));
+            t.until(() -> !t.service.has(RecordKeys.LEADER));
             t.changesNothingMore();
-            assertFalse(t.service.has(RecordCodec.LEADER));
+            assertFalse(t.service.has(RecordKeys.LEADER));
         });
         LEADERSHIP.put("a campaign, after another node led and gave up", t -> {
             LeaderElection a = t.node("a", 0);
-            t.loseAll(RecordCodec.LEADER);
+            t.loseAll(RecordKeys.LEADER);
             t.run(a::start);
             t.untilUnanswered();
             t.run(a::stop);
@@ -327,29 +332,29 @@
             t.run(b::start);
             t.took("b");
             t.run(() -> b.abdicate("test"));
-            t.until(() -> !t.service.has(RecordCodec.LEADER));
+            t.until(() -> !t.service.has(RecordKeys.LEADER));
             t.changesNothingMore();
         });
         LEADERSHIP.put("a campaign, after its grant has ended", t -> {
             LeaderElection a = t.node("a", 0);
-            t.loseAll(RecordCodec.LEADER);
+            t.loseAll(RecordKeys.LEADER);
             t.run(a::start);
             t.untilUnanswered();
             t.endGrants(a);
             t.changesNothingMore();
-            assertFalse(t.service.has(RecordCodec.LEADER));
+            assertFalse(t.service.has(RecordKeys.LEADER));
         });
         LEADERSHIP.put("the removal of a predecessor's key, after its node took it", t -> {
             t.lead(1);
             await(t.client.commit(new StateClient.Txn()
-                    .put(RecordCodec.LEADER, MessagePackFormat.map("node", "a", "process", "a0", "token", 1L))));
+                    .put(RecordKeys.LEADER, MessagePackFormat.map("node", "a", "process", "a0", "token", 1L))));
             LeaderElection a = t.node("a", 2);
-            t.loseOne(RecordCodec.LEADER);
+            t.loseOne(RecordKeys.LEADER);
             await(a.clearPredecessor(node -> Future.succeededFuture(false)));
             t.run(a::start);
             t.took("a");
             t.changesNothingMore();
-            assertTrue(t.service.has(RecordCodec.LEADER));
+            assertTrue(t.service.has(RecordKeys.LEADER));
         });
         LEADERSHIP.put("the removal of the key of one that stood aside, after another took it", t -> {
             LeaderElection a = t.node("a", 0);
@@ -357,7 +362,7 @@
             t.took("a");
             LeaderElection b = t.node("b", 0);
             Revision key = a.leadershipRevision();
-            t.loseOne(RecordCodec.LEADER);
+            t.loseOne(RecordKeys.LEADER);
             assertTrue(b.removeKey(key)
                     .toCompletionStage()
                     .toCompletableFuture()
@@ -369,14 +374,14 @@
             t.run(b::start);
             t.took("b");
             t.changesNothingMore();
-            assertTrue(t.service.has(RecordCodec.LEADER));
+            assertTrue(t.service.has(RecordKeys.LEADER));
         });
         LEADERSHIP.put("the word for start bounds, after the next leadership", t -> {
-            await(t.client.commit(new StateClient.Txn().put(RecordCodec.COUNTER, MessagePackFormat.map("value", 7L))));
+            await(t.client.commit(new StateClient.Txn().put(RecordKeys.COUNTER, MessagePackFormat.map("value", 7L))));
             LeaderElection a = t.node("a", 0);
             t.run(a::start);
             t.took("a");
-            t.loseAll(RecordCodec.COUNTER);
+            t.loseAll(RecordKeys.COUNTER);
             t.run(a::confirmStartBounds);
             t.untilUnanswered();
             t.pass();
@@ -386,7 +391,7 @@
             t.changesNothingMore();
             assertEquals(
                     t.isAtOnce(),
-                    t.service.value(RecordCodec.COUNTER).flag("bounds", false),
+                    t.service.value(RecordKeys.COUNTER).flag("bounds", false),
                     "said late, an older version may have led in between");
         });
     }
@@ -395,7 +400,7 @@
     @Test
     void aCampaignCarriedOutAfterItsNodeHasPledgedMakesNoLeader() throws Exception {
         LeaderElection a = node("a", 0);
-        loseAll(RecordCodec.LEADER);
+        loseAll(RecordKeys.LEADER);
         run(a::start);
         untilUnanswered();
         CompletableFuture<Moment> pledged = new CompletableFuture<>();
@@ -407,11 +412,11 @@
         });
         Moment given = pledged.get(20, TimeUnit.SECONDS);
         assertTrue(service.executeLate().contains(200));
-        long token = RecordCodec.token(service.value(RecordCodec.LEADER).map());
-        assertTrue(service.has(RecordCodec.LEADER) && events.isEmpty() && !a.isLeading());
+        long token = LeaderKey.tokenOf(service.value(RecordKeys.LEADER).map());
+        assertTrue(service.has(RecordKeys.LEADER) && events.isEmpty() && !a.isLeading());
         took("a");
         assertTrue(clock.now().since(given).compareTo(Span.seconds(2)) >= 0, "a pledge binds");
-        assertTrue(RecordCodec.token(service.value(RecordCodec.LEADER).map()) > token);
+        assertTrue(LeaderKey.tokenOf(service.value(RecordKeys.LEADER).map()) > token);
     }
 
     // Jobs.
@@ -427,7 +432,7 @@
                 8192,
                 100));
         await(client.commit(
-                new StateClient.Txn().put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(List.of(type())))));
+                new StateClient.Txn().put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type())))));
         env.catalogue().start();
         until(env.catalogue()::isKnown);
         return desk;
@@ -468,12 +473,12 @@
     private void isOver(JobStatus how) {
         assertEquals(
                 how,
-                RecordCodec.readFinal(JOB, service.value(RecordCodec.finalKey(JOB)))
+                JobRecordCodec.readFinal(JOB, service.value(RecordKeys.finalKey(JOB)))
                         .status());
     }
 
     private void untilOver(JobId id) throws Exception {
-        until(() -> service.has(RecordCodec.finalKey(id)));
+        until(() -> service.has(RecordKeys.finalKey(id)));
     }
 
     /** A job in the state service and in the leader's memory; the first {@code done} of its tasks are done and not recorded. */
@@ -484,8 +489,8 @@
         pass();
         Revision stamp = await(client.commit(new StateClient.Txn()
                         .put(
-                                RecordCodec.openKey(spec.id()),
-                                RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, bound))))
+                                RecordKeys.openKey(spec.id()),
+                                JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, bound))))
                 .writtenRevision();
         service.holding = holding;
         service.losing = losing;
@@ -520,7 +525,7 @@
     }
 
     private int recorded(JobId id) {
-        return RecordCodec.readJob(id, service.value(RecordCodec.openKey(id)), Revision.ABSENT)
+        return JobRecordCodec.readJob(id, service.value(RecordKeys.openKey(id)), Revision.ABSENT)
                 .doneCount();
     }
 
@@ -549,7 +554,7 @@
             assertEquals(503, t.submit(desk));
             JobStore jobStore = t.ledger(t.lead(4));
             t.begin(jobStore, t.job(JOB.text(), 4, 4, 4));
-            t.until(() -> t.service.has(RecordCodec.finalKey(JOB)) && t.core.job(JOB) == null);
+            t.until(() -> t.service.has(RecordKeys.finalKey(JOB)) && t.core.job(JOB) == null);
             t.changesNothingMore();
             assertFalse(t.service.has(OPEN));
         });
@@ -605,7 +610,7 @@
             });
         }
         JOBS.put("the mending of an end, after another", t -> {
-            String over = RecordCodec.finalKey(JOB);
+            String over = RecordKeys.finalKey(JOB);
             StateClient.Outcome spoilt =
                     await(t.client.commit(new StateClient.Txn().put(over, MessagePackFormat.map("status", "DONE"))));
             StateClient.Entry entry = new StateClient.Entry(over, t.service.value(over), spoilt.writtenRevision(), 0);
@@ -669,7 +674,7 @@
             JobStore jobStore = t.leading();
             t.loseOne(OPEN);
             t.begin(jobStore, t.job(JOB.text(), 4, 4, 4));
-            t.until(() -> t.service.has(RecordCodec.finalKey(JOB)) && t.core.job(JOB) == null);
+            t.until(() -> t.service.has(RecordKeys.finalKey(JOB)) && t.core.job(JOB) == null);
             t.changesNothingMore();
         });
         JOBS.put("an end, after a change of leader", t -> {
@@ -704,7 +709,7 @@
             AtomicBoolean move = new AtomicBoolean(true);
             // A mark puts the open record; the first transaction after it that deletes that record moves it.
             t.leaveUnanswered(txn -> touches(txn, OPEN)
-                    && (touches(txn, RecordCodec.finalKey(JOB))
+                    && (touches(txn, RecordKeys.finalKey(JOB))
                             ? !mark.get() && move.getAndSet(false)
                             : mark.getAndSet(false)));
             t.begin(jobStore, jobs);
@@ -713,7 +718,7 @@
             }
             assertEquals(2, t.unanswered());
             t.changesNothingMore();
-            assertEquals(List.of(), t.service.keys(RecordCodec.OPEN));
+            assertEquals(List.of(), t.service.keys(RecordKeys.OPEN_JOBS));
         });
     }
 
@@ -745,8 +750,8 @@
     }
 
     private int lines() {
-        return service.keys(RecordCodec.MACHINES).stream()
-                .mapToInt(k -> RecordCodec.readMachines(service.value(k)).size())
+        return service.keys(RecordKeys.MACHINE_PAGES).stream()
+                .mapToInt(k -> MachineRecordCodec.readMachines(service.value(k)).size())
                 .sum();
     }
 
@@ -761,7 +766,7 @@
 
     private Intents.Page intended() throws Exception {
         return service.has("i/3")
-                ? RecordCodec.readIntents(service.value("i/3"))
+                ? IntentRecordCodec.readIntents(service.value("i/3"))
                 : new Intents.Page(List.of(), List.of());
     }
 
@@ -770,7 +775,7 @@
     static {
         CLOUD.put("a page's first write, after its repeat", t -> {
             MachineStore machineStore = t.machines(t.lead(1));
-            t.loseOne(RecordCodec.MACHINES);
+            t.loseOne(RecordKeys.MACHINE_PAGES);
             assertTrue(t.onLoop(() -> t.report(machineStore, 1)));
             assertTrue(t.onLoop(() -> t.report(machineStore, 2)));
             t.changesNothingMore();
@@ -778,7 +783,7 @@
         });
         CLOUD.put("a page's first write, after all on it are gone", t -> {
             MachineStore machineStore = t.machines(t.lead(1));
-            t.loseOne(RecordCodec.MACHINES);
+            t.loseOne(RecordKeys.MACHINE_PAGES);
             assertTrue(t.onLoop(() -> t.report(machineStore, 1)));
             t.run(() -> t.gone(1));
             t.until(() -> t.lines() == 0);
@@ -787,7 +792,7 @@
         });
         CLOUD.put("a page's first write, after a change of leader", t -> {
             MachineStore machineStore = t.machines(t.lead(1));
-            t.loseAll(RecordCodec.MACHINES);
+            t.loseAll(RecordKeys.MACHINE_PAGES);
             t.run(() -> t.report(machineStore, 1));
             t.untilUnanswered();
             t.run(machineStore::cancel);
@@ -797,7 +802,7 @@
         CLOUD.put("a page's change, after a newer one", t -> {
             MachineStore machineStore = t.machines(t.lead(1));
             assertTrue(t.onLoop(() -> t.report(machineStore, 1)));
-            t.loseOne(RecordCodec.MACHINES);
+            t.loseOne(RecordKeys.MACHINE_PAGES);
             assertTrue(t.onLoop(() -> t.report(machineStore, 2)));
             assertTrue(t.onLoop(() -> t.report(machineStore, 3)));
             t.changesNothingMore();
@@ -811,21 +816,21 @@
             Revision key = t.lead(4);
             MachineStore next = new MachineStore(
                     t.env, t.core, new FencingToken(4), key, () -> {}, new RateLimiter(100, t.clock.now()));
-            t.loseOne(RecordCodec.MACHINES);
+            t.loseOne(RecordKeys.MACHINE_PAGES);
             await(JobStore.pages(
                     t.client,
                     key,
-                    RecordCodec.MACHINES,
-                    e -> next.inherit(e.key(), e.revision(), RecordCodec.readMachines(e.value()))));
+                    RecordKeys.MACHINE_PAGES,
+                    e -> next.inherit(e.key(), e.revision(), MachineRecordCodec.readMachines(e.value()))));
             t.run(next::start);
-            t.until(() ->
-                    t.unanswered() == 1 && t.service.keys(RecordCodec.MACHINES).isEmpty());
+            t.until(() -> t.unanswered() == 1
+                    && t.service.keys(RecordKeys.MACHINE_PAGES).isEmpty());
             t.changesNothingMore();
         });
         CLOUD.put("an intent's first record, after its repeat", t -> {
             IntentLog book = t.intents(t.lead(1));
             book.intents().add(RENT);
-            t.loseOne(RecordCodec.INTENTS);
+            t.loseOne(RecordKeys.INTENTS);
             assertFalse(record(book) || book.intents().mayAsk(RENT.name()), "it may be there or not");
             t.until(() -> record(book) && book.intents().mayAsk(RENT.name()));
             t.changesNothingMore();
@@ -833,7 +838,7 @@
         CLOUD.put("an intent's first record, after all in it is settled", t -> {
             IntentLog book = t.intents(t.lead(1));
             book.intents().add(RENT);
-            t.loseOne(RecordCodec.INTENTS);
+            t.loseOne(RecordKeys.INTENTS);
             assertFalse(record(book));
             t.until(() -> record(book) && book.intents().mayAsk(RENT.name()));
             book.intents().settled(RENT.name());
@@ -844,7 +849,7 @@
         CLOUD.put("an intent's first record, after it was given up", t -> {
             IntentLog book = t.intents(t.lead(1));
             book.intents().add(RENT);
-            t.loseOne(RecordCodec.INTENTS);
+            t.loseOne(RecordKeys.INTENTS);
             assertFalse(record(book));
             book.intents().settled(RENT.name());
             t.until(() -> record(book) && t.service.has("i/3") && t.intended().isEmpty());
@@ -854,7 +859,7 @@
         CLOUD.put("an intent, after a change of leader", t -> {
             IntentLog book = t.intents(t.lead(1));
             book.intents().add(RENT);
-            t.loseOne(RecordCodec.INTENTS);
+            t.loseOne(RecordKeys.INTENTS);
             assertFalse(record(book));
             t.lead(4);
             t.changesNothingMore();
@@ -867,7 +872,7 @@
             IntentLog next =
                     new IntentLog(t.env, new FencingToken(4), t.lead(4), () -> {}, new RateLimiter(100, t.clock.now()));
             await(next.load());
-            t.loseOne(RecordCodec.INTENTS);
+            t.loseOne(RecordKeys.INTENTS);
             await(next.forgetEarlier());
             assertEquals(t.isAtOnce(), !t.service.has("i/3"));
             await(next.forgetEarlier());
@@ -903,13 +908,13 @@
     }
 
     private int bound() {
-        return RecordCodec.readJob(JOB, service.value(OPEN), Revision.ABSENT).bound();
+        return JobRecordCodec.readJob(JOB, service.value(OPEN), Revision.ABSENT).bound();
     }
 
     private static final Map<String, Case> LOSS = new LinkedHashMap<>();
 
     static {
-        for (String key : List.of(RecordCodec.MACHINES, OPEN, RecordCodec.FINAL, RecordCodec.ERA)) {
+        for (String key : List.of(RecordKeys.MACHINE_PAGES, OPEN, RecordKeys.FINAL_JOBS, RecordKeys.ERA)) {
             LOSS.put("a rebuilding's " + key + ", after the next try", t -> {
                 await(t.client.check());
                 Revision leader = t.lead(1);
@@ -930,7 +935,7 @@
         LOSS.put("a rebuilt page, after the next try and all on it are gone", t -> {
             await(t.client.check());
             Revision leader = t.lead(1);
-            t.loseOne(RecordCodec.MACHINES);
+            t.loseOne(RecordKeys.MACHINE_PAGES);
             assertFalse(t.rebuilds(leader));
             assertTrue(t.rebuilds(leader));
             MachineStore machineStore = new MachineStore(
@@ -938,8 +943,8 @@
             await(JobStore.pages(
                     t.client,
                     leader,
-                    RecordCodec.MACHINES,
-                    e -> machineStore.inherit(e.key(), e.revision(), RecordCodec.readMachines(e.value()))));
+                    RecordKeys.MACHINE_PAGES,
+                    e -> machineStore.inherit(e.key(), e.revision(), MachineRecordCodec.readMachines(e.value()))));
             t.run(machineStore::start);
             t.until(() -> t.lines() == 0);
             t.changesNothingMore();
@@ -951,15 +956,15 @@
             t.loseOne(OPEN);
             assertFalse(t.rebuilds(leader));
             assertTrue(t.rebuilds(leader));
-            assertEquals(2, t.service.keys(RecordCodec.BITS).size());
+            assertEquals(2, t.service.keys(RecordKeys.COMPLETION_BLOCKS).size());
             assertEquals(200, t.cancel(t.desk()));
             // As the leader does behind the end.
             StateClient.Txn removal = new StateClient.Txn();
-            t.service.keys(RecordCodec.BITS).forEach(removal::delete);
+            t.service.keys(RecordKeys.COMPLETION_BLOCKS).forEach(removal::delete);
             assertTrue(await(t.client.commit(removal)).done());
             t.changesNothingMore();
             assertFalse(t.service.has(OPEN));
-            assertEquals(List.of(), t.service.keys(RecordCodec.BITS));
+            assertEquals(List.of(), t.service.keys(RecordKeys.COMPLETION_BLOCKS));
         });
         LOSS.put("a rebuilt job, after a next try that no longer knew of it", t -> {
             await(t.client.check());
@@ -981,13 +986,13 @@
             assertEquals(503, t.submit(desk));
             assertEquals(t.isAtOnce() ? 200 : 201, t.submit(desk));
             assertEquals(200, t.cancel(desk));
-            await(t.client.commit(new StateClient.Txn().delete(RecordCodec.finalKey(JOB))));
+            await(t.client.commit(new StateClient.Txn().delete(RecordKeys.finalKey(JOB))));
             assertTrue(t.rebuilds(t.lead(1), new RememberedState()));
             t.changesNothingMore();
             assertFalse(t.service.has(OPEN));
         });
         LOSS.put("a deployment's first era, after another process wrote it", t -> {
-            t.loseOne(RecordCodec.ERA);
+            t.loseOne(RecordKeys.ERA);
             assertTrue(await(t.client.check().map(false).otherwise(true)));
             await(t.client().check());
             t.changesNothingMore();
@@ -1036,7 +1041,7 @@
         });
         PARTS.put("a leader's write, after a change of leader", t -> {
             RoutineRunner records =
-                    t.records().leading(RecordCodec.LEADER, t.lead(1), new RateLimiter(100, t.clock.now()));
+                    t.records().leading(RecordKeys.LEADER, t.lead(1), new RateLimiter(100, t.clock.now()));
             t.loseOne("x/");
             assertTrue(await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L)))
                     .map(false)
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -33,8 +33,10 @@
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.MachineRecord;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.MachineRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -169,8 +171,8 @@
 
     private List<MachineRecord> written() {
         List<MachineRecord> all = new ArrayList<>();
-        for (String key : state.keys(RecordCodec.MACHINES)) {
-            all.addAll(RecordCodec.readMachines(state.value(key)));
+        for (String key : state.keys(RecordKeys.MACHINE_PAGES)) {
+            all.addAll(MachineRecordCodec.readMachines(state.value(key)));
         }
         return all;
     }
@@ -187,7 +189,7 @@
         assertFalse(done.contains(false));
         assertEquals(300, written().size());
         assertTrue(state.transactions <= 4, state.transactions + " transactions");
-        for (String key : state.keys(RecordCodec.MACHINES)) {
+        for (String key : state.keys(RecordKeys.MACHINE_PAGES)) {
             assertTrue(JsonSize.of(state.value(key).map()) <= VALUE_BYTES);
         }
     }
@@ -204,7 +206,7 @@
                 written().stream()
                         .map(m -> Integer.parseInt(m.id().text().substring(3)))
                         .toList());
-        assertEquals(1, state.keys(RecordCodec.MACHINES).size());
+        assertEquals(1, state.keys(RecordKeys.MACHINE_PAGES).size());
     }
 
     /** A new leader's reading fails after the machines, and is repeated: more machines than one page takes come up then. */
@@ -216,8 +218,8 @@
                 new MachineRecord(new MachineId("vm-000900"), POOL, clock.timeOfDay(), clock.timeOfDay());
         long revision = await(client.commit(new StateClient.Txn()
                         .put(
-                                RecordCodec.machinePageKey(new FencingToken(2), 1),
-                                RecordCodec.writeMachines(List.of(earlier)))))
+                                RecordKeys.machinePageKey(new FencingToken(2), 1),
+                                MachineRecordCodec.writeMachines(List.of(earlier)))))
                 .revision();
         JobStore jobStore = new JobStore(
                 env,
@@ -258,8 +260,8 @@
                 core.inheritMachine(id, POOL, now, now, now);
             }
         }
-        String wide = RecordCodec.machinePageKey(new FencingToken(2), 1);
-        Revision stamp = await(client.commit(new StateClient.Txn().put(wide, RecordCodec.writeMachines(lines))))
+        String wide = RecordKeys.machinePageKey(new FencingToken(2), 1);
+        Revision stamp = await(client.commit(new StateClient.Txn().put(wide, MachineRecordCodec.writeMachines(lines))))
                 .writtenRevision();
         state.valueBytes = 2048;
         state.txnOps = 4;
@@ -283,7 +285,7 @@
             assertTrue(written().stream().map(MachineRecord::id).distinct().count() >= 49);
         }
         assertEquals(49, written().stream().map(MachineRecord::id).distinct().count(), "all but the one that is gone");
-        for (String key : state.keys(RecordCodec.MACHINES)) {
+        for (String key : state.keys(RecordKeys.MACHINE_PAGES)) {
             assertTrue(JsonSize.of(state.value(key).map()) <= 2048, key);
         }
         assertEquals(0, state.tooLarge);
@@ -295,8 +297,8 @@
         Moment before = clock.now();
         long revision = await(client.commit(new StateClient.Txn()
                         .put(
-                                RecordCodec.machinePageKey(new FencingToken(2), 1),
-                                RecordCodec.writeMachines(List.of(new MachineRecord(
+                                RecordKeys.machinePageKey(new FencingToken(2), 1),
+                                MachineRecordCodec.writeMachines(List.of(new MachineRecord(
                                         new MachineId("vm-000900"), POOL, clock.timeOfDay(), clock.timeOfDay()))))))
                 .revision();
         SchedulerCore fresh = new SchedulerCore(
@@ -338,8 +340,8 @@
     void aPageThatIsReadTwiceLosesNoMachine() throws Exception {
         List<MachineRecord> gone = List.of(new MachineRecord(new MachineId("vm-900"), POOL, 1, 1));
         StateClient.Outcome pages = await(client.commit(new StateClient.Txn()
-                .put("m/2-1", RecordCodec.writeMachines(gone))
-                .put("m/2-2", RecordCodec.writeMachines(gone))));
+                .put("m/2-1", MachineRecordCodec.writeMachines(gone))
+                .put("m/2-2", MachineRecordCodec.writeMachines(gone))));
         assertTrue(onLoop(() -> {
             book.inherit("m/2-1", pages.writtenRevision(), gone);
             book.inherit("m/2-1", pages.writtenRevision(), gone);
@@ -401,8 +403,8 @@
                 null);
         long revision = await(client.commit(new StateClient.Txn()
                         .put(
-                                RecordCodec.openKey(spec.id()),
-                                RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 0))))
+                                RecordKeys.openKey(spec.id()),
+                                JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 0))))
                 .revision();
         for (boolean kept : new boolean[] {false, true}) {
             SchedulerCore fresh = new SchedulerCore(
--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -23,7 +23,9 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.parts.Parts;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.MachineRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.RememberedStateCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
@@ -59,7 +61,7 @@
                     Settings.standard(),
                     Span.seconds(10));
             StateClient.Outcome taken =
-                    await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))));
+                    await(client.commit(new StateClient.Txn().put(RecordKeys.LEADER, MessagePackFormat.map("t", 1L))));
             RememberedState rememberedState = new RememberedState();
             for (int n = 1; n < 3; n++) {
                 Moment now = clock.now();
@@ -75,7 +77,7 @@
                 assertEquals(
                         n,
                         state.keys("m/").stream()
-                                .mapToInt(key -> RecordCodec.readMachines(state.value(key))
+                                .mapToInt(key -> MachineRecordCodec.readMachines(state.value(key))
                                         .size())
                                 .sum());
             }
@@ -117,7 +119,7 @@
                     Span.seconds(10),
                     parts);
             StateClient.Outcome taken = await(client.commit(new StateClient.Txn()
-                    .put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))
+                    .put(RecordKeys.LEADER, MessagePackFormat.map("t", 1L))
                     .put("x/older", MessagePackFormat.map("n", 1L, VersionedRecord.VERSION, 1L))
                     .put("x/newer", MessagePackFormat.map("n", 9L, VersionedRecord.VERSION, 9L))));
             RememberedState rememberedState = new RememberedState();
@@ -171,14 +173,14 @@
                     Settings.standard(),
                     Span.seconds(10));
             StateClient.Txn before = new StateClient.Txn()
-                    .put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))
+                    .put(RecordKeys.LEADER, MessagePackFormat.map("t", 1L))
                     .put("j/run-1", MessagePackFormat.map("at", "x"))
                     .put("j/run-2", MessagePackFormat.map())
                     .put("p/run-3/0", MessagePackFormat.map("bits", 7L));
             RememberedState rememberedState = new RememberedState();
             for (int n = 10; n < 500; n++) {
                 JobId id = new JobId("run-" + n);
-                before.put(RecordCodec.finalKey(id), RecordCodec.writeFinal(JobStatus.DONE, 1));
+                before.put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(JobStatus.DONE, 1));
                 rememberedState.add(id, new RememberedState.FinishedJob(JobStatus.DONE, 1));
             }
             int limit = state.txnOps;
@@ -216,13 +218,13 @@
                     .run());
             assertEquals(
                     "t",
-                    RecordCodec.readJob(spec.id(), state.value("j/run-1"), Revision.ABSENT)
+                    JobRecordCodec.readJob(spec.id(), state.value("j/run-1"), Revision.ABSENT)
                             .spec()
                             .team());
             assertEquals(List.of("j/run-1"), state.keys("j/"));
             assertEquals(
                     JobStatus.CANCELLED,
-                    RecordCodec.readFinal(spec.id(), state.value("f/run-2")).status());
+                    JobRecordCodec.readFinal(spec.id(), state.value("f/run-2")).status());
             assertEquals(4, state.changed - changes, "one record, an end and its move, the era");
         } finally {
             await(vertx.close());
--- a/src/test/java/io/indigoreach/emulator/AskedJobs.java
+++ b/src/test/java/io/indigoreach/emulator/AskedJobs.java
@@ -13,7 +13,7 @@
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.ServiceResponse;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import java.util.ArrayList;
 import java.util.List;
@@ -141,16 +141,16 @@
     /** Passes the leadership on until this node has it; in vain after some tries. */
     void makeLeader(int node) throws Exception {
         for (int tries = 0; tries < 8 && leader() != node; tries++) {
-            LocalCluster.await(state.get(RecordCodec.LEADER)
+            LocalCluster.await(state.get(RecordKeys.LEADER)
                     .compose(key -> state.commit(new StateClient.Txn()
-                            .when(RecordCodec.LEADER, key.revision())
-                            .delete(RecordCodec.LEADER))));
+                            .when(RecordKeys.LEADER, key.revision())
+                            .delete(RecordKeys.LEADER))));
             LocalCluster.await(cluster.vertx.timer(500, TimeUnit.MILLISECONDS));
         }
     }
 
     int leader() throws Exception {
-        String node = LocalCluster.await(state.get(RecordCodec.LEADER)).value().text("node");
+        String node = LocalCluster.await(state.get(RecordKeys.LEADER)).value().text("node");
         return Integer.parseInt(node.substring(node.lastIndexOf('-') + 1));
     }
 }
--- a/src/test/java/io/indigoreach/emulator/CalendarClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/CalendarClusterTest.java
@@ -29,7 +29,8 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.parts.Parts;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -125,12 +126,12 @@
         for (Event e : cluster.history.events()) {
             if (e instanceof Event.Committed c) {
                 c.txn().writes().stream()
-                        .filter(w -> w.key().startsWith(RecordCodec.OPEN))
+                        .filter(w -> w.key().startsWith(RecordKeys.OPEN_JOBS))
                         .forEach(w -> {
                             if (w.isDelete()) {
                                 there.remove(w.key());
                             } else if (there.add(w.key())) {
-                                times.merge(RecordCodec.jobOfOpenKey(w.key()), 1, Integer::sum);
+                                times.merge(RecordKeys.jobOfOpenKey(w.key()), 1, Integer::sum);
                             }
                         });
             }
@@ -177,9 +178,9 @@
                         e -> e instanceof Event.Committed c
                                 && c.txn().writes().stream()
                                         .anyMatch(w -> !w.isDelete()
-                                                && w.key().startsWith(RecordCodec.OPEN)
-                                                && RecordCodec.readJob(
-                                                                        RecordCodec.jobOfOpenKey(w.key()),
+                                                && w.key().startsWith(RecordKeys.OPEN_JOBS)
+                                                && JobRecordCodec.readJob(
+                                                                        RecordKeys.jobOfOpenKey(w.key()),
                                                                         new Fields(w.value()),
                                                                         io.indigoreach.core.model.Revision.ABSENT)
                                                                 .status()
@@ -194,9 +195,9 @@
                     e -> e instanceof Event.Committed c
                             && c.txn().writes().stream()
                                     .anyMatch(w -> !w.isDelete()
-                                            && w.key().startsWith(RecordCodec.FINAL)
+                                            && w.key().startsWith(RecordKeys.FINAL_JOBS)
                                             && wanted.containsKey(
-                                                    new JobId(w.key().substring(RecordCodec.FINAL.length())))),
+                                                    new JobId(w.key().substring(RecordKeys.FINAL_JOBS.length())))),
                     wanted.size());
             Map<JobId, Integer> accepted = accepted(cluster);
             accepted.forEach((id, times) -> assertEquals(1, times, id + " was accepted more than once"));
--- a/src/test/java/io/indigoreach/emulator/CutOffTest.java
+++ b/src/test/java/io/indigoreach/emulator/CutOffTest.java
@@ -5,7 +5,7 @@
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.ServiceResponse;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.worker.WorkerCodec;
 import java.util.List;
@@ -47,10 +47,10 @@
             jobs();
             // node-0 is the one that is cut off: the leadership is passed on until it leads, or does not.
             for (int tries = 0; !who.equals("all") && tries < 4 && (leader() == 0) != who.equals("leader"); tries++) {
-                LocalCluster.await(state.get(RecordCodec.LEADER)
+                LocalCluster.await(state.get(RecordKeys.LEADER)
                         .compose(key -> state.commit(new StateClient.Txn()
-                                .when(RecordCodec.LEADER, key.revision())
-                                .delete(RecordCodec.LEADER))));
+                                .when(RecordKeys.LEADER, key.revision())
+                                .delete(RecordKeys.LEADER))));
                 LocalCluster.await(cluster.vertx.timer(500, TimeUnit.MILLISECONDS));
             }
             until(10);
--- a/src/test/java/io/indigoreach/emulator/DependencyClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/DependencyClusterTest.java
@@ -11,7 +11,7 @@
 import io.indigoreach.core.model.Moment;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.model.Depot;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
@@ -39,7 +39,7 @@
     }
 
     private int ends() throws Exception {
-        return LocalCluster.await(state.list(RecordCodec.FINAL, null, 1000))
+        return LocalCluster.await(state.list(RecordKeys.FINAL_JOBS, null, 1000))
                 .items()
                 .size();
     }
--- a/src/test/java/io/indigoreach/emulator/HandoverDayTest.java
+++ b/src/test/java/io/indigoreach/emulator/HandoverDayTest.java
@@ -12,7 +12,7 @@
 import io.indigoreach.load.Users;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.ServiceResponse;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.worker.WorkerCodec;
 import io.vertx.core.Future;
@@ -74,7 +74,7 @@
 
     private int awaitLeader() throws Exception {
         Moment since = cluster.clock.now();
-        while (LocalCluster.await(state.get(RecordCodec.LEADER)) == null) {
+        while (LocalCluster.await(state.get(RecordKeys.LEADER)) == null) {
             assertTrue(cluster.clock.now().since(since).compareTo(LONGEST) < 0, "nobody leads");
             LocalCluster.await(cluster.vertx.timer(20, TimeUnit.MILLISECONDS));
         }
@@ -84,7 +84,7 @@
     private static boolean takesLeadership(Event e, String but) {
         return e instanceof Event.Committed c
                 && !c.node().equals(but)
-                && c.txn().writes().stream().anyMatch(w -> w.key().equals(RecordCodec.LEADER) && !w.isDelete());
+                && c.txn().writes().stream().anyMatch(w -> w.key().equals(RecordKeys.LEADER) && !w.isDelete());
     }
 
     /** Cancels a job of its user so many seconds after the start of all. */
--- a/src/test/java/io/indigoreach/emulator/LossTest.java
+++ b/src/test/java/io/indigoreach/emulator/LossTest.java
@@ -8,7 +8,8 @@
 import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.load.Users;
 import io.indigoreach.net.ServiceClient;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.LeaderKey;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import java.util.ArrayList;
@@ -77,8 +78,8 @@
             List<Long> tokens = cluster.history.events().stream()
                     .filter(e -> e instanceof Event.Committed)
                     .flatMap(e -> ((Event.Committed) e).txn().writes().stream())
-                    .filter(w -> w.key().equals(RecordCodec.LEADER) && !w.isDelete())
-                    .map(w -> RecordCodec.token(w.value()))
+                    .filter(w -> w.key().equals(RecordKeys.LEADER) && !w.isDelete())
+                    .map(w -> LeaderKey.tokenOf(w.value()))
                     .toList();
             assertEquals(tokens.stream().sorted().distinct().toList(), tokens, "each token is above all before");
             List<String> attempts = cluster.history.events().stream()
--- a/src/test/java/io/indigoreach/emulator/PlantedTest.java
+++ b/src/test/java/io/indigoreach/emulator/PlantedTest.java
@@ -18,7 +18,7 @@
 import io.indigoreach.net.RequestBody;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.ServiceResponse;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient.Txn;
 import io.indigoreach.state.StateCodec;
 import io.indigoreach.worker.WorkerCodec;
@@ -109,7 +109,7 @@
             }
             Txn blind = new Txn();
             txn.conditions().forEach((k, stamp) -> {
-                if (!key.test(k) && !k.equals(RecordCodec.LEADER)) {
+                if (!key.test(k) && !k.equals(RecordKeys.LEADER)) {
                     blind.when(k, stamp);
                 }
             });
@@ -162,8 +162,8 @@
                         cluster.vertx,
                         c.state(),
                         switch (planted) {
-                            case DOUBLE_WRITE -> without(k -> k.startsWith(RecordCodec.OPEN));
-                            case UNCONDITIONAL_LEADERSHIP -> without(k -> k.equals(RecordCodec.LEADER));
+                            case DOUBLE_WRITE -> without(k -> k.startsWith(RecordKeys.OPEN_JOBS));
+                            case UNCONDITIONAL_LEADERSHIP -> without(k -> k.equals(RecordKeys.LEADER));
                             default -> UnaryOperator.identity();
                         },
                         UnaryOperator.identity());
--- a/src/test/java/io/indigoreach/emulator/StateServerTest.java
+++ b/src/test/java/io/indigoreach/emulator/StateServerTest.java
@@ -21,8 +21,9 @@
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.scenario.Fault;
 import io.indigoreach.scenario.TextForm;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.JobRepairer;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -226,24 +227,24 @@
                 new JobService(vertx, client, new JobRepairer(client, clock), null, List.of(), clock, 8192, 100);
         JobId id = new JobId("run-1");
         assertTrue(LocalCluster.await(client.commit(new StateClient.Txn()
-                        .when(RecordCodec.openKey(id), Revision.ABSENT)
+                        .when(RecordKeys.openKey(id), Revision.ABSENT)
                         .put(
-                                RecordCodec.openKey(id),
-                                RecordCodec.writeJob(
+                                RecordKeys.openKey(id),
+                                JobRecordCodec.writeJob(
                                         LocalCluster.job(1, 1, 1), 1, JobStatus.PENDING, new BitSet(), 0, 0))))
                 .done());
-        assertNull(LocalCluster.await(client.get(RecordCodec.openKey(id))), "the read comes from before");
+        assertNull(LocalCluster.await(client.get(RecordKeys.openKey(id))), "the read comes from before");
         assertTrue(client.areReadsSuspect());
         assertTrue(fails(desk.query(id.text())), "neither 404 nor anything else is known");
         for (int i = 0; i < 3; i++) {
             LocalCluster.await(client.commit(put("other", i)));
         }
         assertEquals(200, LocalCluster.await(desk.query(id.text())).status(), "three changes later the read is right");
-        StateClient.Entry open = LocalCluster.await(client.get(RecordCodec.openKey(id)));
+        StateClient.Entry open = LocalCluster.await(client.get(RecordKeys.openKey(id)));
         assertTrue(LocalCluster.await(client.commit(new StateClient.Txn()
-                        .when(RecordCodec.openKey(id), open.revision())
-                        .delete(RecordCodec.openKey(id))
-                        .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(JobStatus.CANCELLED, 0))))
+                        .when(RecordKeys.openKey(id), open.revision())
+                        .delete(RecordKeys.openKey(id))
+                        .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))))
                 .done());
         assertTrue(fails(desk.query(id.text())), "not told that it is open once it is cancelled");
         for (int i = 0; i < 3; i++) {
@@ -265,8 +266,8 @@
         for (int progress = 0; progress < 2; progress++) {
             LocalCluster.await(client.commit(new StateClient.Txn()
                     .put(
-                            RecordCodec.openKey(id),
-                            RecordCodec.writeJob(LocalCluster.job(1, 4, 1), 1, JobStatus.RUNNING, done, 1, 4))));
+                            RecordKeys.openKey(id),
+                            JobRecordCodec.writeJob(LocalCluster.job(1, 4, 1), 1, JobStatus.RUNNING, done, 1, 4))));
             done.set(progress);
         }
         assertEquals(503, status(desk.cancel(id.text())), "three times the version of before");
--- a/src/test/java/io/indigoreach/state/FormatGateTest.java
+++ b/src/test/java/io/indigoreach/state/FormatGateTest.java
@@ -24,8 +24,8 @@
 
 /** When the data format is raised, and that no process of an older version leads from then on. Waits are for events, not times. */
 class FormatGateTest {
-    private static final String COUNTER = RecordCodec.COUNTER;
-    private static final String LEADER = RecordCodec.LEADER;
+    private static final String COUNTER = RecordKeys.COUNTER;
+    private static final String LEADER = RecordKeys.LEADER;
     private VersionProcesses site;
 
     @BeforeEach
--- a/src/test/java/io/indigoreach/state/GoldenRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenRecordsTest.java
@@ -92,10 +92,10 @@
     }
 
     private static Golden job(JobSpec spec, JobStatus status, BitSet done) {
-        boolean beside = RecordCodec.blocks(spec.tasks()) > 0;
+        boolean beside = TestBlocks.blocks(spec.tasks()) > 0;
         return new Golden(
-                RecordCodec.writeJob(spec, 1_700_000_000_123L, status, done, 3, 5),
-                f -> RecordCodec.readJob(ID, f, STAMP),
+                JobRecordCodec.writeJob(spec, 1_700_000_000_123L, status, done, 3, 5),
+                f -> JobRecordCodec.readJob(ID, f, STAMP),
                 new JobRecord(
                         spec,
                         1_700_000_000_123L,
@@ -109,7 +109,7 @@
 
     private static Object block(int n, Fields f) {
         BitSet into = new BitSet();
-        RecordCodec.readBlock(RecordCodec.blockKey(ID, n), f, into);
+        TestBlocks.readBlock(RecordKeys.blockKey(ID, n), f, into);
         return into;
     }
 
@@ -149,33 +149,37 @@
         all.put("job of 40000", job(small(JobKind.ARRAY, 40_000), JobStatus.RUNNING, everyThird(40_000)));
         BitSet second = everyThird(40_000);
         second.clear(0, 32_768);
-        all.put(
-                "block 1 of 40000",
-                new Golden(RecordCodec.writeBlock(everyThird(40_000), 1), f -> block(1, f), second));
+        all.put("block 1 of 40000", new Golden(TestBlocks.writeBlock(everyThird(40_000), 1), f -> block(1, f), second));
         all.put(
                 "end",
                 new Golden(
-                        RecordCodec.writeFinal(JobStatus.CANCELLED, 17),
-                        f -> RecordCodec.readFinal(ID, f),
+                        JobRecordCodec.writeFinal(JobStatus.CANCELLED, 17),
+                        f -> JobRecordCodec.readFinal(ID, f),
                         new FinalRecord(ID, JobStatus.CANCELLED, 17)));
         List<MachineRecord> machines = List.of(
                 new MachineRecord(new MachineId("vm-000231"), POOL, 1_700_000_000_000L, 1_700_000_020_000L),
                 new MachineRecord(new MachineId("vm-000232"), POOL, 1_700_000_001_000L, 0));
-        all.put("machines", new Golden(RecordCodec.writeMachines(machines), RecordCodec::readMachines, machines));
+        all.put(
+                "machines",
+                new Golden(MachineRecordCodec.writeMachines(machines), MachineRecordCodec::readMachines, machines));
         Intents.Page intents = new Intents.Page(
                 List.of(new Intents.Rent("t3-1", POOL, 50, 1_700_000_000_000L)), List.of(new MachineId("vm-000233")));
-        all.put("intents", new Golden(RecordCodec.writeIntents(intents), RecordCodec::readIntents, intents));
+        all.put(
+                "intents",
+                new Golden(IntentRecordCodec.writeIntents(intents), IntentRecordCodec::readIntents, intents));
         List<MachineType> types = List.of(
                 new MachineType("quad", new Demand(4, 0, 16), 40, 1, 0.2, 0.05, Span.seconds(20), List.of("a", "b")));
-        all.put("catalogue", new Golden(RecordCodec.writeCatalogue(types), RecordCodec::readCatalogue, types));
+        all.put(
+                "catalogue",
+                new Golden(CatalogueRecordCodec.writeCatalogue(types), CatalogueRecordCodec::readCatalogue, types));
         all.put("counter", counter(false));
         all.put("counter with bounds", counter(true));
-        all.put("era", new Golden(RecordCodec.writeEra(TOKEN), RecordCodec::readEra, TOKEN.value()));
+        all.put("era", new Golden(EraRecordCodec.writeEra(TOKEN), EraRecordCodec::readEra, TOKEN.value()));
         all.put(
                 "era after a loss",
                 new Golden(
-                        RecordCodec.writeEra(TOKEN, 1_700_000_000_000L, List.of("era: 0 where 1 was known"), 12),
-                        RecordCodec::readLoss,
+                        EraRecordCodec.writeEra(TOKEN, 1_700_000_000_000L, List.of("era: 0 where 1 was known"), 12),
+                        EraRecordCodec::readLoss,
                         List.of(
                                 "found and rebuilt by 2023-11-14T22:13:20Z: 12 records written anew",
                                 "era: 0 where 1 was known")));
--- a/src/test/java/io/indigoreach/state/HandoverTest.java
+++ b/src/test/java/io/indigoreach/state/HandoverTest.java
@@ -350,8 +350,8 @@
             w.service.letThrough();
             assertEquals(
                     meanwhile.startsWith("another") ? meanwhile.endsWith("has led") ? "none" : "b" : "a",
-                    w.service.has(RecordCodec.LEADER)
-                            ? w.service.value(RecordCodec.LEADER).text("node")
+                    w.service.has(RecordKeys.LEADER)
+                            ? w.service.value(RecordKeys.LEADER).text("node")
                             : "none",
                     "whose key stands there");
             assertFalse(a.leadership.isLeading());
--- a/src/test/java/io/indigoreach/state/RecordCodecTest.java
+++ b/src/test/java/io/indigoreach/state/JobRecordCodecTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Records come back as they were, and fit the smaller of the deployments' limits at their largest. */
-class RecordCodecTest {
+class JobRecordCodecTest {
     private static final int VALUE_BYTES = 8 * 1024;
     private static final int TXN_OPS = 12;
 
@@ -55,19 +55,19 @@
             done.set(i);
         }
         done.set(tasks - 1);
-        Map<String, Object> record = RecordCodec.writeJob(spec(tasks), 42, JobStatus.RUNNING, done, 7, 5);
+        Map<String, Object> record = JobRecordCodec.writeJob(spec(tasks), 42, JobStatus.RUNNING, done, 7, 5);
         assertTrue(MessagePackFormat.write(record).length() <= VALUE_BYTES);
-        JobRecord back = RecordCodec.readJob(
+        JobRecord back = JobRecordCodec.readJob(
                 spec(tasks).id(), MessagePackFormat.readMap(MessagePackFormat.write(record)), new Revision(9));
         BitSet bits = back.done();
-        int blocks = RecordCodec.blocks(tasks);
+        int blocks = TestBlocks.blocks(tasks);
         assertTrue(blocks + 2 <= TXN_OPS);
         for (int n = 0; n < blocks; n++) {
-            Map<String, Object> block = RecordCodec.writeBlock(done, n);
+            Map<String, Object> block = TestBlocks.writeBlock(done, n);
             assertTrue(MessagePackFormat.write(block).length() <= VALUE_BYTES);
-            String key = RecordCodec.blockKey(back.id(), n);
-            assertEquals(back.id(), RecordCodec.jobOfBlock(key));
-            RecordCodec.readBlock(key, MessagePackFormat.readMap(MessagePackFormat.write(block)), bits);
+            String key = RecordKeys.blockKey(back.id(), n);
+            assertEquals(back.id(), RecordKeys.jobOfBlock(key));
+            TestBlocks.readBlock(key, MessagePackFormat.readMap(MessagePackFormat.write(block)), bits);
         }
         assertEquals(done, bits);
         assertEquals(
@@ -83,9 +83,9 @@
                 .mapToObj(n -> new JobId("run-" + n))
                 .toList();
         JobSpec chained = spec(16).with(new JobDependencies(needs, released)).with("plan", Map.of("day", "d"));
-        Map<String, Object> record = RecordCodec.writeJob(chained, 42, JobStatus.PENDING, new BitSet(), 0, 0);
+        Map<String, Object> record = JobRecordCodec.writeJob(chained, 42, JobStatus.PENDING, new BitSet(), 0, 0);
         assertTrue(record.get("more").toString().length() < 800);
-        JobRecord back = RecordCodec.readJob(
+        JobRecord back = JobRecordCodec.readJob(
                 chained.id(), MessagePackFormat.readMap(MessagePackFormat.write(record)), new Revision(9));
         assertEquals(chained, back.spec());
         assertEquals(Map.of("plan", Map.of("day", "d")), back.spec().more());
--- a/src/test/java/io/indigoreach/state/LeaderElectionTest.java
+++ b/src/test/java/io/indigoreach/state/LeaderElectionTest.java
@@ -121,10 +121,10 @@
                 new ServiceClient(vertx, service.endpoint(), 4), new ServiceClient(vertx, service.endpoint(), 2));
         StateClient.Txn there = new StateClient.Txn();
         if (counter) {
-            there.put(RecordCodec.COUNTER, new CounterRecord(new FencingToken(4), true, CounterRecord.FIRST).write());
+            there.put(RecordKeys.COUNTER, new CounterRecord(new FencingToken(4), true, CounterRecord.FIRST).write());
         }
         if (!leader.equals("-")) {
-            there.put(RecordCodec.LEADER, LeaderKey.write(leader, "p", new FencingToken(4)));
+            there.put(RecordKeys.LEADER, LeaderKey.write(leader, "p", new FencingToken(4)));
         }
         client.commit(there).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
         LeaderElection a = new LeaderElection(
@@ -205,7 +205,7 @@
         });
         assertEquals("b1 took 2", next());
         b.removeKey(key.get()).toCompletionStage().toCompletableFuture().get();
-        assertTrue(service.has(RecordCodec.LEADER), "a late request leaves a later leader's key alone");
+        assertTrue(service.has(RecordKeys.LEADER), "a late request leaves a later leader's key alone");
     }
 
     /**
@@ -216,7 +216,7 @@
     void boundsAreNotBelievedAfterAnOlderVersionHasLed() throws Exception {
         StateClient client = new StateClient(
                 new ServiceClient(vertx, service.endpoint(), 1), new ServiceClient(vertx, service.endpoint(), 1));
-        client.commit(new StateClient.Txn().put(RecordCodec.COUNTER, MessagePackFormat.map("value", 7L)))
+        client.commit(new StateClient.Txn().put(RecordKeys.COUNTER, MessagePackFormat.map("value", 7L)))
                 .toCompletionStage()
                 .toCompletableFuture()
                 .get();
--- a/src/test/java/io/indigoreach/state/RoutineRunnerTest.java
+++ b/src/test/java/io/indigoreach/state/RoutineRunnerTest.java
@@ -113,11 +113,11 @@
 
     @Test
     void aLeaderWhoseKeyIsGoneWritesNothing() throws Exception {
-        Revision key = await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, Map.of("t", 1L))))
+        Revision key = await(client.commit(new StateClient.Txn().put(RecordKeys.LEADER, Map.of("t", 1L))))
                 .writtenRevision();
-        RoutineRunner leading = records.leading(RecordCodec.LEADER, key, new RateLimiter(100, clock.now()));
+        RoutineRunner leading = records.leading(RecordKeys.LEADER, key, new RateLimiter(100, clock.now()));
         assertEquals(1, await(leading.run(adding("a/1"))));
-        await(client.commit(new StateClient.Txn().delete(RecordCodec.LEADER)));
+        await(client.commit(new StateClient.Txn().delete(RecordKeys.LEADER)));
         assertThrows(ExecutionException.class, () -> await(leading.run(adding("a/1"))));
         assertEquals(1, service.value("a/1").whole("n"));
     }
--- /dev/null
+++ b/src/test/java/io/indigoreach/state/TestBlocks.java
@@ -0,0 +1,32 @@
+package io.indigoreach.state;
+
+import io.indigoreach.net.Fields;
+import java.util.BitSet;
+import java.util.Map;
+
+/** Completion blocks as versions of the program before {@link CompletionBits} write and read them. */
+public final class TestBlocks {
+    private TestBlocks() {}
+
+    /** How many blocks of bits are beside the record of a job. */
+    public static int blocks(int tasks) {
+        return tasks <= CompletionBlockCodec.MAX_TASKS_IN_RECORD
+                ? 0
+                : (tasks + CompletionBlockCodec.BLOCK_TASKS - 1) / CompletionBlockCodec.BLOCK_TASKS;
+    }
+
+    /** The value of the block with this number. */
+    public static Map<String, Object> writeBlock(BitSet done, int number) {
+        return CompletionBlockCodec.writeBits(
+                done.get(number * CompletionBlockCodec.BLOCK_TASKS, (number + 1) * CompletionBlockCodec.BLOCK_TASKS));
+    }
+
+    /** Adds a block's bits to {@code into}. */
+    public static void readBlock(String key, Fields value, BitSet into) {
+        int number = RecordReader.read(() -> Integer.parseInt(key.substring(key.lastIndexOf('/') + 1)));
+        BitSet block = CompletionBlockCodec.readBits(value);
+        for (int i = block.nextSetBit(0); i >= 0; i = block.nextSetBit(i + 1)) {
+            into.set(number * CompletionBlockCodec.BLOCK_TASKS + i);
+        }
+    }
+}
--- a/src/test/java/io/indigoreach/state/VersionProcesses.java
+++ b/src/test/java/io/indigoreach/state/VersionProcesses.java
@@ -36,10 +36,10 @@
     record Older(String node, StateClient client) {
         /** Reads the leader's key and the counter, and gets a lease; fails where production's code does. Null: another leads. */
         Future<StateClient.Txn> stand() {
-            return client.get(RecordCodec.LEADER)
+            return client.get(RecordKeys.LEADER)
                     .compose(leader -> leader != null
                             ? Future.succeededFuture()
-                            : client.get(RecordCodec.COUNTER).compose(counter -> {
+                            : client.get(RecordKeys.COUNTER).compose(counter -> {
                                 long counted =
                                         counter == null ? 0 : counter.value().whole("value");
                                 return client.grant(LIFE).map(lease -> campaign(counted + 1000, counter, lease));
@@ -48,10 +48,10 @@
 
         private StateClient.Txn campaign(long token, StateClient.Entry counter, long lease) {
             return new StateClient.Txn()
-                    .when(RecordCodec.LEADER, Revision.ABSENT)
-                    .when(RecordCodec.COUNTER, StateClient.revisionOf(counter))
-                    .put(RecordCodec.LEADER, LeaderKey.write(node, "old", new FencingToken(token)), lease)
-                    .put(RecordCodec.COUNTER, MessagePackFormat.map("value", token));
+                    .when(RecordKeys.LEADER, Revision.ABSENT)
+                    .when(RecordKeys.COUNTER, StateClient.revisionOf(counter))
+                    .put(RecordKeys.LEADER, LeaderKey.write(node, "old", new FencingToken(token)), lease)
+                    .put(RecordKeys.COUNTER, MessagePackFormat.map("value", token));
         }
     }
 
@@ -116,8 +116,8 @@
     }
 
     boolean isRaised() {
-        return service.has(RecordCodec.COUNTER)
-                && service.value(RecordCodec.COUNTER).has("format");
+        return service.has(RecordKeys.COUNTER)
+                && service.value(RecordKeys.COUNTER).has("format");
     }
 
     @Override
