--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -341,14 +341,14 @@
         core.setAwakeSince(awake.isAfter(servesSince) ? awake : servesSince);
         core.expireLeases(now);
         if (election.isValid() && !context.config().peers().isEmpty() && core.isCutOffFromWorkers(now)) {
-            election.abdicate("no worker's report reaches this node");
+            election.abdicate("no-heartbeats");
             return Future.succeededFuture(TICK);
         }
         if (!startBoundsTrusted
                 && core.areRecordsLoaded()
                 && core.jobs().stream().noneMatch(Job::isInherited)) {
             // Whatever is open now, this leader has kept to the bounds of: a later one may believe them.
-            return election.vouchForStartBounds().map(done -> {
+            return election.confirmStartBounds().map(done -> {
                 startBoundsTrusted = done;
                 return TICK;
             });
--- a/src/main/java/io/indigoreach/core/records/ListRecords.java
+++ b/src/main/java/io/indigoreach/core/records/ListRecords.java
@@ -3,14 +3,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads all records with a prefix, as they may have stood a while ago. */
+/** Reads all records with a prefix, page by page, as of a moment in the recent past. */
 public final class ListRecords implements Routine<List<VersionedRecord>> {
-    private static final int AT_ONCE = 50;
+    private static final int PAGE_SIZE = 50;
 
     private final String prefix;
     private final List<VersionedRecord> found = new ArrayList<>();
-    private boolean begun;
+    private boolean started;
 
+    /** {@code prefix}: of the keys to be read. */
     public ListRecords(String prefix) {
         this.prefix = prefix;
     }
@@ -18,11 +19,11 @@
     @Override
     public Step<List<VersionedRecord>> next(StepResult seen) {
         found.addAll(seen.records().values());
-        if (begun && !seen.more()) {
+        if (started && !seen.more()) {
             return new Step.End<>(found);
         }
-        begun = true;
+        started = true;
         return new Step.Scan<>(
-                prefix, found.isEmpty() ? null : found.get(found.size() - 1).key(), AT_ONCE);
+                prefix, found.isEmpty() ? null : found.get(found.size() - 1).key(), PAGE_SIZE);
     }
 }
--- a/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
@@ -19,9 +19,11 @@
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.CompletionBits;
 import io.indigoreach.state.JobRecord;
-import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
+import io.indigoreach.state.TestBlocks;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
@@ -84,8 +86,8 @@
     }
 
     private CompletionBlockStore book(String next) throws Exception {
-        leader = await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))))
-                .stamp();
+        leader = await(client.commit(new StateClient.Txn().put(RecordKeys.LEADER, MessagePackFormat.map("t", 1L))))
+                .writtenRevision();
         LeadershipTerm.Context context = new LeadershipTerm.Context(
                 vertx,
                 clock,
@@ -102,7 +104,7 @@
     /** What a leader that reads all of it takes to be done; {@code book} inherits the blocks. */
     private BitSet read(CompletionBlockStore book) throws Exception {
         BitSet done = new BitSet();
-        for (String prefix : List.of(RecordCodec.BITS, CompletionBits.SMALL)) {
+        for (String prefix : List.of(RecordKeys.COMPLETION_BLOCKS, CompletionBits.SMALL_BLOCKS)) {
             for (StateClient.Entry e : await(client.list(prefix, null, 1000)).items()) {
                 BitSet block = new BitSet();
                 CompletionBits.readBlock(e.key(), e.value(), block);
@@ -115,16 +117,18 @@
     }
 
     private JobRecord open() throws Exception {
-        StateClient.Entry e = await(client.get(RecordCodec.openKey(ID)));
-        return RecordCodec.readJob(ID, e.value(), e.stamp());
+        StateClient.Entry e = await(client.get(RecordKeys.openKey(ID)));
+        return JobRecordCodec.readJob(ID, e.value(), e.revision());
     }
 
     /** As the version before wrote it. */
     private void writeAsBefore(JobSpec spec, BitSet done) throws Exception {
         StateClient.Txn txn = new StateClient.Txn()
-                .put(RecordCodec.openKey(ID), RecordCodec.writeJob(spec, 1, JobStatus.RUNNING, done, 0, spec.tasks()));
-        for (int n = 0; n < RecordCodec.blocks(spec.tasks()); n++) {
-            txn.put(RecordCodec.blockKey(ID, n), RecordCodec.writeBlock(done, n));
+                .put(
+                        RecordKeys.openKey(ID),
+                        JobRecordCodec.writeJob(spec, 1, JobStatus.RUNNING, done, 0, spec.tasks()));
+        for (int n = 0; n < TestBlocks.blocks(spec.tasks()); n++) {
+            txn.put(RecordKeys.blockKey(ID, n), TestBlocks.writeBlock(done, n));
         }
         assertTrue(await(client.commit(txn)).done());
     }
@@ -159,10 +163,10 @@
             done = heard;
             for (int writes = 1 + random.nextInt(6); writes > 0; writes--) {
                 complete(random, done, tasks);
-                Job job = new Job(spec, 1, clock.now(), open().stamp(), done, tasks, true);
+                Job job = new Job(spec, 1, clock.now(), open().revision(), done, tasks, true);
                 StateClient.Txn txn = new StateClient.Txn()
-                        .when(RecordCodec.LEADER, leader)
-                        .when(RecordCodec.openKey(ID), job.revision());
+                        .when(RecordKeys.LEADER, leader)
+                        .when(RecordKeys.openKey(ID), job.revision());
                 book.addProgress(txn, job, done);
                 // The last write of this leader has no answer, and is carried out after the next leader's first.
                 boolean held = writes == 1 && random.nextBoolean();
@@ -195,13 +199,13 @@
         writeAsBefore(spec(tasks, 10), done);
         state.txnOps = 4;
         CompletionBlockStore book = book(NEXT);
-        Job job = new Job(spec(tasks, 10), 1, clock.now(), open().stamp(), done, tasks, true);
+        Job job = new Job(spec(tasks, 10), 1, clock.now(), open().revision(), done, tasks, true);
         StateClient.Txn txn = new StateClient.Txn();
         book.addProgress(txn, job, done);
         assertTrue(await(client.commit(txn)).done() && txn.size() <= 4);
         await(client.commit(new StateClient.Txn()
-                .delete(RecordCodec.openKey(ID))
-                .put(RecordCodec.finalKey(ID), RecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
+                .delete(RecordKeys.openKey(ID))
+                .put(RecordKeys.finalKey(ID), JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
         CompletionBlockStore next = book(NEXT);
         for (String key : blocks()) {
             next.inherit(key, new BitSet());
@@ -211,12 +215,12 @@
         while (!blocks().isEmpty()) {
             Thread.onSpinWait();
         }
-        assertTrue(state.has(RecordCodec.finalKey(ID)));
+        assertTrue(state.has(RecordKeys.finalKey(ID)));
     }
 
     private List<String> blocks() {
-        List<String> keys = new ArrayList<>(state.keys(RecordCodec.BITS));
-        keys.addAll(state.keys(CompletionBits.SMALL));
+        List<String> keys = new ArrayList<>(state.keys(RecordKeys.COMPLETION_BLOCKS));
+        keys.addAll(state.keys(CompletionBits.SMALL_BLOCKS));
         return keys;
     }
 
@@ -231,7 +235,7 @@
         done.set(0, 90_000);
         state.valueBytes = valueBytes;
         state.txnOps = txnOps;
-        Job job = new Job(spec, 1, clock.now(), open().stamp(), done, 100_000, true);
+        Job job = new Job(spec, 1, clock.now(), open().revision(), done, 100_000, true);
         int tries = 0;
         while (book.isBehind(job) && tries < 60) {
             tries++;
--- a/src/test/java/io/indigoreach/state/LeaderElectionTest.java
+++ b/src/test/java/io/indigoreach/state/LeaderElectionTest.java
@@ -66,16 +66,13 @@
         StateClient client = new StateClient(
                 new ServiceClient(vertx, service.endpoint(), 4), new ServiceClient(vertx, service.endpoint(), 2));
         LeaderElection election = new LeaderElection(
-                vertx,
-                client,
-                vertx,
-                client,
-                clock,
-                node,
-                process,
-                peers,
-                life,
-                new TokenGenerator(node.charAt(0) - 'a', clock.timeOfDay(), Span.seconds(0.1)),
+                new ElectionSettings(
+                        new StateAccess(vertx, client),
+                        new StateAccess(vertx, client),
+                        clock,
+                        new Candidate(node, process, peers),
+                        life,
+                        new TokenGenerator(node.charAt(0) - 'a', clock.timeOfDay(), Span.seconds(0.1))),
                 new LeaderElection.Listener() {
                     @Override
                     public void leadershipGained(FencingToken token, Revision key, boolean bounds) {
@@ -124,23 +121,20 @@
                 new ServiceClient(vertx, service.endpoint(), 4), new ServiceClient(vertx, service.endpoint(), 2));
         StateClient.Txn there = new StateClient.Txn();
         if (counter) {
-            there.put(RecordCodec.COUNTER, new CounterRecord(new FencingToken(4), true, CounterRecord.FIRST).write());
+            there.put(RecordKeys.COUNTER, new CounterRecord(new FencingToken(4), true, CounterRecord.FIRST).write());
         }
         if (!leader.equals("-")) {
-            there.put(RecordCodec.LEADER, LeaderKey.write(leader, "p", new FencingToken(4)));
+            there.put(RecordKeys.LEADER, LeaderKey.write(leader, "p", new FencingToken(4)));
         }
         client.commit(there).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
         LeaderElection a = new LeaderElection(
-                vertx,
-                client,
-                vertx,
-                client,
-                clock,
-                "a",
-                "a2",
-                2,
-                Span.seconds(10),
-                new TokenGenerator(0, clock.timeOfDay(), Span.seconds(0.1)),
+                new ElectionSettings(
+                        new StateAccess(vertx, client),
+                        new StateAccess(vertx, client),
+                        clock,
+                        new Candidate("a", "a2", 2),
+                        Span.seconds(10),
+                        new TokenGenerator(0, clock.timeOfDay(), Span.seconds(0.1))),
                 null);
         assertEquals(
                 leaderless,
@@ -211,7 +205,7 @@
         });
         assertEquals("b1 took 2", next());
         b.removeKey(key.get()).toCompletionStage().toCompletableFuture().get();
-        assertTrue(service.has(RecordCodec.LEADER), "a late request leaves a later leader's key alone");
+        assertTrue(service.has(RecordKeys.LEADER), "a late request leaves a later leader's key alone");
     }
 
     /**
@@ -222,7 +216,7 @@
     void boundsAreNotBelievedAfterAnOlderVersionHasLed() throws Exception {
         StateClient client = new StateClient(
                 new ServiceClient(vertx, service.endpoint(), 1), new ServiceClient(vertx, service.endpoint(), 1));
-        client.commit(new StateClient.Txn().put(RecordCodec.COUNTER, MessagePackFormat.map("value", 7L)))
+        client.commit(new StateClient.Txn().put(RecordKeys.COUNTER, MessagePackFormat.map("value", 7L)))
                 .toCompletionStage()
                 .toCompletableFuture()
                 .get();
@@ -232,7 +226,7 @@
         assertEquals("a1 lost", next());
         assertEquals("a1 took 2, bounds in doubt", next());
         CompletableFuture<Void> vouched = new CompletableFuture<>();
-        vertx.runOnContext(v -> a.vouchForStartBounds().onComplete(r -> vouched.complete(null)));
+        vertx.runOnContext(v -> a.confirmStartBounds().onComplete(r -> vouched.complete(null)));
         vouched.get();
         vertx.runOnContext(v -> a.deposed());
         assertEquals("a1 lost", next());
@@ -314,14 +308,14 @@
         });
         Moment given = pledge.get();
         assertEquals("b1 took 2", next());
-        assertTrue(clock.now().since(given).compareTo(LeaderElection.PLEDGE_TIME) >= 0);
+        assertTrue(clock.now().since(given).compareTo(GivenPledges.PLEDGE_TIME) >= 0);
         vertx.runOnContext(v -> b.stop());
         Moment began = clock.now();
         LeaderElection c = node("c", "c1", 2);
         service.endLeases();
         assertEquals("c1 took 3", next());
         assertTrue(
-                clock.now().since(began).compareTo(LeaderElection.PLEDGE_TIME) >= 0,
+                clock.now().since(began).compareTo(GivenPledges.PLEDGE_TIME) >= 0,
                 "a former process of it may have pledged");
         service.endLeases();
         assertEquals("c1 lost", next());
