--- a/src/main/java/io/indigoreach/core/scheduling/BestSize.java
+++ b/src/main/java/io/indigoreach/core/scheduling/BestSize.java
@@ -30,7 +30,7 @@
     private static final double UNSEEN_ESTIMATE_SHARE = 1.0 / 3;
 
     private final Cluster cluster;
-    private final Dispatcher dispatcher;
+    private final DispatchRules rules;
     private final Estimates estimates;
     private final SchedulerSettings tuning;
     private final FailureDetector failureDetector;
@@ -41,12 +41,12 @@
 
     BestSize(
             Cluster cluster,
-            Dispatcher dispatcher,
+            DispatchRules rules,
             Estimates estimates,
             SchedulerSettings tuning,
             FailureDetector failureDetector) {
         this.cluster = cluster;
-        this.dispatcher = dispatcher;
+        this.rules = rules;
         this.estimates = estimates;
         this.tuning = tuning;
         this.failureDetector = failureDetector;
@@ -83,7 +83,7 @@
     private void sizeQueue(FairShareQueue queue, Moment now, Map<MachinePool, Integer> wanted) {
         Map<String, Need> needs = new HashMap<>();
         Map<String, Backlog> backlogs = backlogs(queue, now);
-        Job top = dispatcher.topJob(queue, now);
+        Job top = rules.reservations().topJob(queue, now).orElse(null);
         if (top == null || !mustScaleOut(queue, top, now)) {
             markSurplus(queue, backlogs, needs, now);
             return;
@@ -91,11 +91,14 @@
         boolean shortTaken = false;
         Map<String, Double> shortWork = new HashMap<>();
         Map<TeamUsage, Double> planned = new HashMap<>();
-        for (Job job : dispatcher.queue(queue, now)) {
+        for (Job job : rules.order().jobs(queue, now)) {
             int waiting = job.startableCount();
             // The leader before has seen to its own; what is there for them is not known before all have reported.
-            boolean seenTo = job.inherited && !dispatcher.isFailoverComplete();
-            if (waiting == 0 || seenTo || job.isSuspectedFaulty() || !dispatcher.mayStart(job, now)) {
+            boolean seenTo = job.inherited && !rules.placement().isFailoverComplete();
+            if (waiting == 0
+                    || seenTo
+                    || job.isSuspectedFaulty()
+                    || !rules.placement().mayStart(job, now)) {
                 continue;
             }
             boolean isShort = estimates.run(job).compareTo(tuning.shortJob()) < 0;
@@ -249,19 +252,20 @@
                             capacity(queue, type, false, now),
                             arrivalLoad(queue, type, now)));
         }
-        for (Job job : dispatcher.queue(queue, now)) {
+        for (Job job : rules.order().jobs(queue, now)) {
             MachineType type = cheapest(job);
             if (type == null || !job.hasWaiting() || job.isSuspectedFaulty() || job.spec.isService()) {
                 continue;
             }
             Backlog backlog = backlogs.get(type.name());
             backlog.work += job.waitingCount() * machineSeconds(job, type);
-            Moment latest = dispatcher.latestStart(job, now.plus(dispatcher.shortestRentableObjective(type)));
+            Moment latest =
+                    rules.order().latestStart(job, now.plus(rules.order().shortestRentableObjective(type)));
             backlog.mustStartWithin(
                     latest.since(now).seconds() * tuning.objectiveShare(),
                     type.boot().seconds(),
                     tuning.minimumPaidTime().seconds(),
-                    dispatcher.isObjectiveTooNearToRent(job, type) ? 0 : backlog.flow);
+                    rules.order().isObjectiveTooNearToRent(job, type) ? 0 : backlog.flow);
         }
         for (Backlog backlog : backlogs.values()) {
             double whole = Math.floor(backlog.work / tuning.backlogLimit().seconds()) - backlog.spot.machines();
@@ -273,7 +277,7 @@
     private double arrivalLoad(FairShareQueue queue, MachineType type, Moment now) {
         return queue.arrivalRate()
                 .perSecond(
-                        job -> type.equals(cheapest(job)) && dispatcher.isObjectiveTooNearToRent(job, type),
+                        job -> type.equals(cheapest(job)) && rules.order().isObjectiveTooNearToRent(job, type),
                         job -> job.spec.tasks() * machineSeconds(job, type),
                         tuning.minimumPaidTime(),
                         now);
@@ -406,7 +410,7 @@
                         .plus(Estimates.fetch(job, type))
                         .plus(tuning.waitLimit())
                         .isBefore(job.dueAt())
-                && dispatcher.mayStart(job, now);
+                && rules.placement().mayStart(job, now);
     }
 
     /**
@@ -417,7 +421,7 @@
     private boolean mayTakeOrdinary(Job job, Moment now) {
         Span patience =
                 job.urgency().isMoreUrgentThan(Urgency.STANDARD) ? tuning.urgentSpotPatience() : tuning.spotPatience();
-        if ((dispatcher.hasNoReachableObjective(job, now) || job.spec.isPlanned())
+        if ((rules.order().hasNoReachableObjective(job, now) || job.spec.isPlanned())
                 && tuning.waitLimit().compareTo(patience) < 0) {
             patience = tuning.waitLimit();
         }
@@ -425,7 +429,7 @@
     }
 
     private boolean mustScaleOut(FairShareQueue queue, Job top, Moment now) {
-        Moment start = dispatcher.reservation(queue, top, now).lastStart();
+        Moment start = rules.reservations().of(queue, top, now).lastStart();
         return start == null
                 || start.since(top.eligibleSince).compareTo(tuning.waitLimit()) > 0
                 || queue.jobs().stream().anyMatch(job -> waitsTooLong(job, now) || bootsTooLate(job, now));
@@ -436,7 +440,7 @@
         return job.hasStartable()
                 && !job.isSuspectedFaulty()
                 && now.since(job.eligibleSince).compareTo(tuning.waitLimit()) > 0
-                && dispatcher.mayStart(job, now);
+                && rules.placement().mayStart(job, now);
     }
 
     private double machinesFor(Job job, MachineType type, int waiting) {
--- a/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
@@ -25,15 +25,15 @@
     private static final double MIN_REMAINING_PER_MOVE = 3;
 
     private final Cluster cluster;
-    private final Dispatcher dispatcher;
+    private final DispatchRules rules;
     private final Estimates estimates;
-    private final SafetyTimes rules;
+    private final SafetyTimes safetyTimes;
 
-    Consolidation(Cluster cluster, Dispatcher dispatcher, Estimates estimates, SafetyTimes rules) {
+    Consolidation(Cluster cluster, DispatchRules rules, Estimates estimates, SafetyTimes safetyTimes) {
         this.cluster = cluster;
-        this.dispatcher = dispatcher;
-        this.estimates = estimates;
         this.rules = rules;
+        this.estimates = estimates;
+        this.safetyTimes = safetyTimes;
     }
 
     /** Marks the machines that are to take no new tasks, and those of them that are to be emptied. */
@@ -56,7 +56,7 @@
                 machines.add(machine);
             }
         }
-        if (!dispatcher.isFailoverComplete() || !dispatcher.fitsIn(queue, room(machines), now)) {
+        if (!rules.placement().isFailoverComplete() || !rules.cordons().fitsIn(queue, room(machines), now)) {
             return;
         }
         machines.sort(Comparator.comparing((Machine machine) -> machine.surplus ? 1 : 0)
@@ -121,14 +121,14 @@
                     .job
                     .spec
                     .checkpointTime()
-                    .plus(rules.heartbeatPeriod().times(2));
+                    .plus(safetyTimes.heartbeatPeriod().times(2));
             if (placement.state != TaskState.RUNNING
                     || placement.stopping
                     || !placement.job.spec.savesProgress()
                     || placement.job.cancelled
                     || placement.job.spec.oneZone()
                     || placement.job.spec.spread()
-                    || now.since(placement.stateSince).compareTo(Dispatcher.LEAST_RUN) < 0
+                    || now.since(placement.stateSince).compareTo(Preemption.MINIMUM_RUN) < 0
                     || estimates.end(placement, now).since(now).compareTo(move.times(MIN_REMAINING_PER_MOVE)) < 0) {
                 return false;
             }
@@ -165,11 +165,11 @@
     /** Stops for a machine that is to be emptied; what is stopped waits for a machine that has its image. */
     List<WorkerCommand> drainCommands(Machine machine, Moment now) {
         List<WorkerCommand> orders = new ArrayList<>();
-        if (machine.draining && isMovable(machine, now) && dispatcher.isCordoned(machine, now)) {
+        if (machine.draining && isMovable(machine, now) && rules.cordons().isCordoned(machine, now)) {
             for (Placement placement : machine.placementsCopy()) {
                 placement.stopRequested();
                 placement.job.awaitImageLocality(
-                        now.plus(rules.heartbeatPeriod().times(3)).plus(placement.job.spec.checkpointTime()));
+                        now.plus(safetyTimes.heartbeatPeriod().times(3)).plus(placement.job.spec.checkpointTime()));
                 orders.add(new WorkerCommand.Stop(
                         placement.task(),
                         placement.attempt,
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
@@ -85,7 +85,7 @@
                 }
                 return termEnds(machine, now)
                                 && !cluster.warmCapacity.isRetained(machine)
-                                && !dispatcher.isUsableByWaitingJob(machine, now)
+                                && !dispatcher.rules().cordons().isUsableByWaitingJob(machine, now)
                         ? "idle at the end of its term"
                         : null;
         }
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
@@ -87,12 +87,12 @@
         this.failover = new Failover();
         this.dependentJobs = new DependentJobs(cluster, estimates);
         this.dispatcher = new Dispatcher(cluster, aims, estimates, failover, token, tuning.minimumPaidTime());
-        this.waitExplainer = new WaitExplainer(cluster, dispatcher);
+        this.waitExplainer = new WaitExplainer(cluster, dispatcher.rules());
         this.reconciler = new Reconciler(cluster, estimates, listener);
-        this.consolidation = new Consolidation(cluster, dispatcher, estimates, safetyTimes);
+        this.consolidation = new Consolidation(cluster, dispatcher.rules(), estimates, safetyTimes);
         FailureDetector silence = new FailureDetector(cluster, safetyTimes);
-        this.bestSize = new BestSize(cluster, dispatcher, estimates, tuning, silence);
-        this.startBounds = new StartBounds(cluster, dispatcher, tuning);
+        this.bestSize = new BestSize(cluster, dispatcher.rules(), estimates, tuning, silence);
+        this.startBounds = new StartBounds(cluster, dispatcher.rules().order(), tuning);
         this.scaleInPolicy = new ScaleInPolicy(cluster, dispatcher, safetyTimes, tuning, silence);
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/StartBounds.java
+++ b/src/main/java/io/indigoreach/core/scheduling/StartBounds.java
@@ -18,14 +18,14 @@
     private static final Span COUNT_LIFE = Span.seconds(0.5);
 
     private final Cluster cluster;
-    private final Dispatcher dispatcher;
+    private final QueueOrder order;
     private final SchedulerSettings tuning;
     private double places;
     private Moment countedAt = Moment.NEVER;
 
-    StartBounds(Cluster cluster, Dispatcher dispatcher, SchedulerSettings tuning) {
+    StartBounds(Cluster cluster, QueueOrder order, SchedulerSettings tuning) {
         this.cluster = cluster;
-        this.dispatcher = dispatcher;
+        this.order = order;
         this.tuning = tuning;
     }
 
@@ -34,7 +34,7 @@
         List<Job> out = new ArrayList<>();
         for (FairShareQueue queue : cluster.queues()) {
             double ahead = 0;
-            for (Job job : dispatcher.queue(queue, now)) {
+            for (Job job : order.jobs(queue, now)) {
                 if (job.hasStartable() && !job.isSuspectedFaulty() && ahead < places) {
                     double size = Math.max(1e-3, job.spec.demand().cores());
                     int startable = job.startableCount();
--- a/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
@@ -7,11 +7,11 @@
 /** Explains by name why a job waits, by the same conditions that the dispatcher starts tasks by. */
 final class WaitExplainer {
     private final Cluster cluster;
-    private final Dispatcher dispatcher;
+    private final DispatchRules rules;
 
-    WaitExplainer(Cluster cluster, Dispatcher dispatcher) {
+    WaitExplainer(Cluster cluster, DispatchRules rules) {
         this.cluster = cluster;
-        this.dispatcher = dispatcher;
+        this.rules = rules;
     }
 
     /** What the job's next task waits for; empty if none of its tasks waits. */
@@ -31,8 +31,8 @@
         if (now.isBefore(job.retryNotBefore)) {
             return WaitReason.RETRY_PAUSE;
         }
-        if (!dispatcher.mayStart(job, now)) {
-            return dispatcher.isFailoverComplete() ? WaitReason.TASKS_OF_ENDED_JOBS : WaitReason.TAKE_OVER;
+        if (!rules.placement().mayStart(job, now)) {
+            return rules.placement().isFailoverComplete() ? WaitReason.TASKS_OF_ENDED_JOBS : WaitReason.TAKE_OVER;
         }
         if (job.isSuspectedFaulty() && !job.placements().isEmpty()) {
             return WaitReason.TRIED_ALONE;
@@ -48,7 +48,7 @@
 
     private WaitReason machineReason(Job job, Moment now) {
         FairShareQueue share = cluster.queueOf(job);
-        List<Job> queue = dispatcher.queue(share, now);
+        List<Job> queue = rules.order().jobs(share, now);
         List<Job> ahead = queue.subList(0, Math.max(0, queue.indexOf(job)));
         WaitReason furthest = WaitReason.NO_MACHINE;
         for (Machine machine : cluster.machines.values()) {
@@ -65,7 +65,7 @@
                 || (!coming && !machine.isHealthy())) {
             return WaitReason.NO_MACHINE;
         }
-        if (!dispatcher.isPlaceable(job, machine)) {
+        if (!rules.placement().isPlaceable(job, machine)) {
             return WaitReason.OTHER_ZONE;
         }
         if (coming || !machine.recorded) {
@@ -80,23 +80,24 @@
         if (!machine.allows(job.spec)) {
             return WaitReason.KEPT_FOR_POOL;
         }
-        if (machine.surplus || dispatcher.isCordoned(machine, now)) {
+        if (machine.surplus || rules.cordons().isCordoned(machine, now)) {
             return WaitReason.SET_ASIDE;
         }
-        if (dispatcher.awaitsImageLocality(job, machine, now)) {
+        if (rules.placement().awaitsImageLocality(job, machine, now)) {
             return WaitReason.LEFT_TO_HOLDERS;
         }
         return reasonInQueue(machine, job, queue, ahead, now);
     }
 
     private WaitReason reasonInQueue(Machine machine, Job job, FairShareQueue queue, List<Job> ahead, Moment now) {
-        if (ahead.stream().anyMatch(other -> dispatcher.keepsRoomForReplica(other, machine))) {
+        if (ahead.stream().anyMatch(other -> rules.placement().keepsRoomForReplica(other, machine))) {
             return WaitReason.KEPT_FOR_REPLICAS;
         }
-        if (dispatcher.isReserved(queue, job, machine, now)) {
+        if (rules.reservations().delaysTopJob(queue, job, machine, now)) {
             return WaitReason.RESERVATION;
         }
-        if (dispatcher.isUnboundedFiller(job) && !dispatcher.leavesRoomForObjectives(queue, job, now)) {
+        if (rules.objectiveBudget().isUnboundedFiller(job)
+                && !rules.objectiveBudget().leavesRoomForObjectives(queue, job, now)) {
             return WaitReason.KEPT_FOR_AIMS;
         }
         return job.isWithinStartBound() ? WaitReason.NEXT_REPORT : WaitReason.START_BOUND;
