--- a/src/test/java/io/indigoreach/GoldenListTest.java
+++ b/src/test/java/io/indigoreach/GoldenListTest.java
@@ -45,7 +45,12 @@
                 "state-service.txt#entry",
                 "state-service.txt#transaction",
                 "state-service.txt#changes");
-        golden("RecordCodec.java", "records.txt#job", "records.txt#block", "records.txt#intents", "records.txt#era");
+        golden("JobRecordCodec.java", "records.txt#job", "records.txt#end");
+        golden("CompletionBlockCodec.java", "records.txt#block");
+        golden("IntentRecordCodec.java", "records.txt#intents");
+        golden("MachineRecordCodec.java", "records.txt#page of machines");
+        golden("CatalogueRecordCodec.java", "records.txt#catalogue");
+        golden("EraRecordCodec.java", "records.txt#era");
         golden("DependencyCodec.java", "records.txt#job chained", "records.txt#job released from its chain");
         golden("RememberedStateCodec.java", "records.txt#memory");
         golden("CounterRecord.java", "records.txt#counter");
--- a/src/test/java/io/indigoreach/api/GoldenUsersTest.java
+++ b/src/test/java/io/indigoreach/api/GoldenUsersTest.java
@@ -1,5 +1,8 @@
 package io.indigoreach.api;
 
+import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.GoldenFile;
 import io.indigoreach.GoldenHttp;
 import io.indigoreach.GoldenSamples;
@@ -15,7 +18,6 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.JobRepairer;
-import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -166,12 +168,12 @@
         state = await(new StateStandIn().listen(vertx));
         MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         await(client().commit(new StateClient.Txn()
-                .put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(List.of(type)))
-                .put("f/run-5", RecordCodec.writeFinal(JobStatus.DONE, 2))
-                .put("f/run-6", RecordCodec.writeFinal(JobStatus.CANCELLED, 0))
+                .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type)))
+                .put("f/run-5", JobRecordCodec.writeFinal(JobStatus.DONE, 2))
+                .put("f/run-6", JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))
                 .put(
                         "j/run-7",
-                        RecordCodec.writeJob(
+                        JobRecordCodec.writeJob(
                                 JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(with("id", "run-7")))),
                                 1,
                                 JobStatus.RUNNING,
--- a/src/test/java/io/indigoreach/calendar/GoldenCalendarTest.java
+++ b/src/test/java/io/indigoreach/calendar/GoldenCalendarTest.java
@@ -1,5 +1,7 @@
 package io.indigoreach.calendar;
 
+import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.GoldenFile;
 import io.indigoreach.GoldenSamples;
 import io.indigoreach.api.ApiResponse;
@@ -31,7 +33,6 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.net.WireException;
-import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.RoutineRunner;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
@@ -347,7 +348,7 @@
         StateClient client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
         await(client.commit(
-                new StateClient.Txn().put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(GoldenSamples.TYPES))));
+                new StateClient.Txn().put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(GoldenSamples.TYPES))));
         RoutineRunner records = records(vertx, state);
         pages(records);
         Catalogue catalogue =
--- a/src/test/java/io/indigoreach/emulator/GoldenPeersTest.java
+++ b/src/test/java/io/indigoreach/emulator/GoldenPeersTest.java
@@ -1,5 +1,6 @@
 package io.indigoreach.emulator;
 
+import io.indigoreach.state.RecordKeys;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.indigoreach.GoldenFile;
@@ -17,7 +18,6 @@
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.state.Golden;
-import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.indigoreach.worker.WorkerCodec;
@@ -182,11 +182,11 @@
                     new ServiceClient(cluster.vertx, state.endpoint(), 1),
                     new ServiceClient(cluster.vertx, state.endpoint(), 1));
             LocalCluster.await(client.commit(new StateClient.Txn()
-                    .put(RecordCodec.openKey(new JobId("run-000413")), MessagePackFormat.map("spoilt", 1L))));
+                    .put(RecordKeys.openKey(new JobId("run-000413")), MessagePackFormat.map("spoilt", 1L))));
             GoldenHttp.get(users, "/api/jobs/run-000413");
             others.await("/recall");
             LocalCluster.await(
-                    client.commit(new StateClient.Txn().delete(RecordCodec.openKey(new JobId("run-000413")))));
+                    client.commit(new StateClient.Txn().delete(RecordKeys.openKey(new JobId("run-000413")))));
             others.served = true;
             state.refusing = true;
             others.await("/standing");
@@ -203,7 +203,7 @@
                 awaitLeading(own);
             }
             others.await("/pledge");
-            LocalCluster.await(client.commit(new StateClient.Txn().delete(RecordCodec.ERA)));
+            LocalCluster.await(client.commit(new StateClient.Txn().delete(RecordKeys.ERA)));
             others.await("/loss");
             others.await("/remains");
             new TreeMap<>(others.asked).forEach(golden::text);
--- a/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
+++ b/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
@@ -1,5 +1,6 @@
 package io.indigoreach.ownership;
 
+import io.indigoreach.state.JobRecordCodec;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.GoldenFile;
@@ -37,7 +38,6 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.parts.Parts;
-import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -326,6 +326,6 @@
     }
 
     private static Map<String, Object> job(JobSpec spec) {
-        return RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 0);
+        return JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 0);
     }
 }
--- a/src/test/java/io/indigoreach/state/GoldenKeptRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenKeptRecordsTest.java
@@ -53,15 +53,15 @@
     /** Of a job whose bits stand beside its record these are as many, and any. */
     private static Map<String, Object> write(JobRecord record) {
         BitSet done = record.done().isEmpty() ? first(record.doneCount()) : record.done();
-        return RecordCodec.writeJob(
+        return JobRecordCodec.writeJob(
                 record.spec(), record.submittedMs(), record.status(), done, record.running(), record.bound());
     }
 
     private void job(String name, JobSpec spec, JobStatus status, BitSet done) {
-        BitSet inside = RecordCodec.blocks(spec.tasks()) > 0 ? new BitSet() : done;
+        BitSet inside = spec.tasks() > CompletionBlockCodec.MAX_TASKS_IN_RECORD ? new BitSet() : done;
         JobRecord record =
                 new JobRecord(spec, GoldenSamples.AT, status, inside, done.cardinality(), 3, spec.tasks(), STAMP);
-        golden.both(name, record, GoldenKeptRecordsTest::write, f -> RecordCodec.readJob(ID, f, STAMP));
+        golden.both(name, record, GoldenKeptRecordsTest::write, f -> JobRecordCodec.readJob(ID, f, STAMP));
     }
 
     private void jobs() {
@@ -80,15 +80,15 @@
         Map<String, Object> without =
                 write(new JobRecord(GoldenSamples.bare(2), 1, JobStatus.PENDING, new BitSet(), 0, 0, 0, STAMP));
         without.remove("bound");
-        golden.read("job without a start bound", without, f -> write(RecordCodec.readJob(ID, f, STAMP)));
+        golden.read("job without a start bound", without, f -> write(JobRecordCodec.readJob(ID, f, STAMP)));
         golden.refused(
-                "job without tasks", MessagePackFormat.map("class", "c"), f -> RecordCodec.readJob(ID, f, STAMP));
+                "job without tasks", MessagePackFormat.map("class", "c"), f -> JobRecordCodec.readJob(ID, f, STAMP));
         for (JobStatus status : List.of(JobStatus.DONE, JobStatus.CANCELLED)) {
             golden.both(
                     "end of status " + status.ordinal(),
                     new FinalRecord(ID, status, 17),
-                    r -> RecordCodec.writeFinal(r.status(), r.done()),
-                    f -> RecordCodec.readFinal(ID, f));
+                    r -> JobRecordCodec.writeFinal(r.status(), r.done()),
+                    f -> JobRecordCodec.readFinal(ID, f));
         }
     }
 
@@ -96,9 +96,9 @@
         BitSet done = everyThird(40_000);
         for (int n = 0; n < 2; n++) {
             int block = n;
-            golden.again("block " + n + " of 40000", done, all -> RecordCodec.writeBlock(all, block), f -> {
+            golden.again("block " + n + " of 40000", done, all -> TestBlocks.writeBlock(all, block), f -> {
                 BitSet into = new BitSet();
-                RecordCodec.readBlock(RecordCodec.blockKey(ID, block), f, into);
+                TestBlocks.readBlock(RecordKeys.blockKey(ID, block), f, into);
                 return into;
             });
         }
@@ -128,26 +128,26 @@
         List<MachineRecord> machines = List.of(
                 new MachineRecord(new MachineId("vm-000231"), POOL, GoldenSamples.AT, GoldenSamples.AT + 20_000),
                 new MachineRecord(new MachineId("vm-000232"), new MachinePool("g8", "b", false), GoldenSamples.AT, 0));
-        golden.both("page of machines", machines, RecordCodec::writeMachines, RecordCodec::readMachines)
-                .both("empty page of machines", List.of(), RecordCodec::writeMachines, RecordCodec::readMachines)
+        golden.both("page of machines", machines, MachineRecordCodec::writeMachines, MachineRecordCodec::readMachines)
+                .both("empty page of machines", List.of(), MachineRecordCodec::writeMachines, MachineRecordCodec::readMachines)
                 .both(
                         "intents",
                         new Intents.Page(
                                 List.of(new Intents.Rent("7000001-1", POOL, 50, GoldenSamples.AT)),
                                 List.of(new MachineId("vm-000233"))),
-                        RecordCodec::writeIntents,
-                        RecordCodec::readIntents)
+                        IntentRecordCodec::writeIntents,
+                        IntentRecordCodec::readIntents)
                 .both(
                         "no intents",
                         new Intents.Page(List.of(), List.of()),
-                        RecordCodec::writeIntents,
-                        RecordCodec::readIntents)
-                .both("catalogue", GoldenSamples.TYPES, RecordCodec::writeCatalogue, RecordCodec::readCatalogue)
+                        IntentRecordCodec::writeIntents,
+                        IntentRecordCodec::readIntents)
+                .both("catalogue", GoldenSamples.TYPES, CatalogueRecordCodec::writeCatalogue, CatalogueRecordCodec::readCatalogue)
                 .text(
                         "bytes that limits are kept by",
-                        RecordCodec.bytes(machines.get(0)) + " "
-                                + RecordCodec.bytes(new Intents.Rent("7000001-1", POOL, 50, GoldenSamples.AT)) + " "
-                                + RecordCodec.bytes(new MachineId("vm-000233")) + " "
+                        MachineRecordCodec.bytes(machines.get(0)) + " "
+                                + IntentRecordCodec.bytes(new Intents.Rent("7000001-1", POOL, 50, GoldenSamples.AT)) + " "
+                                + IntentRecordCodec.bytes(new MachineId("vm-000233")) + " "
                                 + CompletionBits.recordBytes(GoldenSamples.full(6, Urgency.HIGH), GoldenSamples.AT));
     }
 
@@ -171,15 +171,15 @@
                         new LeaderKey("worker-1", "5f-1700000000000", TOKEN, STAMP),
                         k -> LeaderKey.write(k.node(), k.process(), k.token()),
                         f -> LeaderKey.read(f, STAMP))
-                .both("era", TOKEN.value(), t -> RecordCodec.writeEra(new FencingToken(t)), RecordCodec::readEra)
+                .both("era", TOKEN.value(), t -> EraRecordCodec.writeEra(new FencingToken(t)), EraRecordCodec::readEra)
                 .written(
                         "era after a loss",
-                        RecordCodec.writeEra(TOKEN, GoldenSamples.AT, List.of("era: 0 where 1 was known"), 12))
+                        EraRecordCodec.writeEra(TOKEN, GoldenSamples.AT, List.of("era: 0 where 1 was known"), 12))
                 .text(
                         "words for a loss",
                         String.join(
                                 "\n",
-                                RecordCodec.readLoss(sent(RecordCodec.writeEra(
+                                EraRecordCodec.readLoss(sent(EraRecordCodec.writeEra(
                                         TOKEN, GoldenSamples.AT, List.of("era: 0 where 1 was known"), 12)))));
     }
 
@@ -188,18 +188,18 @@
                 "keys",
                 String.join(
                         " ",
-                        RecordCodec.LEADER,
-                        RecordCodec.COUNTER,
-                        RecordCodec.ERA,
-                        RecordCodec.CATALOGUE,
-                        RecordCodec.openKey(ID),
-                        RecordCodec.finalKey(ID),
-                        RecordCodec.blockKey(ID, 1),
-                        RecordCodec.machinePageKey(TOKEN, 3),
-                        RecordCodec.intentsKey(TOKEN),
+                        RecordKeys.LEADER,
+                        RecordKeys.COUNTER,
+                        RecordKeys.ERA,
+                        RecordKeys.CATALOGUE,
+                        RecordKeys.openKey(ID),
+                        RecordKeys.finalKey(ID),
+                        RecordKeys.blockKey(ID, 1),
+                        RecordKeys.machinePageKey(TOKEN, 3),
+                        RecordKeys.intentsKey(TOKEN),
                         FormatGate.NODES,
-                        CompletionBits.SMALL,
-                        RecordCodec.keyBefore(RecordCodec.openKey(ID))));
+                        CompletionBits.SMALL_BLOCKS,
+                        RecordKeys.keyBefore(RecordKeys.openKey(ID))));
     }
 
     private static RememberedState remains() {
--- a/src/test/java/io/indigoreach/tools/GoldenVerbsTest.java
+++ b/src/test/java/io/indigoreach/tools/GoldenVerbsTest.java
@@ -1,5 +1,7 @@
 package io.indigoreach.tools;
 
+import io.indigoreach.state.EraRecordCodec;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.GoldenFile;
 import io.indigoreach.GoldenSamples;
 import io.indigoreach.calendar.CalendarCodec;
@@ -11,7 +13,6 @@
 import io.indigoreach.net.Endpoint;
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.scenario.TextForm;
-import io.indigoreach.state.RecordCodec;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -142,7 +143,7 @@
                         "path",
                         "j/run-00041" + items.size(),
                         "data",
-                        RecordCodec.writeJob(
+                        JobRecordCodec.writeJob(
                                 spec, GoldenSamples.AT, JobStatus.RUNNING, BitSet.valueOf(new long[] {5}), 3, 4),
                         "stamp",
                         9L)));
@@ -193,7 +194,7 @@
                 200,
                 entry(
                         "era",
-                        RecordCodec.writeEra(
+                        EraRecordCodec.writeEra(
                                 new FencingToken(7_000_001),
                                 GoldenSamples.AT,
                                 List.of("era: 0 where 1 was known"),
--- a/src/test/java/io/indigoreach/warm/GoldenPoolAnswersTest.java
+++ b/src/test/java/io/indigoreach/warm/GoldenPoolAnswersTest.java
@@ -1,5 +1,7 @@
 package io.indigoreach.warm;
 
+import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.GoldenFile;
 import io.indigoreach.GoldenHttp;
 import io.indigoreach.GoldenSamples;
@@ -18,7 +20,6 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.parts.Parts;
-import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -83,7 +84,7 @@
             StateClient client = new StateClient(
                     new ServiceClient(vertx, state.endpoint(), 8), new ServiceClient(vertx, state.endpoint(), 1));
             await(client.commit(
-                    new StateClient.Txn().put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(GoldenSamples.TYPES))));
+                    new StateClient.Txn().put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(GoldenSamples.TYPES))));
             Settings settings = SettingsFile.parse("test", "warm_pools: 1");
             Catalogue catalogue =
                     new Catalogue(vertx, client, new CloudClient(new ServiceClient(vertx, state.endpoint(), 1)));
