--- a/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
+++ b/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
@@ -34,7 +34,7 @@
         Map<String, BitSet> underWay = Map.of();
     }
 
-    private final LeadershipTerm.Context context;
+    private final NodeContext context;
     private final Revision leadershipRevision;
     private final Runnable onDeposed;
     private final RateLimiter writeLimiter;
@@ -43,7 +43,7 @@
     private final Map<JobId, Set<String>> leftOver = new LinkedHashMap<>();
 
     CompletionBlockStore(
-            LeadershipTerm.Context context, Revision leadershipRevision, Runnable onDeposed, RateLimiter writeLimiter) {
+            NodeContext context, Revision leadershipRevision, Runnable onDeposed, RateLimiter writeLimiter) {
         this.context = context;
         this.leadershipRevision = leadershipRevision;
         this.onDeposed = onDeposed;
--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -33,7 +33,7 @@
         }
     }
 
-    private final LeadershipTerm.Context context;
+    private final NodeContext context;
     private final LeaderElection election;
     private final FormatGate formatGate;
     private Supplier<Future<RememberedState>> gatherPeerState = () -> Future.succeededFuture(new RememberedState());
@@ -43,7 +43,7 @@
     private final LeaderMemory ownMemory = new LeaderMemory();
 
     /** {@code own}: an event loop for what must not wait for anything else. */
-    Controller(LeadershipTerm.Context context, Vertx own) {
+    Controller(NodeContext context, Vertx own) {
         this.context = context;
         this.warmUp = new WarmUp(context, () -> term != null);
         String process = Long.toHexString(ThreadLocalRandom.current().nextLong()) + "-"
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -40,7 +40,7 @@
 
     private static final String SAME_MOMENT = "a read came from the past";
 
-    private final LeadershipTerm.Context env;
+    private final NodeContext env;
     private final SchedulerCore core;
     private final DependentJobs chains;
     private final JobStore ledger;
@@ -54,12 +54,7 @@
     private final Map<JobId, Moment> notBefore = new HashMap<>();
 
     DependencyTask(
-            LeadershipTerm.Context env,
-            SchedulerCore core,
-            JobStore ledger,
-            Revision key,
-            Runnable deposed,
-            RateLimiter writes) {
+            NodeContext env, SchedulerCore core, JobStore ledger, Revision key, Runnable deposed, RateLimiter writes) {
         this.env = env;
         this.core = core;
         this.chains = core.dependentJobs();
--- a/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
+++ b/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
@@ -19,7 +19,7 @@
     private final PeriodicTask duty;
     private long since;
 
-    FinalRecordWatch(LeadershipTerm.Context context) {
+    FinalRecordWatch(NodeContext context) {
         this.state = context.state();
         this.duty = new PeriodicTask(context.vertx(), "end watch", PAUSE, this::step);
     }
--- a/src/main/java/io/indigoreach/cluster/FleetManager.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -34,7 +34,7 @@
         }
     }
 
-    private final LeadershipTerm.Context context;
+    private final NodeContext context;
     private final SchedulerCore core;
     private final FencingToken token;
     private final BooleanSupplier mayAct;
@@ -55,11 +55,7 @@
 
     /** {@code mayAct}: whether this node surely leads; otherwise another may be using the machines already. */
     FleetManager(
-            LeadershipTerm.Context context,
-            SchedulerCore core,
-            FencingToken token,
-            IntentLog intentLog,
-            BooleanSupplier mayAct) {
+            NodeContext context, SchedulerCore core, FencingToken token, IntentLog intentLog, BooleanSupplier mayAct) {
         this.context = context;
         this.intentLog = intentLog;
         this.mayAct = mayAct;
--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -30,7 +30,7 @@
     private static final Span TIDY = Span.seconds(2);
     private static final int EMPTY = JsonSize.of(RecordCodec.writeIntents(new Intents.Page(List.of(), List.of())));
 
-    private final LeadershipTerm.Context env;
+    private final NodeContext env;
     private final Revision key;
     private final Runnable deposed;
     private boolean cancelled;
@@ -49,7 +49,7 @@
     private Future<Boolean> underWay;
     private Moment written = Moment.NEVER;
 
-    IntentLog(LeadershipTerm.Context env, FencingToken token, Revision key, Runnable deposed, RateLimiter budget) {
+    IntentLog(NodeContext env, FencingToken token, Revision key, Runnable deposed, RateLimiter budget) {
         this.env = env;
         this.key = key;
         this.deposed = deposed;
--- a/src/main/java/io/indigoreach/cluster/JobStore.java
+++ b/src/main/java/io/indigoreach/cluster/JobStore.java
@@ -58,7 +58,7 @@
         }
     }
 
-    private final LeadershipTerm.Context context;
+    private final NodeContext context;
     private final SchedulerCore core;
     private final MachineStore machineStore;
     private final Revision leadershipRevision;
@@ -96,7 +96,7 @@
 
     /** {@code boundsKept}: every leader so far has kept to the jobs' start bounds. */
     JobStore(
-            LeadershipTerm.Context context,
+            NodeContext context,
             SchedulerCore core,
             MachineStore machineStore,
             Revision leadershipRevision,
--- a/src/main/java/io/indigoreach/cluster/JobWatch.java
+++ b/src/main/java/io/indigoreach/cluster/JobWatch.java
@@ -17,14 +17,14 @@
     private static final Span LONGEST_WAIT = Span.seconds(2);
     private static final Span PAUSE = Span.seconds(0.3);
 
-    private final LeadershipTerm.Context env;
+    private final NodeContext env;
     private final JobStore ledger;
     private final PeriodicTask duty;
     private long since;
     private boolean readAgain;
     private final CancellationHorizon horizon;
 
-    JobWatch(LeadershipTerm.Context env, JobStore ledger, CancellationHorizon horizon) {
+    JobWatch(NodeContext env, JobStore ledger, CancellationHorizon horizon) {
         this.env = env;
         this.ledger = ledger;
         this.duty = new PeriodicTask(env.vertx(), "job watch", PAUSE, this::step);
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -1,9 +1,6 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.cloud.Catalogue;
-import io.indigoreach.cloud.CloudClient;
 import io.indigoreach.config.PlatformConfig;
-import io.indigoreach.config.Settings;
 import io.indigoreach.core.leadership.CancellationHorizon;
 import io.indigoreach.core.leadership.CancellationSummary;
 import io.indigoreach.core.loss.RememberedState;
@@ -20,16 +17,10 @@
 import io.indigoreach.core.scheduling.SchedulerCore;
 import io.indigoreach.core.scheduling.SchedulerListener;
 import io.indigoreach.core.scheduling.ServiceLevelObjectives;
-import io.indigoreach.net.EventLoopMonitor;
 import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.net.RateLimiter;
-import io.indigoreach.net.SteadyClock;
-import io.indigoreach.parts.Parts;
-import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.LeaderElection;
-import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
-import io.vertx.core.Vertx;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
@@ -49,64 +40,7 @@
     /** Before records that could not be read are read once more. */
     private static final Span UNREADABLE_RETRY = Span.seconds(5);
 
-    /** What a reign works with. */
-    record Context(
-            Vertx vertx,
-            SteadyClock clock,
-            EventLoopMonitor loopMonitor,
-            StateClient state,
-            CloudClient cloud,
-            Catalogue catalogue,
-            PlatformConfig config,
-            Settings settings,
-            Span lease,
-            Parts parts,
-            JobRepairer repairer) {
-        Context(
-                Vertx vertx,
-                SteadyClock clock,
-                EventLoopMonitor loopMonitor,
-                StateClient state,
-                CloudClient cloud,
-                Catalogue catalogue,
-                PlatformConfig config,
-                Settings settings,
-                Span lease) {
-            this(vertx, clock, loopMonitor, state, cloud, catalogue, config, settings, lease, Parts.NONE);
-        }
-
-        Context(
-                Vertx vertx,
-                SteadyClock clock,
-                EventLoopMonitor loopMonitor,
-                StateClient state,
-                CloudClient cloud,
-                Catalogue catalogue,
-                PlatformConfig config,
-                Settings settings,
-                Span lease,
-                Parts parts) {
-            this(
-                    vertx,
-                    clock,
-                    loopMonitor,
-                    state,
-                    cloud,
-                    catalogue,
-                    config,
-                    settings,
-                    lease,
-                    parts,
-                    new JobRepairer(state, clock));
-        }
-
-        /** By which values, transactions and budgets are sized. */
-        PlatformConfig.StateLimits limits() {
-            return state.limits().within(config.stateLimits());
-        }
-    }
-
-    private final Context context;
+    private final NodeContext context;
     private final FencingToken token;
     private final LeaderElection election;
     private final SchedulerCore core;
@@ -133,7 +67,7 @@
      * @param gatherRememberedState what controllers remember, asked for where the state service has lost data
      */
     LeadershipTerm(
-            Context context,
+            NodeContext context,
             FencingToken token,
             Revision leadershipRevision,
             LeaderElection election,
--- a/src/main/java/io/indigoreach/cluster/MachineStore.java
+++ b/src/main/java/io/indigoreach/cluster/MachineStore.java
@@ -71,7 +71,7 @@
     /** A machine whose report waits for its record. */
     private record Waiting(Promise<Boolean> done, Moment since) {}
 
-    private final LeadershipTerm.Context context;
+    private final NodeContext context;
     private final SchedulerCore core;
     private final FencingToken token;
     private final Revision leadershipRevision;
@@ -84,7 +84,7 @@
     private Moment lastWriteAt = Moment.NEVER;
 
     MachineStore(
-            LeadershipTerm.Context context,
+            NodeContext context,
             SchedulerCore core,
             FencingToken token,
             Revision leadershipRevision,
@@ -100,7 +100,7 @@
     }
 
     /** How much a page may hold. */
-    static int pageBytes(LeadershipTerm.Context context) {
+    static int pageBytes(NodeContext context) {
         return context.limits().room() - PAGE_FRAME;
     }
 
--- a/src/main/java/io/indigoreach/cluster/Node.java
+++ b/src/main/java/io/indigoreach/cluster/Node.java
@@ -50,18 +50,19 @@
         JobRepairer repairer = new JobRepairer(state, clock, config.stateLimits());
         Parts parts = Parts.of(kinds, vertx, state, clock, catalogue, config, settings);
         this.controller = new Controller(
-                new LeadershipTerm.Context(
-                        vertx,
-                        clock,
-                        pulse,
-                        state,
-                        cloud,
-                        catalogue,
-                        config,
-                        settings,
-                        settings.leaderLease(config.rules()),
-                        parts,
-                        repairer),
+                NodeContext.builder()
+                        .vertx(vertx)
+                        .clock(clock)
+                        .loopMonitor(pulse)
+                        .state(state)
+                        .cloud(cloud)
+                        .catalogue(catalogue)
+                        .config(config)
+                        .settings(settings)
+                        .lease(settings.leaderLease(config.rules()))
+                        .parts(parts)
+                        .repairer(repairer)
+                        .build(),
                 own);
         JobService jobService = new JobService(
                 vertx,
--- a/src/main/java/io/indigoreach/cluster/PartsTask.java
+++ b/src/main/java/io/indigoreach/cluster/PartsTask.java
@@ -23,14 +23,14 @@
 final class PartsTask {
     private static final Span PERIOD = Span.seconds(1);
 
-    private final LeadershipTerm.Context env;
+    private final NodeContext env;
     private final SchedulerCore core;
     private final RoutineRunner records;
     private final PeriodicTask duty;
     private final List<Part.Term> reigning = new ArrayList<>();
     private final Map<Part, Moment> due = new HashMap<>();
 
-    PartsTask(LeadershipTerm.Context env, SchedulerCore core, Revision key, RateLimiter limiter) {
+    PartsTask(NodeContext env, SchedulerCore core, Revision key, RateLimiter limiter) {
         this.env = env;
         this.core = core;
         this.records =
--- a/src/main/java/io/indigoreach/cluster/StateRebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -54,7 +54,7 @@
         }
     }
 
-    private final LeadershipTerm.Context env;
+    private final NodeContext env;
     private final FencingToken token;
     private final Revision key;
     private final RateLimiter budget;
@@ -75,8 +75,7 @@
     private int written;
     private int there;
 
-    StateRebuilder(
-            LeadershipTerm.Context env, FencingToken token, Revision key, RateLimiter budget, RememberedState remains) {
+    StateRebuilder(NodeContext env, FencingToken token, Revision key, RateLimiter budget, RememberedState remains) {
         this.env = env;
         this.token = token;
         this.key = key;
--- a/src/main/java/io/indigoreach/cluster/WarmUp.java
+++ b/src/main/java/io/indigoreach/cluster/WarmUp.java
@@ -48,7 +48,7 @@
     private static final int JOBS = 24;
     private static final Demand SIZE = new Demand(4, 0, 16);
 
-    private final LeadershipTerm.Context env;
+    private final NodeContext env;
     private final BooleanSupplier leads;
     private final PeriodicTask duty;
     private SchedulerCore core;
@@ -56,7 +56,7 @@
     private int reports;
     private int ordered;
 
-    WarmUp(LeadershipTerm.Context env, BooleanSupplier leads) {
+    WarmUp(NodeContext env, BooleanSupplier leads) {
         this.env = env;
         this.leads = leads;
         this.duty = new PeriodicTask(env.vertx(), "warm-up", PAUSE, this::step);
--- a/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
@@ -86,16 +86,14 @@
     private CompletionBlockStore book(String next) throws Exception {
         leader = await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))))
                 .stamp();
-        LeadershipTerm.Context context = new LeadershipTerm.Context(
-                vertx,
-                clock,
-                null,
-                client,
-                null,
-                null,
-                MachineStoreTest.config(next),
-                Settings.standard(),
-                Span.seconds(10));
+        NodeContext context = NodeContext.builder()
+                .vertx(vertx)
+                .clock(clock)
+                .state(client)
+                .config(MachineStoreTest.config(next))
+                .settings(Settings.standard())
+                .lease(Span.seconds(10))
+                .build();
         return new CompletionBlockStore(context, leader, () -> {}, new RateLimiter(1000, clock.now()));
     }
 
--- a/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
@@ -62,16 +62,14 @@
             Revision key = await(client.commit(
                             new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", token))))
                     .stamp();
-            LeadershipTerm.Context context = new LeadershipTerm.Context(
-                    vertx,
-                    clock,
-                    null,
-                    client,
-                    null,
-                    null,
-                    MachineStoreTest.config(),
-                    Settings.standard(),
-                    Span.seconds(10));
+            NodeContext context = NodeContext.builder()
+                    .vertx(vertx)
+                    .clock(clock)
+                    .state(client)
+                    .config(MachineStoreTest.config())
+                    .settings(Settings.standard())
+                    .lease(Span.seconds(10))
+                    .build();
             core = new SchedulerCore(
                     new FencingToken(token),
                     MachineStoreTest.config().rules(),
--- a/src/test/java/io/indigoreach/cluster/IntentLogTest.java
+++ b/src/test/java/io/indigoreach/cluster/IntentLogTest.java
@@ -34,7 +34,7 @@
     private final SteadyClock clock = new SteadyClock();
     private StateStandIn state;
     private StateClient client;
-    private LeadershipTerm.Context env;
+    private NodeContext env;
     private boolean deposed;
 
     @BeforeEach
@@ -43,8 +43,14 @@
         client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
         PlatformConfig config = MachineStoreTest.config();
-        env = new LeadershipTerm.Context(
-                vertx, clock, null, client, null, null, config, Settings.standard(), Span.seconds(10));
+        env = NodeContext.builder()
+                .vertx(vertx)
+                .clock(clock)
+                .state(client)
+                .config(config)
+                .settings(Settings.standard())
+                .lease(Span.seconds(10))
+                .build();
     }
 
     @AfterEach
@@ -102,16 +108,14 @@
     /** As many as the smallest announced value takes, and one request in any case. */
     @Test
     void moreThanTheRecordTakesWaits() throws Exception {
-        env = new LeadershipTerm.Context(
-                vertx,
-                clock,
-                null,
-                client,
-                null,
-                null,
-                MachineStoreTest.config("value_kb = 2.0"),
-                Settings.standard(),
-                Span.seconds(10));
+        env = NodeContext.builder()
+                .vertx(vertx)
+                .clock(clock)
+                .state(client)
+                .config(MachineStoreTest.config("value_kb = 2.0"))
+                .settings(Settings.standard())
+                .lease(Span.seconds(10))
+                .build();
         state.valueBytes = 2048;
         IntentLog book = leader(3);
         int rents = 0;
--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -59,7 +59,7 @@
     private StateStandIn state;
     private StateClient client;
     private SchedulerCore core;
-    private LeadershipTerm.Context env;
+    private NodeContext env;
     private JobStore ledger;
     private final CancellationHorizon horizon = new CancellationHorizon();
 
@@ -68,16 +68,14 @@
         state = await(new StateStandIn().listen(vertx));
         client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
-        env = new LeadershipTerm.Context(
-                vertx,
-                clock,
-                null,
-                client,
-                null,
-                null,
-                MachineStoreTest.config(),
-                Settings.standard(),
-                Span.seconds(10));
+        env = NodeContext.builder()
+                .vertx(vertx)
+                .clock(clock)
+                .state(client)
+                .config(MachineStoreTest.config())
+                .settings(Settings.standard())
+                .lease(Span.seconds(10))
+                .build();
         StateClient.Outcome taken =
                 await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))));
         core = new SchedulerCore(
@@ -307,16 +305,14 @@
     /** Accepted under wider limits: it is not refused again and again, and the jobs behind it go on, by few changes. */
     @Test
     void aRecordThatIsTooLongNowHoldsUpNobody() throws Exception {
-        env = new LeadershipTerm.Context(
-                vertx,
-                clock,
-                null,
-                client,
-                null,
-                null,
-                MachineStoreTest.config(CompletionBlockStoreTest.NEXT),
-                Settings.standard(),
-                Span.seconds(10));
+        env = NodeContext.builder()
+                .vertx(vertx)
+                .clock(clock)
+                .state(client)
+                .config(MachineStoreTest.config(CompletionBlockStoreTest.NEXT))
+                .settings(Settings.standard())
+                .lease(Span.seconds(10))
+                .build();
         JobSpec spec = CompletionBlockStoreTest.spec(4, 3000);
         Revision stamp = await(client.commit(new StateClient.Txn()
                         .put("j/run-1", RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 0))))
--- a/src/test/java/io/indigoreach/cluster/LastTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/LastTaskTest.java
@@ -101,16 +101,15 @@
             return Future.succeededFuture();
         });
         until(catalogue::isKnown);
-        LeadershipTerm.Context context = new LeadershipTerm.Context(
-                vertx,
-                clock,
-                null,
-                leader,
-                null,
-                catalogue,
-                MachineStoreTest.config(),
-                Settings.standard(),
-                Span.seconds(10));
+        NodeContext context = NodeContext.builder()
+                .vertx(vertx)
+                .clock(clock)
+                .state(leader)
+                .catalogue(catalogue)
+                .config(MachineStoreTest.config())
+                .settings(Settings.standard())
+                .lease(Span.seconds(10))
+                .build();
         core = new SchedulerCore(
                 new FencingToken(3),
                 context.config().rules(),
--- a/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
@@ -96,7 +96,7 @@
     private final BlockingQueue<String> events = new ArrayBlockingQueue<>(100);
     private StateStandIn service;
     private StateClient client;
-    private LeadershipTerm.Context env;
+    private NodeContext env;
     private SchedulerCore core;
 
     /** When a transaction without an answer is carried out. */
@@ -118,16 +118,15 @@
         client = client();
         Catalogue catalogue = new Catalogue(
                 vertx, client, keep(new CloudClient(keep(new ServiceClient(vertx, service.endpoint(), 1)))));
-        env = new LeadershipTerm.Context(
-                vertx,
-                clock,
-                null,
-                client,
-                null,
-                catalogue,
-                MachineStoreTest.config(),
-                Settings.standard(),
-                Span.seconds(10));
+        env = NodeContext.builder()
+                .vertx(vertx)
+                .clock(clock)
+                .state(client)
+                .catalogue(catalogue)
+                .config(MachineStoreTest.config())
+                .settings(Settings.standard())
+                .lease(Span.seconds(10))
+                .build();
         core = new SchedulerCore(
                 new FencingToken(3),
                 env.config().rules(),
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -64,7 +64,7 @@
     private StateClient client;
     private SchedulerCore core;
     private MachineStore book;
-    private LeadershipTerm.Context env;
+    private NodeContext env;
 
     private SchedulerListener silent;
 
@@ -127,16 +127,16 @@
                 "quad", new Demand(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of(POOL.zone()))));
         core.recordsLoaded();
         CloudClient cloud = new CloudClient(new ServiceClient(vertx, state.endpoint(), 1));
-        env = new LeadershipTerm.Context(
-                vertx,
-                clock,
-                null,
-                client,
-                cloud,
-                new Catalogue(vertx, client, cloud),
-                config,
-                settings,
-                Span.seconds(10));
+        env = NodeContext.builder()
+                .vertx(vertx)
+                .clock(clock)
+                .state(client)
+                .cloud(cloud)
+                .catalogue(new Catalogue(vertx, client, cloud))
+                .config(config)
+                .settings(settings)
+                .lease(Span.seconds(10))
+                .build();
         book = new MachineStore(env, core, new FencingToken(3), NOBODY, () -> {}, new RateLimiter(12, clock.now()));
         onLoop(() -> {
             book.start();
@@ -263,16 +263,14 @@
                 .stamp();
         state.valueBytes = 2048;
         state.txnOps = 4;
-        LeadershipTerm.Context narrow = new LeadershipTerm.Context(
-                vertx,
-                clock,
-                null,
-                client,
-                null,
-                null,
-                config("value_kb = 2.0\ntxn_ops = 4"),
-                Settings.standard(),
-                Span.seconds(10));
+        NodeContext narrow = NodeContext.builder()
+                .vertx(vertx)
+                .clock(clock)
+                .state(client)
+                .config(config("value_kb = 2.0\ntxn_ops = 4"))
+                .settings(Settings.standard())
+                .lease(Span.seconds(10))
+                .build();
         book = new MachineStore(narrow, core, new FencingToken(3), NOBODY, () -> {}, new RateLimiter(12, now));
         onLoop(() -> {
             book.inherit(wide, stamp, lines);
--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -48,16 +48,14 @@
             StateClient client = new StateClient(
                     new ServiceClient(vertx, state.endpoint(), 2), new ServiceClient(vertx, state.endpoint(), 1));
             SteadyClock clock = new SteadyClock();
-            LeadershipTerm.Context context = new LeadershipTerm.Context(
-                    vertx,
-                    clock,
-                    null,
-                    client,
-                    null,
-                    null,
-                    MachineStoreTest.config(),
-                    Settings.standard(),
-                    Span.seconds(10));
+            NodeContext context = NodeContext.builder()
+                    .vertx(vertx)
+                    .clock(clock)
+                    .state(client)
+                    .config(MachineStoreTest.config())
+                    .settings(Settings.standard())
+                    .lease(Span.seconds(10))
+                    .build();
             StateClient.Outcome taken =
                     await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))));
             RememberedState rememberedState = new RememberedState();
@@ -101,17 +99,15 @@
                     null,
                     MachineStoreTest.config(),
                     Settings.standard());
-            LeadershipTerm.Context context = new LeadershipTerm.Context(
-                    vertx,
-                    clock,
-                    null,
-                    client,
-                    null,
-                    null,
-                    MachineStoreTest.config(),
-                    Settings.standard(),
-                    Span.seconds(10),
-                    parts);
+            NodeContext context = NodeContext.builder()
+                    .vertx(vertx)
+                    .clock(clock)
+                    .state(client)
+                    .config(MachineStoreTest.config())
+                    .settings(Settings.standard())
+                    .lease(Span.seconds(10))
+                    .parts(parts)
+                    .build();
             StateClient.Outcome taken = await(client.commit(new StateClient.Txn()
                     .put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))
                     .put("x/older", MessagePackFormat.map("n", 1L, VersionedRecord.VERSION, 1L))
@@ -152,16 +148,14 @@
             StateClient client = new StateClient(
                     new ServiceClient(vertx, state.endpoint(), 2), new ServiceClient(vertx, state.endpoint(), 1));
             SteadyClock clock = new SteadyClock();
-            LeadershipTerm.Context context = new LeadershipTerm.Context(
-                    vertx,
-                    clock,
-                    null,
-                    client,
-                    null,
-                    null,
-                    MachineStoreTest.config(),
-                    Settings.standard(),
-                    Span.seconds(10));
+            NodeContext context = NodeContext.builder()
+                    .vertx(vertx)
+                    .clock(clock)
+                    .state(client)
+                    .config(MachineStoreTest.config())
+                    .settings(Settings.standard())
+                    .lease(Span.seconds(10))
+                    .build();
             StateClient.Txn before = new StateClient.Txn()
                     .put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))
                     .put("j/run-1", MessagePackFormat.map("at", "x"))
--- a/src/test/java/io/indigoreach/cluster/WarmUpTest.java
+++ b/src/test/java/io/indigoreach/cluster/WarmUpTest.java
@@ -18,16 +18,13 @@
         Vertx vertx = Vertx.vertx();
         try {
             WarmUp warmUp = new WarmUp(
-                    new LeadershipTerm.Context(
-                            vertx,
-                            new SteadyClock(),
-                            null,
-                            null,
-                            null,
-                            null,
-                            MachineStoreTest.config(),
-                            Settings.standard(),
-                            Span.seconds(10)),
+                    NodeContext.builder()
+                            .vertx(vertx)
+                            .clock(new SteadyClock())
+                            .config(MachineStoreTest.config())
+                            .settings(Settings.standard())
+                            .lease(Span.seconds(10))
+                            .build(),
                     () -> leads);
             for (int n = 0; n < 400; n++) {
                 warmUp.step();
