--- a/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
+++ b/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
@@ -1,11 +1,9 @@
 package io.indigoreach.cluster;
 
 import io.indigoreach.core.model.JobId;
-import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.scheduling.Job;
 import io.indigoreach.net.PeriodicTask;
-import io.indigoreach.net.RateLimiter;
 import io.indigoreach.state.CompletionBits;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
@@ -19,37 +17,36 @@
 import java.util.TreeSet;
 
 /**
- * The blocks of done tasks that stand beside open jobs' records. Each write of blocks goes with the job's record, whose version it
- * changes: carried out late it fails, and takes no newer block back. Blocks of a job that is over are of no use and do no harm,
- * so its end is one short transaction and they are removed afterwards, a few at a time; whoever leads next goes on with that.
+ * The blocks of completion bits of open jobs whose bits do not fit into the job's record. A write of blocks is one transaction with
+ * the job's record, whose revision it changes: executed late it is rejected, and cannot replace a newer block. Blocks of a finished
+ * job are harmless, so the completion is one short transaction, and they are deleted afterwards, a few at a time; the next leader
+ * continues with that. Bound to the node's event loop.
  */
 final class CompletionBlockStore {
     private static final Span PERIOD = Span.seconds(0.5);
 
-    /** What stands beside one job's record. */
+    /** The blocks of one job. */
     private static final class JobBlocks {
-        final BitSet done = new BitSet();
+        /** The tasks that the written blocks name as completed. */
+        final BitSet written = new BitSet();
+
         final Set<String> keys = new TreeSet<>();
-        /** The blocks of the write that is under way. */
-        Map<String, BitSet> underWay = Map.of();
+        /** The blocks of the write in flight, by key. */
+        Map<String, BitSet> inFlight = Map.of();
     }
 
+    private final LeaderWrites writes;
     private final NodeContext context;
-    private final Revision leadershipRevision;
-    private final Runnable onDeposed;
-    private final RateLimiter writeLimiter;
     private final PeriodicTask cleanupTask;
     private final Map<JobId, JobBlocks> blocksByJob = new HashMap<>();
-    private final Map<JobId, Set<String>> leftOver = new LinkedHashMap<>();
-
-    CompletionBlockStore(
-            NodeContext context, Revision leadershipRevision, Runnable onDeposed, RateLimiter writeLimiter) {
-        this.context = context;
-        this.leadershipRevision = leadershipRevision;
-        this.onDeposed = onDeposed;
-        this.writeLimiter = writeLimiter;
+    /** Keys of blocks that are to be deleted, as their jobs are no longer open. */
+    private final Map<JobId, Set<String>> orphanedKeys = new LinkedHashMap<>();
+
+    CompletionBlockStore(LeaderWrites writes) {
+        this.writes = writes;
+        this.context = writes.context();
         this.cleanupTask =
-                new PeriodicTask(context.vertx(), "blocks of jobs that are over", PERIOD, this::deleteLeftOver);
+                new PeriodicTask(context.vertx(), "blocks of finished jobs", PERIOD, this::deleteOrphanedBlocks);
     }
 
     void start() {
@@ -60,127 +57,137 @@
         cleanupTask.cancel();
     }
 
+    /** Forgets all blocks, before they are loaded. */
     void clear() {
         blocksByJob.clear();
-        leftOver.clear();
+        orphanedKeys.clear();
     }
 
-    /** A block that an earlier leader wrote. */
-    void inherit(String block, BitSet done) {
-        JobBlocks beside = blocksOf(CompletionBits.jobOf(block));
-        beside.keys.add(block);
-        beside.done.or(done);
+    /** Takes over a block that an earlier leader wrote. */
+    void inherit(String blockKey, BitSet done) {
+        JobBlocks blocks = blocksOf(CompletionBits.jobOf(blockKey));
+        blocks.keys.add(blockKey);
+        blocks.written.or(done);
     }
 
-    /** All open jobs are known: what stands beside others is left over. */
-    void loaded(Set<JobId> jobs) {
-        List<JobId> gone =
-                blocksByJob.keySet().stream().filter(id -> !jobs.contains(id)).toList();
-        gone.forEach(this::jobEnded);
+    /** All open jobs are known: blocks of other jobs are orphaned. */
+    void loaded(Set<JobId> openJobs) {
+        List<JobId> finished = blocksByJob.keySet().stream()
+                .filter(id -> !openJobs.contains(id))
+                .toList();
+        finished.forEach(this::jobEnded);
     }
 
-    /** The job is over. */
+    /** The job is over, and its blocks are to be deleted. */
     void jobEnded(JobId id) {
-        JobBlocks beside = blocksByJob.remove(id);
-        if (beside != null && !beside.keys.isEmpty()) {
-            leftOver.put(id, beside.keys);
+        JobBlocks blocks = blocksByJob.remove(id);
+        if (blocks != null && !blocks.keys.isEmpty()) {
+            orphanedKeys.put(id, blocks.keys);
         }
     }
 
+    /** Whether the job's completion bits fit into its own record, so that it has no blocks. */
     boolean hasRoomInRecord(Job job) {
         return bits().areInRecord(job.spec(), job.submittedMs());
     }
 
-    /** An earlier version accepted a description that does not fit any more: its record stays as it is until its end. */
+    /**
+     * Whether the job's record fits into a value. If limits were lowered since the job was accepted, its record stays as it is until
+     * the job is over.
+     */
     boolean canBeWritten(Job job) {
         return bits().canBeWritten(job.spec(), job.submittedMs());
     }
 
-    /** Adds the job's progress to a transaction: its record, and of the blocks that are behind as many as fit beside it. */
+    /** Adds the job's record to a transaction, and as many of its outdated blocks as fit. */
     void addProgress(StateClient.Txn txn, Job job, BitSet done) {
-        txn.put(
-                RecordCodec.openKey(job.id()),
-                bits().writeJob(
-                                job.spec(),
-                                job.submittedMs(),
-                                job.status(),
-                                done,
-                                job.runningCount(),
-                                job.startBoundToWrite()));
+        txn.put(RecordCodec.openKey(job.id()), openRecord(job, done));
         if (hasRoomInRecord(job)) {
             return;
         }
-        JobBlocks beside = blocksOf(job.id());
-        BitSet missing = (BitSet) done.clone();
-        missing.andNot(beside.done);
-        beside.underWay =
-                bits().blocksWith(job.id(), missing, done, context.limits().txnOps() - txn.size());
-        beside.underWay.forEach((block, covered) -> txn.put(block, CompletionBits.writeBlock(block, covered)));
+        JobBlocks blocks = blocksOf(job.id());
+        BitSet unwritten = (BitSet) done.clone();
+        unwritten.andNot(blocks.written);
+        int room = context.limits().txnOps() - txn.size();
+        blocks.inFlight = bits().blocksWith(job.id(), unwritten, done, room);
+        blocks.inFlight.forEach(
+                (blockKey, completed) -> txn.put(blockKey, CompletionBits.writeBlock(blockKey, completed)));
+    }
+
+    private Map<String, Object> openRecord(Job job, BitSet done) {
+        return bits().writeJob(
+                        job.spec(), job.submittedMs(), job.status(), done, job.runningCount(), job.startBoundToWrite());
     }
 
-    /** What the job's write, which is done, has made durable of {@code done}. */
+    /** The job's last write was executed; returns which of {@code done} are durable. */
     BitSet written(Job job, BitSet done) {
         if (hasRoomInRecord(job)) {
             return done;
         }
-        JobBlocks beside = blocksOf(job.id());
-        beside.underWay.forEach((block, covered) -> {
-            beside.keys.add(block);
-            beside.done.or(covered);
+        JobBlocks blocks = blocksOf(job.id());
+        blocks.inFlight.forEach((blockKey, completed) -> {
+            blocks.keys.add(blockKey);
+            blocks.written.or(completed);
         });
-        beside.underWay = Map.of();
-        return (BitSet) beside.done.clone();
+        blocks.inFlight = Map.of();
+        return (BitSet) blocks.written.clone();
     }
 
-    /** Not all that is done fitted into the last write. */
+    /** Whether completed tasks did not fit into the last write. */
     boolean isBehind(Job job) {
         if (hasRoomInRecord(job)) {
             return false;
         }
-        BitSet missing = job.completedTasks();
-        missing.andNot(blocksOf(job.id()).done);
-        return !missing.isEmpty();
+        BitSet unwritten = job.completedTasks();
+        unwritten.andNot(blocksOf(job.id()).written);
+        return !unwritten.isEmpty();
     }
 
     private JobBlocks blocksOf(JobId id) {
-        return blocksByJob.computeIfAbsent(id, k -> new JobBlocks());
+        return blocksByJob.computeIfAbsent(id, added -> new JobBlocks());
     }
 
     private CompletionBits bits() {
         return new CompletionBits(context.limits());
     }
 
-    private Future<Span> deleteLeftOver() {
-        if (leftOver.isEmpty()) {
+    private Future<Span> deleteOrphanedBlocks() {
+        if (orphanedKeys.isEmpty()) {
             return Future.succeededFuture(PERIOD);
         }
-        JobId id = leftOver.keySet().iterator().next();
-        List<String> some =
-                leftOver.get(id).stream().limit(context.limits().txnOps()).toList();
-        if (!writeLimiter.takeSpare(some.size(), context.clock().now())) {
+        JobId id = orphanedKeys.keySet().iterator().next();
+        List<String> keys =
+                orphanedKeys.get(id).stream().limit(context.limits().txnOps()).toList();
+        if (!writes.limiter().takeSpare(keys.size(), context.clock().now())) {
             return Future.succeededFuture(PERIOD);
         }
-        return context.state().get(RecordCodec.finalKey(id)).compose(over -> {
-            if (over == null) {
-                // Its end was lost, or its record cannot be read: the blocks may be of use yet.
-                leftOver.remove(id);
+        return context.state().get(RecordCodec.finalKey(id)).compose(finalRecord -> {
+            if (finalRecord == null) {
+                // The final record was lost, or the open record is unreadable: the blocks may still be needed.
+                orphanedKeys.remove(id);
                 return Future.succeededFuture(Span.ZERO);
             }
-            StateClient.Txn txn = new StateClient.Txn()
-                    .when(RecordCodec.LEADER, leadershipRevision)
-                    .when(over.key(), over.stamp());
-            some.forEach(txn::delete);
-            return context.state().commit(txn).map(outcome -> {
-                if (outcome.done()) {
-                    leftOver.get(id).removeAll(some);
-                    if (leftOver.get(id).isEmpty()) {
-                        leftOver.remove(id);
-                    }
-                } else if (!cleanupTask.isCancelled() && outcome.failed().contains(RecordCodec.LEADER)) {
-                    onDeposed.run();
-                }
-                return PERIOD;
-            });
+            return deleteBlocks(id, keys, finalRecord);
         });
     }
+
+    private Future<Span> deleteBlocks(JobId id, List<String> keys, StateClient.Entry finalRecord) {
+        StateClient.Txn txn = writes.newTransaction().when(finalRecord.key(), finalRecord.stamp());
+        keys.forEach(txn::delete);
+        return context.state().commit(txn).map(outcome -> {
+            if (outcome.done()) {
+                onDeleted(id, keys);
+            } else if (!cleanupTask.isCancelled() && LeaderWrites.isDeposed(outcome)) {
+                writes.deposed();
+            }
+            return PERIOD;
+        });
+    }
+
+    private void onDeleted(JobId id, List<String> keys) {
+        orphanedKeys.get(id).removeAll(keys);
+        if (orphanedKeys.get(id).isEmpty()) {
+            orphanedKeys.remove(id);
+        }
+    }
 }
--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -231,7 +231,8 @@
     @Override
     public void leadershipGained(FencingToken token, Revision key, boolean bounds) {
         ownMemory.begins(election.succeedsItself());
-        term = new LeadershipTerm(context, token, key, election, bounds, this::gatherRememberedState);
+        term = new LeadershipTerm(
+                context, election, new LeadershipTerm.Leadership(token, key, bounds), this::gatherRememberedState);
         term.start();
     }
 
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -3,7 +3,6 @@
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.core.model.Moment;
-import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.scheduling.DependentJobs;
 import io.indigoreach.core.scheduling.Job;
@@ -22,213 +21,222 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves the leader's chained jobs: reads the ends of jobs that others wait for and that are not open here, and writes the ends
- * of those below a cancelled one, each by a small transaction of its own. Stopped after any of them, the next leader derives
- * what is left from the ends that are written.
+ * Serves jobs that depend on others: looks up how dependencies ended that are not open here, and cancels the jobs that depend on a
+ * cancelled one, each by a small transaction. If it is interrupted, the next leader derives the remaining cancellations from the
+ * final records. Bound to the node's event loop.
  */
 final class DependencyTask {
     private static final Logger LOG = LoggerFactory.getLogger(DependencyTask.class);
     private static final Span PERIOD = Span.seconds(0.1);
-    private static final int READS_AT_ONCE = 4;
-    private static final int WRITES_AT_ONCE = 4;
-    /** Of the state service's requests, what looking up ends may take. */
-    private static final double READS = 0.1;
-    /** Before the end of a job that was found open is looked up again; its record is heard of long before. */
-    private static final Span OPEN_PAUSE = Span.seconds(1);
-    /** Before a job that is nowhere is looked for again: it comes back when a controller that remembers it is asked. */
-    private static final Span LOST_PAUSE = Span.seconds(5);
-
-    private static final String SAME_MOMENT = "a read came from the past";
-
-    private final NodeContext env;
+    private static final int MAX_READS_IN_FLIGHT = 4;
+    private static final int MAX_WRITES_IN_FLIGHT = 4;
+    /** The share of the state service's request rate that lookups may use. */
+    private static final double READ_SHARE = 0.1;
+    /** Until an open dependency is looked up again; its change is usually watched long before. */
+    private static final Span OPEN_RETRY = Span.seconds(1);
+    /** Until a missing dependency is looked up again; it returns when a controller that remembers it is asked. */
+    private static final Span MISSING_RETRY = Span.seconds(5);
+
+    private final LeaderWrites writes;
+    private final NodeContext context;
+    private final JobRecordLookup lookup;
     private final SchedulerCore core;
-    private final DependentJobs chains;
-    private final JobStore ledger;
-    private final Revision key;
-    private final Runnable deposed;
-    private final RateLimiter writes;
-    private final RateLimiter reads;
-    private final PeriodicTask duty;
-    private final Set<JobId> reading = new HashSet<>();
-    private final Set<JobId> writing = new HashSet<>();
-    private final Map<JobId, Moment> notBefore = new HashMap<>();
-
-    DependencyTask(
-            NodeContext env, SchedulerCore core, JobStore ledger, Revision key, Runnable deposed, RateLimiter writes) {
-        this.env = env;
-        this.core = core;
-        this.chains = core.dependentJobs();
-        this.ledger = ledger;
-        this.key = key;
-        this.deposed = deposed;
+    private final DependentJobs dependentJobs;
+    private final JobStore jobStore;
+    private final RateLimiter readLimiter;
+    private final PeriodicTask task;
+    private final Set<JobId> readsInFlight = new HashSet<>();
+    private final Set<JobId> writesInFlight = new HashSet<>();
+    private final Map<JobId, Moment> nextLookupAt = new HashMap<>();
+
+    DependencyTask(LeaderWrites writes, SchedulerCore core, JobStore jobStore) {
         this.writes = writes;
-        this.reads = new RateLimiter(
-                Math.max(1, env.config().stateLimits().requestsPerS() * READS),
-                env.clock().now());
-        this.duty = new PeriodicTask(env.vertx(), "chains", PERIOD, this::step);
+        this.context = writes.context();
+        this.lookup = new JobRecordLookup(context.state());
+        this.core = core;
+        this.dependentJobs = core.dependentJobs();
+        this.jobStore = jobStore;
+        double readsPerS = context.config().stateLimits().requestsPerS() * READ_SHARE;
+        this.readLimiter =
+                new RateLimiter(Math.max(1, readsPerS), context.clock().now());
+        this.task = new PeriodicTask(context.vertx(), "dependencies", PERIOD, this::step);
     }
 
     void start() {
-        duty.start();
+        task.start();
     }
 
     void cancel() {
-        duty.cancel();
+        task.cancel();
     }
 
     private Future<Span> step() {
-        Moment now = env.clock().now();
-        chains.advance(now, env.clock().timeOfDay());
-        sweep(now);
-        lookUp(now);
+        Moment now = context.clock().now();
+        dependentJobs.advance(now, context.clock().timeOfDay());
+        cancelDependents(now);
+        lookUpDependencies(now);
         return Future.succeededFuture(PERIOD);
     }
 
-    private void lookUp(Moment now) {
-        notBefore.keySet().retainAll(chains.lookUps());
-        for (JobId id : Set.copyOf(chains.lookUps())) {
-            if (reading.size() >= READS_AT_ONCE) {
+    private void lookUpDependencies(Moment now) {
+        nextLookupAt.keySet().retainAll(dependentJobs.lookUps());
+        for (JobId id : Set.copyOf(dependentJobs.lookUps())) {
+            if (readsInFlight.size() >= MAX_READS_IN_FLIGHT) {
                 return;
             }
-            if (reading.contains(id) || now.isBefore(notBefore.getOrDefault(id, Moment.NEVER))) {
+            if (readsInFlight.contains(id) || now.isBefore(nextLookupAt.getOrDefault(id, Moment.NEVER))) {
                 continue;
             }
-            if (!reads.take(1, now)) {
+            if (!readLimiter.take(1, now)) {
                 return;
             }
-            reading.add(id);
-            read(id).onComplete(read -> {
-                reading.remove(id);
-                if (read.succeeded() && !duty.isCancelled()) {
-                    answered(id, read.result());
-                }
-            });
+            lookUp(id);
         }
     }
 
-    /** What a look-up says of a job. */
-    private enum Fate {
+    private void lookUp(JobId id) {
+        readsInFlight.add(id);
+        read(id).onComplete(result -> {
+            readsInFlight.remove(id);
+            if (result.succeeded() && !task.isCancelled()) {
+                onRead(id, result.result());
+            }
+        });
+    }
+
+    /** What the records say of a dependency. */
+    private enum DependencyState {
         DONE,
         CANCELLED,
         OPEN,
-        NOWHERE
+        MISSING
     }
 
-    private Future<Fate> read(JobId id) {
-        return env.state()
-                .get(RecordCodec.finalKey(id))
-                .compose(over -> over != null
-                        ? Future.succeededFuture(
-                                ended(RecordCodec.readFinal(id, over.value()).status()))
-                        : env.state()
-                                .get(RecordCodec.openKey(id))
-                                .compose(open ->
-                                        open != null ? Future.succeededFuture(standing(id, open)) : nowhere(id)));
+    private Future<DependencyState> read(JobId id) {
+        return lookup.finalRecord(id)
+                .compose(record -> record != null
+                        ? Future.succeededFuture(stateOfFinished(id, record))
+                        : readWithoutFinalRecord(id));
     }
 
-    private static Fate ended(JobStatus status) {
-        return status == JobStatus.DONE ? Fate.DONE : Fate.CANCELLED;
+    private Future<DependencyState> readWithoutFinalRecord(JobId id) {
+        return lookup.openRecord(id)
+                .compose(record ->
+                        record != null ? Future.succeededFuture(stateOfOpen(id, record)) : confirmMissing(id));
     }
 
-    /** An end that is written into the open record is as final as one that stands by itself. */
-    private static Fate standing(JobId id, StateClient.Entry open) {
-        boolean done = RecordCodec.readJob(id, open.value(), open.stamp()).status() == JobStatus.DONE;
-        return done ? Fate.DONE : Fate.OPEN;
+    private Future<DependencyState> confirmMissing(JobId id) {
+        return lookup.confirmAbsent(id)
+                .compose(absent -> absent
+                        ? Future.succeededFuture(DependencyState.MISSING)
+                        : Future.failedFuture(new WireException(JobRecordLookup.STALE_READ)));
     }
 
-    private Future<Fate> nowhere(JobId id) {
-        return env.state()
-                .confirm(new StateClient.Txn()
-                        .when(RecordCodec.openKey(id), Revision.ABSENT)
-                        .when(RecordCodec.finalKey(id), Revision.ABSENT))
-                .compose(confirmed -> confirmed
-                        ? Future.succeededFuture(Fate.NOWHERE)
-                        : Future.failedFuture(new WireException(SAME_MOMENT)));
+    private static DependencyState stateOfFinished(JobId id, StateClient.Entry record) {
+        JobStatus status = RecordCodec.readFinal(id, record.value()).status();
+        return status == JobStatus.DONE ? DependencyState.DONE : DependencyState.CANCELLED;
     }
 
-    private void answered(JobId id, Fate fate) {
-        if (!chains.lookUps().contains(id)) {
+    /** A completion in the open record is as final as a final record. */
+    private static DependencyState stateOfOpen(JobId id, StateClient.Entry record) {
+        JobStatus status =
+                RecordCodec.readJob(id, record.value(), record.stamp()).status();
+        return status == JobStatus.DONE ? DependencyState.DONE : DependencyState.OPEN;
+    }
+
+    private void onRead(JobId id, DependencyState state) {
+        if (!dependentJobs.lookUps().contains(id)) {
             return;
         }
-        switch (fate) {
-            case DONE -> chains.done(id);
+        Moment now = context.clock().now();
+        switch (state) {
+            case DONE -> dependentJobs.done(id);
             case CANCELLED -> {
-                LOG.info("job {} is cancelled, and with it those that need it", id);
-                chains.cancelled(id);
+                LOG.info("cancellation cascaded job={}", id);
+                dependentJobs.cancelled(id);
             }
-            case OPEN -> notBefore.put(id, env.clock().now().plus(OPEN_PAUSE));
-            // Neither done nor cancelled may be said of it: those that need it wait until its end is known again.
-            case NOWHERE -> {
-                LOG.error("job {} is in no record, and others wait for it; their users can cancel them", id);
-                notBefore.put(id, env.clock().now().plus(LOST_PAUSE));
+            case OPEN -> nextLookupAt.put(id, now.plus(OPEN_RETRY));
+            // Neither done nor cancelled may be assumed: its dependents wait until a record is found.
+            case MISSING -> {
+                LOG.error("dependency missing job={}", id);
+                nextLookupAt.put(id, now.plus(MISSING_RETRY));
             }
         }
     }
 
-    private void sweep(Moment now) {
-        for (JobId id : Set.copyOf(chains.doomed())) {
-            if (writing.size() >= WRITES_AT_ONCE) {
+    private void cancelDependents(Moment now) {
+        for (JobId id : Set.copyOf(dependentJobs.doomed())) {
+            if (writesInFlight.size() >= MAX_WRITES_IN_FLIGHT) {
                 return;
             }
             Job job = core.job(id);
-            if (job == null || writing.contains(id)) {
+            if (job == null || writesInFlight.contains(id)) {
                 continue;
             }
-            StateClient.Txn txn = new StateClient.Txn()
-                    .when(RecordCodec.LEADER, key)
-                    .when(RecordCodec.openKey(id), job.revision())
-                    .delete(RecordCodec.openKey(id))
-                    .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(JobStatus.CANCELLED, job.doneCount()));
-            if (!writes.take(txn.size(), now)) {
+            StateClient.Txn txn = cancellation(job);
+            if (!writes.limiter().take(txn.size(), now)) {
                 return;
             }
-            writing.add(id);
-            write(job, txn).onComplete(written -> writing.remove(id));
+            writesInFlight.add(id);
+            write(job, txn).onComplete(result -> writesInFlight.remove(id));
         }
     }
 
+    private StateClient.Txn cancellation(Job job) {
+        return writes.newTransaction()
+                .when(RecordCodec.openKey(job.id()), job.revision())
+                .delete(RecordCodec.openKey(job.id()))
+                .put(RecordCodec.finalKey(job.id()), RecordCodec.writeFinal(JobStatus.CANCELLED, job.doneCount()));
+    }
+
     private Future<Void> write(Job job, StateClient.Txn txn) {
-        return env.state()
+        return context.state()
                 .commit(txn)
                 .compose(
-                        outcome -> {
-                            if (duty.isCancelled()) {
-                                return Future.succeededFuture();
-                            }
-                            if (outcome.done()) {
-                                swept(job.id());
-                                return Future.succeededFuture();
-                            }
-                            if (outcome.failed().contains(RecordCodec.LEADER)) {
-                                deposed.run();
-                                return Future.succeededFuture();
-                            }
-                            return settle(job);
-                        },
-                        failure -> StateClient.surelyNotExecuted(failure) ? Future.succeededFuture() : settle(job));
-    }
-
-    /** After a write that failed or has an unknown outcome: reads how the job stands. */
-    private Future<Void> settle(Job job) {
-        JobId id = job.id();
-        return env.state().get(RecordCodec.openKey(id)).compose(open -> {
-            if (open != null) {
-                core.revisionSeen(job, open.stamp());
-                return Future.succeededFuture();
+                        outcome -> onResponse(job, outcome),
+                        failure ->
+                                StateClient.surelyNotExecuted(failure) ? Future.succeededFuture() : readOutcome(job));
+    }
+
+    private Future<Void> onResponse(Job job, StateClient.Outcome outcome) {
+        if (task.isCancelled()) {
+            return Future.succeededFuture();
+        }
+        if (outcome.done()) {
+            onCancelled(job.id());
+            return Future.succeededFuture();
+        }
+        if (LeaderWrites.isDeposed(outcome)) {
+            writes.deposed();
+            return Future.succeededFuture();
+        }
+        return readOutcome(job);
+    }
+
+    /** Reads the job's records after a write that was rejected or has an unknown outcome. */
+    private Future<Void> readOutcome(Job job) {
+        return lookup.openRecord(job.id()).compose(open -> {
+            if (open == null) {
+                return readFinalRecord(job.id());
+            }
+            core.revisionSeen(job, open.stamp());
+            return Future.succeededFuture();
+        });
+    }
+
+    private Future<Void> readFinalRecord(JobId id) {
+        return lookup.finalRecord(id).map(record -> {
+            if (record != null
+                    && !task.isCancelled()
+                    && RecordCodec.readFinal(id, record.value()).status() == JobStatus.CANCELLED) {
+                onCancelled(id);
             }
-            return env.state().get(RecordCodec.finalKey(id)).map(over -> {
-                if (over != null
-                        && !duty.isCancelled()
-                        && RecordCodec.readFinal(id, over.value()).status() == JobStatus.CANCELLED) {
-                    swept(id);
-                }
-                return null;
-            });
+            return null;
         });
     }
 
-    private void swept(JobId id) {
-        chains.cancelled(id);
-        ledger.onCancelled(id);
+    private void onCancelled(JobId id) {
+        dependentJobs.cancelled(id);
+        jobStore.onCancelled(id);
     }
 }
--- a/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
+++ b/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
@@ -7,46 +7,53 @@
 import io.vertx.core.Future;
 
 /**
- * Notices that the record of a job's end is removed, which nobody does: without it the job's user, who comes again, would
- * have it run once more. Open jobs' records are watched in any case ({@link JobWatch}).
+ * Detects that the final record of a job was deleted, which no node does: without it, a repeated submission would run the job
+ * again. {@link JobWatch} watches the records of open jobs. Bound to the node's event loop.
  */
 final class FinalRecordWatch {
-    private static final Span LONGEST_WAIT = Span.seconds(10);
-    /** Ends come by the second, and what is looked for hardly ever. */
+    private static final Span MAX_WATCH_TIME = Span.seconds(10);
+    /** Final records are written every second, but hardly ever deleted: changes are collected for this long. */
     private static final Span PAUSE = Span.seconds(0.5);
 
     private final StateClient state;
-    private final PeriodicTask duty;
-    private long since;
+    private final PeriodicTask watchTask;
+    /** The revision from which the next watch begins. */
+    private long nextRevision;
 
     FinalRecordWatch(NodeContext context) {
         this.state = context.state();
-        this.duty = new PeriodicTask(context.vertx(), "end watch", PAUSE, this::step);
+        this.watchTask = new PeriodicTask(context.vertx(), "final record watch", PAUSE, this::step);
     }
 
     void start(long revision) {
-        since = revision;
-        duty.start();
+        nextRevision = revision;
+        watchTask.start();
     }
 
     void cancel() {
-        duty.cancel();
+        watchTask.cancel();
     }
 
     private Future<Span> step() {
-        return state.watch(RecordCodec.FINAL, since, LONGEST_WAIT).compose(changes -> {
-            if (changes.tooOld()) {
-                return state.list(RecordCodec.FINAL, null, 1).map(page -> {
-                    since = page.revision();
-                    return PAUSE;
-                });
-            }
-            since = Math.max(since, changes.revision());
-            changes.changes().stream()
-                    .filter(c -> c.value() == null && !duty.isCancelled())
-                    .findFirst()
-                    .ifPresent(c -> state.recordGone(c.key()));
-            return Future.succeededFuture(PAUSE);
+        return state.watch(RecordCodec.FINAL, nextRevision, MAX_WATCH_TIME).compose(this::apply);
+    }
+
+    private Future<Span> apply(StateClient.Changes changes) {
+        if (changes.tooOld()) {
+            return skipToCurrentRevision();
+        }
+        nextRevision = Math.max(nextRevision, changes.revision());
+        changes.changes().stream()
+                .filter(change -> change.value() == null && !watchTask.isCancelled())
+                .findFirst()
+                .ifPresent(change -> state.recordGone(change.key()));
+        return Future.succeededFuture(PAUSE);
+    }
+
+    private Future<Span> skipToCurrentRevision() {
+        return state.list(RecordCodec.FINAL, null, 1).map(page -> {
+            nextRevision = page.revision();
+            return PAUSE;
         });
     }
 }
--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -96,7 +96,7 @@
         List<Intents.Rent> rents = new ArrayList<>();
         List<MachineId> condemned = new ArrayList<>();
         earlier.clear();
-        return JobStore.pages(env.state(), key, RecordCodec.INTENTS, e -> {
+        return RecordListing.readAll(env.state(), key, RecordCodec.INTENTS, e -> {
                     Intents.Page old = RecordCodec.readIntents(e.value());
                     rents.addAll(old.rents());
                     condemned.addAll(old.returns());
--- /dev/null
+++ b/src/main/java/io/indigoreach/cluster/JobLoader.java
@@ -0,0 +1,174 @@
+package io.indigoreach.cluster;
+
+import io.indigoreach.core.leadership.CancellationHorizon;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.scheduling.Job;
+import io.indigoreach.net.WireException;
+import io.indigoreach.state.CompletionBits;
+import io.indigoreach.state.MachineRecord;
+import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.StateClient;
+import io.vertx.core.Future;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.stream.Collectors;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Reads the records of jobs and machines at a failover, and has unreadable job records repaired. Bound to the node's event loop.
+ */
+final class JobLoader {
+    private static final Logger LOG = LoggerFactory.getLogger(JobLoader.class);
+    /** For how long a new leader repairs unreadable records before it continues without the rest. */
+    private static final Span REPAIR_TIME = Span.seconds(2);
+
+    private final LeaderJobs jobs;
+    private final NodeContext context;
+    private final CompletionBlockStore completionBlocks;
+    private final MachineStore machineStore;
+    private final CancellationHorizon horizon;
+    /**
+     * When this term began: no earlier leader has responded to workers since. If it counted from the start of the load instead,
+     * silent machines would delay the failover for as long as a slow state service takes, and again with each load that fails.
+     */
+    private final Moment termBeganAt;
+
+    JobLoader(
+            LeaderJobs jobs,
+            CompletionBlockStore completionBlocks,
+            MachineStore machineStore,
+            CancellationHorizon horizon) {
+        this.jobs = jobs;
+        this.context = jobs.writes().context();
+        this.completionBlocks = completionBlocks;
+        this.machineStore = machineStore;
+        this.horizon = horizon;
+        this.termBeganAt = context.clock().now();
+    }
+
+    /** Reads every machine and every open job; the result is the revision to watch the open jobs from. */
+    Future<Long> load() {
+        jobs.openJobs().clear();
+        completionBlocks.clear();
+        return new Load().run();
+    }
+
+    /** The state of one load, which is discarded if it fails. */
+    private final class Load {
+        private final Map<JobId, BitSet> blockBits = new HashMap<>();
+        private final List<StateClient.Entry> unreadable = new ArrayList<>();
+
+        Future<Long> run() {
+            // Blocks first: a block that is written between the two listings would otherwise be newer than its job.
+            return listAll(RecordCodec.BITS, this::readBlock)
+                    .compose(revision -> listAll(CompletionBits.SMALL, this::readBlock))
+                    .compose(revision -> listAll(RecordCodec.MACHINES, JobLoader.this::readMachines))
+                    .compose(revision -> listOpenJobs())
+                    .compose(revision -> repairUnreadable().map(revision))
+                    .onSuccess(revision -> completionBlocks.loaded(openJobIds()));
+        }
+
+        private void readBlock(StateClient.Entry block) {
+            RecordListing.readOrLog(block.key(), () -> {
+                BitSet done = new BitSet();
+                CompletionBits.readBlock(block.key(), block.value(), done);
+                blockBits
+                        .computeIfAbsent(CompletionBits.jobOf(block.key()), id -> new BitSet())
+                        .or(done);
+                completionBlocks.inherit(block.key(), done);
+            });
+        }
+
+        private Future<Long> listOpenJobs() {
+            // The listing does not contain what was cancelled before it was requested.
+            Moment requestedAt = context.clock().now();
+            return listAll(RecordCodec.OPEN, this::readOpenJob).onSuccess(revision -> horizon.advanceTo(requestedAt));
+        }
+
+        private void readOpenJob(StateClient.Entry entry) {
+            if (!RecordListing.readOrLog(entry.key(), () -> add(RecordCodec.jobOfOpenKey(entry.key()), entry))) {
+                unreadable.add(entry);
+            }
+        }
+
+        private void add(JobId id, StateClient.Entry entry) {
+            jobs.openJobs().addInherited(RecordCodec.readJob(id, entry.value(), entry.stamp()), blockBits);
+        }
+
+        private Future<Void> repairUnreadable() {
+            return repairNext(unreadable.iterator(), context.clock().now().plus(REPAIR_TIME));
+        }
+
+        /**
+         * Repairs unreadable job records from the memory of other controllers, before any command stops tasks of these jobs. It
+         * takes limited time, as all other jobs wait; a user's request for such a job has it repaired too.
+         */
+        private Future<Void> repairNext(Iterator<StateClient.Entry> entries, Moment until) {
+            if (!entries.hasNext() || jobs.writer().isCancelled()) {
+                return Future.succeededFuture();
+            }
+            StateClient.Entry entry = entries.next();
+            if (!JobId.isValid(entry.key().substring(RecordCodec.OPEN.length()))) {
+                return repairNext(entries, until);
+            }
+            return repairInTime(entry, until)
+                    .recover(failure -> {
+                        LOG.error("job not served key={} cause={}", entry.key(), failure.getMessage());
+                        return Future.succeededFuture();
+                    })
+                    .compose(done -> repairNext(entries, until));
+        }
+
+        private Future<Void> repairInTime(StateClient.Entry entry, Moment until) {
+            JobId id = RecordCodec.jobOfOpenKey(entry.key());
+            jobs.openJobs().markUnreadable(id);
+            if (!context.clock().now().isBefore(until)) {
+                return Future.failedFuture(new WireException("no time left for repairs"));
+            }
+            return context.repairer()
+                    .repairOpen(id, entry, null)
+                    .compose(done -> context.state().get(entry.key()))
+                    .map(repaired -> {
+                        if (repaired != null) {
+                            add(id, repaired);
+                        }
+                        jobs.openJobs().markReadable(id);
+                        return null;
+                    });
+        }
+    }
+
+    private void readMachines(StateClient.Entry page) {
+        List<MachineRecord> machines = RecordCodec.readMachines(page.value());
+        machineStore.inherit(page.key(), page.stamp(), machines);
+        for (MachineRecord machine : machines) {
+            // Another node wrote this time, and its clock may be off as far in the other direction as this node's.
+            Moment knownToExistAt = context.toSteadyTime(machine.existedMs())
+                    .plus(context.config().clockOff().times(2));
+            jobs.core()
+                    .inheritMachine(
+                            machine.id(),
+                            machine.pool(),
+                            context.toSteadyTime(machine.rentedMs()),
+                            knownToExistAt,
+                            termBeganAt);
+        }
+    }
+
+    private Set<JobId> openJobIds() {
+        return jobs.core().jobs().stream().map(Job::id).collect(Collectors.toSet());
+    }
+
+    private Future<Long> listAll(String prefix, Consumer<StateClient.Entry> consumer) {
+        return RecordListing.readAll(context.state(), jobs.writes().leadershipRevision(), prefix, consumer);
+    }
+}
--- a/src/main/java/io/indigoreach/cluster/JobWatch.java
+++ b/src/main/java/io/indigoreach/cluster/JobWatch.java
@@ -11,95 +11,109 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Tells the leader of jobs that any node has accepted or cancelled. */
+/** Watches the open jobs' records, by which the leader learns of jobs that any node accepts or cancels. Bound to the event loop. */
 final class JobWatch {
     private static final Logger LOG = LoggerFactory.getLogger(JobWatch.class);
-    private static final Span LONGEST_WAIT = Span.seconds(2);
+    private static final Span MAX_WATCH_TIME = Span.seconds(2);
+    /** Part of the age that the cancellation horizon may reach which one watch may take. */
+    private static final double WATCH_TIME_SHARE = 0.25;
+
     private static final Span PAUSE = Span.seconds(0.3);
 
-    private final NodeContext env;
-    private final JobStore ledger;
-    private final PeriodicTask duty;
-    private long since;
-    private boolean readAgain;
+    private final NodeContext context;
+    private final JobStore jobStore;
     private final CancellationHorizon horizon;
+    private final PeriodicTask watchTask;
+    /** The revision from which the next watch begins. */
+    private long nextRevision;
+    /** The state service no longer has the changes since {@code nextRevision}. */
+    private boolean mustResynchronize;
 
-    JobWatch(NodeContext env, JobStore ledger, CancellationHorizon horizon) {
-        this.env = env;
-        this.ledger = ledger;
-        this.duty = new PeriodicTask(env.vertx(), "job watch", PAUSE, this::step);
+    JobWatch(NodeContext context, JobStore jobStore, CancellationHorizon horizon) {
+        this.context = context;
+        this.jobStore = jobStore;
         this.horizon = horizon;
+        this.watchTask = new PeriodicTask(context.vertx(), "job watch", PAUSE, this::step);
     }
 
-    /** Goes on from where {@link #catchUp} has come to. */
+    /** Continues from where {@link #catchUp} ended. */
     void start() {
-        duty.start();
+        watchTask.start();
     }
 
     void cancel() {
-        duty.cancel();
+        watchTask.cancel();
     }
 
     /**
-     * Hears of what has changed since {@code revision} without waiting for more. Before the first order of a leadership: what
-     * was cancelled after the jobs had been listed, while the rest of the records was read, would else be started.
+     * Applies the changes since {@code revision} without waiting for more. Called before the first command of a leadership term:
+     * tasks of jobs that were cancelled while the other records were loaded must not start.
      */
     Future<Void> catchUp(long revision) {
-        since = revision;
-        return step(Span.ZERO)
-                .compose(v -> readAgain ? step(Span.ZERO) : Future.succeededFuture())
+        nextRevision = revision;
+        return watch(Span.ZERO)
+                .compose(wait -> mustResynchronize ? watch(Span.ZERO) : Future.succeededFuture())
                 .mapEmpty();
     }
 
     private Future<Span> step() {
-        return step(waitFor(env.config().rules().maxCancellationAge()));
+        return watch(watchTime(context.config().rules().maxCancellationAge()));
     }
 
-    /** One watch that stays open for {@code longest} at most. */
-    private Future<Span> step(Span longest) {
-        Moment sent = env.clock().now();
-        if (readAgain) {
-            return ledger.resynchronize().map(revision -> {
-                since = revision;
-                readAgain = false;
-                horizon.advanceTo(sent);
-                return Span.ZERO;
-            });
+    /** One watch that is answered after {@code maxTime} at the latest. */
+    private Future<Span> watch(Span maxTime) {
+        Moment sentAt = context.clock().now();
+        if (mustResynchronize) {
+            return resynchronize(sentAt);
         }
-        return env.state().watch(RecordCodec.OPEN, since, longest).map(changes -> {
-            if (duty.isCancelled()) {
-                return PAUSE;
-            }
-            if (changes.tooOld()) {
-                readAgain = true;
-                return Span.ZERO;
-            }
-            since = Math.max(since, changes.revision());
-            // First what it brings: a job that is gone holds the horizon until it is known why.
-            for (StateClient.Change change : changes.changes()) {
-                JobStore.readOrLog(change.key(), () -> apply(change));
-            }
-            horizon.advanceTo(sent);
+        return context.state().watch(RecordCodec.OPEN, nextRevision, maxTime).map(changes -> apply(changes, sentAt));
+    }
+
+    private Future<Span> resynchronize(Moment sentAt) {
+        return jobStore.resynchronize().map(revision -> {
+            nextRevision = revision;
+            mustResynchronize = false;
+            horizon.advanceTo(sentAt);
             return Span.ZERO;
         });
     }
 
+    private Span apply(StateClient.Changes changes, Moment sentAt) {
+        if (watchTask.isCancelled()) {
+            return PAUSE;
+        }
+        if (changes.tooOld()) {
+            mustResynchronize = true;
+            return Span.ZERO;
+        }
+        nextRevision = Math.max(nextRevision, changes.revision());
+        // Before the horizon advances: a deleted job holds it back until the reason is known.
+        for (StateClient.Change change : changes.changes()) {
+            RecordListing.readOrLog(change.key(), () -> apply(change));
+        }
+        horizon.advanceTo(sentAt);
+        return Span.ZERO;
+    }
+
     /**
-     * How long one watch may stay open. The leader answers workers only while its last finished watch is younger than
-     * {@code horizonAge}, so where that is short watches must end often, or a quiet service would look like a deaf one.
+     * How long one watch may take. The leader answers heartbeats only while its last completed watch is younger than {@code
+     * maxCancellationAge}, so watches must end often where that is short; else a quiet service would look like a partition.
      */
-    static Span waitFor(Span horizonAge) {
-        Span part = horizonAge.times(0.25);
-        return part.compareTo(LONGEST_WAIT) < 0 ? part : LONGEST_WAIT;
+    static Span watchTime(Span maxCancellationAge) {
+        Span share = maxCancellationAge.times(WATCH_TIME_SHARE);
+        return share.compareTo(MAX_WATCH_TIME) < 0 ? share : MAX_WATCH_TIME;
     }
 
     private void apply(StateClient.Change change) {
         JobId id = RecordCodec.jobOfOpenKey(change.key());
         if (change.value() != null) {
-            ledger.onOpenRecordWritten(id, change.value(), change.stamp());
+            jobStore.onOpenRecordWritten(id, change.value(), change.stamp());
         } else {
-            ledger.onOpenRecordDeleted(id);
+            jobStore.onOpenRecordDeleted(id);
         }
-        LOG.debug("heard of {} at {}", change.key(), change.stamp().value());
+        LOG.debug(
+                "job change observed key={} revision={}",
+                change.key(),
+                change.stamp().value());
     }
 }
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -27,23 +27,39 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One leadership of this node, from taking the key to losing it: the core and the duties that serve it. */
+/**
+ * One leadership of this node, from gaining the leadership key to losing it: the scheduler core, and the tasks that load its state,
+ * write its records and rent its machines. Bound to the node's event loop. A term is started once, and closed once.
+ */
 final class LeadershipTerm implements SchedulerListener {
     private static final Logger LOG = LoggerFactory.getLogger(LeadershipTerm.class);
-    private static final Span TICK = Span.seconds(0.5);
-    /** The part of the service's changes that the leader takes; the rest is for submissions and cancellations. */
+    private static final Span TICK_PERIOD = Span.seconds(0.5);
+    /** The share of the state service's write rate that the leader uses; the rest is for submissions and cancellations. */
     private static final double LEADER_WRITE_SHARE = 0.6;
-    /** What a question to the other nodes and their answers may take and still be of use. */
-    private static final Span PEER_QUESTION_TIME = Span.seconds(3);
+    /** How long a request to the peers may take and still be of use. */
+    private static final Span PEER_REQUEST_TIME = Span.seconds(3);
 
-    private static final Span SUMMARY = Span.seconds(10);
-    /** Before records that could not be read are read once more. */
+    private static final Span SUMMARY_PERIOD = Span.seconds(10);
+    private static final Span LOAD_RETRY = Span.seconds(0.3);
+    private static final Span CATALOGUE_RETRY = Span.seconds(0.2);
+    /** Until unreadable records are read again. */
     private static final Span UNREADABLE_RETRY = Span.seconds(5);
+    /** The kind of an objective on the time until a job starts, as the settings name it. */
+    private static final String WAIT_OBJECTIVE = "wait";
+
+    /**
+     * The result of a won election.
+     *
+     * @param revision of the leadership key
+     * @param startBoundsTrusted whether the start bounds that earlier leaders recorded can be relied on
+     */
+    record Leadership(FencingToken token, Revision revision, boolean startBoundsTrusted) {}
 
     private final NodeContext context;
-    private final FencingToken token;
     private final LeaderElection election;
+    private final Supplier<Future<RememberedState>> gatherRememberedState;
     private final SchedulerCore core;
+    private final LeaderWrites writes;
     private final MachineStore machineStore;
     private final JobStore jobStore;
     private final DependencyTask dependencyTask;
@@ -51,83 +67,76 @@
     private final JobWatch jobWatch;
     private final FinalRecordWatch finalRecordWatch;
     private final PartsTask partsTask;
-    private final PeriodicTask openingTask;
-    private final PeriodicTask tick;
-    private final Supplier<Future<RememberedState>> gatherRememberedState;
-    private final RateLimiter writeLimiter;
-    private final Revision leadershipRevision;
-    private Moment lastSummaryAt = Moment.NEVER;
+    private final PeriodicTask loadTask;
+    private final PeriodicTask tickTask;
     private final CancellationHorizon cancellationHorizon = new CancellationHorizon();
     private boolean startBoundsTrusted;
-    /** Since when reports are taken; what machines were silent before that is this node's doing, however long the reading took. */
-    private Moment servesSince = Moment.NEVER;
+    private Moment lastSummaryAt = Moment.NEVER;
+    /** Since when heartbeats are answered. Silence of machines before that is due to this node, however long the load took. */
+    private Moment servingSince = Moment.NEVER;
 
-    /**
-     * @param startBoundsTrusted the start bounds that earlier leaders recorded can be believed
-     * @param gatherRememberedState what controllers remember, asked for where the state service has lost data
-     */
+    /** @param gatherRememberedState asks all controllers what they remember, if the state service has lost data */
     LeadershipTerm(
             NodeContext context,
-            FencingToken token,
-            Revision leadershipRevision,
             LeaderElection election,
-            boolean startBoundsTrusted,
+            Leadership leadership,
             Supplier<Future<RememberedState>> gatherRememberedState) {
-        this.gatherRememberedState = gatherRememberedState;
-        this.leadershipRevision = leadershipRevision;
         this.context = context;
-        this.token = token;
         this.election = election;
-        this.core = new SchedulerCore(
+        this.gatherRememberedState = gatherRememberedState;
+        this.startBoundsTrusted = leadership.startBoundsTrusted();
+        this.core = newCore(context, leadership.token(), this);
+        this.writes = new LeaderWrites(
+                context, leadership.token(), leadership.revision(), newWriteLimiter(context), election::deposed);
+        this.machineStore = new MachineStore(writes, core);
+        this.jobStore = new JobStore(writes, core, machineStore, startBoundsTrusted, cancellationHorizon);
+        this.dependencyTask = new DependencyTask(writes, core, jobStore);
+        this.fleetManager = newFleetManager();
+        this.jobWatch = new JobWatch(context, jobStore, cancellationHorizon);
+        this.finalRecordWatch = new FinalRecordWatch(context);
+        this.partsTask = new PartsTask(context, core, leadership.revision(), writes.limiter());
+        this.loadTask = new PeriodicTask(context.vertx(), "load records", LOAD_RETRY, this::load);
+        this.tickTask = new PeriodicTask(context.vertx(), "tick", TICK_PERIOD, this::tick);
+    }
+
+    private static SchedulerCore newCore(NodeContext context, FencingToken token, SchedulerListener listener) {
+        return new SchedulerCore(
                 token,
                 context.config().rules(),
                 context.settings().tuning(),
-                aims(context.config()),
+                objectives(context.config()),
                 context.config().teams(),
-                this);
-        this.writeLimiter = new RateLimiter(
-                context.config().stateLimits().writesPerS() * LEADER_WRITE_SHARE,
-                context.clock().now());
-        this.machineStore = new MachineStore(context, core, token, leadershipRevision, election::deposed, writeLimiter);
-        this.jobStore = new JobStore(
-                context,
-                core,
-                machineStore,
-                leadershipRevision,
-                election::deposed,
-                writeLimiter,
-                startBoundsTrusted,
-                cancellationHorizon);
-        this.dependencyTask =
-                new DependencyTask(context, core, jobStore, leadershipRevision, election::deposed, writeLimiter);
-        this.startBoundsTrusted = startBoundsTrusted;
-        this.fleetManager = new FleetManager(
-                context,
-                core,
-                token,
-                new IntentLog(context, token, leadershipRevision, election::deposed, writeLimiter),
-                election::isValid);
-        this.jobWatch = new JobWatch(context, jobStore, cancellationHorizon);
-        this.finalRecordWatch = new FinalRecordWatch(context);
-        this.partsTask = new PartsTask(context, core, leadershipRevision, writeLimiter);
-        this.openingTask = new PeriodicTask(context.vertx(), "opening", Span.seconds(0.3), this::open);
-        this.tick = new PeriodicTask(context.vertx(), "tick", TICK, this::tick);
+                listener);
     }
 
-    private static ServiceLevelObjectives aims(PlatformConfig config) {
+    private static ServiceLevelObjectives objectives(PlatformConfig config) {
         return new ServiceLevelObjectives(config.objectives().stream()
-                .filter(o -> o.within().ms() > 0)
-                .map(o -> new ServiceLevelObjectives.Objective(o.jobClass(), "wait".equals(o.kind()), o.within()))
+                .filter(objective -> objective.within().ms() > 0)
+                .map(objective -> new ServiceLevelObjectives.Objective(
+                        objective.jobClass(), WAIT_OBJECTIVE.equals(objective.kind()), objective.within()))
                 .toList());
     }
 
+    private static RateLimiter newWriteLimiter(NodeContext context) {
+        double writesPerS = context.config().stateLimits().writesPerS() * LEADER_WRITE_SHARE;
+        return new RateLimiter(writesPerS, context.clock().now());
+    }
+
+    private FleetManager newFleetManager() {
+        IntentLog intentLog = new IntentLog(
+                context, writes.token(), writes.leadershipRevision(), election::deposed, writes.limiter());
+        return new FleetManager(context, core, writes.token(), intentLog, election::isValid);
+    }
+
+    /** Begins to load the records; scheduling starts when they are loaded. */
     void start() {
-        openingTask.start();
+        loadTask.start();
     }
 
+    /** Ends all tasks of this term. Responses to requests in flight are ignored. */
     void close() {
-        openingTask.cancel();
-        tick.cancel();
+        loadTask.cancel();
+        tickTask.cancel();
         jobWatch.cancel();
         finalRecordWatch.cancel();
         partsTask.cancel();
@@ -138,115 +147,125 @@
     }
 
     FencingToken token() {
-        return token;
+        return writes.token();
     }
 
     /**
-     * Whether it has heard of cancellations lately enough, and can act on them; else workers get no answer. Without the records it
-     * knows of none: an earlier leader may have missed one for long, and an outage that begins now would keep them from being read.
+     * Whether this leader knows the cancellations of late and can act on them; otherwise heartbeats get no response. Before the
+     * records are loaded it does not: an earlier leader may have missed a cancellation long ago, and an outage that begins now would
+     * keep the records from being read.
      */
     boolean isInformedOfCancellations() {
+        Moment now = context.clock().now();
+        Span maxAge = context.config().rules().maxCancellationAge();
         return core.areRecordsLoaded()
-                && context.clock()
-                                .now()
-                                .since(cancellationHorizon.completeUntil())
-                                .compareTo(context.config().rules().maxCancellationAge())
-                        < 0;
+                && now.since(cancellationHorizon.completeUntil()).compareTo(maxAge) < 0;
     }
 
-    /** How far back this leader wants to be told of cancellations. */
+    /** For how long back this leader asks its peers for cancellations. */
     Span cancellationLookBack() {
-        return cancellationHorizon.lookBack(context.clock().now(), PEER_QUESTION_TIME);
+        return cancellationHorizon.lookBack(context.clock().now(), PEER_REQUEST_TIME);
     }
 
-    /** At {@code sent} every node was asked; this is what all of them say together of cancellations. */
-    void onPeerCancellations(CancellationSummary word, Moment sent) {
-        // Without the records nothing can be done about it yet, and nothing is counted as heard.
+    /** Applies the cancellations that all peers together have confirmed, in response to a request of {@code sentAt}. */
+    void onPeerCancellations(CancellationSummary summary, Moment sentAt) {
+        // Without the records, the cancellations cannot be applied, so the horizon must not advance.
         if (core.areRecordsLoaded()) {
-            word.cancelled().forEach(jobStore::onCancelled);
+            summary.cancelled().forEach(jobStore::onCancelled);
             cancellationHorizon.peersAnswered(
-                    word.covered(), sent, context.clock().now());
+                    summary.covered(), sentAt, context.clock().now());
         }
     }
 
-    /** The orders for a worker; null if a newer leader exists. A machine's first report waits for its record. */
+    /**
+     * The commands for a worker; null if a newer leader exists. The response to a machine's first heartbeat waits until the machine
+     * is recorded, so that every machine with tasks is known to the next leader.
+     */
     Future<List<WorkerCommand>> onHeartbeat(Heartbeat heartbeat) {
-        List<WorkerCommand> orders = core.onHeartbeat(heartbeat, context.clock().now());
-        Machine unrecorded = orders == null || !core.areRecordsLoaded() ? null : core.unrecorded(heartbeat.machine());
+        List<WorkerCommand> commands =
+                core.onHeartbeat(heartbeat, context.clock().now());
+        if (commands == null || !core.areRecordsLoaded()) {
+            return Future.succeededFuture(commands);
+        }
+        Machine unrecorded = core.unrecorded(heartbeat.machine());
         if (unrecorded == null) {
-            return Future.succeededFuture(orders);
+            return Future.succeededFuture(commands);
         }
-        return machineStore.record(unrecorded).map(done -> {
-            List<WorkerCommand> all = new ArrayList<>(orders);
-            if (done) {
-                all.addAll(core.startTasks(
-                        heartbeat.machine(), heartbeat.number(), context.clock().now()));
-            }
-            return all;
-        });
+        return machineStore
+                .record(unrecorded)
+                .map(recorded -> recorded ? withStartCommands(commands, heartbeat) : commands);
+    }
+
+    private List<WorkerCommand> withStartCommands(List<WorkerCommand> commands, Heartbeat heartbeat) {
+        List<WorkerCommand> all = new ArrayList<>(commands);
+        all.addAll(core.startTasks(
+                heartbeat.machine(), heartbeat.number(), context.clock().now()));
+        return all;
     }
 
-    /** Whether a machine's report may be answered; if not, its lease is to run out. */
+    /** Whether a machine's heartbeat may be answered; otherwise its lease is to expire. */
     boolean mayAnswer(MachineId machine) {
         return core.mayAnswer(machine);
     }
 
-    private Future<Span> open() {
+    /** One attempt to load the records. */
+    private Future<Span> load() {
         if (!context.catalogue().isKnown()) {
-            return Future.succeededFuture(Span.seconds(0.2));
+            return Future.succeededFuture(CATALOGUE_RETRY);
         }
         core.setTypes(context.catalogue().types());
         return rebuildIfLost()
-                .compose(v -> jobStore.load())
+                .compose(rebuilt -> jobStore.load())
                 .compose(revision -> fleetManager.load().map(revision))
                 .compose(revision -> jobWatch.catchUp(revision).map(revision))
-                .map(revision -> {
-                    core.recordsLoaded();
-                    servesSince = context.clock().now();
-                    LOG.info(
-                            "records read: {} open jobs, {} machines",
-                            core.jobs().size(),
-                            core.machineCount());
-                    jobWatch.start();
-                    finalRecordWatch.start(revision);
-                    jobStore.start();
-                    dependencyTask.start();
-                    machineStore.start();
-                    fleetManager.start();
-                    partsTask.start();
-                    tick.start();
-                    openingTask.cancel();
-                    return TICK;
-                })
-                .recover(e -> {
-                    if (!(e instanceof JobStore.UnreadableRecordException)) {
-                        return Future.failedFuture(e);
-                    }
-                    LOG.error(
-                            "this node cannot lead: {}. Was it written by a newer version? Run that, or restore the record",
-                            e.getMessage());
-                    return Future.succeededFuture(UNREADABLE_RETRY);
-                });
+                .map(this::onLoaded)
+                .recover(LeadershipTerm::retryIfUnreadable);
+    }
+
+    private Span onLoaded(long revision) {
+        core.recordsLoaded();
+        servingSince = context.clock().now();
+        LOG.info("records loaded jobs={} machines={}", core.jobs().size(), core.machineCount());
+        jobWatch.start();
+        finalRecordWatch.start(revision);
+        jobStore.start();
+        dependencyTask.start();
+        machineStore.start();
+        fleetManager.start();
+        partsTask.start();
+        tickTask.start();
+        loadTask.cancel();
+        return TICK_PERIOD;
     }
 
-    /** Before the records are read: what was lost of them is written anew. */
+    private static Future<Span> retryIfUnreadable(Throwable failure) {
+        if (!(failure instanceof UnreadableRecordException)) {
+            return Future.failedFuture(failure);
+        }
+        LOG.error("leadership blocked by unreadable record cause={}", failure.getMessage());
+        return Future.succeededFuture(UNREADABLE_RETRY);
+    }
+
+    /** Writes lost records again, before the load reads them. */
     private Future<Void> rebuildIfLost() {
-        if (context.state().losses().isHolding()) {
-            return gatherRememberedState
-                    .get()
-                    .compose(rememberedState -> new StateRebuilder(
-                                    context, token, leadershipRevision, writeLimiter, rememberedState)
-                            .run());
+        if (!context.state().losses().isHolding()) {
+            return Future.succeededFuture();
         }
-        return Future.succeededFuture();
+        return gatherRememberedState.get().compose(this::rebuild);
+    }
+
+    private Future<Void> rebuild(RememberedState rememberedState) {
+        StateRebuilder rebuilder = new StateRebuilder(
+                context, writes.token(), writes.leadershipRevision(), writes.limiter(), rememberedState);
+        return rebuilder.run();
     }
 
-    /** Whether it is an open job here. */
+    /** Whether the job is open, as far as this leader has loaded it. */
     boolean hasOpen(JobId id) {
         return core.job(id) != null;
     }
 
-    /** What this leader knows of one job, while it knows them all. */
+    /** What this leader remembers of one job; empty until all records are loaded. */
     RememberedState rememberedState(JobId id) {
         RememberedState rememberedState = new RememberedState();
         if (core.areRecordsLoaded()) {
@@ -259,7 +278,7 @@
         return rememberedState;
     }
 
-    /** What this leader knows beside what is recorded, while it knows it all. */
+    /** What this leader remembers of all jobs and machines; empty until all records are loaded. */
     RememberedState rememberedState() {
         RememberedState rememberedState = new RememberedState();
         if (core.areRecordsLoaded()) {
@@ -271,27 +290,33 @@
 
     private Future<Span> tick() {
         Moment now = context.clock().now();
-        Moment awake = context.loopMonitor().turningSince();
-        core.setAwakeSince(awake.isAfter(servesSince) ? awake : servesSince);
+        Moment awakeSince = context.loopMonitor().turningSince();
+        core.setAwakeSince(awakeSince.isAfter(servingSince) ? awakeSince : servingSince);
         core.expireLeases(now);
         if (election.isValid() && !context.config().peers().isEmpty() && core.isCutOffFromWorkers(now)) {
-            election.abdicate("no worker's report reaches this node");
-            return Future.succeededFuture(TICK);
+            election.abdicate("no-heartbeats");
+            return Future.succeededFuture(TICK_PERIOD);
         }
-        if (!startBoundsTrusted
-                && core.areRecordsLoaded()
-                && core.jobs().stream().noneMatch(Job::isInherited)) {
-            // Whatever is open now, this leader has kept to the bounds of: a later one may believe them.
-            return election.vouchForStartBounds().map(done -> {
-                startBoundsTrusted = done;
-                return TICK;
-            });
+        if (!startBoundsTrusted && hasNoInheritedJobs()) {
+            return vouchForStartBounds();
         }
-        if (now.since(lastSummaryAt).compareTo(SUMMARY) >= 0) {
+        if (now.since(lastSummaryAt).compareTo(SUMMARY_PERIOD) >= 0) {
             lastSummaryAt = now;
             LOG.info("{}", core.summary(now));
         }
-        return Future.succeededFuture(TICK);
+        return Future.succeededFuture(TICK_PERIOD);
+    }
+
+    private boolean hasNoInheritedJobs() {
+        return core.areRecordsLoaded() && core.jobs().stream().noneMatch(Job::isInherited);
+    }
+
+    /** This leader has respected the start bounds of all jobs that are open now, so a later one may rely on them. */
+    private Future<Span> vouchForStartBounds() {
+        return election.vouchForStartBounds().map(recorded -> {
+            startBoundsTrusted = recorded;
+            return TICK_PERIOD;
+        });
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/io/indigoreach/cluster/MachinePage.java
@@ -0,0 +1,93 @@
+package io.indigoreach.cluster;
+
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.scheduling.SchedulerCore;
+import io.indigoreach.net.JsonSize;
+import io.indigoreach.state.MachineRecord;
+import io.indigoreach.state.RecordCodec;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** One record of the state service with many machines, as a {@link MachineStore} knows it. */
+final class MachinePage {
+    /** Bytes of a page besides its machines. */
+    private static final int EMPTY_PAGE_BYTES = JsonSize.of(RecordCodec.writeMachines(List.of()));
+
+    private final String key;
+    /** Of this leadership: the page's first write, made while the page did not exist, may still be executed. */
+    private final boolean own;
+
+    private final Map<MachineId, MachineRecord> machines = new LinkedHashMap<>();
+    private Revision revision;
+    private boolean revisionUncertain;
+    private boolean split;
+
+    MachinePage(String key, Revision revision, boolean own) {
+        this.key = key;
+        this.revision = revision;
+        this.own = own;
+    }
+
+    /** How many bytes of machines a page may hold. */
+    static int capacity(NodeContext context) {
+        return context.limits().room() - EMPTY_PAGE_BYTES;
+    }
+
+    String key() {
+        return key;
+    }
+
+    Map<MachineId, MachineRecord> machines() {
+        return machines;
+    }
+
+    Revision revision() {
+        return revision;
+    }
+
+    void setRevision(Revision newRevision) {
+        revision = newRevision;
+    }
+
+    /** A write had no response: the revision must be read before the next write. */
+    boolean isRevisionUncertain() {
+        return revisionUncertain;
+    }
+
+    void setRevisionUncertain(boolean uncertain) {
+        revisionUncertain = uncertain;
+    }
+
+    /** Machines of this page were copied to other pages, and must still be removed from this one. */
+    boolean isSplit() {
+        return split;
+    }
+
+    void setSplit(boolean newSplit) {
+        split = newSplit;
+    }
+
+    /** The page is empty and gets no more machines. */
+    boolean isObsolete() {
+        return machines.isEmpty() && !own;
+    }
+
+    boolean hasReturnedMachines(SchedulerCore core) {
+        return !machines.keySet().stream().allMatch(core::knows);
+    }
+
+    void removeReturnedMachines(SchedulerCore core) {
+        machines.keySet().removeIf(id -> !core.knows(id));
+    }
+
+    /** Bytes that are free, or become free at the next write, which removes returned machines. */
+    int freeBytes(SchedulerCore core, int capacity) {
+        int used = machines.values().stream()
+                .filter(machine -> core.knows(machine.id()))
+                .mapToInt(RecordCodec::bytes)
+                .sum();
+        return capacity - used;
+    }
+}
--- a/src/main/java/io/indigoreach/cluster/MachineStore.java
+++ b/src/main/java/io/indigoreach/cluster/MachineStore.java
@@ -1,15 +1,12 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.Moment;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.scheduling.Machine;
 import io.indigoreach.core.scheduling.SchedulerCore;
-import io.indigoreach.net.JsonSize;
 import io.indigoreach.net.PeriodicTask;
-import io.indigoreach.net.RateLimiter;
 import io.indigoreach.state.MachineRecord;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
@@ -20,301 +17,288 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's record of the machines that may hold tasks, many to a page. Machines come up by the hundred within
- * seconds, and the state service takes few changes a second: so those that report while one page is being written go
- * together into the next write. A page's write depends on the page's own version too, since an older write of it that
- * got no answer may still be applied, and must not then take machines off the page. Nor may it make a page anew: a page of this
- * leadership that is empty stays, to be filled again; the next leader removes it, as writes of this one depend on another key.
+ * The leader's records of machines that may run tasks, many to a page. Hundreds of machines may boot within seconds, and the state
+ * service takes few writes per second, so machines that send their first heartbeat during a write share the next one.
+ *
+ * <p>The write of a page is conditional on the page's own revision too: an older write that had no response may still be executed,
+ * and must not remove machines. Nor may it create a page again. An empty page of this leadership is therefore kept and filled
+ * again; the next leader deletes it, as writes of this term are conditional on another revision of the leadership key.
+ *
+ * <p>Bound to the node's event loop.
  */
 final class MachineStore {
     private static final Logger LOG = LoggerFactory.getLogger(MachineStore.class);
     private static final Span PERIOD = Span.seconds(0.1);
-    /** Between two writes; machines that report meanwhile share the second one. */
+    /** Between two writes; machines that send heartbeats meanwhile share the second one. */
     private static final Span WRITE_PERIOD = Span.seconds(0.2);
-    /** A report is not kept waiting for its machine's record for longer than this. */
+    /** How long the response to a heartbeat may wait for its machine's record. */
     private static final Span RECORD_TIMEOUT = Span.seconds(1);
 
     private static final Span COMPACTION_PERIOD = Span.seconds(2);
-    private static final int MOST_PAGES = 4;
-    /** What a page takes besides its lines. */
-    private static final int PAGE_FRAME = JsonSize.of(RecordCodec.writeMachines(List.of()));
+    private static final int MAX_PAGES_PER_WRITE = 4;
 
-    private static final class Page {
-        final String key;
-        /** Of this leadership: its first write, made while there was no such page, may still be carried out. */
-        final boolean own;
-
-        Revision stamp;
-        /** A write of it had no answer: its version is to be read before the next one. */
-        boolean unsure;
-        /** Lines of it stand on other pages, and are still to be taken off this one. */
-        boolean isSplit;
-
-        final Map<MachineId, MachineRecord> lines = new LinkedHashMap<>();
-
-        Page(String key, Revision stamp, boolean own) {
-            this.key = key;
-            this.own = own;
-            this.stamp = stamp;
-        }
-
-        /** Nothing is on it, and nothing will be. */
-        boolean isLeft() {
-            return lines.isEmpty() && !own;
-        }
-    }
-
-    /** A machine whose report waits for its record. */
-    private record Waiting(Promise<Boolean> done, Moment since) {}
+    /** A machine whose heartbeat waits for its record. */
+    private record PendingRecord(Promise<Boolean> recorded, Moment since) {}
 
+    private final LeaderWrites writes;
     private final NodeContext context;
     private final SchedulerCore core;
-    private final FencingToken token;
-    private final Revision leadershipRevision;
-    private final Runnable onDeposed;
-    private final RateLimiter writeLimiter;
     private final PeriodicTask writeTask;
-    private final List<Page> pages = new ArrayList<>();
-    private final Map<MachineId, Waiting> waiting = new LinkedHashMap<>();
-    private int pagesMade;
+    private final List<MachinePage> pages = new ArrayList<>();
+    private final Map<MachineId, PendingRecord> pending = new LinkedHashMap<>();
+    private int pagesCreated;
     private Moment lastWriteAt = Moment.NEVER;
 
-    MachineStore(
-            NodeContext context,
-            SchedulerCore core,
-            FencingToken token,
-            Revision leadershipRevision,
-            Runnable onDeposed,
-            RateLimiter writeLimiter) {
-        this.context = context;
+    MachineStore(LeaderWrites writes, SchedulerCore core) {
+        this.writes = writes;
+        this.context = writes.context();
         this.core = core;
-        this.token = token;
-        this.leadershipRevision = leadershipRevision;
-        this.onDeposed = onDeposed;
-        this.writeLimiter = writeLimiter;
-        this.writeTask = new PeriodicTask(context.vertx(), "machine book", PERIOD, this::step);
-    }
-
-    /** How much a page may hold. */
-    static int pageBytes(NodeContext context) {
-        return context.limits().room() - PAGE_FRAME;
+        this.writeTask = new PeriodicTask(context.vertx(), "machine records", PERIOD, this::step);
     }
 
     void start() {
         writeTask.start();
     }
 
+    /** Ends the writes; heartbeats that wait for a record are answered without tasks. */
     void cancel() {
         writeTask.cancel();
-        waiting.values().forEach(w -> w.done.tryComplete(false));
-        waiting.clear();
+        pending.values().forEach(entry -> entry.recorded().tryComplete(false));
+        pending.clear();
     }
 
-    /** A page that an earlier leader wrote, or this one when it rebuilt. */
-    void inherit(String pageKey, Revision stamp, List<MachineRecord> lines) {
-        Page page = new Page(pageKey, stamp, pageKey.startsWith(RecordCodec.machinePageKey(token, "")));
-        lines.forEach(line -> page.lines.put(line.id(), line));
-        // Read before, in a try that failed: two copies of a page would write over each other, and take machines off
-        // it.
-        pages.removeIf(p -> p.key.equals(pageKey));
+    /** Takes over a page that an earlier leader wrote, or this one during a rebuild. */
+    void inherit(String pageKey, Revision revision, List<MachineRecord> machines) {
+        boolean own = pageKey.startsWith(RecordCodec.machinePageKey(writes.token(), ""));
+        MachinePage page = new MachinePage(pageKey, revision, own);
+        machines.forEach(machine -> page.machines().put(machine.id(), machine));
+        // A load that failed may have read it before: two copies of a page would overwrite each other and remove
+        // machines.
+        pages.removeIf(known -> known.key().equals(pageKey));
         pages.add(page);
     }
 
-    /** Records a machine, so that its first report can be answered with tasks; false if that takes too long now. */
+    /** Records a machine, so that its first heartbeat can be answered with tasks; false if that takes too long now. */
     Future<Boolean> record(Machine machine) {
         Moment now = context.clock().now();
-        Waiting w = waiting.computeIfAbsent(machine.id(), id -> new Waiting(Promise.promise(), now));
+        PendingRecord entry = pending.computeIfAbsent(machine.id(), id -> new PendingRecord(Promise.promise(), now));
         if (now.since(lastWriteAt).compareTo(WRITE_PERIOD) >= 0) {
             writeTask.wake();
         }
-        return w.done.future();
+        return entry.recorded().future();
     }
 
     private Future<Span> step() {
         Moment now = context.clock().now();
-        List<Waiting> late = waiting.values().stream()
-                .filter(w -> now.since(w.since).compareTo(RECORD_TIMEOUT) >= 0)
-                .toList();
-        late.forEach(w -> w.done.tryComplete(false));
-        Page unsure = pages.stream().filter(p -> p.unsure).findFirst().orElse(null);
-        if (unsure != null) {
-            return context.state().get(unsure.key).map(entry -> {
-                unsure.stamp = entry == null ? Revision.ABSENT : entry.stamp();
-                unsure.unsure = false;
-                if (entry == null && unsure.isLeft()) {
-                    pages.remove(unsure);
-                }
-                return Span.ZERO;
-            });
+        expirePending(now);
+        MachinePage uncertain = pages.stream()
+                .filter(MachinePage::isRevisionUncertain)
+                .findFirst()
+                .orElse(null);
+        if (uncertain != null) {
+            return readRevision(uncertain);
         }
         if (now.since(lastWriteAt).compareTo(WRITE_PERIOD) < 0) {
             return Future.succeededFuture(PERIOD);
         }
-        Map<Page, List<MachineRecord>> additions = assignToPages();
+        removeReturnedFromPending();
+        Map<MachinePage, List<MachineRecord>> additions = assignToPages(now);
         if (additions.isEmpty()) {
             return compact(now);
         }
-        return writeLimiter.take(additions.size(), now) ? write(additions, now) : Future.succeededFuture(PERIOD);
+        return writes.limiter().take(additions.size(), now) ? write(additions, now) : Future.succeededFuture(PERIOD);
     }
 
-    /** Finds pages with room for the machines that wait. */
-    private Map<Page, List<MachineRecord>> assignToPages() {
-        Map<Page, List<MachineRecord>> additions = new LinkedHashMap<>();
-        Map<Page, Integer> room = new HashMap<>();
-        waiting.entrySet().removeIf(e -> {
-            // Gone meanwhile: its report is answered all the same.
-            if (core.unrecorded(e.getKey()) != null) {
+    private void expirePending(Moment now) {
+        List<PendingRecord> expired = pending.values().stream()
+                .filter(entry -> now.since(entry.since()).compareTo(RECORD_TIMEOUT) >= 0)
+                .toList();
+        expired.forEach(entry -> entry.recorded().tryComplete(false));
+    }
+
+    private Future<Span> readRevision(MachinePage page) {
+        return context.state().get(page.key()).map(entry -> {
+            page.setRevision(entry == null ? Revision.ABSENT : entry.stamp());
+            page.setRevisionUncertain(false);
+            if (entry == null && page.isObsolete()) {
+                pages.remove(page);
+            }
+            return Span.ZERO;
+        });
+    }
+
+    /** Machines that were returned meanwhile are not recorded, but their heartbeats are answered all the same. */
+    private void removeReturnedFromPending() {
+        pending.entrySet().removeIf(entry -> {
+            if (core.unrecorded(entry.getKey()) != null) {
                 return false;
             }
-            e.getValue().done.tryComplete(false);
+            entry.getValue().recorded().tryComplete(false);
             return true;
         });
-        long today = context.clock().timeOfDay();
-        Moment now = context.clock().now();
-        for (MachineId id : waiting.keySet()) {
-            Machine machine = core.unrecorded(id);
-            MachineRecord line = new MachineRecord(
-                    id,
-                    machine.pool(),
-                    today - now.since(machine.rentedAt()).ms(),
-                    today - now.since(machine.knownToExistAt()).ms());
-            int bytes = RecordCodec.bytes(line);
-            Page page = null;
-            for (Page p : pages) {
-                if (room.computeIfAbsent(p, this::room) >= bytes) {
-                    page = p;
-                    break;
-                }
-            }
-            if (page == null) {
-                page = new Page(RecordCodec.machinePageKey(token, ++pagesMade), Revision.ABSENT, true);
-                pages.add(page);
-                room.put(page, pageBytes(context));
-            }
-            if (additions.size() >= Math.min(MOST_PAGES, context.limits().txnOps()) && !additions.containsKey(page)) {
+    }
+
+    /** Finds pages with room for the pending machines, as many as one write may contain. */
+    private Map<MachinePage, List<MachineRecord>> assignToPages(Moment now) {
+        Map<MachinePage, List<MachineRecord>> additions = new LinkedHashMap<>();
+        Map<MachinePage, Integer> freeBytes = new HashMap<>();
+        long wallClockMs = context.clock().timeOfDay();
+        int maxPages = Math.min(MAX_PAGES_PER_WRITE, context.limits().txnOps());
+        for (MachineId id : pending.keySet()) {
+            MachineRecord machine = toRecord(core.unrecorded(id), wallClockMs, now);
+            int bytes = RecordCodec.bytes(machine);
+            MachinePage page = pageWithRoom(bytes, freeBytes);
+            if (additions.size() >= maxPages && !additions.containsKey(page)) {
                 break;
             }
-            additions.computeIfAbsent(page, p -> new ArrayList<>()).add(line);
-            room.merge(page, -bytes, Integer::sum);
+            additions.computeIfAbsent(page, added -> new ArrayList<>()).add(machine);
+            freeBytes.merge(page, -bytes, Integer::sum);
         }
         return additions;
     }
 
-    private int room(Page page) {
-        int used = 0;
-        for (MachineRecord line : page.lines.values()) {
-            used += core.knows(line.id()) ? RecordCodec.bytes(line) : 0;
-        }
-        return pageBytes(context) - used;
+    private static MachineRecord toRecord(Machine machine, long wallClockMs, Moment now) {
+        return new MachineRecord(
+                machine.id(),
+                machine.pool(),
+                wallClockMs - now.since(machine.rentedAt()).ms(),
+                wallClockMs - now.since(machine.knownToExistAt()).ms());
     }
 
-    /**
-     * Of a page that a leader under wider limits wrote, the first lines go to a page of this leadership. They stand on both
-     * until the rest fits into one value; a machine that stands twice is read once.
-     */
-    private Future<Span> split(Page page) {
-        Page part = new Page(RecordCodec.machinePageKey(token, ++pagesMade), Revision.ABSENT, true);
-        for (MachineRecord line : page.lines.values()) {
-            part.lines.put(line.id(), line);
-            if (room(part) < 0) {
-                part.lines.remove(line.id());
-                break;
+    private MachinePage pageWithRoom(int bytes, Map<MachinePage, Integer> freeBytes) {
+        for (MachinePage page : pages) {
+            if (freeBytes.computeIfAbsent(page, this::freeBytes) >= bytes) {
+                return page;
             }
         }
-        StateClient.Txn txn = new StateClient.Txn()
-                .when(RecordCodec.LEADER, leadershipRevision)
-                .when(part.key, Revision.ABSENT)
-                .put(part.key, RecordCodec.writeMachines(part.lines.values()));
-        pages.add(part);
-        return commit(txn, List.of(part), stamp -> {
-            part.stamp = stamp;
-            page.lines.keySet().removeAll(part.lines.keySet());
-            page.isSplit = true;
-        });
+        MachinePage page = newPage();
+        pages.add(page);
+        freeBytes.put(page, MachinePage.capacity(context));
+        return page;
     }
 
-    private Future<Span> write(Map<Page, List<MachineRecord>> additions, Moment now) {
-        StateClient.Txn txn = new StateClient.Txn().when(RecordCodec.LEADER, leadershipRevision);
-        additions.forEach((page, lines) -> {
-            page.lines.keySet().removeIf(id -> !core.knows(id));
-            lines.forEach(line -> page.lines.put(line.id(), line));
-            txn.when(page.key, page.stamp).put(page.key, RecordCodec.writeMachines(page.lines.values()));
+    private MachinePage newPage() {
+        return new MachinePage(RecordCodec.machinePageKey(writes.token(), ++pagesCreated), Revision.ABSENT, true);
+    }
+
+    private int freeBytes(MachinePage page) {
+        return page.freeBytes(core, MachinePage.capacity(context));
+    }
+
+    private Future<Span> write(Map<MachinePage, List<MachineRecord>> additions, Moment now) {
+        StateClient.Txn txn = writes.newTransaction();
+        additions.forEach((page, machines) -> {
+            page.removeReturnedMachines(core);
+            machines.forEach(machine -> page.machines().put(machine.id(), machine));
+            txn.when(page.key(), page.revision())
+                    .put(page.key(), RecordCodec.writeMachines(page.machines().values()));
         });
         lastWriteAt = now;
-        return commit(txn, List.copyOf(additions.keySet()), stamp -> {
-            additions.forEach((page, lines) -> {
-                page.stamp = stamp;
-                for (MachineRecord line : lines) {
-                    core.recorded(line.id());
-                    Waiting w = waiting.remove(line.id());
-                    if (w != null) {
-                        w.done.tryComplete(true);
-                    }
-                }
+        return commit(txn, List.copyOf(additions.keySet()), revision -> {
+            additions.forEach((page, machines) -> {
+                page.setRevision(revision);
+                machines.forEach(machine -> onRecorded(machine.id()));
             });
         });
     }
 
-    /** Machines that are gone are taken off their pages when there is nothing else to write. */
+    private void onRecorded(MachineId id) {
+        core.recorded(id);
+        PendingRecord entry = pending.remove(id);
+        if (entry != null) {
+            entry.recorded().tryComplete(true);
+        }
+    }
+
+    /** Removes returned machines from one page while there is nothing else to write. */
     private Future<Span> compact(Moment now) {
         if (now.since(lastWriteAt).compareTo(COMPACTION_PERIOD) < 0) {
             return Future.succeededFuture(PERIOD);
         }
-        for (Page page : pages) {
-            if (!page.isSplit && !page.isLeft() && page.lines.keySet().stream().allMatch(core::knows)) {
-                continue;
+        MachinePage page =
+                pages.stream().filter(this::needsCompaction).findFirst().orElse(null);
+        if (page == null || !writes.limiter().takeSpare(1, now)) {
+            return Future.succeededFuture(PERIOD);
+        }
+        page.removeReturnedMachines(core);
+        lastWriteAt = now;
+        return freeBytes(page) < 0 ? split(page) : rewrite(page);
+    }
+
+    private boolean needsCompaction(MachinePage page) {
+        return page.isSplit() || page.isObsolete() || page.hasReturnedMachines(core);
+    }
+
+    private Future<Span> rewrite(MachinePage page) {
+        StateClient.Txn txn = writes.newTransaction().when(page.key(), page.revision());
+        if (page.isObsolete()) {
+            txn.delete(page.key());
+        } else {
+            txn.put(page.key(), RecordCodec.writeMachines(page.machines().values()));
+        }
+        return commit(txn, List.of(page), revision -> {
+            page.setRevision(revision);
+            page.setSplit(false);
+            if (page.isObsolete()) {
+                pages.remove(page);
             }
-            if (!writeLimiter.takeSpare(1, now)) {
+        });
+    }
+
+    /**
+     * Copies the first machines of a page that a leader under wider limits wrote to a page of this leadership. They are on both
+     * until the rest fits into one value; a machine that is recorded twice is loaded once.
+     */
+    private Future<Span> split(MachinePage page) {
+        MachinePage part = newPage();
+        for (MachineRecord machine : page.machines().values()) {
+            part.machines().put(machine.id(), machine);
+            if (freeBytes(part) < 0) {
+                part.machines().remove(machine.id());
                 break;
             }
-            page.lines.keySet().removeIf(id -> !core.knows(id));
-            lastWriteAt = now;
-            if (room(page) < 0) {
-                return split(page);
-            }
-            StateClient.Txn txn = new StateClient.Txn()
-                    .when(RecordCodec.LEADER, leadershipRevision)
-                    .when(page.key, page.stamp);
-            if (page.isLeft()) {
-                txn.delete(page.key);
-            } else {
-                txn.put(page.key, RecordCodec.writeMachines(page.lines.values()));
-            }
-            return commit(txn, List.of(page), stamp -> {
-                page.stamp = stamp;
-                page.isSplit = false;
-                if (page.isLeft()) {
-                    pages.remove(page);
-                }
-            });
         }
-        return Future.succeededFuture(PERIOD);
+        StateClient.Txn txn = writes.newTransaction()
+                .when(part.key(), Revision.ABSENT)
+                .put(part.key(), RecordCodec.writeMachines(part.machines().values()));
+        pages.add(part);
+        return commit(txn, List.of(part), revision -> {
+            part.setRevision(revision);
+            page.machines().keySet().removeAll(part.machines().keySet());
+            page.setSplit(true);
+        });
     }
 
-    private Future<Span> commit(StateClient.Txn txn, List<Page> touched, java.util.function.Consumer<Revision> done) {
+    private Future<Span> commit(StateClient.Txn txn, List<MachinePage> written, Consumer<Revision> onDone) {
         return context.state()
                 .commit(txn)
                 .map(outcome -> {
-                    if (writeTask.isCancelled()) {
-                        return PERIOD;
-                    }
-                    if (outcome.done()) {
-                        done.accept(outcome.stamp());
-                    } else if (outcome.failed().contains(RecordCodec.LEADER)) {
-                        onDeposed.run();
-                    } else {
-                        touched.forEach(p -> p.unsure = true);
+                    if (!writeTask.isCancelled()) {
+                        onResponse(outcome, written, onDone);
                     }
                     return PERIOD;
                 })
-                .recover(e -> {
-                    LOG.debug("machine pages: {}", e.toString());
-                    touched.forEach(p -> p.unsure |= !StateClient.surelyNotExecuted(e));
+                .recover(failure -> {
+                    LOG.debug("machine pages not written cause={}", failure.toString());
+                    if (!StateClient.surelyNotExecuted(failure)) {
+                        written.forEach(page -> page.setRevisionUncertain(true));
+                    }
                     return Future.succeededFuture(PERIOD);
                 });
     }
+
+    private void onResponse(StateClient.Outcome outcome, List<MachinePage> written, Consumer<Revision> onDone) {
+        if (outcome.done()) {
+            onDone.accept(outcome.stamp());
+        } else if (LeaderWrites.isDeposed(outcome)) {
+            writes.deposed();
+        } else {
+            written.forEach(page -> page.setRevisionUncertain(true));
+        }
+    }
 }
--- a/src/main/java/io/indigoreach/cluster/StateRebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -93,14 +93,14 @@
                 .compose(v -> read(CompletionBits.SMALL, this::readBlock))
                 .compose(v -> read(
                         RecordCodec.OPEN,
-                        e -> JobStore.readOrLog(e.key(), () -> {
+                        e -> RecordListing.readOrLog(e.key(), () -> {
                             JobId id = RecordCodec.jobOfOpenKey(e.key());
                             standing.put(id, e.stamp());
                             open.put(id, RecordCodec.readJob(id, e.value(), e.stamp()));
                         })))
                 .compose(v -> read(
                         RecordCodec.FINAL,
-                        e -> JobStore.readOrLog(e.key(), () -> {
+                        e -> RecordListing.readOrLog(e.key(), () -> {
                             JobId id = RecordCodec.jobOfFinalKey(e.key());
                             RecordCodec.readFinal(id, e.value());
                             over.add(id);
@@ -189,11 +189,11 @@
     }
 
     private Future<Long> read(String prefix, Consumer<StateClient.Entry> each) {
-        return JobStore.pages(env.state(), key, prefix, each);
+        return RecordListing.readAll(env.state(), key, prefix, each);
     }
 
     private void readBlock(StateClient.Entry block) {
-        JobStore.readOrLog(
+        RecordListing.readOrLog(
                 block.key(),
                 () -> CompletionBits.readBlock(
                         block.key(),
@@ -277,7 +277,7 @@
                     today - now.since(m.rented()).ms(),
                     today - now.since(m.existed()).ms());
             bytes += RecordCodec.bytes(line);
-            if (bytes > MachineStore.pageBytes(env)) {
+            if (bytes > MachinePage.capacity(env)) {
                 page(lines);
                 lines.clear();
                 bytes = RecordCodec.bytes(line);
--- a/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
@@ -1,20 +1,14 @@
 package io.indigoreach.cluster;
 
+import static io.indigoreach.cluster.LeaderHarness.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.config.Settings;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobId;
-import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.core.model.Revision;
-import io.indigoreach.core.model.Span;
-import io.indigoreach.core.model.Urgency;
 import io.indigoreach.core.scheduling.Job;
-import io.indigoreach.net.MessagePackFormat;
-import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.CompletionBits;
@@ -29,7 +23,6 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -57,54 +50,26 @@
         await(vertx.close());
     }
 
-    private static <T> T await(Future<T> future) throws Exception {
-        return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
-    }
-
     static JobSpec spec(int tasks, int imageName) {
-        return new JobSpec(
-                ID,
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Urgency.STANDARD,
-                tasks,
-                new Demand(1, 0, 1),
-                "i".repeat(imageName),
-                0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(10),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        return LeaderHarness.spec(ID, tasks, "i".repeat(imageName));
     }
 
-    private CompletionBlockStore book(String next) throws Exception {
-        leader = await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))))
-                .stamp();
-        NodeContext context = NodeContext.builder()
-                .vertx(vertx)
-                .clock(clock)
-                .state(client)
-                .config(MachineStoreTest.config(next))
-                .settings(Settings.standard())
-                .lease(Span.seconds(10))
+    private CompletionBlockStore newBlockStore(String announcedLimits) throws Exception {
+        leader = LeaderHarness.lead(client, 1);
+        NodeContext context = LeaderHarness.context(vertx, clock, client)
+                .config(LeaderHarness.config(announcedLimits))
                 .build();
-        return new CompletionBlockStore(context, leader, () -> {}, new RateLimiter(1000, clock.now()));
+        return new CompletionBlockStore(LeaderHarness.writes(context, 3, leader, 1000));
     }
 
-    /** What a leader that reads all of it takes to be done; {@code book} inherits the blocks. */
-    private BitSet read(CompletionBlockStore book) throws Exception {
+    /** What a leader that reads all of it takes to be done; {@code blockStore} inherits the blocks. */
+    private BitSet read(CompletionBlockStore blockStore) throws Exception {
         BitSet done = new BitSet();
         for (String prefix : List.of(RecordCodec.BITS, CompletionBits.SMALL)) {
             for (StateClient.Entry e : await(client.list(prefix, null, 1000)).items()) {
                 BitSet block = new BitSet();
                 CompletionBits.readBlock(e.key(), e.value(), block);
-                book.inherit(e.key(), block);
+                blockStore.inherit(e.key(), block);
                 done.or(block);
             }
         }
@@ -135,8 +100,7 @@
 
     @ParameterizedTest
     @CsvSource({"1, 100000, 10", "2, 100000, 900", "3, 8192, 900", "4, 8192, 10", "5, 9000, 10", "6, 1200, 10"})
-    void nothingThatWasRecordedIsLostWhileLimitsShrinkAndLeadersEnd(long seed, int tasks, int imageName)
-            throws Exception {
+    void recordedCompletionsSurviveLowerLimitsAndLeaderChanges(long seed, int tasks, int imageName) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
         JobSpec spec = spec(tasks, imageName);
         BitSet done = new BitSet();
@@ -149,8 +113,8 @@
                 state.valueBytes = 2048;
                 state.txnOps = 4;
             }
-            CompletionBlockStore book = book(life < 2 ? "" : NEXT);
-            BitSet heard = read(book);
+            CompletionBlockStore blockStore = newBlockStore(life < 2 ? "" : NEXT);
+            BitSet heard = read(blockStore);
             BitSet lost = (BitSet) recorded.clone();
             lost.andNot(heard);
             assertTrue(lost.isEmpty(), "lost in life " + life + ": " + lost.cardinality());
@@ -161,7 +125,7 @@
                 StateClient.Txn txn = new StateClient.Txn()
                         .when(RecordCodec.LEADER, leader)
                         .when(RecordCodec.openKey(ID), job.revision());
-                book.addProgress(txn, job, done);
+                blockStore.addProgress(txn, job, done);
                 // The last write of this leader has no answer, and is carried out after the next leader's first.
                 boolean held = writes == 1 && random.nextBoolean();
                 state.holding = t -> held;
@@ -171,13 +135,13 @@
                 }
                 if (!held) {
                     assertTrue(await(outcome).done());
-                    recorded.or(book.written(job, done));
+                    recorded.or(blockStore.written(job, done));
                 }
             }
             state.holding = t -> false;
             int waited = state.held();
             assertTrue(waited <= 1);
-            book(NEXT);
+            newBlockStore(NEXT);
             assertEquals(waited == 0 ? List.of() : List.of(409), state.executeLate());
         }
         assertEquals(0, state.tooLarge);
@@ -187,20 +151,20 @@
     /** The end is two changes however large the job is; its blocks follow, also under the next leader. */
     @ParameterizedTest
     @CsvSource({"100000", "9000"})
-    void blocksOfAJobThatIsOverAreRemovedBehindItsEnd(int tasks) throws Exception {
+    void blocksOfAFinishedJobAreDeletedAfterItsCompletion(int tasks) throws Exception {
         BitSet done = new BitSet();
         done.set(0, tasks - 1);
         writeAsBefore(spec(tasks, 10), done);
         state.txnOps = 4;
-        CompletionBlockStore book = book(NEXT);
+        CompletionBlockStore blockStore = newBlockStore(NEXT);
         Job job = new Job(spec(tasks, 10), 1, clock.now(), open().stamp(), done, tasks, true);
         StateClient.Txn txn = new StateClient.Txn();
-        book.addProgress(txn, job, done);
+        blockStore.addProgress(txn, job, done);
         assertTrue(await(client.commit(txn)).done() && txn.size() <= 4);
         await(client.commit(new StateClient.Txn()
                 .delete(RecordCodec.openKey(ID))
                 .put(RecordCodec.finalKey(ID), RecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
-        CompletionBlockStore next = book(NEXT);
+        CompletionBlockStore next = newBlockStore(NEXT);
         for (String key : blocks()) {
             next.inherit(key, new BitSet());
         }
@@ -221,8 +185,8 @@
     /** Where the settings announce nothing: the next write is smaller, down to one that is taken. */
     @ParameterizedTest
     @CsvSource({"2048, 4", "1500, 2"})
-    void aRefusalForSizeIsFollowedBySmallerWrites(int valueBytes, int txnOps) throws Exception {
-        CompletionBlockStore book = book("");
+    void aRejectionForSizeIsFollowedBySmallerWrites(int valueBytes, int txnOps) throws Exception {
+        CompletionBlockStore blockStore = newBlockStore("");
         JobSpec spec = spec(100_000, 10);
         BitSet done = new BitSet();
         writeAsBefore(spec, done);
@@ -231,18 +195,18 @@
         state.txnOps = txnOps;
         Job job = new Job(spec, 1, clock.now(), open().stamp(), done, 100_000, true);
         int tries = 0;
-        while (book.isBehind(job) && tries < 60) {
+        while (blockStore.isBehind(job) && tries < 60) {
             tries++;
             StateClient.Txn txn = new StateClient.Txn();
-            book.addProgress(txn, job, done);
+            blockStore.addProgress(txn, job, done);
             boolean taken = await(client.commit(txn).map(true).otherwise(false));
             if (taken) {
-                book.written(job, done);
+                blockStore.written(job, done);
             }
         }
-        assertTrue(!book.isBehind(job), "tries: " + tries);
+        assertTrue(!blockStore.isBehind(job), "tries: " + tries);
         assertTrue(
                 client.limits().refusals() <= 4, "refusals: " + client.limits().refusals());
-        assertEquals(done, read(book("")));
+        assertEquals(done, read(newBlockStore("")));
     }
 }
--- a/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
@@ -1,35 +1,24 @@
 package io.indigoreach.cluster;
 
+import static io.indigoreach.cluster.LeaderHarness.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.config.Settings;
 import io.indigoreach.core.leadership.CancellationHorizon;
-import io.indigoreach.core.model.Demand;
-import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.JobDependencies;
 import io.indigoreach.core.model.JobId;
-import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.core.model.Moment;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
-import io.indigoreach.core.model.Team;
-import io.indigoreach.core.model.Urgency;
-import io.indigoreach.core.scheduling.Job;
 import io.indigoreach.core.scheduling.SchedulerCore;
-import io.indigoreach.core.scheduling.SchedulerListener;
-import io.indigoreach.core.scheduling.ServiceLevelObjectives;
-import io.indigoreach.net.MessagePackFormat;
-import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
-import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
@@ -43,7 +32,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A leader's writes for chained jobs, and what the next leader makes of those that were cut short. */
+/** Cascaded cancellation of dependent jobs, also across a change of leader. */
 @Timeout(30)
 class DependencyTaskTest {
     private final Vertx vertx = Vertx.vertx();
@@ -52,60 +41,40 @@
     private StateStandIn state;
     private StateClient client;
 
-    /** One leadership, as far as it serves jobs. */
+    /** A leadership term, as far as it serves jobs. */
     private final class Leader {
         final SchedulerCore core;
-        final JobStore ledger;
-        final DependencyTask chains;
+        final JobStore jobStore;
+        final DependencyTask dependencyTask;
 
         Leader(long token) throws Exception {
-            Revision key = await(client.commit(
-                            new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", token))))
-                    .stamp();
-            NodeContext context = NodeContext.builder()
-                    .vertx(vertx)
-                    .clock(clock)
-                    .state(client)
-                    .config(MachineStoreTest.config())
-                    .settings(Settings.standard())
-                    .lease(Span.seconds(10))
-                    .build();
-            core = new SchedulerCore(
-                    new FencingToken(token),
-                    MachineStoreTest.config().rules(),
-                    Settings.standard().tuning(),
-                    new ServiceLevelObjectives(List.of()),
-                    List.of(new Team("t", 0, 0, 0, 0)),
-                    new SchedulerListener() {
-                        @Override
-                        public void taskCompleted(Job job) {}
+            Revision leadershipRevision = LeaderHarness.lead(client, token);
+            NodeContext context = LeaderHarness.context(vertx, clock, client).build();
 
-                        @Override
-                        public void log(String line) {}
-                    });
-            RateLimiter limiter = new RateLimiter(200, clock.now());
-            ledger = new JobStore(context, core, null, key, () -> {}, limiter, true, new CancellationHorizon());
-            chains = new DependencyTask(context, core, ledger, key, () -> {}, limiter);
+            core = LeaderHarness.core(context, token, List.of(LeaderHarness.TEAM));
+            LeaderWrites writes = LeaderHarness.writes(context, token, leadershipRevision, 200);
+            jobStore = new JobStore(writes, core, null, true, new CancellationHorizon());
+            dependencyTask = new DependencyTask(writes, core, jobStore);
             leaders.add(this);
-            Promise<Void> begun = Promise.promise();
-            vertx.runOnContext(v -> ledger.load()
+            Promise<Void> started = Promise.promise();
+            vertx.runOnContext(v -> jobStore.load()
                     .onSuccess(revision -> {
                         core.recordsLoaded();
-                        ledger.start();
-                        chains.start();
+                        jobStore.start();
+                        dependencyTask.start();
                     })
                     .<Void>mapEmpty()
-                    .onComplete(begun));
-            await(begun.future());
+                    .onComplete(started));
+            await(started.future());
         }
 
         void stop() {
-            ledger.cancel();
-            chains.cancel();
+            jobStore.cancel();
+            dependencyTask.cancel();
         }
 
         /** No task of any job waits for a machine. */
-        boolean holdsAll() throws Exception {
+        boolean blocksAll() throws Exception {
             Promise<Boolean> answer = Promise.promise();
             vertx.runOnContext(v -> answer.complete(core.summary(clock.now()).contains(" 0 tasks waiting")));
             return await(answer.future());
@@ -125,40 +94,19 @@
         await(vertx.close());
     }
 
-    private static <T> T await(Future<T> future) throws Exception {
-        return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
-    }
-
     private static JobId id(int n) {
         return new JobId("run-" + n);
     }
 
-    private static JobSpec spec(int id, int... needs) {
-        return new JobSpec(
-                        id(id),
-                        "c",
-                        "t",
-                        JobKind.ARRAY,
-                        Urgency.STANDARD,
-                        1,
-                        new Demand(1, 0, 1),
-                        "img",
-                        0,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        Span.seconds(10),
-                        Span.ZERO,
-                        Span.ZERO,
-                        null)
-                .with(JobDependencies.of(
-                        IntStream.of(needs).mapToObj(DependencyTaskTest::id).toList()));
+    private static JobSpec spec(int id, int... dependencies) {
+        return LeaderHarness.spec(id(id), 1, "img")
+                .with(JobDependencies.of(IntStream.of(dependencies)
+                        .mapToObj(DependencyTaskTest::id)
+                        .toList()));
     }
 
-    private void open(int id, int... needs) throws Exception {
-        open(spec(id, needs), 0);
+    private void open(int id, int... dependencies) throws Exception {
+        open(spec(id, dependencies), 0);
     }
 
     private void open(JobSpec spec, int done) throws Exception {
@@ -175,9 +123,9 @@
     }
 
     /** A spinning loop takes no notice of the test's own limit: it is bounded here. */
-    private void until(Callable<Boolean> reached) throws Exception {
+    private void until(Callable<Boolean> condition) throws Exception {
         Moment end = clock.now().plus(Span.seconds(20));
-        while (!reached.call()) {
+        while (!condition.call()) {
             assertTrue(clock.now().isBefore(end), "not reached");
             Thread.onSpinWait();
         }
@@ -191,9 +139,9 @@
         }
     }
 
-    /** Two changes each, also where the answer is lost; what waits for another job stays. */
+    /** Two changes each, also if a response is lost; jobs with another open dependency stay open. */
     @Test
-    void whatIsBelowACancelledJobIsEnded() throws Exception {
+    void dependentsOfACancelledJobAreCancelled() throws Exception {
         over(1, JobStatus.CANCELLED);
         open(2, 1);
         open(3, 2);
@@ -207,13 +155,13 @@
         assertEquals(2 * 3, state.changed - before);
         assertEquals(List.of("j/run-5", "j/run-9"), state.keys("j/"));
         over(9, JobStatus.CANCELLED);
-        vertx.runOnContext(v -> leader.ledger.onOpenRecordDeleted(id(9)));
+        vertx.runOnContext(v -> leader.jobStore.onOpenRecordDeleted(id(9)));
         awaitCancelled(5);
     }
 
-    /** The first leader gets one write through, and others that are executed when it leads no more. */
+    /** One write of the first leader is executed, and the others only when it no longer leads. */
     @Test
-    void theNextLeaderGoesOnWithACascade() throws Exception {
+    void theNextLeaderContinuesACascadedCancellation() throws Exception {
         over(1, JobStatus.CANCELLED);
         for (int n = 2; n < 8; n++) {
             open(n, n - 1);
@@ -222,21 +170,21 @@
         state.holding = txn -> written[0]++ > 0;
         Leader first = new Leader(3);
         until(() -> state.held() > 0);
-        Promise<Void> ended = Promise.promise();
+        Promise<Void> stopped = Promise.promise();
         vertx.runOnContext(v -> {
             first.stop();
-            ended.complete();
+            stopped.complete();
         });
-        await(ended.future());
+        await(stopped.future());
         state.holding = txn -> false;
         new Leader(4);
         assertTrue(state.executeLate().stream().allMatch(status -> status == 409));
         awaitCancelled(2, 3, 4, 5, 6, 7);
     }
 
-    /** The leader knows that all tasks are done, and the write that says so has not arrived: the job after it waits. */
+    /** All tasks are completed, but the write of the completion has not been executed: the dependent waits. */
     @Test
-    void aJobIsReleasedByAnEndThatIsWritten() throws Exception {
+    void aDependentStartsOnlyAfterTheCompletionIsRecorded() throws Exception {
         state.holding =
                 txn -> txn.children("writes").stream().anyMatch(w -> "j/run-1".equals(w.optionalText("delete")));
         open(spec(1), 1);
@@ -244,23 +192,23 @@
         Leader leader = new Leader(3);
         until(() -> state.held() > 0);
         await(vertx.timer(500, TimeUnit.MILLISECONDS));
-        assertTrue(leader.holdsAll());
+        assertTrue(leader.blocksAll());
         state.holding = txn -> false;
         state.executeLate();
-        until(() -> !leader.holdsAll());
+        until(() -> !leader.blocksAll());
         assertEquals("DONE", state.value("f/run-1").text("status"));
     }
 
-    /** Neither done nor cancelled may be said of it: as soon as its end is known again, the chain goes on. */
+    /** It counts as neither done nor cancelled; its dependents continue as soon as its final record is back. */
     @Test
-    void aNeedThatIsInNoRecordHoldsWhatNeedsIt() throws Exception {
+    void aMissingDependencyBlocksItsDependents() throws Exception {
         open(2, 1);
         Leader leader = new Leader(3);
         int before = state.transactions;
         until(() -> state.transactions > before);
-        assertTrue(leader.holdsAll());
+        assertTrue(leader.blocksAll());
         assertFalse(client.losses().isHolding());
         over(1, JobStatus.DONE);
-        until(() -> !leader.holdsAll());
+        until(() -> !leader.blocksAll());
     }
 }
--- a/src/test/java/io/indigoreach/cluster/IntentLogTest.java
+++ b/src/test/java/io/indigoreach/cluster/IntentLogTest.java
@@ -42,7 +42,7 @@
         state = await(new StateStandIn().listen(vertx));
         client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
-        PlatformConfig config = MachineStoreTest.config();
+        PlatformConfig config = LeaderHarness.config();
         env = NodeContext.builder()
                 .vertx(vertx)
                 .clock(clock)
@@ -112,7 +112,7 @@
                 .vertx(vertx)
                 .clock(clock)
                 .state(client)
-                .config(MachineStoreTest.config("value_kb = 2.0"))
+                .config(LeaderHarness.config("value_kb = 2.0"))
                 .settings(Settings.standard())
                 .lease(Span.seconds(10))
                 .build();
--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -1,5 +1,6 @@
 package io.indigoreach.cluster;
 
+import static io.indigoreach.cluster.LeaderHarness.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -7,29 +8,19 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.config.Settings;
 import io.indigoreach.core.leadership.CancellationHorizon;
-import io.indigoreach.core.model.Demand;
-import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.JobId;
-import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.MachinePool;
-import io.indigoreach.core.model.MachineType;
 import io.indigoreach.core.model.Moment;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
-import io.indigoreach.core.model.Team;
-import io.indigoreach.core.model.Urgency;
 import io.indigoreach.core.scheduling.Job;
 import io.indigoreach.core.scheduling.SchedulerCore;
-import io.indigoreach.core.scheduling.SchedulerListener;
-import io.indigoreach.core.scheduling.ServiceLevelObjectives;
 import io.indigoreach.net.Fields;
 import io.indigoreach.net.MessagePackFormat;
-import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.JobRecord;
@@ -59,8 +50,8 @@
     private StateStandIn state;
     private StateClient client;
     private SchedulerCore core;
-    private NodeContext env;
-    private JobStore ledger;
+    private NodeContext context;
+    private JobStore jobStore;
     private final CancellationHorizon horizon = new CancellationHorizon();
 
     @BeforeEach
@@ -68,34 +59,10 @@
         state = await(new StateStandIn().listen(vertx));
         client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
-        env = NodeContext.builder()
-                .vertx(vertx)
-                .clock(clock)
-                .state(client)
-                .config(MachineStoreTest.config())
-                .settings(Settings.standard())
-                .lease(Span.seconds(10))
-                .build();
-        StateClient.Outcome taken =
-                await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))));
-        core = new SchedulerCore(
-                new FencingToken(3),
-                MachineStoreTest.config().rules(),
-                Settings.standard().tuning(),
-                new ServiceLevelObjectives(List.of()),
-                List.of(new Team("t", 0, 0, 0, 0)),
-                new SchedulerListener() {
-                    @Override
-                    public void taskCompleted(Job job) {}
-
-                    @Override
-                    public void log(String line) {}
-                });
-        core.setTypes(
-                List.of(new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"))));
-        core.recordsLoaded();
-        ledger =
-                new JobStore(env, core, null, taken.stamp(), () -> {}, new RateLimiter(20, clock.now()), true, horizon);
+        context = LeaderHarness.context(vertx, clock, client).build();
+        Revision leadershipRevision = LeaderHarness.lead(client, 1);
+        core = LeaderHarness.loadedCore(context, 3, LeaderHarness.quad());
+        jobStore = new JobStore(LeaderHarness.writes(context, 3, leadershipRevision, 20), core, null, true, horizon);
     }
 
     @AfterEach
@@ -103,38 +70,16 @@
         await(vertx.close());
     }
 
-    private static <T> T await(Future<T> future) throws Exception {
-        return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
-    }
-
     private Job job(int id, int tasks, int done, int bound) throws Exception {
-        JobSpec spec = new JobSpec(
-                new JobId("run-" + id),
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Urgency.STANDARD,
-                tasks,
-                new Demand(1, 0, 1),
-                "img",
-                0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(10),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        JobSpec spec = LeaderHarness.spec(new JobId("run-" + id), tasks, "img");
         Revision stamp = await(client.commit(new StateClient.Txn()
                         .put(
                                 RecordCodec.openKey(spec.id()),
                                 RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, bound))))
                 .stamp();
-        BitSet over = new BitSet();
-        over.set(0, done);
-        return new Job(spec, 1, clock.now(), stamp, over, bound, false);
+        BitSet completed = new BitSet();
+        completed.set(0, done);
+        return new Job(spec, 1, clock.now(), stamp, completed, bound, false);
     }
 
     /** What stands in the open jobs' records. */
@@ -155,13 +100,13 @@
         for (int id = 0; id < ENDS; id++) {
             Job job = job(id, 1, 1, 1);
             core.addJob(job);
-            ledger.markDirty(job);
+            jobStore.markDirty(job);
         }
         Job waiting = job(ENDS, 40_000, 0, 0);
         core.addJob(waiting);
         core.rented(new MachinePool("quad", "a", true), List.of(new MachineId("vm-1")), clock.now(), clock.now());
         int before = state.changed;
-        vertx.runOnContext(v -> ledger.start());
+        vertx.runOnContext(v -> jobStore.start());
         Map<JobId, JobRecord> now = open();
         while (now.get(waiting.id()).bound() == 0) {
             now = open();
@@ -184,7 +129,7 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aJobThatIsGoneHoldsTheHorizonUntilItIsKnownWhy(boolean told) throws Exception {
+    void aJobThatIsGoneHoldsTheHorizonUntilItIsKnownWhy(boolean confirmedByPeer) throws Exception {
         Job job = job(1, 2, 0, 2);
         core.addJob(job);
         await(client.commit(new StateClient.Txn()
@@ -194,7 +139,7 @@
         horizon.advanceTo(before);
         state.refusing = true;
         await(vertx.timer(20, TimeUnit.MILLISECONDS));
-        onLoop(() -> ledger.onOpenRecordDeleted(job.id()));
+        onLoop(() -> jobStore.onOpenRecordDeleted(job.id()));
         int refused = state.refusals;
         while (state.refusals < refused + 2) {
             Thread.onSpinWait();
@@ -202,16 +147,16 @@
         onLoop(() -> horizon.advanceTo(clock.now()));
         assertEquals(before, horizon.completeUntil());
         assertFalse(job.isCancelled());
-        if (told) {
-            onLoop(() -> ledger.onCancelled(job.id()));
+        if (confirmedByPeer) {
+            onLoop(() -> jobStore.onCancelled(job.id()));
             assertTrue(job.isCancelled());
         }
-        state.refusing = told;
+        state.refusing = confirmedByPeer;
         while (horizon.completeUntil().equals(before)) {
             onLoop(() -> {});
         }
         assertTrue(job.isCancelled());
-        onLoop(() -> ledger.onOpenRecordWritten(job.id(), record(job, 2), new Revision(99)));
+        onLoop(() -> jobStore.onOpenRecordWritten(job.id(), record(job, 2), new Revision(99)));
         assertNull(core.job(job.id()), "nothing opens it again");
     }
 
@@ -222,8 +167,8 @@
     @Test
     void aCancellationThatIsToldBeforeItsJobIsHeardOfKeepsItClosed() throws Exception {
         Job job = job(1, 1, 0, 1);
-        onLoop(() -> ledger.onCancelled(job.id()));
-        onLoop(() -> ledger.onOpenRecordWritten(job.id(), record(job, 1), job.revision()));
+        onLoop(() -> jobStore.onCancelled(job.id()));
+        onLoop(() -> jobStore.onOpenRecordWritten(job.id(), record(job, 1), job.revision()));
         assertNull(core.job(job.id()), "the acceptance comes after the word that the job is cancelled");
     }
 
@@ -247,7 +192,7 @@
         AtomicInteger listings = new AtomicInteger();
         // Two kinds of blocks of bits, machines, and the first page of the jobs come before it.
         state.delaying = (door, path) -> path.equals("/store") && listings.incrementAndGet() == 5;
-        Future<Long> loaded = ledger.load();
+        Future<Long> loaded = jobStore.load();
         while (state.delayed() == 0) {
             Thread.onSpinWait();
         }
@@ -260,7 +205,7 @@
         long revision = await(loaded);
         assertNotNull(core.job(new JobId("run-1000")), "its page had been read");
         assertNull(core.job(new JobId("run-1599")));
-        JobWatch watch = new JobWatch(env, ledger, horizon);
+        JobWatch watch = new JobWatch(context, jobStore, horizon);
         onLoop(() -> watch.catchUp(revision).onSuccess(v -> watch.start()));
         Moment until = clock.now().plus(Span.seconds(10));
         while (core.job(new JobId("run-1000")) != null) {
@@ -279,13 +224,13 @@
                 .put(
                         "j/" + id,
                         RecordCodec.writeJob(job(1, 1, 0, 1).spec(), 1, JobStatus.PENDING, new BitSet(), 0, 1))));
-        long revision = await(ledger.load());
+        long revision = await(jobStore.load());
         await(client.commit(new StateClient.Txn()
                 .delete("j/" + id)
                 .put("f/" + id, RecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
-        Promise<Void> heard = Promise.promise();
-        onLoop(() -> new JobWatch(env, ledger, horizon).catchUp(revision).onComplete(heard));
-        await(heard.future());
+        Promise<Void> caughtUp = Promise.promise();
+        onLoop(() -> new JobWatch(context, jobStore, horizon).catchUp(revision).onComplete(caughtUp));
+        await(caughtUp.future());
         Moment until = clock.now().plus(Span.seconds(10));
         while (core.job(id) != null) {
             assertTrue(clock.now().isBefore(until), "nothing tells of the cancellation");
@@ -293,10 +238,10 @@
         }
     }
 
-    private void onLoop(Runnable what) throws Exception {
+    private void onLoop(Runnable action) throws Exception {
         Promise<Void> done = Promise.promise();
         vertx.runOnContext(v -> {
-            what.run();
+            action.run();
             done.complete();
         });
         await(done.future());
@@ -305,30 +250,25 @@
     /** Accepted under wider limits: it is not refused again and again, and the jobs behind it go on, by few changes. */
     @Test
     void aRecordThatIsTooLongNowHoldsUpNobody() throws Exception {
-        env = NodeContext.builder()
-                .vertx(vertx)
-                .clock(clock)
-                .state(client)
-                .config(MachineStoreTest.config(CompletionBlockStoreTest.NEXT))
-                .settings(Settings.standard())
-                .lease(Span.seconds(10))
+        context = LeaderHarness.context(vertx, clock, client)
+                .config(LeaderHarness.config(CompletionBlockStoreTest.NEXT))
                 .build();
         JobSpec spec = CompletionBlockStoreTest.spec(4, 3000);
         Revision stamp = await(client.commit(new StateClient.Txn()
                         .put("j/run-1", RecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 0))))
                 .stamp();
         Job tooLong = new Job(spec, 1, clock.now(), stamp, new BitSet(), 0, false);
-        Revision leader = await(client.get(RecordCodec.LEADER)).stamp();
-        ledger = new JobStore(env, core, null, leader, () -> {}, new RateLimiter(20, clock.now()), true, horizon);
+        Revision leadershipRevision = await(client.get(RecordCodec.LEADER)).stamp();
+        jobStore = new JobStore(LeaderHarness.writes(context, 3, leadershipRevision, 20), core, null, true, horizon);
         state.valueBytes = 2048;
         state.txnOps = 4;
         int before = state.changed;
         core.addJob(tooLong);
-        ledger.markDirty(tooLong);
+        jobStore.markDirty(tooLong);
         Job large = job(2, 100_000, 100_000, 100_000);
         core.addJob(large);
-        ledger.markDirty(large);
-        vertx.runOnContext(v -> ledger.start());
+        jobStore.markDirty(large);
+        vertx.runOnContext(v -> jobStore.start());
         while (!state.has("f/run-2")) {
             Thread.onSpinWait();
         }
@@ -342,10 +282,11 @@
     void aKnownJobsRecordThatIsSpoiltIsWrittenAnew() throws Exception {
         Job job = job(1, 4, 2, 4);
         core.addJob(job);
-        Revision spoilt = await(client.commit(new StateClient.Txn().put("j/run-1", MessagePackFormat.map("class", 5L))))
+        Revision unreadable = await(
+                        client.commit(new StateClient.Txn().put("j/run-1", MessagePackFormat.map("class", 5L))))
                 .stamp();
-        ledger.onOpenRecordWritten(job.id(), new Fields(MessagePackFormat.map("class", 5L)), spoilt);
-        vertx.runOnContext(v -> ledger.start());
+        jobStore.onOpenRecordWritten(job.id(), new Fields(MessagePackFormat.map("class", 5L)), unreadable);
+        vertx.runOnContext(v -> jobStore.start());
         while (state.value("j/run-1").optionalText("team") == null) {
             Thread.onSpinWait();
         }
@@ -357,7 +298,7 @@
     void aReadingThatIsRepeatedForgetsWhatIsCancelledSince() throws Exception {
         Job cancelled = job(1, 2, 0, 2);
         job(2, 2, 0, 1);
-        await(ledger.load());
+        await(jobStore.load());
         assertEquals(2, core.jobs().size());
         await(client.commit(new StateClient.Txn()
                 .delete("j/run-1")
@@ -368,7 +309,7 @@
                 .put(
                         "j/run-2",
                         RecordCodec.writeJob(core.job(new JobId("run-2")).spec(), 1, JobStatus.RUNNING, done, 1, 2))));
-        await(ledger.load());
+        await(jobStore.load());
         assertEquals(null, core.job(cancelled.id()), "its tasks are to be stopped, and no watch will tell");
         assertEquals(
                 List.of(1, 2),
@@ -386,15 +327,16 @@
                 .put("j/what", MessagePackFormat.map())
                 .put("j/run-5", MessagePackFormat.map("class", "c", "status", "NONE"))
                 .put("p/run-1/x", MessagePackFormat.map("bits", "*"))));
-        await(ledger.load());
+        await(jobStore.load());
         assertEquals(
                 List.of("run-1"),
                 core.jobs().stream().map(job -> job.id().text()).toList());
-        ledger.onOpenRecordWritten(new JobId("run-3"), new Fields(MessagePackFormat.map("class", 5L)), new Revision(9));
+        jobStore.onOpenRecordWritten(
+                new JobId("run-3"), new Fields(MessagePackFormat.map("class", 5L)), new Revision(9));
         assertEquals(1, core.jobs().size(), "nor does it end the watch");
-        Fields mended = record(core.job(new JobId("run-1")), 1);
-        ledger.onOpenRecordWritten(new JobId("run-3"), mended, new Revision(10));
-        ledger.onOpenRecordWritten(new JobId("run-4"), mended, new Revision(11));
+        Fields repaired = record(core.job(new JobId("run-1")), 1);
+        jobStore.onOpenRecordWritten(new JobId("run-3"), repaired, new Revision(10));
+        jobStore.onOpenRecordWritten(new JobId("run-4"), repaired, new Revision(11));
         assertEquals(
                 List.of(true, false),
                 List.of(
@@ -402,9 +344,9 @@
                         core.job(new JobId("run-4")).isInherited()),
                 "what could not be read may be on machines, what is new cannot");
         await(client.commit(new StateClient.Txn().put("m/3-1", MessagePackFormat.map("machines", "many"))));
-        Exception failed = assertThrows(Exception.class, () -> await(ledger.load()));
+        Exception failed = assertThrows(Exception.class, () -> await(jobStore.load()));
         assertTrue(
-                failed.getCause() instanceof JobStore.UnreadableRecordException
+                failed.getCause() instanceof UnreadableRecordException
                         && failed.getCause().getMessage().contains("m/3-1"),
                 failed.getMessage());
     }
--- a/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
@@ -1,5 +1,6 @@
 package io.indigoreach.cluster;
 
+import static io.indigoreach.cluster.LeaderHarness.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,7 +9,6 @@
 import io.indigoreach.api.JobService;
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
-import io.indigoreach.config.Settings;
 import io.indigoreach.core.calendar.CalendarVersion;
 import io.indigoreach.core.calendar.Publishing;
 import io.indigoreach.core.calendar.Replacing;
@@ -118,15 +118,8 @@
         client = client();
         Catalogue catalogue = new Catalogue(
                 vertx, client, keep(new CloudClient(keep(new ServiceClient(vertx, service.endpoint(), 1)))));
-        env = NodeContext.builder()
-                .vertx(vertx)
-                .clock(clock)
-                .state(client)
-                .catalogue(catalogue)
-                .config(MachineStoreTest.config())
-                .settings(Settings.standard())
-                .lease(Span.seconds(10))
-                .build();
+        env = LeaderHarness.context(vertx, clock, client).catalogue(catalogue).build();
+
         core = new SchedulerCore(
                 new FencingToken(3),
                 env.config().rules(),
@@ -164,10 +157,6 @@
                 keep(new ServiceClient(vertx, service.endpoint(), 2))));
     }
 
-    private static <T> T await(Future<T> future) throws Exception {
-        return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
-    }
-
     private static void until(Callable<Boolean> holds) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (!holds.call()) {
@@ -497,12 +486,9 @@
 
     private JobStore ledger(Revision key) throws Exception {
         return keep(new JobStore(
-                env,
+                LeaderHarness.writes(env, 3, key, 100, () -> events.add("deposed")),
                 core,
-                new MachineStore(env, core, new FencingToken(3), key, () -> {}, new RateLimiter(100, clock.now())),
-                key,
-                () -> events.add("deposed"),
-                new RateLimiter(100, clock.now()),
+                new MachineStore(LeaderHarness.writes(env, 3, key, 100), core),
                 true,
                 new CancellationHorizon()));
     }
@@ -736,8 +722,8 @@
     }
 
     private MachineStore machines(Revision key) {
-        MachineStore machineStore = keep(new MachineStore(
-                env, core, new FencingToken(3), key, () -> events.add("deposed"), new RateLimiter(100, clock.now())));
+        MachineStore machineStore =
+                keep(new MachineStore(LeaderHarness.writes(env, 3, key, 100, () -> events.add("deposed")), core));
         run(machineStore::start);
         return machineStore;
     }
@@ -807,10 +793,9 @@
             t.run(first::cancel);
             t.run(() -> t.gone(1));
             Revision key = t.lead(4);
-            MachineStore next = new MachineStore(
-                    t.env, t.core, new FencingToken(4), key, () -> {}, new RateLimiter(100, t.clock.now()));
+            MachineStore next = new MachineStore(LeaderHarness.writes(t.env, 4, key, 100), t.core);
             t.loseOne(RecordCodec.MACHINES);
-            await(JobStore.pages(
+            await(RecordListing.readAll(
                     t.client,
                     key,
                     RecordCodec.MACHINES,
@@ -931,9 +916,8 @@
             t.loseOne(RecordCodec.MACHINES);
             assertFalse(t.rebuilds(leader));
             assertTrue(t.rebuilds(leader));
-            MachineStore machineStore = new MachineStore(
-                    t.env, t.core, new FencingToken(3), leader, () -> {}, new RateLimiter(100, t.clock.now()));
-            await(JobStore.pages(
+            MachineStore machineStore = new MachineStore(LeaderHarness.writes(t.env, 3, leader, 100), t.core);
+            await(RecordListing.readAll(
                     t.client,
                     leader,
                     RecordCodec.MACHINES,
--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -52,7 +52,7 @@
                     .vertx(vertx)
                     .clock(clock)
                     .state(client)
-                    .config(MachineStoreTest.config())
+                    .config(LeaderHarness.config())
                     .settings(Settings.standard())
                     .lease(Span.seconds(10))
                     .build();
@@ -97,13 +97,13 @@
                     client,
                     clock,
                     null,
-                    MachineStoreTest.config(),
+                    LeaderHarness.config(),
                     Settings.standard());
             NodeContext context = NodeContext.builder()
                     .vertx(vertx)
                     .clock(clock)
                     .state(client)
-                    .config(MachineStoreTest.config())
+                    .config(LeaderHarness.config())
                     .settings(Settings.standard())
                     .lease(Span.seconds(10))
                     .parts(parts)
@@ -152,7 +152,7 @@
                     .vertx(vertx)
                     .clock(clock)
                     .state(client)
-                    .config(MachineStoreTest.config())
+                    .config(LeaderHarness.config())
                     .settings(Settings.standard())
                     .lease(Span.seconds(10))
                     .build();
--- a/src/test/java/io/indigoreach/cluster/WarmUpTest.java
+++ b/src/test/java/io/indigoreach/cluster/WarmUpTest.java
@@ -21,7 +21,7 @@
                     NodeContext.builder()
                             .vertx(vertx)
                             .clock(new SteadyClock())
-                            .config(MachineStoreTest.config())
+                            .config(LeaderHarness.config())
                             .settings(Settings.standard())
                             .lease(Span.seconds(10))
                             .build(),
