--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -42,9 +42,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A flood of single tasks, where the state service takes few changes: machines stood idle behind the writing of ends. */
+/** A leader's access to job records: bursts of completions, deleted and unreadable records, and loads that are repeated. */
 class JobStoreTest {
-    private static final int ENDS = 40;
+    private static final int COMPLETIONS = 40;
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
     private StateStandIn state;
@@ -82,54 +82,54 @@
         return new Job(spec, 1, clock.now(), stamp, completed, bound, false);
     }
 
-    /** What stands in the open jobs' records. */
-    private Map<JobId, JobRecord> open() throws Exception {
+    /** The records of all open jobs. */
+    private Map<JobId, JobRecord> openRecords() throws Exception {
         return await(client.list(RecordCodec.OPEN, null, 1000)).items().stream()
                 .map(e -> RecordCodec.readJob(RecordCodec.jobOfOpenKey(e.key()), e.value(), e.stamp()))
                 .collect(Collectors.toMap(JobRecord::id, record -> record));
     }
 
-    private static long notOver(Map<JobId, JobRecord> open) {
+    private static long countUnfinished(Map<JobId, JobRecord> open) {
         return open.values().stream()
                 .filter(record -> record.status() != JobStatus.DONE)
                 .count();
     }
 
     @Test
-    void aFloodOfEndsCostsOneChangeEachAndHoldsUpNoStart() throws Exception {
-        for (int id = 0; id < ENDS; id++) {
+    void aBurstOfCompletionsTakesOneChangeEachAndDelaysNoStart() throws Exception {
+        for (int id = 0; id < COMPLETIONS; id++) {
             Job job = job(id, 1, 1, 1);
             core.addJob(job);
             jobStore.markDirty(job);
         }
-        Job waiting = job(ENDS, 40_000, 0, 0);
+        Job waiting = job(COMPLETIONS, 40_000, 0, 0);
         core.addJob(waiting);
         core.rented(new MachinePool("quad", "a", true), List.of(new MachineId("vm-1")), clock.now(), clock.now());
         int before = state.changed;
         vertx.runOnContext(v -> jobStore.start());
-        Map<JobId, JobRecord> now = open();
+        Map<JobId, JobRecord> now = openRecords();
         while (now.get(waiting.id()).bound() == 0) {
-            now = open();
+            now = openRecords();
         }
-        assertTrue(notOver(now) > 1, "the start bound does not wait for all ends");
-        while (notOver(now) > 1) {
-            now = open();
+        assertTrue(countUnfinished(now) > 1, "the start bound does not wait for all ends");
+        while (countUnfinished(now) > 1) {
+            now = openRecords();
         }
-        assertTrue(state.changed - before < 2 * ENDS - 10, "changes: " + (state.changed - before));
-        while (open().size() > 1) {
+        assertTrue(state.changed - before < 2 * COMPLETIONS - 10, "changes: " + (state.changed - before));
+        while (openRecords().size() > 1) {
             Thread.onSpinWait();
         }
-        assertEquals(ENDS, await(client.list("f/", null, 1000)).items().size(), "moved in the end");
+        assertEquals(COMPLETIONS, await(client.list("f/", null, 1000)).items().size(), "moved in the end");
     }
 
     /**
-     * Guards against a cancellation that was heard of as the state service began to refuse this node: why the job was gone could not be
-     * read any more, and with everybody's word that nothing was told since, its tasks ran on for the whole outage. Told by name,
-     * it is over at once.
+     * Guards against a cancellation that was watched as the state service began to reject this node's requests. The reason for the
+     * deletion could not be read, and as all peers reported no cancellation since, the tasks ran on for the whole outage. If a peer
+     * confirms the cancellation by name, the job ends at once.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aJobThatIsGoneHoldsTheHorizonUntilItIsKnownWhy(boolean confirmedByPeer) throws Exception {
+    void aDeletedRecordHoldsTheHorizonUntilTheReasonIsRead(boolean confirmedByPeer) throws Exception {
         Job job = job(1, 2, 0, 2);
         core.addJob(job);
         await(client.commit(new StateClient.Txn()
@@ -161,15 +161,16 @@
     }
 
     /**
-     * Guards against a job that was accepted and cancelled while this leader was refused: told by name before the watch caught up, its
-     * acceptance opened it, and as its end could not be read its one task could be started.
+     * Guards against a job that was accepted and cancelled while this leader's requests were rejected: a peer confirmed the
+     * cancellation before the watch caught up, the acceptance opened the job, and as its final record could not be read, its one
+     * task could start.
      */
     @Test
-    void aCancellationThatIsToldBeforeItsJobIsHeardOfKeepsItClosed() throws Exception {
+    void aCancellationBeforeTheAcceptanceIsWatchedKeepsTheJobClosed() throws Exception {
         Job job = job(1, 1, 0, 1);
         onLoop(() -> jobStore.onCancelled(job.id()));
         onLoop(() -> jobStore.onOpenRecordWritten(job.id(), record(job, 1), job.revision()));
-        assertNull(core.job(job.id()), "the acceptance comes after the word that the job is cancelled");
+        assertNull(core.job(job.id()), "the acceptance comes after the confirmed cancellation");
     }
 
     /** As a watch brings it. */
@@ -180,7 +181,7 @@
 
     /** The records fill two pages; when the first one was read and the second one not, a job of each is cancelled. */
     @Test
-    void whatIsCancelledBetweenTwoPagesIsHeardOf() throws Exception {
+    void cancellationsBetweenTwoPagesAreApplied() throws Exception {
         JobSpec spec = job(1, 1, 0, 1).spec();
         for (int first = 1000; first < 1600; first += 10) {
             StateClient.Txn jobs = new StateClient.Txn();
@@ -209,16 +210,16 @@
         onLoop(() -> watch.catchUp(revision).onSuccess(v -> watch.start()));
         Moment until = clock.now().plus(Span.seconds(10));
         while (core.job(new JobId("run-1000")) != null) {
-            assertTrue(clock.now().isBefore(until), "nothing tells of the cancellation");
+            assertTrue(clock.now().isBefore(until), "the cancellation is not applied");
             Thread.onSpinWait();
         }
         onLoop(watch::cancel);
         assertEquals(599, core.jobs().size());
     }
 
-    /** Nothing but what is heard before the first order: no watch is begun. */
+    /** Only the catch-up before the first command applies it: no watch is started. */
     @Test
-    void whatIsCancelledAfterTheListingIsHeardOfBeforeTheFirstOrder() throws Exception {
+    void cancellationsAfterTheListingAreAppliedBeforeTheFirstCommand() throws Exception {
         JobId id = new JobId("run-1000");
         await(client.commit(new StateClient.Txn()
                 .put(
@@ -233,7 +234,7 @@
         await(caughtUp.future());
         Moment until = clock.now().plus(Span.seconds(10));
         while (core.job(id) != null) {
-            assertTrue(clock.now().isBefore(until), "nothing tells of the cancellation");
+            assertTrue(clock.now().isBefore(until), "the cancellation is not applied");
             Thread.onSpinWait();
         }
     }
@@ -247,9 +248,9 @@
         await(done.future());
     }
 
-    /** Accepted under wider limits: it is not refused again and again, and the jobs behind it go on, by few changes. */
+    /** The job was accepted under wider limits: its write is not rejected repeatedly, and other jobs continue with few changes. */
     @Test
-    void aRecordThatIsTooLongNowHoldsUpNobody() throws Exception {
+    void aRecordAboveTheLimitDelaysNoOtherJob() throws Exception {
         context = LeaderHarness.context(vertx, clock, client)
                 .config(LeaderHarness.config(CompletionBlockStoreTest.NEXT))
                 .build();
@@ -277,9 +278,9 @@
         assertTrue(state.has("j/run-1"));
     }
 
-    /** Its record is spoilt under a leader that has it open: the next write is not left to the next change. */
+    /** The record becomes unreadable while the leader has the job open: it is written at once, not at the next change. */
     @Test
-    void aKnownJobsRecordThatIsSpoiltIsWrittenAnew() throws Exception {
+    void anUnreadableRecordOfAKnownJobIsRewritten() throws Exception {
         Job job = job(1, 4, 2, 4);
         core.addJob(job);
         Revision unreadable = await(
@@ -290,12 +291,12 @@
         while (state.value("j/run-1").optionalText("team") == null) {
             Thread.onSpinWait();
         }
-        assertEquals(2, open().get(job.id()).doneCount());
+        assertEquals(2, openRecords().get(job.id()).doneCount());
     }
 
-    /** What is read after the jobs fails, and all is read again: in between one job is cancelled and another goes on. */
+    /** A load fails after the jobs and is repeated; meanwhile one job is cancelled and another makes progress. */
     @Test
-    void aReadingThatIsRepeatedForgetsWhatIsCancelledSince() throws Exception {
+    void aRepeatedLoadForgetsJobsThatWereCancelledSince() throws Exception {
         Job cancelled = job(1, 2, 0, 2);
         job(2, 2, 0, 1);
         await(jobStore.load());
@@ -318,9 +319,9 @@
                         core.job(new JobId("run-2")).startBoundToWrite()));
     }
 
-    /** Written by a newer version, or spoilt: one job stands still, the others are served; nobody guesses what machines hold. */
+    /** The job waits and the others are served; but without a page of machines, no node may lead. */
     @Test
-    void aRecordThatCannotBeReadStopsItsOwnJobOnly() throws Exception {
+    void anUnreadableRecordBlocksOnlyItsOwnJob() throws Exception {
         job(1, 1, 0, 0);
         await(client.commit(new StateClient.Txn()
                 .put("j/run-2", MessagePackFormat.map("class", 5L))
--- /dev/null
+++ b/src/test/java/io/indigoreach/cluster/LateElectionTransactionsTest.java
@@ -0,0 +1,210 @@
+package io.indigoreach.cluster;
+
+import static io.indigoreach.cluster.LeaderHarness.await;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.indigoreach.core.leadership.TokenGenerator;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.state.LeaderElection;
+import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.StateClient;
+import io.vertx.core.Future;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** Transactions of the leader election that get no response ({@link LateTransactionsHarness}). */
+class LateElectionTransactionsTest extends LateTransactionsHarness {
+    private LeaderElection newElection(String node, int peers) {
+        LeaderElection[] made = new LeaderElection[1];
+        made[0] = new LeaderElection(
+                vertx,
+                client,
+                vertx,
+                client,
+                clock,
+                node,
+                node + "1",
+                peers,
+                Span.seconds(10),
+                new TokenGenerator(node.charAt(0) - 'a', clock.timeOfDay(), Span.seconds(0.1)),
+                new LeaderElection.Listener() {
+                    @Override
+                    public void leadershipGained(FencingToken token, Revision leadershipRevision, boolean bounds) {
+                        events.add(node + " gained");
+                    }
+
+                    @Override
+                    public void leadershipLost(String reason) {
+                        events.add(node + " lost");
+                    }
+                });
+        made[0].askPeersBy(() -> Future.succeededFuture(false), () -> Future.succeededFuture(true));
+        return keep(made[0]);
+    }
+
+    private void awaitGained(String node) throws Exception {
+        assertEquals(node + " gained", events.poll(20, TimeUnit.SECONDS));
+    }
+
+    private void awaitLost(String node) throws Exception {
+        assertEquals(node + " lost", events.poll(20, TimeUnit.SECONDS));
+    }
+
+    /** Stops a node, and lets the leases of its campaigns expire. */
+    private void stopAndExpireLeases(LeaderElection of) throws Exception {
+        CompletableFuture<Void> stopped = new CompletableFuture<>();
+        run(() -> {
+            of.stop();
+            stopped.complete(null);
+        });
+        stopped.get(20, TimeUnit.SECONDS);
+        service.endLeases();
+    }
+
+    private static final Map<String, Case<LateElectionTransactionsTest>> CASES = new LinkedHashMap<>();
+
+    static {
+        CASES.put("a campaign, after the next one", test -> {
+            LeaderElection a = test.newElection("a", 0);
+            test.loseOne(RecordCodec.LEADER);
+            test.run(a::start);
+            test.awaitGained("a");
+            test.changesNothingMore();
+            assertTrue(a.isValid());
+        });
+        CASES.put("a campaign, after its node led and gave up", test -> {
+            LeaderElection a = test.newElection("a", 0);
+            test.loseOne(RecordCodec.LEADER);
+            test.run(a::start);
+            test.awaitGained("a");
+            test.run(() -> a.abdicate("test"));
+            test.until(() -> !test.service.has(RecordCodec.LEADER));
+            test.changesNothingMore();
+            assertFalse(test.service.has(RecordCodec.LEADER));
+        });
+        CASES.put("a campaign, after another node led and gave up", test -> {
+            LeaderElection a = test.newElection("a", 0);
+            test.loseAll(RecordCodec.LEADER);
+            test.run(a::start);
+            test.untilUnanswered();
+            test.run(a::stop);
+            test.pass();
+            if (test.isAtOnce()) {
+                // The key stands under the campaign's grant, which ends by itself.
+                test.stopAndExpireLeases(a);
+            }
+            LeaderElection b = test.newElection("b", 0);
+            test.run(b::start);
+            test.awaitGained("b");
+            test.run(() -> b.abdicate("test"));
+            test.until(() -> !test.service.has(RecordCodec.LEADER));
+            test.changesNothingMore();
+        });
+        CASES.put("a campaign, after its grant has ended", test -> {
+            LeaderElection a = test.newElection("a", 0);
+            test.loseAll(RecordCodec.LEADER);
+            test.run(a::start);
+            test.untilUnanswered();
+            test.stopAndExpireLeases(a);
+            test.changesNothingMore();
+            assertFalse(test.service.has(RecordCodec.LEADER));
+        });
+        CASES.put("the removal of a predecessor's key, after its node took it", test -> {
+            test.lead(1);
+            await(test.client.commit(new StateClient.Txn()
+                    .put(RecordCodec.LEADER, MessagePackFormat.map("node", "a", "process", "a0", "token", 1L))));
+            LeaderElection a = test.newElection("a", 2);
+            test.loseOne(RecordCodec.LEADER);
+            await(a.clearPredecessor(node -> Future.succeededFuture(false)));
+            test.run(a::start);
+            test.awaitGained("a");
+            test.changesNothingMore();
+            assertTrue(test.service.has(RecordCodec.LEADER));
+        });
+        CASES.put("the removal of the key of one that stood aside, after another took it", test -> {
+            LeaderElection a = test.newElection("a", 0);
+            test.run(a::start);
+            test.awaitGained("a");
+            LeaderElection b = test.newElection("b", 0);
+            Revision leadershipRevision = a.leadershipRevision();
+            test.loseOne(RecordCodec.LEADER);
+            assertTrue(b.removeKey(leadershipRevision)
+                    .toCompletionStage()
+                    .toCompletableFuture()
+                    .handle((v, e) -> e != null)
+                    .get(20, TimeUnit.SECONDS));
+            test.run(a::stop);
+            test.run(() -> a.abdicate("test"));
+            test.awaitLost("a");
+            test.run(b::start);
+            test.awaitGained("b");
+            test.changesNothingMore();
+            assertTrue(test.service.has(RecordCodec.LEADER));
+        });
+        CASES.put("the word for start bounds, after the next leadership", test -> {
+            await(test.client.commit(
+                    new StateClient.Txn().put(RecordCodec.COUNTER, MessagePackFormat.map("value", 7L))));
+            LeaderElection a = test.newElection("a", 0);
+            test.run(a::start);
+            test.awaitGained("a");
+            test.loseAll(RecordCodec.COUNTER);
+            test.run(a::vouchForStartBounds);
+            test.untilUnanswered();
+            test.pass();
+            test.run(a::deposed);
+            test.awaitLost("a");
+            test.awaitGained("a");
+            test.changesNothingMore();
+            assertEquals(
+                    test.isAtOnce(),
+                    test.service.value(RecordCodec.COUNTER).flag("bounds", false),
+                    "said late, an older version may have led in between");
+        });
+    }
+
+    /** The key stands, by a transaction that its node gave up on: nobody leads by it, and a pledge given since binds. */
+    @Test
+    void aCampaignExecutedAfterItsNodeHasPledgedElectsNoLeader() throws Exception {
+        LeaderElection a = newElection("a", 0);
+        loseAll(RecordCodec.LEADER);
+        run(a::start);
+        untilUnanswered();
+        CompletableFuture<Moment> pledged = new CompletableFuture<>();
+        vertx.setPeriodic(1, timer -> {
+            if (!pledged.isDone() && a.pledge()) {
+                pledged.complete(clock.now());
+                service.holding = txn -> false;
+            }
+        });
+        Moment given = pledged.get(20, TimeUnit.SECONDS);
+        assertTrue(service.executeLate().contains(200));
+        long token = RecordCodec.token(service.value(RecordCodec.LEADER).map());
+        assertTrue(service.has(RecordCodec.LEADER) && events.isEmpty() && !a.isLeading());
+        awaitGained("a");
+        assertTrue(clock.now().since(given).compareTo(Span.seconds(2)) >= 0, "a pledge binds");
+        assertTrue(RecordCodec.token(service.value(RecordCodec.LEADER).map()) > token);
+    }
+
+    static List<Object[]> cases() {
+        return bothWays(CASES);
+    }
+
+    @ParameterizedTest(name = "{0}: {1}")
+    @MethodSource("cases")
+    void aTransactionWithoutAResponseDoesNoHarm(Unanswered when, String name, Case<LateElectionTransactionsTest> play)
+            throws Exception {
+        play(this, when, play);
+    }
+}
--- /dev/null
+++ b/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
@@ -0,0 +1,189 @@
+package io.indigoreach.cluster;
+
+import static io.indigoreach.cluster.LeaderHarness.await;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.indigoreach.core.intent.Intents;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.Heartbeat;
+import io.indigoreach.core.model.HeartbeatNumber;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.net.RateLimiter;
+import io.indigoreach.state.RecordCodec;
+import io.vertx.core.Future;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** Transactions on machine records and cloud requests that get no response ({@link LateTransactionsHarness}). */
+class LateMachineTransactionsTest extends LateTransactionsHarness {
+    private Future<Boolean> recordMachine(MachineStore machineStore, int n) {
+        MachineId id = new MachineId("vm-" + n);
+        Moment now = clock.now();
+        core.rented(POOL, List.of(id), now, now);
+        core.onHeartbeat(
+                new Heartbeat(id, "10.0.0.1:1", POOL, new HeartbeatNumber(1, 1), new FencingToken(3), null, List.of()),
+                now);
+        return machineStore.record(core.unrecorded(id));
+    }
+
+    private void returnMachine(int n) {
+        core.returned(List.of(new MachineId("vm-" + n)), clock.now());
+    }
+
+    private MachineStore newMachineStore(Revision leadershipRevision) {
+        MachineStore machineStore = keep(new MachineStore(
+                LeaderHarness.writes(context, 3, leadershipRevision, 100, () -> events.add("deposed")), core));
+        run(machineStore::start);
+        return machineStore;
+    }
+
+    private IntentLog newIntentLog(Revision leadershipRevision) {
+        return keep(new IntentLog(
+                context,
+                new FencingToken(3),
+                leadershipRevision,
+                () -> events.add("deposed"),
+                new RateLimiter(100, clock.now())));
+    }
+
+    private static boolean record(IntentLog intentLog) throws Exception {
+        return await(intentLog.record().otherwise(false));
+    }
+
+    private Intents.Page intended() throws Exception {
+        return service.has("i/3")
+                ? RecordCodec.readIntents(service.value("i/3"))
+                : new Intents.Page(List.of(), List.of());
+    }
+
+    private static final Map<String, Case<LateMachineTransactionsTest>> CASES = new LinkedHashMap<>();
+
+    static {
+        CASES.put("a page's first write, after its repeat", test -> {
+            MachineStore machineStore = test.newMachineStore(test.lead(1));
+            test.loseOne(RecordCodec.MACHINES);
+            assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 1)));
+            assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 2)));
+            test.changesNothingMore();
+            assertEquals(2, test.recordedMachines());
+        });
+        CASES.put("a page's first write, after all on it are gone", test -> {
+            MachineStore machineStore = test.newMachineStore(test.lead(1));
+            test.loseOne(RecordCodec.MACHINES);
+            assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 1)));
+            test.run(() -> test.returnMachine(1));
+            test.until(() -> test.recordedMachines() == 0);
+            test.changesNothingMore();
+            assertEquals(0, test.recordedMachines(), "a machine that is gone holds the next leader up");
+        });
+        CASES.put("a page's first write, after a change of leader", test -> {
+            MachineStore machineStore = test.newMachineStore(test.lead(1));
+            test.loseAll(RecordCodec.MACHINES);
+            test.run(() -> test.recordMachine(machineStore, 1));
+            test.untilUnanswered();
+            test.run(machineStore::cancel);
+            test.lead(4);
+            test.changesNothingMore();
+        });
+        CASES.put("a page's change, after a newer one", test -> {
+            MachineStore machineStore = test.newMachineStore(test.lead(1));
+            assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 1)));
+            test.loseOne(RecordCodec.MACHINES);
+            assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 2)));
+            assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 3)));
+            test.changesNothingMore();
+            assertEquals(3, test.recordedMachines(), "it takes no machine off");
+        });
+        CASES.put("an earlier leader's page is removed, and again", test -> {
+            MachineStore first = test.newMachineStore(test.lead(1));
+            assertTrue(test.onLoop(() -> test.recordMachine(first, 1)));
+            test.run(first::cancel);
+            test.run(() -> test.returnMachine(1));
+            Revision leadershipRevision = test.lead(4);
+            MachineStore next =
+                    new MachineStore(LeaderHarness.writes(test.context, 4, leadershipRevision, 100), test.core);
+            test.loseOne(RecordCodec.MACHINES);
+            await(RecordListing.readAll(
+                    test.client,
+                    leadershipRevision,
+                    RecordCodec.MACHINES,
+                    e -> next.inherit(e.key(), e.stamp(), RecordCodec.readMachines(e.value()))));
+            test.run(next::start);
+            test.until(() -> test.unanswered() == 1
+                    && test.service.keys(RecordCodec.MACHINES).isEmpty());
+            test.changesNothingMore();
+        });
+        CASES.put("an intent's first record, after its repeat", test -> {
+            IntentLog intentLog = test.newIntentLog(test.lead(1));
+            intentLog.intents().add(RENT);
+            test.loseOne(RecordCodec.INTENTS);
+            assertFalse(record(intentLog) || intentLog.intents().mayAsk(RENT.name()), "it may be there or not");
+            test.until(() -> record(intentLog) && intentLog.intents().mayAsk(RENT.name()));
+            test.changesNothingMore();
+        });
+        CASES.put("an intent's first record, after all in it is settled", test -> {
+            IntentLog intentLog = test.newIntentLog(test.lead(1));
+            intentLog.intents().add(RENT);
+            test.loseOne(RecordCodec.INTENTS);
+            assertFalse(record(intentLog));
+            test.until(() -> record(intentLog) && intentLog.intents().mayAsk(RENT.name()));
+            intentLog.intents().settled(RENT.name());
+            test.until(() -> record(intentLog) && test.intended().isEmpty());
+            test.changesNothingMore();
+            assertTrue(test.intended().isEmpty(), "the next leader would ask once more");
+        });
+        CASES.put("an intent's first record, after it was given up", test -> {
+            IntentLog intentLog = test.newIntentLog(test.lead(1));
+            intentLog.intents().add(RENT);
+            test.loseOne(RecordCodec.INTENTS);
+            assertFalse(record(intentLog));
+            intentLog.intents().settled(RENT.name());
+            test.until(() -> record(intentLog)
+                    && test.service.has("i/3")
+                    && test.intended().isEmpty());
+            test.changesNothingMore();
+            assertTrue(test.intended().isEmpty(), "the next leader would rent what nobody wants");
+        });
+        CASES.put("an intent, after a change of leader", test -> {
+            IntentLog intentLog = test.newIntentLog(test.lead(1));
+            intentLog.intents().add(RENT);
+            test.loseOne(RecordCodec.INTENTS);
+            assertFalse(record(intentLog));
+            test.lead(4);
+            test.changesNothingMore();
+            assertFalse(intentLog.intents().mayAsk(RENT.name()));
+        });
+        CASES.put("an earlier leader's intents are removed, and again", test -> {
+            IntentLog old = test.newIntentLog(test.lead(1));
+            old.intents().add(RENT);
+            assertTrue(record(old));
+            IntentLog next = new IntentLog(
+                    test.context, new FencingToken(4), test.lead(4), () -> {}, new RateLimiter(100, test.clock.now()));
+            await(next.load());
+            test.loseOne(RecordCodec.INTENTS);
+            await(next.forgetEarlier());
+            assertEquals(test.isAtOnce(), !test.service.has("i/3"));
+            await(next.forgetEarlier());
+            assertFalse(test.service.has("i/3"));
+            test.changesNothingMore();
+        });
+    }
+
+    static List<Object[]> cases() {
+        return bothWays(CASES);
+    }
+
+    @ParameterizedTest(name = "{0}: {1}")
+    @MethodSource("cases")
+    void aTransactionWithoutAResponseDoesNoHarm(Unanswered when, String name, Case<LateMachineTransactionsTest> play)
+            throws Exception {
+        play(this, when, play);
+    }
+}
--- /dev/null
+++ b/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
@@ -0,0 +1,148 @@
+package io.indigoreach.cluster;
+
+import static io.indigoreach.cluster.LeaderHarness.await;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.indigoreach.api.JobService;
+import io.indigoreach.core.loss.RememberedState;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.StateClient;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** Transactions of a rebuild after a data loss that get no response ({@link LateTransactionsHarness}). */
+class LateRebuildTransactionsTest extends LateTransactionsHarness {
+    private int bound() {
+        return RecordCodec.readJob(JOB, service.value(OPEN), Revision.ABSENT).bound();
+    }
+
+    private static final Map<String, Case<LateRebuildTransactionsTest>> CASES = new LinkedHashMap<>();
+
+    static {
+        for (String key : List.of(RecordCodec.MACHINES, OPEN, RecordCodec.FINAL, RecordCodec.ERA)) {
+            CASES.put("a rebuilding's " + key + ", after the next try", test -> {
+                await(test.client.check());
+                Revision leader = test.lead(1);
+                test.loseOne(key);
+                assertFalse(test.rebuilds(leader));
+                assertTrue(test.rebuilds(leader));
+                test.changesNothingMore();
+            });
+            CASES.put("a rebuilding's " + key + ", after a change of leader", test -> {
+                await(test.client.check());
+                Revision leader = test.lead(1);
+                test.loseOne(key);
+                assertFalse(test.rebuilds(leader));
+                test.lead(4);
+                test.changesNothingMore();
+            });
+        }
+        CASES.put("a rebuilt page, after the next try and all on it are gone", test -> {
+            await(test.client.check());
+            Revision leader = test.lead(1);
+            test.loseOne(RecordCodec.MACHINES);
+            assertFalse(test.rebuilds(leader));
+            assertTrue(test.rebuilds(leader));
+            MachineStore machineStore = new MachineStore(LeaderHarness.writes(test.context, 3, leader, 100), test.core);
+            await(RecordListing.readAll(
+                    test.client,
+                    leader,
+                    RecordCodec.MACHINES,
+                    e -> machineStore.inherit(e.key(), e.stamp(), RecordCodec.readMachines(e.value()))));
+            test.run(machineStore::start);
+            test.until(() -> test.recordedMachines() == 0);
+            test.changesNothingMore();
+            assertEquals(0, test.recordedMachines());
+        });
+        CASES.put("a rebuilt job with blocks of bits, after the next try and its end", test -> {
+            await(test.client.check());
+            Revision leader = test.lead(1);
+            test.loseOne(OPEN);
+            assertFalse(test.rebuilds(leader));
+            assertTrue(test.rebuilds(leader));
+            assertEquals(2, test.service.keys(RecordCodec.BITS).size());
+            assertEquals(200, test.cancel(test.newJobService()));
+            // As the leader does behind the end.
+            StateClient.Txn removal = new StateClient.Txn();
+            test.service.keys(RecordCodec.BITS).forEach(removal::delete);
+            assertTrue(await(test.client.commit(removal)).done());
+            test.changesNothingMore();
+            assertFalse(test.service.has(OPEN));
+            assertEquals(List.of(), test.service.keys(RecordCodec.BITS));
+        });
+        CASES.put("a rebuilt job, after a next try that no longer knew of it", test -> {
+            await(test.client.check());
+            Revision leader = test.lead(1);
+            test.loseOne(OPEN);
+            assertFalse(test.rebuilds(leader));
+            assertTrue(test.rebuilds(leader, new RememberedState()));
+            test.changesNothingMore();
+            if (test.isAtOnce()) {
+                assertEquals(4, test.bound(), "it counts as ordered in whole");
+            } else {
+                assertFalse(test.service.has(OPEN), "this leader would take it for a new job, of which nothing runs");
+            }
+        });
+        CASES.put("an acceptance, after a loss was mended and the job's end was lost", test -> {
+            await(test.client.check());
+            JobService jobService = test.newJobService();
+            test.loseOne(OPEN);
+            assertEquals(503, test.submit(jobService));
+            assertEquals(test.isAtOnce() ? 200 : 201, test.submit(jobService));
+            assertEquals(200, test.cancel(jobService));
+            await(test.client.commit(new StateClient.Txn().delete(RecordCodec.finalKey(JOB))));
+            assertTrue(test.rebuilds(test.lead(1), new RememberedState()));
+            test.changesNothingMore();
+            assertFalse(test.service.has(OPEN));
+        });
+        CASES.put("a deployment's first era, after another process wrote it", test -> {
+            test.loseOne(RecordCodec.ERA);
+            assertTrue(await(test.client.check().map(false).otherwise(true)));
+            await(test.client().check());
+            test.changesNothingMore();
+            await(test.client.check());
+            assertTrue(test.client.isEraKnown());
+        });
+    }
+
+    /** Its bound says that nothing was ever ordered, while a controller remembers that all of it was. */
+    @Test
+    void anAcceptanceExecutedDuringARebuildDoesNotLowerTheStartBound() throws Exception {
+        JobService jobService = newJobService();
+        loseOne(OPEN);
+        assertEquals(503, submit(jobService));
+        Revision leader = lead(1);
+        List<Integer> late = new ArrayList<>();
+        service.holding = txn -> {
+            if (touches(txn, OPEN)) {
+                late.addAll(service.executeLate());
+            }
+            return false;
+        };
+        RememberedState rememberedState = new RememberedState();
+        rememberedState.add(new RememberedState.OpenJob(spec(JOB.text(), 4), 1, new BitSet(), 4));
+        until(() -> rebuilds(leader, rememberedState));
+        assertEquals(List.of(200), late);
+        assertEquals(4, bound());
+    }
+
+    static List<Object[]> cases() {
+        return bothWays(CASES);
+    }
+
+    @ParameterizedTest(name = "{0}: {1}")
+    @MethodSource("cases")
+    void aTransactionWithoutAResponseDoesNoHarm(Unanswered when, String name, Case<LateRebuildTransactionsTest> play)
+            throws Exception {
+        play(this, when, play);
+    }
+}
--- /dev/null
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionsHarness.java
@@ -0,0 +1,271 @@
+package io.indigoreach.cluster;
+
+import static io.indigoreach.cluster.LeaderHarness.await;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.indigoreach.api.JobCodec;
+import io.indigoreach.api.JobService;
+import io.indigoreach.cloud.Catalogue;
+import io.indigoreach.cloud.CloudClient;
+import io.indigoreach.core.intent.Intents;
+import io.indigoreach.core.loss.RememberedState;
+import io.indigoreach.core.model.FencingToken;
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.scheduling.SchedulerCore;
+import io.indigoreach.net.Fields;
+import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.net.RateLimiter;
+import io.indigoreach.net.ServiceClient;
+import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.JobRepairer;
+import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.StateClient;
+import io.indigoreach.state.StateStandIn;
+import io.vertx.core.Future;
+import io.vertx.core.Vertx;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.ArrayBlockingQueue;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.Callable;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.function.Predicate;
+import java.util.function.Supplier;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+
+/**
+ * The set-up of tests in which a transaction gets no response (docs/notes/late-transactions.md), for every kind that the product
+ * writes. Executed late, after newer transactions, it must change nothing. Executed at once, while only its response is lost,
+ * its writer must find it done. The writes are the product's own; the state service stands in. Waits are for events, not times.
+ */
+abstract class LateTransactionsHarness {
+    static final MachinePool POOL = new MachinePool("quad", "a", true);
+    static final JobId JOB = new JobId("run-1");
+    static final String OPEN = RecordCodec.openKey(JOB);
+    static final Intents.Rent RENT = new Intents.Rent("t3-1", POOL, 50, 1000);
+    final Vertx vertx = Vertx.vertx();
+    final SteadyClock clock = new SteadyClock();
+    /** Vert.x closes a client that nothing refers to any more. */
+    private final List<Object> kept = new ArrayList<>();
+
+    final BlockingQueue<String> events = new ArrayBlockingQueue<>(100);
+    StateStandIn service;
+    StateClient client;
+    NodeContext context;
+    SchedulerCore core;
+
+    /** When a transaction that gets no response is executed. */
+    enum Unanswered {
+        LATE,
+        AT_ONCE
+    }
+
+    private Unanswered mode = Unanswered.LATE;
+
+    /** One order of events, played by the test class that has the helpers for it. */
+    interface Case<T> {
+        void play(T test) throws Exception;
+    }
+
+    /** Each case twice, by when the transaction is executed. */
+    static <T> List<Object[]> bothWays(Map<String, Case<T>> table) {
+        List<Object[]> all = new ArrayList<>();
+        table.forEach((name, play) -> {
+            for (Unanswered when : Unanswered.values()) {
+                all.add(new Object[] {when, name, play});
+            }
+        });
+        return all;
+    }
+
+    /** Plays one case. */
+    <T> void play(T test, Unanswered when, Case<T> play) throws Exception {
+        mode = when;
+        play.play(test);
+    }
+
+    @BeforeEach
+    void start() throws Exception {
+        service = await(new StateStandIn().listen(vertx));
+        client = client();
+        Catalogue catalogue = new Catalogue(
+                vertx, client, keep(new CloudClient(keep(new ServiceClient(vertx, service.endpoint(), 1)))));
+        context =
+                LeaderHarness.context(vertx, clock, client).catalogue(catalogue).build();
+
+        core = LeaderHarness.loadedCore(context, 3, LeaderHarness.quad());
+    }
+
+    @AfterEach
+    void stop() throws Exception {
+        await(vertx.close());
+    }
+
+    /** Keeps an object reachable until the test is over. */
+    <T> T keep(T object) {
+        kept.add(object);
+        return object;
+    }
+
+    StateClient client() {
+        return keep(new StateClient(
+                keep(new ServiceClient(vertx, service.endpoint(), 4)),
+                keep(new ServiceClient(vertx, service.endpoint(), 2))));
+    }
+
+    static void until(Callable<Boolean> holds) throws Exception {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (!holds.call()) {
+            assertTrue(System.nanoTime() < end, "in vain");
+            Thread.onSpinWait();
+        }
+    }
+
+    void run(Runnable action) {
+        vertx.runOnContext(v -> action.run());
+    }
+
+    static boolean touches(Fields txn, String key) {
+        return txn.children("writes").stream()
+                .anyMatch(w -> (w.has("delete") ? w.text("delete") : w.text("write")).startsWith(key));
+    }
+
+    boolean isAtOnce() {
+        return mode == Unanswered.AT_ONCE;
+    }
+
+    void leaveUnanswered(Predicate<Fields> which) {
+        if (isAtOnce()) {
+            service.losing = which;
+        } else {
+            service.holding = which;
+        }
+    }
+
+    /** The next transaction that writes or deletes a key with this prefix gets no response. */
+    void loseOne(String key) {
+        AtomicBoolean first = new AtomicBoolean(true);
+        leaveUnanswered(txn -> touches(txn, key) && first.getAndSet(false));
+    }
+
+    /** No transaction that writes or deletes a key with this prefix gets a response. */
+    void loseAll(String key) {
+        leaveUnanswered(txn -> touches(txn, key));
+    }
+
+    /** From now on all transactions get a response. */
+    void pass() {
+        leaveUnanswered(txn -> false);
+    }
+
+    int unanswered() {
+        return service.held() + service.lost;
+    }
+
+    void untilUnanswered() throws Exception {
+        until(() -> unanswered() > 0);
+    }
+
+    /** Executes the transactions that were held back, which must be rejected; those that were executed at once must stay as they were. */
+    void changesNothingMore() {
+        pass();
+        if (isAtOnce()) {
+            assertTrue(service.lost > 0, "every answer came");
+            return;
+        }
+        List<Integer> statuses = service.executeLate();
+        assertFalse(statuses.isEmpty(), "nothing was held back");
+        assertFalse(statuses.contains(200), "carried out late: " + statuses);
+    }
+
+    /** Another leadership term begins. */
+    Revision lead(long token) throws Exception {
+        return LeaderHarness.lead(client, token);
+    }
+
+    /** A job service whose catalogue is known. */
+    JobService newJobService() throws Exception {
+        JobService jobService = keep(new JobService(
+                vertx,
+                client,
+                new JobRepairer(client, clock),
+                context.catalogue(),
+                List.of(LeaderHarness.TEAM),
+                clock,
+                8192,
+                100));
+        await(client.commit(new StateClient.Txn()
+                .put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(List.of(LeaderHarness.quad())))));
+        context.catalogue().start();
+        until(context.catalogue()::isKnown);
+        return jobService;
+    }
+
+    static JobSpec spec(String id, int tasks) {
+        return LeaderHarness.spec(new JobId(id), tasks, "img");
+    }
+
+    int submit(JobService jobService) throws Exception {
+        return await(jobService
+                .submit(MessagePackFormat.write(JobCodec.write(spec(JOB.text(), 4))))
+                .map(response -> response.status())
+                .otherwise(503));
+    }
+
+    int cancel(JobService jobService) throws Exception {
+        return await(
+                jobService.cancel(JOB.text()).map(response -> response.status()).otherwise(503));
+    }
+
+    <T> T onLoop(Supplier<Future<T>> work) throws Exception {
+        return await(vertx.getOrCreateContext().executeBlocking(() -> null).compose(started -> work.get()));
+    }
+
+    /** How many machines the pages name. */
+    int recordedMachines() {
+        return service.keys(RecordCodec.MACHINES).stream()
+                .mapToInt(key -> RecordCodec.readMachines(service.value(key)).size())
+                .sum();
+    }
+
+    /** One machine, one open job with two blocks, one finished job. */
+    RememberedState rememberedState() {
+        RememberedState rememberedState = new RememberedState();
+        Moment now = clock.now();
+        rememberedState.add(new RememberedState.RentedMachine(new MachineId("vm-1"), POOL, now, now));
+        BitSet oneInEachBlock = new BitSet();
+        oneInEachBlock.set(0);
+        oneInEachBlock.set(39_999);
+        rememberedState.add(new RememberedState.OpenJob(spec(JOB.text(), 40_000), 1, oneInEachBlock, 4));
+        rememberedState.add(new JobId("run-2"), new RememberedState.FinishedJob(JobStatus.DONE, 1));
+        return rememberedState;
+    }
+
+    /** Rebuilds from what {@link #rememberedState} returns; false if that fails. */
+    boolean rebuilds(Revision leadershipRevision) throws Exception {
+        return rebuilds(leadershipRevision, rememberedState());
+    }
+
+    boolean rebuilds(Revision leadershipRevision, RememberedState rememberedState) throws Exception {
+        return await(new StateRebuilder(
+                        context,
+                        new FencingToken(3),
+                        leadershipRevision,
+                        new RateLimiter(100, clock.now()),
+                        rememberedState)
+                .run()
+                .map(true)
+                .otherwise(false));
+    }
+}
