--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -36,7 +36,7 @@
         }
     }
 
-    private final LeadershipTerm.Context context;
+    private final NodeContext context;
     private final LeaderElection election;
     private final FormatGate formatGate;
     private Supplier<Future<RememberedState>> gatherPeerState = () -> Future.succeededFuture(new RememberedState());
@@ -46,7 +46,7 @@
     private final LeaderMemory ownMemory = new LeaderMemory();
 
     /** {@code own}: an event loop for what must not wait for anything else. */
-    Controller(LeadershipTerm.Context context, Vertx own) {
+    Controller(NodeContext context, Vertx own) {
         this.context = context;
         this.warmUp = new WarmUp(context, () -> term != null);
         String process = Long.toHexString(ThreadLocalRandom.current().nextLong()) + "-"
@@ -231,7 +231,8 @@
     @Override
     public void leadershipGained(FencingToken token, Revision key, boolean bounds) {
         ownMemory.begins(election.succeedsItself());
-        term = new LeadershipTerm(context, token, key, election, bounds, this::gatherRememberedState);
+        term = new LeadershipTerm(
+                context, election, new LeadershipTerm.Leadership(token, key, bounds), this::gatherRememberedState);
         term.start();
     }
 
--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -1,5 +1,7 @@
 package io.indigoreach.cluster;
 
+import io.indigoreach.state.IntentRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.intent.Intents;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.MachineId;
@@ -8,8 +10,6 @@
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.JsonSize;
 import io.indigoreach.net.RateLimiter;
-import io.indigoreach.state.IntentRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import java.util.ArrayList;
@@ -29,10 +29,9 @@
  */
 final class IntentLog {
     private static final Span TIDY = Span.seconds(2);
-    private static final int EMPTY =
-            JsonSize.of(IntentRecordCodec.writeIntents(new Intents.Page(List.of(), List.of())));
+    private static final int EMPTY = JsonSize.of(IntentRecordCodec.writeIntents(new Intents.Page(List.of(), List.of())));
 
-    private final LeadershipTerm.Context env;
+    private final NodeContext env;
     private final Revision key;
     private final Runnable deposed;
     private boolean cancelled;
@@ -51,7 +50,7 @@
     private Future<Boolean> underWay;
     private Moment written = Moment.NEVER;
 
-    IntentLog(LeadershipTerm.Context env, FencingToken token, Revision key, Runnable deposed, RateLimiter budget) {
+    IntentLog(NodeContext env, FencingToken token, Revision key, Runnable deposed, RateLimiter budget) {
         this.env = env;
         this.key = key;
         this.deposed = deposed;
@@ -98,7 +97,7 @@
         List<Intents.Rent> rents = new ArrayList<>();
         List<MachineId> condemned = new ArrayList<>();
         earlier.clear();
-        return JobStore.pages(env.state(), key, RecordKeys.INTENTS, e -> {
+        return RecordListing.readAll(env.state(), key, RecordKeys.INTENTS, e -> {
                     Intents.Page old = IntentRecordCodec.readIntents(e.value());
                     rents.addAll(old.rents());
                     condemned.addAll(old.returns());
@@ -163,7 +162,8 @@
             });
         }
         Intents.Page page = intents.page();
-        StateClient.Txn txn = new StateClient.Txn().when(RecordKeys.LEADER, key).when(own, stamp);
+        StateClient.Txn txn =
+                new StateClient.Txn().when(RecordKeys.LEADER, key).when(own, stamp);
         boolean writes = unanswered || !page.isEmpty() || !stamp.equals(Revision.ABSENT);
         if (writes) {
             txn.put(own, IntentRecordCodec.writeIntents(page));
--- a/src/main/java/io/indigoreach/cluster/StateRebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -1,5 +1,9 @@
 package io.indigoreach.cluster;
 
+import io.indigoreach.state.EraRecordCodec;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.MachineRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.loss.RememberedState;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.JobId;
@@ -13,12 +17,8 @@
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.WireException;
 import io.indigoreach.state.CompletionBits;
-import io.indigoreach.state.EraRecordCodec;
 import io.indigoreach.state.JobRecord;
-import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.MachineRecord;
-import io.indigoreach.state.MachineRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateCodec;
 import io.vertx.core.Future;
@@ -57,7 +57,7 @@
         }
     }
 
-    private final LeadershipTerm.Context env;
+    private final NodeContext env;
     private final FencingToken token;
     private final Revision key;
     private final RateLimiter budget;
@@ -78,8 +78,7 @@
     private int written;
     private int there;
 
-    StateRebuilder(
-            LeadershipTerm.Context env, FencingToken token, Revision key, RateLimiter budget, RememberedState remains) {
+    StateRebuilder(NodeContext env, FencingToken token, Revision key, RateLimiter budget, RememberedState remains) {
         this.env = env;
         this.token = token;
         this.key = key;
@@ -97,14 +96,14 @@
                 .compose(v -> read(CompletionBits.SMALL_BLOCKS, this::readBlock))
                 .compose(v -> read(
                         RecordKeys.OPEN_JOBS,
-                        e -> JobStore.readOrLog(e.key(), () -> {
+                        e -> RecordListing.readOrLog(e.key(), () -> {
                             JobId id = RecordKeys.jobOfOpenKey(e.key());
                             standing.put(id, e.revision());
                             open.put(id, JobRecordCodec.readJob(id, e.value(), e.revision()));
                         })))
                 .compose(v -> read(
                         RecordKeys.FINAL_JOBS,
-                        e -> JobStore.readOrLog(e.key(), () -> {
+                        e -> RecordListing.readOrLog(e.key(), () -> {
                             JobId id = RecordKeys.jobOfFinalKey(e.key());
                             JobRecordCodec.readFinal(id, e.value());
                             over.add(id);
@@ -159,8 +158,8 @@
                                     present.getOrDefault(kept.key(), VersionedRecord.absent(kept.key()));
                             Map<String, Object> value = e.getKey().mending().mend(there, kept);
                             if (value != null) {
-                                steps.add(new Step(change().when(kept.key(), there.revision())
-                                        .put(kept.key(), value)));
+                                steps.add(new Step(
+                                        change().when(kept.key(), there.revision()).put(kept.key(), value)));
                             }
                         }
                         return next();
@@ -193,11 +192,11 @@
     }
 
     private Future<Long> read(String prefix, Consumer<StateClient.Entry> each) {
-        return JobStore.pages(env.state(), key, prefix, each);
+        return RecordListing.readAll(env.state(), key, prefix, each);
     }
 
     private void readBlock(StateClient.Entry block) {
-        JobStore.readOrLog(
+        RecordListing.readOrLog(
                 block.key(),
                 () -> CompletionBits.readBlock(
                         block.key(),
@@ -281,7 +280,7 @@
                     today - now.since(m.rented()).ms(),
                     today - now.since(m.existed()).ms());
             bytes += MachineRecordCodec.bytes(line);
-            if (bytes > MachineStore.pageBytes(env)) {
+            if (bytes > MachinePage.capacity(env)) {
                 page(lines);
                 lines.clear();
                 bytes = MachineRecordCodec.bytes(line);
@@ -340,12 +339,12 @@
                 written += batch.size();
                 return Future.succeededFuture();
             }
-            if (outcome.failed().contains(RecordKeys.LEADER) || outcome.failed().contains(RecordKeys.ERA)) {
+            if (outcome.failed().contains(RecordKeys.LEADER)
+                    || outcome.failed().contains(RecordKeys.ERA)) {
                 return Future.failedFuture(new WireException("another node leads, or the era is another"));
             }
             if (outcome.failed().stream()
-                    .anyMatch(name ->
-                            name.startsWith(RecordKeys.MACHINE_PAGES) || name.startsWith(RecordKeys.OPEN_JOBS))) {
+                    .anyMatch(name -> name.startsWith(RecordKeys.MACHINE_PAGES) || name.startsWith(RecordKeys.OPEN_JOBS))) {
                 // A page of a try before, whose answer was lost: it may lack machines that hold tasks. An acceptance
                 // that comes late:
                 // it says that nothing of the job was ever ordered. All is read anew.
--- a/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
@@ -1,29 +1,23 @@
 package io.indigoreach.cluster;
 
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
+import static io.indigoreach.cluster.LeaderHarness.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.config.Settings;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobId;
-import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.core.model.Revision;
-import io.indigoreach.core.model.Span;
-import io.indigoreach.core.model.Urgency;
 import io.indigoreach.core.scheduling.Job;
-import io.indigoreach.net.MessagePackFormat;
-import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.CompletionBits;
 import io.indigoreach.state.JobRecord;
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.RecordKeys;
+import io.indigoreach.state.TestBlocks;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
-import io.indigoreach.state.TestBlocks;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
@@ -31,7 +25,6 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -59,56 +52,26 @@
         await(vertx.close());
     }
 
-    private static <T> T await(Future<T> future) throws Exception {
-        return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
-    }
-
     static JobSpec spec(int tasks, int imageName) {
-        return new JobSpec(
-                ID,
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Urgency.STANDARD,
-                tasks,
-                new Demand(1, 0, 1),
-                "i".repeat(imageName),
-                0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(10),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        return LeaderHarness.spec(ID, tasks, "i".repeat(imageName));
     }
 
-    private CompletionBlockStore book(String next) throws Exception {
-        leader = await(client.commit(new StateClient.Txn().put(RecordKeys.LEADER, MessagePackFormat.map("t", 1L))))
-                .writtenRevision();
-        LeadershipTerm.Context context = new LeadershipTerm.Context(
-                vertx,
-                clock,
-                null,
-                client,
-                null,
-                null,
-                MachineStoreTest.config(next),
-                Settings.standard(),
-                Span.seconds(10));
-        return new CompletionBlockStore(context, leader, () -> {}, new RateLimiter(1000, clock.now()));
+    private CompletionBlockStore newBlockStore(String announcedLimits) throws Exception {
+        leader = LeaderHarness.lead(client, 1);
+        NodeContext context = LeaderHarness.context(vertx, clock, client)
+                .config(LeaderHarness.config(announcedLimits))
+                .build();
+        return new CompletionBlockStore(LeaderHarness.writes(context, 3, leader, 1000));
     }
 
-    /** What a leader that reads all of it takes to be done; {@code book} inherits the blocks. */
-    private BitSet read(CompletionBlockStore book) throws Exception {
+    /** What a leader that reads all of it takes to be done; {@code blockStore} inherits the blocks. */
+    private BitSet read(CompletionBlockStore blockStore) throws Exception {
         BitSet done = new BitSet();
         for (String prefix : List.of(RecordKeys.COMPLETION_BLOCKS, CompletionBits.SMALL_BLOCKS)) {
             for (StateClient.Entry e : await(client.list(prefix, null, 1000)).items()) {
                 BitSet block = new BitSet();
                 CompletionBits.readBlock(e.key(), e.value(), block);
-                book.inherit(e.key(), block);
+                blockStore.inherit(e.key(), block);
                 done.or(block);
             }
         }
@@ -124,9 +87,7 @@
     /** As the version before wrote it. */
     private void writeAsBefore(JobSpec spec, BitSet done) throws Exception {
         StateClient.Txn txn = new StateClient.Txn()
-                .put(
-                        RecordKeys.openKey(ID),
-                        JobRecordCodec.writeJob(spec, 1, JobStatus.RUNNING, done, 0, spec.tasks()));
+                .put(RecordKeys.openKey(ID), JobRecordCodec.writeJob(spec, 1, JobStatus.RUNNING, done, 0, spec.tasks()));
         for (int n = 0; n < TestBlocks.blocks(spec.tasks()); n++) {
             txn.put(RecordKeys.blockKey(ID, n), TestBlocks.writeBlock(done, n));
         }
@@ -141,8 +102,7 @@
 
     @ParameterizedTest
     @CsvSource({"1, 100000, 10", "2, 100000, 900", "3, 8192, 900", "4, 8192, 10", "5, 9000, 10", "6, 1200, 10"})
-    void nothingThatWasRecordedIsLostWhileLimitsShrinkAndLeadersEnd(long seed, int tasks, int imageName)
-            throws Exception {
+    void recordedCompletionsSurviveLowerLimitsAndLeaderChanges(long seed, int tasks, int imageName) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
         JobSpec spec = spec(tasks, imageName);
         BitSet done = new BitSet();
@@ -155,8 +115,8 @@
                 state.valueBytes = 2048;
                 state.txnOps = 4;
             }
-            CompletionBlockStore book = book(life < 2 ? "" : NEXT);
-            BitSet heard = read(book);
+            CompletionBlockStore blockStore = newBlockStore(life < 2 ? "" : NEXT);
+            BitSet heard = read(blockStore);
             BitSet lost = (BitSet) recorded.clone();
             lost.andNot(heard);
             assertTrue(lost.isEmpty(), "lost in life " + life + ": " + lost.cardinality());
@@ -167,7 +127,7 @@
                 StateClient.Txn txn = new StateClient.Txn()
                         .when(RecordKeys.LEADER, leader)
                         .when(RecordKeys.openKey(ID), job.revision());
-                book.addProgress(txn, job, done);
+                blockStore.addProgress(txn, job, done);
                 // The last write of this leader has no answer, and is carried out after the next leader's first.
                 boolean held = writes == 1 && random.nextBoolean();
                 state.holding = t -> held;
@@ -177,13 +137,13 @@
                 }
                 if (!held) {
                     assertTrue(await(outcome).done());
-                    recorded.or(book.written(job, done));
+                    recorded.or(blockStore.written(job, done));
                 }
             }
             state.holding = t -> false;
             int waited = state.held();
             assertTrue(waited <= 1);
-            book(NEXT);
+            newBlockStore(NEXT);
             assertEquals(waited == 0 ? List.of() : List.of(409), state.executeLate());
         }
         assertEquals(0, state.tooLarge);
@@ -193,20 +153,20 @@
     /** The end is two changes however large the job is; its blocks follow, also under the next leader. */
     @ParameterizedTest
     @CsvSource({"100000", "9000"})
-    void blocksOfAJobThatIsOverAreRemovedBehindItsEnd(int tasks) throws Exception {
+    void blocksOfAFinishedJobAreDeletedAfterItsCompletion(int tasks) throws Exception {
         BitSet done = new BitSet();
         done.set(0, tasks - 1);
         writeAsBefore(spec(tasks, 10), done);
         state.txnOps = 4;
-        CompletionBlockStore book = book(NEXT);
+        CompletionBlockStore blockStore = newBlockStore(NEXT);
         Job job = new Job(spec(tasks, 10), 1, clock.now(), open().revision(), done, tasks, true);
         StateClient.Txn txn = new StateClient.Txn();
-        book.addProgress(txn, job, done);
+        blockStore.addProgress(txn, job, done);
         assertTrue(await(client.commit(txn)).done() && txn.size() <= 4);
         await(client.commit(new StateClient.Txn()
                 .delete(RecordKeys.openKey(ID))
                 .put(RecordKeys.finalKey(ID), JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
-        CompletionBlockStore next = book(NEXT);
+        CompletionBlockStore next = newBlockStore(NEXT);
         for (String key : blocks()) {
             next.inherit(key, new BitSet());
         }
@@ -227,8 +187,8 @@
     /** Where the settings announce nothing: the next write is smaller, down to one that is taken. */
     @ParameterizedTest
     @CsvSource({"2048, 4", "1500, 2"})
-    void aRefusalForSizeIsFollowedBySmallerWrites(int valueBytes, int txnOps) throws Exception {
-        CompletionBlockStore book = book("");
+    void aRejectionForSizeIsFollowedBySmallerWrites(int valueBytes, int txnOps) throws Exception {
+        CompletionBlockStore blockStore = newBlockStore("");
         JobSpec spec = spec(100_000, 10);
         BitSet done = new BitSet();
         writeAsBefore(spec, done);
@@ -237,18 +197,18 @@
         state.txnOps = txnOps;
         Job job = new Job(spec, 1, clock.now(), open().revision(), done, 100_000, true);
         int tries = 0;
-        while (book.isBehind(job) && tries < 60) {
+        while (blockStore.isBehind(job) && tries < 60) {
             tries++;
             StateClient.Txn txn = new StateClient.Txn();
-            book.addProgress(txn, job, done);
+            blockStore.addProgress(txn, job, done);
             boolean taken = await(client.commit(txn).map(true).otherwise(false));
             if (taken) {
-                book.written(job, done);
+                blockStore.written(job, done);
             }
         }
-        assertTrue(!book.isBehind(job), "tries: " + tries);
+        assertTrue(!blockStore.isBehind(job), "tries: " + tries);
         assertTrue(
                 client.limits().refusals() <= 4, "refusals: " + client.limits().refusals());
-        assertEquals(done, read(book("")));
+        assertEquals(done, read(newBlockStore("")));
     }
 }
--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -1,5 +1,8 @@
 package io.indigoreach.cluster;
 
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
+import static io.indigoreach.cluster.LeaderHarness.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -7,34 +10,22 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.config.Settings;
 import io.indigoreach.core.leadership.CancellationHorizon;
-import io.indigoreach.core.model.Demand;
-import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.JobId;
-import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.MachinePool;
-import io.indigoreach.core.model.MachineType;
 import io.indigoreach.core.model.Moment;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
-import io.indigoreach.core.model.Team;
-import io.indigoreach.core.model.Urgency;
 import io.indigoreach.core.scheduling.Job;
 import io.indigoreach.core.scheduling.SchedulerCore;
-import io.indigoreach.core.scheduling.SchedulerListener;
-import io.indigoreach.core.scheduling.ServiceLevelObjectives;
 import io.indigoreach.net.Fields;
 import io.indigoreach.net.MessagePackFormat;
-import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.JobRecord;
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -52,16 +43,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A flood of single tasks, where the state service takes few changes: machines stood idle behind the writing of ends. */
+/** A leader's access to job records: bursts of completions, deleted and unreadable records, and loads that are repeated. */
 class JobStoreTest {
-    private static final int ENDS = 40;
+    private static final int COMPLETIONS = 40;
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
     private StateStandIn state;
     private StateClient client;
     private SchedulerCore core;
-    private LeadershipTerm.Context env;
-    private JobStore ledger;
+    private NodeContext context;
+    private JobStore jobStore;
     private final CancellationHorizon horizon = new CancellationHorizon();
 
     @BeforeEach
@@ -69,36 +60,10 @@
         state = await(new StateStandIn().listen(vertx));
         client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
-        env = new LeadershipTerm.Context(
-                vertx,
-                clock,
-                null,
-                client,
-                null,
-                null,
-                MachineStoreTest.config(),
-                Settings.standard(),
-                Span.seconds(10));
-        StateClient.Outcome taken =
-                await(client.commit(new StateClient.Txn().put(RecordKeys.LEADER, MessagePackFormat.map("t", 1L))));
-        core = new SchedulerCore(
-                new FencingToken(3),
-                MachineStoreTest.config().rules(),
-                Settings.standard().tuning(),
-                new ServiceLevelObjectives(List.of()),
-                List.of(new Team("t", 0, 0, 0, 0)),
-                new SchedulerListener() {
-                    @Override
-                    public void taskCompleted(Job job) {}
-
-                    @Override
-                    public void log(String line) {}
-                });
-        core.setTypes(
-                List.of(new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"))));
-        core.recordsLoaded();
-        ledger = new JobStore(
-                env, core, null, taken.writtenRevision(), () -> {}, new RateLimiter(20, clock.now()), true, horizon);
+        context = LeaderHarness.context(vertx, clock, client).build();
+        Revision leadershipRevision = LeaderHarness.lead(client, 1);
+        core = LeaderHarness.loadedCore(context, 3, LeaderHarness.quad());
+        jobStore = new JobStore(LeaderHarness.writes(context, 3, leadershipRevision, 20), core, null, true, horizon);
     }
 
     @AfterEach
@@ -106,88 +71,66 @@
         await(vertx.close());
     }
 
-    private static <T> T await(Future<T> future) throws Exception {
-        return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
-    }
-
     private Job job(int id, int tasks, int done, int bound) throws Exception {
-        JobSpec spec = new JobSpec(
-                new JobId("run-" + id),
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Urgency.STANDARD,
-                tasks,
-                new Demand(1, 0, 1),
-                "img",
-                0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(10),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        JobSpec spec = LeaderHarness.spec(new JobId("run-" + id), tasks, "img");
         Revision stamp = await(client.commit(new StateClient.Txn()
                         .put(
                                 RecordKeys.openKey(spec.id()),
                                 JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, bound))))
                 .writtenRevision();
-        BitSet over = new BitSet();
-        over.set(0, done);
-        return new Job(spec, 1, clock.now(), stamp, over, bound, false);
+        BitSet completed = new BitSet();
+        completed.set(0, done);
+        return new Job(spec, 1, clock.now(), stamp, completed, bound, false);
     }
 
-    /** What stands in the open jobs' records. */
-    private Map<JobId, JobRecord> open() throws Exception {
+    /** The records of all open jobs. */
+    private Map<JobId, JobRecord> openRecords() throws Exception {
         return await(client.list(RecordKeys.OPEN_JOBS, null, 1000)).items().stream()
                 .map(e -> JobRecordCodec.readJob(RecordKeys.jobOfOpenKey(e.key()), e.value(), e.revision()))
                 .collect(Collectors.toMap(JobRecord::id, record -> record));
     }
 
-    private static long notOver(Map<JobId, JobRecord> open) {
+    private static long countUnfinished(Map<JobId, JobRecord> open) {
         return open.values().stream()
                 .filter(record -> record.status() != JobStatus.DONE)
                 .count();
     }
 
     @Test
-    void aFloodOfEndsCostsOneChangeEachAndHoldsUpNoStart() throws Exception {
-        for (int id = 0; id < ENDS; id++) {
+    void aBurstOfCompletionsTakesOneChangeEachAndDelaysNoStart() throws Exception {
+        for (int id = 0; id < COMPLETIONS; id++) {
             Job job = job(id, 1, 1, 1);
             core.addJob(job);
-            ledger.markDirty(job);
+            jobStore.markDirty(job);
         }
-        Job waiting = job(ENDS, 40_000, 0, 0);
+        Job waiting = job(COMPLETIONS, 40_000, 0, 0);
         core.addJob(waiting);
         core.rented(new MachinePool("quad", "a", true), List.of(new MachineId("vm-1")), clock.now(), clock.now());
         int before = state.changed;
-        vertx.runOnContext(v -> ledger.start());
-        Map<JobId, JobRecord> now = open();
+        vertx.runOnContext(v -> jobStore.start());
+        Map<JobId, JobRecord> now = openRecords();
         while (now.get(waiting.id()).bound() == 0) {
-            now = open();
+            now = openRecords();
         }
-        assertTrue(notOver(now) > 1, "the start bound does not wait for all ends");
-        while (notOver(now) > 1) {
-            now = open();
+        assertTrue(countUnfinished(now) > 1, "the start bound does not wait for all ends");
+        while (countUnfinished(now) > 1) {
+            now = openRecords();
         }
-        assertTrue(state.changed - before < 2 * ENDS - 10, "changes: " + (state.changed - before));
-        while (open().size() > 1) {
+        assertTrue(state.changed - before < 2 * COMPLETIONS - 10, "changes: " + (state.changed - before));
+        while (openRecords().size() > 1) {
             Thread.onSpinWait();
         }
-        assertEquals(ENDS, await(client.list("f/", null, 1000)).items().size(), "moved in the end");
+        assertEquals(COMPLETIONS, await(client.list("f/", null, 1000)).items().size(), "moved in the end");
     }
 
     /**
-     * Guards against a cancellation that was heard of as the state service began to refuse this node: why the job was gone could not be
-     * read any more, and with everybody's word that nothing was told since, its tasks ran on for the whole outage. Told by name,
-     * it is over at once.
+     * Guards against a cancellation that was watched as the state service began to reject this node's requests. The reason for the
+     * deletion could not be read, and as all peers reported no cancellation since, the tasks ran on for the whole outage. If a peer
+     * confirms the cancellation by name, the job ends at once.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aJobThatIsGoneHoldsTheHorizonUntilItIsKnownWhy(boolean told) throws Exception {
+    void aDeletedRecordHoldsTheHorizonUntilTheReasonIsRead(boolean confirmedByPeer) throws Exception {
         Job job = job(1, 2, 0, 2);
         core.addJob(job);
         await(client.commit(new StateClient.Txn()
@@ -197,7 +140,7 @@
         horizon.advanceTo(before);
         state.refusing = true;
         await(vertx.timer(20, TimeUnit.MILLISECONDS));
-        onLoop(() -> ledger.onOpenRecordDeleted(job.id()));
+        onLoop(() -> jobStore.onOpenRecordDeleted(job.id()));
         int refused = state.refusals;
         while (state.refusals < refused + 2) {
             Thread.onSpinWait();
@@ -205,29 +148,30 @@
         onLoop(() -> horizon.advanceTo(clock.now()));
         assertEquals(before, horizon.completeUntil());
         assertFalse(job.isCancelled());
-        if (told) {
-            onLoop(() -> ledger.onCancelled(job.id()));
+        if (confirmedByPeer) {
+            onLoop(() -> jobStore.onCancelled(job.id()));
             assertTrue(job.isCancelled());
         }
-        state.refusing = told;
+        state.refusing = confirmedByPeer;
         while (horizon.completeUntil().equals(before)) {
             onLoop(() -> {});
         }
         assertTrue(job.isCancelled());
-        onLoop(() -> ledger.onOpenRecordWritten(job.id(), record(job, 2), new Revision(99)));
+        onLoop(() -> jobStore.onOpenRecordWritten(job.id(), record(job, 2), new Revision(99)));
         assertNull(core.job(job.id()), "nothing opens it again");
     }
 
     /**
-     * Guards against a job that was accepted and cancelled while this leader was refused: told by name before the watch caught up, its
-     * acceptance opened it, and as its end could not be read its one task could be started.
+     * Guards against a job that was accepted and cancelled while this leader's requests were rejected: a peer confirmed the
+     * cancellation before the watch caught up, the acceptance opened the job, and as its final record could not be read, its one
+     * task could start.
      */
     @Test
-    void aCancellationThatIsToldBeforeItsJobIsHeardOfKeepsItClosed() throws Exception {
+    void aCancellationBeforeTheAcceptanceIsWatchedKeepsTheJobClosed() throws Exception {
         Job job = job(1, 1, 0, 1);
-        onLoop(() -> ledger.onCancelled(job.id()));
-        onLoop(() -> ledger.onOpenRecordWritten(job.id(), record(job, 1), job.revision()));
-        assertNull(core.job(job.id()), "the acceptance comes after the word that the job is cancelled");
+        onLoop(() -> jobStore.onCancelled(job.id()));
+        onLoop(() -> jobStore.onOpenRecordWritten(job.id(), record(job, 1), job.revision()));
+        assertNull(core.job(job.id()), "the acceptance comes after the confirmed cancellation");
     }
 
     /** As a watch brings it. */
@@ -238,7 +182,7 @@
 
     /** The records fill two pages; when the first one was read and the second one not, a job of each is cancelled. */
     @Test
-    void whatIsCancelledBetweenTwoPagesIsHeardOf() throws Exception {
+    void cancellationsBetweenTwoPagesAreApplied() throws Exception {
         JobSpec spec = job(1, 1, 0, 1).spec();
         for (int first = 1000; first < 1600; first += 10) {
             StateClient.Txn jobs = new StateClient.Txn();
@@ -250,7 +194,7 @@
         AtomicInteger listings = new AtomicInteger();
         // Two kinds of blocks of bits, machines, and the first page of the jobs come before it.
         state.delaying = (door, path) -> path.equals("/store") && listings.incrementAndGet() == 5;
-        Future<Long> loaded = ledger.load();
+        Future<Long> loaded = jobStore.load();
         while (state.delayed() == 0) {
             Thread.onSpinWait();
         }
@@ -263,77 +207,70 @@
         long revision = await(loaded);
         assertNotNull(core.job(new JobId("run-1000")), "its page had been read");
         assertNull(core.job(new JobId("run-1599")));
-        JobWatch watch = new JobWatch(env, ledger, horizon);
+        JobWatch watch = new JobWatch(context, jobStore, horizon);
         onLoop(() -> watch.catchUp(revision).onSuccess(v -> watch.start()));
         Moment until = clock.now().plus(Span.seconds(10));
         while (core.job(new JobId("run-1000")) != null) {
-            assertTrue(clock.now().isBefore(until), "nothing tells of the cancellation");
+            assertTrue(clock.now().isBefore(until), "the cancellation is not applied");
             Thread.onSpinWait();
         }
         onLoop(watch::cancel);
         assertEquals(599, core.jobs().size());
     }
 
-    /** Nothing but what is heard before the first order: no watch is begun. */
+    /** Only the catch-up before the first command applies it: no watch is started. */
     @Test
-    void whatIsCancelledAfterTheListingIsHeardOfBeforeTheFirstOrder() throws Exception {
+    void cancellationsAfterTheListingAreAppliedBeforeTheFirstCommand() throws Exception {
         JobId id = new JobId("run-1000");
         await(client.commit(new StateClient.Txn()
                 .put(
                         "j/" + id,
                         JobRecordCodec.writeJob(job(1, 1, 0, 1).spec(), 1, JobStatus.PENDING, new BitSet(), 0, 1))));
-        long revision = await(ledger.load());
+        long revision = await(jobStore.load());
         await(client.commit(new StateClient.Txn()
                 .delete("j/" + id)
                 .put("f/" + id, JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
-        Promise<Void> heard = Promise.promise();
-        onLoop(() -> new JobWatch(env, ledger, horizon).catchUp(revision).onComplete(heard));
-        await(heard.future());
+        Promise<Void> caughtUp = Promise.promise();
+        onLoop(() -> new JobWatch(context, jobStore, horizon).catchUp(revision).onComplete(caughtUp));
+        await(caughtUp.future());
         Moment until = clock.now().plus(Span.seconds(10));
         while (core.job(id) != null) {
-            assertTrue(clock.now().isBefore(until), "nothing tells of the cancellation");
+            assertTrue(clock.now().isBefore(until), "the cancellation is not applied");
             Thread.onSpinWait();
         }
     }
 
-    private void onLoop(Runnable what) throws Exception {
+    private void onLoop(Runnable action) throws Exception {
         Promise<Void> done = Promise.promise();
         vertx.runOnContext(v -> {
-            what.run();
+            action.run();
             done.complete();
         });
         await(done.future());
     }
 
-    /** Accepted under wider limits: it is not refused again and again, and the jobs behind it go on, by few changes. */
+    /** The job was accepted under wider limits: its write is not rejected repeatedly, and other jobs continue with few changes. */
     @Test
-    void aRecordThatIsTooLongNowHoldsUpNobody() throws Exception {
-        env = new LeadershipTerm.Context(
-                vertx,
-                clock,
-                null,
-                client,
-                null,
-                null,
-                MachineStoreTest.config(CompletionBlockStoreTest.NEXT),
-                Settings.standard(),
-                Span.seconds(10));
+    void aRecordAboveTheLimitDelaysNoOtherJob() throws Exception {
+        context = LeaderHarness.context(vertx, clock, client)
+                .config(LeaderHarness.config(CompletionBlockStoreTest.NEXT))
+                .build();
         JobSpec spec = CompletionBlockStoreTest.spec(4, 3000);
         Revision stamp = await(client.commit(new StateClient.Txn()
                         .put("j/run-1", JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 0))))
                 .writtenRevision();
         Job tooLong = new Job(spec, 1, clock.now(), stamp, new BitSet(), 0, false);
-        Revision leader = await(client.get(RecordKeys.LEADER)).revision();
-        ledger = new JobStore(env, core, null, leader, () -> {}, new RateLimiter(20, clock.now()), true, horizon);
+        Revision leadershipRevision = await(client.get(RecordKeys.LEADER)).revision();
+        jobStore = new JobStore(LeaderHarness.writes(context, 3, leadershipRevision, 20), core, null, true, horizon);
         state.valueBytes = 2048;
         state.txnOps = 4;
         int before = state.changed;
         core.addJob(tooLong);
-        ledger.markDirty(tooLong);
+        jobStore.markDirty(tooLong);
         Job large = job(2, 100_000, 100_000, 100_000);
         core.addJob(large);
-        ledger.markDirty(large);
-        vertx.runOnContext(v -> ledger.start());
+        jobStore.markDirty(large);
+        vertx.runOnContext(v -> jobStore.start());
         while (!state.has("f/run-2")) {
             Thread.onSpinWait();
         }
@@ -342,27 +279,28 @@
         assertTrue(state.has("j/run-1"));
     }
 
-    /** Its record is spoilt under a leader that has it open: the next write is not left to the next change. */
+    /** The record becomes unreadable while the leader has the job open: it is written at once, not at the next change. */
     @Test
-    void aKnownJobsRecordThatIsSpoiltIsWrittenAnew() throws Exception {
+    void anUnreadableRecordOfAKnownJobIsRewritten() throws Exception {
         Job job = job(1, 4, 2, 4);
         core.addJob(job);
-        Revision spoilt = await(client.commit(new StateClient.Txn().put("j/run-1", MessagePackFormat.map("class", 5L))))
+        Revision unreadable = await(
+                        client.commit(new StateClient.Txn().put("j/run-1", MessagePackFormat.map("class", 5L))))
                 .writtenRevision();
-        ledger.onOpenRecordWritten(job.id(), new Fields(MessagePackFormat.map("class", 5L)), spoilt);
-        vertx.runOnContext(v -> ledger.start());
+        jobStore.onOpenRecordWritten(job.id(), new Fields(MessagePackFormat.map("class", 5L)), unreadable);
+        vertx.runOnContext(v -> jobStore.start());
         while (state.value("j/run-1").optionalText("team") == null) {
             Thread.onSpinWait();
         }
-        assertEquals(2, open().get(job.id()).doneCount());
+        assertEquals(2, openRecords().get(job.id()).doneCount());
     }
 
-    /** What is read after the jobs fails, and all is read again: in between one job is cancelled and another goes on. */
+    /** A load fails after the jobs and is repeated; meanwhile one job is cancelled and another makes progress. */
     @Test
-    void aReadingThatIsRepeatedForgetsWhatIsCancelledSince() throws Exception {
+    void aRepeatedLoadForgetsJobsThatWereCancelledSince() throws Exception {
         Job cancelled = job(1, 2, 0, 2);
         job(2, 2, 0, 1);
-        await(ledger.load());
+        await(jobStore.load());
         assertEquals(2, core.jobs().size());
         await(client.commit(new StateClient.Txn()
                 .delete("j/run-1")
@@ -372,9 +310,8 @@
         await(client.commit(new StateClient.Txn()
                 .put(
                         "j/run-2",
-                        JobRecordCodec.writeJob(
-                                core.job(new JobId("run-2")).spec(), 1, JobStatus.RUNNING, done, 1, 2))));
-        await(ledger.load());
+                        JobRecordCodec.writeJob(core.job(new JobId("run-2")).spec(), 1, JobStatus.RUNNING, done, 1, 2))));
+        await(jobStore.load());
         assertEquals(null, core.job(cancelled.id()), "its tasks are to be stopped, and no watch will tell");
         assertEquals(
                 List.of(1, 2),
@@ -383,24 +320,25 @@
                         core.job(new JobId("run-2")).startBoundToWrite()));
     }
 
-    /** Written by a newer version, or spoilt: one job stands still, the others are served; nobody guesses what machines hold. */
+    /** The job waits and the others are served; but without a page of machines, no node may lead. */
     @Test
-    void aRecordThatCannotBeReadStopsItsOwnJobOnly() throws Exception {
+    void anUnreadableRecordBlocksOnlyItsOwnJob() throws Exception {
         job(1, 1, 0, 0);
         await(client.commit(new StateClient.Txn()
                 .put("j/run-2", MessagePackFormat.map("class", 5L))
                 .put("j/what", MessagePackFormat.map())
                 .put("j/run-5", MessagePackFormat.map("class", "c", "status", "NONE"))
                 .put("p/run-1/x", MessagePackFormat.map("bits", "*"))));
-        await(ledger.load());
+        await(jobStore.load());
         assertEquals(
                 List.of("run-1"),
                 core.jobs().stream().map(job -> job.id().text()).toList());
-        ledger.onOpenRecordWritten(new JobId("run-3"), new Fields(MessagePackFormat.map("class", 5L)), new Revision(9));
+        jobStore.onOpenRecordWritten(
+                new JobId("run-3"), new Fields(MessagePackFormat.map("class", 5L)), new Revision(9));
         assertEquals(1, core.jobs().size(), "nor does it end the watch");
-        Fields mended = record(core.job(new JobId("run-1")), 1);
-        ledger.onOpenRecordWritten(new JobId("run-3"), mended, new Revision(10));
-        ledger.onOpenRecordWritten(new JobId("run-4"), mended, new Revision(11));
+        Fields repaired = record(core.job(new JobId("run-1")), 1);
+        jobStore.onOpenRecordWritten(new JobId("run-3"), repaired, new Revision(10));
+        jobStore.onOpenRecordWritten(new JobId("run-4"), repaired, new Revision(11));
         assertEquals(
                 List.of(true, false),
                 List.of(
@@ -408,9 +346,9 @@
                         core.job(new JobId("run-4")).isInherited()),
                 "what could not be read may be on machines, what is new cannot");
         await(client.commit(new StateClient.Txn().put("m/3-1", MessagePackFormat.map("machines", "many"))));
-        Exception failed = assertThrows(Exception.class, () -> await(ledger.load()));
+        Exception failed = assertThrows(Exception.class, () -> await(jobStore.load()));
         assertTrue(
-                failed.getCause() instanceof JobStore.UnreadableRecordException
+                failed.getCause() instanceof UnreadableRecordException
                         && failed.getCause().getMessage().contains("m/3-1"),
                 failed.getMessage());
     }
