--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -24,42 +24,87 @@
 import java.util.function.Supplier;
 import java.util.stream.Stream;
 
-/** This node's part among the controllers: it leads, or knows who does. */
+/**
+ * This node's part among the controllers: it takes part in the election, runs a {@link LeadershipTerm} while it leads, and knows who
+ * leads otherwise. Bound to the node's event loop.
+ */
 public final class Controller implements LeaderElection.Listener {
-    /** The answer to a worker: orders under a token, or where to go. */
-    public record HeartbeatResponse(boolean accepted, FencingToken token, List<WorkerCommand> orders, String leader) {
-        static HeartbeatResponse elsewhere(String leader) {
+    /**
+     * The response to a worker's heartbeat.
+     *
+     * @param accepted whether this node leads and has processed the heartbeat
+     * @param token the token under which the commands are given; null unless accepted
+     * @param commands for the worker; empty unless accepted
+     * @param leader where the worker should go; null if accepted or not known
+     */
+    public record HeartbeatResponse(boolean accepted, FencingToken token, List<WorkerCommand> commands, String leader) {
+        static HeartbeatResponse redirect(String leader) {
             return new HeartbeatResponse(false, null, List.of(), leader);
         }
     }
 
+    /** Collects what the controllers remember of lost records. */
+    @FunctionalInterface
+    interface RememberedStateSource {
+        Future<RememberedState> gather();
+    }
+
+    /** Asks every other node for its pledge not to lead, and for the cancellations that it confirmed within {@code lookBack}. */
+    @FunctionalInterface
+    interface PledgeSource {
+        Future<PeerPromises> request(Span lookBack);
+    }
+
+    /** Between two looks at whether a leader is known, while a node starts. */
+    private static final Span LEADER_POLL = Span.seconds(0.05);
+    /** Reason of a leadership that ends as only this node is without the state service; part of a log line. */
+    private static final String UNREACHABLE_FROM_THIS_NODE_ONLY = "unreachable-from-this-node-only";
+
     private final LeadershipTerm.Context context;
     private final LeaderElection election;
     private final FormatGate formatGate;
-    private Supplier<Future<RememberedState>> gatherPeerState = () -> Future.succeededFuture(new RememberedState());
     private final WarmUp warmUp;
+    /** What this node knew when it last led. */
+    private final LeaderMemory leaderMemory = new LeaderMemory();
+
+    private RememberedStateSource rememberedStateSource = () -> Future.succeededFuture(new RememberedState());
+    /** Null while this node does not lead. */
     private LeadershipTerm term;
+
     private boolean cutOff;
-    private final LeaderMemory ownMemory = new LeaderMemory();
 
-    /** {@code own}: an event loop for what must not wait for anything else. */
-    Controller(LeadershipTerm.Context context, Vertx own) {
+    /** {@code renewalLoop}: the event loop of the lease's renewals, which must not wait for anything else. */
+    Controller(LeadershipTerm.Context context, Vertx renewalLoop) {
         this.context = context;
         this.warmUp = new WarmUp(context, () -> term != null);
+        List<String> nodes = nodeNames(context.config());
+        this.election = election(renewalLoop, nodes);
+        this.formatGate = new FormatGate(
+                context.vertx(),
+                context.state(),
+                context.clock(),
+                election,
+                context.config().node(),
+                nodes);
+    }
+
+    /** All nodes of the deployment in the order of their names. */
+    private static List<String> nodeNames(PlatformConfig config) {
+        Stream<String> peers = config.peers().stream().map(PlatformConfig.Peer::node);
+        return Stream.concat(Stream.of(config.node()), peers).sorted().toList();
+    }
+
+    private LeaderElection election(Vertx renewalLoop, List<String> nodes) {
+        PlatformConfig config = context.config();
         String process = Long.toHexString(ThreadLocalRandom.current().nextLong()) + "-"
                 + context.clock().timeOfDay();
-        PlatformConfig config = context.config();
-        List<String> nodes = Stream.concat(
-                        Stream.of(config.node()), config.peers().stream().map(PlatformConfig.Peer::node))
-                .sorted()
-                .toList();
-        StateClient renewals = new StateClient(new ServiceClient(own, config.state(), 2), null);
+        StateClient renewals = new StateClient(new ServiceClient(renewalLoop, config.state(), 2), null);
         TokenGenerator tokens =
                 new TokenGenerator(nodes.indexOf(config.node()), context.clock().timeOfDay(), config.clockOff());
-        this.election = new LeaderElection(
+        return new LeaderElection(
                 context.vertx(),
                 context.state(),
-                own,
+                renewalLoop,
                 renewals,
                 context.clock(),
                 config.node(),
@@ -68,16 +113,14 @@
                 context.lease(),
                 tokens,
                 this);
-        this.formatGate =
-                new FormatGate(context.vertx(), context.state(), context.clock(), election, config.node(), nodes);
     }
 
-    /** Where to ask for what the controllers remember of jobs, besides what this node knew as a leader. */
-    void recallBy(Supplier<Future<RememberedState>> jobs) {
-        this.gatherPeerState = jobs;
+    /** Where to get what the controllers remember of jobs, besides what this node knew as a leader. */
+    void setRememberedStateSource(RememberedStateSource source) {
+        this.rememberedStateSource = source;
     }
 
-    /** The state service has lost data: who leads keeps what it knows, and takes the key anew to rebuild from it. */
+    /** The state service has lost data: a leader keeps what it knows, and campaigns anew to rebuild from it. */
     void onStateLoss() {
         election.deposed();
     }
@@ -93,39 +136,41 @@
             return term.rememberedState(id);
         }
         RememberedState rememberedState = new RememberedState();
-        if (ownMemory.known().over().containsKey(id)) {
-            rememberedState.add(id, ownMemory.known().over().get(id));
+        RememberedState.FinishedJob end = leaderMemory.known().over().get(id);
+        if (end != null) {
+            rememberedState.add(id, end);
         }
         return rememberedState;
     }
 
     private Future<RememberedState> gatherRememberedState() {
         RememberedState all = new RememberedState();
-        all.add(ownMemory.known());
-        return gatherPeerState.get().map(others -> {
+        all.add(leaderMemory.known());
+        return rememberedStateSource.gather().map(others -> {
             all.add(others);
             return all;
         });
     }
 
-    /** How to ask every other node for its pledge not to lead, and whether it does not lead now. */
-    void askPeersBy(Function<Span, Future<PeerPromises>> others, Supplier<Future<Boolean>> unled) {
-        election.askPeersBy(
-                () -> {
-                    Moment sent = context.clock().now();
-                    LeadershipTerm asking = term;
-                    return others.apply(asking == null ? Span.ZERO : asking.cancellationLookBack())
-                            .map(pledges -> {
-                                if (asking != null && asking == term) {
-                                    asking.onPeerCancellations(pledges.word(), sent);
-                                }
-                                return pledges.all();
-                            });
-                },
-                unled);
-    }
-
-    /** Whether every node knows this version's data format. */
+    /** How to ask every other node for its pledge not to lead, and whether none of them leads now. */
+    void setPeers(PledgeSource pledges, Supplier<Future<Boolean>> noPeerLeads) {
+        election.askPeersBy(() -> requestPledges(pledges), noPeerLeads);
+    }
+
+    /** Whether every other node has pledged; the cancellations in their answers go to the current term. */
+    private Future<Boolean> requestPledges(PledgeSource pledges) {
+        Moment sent = context.clock().now();
+        LeadershipTerm requesting = term;
+        Span lookBack = requesting == null ? Span.ZERO : requesting.cancellationLookBack();
+        return pledges.request(lookBack).map(promises -> {
+            if (requesting != null && requesting == term) {
+                requesting.onPeerCancellations(promises.cancellations(), sent);
+            }
+            return promises.allPledged();
+        });
+    }
+
+    /** Whether every node supports this version's data format. */
     FormatGate formatGate() {
         return formatGate;
     }
@@ -134,6 +179,7 @@
         return election.isLeading();
     }
 
+    /** Pledges not to lead for a while; false if this node leads or is about to. */
     boolean pledge() {
         return election.pledge();
     }
@@ -144,19 +190,23 @@
     }
 
     /**
-     * Somebody has begun to lead, or it has taken too long. Where all nodes have ended, hundreds of workers look for a leader at
-     * each as soon as it listens: the three nodes of 450 machines came to take the leadership only 2.9 to 3.3 s after that.
+     * Completes when somebody has begun to lead, or at {@code deadline}. Guards against a listener that is open too early: where all nodes
+     * have ended, hundreds of workers look for a leader at each node as soon as it listens, and the three nodes of 450 machines began to
+     * lead only 2.9 to 3.3 s after that.
      */
-    Future<Void> leaderKnown(Moment until) {
-        return leaderKnown(election.leadershipRevision(), until);
+    Future<Void> leaderKnown(Moment deadline) {
+        return leaderKnown(election.leadershipRevision(), deadline);
     }
 
-    private Future<Void> leaderKnown(Revision left, Moment until) {
+    private Future<Void> leaderKnown(Revision previous, Moment deadline) {
         boolean begun =
-                election.leader() != null && !election.leadershipRevision().equals(left);
-        return election.isLeading() || begun || !context.clock().now().isBefore(until)
-                ? Future.succeededFuture()
-                : context.vertx().timer(50, TimeUnit.MILLISECONDS).compose(t -> leaderKnown(left, until));
+                election.leader() != null && !election.leadershipRevision().equals(previous);
+        if (election.isLeading() || begun || !context.clock().now().isBefore(deadline)) {
+            return Future.succeededFuture();
+        }
+        return context.vertx()
+                .timer(LEADER_POLL.ms(), TimeUnit.MILLISECONDS)
+                .compose(timer -> leaderKnown(previous, deadline));
     }
 
     public void start() {
@@ -175,70 +225,74 @@
         }
     }
 
-    /** What differs between any two leaderships, as far as this node has heard of them. */
-    Object election() {
+    /** Identifies the current leadership: differs between any two, as far as this node has observed them. */
+    Object currentLeadership() {
         return election.leadershipRevision();
     }
 
     /** Gives leadership up where this node alone is without the state service; null if it does not lead. */
     Revision stepAside() {
-        return election.stepAside("the state service serves others but not this node");
+        return election.stepAside(UNREACHABLE_FROM_THIS_NODE_ONLY);
     }
 
-    /** Removes the key of a leader that has stood aside. */
-    Future<Void> removeKey(Revision key) {
-        return election.removeKey(key);
+    /** Removes the key of a leader that has stepped aside. */
+    Future<Void> removeKey(Revision leadershipRevision) {
+        return election.removeKey(leadershipRevision);
     }
 
     /**
-     * Takes a worker's report, if this node may act for the controllers at this moment. Else it is not even read: after a
-     * leader's end every machine asks every node, and a node that has just started is slow.
+     * Processes a worker's heartbeat, if this node may act as the leader at this moment. Otherwise it is not even decoded: after
+     * the end of a leader every machine tries every node, and a node that has just started is slow.
      */
-    public Future<HeartbeatResponse> onHeartbeat(Supplier<Heartbeat> report) {
+    public Future<HeartbeatResponse> onHeartbeat(Supplier<Heartbeat> decoder) {
         if (!mayAnswer()) {
-            return Future.succeededFuture(HeartbeatResponse.elsewhere(otherLeader()));
+            return Future.succeededFuture(HeartbeatResponse.redirect(otherLeader()));
         }
-        LeadershipTerm asked = term;
-        Heartbeat read = report.get();
-        election.tokenSeen(read.token());
-        return asked.onHeartbeat(read).map(orders -> {
-            if (orders == null) {
-                election.deposed();
-                return HeartbeatResponse.elsewhere(null);
-            }
-            // Checked as the answer is written: the leadership may have ended while a record was waited for.
-            return asked == term && mayAnswer() && asked.mayAnswer(read.machine())
-                    ? new HeartbeatResponse(true, asked.token(), orders, null)
-                    : HeartbeatResponse.elsewhere(otherLeader());
-        });
+        LeadershipTerm current = term;
+        Heartbeat heartbeat = decoder.get();
+        election.tokenSeen(heartbeat.token());
+        return current.onHeartbeat(heartbeat).map(commands -> respond(current, heartbeat, commands));
+    }
+
+    private HeartbeatResponse respond(LeadershipTerm asked, Heartbeat heartbeat, List<WorkerCommand> commands) {
+        if (commands == null) {
+            election.deposed();
+            return HeartbeatResponse.redirect(null);
+        }
+        // Checked as the response is written: the leadership may have ended while a record was being written.
+        if (asked == term && mayAnswer() && asked.mayAnswer(heartbeat.machine())) {
+            return new HeartbeatResponse(true, asked.token(), commands, null);
+        }
+        return HeartbeatResponse.redirect(otherLeader());
     }
 
     private boolean mayAnswer() {
         return term != null && election.isValid() && term.isInformedOfCancellations();
     }
 
-    /** Neither the state service nor another node answers this one: what it knows of who leads is old. */
-    void setCutOff(boolean is) {
-        cutOff = is;
+    /** Neither the state service nor another node answers this one: what it knows of who leads is out of date. */
+    void setCutOff(boolean cutOff) {
+        this.cutOff = cutOff;
     }
 
-    /** Who else leads, for a worker to go to; null if that is not known, as a wrong name costs it more than none. */
+    /** Who else leads, for a worker to go to; null if that is not known, as a wrong name costs the worker more than none. */
     private String otherLeader() {
         String leader = election.leader();
         return cutOff || context.config().node().equals(leader) ? null : leader;
     }
 
     @Override
-    public void leadershipGained(FencingToken token, Revision key, boolean bounds) {
-        ownMemory.begins(election.succeedsItself());
-        term = new LeadershipTerm(context, token, key, election, bounds, this::gatherRememberedState);
+    public void leadershipGained(FencingToken token, Revision leadershipRevision, boolean startBoundsTrusted) {
+        leaderMemory.begins(election.succeedsItself());
+        term = new LeadershipTerm(
+                context, token, leadershipRevision, election, startBoundsTrusted, this::gatherRememberedState);
         term.start();
     }
 
     @Override
     public void leadershipLost(String reason) {
         if (term != null) {
-            ownMemory.ends(term.rememberedState());
+            leaderMemory.ends(term.rememberedState());
             term.close();
             term = null;
         }
--- a/src/main/java/io/indigoreach/cluster/Node.java
+++ b/src/main/java/io/indigoreach/cluster/Node.java
@@ -20,103 +20,137 @@
 import io.vertx.core.Vertx;
 import java.util.List;
 
-/** Puts a controller node together from its parts. */
+/**
+ * A controller node: creates its components, and starts and stops them. Not safe for use from several threads; created and
+ * used on the event loop of the given {@link Vertx}.
+ */
 public final class Node {
-    /** Part of the state service's requests that all nodes together spend on users' questions. */
-    private static final double QUESTIONS = 0.5;
+    /** Part of the state service's requests that all nodes together spend on users' queries. */
+    private static final double QUERY_SHARE = 0.5;
 
-    /** The longest that a node which starts while nobody leads does not listen, until it is known who does. */
-    private static final Span UNHEARD = Span.seconds(3);
+    /** The longest that a node which starts while nobody leads waits for a leader before it opens its listener. */
+    private static final Span LEADER_WAIT = Span.seconds(3);
+
+    private static final int STATE_CONNECTIONS = 12;
+    private static final int STATE_WATCH_CONNECTIONS = 3;
+    private static final int CLOUD_CONNECTIONS = 3;
+
+    /** The event loop of the lease's renewals. */
+    private final Vertx renewalLoop = EventLoops.vertx();
 
-    private final Vertx own = EventLoops.vertx();
     private final SteadyClock clock = new SteadyClock();
-    private final EventLoopMonitor pulse;
+    private final EventLoopMonitor loopMonitor;
     private final Catalogue catalogue;
     private final Controller controller;
-    private final PeerProtocol standing;
-    private final HttpApi door;
+    private final PeerClient peerClient;
+    private final ConnectivityCheck connectivity;
+    private final PeerServer peerServer;
+    private final HttpApi httpApi;
 
+    /** A node with the optional features that the settings enable. */
     public Node(Vertx vertx, PlatformConfig config, Settings settings) throws ConfigException {
-        this(vertx, config, settings, PartRegistry.switchedOn(settings));
+        this(vertx, config, settings, PartRegistry.enabled(settings));
     }
 
-    /** With these parts beside the jobs. */
+    /** A node with the given optional features. */
     public Node(Vertx vertx, PlatformConfig config, Settings settings, List<Parts.Kind> kinds) throws ConfigException {
-        this.pulse = new EventLoopMonitor(vertx, clock);
+        this.loopMonitor = new EventLoopMonitor(vertx, clock);
         StateClient state = new StateClient(
-                new ServiceClient(vertx, config.state(), 12), new ServiceClient(vertx, config.state(), 3));
-        CloudClient cloud = new CloudClient(new ServiceClient(vertx, config.cloud(), 3));
+                new ServiceClient(vertx, config.state(), STATE_CONNECTIONS),
+                new ServiceClient(vertx, config.state(), STATE_WATCH_CONNECTIONS));
+        CloudClient cloud = new CloudClient(new ServiceClient(vertx, config.cloud(), CLOUD_CONNECTIONS));
         this.catalogue = new Catalogue(vertx, state, cloud);
         JobRepairer repairer = new JobRepairer(state, clock, config.stateLimits());
         Parts parts = Parts.of(kinds, vertx, state, clock, catalogue, config, settings);
-        this.controller = new Controller(
-                new LeadershipTerm.Context(
-                        vertx,
-                        clock,
-                        pulse,
-                        state,
-                        cloud,
-                        catalogue,
-                        config,
-                        settings,
-                        settings.leaderLease(config.rules()),
-                        parts,
-                        repairer),
-                own);
-        JobService jobService = new JobService(
+        LeadershipTerm.Context context = new LeadershipTerm.Context(
                 vertx,
+                clock,
+                loopMonitor,
                 state,
-                repairer,
+                cloud,
                 catalogue,
+                config,
+                settings,
+                settings.leaderLease(config.rules()),
+                parts,
+                repairer);
+        this.controller = new Controller(context, renewalLoop);
+        JobService jobService = jobService(context);
+        LocalMemory memory = new LocalMemory(jobService, controller, parts.copies());
+        this.peerClient = new PeerClient(vertx, clock, config.peers(), memory);
+        this.connectivity = new ConnectivityCheck(context, controller, peerClient);
+        this.peerServer = new PeerServer(context, controller, memory, connectivity);
+        connect(context, jobService);
+        this.httpApi = httpApi(context, jobService);
+    }
+
+    private static JobService jobService(LeadershipTerm.Context context) {
+        PlatformConfig config = context.config();
+        int nodes = config.peers().size() + 1;
+        return new JobService(
+                context.vertx(),
+                context.state(),
+                context.repairer(),
+                context.catalogue(),
                 config.teams(),
-                clock,
+                context.clock(),
                 config.stateLimits().valueBytes(),
-                config.stateLimits().requestsPerS()
-                        * QUESTIONS
-                        / (config.peers().size() + 1));
-        this.standing = new PeerProtocol(vertx, clock, pulse, state, config, controller, jobService, parts.copies());
-        controller.recallBy(standing::gather);
-        controller.askPeersBy(standing::pledges, standing::othersDoNotLead);
-        repairer.recallBy(standing::recall);
-        jobService.cascadeWithin(config.rules().cancellationTime(), controller::election);
-        jobService.dependenciesUnderstoodBy(() -> controller.formatGate().isOpen());
-        jobService.participants(parts.joinings());
-        parts.all().forEach(p -> p.submitting(jobService::submit));
-        jobService.askPeersBy(standing::isKnownToAny);
-        state.onLoss(controller::onStateLoss);
-        this.door = new HttpApi(
-                vertx,
-                config.listen(),
+                config.stateLimits().requestsPerS() * QUERY_SHARE / nodes);
+    }
+
+    private HttpApi httpApi(LeadershipTerm.Context context, JobService jobService) {
+        return new HttpApi(
+                context.vertx(),
+                context.config().listen(),
                 jobService,
                 new HeartbeatEndpoint(controller),
-                () -> catalogue.isKnown() && !standing.isOutOfService(),
-                parts.resources());
+                () -> catalogue.isKnown() && !connectivity.isOutOfService(),
+                context.parts().resources());
     }
 
-    /** Starts serving; the result is the port. */
+    /** Gives the components what they need of each other, where they could not get it when they were created. */
+    private void connect(LeadershipTerm.Context context, JobService jobService) {
+        controller.setRememberedStateSource(peerClient::rememberedState);
+        controller.setPeers(peerClient::requestPledges, peerClient::noPeerLeads);
+        context.repairer().recallBy(peerClient::rememberedState);
+        jobService.cascadeWithin(context.config().rules().cancellationTime(), controller::currentLeadership);
+        jobService.dependenciesUnderstoodBy(() -> controller.formatGate().isOpen());
+        jobService.participants(context.parts().joinings());
+        context.parts().all().forEach(part -> part.submitting(jobService::submit));
+        jobService.askPeersBy(peerClient::isKnownToAny);
+        context.state().onLoss(controller::onStateLoss);
+    }
+
+    /** Starts serving; the result is the port of the HTTP API. */
     public Future<Integer> start() {
-        return controller.clearPredecessor(standing::leads).compose(leaderless -> {
-            if (!leaderless) {
-                return door.open().map(port -> {
-                    lead();
-                    return port;
-                });
-            }
-            lead();
-            return controller.leaderKnown(clock.now().plus(UNHEARD)).compose(v -> door.open());
+        return controller.clearPredecessor(peerClient::leads).compose(this::start);
+    }
+
+    private Future<Integer> start(boolean leaderless) {
+        if (leaderless) {
+            startControlling();
+            return controller.leaderKnown(clock.now().plus(LEADER_WAIT)).compose(leader -> httpApi.open());
+        }
+        return httpApi.open().map(port -> {
+            startControlling();
+            return port;
         });
     }
 
-    private void lead() {
+    /** Starts what answers the other nodes and takes part in the election. */
+    private void startControlling() {
         catalogue.start();
         controller.start();
-        standing.start();
+        peerServer.start();
+        connectivity.start();
     }
 
+    /** Stops what was started; the result completes when all connections are closed. */
     public Future<Void> stop() {
         catalogue.stop();
         controller.stop();
-        pulse.close();
-        return standing.stop().eventually(door::close).eventually(own::close);
+        loopMonitor.close();
+        connectivity.stop();
+        return peerServer.stop().eventually(httpApi::close).eventually(renewalLoop::close);
     }
 }
--- a/src/main/java/io/indigoreach/cluster/PartRegistry.java
+++ b/src/main/java/io/indigoreach/cluster/PartRegistry.java
@@ -10,11 +10,11 @@
 import java.util.List;
 
 /**
- * The parts that a node can have beside the jobs. It belongs to the node's composition root, so that the package
- * {@code parts}, on which every part rests, names none of them.
+ * The optional features that a node can have. It belongs to the composition root of a node, so that the package
+ * {@code parts}, on which every feature is built, refers to none of them.
  */
 public final class PartRegistry {
-    /** Every part there is: a new one is added here, and nowhere else. */
+    /** All optional features: a new one is added here, and nowhere else. */
     private static final List<Parts.Kind> KINDS = List.of(
             new Parts.Kind(Settings.Setting.CALENDAR, CalendarPart.FAMILIES, CalendarPart::new),
             new Parts.Kind(Settings.Setting.RECORD_OWNERSHIP, Registry.FAMILIES, OwnershipPart::new),
@@ -22,8 +22,8 @@
 
     private PartRegistry() {}
 
-    /** The parts that the settings switch on. */
-    public static List<Parts.Kind> switchedOn(Settings settings) {
+    /** The optional features that the settings enable. */
+    public static List<Parts.Kind> enabled(Settings settings) {
         return KINDS.stream().filter(kind -> settings.get(kind.knob()) > 0).toList();
     }
 }
--- a/src/main/java/io/indigoreach/cluster/PeerPromises.java
+++ b/src/main/java/io/indigoreach/cluster/PeerPromises.java
@@ -12,55 +12,66 @@
 import java.util.Set;
 
 /**
- * What other nodes say to a leader that the state service does not answer.
+ * The answer of one or several peers to a leader that the state service does not answer, and its form on the wire.
  *
- * @param all each has pledged not to lead for a while
- * @param word the cancellations that they have told users of
+ * @param allPledged each has pledged not to lead for a while
+ * @param cancellations the cancellations that they have confirmed to users
  */
-record PeerPromises(boolean all, CancellationSummary word) {
+record PeerPromises(boolean allPledged, CancellationSummary cancellations) {
+    /** Of a peer that does not answer: it may lead, and may have confirmed any cancellation. */
     static final PeerPromises NONE = new PeerPromises(false, CancellationSummary.NONE);
 
+    private static final String LOOK_BACK = "back_ms";
+    private static final String PLEDGED = "pledged";
+    private static final String TIME_SINCE_LAST = "quiet_ms";
+    private static final String COVERED = "covered_ms";
+    private static final String CANCELLED = "cancelled";
+
+    /** What holds for these peers and the others together. */
     PeerPromises and(PeerPromises other) {
-        return new PeerPromises(all && other.all, word.and(other.word));
+        return new PeerPromises(allPledged && other.allPledged, cancellations.and(other.cancellations));
     }
 
-    /** The question: how far back the leader wants to know of cancellations. */
-    static Map<String, Object> ask(Span back) {
-        return MessagePackFormat.map("back_ms", back.ms());
+    /** The request of a leader that needs the cancellations of the last {@code lookBack}. */
+    static Map<String, Object> writeRequest(Span lookBack) {
+        return MessagePackFormat.map(LOOK_BACK, lookBack.ms());
     }
 
-    /** From a node of the version before there is no such wish. */
-    static Span asked(Fields question) {
-        return new Span(Math.max(0, question.whole("back_ms", 0)));
+    /** How far back cancellations are asked for; zero for a node of the previous version, which does not say so. */
+    static Span readRequest(Fields request) {
+        return new Span(Math.max(0, request.whole(LOOK_BACK, 0)));
     }
 
-    /** {@code quiet}: for how long this node told of none, which is all that a leader of the version before understands. */
-    Map<String, Object> write(Span quiet) {
+    /**
+     * The response; {@code timeSinceLast} is the time since this node confirmed its last cancellation, the only part that a leader of the
+     * previous version reads.
+     */
+    Map<String, Object> write(Span timeSinceLast) {
         return MessagePackFormat.map(
-                "pledged",
-                all,
-                "quiet_ms",
-                quiet.ms(),
-                "covered_ms",
-                word.covered().ms(),
-                "cancelled",
-                word.cancelled().stream().map(JobId::text).toList());
+                PLEDGED,
+                allPledged,
+                TIME_SINCE_LAST,
+                timeSinceLast.ms(),
+                COVERED,
+                cancellations.covered().ms(),
+                CANCELLED,
+                cancellations.cancelled().stream().map(JobId::text).toList());
     }
 
-    /** Throws {@link io.indigoreach.net.WireException} if it cannot be read, or is longer than any node's answer. */
-    static PeerPromises read(Fields answer) {
-        List<String> texts = answer.optionalTexts("cancelled");
-        boolean pledged = answer.flag("pledged", false);
-        if (texts == null) {
-            // A node of the version before: that it told of none for a while is a word without names.
-            return new PeerPromises(pledged, new CancellationSummary(Set.of(), new Span(answer.whole("quiet_ms", 0))));
+    /** Throws {@link io.indigoreach.net.WireException} for a response that is malformed, or longer than any node's may be. */
+    static PeerPromises read(Fields response) {
+        List<String> ids = response.optionalTexts(CANCELLED);
+        boolean pledged = response.flag(PLEDGED, false);
+        if (ids == null) {
+            // A node of the previous version: it reports since when it has confirmed no cancellation, but no jobs.
+            Span covered = new Span(response.whole(TIME_SINCE_LAST, 0));
+            return new PeerPromises(pledged, new CancellationSummary(Set.of(), covered));
         }
-        if (texts.size() > ConfirmedCancellations.MAX_REMEMBERED
-                || !texts.stream().allMatch(JobId::isValid)) {
-            throw Fields.invalid("cancelled");
+        if (ids.size() > ConfirmedCancellations.MAX_REMEMBERED || !ids.stream().allMatch(JobId::isValid)) {
+            throw Fields.invalid(CANCELLED);
         }
         Set<JobId> jobs = new HashSet<>();
-        texts.forEach(t -> jobs.add(new JobId(t)));
-        return new PeerPromises(pledged, new CancellationSummary(jobs, new Span(answer.whole("covered_ms", 0))));
+        ids.forEach(id -> jobs.add(new JobId(id)));
+        return new PeerPromises(pledged, new CancellationSummary(jobs, new Span(response.whole(COVERED, 0))));
     }
 }
--- a/src/main/java/io/indigoreach/worker/HeartbeatEndpoint.java
+++ b/src/main/java/io/indigoreach/worker/HeartbeatEndpoint.java
@@ -19,7 +19,7 @@
         return controller
                 .onHeartbeat(() -> WorkerCodec.read(MessagePackFormat.readMap(body)))
                 .map(answer -> answer.accepted()
-                        ? new ApiResponse(200, WorkerCodec.answer(answer.token(), answer.orders()), 0)
+                        ? new ApiResponse(200, WorkerCodec.answer(answer.token(), answer.commands()), 0)
                         : new ApiResponse(421, WorkerCodec.elsewhere(answer.leader()), 0));
     }
 }
--- a/src/test/java/io/indigoreach/cluster/GoldenMessagesTest.java
+++ b/src/test/java/io/indigoreach/cluster/GoldenMessagesTest.java
@@ -27,7 +27,9 @@
 
     static Map<String, Golden> all() {
         Map<String, Golden> all = new LinkedHashMap<>();
-        all.put("question", new Golden(PeerPromises.ask(Span.seconds(7)), PeerPromises::asked, Span.seconds(7)));
+        all.put(
+                "question",
+                new Golden(PeerPromises.writeRequest(Span.seconds(7)), PeerPromises::readRequest, Span.seconds(7)));
         all.put("no pledge, nothing told", answer(false, Set.of()));
         all.put("pledge, one told", answer(true, Set.of(new JobId("run-000398"))));
         return all;
--- a/src/test/java/io/indigoreach/cluster/PeerPromisesTest.java
+++ b/src/test/java/io/indigoreach/cluster/PeerPromisesTest.java
@@ -30,7 +30,7 @@
         PeerPromises said = new PeerPromises(
                 true, new CancellationSummary(Set.of(new JobId("run-1"), new JobId("run-22")), Span.seconds(7)));
         assertEquals(said, PeerPromises.read(wire(said.write(Span.seconds(2)))));
-        assertEquals(Span.seconds(7), PeerPromises.asked(wire(PeerPromises.ask(Span.seconds(7)))));
+        assertEquals(Span.seconds(7), PeerPromises.readRequest(wire(PeerPromises.writeRequest(Span.seconds(7)))));
     }
 
     /** A leader of the version before reads these fields, and a node of that version writes no others. */
@@ -43,7 +43,7 @@
         assertEquals(
                 new PeerPromises(true, new CancellationSummary(Set.of(), Span.seconds(2))),
                 PeerPromises.read(wire(Map.of("pledged", true, "quiet_ms", 2000L))));
-        assertEquals(Span.ZERO, PeerPromises.asked(wire(Map.of())));
+        assertEquals(Span.ZERO, PeerPromises.readRequest(wire(Map.of())));
     }
 
     static Stream<Map<String, Object>> spoilt() {
--- a/src/test/java/io/indigoreach/emulator/LocalCluster.java
+++ b/src/test/java/io/indigoreach/emulator/LocalCluster.java
@@ -99,7 +99,7 @@
 
     /** Starts a controller with settings of the test's; the result is its port. */
     int start(PlatformConfig config) throws Exception {
-        return start(config, PartRegistry.switchedOn(settings));
+        return start(config, PartRegistry.enabled(settings));
     }
 
     /** The same with parts beside the jobs. */
--- a/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
+++ b/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
@@ -74,7 +74,7 @@
                 100);
         Settings settings = SettingsFile.parse("test", "record_ownership: 1");
         parts = Parts.of(
-                PartRegistry.switchedOn(settings),
+                PartRegistry.enabled(settings),
                 vertx,
                 new StateClient(
                         new ServiceClient(vertx, state.endpoint(), 8), new ServiceClient(vertx, state.endpoint(), 1)),
@@ -228,7 +228,7 @@
 
     @Test
     void whereItIsOffThereIsNothing() throws Exception {
-        assertEquals(List.of(), PartRegistry.switchedOn(SettingsFile.parse("test", "")));
+        assertEquals(List.of(), PartRegistry.enabled(SettingsFile.parse("test", "")));
         assertEquals(0, state.reads + state.transactions);
     }
 }
