--- a/src/main/java/io/indigoreach/api/HttpApi.java
+++ b/src/main/java/io/indigoreach/api/HttpApi.java
@@ -152,7 +152,7 @@
 
     private static Future<ApiResponse> limited(
             FairAdmission kind, String who, java.util.function.Supplier<Future<ApiResponse>> work) {
-        if (!kind.enter(who)) {
+        if (!kind.tryEnter(who)) {
             return Future.succeededFuture(ApiResponse.retryLater("too many requests at this node"));
         }
         Future<ApiResponse> result;
--- a/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
+++ b/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
@@ -103,7 +103,7 @@
             return Future.succeededFuture(false);
         }
         return peers.arePeersServed()
-                .map(answers -> isolation.unserved(answers, clock.now()))
+                .map(answers -> isolation.onUnserved(answers, clock.now()))
                 .map(this::confirm);
     }
 
@@ -130,7 +130,7 @@
     }
 
     private void act(boolean refusedAlone) {
-        if (!unserved && isolation.served()) {
+        if (!unserved && isolation.onServed()) {
             lastVerdict = IsolationCheck.Verdict.TOGETHER;
             LOG.info("state service reachable");
         }
--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -136,7 +136,7 @@
             return term.rememberedState(id);
         }
         RememberedState rememberedState = new RememberedState();
-        RememberedState.FinishedJob end = leaderMemory.known().over().get(id);
+        RememberedState.FinishedJob end = leaderMemory.known().finished().get(id);
         if (end != null) {
             rememberedState.add(id, end);
         }
@@ -283,7 +283,7 @@
 
     @Override
     public void leadershipGained(FencingToken token, Revision leadershipRevision, boolean startBoundsTrusted) {
-        leaderMemory.begins(election.succeedsItself());
+        leaderMemory.termBegins(election.succeedsItself());
         term = new LeadershipTerm(
                 context, token, leadershipRevision, election, startBoundsTrusted, this::gatherRememberedState);
         term.start();
@@ -292,7 +292,7 @@
     @Override
     public void leadershipLost(String reason) {
         if (term != null) {
-            leaderMemory.ends(term.rememberedState());
+            leaderMemory.termEnds(term.rememberedState());
             term.close();
             term = null;
         }
--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -19,48 +19,57 @@
 
 /**
  * The record of a leader's {@link Intents}: one key of its own, each write conditional on the leadership key and on the
- * record's version, so that a holder that was replaced cannot add to it. Records of earlier leaders are read at a take-over and
- * removed when everything in them is settled.
+ * record's version, so that a leader that was replaced cannot add to it. Records of earlier leaders are read at a failover and
+ * removed when everything in them is completed. Bound to the node's event loop.
  *
- * <p>Guards against a write without an answer that is carried out late: the leader's own record is emptied and never removed, as a
- * write made while it was not there would bring back requests that are settled, and the next leader would repeat them. Nor is a
- * write without an answer the last one: what it says may have been given up meanwhile.
+ * <p>Guards against a write without an answer that is executed late: the leader's own record is emptied and never removed, as a
+ * write made while it was absent would bring back completed requests, and the next leader would repeat them. Nor is a
+ * write without an answer the last one: what it contains may have been given up meanwhile.
  */
 final class IntentLog {
-    private static final Span TIDY = Span.seconds(2);
-    private static final int EMPTY = JsonSize.of(RecordCodec.writeIntents(new Intents.Page(List.of(), List.of())));
+    /** Between writes that only remove what is completed. */
+    private static final Span CLEANUP_INTERVAL = Span.seconds(2);
+
+    private static final int EMPTY_RECORD_BYTES =
+            JsonSize.of(RecordCodec.writeIntents(new Intents.Page(List.of(), List.of())));
+
+    private final LeadershipTerm.Context context;
+    private final Revision leadershipRevision;
+    private final Runnable onDeposed;
+    private final RateLimiter writeLimiter;
+    private final String ownKey;
+    private final Intents intents = new Intents(new HalfOfRecordEach());
+    /** Earlier leaders' records, with their versions. */
+    private final Map<String, Revision> earlierRecords = new LinkedHashMap<>();
 
-    private final LeadershipTerm.Context env;
-    private final Revision key;
-    private final Runnable deposed;
     private boolean cancelled;
-    private final RateLimiter budget;
-    private final String own;
-    private final Intents intents = new Intents(new HalfEach());
-    /** Earlier leaders' records, with their versions. */
-    private final Map<String, Revision> earlier = new LinkedHashMap<>();
-
-    private Revision stamp = Revision.ABSENT;
-    /** The record's version is to be read before the next write. */
-    private boolean unsure;
-    /** A write had no answer and may be carried out at any time, until a later one has been. */
-    private boolean unanswered;
-
-    private Future<Boolean> underWay;
-    private Moment written = Moment.NEVER;
-
-    IntentLog(LeadershipTerm.Context env, FencingToken token, Revision key, Runnable deposed, RateLimiter budget) {
-        this.env = env;
-        this.key = key;
-        this.deposed = deposed;
-        this.budget = budget;
-        this.own = RecordCodec.intentsKey(token);
+    private Revision ownRevision = Revision.ABSENT;
+    /** The own record's version must be read before the next write. */
+    private boolean revisionUnknown;
+    /** A write was not answered, and may be executed at any time until a later one has been. */
+    private boolean writeUnanswered;
+
+    private Future<Boolean> writeInProgress;
+    private Moment lastWriteAt = Moment.NEVER;
+
+    /** {@code onDeposed}: called when a write shows that another node leads. */
+    IntentLog(
+            LeadershipTerm.Context context,
+            FencingToken token,
+            Revision leadershipRevision,
+            Runnable onDeposed,
+            RateLimiter writeLimiter) {
+        this.context = context;
+        this.leadershipRevision = leadershipRevision;
+        this.onDeposed = onDeposed;
+        this.writeLimiter = writeLimiter;
+        this.ownKey = RecordCodec.intentsKey(token);
     }
 
-    /** Requests and machines to be returned may fill half of the record's value each. */
-    private final class HalfEach implements Intents.Size {
+    /** Requests to rent and machines to be returned may fill half of the record's value each. */
+    private final class HalfOfRecordEach implements Intents.Size {
         private int half() {
-            return (env.limits().room() - EMPTY) / 2;
+            return (context.limits().room() - EMPTY_RECORD_BYTES) / 2;
         }
 
         @Override
@@ -70,20 +79,23 @@
         }
 
         @Override
-        public boolean hasRoomFor(Collection<MachineId> condemned, MachineId next) {
-            int used = condemned.stream().mapToInt(RecordCodec::bytes).sum();
+        public boolean hasRoomForReturn(Collection<MachineId> returns, MachineId next) {
+            int used = returns.stream().mapToInt(RecordCodec::bytes).sum();
             return used + RecordCodec.bytes(next) <= half();
         }
     }
 
-    /** Guards against a write of this leadership that fails late, when the same node has taken the key anew: that one goes on. */
+    /**
+     * Ends this leadership's use of the log. Guards against a write that fails late, when the same node leads again under a new key: that
+     * leadership goes on.
+     */
     void cancel() {
         cancelled = true;
     }
 
-    private void failedOnKey() {
+    private void onLeadershipKeyChanged() {
         if (!cancelled) {
-            deposed.run();
+            onDeposed.run();
         }
     }
 
@@ -91,101 +103,120 @@
         return intents;
     }
 
-    /** What earlier leaders had under way. */
+    /** What earlier leaders had in progress. */
     Future<Intents.Page> load() {
         List<Intents.Rent> rents = new ArrayList<>();
-        List<MachineId> condemned = new ArrayList<>();
-        earlier.clear();
-        return JobStore.pages(env.state(), key, RecordCodec.INTENTS, e -> {
-                    Intents.Page old = RecordCodec.readIntents(e.value());
-                    rents.addAll(old.rents());
-                    condemned.addAll(old.returns());
-                    earlier.put(e.key(), e.stamp());
+        List<MachineId> returns = new ArrayList<>();
+        earlierRecords.clear();
+        return JobStore.pages(context.state(), leadershipRevision, RecordCodec.INTENTS, entry -> {
+                    Intents.Page page = RecordCodec.readIntents(entry.value());
+                    rents.addAll(page.rents());
+                    returns.addAll(page.returns());
+                    earlierRecords.put(entry.key(), entry.stamp());
                 })
-                .map(revision -> new Intents.Page(rents, condemned));
+                .map(revision -> new Intents.Page(rents, returns));
     }
 
-    /** Everything that earlier leaders had under way is settled: their records are of no use any more. */
+    /** Removes earlier leaders' records, as everything in them is completed; as many at a time as a transaction takes. */
     Future<Void> forgetEarlier() {
-        List<String> some =
-                earlier.keySet().stream().limit(env.limits().txnOps()).toList();
-        if (some.isEmpty() || !budget.takeSpare(some.size(), env.clock().now())) {
+        List<String> keys = earlierRecords.keySet().stream()
+                .limit(context.limits().txnOps())
+                .toList();
+        if (keys.isEmpty()
+                || !writeLimiter.takeSpare(keys.size(), context.clock().now())) {
             return Future.succeededFuture();
         }
-        StateClient.Txn txn = new StateClient.Txn().when(RecordCodec.LEADER, key);
-        some.forEach(name -> txn.when(name, earlier.get(name)).delete(name));
-        return env.state()
+        StateClient.Txn txn = new StateClient.Txn().when(RecordCodec.LEADER, leadershipRevision);
+        keys.forEach(key -> txn.when(key, earlierRecords.get(key)).delete(key));
+        return context.state()
                 .commit(txn)
                 .map(outcome -> {
-                    if (outcome.done()) {
-                        some.forEach(earlier::remove);
-                    } else if (outcome.failed().contains(RecordCodec.LEADER)) {
-                        failedOnKey();
-                    } else {
-                        // Removed by a write whose answer was lost, or added to by a holder that was not replaced then.
-                        outcome.failed().forEach(earlier::remove);
-                    }
+                    onEarlierRemoved(keys, outcome);
                     return (Void) null;
                 })
                 .otherwiseEmpty();
     }
 
-    /** True when the record says all that is intended; false if it cannot be written now. One write at a time. */
+    private void onEarlierRemoved(List<String> keys, StateClient.Outcome outcome) {
+        if (outcome.done()) {
+            keys.forEach(earlierRecords::remove);
+        } else if (outcome.failed().contains(RecordCodec.LEADER)) {
+            onLeadershipKeyChanged();
+        } else {
+            // Removed by a write whose answer was lost, or added to by a leader that had not been replaced then.
+            outcome.failed().forEach(earlierRecords::remove);
+        }
+    }
+
+    /**
+     * Writes the intents if need be. True when the record contains all of them, false if it cannot be written now; one write at a
+     * time.
+     */
     Future<Boolean> record() {
-        if (underWay != null) {
-            return underWay.transform(r -> record());
+        if (writeInProgress != null) {
+            return writeInProgress.transform(result -> record());
         }
-        underWay = begin();
-        Future<Boolean> begun = underWay;
-        begun.onComplete(r -> underWay = null);
+        writeInProgress = writeIfNeeded();
+        Future<Boolean> begun = writeInProgress;
+        begun.onComplete(result -> writeInProgress = null);
         return begun;
     }
 
-    private Future<Boolean> begin() {
-        Moment now = env.clock().now();
-        if (!intents.isUnrecorded()) {
-            boolean tidy = (unanswered || intents.isOutdated())
-                    && now.since(written).compareTo(TIDY) >= 0
-                    && budget.takeSpare(1, now);
-            return tidy ? write(now).map(true).otherwise(true) : Future.succeededFuture(true);
+    private Future<Boolean> writeIfNeeded() {
+        Moment now = context.clock().now();
+        if (intents.isUnrecorded()) {
+            return writeLimiter.take(1, now) ? write(now) : Future.succeededFuture(false);
         }
-        return budget.take(1, now) ? write(now) : Future.succeededFuture(false);
+        boolean cleanup = (writeUnanswered || intents.isOutdated())
+                && now.since(lastWriteAt).compareTo(CLEANUP_INTERVAL) >= 0
+                && writeLimiter.takeSpare(1, now);
+        return cleanup ? write(now).map(true).otherwise(true) : Future.succeededFuture(true);
     }
 
     private Future<Boolean> write(Moment now) {
-        if (unsure) {
-            return env.state().get(own).map(entry -> {
-                stamp = entry == null ? Revision.ABSENT : entry.stamp();
-                unsure = false;
-                return false;
-            });
+        if (revisionUnknown) {
+            return readOwnRevision().map(false);
         }
         Intents.Page page = intents.page();
-        StateClient.Txn txn =
-                new StateClient.Txn().when(RecordCodec.LEADER, key).when(own, stamp);
-        boolean writes = unanswered || !page.isEmpty() || !stamp.equals(Revision.ABSENT);
-        if (writes) {
-            txn.put(own, RecordCodec.writeIntents(page));
+        // An absent record stays absent as long as there is nothing to record; the conditions are checked all the same.
+        boolean puts = writeUnanswered || !page.isEmpty() || !ownRevision.equals(Revision.ABSENT);
+        StateClient.Txn txn = new StateClient.Txn()
+                .when(RecordCodec.LEADER, leadershipRevision)
+                .when(ownKey, ownRevision);
+        if (puts) {
+            txn.put(ownKey, RecordCodec.writeIntents(page));
         }
-        written = now;
-        return env.state()
+        lastWriteAt = now;
+        return context.state()
                 .commit(txn)
-                .map(outcome -> {
-                    if (outcome.done()) {
-                        stamp = writes ? outcome.stamp() : Revision.ABSENT;
-                        unanswered = false;
-                        intents.recorded(page);
-                        return true;
-                    }
-                    if (outcome.failed().contains(RecordCodec.LEADER)) {
-                        failedOnKey();
-                    }
-                    unsure = true;
-                    return false;
-                })
-                .onFailure(e -> {
-                    unsure |= !StateClient.surelyNotExecuted(e);
-                    unanswered |= unsure;
-                });
+                .map(outcome -> onWritten(page, puts, outcome))
+                .onFailure(this::onWriteFailed);
+    }
+
+    private Future<Void> readOwnRevision() {
+        return context.state().get(ownKey).map(entry -> {
+            ownRevision = entry == null ? Revision.ABSENT : entry.stamp();
+            revisionUnknown = false;
+            return null;
+        });
+    }
+
+    private boolean onWritten(Intents.Page page, boolean puts, StateClient.Outcome outcome) {
+        if (outcome.done()) {
+            ownRevision = puts ? outcome.stamp() : Revision.ABSENT;
+            writeUnanswered = false;
+            intents.recorded(page);
+            return true;
+        }
+        if (outcome.failed().contains(RecordCodec.LEADER)) {
+            onLeadershipKeyChanged();
+        }
+        revisionUnknown = true;
+        return false;
+    }
+
+    private void onWriteFailed(Throwable cause) {
+        revisionUnknown |= !StateClient.surelyNotExecuted(cause);
+        writeUnanswered |= revisionUnknown;
     }
 }
--- a/src/main/java/io/indigoreach/cluster/JobStore.java
+++ b/src/main/java/io/indigoreach/cluster/JobStore.java
@@ -364,13 +364,13 @@
     void onOpenRecordDeleted(JobId id) {
         Job job = core.job(id);
         if (writeTask.isCancelled() || job == null || (writesInFlight.contains(id) && job.isComplete())) {
-            horizon.settled(id);
+            horizon.resolved(id);
             return;
         }
         if (job.isComplete()) {
             // The end was written and its answer lost, or the user cancelled first: the record tells.
             markDirty(job);
-            horizon.settled(id);
+            horizon.resolved(id);
             return;
         }
         horizon.recordGone(id);
@@ -391,7 +391,7 @@
                     default -> {}
                 }
             }
-            horizon.settled(id);
+            horizon.resolved(id);
         });
     }
 
--- a/src/main/java/io/indigoreach/cluster/PartsTask.java
+++ b/src/main/java/io/indigoreach/cluster/PartsTask.java
@@ -17,52 +17,63 @@
 import java.util.Map;
 
 /**
- * The parts' work for one leadership: what each does while this node leads, and its clean-up, one round after the other. It
- * comes behind leases, cancellations, acceptances and ends: it writes only what the leader's budget has to spare.
+ * The work of the optional features during one leadership term: what each does while this node leads, and its garbage collection, one
+ * round after the other. It yields to leases, cancellations, acceptances and ends, as it writes only what the leader's write rate
+ * has to spare. Bound to the node's event loop.
  */
 final class PartsTask {
     private static final Span PERIOD = Span.seconds(1);
+    /** Until the next feature's garbage collection, after one has had its round. */
+    private static final Span NEXT_ROUND = new Span(1);
 
-    private final LeadershipTerm.Context env;
+    private final LeadershipTerm.Context context;
     private final SchedulerCore core;
-    private final RoutineRunner records;
-    private final PeriodicTask duty;
-    private final List<Part.Term> reigning = new ArrayList<>();
-    private final Map<Part, Moment> due = new HashMap<>();
+    /** Null if no optional feature is enabled. */
+    private final RoutineRunner routines;
 
-    PartsTask(LeadershipTerm.Context env, SchedulerCore core, Revision key, RateLimiter limiter) {
-        this.env = env;
+    private final PeriodicTask collectionTask;
+    private final List<Part.Term> terms = new ArrayList<>();
+    private final Map<Part, Moment> nextCollection = new HashMap<>();
+
+    PartsTask(
+            LeadershipTerm.Context context, SchedulerCore core, Revision leadershipRevision, RateLimiter writeLimiter) {
+        this.context = context;
         this.core = core;
-        this.records =
-                env.parts().all().isEmpty() ? null : env.parts().records().leading(RecordCodec.LEADER, key, limiter);
-        this.duty = new PeriodicTask(env.vertx(), "parts", PERIOD, this::step);
+        this.routines = context.parts().all().isEmpty()
+                ? null
+                : context.parts().records().leading(RecordCodec.LEADER, leadershipRevision, writeLimiter);
+        this.collectionTask = new PeriodicTask(context.vertx(), "parts", PERIOD, this::collect);
     }
 
     void start() {
-        if (records != null) {
-            env.parts().all().forEach(p -> reigning.add(p.reigning(core, records)));
-            duty.start();
+        if (routines != null) {
+            context.parts().all().forEach(part -> terms.add(part.reigning(core, routines)));
+            collectionTask.start();
         }
     }
 
     void cancel() {
-        duty.cancel();
-        reigning.forEach(Part.Term::close);
+        collectionTask.cancel();
+        terms.forEach(Part.Term::close);
     }
 
-    private Future<Span> step() {
-        Moment now = env.clock().now();
-        for (Part part : env.parts().all()) {
-            GarbageCollector sweep = part.sweep();
-            if (sweep != null && !now.isBefore(due.getOrDefault(part, Moment.NEVER))) {
-                // One that fails waits a period like the others, and does not keep them from their rounds.
-                due.put(part, now.plus(PERIOD));
-                return records.run(sweep.round()).map(wait -> {
-                    due.put(part, env.clock().now().plus(wait));
-                    return new Span(1);
-                });
+    private Future<Span> collect() {
+        Moment now = context.clock().now();
+        for (Part part : context.parts().all()) {
+            GarbageCollector collector = part.sweep();
+            if (collector != null && !now.isBefore(nextCollection.getOrDefault(part, Moment.NEVER))) {
+                // A collection that fails waits for a period like the others, and does not keep them from their rounds.
+                nextCollection.put(part, now.plus(PERIOD));
+                return collect(part, collector);
             }
         }
         return Future.succeededFuture(PERIOD);
     }
+
+    private Future<Span> collect(Part part, GarbageCollector collector) {
+        return routines.run(collector.round()).map(wait -> {
+            nextCollection.put(part, context.clock().now().plus(wait));
+            return NEXT_ROUND;
+        });
+    }
 }
--- /dev/null
+++ b/src/main/java/io/indigoreach/cluster/RebuildInventory.java
@@ -0,0 +1,117 @@
+package io.indigoreach.cluster;
+
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.MachineId;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.state.CompletionBits;
+import io.indigoreach.state.JobRecord;
+import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.StateClient;
+import io.vertx.core.Future;
+import java.util.BitSet;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+
+/**
+ * The records of jobs and machines that the state service still has, as {@link StateRebuilder} reads them before it decides what to write.
+ * Bound to the node's event loop.
+ */
+final class RebuildInventory {
+    private final StateClient state;
+    private final Revision leadershipRevision;
+    private final Map<JobId, JobRecord> openJobs = new HashMap<>();
+    /** The versions of all open jobs' records, including those that cannot be read. */
+    private final Map<JobId, Revision> openRevisions = new HashMap<>();
+    /** Jobs whose final record is present and readable. */
+    private final Set<JobId> finishedJobs = new HashSet<>();
+    /** Completed tasks that are recorded in blocks beside the job's record. */
+    private final Map<JobId, BitSet> completedInBlocks = new HashMap<>();
+
+    private final Set<MachineId> machines = new HashSet<>();
+    private int machinePages;
+
+    RebuildInventory(StateClient state, Revision leadershipRevision) {
+        this.state = state;
+        this.leadershipRevision = leadershipRevision;
+    }
+
+    /** Reads everything; fails if the state service lists records that are older than this leadership. */
+    Future<Void> read() {
+        return readAll(RecordCodec.BITS, this::readBlock)
+                .compose(revision -> readAll(CompletionBits.SMALL, this::readBlock))
+                .compose(revision -> readAll(RecordCodec.OPEN, this::readOpenJob))
+                .compose(revision -> readAll(RecordCodec.FINAL, this::readFinalRecord))
+                .compose(revision -> readAll(RecordCodec.MACHINES, this::readMachinePage))
+                .mapEmpty();
+    }
+
+    /** Reads the records with a prefix. */
+    Future<Long> readAll(String prefix, Consumer<StateClient.Entry> reader) {
+        return JobStore.pages(state, leadershipRevision, prefix, reader);
+    }
+
+    private void readBlock(StateClient.Entry block) {
+        JobStore.readOrLog(block.key(), () -> {
+            JobId id = CompletionBits.jobOf(block.key());
+            BitSet completed = completedInBlocks.computeIfAbsent(id, job -> new BitSet());
+            CompletionBits.readBlock(block.key(), block.value(), completed);
+        });
+    }
+
+    private void readOpenJob(StateClient.Entry entry) {
+        JobStore.readOrLog(entry.key(), () -> {
+            JobId id = RecordCodec.jobOfOpenKey(entry.key());
+            openRevisions.put(id, entry.stamp());
+            openJobs.put(id, RecordCodec.readJob(id, entry.value(), entry.stamp()));
+        });
+    }
+
+    private void readFinalRecord(StateClient.Entry entry) {
+        JobStore.readOrLog(entry.key(), () -> {
+            JobId id = RecordCodec.jobOfFinalKey(entry.key());
+            RecordCodec.readFinal(id, entry.value());
+            finishedJobs.add(id);
+        });
+    }
+
+    /** Unlike the others, a page that cannot be read ends the rebuild: the machines on it may hold tasks. */
+    private void readMachinePage(StateClient.Entry entry) {
+        machinePages++;
+        RecordCodec.readMachines(entry.value()).forEach(machine -> machines.add(machine.id()));
+    }
+
+    /** The open job's record; null if it is absent or cannot be read. */
+    JobRecord openJob(JobId id) {
+        return openJobs.get(id);
+    }
+
+    /** Whether there is a record of an open job, readable or not. */
+    boolean hasOpenRecord(JobId id) {
+        return openRevisions.containsKey(id);
+    }
+
+    /** The version of the open job's record, {@link Revision#ABSENT} if there is none. */
+    Revision openRevision(JobId id) {
+        return openRevisions.getOrDefault(id, Revision.ABSENT);
+    }
+
+    boolean isFinished(JobId id) {
+        return finishedJobs.contains(id);
+    }
+
+    BitSet completedInBlocks(JobId id) {
+        return completedInBlocks.getOrDefault(id, new BitSet());
+    }
+
+    boolean hasMachine(MachineId id) {
+        return machines.contains(id);
+    }
+
+    /** How many pages of machines there are, including those that an earlier attempt of this leadership wrote. */
+    int machinePages() {
+        return machinePages;
+    }
+}
--- a/src/main/java/io/indigoreach/cluster/WarmUp.java
+++ b/src/main/java/io/indigoreach/cluster/WarmUp.java
@@ -27,155 +27,195 @@
 import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.worker.WorkerCodec;
 import io.vertx.core.Future;
+import io.vertx.core.buffer.Buffer;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
+import java.util.stream.IntStream;
 
 /**
- * Has a node that does not lead take some hundred reports that nobody sent, for jobs that nobody submitted, on a core of
- * their own: what has run so often is compiled. A node that had never taken a report took 15 ms for each on a tenth of a
- * core, so that of 426 machines whose leader had fallen silent a quarter lost their tasks before it came to them. A little
- * at a time, so that users hardly notice; it ends when the node leads, as it then learns by doing.
+ * Runs the heartbeat path of a node that does not lead, so that the JIT compiler has compiled it when the node begins to lead: some hundred
+ * synthetic heartbeats for synthetic jobs, on a scheduler core of its own. Guards against a slow failover: a node that had never
+ * processed a heartbeat took 15 ms for each on a tenth of a core, so that of 426 machines whose leader had fallen silent a
+ * quarter lost their tasks before it came to them. Done a little at a time, so that users hardly notice; it ends when the node
+ * leads, as it then runs the path in any case. Bound to the node's event loop.
  */
 final class WarmUp {
-    private static final Span AFTER = Span.seconds(5);
+    /** After the node has started, when it has other things to do. */
+    private static final Span START_DELAY = Span.seconds(5);
+
     private static final Span PAUSE = Span.seconds(0.08);
-    private static final int REPORTS = 350;
+    private static final int HEARTBEATS = 350;
     private static final int MACHINES = 12;
     private static final int JOBS = 24;
-    private static final Demand SIZE = new Demand(4, 0, 16);
+    private static final int TASKS_PER_JOB = 40;
+    /** In every so many rounds over all machines the running tasks end. */
+    private static final int ROUNDS_PER_RUN = 3;
+
+    private static final Demand MACHINE_CAPACITY = new Demand(4, 0, 16);
+    private static final Demand TASK_DEMAND = new Demand(1, 0, 1);
+    private static final MachinePool POOL = new MachinePool("k", "z", true);
+    private static final FencingToken TOKEN = new FencingToken(2);
+    private static final String TEAM = "t";
 
-    private final LeadershipTerm.Context env;
+    private final LeadershipTerm.Context context;
     private final BooleanSupplier leads;
-    private final PeriodicTask duty;
+    private final PeriodicTask task;
     private SchedulerCore core;
-    private final Map<Integer, List<TaskStatus>> tasks = new HashMap<>();
-    private int reports;
-    private int ordered;
+    /** The tasks that each machine reports in its next heartbeat. */
+    private final Map<Integer, List<TaskStatus>> statuses = new HashMap<>();
 
-    WarmUp(LeadershipTerm.Context env, BooleanSupplier leads) {
-        this.env = env;
+    private int heartbeats;
+    private int startCommands;
+
+    WarmUp(LeadershipTerm.Context context, BooleanSupplier leads) {
+        this.context = context;
         this.leads = leads;
-        this.duty = new PeriodicTask(env.vertx(), "warm-up", PAUSE, this::step);
+        this.task = new PeriodicTask(context.vertx(), "warm-up", PAUSE, this::step);
     }
 
     void start() {
-        env.vertx().setTimer(AFTER.ms(), t -> duty.start());
+        context.vertx().setTimer(START_DELAY.ms(), timer -> task.start());
     }
 
     void cancel() {
-        duty.cancel();
+        task.cancel();
     }
 
-    /** How many tasks it has had its own core order. */
-    int ordered() {
-        return ordered;
+    /** How many start commands its core has given. */
+    int startCommands() {
+        return startCommands;
     }
 
     Future<Span> step() {
-        if (leads.getAsBoolean() || reports >= REPORTS) {
+        if (leads.getAsBoolean() || heartbeats >= HEARTBEATS) {
             core = null;
-            tasks.clear();
-            duty.cancel();
+            statuses.clear();
+            task.cancel();
             return Future.succeededFuture(PAUSE);
         }
         if (core == null) {
-            begin();
+            core = newCore();
+            addMachines();
+            addJobs();
         }
-        report(reports++ % MACHINES);
+        sendHeartbeat(heartbeats++ % MACHINES);
         return Future.succeededFuture(PAUSE);
     }
 
-    private void begin() {
-        core = new SchedulerCore(
-                new FencingToken(2),
-                env.config().rules(),
-                env.settings().tuning(),
+    private SchedulerCore newCore() {
+        SchedulerListener silent = new SchedulerListener() {
+            @Override
+            public void taskCompleted(Job job) {}
+
+            @Override
+            public void log(String line) {}
+        };
+        return new SchedulerCore(
+                TOKEN,
+                context.config().rules(),
+                context.settings().tuning(),
                 new ServiceLevelObjectives(
                         List.of(new ServiceLevelObjectives.Objective("c0", false, Span.seconds(200)))),
-                List.of(new Team("t", 0, 0, 0, 0)),
-                new SchedulerListener() {
-                    @Override
-                    public void taskCompleted(Job job) {}
-
-                    @Override
-                    public void log(String line) {}
-                });
-        core.setTypes(List.of(new MachineType("k", SIZE, 40, 0.3, 1, 0.2, Span.seconds(20), List.of("z"))));
+                List.of(new Team(TEAM, 0, 0, 0, 0)),
+                silent);
+    }
+
+    private void addMachines() {
+        MachineType type =
+                new MachineType(POOL.type(), MACHINE_CAPACITY, 40, 0.3, 1, 0.2, Span.seconds(20), List.of(POOL.zone()));
+        core.setTypes(List.of(type));
         core.recordsLoaded();
-        Moment now = env.clock().now();
-        List<MachineId> ids = new ArrayList<>();
-        for (int n = 0; n < MACHINES; n++) {
-            ids.add(machine(n));
-        }
-        core.rented(pool(), ids, now, now);
+        Moment now = context.clock().now();
+        List<MachineId> ids =
+                IntStream.range(0, MACHINES).mapToObj(WarmUp::machine).toList();
+        core.rented(POOL, ids, now, now);
         ids.forEach(core::recorded);
-        for (int n = 0; n < JOBS; n++) {
-            JobSpec spec = new JobSpec(
-                    new JobId("run-" + n),
-                    "c" + n % 3,
-                    "t",
-                    JobKind.ARRAY,
-                    Urgency.values()[1 + n % 3],
-                    40,
-                    new Demand(1, 0, 1),
-                    "i" + n % 4,
-                    1,
-                    null,
-                    null,
-                    false,
-                    false,
-                    true,
-                    Span.seconds(20),
-                    Span.ZERO,
-                    Span.ZERO,
-                    null);
-            core.addJob(new Job(spec, env.clock().timeOfDay(), now, new Revision(1), new BitSet(), 40, false));
+    }
+
+    private void addJobs() {
+        Moment now = context.clock().now();
+        for (int index = 0; index < JOBS; index++) {
+            core.addJob(new Job(
+                    spec(index),
+                    context.clock().timeOfDay(),
+                    now,
+                    new Revision(1),
+                    new BitSet(),
+                    TASKS_PER_JOB,
+                    false));
         }
     }
 
-    private static MachineId machine(int n) {
-        return new MachineId("vm-" + n);
+    /** Jobs of several classes, urgencies and images, as these take different paths through the scheduler. */
+    private static JobSpec spec(int index) {
+        return new JobSpec(
+                new JobId("run-" + index),
+                "c" + index % 3,
+                TEAM,
+                JobKind.ARRAY,
+                Urgency.values()[1 + index % 3],
+                TASKS_PER_JOB,
+                TASK_DEMAND,
+                "i" + index % 4,
+                1,
+                null,
+                null,
+                false,
+                false,
+                true,
+                Span.seconds(20),
+                Span.ZERO,
+                Span.ZERO,
+                null);
     }
 
-    private static MachinePool pool() {
-        return new MachinePool("k", "z", true);
+    private static MachineId machine(int index) {
+        return new MachineId("vm-" + index);
     }
 
-    /** Every third time a machine reports, its tasks have ended. */
-    private void report(int n) {
+    /** Processes a machine's heartbeat from the bytes received to the bytes of the response. */
+    private void sendHeartbeat(int machine) {
         Heartbeat sent = new Heartbeat(
-                machine(n),
+                machine(machine),
                 "0.0.0.0:0",
-                pool(),
-                new HeartbeatNumber(1, reports + 1),
-                new FencingToken(2),
+                POOL,
+                new HeartbeatNumber(1, heartbeats + 1),
+                TOKEN,
                 null,
-                tasks.getOrDefault(n, List.of()));
-        Heartbeat read = WorkerCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(WorkerCodec.write(sent))));
-        List<WorkerCommand> orders = core.onHeartbeat(read, env.clock().now());
-        MessagePackFormat.write(WorkerCodec.answer(new FencingToken(2), orders));
-        core.expireLeases(env.clock().now());
-        boolean ended = reports / MACHINES % 3 == 2;
+                statuses.getOrDefault(machine, List.of()));
+        Buffer request = MessagePackFormat.write(WorkerCodec.write(sent));
+        Heartbeat received = WorkerCodec.read(MessagePackFormat.readMap(request));
+        List<WorkerCommand> commands =
+                core.onHeartbeat(received, context.clock().now());
+        MessagePackFormat.write(WorkerCodec.answer(TOKEN, commands));
+        core.expireLeases(context.clock().now());
+        boolean tasksEnd = heartbeats / MACHINES % ROUNDS_PER_RUN == ROUNDS_PER_RUN - 1;
+        statuses.put(machine, nextStatuses(machine, commands, tasksEnd));
+    }
+
+    private List<TaskStatus> nextStatuses(int machine, List<WorkerCommand> commands, boolean tasksEnd) {
         List<TaskStatus> next = new ArrayList<>();
-        if (!ended) {
-            tasks.getOrDefault(n, List.of()).stream()
+        if (!tasksEnd) {
+            statuses.getOrDefault(machine, List.of()).stream()
                     .filter(status -> status.state() == TaskState.RUNNING)
                     .forEach(next::add);
         }
-        for (WorkerCommand command : orders) {
-            if (command instanceof WorkerCommand.Start) {
-                ordered++;
-                next.add(
-                        ended
-                                ? new TaskStatus(
-                                        command.task(), command.attempt(), TaskState.EXITED, ExitCause.DONE, false)
-                                : new TaskStatus(command.task(), command.attempt(), TaskState.RUNNING, null, false));
+        for (WorkerCommand command : commands) {
+            if (command instanceof WorkerCommand.Start start) {
+                startCommands++;
+                next.add(status(start, tasksEnd));
             }
         }
-        tasks.put(n, next);
+        return next;
+    }
+
+    private static TaskStatus status(WorkerCommand.Start start, boolean ended) {
+        return ended
+                ? new TaskStatus(start.task(), start.attempt(), TaskState.EXITED, ExitCause.DONE, false)
+                : new TaskStatus(start.task(), start.attempt(), TaskState.RUNNING, null, false);
     }
 }
--- a/src/main/java/io/indigoreach/core/intent/Intents.java
+++ b/src/main/java/io/indigoreach/core/intent/Intents.java
@@ -12,27 +12,27 @@
 import java.util.Set;
 
 /**
- * What a leader is about to ask the cloud. The cloud knows no tokens: a request that was given up may be executed minutes later,
- * under the next leader. So nothing is asked before it is recorded, as for a redo log: a rent by its name, pool and count, a
- * return by the machine's name. Whoever leads next settles what is open: it repeats a rent under its own name until the
- * outcome is known, and a machine that was to be returned is never used again, as the return may still come.
+ * The requests to the cloud that a leader has in progress. The cloud knows no fencing tokens: a request that was given up may be executed
+ * minutes later, under the next leader. So nothing is requested before it is recorded, as in a redo log: a rental by its name, pool and
+ * count, a return by the machine's name. The next leader completes what is open: it repeats a rental under its own name until the
+ * outcome is known, and never uses a machine that was to be returned, as the return may still be executed.
  */
 public final class Intents {
-    /** A request to rent; {@code askedMs}: when it was thought of, by the time of day. */
+    /** A request to rent machines; {@code askedMs}: when it was first decided on, in milliseconds since 1970. */
     public record Rent(String name, MachinePool pool, int count, long askedMs) {}
 
-    /** What is to be recorded, or is. */
+    /** The content of the record. */
     public record Page(List<Rent> rents, List<MachineId> returns) {
         public boolean isEmpty() {
             return rents.isEmpty() && returns.isEmpty();
         }
     }
 
-    /** How much of the record, which is one value, requests and machines take. */
+    /** Whether the record, which is one value of limited size, has room for more. */
     public interface Size {
         boolean hasRoomForRent(Collection<Rent> rents, Rent next);
 
-        boolean hasRoomFor(Collection<MachineId> condemned, MachineId next);
+        boolean hasRoomForReturn(Collection<MachineId> returns, MachineId next);
     }
 
     private static final Size UNLIMITED = new Size() {
@@ -42,20 +42,22 @@
         }
 
         @Override
-        public boolean hasRoomFor(Collection<MachineId> condemned, MachineId next) {
+        public boolean hasRoomForReturn(Collection<MachineId> returns, MachineId next) {
             return true;
         }
     };
 
-    public static final int MOST_RENTS = 30;
+    /** The most rentals in progress at a time. */
+    public static final int MAX_RENTS = 30;
 
-    public static final int MOST_CONDEMNED = 100;
+    /** The most returns in progress at a time. */
+    public static final int MAX_RETURNS = 100;
 
     private final Size size;
     private final Map<String, Rent> rents = new LinkedHashMap<>();
-    private final Set<MachineId> condemned = new LinkedHashSet<>();
+    private final Set<MachineId> returns = new LinkedHashSet<>();
     private final Set<String> recordedRents = new HashSet<>();
-    private final Set<MachineId> recordedCondemned = new HashSet<>();
+    private final Set<MachineId> recordedReturns = new HashSet<>();
 
     public Intents() {
         this(UNLIMITED);
@@ -67,62 +69,69 @@
 
     /** Whether there is room for this request to rent. */
     public boolean hasRoomFor(Rent rent) {
-        return rents.isEmpty() || (rents.size() < MOST_RENTS && size.hasRoomForRent(rents.values(), rent));
+        return rents.isEmpty() || (rents.size() < MAX_RENTS && size.hasRoomForRent(rents.values(), rent));
     }
 
+    /** Adds a rental that is to be requested; the caller has checked {@link #hasRoomFor}. */
     public void add(Rent rent) {
         rents.put(rent.name, rent);
     }
 
-    /** Those of {@code machines} that can be condemned now; the others have to wait until returns are answered. */
-    public List<MachineId> recordReturns(Collection<MachineId> machines) {
+    /**
+     * Adds machines that are to be returned. The result is those of them that have room in the record; the others have to wait until earlier
+     * returns are answered.
+     */
+    public List<MachineId> addReturns(Collection<MachineId> machines) {
         List<MachineId> now = new ArrayList<>();
         for (MachineId id : machines) {
-            if (condemned.contains(id) || (condemned.size() < MOST_CONDEMNED && size.hasRoomFor(condemned, id))) {
-                condemned.add(id);
+            if (returns.contains(id) || (returns.size() < MAX_RETURNS && size.hasRoomForReturn(returns, id))) {
+                returns.add(id);
                 now.add(id);
             }
         }
         return now;
     }
 
-    /** The outcome of a rent is known. */
-    public void settled(String name) {
+    /** The outcome of a rental is known. */
+    public void completed(String name) {
         rents.remove(name);
     }
 
-    /** The cloud has said that these are gone. */
-    public void gone(Collection<MachineId> machines) {
-        condemned.removeAll(machines);
+    /** The cloud has confirmed that these machines are returned. */
+    public void returned(Collection<MachineId> machines) {
+        returns.removeAll(machines);
     }
 
-    public boolean mayAsk(String name) {
+    /** Whether the rental of that name is recorded and open, so that it may be requested. */
+    public boolean maySend(String name) {
         return rents.containsKey(name) && recordedRents.contains(name);
     }
 
+    /** Whether the returns of all these machines are recorded and open, so that they may be requested. */
     public boolean mayReturn(Collection<MachineId> machines) {
-        return condemned.containsAll(machines) && recordedCondemned.containsAll(machines);
+        return returns.containsAll(machines) && recordedReturns.containsAll(machines);
     }
 
-    /** Something is to be recorded before it may be asked for. */
+    /** Whether something has to be recorded before it may be requested. */
     public boolean isUnrecorded() {
-        return !recordedRents.containsAll(rents.keySet()) || !recordedCondemned.containsAll(condemned);
+        return !recordedRents.containsAll(rents.keySet()) || !recordedReturns.containsAll(returns);
     }
 
-    /** The record holds what is settled: to be cleaned up when there is nothing else to write. */
+    /** Whether the record contains what is completed: to be removed when there is nothing else to write. */
     public boolean isOutdated() {
-        return recordedRents.size() > rents.size() || recordedCondemned.size() > condemned.size();
+        return recordedRents.size() > rents.size() || recordedReturns.size() > returns.size();
     }
 
+    /** What the record should contain now. */
     public Page page() {
-        return new Page(List.copyOf(rents.values()), List.copyOf(condemned));
+        return new Page(List.copyOf(rents.values()), List.copyOf(returns));
     }
 
-    /** The record surely is this page. */
+    /** The record surely has this content. */
     public void recorded(Page page) {
         recordedRents.clear();
-        page.rents.forEach(r -> recordedRents.add(r.name));
-        recordedCondemned.clear();
-        recordedCondemned.addAll(page.returns);
+        page.rents.forEach(rent -> recordedRents.add(rent.name));
+        recordedReturns.clear();
+        recordedReturns.addAll(page.returns);
     }
 }
--- a/src/main/java/io/indigoreach/core/leadership/CancellationHorizon.java
+++ b/src/main/java/io/indigoreach/core/leadership/CancellationHorizon.java
@@ -7,38 +7,38 @@
 import java.util.Map;
 
 /**
- * Up to when a leader has heard of every cancellation that a user was told of, and has acted on it: by reading the records, by
- * its watch, or, while the state service does not answer it, by every node's word. Workers are answered for {@link
- * SafetyTimes#maxCancellationAge} after that moment and no longer. Before the records are read there is no such moment: a cancellation that an
- * earlier leader did not hear of, told any time ago, would let its tasks live on by this leader's answers.
+ * The time up to which a leader knows every cancellation that was confirmed to a user, and has acted on it: by reading the records, by
+ * its watch, or, while the state service does not answer it, by the answers of all nodes. Heartbeats are answered for {@link
+ * SafetyTimes#maxCancellationAge} after that time and no longer. Before the records are read there is no such time: a cancellation that an
+ * earlier leader missed, confirmed at any time, would let its tasks run on under this leader's answers.
  */
 public final class CancellationHorizon {
     private Moment advanceTo = Moment.NEVER;
-    /** Jobs whose records are gone, from when on they may have been cancelled, until it is known why and acted on. */
-    private final Map<JobId, Moment> unsettled = new HashMap<>();
+    /** Jobs whose records are gone, with the time since when they may have been cancelled, until the reason is known and acted on. */
+    private final Map<JobId, Moment> unresolved = new HashMap<>();
 
-    /** Everything that happened before {@code moment} has been heard. */
+    /** Everything that happened before {@code moment} is known. */
     public void advanceTo(Moment moment) {
         advanceTo = moment.isAfter(advanceTo) ? moment : advanceTo;
     }
 
     /**
-     * An open job's record is gone, as was just heard: probably it is cancelled. Heard is not acted on, and why it is gone may not
-     * be readable for as long as an outage lasts.
+     * An open job's record is gone: probably the job is cancelled. This has not been acted on yet, and the reason may not be readable for
+     * as long as an outage lasts.
      */
     public void recordGone(JobId job) {
-        unsettled.putIfAbsent(job, advanceTo);
+        unresolved.putIfAbsent(job, advanceTo);
     }
 
-    /** What became of that job is known, and nothing of it runs on by this leader's orders. */
-    public void settled(JobId job) {
-        unsettled.remove(job);
+    /** What became of that job is known, and none of its tasks runs on under this leader's commands. */
+    public void resolved(JobId job) {
+        unresolved.remove(job);
     }
 
     /**
-     * Every node was asked at {@code sent} and has answered by {@code now}; what it told users of in the {@code covered} time
-     * before its answer is known here. If that goes back beyond what was heard last, nothing told before the question is missing;
-     * one told after it has its whole time from then.
+     * Every node was asked at {@code sent} and has answered by {@code now}; the cancellations that it confirmed to users in the {@code
+     * covered} time before its answer are known here. If that reaches back beyond the present horizon, none confirmed before {@code sent} is
+     * missing; one confirmed later has its whole time from then.
      */
     public void peersAnswered(Span covered, Moment sent, Moment now) {
         if (covered.compareTo(now.since(advanceTo).withDrift()) > 0) {
@@ -46,19 +46,19 @@
         }
     }
 
-    /** Every cancellation that a user was told of before this moment is heard and acted on. */
+    /** Every cancellation that was confirmed to a user before this moment is known and acted on. */
     public Moment completeUntil() {
         Moment until = advanceTo;
-        for (Moment since : unsettled.values()) {
+        for (Moment since : unresolved.values()) {
             until = since.isBefore(until) ? since : until;
         }
         return until;
     }
 
-    /** How far back other nodes must tell of cancellations to be of use, {@code way} being what question and answer may take. */
-    public Span lookBack(Moment now, Span way) {
+    /** How far back the answers of the other nodes must reach to be of use, if they take up to {@code roundTrip}. */
+    public Span lookBack(Moment now, Span roundTrip) {
         return advanceTo.equals(Moment.NEVER)
                 ? Span.ZERO
-                : now.since(advanceTo).plus(way).withDrift();
+                : now.since(advanceTo).plus(roundTrip).withDrift();
     }
 }
--- a/src/main/java/io/indigoreach/core/leadership/CancellationSummary.java
+++ b/src/main/java/io/indigoreach/core/leadership/CancellationSummary.java
@@ -6,19 +6,20 @@
 import java.util.Set;
 
 /**
- * What a node says of the cancellations that it has told users of.
+ * A node's report on the cancellations that it has confirmed to users.
  *
- * @param cancelled jobs that are cancelled, whatever else is true
- * @param covered for so long before the answer, none was told that is not among them; a node that has just started, or has
+ * @param cancelled jobs that are surely cancelled
+ * @param covered the time before the answer in which no others were confirmed; a node that has just started, or has
  *     forgotten earlier ones, covers less than it is asked for
  */
 public record CancellationSummary(Set<JobId> cancelled, Span covered) {
-    /** Of a node that does not answer, or says what cannot be read: never "nothing cancelled". */
+    /** Of a node that does not answer, or not legibly: it covers no time, so it never means "nothing cancelled". */
     public static final CancellationSummary NONE = new CancellationSummary(Set.of(), Span.ZERO);
 
+    /** The report of all nodes together: it covers the shorter time. */
     public CancellationSummary and(CancellationSummary other) {
-        Set<JobId> both = new HashSet<>(cancelled);
-        both.addAll(other.cancelled);
-        return new CancellationSummary(both, covered.compareTo(other.covered) < 0 ? covered : other.covered);
+        Set<JobId> all = new HashSet<>(cancelled);
+        all.addAll(other.cancelled);
+        return new CancellationSummary(all, covered.compareTo(other.covered) < 0 ? covered : other.covered);
     }
 }
--- a/src/main/java/io/indigoreach/core/leadership/ConfirmedCancellations.java
+++ b/src/main/java/io/indigoreach/core/leadership/ConfirmedCancellations.java
@@ -8,46 +8,46 @@
 import java.util.Set;
 
 /**
- * The cancellations that a node has told users of, the newest ones, for a leader that cannot hear of them from the state service.
- * A process knows nothing of what its predecessor told, so it answers for no time before it began.
+ * The latest cancellations that this node has confirmed to users, for a leader that the state service does not answer. A process does not know
+ * what its predecessor confirmed, so its reports cover no time before it began.
  */
 public final class ConfirmedCancellations {
-    /** What fits into one answer; more are told within an outage's first seconds by no state service that we know of. */
+    /** As many as fit into one answer; no known state service confirms more within the first seconds of an outage. */
     public static final int MAX_REMEMBERED = 1000;
 
     private record ConfirmedCancellation(JobId job, Moment at) {}
 
     private final ArrayDeque<ConfirmedCancellation> confirmed = new ArrayDeque<>();
-    /** All told after this moment are kept. */
-    private Moment since;
+    /** All that were confirmed after this moment are kept. */
+    private Moment coveredSince;
 
     public ConfirmedCancellations(Moment began) {
-        since = began;
+        coveredSince = began;
     }
 
-    /** This node has learnt that the job is cancelled, and tells or will tell so. */
+    /** This node knows that the job is cancelled, and reports it to users from now on. */
     public void add(JobId job, Moment now) {
         confirmed.addLast(new ConfirmedCancellation(job, now));
         if (confirmed.size() > MAX_REMEMBERED) {
-            since = confirmed.removeFirst().at;
+            coveredSince = confirmed.removeFirst().at;
         }
     }
 
-    /** What was told in the last {@code asked}, or as far back as is known. */
+    /** The cancellations confirmed in the last {@code asked}, or as far back as is known. */
     public CancellationSummary summary(Span asked, Moment now) {
-        Span known = now.since(since);
+        Span known = now.since(coveredSince);
         Span covered = asked.compareTo(known) < 0 ? asked : known;
         Set<JobId> jobs = new HashSet<>();
-        for (ConfirmedCancellation t : confirmed) {
-            if (now.since(t.at).compareTo(covered) <= 0) {
-                jobs.add(t.job);
+        for (ConfirmedCancellation cancellation : confirmed) {
+            if (now.since(cancellation.at).compareTo(covered) <= 0) {
+                jobs.add(cancellation.job);
             }
         }
         return new CancellationSummary(jobs, covered);
     }
 
-    /** For how long none was told. */
+    /** The time since the last confirmation. */
     public Span timeSinceLast(Moment now) {
-        return now.since(confirmed.isEmpty() ? since : confirmed.getLast().at);
+        return now.since(confirmed.isEmpty() ? coveredSince : confirmed.getLast().at);
     }
 }
--- a/src/main/java/io/indigoreach/core/leadership/IsolationCheck.java
+++ b/src/main/java/io/indigoreach/core/leadership/IsolationCheck.java
@@ -3,37 +3,41 @@
 import io.indigoreach.core.model.Moment;
 import io.indigoreach.core.model.Span;
 import java.util.List;
+import java.util.Objects;
 
 /**
- * What a node is to think of itself that the state service surely does not answer, by what the other nodes say. If one of them
- * is served, this node alone is refused. If any answers and none is served, it is an outage, in which all stay ready. If none
- * answers, this node is cut off, or an outage meets a cut between all nodes. It cannot tell which, and nobody can be
- * served by it in either, so it is not ready. A deployment of one node has nobody to ask: to it everything is an outage.
+ * Why the state service does not answer this node, judged by what the other nodes report. If one of them is served, this node alone is refused. If
+ * any answers and none is served, it is an outage, in which all stay ready. If none answers, this node is cut off, or an outage coincides with a
+ * partition between all nodes: it cannot tell which, and nobody can be served by it in either case, so it is not ready. In a deployment of one
+ * node, with nobody to ask, everything counts as an outage.
  *
- * <p>A removal costs users at least 3 s after the node is healthy again, and twice as much each time within two minutes. So a
- * second verdict of being cut off needs a long silence: a node that is in and out of touch is removed once, and later only for
- * cuts that are longer than the pause that they bring.
+ * <p>A removal by the load balancer costs users at least 3 s after the node is healthy again, and twice as much each time within two minutes. So a
+ * second verdict of being cut off needs a longer silence: a node with an unstable connection is removed once, and later only for
+ * partitions that are longer than the pause that they cause.
  */
 public final class IsolationCheck {
-    /** What the node is. */
+    /** The state of this node. */
     public enum Verdict {
+        /** Served, or unserved together with all other nodes. */
         TOGETHER,
+        /** The state service serves others but not this node. */
         REFUSED_ALONE,
+        /** Neither the state service nor another node answers. */
         CUT_OFF
     }
 
-    /** Silence of all others before a node calls itself cut off: more than one question of theirs lost. */
-    static final Span SILENT = Span.seconds(4);
-    /** The same for a node that was cut off within {@link #REMEMBERED}. */
-    static final Span SILENT_AGAIN = Span.seconds(15);
-    /** For how long the balancer remembers that it has removed a node. */
-    static final Span REMEMBERED = Span.seconds(120);
+    /** Silence of all others before a node counts as cut off: longer than the loss of one request. */
+    static final Span CUT_OFF_AFTER = Span.seconds(4);
+    /** The same for a node that was cut off within {@link #REMOVAL_REMEMBERED}. */
+    static final Span CUT_OFF_AGAIN_AFTER = Span.seconds(15);
+    /** For how long the load balancer remembers that it has removed a node. */
+    static final Span REMOVAL_REMEMBERED = Span.seconds(120);
 
     private Verdict verdict = Verdict.TOGETHER;
     private Moment silentSince = Moment.NEVER;
     private Moment lastCutOff = Moment.NEVER;
 
-    /** Whether users are better off with another node. */
+    /** Whether users are better served by another node. */
     public boolean isOutOfService() {
         return verdict != Verdict.TOGETHER;
     }
@@ -43,7 +47,7 @@
     }
 
     /** The state service answers; true if this ends a verdict. */
-    public boolean served() {
+    public boolean onServed() {
         boolean ends = isOutOfService();
         verdict = Verdict.TOGETHER;
         silentSince = Moment.NEVER;
@@ -55,8 +59,8 @@
      *
      * @param others for each other node whether it is served, null if it does not answer
      */
-    public Verdict unserved(List<Boolean> others, Moment now) {
-        boolean silent = !others.isEmpty() && others.stream().allMatch(o -> o == null);
+    public Verdict onUnserved(List<Boolean> others, Moment now) {
+        boolean silent = !others.isEmpty() && others.stream().allMatch(Objects::isNull);
         if (!silent) {
             silentSince = Moment.NEVER;
             verdict = others.contains(true) ? Verdict.REFUSED_ALONE : Verdict.TOGETHER;
@@ -66,8 +70,8 @@
             silentSince = now;
         }
         boolean again =
-                !lastCutOff.equals(Moment.NEVER) && now.since(lastCutOff).compareTo(REMEMBERED) < 0;
-        Span enough = again && verdict != Verdict.CUT_OFF ? SILENT_AGAIN : SILENT;
+                !lastCutOff.equals(Moment.NEVER) && now.since(lastCutOff).compareTo(REMOVAL_REMEMBERED) < 0;
+        Span enough = again && verdict != Verdict.CUT_OFF ? CUT_OFF_AGAIN_AFTER : CUT_OFF_AFTER;
         if (now.since(silentSince).compareTo(enough) >= 0) {
             verdict = Verdict.CUT_OFF;
             lastCutOff = now;
--- a/src/main/java/io/indigoreach/core/leadership/TokenGenerator.java
+++ b/src/main/java/io/indigoreach/core/leadership/TokenGenerator.java
@@ -4,45 +4,45 @@
 import io.indigoreach.core.model.Span;
 
 /**
- * Numbers for leaderships of which none is used twice, whatever the state service answers: its counter may be gone or
- * come from an older copy. A hybrid logical clock (Kulkarni and others, "Logical Physical Clocks", 2014): the next number
- * is above the counter, above every number that this process has seen, and not below the time of day in seconds; its
- * lowest bits tell the node, so that two nodes cannot choose the same one.
+ * Generates fencing tokens of which none is used twice, whatever the state service answers: its counter may be gone or
+ * come from an older copy. A hybrid logical clock (Kulkarni and others, "Logical Physical Clocks", 2014): the next token
+ * is above the counter, above every token that this process has seen, and not below the time of day in seconds; its
+ * lowest bits identify the node, so that two nodes cannot choose the same one.
  *
- * <p>By the time alone a node could choose what its own process before this one did, in the same second: so the second in
- * which this one began, by the worst clock, is left out. Numbers run ahead of the time only where leaderships change, or tries
- * stay without an answer, more than once a second on average; a try that was refused gives its number back.
+ * <p>By the time alone a node could choose the token of its own previous process in the same second: so the second in
+ * which this process began, by the worst clock, is left out. Tokens run ahead of the time only where leaderships change, or campaigns
+ * stay unanswered, more than once a second on average; a campaign that was rejected gives its token back.
  */
 public final class TokenGenerator {
-    /** 2020 began, in seconds since 1970. With 28 bits for attempts and those for nodes 30 are left: until 2054. */
-    private static final long BEGINNING_S = 1_577_836_800L;
+    /** Start of 2020 in seconds since 1970. Beside 28 bits for attempts and those for nodes, 30 bits are left: until 2054. */
+    private static final long EPOCH_S = 1_577_836_800L;
 
     private static final int NODE_BITS = 5;
 
     private final long node;
-    private final long firstS;
-    /** The highest that was in use, and the highest that was tried here and may be in use or not. */
+    private final long earliestS;
+    /** The highest token known to have been in use. */
     private long highest;
-
-    private long tried;
-    /** {@link #tried} before the last try. */
-    private long triedBefore;
+    /** The highest token that this process has campaigned with; it may be in use or not. */
+    private long lastTried;
+    /** {@link #lastTried} before the last campaign. */
+    private long previouslyTried;
 
     /**
-     * @param node this node's place among all of them, in the order of their names
+     * @param node this node's index among all nodes, in the order of their names
      * @param startedMs when this process began, in milliseconds since 1970
      * @param clockOff how far any clock may be from true time
      */
     public TokenGenerator(int node, long startedMs, Span clockOff) {
         this.node = node & ((1 << NODE_BITS) - 1);
-        this.firstS = seconds(startedMs + 2 * clockOff.ms()) + 1;
+        this.earliestS = seconds(startedMs + 2 * clockOff.ms()) + 1;
     }
 
     private static long seconds(long timeOfDayMs) {
-        return Math.max(0, timeOfDayMs / 1000 - BEGINNING_S);
+        return Math.max(0, timeOfDayMs / 1000 - EPOCH_S);
     }
 
-    /** A token that was in use, from whatever source: what follows is above it. */
+    /** A token that was in use, from whatever source: later ones are above it. */
     public void seen(FencingToken token) {
         highest = Math.max(highest, token.value());
     }
@@ -53,8 +53,8 @@
     }
 
     /** The state service's counter is below what it was, or gone. */
-    public boolean isBehind(FencingToken counted) {
-        return counted.value() < highest;
+    public boolean isBehind(FencingToken counter) {
+        return counter.value() < highest;
     }
 
     /** Whether this process knows of a leadership after that one. */
@@ -63,21 +63,21 @@
     }
 
     /** The next leadership's token; {@code timeOfDayMs} in milliseconds since 1970. */
-    public FencingToken next(FencingToken counted, long timeOfDayMs) {
-        long above = (Math.max(counted.value(), Math.max(highest, tried)) >> NODE_BITS) + 1;
-        long units = Math.max(above, Math.max(seconds(timeOfDayMs), firstS));
-        triedBefore = tried;
-        tried = units << NODE_BITS | node;
-        return new FencingToken(tried);
+    public FencingToken next(FencingToken counter, long timeOfDayMs) {
+        long nextUnit = (Math.max(counter.value(), Math.max(highest, lastTried)) >> NODE_BITS) + 1;
+        long units = Math.max(nextUnit, Math.max(seconds(timeOfDayMs), earliestS));
+        previouslyTried = lastTried;
+        lastTried = units << NODE_BITS | node;
+        return new FencingToken(lastTried);
     }
 
     /**
-     * The last try surely was not and will not be executed, so its number is free. Guards against numbers that run minutes ahead of
-     * the time where a service refuses two tries a second: the next process of this node could choose one of them again.
+     * The last campaign surely was not and will not be executed, so its token is free. Guards against tokens that run minutes ahead of
+     * the time where a service rejects two campaigns a second: the next process of this node could choose one of them again.
      */
     public void unused(FencingToken token) {
-        if (tried == token.value()) {
-            tried = triedBefore;
+        if (lastTried == token.value()) {
+            lastTried = previouslyTried;
         }
     }
 }
--- a/src/main/java/io/indigoreach/core/loss/LossDetector.java
+++ b/src/main/java/io/indigoreach/core/loss/LossDetector.java
@@ -5,17 +5,16 @@
 import java.util.List;
 
 /**
- * Whether the state service has lost what it had acknowledged, judged by evidence. A single read proves nothing, as it may
- * come from the past ({@code state.Freshness}), nor does an outage, a lagging list or a watch that lost its place; what a
- * transaction has compared does. The era is a record that only a leader writes, under its token, when it begins a new
- * deployment or has rebuilt a lost one: while it is the one that this process knows, nothing older can have come back in
- * whole; when it is gone or older, everything may be gone.
+ * Detects that the state service has lost data that it had acknowledged. A single read proves nothing, as it may be stale ({@code
+ * state.StaleReadDetector}); nor does an outage, a lagging listing or a watch that lost its place. What a transaction has compared is evidence.
+ * The era is a record that only a leader writes, under its token, when it begins a new deployment or has rebuilt a lost one: while it is the one
+ * that this process knows, no older copy can have replaced the data as a whole; when it is absent or older, everything may be lost.
  *
- * <p>While a loss is not mended nobody is told that a job does not exist, and nothing is accepted that may have been there
- * before. A later era mends it.
+ * <p>Until a loss is rebuilt no user is told that a job does not exist, and nothing is accepted that may have been there before. A later era ends
+ * the loss.
  */
 public final class LossDetector {
-    /** What showed that data were lost, in words for a person. */
+    /** Evidence of a loss, in words for the operators. */
     public record Finding(String what, long wanted, long found) {
         @Override
         public String toString() {
@@ -23,7 +22,7 @@
         }
     }
 
-    private static final int KEPT = 20;
+    private static final int MAX_FINDINGS = 20;
 
     private final List<Finding> findings = new ArrayList<>();
     private long era;
@@ -34,11 +33,12 @@
         return era;
     }
 
+    /** Whether data were lost and have not been rebuilt yet. */
     public boolean isHolding() {
         return holding;
     }
 
-    /** What was found, the latest last. */
+    /** The evidence, the latest last. */
     public List<Finding> findings() {
         return List.copyOf(findings);
     }
@@ -55,28 +55,28 @@
         return confirmed < era && found(new Finding("era", era, confirmed));
     }
 
-    /** A transaction was given a revision, after an answer that told {@code known}: revisions only grow. */
+    /** A transaction was given a revision, after an answer with revision {@code known}: revisions only grow. */
     public boolean revision(long known, long given) {
         return given < known && found(new Finding("revision", known, given));
     }
 
-    /** The counter of tokens as a leadership is taken, beside the highest token that this process has seen in use. */
+    /** The token counter as leadership is gained, and the highest token that this process has seen in use. */
     public boolean counter(FencingToken seen, FencingToken counted) {
         return counted.value() < seen.value() && found(new Finding("counter of tokens", seen.value(), counted.value()));
     }
 
-    /** A record that nobody has removed is gone, as a transaction has confirmed. */
-    public boolean gone(String key) {
+    /** A transaction has confirmed that a record is absent that nobody has removed. */
+    public boolean recordGone(String key) {
         return found(new Finding("record " + key, 1, 0));
     }
 
-    /** Another controller has found a loss in the era that this process knows too; later ones are mended already. */
-    public boolean told(long otherEra) {
+    /** Another controller has found a loss in an era; one before the era that this process knows has been rebuilt already. */
+    public boolean reportedByPeer(long otherEra) {
         return otherEra >= era && era > 0 && found(new Finding("another controller's word on era", era, otherEra));
     }
 
     private boolean found(Finding finding) {
-        if (findings.size() >= KEPT) {
+        if (findings.size() >= MAX_FINDINGS) {
             findings.remove(0);
         }
         findings.add(finding);
--- a/src/main/java/io/indigoreach/core/loss/RecordRepair.java
+++ b/src/main/java/io/indigoreach/core/loss/RecordRepair.java
@@ -7,61 +7,65 @@
 import java.util.BitSet;
 
 /**
- * What is to be written in place of a job's record that cannot be read: from what is left of it, what controllers remember and
- * what its user submits again. A job that may be over is not opened again against any evidence: an end that anybody remembers
- * comes first, then what the record still says of itself. A job that is opened again may have been ordered in whole, and
- * tasks that are done may be run again: their results are kept, so each exits at once.
+ * Decides what to write in place of a job's record that cannot be read: from the fields that are still readable, what controllers remember and
+ * what its user submits again. A job that may have finished is not opened again against any evidence: a remembered end
+ * comes first, then what the record still shows. Of a job that is opened again all tasks may have been started, and
+ * tasks that were completed may run again: their results are kept, so each exits at once.
  */
 public final class RecordRepair {
-    /** What can still be read of a record; null where it cannot. */
-    public record Rest(JobStatus status, Long done, Long submittedMs) {}
+    /** The fields of a record that can still be read; null where it cannot. */
+    public record ReadableFields(JobStatus status, Long done, Long submittedMs) {}
 
     private RecordRepair() {}
 
     /**
-     * For the record of an open job, which is not among the jobs that are over. An end is written into it only in a flood of ends,
-     * for the seconds until it is moved, and then its count says that all tasks are done; so where neither status nor count can
+     * For the record of an open job that has no final record. An end is written into it only while many jobs end at once,
+     * for the seconds until it is moved, and then its count shows that all tasks are done; so where neither status nor count can
      * be read the job is open.
      *
-     * @param offered the description that its user submits again; null if it was only asked about
-     * @return what is known of the job; empty if nobody knows what it is
+     * @param offered the specification that its user submits again; null for a query
+     * @return what is known of the job; empty if nobody remembers its specification
      */
-    public static RememberedState open(JobId id, Rest rest, RememberedState remembered, JobSpec offered, long nowMs) {
-        RememberedState out = new RememberedState();
-        RememberedState.FinishedJob end = remembered.over().get(id);
+    public static RememberedState open(
+            JobId id, ReadableFields readable, RememberedState remembered, JobSpec offered, long nowMs) {
+        RememberedState repaired = new RememberedState();
+        RememberedState.FinishedJob end = remembered.finished().get(id);
         RememberedState.OpenJob job = job(id, remembered, offered, nowMs);
         if (end != null) {
-            out.add(id, end);
-        } else if (rest.status == JobStatus.DONE || (rest.status == null && allDone(rest, job))) {
-            out.add(
+            repaired.add(id, end);
+        } else if (readable.status == JobStatus.DONE || (readable.status == null && allDone(readable, job))) {
+            repaired.add(
                     id,
                     new RememberedState.FinishedJob(
-                            JobStatus.DONE, job != null ? job.spec().tasks() : count(rest)));
+                            JobStatus.DONE, job != null ? job.spec().tasks() : count(readable)));
         } else if (job != null) {
-            long since = rest.submittedMs == null ? job.submittedMs() : Math.min(rest.submittedMs, job.submittedMs());
-            out.add(new RememberedState.OpenJob(
+            long since = readable.submittedMs == null
+                    ? job.submittedMs()
+                    : Math.min(readable.submittedMs, job.submittedMs());
+            repaired.add(new RememberedState.OpenJob(
                     job.spec(), since, job.done(), job.spec().tasks()));
         }
-        return out;
+        return repaired;
     }
 
     /**
-     * For the record of a job that is over, which is done if all its tasks are and else cancelled. Null if nobody knows which:
-     * either word could be against what its user was told.
+     * For the final record of a job, which is done if all its tasks are and cancelled otherwise. Null if that is not known:
+     * either status could contradict what its user was told.
      */
-    public static RememberedState.FinishedJob end(JobId id, Rest rest, RememberedState remembered, JobSpec offered) {
-        RememberedState.FinishedJob end = remembered.over().get(id);
+    public static RememberedState.FinishedJob end(
+            JobId id, ReadableFields readable, RememberedState remembered, JobSpec offered) {
+        RememberedState.FinishedJob end = remembered.finished().get(id);
         if (end != null) {
             return end;
         }
-        if (rest.status == JobStatus.DONE || rest.status == JobStatus.CANCELLED) {
-            return new RememberedState.FinishedJob(rest.status, count(rest));
+        if (readable.status == JobStatus.DONE || readable.status == JobStatus.CANCELLED) {
+            return new RememberedState.FinishedJob(readable.status, count(readable));
         }
         RememberedState.OpenJob job = job(id, remembered, offered, 0);
-        return rest.done == null || job == null
+        return readable.done == null || job == null
                 ? null
                 : new RememberedState.FinishedJob(
-                        allDone(rest, job) ? JobStatus.DONE : JobStatus.CANCELLED, count(rest));
+                        allDone(readable, job) ? JobStatus.DONE : JobStatus.CANCELLED, count(readable));
     }
 
     private static RememberedState.OpenJob job(JobId id, RememberedState remembered, JobSpec offered, long nowMs) {
@@ -74,14 +78,14 @@
                                 : new RememberedState.OpenJob(offered, nowMs, new BitSet(), offered.tasks()));
     }
 
-    private static boolean allDone(Rest rest, RememberedState.OpenJob job) {
-        return rest.done != null
+    private static boolean allDone(ReadableFields readable, RememberedState.OpenJob job) {
+        return readable.done != null
                 && job != null
                 && job.spec().shape() == JobKind.ARRAY
-                && rest.done == job.spec().tasks();
+                && readable.done == job.spec().tasks();
     }
 
-    private static int count(Rest rest) {
-        return rest.done == null ? 0 : rest.done.intValue();
+    private static int count(ReadableFields readable) {
+        return readable.done == null ? 0 : readable.done.intValue();
     }
 }
--- a/src/main/java/io/indigoreach/core/loss/RememberedState.java
+++ b/src/main/java/io/indigoreach/core/loss/RememberedState.java
@@ -13,48 +13,49 @@
 import java.util.Map;
 
 /**
- * What controllers remember of records that the state service has lost. Put together in any order: what is over wins over
- * what is open, as no user who was told so may be told otherwise; a task is done if any copy says so; of two start bounds
- * the larger holds, as more may have been ordered under it.
+ * What controllers remember of records that the state service has lost. It can be merged in any order: a finished job takes precedence over
+ * an open one, as no user who was told of the end may be told otherwise; a task is completed if any copy shows it; of two start bounds
+ * the larger one is kept, as more tasks may have been started under it.
  */
 public final class RememberedState {
-    /** An open job: {@code bound} as in {@link io.indigoreach.core.Job}. */
+    /** An open job: {@code bound} is its start bound ({@link io.indigoreach.core.scheduling.StartBounds}). */
     public record OpenJob(JobSpec spec, long submittedMs, BitSet done, int bound) {
-        OpenJob with(OpenJob other) {
-            BitSet both = (BitSet) done.clone();
-            both.or(other.done);
+        OpenJob mergedWith(OpenJob other) {
+            BitSet completed = (BitSet) done.clone();
+            completed.or(other.done);
             JobSpec released = other.spec.chain().isReleased() ? other.spec : spec;
-            return new OpenJob(released, Math.min(submittedMs, other.submittedMs), both, Math.max(bound, other.bound));
+            return new OpenJob(
+                    released, Math.min(submittedMs, other.submittedMs), completed, Math.max(bound, other.bound));
         }
 
-        /** Whether this copy says nothing that {@code other} does not. */
+        /** Whether this copy adds nothing to {@code other}. */
         public boolean isCoveredBy(OpenJob other) {
-            BitSet more = (BitSet) done.clone();
-            more.andNot(other.done);
-            return more.isEmpty() && bound <= other.bound;
+            BitSet additional = (BitSet) done.clone();
+            additional.andNot(other.done);
+            return additional.isEmpty() && bound <= other.bound;
         }
     }
 
-    /** A job that is over. */
+    /** The end of a job: its final status, and how many tasks were done. */
     public record FinishedJob(JobStatus status, int done) {}
 
-    /** A machine that may hold tasks. */
+    /** A rented machine, which may hold tasks. */
     public record RentedMachine(MachineId id, MachinePool pool, Moment rented, Moment existed) {}
 
     private final Map<JobId, OpenJob> open = new LinkedHashMap<>();
-    private final Map<JobId, FinishedJob> over = new LinkedHashMap<>();
+    private final Map<JobId, FinishedJob> finished = new LinkedHashMap<>();
     private final Map<MachineId, RentedMachine> machines = new LinkedHashMap<>();
     private final Map<String, VersionedRecord> records = new LinkedHashMap<>();
 
     public void add(OpenJob job) {
-        if (!over.containsKey(job.spec.id())) {
-            open.merge(job.spec.id(), job, OpenJob::with);
+        if (!finished.containsKey(job.spec.id())) {
+            open.merge(job.spec.id(), job, OpenJob::mergedWith);
         }
     }
 
-    /** The first word on a job that is over stays: both are final, and only one of them can have been told to a user. */
+    /** The first end of a job stays: both are final, and only one of them can have been reported to a user. */
     public void add(JobId id, FinishedJob end) {
-        over.putIfAbsent(id, end);
+        finished.putIfAbsent(id, end);
         open.remove(id);
     }
 
@@ -62,9 +63,9 @@
         machines.putIfAbsent(machine.id, machine);
     }
 
-    /** A record of a part beside the jobs: of two copies the newer one. */
+    /** Adds a record of an optional feature; of two copies the newer one is kept. */
     public void add(VersionedRecord record) {
-        records.merge(record.key(), record, (a, b) -> b.version() > a.version() ? b : a);
+        records.merge(record.key(), record, (first, second) -> second.version() > first.version() ? second : first);
     }
 
     public Collection<VersionedRecord> records() {
@@ -72,36 +73,36 @@
     }
 
     public void add(RememberedState other) {
-        other.over.forEach(this::add);
+        other.finished.forEach(this::add);
         other.open.values().forEach(this::add);
         other.machines.values().forEach(this::add);
         other.records.values().forEach(this::add);
     }
 
     public boolean isEmpty() {
-        return open.isEmpty() && over.isEmpty() && machines.isEmpty() && records.isEmpty();
+        return open.isEmpty() && finished.isEmpty() && machines.isEmpty() && records.isEmpty();
     }
 
     public Collection<OpenJob> open() {
         return open.values();
     }
 
-    public Map<JobId, FinishedJob> over() {
-        return over;
+    public Map<JobId, FinishedJob> finished() {
+        return finished;
     }
 
     public Collection<RentedMachine> machines() {
         return machines.values();
     }
 
-    /** The copy to be written where the state service still has {@code kept}; null if that says all there is to say. */
+    /** The copy to be written where the state service still has {@code kept}; null if {@code kept} is complete. */
     public static OpenJob merged(OpenJob remembered, OpenJob kept) {
-        return remembered.isCoveredBy(kept) ? null : kept.with(remembered);
+        return remembered.isCoveredBy(kept) ? null : kept.mergedWith(remembered);
     }
 
     @Override
     public String toString() {
-        return open.size() + " open jobs, " + over.size() + " that are over, " + machines.size() + " machines"
+        return open.size() + " open jobs, " + finished.size() + " that are over, " + machines.size() + " machines"
                 + (records.isEmpty() ? "" : ", " + records.size() + " other records");
     }
 }
--- a/src/main/java/io/indigoreach/core/query/ListingCursor.java
+++ b/src/main/java/io/indigoreach/core/query/ListingCursor.java
@@ -5,49 +5,51 @@
 import java.util.TreeMap;
 
 /**
- * The order in which a listing in pages comes to those who wait for keys of it. Each listing begins where the one before had got
- * to, and leaves out what nobody waits for: listed from the first key on, each time, the last keys were always told too late.
+ * Assigns the pages of a listing to the requests that wait for its keys. Each listing begins where the previous one ended, and skips
+ * what nobody waits for. Guards against starvation: where each listing began at the first key, the last keys were always answered too late.
  *
- * @param <W> who waits
+ * @param <W> a waiting request
  */
 public final class ListingCursor<W> {
-    private final TreeMap<String, W> left = new TreeMap<>();
-    private String place = "";
+    private final TreeMap<String, W> remaining = new TreeMap<>();
+    private String position = "";
 
-    /** Those who wait for the listing that begins now. */
+    /** Adds the requests that wait for the listing that begins now, by their keys. */
     public void begin(Map<String, W> waiting) {
-        left.putAll(waiting);
+        remaining.putAll(waiting);
     }
 
+    /** Whether all requests are answered. */
     public boolean isOver() {
-        return left.isEmpty();
+        return remaining.isEmpty();
     }
 
-    /** The first key of the next page: the next that somebody waits for, beginning again after the last. */
+    /** The first key of the next page: the next one with a waiting request, starting over after the last. */
     public String next() {
-        String key = left.ceilingKey(place);
-        return key != null ? key : left.firstKey();
+        String key = remaining.ceilingKey(position);
+        return key != null ? key : remaining.firstKey();
     }
 
-    /** Those who are answered by a page that began at {@code from}: up to its last key, or to the end if that is null. */
+    /** Removes the requests that a page beginning at {@code from} answers: up to its {@code last} key, or to the end if that is null. */
     public Map<String, W> answered(String from, String last) {
-        SortedMap<String, W> range = last == null ? left.tailMap(from, true) : left.subMap(from, true, last, true);
-        Map<String, W> out = new TreeMap<>(range);
+        SortedMap<String, W> range =
+                last == null ? remaining.tailMap(from, true) : remaining.subMap(from, true, last, true);
+        Map<String, W> answered = new TreeMap<>(range);
         range.clear();
-        // Of a key that is not asked for again, the next page begins after it in any case.
-        place = last == null ? "" : last;
-        return out;
+        // The next page begins after the last key in any case, as that key is not requested again.
+        position = last == null ? "" : last;
+        return answered;
     }
 
     /** The page that began at {@code from} has failed: the next listing begins elsewhere. */
     public void failed(String from) {
-        place = from + " ";
+        position = from + " ";
     }
 
-    /** Gives up those that are left: they are told so, and the next listing begins with their keys. */
+    /** Ends the listing and removes the requests that are left unanswered; the next listing begins with their keys. */
     public Map<String, W> end() {
-        Map<String, W> out = new TreeMap<>(left);
-        left.clear();
-        return out;
+        Map<String, W> unanswered = new TreeMap<>(remaining);
+        remaining.clear();
+        return unanswered;
     }
 }
--- a/src/main/java/io/indigoreach/state/JobRepairer.java
+++ b/src/main/java/io/indigoreach/state/JobRepairer.java
@@ -55,7 +55,7 @@
             StateClient.Txn txn = state.inThisEra()
                     .when(spoilt.key(), spoilt.stamp())
                     .when(RecordCodec.finalKey(id), Revision.ABSENT);
-            known.over()
+            known.finished()
                     .values()
                     .forEach(end -> txn.delete(spoilt.key())
                             .put(RecordCodec.finalKey(id), RecordCodec.writeFinal(end.status(), end.done())));
--- a/src/main/java/io/indigoreach/state/RecordCodec.java
+++ b/src/main/java/io/indigoreach/state/RecordCodec.java
@@ -253,8 +253,8 @@
     }
 
     /** What a record that cannot be read as a whole still says; null where it does not. */
-    public static RecordRepair.Rest readRest(Fields f) {
-        return new RecordRepair.Rest(
+    public static RecordRepair.ReadableFields readRest(Fields f) {
+        return new RecordRepair.ReadableFields(
                 orNull(() -> JobStatus.valueOf(f.text("status"))),
                 orNull(() -> f.whole("done")),
                 orNull(() -> f.whole("at")));
--- a/src/main/java/io/indigoreach/state/RememberedStateCodec.java
+++ b/src/main/java/io/indigoreach/state/RememberedStateCodec.java
@@ -22,7 +22,7 @@
     /** The {@code part}-th part, counted from 0. */
     public static Map<String, Object> write(RememberedState rememberedState, int part) {
         List<Object> over = new ArrayList<>();
-        rememberedState.over().entrySet().stream()
+        rememberedState.finished().entrySet().stream()
                 .skip((long) part * PART)
                 .limit(PART)
                 .forEach(e -> over.add(MessagePackFormat.map(
@@ -53,7 +53,10 @@
                 "open",
                 open,
                 "more",
-                Math.max(rememberedState.over().size(), rememberedState.open().size()) > (part + 1) * PART
+                Math.max(
+                                        rememberedState.finished().size(),
+                                        rememberedState.open().size())
+                                > (part + 1) * PART
                         || rememberedState.records().size() > (part + 1) * RECORDS);
         if (!records.isEmpty()) {
             map.put("records", records);
--- a/src/main/java/io/indigoreach/state/StateClient.java
+++ b/src/main/java/io/indigoreach/state/StateClient.java
@@ -171,12 +171,12 @@
 
     /** Another controller says that data of this era were lost. */
     public void toldOfLoss(long era) {
-        judge(losses.told(era));
+        judge(losses.reportedByPeer(era));
     }
 
     /** A record that only a loss can have removed is gone. */
     public void recordGone(String key) {
-        judge(losses.gone(key));
+        judge(losses.recordGone(key));
     }
 
     /** A leadership was taken with a counter below a token that had been in use. */
--- a/src/test/java/io/indigoreach/api/JobServiceLossTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceLossTest.java
@@ -147,7 +147,7 @@
         await(state.check());
         desk.askPeersBy(id -> Future.succeededFuture(id.text().equals("run-8")));
         assertEquals(List.of(503, 503), List.of(status(desk.query("run-8")), status(desk.query("run-9"))));
-        assertEquals(Map.of(), Map.copyOf(desk.rememberedState().over()));
+        assertEquals(Map.of(), Map.copyOf(desk.rememberedState().finished()));
         assertEquals(1, desk.rememberedState().open().size());
     }
 
--- a/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
@@ -825,8 +825,8 @@
             IntentLog book = t.intents(t.lead(1));
             book.intents().add(RENT);
             t.loseOne(RecordCodec.INTENTS);
-            assertFalse(record(book) || book.intents().mayAsk(RENT.name()), "it may be there or not");
-            t.until(() -> record(book) && book.intents().mayAsk(RENT.name()));
+            assertFalse(record(book) || book.intents().maySend(RENT.name()), "it may be there or not");
+            t.until(() -> record(book) && book.intents().maySend(RENT.name()));
             t.changesNothingMore();
         });
         CLOUD.put("an intent's first record, after all in it is settled", t -> {
@@ -834,8 +834,8 @@
             book.intents().add(RENT);
             t.loseOne(RecordCodec.INTENTS);
             assertFalse(record(book));
-            t.until(() -> record(book) && book.intents().mayAsk(RENT.name()));
-            book.intents().settled(RENT.name());
+            t.until(() -> record(book) && book.intents().maySend(RENT.name()));
+            book.intents().completed(RENT.name());
             t.until(() -> record(book) && t.intended().isEmpty());
             t.changesNothingMore();
             assertTrue(t.intended().isEmpty(), "the next leader would ask once more");
@@ -845,7 +845,7 @@
             book.intents().add(RENT);
             t.loseOne(RecordCodec.INTENTS);
             assertFalse(record(book));
-            book.intents().settled(RENT.name());
+            book.intents().completed(RENT.name());
             t.until(() -> record(book) && t.service.has("i/3") && t.intended().isEmpty());
             t.changesNothingMore();
             assertTrue(t.intended().isEmpty(), "the next leader would rent what nobody wants");
@@ -857,7 +857,7 @@
             assertFalse(record(book));
             t.lead(4);
             t.changesNothingMore();
-            assertFalse(book.intents().mayAsk(RENT.name()));
+            assertFalse(book.intents().maySend(RENT.name()));
         });
         CLOUD.put("an earlier leader's intents are removed, and again", t -> {
             IntentLog old = t.intents(t.lead(1));
--- a/src/test/java/io/indigoreach/cluster/PeerPromisesTest.java
+++ b/src/test/java/io/indigoreach/cluster/PeerPromisesTest.java
@@ -19,37 +19,39 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** What cannot be read is no pledge, and never "nothing was cancelled"; nodes of the version before keep their meaning. */
+/** A malformed response is no pledge, and never means "nothing was cancelled"; responses of the previous version keep their meaning. */
 class PeerPromisesTest {
     private static Fields wire(Map<String, Object> message) {
         return MessagePackFormat.readMap(MessagePackFormat.write(message));
     }
 
     @Test
-    void anAnswerIsReadAsItWasWritten() {
-        PeerPromises said = new PeerPromises(
+    void responseIsReadAsItWasWritten() {
+        PeerPromises written = new PeerPromises(
                 true, new CancellationSummary(Set.of(new JobId("run-1"), new JobId("run-22")), Span.seconds(7)));
-        assertEquals(said, PeerPromises.read(wire(said.write(Span.seconds(2)))));
+        assertEquals(written, PeerPromises.read(wire(written.write(Span.seconds(2)))));
         assertEquals(Span.seconds(7), PeerPromises.readRequest(wire(PeerPromises.writeRequest(Span.seconds(7)))));
     }
 
-    /** A leader of the version before reads these fields, and a node of that version writes no others. */
+    /** A leader of the previous version reads these fields, and a node of that version writes no others. */
     @Test
-    void theVersionBeforeKeepsItsBackstop() {
-        Fields toOlder =
+    void previousVersionReadsAndWritesTheTimeSinceTheLastCancellation() {
+        Fields toPreviousVersion =
                 wire(new PeerPromises(true, new CancellationSummary(Set.of(new JobId("run-1")), Span.seconds(7)))
                         .write(Span.seconds(2)));
-        assertEquals(List.of(true, 2000L), List.of(toOlder.flag("pledged", false), toOlder.whole("quiet_ms")));
+        assertEquals(
+                List.of(true, 2000L),
+                List.of(toPreviousVersion.flag("pledged", false), toPreviousVersion.whole("quiet_ms")));
         assertEquals(
                 new PeerPromises(true, new CancellationSummary(Set.of(), Span.seconds(2))),
                 PeerPromises.read(wire(Map.of("pledged", true, "quiet_ms", 2000L))));
         assertEquals(Span.ZERO, PeerPromises.readRequest(wire(Map.of())));
     }
 
-    static Stream<Map<String, Object>> spoilt() {
+    static Stream<Map<String, Object>> malformedResponses() {
         List<String> tooMany = new ArrayList<>();
-        for (int n = 0; n <= ConfirmedCancellations.MAX_REMEMBERED; n++) {
-            tooMany.add("run-" + n);
+        for (int number = 0; number <= ConfirmedCancellations.MAX_REMEMBERED; number++) {
+            tooMany.add("run-" + number);
         }
         return Stream.of(
                 Map.of("cancelled", List.of("no id")),
@@ -62,8 +64,8 @@
     }
 
     @ParameterizedTest
-    @MethodSource("spoilt")
-    void whatCannotBeReadIsRefused(Map<String, Object> answer) {
+    @MethodSource("malformedResponses")
+    void malformedResponseIsRejected(Map<String, Object> answer) {
         assertThrows(WireException.class, () -> PeerPromises.read(wire(answer)));
     }
 }
--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -1,5 +1,6 @@
 package io.indigoreach.cluster;
 
+import static io.indigoreach.cluster.TermFixture.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.config.Settings;
@@ -20,204 +21,163 @@
 import io.indigoreach.core.records.VersionedRecord;
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.RateLimiter;
-import io.indigoreach.net.ServiceClient;
-import io.indigoreach.net.SteadyClock;
 import io.indigoreach.parts.Parts;
 import io.indigoreach.state.RecordCodec;
 import io.indigoreach.state.RememberedStateCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
-import io.vertx.core.Future;
-import io.vertx.core.Vertx;
 import java.util.BitSet;
 import java.util.List;
-import java.util.concurrent.TimeUnit;
+import java.util.Map;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A try that ended half-way is followed by another of the same leadership, which names no page that is there. */
+/** What is missing in the state service is written from memory, what is there stays, and an attempt that ended can be repeated. */
 class StateRebuilderTest {
-    private static <T> T await(Future<T> future) throws Exception {
-        return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
+    private static final FencingToken TOKEN = new FencingToken(3);
+    private TermFixture fixture;
+    private StateStandIn state;
+
+    @BeforeEach
+    void start() throws Exception {
+        fixture = new TermFixture();
+        state = fixture.state;
+    }
+
+    @AfterEach
+    void stop() throws Exception {
+        fixture.close();
+    }
+
+    private void rebuild(
+            LeadershipTerm.Context context, Revision leadershipRevision, int writesPerS, RememberedState remembered)
+            throws Exception {
+        RateLimiter writeLimiter = new RateLimiter(writesPerS, fixture.clock.now());
+        await(new StateRebuilder(context, TOKEN, leadershipRevision, writeLimiter, remembered).run());
+    }
+
+    private int recordedMachines() {
+        return state.keys("m/").stream()
+                .mapToInt(key -> RecordCodec.readMachines(state.value(key)).size())
+                .sum();
     }
 
+    /** The second attempt of a leadership term names no page that is there. */
     @Test
-    void aSecondTryRecordsTheMachinesThatTheFirstDidNot() throws Exception {
-        Vertx vertx = Vertx.vertx();
-        try {
-            StateStandIn state = await(new StateStandIn().listen(vertx));
-            StateClient client = new StateClient(
-                    new ServiceClient(vertx, state.endpoint(), 2), new ServiceClient(vertx, state.endpoint(), 1));
-            SteadyClock clock = new SteadyClock();
-            LeadershipTerm.Context context = new LeadershipTerm.Context(
-                    vertx,
-                    clock,
-                    null,
-                    client,
-                    null,
-                    null,
-                    MachineStoreTest.config(),
-                    Settings.standard(),
-                    Span.seconds(10));
-            StateClient.Outcome taken =
-                    await(client.commit(new StateClient.Txn().put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))));
-            RememberedState rememberedState = new RememberedState();
-            for (int n = 1; n < 3; n++) {
-                Moment now = clock.now();
-                rememberedState.add(new RememberedState.RentedMachine(
-                        new MachineId("vm-" + n), new MachinePool("quad", "a", true), now, now));
-                await(new StateRebuilder(
-                                context, new FencingToken(3), taken.stamp(), new RateLimiter(100, now), rememberedState)
-                        .run());
-                assertEquals(
-                        n,
-                        state.keys("m/").stream()
-                                .mapToInt(key -> RecordCodec.readMachines(state.value(key))
-                                        .size())
-                                .sum());
-            }
-            assertEquals(List.of("m/3-r1", "m/3-r2"), state.keys("m/"));
-        } finally {
-            await(vertx.close());
+    void secondAttemptRecordsTheMachinesThatTheFirstDidNot() throws Exception {
+        LeadershipTerm.Context context = fixture.context();
+        Revision leadershipRevision = fixture.gainLeadership(1);
+        RememberedState remembered = new RememberedState();
+        for (int machines = 1; machines < 3; machines++) {
+            Moment now = fixture.clock.now();
+            remembered.add(new RememberedState.RentedMachine(
+                    new MachineId("vm-" + machines), new MachinePool("quad", "a", true), now, now));
+            rebuild(context, leadershipRevision, 100, remembered);
+            assertEquals(machines, recordedMachines());
         }
+        assertEquals(List.of("m/3-r1", "m/3-r2"), state.keys("m/"));
     }
 
-    /** Records of parts: what is absent or older than a copy is written, what is newer stays, a key of no family is let be. */
+    private static Map<String, Object> featureRecord(long number) {
+        return MessagePackFormat.map("n", number, VersionedRecord.VERSION, number);
+    }
+
+    /** As another node receives it. */
+    private static RememberedState sent(RememberedState remembered) {
+        RememberedState received = new RememberedState();
+        RememberedStateCodec.read(
+                MessagePackFormat.readMap(MessagePackFormat.write(RememberedStateCodec.write(remembered, 0))),
+                received);
+        return received;
+    }
+
+    /** What is absent or older than a copy is written, what is newer stays, a key of no family is left alone. */
     @Test
-    void recordsOfPartsAreWrittenByTheirVersions() throws Exception {
-        Vertx vertx = Vertx.vertx();
-        try {
-            StateStandIn state = await(new StateStandIn().listen(vertx));
-            StateClient client = new StateClient(
-                    new ServiceClient(vertx, state.endpoint(), 2), new ServiceClient(vertx, state.endpoint(), 1));
-            SteadyClock clock = new SteadyClock();
-            Parts parts = Parts.of(
-                    List.of(new Parts.Kind(
-                            Settings.Setting.CHECK_S,
-                            List.of(new RecordFamily("x/", 10, true, RecordFamily.Mending.NEWER)),
-                            ground -> null)),
-                    vertx,
-                    client,
-                    clock,
-                    null,
-                    MachineStoreTest.config(),
-                    Settings.standard());
-            LeadershipTerm.Context context = new LeadershipTerm.Context(
-                    vertx,
-                    clock,
-                    null,
-                    client,
-                    null,
-                    null,
-                    MachineStoreTest.config(),
-                    Settings.standard(),
-                    Span.seconds(10),
-                    parts);
-            StateClient.Outcome taken = await(client.commit(new StateClient.Txn()
-                    .put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))
-                    .put("x/older", MessagePackFormat.map("n", 1L, VersionedRecord.VERSION, 1L))
-                    .put("x/newer", MessagePackFormat.map("n", 9L, VersionedRecord.VERSION, 9L))));
-            RememberedState rememberedState = new RememberedState();
-            for (String key : List.of("x/gone", "x/older", "x/newer", "y/other")) {
-                rememberedState.add(new VersionedRecord(
-                        key, MessagePackFormat.map("n", 4L, VersionedRecord.VERSION, 4L), Revision.ABSENT));
-            }
-            RememberedState told = new RememberedState();
-            RememberedStateCodec.read(
-                    MessagePackFormat.readMap(MessagePackFormat.write(RememberedStateCodec.write(rememberedState, 0))),
-                    told);
-            await(new StateRebuilder(
-                            context, new FencingToken(3), taken.stamp(), new RateLimiter(100, clock.now()), told)
-                    .run());
-            assertEquals(List.of("x/gone", "x/newer", "x/older"), state.keys("x/"));
-            assertEquals(
-                    List.of(4L, 9L, 4L),
-                    state.keys("x/").stream()
-                            .map(k -> state.value(k).whole("n"))
-                            .toList());
-            assertEquals(List.of(), state.keys("y/"));
-        } finally {
-            await(vertx.close());
+    void featureRecordsAreWrittenByTheirVersions() throws Exception {
+        LeadershipTerm.Context context = fixture.context(List.of(new Parts.Kind(
+                Settings.Setting.CHECK_S,
+                List.of(new RecordFamily("x/", 10, true, RecordFamily.Mending.NEWER)),
+                ground -> null)));
+        Revision leadershipRevision = fixture.gainLeadership(
+                1, new StateClient.Txn().put("x/older", featureRecord(1)).put("x/newer", featureRecord(9)));
+        RememberedState remembered = new RememberedState();
+        for (String key : List.of("x/gone", "x/older", "x/newer", "y/other")) {
+            remembered.add(new VersionedRecord(key, featureRecord(4), Revision.ABSENT));
         }
+        rebuild(context, leadershipRevision, 100, sent(remembered));
+        assertEquals(List.of("x/gone", "x/newer", "x/older"), state.keys("x/"));
+        assertEquals(
+                List.of(4L, 9L, 4L),
+                state.keys("x/").stream()
+                        .map(key -> state.value(key).whole("n"))
+                        .toList());
+        assertEquals(List.of(), state.keys("y/"));
+    }
+
+    private static JobSpec spec(String id) {
+        return new JobSpec(
+                new JobId(id),
+                "c",
+                "t",
+                JobKind.ARRAY,
+                Urgency.STANDARD,
+                2,
+                new Demand(1, 0, 1),
+                "img",
+                0,
+                null,
+                null,
+                false,
+                false,
+                true,
+                Span.seconds(10),
+                Span.ZERO,
+                Span.ZERO,
+                null);
+    }
+
+    /** A leadership key beside more records than a transaction may usually have. */
+    private Revision gainLeadershipWithoutLimit(StateClient.Txn records) throws Exception {
+        int limit = state.txnOps;
+        state.txnOps = records.size() + 1;
+        Revision leadershipRevision = fixture.gainLeadership(1, records);
+        state.txnOps = limit;
+        return leadershipRevision;
     }
 
     /**
-     * A record that cannot be read had stopped every rebuilding: nobody led, and nothing was accepted. It is written anew like one
-     * that is gone; ends that are there cost no change, where thousands are remembered and one is missing.
+     * Guards against a record that cannot be read and stops every rebuild, so that nobody leads and nothing is accepted: it is
+     * written anew like one that is gone. Ends that are there cost no write, where thousands are remembered and one is missing.
      */
     @Test
-    void whatCannotBeReadIsRebuiltAndWhatIsThereCostsNothing() throws Exception {
-        Vertx vertx = Vertx.vertx();
-        try {
-            StateStandIn state = await(new StateStandIn().listen(vertx));
-            StateClient client = new StateClient(
-                    new ServiceClient(vertx, state.endpoint(), 2), new ServiceClient(vertx, state.endpoint(), 1));
-            SteadyClock clock = new SteadyClock();
-            LeadershipTerm.Context context = new LeadershipTerm.Context(
-                    vertx,
-                    clock,
-                    null,
-                    client,
-                    null,
-                    null,
-                    MachineStoreTest.config(),
-                    Settings.standard(),
-                    Span.seconds(10));
-            StateClient.Txn before = new StateClient.Txn()
-                    .put(RecordCodec.LEADER, MessagePackFormat.map("t", 1L))
-                    .put("j/run-1", MessagePackFormat.map("at", "x"))
-                    .put("j/run-2", MessagePackFormat.map())
-                    .put("p/run-3/0", MessagePackFormat.map("bits", 7L));
-            RememberedState rememberedState = new RememberedState();
-            for (int n = 10; n < 500; n++) {
-                JobId id = new JobId("run-" + n);
-                before.put(RecordCodec.finalKey(id), RecordCodec.writeFinal(JobStatus.DONE, 1));
-                rememberedState.add(id, new RememberedState.FinishedJob(JobStatus.DONE, 1));
-            }
-            int limit = state.txnOps;
-            state.txnOps = before.size();
-            StateClient.Outcome taken = await(client.commit(before));
-            state.txnOps = limit;
-            JobSpec spec = new JobSpec(
-                    new JobId("run-1"),
-                    "c",
-                    "t",
-                    JobKind.ARRAY,
-                    Urgency.STANDARD,
-                    2,
-                    new Demand(1, 0, 1),
-                    "img",
-                    0,
-                    null,
-                    null,
-                    false,
-                    false,
-                    true,
-                    Span.seconds(10),
-                    Span.ZERO,
-                    Span.ZERO,
-                    null);
-            rememberedState.add(new RememberedState.OpenJob(spec, 1, new BitSet(), 2));
-            rememberedState.add(new JobId("run-2"), new RememberedState.FinishedJob(JobStatus.CANCELLED, 0));
-            int changes = state.changed;
-            await(new StateRebuilder(
-                            context,
-                            new FencingToken(3),
-                            taken.stamp(),
-                            new RateLimiter(1000, clock.now()),
-                            rememberedState)
-                    .run());
-            assertEquals(
-                    "t",
-                    RecordCodec.readJob(spec.id(), state.value("j/run-1"), Revision.ABSENT)
-                            .spec()
-                            .team());
-            assertEquals(List.of("j/run-1"), state.keys("j/"));
-            assertEquals(
-                    JobStatus.CANCELLED,
-                    RecordCodec.readFinal(spec.id(), state.value("f/run-2")).status());
-            assertEquals(4, state.changed - changes, "one record, an end and its move, the era");
-        } finally {
-            await(vertx.close());
+    void unreadableRecordsAreRebuiltAndPresentOnesCostNothing() throws Exception {
+        LeadershipTerm.Context context = fixture.context();
+        StateClient.Txn before = new StateClient.Txn()
+                .put("j/run-1", MessagePackFormat.map("at", "x"))
+                .put("j/run-2", MessagePackFormat.map())
+                .put("p/run-3/0", MessagePackFormat.map("bits", 7L));
+        RememberedState remembered = new RememberedState();
+        for (int number = 10; number < 500; number++) {
+            JobId id = new JobId("run-" + number);
+            before.put(RecordCodec.finalKey(id), RecordCodec.writeFinal(JobStatus.DONE, 1));
+            remembered.add(id, new RememberedState.FinishedJob(JobStatus.DONE, 1));
         }
+        Revision leadershipRevision = gainLeadershipWithoutLimit(before);
+        JobSpec spec = spec("run-1");
+        remembered.add(new RememberedState.OpenJob(spec, 1, new BitSet(), 2));
+        remembered.add(new JobId("run-2"), new RememberedState.FinishedJob(JobStatus.CANCELLED, 0));
+        int changes = state.changed;
+        rebuild(context, leadershipRevision, 1000, remembered);
+        assertEquals(
+                "t",
+                RecordCodec.readJob(spec.id(), state.value("j/run-1"), Revision.ABSENT)
+                        .spec()
+                        .team());
+        assertEquals(List.of("j/run-1"), state.keys("j/"));
+        assertEquals(
+                JobStatus.CANCELLED,
+                RecordCodec.readFinal(spec.id(), state.value("f/run-2")).status());
+        assertEquals(4, state.changed - changes, "one record, an end and its move, the era");
     }
 }
--- a/src/test/java/io/indigoreach/cluster/WarmUpTest.java
+++ b/src/test/java/io/indigoreach/cluster/WarmUpTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What it is for is compiled only if it runs: starts are ordered and ended again and again, and none where the node leads. */
+/** The heartbeat path is compiled only if it runs: tasks are started and ended repeatedly, and none are where the node leads. */
 class WarmUpTest {
     @ParameterizedTest
     @CsvSource({"false, 100", "true, 0"})
-    void ordersStartsUntilTheNodeLeads(boolean leads, int least) throws Exception {
+    void commandsStartsUntilTheNodeLeads(boolean leads, int atLeast) throws Exception {
         Vertx vertx = Vertx.vertx();
         try {
             WarmUp warmUp = new WarmUp(
@@ -29,11 +29,11 @@
                             Settings.standard(),
                             Span.seconds(10)),
                     () -> leads);
-            for (int n = 0; n < 400; n++) {
+            for (int step = 0; step < 400; step++) {
                 warmUp.step();
             }
-            assertTrue(warmUp.ordered() >= least, "ordered: " + warmUp.ordered());
-            assertEquals(leads, warmUp.ordered() == 0);
+            assertTrue(warmUp.startCommands() >= atLeast, "start commands: " + warmUp.startCommands());
+            assertEquals(leads, warmUp.startCommands() == 0);
         } finally {
             vertx.close();
         }
--- a/src/test/java/io/indigoreach/core/intent/IntentsTest.java
+++ b/src/test/java/io/indigoreach/core/intent/IntentsTest.java
@@ -18,55 +18,55 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Nothing is asked of the cloud that is not recorded, and whoever leads next settles what was. */
+/** Nothing is requested of the cloud that is not recorded, and the next leader completes what was. */
 class IntentsTest {
     private static final MachinePool POOL = new MachinePool("quad", "east", true);
 
     /** A guard that a run can do without, to see that it then breaks its rule. */
     enum Without {
         RECORD,
-        SETTLING,
-        CONDEMNATION
+        COMPLETION,
+        RETURNS
     }
 
     @Test
-    void onlyWhatIsRecordedIsAsked() {
+    void onlyRecordedIntentsMayBeSent() {
         Intents intents = new Intents();
         intents.add(new Intents.Rent("t5-1", POOL, 50, 0));
-        assertFalse(intents.mayAsk("t5-1"));
+        assertFalse(intents.maySend("t5-1"));
         Intents.Page page = intents.page();
         intents.add(new Intents.Rent("t5-2", POOL, 50, 0));
         intents.recorded(page);
         assertTrue(
-                intents.mayAsk("t5-1") && !intents.mayAsk("t5-2"),
+                intents.maySend("t5-1") && !intents.maySend("t5-2"),
                 "what came while the record was written is not in it");
         assertTrue(intents.isUnrecorded());
-        intents.settled("t5-1");
-        assertFalse(intents.mayAsk("t5-1"), "a settled name is not asked for again");
+        intents.completed("t5-1");
+        assertFalse(intents.maySend("t5-1"), "a completed request is not sent again");
         intents.recorded(intents.page());
         assertFalse(intents.isUnrecorded() || intents.isOutdated());
         List<MachineId> many = new ArrayList<>();
         for (int i = 0; i < 150; i++) {
             many.add(new MachineId("vm-" + i));
         }
-        assertEquals(Intents.MOST_CONDEMNED, intents.recordReturns(many).size(), "no more than a record holds");
+        assertEquals(Intents.MAX_RETURNS, intents.addReturns(many).size(), "no more than a record holds");
         assertFalse(intents.mayReturn(many.subList(0, 1)));
         intents.recorded(intents.page());
         assertTrue(intents.mayReturn(many.subList(0, 100)) && !intents.mayReturn(many.subList(99, 101)));
-        intents.gone(many.subList(0, 100));
-        intents.settled("t5-2");
+        intents.returned(many.subList(0, 100));
+        intents.completed("t5-2");
         assertTrue(intents.page().isEmpty() && intents.isOutdated());
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-    void nothingIsLostOverChangesOfLeader(long seed) {
+    void nothingIsLostAcrossFailovers(long seed) {
         assertEquals(List.of(), new Run(seed, null).play());
     }
 
     @ParameterizedTest
     @EnumSource
-    void withoutAGuardSomethingIs(Without without) {
+    void withoutAGuardSomethingIsLost(Without without) {
         boolean found = false;
         for (long seed = 1; seed <= 20 && !found; seed++) {
             found = !new Run(seed, without).play().isEmpty();
@@ -117,14 +117,14 @@
                     case 6 -> use();
                     default -> {
                         if (random.nextInt(6) == 0) {
-                            takeOver();
+                            failover();
                         } else if (!late.isEmpty()) {
                             late.remove(random.nextInt(late.size())).run();
                         }
                     }
                 }
             }
-            takeOver();
+            failover();
             late.forEach(Runnable::run);
             write();
             for (int i = 0; i < 400; i++) {
@@ -140,7 +140,7 @@
 
         private void giveUp(MachineId id) {
             useless.add(id);
-            intents.recordReturns(List.of(id));
+            intents.addReturns(List.of(id));
         }
 
         private void write() {
@@ -153,7 +153,7 @@
 
         private void ask() {
             intents.page().rents().stream()
-                    .filter(r -> without == Without.RECORD || intents.mayAsk(r.name()))
+                    .filter(r -> without == Without.RECORD || intents.maySend(r.name()))
                     .findAny()
                     .ifPresent(r -> {
                         if (named.putIfAbsent(r.name(), r.count()) != null && named.get(r.name()) != r.count()) {
@@ -175,7 +175,7 @@
                                 rented.get(r.name()).stream()
                                         .filter(there::contains)
                                         .forEach(known::add);
-                                intents.settled(r.name());
+                                intents.completed(r.name());
                             }
                         }
                     });
@@ -193,29 +193,29 @@
                 there.removeAll(ids);
                 known.removeAll(ids);
                 useless.removeAll(ids);
-                intents.gone(ids);
+                intents.returned(ids);
             }
         }
 
         private void use() {
             known.stream()
                     .filter(id -> !useless.contains(id) && asked.contains(id) && there.contains(id))
-                    .forEach(id -> broken.add(id + " is used though its return was asked for"));
+                    .forEach(id -> broken.add(id + " is used though its return was requested"));
         }
 
         /** The next leader knows the record, and the machines that report: all but those that came by a late request. */
-        private void takeOver() {
+        private void failover() {
             leader++;
             Set<MachineId> before = known;
             intents = new Intents();
             known = new HashSet<>();
             useless = new HashSet<>();
             before.stream().filter(there::contains).forEach(known::add);
-            if (without != Without.SETTLING) {
+            if (without != Without.COMPLETION) {
                 record.rents().forEach(intents::add);
             }
-            if (without != Without.CONDEMNATION) {
-                intents.recordReturns(record.returns());
+            if (without != Without.RETURNS) {
+                intents.addReturns(record.returns());
                 useless.addAll(record.returns());
             }
             intents.recorded(record);
--- a/src/test/java/io/indigoreach/core/leadership/CancellationHorizonTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/CancellationHorizonTest.java
@@ -14,27 +14,27 @@
 
 /** A leader that the state service does not answer may go on only as long as no cancellation can have passed it by. */
 class CancellationHorizonTest {
-    /** Heard of everything until 10 s; all nodes asked at 20 s have answered at 21 s. */
+    /** Everything until 10 s is known; all nodes asked at 20 s have answered at 21 s. */
     @ParameterizedTest
     @CsvSource({
-        "30, 20, what was told since is known",
+        "30, 20, what was confirmed since is known",
         "11.2, 20, nor is one missing from just before",
-        "11, 10, one may have been told as the watch ended",
-        "3, 10, one was told before that is not among them",
+        "11, 10, one may have been confirmed as the watch ended",
+        "3, 10, one was confirmed before that is not among them",
         "0, 10, a process is new, or did not answer"
     })
-    void whatEveryNodeSaysStandsInForTheWatch(double covered, double until, String why) {
+    void answersOfAllNodesReplaceTheWatch(double covered, double until, String why) {
         CancellationHorizon horizon = new CancellationHorizon();
         horizon.advanceTo(at(10));
         horizon.peersAnswered(Span.seconds(covered), at(20), at(21));
         assertEquals(at(until), horizon.completeUntil(), why);
         horizon.advanceTo(at(15));
-        assertEquals(at(Math.max(15, until)), horizon.completeUntil(), "never back");
+        assertEquals(at(Math.max(15, until)), horizon.completeUntil(), "never goes back");
     }
 
-    /** Guards against a leader that heard a job was gone, could not read why in the outage, and let it run on as if it had. */
+    /** Guards against a leader that saw that a job was gone, could not read the reason in the outage, and let it run on. */
     @Test
-    void aJobThatIsGoneHoldsItUntilItIsKnownWhy() {
+    void missingJobHoldsTheHorizonUntilItIsResolved() {
         CancellationHorizon horizon = new CancellationHorizon();
         horizon.advanceTo(at(10));
         horizon.recordGone(new JobId("run-1"));
@@ -43,15 +43,15 @@
         horizon.recordGone(new JobId("run-1"));
         horizon.peersAnswered(Span.seconds(30), at(20), at(21));
         assertEquals(at(10), horizon.completeUntil());
-        horizon.settled(new JobId("run-1"));
+        horizon.resolved(new JobId("run-1"));
         assertEquals(at(12), horizon.completeUntil());
-        horizon.settled(new JobId("run-2"));
+        horizon.resolved(new JobId("run-2"));
         assertEquals(at(20), horizon.completeUntil());
     }
 
     /** Guards against a new leader whose records cannot be read: it knows of no cancellation, however old. */
     @Test
-    void nothingIsHeardBeforeTheRecordsAreRead() {
+    void nothingIsKnownBeforeTheRecordsAreRead() {
         CancellationHorizon horizon = new CancellationHorizon();
         horizon.peersAnswered(Span.seconds(1e6), at(20), at(21));
         assertEquals(Moment.NEVER, horizon.completeUntil());
--- a/src/test/java/io/indigoreach/core/leadership/ConfirmedCancellationsTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/ConfirmedCancellationsTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A node's word never reaches further back than it remembers: what it leaves out, a leader must not take for nothing. */
+/** A summary never covers more than the node remembers: a leader must not take what it leaves out for "nothing cancelled". */
 class ConfirmedCancellationsTest {
-    /** A process that began at 100 s has told of run-1 at 110 s and run-2 at 120 s; asked at 130 s. */
+    /** A process that began at 100 s has confirmed run-1 at 110 s and run-2 at 120 s; asked at 130 s. */
     @ParameterizedTest
     @CsvSource({
         "5, 5, ''",
@@ -25,30 +25,30 @@
         "60, 30, run-1 run-2",
         "0, 0, ''"
     })
-    void coversWhatIsAskedForSinceItBegan(double asked, double covered, String jobs) {
-        ConfirmedCancellations told = new ConfirmedCancellations(at(100));
-        told.add(new JobId("run-1"), at(110));
-        told.add(new JobId("run-2"), at(120));
-        CancellationSummary word = told.summary(Span.seconds(asked), at(130));
-        assertEquals(Span.seconds(covered), word.covered());
+    void coversTheRequestedTimeSinceTheProcessBegan(double requested, double covered, String jobs) {
+        ConfirmedCancellations confirmed = new ConfirmedCancellations(at(100));
+        confirmed.add(new JobId("run-1"), at(110));
+        confirmed.add(new JobId("run-2"), at(120));
+        CancellationSummary summary = confirmed.summary(Span.seconds(requested), at(130));
+        assertEquals(Span.seconds(covered), summary.covered());
         assertEquals(
                 Set.of(jobs.split(" ")),
-                word.cancelled().isEmpty()
+                summary.cancelled().isEmpty()
                         ? Set.of("")
-                        : word.cancelled().stream().map(JobId::text).collect(Collectors.toSet()));
-        assertEquals(Span.seconds(10), told.timeSinceLast(at(130)));
+                        : summary.cancelled().stream().map(JobId::text).collect(Collectors.toSet()));
+        assertEquals(Span.seconds(10), confirmed.timeSinceLast(at(130)));
     }
 
-    /** Guards against a word without the earliest ones that claims to be whole. */
+    /** Guards against a summary that lacks the earliest ones and claims to be complete. */
     @Test
-    void whatIsForgottenIsNotCovered() {
-        ConfirmedCancellations told = new ConfirmedCancellations(at(0));
+    void forgottenCancellationsAreNotCovered() {
+        ConfirmedCancellations confirmed = new ConfirmedCancellations(at(0));
         for (int n = 0; n < ConfirmedCancellations.MAX_REMEMBERED + 10; n++) {
-            told.add(new JobId("run-" + n), at(10 + n));
+            confirmed.add(new JobId("run-" + n), at(10 + n));
         }
         Moment now = at(10 + ConfirmedCancellations.MAX_REMEMBERED + 9);
-        CancellationSummary word = told.summary(Span.seconds(5000), now);
-        assertEquals(ConfirmedCancellations.MAX_REMEMBERED, word.cancelled().size());
-        assertEquals(now.since(at(19)), word.covered(), "up to the last that was forgotten, told at 19 s");
+        CancellationSummary summary = confirmed.summary(Span.seconds(5000), now);
+        assertEquals(ConfirmedCancellations.MAX_REMEMBERED, summary.cancelled().size());
+        assertEquals(now.since(at(19)), summary.covered(), "up to the last that was forgotten, confirmed at 19 s");
     }
 }
--- a/src/test/java/io/indigoreach/core/leadership/IsolationCheckTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/IsolationCheckTest.java
@@ -48,9 +48,9 @@
             for (int n = Integer.parseInt(words[i + 1]); n > 0; n--) {
                 boolean was = node.isOutOfService();
                 if (words[i].equals("ok")) {
-                    node.served();
+                    node.onServed();
                 } else {
-                    node.unserved(others(words[i]), now);
+                    node.onUnserved(others(words[i]), now);
                 }
                 removed += !was && node.isOutOfService() ? 1 : 0;
                 now = now.plus(Span.seconds(1));
--- a/src/test/java/io/indigoreach/core/leadership/TokenGeneratorTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/TokenGeneratorTest.java
@@ -22,7 +22,7 @@
     /** Three nodes take leadership in turn; processes begin anew, clocks are off, and the counter is lost or goes back. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void noneIsUsedTwiceWhateverHappensToTheCounter(long seed) {
+    void noTokenIsUsedTwiceWhateverHappensToTheCounter(long seed) {
         Random random = new Random(seed);
         TokenGenerator[] nodes = new TokenGenerator[3];
         Set<FencingToken> used = new HashSet<>();
@@ -31,16 +31,16 @@
         long now = NOW;
         for (int step = 0; step < 2000; step++) {
             now += 400 + random.nextInt(2000);
-            int n = random.nextInt(3);
+            int node = random.nextInt(3);
             long clock = now + random.nextInt((int) (2 * OFF.ms())) - OFF.ms();
-            if (nodes[n] == null || random.nextInt(10) == 0) {
-                nodes[n] = new TokenGenerator(n, clock, OFF);
+            if (nodes[node] == null || random.nextInt(10) == 0) {
+                nodes[node] = new TokenGenerator(node, clock, OFF);
                 continue;
             }
-            FencingToken token = nodes[n].next(counter, clock);
+            FencingToken token = nodes[node].next(counter, clock);
             assertTrue(used.add(token), token + " is used twice at step " + step);
             if (random.nextInt(4) > 0) {
-                nodes[n].seen(token);
+                nodes[node].seen(token);
                 counter = token;
             }
             older = random.nextInt(20) == 0 ? counter : older;
@@ -55,27 +55,27 @@
     /** Beside what an older version of the program counted, and where the clock of the machine says nothing. */
     @ParameterizedTest
     @CsvSource({"0, 0, 0", "7, 0, 0", "99, 1800000000000, 0", "0, 1800000000000, 9000000000000", "9000000000000, 0, 5"})
-    void theNextIsAboveAllThatIsKnown(long counted, long timeOfDay, long seen) {
-        TokenGenerator clock = new TokenGenerator(1, timeOfDay, OFF);
-        clock.seen(new FencingToken(seen));
-        FencingToken next = clock.next(new FencingToken(counted), timeOfDay);
-        assertTrue(next.value() > counted && next.value() > seen, next.toString());
+    void nextTokenIsAboveAllKnownOnes(long counter, long timeOfDay, long seen) {
+        TokenGenerator generator = new TokenGenerator(1, timeOfDay, OFF);
+        generator.seen(new FencingToken(seen));
+        FencingToken next = generator.next(new FencingToken(counter), timeOfDay);
+        assertTrue(next.value() > counter && next.value() > seen, next.toString());
         assertTrue(
-                clock.next(new FencingToken(counted), timeOfDay).value() > next.value(),
-                "a try that had no answer counts");
+                generator.next(new FencingToken(counter), timeOfDay).value() > next.value(),
+                "a campaign that was not answered counts");
         assertTrue(
-                next.attempt(0xfffffff).value() > 0 || Math.max(counted, seen) > 1L << 35,
+                next.attempt(0xfffffff).value() > 0 || Math.max(counter, seen) > 1L << 35,
                 "attempts stay in their range");
     }
 
     @Test
-    void aCounterBelowWhatWasInUseShowsALoss() {
-        TokenGenerator clock = new TokenGenerator(0, NOW, OFF);
-        FencingToken first = clock.next(FencingToken.NONE, NOW);
-        assertFalse(clock.isBehind(FencingToken.NONE), "a campaign that was not won is no leadership");
-        clock.seen(first);
-        assertTrue(clock.isBehind(FencingToken.NONE));
-        assertFalse(clock.isBehind(first));
-        assertEquals(first, clock.highest());
+    void counterBelowATokenInUseShowsALoss() {
+        TokenGenerator generator = new TokenGenerator(0, NOW, OFF);
+        FencingToken first = generator.next(FencingToken.NONE, NOW);
+        assertFalse(generator.isBehind(FencingToken.NONE), "a campaign that was not won is no leadership");
+        generator.seen(first);
+        assertTrue(generator.isBehind(FencingToken.NONE));
+        assertFalse(generator.isBehind(first));
+        assertEquals(first, generator.highest());
     }
 }
--- a/src/test/java/io/indigoreach/core/loss/LeaderMemoryTest.java
+++ b/src/test/java/io/indigoreach/core/loss/LeaderMemoryTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A node leads, then others or nobody, then it again, perhaps too shortly to read the records: what it may say was open. */
+/** A node leads, then others or nobody, then it again, perhaps too briefly to read the records: which open jobs it may report. */
 class LeaderMemoryTest {
     private static final JobId OPEN = new JobId("run-1");
-    private static final JobId OVER = new JobId("run-2");
+    private static final JobId FINISHED = new JobId("run-2");
 
-    private static RememberedState remains() {
+    private static RememberedState rememberedState() {
         JobSpec spec = new JobSpec(
                 OPEN,
                 "c",
@@ -38,24 +38,24 @@
                 Span.ZERO,
                 Span.ZERO,
                 null);
-        RememberedState r = new RememberedState();
-        r.add(new RememberedState.OpenJob(spec, 1, new BitSet(), 2));
-        r.add(OVER, new RememberedState.FinishedJob(JobStatus.DONE, 1));
-        return r;
+        RememberedState remembered = new RememberedState();
+        remembered.add(new RememberedState.OpenJob(spec, 1, new BitSet(), 2));
+        remembered.add(FINISHED, new RememberedState.FinishedJob(JobStatus.DONE, 1));
+        return remembered;
     }
 
-    /** Of each later leadership: i if this node succeeds itself, o if another led between; it ends before it knows anything. */
+    /** Of each later term: i if this node succeeds itself, o if another led between; it ends before it knows anything. */
     @ParameterizedTest
     @CsvSource({"'', true", "i, true", "ii, true", "o, false", "io, false", "oi, false", "oiii, false", "ioi, false"})
-    void whatWasOpenIsKnownAsLongAsNobodyElseHasLed(String later, boolean open) {
+    void openJobsAreKnownUntilAnotherNodeLeads(String later, boolean open) {
         LeaderMemory memory = new LeaderMemory();
-        memory.begins(false);
-        memory.ends(remains());
-        for (char leadership : later.toCharArray()) {
-            memory.begins(leadership == 'i');
-            memory.ends(new RememberedState());
+        memory.termBegins(false);
+        memory.termEnds(rememberedState());
+        for (char term : later.toCharArray()) {
+            memory.termBegins(term == 'i');
+            memory.termEnds(new RememberedState());
         }
         assertEquals(open ? 1 : 0, memory.known().open().size());
-        assertEquals(JobStatus.DONE, memory.known().over().get(OVER).status(), "for ever");
+        assertEquals(JobStatus.DONE, memory.known().finished().get(FINISHED).status(), "final");
     }
 }
--- a/src/test/java/io/indigoreach/core/loss/LossTablesTest.java
+++ b/src/test/java/io/indigoreach/core/loss/LossTablesTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is evidence of a loss and what is not, and how copies of what was lost are put together. */
+/** What is evidence of a loss and what is not, and how copies of lost records are merged. */
 class LossTablesTest {
-    /** Steps: e5 an era confirmed, r9<3 a revision after one that was known, c9<3 a counter, g a record gone, t5 told. */
+    /** Steps: e5 an era confirmed, r9<3 a revision after one that was known, c9<3 a counter, g a record gone, t5 reported by a peer. */
     @ParameterizedTest
     @CsvSource({
         "e0, false",
@@ -47,20 +47,20 @@
         "e5 e0 e6 t5, false",
         "e5 e0 e6 e0, true"
     })
-    void holding(String steps, boolean holding) {
-        LossDetector judge = new LossDetector();
+    void lossIsHolding(String steps, boolean holding) {
+        LossDetector detector = new LossDetector();
         for (String step : steps.split(" ")) {
             String[] numbers = step.substring(1).split("<");
             long first = numbers[0].isEmpty() ? 0 : Long.parseLong(numbers[0]);
             switch (step.charAt(0)) {
-                case 'e' -> judge.era(first);
-                case 'r' -> judge.revision(first, Long.parseLong(numbers[1]));
-                case 'c' -> judge.counter(new FencingToken(first), new FencingToken(Long.parseLong(numbers[1])));
-                case 't' -> judge.told(first);
-                default -> judge.gone("j/run-1");
+                case 'e' -> detector.era(first);
+                case 'r' -> detector.revision(first, Long.parseLong(numbers[1]));
+                case 'c' -> detector.counter(new FencingToken(first), new FencingToken(Long.parseLong(numbers[1])));
+                case 't' -> detector.reportedByPeer(first);
+                default -> detector.recordGone("j/run-1");
             }
         }
-        assertEquals(holding, judge.isHolding(), judge.findings().toString());
+        assertEquals(holding, detector.isHolding(), detector.findings().toString());
     }
 
     private static RememberedState.OpenJob open(int id, String done, int bound) {
@@ -93,10 +93,10 @@
                 bound);
     }
 
-    /** In whatever order copies are heard: over wins, done tasks are joined, the larger bound holds. */
+    /** In whatever order copies arrive: an end takes precedence, completed tasks are merged, the larger bound is kept. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void theOrderOfCopiesDoesNotMatter(long seed) {
+    void orderOfCopiesDoesNotMatter(long seed) {
         List<RememberedState> copies = new ArrayList<>();
         for (RememberedState.OpenJob job :
                 List.of(open(1, "01", 2), open(1, "3", 5), open(2, "", 8), open(3, "0", 1))) {
@@ -111,7 +111,8 @@
         RememberedState all = new RememberedState();
         copies.forEach(all::add);
         assertEquals(
-                List.of("run-2"), all.over().keySet().stream().map(JobId::text).toList());
+                List.of("run-2"),
+                all.finished().keySet().stream().map(JobId::text).toList());
         assertEquals(
                 List.of("run-1 {0, 1, 3} 5", "run-3 {0} 1"),
                 all.open().stream()
@@ -120,7 +121,7 @@
                         .toList());
     }
 
-    /** What is still there is written only if it says less than what is remembered, and never loses what it says. */
+    /** A present record is written only if it lacks something that is remembered, and never loses what it has. */
     @ParameterizedTest
     @CsvSource({
         "01, 2, 01, 2, ",
@@ -130,7 +131,8 @@
         "0, 5, 0, 2, 0 5",
         "1, 5, 0, 7, 01 7"
     })
-    void whatIsStillThereIsJoined(String remembered, int bound, String kept, int keptBound, String written) {
+    void presentRecordIsMergedWithTheRememberedOne(
+            String remembered, int bound, String kept, int keptBound, String written) {
         RememberedState.OpenJob merged = RememberedState.merged(open(1, remembered, bound), open(1, kept, keptBound));
         if (written == null) {
             assertNull(merged);
--- a/src/test/java/io/indigoreach/core/loss/RecordRepairTest.java
+++ b/src/test/java/io/indigoreach/core/loss/RecordRepairTest.java
@@ -36,8 +36,8 @@
             Span.ZERO,
             null);
 
-    private static RecordRepair.Rest rest(String status, String done) {
-        return new RecordRepair.Rest(
+    private static RecordRepair.ReadableFields rest(String status, String done) {
+        return new RecordRepair.ReadableFields(
                 status.equals("?") ? null : JobStatus.valueOf(status),
                 done.equals("?") ? null : Long.valueOf(done),
                 60L);
@@ -77,15 +77,15 @@
         "?, 8, -, false, nothing",
         "RUNNING, 8, -, true, open 0"
     })
-    void ofAnOpenJob(String status, String done, String remembered, boolean offered, String written) {
+    void openJobIsRepaired(String status, String done, String remembered, boolean offered, String written) {
         RememberedState out = RecordRepair.open(ID, rest(status, done), memory(remembered), offered ? SPEC : null, 500);
         assertEquals(
                 written,
                 out.isEmpty()
                         ? "nothing"
-                        : out.over().isEmpty()
+                        : out.finished().isEmpty()
                                 ? "open " + out.open().iterator().next().done().cardinality()
-                                : out.over().get(ID).status().name());
+                                : out.finished().get(ID).status().name());
         out.open()
                 .forEach(job -> assertEquals(
                         "60 8", job.submittedMs() + " " + job.bound(), "its place in the queue; all may run"));
@@ -105,7 +105,7 @@
         "PENDING, 3, -, true, CANCELLED",
         "DONE, 8, CANCELLED, false, CANCELLED"
     })
-    void ofAJobThatIsOver(String status, String done, String remembered, boolean offered, String written) {
+    void finishedJobIsRepaired(String status, String done, String remembered, boolean offered, String written) {
         RememberedState.FinishedJob end =
                 RecordRepair.end(ID, rest(status, done), memory(remembered), offered ? SPEC : null);
         assertEquals(written, end == null ? "nothing" : end.status().name());
--- a/src/test/java/io/indigoreach/core/query/FairAdmissionTest.java
+++ b/src/test/java/io/indigoreach/core/query/FairAdmissionTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Nobody is refused, or listed too late, again and again while others are served. */
+/** No client is rejected, or answered too late, again and again while others are served. */
 class FairAdmissionTest {
     /**
      * Twice as many ask, every 5 s, as there are places in the 2 s that each is taken; those of the first half always come first.
@@ -21,23 +21,27 @@
      */
     @ParameterizedTest
     @CsvSource({"true, 30", "false, 200"})
-    void whoWasRefusedGoesFirst(boolean remembering, int longest) {
-        FairAdmission turns = new FairAdmission();
-        int users = 2 * FairAdmission.PLACES;
+    void rejectedClientsGoFirst(boolean remembering, int longest) {
+        FairAdmission admission = new FairAdmission();
+        int users = 2 * FairAdmission.MAX_WAITING;
         int[] servedAt = new int[users];
         int silence = 0;
         for (int s = 0; s < 200; s += 5) {
-            int in = 0;
+            int waiting = 0;
             for (int u = 0; u < users; u++) {
-                if (turns.enter(remembering ? "run-" + u : "run-" + u + "-" + s)) {
-                    in++;
+                if (admission.tryEnter(remembering ? "run-" + u : "run-" + u + "-" + s)) {
+                    waiting++;
                     servedAt[u] = s;
                 }
                 silence = Math.max(silence, s - servedAt[u]);
             }
-            assertTrue(in <= FairAdmission.PLACES + FairAdmission.STEP * FairAdmission.STEPS, "waiting: " + in);
-            for (; in > 0; in--) {
-                turns.leave();
+            assertTrue(
+                    waiting
+                            <= FairAdmission.MAX_WAITING
+                                    + FairAdmission.EXTRA_PER_REJECTION * FairAdmission.MAX_COUNTED_REJECTIONS,
+                    "waiting: " + waiting);
+            for (; waiting > 0; waiting--) {
+                admission.leave();
             }
         }
         assertTrue(remembering ? silence <= longest : silence >= longest - 5, "silence: " + silence);
@@ -46,29 +50,29 @@
     /** Pages of ten keys, of which a listing brings two in time, and everybody asks again. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void everyKeyIsListedInTimeAtItsTurn(long seed) {
+    void everyKeyIsListedInTime(long seed) {
         Random random = new Random(seed);
         TreeMap<String, Integer> keys = new TreeMap<>();
         for (int n = 0; n < 100; n++) {
             keys.put("j/run-" + random.nextInt(100_000), 0);
         }
-        ListingCursor<Integer> round = new ListingCursor<>();
+        ListingCursor<Integer> cursor = new ListingCursor<>();
         Map<String, Integer> answeredIn = new HashMap<>();
         for (int listing = 1; answeredIn.size() < keys.size(); listing++) {
             assertTrue(listing <= 6, "left: " + (keys.size() - answeredIn.size()));
-            round.begin(keys);
-            for (int page = 0; page < 2 && !round.isOver(); page++) {
-                String from = round.next();
+            cursor.begin(keys);
+            for (int page = 0; page < 2 && !cursor.isOver(); page++) {
+                String from = cursor.next();
                 Deque<String> items = new ArrayDeque<>();
                 keys.tailMap(from, true).keySet().stream().limit(10).forEach(items::add);
                 String last = keys.lastKey().equals(items.peekLast()) ? null : items.peekLast();
                 int asked = listing;
-                round.answered(from, last).keySet().forEach(k -> {
+                cursor.answered(from, last).keySet().forEach(k -> {
                     assertTrue(items.contains(k));
                     answeredIn.putIfAbsent(k, asked);
                 });
             }
-            round.end();
+            cursor.end();
         }
         assertEquals(keys.keySet(), new TreeMap<>(answeredIn).keySet());
     }
--- a/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
@@ -281,7 +281,7 @@
         news.forEach(job -> {
             mine.horizon.recordGone(job);
             if (without == Without.UNSETTLED) {
-                mine.horizon.settled(job);
+                mine.horizon.resolved(job);
             }
             // The state service may answer slowly, so that the refusal comes first.
             after(random.nextDouble() * (random.nextInt(4) == 0 ? 6 : 0.3), () -> why(mine, job));
@@ -297,7 +297,7 @@
             return;
         }
         mine.stopped.add(job);
-        mine.horizon.settled(job);
+        mine.horizon.resolved(job);
     }
 
     private void ask(Reign mine) {
--- a/src/test/java/io/indigoreach/state/GoldenRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenRecordsTest.java
@@ -123,7 +123,7 @@
 
     /** What there is to compare of remains, which have no equality of their own. */
     private static Object content(RememberedState r) {
-        return List.of(List.copyOf(r.open()), r.over(), List.copyOf(r.records()));
+        return List.of(List.copyOf(r.open()), r.finished(), List.copyOf(r.records()));
     }
 
     private static Object remembered(Fields f) {
