--- a/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
+++ b/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
@@ -63,13 +63,13 @@
     void onDeleted(JobId id) {
         Job job = core.job(id);
         if (writer.isCancelled() || job == null || (writer.isWriting(id) && job.isComplete())) {
-            horizon.settled(id);
+            horizon.resolved(id);
             return;
         }
         if (job.isComplete()) {
             // The completion was written without a response, or the user cancelled first: the next write will show.
             writer.markDirty(job);
-            horizon.settled(id);
+            horizon.resolved(id);
             return;
         }
         horizon.recordGone(id);
@@ -93,7 +93,7 @@
                 case STILL_OPEN -> {}
             }
         }
-        horizon.settled(id);
+        horizon.resolved(id);
     }
 
     /** Why an open record was reported as deleted. */
--- a/src/main/java/io/indigoreach/state/JobRecordCodec.java
+++ b/src/main/java/io/indigoreach/state/JobRecordCodec.java
@@ -101,8 +101,8 @@
     }
 
     /** What a record that cannot be read as a whole still says; null where it does not. */
-    public static RecordRepair.Rest readRest(Fields fields) {
-        return new RecordRepair.Rest(
+    public static RecordRepair.ReadableFields readRest(Fields fields) {
+        return new RecordRepair.ReadableFields(
                 RecordReader.orNull(() -> JobStatus.valueOf(fields.text("status"))),
                 RecordReader.orNull(() -> fields.whole("done")),
                 RecordReader.orNull(() -> fields.whole("at")));
--- a/src/main/java/io/indigoreach/state/JobRepairer.java
+++ b/src/main/java/io/indigoreach/state/JobRepairer.java
@@ -55,7 +55,7 @@
             StateClient.Txn txn = state.transactionInEra()
                     .when(spoilt.key(), spoilt.revision())
                     .when(RecordKeys.finalKey(id), Revision.ABSENT);
-            known.over()
+            known.finished()
                     .values()
                     .forEach(end -> txn.delete(spoilt.key())
                             .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(end.status(), end.done())));
--- a/src/main/java/io/indigoreach/state/StateClient.java
+++ b/src/main/java/io/indigoreach/state/StateClient.java
@@ -171,12 +171,12 @@
 
     /** Another controller says that data of this era were lost. */
     public void lossReportedByPeer(long era) {
-        reportLoss(losses.told(era));
+        reportLoss(losses.reportedByPeer(era));
     }
 
     /** A record that only a loss can have removed is gone. */
     public void recordMissing(String key) {
-        reportLoss(losses.gone(key));
+        reportLoss(losses.recordGone(key));
     }
 
     /** A leadership was taken with a counter below a token that had been in use. */
--- a/src/test/java/io/indigoreach/cluster/GoldenPledgesTest.java
+++ b/src/test/java/io/indigoreach/cluster/GoldenPledgesTest.java
@@ -28,12 +28,12 @@
     @Test
     void whatControllersAskOfALeader() {
         GoldenFile golden = new GoldenFile("pledges.txt");
-        golden.both("question", Span.seconds(7.5), PeerPromises::ask, PeerPromises::asked)
-                .read("question of the version before", Map.of(), f -> PeerPromises.ask(PeerPromises.asked(f)))
+        golden.both("question", Span.seconds(7.5), PeerPromises::writeRequest, PeerPromises::readRequest)
+                .read("question of the version before", Map.of(), f -> PeerPromises.writeRequest(PeerPromises.readRequest(f)))
                 .read(
                         "question from the future",
                         MessagePackFormat.map("back_ms", -5L),
-                        f -> PeerPromises.ask(PeerPromises.asked(f)))
+                        f -> PeerPromises.writeRequest(PeerPromises.readRequest(f)))
                 .both("nothing", PeerPromises.NONE, GoldenPledgesTest::write, PeerPromises::read)
                 .both("pledge", pledge(true, Set.of()), GoldenPledgesTest::write, PeerPromises::read)
                 .both(
--- a/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
@@ -126,8 +126,8 @@
             IntentLog intentLog = test.newIntentLog(test.lead(1));
             intentLog.intents().add(RENT);
             test.loseOne(RecordKeys.INTENTS);
-            assertFalse(record(intentLog) || intentLog.intents().mayAsk(RENT.name()), "it may be there or not");
-            test.until(() -> record(intentLog) && intentLog.intents().mayAsk(RENT.name()));
+            assertFalse(record(intentLog) || intentLog.intents().maySend(RENT.name()), "it may be there or not");
+            test.until(() -> record(intentLog) && intentLog.intents().maySend(RENT.name()));
             test.changesNothingMore();
         });
         CASES.put("an intent's first record, after all in it is settled", test -> {
@@ -135,8 +135,8 @@
             intentLog.intents().add(RENT);
             test.loseOne(RecordKeys.INTENTS);
             assertFalse(record(intentLog));
-            test.until(() -> record(intentLog) && intentLog.intents().mayAsk(RENT.name()));
-            intentLog.intents().settled(RENT.name());
+            test.until(() -> record(intentLog) && intentLog.intents().maySend(RENT.name()));
+            intentLog.intents().completed(RENT.name());
             test.until(() -> record(intentLog) && test.intended().isEmpty());
             test.changesNothingMore();
             assertTrue(test.intended().isEmpty(), "the next leader would ask once more");
@@ -146,7 +146,7 @@
             intentLog.intents().add(RENT);
             test.loseOne(RecordKeys.INTENTS);
             assertFalse(record(intentLog));
-            intentLog.intents().settled(RENT.name());
+            intentLog.intents().completed(RENT.name());
             test.until(() -> record(intentLog)
                     && test.service.has("i/3")
                     && test.intended().isEmpty());
@@ -160,7 +160,7 @@
             assertFalse(record(intentLog));
             test.lead(4);
             test.changesNothingMore();
-            assertFalse(intentLog.intents().mayAsk(RENT.name()));
+            assertFalse(intentLog.intents().maySend(RENT.name()));
         });
         CASES.put("an earlier leader's intents are removed, and again", test -> {
             IntentLog old = test.newIntentLog(test.lead(1));
--- a/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
+++ b/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
@@ -277,7 +277,7 @@
             StateClient client = new StateClient(
                     new ServiceClient(vertx, state.endpoint(), 8), new ServiceClient(vertx, state.endpoint(), 1));
             Parts parts = Parts.of(
-                    PartRegistry.switchedOn(settings), vertx, client, new SteadyClock(), null, config(), settings);
+                    PartRegistry.enabled(settings), vertx, client, new SteadyClock(), null, config(), settings);
             HttpApi door = new HttpApi(vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources());
             Endpoint node = new Endpoint("127.0.0.1", await(door.open()));
             answers(node, client);
--- a/src/test/java/io/indigoreach/warm/GoldenPoolAnswersTest.java
+++ b/src/test/java/io/indigoreach/warm/GoldenPoolAnswersTest.java
@@ -89,7 +89,7 @@
             Catalogue catalogue =
                     new Catalogue(vertx, client, new CloudClient(new ServiceClient(vertx, state.endpoint(), 1)));
             Parts parts = Parts.of(
-                    PartRegistry.switchedOn(settings), vertx, client, new SteadyClock(), catalogue, config(), settings);
+                    PartRegistry.enabled(settings), vertx, client, new SteadyClock(), catalogue, config(), settings);
             HttpApi door = new HttpApi(vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources());
             answers(new Endpoint("127.0.0.1", await(door.open())), client, catalogue);
         } finally {
