--- a/src/main/java/io/indigoreach/api/JobService.java
+++ b/src/main/java/io/indigoreach/api/JobService.java
@@ -21,6 +21,7 @@
 import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
+import io.indigoreach.state.TransactionRejectedException;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -194,7 +195,7 @@
 
     /** What the state service does not take as it is, it never will: a repeat would only fail again. */
     private Future<ApiResponse> refused(JobSpec spec, Throwable failure) {
-        if (!(failure instanceof StateClient.UnacceptableWriteException)) {
+        if (!(failure instanceof TransactionRejectedException)) {
             return Future.failedFuture(failure);
         }
         return ifUnknown(spec.id(), ApiResponse.error(422, "the state service takes no record of this size"));
--- a/src/main/java/io/indigoreach/state/CompletionBits.java
+++ b/src/main/java/io/indigoreach/state/CompletionBits.java
@@ -32,6 +32,7 @@
     private final StateLimits limits;
     private final int blockTasks;
 
+    /** Chooses the block size for these limits. */
     public CompletionBits(StateLimits limits) {
         this.limits = limits;
         int blockTasks = CompletionBlockCodec.BLOCK_TASKS;
--- a/src/main/java/io/indigoreach/state/CounterRecord.java
+++ b/src/main/java/io/indigoreach/state/CounterRecord.java
@@ -33,16 +33,16 @@
     private static final String FORMAT = "format";
 
     /** Throws {@link WireException} if it cannot be read, or is of a format that this version does not know. */
-    public static CounterRecord read(Fields f) {
-        boolean bounds = f.flag(BOUNDS, false);
-        if (!f.has(FORMAT)) {
-            return new CounterRecord(new FencingToken(f.whole(FIRST_HIGHEST)), bounds, FIRST);
+    public static CounterRecord read(Fields value) {
+        boolean bounds = value.flag(BOUNDS, false);
+        if (!value.has(FORMAT)) {
+            return new CounterRecord(new FencingToken(value.whole(FIRST_HIGHEST)), bounds, FIRST);
         }
-        long format = f.whole(FORMAT);
+        long format = value.whole(FORMAT);
         if (format <= FIRST || format > KNOWN) {
             throw new WireException("the data format " + format + " is not known to this version of the program");
         }
-        return new CounterRecord(new FencingToken(f.whole(HIGHEST)), bounds, (int) format);
+        return new CounterRecord(new FencingToken(value.whole(HIGHEST)), bounds, (int) format);
     }
 
     /** {@link #NONE} if there is no counter. */
@@ -67,7 +67,7 @@
         return new CounterRecord(token, startBounds, Math.max(format, atLeast));
     }
 
-    /** With the word of this leadership that start bounds can be believed. */
+    /** As this leadership confirms that start bounds can be believed. */
     CounterRecord withStartBounds(FencingToken leader, int atLeast) {
         return new CounterRecord(leader, true, Math.max(format, atLeast));
     }
--- a/src/main/java/io/indigoreach/state/FormatGate.java
+++ b/src/main/java/io/indigoreach/state/FormatGate.java
@@ -64,10 +64,12 @@
         this.task = new PeriodicTask(vertx, "data format", RAISE_INTERVAL, this::step);
     }
 
+    /** Records this node's format, and as a leader raises the format, from now on. */
     public void start() {
         task.start();
     }
 
+    /** Stops doing so. */
     public void stop() {
         task.cancel();
     }
--- a/src/main/java/io/indigoreach/state/JobRecord.java
+++ b/src/main/java/io/indigoreach/state/JobRecord.java
@@ -23,6 +23,7 @@
         int running,
         int bound,
         Revision revision) {
+    /** The job's id. */
     public JobId id() {
         return spec.id();
     }
--- a/src/main/java/io/indigoreach/state/JobRepairer.java
+++ b/src/main/java/io/indigoreach/state/JobRepairer.java
@@ -27,37 +27,39 @@
     private final StateLimits limits;
     private Function<JobId, Future<RememberedState>> recall = id -> Future.succeededFuture(new RememberedState());
 
+    /** Without limits from the settings. */
     public JobRepairer(StateClient state, SteadyClock clock) {
         this(state, clock, EffectiveLimits.NONE);
     }
 
+    /** {@code limits}: those of the settings. */
     public JobRepairer(StateClient state, SteadyClock clock, StateLimits limits) {
         this.state = state;
         this.clock = clock;
         this.limits = limits;
     }
 
-    /** Whom to ask what the controllers remember of a job. */
+    /** How to ask what the controllers remember of a job. */
     public void recallFrom(Function<JobId, Future<RememberedState>> controllers) {
         recall = controllers;
     }
 
     /**
-     * Mends an open job's record, or moves the job to those that are over. Succeeds also if somebody else has changed it: it is
+     * Repairs an open job's record, or moves the job to those that are over. Succeeds also if somebody else has changed it: it is
      * to be read again in any case. Fails if nobody knows the job.
      *
      * @param offered the job as its user submits it again, or null
      */
-    public Future<Void> repairOpen(JobId id, StateClient.Entry spoilt, JobSpec offered) {
+    public Future<Void> repairOpen(JobId id, StateClient.Entry unreadable, JobSpec offered) {
         return recall.apply(id).compose(remembered -> {
             RememberedState known = RecordRepair.open(
-                    id, JobRecordCodec.readRest(spoilt.value()), remembered, offered, clock.timeOfDay());
+                    id, JobRecordCodec.readRest(unreadable.value()), remembered, offered, clock.timeOfDay());
             StateClient.Txn txn = state.transactionInEra()
-                    .when(spoilt.key(), spoilt.revision())
+                    .when(unreadable.key(), unreadable.revision())
                     .when(RecordKeys.finalKey(id), Revision.ABSENT);
             known.over()
                     .values()
-                    .forEach(end -> txn.delete(spoilt.key())
+                    .forEach(end -> txn.delete(unreadable.key())
                             .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(end.status(), end.done())));
             // Blocks of bits that stand beside the record are left as they are: what they say is done stays so. What
             // has no
@@ -65,22 +67,22 @@
             CompletionBits bits = new CompletionBits(state.limits().within(limits));
             known.open()
                     .forEach(job -> txn.put(
-                            spoilt.key(),
+                            unreadable.key(),
                             bits.writeJob(
                                     job.spec(), job.submittedMs(), JobStatus.PENDING, job.done(), 0, job.bound())));
-            return writeRepair(txn, spoilt.key());
+            return writeRepair(txn, unreadable.key());
         });
     }
 
-    /** Mends the record of a job that is over; as {@link #repairOpen}. */
-    public Future<Void> repairFinal(JobId id, StateClient.Entry spoilt, JobSpec offered) {
+    /** Repairs the record of a job that is over; as {@link #repairOpen}. */
+    public Future<Void> repairFinal(JobId id, StateClient.Entry unreadable, JobSpec offered) {
         return recall.apply(id).compose(remembered -> {
             RememberedState.FinishedJob end =
-                    RecordRepair.end(id, JobRecordCodec.readRest(spoilt.value()), remembered, offered);
-            StateClient.Txn txn = state.transactionInEra().when(spoilt.key(), spoilt.revision());
+                    RecordRepair.end(id, JobRecordCodec.readRest(unreadable.value()), remembered, offered);
+            StateClient.Txn txn = state.transactionInEra().when(unreadable.key(), unreadable.revision());
             return writeRepair(
-                    end == null ? txn : txn.put(spoilt.key(), JobRecordCodec.writeFinal(end.status(), end.done())),
-                    spoilt.key());
+                    end == null ? txn : txn.put(unreadable.key(), JobRecordCodec.writeFinal(end.status(), end.done())),
+                    unreadable.key());
         });
     }
 
--- a/src/main/java/io/indigoreach/state/RememberedStateCodec.java
+++ b/src/main/java/io/indigoreach/state/RememberedStateCodec.java
@@ -62,18 +62,19 @@
     }
 
     /** Adds a part to what is known; true if there are more. */
-    public static boolean read(Fields f, RememberedState into) {
-        for (Fields e : f.children("over")) {
-            into.add(new JobId(e.text("id")), new RememberedState.FinishedJob(JobStatus.valueOf(e.text("status")), (int)
-                    e.whole("done")));
+    public static boolean read(Fields body, RememberedState into) {
+        for (Fields item : body.children("over")) {
+            into.add(
+                    new JobId(item.text("id")),
+                    new RememberedState.FinishedJob(JobStatus.valueOf(item.text("status")), (int) item.whole("done")));
         }
-        for (Fields e : f.children("open")) {
-            JobRecord record = JobRecordCodec.readJob(new JobId(e.text("id")), e.child("job"), Revision.ABSENT);
+        for (Fields item : body.children("open")) {
+            JobRecord record = JobRecordCodec.readJob(new JobId(item.text("id")), item.child("job"), Revision.ABSENT);
             into.add(new RememberedState.OpenJob(record.spec(), record.submittedMs(), record.done(), record.bound()));
         }
-        for (Fields e : f.children("records")) {
-            into.add(new VersionedRecord(e.text("key"), e.child("value").map(), Revision.ABSENT));
+        for (Fields item : body.children("records")) {
+            into.add(new VersionedRecord(item.text("key"), item.child("value").map(), Revision.ABSENT));
         }
-        return f.flag("more", false);
+        return body.flag("more", false);
     }
 }
--- a/src/main/java/io/indigoreach/state/RoutineRunner.java
+++ b/src/main/java/io/indigoreach/state/RoutineRunner.java
@@ -21,7 +21,7 @@
 import java.util.Map;
 
 /**
- * Runs parts' {@link Routine}s against the state service. Every write is made only in the era that this process knows, and what
+ * Runs the {@link Routine}s of optional features against the state service, on the event loop of its Vert.x instance. Every write is made only in the era that this process knows, and what
  * is absent is said to be so only when a transaction has compared it in that era; while a loss of data is not mended nothing is
  * read or written at all, since "not there" would mean "lost". What is read or written is remembered for rebuilding.
  */
@@ -39,6 +39,7 @@
 
     private final RateLimiter budget;
 
+    /** Runs routines for any node, without a limit on its requests. */
     public RoutineRunner(Vertx vertx, StateClient state, SteadyClock clock, RecordCache copies) {
         this(vertx, state, clock, copies, null, null);
     }
@@ -68,6 +69,7 @@
         return new RoutineRunner(vertx, state, clock, copies, null, spare);
     }
 
+    /** This node's copies of the records. */
     public RecordCache copies() {
         return copies;
     }
@@ -120,39 +122,47 @@
 
     private Future<List<VersionedRecord>> readSome(List<String> keys, int attempt) {
         List<Future<VersionedRecord>> reads = new ArrayList<>();
-        keys.forEach(key -> reads.add(state.get(key)
-                .map(e -> e == null
-                        ? VersionedRecord.absent(key)
-                        : new VersionedRecord(key, e.value().map(), e.revision()))));
-        return Future.all(reads).compose(all -> {
-            List<VersionedRecord> read = all.list();
-            List<VersionedRecord> doubtful = read.stream()
-                    .filter(k -> !k.exists() || state.areReadsSuspect() || isOlderThanCopy(k))
-                    .toList();
-            if (doubtful.isEmpty()) {
-                read.forEach(copies::add);
-                return Future.succeededFuture(read);
-            }
-            // Judged by what was known before the comparison was sent: what another routine writes meanwhile is newer
-            // than it.
-            List<VersionedRecord> older =
-                    doubtful.stream().filter(this::isOlderThanCopy).toList();
-            StateClient.Txn comparison = state.transactionInEra();
-            doubtful.forEach(k -> comparison.when(k.key(), k.revision()));
-            return state.confirm(comparison).compose(holds -> {
-                if (!holds) {
-                    return attempt < MAX_ATTEMPTS
-                            ? state.check().compose(v -> readSome(keys, attempt + 1))
-                            : Future.failedFuture(new WireException("the records change at this moment"));
-                }
-                older.forEach(this::lost);
-                if (state.losses().isHolding()) {
-                    return Future.failedFuture(new WireException("data were lost"));
-                }
-                read.forEach(copies::add);
-                return Future.succeededFuture(read);
-            });
-        });
+        keys.forEach(key -> reads.add(state.get(key).map(entry -> versioned(key, entry))));
+        return Future.all(reads).compose(all -> confirmSuspect(keys, all.list(), attempt));
+    }
+
+    private static VersionedRecord versioned(String key, StateClient.Entry entry) {
+        return entry == null
+                ? VersionedRecord.absent(key)
+                : new VersionedRecord(key, entry.value().map(), entry.revision());
+    }
+
+    /** Confirms by a compare-and-swap what may be a stale read: absent records, and ones older than this node's copies. */
+    private Future<List<VersionedRecord>> confirmSuspect(List<String> keys, List<VersionedRecord> read, int attempt) {
+        List<VersionedRecord> suspect = read.stream()
+                .filter(record -> !record.exists() || state.areReadsSuspect() || isOlderThanCopy(record))
+                .toList();
+        if (suspect.isEmpty()) {
+            read.forEach(copies::add);
+            return Future.succeededFuture(read);
+        }
+        // Decided by what was known before the comparison was sent: what another routine writes meanwhile is newer.
+        List<VersionedRecord> older =
+                suspect.stream().filter(this::isOlderThanCopy).toList();
+        StateClient.Txn comparison = state.transactionInEra();
+        suspect.forEach(record -> comparison.when(record.key(), record.revision()));
+        return state.confirm(comparison)
+                .compose(confirmed -> confirmed ? acceptConfirmed(read, older) : readAgain(keys, attempt));
+    }
+
+    private Future<List<VersionedRecord>> readAgain(List<String> keys, int attempt) {
+        return attempt < MAX_ATTEMPTS
+                ? state.check().compose(v -> readSome(keys, attempt + 1))
+                : Future.failedFuture(new WireException("the records change at this moment"));
+    }
+
+    private Future<List<VersionedRecord>> acceptConfirmed(List<VersionedRecord> read, List<VersionedRecord> older) {
+        older.forEach(this::lost);
+        if (state.losses().isHolding()) {
+            return Future.failedFuture(new WireException("data were lost"));
+        }
+        read.forEach(copies::add);
+        return Future.succeededFuture(read);
     }
 
     private boolean isOlderThanCopy(VersionedRecord read) {
@@ -173,11 +183,11 @@
     private Future<StepResult> scan(String prefix, String after, int most) {
         return state.list(prefix, after, most).map(page -> {
             Map<String, VersionedRecord> found = new LinkedHashMap<>();
-            page.items().forEach(e -> {
-                VersionedRecord k = new VersionedRecord(e.key(), e.value().map(), e.revision());
-                found.put(e.key(), k);
-                // A list may come from the past: what it shows is told as it is, its writes depend on their versions.
-                copies.add(k);
+            page.items().forEach(entry -> {
+                VersionedRecord record = versioned(entry.key(), entry);
+                found.put(entry.key(), record);
+                // A listing may be stale: it is returned as it is, and writes depend on the revisions in it.
+                copies.add(record);
             });
             return seen(found, page.more());
         });
--- a/src/main/java/io/indigoreach/state/StaleReadDetector.java
+++ b/src/main/java/io/indigoreach/state/StaleReadDetector.java
@@ -1,8 +1,8 @@
 package io.indigoreach.state;
 
 /**
- * Whether the state service keeps its word that no answer is older than one before. Its revision only grows; an answer
- * with a lower one than this node knew when it asked comes from the past, and then reads are doubted for a while.
+ * Detects stale reads: answers of the state service that are older than one before. Its revision only grows; an answer
+ * with a lower one than this node knew when it asked is stale, and then reads are confirmed for a while.
  */
 final class StaleReadDetector {
     /** So many reads are confirmed after a sign that the service answers with the past. */
@@ -11,12 +11,12 @@
     private long highest;
     private int readsToConfirm;
 
-    /** The highest revision told so far, to be taken note of as a request is sent. */
+    /** The highest revision seen so far, to be taken note of as a request is sent. */
     long highest() {
         return highest;
     }
 
-    /** An answer told its revision; {@code known} is what {@link #highest} was as its request was sent. */
+    /** An answer had this revision; {@code known} is what {@link #highest} was as its request was sent. */
     void observe(long known, long revision) {
         if (revision < known) {
             suspectReads();
@@ -24,7 +24,7 @@
         highest = Math.max(highest, revision);
     }
 
-    /** The service has gone back for good: what it tells from now on is measured by this. */
+    /** The service has gone back for good: later answers are compared with this. */
     void restartAt(long revision) {
         highest = revision;
     }
--- a/src/main/java/io/indigoreach/state/StateClient.java
+++ b/src/main/java/io/indigoreach/state/StateClient.java
@@ -16,27 +16,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The state service's protocol. A failed future means that the outcome is unknown or that the
- * request was refused and surely not executed ({@link Refused}).
+ * The client of the state service, a consensus-backed key-value store whose transactions are compare-and-swaps. Bound to the
+ * event loop of its connections. A failed future means that the outcome is unknown or that the
+ * request was refused and surely not executed ({@link RequestRejectedException}).
  */
 public final class StateClient {
     private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
 
-    /** The request was not executed: an outage, or a limit. */
-    public static class Refused extends RuntimeException {
-        Refused(int status) {
-            super("the state service answers " + status, null, false, false);
-        }
-    }
-
-    /** The request was not executed, and never will be as it is: too large, or malformed. */
-    public static final class UnacceptableWriteException extends Refused {
-        UnacceptableWriteException() {
-            super(MALFORMED);
-        }
-    }
-
+    private static final int OK = 200;
     private static final int MALFORMED = 400;
+    private static final int NOT_FOUND = 404;
+    private static final int CONFLICT = 409;
+    private static final int GONE = 410;
+    private static final int TOO_MANY_REQUESTS = 429;
 
     /** A key with its value, its version and the lease that it is attached to, or 0. */
     public record Entry(String key, Fields value, Revision revision, long lease) {}
@@ -52,6 +44,7 @@
 
     /** A transaction's outcome: done at a revision, or the keys that did not have the given version. */
     public record Outcome(boolean done, long revision, List<String> failed, boolean leaseGone) {
+        /** The revision of the keys that were written. */
         public Revision writtenRevision() {
             return new Revision(revision);
         }
@@ -59,6 +52,7 @@
 
     /** One change of a transaction: a new value, attached to a lease unless that is 0, or null to delete the key. */
     public record Write(String key, Map<String, Object> value, long lease) {
+        /** Whether the key is deleted. */
         public boolean isDelete() {
             return value == null;
         }
@@ -69,20 +63,24 @@
         private final Map<String, Revision> conditions = new LinkedHashMap<>();
         private final List<Write> writes = new ArrayList<>();
 
+        /** Only if the key has this revision; {@link Revision#ABSENT}: only if it is absent. */
         public Txn when(String key, Revision revision) {
             conditions.put(key, revision);
             return this;
         }
 
+        /** Writes a value. */
         public Txn put(String key, Map<String, Object> value) {
             return put(key, value, 0);
         }
 
+        /** Writes a value that is deleted when the lease ends. */
         public Txn put(String key, Map<String, Object> value, long lease) {
             writes.add(new Write(key, value, lease));
             return this;
         }
 
+        /** Deletes a key. */
         public Txn delete(String key) {
             writes.add(new Write(key, null, 0));
             return this;
@@ -95,14 +93,17 @@
             return this;
         }
 
+        /** The revision that each key must have. */
         public Map<String, Revision> conditions() {
             return conditions;
         }
 
+        /** What is written, in order. */
         public List<Write> writes() {
             return writes;
         }
 
+        /** How many keys are written. */
         public int size() {
             return writes.size();
         }
@@ -113,6 +114,8 @@
 
     private static final int OUTAGE = 503;
     private static final Span TIMEOUT = Span.seconds(2);
+    private static final Span ERA_TIMEOUT = Span.seconds(1);
+    private static final Span LIST_TIMEOUT = Span.seconds(4);
 
     private final ServiceClient caller;
     private final ServiceClient watcher;
@@ -212,24 +215,26 @@
     }
 
     private Future<Void> readEra() {
-        return reportingFailure(caller.get(StateCodec.keyPath(RecordKeys.ERA), Span.seconds(1)))
-                .compose(r -> {
-                    if (r.status() == 429) {
-                        return Future.succeededFuture();
-                    }
-                    Entry entry = r.status() == 404 ? null : StateCodec.readEntry(requireOk(r));
-                    Revision revision = entry == null ? Revision.ABSENT : entry.revision();
-                    long era = entry == null ? 0 : EraRecordCodec.readEra(entry.value());
-                    if (losses.era() == 0) {
-                        // Nothing is known to compare with; an answer from the past fails in the first transaction.
-                        return entry == null ? firstEra() : adoptEra(era, revision);
-                    }
-                    if (revision.equals(eraRevision) && era == losses.era()) {
-                        return Future.succeededFuture();
-                    }
-                    return commit(new Txn().when(RecordKeys.ERA, revision))
-                            .compose(outcome -> outcome.done() ? adoptEra(era, revision) : Future.succeededFuture());
-                });
+        return reportingFailure(caller.get(StateCodec.keyPath(RecordKeys.ERA), ERA_TIMEOUT))
+                .compose(this::compareEra);
+    }
+
+    private Future<Void> compareEra(ServiceResponse response) {
+        if (response.status() == TOO_MANY_REQUESTS) {
+            return Future.succeededFuture();
+        }
+        Entry entry = response.status() == NOT_FOUND ? null : StateCodec.readEntry(requireOk(response));
+        Revision revision = revisionOf(entry);
+        long era = entry == null ? 0 : EraRecordCodec.readEra(entry.value());
+        if (losses.era() == 0) {
+            // Nothing is known to compare with; a stale answer fails in the first transaction.
+            return entry == null ? firstEra() : adoptEra(era, revision);
+        }
+        if (revision.equals(eraRevision) && era == losses.era()) {
+            return Future.succeededFuture();
+        }
+        return commit(new Txn().when(RecordKeys.ERA, revision))
+                .compose(outcome -> outcome.done() ? adoptEra(era, revision) : Future.succeededFuture());
     }
 
     private Future<Void> adoptEra(long era, Revision revision) {
@@ -260,7 +265,7 @@
     public Future<Entry> get(String key) {
         long known = staleReads.highest();
         return reportingFailure(caller.get(StateCodec.keyPath(key), TIMEOUT)).map(r -> {
-            if (r.status() == 404) {
+            if (r.status() == NOT_FOUND) {
                 staleReads.observe(known, StateCodec.readRevision(r.body()));
                 return null;
             }
@@ -268,9 +273,10 @@
         });
     }
 
+    /** Up to {@code most} entries with a prefix, after a key or from the first if that is null. */
     public Future<Page> list(String prefix, String after, int most) {
         long known = staleReads.highest();
-        return reportingFailure(caller.get(StateCodec.listPath(prefix, after, most), Span.seconds(4)))
+        return reportingFailure(caller.get(StateCodec.listPath(prefix, after, most), LIST_TIMEOUT))
                 .map(r -> {
                     Page page = StateCodec.readPage(requireOk(r));
                     staleReads.observe(known, page.revision());
@@ -296,37 +302,45 @@
         });
     }
 
+    /** Executes a compare-and-swap; fails with {@link TransactionRejectedException} if it can never be executed as it is. */
     public Future<Outcome> commit(Txn txn) {
         long known = staleReads.highest();
         return reportingFailure(caller.post(StateCodec.TXN, StateCodec.writeTxn(txn), TIMEOUT))
-                .map(r -> {
-                    if (r.status() == 200) {
-                        Outcome done = new Outcome(true, StateCodec.readRevision(r.body()), List.of(), false);
-                        boolean lost = losses.revision(known, done.revision());
-                        staleReads.observe(0, done.revision());
-                        if (done.revision() < known) {
-                            staleReads.restartAt(done.revision());
-                        }
-                        reportLoss(lost);
-                        return done;
-                    }
-                    if (r.status() == 409) {
-                        Outcome failed = StateCodec.readConflict(r.body());
-                        staleReads.observe(0, failed.revision());
-                        return failed;
-                    }
-                    if (r.status() == 400
-                            && StateCodec.NO_SUCH_LEASE.equals(r.body().optionalText("error"))) {
-                        return new Outcome(false, 0, List.of(), true);
-                    }
-                    if (r.status() == MALFORMED) {
-                        limits.transactionRefused(txn);
-                        throw new UnacceptableWriteException();
-                    }
-                    throw new Refused(r.status());
-                });
+                .map(response -> outcome(txn, known, response));
+    }
+
+    private Outcome outcome(Txn txn, long known, ServiceResponse response) {
+        if (response.status() == OK) {
+            return committed(known, StateCodec.readRevision(response.body()));
+        }
+        if (response.status() == CONFLICT) {
+            Outcome failed = StateCodec.readConflict(response.body());
+            staleReads.observe(0, failed.revision());
+            return failed;
+        }
+        if (response.status() == MALFORMED
+                && StateCodec.NO_SUCH_LEASE.equals(response.body().optionalText("error"))) {
+            return new Outcome(false, 0, List.of(), true);
+        }
+        if (response.status() == MALFORMED) {
+            limits.transactionRefused(txn);
+            throw new TransactionRejectedException(MALFORMED);
+        }
+        throw new RequestRejectedException(response.status());
+    }
+
+    /** {@code known}: the highest revision seen when the transaction was sent; a lower one now shows a loss of data. */
+    private Outcome committed(long known, long revision) {
+        boolean lost = losses.revision(known, revision);
+        staleReads.observe(0, revision);
+        if (revision < known) {
+            staleReads.restartAt(revision);
+        }
+        reportLoss(lost);
+        return new Outcome(true, revision, List.of(), false);
     }
 
+    /** Requests a lease. */
     public Future<Long> grant(Span life) {
         return caller.post(StateCodec.LEASES, StateCodec.writeLife(life), TIMEOUT)
                 .map(r -> StateCodec.readLease(requireOk(r)));
@@ -336,7 +350,7 @@
     public Future<Boolean> renew(long lease, Span patience) {
         return caller.post(StateCodec.leasePath(lease) + StateCodec.RENEW, Map.of(), patience)
                 .map(r -> {
-                    if (r.status() == 404) {
+                    if (r.status() == NOT_FOUND) {
                         return false;
                     }
                     requireOk(r);
@@ -344,24 +358,26 @@
                 });
     }
 
+    /** Ends a lease, and deletes the keys attached to it. */
     public Future<Void> drop(long lease) {
         return caller.delete(StateCodec.leasePath(lease), TIMEOUT).mapEmpty();
     }
 
+    /** The changes of keys with a prefix after a revision; waits for the first at most {@code wait}. */
     public Future<Changes> watch(String prefix, long since, Span wait) {
         return watcher.get(StateCodec.watchPath(prefix, since, wait), wait.plus(TIMEOUT))
-                .map(r -> r.status() == 410 ? new Changes(List.of(), 0, true) : StateCodec.readChanges(requireOk(r)));
+                .map(r -> r.status() == GONE ? new Changes(List.of(), 0, true) : StateCodec.readChanges(requireOk(r)));
     }
 
     private static Fields requireOk(ServiceResponse reply) {
-        if (reply.status() == 200) {
+        if (reply.status() == OK) {
             return reply.body();
         }
-        throw new Refused(reply.status());
+        throw new RequestRejectedException(reply.status());
     }
 
     /** Whether a failure says that the request surely was not executed. */
     public static boolean surelyNotExecuted(Throwable failure) {
-        return failure instanceof Refused;
+        return failure instanceof RequestRejectedException;
     }
 }
--- a/src/main/java/io/indigoreach/state/StateCodec.java
+++ b/src/main/java/io/indigoreach/state/StateCodec.java
@@ -10,19 +10,29 @@
 import java.util.Map;
 
 /**
- * The state service's words: its paths, and each request and answer both written and read here, so that the client and
- * whatever stands in for the service cannot come to differ.
+ * The wire format of the state service: its paths, and each request and response both written and read here, so that the client
+ * and an emulated service cannot come to differ.
  */
 public final class StateCodec {
+    /** Path of keys and listings. */
     public static final String STORE = "/store";
+    /** Path of compare-and-swaps. */
     public static final String TXN = "/txn";
+    /** Path of leases. */
     public static final String LEASES = "/grants";
+    /** Path of watches. */
     public static final String WATCH = "/changes";
+    /** Renews the lease whose path precedes it. */
     public static final String RENEW = "/renew";
+    /** Query parameter: the prefix of the keys. */
     public static final String PREFIX = "starts";
+    /** Query parameter: after which key or revision. */
     public static final String SINCE = "since";
+    /** Query parameter: the most entries of a page. */
     public static final String LIMIT = "most";
+    /** Query parameter: how long a watch waits. */
     public static final String WAIT = "wait_ms";
+    /** The error of a compare-and-swap with a lease that has ended. */
     public static final String NO_SUCH_LEASE = "no such lease";
 
     private static final String NAMELESS = "";
@@ -33,13 +43,13 @@
      * A value as it is kept: this project's are maps, the protocol allows any data. What is no map becomes the only
      * field, without a name, of one; so does a map that looks like that, and thus each comes back as it was.
      */
-    private static Fields unwrapped(Fields f, String name) {
-        if (!f.has(name)) {
-            return f.child(name);
+    private static Fields unwrapped(Fields body, String name) {
+        if (!body.has(name)) {
+            return body.child(name);
         }
-        Object value = f.map().get(name);
+        Object value = body.map().get(name);
         return value instanceof Map<?, ?> map && !isWrapped(map)
-                ? f.child(name)
+                ? body.child(name)
                 : new Fields(MessagePackFormat.map(NAMELESS, value));
     }
 
@@ -69,23 +79,25 @@
         return LEASES + "/" + lease;
     }
 
-    public static Map<String, Object> writeEntry(StateClient.Entry e) {
+    /** The body of a key's response. */
+    public static Map<String, Object> writeEntry(StateClient.Entry entry) {
         Map<String, Object> map = MessagePackFormat.map(
                 "path",
-                e.key(),
+                entry.key(),
                 "data",
-                toWire(e.value().map()),
+                toWire(entry.value().map()),
                 "stamp",
-                e.revision().value());
-        if (e.lease() > 0) {
-            map.put("permit", e.lease());
+                entry.revision().value());
+        if (entry.lease() > 0) {
+            map.put("permit", entry.lease());
         }
         return map;
     }
 
-    public static StateClient.Entry readEntry(Fields f) {
+    /** A key with its value, from a response or an item of a page. */
+    public static StateClient.Entry readEntry(Fields body) {
         return new StateClient.Entry(
-                f.text("path"), unwrapped(f, "data"), new Revision(f.whole("stamp")), f.whole("permit", 0));
+                body.text("path"), unwrapped(body, "data"), new Revision(body.whole("stamp")), body.whole("permit", 0));
     }
 
     /** What is said where there is only the revision to tell: a key that is absent, a transaction that is done. */
@@ -93,37 +105,40 @@
         return MessagePackFormat.map("ledger_rev", revision);
     }
 
-    public static long readRevision(Fields f) {
-        return f.whole("ledger_rev");
+    /** The revision of the store in a response. */
+    public static long readRevision(Fields body) {
+        return body.whole("ledger_rev");
     }
 
+    /** The body of a listing's response. */
     public static Map<String, Object> writePage(StateClient.Page page) {
         List<Object> items = new ArrayList<>(page.items().size());
-        page.items().forEach(e -> items.add(writeEntry(e)));
+        page.items().forEach(entry -> items.add(writeEntry(entry)));
         return MessagePackFormat.map("items", items, "truncated", page.more(), "ledger_rev", page.revision());
     }
 
-    static StateClient.Page readPage(Fields f) {
+    static StateClient.Page readPage(Fields body) {
         return new StateClient.Page(
-                f.children("items").stream().map(StateCodec::readEntry).toList(),
-                f.flag("truncated", false),
-                readRevision(f));
+                body.children("items").stream().map(StateCodec::readEntry).toList(),
+                body.flag("truncated", false),
+                readRevision(body));
     }
 
+    /** The body of a compare-and-swap. */
     public static Map<String, Object> writeTxn(StateClient.Txn txn) {
         List<Object> when = new ArrayList<>();
         txn.conditions()
                 .forEach((key, revision) -> when.add(MessagePackFormat.map("path", key, "stamp", revision.value())));
         List<Object> writes = new ArrayList<>();
-        for (StateClient.Write w : txn.writes()) {
+        for (StateClient.Write write : txn.writes()) {
             Map<String, Object> map = new LinkedHashMap<>();
-            if (w.isDelete()) {
-                map.put("delete", w.key());
+            if (write.isDelete()) {
+                map.put("delete", write.key());
             } else {
-                map.put("write", w.key());
-                map.put("data", toWire(w.value()));
-                if (w.lease() > 0) {
-                    map.put("permit", w.lease());
+                map.put("write", write.key());
+                map.put("data", toWire(write.value()));
+                if (write.lease() > 0) {
+                    map.put("permit", write.lease());
                 }
             }
             writes.add(map);
@@ -132,73 +147,81 @@
     }
 
     /** Throws {@link io.indigoreach.net.WireException} for anything that is not a transaction. */
-    public static StateClient.Txn readTxn(Fields f) {
+    public static StateClient.Txn readTxn(Fields body) {
         StateClient.Txn txn = new StateClient.Txn();
-        for (Fields c : f.children("when")) {
-            txn.when(c.text("path"), new Revision(c.whole("stamp")));
+        for (Fields condition : body.children("when")) {
+            txn.when(condition.text("path"), new Revision(condition.whole("stamp")));
         }
-        for (Fields w : f.children("writes")) {
-            if (w.has("delete")) {
-                txn.delete(w.text("delete"));
+        for (Fields write : body.children("writes")) {
+            if (write.has("delete")) {
+                txn.delete(write.text("delete"));
             } else {
-                txn.put(w.text("write"), unwrapped(w, "data").map(), w.whole("permit", 0));
+                txn.put(write.text("write"), unwrapped(write, "data").map(), write.whole("permit", 0));
             }
         }
         return txn;
     }
 
+    /** The body of a rejected compare-and-swap: the keys whose conditions failed. */
     public static Map<String, Object> writeConflict(List<String> failed, long revision) {
         return MessagePackFormat.map("failed", failed, "ledger_rev", revision);
     }
 
-    static StateClient.Outcome readConflict(Fields f) {
-        List<String> failed = f.optionalTexts("failed");
-        return new StateClient.Outcome(false, f.whole("ledger_rev", 0), failed == null ? List.of() : failed, false);
+    static StateClient.Outcome readConflict(Fields body) {
+        List<String> failed = body.optionalTexts("failed");
+        return new StateClient.Outcome(false, body.whole("ledger_rev", 0), failed == null ? List.of() : failed, false);
     }
 
+    /** The body of a request for a lease. */
     public static Map<String, Object> writeLife(Span life) {
         return MessagePackFormat.map("life_ms", life.ms());
     }
 
-    public static Span readLife(Fields f) {
-        return new Span(f.whole("life_ms"));
+    /** How long the requested lease lasts without renewal. */
+    public static Span readLife(Fields body) {
+        return new Span(body.whole("life_ms"));
     }
 
+    /** The body of a granted lease. */
     public static Map<String, Object> writeLease(long lease) {
         return MessagePackFormat.map("permit", lease);
     }
 
-    static long readLease(Fields f) {
-        return f.whole("permit");
+    static long readLease(Fields body) {
+        return body.whole("permit");
     }
 
+    /** The body of a watch's response. */
     public static Map<String, Object> writeChanges(StateClient.Changes changes) {
         List<Object> events = new ArrayList<>(changes.changes().size());
-        for (StateClient.Change c : changes.changes()) {
+        for (StateClient.Change change : changes.changes()) {
             events.add(
-                    c.value() == null
+                    change.value() == null
                             ? MessagePackFormat.map(
-                                    "delete", c.key(), "stamp", c.revision().value())
+                                    "delete",
+                                    change.key(),
+                                    "stamp",
+                                    change.revision().value())
                             : MessagePackFormat.map(
                                     "write",
-                                    c.key(),
+                                    change.key(),
                                     "data",
-                                    toWire(c.value().map()),
+                                    toWire(change.value().map()),
                                     "stamp",
-                                    c.revision().value()));
+                                    change.revision().value()));
         }
         return MessagePackFormat.map("ledger_rev", changes.revision(), "events", events);
     }
 
-    static StateClient.Changes readChanges(Fields f) {
+    static StateClient.Changes readChanges(Fields body) {
         List<StateClient.Change> changes = new ArrayList<>();
-        for (Fields e : f.children("events")) {
-            Revision revision = new Revision(e.whole("stamp"));
+        for (Fields event : body.children("events")) {
+            Revision revision = new Revision(event.whole("stamp"));
             changes.add(
-                    e.has("write")
-                            ? new StateClient.Change(e.text("write"), unwrapped(e, "data"), revision)
-                            : new StateClient.Change(e.text("delete"), null, revision));
+                    event.has("write")
+                            ? new StateClient.Change(event.text("write"), unwrapped(event, "data"), revision)
+                            : new StateClient.Change(event.text("delete"), null, revision));
         }
-        return new StateClient.Changes(changes, readRevision(f), false);
+        return new StateClient.Changes(changes, readRevision(body), false);
     }
 }
--- a/src/test/java/io/indigoreach/state/FormatGateTest.java
+++ b/src/test/java/io/indigoreach/state/FormatGateTest.java
@@ -114,7 +114,7 @@
     /** The word for start bounds means the same in both forms, and a campaign keeps form and word. */
     @ParameterizedTest
     @CsvSource({"1, false", "1, true", "2, false", "2, true"})
-    void aCampaignKeepsTheFormatAndTheWordForBounds(int format, boolean bounds) throws Exception {
+    void aCampaignKeepsDataFormatAndStartBounds(int format, boolean bounds) throws Exception {
         CounterRecord before = new CounterRecord(new FencingToken(7), bounds, format);
         VersionProcesses.await(site.client().commit(new StateClient.Txn().put(COUNTER, before.write())));
         VersionProcesses.Newer a = site.newer("a");
@@ -239,7 +239,7 @@
 
     /** The word for start bounds, without an answer and carried out after the raise: it was read from the form before. */
     @Test
-    void aLateWordForStartBoundsDoesNotLowerIt() throws Exception {
+    void aLateConfirmationOfStartBoundsDoesNotLowerTheFormat() throws Exception {
         VersionProcesses.Newer a = site.newer("a");
         until(a.leadership()::isLeading);
         site.service.holding =
--- a/src/test/java/io/indigoreach/state/HandoverTest.java
+++ b/src/test/java/io/indigoreach/state/HandoverTest.java
@@ -370,7 +370,7 @@
 
     /** The key's removal is asked for late and twice, when the node that stood aside leads again: that leadership goes on. */
     @Test
-    void aLateHandoverLeavesTheSameNodesNextLeadershipAlone() throws Exception {
+    void aLateHandoverDoesNotAffectTheNextTermOfTheSameNode() throws Exception {
         World w = new World(1, Span.seconds(1));
         Process a = w.on(() -> w.start("a"));
         w.until(a.leadership::isValid);
@@ -391,7 +391,7 @@
     /** A renewal is answered when its lease was let go and another taken: what it says of the old one is not said of the new. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void aRenewalAnsweredLateSaysNothingOfTheNextLease(boolean ended) throws Exception {
+    void aLateRenewalResponseDoesNotAffectTheNextLease(boolean ended) throws Exception {
         World w = new World(1, Span.seconds(6));
         Process a = w.on(() -> w.start("a"));
         w.until(a.leadership::isValid);
@@ -472,7 +472,7 @@
 
     /** Tries that the service refuses use up no numbers: tokens do not run ahead of the time, from which the next process chooses. */
     @Test
-    void refusedTriesDoNotTakeTokensAheadOfTheTime() {
+    void rejectedCampaignsDoNotAdvanceTokens() {
         TokenGenerator tokens = new TokenGenerator(1, clock.timeOfDay(), Span.seconds(0.1));
         FencingToken first = tokens.next(FencingToken.NONE, clock.timeOfDay());
         FencingToken held = tokens.next(FencingToken.NONE, clock.timeOfDay());
--- a/src/test/java/io/indigoreach/state/JobRecordCodecTest.java
+++ b/src/test/java/io/indigoreach/state/JobRecordCodecTest.java
@@ -49,7 +49,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 8192, 8193, 32768, 100_000})
-    void jobsOfEverySizeComeBackAndFit(int tasks) {
+    void jobsOfEverySizeRoundTripWithinLimits(int tasks) {
         BitSet done = new BitSet();
         for (int i = 0; i < tasks; i += 2) {
             done.set(i);
@@ -78,7 +78,7 @@
     /** An older version takes the chain for a further field and writes it back unchanged; with a hundred names it is short. */
     @ParameterizedTest
     @ValueSource(longs = {0, 1_790_000_000_000L})
-    void aChainIsAmongTheFurtherFields(long released) {
+    void dependenciesAreStoredAmongTheAdditionalFields(long released) {
         List<JobId> needs = IntStream.range(100_000, 100_100)
                 .mapToObj(n -> new JobId("run-" + n))
                 .toList();
--- a/src/test/java/io/indigoreach/state/LeaderElectionTest.java
+++ b/src/test/java/io/indigoreach/state/LeaderElectionTest.java
@@ -189,7 +189,7 @@
 
     /** A leader that alone is refused by the state service held its key for a whole lease (water kiosks, apart). */
     @Test
-    void anotherNodeRemovesTheKeyOfALeaderThatStoodAside() throws Exception {
+    void aPeerRemovesTheKeyOfALeaderThatSteppedAside() throws Exception {
         LeaderElection a = node("a", "a1", 2);
         assertEquals("a1 took 1", next());
         LeaderElection b = node("b", "b1", 2);
@@ -291,7 +291,7 @@
 
     /** Guards against two leaders: who has pledged, or may have in a former process, does not take a key that is free. */
     @Test
-    void whoHasPledgedDoesNotLeadForAsLong() throws Exception {
+    void aPledgeDefersCampaigning() throws Exception {
         LeaderElection a = node("a", "a1", 2);
         assertEquals("a1 took 1", next());
         assertFalse(a.pledge(), "a leader does not pledge");
--- a/src/test/java/io/indigoreach/state/RoutineRunnerTest.java
+++ b/src/test/java/io/indigoreach/state/RoutineRunnerTest.java
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void whatIsNeverRemovedAndIsGoneIsALossAndNothingIsSaidOfItUntilItIsMended() throws Exception {
+    void aMissingPermanentRecordIsALossUntilRepaired() throws Exception {
         await(records.run(adding("a/1")));
         client.commit(new StateClient.Txn().delete("a/1"));
         assertThrows(ExecutionException.class, () -> await(records.run(adding("a/1"))));
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void whatPartsRemoveMayBeGone() throws Exception {
+    void aRemovableRecordMayBeAbsent() throws Exception {
         await(records.run(adding("b/1")));
         client.commit(new StateClient.Txn().delete("b/1"));
         assertEquals(1, await(records.run(adding("b/1"))));
