--- a/src/main/java/io/indigoreach/api/CascadeFreshness.java
+++ b/src/main/java/io/indigoreach/api/CascadeFreshness.java
@@ -8,42 +8,49 @@
 import java.util.function.Supplier;
 
 /**
- * Whether the leader may have been kept from sweeping the jobs below a cancelled one for as long as a user may be told that
- * they wait. This node has then had a request to the state service fail, or seen another leadership, within that time; or it
- * has just started and cannot know.
+ * Whether open records may lack a cancellation that the leader should have cascaded to them by now. That is so if, within the
+ * cascade time, a request of this node to the state service failed, or another leadership began, or this node started.
+ * Used on the event loop only.
  */
 final class CascadeFreshness {
     private final SteadyClock clock;
     private final BooleanSupplier stateServiceDoubted;
     private Span cascadeTime = Span.ZERO;
     private Supplier<Object> leadership = () -> "";
-    private Object lastSeen;
-    private Moment since;
+    private Object lastLeadership;
+    private Moment disturbedAt;
 
-    /** {@code doubted}: the state service's answers are in doubt themselves. */
+    /** {@code stateServiceDoubted}: whether the answers of the state service may themselves be stale. */
     CascadeFreshness(SteadyClock clock, BooleanSupplier stateServiceDoubted) {
         this.clock = clock;
         this.stateServiceDoubted = stateServiceDoubted;
-        this.since = clock.now();
+        this.disturbedAt = clock.now();
     }
 
-    /** {@code time}: how long a user may be told that a job waits after one before it was cancelled. */
-    void cascadeWithin(Span time, Supplier<Object> currentLeadership) {
+    /**
+     * Sets the cascade time.
+     *
+     * @param time for how long after a cancellation a user may be told that a dependant still waits
+     * @param currentLeadership a value that differs between any two leaderships
+     */
+    void setCascadeTime(Span time, Supplier<Object> currentLeadership) {
         cascadeTime = time;
         leadership = currentLeadership;
     }
 
-    /** A request to the state service has failed. */
+    /** Records that a request to the state service has failed. */
     void requestFailed() {
-        since = clock.now();
+        disturbedAt = clock.now();
     }
 
+    /** Whether open records may lack a cascaded cancellation. */
     boolean mayBeStale() {
         Object current = leadership.get();
-        if (!Objects.equals(current, lastSeen)) {
-            lastSeen = current;
-            since = clock.now();
+        if (!Objects.equals(current, lastLeadership)) {
+            lastLeadership = current;
+            disturbedAt = clock.now();
         }
-        return stateServiceDoubted.getAsBoolean() || clock.now().since(since).compareTo(cascadeTime) < 0;
+        return stateServiceDoubted.getAsBoolean()
+                || clock.now().since(disturbedAt).compareTo(cascadeTime) < 0;
     }
 }
--- a/src/main/java/io/indigoreach/api/DependencyService.java
+++ b/src/main/java/io/indigoreach/api/DependencyService.java
@@ -6,98 +6,99 @@
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.SteadyClock;
 import io.vertx.core.Future;
-import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Function;
+import java.util.function.Predicate;
 import java.util.function.Supplier;
 
 /**
- * What a node does for chained jobs beside serving any job: whether one may be accepted, and whether one that its record still
- * calls open is below a cancelled one. The leader ends such jobs within moments; a node that cannot be sure that it was able to
- * looks for itself before it answers.
+ * What a node decides about jobs with dependencies: whether one may be accepted, and whether one that its record calls open
+ * is to be cancelled because a dependency is. The leader ends such jobs within moments; a node that cannot be sure that the
+ * leader was able to checks the dependencies itself before it responds. Used on the event loop only.
  */
 final class DependencyService {
-    private static final int REMEMBERED = 20_000;
-    /** Of the time for which a job below a cancelled one may be called waiting: one look holds for this part. */
-    private static final double LOOK_HOLDS = 0.5;
+    private static final int MAX_CHECKS_REMEMBERED = 20_000;
+    /** The part of the cascade time for which one check of a waiting job holds. */
+    private static final double CHECK_HOLDS = 0.5;
 
     private final SteadyClock clock;
-    private final ReferencedJobs atSubmission;
-    private final ReferencedJobs atQuestions;
-    private final CascadeFreshness doubt;
-    private Span within = Span.ZERO;
-    private Supplier<Future<Boolean>> understoodByAll = () -> Future.succeededFuture(true);
-    /** When a look began that found no cancelled job above a waiting one. */
-    private final Map<JobId, Moment> looks = new LinkedHashMap<>() {
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<JobId, Moment> eldest) {
-            return size() > REMEMBERED;
-        }
-    };
+    private final ReferencedJobs submissionLookups;
+    private final ReferencedJobs queryLookups;
+    private final CascadeFreshness freshness;
+    private Span cascadeTime = Span.ZERO;
+    private Supplier<Future<Boolean>> supportedByAllNodes = () -> Future.succeededFuture(true);
+    /** When the last check began that found no cancelled job among the dependencies of a waiting one. */
+    private final Map<JobId, Moment> lastChecks = BoundedMaps.withLimit(MAX_CHECKS_REMEMBERED);
 
-    /** {@code sparing}: finds a job at a cost that does not grow with how many are asked about, and later where that is many. */
+    /**
+     * Creates the service.
+     *
+     * @param finder looks up a job by a read of its own
+     * @param batchedFinder looks up a job at a cost that does not grow with the number of lookups, but takes longer if there are many
+     */
     DependencyService(
             SteadyClock clock,
-            Function<JobId, Future<ReferencedJob>> finder,
-            Function<JobId, Future<ReferencedJob>> sparing,
-            CascadeFreshness doubt) {
+            Function<JobId, Future<StoredJob>> finder,
+            Function<JobId, Future<StoredJob>> batchedFinder,
+            CascadeFreshness freshness) {
         this.clock = clock;
-        this.atSubmission = new ReferencedJobs(finder);
-        this.atQuestions = new ReferencedJobs(sparing);
-        this.doubt = doubt;
+        this.submissionLookups = new ReferencedJobs(finder);
+        this.queryLookups = new ReferencedJobs(batchedFinder);
+        this.freshness = freshness;
     }
 
-    /** {@code time}: within it after a cancellation, the jobs below are to be told cancelled too. */
-    void within(Span time, Supplier<Object> leadership) {
-        within = time;
-        doubt.cascadeWithin(time, leadership);
+    /** Sets the time after a cancellation within which users are told that the dependants are cancelled too. */
+    void setCascadeTime(Span time, Supplier<Object> leadership) {
+        cascadeTime = time;
+        freshness.setCascadeTime(time, leadership);
     }
 
-    /** Whether every node of the deployment knows what a chain is: one that does not would start such a job at once. */
-    void understoodByAll(Supplier<Future<Boolean>> all) {
-        understoodByAll = all;
+    /** Sets the check whether every node supports dependencies: one that does not would start such a job at once. */
+    void setSupportCheck(Supplier<Future<Boolean>> allNodes) {
+        supportedByAllNodes = allNodes;
     }
 
     /**
-     * Whether a new job with this chain is cancelled from the start, as one that it names is. Fails with a {@link RequestRejectedException}
-     * if it names one that was never accepted, and otherwise if it cannot be accepted at this moment.
+     * Whether a new job with these dependencies is cancelled from the start, as one of them is. Fails with a
+     * {@link RequestRejectedException} if one was never accepted, with a {@link RetryLaterException} if not every node supports
+     * dependencies yet, and with anything else if a dependency cannot be read.
      */
-    Future<Boolean> isBornCancelled(JobDependencies chain) {
-        if (chain.isEmpty()) {
+    Future<Boolean> isAnyCancelled(JobDependencies dependencies) {
+        if (dependencies.isEmpty()) {
             return Future.succeededFuture(false);
         }
-        return understoodByAll
+        return supportedByAllNodes
                 .get()
-                .compose(all -> all
-                        ? atSubmission.anyCancelled(chain.needs())
-                        : Future.failedFuture(
-                                new DependencyUnknownException("not every controller knows chained jobs yet")));
+                .compose(supported -> supported
+                        ? submissionLookups.isAnyCancelled(dependencies.needs())
+                        : Future.failedFuture(new RetryLaterException("not every controller knows chained jobs yet")));
     }
 
-    /** Whether an open job whose record says that it waits is to be told cancelled. */
-    Future<Boolean> isBelowCancelled(JobId id, JobDependencies chain, Function<JobId, Boolean> knownCancelled) {
-        if (!chain.isWaiting()) {
+    /**
+     * Whether an open job whose record says that it waits is to be reported cancelled.
+     *
+     * @param knownCancelled whether this node knows that a job is cancelled
+     */
+    Future<Boolean> isCancelledByCascade(JobId id, JobDependencies dependencies, Predicate<JobId> knownCancelled) {
+        if (!dependencies.isWaiting()) {
             return Future.succeededFuture(false);
         }
-        if (chain.needs().stream().anyMatch(knownCancelled::apply)) {
+        if (dependencies.needs().stream().anyMatch(knownCancelled)) {
             return Future.succeededFuture(true);
         }
         Moment now = clock.now();
-        Moment last = looks.getOrDefault(id, Moment.NEVER);
-        if (!doubt.mayBeStale() || now.since(last).compareTo(within.times(LOOK_HOLDS)) < 0) {
+        if (!freshness.mayBeStale() || isRecentlyChecked(id, now)) {
             return Future.succeededFuture(false);
         }
-        return atQuestions.isBelowCancelled(chain).onSuccess(below -> {
-            if (!below) {
-                looks.put(id, now);
+        return queryLookups.isCancelledByCascade(dependencies).onSuccess(cancelled -> {
+            if (!cancelled) {
+                lastChecks.put(id, now);
             }
         });
     }
 
-    /** Not accepted at this moment; its user is to come again. */
-    static final class DependencyUnknownException extends RuntimeException {
-        DependencyUnknownException(String reason) {
-            super(reason, null, false, false);
-        }
+    private boolean isRecentlyChecked(JobId id, Moment now) {
+        Moment last = lastChecks.getOrDefault(id, Moment.NEVER);
+        return now.since(last).compareTo(cascadeTime.times(CHECK_HOLDS)) < 0;
     }
 }
--- /dev/null
+++ b/src/main/java/io/indigoreach/api/JobCancellation.java
@@ -0,0 +1,100 @@
+package io.indigoreach.api;
+
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.net.WireException;
+import io.indigoreach.state.FinalRecord;
+import io.indigoreach.state.JobRecord;
+import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.StateClient;
+import io.vertx.core.Future;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Cancels jobs, on request of a user or because a dependency was cancelled. Used on the event loop only. */
+final class JobCancellation {
+    private static final Logger LOG = LoggerFactory.getLogger(JobCancellation.class);
+    private static final int MAX_ATTEMPTS = 3;
+
+    private final StateClient state;
+    private final JobLookup lookup;
+    private final JobMemory memory;
+    private final DependencyService dependencies;
+
+    JobCancellation(StateClient state, JobLookup lookup, JobMemory memory, DependencyService dependencies) {
+        this.state = state;
+        this.lookup = lookup;
+        this.memory = memory;
+        this.dependencies = dependencies;
+    }
+
+    /**
+     * Cancels a job. The result is its final status, which is another one if it had ended before. Fails with
+     * {@link NotFoundException} or {@link RetryLaterException}.
+     */
+    Future<JobStatus> cancel(JobId id) {
+        return cancel(id, 1);
+    }
+
+    private Future<JobStatus> cancel(JobId id, int attempt) {
+        return lookup.find(id).compose(found -> cancel(id, found, attempt));
+    }
+
+    private Future<JobStatus> cancel(JobId id, StoredJob found, int attempt) {
+        if (found instanceof StoredJob.Finished finished) {
+            return Future.succeededFuture(finished.end().status());
+        }
+        if (!(found instanceof StoredJob.Open open)) {
+            return Future.failedFuture(NotFoundException.job());
+        }
+        return state.commit(cancelling(open.job())).compose(outcome -> {
+            if (outcome.done()) {
+                LOG.info("job cancelled by user job={}", id);
+                memory.rememberFinished(cancelled(open.job()));
+                return Future.succeededFuture(JobStatus.CANCELLED);
+            }
+            // The leader has written the job's progress in between.
+            return attempt < MAX_ATTEMPTS
+                    ? cancel(id, attempt + 1)
+                    : Future.failedFuture(new RetryLaterException("the job changes at this moment"));
+        });
+    }
+
+    /**
+     * Applies the cancellation cascade to a job that was looked up. An open job with a cancelled dependency is cancelled even if
+     * its final record is not written yet: it is written here, before the user is told, so that no later answer differs.
+     */
+    Future<StoredJob> applyCascade(JobId id, StoredJob found) {
+        if (!(found instanceof StoredJob.Open open)) {
+            return Future.succeededFuture(found);
+        }
+        return dependencies
+                .isCancelledByCascade(id, open.job().spec().chain(), memory::isCancelled)
+                .compose(cancelled -> cancelled ? cancelByCascade(id, open.job()) : Future.succeededFuture(found));
+    }
+
+    private Future<StoredJob> cancelByCascade(JobId id, JobRecord open) {
+        return state.commit(cancelling(open)).compose(outcome -> {
+            if (!outcome.done()) {
+                return Future.failedFuture(new WireException("the job changes at this moment"));
+            }
+            LOG.info("job cancelled by dependency job={}", id);
+            return Future.succeededFuture(new StoredJob.Finished(memory.rememberFinished(cancelled(open))));
+        });
+    }
+
+    /**
+     * Moves the job to its final key, if its record is unchanged. Blocks of completion bits beside the record are left to the leader, as they
+     * may be more than one transaction can delete.
+     */
+    private static StateClient.Txn cancelling(JobRecord open) {
+        return new StateClient.Txn()
+                .when(RecordCodec.openKey(open.id()), open.stamp())
+                .delete(RecordCodec.openKey(open.id()))
+                .put(RecordCodec.finalKey(open.id()), RecordCodec.writeFinal(JobStatus.CANCELLED, open.doneCount()));
+    }
+
+    private static FinalRecord cancelled(JobRecord open) {
+        return new FinalRecord(open.id(), JobStatus.CANCELLED, open.doneCount());
+    }
+}
--- a/src/main/java/io/indigoreach/api/JobCodec.java
+++ b/src/main/java/io/indigoreach/api/JobCodec.java
@@ -11,184 +11,203 @@
 import io.indigoreach.net.Fields;
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.WireException;
-import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 
-/** The users' words for jobs. */
+/** The messages of the users' interface: how jobs and their status are written and read. */
 public final class JobCodec {
-    private static final int MOST_TASKS = 100_000;
-    private static final int LONGEST_NAME = 200;
-    private static final int MOST_TYPES = 64;
-    private static final double LARGEST = 1e9;
-    /** Jobs that one may name. Their ids have to fit into its record beside all else, and each is looked up. */
-    public static final int MOST_NAMED = 100;
+    private static final int MAX_TASKS = 100_000;
+    private static final int MAX_NAME_LENGTH = 200;
+    private static final int MAX_MACHINE_TYPES = 64;
+    private static final double MAX_AMOUNT = 1e9;
+    /** The most dependencies of a job: their ids have to fit into its record, and each is looked up. */
+    public static final int MAX_DEPENDENCIES = 100;
 
+    /** The path of submissions; a job's own path is this, a slash and its id. */
     public static final String JOBS = "/api/jobs";
+    /** What follows a job's own path in the path of its cancellation. */
     public static final String CANCEL = "/cancel";
-    /** The field that names the jobs to be done before this one. */
-    static final String WAITS_ON = "waits_on";
-
+    /** The path of the readiness check. */
     public static final String READY = "/ready";
+    /** The field with the ids of the jobs that have to be done before this one. */
+    static final String WAITS_ON = "waits_on";
     /**
-     * Further fields, which most users do not send. A node keeps them with the job whether it knows what they mean or not, so
-     * that one beside it which does loses nothing.
+     * Fields of the optional features. A node keeps them with the job whether it supports them or not, so that a node that
+     * does loses nothing.
      */
-    public static final List<String> MORE = List.of(JobSpec.RECORDS, "plan", JobSpec.WARM);
+    public static final List<String> OPTIONAL_FIELDS = List.of(JobSpec.RECORDS, "plan", JobSpec.WARM);
 
-    /** How a job stands, as its user is told. */
+    /**
+     * Status and progress of a job, as a user is told.
+     *
+     * @param done tasks that are done
+     * @param running tasks that run
+     */
     public record Progress(JobId id, JobStatus status, int done, int running) {}
 
     private JobCodec() {}
 
     /** A submission, as users write it. */
-    public static Map<String, Object> write(JobSpec s) {
-        Map<String, Object> map = MessagePackFormat.map(
-                "id",
-                s.id().text(),
-                "jobclass",
-                s.jobClass(),
-                "owner",
-                s.team(),
-                "shape",
-                s.shape().name().toLowerCase(Locale.ROOT),
-                "urgency",
-                s.urgency().name().toLowerCase(Locale.ROOT),
-                "pieces",
-                s.tasks(),
-                "cores",
-                s.demand().cores(),
-                "gpus",
-                s.demand().gpus(),
-                "ram_gb",
-                s.demand().ramGb(),
-                "bundle",
-                s.image(),
-                "pull_gb",
-                s.imageGb(),
-                "boxkinds",
-                s.types(),
-                "hall",
-                s.zone(),
-                "one_zone",
-                s.oneZone(),
-                "spread",
-                s.spread(),
-                "loaners",
-                s.spotAllowed(),
-                "expected_s",
-                s.estimate().seconds(),
-                "snapshot_every_s",
-                s.checkpointEvery().seconds(),
-                "snapshot_s",
-                s.checkpointTime().seconds(),
-                "due_s",
-                s.due() == null ? null : s.due().seconds());
-        map.putAll(s.more());
-        if (!s.chain().isEmpty()) {
-            map.put(WAITS_ON, s.chain().needs().stream().map(JobId::text).toList());
+    public static Map<String, Object> write(JobSpec spec) {
+        Map<String, Object> fields = MessagePackFormat.map(
+                "id", spec.id().text(),
+                "jobclass", spec.jobClass(),
+                "owner", spec.team(),
+                "shape", lowerCase(spec.shape()),
+                "urgency", lowerCase(spec.urgency()),
+                "pieces", spec.tasks());
+        fields.putAll(writeDemand(spec));
+        fields.putAll(writePlacement(spec));
+        fields.putAll(writeTimes(spec));
+        fields.putAll(spec.more());
+        if (!spec.chain().isEmpty()) {
+            fields.put(WAITS_ON, spec.chain().needs().stream().map(JobId::text).toList());
         }
-        return map;
+        return fields;
+    }
+
+    private static Map<String, Object> writeDemand(JobSpec spec) {
+        return MessagePackFormat.map(
+                "cores", spec.demand().cores(),
+                "gpus", spec.demand().gpus(),
+                "ram_gb", spec.demand().ramGb(),
+                "bundle", spec.image(),
+                "pull_gb", spec.imageGb());
+    }
+
+    private static Map<String, Object> writePlacement(JobSpec spec) {
+        return MessagePackFormat.map(
+                "boxkinds", spec.types(),
+                "hall", spec.zone(),
+                "one_zone", spec.oneZone(),
+                "spread", spec.spread(),
+                "loaners", spec.spotAllowed());
     }
 
-    public static Progress readProgress(Fields f) {
+    private static Map<String, Object> writeTimes(JobSpec spec) {
+        return MessagePackFormat.map(
+                "expected_s", spec.estimate().seconds(),
+                "snapshot_every_s", spec.checkpointEvery().seconds(),
+                "snapshot_s", spec.checkpointTime().seconds(),
+                "due_s", spec.due() == null ? null : spec.due().seconds());
+    }
+
+    /** Reads the response to a query. */
+    public static Progress readProgress(Fields fields) {
         return new Progress(
-                new JobId(f.text("id")),
-                JobStatus.valueOf(f.text("status").toUpperCase(Locale.ROOT)),
-                (int) f.whole("done", 0),
-                (int) f.whole("running", 0));
+                new JobId(fields.text("id")),
+                JobStatus.valueOf(fields.text("status").toUpperCase(Locale.ROOT)),
+                (int) fields.whole("done", 0),
+                (int) fields.whole("running", 0));
+    }
+
+    /**
+     * Reads a job; throws {@link WireException} with a short reason if it is malformed. If several fields are, the reason names the
+     * first one in the order in which they are read here.
+     */
+    public static JobSpec read(Fields fields) {
+        JobId id = id(fields);
+        int tasks = tasks(fields);
+        List<String> types = machineTypes(fields);
+        String zone = zone(fields);
+        Span due = fields.has("due_s") ? seconds(fields, "due_s") : null;
+        return new JobSpec(
+                id,
+                name(fields, "jobclass"),
+                name(fields, "owner"),
+                kind(fields.text("shape")),
+                urgency(fields.text("urgency")),
+                tasks,
+                new Demand(amount(fields, "cores"), amount(fields, "gpus"), amount(fields, "ram_gb")),
+                name(fields, "bundle"),
+                amount(fields, "pull_gb"),
+                types,
+                zone,
+                flag(fields, "one_zone"),
+                flag(fields, "spread"),
+                flag(fields, "loaners"),
+                seconds(fields, "expected_s"),
+                seconds(fields, "snapshot_every_s"),
+                seconds(fields, "snapshot_s"),
+                due,
+                optionalFields(fields),
+                dependencies(id, fields));
     }
 
-    /** Reads a job; throws {@link WireException} with a short reason if it is malformed. */
-    public static JobSpec read(Fields f) {
-        String id = f.text("id");
-        if (!JobId.isValid(id)) {
+    private static JobId id(Fields fields) {
+        String text = fields.text("id");
+        if (!JobId.isValid(text)) {
             throw Fields.invalid("id");
         }
-        long tasks = f.whole("pieces");
-        if (tasks < 1 || tasks > MOST_TASKS) {
+        return new JobId(text);
+    }
+
+    private static int tasks(Fields fields) {
+        long tasks = fields.whole("pieces");
+        if (tasks < 1 || tasks > MAX_TASKS) {
             throw Fields.invalid("pieces");
         }
-        List<String> types = f.optionalTexts("boxkinds");
+        return (int) tasks;
+    }
+
+    private static List<String> machineTypes(Fields fields) {
+        List<String> types = fields.optionalTexts("boxkinds");
         if (types != null) {
-            if (types.size() > MOST_TYPES) {
+            if (types.size() > MAX_MACHINE_TYPES) {
                 throw Fields.invalid("boxkinds");
             }
-            types.forEach(t -> checkName("boxkinds", t));
+            types.forEach(type -> checkName("boxkinds", type));
         }
-        String zone = f.optionalText("hall");
+        return types;
+    }
+
+    private static String zone(Fields fields) {
+        String zone = fields.optionalText("hall");
         if (zone != null) {
             checkName("hall", zone);
         }
-        Span due = null;
-        if (f.has("due_s")) {
-            due = Span.seconds(amount(f, "due_s"));
-        }
-        return new JobSpec(
-                new JobId(id),
-                name(f, "jobclass"),
-                name(f, "owner"),
-                shape(f.text("shape")),
-                urgency(f.text("urgency")),
-                (int) tasks,
-                new Demand(amount(f, "cores"), amount(f, "gpus"), amount(f, "ram_gb")),
-                name(f, "bundle"),
-                amount(f, "pull_gb"),
-                types,
-                zone,
-                flag(f, "one_zone"),
-                flag(f, "spread"),
-                flag(f, "loaners"),
-                Span.seconds(amount(f, "expected_s")),
-                Span.seconds(amount(f, "snapshot_every_s")),
-                Span.seconds(amount(f, "snapshot_s")),
-                due,
-                more(f),
-                chain(id, f));
+        return zone;
     }
 
-    private static JobDependencies chain(String own, Fields f) {
-        List<String> names = f.optionalTexts(WAITS_ON);
+    private static JobDependencies dependencies(JobId own, Fields fields) {
+        List<String> names = fields.optionalTexts(WAITS_ON);
         if (names == null) {
             return JobDependencies.NONE;
         }
         // A repeated id is most likely a mistake for another one, which the job would then not wait for.
-        if (names.size() > MOST_NAMED || names.contains(own) || new HashSet<>(names).size() < names.size()) {
+        boolean repeated = new HashSet<>(names).size() < names.size();
+        if (names.size() > MAX_DEPENDENCIES || names.contains(own.text()) || repeated) {
             throw Fields.invalid(WAITS_ON);
         }
-        List<JobId> needs = new ArrayList<>();
-        for (String name : names) {
-            if (!JobId.isValid(name)) {
-                throw Fields.invalid(WAITS_ON);
-            }
-            needs.add(new JobId(name));
+        if (!names.stream().allMatch(JobId::isValid)) {
+            throw Fields.invalid(WAITS_ON);
         }
-        return JobDependencies.of(needs);
+        return JobDependencies.of(names.stream().map(JobId::new).toList());
     }
 
-    private static Map<String, Object> more(Fields f) {
-        Map<String, Object> more = new LinkedHashMap<>();
-        for (String name : MORE) {
-            if (f.has(name)) {
-                more.put(name, f.map().get(name));
+    private static Map<String, Object> optionalFields(Fields fields) {
+        Map<String, Object> optional = new LinkedHashMap<>();
+        for (String name : OPTIONAL_FIELDS) {
+            if (fields.has(name)) {
+                optional.put(name, fields.map().get(name));
             }
         }
-        return more;
+        return optional;
     }
 
-    private static JobKind shape(String word) {
-        return switch (word) {
+    private static JobKind kind(String text) {
+        return switch (text) {
             case "array" -> JobKind.ARRAY;
             case "service" -> JobKind.SERVICE;
             default -> throw Fields.invalid("shape");
         };
     }
 
-    private static Urgency urgency(String word) {
-        return switch (word) {
+    private static Urgency urgency(String text) {
+        return switch (text) {
             case "production" -> Urgency.PRODUCTION;
             case "high" -> Urgency.HIGH;
             case "standard" -> Urgency.STANDARD;
@@ -197,42 +216,48 @@
         };
     }
 
-    private static double amount(Fields f, String name) {
-        double value = f.number(name);
-        if (value < 0 || value > LARGEST) {
+    private static double amount(Fields fields, String name) {
+        double value = fields.number(name);
+        if (value < 0 || value > MAX_AMOUNT) {
             throw Fields.invalid(name);
         }
         return value;
     }
 
-    private static boolean flag(Fields f, String name) {
-        if (!f.has(name)) {
+    private static Span seconds(Fields fields, String name) {
+        return Span.seconds(amount(fields, name));
+    }
+
+    private static boolean flag(Fields fields, String name) {
+        if (!fields.has(name)) {
             throw new WireException("missing field " + name);
         }
-        return f.flag(name, false);
+        return fields.flag(name, false);
     }
 
-    private static String name(Fields f, String field) {
-        String value = f.text(field);
+    private static String name(Fields fields, String field) {
+        String value = fields.text(field);
         checkName(field, value);
         return value;
     }
 
     private static void checkName(String field, String value) {
-        if (value.isEmpty() || value.length() > LONGEST_NAME) {
+        if (value.isEmpty() || value.length() > MAX_NAME_LENGTH) {
             throw Fields.invalid(field);
         }
     }
 
+    /** The response to a submission or cancellation. */
     static Map<String, Object> accepted(JobId id, JobStatus status) {
-        return MessagePackFormat.map("id", id.text(), "status", word(status));
+        return MessagePackFormat.map("id", id.text(), "status", lowerCase(status));
     }
 
+    /** The response to a query. */
     static Map<String, Object> progress(JobId id, JobStatus status, int done, int running) {
-        return MessagePackFormat.map("id", id.text(), "status", word(status), "done", done, "running", running);
+        return MessagePackFormat.map("id", id.text(), "status", lowerCase(status), "done", done, "running", running);
     }
 
-    private static String word(JobStatus status) {
-        return status.name().toLowerCase(Locale.ROOT);
+    private static String lowerCase(Enum<?> value) {
+        return value.name().toLowerCase(Locale.ROOT);
     }
 }
--- /dev/null
+++ b/src/main/java/io/indigoreach/api/JobLookup.java
@@ -0,0 +1,176 @@
+package io.indigoreach.api;
+
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Revision;
+import io.indigoreach.net.WireException;
+import io.indigoreach.state.FinalRecord;
+import io.indigoreach.state.JobRecord;
+import io.indigoreach.state.JobRepairer;
+import io.indigoreach.state.RecordCodec;
+import io.indigoreach.state.StateClient;
+import io.vertx.core.Future;
+import java.util.Optional;
+import java.util.function.Function;
+
+/**
+ * Looks up the state of a job: in memory if it has ended, otherwise in the state service. The open key is read first, as a job
+ * moves from there to the final key and never back. That neither key exists is confirmed by a comparison, since a read may be older than
+ * the acceptance; so is any read while the answers of the state service are doubted. Unreadable records are repaired. A lookup
+ * fails if the state cannot be determined now. Used on the event loop only.
+ */
+final class JobLookup {
+    private static final int MAX_ATTEMPTS = 3;
+
+    /**
+     * One lookup.
+     *
+     * @param submitted the specification that the user submits again, from which an unreadable record can be repaired
+     * @param attempt counted from 1
+     */
+    private record Search(JobId id, Optional<JobSpec> submitted, int attempt) {
+        Search next() {
+            return new Search(id, submitted, attempt + 1);
+        }
+
+        Search withoutSubmission() {
+            return new Search(id, Optional.empty(), attempt);
+        }
+    }
+
+    private final StateClient state;
+    private final JobRepairer repairer;
+    private final JobMemory memory;
+    private final OpenRecordReader batchedReads;
+    private Function<JobId, Future<Boolean>> isKnownToPeers = id -> Future.succeededFuture(false);
+
+    /** {@code batchedReads}: reads for queries, whose cost does not grow with their number. */
+    JobLookup(StateClient state, JobRepairer repairer, JobMemory memory, OpenRecordReader batchedReads) {
+        this.state = state;
+        this.repairer = repairer;
+        this.memory = memory;
+        this.batchedReads = batchedReads;
+    }
+
+    /** Sets the request to the other controllers whether any of them knows a job. */
+    void setPeerQuery(Function<JobId, Future<Boolean>> peerQuery) {
+        isKnownToPeers = peerQuery;
+    }
+
+    /** The state of a job, by reads of its own. */
+    Future<StoredJob> find(JobId id) {
+        return search(new Search(id, Optional.empty(), 1), this::readDirectly);
+    }
+
+    /** The state of a job for a query: when there are many, they share listings. */
+    Future<StoredJob> findBatched(JobId id) {
+        return search(new Search(id, Optional.empty(), 1), batchedReads);
+    }
+
+    /** The state of a job that its user submits again; an unreadable record is repaired from {@code spec}. */
+    Future<StoredJob> findSubmitted(JobSpec spec) {
+        return search(new Search(spec.id(), Optional.of(spec), 1), this::readDirectly);
+    }
+
+    private Future<Optional<StateClient.Entry>> readDirectly(JobId id) {
+        return state.get(RecordCodec.openKey(id)).map(Optional::ofNullable);
+    }
+
+    private Future<StoredJob> search(Search search, OpenRecordReader reader) {
+        Optional<FinalRecord> known = memory.finished(search.id());
+        if (known.isPresent()) {
+            return Future.succeededFuture(new StoredJob.Finished(known.get()));
+        }
+        return reader.read(search.id())
+                .compose(entry -> entry.isPresent() ? decodeOpen(search, entry.get()) : searchFinal(search));
+    }
+
+    private Future<StoredJob> decodeOpen(Search search, StateClient.Entry entry) {
+        JobId id = search.id();
+        JobRecord record;
+        try {
+            record = RecordCodec.readJob(id, entry.value(), entry.stamp());
+        } catch (WireException unreadable) {
+            Future<Void> repaired =
+                    repairer.repairOpen(id, entry, search.submitted().orElse(null));
+            return searchAgain(search, repaired, unreadable.getMessage());
+        }
+        if (record.status() == JobStatus.DONE) {
+            // The job has ended; only the record has not been moved to the final key yet.
+            return Future.succeededFuture(finished(new FinalRecord(id, JobStatus.DONE, record.doneCount())));
+        }
+        return state.isDoubted() ? confirmOpen(search, record) : Future.succeededFuture(new StoredJob.Open(record));
+    }
+
+    private Future<StoredJob> searchFinal(Search search) {
+        return state.get(RecordCodec.finalKey(search.id()))
+                .map(Optional::ofNullable)
+                .compose(entry -> entry.isPresent() ? decodeFinal(search, entry.get()) : confirmUnknown(search));
+    }
+
+    private Future<StoredJob> decodeFinal(Search search, StateClient.Entry entry) {
+        try {
+            return Future.succeededFuture(finished(RecordCodec.readFinal(search.id(), entry.value())));
+        } catch (WireException unreadable) {
+            Future<Void> repaired =
+                    repairer.repairFinal(search.id(), entry, search.submitted().orElse(null));
+            return searchAgain(search, repaired, unreadable.getMessage());
+        }
+    }
+
+    private StoredJob finished(FinalRecord record) {
+        return new StoredJob.Finished(memory.rememberFinished(record));
+    }
+
+    private Future<StoredJob> searchAgain(Search search, Future<Void> prepared, String failure) {
+        return prepared.compose(done -> search.attempt() < MAX_ATTEMPTS
+                ? search(search.next(), this::readDirectly)
+                : Future.failedFuture(new WireException(failure)));
+    }
+
+    private Future<StoredJob> confirmOpen(Search search, JobRecord record) {
+        StateClient.Txn unchanged = new StateClient.Txn()
+                .when(RecordCodec.openKey(search.id()), record.stamp())
+                .when(RecordCodec.finalKey(search.id()), Revision.ABSENT);
+        return state.confirm(unchanged)
+                .compose(holds ->
+                        holds ? Future.succeededFuture(new StoredJob.Open(record)) : searchAfterStaleRead(search));
+    }
+
+    private Future<StoredJob> confirmUnknown(Search search) {
+        if (state.losses().isHolding()) {
+            return Future.failedFuture(new WireException("data were lost, and this job may be among them"));
+        }
+        return state.confirm(bothKeysAbsent(state.inThisEra(), search.id()))
+                .compose(holds -> holds ? checkMemories(search) : searchAfterStaleRead(search));
+    }
+
+    private Future<StoredJob> searchAfterStaleRead(Search search) {
+        return searchAgain(search.withoutSubmission(), state.check(), "the state service answers with the past");
+    }
+
+    /** No user is told that a job does not exist while any controller remembers it: its record was lost. */
+    private Future<StoredJob> checkMemories(Search search) {
+        JobId id = search.id();
+        Future<Boolean> remembered = memory.knows(id) ? Future.succeededFuture(true) : isKnownToPeers.apply(id);
+        return remembered.compose(
+                known -> known ? reportLostRecord(search) : Future.succeededFuture(new StoredJob.Unknown()));
+    }
+
+    private Future<StoredJob> reportLostRecord(Search search) {
+        return state.confirm(bothKeysAbsent(new StateClient.Txn(), search.id())).compose(absent -> {
+            if (!absent) {
+                // Accepted after it was looked up.
+                return searchAgain(
+                        search.withoutSubmission(), Future.succeededFuture(), "the job changes at this moment");
+            }
+            state.recordGone(RecordCodec.openKey(search.id()));
+            return Future.failedFuture(new WireException("the record of this job was lost"));
+        });
+    }
+
+    private static StateClient.Txn bothKeysAbsent(StateClient.Txn txn, JobId id) {
+        return txn.when(RecordCodec.openKey(id), Revision.ABSENT).when(RecordCodec.finalKey(id), Revision.ABSENT);
+    }
+}
--- a/src/main/java/io/indigoreach/api/JobReadBatcher.java
+++ b/src/main/java/io/indigoreach/api/JobReadBatcher.java
@@ -13,103 +13,126 @@
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * Reads of open jobs' records for users who ask about them, at a cost that does not grow with how many ask: what goes
- * beyond this node's part of the state service's requests is read together, by listings of all open jobs. Six hundred
- * jobs, asked about eight times as often as usual, had left the leader's renewals without an answer.
+ * Reads records of open jobs for queries at a cost that does not grow with their number: reads beyond this node's share of
+ * the state service's requests are answered together, by listings of all open jobs. Without this, 600 jobs that were queried
+ * eight times as often as usual had left the leader's lease renewals without an answer.
  *
- * <p>Whoever asks waits for a listing that begins after that, page by page; so its answer is never older than one that
- * anybody was given before the question.
+ * <p>A read waits for a listing that begins after it, page by page, so its result is never older than one that was given to anybody before.
+ * Used on the event loop only.
  */
-final class JobReadBatcher {
-    private static final int PAGE = 500;
-    /** Of a node's part, what is kept for listings. */
-    private static final double LISTINGS = 0.25;
-    /** Of a listing: who has waited longer has gone, and is told to come back; those are the first of the next. */
-    private static final Span PATIENCE = Span.seconds(1.5);
-    /** Between two looks at whether a page may be asked for. */
-    private static final Span PACE = Span.seconds(0.1);
+final class JobReadBatcher implements OpenRecordReader {
+    private static final int PAGE_SIZE = 500;
+    /** The part of this node's share that is reserved for listings. */
+    private static final double LISTING_SHARE = 0.25;
+    /** The longest a listing may take: users who have waited longer have gone. The reads left are the first of the next listing. */
+    private static final Span LISTING_TIMEOUT = Span.seconds(1.5);
+    /** Between two checks whether the rate limit permits a page. */
+    private static final Span RATE_CHECK_INTERVAL = Span.seconds(0.1);
 
     private final Vertx vertx;
     private final StateClient state;
     private final SteadyClock clock;
-    private final RateLimiter single;
-    private final RateLimiter pages;
-    /** By the keys of the records. */
-    private Map<String, Promise<StateClient.Entry>> waiting = new HashMap<>();
+    private final RateLimiter singleReads;
+    private final RateLimiter pageReads;
+    /** Reads that wait for the next listing, by the keys of the records. */
+    private Map<String, Promise<Optional<StateClient.Entry>>> waiting = new HashMap<>();
 
-    private final ListingCursor<Promise<StateClient.Entry>> cursor = new ListingCursor<>();
+    private final ListingCursor<Promise<Optional<StateClient.Entry>>> cursor = new ListingCursor<>();
     private boolean listing;
 
-    /** {@code perSecond}: requests to the state service that this node may spend on users' questions. */
-    JobReadBatcher(Vertx vertx, StateClient state, SteadyClock clock, double perSecond) {
+    /** {@code requestsPerSecond}: the requests to the state service that this node may spend on users' queries. */
+    JobReadBatcher(Vertx vertx, StateClient state, SteadyClock clock, double requestsPerSecond) {
         this.vertx = vertx;
         this.state = state;
         this.clock = clock;
-        this.single = new RateLimiter(perSecond * (1 - LISTINGS), clock.now());
-        this.pages = new RateLimiter(Math.max(1, perSecond * LISTINGS), clock.now());
+        this.singleReads = new RateLimiter(requestsPerSecond * (1 - LISTING_SHARE), clock.now());
+        this.pageReads = new RateLimiter(Math.max(1, requestsPerSecond * LISTING_SHARE), clock.now());
     }
 
-    /** The open job's record as it stands now; null if there is none. */
-    Future<StateClient.Entry> read(JobId id) {
-        if (!listing && waiting.isEmpty() && single.take(1, clock.now())) {
-            return state.get(RecordCodec.openKey(id));
+    @Override
+    public Future<Optional<StateClient.Entry>> read(JobId id) {
+        String key = RecordCodec.openKey(id);
+        if (!listing && waiting.isEmpty() && singleReads.take(1, clock.now())) {
+            return state.get(key).map(Optional::ofNullable);
         }
-        Promise<StateClient.Entry> promise = waiting.computeIfAbsent(RecordCodec.openKey(id), key -> Promise.promise());
-        begin();
+        Promise<Optional<StateClient.Entry>> promise = waiting.computeIfAbsent(key, absent -> Promise.promise());
+        beginListing();
         return promise.future();
     }
 
-    private void begin() {
+    private void beginListing() {
         if (listing || waiting.isEmpty()) {
             return;
         }
         listing = true;
-        page(null);
+        readFirstPage();
     }
 
-    /** The first page answers to all who wait as it is asked for; who comes later waits for the next listing. */
-    private void page(Moment begun) {
+    /** The listing answers all reads that wait when its first page is requested; later ones wait for the next listing. */
+    private void readFirstPage() {
         Moment now = clock.now();
-        if (begun != null && now.since(begun).compareTo(PATIENCE) >= 0) {
-            end(new WireException("too many open jobs to list them in time"));
+        if (!pageReads.take(1, now)) {
+            vertx.setTimer(RATE_CHECK_INTERVAL.ms(), timer -> readFirstPage());
             return;
         }
-        if (!pages.take(1, now)) {
-            vertx.setTimer(PACE.ms(), t -> page(begun));
+        cursor.begin(waiting);
+        waiting = new HashMap<>();
+        requestPage(now);
+    }
+
+    private void readNextPage(Moment begun) {
+        Moment now = clock.now();
+        if (now.since(begun).compareTo(LISTING_TIMEOUT) >= 0) {
+            failListing(new WireException("too many open jobs to list them in time"));
             return;
         }
-        if (begun == null) {
-            cursor.begin(waiting);
-            waiting = new HashMap<>();
+        if (!pageReads.take(1, now)) {
+            vertx.setTimer(RATE_CHECK_INTERVAL.ms(), timer -> readNextPage(begun));
+            return;
         }
+        requestPage(begun);
+    }
+
+    private void requestPage(Moment begun) {
         String from = cursor.next();
-        state.list(RecordCodec.OPEN, RecordCodec.keyBefore(from), PAGE).onComplete(read -> {
-            if (read.failed()) {
+        state.list(RecordCodec.OPEN, RecordCodec.keyBefore(from), PAGE_SIZE).onComplete(page -> {
+            if (page.failed()) {
                 cursor.failed(from);
-                end(new WireException(
-                        "the open jobs cannot be listed: " + read.cause().getMessage()));
+                failListing(new WireException(
+                        "the open jobs cannot be listed: " + page.cause().getMessage()));
                 return;
             }
-            Map<String, StateClient.Entry> items = new HashMap<>();
-            read.result().items().forEach(item -> items.put(item.key(), item));
-            String last = read.result().more() && !items.isEmpty()
-                    ? read.result().items().get(items.size() - 1).key()
-                    : null;
-            cursor.answered(from, last).forEach((key, promise) -> promise.complete(items.get(key)));
+            completeReads(from, page.result());
             if (cursor.isOver()) {
-                end(null);
+                finishListing();
             } else {
-                page(begun == null ? now : begun);
+                readNextPage(begun);
             }
         });
     }
 
-    private void end(WireException failure) {
+    private void completeReads(String from, StateClient.Page page) {
+        List<StateClient.Entry> items = page.items();
+        Map<String, StateClient.Entry> byKey = new HashMap<>();
+        items.forEach(item -> byKey.put(item.key(), item));
+        String last =
+                page.more() && !items.isEmpty() ? items.get(items.size() - 1).key() : null;
+        cursor.answered(from, last).forEach((key, promise) -> promise.complete(Optional.ofNullable(byKey.get(key))));
+    }
+
+    private void finishListing() {
+        listing = false;
+        beginListing();
+    }
+
+    private void failListing(WireException failure) {
         listing = false;
         cursor.end().values().forEach(promise -> promise.fail(failure));
-        begin();
+        beginListing();
     }
 }
--- /dev/null
+++ b/src/main/java/io/indigoreach/api/MalformedRequestException.java
@@ -0,0 +1,8 @@
+package io.indigoreach.api;
+
+/** A request that cannot be read, or has a field with an invalid value: the sender has to correct it. */
+public final class MalformedRequestException extends ApiException {
+    public MalformedRequestException(String reason) {
+        super(reason);
+    }
+}
--- /dev/null
+++ b/src/main/java/io/indigoreach/api/OpenRecordReader.java
@@ -0,0 +1,12 @@
+package io.indigoreach.api;
+
+import io.indigoreach.core.model.JobId;
+import io.indigoreach.state.StateClient;
+import io.vertx.core.Future;
+import java.util.Optional;
+
+/** Reads the record of an open job from the state service; the result is empty if there is none. */
+@FunctionalInterface
+interface OpenRecordReader {
+    Future<Optional<StateClient.Entry>> read(JobId id);
+}
--- a/src/main/java/io/indigoreach/api/ReferencedJobs.java
+++ b/src/main/java/io/indigoreach/api/ReferencedJobs.java
@@ -2,6 +2,7 @@
 
 import io.indigoreach.core.model.JobDependencies;
 import io.indigoreach.core.model.JobId;
+import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.net.WireException;
 import io.vertx.core.Future;
 import java.util.ArrayDeque;
@@ -10,90 +11,109 @@
 import java.util.Deque;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Function;
 
-/** Looks up the jobs that others name, some at a time. */
+/** Looks up the jobs that others depend on, a few at a time. Used on the event loop only. */
 final class ReferencedJobs {
-    private static final int AT_ONCE = 8;
-    /** One question looks at no more jobs than this; its user comes again, and what was found to be over is remembered. */
-    private static final int MOST = 200;
+    private static final int BATCH_SIZE = 8;
+    /** The most jobs that one check looks up. The user repeats the query; the jobs found to have ended are remembered. */
+    private static final int MAX_LOOKUPS = 200;
 
-    private final Function<JobId, Future<ReferencedJob>> finder;
+    private final Function<JobId, Future<StoredJob>> finder;
 
-    ReferencedJobs(Function<JobId, Future<ReferencedJob>> finder) {
+    ReferencedJobs(Function<JobId, Future<StoredJob>> finder) {
         this.finder = finder;
     }
 
     /**
-     * At a submission: whether a named job is cancelled, so that the new one is too. Fails with a {@link RequestRejectedException} if one was
-     * never accepted or is a service, and otherwise if that cannot be said at this moment.
+     * For a submission: whether one of these jobs is cancelled, so that the new one is too. Fails with a
+     * {@link RequestRejectedException} if one was never accepted or is a service, and with anything else if that cannot be
+     * determined now.
      */
-    Future<Boolean> anyCancelled(List<JobId> named) {
-        return someOf(new ArrayDeque<>(named), named, false);
+    Future<Boolean> isAnyCancelled(List<JobId> ids) {
+        return isAnyCancelled(new ArrayDeque<>(ids), false);
     }
 
-    private Future<Boolean> someOf(Deque<JobId> left, List<JobId> named, boolean cancelled) {
-        if (left.isEmpty()) {
-            return Future.succeededFuture(cancelled);
+    private Future<Boolean> isAnyCancelled(Deque<JobId> remaining, boolean cancelledBefore) {
+        if (remaining.isEmpty()) {
+            return Future.succeededFuture(cancelledBefore);
         }
-        List<JobId> batch = take(left);
-        return find(batch).compose(found -> {
-            boolean any = cancelled;
-            for (int n = 0; n < batch.size(); n++) {
-                ReferencedJob job = found.get(n);
-                if (job.isUnknown()) {
-                    return Future.failedFuture(
-                            RequestRejectedException.of(JobCodec.WAITS_ON, batch.get(n) + " was never accepted"));
-                }
-                if (job.open() != null && job.open().isService()) {
-                    return Future.failedFuture(RequestRejectedException.of(
-                            JobCodec.WAITS_ON, batch.get(n) + " is a service, which is never done"));
-                }
-                any |= job.isCancelled();
+        List<JobId> batch = takeBatch(remaining);
+        return findAll(batch).compose(jobs -> {
+            Optional<RequestRejectedException> rejection = rejection(batch, jobs);
+            if (rejection.isPresent()) {
+                return Future.failedFuture(rejection.get());
             }
-            return someOf(left, named, any);
+            boolean cancelled = cancelledBefore || jobs.stream().anyMatch(StoredJob::isCancelled);
+            return isAnyCancelled(remaining, cancelled);
         });
     }
 
+    /** Why a job may not depend on these, by the first one at fault. */
+    private static Optional<RequestRejectedException> rejection(List<JobId> ids, List<StoredJob> jobs) {
+        for (int index = 0; index < ids.size(); index++) {
+            StoredJob job = jobs.get(index);
+            if (job.isUnknown()) {
+                return Optional.of(
+                        RequestRejectedException.of(JobCodec.WAITS_ON, ids.get(index) + " was never accepted"));
+            }
+            if (job.openSpec().filter(JobSpec::isService).isPresent()) {
+                return Optional.of(RequestRejectedException.of(
+                        JobCodec.WAITS_ON, ids.get(index) + " is a service, which is never done"));
+            }
+        }
+        return Optional.empty();
+    }
+
     /**
-     * Whether a waiting job needs a cancelled one, directly or through others that are still open. Cancelled is said only of what
-     * an end record says.
+     * Whether a waiting job depends on a cancelled one, directly or through others that are still open. Only a final record
+     * counts as a cancellation.
      */
-    Future<Boolean> isBelowCancelled(JobDependencies chain) {
-        return walk(new ArrayDeque<>(chain.needs()), new HashSet<>(chain.needs()));
+    Future<Boolean> isCancelledByCascade(JobDependencies dependencies) {
+        return search(new ArrayDeque<>(dependencies.needs()), new HashSet<>(dependencies.needs()));
     }
 
-    private Future<Boolean> walk(Deque<JobId> left, Set<JobId> seen) {
-        if (left.isEmpty()) {
+    /** Breadth-first; {@code seen} contains the jobs looked up and those in {@code remaining}. */
+    private Future<Boolean> search(Deque<JobId> remaining, Set<JobId> seen) {
+        if (remaining.isEmpty()) {
             return Future.succeededFuture(false);
         }
-        if (seen.size() > MOST) {
+        if (seen.size() > MAX_LOOKUPS) {
             return Future.failedFuture(new WireException("too many jobs before this one to look at all of them"));
         }
-        return find(take(left)).compose(found -> {
-            for (ReferencedJob job : found) {
-                if (job.isCancelled()) {
-                    return Future.succeededFuture(true);
-                }
-                if (job.open() != null && job.open().chain().isWaiting()) {
-                    job.open().chain().needs().stream().filter(seen::add).forEach(left::add);
-                }
+        return findAll(takeBatch(remaining)).compose(jobs -> {
+            if (jobs.stream().anyMatch(StoredJob::isCancelled)) {
+                return Future.succeededFuture(true);
             }
-            return walk(left, seen);
+            jobs.stream()
+                    .flatMap(job -> waitingFor(job).stream())
+                    .filter(seen::add)
+                    .forEach(remaining::add);
+            return search(remaining, seen);
         });
     }
 
-    private static List<JobId> take(Deque<JobId> left) {
+    private static List<JobId> waitingFor(StoredJob job) {
+        return job.openSpec()
+                .map(JobSpec::chain)
+                .filter(JobDependencies::isWaiting)
+                .map(JobDependencies::needs)
+                .orElse(List.of());
+    }
+
+    private static List<JobId> takeBatch(Deque<JobId> remaining) {
         List<JobId> batch = new ArrayList<>();
-        while (!left.isEmpty() && batch.size() < AT_ONCE) {
-            batch.add(left.poll());
+        while (!remaining.isEmpty() && batch.size() < BATCH_SIZE) {
+            batch.add(remaining.poll());
         }
         return batch;
     }
 
-    private Future<List<ReferencedJob>> find(Collection<JobId> batch) {
-        List<Future<ReferencedJob>> all = batch.stream().map(finder).toList();
-        return Future.all(all).map(v -> all.stream().map(Future::result).toList());
+    private Future<List<StoredJob>> findAll(Collection<JobId> batch) {
+        List<Future<StoredJob>> lookups = batch.stream().map(finder).toList();
+        return Future.all(lookups)
+                .map(all -> lookups.stream().map(Future::result).toList());
     }
 }
--- a/src/main/java/io/indigoreach/api/RequestRejectedException.java
+++ b/src/main/java/io/indigoreach/api/RequestRejectedException.java
@@ -3,33 +3,44 @@
 import io.indigoreach.net.MessagePackFormat;
 import java.util.Map;
 
-/** A request that is refused for good, with the field at fault, or with what stands against it. */
-public final class RequestRejectedException extends RuntimeException {
+/** A well-formed request that is rejected for good: repeating it unchanged does not help. */
+public final class RequestRejectedException extends ApiException {
+    private static final int CONFLICT = 409;
+    private static final int UNPROCESSABLE = 422;
+
     private final int status;
     private final transient Map<String, Object> body;
 
-    private RequestRejectedException(int status, String message, Map<String, Object> body) {
-        super(message, null, false, false);
+    private RequestRejectedException(int status, String reason, Map<String, Object> body) {
+        super(reason);
         this.status = status;
         this.body = body;
     }
 
-    /** 422: well formed, but it can never be done. */
+    /** 422: the value of {@code field} can never be accepted. */
     public static RequestRejectedException of(String field, String reason) {
         return new RequestRejectedException(
-                422, reason, MessagePackFormat.map("error", field + ": " + reason, "field", field));
+                UNPROCESSABLE, reason, MessagePackFormat.map("error", field + ": " + reason, "field", field));
+    }
+
+    /** 422: the request as a whole can never be accepted. */
+    static RequestRejectedException of(String reason) {
+        return new RequestRejectedException(UNPROCESSABLE, reason, MessagePackFormat.map("error", reason));
     }
 
-    /** 409: {@code against} is what stands against it, and might not for ever. */
+    /** 409: {@code against} describes the present state that the request conflicts with, which may change. */
     public static RequestRejectedException conflict(String reason, Map<String, Object> against) {
-        return new RequestRejectedException(409, reason, MessagePackFormat.map("error", reason, "against", against));
+        return new RequestRejectedException(
+                CONFLICT, reason, MessagePackFormat.map("error", reason, "against", against));
     }
 
-    public static RequestRejectedException notFound(String reason) {
-        return new RequestRejectedException(404, reason, MessagePackFormat.map("error", reason));
+    /** The HTTP status code of the response. */
+    public int status() {
+        return status;
     }
 
-    public ApiResponse answer() {
-        return new ApiResponse(status, body, 0);
+    /** The body of the response. */
+    Map<String, Object> body() {
+        return body;
     }
 }
--- /dev/null
+++ b/src/main/java/io/indigoreach/api/RetryLaterException.java
@@ -0,0 +1,8 @@
+package io.indigoreach.api;
+
+/** A request that cannot be carried out or decided at this moment: the sender may repeat it unchanged. */
+public final class RetryLaterException extends ApiException {
+    public RetryLaterException(String reason) {
+        super(reason);
+    }
+}
--- a/src/main/java/io/indigoreach/api/SubmissionParticipant.java
+++ b/src/main/java/io/indigoreach/api/SubmissionParticipant.java
@@ -5,20 +5,23 @@
 import io.indigoreach.core.records.Transaction;
 import io.vertx.core.Future;
 
-/** A part that has a say in the acceptance of jobs which bring its further field ({@link JobSpec#more()}). */
+/**
+ * An optional feature that takes part in the acceptance of jobs which have its field ({@link JobSpec#more()}). Called on the
+ * event loop.
+ */
 public interface SubmissionParticipant {
-    /** The field's name, one of {@link JobCodec#MORE}. */
+    /** The field's name, one of {@link JobCodec#OPTIONAL_FIELDS}. */
     String field();
 
-    /** Throws {@link io.indigoreach.net.WireException} if the field is malformed; nothing is read for it. */
+    /** Throws {@link io.indigoreach.net.WireException} if the field is malformed; nothing is read for this. */
     void check(JobSpec spec);
 
     /**
-     * What is to be written in the acceptance's own transaction, as things stand; asked again where its conditions fail. Fails
-     * with a {@link RequestRejectedException} if the job can never run, with anything else if it cannot be said yet.
+     * The writes and conditions to be added to the transaction that accepts the job. Called again if those conditions fail. Fails with a
+     * {@link RequestRejectedException} if the job can never run, and with anything else if that cannot be determined now.
      */
     Future<Transaction> accepting(JobSpec spec);
 
-    /** The change was written with the acceptance. */
-    default void accepted(Transaction change, Revision stamp) {}
+    /** The writes were committed with the job, at this revision. */
+    default void accepted(Transaction writes, Revision revision) {}
 }
--- a/src/main/java/io/indigoreach/calendar/CalendarResource.java
+++ b/src/main/java/io/indigoreach/calendar/CalendarResource.java
@@ -1,6 +1,7 @@
 package io.indigoreach.calendar;
 
 import io.indigoreach.api.ApiResponse;
+import io.indigoreach.api.NotFoundException;
 import io.indigoreach.api.RequestRejectedException;
 import io.indigoreach.api.Resource;
 import io.indigoreach.core.calendar.Calendar;
@@ -75,7 +76,7 @@
             case "next1" -> calendars.read(records).map(c -> next(c, call.query()));
             case "outlook1" -> calendars.read(records).compose(c -> outlook(c, call.query()));
             case "explain3" -> calendars.read(records).compose(c -> explain(c, path.get(1), day(path.get(2), "day")));
-            default -> throw RequestRejectedException.notFound("no such path");
+            default -> throw new NotFoundException("no such path");
         };
     }
 
@@ -101,7 +102,7 @@
 
     private ApiResponse shown(CalendarCache.Current c) {
         if (c == null) {
-            throw RequestRejectedException.notFound("no such version, or none that is still listed");
+            throw new NotFoundException("no such version, or none that is still listed");
         }
         List<Object> history = new ArrayList<>();
         c.head()
@@ -332,7 +333,7 @@
         return records.run(PageChange.reading(day, name)).compose(page -> {
             Mark mark = page == null ? null : page.mark(name);
             if (o == null && mark == null) {
-                throw RequestRejectedException.notFound(
+                throw new NotFoundException(
                         plan == null ? "no plan " + name + " is in force" : "plan " + name + " has nothing on " + day);
             }
             if (o == null || !o.runs()) {
--- a/src/main/java/io/indigoreach/cluster/Node.java
+++ b/src/main/java/io/indigoreach/cluster/Node.java
@@ -63,7 +63,7 @@
                         parts,
                         repairer),
                 own);
-        JobService jobService = new JobService(
+        JobService jobService = new JobService(new JobService.Context(
                 vertx,
                 state,
                 repairer,
@@ -73,7 +73,7 @@
                 config.stateLimits().valueBytes(),
                 config.stateLimits().requestsPerS()
                         * QUESTIONS
-                        / (config.peers().size() + 1));
+                        / (config.peers().size() + 1)));
         this.standing = new PeerProtocol(vertx, clock, pulse, state, config, controller, jobService, parts.copies());
         controller.recallBy(standing::gather);
         controller.askPeersBy(standing::pledges, standing::othersDoNotLead);
@@ -84,13 +84,13 @@
         parts.all().forEach(p -> p.submitting(jobService::submit));
         jobService.askPeersBy(standing::isKnownToAny);
         state.onLoss(controller::onStateLoss);
-        this.door = new HttpApi(
+        this.door = new HttpApi(new HttpApi.Context(
                 vertx,
                 config.listen(),
                 jobService,
                 new HeartbeatEndpoint(controller),
                 () -> catalogue.isKnown() && !standing.isOutOfService(),
-                parts.resources());
+                parts.resources()));
     }
 
     /** Starts serving; the result is the port. */
--- a/src/main/java/io/indigoreach/ownership/OwnershipService.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipService.java
@@ -1,7 +1,7 @@
 package io.indigoreach.ownership;
 
 import io.indigoreach.api.ApiResponse;
-import io.indigoreach.api.RequestRejectedException;
+import io.indigoreach.api.NotFoundException;
 import io.indigoreach.api.Resource;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobSpec;
@@ -63,7 +63,7 @@
                 ? change(verb, call.body())
                 : call.isGet() ? look(verb, call) : null;
         if (done == null) {
-            throw RequestRejectedException.notFound("no such path: see the operators' page on records");
+            throw new NotFoundException("no such path: see the operators' page on records");
         }
         return done;
     }
@@ -172,12 +172,12 @@
     private Future<ApiResponse> job(JobId id) {
         return records.run(read(RecordCodec.openKey(id))).compose(kept -> {
             if (!kept.isThere()) {
-                throw RequestRejectedException.notFound("no open job " + id);
+                throw new NotFoundException("no open job " + id);
             }
             JobSpec spec = RecordCodec.readJob(id, new Fields(kept.value()), kept.stamp())
                     .spec();
             if (!spec.isGuarded()) {
-                throw RequestRejectedException.notFound("job " + id + " names no records");
+                throw new NotFoundException("job " + id + " names no records");
             }
             JobRecords wants = RecordsCodec.readField(spec);
             return run(Edit.show(registry, wants.list())).map(shown -> {
--- a/src/main/java/io/indigoreach/warm/PoolsResource.java
+++ b/src/main/java/io/indigoreach/warm/PoolsResource.java
@@ -1,6 +1,7 @@
 package io.indigoreach.warm;
 
 import io.indigoreach.api.ApiResponse;
+import io.indigoreach.api.NotFoundException;
 import io.indigoreach.api.RequestRejectedException;
 import io.indigoreach.api.Resource;
 import io.indigoreach.core.accounts.Account;
@@ -39,7 +40,7 @@
             return call.query().containsKey("sums") ? sums() : list(call.query().get("after"));
         }
         if (call.path().size() != 1 || (!call.isGet() && !call.isPost())) {
-            throw RequestRejectedException.notFound("no such path");
+            throw new NotFoundException("no such path");
         }
         String name = call.path().get(0);
         if (!PoolSpec.isName(name)) {
@@ -99,7 +100,7 @@
     private Future<ApiResponse> explain(String name) {
         return ground.records().run(PoolRoutines.read(PoolRecords.POOLS + name)).compose(pool -> {
             if (!pool.isThere()) {
-                throw RequestRejectedException.notFound("no pool " + name);
+                throw new NotFoundException("no pool " + name);
             }
             return ground.records()
                     .run(PoolRoutines.read(PoolRecords.TOLD + name))
--- a/src/test/java/io/indigoreach/api/JobCodecTest.java
+++ b/src/test/java/io/indigoreach/api/JobCodecTest.java
@@ -95,7 +95,7 @@
         cases.add(new Object[] {"boxkinds", "quad"});
         cases.add(new Object[] {"boxkinds", List.of(1)});
         cases.add(new Object[] {"bundle", "x".repeat(5000)});
-        List<String> tooMany = IntStream.rangeClosed(1, JobCodec.MOST_NAMED + 1)
+        List<String> tooMany = IntStream.rangeClosed(1, JobCodec.MAX_DEPENDENCIES + 1)
                 .mapToObj(n -> "run-" + n)
                 .toList();
         for (Object bad : new Object[] {
--- a/src/test/java/io/indigoreach/api/JobServiceLossTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceLossTest.java
@@ -49,8 +49,8 @@
                 new StateClient.Txn().put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(List.of(type)))));
         catalogue = new Catalogue(vertx, state, new CloudClient(new ServiceClient(vertx, service.endpoint(), 1)));
         mender = new JobRepairer(state, new SteadyClock());
-        desk = new JobService(
-                vertx, state, mender, catalogue, List.of(new Team("t", 0, 0, 0, 0)), new SteadyClock(), 8192, 100);
+        desk = new JobService(new JobService.Context(
+                vertx, state, mender, catalogue, List.of(new Team("t", 0, 0, 0, 0)), new SteadyClock(), 8192, 100));
         catalogue.start();
         while (!catalogue.isKnown()) {
             Thread.onSpinWait();
@@ -195,8 +195,8 @@
 
     /** Another node's desk, which has accepted nothing; with the same mender. */
     private JobService other() {
-        return new JobService(
-                vertx, state, mender, catalogue, List.of(new Team("t", 0, 0, 0, 0)), new SteadyClock(), 8192, 100);
+        return new JobService(new JobService.Context(
+                vertx, state, mender, catalogue, List.of(new Team("t", 0, 0, 0, 0)), new SteadyClock(), 8192, 100));
     }
 
     private static String told(Future<ApiResponse> answer) throws Exception {
--- a/src/test/java/io/indigoreach/api/JobServiceTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceTest.java
@@ -84,7 +84,7 @@
         Catalogue catalogue =
                 new Catalogue(vertx, client(), new CloudClient(new ServiceClient(vertx, service.endpoint(), 1)));
         StateClient state = client();
-        JobService desk = new JobService(
+        JobService desk = new JobService(new JobService.Context(
                 vertx,
                 state,
                 new JobRepairer(state, new SteadyClock()),
@@ -92,12 +92,12 @@
                 List.of(new Team("t", 0, 0, 0, 0)),
                 new SteadyClock(),
                 8192,
-                questionsPerS);
+                questionsPerS));
         desks.add(desk);
         Endpoint any = new Endpoint("127.0.0.1", 0);
         Endpoint endpoint = new Endpoint(
                 "127.0.0.1",
-                await(keep(new HttpApi(vertx, any, desk, null, catalogue::isKnown, Map.of()))
+                await(keep(new HttpApi(new HttpApi.Context(vertx, any, desk, null, catalogue::isKnown, Map.of())))
                         .open()));
         catalogue.start();
         while (call(endpoint, HttpMethod.GET, "/ready", null).status() != 200) {
--- a/src/test/java/io/indigoreach/api/OddRequestsTest.java
+++ b/src/test/java/io/indigoreach/api/OddRequestsTest.java
@@ -67,9 +67,10 @@
         SteadyClock clock = new SteadyClock();
         List<Team> teams =
                 List.of(new Team("t", 0, 64, 0, 0), new Team("small", 0, 2, 0, 0), new Team("cpu", 0, 0, 0, 0.5));
-        JobService desk =
-                new JobService(vertx, state, new JobRepairer(state, clock), catalogue, teams, clock, 8192, 1000);
-        HttpApi door = new HttpApi(vertx, new Endpoint("127.0.0.1", 0), desk, null, catalogue::isKnown, Map.of());
+        JobService desk = new JobService(new JobService.Context(
+                vertx, state, new JobRepairer(state, clock), catalogue, teams, clock, 8192, 1000));
+        HttpApi door = new HttpApi(
+                new HttpApi.Context(vertx, new Endpoint("127.0.0.1", 0), desk, null, catalogue::isKnown, Map.of()));
         kept.addAll(List.of(state, catalogue, door));
         node = new Endpoint("127.0.0.1", await(door.open()));
         user = new ServiceClient(vertx, node, 300);
--- a/src/test/java/io/indigoreach/checker/FrontDoors.java
+++ b/src/test/java/io/indigoreach/checker/FrontDoors.java
@@ -123,7 +123,7 @@
             StateClient state = client(runtime, ways.get(n));
             Catalogue catalogue =
                     new Catalogue(runtime, state, new CloudClient(new ServiceClient(runtime, service.endpoint(), 1)));
-            JobService desk = new JobService(
+            JobService desk = new JobService(new JobService.Context(
                     runtime,
                     state,
                     new JobRepairer(state, clock),
@@ -131,7 +131,7 @@
                     List.of(new Team("t", 0, 0, 0, 0)),
                     clock,
                     8192,
-                    QUESTIONS_PER_S);
+                    QUESTIONS_PER_S));
             desk.askPeersBy(id -> othersKnow(n, id));
             catalogue.start();
             return Future.succeededFuture(new Node(loop, catalogue, desk, planted.apply(desk)));
--- a/src/test/java/io/indigoreach/cluster/LastTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/LastTaskTest.java
@@ -166,8 +166,8 @@
 
     private JobService desk(String node) throws Exception {
         StateClient client = client(node);
-        return new JobService(
-                vertx, client, new JobRepairer(client, clock), catalogue, List.of(TEAM), clock, 8192, 100);
+        return new JobService(new JobService.Context(
+                vertx, client, new JobRepairer(client, clock), catalogue, List.of(TEAM), clock, 8192, 100));
     }
 
     private static JobSpec spec(JobId id) {
--- a/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
@@ -417,7 +417,7 @@
     // Jobs.
 
     private JobService desk() throws Exception {
-        JobService desk = keep(new JobService(
+        JobService desk = keep(new JobService(new JobService.Context(
                 vertx,
                 client,
                 new JobRepairer(client, clock),
@@ -425,7 +425,7 @@
                 List.of(new Team("t", 0, 0, 0, 0)),
                 clock,
                 8192,
-                100));
+                100)));
         await(client.commit(
                 new StateClient.Txn().put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(List.of(type())))));
         env.catalogue().start();
--- a/src/test/java/io/indigoreach/emulator/StateServerTest.java
+++ b/src/test/java/io/indigoreach/emulator/StateServerTest.java
@@ -222,8 +222,8 @@
     @Test
     void isCaughtAnsweringWithThePast() throws Exception {
         StateClient client = open(null, 0, "kind: stale at_s: 0 for_s: 600 behind: 3");
-        JobService desk =
-                new JobService(vertx, client, new JobRepairer(client, clock), null, List.of(), clock, 8192, 100);
+        JobService desk = new JobService(new JobService.Context(
+                vertx, client, new JobRepairer(client, clock), null, List.of(), clock, 8192, 100));
         JobId id = new JobId("run-1");
         assertTrue(LocalCluster.await(client.commit(new StateClient.Txn()
                         .when(RecordCodec.openKey(id), Revision.ABSENT)
@@ -258,8 +258,8 @@
     @Test
     void readsThePastBetweenAFailureAndItsRetry() throws Exception {
         StateClient client = open(null, 0, "kind: stale at_s: 0 for_s: 600 behind: 1");
-        JobService desk =
-                new JobService(vertx, client, new JobRepairer(client, clock), null, List.of(), clock, 8192, 100);
+        JobService desk = new JobService(new JobService.Context(
+                vertx, client, new JobRepairer(client, clock), null, List.of(), clock, 8192, 100));
         JobId id = new JobId("run-1");
         BitSet done = new BitSet();
         for (int progress = 0; progress < 2; progress++) {
--- a/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
+++ b/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
@@ -82,8 +82,9 @@
                 null,
                 config,
                 settings);
-        int port = await(
-                new HttpApi(vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources()).open());
+        int port = await(new HttpApi(new HttpApi.Context(
+                        vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources()))
+                .open());
         http = new ServiceClient(vertx, new Endpoint("127.0.0.1", port), 2);
         cluster = Files.writeString(
                         dir.resolve("cluster"), new ClusterFile(List.of("127.0.0.1:" + port), "", "", "").toText())
@@ -215,7 +216,7 @@
         JobSpec never = plain.with(JobSpec.RECORDS, Map.of("ids", List.of("a/1", "a/3")));
         ExecutionException refused = assertThrows(ExecutionException.class, () -> await(field.accepting(never)));
         assertTrue(refused.getCause() instanceof RequestRejectedException r
-                && r.answer().status() == 422
+                && r.status() == 422
                 && r.getMessage().contains("billed by e1"));
         JobSpec waits = plain.with(JobSpec.RECORDS, Map.of("prefix", "a/", "from", 2L, "to", 3L));
         Transaction commit = await(field.accepting(waits));
