--- a/src/main/java/io/indigoreach/api/HttpApi.java
+++ b/src/main/java/io/indigoreach/api/HttpApi.java
@@ -101,7 +101,7 @@
     /** The routing table: the first route that serves the path handles the request. */
     private List<Route> routes() {
         return List.of(
-                Route.exact(WorkerCodec.REPORT, (request, none) -> receiveHeartbeat(request)),
+                Route.exact(WorkerCodec.HEARTBEAT, (request, none) -> receiveHeartbeat(request)),
                 Route.exact(JobCodec.READY, (request, none) -> reportReadiness(request)),
                 Route.exact(JobCodec.JOBS, (request, none) -> submit(request)),
                 Route.between(JOB, JobCodec.CANCEL, id -> true, this::cancel),
@@ -127,7 +127,7 @@
     }
 
     private void receiveHeartbeat(HttpServerRequest request) {
-        withBody(request, HttpMethod.POST, body -> context.heartbeats().report(body));
+        withBody(request, HttpMethod.POST, body -> context.heartbeats().receive(body));
     }
 
     private void reportReadiness(HttpServerRequest request) {
--- a/src/main/java/io/indigoreach/api/JobService.java
+++ b/src/main/java/io/indigoreach/api/JobService.java
@@ -133,22 +133,22 @@
      * @param within after a cancellation, the time within which users are told that the dependants are cancelled too
      * @param leadership a value that differs between any two leaderships
      */
-    public void cascadeWithin(Span within, Supplier<Object> leadership) {
+    public void setCascadeTime(Span within, Supplier<Object> leadership) {
         dependencies.setCascadeTime(within, leadership);
     }
 
     /** Sets the check whether every node of the deployment supports dependencies; jobs with dependencies wait for that. */
-    public void dependenciesUnderstoodBy(Supplier<Future<Boolean>> allNodes) {
+    public void setDependencySupportCheck(Supplier<Future<Boolean>> allNodes) {
         dependencies.setSupportCheck(allNodes);
     }
 
     /** Sets the optional features that take part in submissions. */
-    public void participants(List<SubmissionParticipant> optionalFeatures) {
+    public void setParticipants(List<SubmissionParticipant> optionalFeatures) {
         submission.setParticipants(new SubmissionParticipants(optionalFeatures));
     }
 
     /** Sets the request to the other controllers whether any of them knows a job. */
-    public void askPeersBy(Function<JobId, Future<Boolean>> peerQuery) {
+    public void setPeerQuery(Function<JobId, Future<Boolean>> peerQuery) {
         lookup.setPeerQuery(peerQuery);
     }
 
--- a/src/main/java/io/indigoreach/api/NotFoundException.java
+++ b/src/main/java/io/indigoreach/api/NotFoundException.java
@@ -2,6 +2,7 @@
 
 /** What the request refers to does not exist. */
 public final class NotFoundException extends ApiException {
+    /** {@code reason}: as it is sent to the user. */
     public NotFoundException(String reason) {
         super(reason);
     }
--- a/src/main/java/io/indigoreach/api/SubmissionParticipants.java
+++ b/src/main/java/io/indigoreach/api/SubmissionParticipants.java
@@ -22,7 +22,7 @@
                 .findFirst();
     }
 
-    /** The writes of all participants concerned, asked for one after the other; empty for most jobs. */
+    /** The writes of all participants concerned, requested one after the other; empty for most jobs. */
     Future<Transaction> writes(JobSpec spec) {
         Future<Transaction> writes = Future.succeededFuture(new Transaction());
         for (SubmissionParticipant participant : concerned(spec)) {
@@ -31,7 +31,7 @@
         return writes;
     }
 
-    /** Tells the participants that their writes were committed with the job, at {@code revision}. */
+    /** Informs the participants that their writes were committed with the job, at {@code revision}. */
     void accepted(JobSpec spec, Transaction writes, Revision revision) {
         concerned(spec).forEach(participant -> participant.accepted(writes, revision));
     }
--- a/src/main/java/io/indigoreach/calendar/CalendarPart.java
+++ b/src/main/java/io/indigoreach/calendar/CalendarPart.java
@@ -41,7 +41,7 @@
     }
 
     private static LongSupplier sensed(Parts.Environment ground) {
-        TimeSense sense = new TimeSense(ground.config().clockOff());
+        TimeSense sense = new TimeSense(ground.config().maxClockError());
         SteadyClock clock = ground.clock();
         return () -> sense.at(clock.now(), clock.timeOfDay());
     }
--- a/src/main/java/io/indigoreach/cli/Commands.java
+++ b/src/main/java/io/indigoreach/cli/Commands.java
@@ -9,26 +9,28 @@
 import java.nio.file.Path;
 import org.slf4j.LoggerFactory;
 
-/** What the command line can ask for. */
+/** The commands of a node. Each returns the exit code of the process. */
 final class Commands {
+    /** In place of an exit code: the process goes on serving. */
     static final int SERVING = -1;
 
     private Commands() {}
 
-    /** Validates everything before anything is served. */
+    /** Validates both files, then serves. */
     static int serve(String config, String settings) throws ConfigException {
         if (config == null) {
             throw new ConfigException("--config FILE is needed; see --help");
         }
         PlatformConfig platform = PlatformConfig.read(Path.of(config));
         Node node = new Node(EventLoops.vertx(), platform, read(settings));
-        node.start().onFailure(e -> {
-            LoggerFactory.getLogger(Commands.class).error("cannot serve: {}", e.getMessage());
+        node.start().onFailure(failure -> {
+            LoggerFactory.getLogger(Commands.class).error("startup failed cause={}", failure.getMessage());
             System.exit(1);
         });
         return SERVING;
     }
 
+    /** Validates the files that are given. */
     static int check(String config, String settings) throws ConfigException {
         if (config == null && settings == null) {
             throw new ConfigException("check: nothing to check; give --config FILE, --settings FILE or --list");
@@ -41,9 +43,10 @@
         return 0;
     }
 
+    /** Prints the operators' settings. */
     static int list() {
-        for (Settings.Setting knob : Settings.Setting.values()) {
-            System.out.println(knob.help());
+        for (Settings.Setting setting : Settings.Setting.values()) {
+            System.out.println(setting.help());
         }
         return 0;
     }
--- a/src/main/java/io/indigoreach/cli/Logging.java
+++ b/src/main/java/io/indigoreach/cli/Logging.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cli;
 
-/** Sets up the log on standard error; must run before the first logger is made. */
+/** Configures the log on standard error; must run before the first logger is created. */
 final class Logging {
     private Logging() {}
 
--- a/src/main/java/io/indigoreach/cli/Main.java
+++ b/src/main/java/io/indigoreach/cli/Main.java
@@ -10,7 +10,7 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** The program's entry: sets up logging from the environment and reads the command line. */
+/** The entry point of a node: configures logging from the environment and parses the command line. */
 public final class Main {
     private static final String USAGE = "indigoreach [check] [--config FILE] [--settings FILE]";
     private static final String ABOUT = "Serves as a controller node: runs jobs on a cluster of rented machines that "
@@ -19,6 +19,7 @@
 
     private Main() {}
 
+    /** Runs a command; exits with 0, with 1 after a wrong file, or with 2 after wrong arguments, unless the node serves. */
     public static void main(String[] args) {
         Logging.configure(System.getenv("LOG_LEVEL"));
         int code;
--- a/src/main/java/io/indigoreach/cli/Rehearsal.java
+++ b/src/main/java/io/indigoreach/cli/Rehearsal.java
@@ -1,26 +1,30 @@
 package io.indigoreach.cli;
 
+import io.indigoreach.api.JobCodec;
 import io.indigoreach.cluster.Node;
 import io.indigoreach.config.ConfigException;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
+import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Endpoint;
 import io.indigoreach.net.EventLoops;
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.ServiceClient;
+import io.indigoreach.state.RecordCodec;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpServer;
 import io.vertx.core.http.HttpServerRequest;
+import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs a node for a moment against a stand-in on loopback, so that the build can put the classes that serving loads
- * into the class-data archive.
+ * Runs a node for a moment against a stand-in for the state service and the cloud on loopback, so that the build can put the
+ * classes that serving loads into the class-data archive.
  */
 final class Rehearsal {
     private static final String PLATFORM = """
@@ -58,14 +62,15 @@
 
     private Rehearsal() {}
 
+    /** Returns the exit code: 0, or 1 if the run takes longer than 20 s. */
     static int run() {
         Vertx vertx = EventLoops.vertx();
         Rehearsal rehearsal = new Rehearsal();
         HttpServer standIn = vertx.createHttpServer().requestHandler(rehearsal::answer);
         CountDownLatch over = new CountDownLatch(1);
         standIn.listen(0, "127.0.0.1")
-                .compose(s -> rehearsal.serve(vertx, s.actualPort()))
-                .onComplete(r -> over.countDown());
+                .compose(listening -> rehearsal.serve(vertx, listening.actualPort()))
+                .onComplete(done -> over.countDown());
         try {
             return over.await(20, TimeUnit.SECONDS) ? 0 : 1;
         } catch (InterruptedException e) {
@@ -82,19 +87,19 @@
                     .compose(own -> {
                         ServiceClient user = new ServiceClient(vertx, new Endpoint("127.0.0.1", own), 2);
                         return vertx.timer(700, TimeUnit.MILLISECONDS)
-                                .compose(v -> user.get("/ready", wait))
-                                .compose(v -> user.post("/api/jobs", job(), wait))
-                                .compose(v -> user.get("/api/jobs/run-1", wait))
-                                .compose(v -> vertx.timer(400, TimeUnit.MILLISECONDS))
-                                // The first answer tells the token: a list under an older one is not taken, and nothing
-                                // is started.
-                                .compose(v -> user.post("/checkin", report(1, 0), wait))
-                                .compose(r ->
-                                        user.post("/checkin", report(2, r.body().whole("baton")), wait))
-                                .compose(r ->
-                                        user.post("/checkin", report(3, r.body().whole("baton")), wait))
-                                .compose(v -> user.post("/api/jobs/run-1/cancel", Map.of(), wait))
-                                .compose(v -> vertx.timer(700, TimeUnit.MILLISECONDS));
+                                .compose(done -> user.get("/ready", wait))
+                                .compose(done -> user.post("/api/jobs", job(), wait))
+                                .compose(done -> user.get("/api/jobs/run-1", wait))
+                                .compose(done -> vertx.timer(400, TimeUnit.MILLISECONDS))
+                                // The first response contains the token: a heartbeat under an older one is ignored,
+                                // and nothing is started.
+                                .compose(done -> user.post("/checkin", heartbeat(1, 0), wait))
+                                .compose(response -> user.post(
+                                        "/checkin", heartbeat(2, response.body().whole("baton")), wait))
+                                .compose(response -> user.post(
+                                        "/checkin", heartbeat(3, response.body().whole("baton")), wait))
+                                .compose(done -> user.post("/api/jobs/run-1/cancel", Map.of(), wait))
+                                .compose(done -> vertx.timer(700, TimeUnit.MILLISECONDS));
                     })
                     .mapEmpty();
         } catch (ConfigException e) {
@@ -103,66 +108,77 @@
     }
 
     private void answer(HttpServerRequest request) {
+        request.body().onSuccess(body -> respond(request));
+    }
+
+    private void respond(HttpServerRequest request) {
         String path = request.path();
-        request.body().onSuccess(body -> {
-            if (path.equals("/store")) {
+        switch (path) {
+            case "/store" ->
                 reply(
                         request,
                         200,
                         MessagePackFormat.map("items", List.of(), "truncated", false, "ledger_rev", revision));
-            } else if (path.equals("/store/era")) {
+            case "/store/era" ->
                 reply(request, 200, MessagePackFormat.map("path", "era", "data", Map.of("token", 1L), "stamp", 1L));
-            } else if (path.equals("/store/j/run-1")) {
+            case "/store/j/run-1" ->
                 reply(request, 200, MessagePackFormat.map("path", "j/run-1", "data", record(), "stamp", 1L));
-            } else if (path.startsWith("/store/")) {
-                reply(request, 404, MessagePackFormat.map("ledger_rev", revision));
-            } else if (path.equals("/catalog")) {
-                reply(
-                        request,
-                        200,
-                        MessagePackFormat.map(
-                                "boxkinds",
-                                List.of(MessagePackFormat.map(
-                                        "label",
-                                        "k",
-                                        "cores",
-                                        4,
-                                        "gpus",
-                                        0,
-                                        "ram_gb",
-                                        16,
-                                        "cache_gb",
-                                        40,
-                                        "fetch_gb_per_s",
-                                        0.3,
-                                        "price",
-                                        0.2,
-                                        "low_price",
-                                        0.05,
-                                        "boot_s",
-                                        20,
-                                        "halls",
-                                        List.of("z")))));
-            } else if (path.equals("/machines")) {
-                reply(
-                        request,
-                        200,
-                        request.method().name().equals("GET")
-                                ? MessagePackFormat.map("boxes", List.of(), "truncated", false)
-                                : MessagePackFormat.map("boxes", List.of("vm-1")));
-            } else if (path.equals("/grants")) {
-                reply(request, 200, MessagePackFormat.map("permit", 1L));
-            } else if (path.equals("/changes") && !request.getParam("starts").equals("j/")) {
-                // Nothing changes there: the watch stays open.
-                request.response().closeHandler(v -> {});
-            } else if (path.equals("/changes") && request.getParam("starts").equals("j/")) {
-                Map<String, Object> event =
-                        MessagePackFormat.map("write", "j/run-1", "data", record(), "stamp", ++revision);
-                reply(request, 200, MessagePackFormat.map("ledger_rev", revision, "events", List.of(event)));
-            } else {
-                reply(request, 200, MessagePackFormat.map("ledger_rev", ++revision));
+            case "/catalog" -> reply(request, 200, MessagePackFormat.map("boxkinds", List.of(machineType())));
+            case "/machines" -> respondAsCloud(request);
+            case "/grants" -> reply(request, 200, MessagePackFormat.map("permit", 1L));
+            case "/changes" -> respondToWatch(request);
+            default -> {
+                if (path.startsWith("/store/")) {
+                    reply(request, 404, MessagePackFormat.map("ledger_rev", revision));
+                } else {
+                    reply(request, 200, MessagePackFormat.map("ledger_rev", ++revision));
+                }
             }
-        });
+        }
+    }
+
+    private static void respondAsCloud(HttpServerRequest request) {
+        boolean listing = request.method().name().equals("GET");
+        reply(
+                request,
+                200,
+                listing
+                        ? MessagePackFormat.map("boxes", List.of(), "truncated", false)
+                        : MessagePackFormat.map("boxes", List.of("vm-1")));
+    }
+
+    private void respondToWatch(HttpServerRequest request) {
+        if (!request.getParam("starts").equals("j/")) {
+            // Nothing changes there: the watch stays open.
+            request.response().closeHandler(closed -> {});
+            return;
+        }
+        Map<String, Object> event = MessagePackFormat.map("write", "j/run-1", "data", record(), "stamp", ++revision);
+        reply(request, 200, MessagePackFormat.map("ledger_rev", revision, "events", List.of(event)));
+    }
+
+    private static Map<String, Object> machineType() {
+        return MessagePackFormat.map(
+                "label",
+                "k",
+                "cores",
+                4,
+                "gpus",
+                0,
+                "ram_gb",
+                16,
+                "cache_gb",
+                40,
+                "fetch_gb_per_s",
+                0.3,
+                "price",
+                0.2,
+                "low_price",
+                0.05,
+                "boot_s",
+                20,
+                "halls",
+                List.of("z"));
     }
 
     private static void reply(HttpServerRequest request, int status, Map<String, Object> body) {
@@ -170,11 +186,11 @@
     }
 
     private static Map<String, Object> record() {
-        return io.indigoreach.state.RecordCodec.writeJob(
-                io.indigoreach.api.JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(job()))),
+        return RecordCodec.writeJob(
+                JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(job()))),
                 1L,
-                io.indigoreach.core.model.JobStatus.PENDING,
-                new java.util.BitSet(),
+                JobStatus.PENDING,
+                new BitSet(),
                 0,
                 4);
     }
@@ -217,7 +233,7 @@
                 0.0);
     }
 
-    private static Map<String, Object> report(int serial, long token) {
+    private static Map<String, Object> heartbeat(int serial, long token) {
         return MessagePackFormat.map(
                 "box",
                 "vm-1",
--- a/src/main/java/io/indigoreach/cloud/Catalogue.java
+++ b/src/main/java/io/indigoreach/cloud/Catalogue.java
@@ -1,6 +1,7 @@
 package io.indigoreach.cloud;
 
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.state.RecordCodec;
@@ -10,74 +11,79 @@
 import java.util.List;
 
 /**
- * The machine types. Taken from the copy in the state service, so that a node can start while the cloud is away, and
- * from the cloud when there is no copy; the leader keeps the copy.
+ * The machine types. They are read from the copy in the state service, so that a node can start during an outage of the cloud, and
+ * from the cloud if there is no copy; the node that finds none writes it. Used on the event loop only.
  */
 public final class Catalogue {
     private static final Span RETRY = Span.seconds(1);
 
     private final StateClient state;
     private final CloudClient cloud;
-    private final PeriodicTask duty;
+    private final PeriodicTask reader;
     private List<MachineType> types = List.of();
-    private boolean copied;
+    private boolean hasCopy;
 
+    /** Reads nothing until {@link #start()}. */
     public Catalogue(Vertx vertx, StateClient state, CloudClient cloud) {
         this.state = state;
         this.cloud = cloud;
-        this.duty = new PeriodicTask(vertx, "catalogue", RETRY, this::step);
+        this.reader = new PeriodicTask(vertx, "catalogue", RETRY, this::step);
     }
 
+    /** Starts reading, and repeats until the types are known. */
     public Catalogue start() {
-        duty.start();
+        reader.start();
         return this;
     }
 
+    /** Stops reading. */
     public void stop() {
-        duty.cancel();
+        reader.cancel();
     }
 
+    /** Whether the types are known. */
     public boolean isKnown() {
         return !types.isEmpty();
     }
 
+    /** The types, with the prices of the time when they were read; empty if they are not known. */
     public List<MachineType> types() {
         return types;
     }
 
-    /** As the cloud has it at this moment, with the present spot prices. */
-    public Future<List<MachineType>> now() {
+    /** The types as the cloud lists them now, with the present spot prices. */
+    public Future<List<MachineType>> readCurrentTypes() {
         return cloud.catalogue();
     }
 
     private Future<Span> step() {
         if (isKnown()) {
-            duty.cancel();
+            reader.cancel();
             return Future.succeededFuture(RETRY);
         }
         return state.get(RecordCodec.CATALOGUE).compose(entry -> {
             if (entry != null) {
                 types = RecordCodec.readCatalogue(entry.value());
-                copied = isKnown();
+                hasCopy = isKnown();
                 return Future.succeededFuture(Span.ZERO);
             }
             return cloud.catalogue().compose(found -> {
                 types = List.copyOf(found);
-                return keepCopy().map(Span.ZERO);
+                return writeCopy().map(Span.ZERO);
             });
         });
     }
 
-    /** A types' description does not change, so whichever node comes first may write it. */
-    private Future<Void> keepCopy() {
-        if (copied || types.isEmpty()) {
+    /** The description of a type does not change, so the first node to read it may write the copy. */
+    private Future<Void> writeCopy() {
+        if (hasCopy || types.isEmpty()) {
             return Future.succeededFuture();
         }
         return state.commit(new StateClient.Txn()
-                        .when(RecordCodec.CATALOGUE, io.indigoreach.core.model.Revision.ABSENT)
+                        .when(RecordCodec.CATALOGUE, Revision.ABSENT)
                         .put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(types)))
                 .map(outcome -> {
-                    copied = true;
+                    hasCopy = true;
                     return null;
                 });
     }
--- a/src/main/java/io/indigoreach/cloud/CloudCodec.java
+++ b/src/main/java/io/indigoreach/cloud/CloudCodec.java
@@ -8,153 +8,156 @@
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Fields;
 import io.indigoreach.net.MessagePackFormat;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 
-/** The cloud's words: its paths, and each request and answer both written and read here. */
+/** The messages of the cloud's interface: its paths, and each request and response, written and read. */
 public final class CloudCodec {
+    /** Path of the machine types. */
     public static final String TYPES = "/catalog";
+    /** Path of the list of machines, and of rentals. */
     public static final String MACHINES = "/machines";
+    /** Path of returns. */
     public static final String RETURN = "/machines/return";
+    /** Query parameter of the list: the last machine of the page before. */
     public static final String AFTER = "since";
+    /** Query parameter of the list: the most machines in a page. */
     public static final String MOST = "most";
+    /** The error of a rental for which the pool has no capacity. */
     public static final String NO_CAPACITY = "no capacity";
-    /** Machines in one page of the list, in one rental, and names in one return, at most. */
-    public static final int MOST_LISTED = 500;
-
-    public static final int MOST_RENTED = 50;
-    public static final int MOST_RETURNED = 100;
-
-    /** A rental request. */
+    /** The most machines in a page of the list. */
+    public static final int MAX_LISTED = 500;
+    /** The most machines in a rental. */
+    public static final int MAX_RENTED = 50;
+    /** The most machines in a return. */
+    public static final int MAX_RETURNED = 100;
+
+    /**
+     * A rental request.
+     *
+     * @param name identifies the request, so that it can be repeated
+     */
     public record Rental(String name, MachinePool pool, int count) {}
 
-    /** A machine in the list, with its address; null while it is not known. */
+    /** A machine in the list, with its address, which is null while it is not known. */
     public record Listed(ListedMachine machine, String address) {}
 
     /** A page of the list of machines. */
     public record Page(List<Listed> machines, boolean more) {}
 
+    /** The boot time of a type that does not say, in seconds. */
+    private static final double DEFAULT_BOOT_S = 60;
+
     private CloudCodec() {}
 
     static String listPath(MachineId after) {
-        return MACHINES + "?" + MOST + "=" + MOST_LISTED + (after == null ? "" : "&" + AFTER + "=" + after);
+        return MACHINES + "?" + MOST + "=" + MAX_LISTED + (after == null ? "" : "&" + AFTER + "=" + after);
     }
 
+    /** The response with the machine types. */
     public static Map<String, Object> writeTypes(List<MachineType> types) {
-        List<Object> list = new ArrayList<>();
-        for (MachineType type : types) {
-            list.add(MessagePackFormat.map(
-                    "label",
-                    type.name(),
-                    "cores",
-                    type.capacity().cores(),
-                    "gpus",
-                    type.capacity().gpus(),
-                    "ram_gb",
-                    type.capacity().ramGb(),
-                    "cache_gb",
-                    type.cacheGb(),
-                    "fetch_gb_per_s",
-                    type.fetchGbPerS(),
-                    "price",
-                    type.price(),
-                    "low_price",
-                    type.spotPrice(),
-                    "boot_s",
-                    type.boot().seconds(),
-                    "halls",
-                    type.zones()));
-        }
-        return MessagePackFormat.map("boxkinds", list);
-    }
-
-    static List<MachineType> readTypes(Fields f) {
-        List<MachineType> types = new ArrayList<>();
-        for (Fields t : f.children("boxkinds")) {
-            List<String> zones = t.optionalTexts("halls");
-            types.add(new MachineType(
-                    t.text("label"),
-                    new Demand(t.number("cores"), t.number("gpus", 0), t.number("ram_gb")),
-                    t.number("cache_gb", 0),
-                    t.number("fetch_gb_per_s", 0),
-                    t.number("price"),
-                    t.number("low_price", 0),
-                    Span.seconds(t.number("boot_s", 60)),
-                    zones == null ? List.of() : zones));
-        }
-        return types;
-    }
-
-    static Map<String, Object> writeRental(Rental r) {
         return MessagePackFormat.map(
-                "hire",
-                r.name(),
-                "boxkind",
-                r.pool().type(),
-                "hall",
-                r.pool().zone(),
-                "loaners",
-                r.pool().spot(),
-                "count",
-                r.count());
+                "boxkinds", types.stream().map(CloudCodec::writeType).toList());
+    }
+
+    private static Map<String, Object> writeType(MachineType type) {
+        return MessagePackFormat.map(
+                "label", type.name(),
+                "cores", type.capacity().cores(),
+                "gpus", type.capacity().gpus(),
+                "ram_gb", type.capacity().ramGb(),
+                "cache_gb", type.cacheGb(),
+                "fetch_gb_per_s", type.fetchGbPerS(),
+                "price", type.price(),
+                "low_price", type.spotPrice(),
+                "boot_s", type.boot().seconds(),
+                "halls", type.zones());
+    }
+
+    static List<MachineType> readTypes(Fields fields) {
+        return fields.children("boxkinds").stream().map(CloudCodec::readType).toList();
+    }
+
+    private static MachineType readType(Fields fields) {
+        List<String> zones = fields.optionalTexts("halls");
+        return new MachineType(
+                fields.text("label"),
+                new Demand(fields.number("cores"), fields.number("gpus", 0), fields.number("ram_gb")),
+                fields.number("cache_gb", 0),
+                fields.number("fetch_gb_per_s", 0),
+                fields.number("price"),
+                fields.number("low_price", 0),
+                Span.seconds(fields.number("boot_s", DEFAULT_BOOT_S)),
+                zones == null ? List.of() : zones);
+    }
+
+    static Map<String, Object> writeRental(Rental rental) {
+        return MessagePackFormat.map(
+                "hire", rental.name(),
+                "boxkind", rental.pool().type(),
+                "hall", rental.pool().zone(),
+                "loaners", rental.pool().spot(),
+                "count", rental.count());
     }
 
-    public static Rental readRental(Fields f) {
-        return new Rental(
-                f.text("hire"), new MachinePool(f.text("boxkind"), f.text("hall"), f.flag("loaners", false)), (int)
-                        f.whole("count"));
+    /** Reads a rental request. */
+    public static Rental readRental(Fields fields) {
+        String name = fields.text("hire");
+        MachinePool pool = readPool(fields);
+        return new Rental(name, pool, (int) fields.whole("count"));
     }
 
-    /** Machines by name: those rented, in an answer; those to be returned, in a request. */
+    private static MachinePool readPool(Fields fields) {
+        return new MachinePool(fields.text("boxkind"), fields.text("hall"), fields.flag("loaners", false));
+    }
+
+    /** Machine names: those rented, in a response; those to be returned, in a request. */
     public static Map<String, Object> writeNames(List<MachineId> machines) {
         return MessagePackFormat.map(
                 "boxes", machines.stream().map(MachineId::text).toList());
     }
 
-    public static List<MachineId> readNames(Fields f) {
-        List<String> names = f.optionalTexts("boxes");
+    /** Reads machine names. */
+    public static List<MachineId> readNames(Fields fields) {
+        List<String> names = fields.optionalTexts("boxes");
         return names == null ? List.of() : names.stream().map(MachineId::new).toList();
     }
 
+    /** A page of the list of machines. */
     public static Map<String, Object> writePage(Page page) {
-        List<Object> list = new ArrayList<>(page.machines().size());
-        for (Listed l : page.machines()) {
-            ListedMachine m = l.machine();
-            list.add(MessagePackFormat.map(
-                    "id",
-                    m.id().text(),
-                    "endpoint",
-                    l.address(),
-                    "boxkind",
-                    m.pool().type(),
-                    "hall",
-                    m.pool().zone(),
-                    "loaners",
-                    m.pool().spot(),
-                    "status",
-                    word(m.status()),
-                    "held_s",
-                    m.held().seconds()));
-        }
-        return MessagePackFormat.map("boxes", list, "truncated", page.more());
-    }
-
-    static Page readPage(Fields f) {
-        List<Listed> list = new ArrayList<>();
-        for (Fields m : f.children("boxes")) {
-            list.add(new Listed(
-                    new ListedMachine(
-                            new MachineId(m.text("id")),
-                            new MachinePool(m.text("boxkind"), m.text("hall"), m.flag("loaners", false)),
-                            status(m.text("status")),
-                            Span.seconds(m.number("held_s", 0))),
-                    m.optionalText("endpoint")));
-        }
-        return new Page(list, f.flag("truncated", false));
-    }
-
-    private static String word(ListedMachine.Status status) {
+        List<Map<String, Object>> machines =
+                page.machines().stream().map(CloudCodec::writeListed).toList();
+        return MessagePackFormat.map("boxes", machines, "truncated", page.more());
+    }
+
+    private static Map<String, Object> writeListed(Listed listed) {
+        ListedMachine machine = listed.machine();
+        return MessagePackFormat.map(
+                "id", machine.id().text(),
+                "endpoint", listed.address(),
+                "boxkind", machine.pool().type(),
+                "hall", machine.pool().zone(),
+                "loaners", machine.pool().spot(),
+                "status", text(machine.status()),
+                "held_s", machine.held().seconds());
+    }
+
+    static Page readPage(Fields fields) {
+        List<Listed> machines =
+                fields.children("boxes").stream().map(CloudCodec::readListed).toList();
+        return new Page(machines, fields.flag("truncated", false));
+    }
+
+    private static Listed readListed(Fields fields) {
+        ListedMachine machine = new ListedMachine(
+                new MachineId(fields.text("id")),
+                readPool(fields),
+                status(fields.text("status")),
+                Span.seconds(fields.number("held_s", 0)));
+        return new Listed(machine, fields.optionalText("endpoint"));
+    }
+
+    private static String text(ListedMachine.Status status) {
         return switch (status) {
             case STARTING -> "starting";
             case FAILED -> "failed";
@@ -162,8 +165,8 @@
         };
     }
 
-    private static ListedMachine.Status status(String word) {
-        return switch (word) {
+    private static ListedMachine.Status status(String text) {
+        return switch (text) {
             case "starting" -> ListedMachine.Status.STARTING;
             case "failed" -> ListedMachine.Status.FAILED;
             default -> ListedMachine.Status.RUNNING;
--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -55,7 +55,7 @@
                 .toList();
         StateClient renewals = new StateClient(new ServiceClient(own, config.state(), 2), null);
         TokenGenerator tokens =
-                new TokenGenerator(nodes.indexOf(config.node()), context.clock().timeOfDay(), config.clockOff());
+                new TokenGenerator(nodes.indexOf(config.node()), context.clock().timeOfDay(), config.maxClockError());
         this.election = new LeaderElection(
                 context.vertx(),
                 context.state(),
--- a/src/main/java/io/indigoreach/cluster/FleetManager.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -211,9 +211,10 @@
         if (!mayAct.getAsBoolean()) {
             return Future.succeededFuture(PAUSE);
         }
-        core.setAwakeSince(context.loopMonitor().turningSince());
+        core.setAwakeSince(context.loopMonitor().runningSince());
         core.planScaleIn(context.clock().now());
-        List<MachineId> leaving = intentLog.intents().recordReturns(core.machinesToReturn(CloudClient.mostReturned()));
+        List<MachineId> leaving =
+                intentLog.intents().recordReturns(core.machinesToReturn(CloudClient.maxMachinesPerReturn()));
         if (leaving.isEmpty()) {
             return Future.succeededFuture(period);
         }
@@ -221,7 +222,7 @@
             if (!done || !intentLog.intents().mayReturn(leaving) || !mayAct.getAsBoolean()) {
                 return Future.succeededFuture(Span.seconds(0.2));
             }
-            return context.cloud().giveBack(leaving).map(v -> {
+            return context.cloud().returnMachines(leaving).map(v -> {
                 if (!scaleInTask.isCancelled()) {
                     intentLog.intents().gone(leaving);
                     core.returned(leaving, context.clock().now());
--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -60,7 +60,7 @@
     /** Requests and machines to be returned may fill half of the record's value each. */
     private final class HalfEach implements Intents.Size {
         private int half() {
-            return (env.limits().room() - EMPTY) / 2;
+            return (env.limits().maxRecordBytes() - EMPTY) / 2;
         }
 
         @Override
--- a/src/main/java/io/indigoreach/cluster/JobStore.java
+++ b/src/main/java/io/indigoreach/cluster/JobStore.java
@@ -150,7 +150,7 @@
                     for (MachineRecord m : machines) {
                         // Another node wrote this time, by a clock that may be off as far the other way as this one's.
                         Moment existed = toSteadyTime(m.existedMs())
-                                .plus(context.config().clockOff().times(2));
+                                .plus(context.config().maxClockError().times(2));
                         core.inheritMachine(m.id(), m.pool(), toSteadyTime(m.rentedMs()), existed, termBeganAt);
                     }
                 }))
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -337,7 +337,7 @@
 
     private Future<Span> tick() {
         Moment now = context.clock().now();
-        Moment awake = context.loopMonitor().turningSince();
+        Moment awake = context.loopMonitor().runningSince();
         core.setAwakeSince(awake.isAfter(servesSince) ? awake : servesSince);
         core.expireLeases(now);
         if (election.isValid() && !context.config().peers().isEmpty() && core.isCutOffFromWorkers(now)) {
--- a/src/main/java/io/indigoreach/cluster/MachineStore.java
+++ b/src/main/java/io/indigoreach/cluster/MachineStore.java
@@ -101,7 +101,7 @@
 
     /** How much a page may hold. */
     static int pageBytes(LeadershipTerm.Context context) {
-        return context.limits().room() - PAGE_FRAME;
+        return context.limits().maxRecordBytes() - PAGE_FRAME;
     }
 
     void start() {
--- a/src/main/java/io/indigoreach/cluster/Node.java
+++ b/src/main/java/io/indigoreach/cluster/Node.java
@@ -78,11 +78,11 @@
         controller.recallBy(standing::gather);
         controller.askPeersBy(standing::pledges, standing::othersDoNotLead);
         repairer.recallBy(standing::recall);
-        jobService.cascadeWithin(config.rules().cancellationTime(), controller::election);
-        jobService.dependenciesUnderstoodBy(() -> controller.formatGate().isOpen());
-        jobService.participants(parts.joinings());
+        jobService.setCascadeTime(config.rules().cancellationTime(), controller::election);
+        jobService.setDependencySupportCheck(() -> controller.formatGate().isOpen());
+        jobService.setParticipants(parts.joinings());
         parts.all().forEach(p -> p.submitting(jobService::submit));
-        jobService.askPeersBy(standing::isKnownToAny);
+        jobService.setPeerQuery(standing::isKnownToAny);
         state.onLoss(controller::onStateLoss);
         this.door = new HttpApi(new HttpApi.Context(
                 vertx,
--- a/src/main/java/io/indigoreach/cluster/PeerProtocol.java
+++ b/src/main/java/io/indigoreach/cluster/PeerProtocol.java
@@ -159,7 +159,7 @@
 
     /** Long enough that in an outage the other nodes know of it too, and not because this node itself stood still. */
     private boolean isSurelyUnserved() {
-        return loopMonitor.hasTurnedWithoutPauseFor(ANSWER_TIMEOUT.times(2))
+        return loopMonitor.hasRunWithoutPauseFor(ANSWER_TIMEOUT.times(2))
                 && clock.now().since(lastServedAt).compareTo(ANSWER_TIMEOUT.times(2)) >= 0;
     }
 
--- a/src/main/java/io/indigoreach/cluster/StateRebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -174,7 +174,7 @@
                 .distinct()
                 .toList());
         Map<String, Object> next = RecordCodec.writeEra(token, env.clock().timeOfDay(), findings, written);
-        while (JsonSize.of(next) > env.limits().room() && !findings.isEmpty()) {
+        while (JsonSize.of(next) > env.limits().maxRecordBytes() && !findings.isEmpty()) {
             findings.remove(0);
             next = RecordCodec.writeEra(token, env.clock().timeOfDay(), findings, written);
         }
--- a/src/main/java/io/indigoreach/cluster/WarmUp.java
+++ b/src/main/java/io/indigoreach/cluster/WarmUp.java
@@ -157,7 +157,7 @@
                 tasks.getOrDefault(n, List.of()));
         Heartbeat read = WorkerCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(WorkerCodec.write(sent))));
         List<WorkerCommand> orders = core.onHeartbeat(read, env.clock().now());
-        MessagePackFormat.write(WorkerCodec.answer(new FencingToken(2), orders));
+        MessagePackFormat.write(WorkerCodec.writeResponse(new FencingToken(2), orders));
         core.expireLeases(env.clock().now());
         boolean ended = reports / MACHINES % 3 == 2;
         List<TaskStatus> next = new ArrayList<>();
--- a/src/main/java/io/indigoreach/config/Settings.java
+++ b/src/main/java/io/indigoreach/config/Settings.java
@@ -4,6 +4,7 @@
 import io.indigoreach.core.scheduling.SafetyTimes;
 import io.indigoreach.core.scheduling.SchedulerSettings;
 import java.util.EnumMap;
+import java.util.Locale;
 import java.util.Map;
 
 /** The operators' own settings: each with its unit, default, range and meaning. */
@@ -49,14 +50,15 @@
             this.meaning = meaning;
         }
 
+        /** The name in the file. */
         public String field() {
-            return name().toLowerCase(java.util.Locale.ROOT);
+            return name().toLowerCase(Locale.ROOT);
         }
 
         /** A line for help texts. */
         public String help() {
             return String.format(
-                    java.util.Locale.ROOT,
+                    Locale.ROOT,
                     "%-22s %s%s (default %s, %s to %s)",
                     field(),
                     meaning,
@@ -66,8 +68,8 @@
                     plain(most));
         }
 
-        private static String plain(double d) {
-            return d == Math.rint(d) ? Long.toString((long) d) : Double.toString(d);
+        private static String plain(double value) {
+            return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
         }
     }
 
@@ -76,28 +78,32 @@
     /** Every setting at its default. */
     public static Settings standard() {
         Settings settings = new Settings();
-        for (Setting knob : Setting.values()) {
-            settings.values.put(knob, knob.standard);
+        for (Setting setting : Setting.values()) {
+            settings.values.put(setting, setting.standard);
         }
         return settings;
     }
 
-    void set(Setting knob, double value) throws ConfigException {
-        if (!(value >= knob.least && value <= knob.most)) {
-            throw new ConfigException(knob.field() + ": must be from " + Setting.plain(knob.least) + " to "
-                    + Setting.plain(knob.most) + " " + knob.unit);
+    /** Sets a value; throws {@link ConfigException} if it is out of range. */
+    void set(Setting setting, double value) throws ConfigException {
+        if (!(value >= setting.least && value <= setting.most)) {
+            throw new ConfigException(setting.field() + ": must be from " + Setting.plain(setting.least) + " to "
+                    + Setting.plain(setting.most) + " " + setting.unit);
         }
-        values.put(knob, value);
+        values.put(setting, value);
     }
 
-    public double get(Setting knob) {
-        return values.get(knob);
+    /** The value in the unit of the setting. */
+    public double get(Setting setting) {
+        return values.get(setting);
     }
 
-    public Span span(Setting knob) {
-        return Span.seconds(get(knob));
+    /** The value of a setting in seconds. */
+    public Span span(Setting setting) {
+        return Span.seconds(get(setting));
     }
 
+    /** The settings of the scheduler core. */
     public SchedulerSettings tuning() {
         return new SchedulerSettings(
                 span(Setting.WAIT_LIMIT_S),
@@ -115,9 +121,10 @@
     }
 
     /**
-     * The leader's lease: as set, but never longer than it may be without news of cancellations. The usual length lets a
-     * worker whose leader falls silent find the next one as soon as it has given the old one up ({@link
-     * SafetyTimes#responseTimeout} and a second); an outage of the state service is bridged by the other nodes' pledges.
+     * The length of the leader's lease: as set, but never longer than a leader may be without knowledge of cancellations. With the default
+     * a worker whose leader falls silent finds the next leader as soon as it gives the old one up ({@link
+     * SafetyTimes#responseTimeout} and a second). An outage of the state service is bridged by the other nodes' pledges.
+     * Throws {@link ConfigException} if these times leave no room for a lease.
      */
     public Span leaderLease(SafetyTimes rules) throws ConfigException {
         Span most = rules.maxCancellationAge();
--- a/src/main/java/io/indigoreach/config/SettingsFile.java
+++ b/src/main/java/io/indigoreach/config/SettingsFile.java
@@ -17,6 +17,7 @@
 public final class SettingsFile {
     private SettingsFile() {}
 
+    /** Reads the file; throws {@link ConfigException} with one line if it is wrong. */
     public static Settings read(Path file) throws ConfigException {
         String text;
         try {
@@ -27,16 +28,17 @@
         return parse(file.toString(), text);
     }
 
+    /** Parses a text; {@code name} is the file's name in error messages. */
     public static Settings parse(String name, String text) throws ConfigException {
         Settings settings = Settings.standard();
         try {
             Descriptors.Descriptor descriptor = descriptor();
             DynamicMessage.Builder message = DynamicMessage.newBuilder(descriptor);
             TextFormat.merge(text, message);
-            for (Settings.Setting knob : Settings.Setting.values()) {
-                Descriptors.FieldDescriptor field = descriptor.findFieldByName(knob.field());
+            for (Settings.Setting setting : Settings.Setting.values()) {
+                Descriptors.FieldDescriptor field = descriptor.findFieldByName(setting.field());
                 if (message.hasField(field)) {
-                    settings.set(knob, (Double) message.getField(field));
+                    settings.set(setting, (Double) message.getField(field));
                 }
             }
             return settings;
@@ -51,10 +53,10 @@
 
     private static Descriptors.Descriptor descriptor() throws Descriptors.DescriptorValidationException {
         DescriptorProto.Builder message = DescriptorProto.newBuilder().setName("Settings");
-        for (Settings.Setting knob : Settings.Setting.values()) {
+        for (Settings.Setting setting : Settings.Setting.values()) {
             message.addField(FieldDescriptorProto.newBuilder()
-                    .setName(knob.field())
-                    .setNumber(knob.ordinal() + 1)
+                    .setName(setting.field())
+                    .setNumber(setting.ordinal() + 1)
                     .setType(FieldDescriptorProto.Type.TYPE_DOUBLE)
                     .setLabel(FieldDescriptorProto.Label.LABEL_OPTIONAL));
         }
--- /dev/null
+++ b/src/main/java/io/indigoreach/config/TomlSection.java
@@ -0,0 +1,125 @@
+package io.indigoreach.config;
+
+import com.electronwill.nightconfig.core.Config;
+import com.electronwill.nightconfig.core.UnmodifiableConfig;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.net.Endpoint;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * A table of a TOML file, read with checks. A {@link ConfigException} names the file and the field at fault.
+ *
+ * @param file the file's name, for messages
+ * @param path the path of the table in the file; empty for the root
+ */
+record TomlSection(String file, String path, UnmodifiableConfig config) {
+    private static final Logger LOG = LoggerFactory.getLogger(TomlSection.class);
+
+    /** The failure of a field. */
+    ConfigException fault(String field, String what) {
+        return new ConfigException(file + ": " + (path.isEmpty() ? "" : path + ".") + field + ": " + what);
+    }
+
+    /** A required table. */
+    TomlSection section(String field) throws ConfigException {
+        Object value = config.get(List.of(field));
+        if (!(value instanceof UnmodifiableConfig table)) {
+            throw fault(field, value == null ? "missing" : "not a table");
+        }
+        return new TomlSection(file, path.isEmpty() ? field : path + "." + field, table);
+    }
+
+    /** A table; without fields if absent. */
+    TomlSection optionalSection(String field) throws ConfigException {
+        return config.get(List.of(field)) == null ? new TomlSection(file, field, Config.inMemory()) : section(field);
+    }
+
+    /** A list of tables; empty if absent. */
+    List<TomlSection> sections(String field) throws ConfigException {
+        Object value = config.get(List.of(field));
+        List<TomlSection> tables = new ArrayList<>();
+        if (value == null) {
+            return tables;
+        }
+        if (!(value instanceof List<?> list)) {
+            throw fault(field, "not a list of tables");
+        }
+        for (Object element : list) {
+            if (!(element instanceof UnmodifiableConfig table)) {
+                throw fault(field, "not a list of tables");
+            }
+            tables.add(new TomlSection(
+                    file, (path.isEmpty() ? "" : path + ".") + field + "[" + tables.size() + "]", table));
+        }
+        return tables;
+    }
+
+    /** A required text that is not empty. */
+    String text(String field) throws ConfigException {
+        Object value = config.get(List.of(field));
+        if (!(value instanceof String text) || text.isEmpty()) {
+            throw fault(field, value == null ? "missing" : "not a text");
+        }
+        return text;
+    }
+
+    /** A required list of texts. */
+    List<String> texts(String field) throws ConfigException {
+        Object value = config.get(List.of(field));
+        if (!(value instanceof List<?> list) || !list.stream().allMatch(String.class::isInstance)) {
+            throw fault(field, value == null ? "missing" : "not a list of texts");
+        }
+        return list.stream().map(String.class::cast).toList();
+    }
+
+    /** A required address with a port. */
+    Endpoint endpoint(String field) throws ConfigException {
+        try {
+            return Endpoint.parse(text(field));
+        } catch (IllegalArgumentException e) {
+            throw fault(field, "not an address with a port");
+        }
+    }
+
+    /** A number of at least 0, or {@code absent}. */
+    double amount(String field, double absent) throws ConfigException {
+        Object value = config.get(List.of(field));
+        if (value == null) {
+            return absent;
+        }
+        if (!(value instanceof Number number) || !Double.isFinite(number.doubleValue()) || number.doubleValue() < 0) {
+            throw fault(field, "not a number of at least 0");
+        }
+        return number.doubleValue();
+    }
+
+    /** A required number above 0. */
+    double positive(String field) throws ConfigException {
+        double value = amount(field, -1);
+        if (value <= 0) {
+            throw fault(field, value < 0 ? "missing" : "must be above 0");
+        }
+        return value;
+    }
+
+    /** A number above 0, or {@code absent}. */
+    double positiveOr(String field, double absent) throws ConfigException {
+        return config.get(List.of(field)) == null ? absent : positive(field);
+    }
+
+    /** Warns of unknown fields. They are no error, as a newer platform may have more fields than this version knows. */
+    void warnOfUnknownFields(Set<String> known) {
+        config.valueMap().keySet().stream()
+                .filter(field -> !known.contains(field))
+                .forEach(field -> LOG.warn("unknown setting ignored file={} field={}.{}", file, path, field));
+    }
+
+    /** A required time above 0, in seconds. */
+    Span span(String field) throws ConfigException {
+        return Span.seconds(positive(field));
+    }
+}
--- a/src/main/java/io/indigoreach/emulator/Measurements.java
+++ b/src/main/java/io/indigoreach/emulator/Measurements.java
@@ -209,7 +209,7 @@
         SteadyClock clock = new SteadyClock();
         Vertx vertx = Vertx.vertx();
         try {
-            Buffer yes = MessagePackFormat.write(WorkerCodec.answer(new FencingToken(1), List.of()));
+            Buffer yes = MessagePackFormat.write(WorkerCodec.writeResponse(new FencingToken(1), List.of()));
             int port = await(vertx.createHttpServer()
                             .requestHandler(
                                     r -> r.body().onSuccess(body -> r.response().end(yes)))
@@ -230,12 +230,12 @@
                         HOST,
                         List.of(new WorkerPool.Node("node-0", new Endpoint(HOST, port))));
                 cloud[0] = new CloudServer(vertx, clock, d, open(clock), new SplittableRandom(3), 0, pool[0]::on);
-                for (int rented = 0; rented < count; rented += CloudCodec.MOST_RENTED) {
+                for (int rented = 0; rented < count; rented += CloudCodec.MAX_RENTED) {
                     cloud[0].model()
                             .rent(
                                     clock.now(),
                                     new CloudCodec.Rental(
-                                            "r-" + rented, new MachinePool("m", "z", false), CloudCodec.MOST_RENTED));
+                                            "r-" + rented, new MachinePool("m", "z", false), CloudCodec.MAX_RENTED));
                 }
                 return vertx.timer(8, java.util.concurrent.TimeUnit.SECONDS);
             });
--- a/src/main/java/io/indigoreach/emulator/WorkerPool.java
+++ b/src/main/java/io/indigoreach/emulator/WorkerPool.java
@@ -118,7 +118,7 @@
                 return;
             }
             ServiceClient used = hears ? caller(node) : new ServiceClient(vertx, node.endpoint(), 1);
-            used.post(WorkerCodec.REPORT, WorkerCodec.write(heartbeat), PATIENCE)
+            used.post(WorkerCodec.HEARTBEAT, WorkerCodec.write(heartbeat), PATIENCE)
                     .onComplete(done -> {
                         if (!hears) {
                             used.close();
@@ -145,12 +145,12 @@
             if (now.since(sent).compareTo(PATIENCE) >= 0) {
                 missed(heartbeat);
             } else if (reply.isOk()) {
-                WorkerCodec.Answer answer = WorkerCodec.readAnswer(reply.body());
+                WorkerCodec.HeartbeatResponse answer = WorkerCodec.readResponse(reply.body());
                 history.add(new Event.TokenSeen(now, node.name(), answer.token()));
                 model.answered(now, heartbeat.number(), sent, answer);
                 step();
             } else {
-                int named = reply.status() == 421 ? index(WorkerCodec.readElsewhere(reply.body())) : -1;
+                int named = reply.status() == 421 ? index(WorkerCodec.readLeader(reply.body())) : -1;
                 if (named >= 0 && named != target) {
                     move(heartbeat, named, MOVES_WITHIN.times(random.nextDouble()));
                 } else {
@@ -199,7 +199,7 @@
                 reply.accept(report(200, now));
             } else if (request.path().equals(WorkerCodec.DIRECT) && request.is(HttpMethod.POST)) {
                 WorkerCodec.Direct direct = WorkerCodec.readDirect(request.body());
-                if (direct.token() == null || direct.session() == null) {
+                if (direct.token() == null || direct.incarnation() == null) {
                     reply.accept(new ServiceResponse(
                             400, new Fields(MessagePackFormat.map("error", "token or session is missing"))));
                     return;
--- a/src/main/java/io/indigoreach/emulator/model/CloudModel.java
+++ b/src/main/java/io/indigoreach/emulator/model/CloudModel.java
@@ -166,7 +166,7 @@
         if (type == null
                 || !deployment.zones().contains(r.pool().zone())
                 || r.count() < 1
-                || r.count() > CloudCodec.MOST_RENTED
+                || r.count() > CloudCodec.MAX_RENTED
                 || r.name().isEmpty()) {
             return new ServiceResponse(
                     400, new Fields(MessagePackFormat.map("error", "no such type or zone, or not 1 to 50 machines")));
@@ -226,7 +226,7 @@
         if (!requests.take(1, now)) {
             return tooMany();
         }
-        if (given.size() > CloudCodec.MOST_RETURNED) {
+        if (given.size() > CloudCodec.MAX_RETURNED) {
             return new ServiceResponse(400, new Fields(MessagePackFormat.map("error", "100 machines at most")));
         }
         for (MachineId id : given) {
@@ -255,7 +255,7 @@
             if (!there) {
                 continue;
             }
-            if (page.size() >= Math.min(Math.max(1, most), CloudCodec.MOST_LISTED)) {
+            if (page.size() >= Math.min(Math.max(1, most), CloudCodec.MAX_LISTED)) {
                 more = true;
                 break;
             }
--- a/src/main/java/io/indigoreach/emulator/model/WorkerModel.java
+++ b/src/main/java/io/indigoreach/emulator/model/WorkerModel.java
@@ -353,7 +353,8 @@
     }
 
     /** An answer of 200 to the report with this number, sent at {@code sent}. */
-    public void answered(Moment now, HeartbeatNumber heartbeatNumber, Moment sent, WorkerCodec.Answer answer) {
+    public void answered(
+            Moment now, HeartbeatNumber heartbeatNumber, Moment sent, WorkerCodec.HeartbeatResponse answer) {
         advance(now);
         if (heartbeatNumber.incarnation() != session) {
             return;
@@ -364,17 +365,17 @@
         }
         see(answer.token(), now);
         leaseFrom = sent.isAfter(leaseFrom) ? sent : leaseFrom;
-        answer.orders().forEach(command -> execute(command, now));
+        answer.commands().forEach(command -> execute(command, now));
     }
 
     /** Direct orders; false: nothing was executed, as token or session do not match. */
     public boolean direct(Moment now, WorkerCodec.Direct direct) {
         advance(now);
-        if (direct.token().value() < token.value() || direct.session() != session) {
+        if (direct.token().value() < token.value() || direct.incarnation() != session) {
             return false;
         }
         see(direct.token(), now);
-        direct.orders().forEach(command -> execute(command, now));
+        direct.commands().forEach(command -> execute(command, now));
         return true;
     }
 
--- a/src/main/java/io/indigoreach/net/Endpoint.java
+++ b/src/main/java/io/indigoreach/net/Endpoint.java
@@ -1,7 +1,13 @@
 package io.indigoreach.net;
 
-/** Where something listens: an IP number and a port. */
+/**
+ * An address to listen on or to connect to.
+ *
+ * @param host an IP address
+ * @param port 0 to 65535; 0: chosen by the system
+ */
 public record Endpoint(String host, int port) {
+    /** Parses {@code HOST:PORT}; throws {@link IllegalArgumentException} if it is none. */
     public static Endpoint parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0) {
--- a/src/main/java/io/indigoreach/net/EventLoopMonitor.java
+++ b/src/main/java/io/indigoreach/net/EventLoopMonitor.java
@@ -5,44 +5,46 @@
 import io.vertx.core.Vertx;
 
 /**
- * Since when the node's loop has turned without standing still. A node that was stopped for seconds, or has too little
- * processor for what it is sent, finds timers, reports and answers all at once, the verdicts of timers before the reports
- * that refute them; so it doubts itself before it says of anybody else that they are silent (Dadgar and others, "Lifeguard",
- * 2017).
+ * Measures since when the event loop has run without a pause. A process that was stopped for seconds, or has too little CPU time
+ * for its load, handles timers, heartbeats and responses all at once, and timeouts before the heartbeats that contradict them. So a node
+ * suspects itself before it declares anything else silent (Dadgar and others, "Lifeguard", 2017). Used on that event loop only.
  */
 public final class EventLoopMonitor {
-    private static final Span BEAT = Span.seconds(0.25);
-    /** A beat that comes later than this was held up by the node itself. */
-    private static final Span STILL = Span.seconds(1);
+    private static final Span CHECK_INTERVAL = Span.seconds(0.25);
+    /** A check that comes later than this after the one before was delayed by the process itself. */
+    private static final Span PAUSE = Span.seconds(1);
 
     private final Vertx vertx;
     private final SteadyClock clock;
     private final long timer;
-    private Moment last;
-    private Moment awake;
+    private Moment lastCheck;
+    private Moment runningSince;
 
+    /** Starts the checks on the current event loop. */
     public EventLoopMonitor(Vertx vertx, SteadyClock clock) {
         this.vertx = vertx;
         this.clock = clock;
-        this.last = clock.now();
-        this.awake = last;
-        this.timer = vertx.setPeriodic(BEAT.ms(), t -> turningSince());
+        this.lastCheck = clock.now();
+        this.runningSince = lastCheck;
+        this.timer = vertx.setPeriodic(CHECK_INTERVAL.ms(), timer -> runningSince());
     }
 
-    /** Whoever asks first after a standstill notices it. */
-    public Moment turningSince() {
+    /** Since when the loop has run without a pause; the first call after a pause detects it. */
+    public Moment runningSince() {
         Moment now = clock.now();
-        if (now.since(last).compareTo(STILL) > 0) {
-            awake = now;
+        if (now.since(lastCheck).compareTo(PAUSE) > 0) {
+            runningSince = now;
         }
-        last = now;
-        return awake;
+        lastCheck = now;
+        return runningSince;
     }
 
-    public boolean hasTurnedWithoutPauseFor(Span time) {
-        return clock.now().since(turningSince()).compareTo(time) >= 0;
+    /** Whether the loop has run without a pause for this time. */
+    public boolean hasRunWithoutPauseFor(Span time) {
+        return clock.now().since(runningSince()).compareTo(time) >= 0;
     }
 
+    /** Ends the checks. */
     public void close() {
         vertx.cancelTimer(timer);
     }
--- a/src/main/java/io/indigoreach/net/EventLoops.java
+++ b/src/main/java/io/indigoreach/net/EventLoops.java
@@ -5,10 +5,11 @@
 import io.vertx.core.file.FileSystemOptions;
 import java.util.concurrent.TimeUnit;
 
-/** Vert.x cut down to one event loop: the machines have a tenth of a core and no disk. */
+/** Creates Vert.x instances with a single event loop each: the machines have a tenth of a core and no disk. */
 public final class EventLoops {
     private EventLoops() {}
 
+    /** A new instance with one event loop and one worker thread, and without file caches. */
     public static Vertx vertx() {
         return Vertx.vertx(new VertxOptions()
                 .setEventLoopPoolSize(1)
--- a/src/main/java/io/indigoreach/net/Fields.java
+++ b/src/main/java/io/indigoreach/net/Fields.java
@@ -4,12 +4,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** A message's fields, read with checks. Absent and null are the same; unknown fields are never looked at. */
+/**
+ * The fields of a message, read with checks. An absent field and null are the same; unknown fields are ignored. Reading a
+ * required field that is missing, or any field of another type, throws {@link WireException}.
+ */
 public record Fields(Map<String, Object> map) {
+    /** Below this every whole number has an exact floating-point form. */
+    private static final double MAX_EXACT_DOUBLE = 9e15;
+
+    /** Whether the field is there and not null. */
     public boolean has(String name) {
         return map.get(name) != null;
     }
 
+    /** A required text. */
     public String text(String name) {
         String value = optionalText(name);
         if (value == null) {
@@ -18,6 +26,7 @@
         return value;
     }
 
+    /** A text, or null if absent. */
     public String optionalText(String name) {
         Object value = map.get(name);
         if (value != null && !(value instanceof String)) {
@@ -26,51 +35,56 @@
         return (String) value;
     }
 
+    /** A required whole number; a floating-point number without a fraction counts as one. */
     public long whole(String name) {
         Object value = map.get(name);
         if (value == null) {
             throw missing(name);
         }
-        if (value instanceof Long n) {
-            return n;
+        if (value instanceof Long integer) {
+            return integer;
         }
-        if (value instanceof Double d && d == Math.rint(d) && Math.abs(d) < 9e15) {
-            return d.longValue();
+        if (value instanceof Double number && number == Math.rint(number) && Math.abs(number) < MAX_EXACT_DOUBLE) {
+            return number.longValue();
         }
         throw invalid(name);
     }
 
+    /** A whole number, or {@code absent}. */
     public long whole(String name, long absent) {
         return has(name) ? whole(name) : absent;
     }
 
-    /** A finite number. */
+    /** A required finite number. */
     public double number(String name) {
         Object value = map.get(name);
         if (value == null) {
             throw missing(name);
         }
-        if (!(value instanceof Number n) || !Double.isFinite(n.doubleValue())) {
+        if (!(value instanceof Number number) || !Double.isFinite(number.doubleValue())) {
             throw invalid(name);
         }
-        return n.doubleValue();
+        return number.doubleValue();
     }
 
+    /** A finite number, or {@code absent}. */
     public double number(String name, double absent) {
         return has(name) ? number(name) : absent;
     }
 
+    /** A boolean, or {@code absent}. */
     public boolean flag(String name, boolean absent) {
         Object value = map.get(name);
         if (value == null) {
             return absent;
         }
-        if (!(value instanceof Boolean b)) {
+        if (!(value instanceof Boolean flag)) {
             throw invalid(name);
         }
-        return b;
+        return flag;
     }
 
+    /** A required map. */
     public Fields child(String name) {
         if (!has(name)) {
             throw missing(name);
@@ -80,11 +94,11 @@
 
     /** A list of maps; absent is empty. */
     public List<Fields> children(String name) {
-        List<Fields> out = new ArrayList<>();
-        for (Object o : list(name)) {
-            out.add(new Fields(MessagePackFormat.asMap(o)));
+        List<Fields> values = new ArrayList<>();
+        for (Object element : list(name)) {
+            values.add(new Fields(MessagePackFormat.asMap(element)));
         }
-        return out;
+        return values;
     }
 
     /** A list of texts, or null if absent. */
@@ -92,26 +106,26 @@
         if (!has(name)) {
             return null;
         }
-        List<String> out = new ArrayList<>();
-        for (Object o : list(name)) {
-            if (!(o instanceof String s)) {
+        List<String> values = new ArrayList<>();
+        for (Object element : list(name)) {
+            if (!(element instanceof String text)) {
                 throw invalid(name);
             }
-            out.add(s);
+            values.add(text);
         }
-        return out;
+        return values;
     }
 
     /** A list of lists; absent is empty. */
     public List<List<?>> lists(String name) {
-        List<List<?>> out = new ArrayList<>();
-        for (Object o : list(name)) {
-            if (!(o instanceof List<?> inner)) {
+        List<List<?>> values = new ArrayList<>();
+        for (Object element : list(name)) {
+            if (!(element instanceof List<?> inner)) {
                 throw invalid(name);
             }
-            out.add(inner);
+            values.add(inner);
         }
-        return out;
+        return values;
     }
 
     private List<?> list(String name) {
@@ -125,6 +139,7 @@
         return list;
     }
 
+    /** The failure for a field with an invalid value. */
     public static WireException invalid(String name) {
         return new WireException("invalid field " + name);
     }
--- a/src/main/java/io/indigoreach/net/JsonSize.java
+++ b/src/main/java/io/indigoreach/net/JsonSize.java
@@ -4,39 +4,53 @@
 import java.util.Map;
 
 /**
- * How long a body would be as compact JSON in UTF-8: the form in which the protocol counts its limits, although bodies are sent as
- * MessagePack. The only measure for whatever is sized by a limit.
+ * The length of a body as compact JSON in UTF-8, in bytes. The protocol counts its limits in this form although bodies are sent as
+ * MessagePack, so this is the only measure for anything that a limit applies to.
  */
 public final class JsonSize {
     private JsonSize() {}
 
+    /** The length of a map, list, text, number, boolean or null, in bytes. */
     public static int of(Object value) {
-        if (value instanceof String s) {
-            return text(s);
+        if (value instanceof String text) {
+            return text(text);
         }
         if (value instanceof Map<?, ?> map) {
-            int n = 2 + Math.max(0, map.size() - 1);
-            for (Map.Entry<?, ?> e : map.entrySet()) {
-                n += text((String) e.getKey()) + 1 + of(e.getValue());
+            int bytes = 2 + Math.max(0, map.size() - 1);
+            for (Map.Entry<?, ?> entry : map.entrySet()) {
+                bytes += text((String) entry.getKey()) + 1 + of(entry.getValue());
             }
-            return n;
+            return bytes;
         }
         if (value instanceof List<?> list) {
-            int n = 2 + Math.max(0, list.size() - 1);
-            for (Object o : list) {
-                n += of(o);
+            int bytes = 2 + Math.max(0, list.size() - 1);
+            for (Object element : list) {
+                bytes += of(element);
             }
-            return n;
+            return bytes;
         }
         return String.valueOf(value).length();
     }
 
-    private static int text(String s) {
-        int n = 2;
-        for (int i = 0; i < s.length(); i++) {
-            char c = s.charAt(i);
-            n += c == '"' || c == '\\' ? 2 : c < 0x20 ? 6 : c < 0x80 ? 1 : c < 0x800 ? 2 : 3;
+    /** Half of a surrogate pair counts 3 here; the form takes 4 bytes for a pair. */
+    private static int length(char character) {
+        if (character == '"' || character == '\\') {
+            return 2;
         }
-        return n;
+        if (character < 0x20) {
+            return 6;
+        }
+        if (character < 0x80) {
+            return 1;
+        }
+        return character < 0x800 ? 2 : 3;
+    }
+
+    private static int text(String text) {
+        int bytes = 2;
+        for (int i = 0; i < text.length(); i++) {
+            bytes += length(text.charAt(i));
+        }
+        return bytes;
     }
 }
--- a/src/main/java/io/indigoreach/net/MessagePackFormat.java
+++ b/src/main/java/io/indigoreach/net/MessagePackFormat.java
@@ -12,17 +12,18 @@
 
 /**
  * MessagePack bodies as maps, lists, text, numbers, booleans and null. Integers become {@link Long}, other numbers
- * {@link Double}. Depth and element counts are bounded, so that no body can claim more than it brings.
+ * {@link Double}. Depth and list lengths are bounded, so that no body can
+ * make a reader allocate more than its own length justifies.
  */
 public final class MessagePackFormat {
     private static final int MAX_DEPTH = 16;
-    /** A reader's buffer for text that lies in pieces, in characters: a whole body never does, and 8,192 is the default. */
+    /** The buffer for text that is split over several buffers, in characters: a body is one buffer, and the default is 8,192. */
     private static final MessagePack.UnpackerConfig READER =
             new MessagePack.UnpackerConfig().withStringDecoderBufferSize(128);
 
     private MessagePackFormat() {}
 
-    /** The body's map; throws {@link WireException} if it is anything else. */
+    /** The map that a body contains; throws {@link WireException} if it is anything else. */
     public static Fields readMap(Buffer body) {
         return new Fields(asMap(read(body)));
     }
@@ -40,6 +41,7 @@
         }
     }
 
+    /** {@code size}: the length of the whole message in bytes, which no list can exceed. */
     private static Object read(MessageUnpacker in, int depth, int size) throws IOException {
         if (depth > MAX_DEPTH) {
             throw new WireException("nested too deeply");
@@ -56,37 +58,44 @@
                 return in.unpackDouble();
             case STRING:
                 return in.unpackString();
-            case ARRAY: {
-                int n = in.unpackArrayHeader();
-                if (n > size) {
-                    throw new WireException("a list longer than its message");
-                }
-                List<Object> list = new ArrayList<>(n);
-                for (int i = 0; i < n; i++) {
-                    list.add(read(in, depth + 1, size));
-                }
-                return list;
-            }
-            case MAP: {
-                int n = in.unpackMapHeader();
-                Map<String, Object> map = new LinkedHashMap<>();
-                for (int i = 0; i < n; i++) {
-                    if (!in.getNextFormat().getValueType().isStringType()) {
-                        throw new WireException("a key that is not text");
-                    }
-                    String key = in.unpackString();
-                    if (map.containsKey(key)) {
-                        throw new WireException("a key that is there twice");
-                    }
-                    map.put(key, read(in, depth + 1, size));
-                }
-                return map;
-            }
+            case ARRAY:
+                return readList(in, depth, size);
+            case MAP:
+                return readMap(in, depth, size);
             default:
                 throw new WireException("a value of an unexpected kind");
         }
     }
 
+    private static List<Object> readList(MessageUnpacker in, int depth, int size) throws IOException {
+        int length = in.unpackArrayHeader();
+        if (length > size) {
+            throw new WireException("a list longer than its message");
+        }
+        List<Object> list = new ArrayList<>(length);
+        for (int i = 0; i < length; i++) {
+            list.add(read(in, depth + 1, size));
+        }
+        return list;
+    }
+
+    private static Map<String, Object> readMap(MessageUnpacker in, int depth, int size) throws IOException {
+        int length = in.unpackMapHeader();
+        Map<String, Object> map = new LinkedHashMap<>();
+        for (int i = 0; i < length; i++) {
+            if (!in.getNextFormat().getValueType().isStringType()) {
+                throw new WireException("a key that is not text");
+            }
+            String key = in.unpackString();
+            if (map.containsKey(key)) {
+                throw new WireException("a key that is there twice");
+            }
+            map.put(key, read(in, depth + 1, size));
+        }
+        return map;
+    }
+
+    /** The bytes of a value; throws {@link IllegalArgumentException} if it is of another type than the ones above. */
     public static Buffer write(Object value) {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             write(out, value);
@@ -99,26 +108,26 @@
     private static void write(MessageBufferPacker out, Object value) throws IOException {
         if (value == null) {
             out.packNil();
-        } else if (value instanceof String s) {
-            out.packString(s);
-        } else if (value instanceof Boolean b) {
-            out.packBoolean(b);
-        } else if (value instanceof Integer i) {
-            out.packInt(i);
-        } else if (value instanceof Long l) {
-            out.packLong(l);
-        } else if (value instanceof Double d) {
-            out.packDouble(d);
+        } else if (value instanceof String text) {
+            out.packString(text);
+        } else if (value instanceof Boolean flag) {
+            out.packBoolean(flag);
+        } else if (value instanceof Integer number) {
+            out.packInt(number);
+        } else if (value instanceof Long number) {
+            out.packLong(number);
+        } else if (value instanceof Double number) {
+            out.packDouble(number);
         } else if (value instanceof Map<?, ?> map) {
             out.packMapHeader(map.size());
-            for (Map.Entry<?, ?> e : map.entrySet()) {
-                out.packString((String) e.getKey());
-                write(out, e.getValue());
+            for (Map.Entry<?, ?> entry : map.entrySet()) {
+                out.packString((String) entry.getKey());
+                write(out, entry.getValue());
             }
         } else if (value instanceof List<?> list) {
             out.packArrayHeader(list.size());
-            for (Object o : list) {
-                write(out, o);
+            for (Object element : list) {
+                write(out, element);
             }
         } else {
             throw new IllegalArgumentException("cannot be sent: " + value.getClass());
--- a/src/main/java/io/indigoreach/net/PeriodicTask.java
+++ b/src/main/java/io/indigoreach/net/PeriodicTask.java
@@ -8,21 +8,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A long-lived routine: one step after the other, each saying how long to wait until the next. A step that fails is
- * logged and followed by a pause. Cancelling ends it after the step that is under way.
+ * A step that is repeated: each result is the pause until the next step. A step that fails is logged and followed by a fixed pause.
+ * A cancellation takes effect after the running step. Used on one event loop only.
  */
 public final class PeriodicTask {
     private static final Logger LOG = LoggerFactory.getLogger(PeriodicTask.class);
 
+    private static final long NO_TIMER = -1;
+
     private final Vertx vertx;
     private final String name;
     private final Span pauseAfterFailure;
     private final Supplier<Future<Span>> step;
     private boolean cancelled;
-    private boolean underWay;
-    private boolean again;
-    private long timer = -1;
+    private boolean running;
+    private boolean wakeRequested;
+    private long timer = NO_TIMER;
 
+    /**
+     * Creates the task; {@link #start()} takes the first step.
+     *
+     * @param name identifies the task in the log
+     * @param pauseAfterFailure the pause after a step that failed or threw
+     * @param step one step
+     */
     public PeriodicTask(Vertx vertx, String name, Span pauseAfterFailure, Supplier<Future<Span>> step) {
         this.vertx = vertx;
         this.name = name;
@@ -30,57 +39,63 @@
         this.step = step;
     }
 
+    /** Takes the first step now. */
     public PeriodicTask start() {
-        next();
+        takeStep();
         return this;
     }
 
-    /** Takes the next step now, or right after the one under way. */
+    /** Takes the next step now, or 1 ms after the running one. */
     public void wake() {
-        if (underWay) {
-            again = true;
-        } else if (!cancelled && timer != -1) {
+        if (running) {
+            wakeRequested = true;
+        } else if (!cancelled && timer != NO_TIMER) {
             vertx.cancelTimer(timer);
-            next();
+            takeStep();
         }
     }
 
+    /** Ends the task: no further step is taken. */
     public void cancel() {
         cancelled = true;
-        if (timer != -1) {
+        if (timer != NO_TIMER) {
             vertx.cancelTimer(timer);
-            timer = -1;
+            timer = NO_TIMER;
         }
     }
 
+    /** Whether the task was ended. */
     public boolean isCancelled() {
         return cancelled;
     }
 
-    private void next() {
-        timer = -1;
+    private void takeStep() {
+        timer = NO_TIMER;
         if (cancelled) {
             return;
         }
-        underWay = true;
-        again = false;
+        running = true;
+        wakeRequested = false;
         Future<Span> result;
         try {
             result = step.get();
         } catch (RuntimeException e) {
-            LOG.error("{}: fault", name, e);
+            LOG.error("periodic task failed task={}", name, e);
             result = Future.failedFuture(e);
         }
         result.onComplete(done -> {
-            underWay = false;
+            running = false;
             if (cancelled) {
                 return;
             }
             if (done.failed()) {
-                LOG.debug("{}: {}", name, done.cause().toString());
+                LOG.debug(
+                        "periodic task will retry task={} cause={}",
+                        name,
+                        done.cause().toString());
             }
             Span pause = done.succeeded() ? done.result() : pauseAfterFailure;
-            timer = vertx.setTimer(Math.max(1, again ? 1 : pause.ms()), t -> next());
+            timer = vertx.setTimer(Math.max(1, wakeRequested ? 1 : pause.ms()), fired -> takeStep());
         });
     }
 }
--- a/src/main/java/io/indigoreach/net/RateLimiter.java
+++ b/src/main/java/io/indigoreach/net/RateLimiter.java
@@ -2,38 +2,40 @@
 
 import io.indigoreach.core.model.Moment;
 
-/** A rate that is not to be exceeded, with a burst of up to one second's worth unless it says otherwise. */
+/** A token bucket: a rate that is not exceeded, with a burst of one second's worth unless another is given. Not thread-safe. */
 public final class RateLimiter {
     private final double perSecond;
-    private final double most;
-    private double left;
-    private Moment at;
+    private final double capacity;
+    private double available;
+    private Moment updatedAt;
 
-    public RateLimiter(double perSecond, Moment at) {
-        this(perSecond, 1, at);
+    /** A full bucket with a burst of one second's worth. */
+    public RateLimiter(double perSecond, Moment created) {
+        this(perSecond, 1, created);
     }
 
-    /** With a burst of {@code burstS} seconds' worth. */
-    public RateLimiter(double perSecond, double burstS, Moment at) {
+    /** A full bucket with a burst of {@code burstS} seconds' worth, at least 1. */
+    public RateLimiter(double perSecond, double burstS, Moment created) {
         this.perSecond = perSecond;
-        this.most = Math.max(1, perSecond * burstS);
-        this.left = most;
-        this.at = at;
+        this.capacity = Math.max(1, perSecond * burstS);
+        this.available = capacity;
+        this.updatedAt = created;
     }
 
-    /** Takes {@code n} only if half of what a second brings is left after it: for what can wait. */
-    public boolean takeSpare(double n, Moment now) {
-        return take(0, now) && left - n >= most / 2 && take(n, now);
+    /** Takes {@code amount} only if half of the capacity is left after it: for requests that can wait. */
+    public boolean takeSpare(double amount, Moment now) {
+        return take(0, now) && available - amount >= capacity / 2 && take(amount, now);
     }
 
-    /** Takes {@code n} from the budget, or nothing if that much is not there (a full budget serves any amount). */
-    public boolean take(double n, Moment now) {
-        left = Math.min(most, left + perSecond * now.since(at).seconds());
-        at = now;
-        if (left < Math.min(n, most)) {
+    /** Takes {@code amount}, or nothing if less is available; a full bucket serves any amount. */
+    public boolean take(double amount, Moment now) {
+        available =
+                Math.min(capacity, available + perSecond * now.since(updatedAt).seconds());
+        updatedAt = now;
+        if (available < Math.min(amount, capacity)) {
             return false;
         }
-        left -= n;
+        available -= amount;
         return true;
     }
 }
--- a/src/main/java/io/indigoreach/net/RequestBody.java
+++ b/src/main/java/io/indigoreach/net/RequestBody.java
@@ -4,23 +4,31 @@
 import io.vertx.core.http.HttpServerRequest;
 import java.util.function.Consumer;
 
-/** Gathers a request's body up to a limit. */
+/** Reads the body of a request up to a limit. */
 public final class RequestBody {
-    /** What the protocol allows, in bytes. */
-    public static final int MOST = 64 * 1024;
+    /** The longest body that the protocol allows, in bytes. */
+    public static final int MAX_BYTES = 64 * 1024;
+
+    /** A longer number is above the limit in any case, and might not fit a {@code long}. */
+    private static final int MAX_LENGTH_DIGITS = 9;
 
     private RequestBody() {}
 
-    /** Hands over the whole body, or tells that it is longer than {@link #MOST}; a longer one is not kept. */
+    /**
+     * Reads the body.
+     *
+     * @param whole called with the body when it is complete
+     * @param tooLong called instead, once it is longer than {@link #MAX_BYTES}; it is not kept
+     */
     public static void gather(HttpServerRequest request, Consumer<Buffer> whole, Runnable tooLong) {
         String length = request.getHeader("Content-Length");
-        if ((length != null && length.length() > 9) || (length != null && Long.parseLong(length) > MOST)) {
+        if (length != null && (length.length() > MAX_LENGTH_DIGITS || Long.parseLong(length) > MAX_BYTES)) {
             tooLong.run();
             return;
         }
         Buffer body = Buffer.buffer();
         request.handler(chunk -> {
-            if (body.length() + chunk.length() > MOST) {
+            if (body.length() + chunk.length() > MAX_BYTES) {
                 if (!request.response().ended()) {
                     tooLong.run();
                 }
@@ -28,7 +36,7 @@
             }
             body.appendBuffer(chunk);
         });
-        request.endHandler(end -> {
+        request.endHandler(ended -> {
             if (!request.response().ended()) {
                 whole.accept(body);
             }
--- a/src/main/java/io/indigoreach/net/ServiceClient.java
+++ b/src/main/java/io/indigoreach/net/ServiceClient.java
@@ -3,40 +3,52 @@
 import io.indigoreach.core.model.Span;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
+import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpClient;
 import io.vertx.core.http.HttpClientOptions;
 import io.vertx.core.http.HttpClientRequest;
+import io.vertx.core.http.HttpClientResponse;
 import io.vertx.core.http.HttpMethod;
 import io.vertx.core.http.PoolOptions;
 import io.vertx.core.http.RequestOptions;
 import java.util.Map;
 
-/** Calls one other service. A failed future means no answer: what was asked may have happened, or may still happen. */
+/**
+ * An HTTP client of one other service. A failed future means that there is no response: the request may have been executed, or may still be.
+ */
 public final class ServiceClient {
-    private static final Span CONNECT = Span.seconds(1);
+    private static final Span CONNECT_TIMEOUT = Span.seconds(1);
+
+    private static final int KEEP_ALIVE_S = 30;
+    /** Requests that wait for a connection; more fail at once. */
+    private static final int MAX_QUEUED = 200;
 
     private final HttpClient client;
     private final Endpoint endpoint;
 
+    /** {@code connections}: the most at a time. */
     public ServiceClient(Vertx vertx, Endpoint endpoint, int connections) {
         this.endpoint = endpoint;
         HttpClientOptions options = new HttpClientOptions()
-                .setConnectTimeout((int) CONNECT.ms())
-                .setKeepAliveTimeout(30)
+                .setConnectTimeout((int) CONNECT_TIMEOUT.ms())
+                .setKeepAliveTimeout(KEEP_ALIVE_S)
                 .setTcpNoDelay(true)
                 .setDecompressionSupported(false);
         this.client = vertx.createHttpClient(
-                options, new PoolOptions().setHttp1MaxSize(connections).setMaxWaitQueueSize(200));
+                options, new PoolOptions().setHttp1MaxSize(connections).setMaxWaitQueueSize(MAX_QUEUED));
     }
 
+    /** Sends a GET; fails if nothing is received for {@code timeout}. */
     public Future<ServiceResponse> get(String path, Span timeout) {
         return call(HttpMethod.GET, path, null, timeout);
     }
 
+    /** Sends a POST with a MessagePack body; fails if nothing is received for {@code timeout}. */
     public Future<ServiceResponse> post(String path, Map<String, Object> body, Span timeout) {
         return call(HttpMethod.POST, path, body, timeout);
     }
 
+    /** Sends a DELETE; fails if nothing is received for {@code timeout}. */
     public Future<ServiceResponse> delete(String path, Span timeout) {
         return call(HttpMethod.DELETE, path, null, timeout);
     }
@@ -47,21 +59,26 @@
                 .setPort(endpoint.port())
                 .setMethod(method)
                 .setURI(path)
-                .setConnectTimeout(CONNECT.ms())
+                .setConnectTimeout(CONNECT_TIMEOUT.ms())
                 .setIdleTimeout(timeout.ms());
         return open(options).compose(request -> {
             if (body != null) {
                 request.putHeader("Content-Type", "application/msgpack");
             }
-            return (body == null ? request.send() : request.send(MessagePackFormat.write(body)))
-                    .compose(response -> response.body().map(bytes -> {
-                        Fields fields = bytes.length() == 0 ? new Fields(Map.of()) : read(response.statusCode(), bytes);
-                        return new ServiceResponse(response.statusCode(), fields);
-                    }));
+            Future<HttpClientResponse> sent =
+                    body == null ? request.send() : request.send(MessagePackFormat.write(body));
+            return sent.compose(ServiceClient::receive);
         });
     }
 
-    /** A client that was closed throws; whoever still asks as the process ends gets no answer, as of any other cause. */
+    private static Future<ServiceResponse> receive(HttpClientResponse response) {
+        int status = response.statusCode();
+        return response.body()
+                .map(bytes -> bytes.length() == 0 ? new Fields(Map.of()) : read(status, bytes))
+                .map(fields -> new ServiceResponse(status, fields));
+    }
+
+    /** A closed client throws. A task that still calls as the process ends gets a failed future, as for any other cause. */
     private Future<HttpClientRequest> open(RequestOptions options) {
         try {
             return client.request(options);
@@ -70,8 +87,8 @@
         }
     }
 
-    /** The body of an error may be anything; that of a success must be readable, or it counts as no answer. */
-    private static Fields read(int status, io.vertx.core.buffer.Buffer bytes) {
+    /** The body of an error may be anything; that of a success must be readable, otherwise there is no response. */
+    private static Fields read(int status, Buffer bytes) {
         try {
             return MessagePackFormat.readMap(bytes);
         } catch (WireException e) {
@@ -82,6 +99,7 @@
         }
     }
 
+    /** Closes all connections. */
     public Future<Void> close() {
         return client.close();
     }
--- a/src/main/java/io/indigoreach/net/ServiceResponse.java
+++ b/src/main/java/io/indigoreach/net/ServiceResponse.java
@@ -1,7 +1,13 @@
 package io.indigoreach.net;
 
-/** An answer of another service: its status and, where it could be read, its body. */
+/**
+ * A response of another service.
+ *
+ * @param status the HTTP status code
+ * @param body without fields if there is none, or if that of an error could not be read
+ */
 public record ServiceResponse(int status, Fields body) {
+    /** Whether the status is 200. */
     public boolean isOk() {
         return status == 200;
     }
--- a/src/main/java/io/indigoreach/state/CompletionBits.java
+++ b/src/main/java/io/indigoreach/state/CompletionBits.java
@@ -35,7 +35,7 @@
     public CompletionBits(StateLimits limits) {
         this.limits = limits;
         int blockTasks = RecordCodec.BLOCK;
-        while (blockTasks > LEAST_BLOCK && blockBytes(blockTasks) > limits.room()) {
+        while (blockTasks > LEAST_BLOCK && blockBytes(blockTasks) > limits.maxRecordBytes()) {
             blockTasks /= 2;
         }
         this.blockTasks = blockTasks;
@@ -62,7 +62,7 @@
     /** Whether the record takes the bits of all the job's tasks. */
     public boolean areInRecord(JobSpec spec, long submittedMs) {
         return spec.tasks() <= RecordCodec.IN_RECORD
-                && recordBytes(spec, submittedMs) + blockBytes(spec.tasks()) <= limits.room();
+                && recordBytes(spec, submittedMs) + blockBytes(spec.tasks()) <= limits.maxRecordBytes();
     }
 
     /** A job's record, with the bits or without them as the limits have it. */
--- a/src/main/java/io/indigoreach/state/EffectiveLimits.java
+++ b/src/main/java/io/indigoreach/state/EffectiveLimits.java
@@ -29,7 +29,7 @@
     /** How long a value may become where the settings allow {@code valueBytes}. */
     public int room(int valueBytes) {
         return within(new StateLimits(NONE.requestsPerS(), NONE.writesPerS(), valueBytes, NONE.txnOps()))
-                .room();
+                .maxRecordBytes();
     }
 
     /** Transactions that were refused as malformed or too large. */
@@ -60,8 +60,8 @@
                 shown.requestsPerS(),
                 shown.writesPerS(),
                 largest > LEAST_VALUE_BYTES ? Math.max(LEAST_VALUE_BYTES, largest / 2) : shown.valueBytes(),
-                txn.size() > StateLimits.LEAST_TXN_OPS
-                        ? Math.max(StateLimits.LEAST_TXN_OPS, txn.size() / 2)
+                txn.size() > StateLimits.MIN_TXN_OPS
+                        ? Math.max(StateLimits.MIN_TXN_OPS, txn.size() / 2)
                         : shown.txnOps()));
     }
 }
--- a/src/main/java/io/indigoreach/warm/PoolsResource.java
+++ b/src/main/java/io/indigoreach/warm/PoolsResource.java
@@ -128,7 +128,7 @@
             throw RequestRejectedException.of(fault.field(), fault.reason());
         }
         Map<String, Object> value = PoolCodec.write(pool);
-        if (JsonSize.of(value) > ground.config().stateLimits().room()) {
+        if (JsonSize.of(value) > ground.config().stateLimits().maxRecordBytes()) {
             throw RequestRejectedException.of("windows", "the description is too long");
         }
         long[] version = new long[1];
--- a/src/main/java/io/indigoreach/warm/WarmPoolTerm.java
+++ b/src/main/java/io/indigoreach/warm/WarmPoolTerm.java
@@ -152,7 +152,9 @@
     private void ask(Moment now) {
         if (now.since(pricesAsked).compareTo(PRICES_EVERY) >= 0) {
             pricesAsked = now;
-            ground.catalogue().now().onSuccess(types -> types.forEach(type -> prices.put(type.name(), type)));
+            ground.catalogue()
+                    .readCurrentTypes()
+                    .onSuccess(types -> types.forEach(type -> prices.put(type.name(), type)));
         }
     }
 
--- a/src/main/java/io/indigoreach/worker/HeartbeatEndpoint.java
+++ b/src/main/java/io/indigoreach/worker/HeartbeatEndpoint.java
@@ -6,20 +6,25 @@
 import io.vertx.core.Future;
 import io.vertx.core.buffer.Buffer;
 
-/** Takes the workers' reports. */
+/** Receives the workers' heartbeats. Used on the event loop only. */
 public final class HeartbeatEndpoint {
+    private static final int OK = 200;
+    /** This node does not lead: the body names the leader, if it is known. */
+    private static final int MISDIRECTED_REQUEST = 421;
+
     private final Controller controller;
 
+    /** {@code controller}: accepts heartbeats while its node leads. */
     public HeartbeatEndpoint(Controller controller) {
         this.controller = controller;
     }
 
-    /** The answer to a report; throws {@link io.indigoreach.net.WireException} if it cannot be read. */
-    public Future<ApiResponse> report(Buffer body) {
+    /** The response to a heartbeat; throws {@link io.indigoreach.net.WireException} if it cannot be read. */
+    public Future<ApiResponse> receive(Buffer body) {
         return controller
                 .onHeartbeat(() -> WorkerCodec.read(MessagePackFormat.readMap(body)))
                 .map(answer -> answer.accepted()
-                        ? new ApiResponse(200, WorkerCodec.answer(answer.token(), answer.orders()), 0)
-                        : new ApiResponse(421, WorkerCodec.elsewhere(answer.leader()), 0));
+                        ? new ApiResponse(OK, WorkerCodec.writeResponse(answer.token(), answer.orders()), 0)
+                        : new ApiResponse(MISDIRECTED_REQUEST, WorkerCodec.writeLeader(answer.leader()), 0));
     }
 }
--- a/src/main/java/io/indigoreach/worker/WorkerCodec.java
+++ b/src/main/java/io/indigoreach/worker/WorkerCodec.java
@@ -20,86 +20,87 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The workers' words for reports and orders. */
+/** The messages between controllers and workers: heartbeats and commands, written and read. */
 public final class WorkerCodec {
-    public static final String REPORT = "/checkin";
+    /** Path of heartbeats, at a controller. */
+    public static final String HEARTBEAT = "/checkin";
+    /** Path of direct commands, at a worker. */
     public static final String DIRECT = "/do";
+    /** Path of a worker's own status, at the worker. */
     public static final String INSPECT = "/inspect";
 
-    /** The answer to a report that was taken: orders under a token. */
-    public record Answer(FencingToken token, List<WorkerCommand> orders) {}
+    /** The response to a heartbeat that was accepted: commands under the leader's fencing token. */
+    public record HeartbeatResponse(FencingToken token, List<WorkerCommand> commands) {}
 
-    /** Orders sent to a worker's own address, for one of its sessions. Without a token or session, these are null. */
-    public record Direct(FencingToken token, Long session, List<WorkerCommand> orders) {}
+    /** Commands sent to a worker's own address, for one of its incarnations. Without a token or incarnation, these are null. */
+    public record Direct(FencingToken token, Long incarnation, List<WorkerCommand> commands) {}
 
     private WorkerCodec() {}
 
+    /** A heartbeat, as a worker sends it. */
     public static Map<String, Object> write(Heartbeat heartbeat) {
-        List<Object> tasks = new ArrayList<>(heartbeat.tasks().size());
-        for (TaskStatus status : heartbeat.tasks()) {
-            Map<String, Object> map = MessagePackFormat.map(
-                    "piece", status.task().toString(), "try", status.attempt().value(), "status", word(status.state()));
-            if (status.state() == TaskState.EXITED) {
-                map.put("cause", status.cause().name().toLowerCase(Locale.ROOT));
-                if (status.saved()) {
-                    map.put("kept", true);
-                }
+        return MessagePackFormat.map(
+                "box", heartbeat.machine().text(),
+                "endpoint", heartbeat.address(),
+                "boxkind", heartbeat.pool().type(),
+                "hall", heartbeat.pool().zone(),
+                "loaners", heartbeat.pool().spot(),
+                "shift", heartbeat.number().incarnation(),
+                "serial", heartbeat.number().sequence(),
+                "baton", heartbeat.token().value(),
+                "warning_s", seconds(heartbeat.preemptionNotice()),
+                "pieces", heartbeat.tasks().stream().map(WorkerCodec::write).toList());
+    }
+
+    private static Double seconds(Span time) {
+        return time == null ? null : time.seconds();
+    }
+
+    private static Map<String, Object> write(TaskStatus status) {
+        Map<String, Object> fields = MessagePackFormat.map(
+                "piece", status.task().toString(), "try", status.attempt().value(), "status", text(status.state()));
+        if (status.state() == TaskState.EXITED) {
+            fields.put("cause", status.cause().name().toLowerCase(Locale.ROOT));
+            if (status.saved()) {
+                fields.put("kept", true);
             }
-            tasks.add(map);
         }
-        return MessagePackFormat.map(
-                "box",
-                heartbeat.machine().text(),
-                "endpoint",
-                heartbeat.address(),
-                "boxkind",
-                heartbeat.pool().type(),
-                "hall",
-                heartbeat.pool().zone(),
-                "loaners",
-                heartbeat.pool().spot(),
-                "shift",
-                heartbeat.number().incarnation(),
-                "serial",
-                heartbeat.number().sequence(),
-                "baton",
-                heartbeat.token().value(),
-                "warning_s",
-                heartbeat.preemptionNotice() == null
-                        ? null
-                        : heartbeat.preemptionNotice().seconds(),
-                "pieces",
-                tasks);
+        return fields;
     }
 
-    public static Heartbeat read(Fields f) {
-        List<TaskStatus> tasks = new ArrayList<>();
+    /** Reads a heartbeat; throws {@link WireException} if it is malformed. */
+    public static Heartbeat read(Fields fields) {
         try {
-            for (Fields t : f.children("pieces")) {
-                TaskState state = state(t.text("status"));
-                tasks.add(new TaskStatus(
-                        TaskId.parse(t.text("piece")),
-                        new Attempt(t.whole("try")),
-                        state,
-                        state == TaskState.EXITED ? cause(t.optionalText("cause")) : null,
-                        t.flag("kept", false)));
+            List<TaskStatus> tasks = new ArrayList<>();
+            for (Fields task : fields.children("pieces")) {
+                tasks.add(readStatus(task));
             }
             return new Heartbeat(
-                    new MachineId(f.text("box")),
-                    f.text("endpoint"),
-                    new MachinePool(f.text("boxkind"), f.text("hall"), f.flag("loaners", false)),
-                    new HeartbeatNumber(f.whole("shift"), f.whole("serial")),
-                    new FencingToken(f.whole("baton", 0)),
-                    f.has("warning_s") ? Span.seconds(Math.max(0, f.number("warning_s"))) : null,
+                    new MachineId(fields.text("box")),
+                    fields.text("endpoint"),
+                    new MachinePool(fields.text("boxkind"), fields.text("hall"), fields.flag("loaners", false)),
+                    new HeartbeatNumber(fields.whole("shift"), fields.whole("serial")),
+                    new FencingToken(fields.whole("baton", 0)),
+                    fields.has("warning_s") ? Span.seconds(Math.max(0, fields.number("warning_s"))) : null,
                     tasks);
         } catch (IllegalArgumentException e) {
             throw new WireException(e.getMessage());
         }
     }
 
-    /** A state that is not known counts as running: the task is there. */
-    private static TaskState state(String word) {
-        return switch (word) {
+    private static TaskStatus readStatus(Fields fields) {
+        TaskState state = state(fields.text("status"));
+        return new TaskStatus(
+                TaskId.parse(fields.text("piece")),
+                new Attempt(fields.whole("try")),
+                state,
+                state == TaskState.EXITED ? cause(fields.optionalText("cause")) : null,
+                fields.flag("kept", false));
+    }
+
+    /** An unknown state counts as running: the task exists. */
+    private static TaskState state(String text) {
+        return switch (text) {
             case "pulling" -> TaskState.FETCHING;
             case "saving" -> TaskState.SAVING;
             case "exited" -> TaskState.EXITED;
@@ -107,7 +108,7 @@
         };
     }
 
-    private static String word(TaskState state) {
+    private static String text(TaskState state) {
         return switch (state) {
             case FETCHING -> "pulling";
             case SAVING -> "saving";
@@ -116,8 +117,8 @@
         };
     }
 
-    private static ExitCause cause(String word) {
-        return switch (word == null ? "" : word) {
+    private static ExitCause cause(String text) {
+        return switch (text == null ? "" : text) {
             case "done" -> ExitCause.DONE;
             case "stopped" -> ExitCause.STOPPED;
             case "error" -> ExitCause.ERROR;
@@ -128,7 +129,8 @@
         };
     }
 
-    public static Map<String, Object> answer(FencingToken token, List<WorkerCommand> orders) {
+    /** The response to a heartbeat that was accepted. */
+    public static Map<String, Object> writeResponse(FencingToken token, List<WorkerCommand> orders) {
         return MessagePackFormat.map(
                 "baton",
                 token.value(),
@@ -136,29 +138,31 @@
                 orders.stream().map(WorkerCodec::write).toList());
     }
 
-    /** An answer without a token is to be dropped: its token is lower than any. */
-    public static Answer readAnswer(Fields f) {
-        return new Answer(new FencingToken(f.whole("baton", -1)), orders(f));
+    /** Reads such a response. Without a token it is to be discarded, so its token is lower than any. */
+    public static HeartbeatResponse readResponse(Fields fields) {
+        return new HeartbeatResponse(new FencingToken(fields.whole("baton", -1)), readCommands(fields));
     }
 
-    public static Map<String, Object> direct(Direct d) {
-        Map<String, Object> map = answer(d.token(), d.orders());
-        map.put("shift", d.session());
-        return map;
+    /** A direct command. */
+    public static Map<String, Object> writeDirect(Direct direct) {
+        Map<String, Object> fields = writeResponse(direct.token(), direct.commands());
+        fields.put("shift", direct.incarnation());
+        return fields;
     }
 
-    public static Direct readDirect(Fields f) {
+    /** Reads a direct command. */
+    public static Direct readDirect(Fields fields) {
         return new Direct(
-                f.has("baton") ? new FencingToken(f.whole("baton")) : null,
-                f.has("shift") ? (Long) f.whole("shift") : null,
-                orders(f));
+                fields.has("baton") ? new FencingToken(fields.whole("baton")) : null,
+                fields.has("shift") ? (Long) fields.whole("shift") : null,
+                readCommands(fields));
     }
 
     private static Map<String, Object> write(WorkerCommand command) {
         String verb = command instanceof WorkerCommand.Start
                 ? "start"
                 : command instanceof WorkerCommand.Stop ? "stop" : "reap";
-        Map<String, Object> map = MessagePackFormat.map(
+        Map<String, Object> fields = MessagePackFormat.map(
                 "verb",
                 verb,
                 "piece",
@@ -166,38 +170,41 @@
                 "try",
                 command.attempt().value());
         if (command instanceof WorkerCommand.Stop stop) {
-            map.put("wind_down_s", Math.max(0, stop.grace().seconds()));
+            fields.put("wind_down_s", Math.max(0, stop.grace().seconds()));
         }
-        return map;
+        return fields;
     }
 
-    private static List<WorkerCommand> orders(Fields f) {
-        List<WorkerCommand> orders = new ArrayList<>();
+    private static List<WorkerCommand> readCommands(Fields fields) {
+        List<WorkerCommand> commands = new ArrayList<>();
         try {
-            for (Fields o : f.children("orders")) {
-                TaskId task = TaskId.parse(o.text("piece"));
-                Attempt attempt = new Attempt(o.whole("try"));
-                switch (o.text("verb")) {
-                    case "start" -> orders.add(new WorkerCommand.Start(task, attempt));
-                    case "stop" ->
-                        orders.add(new WorkerCommand.Stop(task, attempt, Span.seconds(o.number("wind_down_s", 0))));
-                    case "reap" -> orders.add(new WorkerCommand.Reap(task, attempt));
-                    default -> throw Fields.invalid("verb");
-                }
+            for (Fields command : fields.children("orders")) {
+                commands.add(readCommand(command));
             }
         } catch (IllegalArgumentException e) {
             throw new WireException(e.getMessage());
         }
-        return orders;
+        return commands;
+    }
+
+    private static WorkerCommand readCommand(Fields fields) {
+        TaskId task = TaskId.parse(fields.text("piece"));
+        Attempt attempt = new Attempt(fields.whole("try"));
+        return switch (fields.text("verb")) {
+            case "start" -> new WorkerCommand.Start(task, attempt);
+            case "stop" -> new WorkerCommand.Stop(task, attempt, Span.seconds(fields.number("wind_down_s", 0)));
+            case "reap" -> new WorkerCommand.Reap(task, attempt);
+            default -> throw Fields.invalid("verb");
+        };
     }
 
-    /** Where to report instead; without a node, the worker tries the next one. */
-    public static Map<String, Object> elsewhere(String leader) {
+    /** The response to a heartbeat at a node that does not lead; without a leader's address, the worker tries the next node. */
+    public static Map<String, Object> writeLeader(String leader) {
         return leader == null ? Map.of() : MessagePackFormat.map("foreman", leader);
     }
 
-    /** The node that an answer of 421 names, or null. */
-    public static String readElsewhere(Fields f) {
-        return f.optionalText("foreman");
+    /** The leader's address in a response with status 421, or null. */
+    public static String readLeader(Fields fields) {
+        return fields.optionalText("foreman");
     }
 }
--- a/src/test/java/io/indigoreach/CodecsTest.java
+++ b/src/test/java/io/indigoreach/CodecsTest.java
@@ -149,29 +149,30 @@
     @ParameterizedTest
     @MethodSource
     void orders(WorkerCommand command, String words) {
-        WorkerCodec.Answer a = WorkerCodec.readAnswer(sent(WorkerCodec.answer(new FencingToken(41), List.of(command))));
-        assertEquals(List.of(command), a.orders());
+        WorkerCodec.HeartbeatResponse a =
+                WorkerCodec.readResponse(sent(WorkerCodec.writeResponse(new FencingToken(41), List.of(command))));
+        assertEquals(List.of(command), a.commands());
         assertEquals(41, a.token().value());
         assertEquals(
                 "[" + words + "]",
-                WorkerCodec.answer(new FencingToken(41), List.of(command))
+                WorkerCodec.writeResponse(new FencingToken(41), List.of(command))
                         .get("orders")
                         .toString());
         WorkerCodec.Direct d = new WorkerCodec.Direct(new FencingToken(41), 5L, List.of(command));
-        assertEquals(d, WorkerCodec.readDirect(sent(WorkerCodec.direct(d))));
+        assertEquals(d, WorkerCodec.readDirect(sent(WorkerCodec.writeDirect(d))));
     }
 
     /** An answer without a token is lower than any token; what is no order is refused whole. */
     @Test
     void answersThatLackSomething() {
-        assertEquals(-1, WorkerCodec.readAnswer(sent(Map.of())).token().value());
+        assertEquals(-1, WorkerCodec.readResponse(sent(Map.of())).token().value());
         assertThrows(
                 WireException.class,
-                () -> WorkerCodec.readAnswer(sent(MessagePackFormat.map(
+                () -> WorkerCodec.readResponse(sent(MessagePackFormat.map(
                         "orders", List.of(MessagePackFormat.map("verb", "dance", "piece", "run-1/0", "try", 1))))));
         assertThrows(
                 WireException.class,
-                () -> WorkerCodec.readAnswer(sent(MessagePackFormat.map(
+                () -> WorkerCodec.readResponse(sent(MessagePackFormat.map(
                         "orders", List.of(MessagePackFormat.map("verb", "reap", "piece", "nonsense", "try", 1))))));
     }
 
--- a/src/test/java/io/indigoreach/api/JobCodecTest.java
+++ b/src/test/java/io/indigoreach/api/JobCodecTest.java
@@ -115,7 +115,7 @@
 
     @ParameterizedTest
     @MethodSource("malformed")
-    void malformedJobsAreToldWhichField(String field, Object value) {
+    void malformedJobIsReportedWithItsField(String field, Object value) {
         Map<String, Object> job = job();
         job.put(field, value);
         WireException e = assertThrows(
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void nullIsTheSameAsAbsent() {
+    void nullEqualsAbsent() {
         Map<String, Object> with = job();
         with.put("boxkinds", null);
         with.put("due_s", null);
@@ -147,7 +147,7 @@
                 "shape, service, more than the limit of team t",
                 "pieces, 20, -"
             })
-    void whatCanNeverRunIsRefused(String field, String value, String reason) {
+    void infeasibleJobIsRejected(String field, String value, String reason) {
         Map<String, Object> job = job();
         job.put(
                 field,
@@ -180,7 +180,7 @@
                 "dfffffffff",
                 "81a161dbffffffff"
             })
-    void bodiesThatAreNotMessagePackMaps(String hex) {
+    void bodyThatIsNoMessagePackMapIsMalformed(String hex) {
         assertThrows(
                 WireException.class,
                 () -> MessagePackFormat.readMap(
--- a/src/test/java/io/indigoreach/api/JobServiceLossTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceLossTest.java
@@ -37,8 +37,8 @@
     private StateStandIn service;
     private StateClient state;
     private Catalogue catalogue;
-    private JobRepairer mender;
-    private JobService desk;
+    private JobRepairer repairer;
+    private JobService jobs;
 
     @BeforeEach
     void serve() throws Exception {
@@ -48,9 +48,9 @@
         await(state.commit(
                 new StateClient.Txn().put(RecordCodec.CATALOGUE, RecordCodec.writeCatalogue(List.of(type)))));
         catalogue = new Catalogue(vertx, state, new CloudClient(new ServiceClient(vertx, service.endpoint(), 1)));
-        mender = new JobRepairer(state, new SteadyClock());
-        desk = new JobService(new JobService.Context(
-                vertx, state, mender, catalogue, List.of(new Team("t", 0, 0, 0, 0)), new SteadyClock(), 8192, 100));
+        repairer = new JobRepairer(state, new SteadyClock());
+        jobs = new JobService(new JobService.Context(
+                vertx, state, repairer, catalogue, List.of(new Team("t", 0, 0, 0, 0)), new SteadyClock(), 8192, 100));
         catalogue.start();
         while (!catalogue.isKnown()) {
             Thread.onSpinWait();
@@ -72,13 +72,13 @@
         return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     }
 
-    /** A failure is answered with 503 by the front door. */
+    /** A failure is answered with 503 by the HTTP API. */
     private static int status(Future<ApiResponse> answer) throws Exception {
         return await(answer.map(ApiResponse::status).otherwise(503));
     }
 
     private int submit(int id) throws Exception {
-        return status(desk.submit(job(id)));
+        return status(jobs.submit(job(id)));
     }
 
     private static Buffer job(int id) {
@@ -120,35 +120,35 @@
     }
 
     @Test
-    void nobodyIsToldThatAJobDoesNotExistUntilALaterEraBegins() throws Exception {
-        assertEquals(List.of(201, 201, 404), List.of(submit(1), submit(2), status(desk.query("run-9"))));
-        assertEquals(200, status(desk.cancel("run-2")));
+    void noJobIsReportedUnknownUntilALaterEraBegins() throws Exception {
+        assertEquals(List.of(201, 201, 404), List.of(submit(1), submit(2), status(jobs.query("run-9"))));
+        assertEquals(200, status(jobs.cancel("run-2")));
         StateClient.Txn all = new StateClient.Txn();
         service.keys("").forEach(all::delete);
         await(client().commit(all));
-        assertEquals(503, status(desk.query("run-9")), "it may have been there, on the first question already");
-        assertEquals(503, status(desk.query("run-1")));
+        assertEquals(503, status(jobs.query("run-9")), "it may have been there, on the first question already");
+        assertEquals(503, status(jobs.query("run-1")));
         assertEquals(503, submit(3), "it may have been over");
-        assertEquals(200, status(desk.query("run-2")), "what was told stays");
+        assertEquals(200, status(jobs.query("run-2")), "what was told stays");
         assertEquals(200, submit(2));
         await(client().commit(new StateClient.Txn().put(RecordCodec.ERA, RecordCodec.writeEra(new FencingToken(77)))));
         await(state.check());
-        assertEquals(List.of(404, 201), List.of(status(desk.query("run-9")), submit(3)));
+        assertEquals(List.of(404, 201), List.of(status(jobs.query("run-9")), submit(3)));
     }
 
     /** One record is gone and the era is not: this node remembers, or another one does. */
     @Test
-    void aJobThatAControllerRemembersIsNotUnknown() throws Exception {
+    void jobRememberedByAControllerIsNotReportedUnknown() throws Exception {
         assertEquals(201, submit(1));
         await(client().commit(new StateClient.Txn().delete("j/run-1")));
-        assertEquals(503, status(desk.query("run-1")));
+        assertEquals(503, status(jobs.query("run-1")));
         assertEquals(true, state.losses().isHolding());
         await(client().commit(new StateClient.Txn().put(RecordCodec.ERA, RecordCodec.writeEra(new FencingToken(77)))));
         await(state.check());
-        desk.askPeersBy(id -> Future.succeededFuture(id.text().equals("run-8")));
-        assertEquals(List.of(503, 503), List.of(status(desk.query("run-8")), status(desk.query("run-9"))));
-        assertEquals(Map.of(), Map.copyOf(desk.rememberedState().over()));
-        assertEquals(1, desk.rememberedState().open().size());
+        jobs.setPeerQuery(id -> Future.succeededFuture(id.text().equals("run-8")));
+        assertEquals(List.of(503, 503), List.of(status(jobs.query("run-8")), status(jobs.query("run-9"))));
+        assertEquals(Map.of(), Map.copyOf(jobs.rememberedState().over()));
+        assertEquals(1, jobs.rememberedState().open().size());
     }
 
     /**
@@ -164,43 +164,43 @@
         "ended, f/, 200 done",
         "nowhere, f/, 503 null"
     })
-    void aRecordThatCannotBeReadIsMended(String remembered, String prefix, String answered) throws Exception {
-        JobService asked = remembered.equals("here") ? desk : other();
+    void unreadableRecordIsRepaired(String remembered, String prefix, String answered) throws Exception {
+        JobService queried = remembered.equals("here") ? jobs : other();
         assertEquals(201, submit(1));
         if (remembered.equals("elsewhere")) {
-            mender.recallBy(id -> Future.succeededFuture(desk.rememberedState(id)));
+            repairer.recallBy(id -> Future.succeededFuture(jobs.rememberedState(id)));
         } else if (remembered.equals("ended")) {
             RememberedState ended = new RememberedState();
             ended.add(new JobId("run-1"), new RememberedState.FinishedJob(JobStatus.DONE, 2));
-            mender.recallBy(id -> Future.succeededFuture(ended));
+            repairer.recallBy(id -> Future.succeededFuture(ended));
         } else if (remembered.equals("here")) {
-            mender.recallBy(id -> Future.succeededFuture(desk.rememberedState(id)));
+            repairer.recallBy(id -> Future.succeededFuture(jobs.rememberedState(id)));
         }
         StateClient.Txn txn = new StateClient.Txn();
         if (prefix.equals("f/")) {
             txn.delete("j/run-1");
         }
         await(client().commit(txn.put(prefix + "run-1", MessagePackFormat.map("status", "SPOILT", "class", 5L))));
-        assertEquals(answered, told(asked.query("run-1")));
+        assertEquals(answered, response(queried.query("run-1")));
         assertEquals(
                 prefix.equals("f/") && answered.startsWith("503")
                         ? "503 null"
                         : answered.startsWith("503") ? "200 pending" : answered,
-                told(asked.submit(job(1))),
+                response(queried.submit(job(1))),
                 "its user submits it again");
         assertEquals(
                 answered.endsWith("done") || prefix.equals("f/") ? List.of() : List.of("j/run-1"), service.keys("j/"));
         assertEquals(false, state.losses().isHolding());
     }
 
-    /** Another node's desk, which has accepted nothing; with the same mender. */
+    /** The job service of another node that has accepted nothing, with the same repairer. */
     private JobService other() {
         return new JobService(new JobService.Context(
-                vertx, state, mender, catalogue, List.of(new Team("t", 0, 0, 0, 0)), new SteadyClock(), 8192, 100));
+                vertx, state, repairer, catalogue, List.of(new Team("t", 0, 0, 0, 0)), new SteadyClock(), 8192, 100));
     }
 
-    private static String told(Future<ApiResponse> answer) throws Exception {
-        ApiResponse told = await(answer.otherwise(ApiResponse.retryLater("no")));
-        return told.status() + " " + told.body().get("status");
+    private static String response(Future<ApiResponse> answer) throws Exception {
+        ApiResponse response = await(answer.otherwise(ApiResponse.retryLater("no")));
+        return response.status() + " " + response.body().get("status");
     }
 }
--- a/src/test/java/io/indigoreach/api/JobServiceTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceTest.java
@@ -45,7 +45,7 @@
     /** Vert.x closes a client that nothing refers to any more, in the middle of a call too: so all are kept. */
     private final List<Object> kept = new ArrayList<>();
 
-    private final List<JobService> desks = new ArrayList<>();
+    private final List<JobService> services = new ArrayList<>();
     private StateStandIn service;
     private Endpoint first;
     private Endpoint second;
@@ -80,11 +80,11 @@
         return node(100);
     }
 
-    private Endpoint node(double questionsPerS) throws Exception {
+    private Endpoint node(double queriesPerSecond) throws Exception {
         Catalogue catalogue =
                 new Catalogue(vertx, client(), new CloudClient(new ServiceClient(vertx, service.endpoint(), 1)));
         StateClient state = client();
-        JobService desk = new JobService(new JobService.Context(
+        JobService jobs = new JobService(new JobService.Context(
                 vertx,
                 state,
                 new JobRepairer(state, new SteadyClock()),
@@ -92,12 +92,12 @@
                 List.of(new Team("t", 0, 0, 0, 0)),
                 new SteadyClock(),
                 8192,
-                questionsPerS));
-        desks.add(desk);
+                queriesPerSecond));
+        services.add(jobs);
         Endpoint any = new Endpoint("127.0.0.1", 0);
         Endpoint endpoint = new Endpoint(
                 "127.0.0.1",
-                await(keep(new HttpApi(new HttpApi.Context(vertx, any, desk, null, catalogue::isKnown, Map.of())))
+                await(keep(new HttpApi(new HttpApi.Context(vertx, any, jobs, null, catalogue::isKnown, Map.of())))
                         .open()));
         catalogue.start();
         while (call(endpoint, HttpMethod.GET, "/ready", null).status() != 200) {
@@ -125,7 +125,7 @@
 
     /** Further fields are kept with the job, and a node where nothing reads them refuses the job rather than run it without. */
     @Test
-    void aFurtherFieldThatNothingHereReadsIsRefused() throws Exception {
+    void optionalFieldWithoutParticipantIsRejected() throws Exception {
         Map<String, Object> job = JobCodecTest.job();
         job.put("records", Map.of("group", "g"));
         ServiceResponse reply = call(first, HttpMethod.POST, "/api/jobs", job);
@@ -145,7 +145,7 @@
 
     /** The end decides; blocks of done tasks, which may be more than a transaction takes, are removed behind it. */
     @Test
-    void aLargeJobIsCancelledByTwoChanges() throws Exception {
+    void largeJobIsCancelledWithTwoWrites() throws Exception {
         Map<String, Object> job = JobCodecTest.job();
         job.put("pieces", 100_000L);
         assertEquals("201 pending", status(call(first, HttpMethod.POST, "/api/jobs", job)));
@@ -157,7 +157,7 @@
     /** What no record can hold is refused at once, whether the settings say so or only the state service; what is known stays. */
     @ParameterizedTest
     @CsvSource({"62, 8192, 422", "20, 8192, 201", "20, 2048, 422"})
-    void aDescriptionThatFitsIntoNoRecordIsRefused(int otherTypes, int valueBytes, int expected) throws Exception {
+    void specificationTooLargeForARecordIsRejected(int otherTypes, int valueBytes, int expected) throws Exception {
         Map<String, Object> job = JobCodecTest.job();
         List<Object> types = new ArrayList<>((List<?>) job.get("boxkinds"));
         types.addAll(java.util.Collections.nCopies(otherTypes, "k".repeat(100)));
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void aJobIsTheSameAtEveryNode() throws Exception {
+    void jobHasTheSameStatusAtEveryNode() throws Exception {
         assertEquals("404 null", status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
         assertEquals("201 pending", status(call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job())));
         assertEquals("200 pending", status(call(second, HttpMethod.POST, "/api/jobs", JobCodecTest.job())));
@@ -180,28 +180,28 @@
         assertEquals("200 cancelled", status(call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job())));
     }
 
-    private Map<String, Object> chained(Object... names) {
+    private Map<String, Object> withDependencies(Object... names) {
         Map<String, Object> job = JobCodecTest.job();
         job.put("waits_on", List.of(names));
         return job;
     }
 
-    private void named(String how) throws Exception {
+    private void createDependency(String state) throws Exception {
         Map<String, Object> job = JobCodecTest.job();
         job.put("id", "run-1");
-        if (how.equals("service")) {
+        if (state.equals("service")) {
             job.put("shape", "service");
             job.put("pieces", 1);
         }
-        if (!how.equals("absent")) {
+        if (!state.equals("absent")) {
             call(second, HttpMethod.POST, "/api/jobs", job);
         }
-        if (how.equals("done") || how.equals("cancelled")) {
+        if (state.equals("done") || state.equals("cancelled")) {
             await(client().commit(new StateClient.Txn()
                     .delete("j/run-1")
-                    .put("f/run-1", RecordCodec.writeFinal(JobStatus.valueOf(how.toUpperCase(Locale.ROOT)), 0))));
+                    .put("f/run-1", RecordCodec.writeFinal(JobStatus.valueOf(state.toUpperCase(Locale.ROOT)), 0))));
         }
-        service.refusing = how.equals("refused");
+        service.refusing = state.equals("refused");
     }
 
     /** By what has become of the job that is named: the answer, and what is told later. */
@@ -214,23 +214,25 @@
         "absent, 422 null, 404 null",
         "refused, 503 null, 503 null"
     })
-    void aJobMayNameAnyThatWasAccepted(String how, String answer, String later) throws Exception {
-        named(how);
-        assertEquals(answer, status(call(first, HttpMethod.POST, "/api/jobs", chained("run-1"))));
+    void jobMayDependOnAnyAcceptedJob(String state, String answer, String later) throws Exception {
+        createDependency(state);
+        assertEquals(answer, status(call(first, HttpMethod.POST, "/api/jobs", withDependencies("run-1"))));
         assertEquals(later, status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
         assertEquals(later, status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
     }
 
-    /** What a job that was accepted names now is of no account; before all nodes know chains, none is accepted. */
+    /** What a job that was accepted names now is of no account; before all nodes support dependencies, none is accepted. */
     @Test
-    void aChainIsThatOfTheFirstAcceptance() throws Exception {
-        named("open");
-        desks.get(0).dependenciesUnderstoodBy(() -> Future.succeededFuture(false));
+    void dependenciesAreThoseOfTheFirstSubmission() throws Exception {
+        createDependency("open");
+        services.get(0).setDependencySupportCheck(() -> Future.succeededFuture(false));
         assertEquals(
-                503, call(first, HttpMethod.POST, "/api/jobs", chained("run-1")).status());
-        assertEquals("201 pending", status(call(second, HttpMethod.POST, "/api/jobs", chained("run-1"))));
+                503,
+                call(first, HttpMethod.POST, "/api/jobs", withDependencies("run-1"))
+                        .status());
+        assertEquals("201 pending", status(call(second, HttpMethod.POST, "/api/jobs", withDependencies("run-1"))));
         for (Endpoint node : List.of(first, second)) {
-            assertEquals("200 pending", status(call(node, HttpMethod.POST, "/api/jobs", chained("run-404"))));
+            assertEquals("200 pending", status(call(node, HttpMethod.POST, "/api/jobs", withDependencies("run-404"))));
         }
         assertEquals(
                 List.of(new JobId("run-1")),
@@ -245,17 +247,17 @@
      * itself, through a job that is open; one that is not asks for nothing more than the job's record.
      */
     @Test
-    void inDoubtANodeLooksUpTheChainBeforeItAnswers() throws Exception {
-        named("open");
-        Map<String, Object> between = chained("run-1");
+    void staleNodeChecksDependenciesBeforeItResponds() throws Exception {
+        createDependency("open");
+        Map<String, Object> between = withDependencies("run-1");
         between.put("id", "run-2");
         call(second, HttpMethod.POST, "/api/jobs", between);
-        call(second, HttpMethod.POST, "/api/jobs", chained("run-2"));
-        named("cancelled");
+        call(second, HttpMethod.POST, "/api/jobs", withDependencies("run-2"));
+        createDependency("cancelled");
         int before = service.reads;
         assertEquals("200 pending", status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
         assertEquals(1, service.reads - before);
-        desks.get(0).cascadeWithin(Span.seconds(60), () -> "");
+        services.get(0).setCascadeTime(Span.seconds(60), () -> "");
         assertEquals("200 cancelled", status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
         assertEquals("200 cancelled", status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
         assertEquals(List.of("j/run-2"), service.keys("j/"));
@@ -263,7 +265,7 @@
 
     /** Six hundred jobs asked about eight times as often took every request that the state service serves, renewals too. */
     @Test
-    void questionsBeyondANodesPartAreReadTogether() throws Exception {
+    void queriesBeyondTheNodesShareAreBatched() throws Exception {
         Endpoint node = node(2);
         for (int n = 0; n < 30; n++) {
             Map<String, Object> job = JobCodecTest.job();
@@ -284,7 +286,7 @@
 
     /** In a flood of ends a job's end stands in its open record before it is moved: it is over all the same. */
     @Test
-    void anEndThatIsNotMovedYetIsAnEnd() throws Exception {
+    void finalStatusInTheOpenRecordIsFinal() throws Exception {
         call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job());
         JobSpec spec = RecordCodec.readJob(new JobId("run-000412"), service.value("j/run-000412"), Revision.ABSENT)
                 .spec();
@@ -299,7 +301,7 @@
     }
 
     @Test
-    void aLostAnswerIsNoAcceptanceAndNoSecondJob() throws Exception {
+    void submissionIsIdempotentAfterALostResponse() throws Exception {
         service.losing = txn -> txn.children("writes").stream()
                 .anyMatch(w -> w.has("write") && w.text("write").equals("j/run-000412"));
         assertEquals(
@@ -311,7 +313,7 @@
 
     /** Without the era's condition it would come through a rebuilding, in an era that does not know of the job's end. */
     @Test
-    void anAcceptanceDependsOnTheEraAlsoOfAProcessThatHasNotReadIt() throws Exception {
+    void acceptanceIsConditionalOnTheEraBeforeItWasRead() throws Exception {
         List<List<String>> conditions = new ArrayList<>();
         service.holding = txn -> {
             List<String> keys =
@@ -326,7 +328,7 @@
     }
 
     @Test
-    void withoutTheStateServiceOnlyWhatIsOverIsAnswered() throws Exception {
+    void onlyFinalStatusIsServedDuringAnOutageOfTheStateService() throws Exception {
         call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job());
         Map<String, Object> other = JobCodecTest.job();
         other.put("id", "run-5");
@@ -351,7 +353,7 @@
         "GET, /api/jobs/a/b, 404",
         "POST, /api/jobs, 400"
     })
-    void wrongPathsAndMethods(String method, String path, int status) throws Exception {
+    void wrongPathsAndMethodsAreRejected(String method, String path, int status) throws Exception {
         assertEquals(
                 status, call(first, HttpMethod.valueOf(method), path, Map.of()).status());
     }
@@ -359,7 +361,7 @@
     /** A long body is refused, announced or not, and others are served meanwhile. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void aLongBodyIsRefused(boolean announced) throws Exception {
+    void longBodyIsRejected(boolean announced) throws Exception {
         Promise<Integer> status = Promise.promise();
         vertx.createHttpClient()
                 .request(HttpMethod.POST, first.port(), first.host(), "/api/jobs")
--- a/src/test/java/io/indigoreach/api/OddRequestsTest.java
+++ b/src/test/java/io/indigoreach/api/OddRequestsTest.java
@@ -67,12 +67,12 @@
         SteadyClock clock = new SteadyClock();
         List<Team> teams =
                 List.of(new Team("t", 0, 64, 0, 0), new Team("small", 0, 2, 0, 0), new Team("cpu", 0, 0, 0, 0.5));
-        JobService desk = new JobService(new JobService.Context(
+        JobService jobs = new JobService(new JobService.Context(
                 vertx, state, new JobRepairer(state, clock), catalogue, teams, clock, 8192, 1000));
-        HttpApi door = new HttpApi(
-                new HttpApi.Context(vertx, new Endpoint("127.0.0.1", 0), desk, null, catalogue::isKnown, Map.of()));
-        kept.addAll(List.of(state, catalogue, door));
-        node = new Endpoint("127.0.0.1", await(door.open()));
+        HttpApi api = new HttpApi(
+                new HttpApi.Context(vertx, new Endpoint("127.0.0.1", 0), jobs, null, catalogue::isKnown, Map.of()));
+        kept.addAll(List.of(state, catalogue, api));
+        node = new Endpoint("127.0.0.1", await(api.open()));
         user = new ServiceClient(vertx, node, 300);
         http = vertx.createHttpClient();
         catalogue.start();
@@ -87,7 +87,7 @@
 
     @AfterEach
     void serveAgain() {
-        service.delaying = (door, path) -> false;
+        service.delaying = (endpoint, path) -> false;
     }
 
     @AfterAll
@@ -164,7 +164,7 @@
 
     @ParameterizedTest
     @MethodSource("malformed")
-    void malformedIsToldAndNotStored(String field, Object value) throws Exception {
+    void malformedFieldIsRejectedAndNotStored(String field, Object value) throws Exception {
         ServiceResponse reply = submit(with("run-1", field, value));
         assertEquals(400, reply.status());
         assertTrue(
@@ -176,7 +176,7 @@
     /** Such a body says two things, and whoever reads it may take either. */
     @ParameterizedTest
     @CsvSource({"id", "pieces", "unheard_of"})
-    void aFieldThatIsThereTwiceIsMalformed(String field) throws Exception {
+    void repeatedFieldIsMalformed(String field) throws Exception {
         byte[] once = MessagePackFormat.write(with("run-1", field, 2)).getBytes();
         byte[] again = MessagePackFormat.write(Map.of(field, "run-2")).getBytes();
         Buffer twice = Buffer.buffer().appendBytes(once).appendBytes(again, 1, again.length - 1);
@@ -204,7 +204,7 @@
         "shape, service",
         "owner, cpu"
     })
-    void whatCanNeverRunIsRefusedAndNotStored(String field, String value) throws Exception {
+    void infeasibleJobIsRejectedAndNotStored(String field, String value) throws Exception {
         Object typed = field.equals("boxkinds")
                 ? value.isEmpty() ? List.of() : List.of(value)
                 : value.matches("[0-9.]+") ? (Object) Double.valueOf(value) : value;
@@ -233,7 +233,7 @@
 
     @ParameterizedTest
     @MethodSource("fine")
-    void whatMayBeIsAcceptedAndAnsweredAgain(String field, Object value) throws Exception {
+    void validJobIsAcceptedAndSubmissionIsIdempotent(String field, Object value) throws Exception {
         String id = "run-" + (70_000 + service.keys("j/").size());
         Map<String, Object> job = with(id, field, value);
         assertEquals(201, submit(job).status());
@@ -247,8 +247,8 @@
     /** The state service takes every request and answers none: who finds no place is told so at once, all others in time. */
     @ParameterizedTest
     @CsvSource({"false", "true"})
-    void aFloodIsToldToComeBack(boolean submissions) throws Exception {
-        service.delaying = (door, path) -> path.startsWith("/store") || path.equals("/txn");
+    void requestsBeyondTheAdmissionLimitAreRejectedAtOnce(boolean submissions) throws Exception {
+        service.delaying = (endpoint, path) -> path.startsWith("/store") || path.equals("/txn");
         Map<Integer, Future<ServiceResponse>> answers = new LinkedHashMap<>();
         int[] refused = {0};
         long begun = System.nanoTime();
@@ -272,8 +272,8 @@
     }
 
     @Test
-    void whoIsRefusedIsToldWhenToComeBack() throws Exception {
-        service.delaying = (door, path) -> path.startsWith("/store");
+    void unavailableResponseHasRetryAfter() throws Exception {
+        service.delaying = (endpoint, path) -> path.startsWith("/store");
         Future<String> answer = http.request(HttpMethod.GET, node.port(), node.host(), "/api/jobs/run-60000")
                 .compose(r -> r.send())
                 .map(r -> r.statusCode() + " " + r.getHeader("Retry-After"));
--- a/src/test/java/io/indigoreach/checker/FrontDoors.java
+++ b/src/test/java/io/indigoreach/checker/FrontDoors.java
@@ -132,7 +132,7 @@
                     clock,
                     8192,
                     QUESTIONS_PER_S));
-            desk.askPeersBy(id -> othersKnow(n, id));
+            desk.setPeerQuery(id -> othersKnow(n, id));
             catalogue.start();
             return Future.succeededFuture(new Node(loop, catalogue, desk, planted.apply(desk)));
         }));
--- a/src/test/java/io/indigoreach/config/ConfigTest.java
+++ b/src/test/java/io/indigoreach/config/ConfigTest.java
@@ -47,7 +47,7 @@
             """;
 
     @Test
-    void thePlatformsFileIsReadAndUnknownFieldsAreIgnored() throws ConfigException {
+    void platformFileIsReadAndUnknownFieldsAreIgnored() throws ConfigException {
         PlatformConfig config = PlatformConfig.parse("f", PLATFORM);
         assertEquals("n0", config.node());
         assertEquals(8192, config.stateLimits().valueBytes());
@@ -57,7 +57,7 @@
 
     /** Tools write the file that a node reads. */
     @Test
-    void thePlatformsFileIsWrittenAsItIsRead() throws ConfigException {
+    void platformFileRoundTrips() throws ConfigException {
         PlatformConfig config = PlatformConfig.parse("f", PLATFORM);
         assertEquals(config, PlatformConfig.parse("g", config.toText()));
     }
@@ -74,7 +74,7 @@
                 "txn_ops = 16               | txn_ops = 1        | f: settings.state.txn_ops: must be at least 2",
                 "[settings.cloud]           | [settings.cloudy]  | f: settings.cloud: missing"
             })
-    void aWrongPlatformFileNamesItsField(String line, String instead, String message) {
+    void wrongPlatformFileIsReportedWithItsField(String line, String instead, String message) {
         String text = PLATFORM.replace(line.strip(), instead == null ? "" : instead.strip());
         assertEquals(
                 message,
@@ -90,8 +90,7 @@
         "'value_kb = 0.5\nfuture = 3', 20, 512, 16",
         "'value_kb = 64\nwrite_rps = 70.0\ntxn_ops = 17', 20, 8192, 16"
     })
-    void theAnnouncedLimitsHoldFromTheFirstStart(String next, double writes, int bytes, int ops)
-            throws ConfigException {
+    void announcedLimitsApplyFromTheStart(String next, double writes, int bytes, int ops) throws ConfigException {
         PlatformConfig config = PlatformConfig.parse("f", PLATFORM + "\n[settings.state.next]\n" + next);
         assertEquals(new PlatformConfig.StateLimits(150, writes, bytes, ops), config.stateLimits());
         assertEquals(config, PlatformConfig.parse("g", config.toText()));
@@ -103,7 +102,7 @@
         "txn_ops = 1, f: settings.state.next.txn_ops: must be at least 2",
         "write_rps = \"many\", f: settings.state.next.write_rps: not a number of at least 0"
     })
-    void aWrongAnnouncedLimitIsNamed(String line, String message) {
+    void wrongAnnouncedLimitIsReportedWithItsField(String line, String message) {
         String text = PLATFORM + "\n[settings.state.next]\n" + line;
         assertEquals(
                 message,
@@ -112,14 +111,14 @@
     }
 
     @Test
-    void textThatIsNotTomlIsOneLine() {
+    void invalidTomlIsReportedInOneLine() {
         String message = assertThrows(ConfigException.class, () -> PlatformConfig.parse("f", "node = = 3"))
                 .getMessage();
         assertTrue(message.startsWith("f: not TOML") && message.lines().count() == 1, message);
     }
 
     @Test
-    void theOperatorsSettingsAreReadOverTheirDefaults() throws ConfigException {
+    void operatorsSettingsOverrideDefaults() throws ConfigException {
         Settings settings = SettingsFile.parse("s", "wait_limit_s: 20 # a remark\nspot_patience_s: 90.5");
         assertEquals(Span.seconds(20), settings.tuning().waitLimit());
         assertEquals(Span.seconds(90.5), settings.tuning().spotPatience());
@@ -134,7 +133,7 @@
         "check_s 5, s:",
         "check_s: nan, check_s"
     })
-    void wrongOperatorsSettingsNameFileAndField(String text, String named) {
+    void wrongOperatorsSettingIsReportedWithFileAndField(String text, String named) {
         String message = assertThrows(ConfigException.class, () -> SettingsFile.parse("s", text))
                 .getMessage();
         assertTrue(
@@ -147,7 +146,7 @@
     /** An isolated leader cannot hear of cancellations: its lease, the workers' and a margin must fit into cancel_s. */
     @ParameterizedTest
     @CsvSource({"12, 32, 5, 5", "12, 32, 60, 15.688", "22, 42, 60, 15.678"})
-    void theLeadersLeaseLeavesTimeForCancellations(double lease, double cancel, double wanted, double length)
+    void leaderLeaseLeavesTimeForCancellations(double lease, double cancel, double wanted, double length)
             throws ConfigException {
         PlatformConfig config = PlatformConfig.parse(
                 "f",
@@ -158,7 +157,7 @@
     }
 
     @Test
-    void aPlatformThatLeavesNoRoomForALeadersLeaseIsRefused() throws ConfigException {
+    void platformWithoutTimeForALeaderLeaseIsRejected() throws ConfigException {
         PlatformConfig config = PlatformConfig.parse("f", PLATFORM.replace("cancel_s = 32.0", "cancel_s = 15.0"));
         assertThrows(ConfigException.class, () -> Settings.standard().leaderLease(config.rules()));
     }
--- a/src/test/java/io/indigoreach/emulator/LocalCluster.java
+++ b/src/test/java/io/indigoreach/emulator/LocalCluster.java
@@ -214,7 +214,7 @@
                 c.cloud(),
                 state,
                 c.zones(),
-                c.clockOff(),
+                c.maxClockError(),
                 c.teams(),
                 c.objectives(),
                 c.rules(),
--- a/src/test/java/io/indigoreach/emulator/PlantedTest.java
+++ b/src/test/java/io/indigoreach/emulator/PlantedTest.java
@@ -87,7 +87,7 @@
                                                         Span.seconds(5));
                                 answer.onSuccess(a -> {
                                             ServiceResponse told =
-                                                    r.path().equals(WorkerCodec.REPORT) ? reports.apply(a) : a;
+                                                    r.path().equals(WorkerCodec.HEARTBEAT) ? reports.apply(a) : a;
                                             r.response()
                                                     .setStatusCode(told.status())
                                                     .end(MessagePackFormat.write(
@@ -124,26 +124,26 @@
         };
     }
 
-    private static UnaryOperator<ServiceResponse> answers(UnaryOperator<WorkerCodec.Answer> change) {
+    private static UnaryOperator<ServiceResponse> answers(UnaryOperator<WorkerCodec.HeartbeatResponse> change) {
         return r -> {
             if (!r.isOk()) {
                 return r;
             }
-            WorkerCodec.Answer a = change.apply(WorkerCodec.readAnswer(r.body()));
-            return new ServiceResponse(200, new Fields(WorkerCodec.answer(a.token(), a.orders())));
+            WorkerCodec.HeartbeatResponse a = change.apply(WorkerCodec.readResponse(r.body()));
+            return new ServiceResponse(200, new Fields(WorkerCodec.writeResponse(a.token(), a.commands())));
         };
     }
 
     /** After each attempt that is to be forgotten, the same start once more. */
-    private static WorkerCodec.Answer startAgain(WorkerCodec.Answer a) {
-        List<WorkerCommand> orders = new ArrayList<>(a.orders());
-        a.orders().forEach(command -> {
+    private static WorkerCodec.HeartbeatResponse startAgain(WorkerCodec.HeartbeatResponse a) {
+        List<WorkerCommand> orders = new ArrayList<>(a.commands());
+        a.commands().forEach(command -> {
             if (command instanceof WorkerCommand.Reap) {
                 orders.add(new WorkerCommand.Start(
                         command.task(), new Attempt(command.attempt().value())));
             }
         });
-        return new WorkerCodec.Answer(a.token(), orders);
+        return new WorkerCodec.HeartbeatResponse(a.token(), orders);
     }
 
     @ParameterizedTest
@@ -179,7 +179,7 @@
                             case TOKEN_REUSED ->
                                 answers(a -> {
                                     first.compareAndSet(null, a.token());
-                                    return new WorkerCodec.Answer(first.get(), a.orders());
+                                    return new WorkerCodec.HeartbeatResponse(first.get(), a.commands());
                                 });
                             case START_AFTER_REAP -> answers(PlantedTest::startAgain);
                             default -> UnaryOperator.identity();
--- a/src/test/java/io/indigoreach/emulator/model/WorkerModelTest.java
+++ b/src/test/java/io/indigoreach/emulator/model/WorkerModelTest.java
@@ -133,7 +133,7 @@
                         now,
                         heartbeat.number(),
                         now,
-                        new WorkerCodec.Answer(new FencingToken(token), List.copyOf(rest)));
+                        new WorkerCodec.HeartbeatResponse(new FencingToken(token), List.copyOf(rest)));
                 rest.clear();
             }
         }
@@ -145,7 +145,10 @@
             heartbeat = worker.report(now);
             if (heartbeat != null) {
                 worker.answered(
-                        now, heartbeat.number(), now, new WorkerCodec.Answer(new FencingToken(token), List.of(orders)));
+                        now,
+                        heartbeat.number(),
+                        now,
+                        new WorkerCodec.HeartbeatResponse(new FencingToken(token), List.of(orders)));
             }
         }
     }
@@ -233,7 +236,11 @@
         Heartbeat next = worker.report(now);
         assertEquals(2, next.number().incarnation());
         // An answer to a report of the session before is dropped.
-        worker.answered(now, lost.number(), now, new WorkerCodec.Answer(new FencingToken(9), List.of(start(1, 1, 9))));
+        worker.answered(
+                now,
+                lost.number(),
+                now,
+                new WorkerCodec.HeartbeatResponse(new FencingToken(9), List.of(start(1, 1, 9))));
         assertEquals("", states());
         assertEquals(1, worker.state(now).token().value());
     }
@@ -249,7 +256,8 @@
         }
         Moment sent = now;
         now = now.plus(Span.seconds(3.5));
-        worker.answered(now, heartbeat.number(), sent, new WorkerCodec.Answer(new FencingToken(1), List.of()));
+        worker.answered(
+                now, heartbeat.number(), sent, new WorkerCodec.HeartbeatResponse(new FencingToken(1), List.of()));
         worker.advance(sent.plus(Span.seconds(5.9)));
         assertEquals(1, worker.state(now).number().incarnation());
         worker.advance(sent.plus(Span.seconds(6)));
@@ -313,7 +321,11 @@
                 }
                 sent = now;
                 assertNull(worker.report(now.plus(new Span(5))));
-                worker.answered(now, heartbeat.number(), now, new WorkerCodec.Answer(new FencingToken(1), List.of()));
+                worker.answered(
+                        now,
+                        heartbeat.number(),
+                        now,
+                        new WorkerCodec.HeartbeatResponse(new FencingToken(1), List.of()));
             }
         }
         assertTrue(gaps.remove(0) < 0.6, "the new token is a change");
--- a/src/test/java/io/indigoreach/net/ServiceClientTest.java
+++ b/src/test/java/io/indigoreach/net/ServiceClientTest.java
@@ -10,7 +10,7 @@
 class ServiceClientTest {
     /** Routines that are between two steps as the process ends are not to log a fault. */
     @Test
-    void aCallAfterTheEndFailsAndDoesNotThrow() throws Exception {
+    void callAfterCloseFailsWithoutThrowing() throws Exception {
         Vertx vertx = Vertx.vertx();
         ServiceClient client = new ServiceClient(vertx, new Endpoint("127.0.0.1", 1), 1);
         vertx.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
