--- a/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
+++ b/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
@@ -80,7 +80,7 @@
     /** Long enough that in an outage the peers have noticed too, and not because this node's own event loop was blocked. */
     private boolean isSurelyUnserved() {
         Span needed = ANSWER_TIMEOUT.times(2);
-        return loopMonitor.hasTurnedWithoutPauseFor(needed)
+        return loopMonitor.hasRunWithoutPauseFor(needed)
                 && clock.now().since(lastServedAt).compareTo(needed) >= 0;
     }
 
--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -104,7 +104,7 @@
                 + context.clock().timeOfDay();
         StateClient renewals = new StateClient(new ServiceClient(renewalLoop, config.state(), 2), null);
         TokenGenerator tokens =
-                new TokenGenerator(nodes.indexOf(config.node()), context.clock().timeOfDay(), config.clockOff());
+                new TokenGenerator(nodes.indexOf(config.node()), context.clock().timeOfDay(), config.maxClockError());
         ElectionSettings electionSettings = new ElectionSettings(
                 new StateAccess(context.vertx(), context.state()),
                 new StateAccess(renewalLoop, renewals),
--- a/src/main/java/io/indigoreach/cluster/FleetManager.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -254,9 +254,9 @@
         if (!mayAct.getAsBoolean()) {
             return Future.succeededFuture(PAUSE);
         }
-        core.setAwakeSince(context.loopMonitor().turningSince());
+        core.setAwakeSince(context.loopMonitor().runningSince());
         core.planScaleIn(context.clock().now());
-        List<MachineId> leaving = intentLog.intents().addReturns(core.machinesToReturn(CloudClient.mostReturned()));
+        List<MachineId> leaving = intentLog.intents().addReturns(core.machinesToReturn(CloudClient.maxMachinesPerReturn()));
         if (leaving.isEmpty()) {
             return Future.succeededFuture(context.settings().tuning().checkPeriod());
         }
@@ -267,7 +267,7 @@
         if (!recorded || !intentLog.intents().mayReturn(machines) || !mayAct.getAsBoolean()) {
             return Future.succeededFuture(UNRECORDED_RETURN_PAUSE);
         }
-        return context.cloud().giveBack(machines).map(answered -> {
+        return context.cloud().returnMachines(machines).map(answered -> {
             if (!scaleInTask.isCancelled()) {
                 intentLog.intents().returned(machines);
                 core.returned(machines, context.clock().now());
--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -71,7 +71,7 @@
     /** Requests to rent and machines to be returned may fill half of the record's value each. */
     private final class HalfOfRecordEach implements Intents.Size {
         private int half() {
-            return (context.limits().room() - EMPTY_RECORD_BYTES) / 2;
+            return (context.limits().maxRecordBytes() - EMPTY_RECORD_BYTES) / 2;
         }
 
         @Override
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -291,7 +291,7 @@
 
     private Future<Span> tick() {
         Moment now = context.clock().now();
-        Moment awakeSince = context.loopMonitor().turningSince();
+        Moment awakeSince = context.loopMonitor().runningSince();
         core.setAwakeSince(awakeSince.isAfter(servingSince) ? awakeSince : servingSince);
         core.expireLeases(now);
         if (election.isValid() && !context.config().peers().isEmpty() && core.isCutOffFromWorkers(now)) {
--- a/src/main/java/io/indigoreach/cluster/MachinePage.java
+++ b/src/main/java/io/indigoreach/cluster/MachinePage.java
@@ -32,7 +32,7 @@
 
     /** How many bytes of machines a page may hold. */
     static int capacity(NodeContext context) {
-        return context.limits().room() - EMPTY_PAGE_BYTES;
+        return context.limits().maxRecordBytes() - EMPTY_PAGE_BYTES;
     }
 
     String key() {
--- a/src/main/java/io/indigoreach/cluster/Node.java
+++ b/src/main/java/io/indigoreach/cluster/Node.java
@@ -88,7 +88,7 @@
     private static JobService jobService(NodeContext context) {
         PlatformConfig config = context.config();
         int nodes = config.peers().size() + 1;
-        return new JobService(
+        return new JobService(new JobService.Context(
                 context.vertx(),
                 context.state(),
                 context.repairer(),
@@ -96,17 +96,17 @@
                 config.teams(),
                 context.clock(),
                 config.stateLimits().valueBytes(),
-                config.stateLimits().requestsPerS() * QUERY_SHARE / nodes);
+                config.stateLimits().requestsPerS() * QUERY_SHARE / nodes));
     }
 
     private HttpApi httpApi(NodeContext context, JobService jobService) {
-        return new HttpApi(
+        return new HttpApi(new HttpApi.Context(
                 context.vertx(),
                 context.config().listen(),
                 jobService,
                 new HeartbeatEndpoint(controller),
                 () -> catalogue.isKnown() && !connectivity.isOutOfService(),
-                context.parts().resources());
+                context.parts().resources()));
     }
 
     /** Gives the components what they need of each other, where they could not get it when they were created. */
@@ -114,11 +114,11 @@
         controller.setRememberedStateSource(peerClient::rememberedState);
         controller.setPeers(peerClient::requestPledges, peerClient::noPeerLeads);
         context.repairer().recallFrom(peerClient::rememberedState);
-        jobService.cascadeWithin(context.config().rules().cancellationTime(), controller::currentLeadership);
-        jobService.dependenciesUnderstoodBy(() -> controller.formatGate().isOpen());
-        jobService.participants(context.parts().joinings());
+        jobService.setCascadeTime(context.config().rules().cancellationTime(), controller::currentLeadership);
+        jobService.setDependencySupportCheck(() -> controller.formatGate().isOpen());
+        jobService.setParticipants(context.parts().joinings());
         context.parts().all().forEach(part -> part.submitting(jobService::submit));
-        jobService.askPeersBy(peerClient::isKnownToAny);
+        jobService.setPeerQuery(peerClient::isKnownToAny);
         context.state().onLoss(controller::onStateLoss);
     }
 
--- a/src/main/java/io/indigoreach/cluster/StateRebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -254,7 +254,7 @@
                 .distinct()
                 .toList());
         Map<String, Object> record = eraRecord(findings);
-        while (JsonSize.of(record) > context.limits().room() && !findings.isEmpty()) {
+        while (JsonSize.of(record) > context.limits().maxRecordBytes() && !findings.isEmpty()) {
             findings.remove(0);
             record = eraRecord(findings);
         }
--- a/src/main/java/io/indigoreach/cluster/WarmUp.java
+++ b/src/main/java/io/indigoreach/cluster/WarmUp.java
@@ -191,7 +191,7 @@
         Heartbeat received = WorkerCodec.read(MessagePackFormat.readMap(request));
         List<WorkerCommand> commands =
                 core.onHeartbeat(received, context.clock().now()).commands();
-        MessagePackFormat.write(WorkerCodec.answer(TOKEN, commands));
+        MessagePackFormat.write(WorkerCodec.writeResponse(TOKEN, commands));
         core.expireLeases(context.clock().now());
         boolean tasksEnd = heartbeats / MACHINES % ROUNDS_PER_RUN == ROUNDS_PER_RUN - 1;
         statuses.put(machine, nextStatuses(machine, commands, tasksEnd));
--- a/src/main/java/io/indigoreach/ownership/OwnershipService.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipService.java
@@ -1,7 +1,9 @@
 package io.indigoreach.ownership;
 
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.api.ApiResponse;
-import io.indigoreach.api.RequestRejectedException;
+import io.indigoreach.api.NotFoundException;
 import io.indigoreach.api.Resource;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobSpec;
@@ -23,8 +25,6 @@
 import io.indigoreach.net.Fields;
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.SteadyClock;
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.RoutineRunner;
 import io.vertx.core.Future;
 import java.util.ArrayList;
@@ -64,7 +64,7 @@
                 ? change(verb, call.body())
                 : call.isGet() ? look(verb, call) : null;
         if (done == null) {
-            throw RequestRejectedException.notFound("no such path: see the operators' page on records");
+            throw new NotFoundException("no such path: see the operators' page on records");
         }
         return done;
     }
@@ -173,12 +173,12 @@
     private Future<ApiResponse> job(JobId id) {
         return records.run(read(RecordKeys.openKey(id))).compose(kept -> {
             if (!kept.exists()) {
-                throw RequestRejectedException.notFound("no open job " + id);
+                throw new NotFoundException("no open job " + id);
             }
             JobSpec spec = JobRecordCodec.readJob(id, new Fields(kept.value()), kept.revision())
                     .spec();
             if (!spec.isGuarded()) {
-                throw RequestRejectedException.notFound("job " + id + " names no records");
+                throw new NotFoundException("job " + id + " names no records");
             }
             JobRecords wants = RecordsCodec.readField(spec);
             return run(Edit.show(registry, wants.list())).map(shown -> {
--- a/src/main/java/io/indigoreach/state/CompletionBits.java
+++ b/src/main/java/io/indigoreach/state/CompletionBits.java
@@ -36,7 +36,7 @@
     public CompletionBits(StateLimits limits) {
         this.limits = limits;
         int blockTasks = CompletionBlockCodec.BLOCK_TASKS;
-        while (blockTasks > MIN_BLOCK_TASKS && blockBytes(blockTasks) > limits.room()) {
+        while (blockTasks > MIN_BLOCK_TASKS && blockBytes(blockTasks) > limits.maxRecordBytes()) {
             blockTasks /= 2;
         }
         this.blockTasks = blockTasks;
@@ -63,7 +63,7 @@
     /** Whether the record takes the bits of all the job's tasks. */
     public boolean areInRecord(JobSpec spec, long submittedMs) {
         return spec.tasks() <= CompletionBlockCodec.MAX_TASKS_IN_RECORD
-                && recordBytes(spec, submittedMs) + blockBytes(spec.tasks()) <= limits.room();
+                && recordBytes(spec, submittedMs) + blockBytes(spec.tasks()) <= limits.maxRecordBytes();
     }
 
     /** A job's record, with the bits or without them as the limits have it. */
--- a/src/test/java/io/indigoreach/api/GoldenUsersTest.java
+++ b/src/test/java/io/indigoreach/api/GoldenUsersTest.java
@@ -139,16 +139,15 @@
         answer(
                 golden,
                 "refusal of a field",
-                RequestRejectedException.of("field", "why").answer());
+                ErrorResponses.of(RequestRejectedException.of("field", "why")));
         answer(
                 golden,
                 "refusal by a conflict",
-                RequestRejectedException.conflict("why", MessagePackFormat.map("version", 3L))
-                        .answer());
+                ErrorResponses.of(RequestRejectedException.conflict("why", MessagePackFormat.map("version", 3L))));
         answer(
                 golden,
                 "refusal of what is not there",
-                RequestRejectedException.notFound("why").answer());
+                ErrorResponses.of(new NotFoundException("why")));
         golden.check();
     }
 
@@ -183,7 +182,7 @@
         Catalogue catalogue =
                 new Catalogue(vertx, client(), new CloudClient(new ServiceClient(vertx, state.endpoint(), 1)));
         StateClient own = client();
-        JobService desk = new JobService(
+        JobService desk = new JobService(new JobService.Context(
                 vertx,
                 own,
                 new JobRepairer(own, new SteadyClock()),
@@ -191,8 +190,8 @@
                 List.of(new Team("t", 0, 8, 0, 0)),
                 new SteadyClock(),
                 8192,
-                100);
-        HttpApi door = new HttpApi(vertx, new Endpoint("127.0.0.1", 0), desk, null, catalogue::isKnown, Map.of());
+                100));
+        HttpApi door = new HttpApi(new HttpApi.Context(vertx, new Endpoint("127.0.0.1", 0), desk, null, catalogue::isKnown, Map.of()));
         kept.add(door);
         node = new Endpoint("127.0.0.1", await(door.open()));
         return catalogue;
--- a/src/test/java/io/indigoreach/calendar/GoldenCalendarTest.java
+++ b/src/test/java/io/indigoreach/calendar/GoldenCalendarTest.java
@@ -254,6 +254,10 @@
                 method, Arrays.stream(only.split("/")).filter(s -> !s.isEmpty()).toList(), query, new Fields(body));
     }
 
+    private static ApiResponse rejected(RequestRejectedException reason) {
+        return new ApiResponse(reason.status(), reason.body(), 0);
+    }
+
     private void ask(Resource resource, String name, String method, String path, Map<String, Object> body)
             throws Exception {
         ApiResponse answer;
@@ -263,9 +267,9 @@
             if (!(e.getCause() instanceof RequestRejectedException r)) {
                 throw e;
             }
-            answer = r.answer();
+            answer = rejected(r);
         } catch (RequestRejectedException e) {
-            answer = e.answer();
+            answer = rejected(e);
         } catch (WireException e) {
             answer = ApiResponse.error(400, e.getMessage());
         }
@@ -333,7 +337,7 @@
             } catch (WireException e) {
                 answer = ApiResponse.error(400, e.getMessage());
             } catch (Exception e) {
-                answer = ((RequestRejectedException) e.getCause()).answer();
+                answer = rejected((RequestRejectedException) e.getCause());
             }
             golden.text("status of a plan's job " + day, answer.status() + " " + answer.retryAfterS())
                     .unordered("answer to a plan's job " + day, answer.body());
--- a/src/test/java/io/indigoreach/cloud/GoldenCloudTest.java
+++ b/src/test/java/io/indigoreach/cloud/GoldenCloudTest.java
@@ -38,7 +38,7 @@
                 .text("reason without capacity", CloudCodec.NO_CAPACITY)
                 .text(
                         "most at once",
-                        CloudCodec.MOST_LISTED + " " + CloudCodec.MOST_RENTED + " " + CloudCodec.MOST_RETURNED);
+                        CloudCodec.MAX_LISTED + " " + CloudCodec.MAX_RENTED + " " + CloudCodec.MAX_RETURNED);
         golden.both("types", GoldenSamples.TYPES, CloudCodec::writeTypes, CloudCodec::readTypes)
                 .read(
                         "types with the fewest fields",
--- a/src/test/java/io/indigoreach/cluster/LateTransactionsHarness.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionsHarness.java
@@ -198,7 +198,7 @@
 
     /** A job service whose catalogue is known. */
     JobService newJobService() throws Exception {
-        JobService jobService = keep(new JobService(
+        JobService jobService = keep(new JobService(new JobService.Context(
                 vertx,
                 client,
                 new JobRepairer(client, clock),
@@ -206,7 +206,7 @@
                 List.of(LeaderHarness.TEAM),
                 clock,
                 8192,
-                100));
+                100)));
         await(client.commit(new StateClient.Txn()
                 .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(LeaderHarness.quad())))));
         context.catalogue().start();
--- a/src/test/java/io/indigoreach/emulator/GoldenPeersTest.java
+++ b/src/test/java/io/indigoreach/emulator/GoldenPeersTest.java
@@ -76,9 +76,9 @@
                     .text("told of a loss", post(peers, "/loss", MessagePackFormat.map("era", 0L)))
                     .text("asked to remove another key", post(peers, "/handover", MessagePackFormat.map("stamp", 1L)))
                     .text("asked for a job without an id", get(peers, "/knows?id=one"))
-                    .text("answer to a worker's first report", post(users, WorkerCodec.REPORT, report()))
-                    .text("answer to a malformed report", post(users, WorkerCodec.REPORT, Map.of()))
-                    .text("answer to a report by another method", get(users, WorkerCodec.REPORT));
+                    .text("answer to a worker's first report", post(users, WorkerCodec.HEARTBEAT, report()))
+                    .text("answer to a malformed report", post(users, WorkerCodec.HEARTBEAT, Map.of()))
+                    .text("answer to a report by another method", get(users, WorkerCodec.HEARTBEAT));
         }
         golden.check();
     }
@@ -146,7 +146,7 @@
         String[] answer = new String[1];
         await(
                 () -> {
-                    answer[0] = post(users, WorkerCodec.REPORT, report());
+                    answer[0] = post(users, WorkerCodec.HEARTBEAT, report());
                     return answer[0].startsWith("421 ");
                 },
                 "reports are answered as by a leader");
--- a/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
+++ b/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
@@ -278,7 +278,7 @@
                     new ServiceClient(vertx, state.endpoint(), 8), new ServiceClient(vertx, state.endpoint(), 1));
             Parts parts = Parts.of(
                     PartRegistry.enabled(settings), vertx, client, new SteadyClock(), null, config(), settings);
-            HttpApi door = new HttpApi(vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources());
+            HttpApi door = new HttpApi(new HttpApi.Context(vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources()));
             Endpoint node = new Endpoint("127.0.0.1", await(door.open()));
             answers(node, client);
         } finally {
--- a/src/test/java/io/indigoreach/warm/GoldenPoolAnswersTest.java
+++ b/src/test/java/io/indigoreach/warm/GoldenPoolAnswersTest.java
@@ -90,7 +90,7 @@
                     new Catalogue(vertx, client, new CloudClient(new ServiceClient(vertx, state.endpoint(), 1)));
             Parts parts = Parts.of(
                     PartRegistry.enabled(settings), vertx, client, new SteadyClock(), catalogue, config(), settings);
-            HttpApi door = new HttpApi(vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources());
+            HttpApi door = new HttpApi(new HttpApi.Context(vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources()));
             answers(new Endpoint("127.0.0.1", await(door.open())), client, catalogue);
         } finally {
             await(vertx.close());
--- a/src/test/java/io/indigoreach/worker/GoldenWorkersTest.java
+++ b/src/test/java/io/indigoreach/worker/GoldenWorkersTest.java
@@ -81,14 +81,14 @@
         return WorkerCodec.write(WorkerCodec.read(f));
     }
 
-    private static Map<String, Object> write(WorkerCodec.Answer a) {
-        return WorkerCodec.answer(a.token(), a.orders());
+    private static Map<String, Object> write(WorkerCodec.HeartbeatResponse a) {
+        return WorkerCodec.writeResponse(a.token(), a.commands());
     }
 
     @Test
     void whatWorkersAndNodesSay() {
         GoldenFile golden = new GoldenFile("workers.txt");
-        golden.text("path of reports", WorkerCodec.REPORT)
+        golden.text("path of reports", WorkerCodec.HEARTBEAT)
                 .text("path of direct orders", WorkerCodec.DIRECT)
                 .text("path of inspections", WorkerCodec.INSPECT);
         golden.both("report without tasks", report(null, List.of()), WorkerCodec::write, WorkerCodec::read)
@@ -118,18 +118,18 @@
                 .refused("empty report", Map.of(), WorkerCodec::read);
         golden.both(
                         "answer without orders",
-                        new WorkerCodec.Answer(new FencingToken(41), List.of()),
+                        new WorkerCodec.HeartbeatResponse(new FencingToken(41), List.of()),
                         GoldenWorkersTest::write,
-                        WorkerCodec::readAnswer)
+                        WorkerCodec::readResponse)
                 .both(
                         "answer of every order",
-                        new WorkerCodec.Answer(new FencingToken(7_000_001), orders()),
+                        new WorkerCodec.HeartbeatResponse(new FencingToken(7_000_001), orders()),
                         GoldenWorkersTest::write,
-                        WorkerCodec::readAnswer)
+                        WorkerCodec::readResponse)
                 .read(
                         "answer without a token",
                         MessagePackFormat.map("orders", List.of()),
-                        f -> write(WorkerCodec.readAnswer(f)))
+                        f -> write(WorkerCodec.readResponse(f)))
                 .read(
                         "stop without a time",
                         MessagePackFormat.map(
@@ -137,7 +137,7 @@
                                 3L,
                                 "orders",
                                 List.of(MessagePackFormat.map("verb", "stop", "piece", "run-1/0", "try", 1L))),
-                        f -> write(WorkerCodec.readAnswer(f)))
+                        f -> write(WorkerCodec.readResponse(f)))
                 .refused(
                         "answer of another order",
                         MessagePackFormat.map(
@@ -145,19 +145,19 @@
                                 3L,
                                 "orders",
                                 List.of(MessagePackFormat.map("verb", "dance", "piece", "run-1/0", "try", 1L))),
-                        WorkerCodec::readAnswer)
-                .written("sent elsewhere", WorkerCodec.elsewhere("10.0.0.1:8080"))
-                .written("sent to anyone", WorkerCodec.elsewhere(null))
-                .again("sent elsewhere, read", "10.0.0.1:8080", WorkerCodec::elsewhere, WorkerCodec::readElsewhere);
+                        WorkerCodec::readResponse)
+                .written("sent elsewhere", WorkerCodec.writeLeader("10.0.0.1:8080"))
+                .written("sent to anyone", WorkerCodec.writeLeader(null))
+                .again("sent elsewhere, read", "10.0.0.1:8080", WorkerCodec::writeLeader, WorkerCodec::readLeader);
         golden.both(
                         "direct orders",
                         new WorkerCodec.Direct(new FencingToken(41), 5L, orders()),
-                        WorkerCodec::direct,
+                        WorkerCodec::writeDirect,
                         WorkerCodec::readDirect)
                 .both(
                         "direct orders without a session",
                         new WorkerCodec.Direct(new FencingToken(41), null, List.of()),
-                        WorkerCodec::direct,
+                        WorkerCodec::writeDirect,
                         WorkerCodec::readDirect);
         golden.check();
     }
