--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -10,7 +10,6 @@
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.JsonSize;
 import io.indigoreach.net.RateLimiter;
-import io.indigoreach.state.IntentRecordCodec;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import java.util.ArrayList;
--- a/src/main/java/io/indigoreach/cluster/StateRebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -17,7 +17,6 @@
 import io.indigoreach.state.CompletionBits;
 import io.indigoreach.state.JobRecord;
 import io.indigoreach.state.MachineRecord;
-import io.indigoreach.state.MachineRecordCodec;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import java.util.ArrayList;
--- a/src/main/java/io/indigoreach/state/StateClient.java
+++ b/src/main/java/io/indigoreach/state/StateClient.java
@@ -18,7 +18,7 @@
 /**
  * The client of the state service, a consensus-backed key-value store whose transactions are compare-and-swaps. Bound to the
  * event loop of its connections. A failed future means that the outcome is unknown or that the
- * request was refused and surely not executed ({@link RequestRejectedException}).
+ * request was refused and surely not executed ({@link StateRequestRejectedException}).
  */
 public final class StateClient {
     private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
@@ -326,7 +326,7 @@
             limits.transactionRefused(txn);
             throw new TransactionRejectedException(MALFORMED);
         }
-        throw new RequestRejectedException(response.status());
+        throw new StateRequestRejectedException(response.status());
     }
 
     /** {@code known}: the highest revision seen when the transaction was sent; a lower one now shows a loss of data. */
@@ -373,11 +373,11 @@
         if (reply.status() == OK) {
             return reply.body();
         }
-        throw new RequestRejectedException(reply.status());
+        throw new StateRequestRejectedException(reply.status());
     }
 
     /** Whether a failure says that the request surely was not executed. */
     public static boolean surelyNotExecuted(Throwable failure) {
-        return failure instanceof RequestRejectedException;
+        return failure instanceof StateRequestRejectedException;
     }
 }
