--- a/src/main/java/io/indigoreach/api/DependencyService.java
+++ b/src/main/java/io/indigoreach/api/DependencyService.java
@@ -69,7 +69,7 @@
         return understoodByAll
                 .get()
                 .compose(all -> all
-                        ? atSubmission.anyCancelled(chain.needs())
+                        ? atSubmission.anyCancelled(chain.requiredJobs())
                         : Future.failedFuture(
                                 new DependencyUnknownException("not every controller knows chained jobs yet")));
     }
@@ -79,7 +79,7 @@
         if (!chain.isWaiting()) {
             return Future.succeededFuture(false);
         }
-        if (chain.needs().stream().anyMatch(knownCancelled::apply)) {
+        if (chain.requiredJobs().stream().anyMatch(knownCancelled::apply)) {
             return Future.succeededFuture(true);
         }
         Moment now = clock.now();
--- a/src/main/java/io/indigoreach/api/JobCodec.java
+++ b/src/main/java/io/indigoreach/api/JobCodec.java
@@ -54,7 +54,7 @@
                 "owner",
                 s.team(),
                 "shape",
-                s.shape().name().toLowerCase(Locale.ROOT),
+                s.kind().name().toLowerCase(Locale.ROOT),
                 "urgency",
                 s.urgency().name().toLowerCase(Locale.ROOT),
                 "pieces",
@@ -88,8 +88,10 @@
                 "due_s",
                 s.due() == null ? null : s.due().seconds());
         map.putAll(s.more());
-        if (!s.chain().isEmpty()) {
-            map.put(WAITS_ON, s.chain().needs().stream().map(JobId::text).toList());
+        if (!s.dependencies().isEmpty()) {
+            map.put(
+                    WAITS_ON,
+                    s.dependencies().requiredJobs().stream().map(JobId::text).toList());
         }
         return map;
     }
@@ -127,27 +129,27 @@
         if (f.has("due_s")) {
             due = Span.seconds(amount(f, "due_s"));
         }
-        return new JobSpec(
-                new JobId(id),
-                name(f, "jobclass"),
-                name(f, "owner"),
-                shape(f.text("shape")),
-                urgency(f.text("urgency")),
-                (int) tasks,
-                new Demand(amount(f, "cores"), amount(f, "gpus"), amount(f, "ram_gb")),
-                name(f, "bundle"),
-                amount(f, "pull_gb"),
-                types,
-                zone,
-                flag(f, "one_zone"),
-                flag(f, "spread"),
-                flag(f, "loaners"),
-                Span.seconds(amount(f, "expected_s")),
-                Span.seconds(amount(f, "snapshot_every_s")),
-                Span.seconds(amount(f, "snapshot_s")),
-                due,
-                more(f),
-                chain(id, f));
+        return JobSpec.builder(new JobId(id))
+                .jobClass(name(f, "jobclass"))
+                .team(name(f, "owner"))
+                .kind(shape(f.text("shape")))
+                .urgency(urgency(f.text("urgency")))
+                .tasks((int) tasks)
+                .demand(new Demand(amount(f, "cores"), amount(f, "gpus"), amount(f, "ram_gb")))
+                .image(name(f, "bundle"))
+                .imageGb(amount(f, "pull_gb"))
+                .types(types)
+                .zone(zone)
+                .oneZone(flag(f, "one_zone"))
+                .spread(flag(f, "spread"))
+                .spotAllowed(flag(f, "loaners"))
+                .estimate(Span.seconds(amount(f, "expected_s")))
+                .checkpointEvery(Span.seconds(amount(f, "snapshot_every_s")))
+                .checkpointTime(Span.seconds(amount(f, "snapshot_s")))
+                .due(due)
+                .more(more(f))
+                .dependencies(chain(id, f))
+                .build();
     }
 
     private static JobDependencies chain(String own, Fields f) {
--- a/src/main/java/io/indigoreach/api/JobService.java
+++ b/src/main/java/io/indigoreach/api/JobService.java
@@ -122,7 +122,7 @@
         int room = state.limits().room(valueBytes);
         if (refusal == null && bytes > room) {
             refusal = "the description is too long: " + bytes + " bytes, of at most " + room;
-            if (!spec.chain().isEmpty()) {
+            if (!spec.dependencies().isEmpty()) {
                 return ifUnknown(spec.id(), ApiResponse.error(400, refusal + ", with the jobs named"));
             }
         }
@@ -131,7 +131,7 @@
             return ifUnknown(spec.id(), ApiResponse.error(422, refusal));
         }
         return dependencies
-                .isBornCancelled(spec.chain())
+                .isBornCancelled(spec.dependencies())
                 .compose(
                         cancelled -> accept(spec, record, cancelled, now, 1),
                         e -> e instanceof RequestRejectedException r
@@ -149,7 +149,7 @@
      */
     private static int firstBound(JobSpec spec) {
         // Nothing of a chained job is ordered before its release, and the write of its bound is what records that.
-        return spec.tasks() == 1 && !spec.isService() && spec.chain().isEmpty() ? 1 : 0;
+        return spec.tasks() == 1 && !spec.isService() && spec.dependencies().isEmpty() ? 1 : 0;
     }
 
     /** Whatever was accepted once stays accepted: its state, or {@code otherwise} if it never was. */
@@ -276,7 +276,7 @@
             return Future.succeededFuture(found);
         }
         return dependencies
-                .isBelowCancelled(id, found.open.spec().chain(), this::isKnownCancelled)
+                .isBelowCancelled(id, found.open.spec().dependencies(), this::isKnownCancelled)
                 .compose(below -> below ? cancelByCascade(id, found.open) : Future.succeededFuture(found));
     }
 
--- a/src/main/java/io/indigoreach/api/ReferencedJobs.java
+++ b/src/main/java/io/indigoreach/api/ReferencedJobs.java
@@ -61,7 +61,7 @@
      * an end record says.
      */
     Future<Boolean> isBelowCancelled(JobDependencies chain) {
-        return walk(new ArrayDeque<>(chain.needs()), new HashSet<>(chain.needs()));
+        return walk(new ArrayDeque<>(chain.requiredJobs()), new HashSet<>(chain.requiredJobs()));
     }
 
     private Future<Boolean> walk(Deque<JobId> left, Set<JobId> seen) {
@@ -76,8 +76,10 @@
                 if (job.isCancelled()) {
                     return Future.succeededFuture(true);
                 }
-                if (job.open() != null && job.open().chain().isWaiting()) {
-                    job.open().chain().needs().stream().filter(seen::add).forEach(left::add);
+                if (job.open() != null && job.open().dependencies().isWaiting()) {
+                    job.open().dependencies().requiredJobs().stream()
+                            .filter(seen::add)
+                            .forEach(left::add);
                 }
             }
             return walk(left, seen);
--- a/src/main/java/io/indigoreach/cloud/CloudCodec.java
+++ b/src/main/java/io/indigoreach/cloud/CloudCodec.java
@@ -135,7 +135,7 @@
                     "status",
                     word(m.status()),
                     "held_s",
-                    m.held().seconds()));
+                    m.sinceRequested().seconds()));
         }
         return MessagePackFormat.map("boxes", list, "truncated", page.more());
     }
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -90,8 +90,8 @@
     }
 
     private void lookUp(Moment now) {
-        notBefore.keySet().retainAll(chains.lookUps());
-        for (JobId id : Set.copyOf(chains.lookUps())) {
+        notBefore.keySet().retainAll(chains.jobsToLookUp());
+        for (JobId id : Set.copyOf(chains.jobsToLookUp())) {
             if (reading.size() >= READS_AT_ONCE) {
                 return;
             }
@@ -152,7 +152,7 @@
     }
 
     private void answered(JobId id, Fate fate) {
-        if (!chains.lookUps().contains(id)) {
+        if (!chains.jobsToLookUp().contains(id)) {
             return;
         }
         switch (fate) {
@@ -171,7 +171,7 @@
     }
 
     private void sweep(Moment now) {
-        for (JobId id : Set.copyOf(chains.doomed())) {
+        for (JobId id : Set.copyOf(chains.jobsToCancel())) {
             if (writing.size() >= WRITES_AT_ONCE) {
                 return;
             }
--- a/src/main/java/io/indigoreach/cluster/FleetManager.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -163,7 +163,8 @@
                             rental.noCapacity() ? "no capacity" : rental.machines());
                     requestSettled(request);
                     if (rental.noCapacity() || rental.machines().size() < request.wish.count()) {
-                        core.refused(request.wish.pool(), context.clock().now());
+                        core.scaleOutRejected(
+                                request.wish.pool(), context.clock().now());
                         openRequests.removeIf(other -> {
                             boolean useless = other.tries == 0
                                     && other.wish.pool().equals(request.wish.pool())
--- a/src/main/java/io/indigoreach/cluster/WarmUp.java
+++ b/src/main/java/io/indigoreach/cluster/WarmUp.java
@@ -114,25 +114,18 @@
         core.rented(pool(), ids, now, now);
         ids.forEach(core::recorded);
         for (int n = 0; n < JOBS; n++) {
-            JobSpec spec = new JobSpec(
-                    new JobId("run-" + n),
-                    "c" + n % 3,
-                    "t",
-                    JobKind.ARRAY,
-                    Urgency.values()[1 + n % 3],
-                    40,
-                    new Demand(1, 0, 1),
-                    "i" + n % 4,
-                    1,
-                    null,
-                    null,
-                    false,
-                    false,
-                    true,
-                    Span.seconds(20),
-                    Span.ZERO,
-                    Span.ZERO,
-                    null);
+            JobSpec spec = JobSpec.builder(new JobId("run-" + n))
+                    .jobClass("c" + n % 3)
+                    .team("t")
+                    .kind(JobKind.ARRAY)
+                    .urgency(Urgency.values()[1 + n % 3])
+                    .tasks(40)
+                    .demand(new Demand(1, 0, 1))
+                    .image("i" + n % 4)
+                    .imageGb(1)
+                    .spotAllowed()
+                    .estimate(Span.seconds(20))
+                    .build();
             core.addJob(new Job(spec, env.clock().timeOfDay(), now, new Revision(1), new BitSet(), 40, false));
         }
     }
--- a/src/main/java/io/indigoreach/core/calendar/Choice.java
+++ b/src/main/java/io/indigoreach/core/calendar/Choice.java
@@ -60,25 +60,25 @@
         JobSpec t = o.plan().template();
         Map<String, Object> more = new LinkedHashMap<>(t.more());
         more.put(FIELD, Map.of("name", mark.plan(), "day", o.day().toString()));
-        return new JobSpec(
-                mark.id(),
-                t.jobClass(),
-                t.team(),
-                t.shape(),
-                t.urgency(),
-                mark.tasks(),
-                t.demand(),
-                t.image(),
-                t.imageGb(),
-                t.types(),
-                t.zone(),
-                t.oneZone(),
-                t.spread(),
-                t.spotAllowed(),
-                t.estimate(),
-                t.checkpointEvery(),
-                t.checkpointTime(),
-                new Span(mark.departs() - now),
-                more);
+        return JobSpec.builder(mark.id())
+                .jobClass(t.jobClass())
+                .team(t.team())
+                .kind(t.kind())
+                .urgency(t.urgency())
+                .tasks(mark.tasks())
+                .demand(t.demand())
+                .image(t.image())
+                .imageGb(t.imageGb())
+                .types(t.types())
+                .zone(t.zone())
+                .oneZone(t.oneZone())
+                .spread(t.spread())
+                .spotAllowed(t.spotAllowed())
+                .estimate(t.estimate())
+                .checkpointEvery(t.checkpointEvery())
+                .checkpointTime(t.checkpointTime())
+                .due(new Span(mark.departs() - now))
+                .more(more)
+                .build();
     }
 }
--- a/src/main/java/io/indigoreach/core/dependency/DependencyGraph.java
+++ b/src/main/java/io/indigoreach/core/dependency/DependencyGraph.java
@@ -14,51 +14,51 @@
 import java.util.function.Predicate;
 
 /**
- * Which waiting jobs need which others. A need is settled only by a durable end: {@link #done} and {@link #cancelled} are
+ * Which waiting jobs depend on which others. A dependency is settled only by a durable end: {@link #done} and {@link #cancelled} are
  * called for ends that the state service has acknowledged or was read to hold, never for what a leader believes. Both ends are
  * final and a job has only one of them, so that every leader comes to the same result.
  *
- * <p>Every edge is walked once when it is entered and once when it is settled: the cost of an event grows with the edges
+ * <p>Every edge is visited once when it is added and once when it is settled: the cost of an event grows with the edges
  * it settles, not with what is open.
  */
 public final class DependencyGraph {
-    /** Of each waiting job, the needs that are not known to be done. */
-    private final Map<JobId, Set<JobId>> needs = new HashMap<>();
+    /** Of each waiting job, the required jobs that are not known to be done. */
+    private final Map<JobId, Set<JobId>> unmet = new HashMap<>();
     /** The same edges from the other end. */
     private final Map<JobId, Set<JobId>> dependants = new HashMap<>();
-    /** Needs that are not open here: their ends are to be read. */
-    private final Set<JobId> lookUps = new LinkedHashSet<>();
+    /** Required jobs that are not open here: their ends are to be read. */
+    private final Set<JobId> jobsToLookUp = new LinkedHashSet<>();
     /** Waiting jobs below a cancelled one whose own ends are to be written. */
-    private final Set<JobId> doomed = new LinkedHashSet<>();
+    private final Set<JobId> jobsToCancel = new LinkedHashSet<>();
 
     private final List<JobId> released = new ArrayList<>();
 
-    /** A waiting job; {@code isOpen}: whether a need is open here, so that its end will be heard of. */
-    public void add(JobId job, Collection<JobId> named, Predicate<JobId> isOpen) {
-        needs.put(job, new LinkedHashSet<>(named));
+    /** Adds a waiting job; {@code isOpen}: whether a required job is open here, so that its end will be observed. */
+    public void add(JobId job, Collection<JobId> requiredJobs, Predicate<JobId> isOpen) {
+        unmet.put(job, new LinkedHashSet<>(requiredJobs));
         boolean below = false;
-        for (JobId need : named) {
-            dependants.computeIfAbsent(need, n -> new LinkedHashSet<>()).add(job);
-            below |= doomed.contains(need);
-            if (!isOpen.test(need)) {
-                lookUps.add(need);
+        for (JobId required : requiredJobs) {
+            dependants.computeIfAbsent(required, id -> new LinkedHashSet<>()).add(job);
+            below |= jobsToCancel.contains(required);
+            if (!isOpen.test(required)) {
+                jobsToLookUp.add(required);
             }
         }
         if (below) {
-            doom(List.of(job));
+            markForCancellation(List.of(job));
         }
     }
 
     /** The job is open here from now on: no look-up is needed as long as it is. */
     public void opened(JobId job) {
-        lookUps.remove(job);
+        jobsToLookUp.remove(job);
     }
 
     /** The job is open here no longer, and how it ended has not been read. */
     public void ended(JobId job) {
         removeWaiting(job);
-        if (dependants.getOrDefault(job, Set.of()).stream().anyMatch(d -> !doomed.contains(d))) {
-            lookUps.add(job);
+        if (dependants.getOrDefault(job, Set.of()).stream().anyMatch(dependant -> !jobsToCancel.contains(dependant))) {
+            jobsToLookUp.add(job);
         }
     }
 
@@ -66,10 +66,10 @@
     public void done(JobId job) {
         removeWaiting(job);
         for (JobId dependant : settled(job)) {
-            Set<JobId> left = needs.get(dependant);
+            Set<JobId> left = unmet.get(dependant);
             left.remove(job);
             if (left.isEmpty()) {
-                needs.remove(dependant);
+                unmet.remove(dependant);
                 released.add(dependant);
             }
         }
@@ -78,100 +78,100 @@
     /** The end of this job as cancelled is durable: nothing that needs it, directly or through others, can ever start. */
     public void cancelled(JobId job) {
         removeWaiting(job);
-        doom(settled(job));
+        markForCancellation(settled(job));
     }
 
-    /** A job that waits no longer, whatever else is known of its needs. */
+    /** A job that waits no longer, whatever else is known of its dependencies. */
     public void removeWaiting(JobId job) {
-        doomed.remove(job);
-        Set<JobId> left = needs.remove(job);
+        jobsToCancel.remove(job);
+        Set<JobId> left = unmet.remove(job);
         if (left != null) {
-            left.forEach(need -> removeEdge(need, job));
+            left.forEach(required -> removeEdge(required, job));
         }
     }
 
-    private void removeEdge(JobId need, JobId job) {
-        Set<JobId> those = dependants.get(need);
-        if (those != null && those.remove(job) && those.isEmpty()) {
-            dependants.remove(need);
-            lookUps.remove(need);
+    private void removeEdge(JobId required, JobId job) {
+        Set<JobId> waiting = dependants.get(required);
+        if (waiting != null && waiting.remove(job) && waiting.isEmpty()) {
+            dependants.remove(required);
+            jobsToLookUp.remove(required);
         }
     }
 
-    private Collection<JobId> settled(JobId need) {
-        lookUps.remove(need);
-        Set<JobId> those = dependants.remove(need);
-        return those == null ? List.of() : those;
+    private Collection<JobId> settled(JobId required) {
+        jobsToLookUp.remove(required);
+        Set<JobId> waiting = dependants.remove(required);
+        return waiting == null ? List.of() : waiting;
     }
 
-    /** In the order of distance, so that no job is swept long before those between it and the cancelled one. */
-    private void doom(Collection<JobId> first) {
+    /** In the order of distance, so that no job is cancelled long before those between it and the cancelled one. */
+    private void markForCancellation(Collection<JobId> first) {
         Deque<JobId> queue = new ArrayDeque<>(first);
         while (!queue.isEmpty()) {
             JobId job = queue.poll();
-            if (needs.containsKey(job) && doomed.add(job)) {
+            if (unmet.containsKey(job) && jobsToCancel.add(job)) {
                 queue.addAll(dependants.getOrDefault(job, Set.of()));
             }
         }
     }
 
-    /** Jobs all of whose needs are done since this was last asked. */
+    /** Jobs whose last dependency was done since the previous call. */
     public List<JobId> takeReleased() {
-        List<JobId> out = List.copyOf(released);
+        List<JobId> taken = List.copyOf(released);
         released.clear();
-        return out;
+        return taken;
     }
 
-    public Set<JobId> lookUps() {
-        return Collections.unmodifiableSet(lookUps);
+    public Set<JobId> jobsToLookUp() {
+        return Collections.unmodifiableSet(jobsToLookUp);
     }
 
-    public Set<JobId> doomed() {
-        return Collections.unmodifiableSet(doomed);
+    public Set<JobId> jobsToCancel() {
+        return Collections.unmodifiableSet(jobsToCancel);
     }
 
-    /** Needs of a waiting job that are not known to be done. */
-    public Set<JobId> outstanding(JobId job) {
-        return Collections.unmodifiableSet(needs.getOrDefault(job, Set.of()));
+    /** Required jobs of a waiting job that are not known to be done. */
+    public Set<JobId> unmetDependencies(JobId job) {
+        return Collections.unmodifiableSet(unmet.getOrDefault(job, Set.of()));
     }
 
     public boolean isEmpty() {
-        return needs.isEmpty();
+        return unmet.isEmpty();
     }
 
     /** Forgets everything: what is open is read anew. */
     public void clear() {
-        needs.clear();
+        unmet.clear();
         dependants.clear();
-        lookUps.clear();
-        doomed.clear();
+        jobsToLookUp.clear();
+        jobsToCancel.clear();
         released.clear();
     }
 
     /**
-     * Every edge that matters yet, from a job to what it needs, those nearest to the chains' ends first: a job's own needs come after all
+     * Every edge that is still relevant, from a job to one that it requires, in topological order from the last jobs: a job's own edges come after all
      * edges that lead to it.
      */
-    public List<Edge> fromTheEnds() {
+    public List<Edge> edgesFromLastJobs() {
         Map<JobId, Integer> left = new HashMap<>();
-        dependants.forEach((need, those) -> left.put(need, those.size()));
+        dependants.forEach((required, waiting) -> left.put(required, waiting.size()));
         Deque<JobId> queue = new ArrayDeque<>();
-        needs.keySet().stream().filter(job -> !left.containsKey(job)).forEach(queue::add);
-        List<Edge> out = new ArrayList<>();
+        unmet.keySet().stream().filter(job -> !left.containsKey(job)).forEach(queue::add);
+        List<Edge> edges = new ArrayList<>();
         while (!queue.isEmpty()) {
             JobId job = queue.poll();
-            for (JobId need : needs.getOrDefault(job, Set.of())) {
-                if (!doomed.contains(job)) {
-                    out.add(new Edge(job, need));
+            for (JobId required : unmet.getOrDefault(job, Set.of())) {
+                if (!jobsToCancel.contains(job)) {
+                    edges.add(new Edge(job, required));
                 }
-                if (left.merge(need, -1, Integer::sum) == 0) {
-                    queue.add(need);
+                if (left.merge(required, -1, Integer::sum) == 0) {
+                    queue.add(required);
                 }
             }
         }
-        return out;
+        return edges;
     }
 
-    /** {@code job} waits for {@code need}. */
-    public record Edge(JobId job, JobId need) {}
+    /** {@code job} depends on {@code requiredJob}. */
+    public record Edge(JobId job, JobId requiredJob) {}
 }
--- a/src/main/java/io/indigoreach/core/dependency/Lookahead.java
+++ b/src/main/java/io/indigoreach/core/dependency/Lookahead.java
@@ -8,29 +8,29 @@
 import java.util.function.Function;
 
 /**
- * What the jobs at the ends of chains ask of those before them: the priority of the most urgent one that needs a job, and the
- * time by which it has to be done for the deadlines after it to be met, worked back through expected run times. One walk over
+ * Derives targets for required jobs from the jobs that depend on them: the priority of the most urgent dependant, and the
+ * time by which a job has to be done for the deadlines after it to be met, derived from expected run times. One pass over
  * all edges.
  */
 public final class Lookahead {
     private Lookahead() {}
 
     /**
-     * For each job that another waits for, what those after it ask of it.
+     * The target of each job that another waits for, as its dependants set it.
      *
-     * @param own what is asked of a job by itself
-     * @param run a job's expected run time
+     * @param own a job's own target
+     * @param runTime a job's expected run time
      */
     public static Map<JobId, JobTarget> of(
-            DependencyGraph graph, Function<JobId, JobTarget> own, Function<JobId, Span> run) {
-        Map<JobId, JobTarget> asked = new HashMap<>();
-        for (DependencyGraph.Edge edge : graph.fromTheEnds()) {
-            JobTarget after = asked.get(edge.job());
-            JobTarget whole = after == null
+            DependencyGraph graph, Function<JobId, JobTarget> own, Function<JobId, Span> runTime) {
+        Map<JobId, JobTarget> targets = new HashMap<>();
+        for (DependencyGraph.Edge edge : graph.edgesFromLastJobs()) {
+            JobTarget after = targets.get(edge.job());
+            JobTarget combined = after == null
                     ? own.apply(edge.job())
-                    : own.apply(edge.job()).and(after);
-            asked.merge(edge.need(), whole.before(run.apply(edge.job())), JobTarget::and);
+                    : own.apply(edge.job()).strictest(after);
+            targets.merge(edge.requiredJob(), combined.before(runTime.apply(edge.job())), JobTarget::strictest);
         }
-        return asked;
+        return targets;
     }
 }
--- a/src/main/java/io/indigoreach/core/loss/RecordRepair.java
+++ b/src/main/java/io/indigoreach/core/loss/RecordRepair.java
@@ -77,7 +77,7 @@
     private static boolean allDone(Rest rest, RememberedState.OpenJob job) {
         return rest.done != null
                 && job != null
-                && job.spec().shape() == JobKind.ARRAY
+                && job.spec().kind() == JobKind.ARRAY
                 && rest.done == job.spec().tasks();
     }
 
--- a/src/main/java/io/indigoreach/core/loss/RememberedState.java
+++ b/src/main/java/io/indigoreach/core/loss/RememberedState.java
@@ -23,7 +23,7 @@
         OpenJob with(OpenJob other) {
             BitSet both = (BitSet) done.clone();
             both.or(other.done);
-            JobSpec released = other.spec.chain().isReleased() ? other.spec : spec;
+            JobSpec released = other.spec.dependencies().isReleased() ? other.spec : spec;
             return new OpenJob(released, Math.min(submittedMs, other.submittedMs), both, Math.max(bound, other.bound));
         }
 
--- a/src/main/java/io/indigoreach/core/model/Demand.java
+++ b/src/main/java/io/indigoreach/core/model/Demand.java
@@ -1,9 +1,10 @@
 package io.indigoreach.core.model;
 
-/** What a task takes of its machine, or a machine has to give. */
+/** The resources that a task needs of its machine, or that a machine offers. */
 public record Demand(double cores, double gpus, double ramGb) {
     public static final Demand NOTHING = new Demand(0, 0, 0);
-    private static final double EPS = 1e-6;
+    private static final double ROUNDING = 1e-6;
+    private static final double UNBOUNDED = 1e6;
 
     public Demand plus(Demand other) {
         return new Demand(cores + other.cores, gpus + other.gpus, ramGb + other.ramGb);
@@ -14,7 +15,7 @@
     }
 
     public boolean fitsIn(Demand room) {
-        return cores <= room.cores + EPS && gpus <= room.gpus + EPS && ramGb <= room.ramGb + EPS;
+        return cores <= room.cores + ROUNDING && gpus <= room.gpus + ROUNDING && ramGb <= room.ramGb + ROUNDING;
     }
 
     /** The part of {@code whole} that this takes, of what it takes most of. */
@@ -23,21 +24,21 @@
     }
 
     private static double part(double taken, double whole) {
-        return taken <= EPS ? 0 : taken / whole;
+        return taken <= ROUNDING ? 0 : taken / whole;
     }
 
     /** How many times this fits into {@code room}. */
     public int timesIn(Demand room) {
-        double n = 1e6;
-        if (cores > EPS) {
-            n = Math.min(n, (room.cores + EPS) / cores);
+        double times = UNBOUNDED;
+        if (cores > ROUNDING) {
+            times = Math.min(times, (room.cores + ROUNDING) / cores);
         }
-        if (gpus > EPS) {
-            n = Math.min(n, (room.gpus + EPS) / gpus);
+        if (gpus > ROUNDING) {
+            times = Math.min(times, (room.gpus + ROUNDING) / gpus);
         }
-        if (ramGb > EPS) {
-            n = Math.min(n, (room.ramGb + EPS) / ramGb);
+        if (ramGb > ROUNDING) {
+            times = Math.min(times, (room.ramGb + ROUNDING) / ramGb);
         }
-        return (int) Math.max(0, Math.floor(n));
+        return (int) Math.max(0, Math.floor(times));
     }
 }
--- a/src/main/java/io/indigoreach/core/model/FencingToken.java
+++ b/src/main/java/io/indigoreach/core/model/FencingToken.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.model;
 
-/** Shows who may give orders: the leader's number, higher for each new leader. */
+/** The leader's number, higher for each new leader; workers discard commands under lower ones. */
 public record FencingToken(long value) {
     public static final FencingToken NONE = new FencingToken(0);
 
@@ -8,9 +8,9 @@
         return new FencingToken(value + 1);
     }
 
-    /** The n-th attempt handed out under this token; no two leaders can hand out the same one. */
-    public Attempt attempt(long n) {
-        return new Attempt((value << 28) | (n & 0xfffffffL));
+    /** The {@code count}-th attempt handed out under this token; no two leaders can hand out the same one. */
+    public Attempt attempt(long count) {
+        return new Attempt((value << 28) | (count & 0xfffffffL));
     }
 
     @Override
--- a/src/main/java/io/indigoreach/core/model/Heartbeat.java
+++ b/src/main/java/io/indigoreach/core/model/Heartbeat.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A worker's report. {@code notice} is the time until the cloud takes the machine away, or null. */
+/** A worker's heartbeat with all its tasks. {@code preemptionNotice} is the time until the cloud preempts the machine, or null. */
 public record Heartbeat(
         MachineId machine,
         String address,
--- a/src/main/java/io/indigoreach/core/model/JobDependencies.java
+++ b/src/main/java/io/indigoreach/core/model/JobDependencies.java
@@ -5,35 +5,36 @@
 /**
  * The jobs that have to be done before any task of a job starts.
  *
- * @param needs the named jobs; empty for most jobs
- * @param releasedMs when a leader found all of them done, by the time of day; 0 as long as no record says so
+ * @param requiredJobs the named jobs; empty for most jobs
+ * @param releasedAtMs when a leader found all of them done, by the time of day; 0 as long as no record says so
  */
-public record JobDependencies(List<JobId> needs, long releasedMs) {
+public record JobDependencies(List<JobId> requiredJobs, long releasedAtMs) {
     /** Of a job that waits for no other. */
     public static final JobDependencies NONE = new JobDependencies(List.of(), 0);
 
     public JobDependencies {
-        needs = List.copyOf(needs);
+        requiredJobs = List.copyOf(requiredJobs);
     }
 
-    public static JobDependencies of(List<JobId> needs) {
-        return needs.isEmpty() ? NONE : new JobDependencies(needs, 0);
+    public static JobDependencies of(List<JobId> requiredJobs) {
+        return requiredJobs.isEmpty() ? NONE : new JobDependencies(requiredJobs, 0);
     }
 
     public boolean isEmpty() {
-        return needs.isEmpty();
+        return requiredJobs.isEmpty();
     }
 
     public boolean isReleased() {
-        return releasedMs > 0;
+        return releasedAtMs > 0;
     }
 
     /** As far as its own record says, it waits for others. */
     public boolean isWaiting() {
-        return !needs.isEmpty() && !isReleased();
+        return !requiredJobs.isEmpty() && !isReleased();
     }
 
-    public JobDependencies released(long atMs) {
-        return new JobDependencies(needs, atMs);
+    /** The same dependencies, all of them done. */
+    public JobDependencies released(long timeOfDayMs) {
+        return new JobDependencies(requiredJobs, timeOfDayMs);
     }
 }
--- a/src/main/java/io/indigoreach/core/model/JobKind.java
+++ b/src/main/java/io/indigoreach/core/model/JobKind.java
@@ -1,7 +1,9 @@
 package io.indigoreach.core.model;
 
-/** Whether a job's tasks each run to completion, or run until the job is cancelled. */
+/** What kind of job it is. */
 public enum JobKind {
+    /** A job array: independent tasks that each run to completion. */
     ARRAY,
+    /** A service: replicas that run until the job is cancelled. */
     SERVICE
 }
--- a/src/main/java/io/indigoreach/core/model/JobStatus.java
+++ b/src/main/java/io/indigoreach/core/model/JobStatus.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.model;
 
-/** What a user is told of a job. */
+/** The status of a job as its user sees it. */
 public enum JobStatus {
     PENDING,
     RUNNING,
--- a/src/main/java/io/indigoreach/core/model/JobTarget.java
+++ b/src/main/java/io/indigoreach/core/model/JobTarget.java
@@ -1,13 +1,13 @@
 package io.indigoreach.core.model;
 
 /**
- * What is asked of a job: how urgent it is, and by when it has to be done.
+ * The target of a job: how urgent it is, and by when it has to be done.
  *
- * @param due null if nothing says so
+ * @param due null if there is no deadline
  */
 public record JobTarget(Urgency urgency, Moment due) {
-    /** Both together: the more urgent, the earlier. */
-    public JobTarget and(JobTarget other) {
+    /** The stricter of both: the more urgent, the earlier. */
+    public JobTarget strictest(JobTarget other) {
         return new JobTarget(
                 other.urgency.isMoreUrgentThan(urgency) ? other.urgency : urgency, earlier(due, other.due));
     }
@@ -17,10 +17,10 @@
         return new JobTarget(urgency, due == null ? null : due.minus(run));
     }
 
-    private static Moment earlier(Moment a, Moment b) {
-        if (a == null || b == null) {
-            return a == null ? b : a;
+    private static Moment earlier(Moment first, Moment second) {
+        if (first == null || second == null) {
+            return first == null ? second : first;
         }
-        return b.isBefore(a) ? b : a;
+        return second.isBefore(first) ? second : first;
     }
 }
--- a/src/main/java/io/indigoreach/core/model/Moment.java
+++ b/src/main/java/io/indigoreach/core/model/Moment.java
@@ -2,6 +2,7 @@
 
 /** A point on this process's steady clock, in milliseconds from an arbitrary start. */
 public record Moment(long ms) implements Comparable<Moment> {
+    /** Before every other moment. */
     public static final Moment NEVER = new Moment(Long.MIN_VALUE / 4);
 
     public Moment plus(Span span) {
--- a/src/main/java/io/indigoreach/core/model/Span.java
+++ b/src/main/java/io/indigoreach/core/model/Span.java
@@ -34,7 +34,7 @@
         return Long.compare(ms, other.ms);
     }
 
-    public static Span longer(Span a, Span b) {
-        return a.compareTo(b) > 0 ? a : b;
+    public static Span longer(Span first, Span second) {
+        return first.compareTo(second) > 0 ? first : second;
     }
 }
--- a/src/main/java/io/indigoreach/core/model/TaskState.java
+++ b/src/main/java/io/indigoreach/core/model/TaskState.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.model;
 
-/** A task's state on a machine. ORDERED: a start was put into an answer, and no newer report has come yet. */
+/** A task's state on a machine. ORDERED: a start was sent, and no newer heartbeat has arrived yet. */
 public enum TaskState {
     ORDERED,
     FETCHING,
--- a/src/main/java/io/indigoreach/core/scheduling/Admission.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Admission.java
@@ -22,7 +22,7 @@
         if (types.stream().noneMatch(type -> fits(spec, type))) {
             return "a task fits no allowed machine type";
         }
-        int atOnce = spec.shape() == JobKind.SERVICE ? spec.tasks() : 1;
+        int atOnce = spec.kind() == JobKind.SERVICE ? spec.tasks() : 1;
         if (!team.allows(spec.demand().cores() * atOnce, spec.demand().gpus() * atOnce)) {
             return "more than the limit of team " + spec.team();
         }
--- a/src/main/java/io/indigoreach/core/scheduling/AsymmetricPartition.java
+++ b/src/main/java/io/indigoreach/core/scheduling/AsymmetricPartition.java
@@ -4,128 +4,147 @@
 import io.indigoreach.core.model.Heartbeat;
 import io.indigoreach.core.model.HeartbeatNumber;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.TaskState;
 import io.indigoreach.core.model.TaskStatus;
 import io.indigoreach.core.model.WorkerCommand;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * Whether a machine takes the answers to its reports. Its reports may arrive while answers do not reach it: it starts nothing
- * that it is given, and its tasks end with its lease, however often it is heard. A report shows what became of the answer
- * before it, as a worker has one report under way and drops answers to those that it has given up: what was started is in it in
- * some state, refused included, what was reaped is not, what was stopped does not run, and the token is ours.
+ * Whether a machine receives the answers to its heartbeats. Its heartbeats may arrive while answers do not reach it: then it
+ * starts nothing that it is given, and its tasks end with its lease, however many heartbeats arrive. A heartbeat shows what
+ * became of the answer before it, as a worker has one heartbeat in flight and drops answers to those that it has abandoned:
+ * what was started is in it in some state, refused included, what was reaped is not, what was stopped does not run, and the
+ * token is this leader's.
  *
- * <p>A lost answer or two are usual. A machine is told by {@value #MISSED} answers not taken in a row, with none taken between,
- * over half a lease; one that has shown nothing to this leader yet, as it may be slow at its start or find a new leader slow,
- * by twice as many over twice as long. Reports every 2 s tell it with the third after the first answer, at 6 s; those of a
- * worker that waits 4 s for each answer and is sent back at once, at 16.5 s; by the token alone at 12 s and 33 s. All that is
- * kept is one order, a count and three times.
+ * <p>A lost answer or two are usual. A partition is confirmed by {@value #MISSED_TO_CONFIRM} answers missed in a row over half
+ * a lease; for a machine that has shown nothing to this leader yet, as it may start slowly or be slow to find a new leader, by
+ * twice as many over twice as long. Heartbeats every 2 s confirm it with the third after the first answer, at 6 s; those of
+ * a worker that waits 4 s for each answer and is sent back at once, at 16.5 s; by the token alone at 12 s and 33 s. All that
+ * is kept is one command, a count and three times.
  */
 final class AsymmetricPartition {
-    private static final int MISSED = 3;
+    private static final int MISSED_TO_CONFIRM = 3;
+    private static final double CONFIRMING_LEASE_FRACTION = 0.5;
+    /** How much more evidence is needed of a machine that has not received any answer of this leader yet. */
+    private static final int UNPROVED_FACTOR = 2;
 
     private enum Evidence {
-        TAKEN,
+        RECEIVED,
         MISSED,
-        NOTHING
+        NONE
     }
 
-    /** An order of the last answer, by which the next report shows whether it was taken; or null. */
-    private WorkerCommand witness;
-    /** When the report before was answered; null if it was not, or too late. */
-    private Moment answerSent;
+    /** A command of the last answer, by which the next heartbeat shows whether it was received; or null. */
+    private WorkerCommand probe;
+    /** When the previous heartbeat was answered; null if it was not, or too late. */
+    private Moment answerSentAt;
 
     private int missed;
-    /** When the first of the answers was given that were not taken, and when the last one showed. */
-    private Moment since;
+    /** When the first of the missed answers was given. */
+    private Moment missedSince;
+    /** When the last missed answer was noticed. */
+    private Moment lastMissedAt;
+    /** It has received an answer of this leader. */
+    private boolean everReceived;
 
-    private Moment lastMiss;
-    /** It has taken an answer of this leader. */
-    private boolean proved;
+    private boolean confirmed;
 
-    private boolean told;
-
-    /** A report newer than {@code before}; {@code awake}: until then the leader stood still, and may have answered late. */
+    /**
+     * Takes the evidence of a heartbeat newer than {@code previous}.
+     *
+     * @param awakeSince until then the leader's event loop stood still, and it may have answered late
+     */
     void observe(
             Heartbeat heartbeat,
-            HeartbeatNumber before,
+            HeartbeatNumber previous,
             FencingToken token,
-            Moment awake,
-            SafetyTimes rules,
+            Moment awakeSince,
+            SafetyTimes safetyTimes,
             Moment now) {
-        Evidence sign = sign(heartbeat, before, token);
-        boolean goesOn = missed > 0 && now.since(lastMiss).compareTo(rules.leaseBound()) > 0;
-        if (sign == Evidence.TAKEN || (sign == Evidence.NOTHING && goesOn)) {
-            // A session that outlasts a lease was answered meanwhile, whatever else is known.
+        Evidence evidence = evidence(heartbeat, previous, token);
+        boolean outlastsLease = missed > 0 && now.since(lastMissedAt).compareTo(safetyTimes.leaseBound()) > 0;
+        if (evidence == Evidence.RECEIVED || (evidence == Evidence.NONE && outlastsLease)) {
+            // An incarnation that outlasts a lease was answered meanwhile, whatever else is known.
             missed = 0;
-            told = false;
-            proved |= sign == Evidence.TAKEN;
-        } else if (sign == Evidence.MISSED && !awake.isAfter(answerSent)) {
-            since = missed == 0 ? answerSent : since;
-            lastMiss = now;
-            missed++;
-            int times = proved ? 1 : 2;
-            told = missed >= MISSED * times
-                    && now.since(since).compareTo(rules.workerLease().times(0.5 * times)) >= 0;
+            confirmed = false;
+            everReceived |= evidence == Evidence.RECEIVED;
+        } else if (evidence == Evidence.MISSED && !awakeSince.isAfter(answerSentAt)) {
+            answerMissed(safetyTimes, now);
         }
-        answerSent = null;
-        witness = null;
+        answerSentAt = null;
+        probe = null;
+    }
+
+    private void answerMissed(SafetyTimes safetyTimes, Moment now) {
+        missedSince = missed == 0 ? answerSentAt : missedSince;
+        lastMissedAt = now;
+        missed++;
+        int factor = everReceived ? 1 : UNPROVED_FACTOR;
+        Span confirmingTime = safetyTimes.workerLease().times(CONFIRMING_LEASE_FRACTION * factor);
+        confirmed =
+                missed >= MISSED_TO_CONFIRM * factor && now.since(missedSince).compareTo(confirmingTime) >= 0;
     }
 
-    private Evidence sign(Heartbeat heartbeat, HeartbeatNumber before, FencingToken token) {
-        if (!proved && heartbeat.token().equals(token)) {
-            return Evidence.TAKEN;
+    private Evidence evidence(Heartbeat heartbeat, HeartbeatNumber previous, FencingToken token) {
+        if (!everReceived && heartbeat.token().equals(token)) {
+            return Evidence.RECEIVED;
         }
-        if (answerSent == null) {
-            return Evidence.NOTHING;
+        if (answerSentAt == null) {
+            return Evidence.NONE;
         }
-        if (heartbeat.number().incarnation() > before.incarnation()) {
+        if (heartbeat.number().incarnation() > previous.incarnation()) {
             return Evidence.MISSED;
         }
         if (heartbeat.token().value() < token.value()) {
             return Evidence.MISSED;
         }
-        return witness == null ? Evidence.NOTHING : shown(heartbeat.tasks());
+        return probe == null ? Evidence.NONE : evidenceOf(heartbeat.tasks());
     }
 
-    private Evidence shown(List<TaskStatus> tasks) {
-        TaskStatus shown = tasks.stream()
+    private Evidence evidenceOf(List<TaskStatus> tasks) {
+        Optional<TaskStatus> reported = tasks.stream()
                 .filter(status ->
-                        status.task().equals(witness.task()) && status.attempt().equals(witness.attempt()))
-                .findFirst()
-                .orElse(null);
-        if (witness instanceof WorkerCommand.Stop) {
-            boolean goesOn =
-                    shown != null && (shown.state() == TaskState.RUNNING || shown.state() == TaskState.FETCHING);
-            return goesOn ? Evidence.MISSED : Evidence.NOTHING;
+                        status.task().equals(probe.task()) && status.attempt().equals(probe.attempt()))
+                .findFirst();
+        if (probe instanceof WorkerCommand.Stop) {
+            return reported.filter(AsymmetricPartition::isStillRunning).isPresent() ? Evidence.MISSED : Evidence.NONE;
         }
-        return (shown != null) == witness instanceof WorkerCommand.Start ? Evidence.TAKEN : Evidence.MISSED;
+        boolean expected = probe instanceof WorkerCommand.Start;
+        return reported.isPresent() == expected ? Evidence.RECEIVED : Evidence.MISSED;
+    }
+
+    private static boolean isStillRunning(TaskStatus status) {
+        return status.state() == TaskState.RUNNING || status.state() == TaskState.FETCHING;
     }
 
-    /** These orders are in the answer that goes out now: a start tells most, a stop least. */
-    void answerSent(List<WorkerCommand> orders, Moment now) {
-        answerSent = now;
-        for (WorkerCommand command : orders) {
-            if (witness == null || command instanceof WorkerCommand.Start || witness instanceof WorkerCommand.Stop) {
-                witness = command;
+    /** These commands are in the answer that is sent now: a start is the best evidence, a stop the weakest. */
+    void answerSent(List<WorkerCommand> commands, Moment now) {
+        answerSentAt = now;
+        for (WorkerCommand command : commands) {
+            if (probe == null || command instanceof WorkerCommand.Start || probe instanceof WorkerCommand.Stop) {
+                probe = command;
             }
         }
     }
 
-    /** It has not taken the last answer. */
+    /** It has missed the last answer. */
     boolean isSuspected() {
         return missed > 0;
     }
 
-    /** Nothing more is to be given to it. */
+    /** Answers do not reach it: nothing more is to be given to it. */
     boolean isConfirmed() {
-        return told;
+        return confirmed;
     }
 
-    Moment since() {
-        return since;
+    /** When the first of the missed answers was given. */
+    Moment missedSince() {
+        return missedSince;
     }
 
+    /** How many answers it has missed in a row. */
     int missed() {
         return missed;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Cluster.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Cluster.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The leader's picture of jobs, machines and what may be where. Every placement is entered and taken out here. */
+/** The state of the scheduler: jobs, machines and placements. Every placement is added and removed here. */
 final class Cluster {
     final Map<JobId, Job> jobs = new HashMap<>();
     final TreeMap<MachineId, Machine> machines = new TreeMap<>();
@@ -22,22 +22,22 @@
     private final Map<String, FairShareQueue> queues = new LinkedHashMap<>();
     /** On how many machines each image is. */
     private final Map<String, Integer> machinesByImage = new HashMap<>();
-    /** Jobs whose tasks only keep images: in no queue. */
+    /** Jobs whose tasks only hold images: in no queue. */
     final List<Job> holderJobs = new ArrayList<>();
 
     WarmCapacity warmCapacity = WarmCapacity.NONE;
     private int orphanTasks;
     private long machineVisits;
-    /** The leader has not stood still since: what it did not hear before then may wait to be read. */
+    /** Since when the event loop has run without a pause: heartbeats missing before then may wait to be read. */
     Moment awakeSince = Moment.NEVER;
     /** Rises with every change that can alter a reservation. */
     long version;
 
     Cluster(Collection<Team> teams) {
         for (Team team : teams) {
-            TeamUsage use = new TeamUsage(team);
-            this.teams.put(team.name(), use);
-            queueOf(use);
+            TeamUsage usage = new TeamUsage(team);
+            this.teams.put(team.name(), usage);
+            queueOf(usage);
         }
     }
 
@@ -60,20 +60,20 @@
 
     /** What the job's team uses; one that the settings no longer name keeps its jobs, without guarantee or limit. */
     TeamUsage teamUsage(Job job) {
-        return teams.computeIfAbsent(job.spec.team(), t -> new TeamUsage(new Team(t, 0, 0, 0, 0)));
+        return teams.computeIfAbsent(job.spec.team(), name -> new TeamUsage(new Team(name, 0, 0, 0, 0)));
     }
 
-    private FairShareQueue queueOf(TeamUsage use) {
+    private FairShareQueue queueOf(TeamUsage usage) {
         return queues.computeIfAbsent(
-                use.hasGuarantee() ? use.team.name() : FairShareQueue.COMMON,
-                name -> new FairShareQueue(name, use.hasGuarantee() ? use : null));
+                usage.hasGuarantee() ? usage.team.name() : FairShareQueue.COMMON,
+                name -> new FairShareQueue(name, usage.hasGuarantee() ? usage : null));
     }
 
     FairShareQueue queueOf(Job job) {
         return queueOf(teamUsage(job));
     }
 
-    /** The share that the machine serves; null if it serves none yet. */
+    /** The queue that the machine serves; null if it serves none yet. */
     FairShareQueue queueOf(Machine machine) {
         return machine.queueName == null ? null : queues.get(machine.queueName);
     }
@@ -101,17 +101,17 @@
         return orphanTasks > 0;
     }
 
-    void setOrphanTasks(Machine machine, int n) {
-        orphanTasks += n - machine.orphanTasks;
-        machine.countOrphanTasks(n);
+    void setOrphanTasks(Machine machine, int count) {
+        orphanTasks += count - machine.orphanTasks;
+        machine.countOrphanTasks(count);
     }
 
-    /** How many machines were looked at by walks over a share's machines: what decisions cost. */
+    /** How many machines were visited by iterations over a queue's machines: what decisions cost. */
     long machineVisits() {
         return machineVisits;
     }
 
-    /** Takes a job off the queue; its placements stay until they surely are gone. */
+    /** Removes a job from its queue; its placements stay until their tasks surely are gone. */
     void remove(Job job) {
         jobs.remove(job.id(), job);
         holderJobs.remove(job);
@@ -129,15 +129,15 @@
         }
         placement.machine.imageCache.use(image, placement.job.spec.imageGb()).forEach(this::imageRemoved);
         if (placement.isRunning()) {
-            // Started by an earlier leader: the image was here then, and may have been pushed out since.
-            placement.machine.imageCache.mayHave(image);
+            // Started by an earlier leader: the image was here then, and may have been evicted since.
+            placement.machine.imageCache.markUncertain(image);
         }
         queueOf(placement.job).addUsage(placement.demand(), 1);
         teamUsage(placement.job).addUsage(placement.demand(), 1);
         version++;
     }
 
-    /** The task surely is not on its machine any more. */
+    /** The task is surely not on its machine any more. */
     void removePlacement(Placement placement, Moment now) {
         placement.job.removePlacement(placement);
         placement.job.placementsChanged(now);
@@ -145,9 +145,9 @@
         queueOf(placement.job).addUsage(placement.demand(), -1);
         teamUsage(placement.job).addUsage(placement.demand(), -1);
         String image = placement.job.spec.image();
-        if (placement.machine.imageCache.isComing(image)
+        if (placement.machine.imageCache.isFetching(image)
                 && !placement.machine.hasTaskWith(image)
-                && placement.machine.imageCache.givenUp(image)) {
+                && placement.machine.imageCache.abandonFetch(image)) {
             imageRemoved(image);
         }
         if (placement.machine.isIdle()) {
@@ -178,27 +178,27 @@
     }
 
     private void imageRemoved(String image) {
-        machinesByImage.computeIfPresent(image, (i, n) -> n > 1 ? n - 1 : null);
+        machinesByImage.computeIfPresent(image, (key, count) -> count > 1 ? count - 1 : null);
     }
 
     boolean isImageCached(String image) {
         return machinesByImage.containsKey(image);
     }
 
-    /** Every machine; a walk over them counts like one over a share's. */
+    /** Every machine; an iteration over them counts like one over a queue's. */
     Collection<Machine> allMachines() {
         machineVisits += machines.size();
         return machines.values();
     }
 
     List<Machine> machinesServing(FairShareQueue queue) {
-        List<Machine> out = new ArrayList<>();
+        List<Machine> serving = new ArrayList<>();
         machineVisits += machines.size();
         for (Machine machine : machines.values()) {
             if (machine.queueName == null || machine.queueName.equals(queue.name)) {
-                out.add(machine);
+                serving.add(machine);
             }
         }
-        return out;
+        return serving;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
+++ b/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 
 /**
- * The chained jobs of one leadership. While a job waits for others it is in no queue, so that it holds nothing and asks for
- * nothing: it is entered there when the ends of all that it needs are durable, and its times count from then, except its
- * deadline.
+ * The jobs of one leadership term that depend on others. While a job waits for others it is in no queue, so that it holds no
+ * reservation and causes no scale-out: it is enqueued when the ends of all the jobs that it requires are durable, and its times
+ * count from then, except its deadline.
  */
 public final class DependentJobs {
     private static final Span LOOK_AHEAD = Span.seconds(1);
@@ -23,7 +23,7 @@
     private final DependencyGraph graph = new DependencyGraph();
     /** Waiting jobs that were there before this leader: an earlier one may have released them. */
     private final Set<Job> inherited = new HashSet<>();
-    /** Jobs that others wait for, with what those ask of them. */
+    /** Jobs that others wait for, with the targets that those set. */
     private Set<JobId> targeted = Set.of();
 
     private Moment lookedAhead = Moment.NEVER;
@@ -36,7 +36,7 @@
     void added(Job job) {
         graph.opened(job.id());
         if (job.hasUnmetDependencies()) {
-            graph.add(job.id(), job.spec.chain().needs(), cluster.jobs::containsKey);
+            graph.add(job.id(), job.spec.dependencies().requiredJobs(), cluster.jobs::containsKey);
             if (job.inherited) {
                 inherited.add(job);
             }
@@ -66,23 +66,22 @@
     }
 
     /** Jobs that others wait for and that are not open here: their ends are to be read. */
-    public Set<JobId> lookUps() {
-        return graph.lookUps();
+    public Set<JobId> jobsToLookUp() {
+        return graph.jobsToLookUp();
     }
 
     /** Jobs below a cancelled one, whose own ends are to be written. */
-    public Set<JobId> doomed() {
-        return graph.doomed();
+    public Set<JobId> jobsToCancel() {
+        return graph.jobsToCancel();
     }
 
-    /** Enters the released jobs into the queues, and once a second works back what the ends of chains ask. */
+    /** Enqueues the released jobs, and once a second derives targets of required jobs from the jobs that depend on them. */
     public void advance(Moment now, long timeOfDayMs) {
         graph.takeReleased().forEach(id -> release(id, now, timeOfDayMs));
         if (now.since(lookedAhead).compareTo(LOOK_AHEAD) >= 0) {
             lookedAhead = now;
-            // A task of it on a machine, which only a leader that had released it can have ordered: its needs were
-            // done, also
-            // where a loss of data has taken their ends.
+            // A task of it is on a machine, which only a leader that had released it can have started: the jobs it
+            // requires were done, also where a data loss has taken their ends.
             Set.copyOf(inherited).stream().filter(Job::hasBegun).forEach(job -> {
                 graph.removeWaiting(job.id());
                 release(job.id(), now, timeOfDayMs);
@@ -104,15 +103,15 @@
         if (graph.isEmpty() && targeted.isEmpty()) {
             return;
         }
-        Map<JobId, JobTarget> asked =
+        Map<JobId, JobTarget> targets =
                 Lookahead.of(graph, id -> cluster.jobs.get(id).ownTarget(), id -> runTime(cluster.jobs.get(id)));
         for (JobId id : targeted) {
-            if (!asked.containsKey(id)) {
+            if (!targets.containsKey(id)) {
                 target(id, null);
             }
         }
-        asked.forEach(this::target);
-        targeted = Set.copyOf(asked.keySet());
+        targets.forEach(this::target);
+        targeted = Set.copyOf(targets.keySet());
     }
 
     /** A service has reached what its deadline is for when it starts. */
--- a/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
@@ -125,7 +125,7 @@
                 && cluster.warmCapacity.isKnown()
                 && (sits.job != due
                         || (sits.isRunning()
-                                && (!machine.imageCache.holds(sits.job.spec.image())
+                                && (!machine.imageCache.isCached(sits.job.spec.image())
                                         || machine.imageCache.isCrowded(sits.job.spec.image()))))) {
             // Started anew, it shows that its image is here, or fetches it, and the image counts as used last.
             stop(sits, orders);
--- a/src/main/java/io/indigoreach/core/scheduling/Failover.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Failover.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * What a new leader does not know yet. Tasks that an earlier leader started may be on any machine that it could give
- * orders to, and these are all in the state service. Until each of them has reported under the new token, or is gone,
- * or its lease has surely run out, nothing inherited may be started.
+ * The machines that a new leader has not reconciled yet. Tasks that an earlier leader started may be on any machine that it
+ * could command, and these are all recorded in the state service. Until each of them has sent a heartbeat under the new
+ * token, or is gone, or its lease has surely expired, no inherited task may be started.
  */
 final class Failover {
     /** Of each, since when no earlier leader has answered it. */
@@ -19,13 +19,13 @@
     }
 
     /**
-     * Whether a newer report under an older token shows that nothing of an earlier leader is left on the machine: any answer
-     * of this leader would have shown it the token, and one to a report before can come no more, as it has one under way. So
-     * none has renewed its lease, and an earlier leader's last one before the take-over has run out if that is not after
-     * {@code leaseEnds}. Guards against a take-over that waits for as long as a machine reports and hears nothing: each
-     * report could be answered, and so each puts off when the machine is silent for a lease.
+     * Whether a newer heartbeat under an older token shows that nothing of an earlier leader is left on the machine: any
+     * answer of this leader would have shown it the token, and one to an earlier heartbeat can arrive no more, as a worker has
+     * one heartbeat in flight. So none has renewed its lease, and the last one before the failover has expired if it is
+     * older than {@code leaseEnds}. Guards against a failover that waits for as long as a machine sends heartbeats and
+     * receives no answers: each heartbeat could be answered, and so each postpones when its lease counts as expired.
      */
-    boolean isLeaseOver(MachineId machine, Moment leaseEnds) {
+    boolean isInheritedLeaseExpired(MachineId machine, Moment leaseEnds) {
         Moment since = unreconciled.get(machine);
         return since != null && since.isBefore(leaseEnds);
     }
--- a/src/main/java/io/indigoreach/core/scheduling/HeartbeatHandler.java
+++ b/src/main/java/io/indigoreach/core/scheduling/HeartbeatHandler.java
@@ -125,7 +125,7 @@
 
     /** The worker learns this leader's token by the answer; until its next heartbeat its task list proves nothing. */
     private List<WorkerCommand> answerOlderToken(Machine machine, Moment now) {
-        if (failover.isLeaseOver(machine.id, now.minus(safetyTimes.leaseBound()))) {
+        if (failover.isInheritedLeaseExpired(machine.id, now.minus(safetyTimes.leaseBound()))) {
             release.machineReconciled(machine.id);
         }
         machine.partition.answerSent(List.of(), now);
@@ -135,7 +135,7 @@
     private void noticeNewIncarnation(Machine machine, HeartbeatNumber previous, Moment now) {
         if (previous.incarnation() != 0 && machine.lastHeartbeat.incarnation() > previous.incarnation()) {
             cluster.removeAllPlacements(machine, now);
-            machine.imageCache.doubt();
+            machine.imageCache.incarnationEnded();
         }
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/ImageCache.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ImageCache.java
@@ -7,20 +7,20 @@
 import java.util.Map;
 
 /**
- * Which images a machine has, as far as its reports show. The protocol names the size of the cache and that the most recently
- * used images stay; what is not shown by a report is not claimed. Sizes in GB.
+ * Which images a machine has, as far as its heartbeats show. The protocol defines the size of the cache and that the most
+ * recently used images stay; what no heartbeat shows is not claimed. Sizes in GB.
  */
 public final class ImageCache {
     /** A bound for images that take no room. */
-    private static final int MOST = 256;
+    private static final int MAX_IMAGES = 256;
 
     private enum State {
-        /** A task that needs it was ordered; it may be on its way, and is given up when no task waits for it. */
-        COMING,
-        /** A task that needs it ran here since, in this session, and nothing has pushed it out. */
-        HELD,
-        /** It was here; a session's end or a change of leader may have cost it. The next start's time shows. */
-        DOUBTED
+        /** A task that needs it was started; it may be being fetched, which is abandoned when no task waits for it. */
+        FETCHING,
+        /** A task that needs it ran here since, in this incarnation, and nothing has evicted it. */
+        CACHED,
+        /** It was here; the end of an incarnation or a failover may have lost it. The duration of the next start shows. */
+        UNCERTAIN
     }
 
     private record Entry(double gb, State state) {}
@@ -29,73 +29,77 @@
     /** The least recently used first. */
     private final Map<String, Entry> entries = new LinkedHashMap<>();
 
-    /** {@code capacity} 0: not known, and nothing is ever pushed out. */
+    /** {@code capacity} 0: not known, and nothing is ever evicted. */
     public ImageCache(double capacity) {
         this.capacity = capacity;
     }
 
-    /** A task that needs the image is ordered or seen; the result is what it pushes out. */
+    /** A task that needs the image is started or reported; returns the images that are evicted for it. */
     public List<String> use(String image, double gb) {
         Entry known = entries.remove(image);
-        entries.put(image, known == null ? new Entry(gb, State.COMING) : known);
-        return pushOut(image);
+        entries.put(image, known == null ? new Entry(gb, State.FETCHING) : known);
+        return evict(image);
     }
 
-    private List<String> pushOut(String kept) {
-        List<String> out = new ArrayList<>();
+    private List<String> evict(String kept) {
+        List<String> evicted = new ArrayList<>();
         double total = total();
-        for (Iterator<Map.Entry<String, Entry>> i = entries.entrySet().iterator(); i.hasNext(); ) {
-            Map.Entry<String, Entry> oldest = i.next();
-            if (entries.size() <= MOST && (capacity <= 0 || total <= capacity)) {
+        for (Iterator<Map.Entry<String, Entry>> oldestFirst = entries.entrySet().iterator(); oldestFirst.hasNext(); ) {
+            Map.Entry<String, Entry> oldest = oldestFirst.next();
+            if (entries.size() <= MAX_IMAGES && (capacity <= 0 || total <= capacity)) {
                 break;
             }
             if (!oldest.getKey().equals(kept)) {
                 total -= oldest.getValue().gb;
-                out.add(oldest.getKey());
-                i.remove();
+                evicted.add(oldest.getKey());
+                oldestFirst.remove();
             }
         }
-        return out;
+        return evicted;
     }
 
     private double total() {
         double total = 0;
-        for (Entry e : entries.values()) {
-            total += e.gb;
+        for (Entry entry : entries.values()) {
+            total += entry.gb;
         }
         return total;
     }
 
-    /** A task that needs it runs, or ran: whatever was doubted, it is here now. */
-    public void ran(String image) {
-        entries.computeIfPresent(image, (i, e) -> new Entry(e.gb, State.HELD));
+    /** A task that needs it runs, or ran: whatever was uncertain, it is here now. */
+    public void confirmCached(String image) {
+        entries.computeIfPresent(image, (name, entry) -> new Entry(entry.gb, State.CACHED));
     }
 
-    /** A task that needs it was seen to run, but not to start. */
-    public void mayHave(String image) {
-        entries.computeIfPresent(image, (i, e) -> e.state == State.COMING ? new Entry(e.gb, State.DOUBTED) : e);
+    /** A task that needs it was reported running, but its start was not observed. */
+    public void markUncertain(String image) {
+        entries.computeIfPresent(
+                image, (name, entry) -> entry.state == State.FETCHING ? new Entry(entry.gb, State.UNCERTAIN) : entry);
     }
 
     /** No task waits for it any more before one has run; false if it is here all the same. */
-    public boolean givenUp(String image) {
-        Entry e = entries.get(image);
-        return e != null && e.state == State.COMING && entries.remove(image) != null;
+    public boolean abandonFetch(String image) {
+        Entry entry = entries.get(image);
+        return entry != null && entry.state == State.FETCHING && entries.remove(image) != null;
     }
 
-    /** The session has ended: what was here may be, what was on its way is not. */
-    public void doubt() {
-        entries.replaceAll((i, e) -> e.state == State.HELD ? new Entry(e.gb, State.DOUBTED) : e);
+    /** The incarnation has ended: cached images may still be here, fetches have been lost. */
+    public void incarnationEnded() {
+        entries.replaceAll((name, entry) -> entry.state == State.CACHED ? new Entry(entry.gb, State.UNCERTAIN) : entry);
     }
 
     /**
-     * An earlier leader recorded it as held. Whatever this leader has seen used since is newer, so it stands behind that, and
-     * only if it has room. {@code sure}: the session is the one of the record. False if it is not taken.
+     * An earlier leader recorded it as cached. Whatever this leader has observed in use since is newer, so it ranks behind
+     * that, and only if it has room.
+     *
+     * @param sure whether the incarnation is the one of the record
+     * @return whether it was restored
      */
-    public boolean recall(String image, double gb, boolean sure) {
+    public boolean restore(String image, double gb, boolean sure) {
         Entry known = entries.get(image);
         if (known != null) {
-            if (known.state == State.DOUBTED && sure) {
-                ran(image);
+            if (known.state == State.UNCERTAIN && sure) {
+                confirmCached(image);
             }
             return false;
         }
@@ -104,48 +108,48 @@
         }
         Map<String, Entry> newer = new LinkedHashMap<>(entries);
         entries.clear();
-        entries.put(image, new Entry(gb, sure ? State.HELD : State.DOUBTED));
+        entries.put(image, new Entry(gb, sure ? State.CACHED : State.UNCERTAIN));
         entries.putAll(newer);
         return true;
     }
 
-    /** It is here, may be here, or is on its way. */
+    /** It is here, may be here, or is being fetched. */
     public boolean contains(String image) {
         return entries.containsKey(image);
     }
 
-    /** It is here by the last reports. */
-    public boolean holds(String image) {
-        Entry e = entries.get(image);
-        return e != null && e.state == State.HELD;
+    /** It is here by the last heartbeats. */
+    public boolean isCached(String image) {
+        Entry entry = entries.get(image);
+        return entry != null && entry.state == State.CACHED;
     }
 
-    public boolean isComing(String image) {
-        Entry e = entries.get(image);
-        return e != null && e.state == State.COMING;
+    public boolean isFetching(String image) {
+        Entry entry = entries.get(image);
+        return entry != null && entry.state == State.FETCHING;
     }
 
-    /** Whether another image can be fetched without pushing out one that is here: all used later than that stays too. */
+    /** Whether another image can be fetched without evicting one that is here: all used later than that stays too. */
     public boolean hasRoomBeside(String keep, String other, double gb) {
-        return capacity <= 0 || laterThan(keep, other) + gb + size(keep) <= capacity;
+        return capacity <= 0 || usedLaterThan(keep, other) + gb + size(keep) <= capacity;
     }
 
     /** So much was used since the image was that another of the size it left at first might not fit beside it. */
     public boolean isCrowded(String keep) {
-        return capacity > 0 && laterThan(keep, keep) > (capacity - size(keep)) / 2;
+        return capacity > 0 && usedLaterThan(keep, keep) > (capacity - size(keep)) / 2;
     }
 
     private double size(String image) {
-        Entry e = entries.get(image);
-        return e == null ? 0 : e.gb;
+        Entry entry = entries.get(image);
+        return entry == null ? 0 : entry.gb;
     }
 
-    private double laterThan(String keep, String except) {
+    private double usedLaterThan(String keep, String except) {
         double later = 0;
         boolean after = !entries.containsKey(keep);
-        for (Map.Entry<String, Entry> e : entries.entrySet()) {
-            later += after && !e.getKey().equals(except) ? e.getValue().gb : 0;
-            after |= e.getKey().equals(keep);
+        for (Map.Entry<String, Entry> cached : entries.entrySet()) {
+            later += after && !cached.getKey().equals(except) ? cached.getValue().gb : 0;
+            after |= cached.getKey().equals(keep);
         }
         return later;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Job.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Job.java
@@ -109,7 +109,7 @@
         this.hasRun = doneCount > 0;
         this.durableCount = doneCount;
         // A task that is done was started, and so the job was released.
-        this.hasUnmetDependencies = spec.chain().isWaiting() && !hasRun;
+        this.hasUnmetDependencies = spec.dependencies().isWaiting() && !hasRun;
         this.startBound = startBound;
         this.requestedStartBound = startBound;
         // Where the others of its tasks are decides where one may go, so nothing of it is started before all is known.
@@ -120,7 +120,9 @@
     /** From its submission to the release that its record tells of. */
     private static Span releasedAfter(JobSpec spec, long submittedMs) {
         // By the clocks of two nodes, which may differ by more than that.
-        return spec.chain().isReleased() ? new Span(Math.max(0, spec.chain().releasedMs() - submittedMs)) : Span.ZERO;
+        return spec.dependencies().isReleased()
+                ? new Span(Math.max(0, spec.dependencies().releasedAtMs() - submittedMs))
+                : Span.ZERO;
     }
 
     /** Jobs that it needs are not known to be done: it is in no queue, and nothing of it may start. */
@@ -132,21 +134,21 @@
     void releaseFromDependencies(Moment now, long timeOfDayMs) {
         hasUnmetDependencies = false;
         eligibleSince = now;
-        spec = spec.with(spec.chain().released(timeOfDayMs));
+        spec = spec.with(spec.dependencies().released(timeOfDayMs));
     }
 
     /** Its priority: its own, or the higher one of a job that needs it. */
     Urgency urgency() {
         return dependentsTarget == null
                 ? spec.urgency()
-                : ownTarget().and(dependentsTarget).urgency();
+                : ownTarget().strictest(dependentsTarget).urgency();
     }
 
     /** By when it should be done, for its own deadline or that of a job that needs it; null if nothing says so. */
     Moment dueAt() {
         return dependentsTarget == null
                 ? ownDueAt()
-                : ownTarget().and(dependentsTarget).due();
+                : ownTarget().strictest(dependentsTarget).due();
     }
 
     /** By when it should be done for its own deadline, which counts from its submission; null if it has none. */
@@ -250,7 +252,7 @@
 
     /** Every task has completed; a service never does. */
     public boolean isComplete() {
-        return doneCount == spec.tasks() && spec.shape() == JobKind.ARRAY;
+        return doneCount == spec.tasks() && spec.kind() == JobKind.ARRAY;
     }
 
     public boolean hasUnrecordedCompletions() {
--- a/src/main/java/io/indigoreach/core/scheduling/Machine.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Machine.java
@@ -9,16 +9,14 @@
 import io.indigoreach.core.model.MachineType;
 import io.indigoreach.core.model.Moment;
 import io.indigoreach.core.model.TaskId;
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
-/** A rented machine as the leader knows it. */
+/** A rented machine as the leader knows it. Its state is changed only by its own transitions. */
 public final class Machine {
-    /** BOOTING: no report yet. LOST: its lease ran out unanswered. LEAVING: being returned, never used again. */
+    /** BOOTING: no heartbeat yet. LOST: its lease expired without a heartbeat. RETURNING: being returned, never used again. */
     public enum Phase {
         BOOTING,
         UP,
@@ -30,17 +28,17 @@
     final MachinePool pool;
     final MachineType type;
     Phase phase = Phase.BOOTING;
-    /** When it was asked for: its paid terms count from here. */
+    /** When it was requested: its paid terms count from here. */
     Moment rentedAt;
-    /** Known in the state service; only then may it get tasks, so that a later leader knows to wait for its report. */
+    /** Recorded in the state service; only then may it get tasks, so that a later leader knows to wait for its heartbeat. */
     boolean recorded;
 
     HeartbeatNumber lastHeartbeat = HeartbeatNumber.NONE;
-    /** When its last answered report came; its lease cannot outlast this by more than the lease bound. */
+    /** When its last answered heartbeat arrived; its lease cannot outlast this by more than the lease bound. */
     Moment lastHeardAt;
-    /** Its lease has surely run out since: what it ran is over, and it reports under another session if it lives. */
+    /** Its lease has surely expired since: what it ran is over, and if it lives it continues under a new incarnation. */
     boolean leaseExpired;
-    /** Its task list has been taken from a report under the present token. */
+    /** Its task list has been taken from a heartbeat under the present token. */
     boolean reconciled;
     /** When the cloud is to take it away, or null. */
     Moment preemptionAt;
@@ -48,7 +46,7 @@
     Moment idleSince;
     String queueName;
     final ImageCache imageCache;
-    /** Its place in a warm pool, or null. */
+    /** Its membership of a warm pool, or null. */
     PoolMembership poolMembership;
 
     final Set<JobId> failedJobs = new HashSet<>();
@@ -56,21 +54,19 @@
     final AsymmetricPartition partition = new AsymmetricPartition();
     /** More than is needed at its price: it gets no new tasks for now. */
     boolean surplus;
-    /** It takes no new tasks while the other machines of this share have room for all that waits; or null. */
+    /** It takes no new tasks while the other machines of this queue have room for all that waits; or null. */
     FairShareQueue cordonedFor;
     /** Its tasks are to be moved to others. */
     boolean draining;
     /** Tasks on it of jobs that are over, about which nothing else is known: they still count against their teams. */
     int orphanTasks;
-    /** It surely existed at this moment: a list that describes a later one and lacks it shows that it is gone. */
+    /** It surely existed at this moment: a listing that describes a later one and lacks it shows that it is gone. */
     Moment knownToExistAt;
-    /** In how many lists in a row it was missing. */
+    /** In how many listings in a row it was missing. */
     int missedListings;
 
     Moment returningSince;
-    private final Map<TaskId, Placement> placements = new HashMap<>();
-    private int holders;
-    private Demand used = Demand.NOTHING;
+    private final MachinePlacements placements = new MachinePlacements();
 
     Machine(MachineId id, MachinePool pool, MachineType type, Moment knownToExistAt) {
         this.id = id;
@@ -108,7 +104,7 @@
     }
 
     public int taskCount() {
-        return placements.size();
+        return placements.count();
     }
 
     private void transition(Phase to, Phase... allowedFrom) {
@@ -171,7 +167,7 @@
         leaseExpired = true;
     }
 
-    /** It was found in the cloud's list: its lease may have been renewed up to now. */
+    /** It was found in the cloud's listing: its lease may have been renewed up to now. */
     void adoptedAt(Moment now) {
         lastHeardAt = now;
     }
@@ -187,26 +183,26 @@
     }
 
     /** The same machine under its real pool: what was learned of it stays. */
-    void takeHistoryOf(Machine other) {
+    void copyHistoryOf(Machine other) {
         lastHeardAt = other.lastHeardAt;
         knownToExistAt = other.knownToExistAt;
     }
 
-    /** The cloud has confirmed the rental that was requested at {@code asked}. */
-    void rentalConfirmed(Moment asked) {
-        rentedAt = asked;
+    /** The cloud has confirmed the rental that was requested at {@code requestedAt}. */
+    void rentalConfirmed(Moment requestedAt) {
+        rentedAt = requestedAt;
     }
 
     void existsAt(Moment moment) {
         knownToExistAt = moment;
     }
 
-    /** The cloud's list has it. */
+    /** The cloud's listing has it. */
     void listed() {
         missedListings = 0;
     }
 
-    /** A list that should have it lacks it. */
+    /** A listing that should have it lacks it. */
     void missingFromListing() {
         missedListings++;
     }
@@ -248,53 +244,48 @@
         draining = true;
     }
 
-    /** Draining lasts until the tasks that were told to save have left. */
+    /** Draining lasts until the tasks that are being stopped have exited. */
     void endDrainingIfStopped() {
-        draining &= placements.values().stream().anyMatch(placement -> placement.stopping);
+        draining &= placements.isAnyStopping();
     }
 
     Demand free() {
-        return type.capacity().minus(used);
+        return type.capacity().minus(placements.used());
     }
 
     /**
-     * What a job finds free. A holder gives way to what needs its image: stopped and started by one answer, in this order, so
-     * that the worker never has both. One that still waits for the image stays: without it the fetch would be given up,
-     * and no replica could run before it is done.
+     * The resources available to a job. A holder yields to a task that needs its image: stopped and started by one answer, in
+     * this order, so that the worker never has both. One that still waits for the image stays: without it the fetch would be
+     * abandoned, and no replica could run before it is done.
      */
     Demand freeFor(JobSpec spec) {
-        Placement sits = poolMembership == null || !poolMembership.image().equals(spec.image()) ? null : holder();
-        return sits == null || !sits.isRunning() ? free() : free().plus(sits.demand());
+        Placement holder = poolMembership == null || !poolMembership.image().equals(spec.image()) ? null : holder();
+        return holder == null || !holder.isRunning() ? free() : free().plus(holder.demand());
     }
 
     Demand used() {
-        return used;
+        return placements.used();
     }
 
     Map<TaskId, Placement> placements() {
-        return placements;
+        return placements.byTask();
     }
 
     List<Placement> placementsCopy() {
-        return new ArrayList<>(placements.values());
+        return placements.copy();
     }
 
     void addPlacement(Placement placement) {
-        placements.put(placement.task(), placement);
-        holders += placement.job.spec.isHolder() ? 1 : 0;
-        used = used.plus(placement.demand());
+        placements.add(placement);
     }
 
     void removePlacement(Placement placement) {
-        if (placements.remove(placement.task(), placement)) {
-            holders -= placement.job.spec.isHolder() ? 1 : 0;
-            used = placements.isEmpty() ? Demand.NOTHING : used.minus(placement.demand());
-        }
+        placements.remove(placement);
     }
 
-    /** Nothing works on it; holders do not work. */
+    /** No task runs on it except holders. */
     public boolean isIdle() {
-        return placements.size() == holders;
+        return placements.isIdle();
     }
 
     public MachineType type() {
@@ -309,18 +300,18 @@
         return poolMembership;
     }
 
-    /** Whoever keeps machines takes it, or with null lets it go. */
-    public void poolMembership(PoolMembership place) {
-        poolMembership = place;
-        surplus &= place == null;
+    /** Makes it a member of a warm pool, or with null ends its membership. */
+    public void poolMembership(PoolMembership membership) {
+        poolMembership = membership;
+        surplus &= membership == null;
     }
 
-    /** The session of its last report; 0 before the first to this leader. */
+    /** The incarnation of its last heartbeat; 0 before the first to this leader. */
     public long incarnation() {
         return lastHeartbeat.incarnation();
     }
 
-    /** Rented and not to be given up: booting, up, or silent for less than its lease. */
+    /** Rented and to be kept: booting, up, or silent for less than its lease. */
     public boolean isExpectedToServe() {
         return (phase == Phase.BOOTING || phase == Phase.UP)
                 && preemptionAt == null
@@ -328,48 +319,32 @@
                 && !partition.isConfirmed();
     }
 
-    /** Whether a task sits here only to keep an image. */
+    /** Whether a task runs on it only to keep an image. */
     public boolean hasHolder() {
-        return holders > 0;
+        return placements.hasHolder();
     }
 
-    /** Cores that each team's tasks take; holders take none to speak of. */
+    /** Cores that each team's tasks use; holders use next to none. */
     public Map<String, Double> coresByTeam() {
-        Map<String, Double> cores = new HashMap<>();
-        for (Placement placement : placements.values()) {
-            if (!placement.job.spec.isHolder()) {
-                cores.merge(placement.job.spec.team(), placement.demand().cores(), Double::sum);
-            }
-        }
-        return cores;
+        return placements.coresByTeam();
     }
 
-    /** The holder that sits here and is not told to go; or null. */
+    /** The holder on it that is not being stopped; or null. */
     Placement holder() {
-        for (Placement placement : holders == 0 ? List.<Placement>of() : placements.values()) {
-            if (placement.job.spec.isHolder() && !placement.stopping) {
-                return placement;
-            }
-        }
-        return null;
+        return placements.holder().orElse(null);
     }
 
-    /** The job of the holder that sits here; or null. */
+    /** The job of the holder on it; or null. */
     public Job holderJob() {
-        Placement sits = holder();
-        return sits == null ? null : sits.job;
+        Placement holder = holder();
+        return holder == null ? null : holder.job;
     }
 
     boolean hasTaskWith(String image) {
-        for (Placement placement : placements.values()) {
-            if (placement.job.spec.image().equals(image)) {
-                return true;
-            }
-        }
-        return false;
+        return placements.hasTaskWith(image);
     }
 
-    /** Up, not about to go, and not out of reach: counted on. */
+    /** Up, not about to be preempted, and reachable: counted on. */
     boolean isHealthy() {
         return phase == Phase.UP && preemptionAt == null && !quarantined && !partition.isConfirmed();
     }
@@ -384,21 +359,22 @@
         return recorded && isHealthy();
     }
 
-    /** Being returned since it hears nothing: no answer may renew its lease, so that its work is not counted for longer. */
+    /** Being returned as answers do not reach it: no answer may renew its lease, so that its work is not counted for longer. */
     boolean isReturnedAsUnreachable() {
         return phase == Phase.RETURNING && partition.isConfirmed();
     }
 
-    /** Asked for and not up yet, but not overdue by so many of its type's boot times either. */
+    /** Requested and not up yet, but not overdue by so many of its type's boot times either. */
     boolean isBooting(Moment now, double bootTimes) {
         return phase == Phase.BOOTING && now.isBefore(rentedAt.plus(type.boot().times(bootTimes)));
     }
 
+    /** Whether the job may use it, its pool membership included. */
     boolean allows(JobSpec spec) {
-        return matchesPool(spec) && (poolMembership == null || poolMembership.takes(spec, imageCache, free()));
+        return matchesPool(spec) && (poolMembership == null || poolMembership.admits(spec, imageCache, free()));
     }
 
-    /** The same whatever it is kept for. */
+    /** Whether the job may use its type, zone and price kind. */
     boolean matchesPool(JobSpec spec) {
         return spec.allowsType(pool.type()) && spec.allowsZone(pool.zone()) && spec.allowsKind(pool.spot());
     }
--- a/src/main/java/io/indigoreach/core/scheduling/MachineAdoption.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachineAdoption.java
@@ -11,70 +11,72 @@
 import java.util.Map;
 
 /**
- * Which machines that this leader does not know are taken on for what they report. A report by itself shows nothing: it may
- * be a copy that comes minutes late, of a machine that is long gone. One that bears this leader's token, after an older
- * one from the same machine, does: only this leader's answer to that one can have shown the token. What really runs without
- * showing that is taken on by the cloud's list.
+ * Decides which unknown machines are adopted for their heartbeats. A heartbeat by itself proves nothing: it may be a copy that
+ * arrives minutes late, of a machine that is long gone. One that bears this leader's token, after an older one from the same
+ * machine, does: only this leader's answer to that one can have shown the token. What really runs without
+ * showing that is adopted from the cloud's listing.
  */
 final class MachineAdoption {
-    private static final int KEPT = 1000;
+    private static final int MAX_ANSWERED = 1000;
 
-    private final SafetyTimes rules;
-    /** A report of each whose answer shows our token: the first that bore an older one, or the last before the records were read. */
-    private final Map<MachineId, HeartbeatNumber> answeredFirst = new LinkedHashMap<>() {
+    private final SafetyTimes safetyTimes;
+    /** A heartbeat of each whose answer shows our token: the first with an older one, or the last before the records were loaded. */
+    private final Map<MachineId, HeartbeatNumber> answeredHeartbeats = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<MachineId, HeartbeatNumber> eldest) {
-            return size() > KEPT;
+            return size() > MAX_ANSWERED;
         }
     };
-    /** The newest machine of an earlier list, and when it was surely there. */
-    private MachineId newest;
+    /** The newest machine of an earlier listing. */
+    private MachineId newestListed;
 
-    private Moment seen;
-    /** Machines up to this one were all known to a whole list that is new enough: an unknown one of them is gone. */
-    private MachineId settled;
+    /** When the newest listed machine surely existed. */
+    private Moment newestListedAt;
+    /** Machines up to this one were all in a complete listing that is new enough: an unknown one of them is gone. */
+    private MachineId completeUpTo;
 
-    MachineAdoption(SafetyTimes rules) {
-        this.rules = rules;
+    MachineAdoption(SafetyTimes safetyTimes) {
+        this.safetyTimes = safetyTimes;
     }
 
     /**
-     * Answered before it was known who is known. Else a copy of that report, and one of the next, would be taken for the first
-     * that this leader sees and the proof after it.
+     * A heartbeat was answered before the records were loaded. Guards against a copy of it, and one of the next, being taken
+     * for the first that this leader sees and the proof after it.
      */
-    void answered(MachineId id, HeartbeatNumber newest) {
-        answeredFirst.put(id, newest);
+    void answered(MachineId id, HeartbeatNumber number) {
+        answeredHeartbeats.put(id, number);
     }
 
-    boolean isAliveUnderToken(Heartbeat heartbeat, FencingToken token) {
+    /** Whether the heartbeat of an unknown machine proves that the machine exists under this leader's token. */
+    boolean provesExistence(Heartbeat heartbeat, FencingToken token) {
         MachineId id = heartbeat.machine();
-        if (settled != null && id.compareTo(settled) <= 0) {
+        if (completeUpTo != null && id.compareTo(completeUpTo) <= 0) {
             return false;
         }
         if (heartbeat.token().value() < token.value()) {
-            answeredFirst.putIfAbsent(id, heartbeat.number());
+            answeredHeartbeats.putIfAbsent(id, heartbeat.number());
             return false;
         }
-        HeartbeatNumber first = answeredFirst.get(id);
-        boolean proved = first != null && heartbeat.number().compareTo(first) > 0;
-        if (proved) {
-            answeredFirst.remove(id);
+        HeartbeatNumber first = answeredHeartbeats.get(id);
+        boolean proven = first != null && heartbeat.number().compareTo(first) > 0;
+        if (proven) {
+            answeredHeartbeats.remove(id);
         }
-        return proved;
+        return proven;
     }
 
     /**
-     * A whole list, of which every machine is known by now. Names are in the order of creation: what was created before a
-     * machine that an earlier list had, and is not in a list that describes a later moment, is gone for good.
+     * A complete listing, of which every machine is known by now. Names are in the order of creation: what was created before a
+     * machine of an earlier listing, and is not in a listing that describes a later moment, is gone for good.
      */
-    void listed(Collection<MachineId> list, Moment asked, Moment now) {
-        if (newest != null && !seen.isAfter(asked.minus(rules.oldestListing()))) {
-            settled = newest;
-            newest = null;
+    void listed(Collection<MachineId> listing, Moment requestedAt, Moment now) {
+        if (newestListed != null && !newestListedAt.isAfter(requestedAt.minus(safetyTimes.oldestListing()))) {
+            completeUpTo = newestListed;
+            newestListed = null;
         }
-        if (newest == null && !list.isEmpty()) {
-            newest = Collections.max(list);
-            seen = now;
+        if (newestListed == null && !listing.isEmpty()) {
+            newestListed = Collections.max(listing);
+            newestListedAt = now;
         }
     }
 }
--- /dev/null
+++ b/src/main/java/io/indigoreach/core/scheduling/MachinePlacements.java
@@ -0,0 +1,86 @@
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.TaskId;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+
+/** The tasks that are, or may be, on one machine, and the resources that they use. */
+final class MachinePlacements {
+    private final Map<TaskId, Placement> placements = new HashMap<>();
+    private int holders;
+    private Demand used = Demand.NOTHING;
+
+    void add(Placement placement) {
+        placements.put(placement.task(), placement);
+        holders += placement.job.spec.isHolder() ? 1 : 0;
+        used = used.plus(placement.demand());
+    }
+
+    void remove(Placement placement) {
+        if (placements.remove(placement.task(), placement)) {
+            holders -= placement.job.spec.isHolder() ? 1 : 0;
+            used = placements.isEmpty() ? Demand.NOTHING : used.minus(placement.demand());
+        }
+    }
+
+    Map<TaskId, Placement> byTask() {
+        return Collections.unmodifiableMap(placements);
+    }
+
+    List<Placement> copy() {
+        return new ArrayList<>(placements.values());
+    }
+
+    int count() {
+        return placements.size();
+    }
+
+    Demand used() {
+        return used;
+    }
+
+    /** No task is there except holders. */
+    boolean isIdle() {
+        return placements.size() == holders;
+    }
+
+    boolean hasHolder() {
+        return holders > 0;
+    }
+
+    /** The holder that is not being stopped. */
+    Optional<Placement> holder() {
+        if (holders == 0) {
+            return Optional.empty();
+        }
+        return placements.values().stream()
+                .filter(placement -> placement.job.spec.isHolder() && !placement.stopping)
+                .findFirst();
+    }
+
+    boolean isAnyStopping() {
+        return placements.values().stream().anyMatch(placement -> placement.stopping);
+    }
+
+    /** Whether a task with this image is there. */
+    boolean hasTaskWith(String image) {
+        return placements.values().stream()
+                .anyMatch(placement -> placement.job.spec.image().equals(image));
+    }
+
+    /** Cores that each team's tasks use; holders use next to none. */
+    Map<String, Double> coresByTeam() {
+        Map<String, Double> cores = new HashMap<>();
+        for (Placement placement : placements.values()) {
+            if (!placement.job.spec.isHolder()) {
+                cores.merge(placement.job.spec.team(), placement.demand().cores(), Double::sum);
+            }
+        }
+        return cores;
+    }
+}
--- a/src/main/java/io/indigoreach/core/scheduling/MachineRegistry.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachineRegistry.java
@@ -79,7 +79,7 @@
         if (known != null) {
             return Optional.of(known);
         }
-        return adoption.isAliveUnderToken(heartbeat, token) ? adopt(heartbeat, now) : Optional.empty();
+        return adoption.provesExistence(heartbeat, token) ? adopt(heartbeat, now) : Optional.empty();
     }
 
     private Optional<Machine> adopt(Heartbeat heartbeat, Moment now) {
@@ -105,7 +105,7 @@
         listener.log("machine pool corrected machine=" + machine.id + " pool=" + reportedPool + " was=" + machine.pool);
         Machine corrected =
                 new Machine(machine.id, reportedPool, cluster.types.get(reportedPool.type()), machine.rentedAt);
-        corrected.takeHistoryOf(machine);
+        corrected.copyHistoryOf(machine);
         cluster.removeMachine(machine, now);
         cluster.machines.put(corrected.id, corrected);
         return corrected;
@@ -175,7 +175,7 @@
     private Machine adopt(ListedMachine listed, Moment now) {
         listener.log("machine adopted by listing machine=" + listed.id());
         MachineType type = cluster.types.get(listed.pool().type());
-        Machine machine = new Machine(listed.id(), listed.pool(), type, now.minus(listed.held()));
+        Machine machine = new Machine(listed.id(), listed.pool(), type, now.minus(listed.sinceRequested()));
         machine.adoptedAt(now);
         cluster.machines.put(machine.id, machine);
         return machine;
--- a/src/main/java/io/indigoreach/core/scheduling/PoolMembership.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PoolMembership.java
@@ -5,23 +5,23 @@
 import io.indigoreach.core.model.Span;
 
 /**
- * A machine's place in a pool: it is paid for by that pool alone, holds that pool's image, and takes others only as far as
- * neither the image nor a replica's start is spoilt. A machine has one seat at most, so no two pools pay for it, and two
- * images that do not fit one cache never meet.
+ * A machine's membership of a warm pool: it is paid for by that pool alone, holds that pool's image, and admits other tasks only
+ * if they neither evict the image nor delay a replica's start. A machine has one membership at most, so no two pools pay
+ * for it, and two images that do not fit one cache are never required together.
  */
 public final class PoolMembership {
     private final String pool;
     private final String image;
-    private final double gb;
+    private final double imageGb;
     private final Demand replica;
     private Job holder;
-    private Span longestGuest = Span.ZERO;
-    private boolean dropped;
+    private Span longestOtherTask = Span.ZERO;
+    private boolean ended;
 
     public PoolMembership(String pool, String image, double gb, Demand replica) {
         this.pool = pool;
         this.image = image;
-        this.gb = gb;
+        this.imageGb = gb;
         this.replica = replica;
     }
 
@@ -33,30 +33,30 @@
         return image;
     }
 
-    public double gb() {
-        return gb;
+    public double imageGb() {
+        return imageGb;
     }
 
-    /** The job whose task may sit here now; null if none may. */
+    /** The job whose task may hold the image here now; null if none may. */
     public Job holder() {
-        return dropped ? null : holder;
+        return ended ? null : holder;
     }
 
     public void holder(Job job) {
         holder = job;
     }
 
-    public void longestGuest(Span span) {
-        longestGuest = span;
+    public void longestOtherTask(Span span) {
+        longestOtherTask = span;
     }
 
-    /** The pool pays no more. The guard stays until that is recorded, as a later leader would claim the image by the record. */
-    public void drop() {
-        dropped = true;
+    /** The pool no longer pays. The image stays protected until that is recorded, as a later leader would claim it by the record. */
+    public void end() {
+        ended = true;
     }
 
-    public boolean isDropped() {
-        return dropped;
+    public boolean isEnded() {
+        return ended;
     }
 
     /**
@@ -64,12 +64,12 @@
      * fetch would share its rate), where theirs fits beside it, and where they leave room for a replica or, by twice the
      * owner's estimate, are gone before one is expected.
      */
-    public boolean takes(JobSpec spec, ImageCache cache, Demand free) {
+    public boolean admits(JobSpec spec, ImageCache cache, Demand free) {
         if (spec.image().equals(image)) {
             return true;
         }
-        boolean harmless = replica.fitsIn(free.minus(spec.demand()))
-                || (!spec.isService() && spec.estimate().times(2).compareTo(longestGuest) <= 0);
-        return harmless && cache.holds(image) && cache.hasRoomBeside(image, spec.image(), spec.imageGb());
+        boolean leavesRoom = replica.fitsIn(free.minus(spec.demand()))
+                || (!spec.isService() && spec.estimate().times(2).compareTo(longestOtherTask) <= 0);
+        return leavesRoom && cache.isCached(image) && cache.hasRoomBeside(image, spec.image(), spec.imageGb());
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Reconciler.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Reconciler.java
@@ -10,150 +10,195 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 
-/** Brings the leader's picture of one machine in line with a trusted, newest report, and answers with tidying orders. */
+/** Reconciles the scheduler's state of one machine with its newest heartbeat, and answers with the commands that follow. */
 final class Reconciler {
-    /** Before a job's task is tried again that was refused, or a replica that ended by itself. */
-    private static final Span RETRY = Span.seconds(1);
+    /** Delay before a job's task is tried again that was refused, or a replica that ended by itself. */
+    private static final Span RETRY_DELAY = Span.seconds(1);
 
     private final Cluster cluster;
     private final Estimates estimates;
-    private final SchedulerListener notes;
+    private final SchedulerListener listener;
 
-    Reconciler(Cluster cluster, Estimates estimates, SchedulerListener notes) {
+    Reconciler(Cluster cluster, Estimates estimates, SchedulerListener listener) {
         this.cluster = cluster;
         this.estimates = estimates;
-        this.notes = notes;
+        this.listener = listener;
     }
 
+    /** One heartbeat that is being reconciled. */
+    private record Pass(
+            Machine machine, Heartbeat heartbeat, Moment now, List<WorkerCommand> commands, Set<Placement> confirmed) {}
+
     List<WorkerCommand> reconcile(Machine machine, Heartbeat heartbeat, Moment now) {
-        List<WorkerCommand> orders = new ArrayList<>();
-        Set<Placement> seen = new HashSet<>();
-        int strangers = 0;
+        Pass pass = new Pass(machine, heartbeat, now, new ArrayList<>(), new HashSet<>());
+        int orphanTasks = 0;
         for (TaskStatus status : heartbeat.tasks()) {
             Job job = cluster.jobs.get(status.task().job());
             if (job == null || status.task().index() >= job.spec.tasks()) {
-                // Cancelled or over. It counts against machine and team until a report shows it gone.
-                Placement placement = machine.placements().get(status.task());
-                if (placement != null
-                        && placement.attempt.equals(status.attempt())
-                        && status.state() != TaskState.EXITED) {
-                    seen.add(placement);
-                } else if (status.state() != TaskState.EXITED) {
-                    strangers++;
-                }
-                orders.add(ending(status));
+                orphanTasks += reconcileEndedJob(pass, status) ? 1 : 0;
             } else if (status.state() == TaskState.EXITED) {
-                exited(machine, job, status, now, orders);
+                reconcileExited(pass, job, status);
             } else {
-                alive(machine, job, status, now, orders, seen);
+                reconcileAlive(pass, job, status);
             }
         }
-        cluster.setOrphanTasks(machine, strangers);
-        // What is missing from a newer report was refused, lost with an answer, or killed with its session.
-        for (Placement placement : machine.placementsCopy()) {
-            if (!seen.contains(placement)) {
-                cluster.removePlacement(placement, now);
+        cluster.setOrphanTasks(machine, orphanTasks);
+        removeMissing(pass);
+        return pass.commands;
+    }
+
+    /** What is missing from a newer heartbeat was refused, lost with an answer, or killed with its incarnation. */
+    private void removeMissing(Pass pass) {
+        for (Placement placement : pass.machine.placementsCopy()) {
+            if (!pass.confirmed.contains(placement)) {
+                cluster.removePlacement(placement, pass.now);
             }
         }
-        return orders;
     }
 
-    private static WorkerCommand ending(TaskStatus status) {
-        return status.state() == TaskState.EXITED
-                ? new WorkerCommand.Reap(status.task(), status.attempt())
-                : new WorkerCommand.Stop(status.task(), status.attempt(), Span.ZERO);
+    /**
+     * A task of a job that is cancelled or over: it counts against machine and team until a heartbeat shows it gone.
+     *
+     * @return whether it is an orphan, alive without a placement
+     */
+    private boolean reconcileEndedJob(Pass pass, TaskStatus status) {
+        boolean alive = status.state() != TaskState.EXITED;
+        Placement placement = pass.machine.placements().get(status.task());
+        boolean placed = placement != null && placement.attempt.equals(status.attempt());
+        if (placed && alive) {
+            pass.confirmed.add(placement);
+        }
+        pass.commands.add(alive ? stop(status, Span.ZERO) : reap(status));
+        return alive && !placed;
+    }
+
+    private static WorkerCommand stop(TaskStatus status, Span grace) {
+        return new WorkerCommand.Stop(status.task(), status.attempt(), grace);
     }
 
-    private void exited(Machine machine, Job job, TaskStatus status, Moment now, List<WorkerCommand> orders) {
-        int index = status.task().index();
-        Placement placement = job.placements(index);
-        boolean here = placement != null && placement.machine == machine && placement.attempt.equals(status.attempt());
+    private static WorkerCommand reap(TaskStatus status) {
+        return new WorkerCommand.Reap(status.task(), status.attempt());
+    }
+
+    private void reconcileExited(Pass pass, Job job, TaskStatus status) {
+        Placement current = job.placements(status.task().index());
+        Optional<Placement> placement = Optional.ofNullable(current)
+                .filter(candidate -> candidate.machine == pass.machine && candidate.attempt.equals(status.attempt()));
         switch (status.cause()) {
             case DONE -> {
-                machine.imageCache.ran(job.spec.image());
-                if (job.spec.isService()) {
-                    // A replica runs until its job is cancelled: one that ended is started again, not at once.
-                    if (here) {
-                        job.retryNotBefore(now.plus(RETRY));
-                        cluster.removePlacement(placement, now);
-                    }
-                    break;
+                pass.machine.imageCache.confirmCached(job.spec.image());
+                if (!job.spec.isService()) {
+                    completed(pass, job, status, placement);
+                    return;
                 }
-                if (here) {
-                    if (placement.state == TaskState.RUNNING) {
-                        estimates.observe(job, now.since(placement.stateSince));
-                    }
-                    FaultAttribution.completed(placement);
-                    cluster.removePlacement(placement, now);
-                }
-                if (job.complete(index)) {
-                    notes.taskCompleted(job);
-                }
-                if (job.isDurable(index)) {
-                    orders.add(new WorkerCommand.Reap(status.task(), status.attempt()));
-                }
-                return;
+                // A replica runs until its job is cancelled: one that ended is started again, after a delay.
+                placement.ifPresent(ended -> retryLater(pass, job, ended));
             }
             case ERROR -> {
-                machine.imageCache.ran(job.spec.image());
-                if (here) {
-                    FaultAttribution.failed(placement, now);
-                    notes.failed(placement);
-                    cluster.removePlacement(placement, now);
-                }
-            }
-            case FULL, IN_USE, UNKNOWN -> {
-                if (here) {
-                    notes.refused(placement, status.cause());
-                    job.retryNotBefore(now.plus(RETRY));
-                    cluster.removePlacement(placement, now);
-                }
-            }
-            default -> {
-                if (here) {
-                    cluster.removePlacement(placement, now);
-                }
+                pass.machine.imageCache.confirmCached(job.spec.image());
+                placement.ifPresent(failed -> failed(pass, failed));
             }
+            case FULL, IN_USE, UNKNOWN ->
+                placement.ifPresent(refused -> {
+                    listener.startRefused(refused, status.cause());
+                    retryLater(pass, job, refused);
+                });
+            default -> placement.ifPresent(ended -> cluster.removePlacement(ended, pass.now));
         }
-        orders.add(new WorkerCommand.Reap(status.task(), status.attempt()));
+        pass.commands.add(reap(status));
     }
 
-    private void alive(
-            Machine machine, Job job, TaskStatus status, Moment now, List<WorkerCommand> orders, Set<Placement> seen) {
+    /** The task's result may be reaped only once its completion is durable. */
+    private void completed(Pass pass, Job job, TaskStatus status, Optional<Placement> placement) {
         int index = status.task().index();
-        Placement placement = job.placements(index);
-        if (placement == null || (placement.machine == machine && !placement.attempt.equals(status.attempt()))) {
-            if (placement != null) {
-                cluster.removePlacement(placement, now);
+        placement.ifPresent(ended -> {
+            if (ended.state == TaskState.RUNNING) {
+                estimates.observe(job, pass.now.since(ended.stateSince));
             }
-            // Started by an earlier leader, or kept by a machine that was given up: it counts from now on.
-            placement = new Placement(job, index, machine, status.attempt(), status.state(), HeartbeatNumber.NONE, now);
-            cluster.addPlacement(placement);
-        } else if (placement.machine != machine) {
-            // Possibly in two places: never let the second go on.
-            notes.conflict(status.task(), machine, placement.machine);
-            orders.add(new WorkerCommand.Stop(status.task(), status.attempt(), Span.ZERO));
+            FaultAttribution.completed(ended);
+            cluster.removePlacement(ended, pass.now);
+        });
+        if (job.complete(index)) {
+            listener.taskCompleted(job);
+        }
+        if (job.isDurable(index)) {
+            pass.commands.add(reap(status));
+        }
+    }
+
+    private void failed(Pass pass, Placement placement) {
+        FaultAttribution.failed(placement, pass.now);
+        listener.taskFailed(placement);
+        cluster.removePlacement(placement, pass.now);
+    }
+
+    private void retryLater(Pass pass, Job job, Placement placement) {
+        job.retryNotBefore(pass.now.plus(RETRY_DELAY));
+        cluster.removePlacement(placement, pass.now);
+    }
+
+    private void reconcileAlive(Pass pass, Job job, TaskStatus status) {
+        Placement known = job.placements(status.task().index());
+        if (known != null && known.machine != pass.machine) {
+            // Possibly in two places: never let the second one continue.
+            listener.duplicateTask(status.task(), pass.machine, known.machine);
+            pass.commands.add(stop(status, Span.ZERO));
             return;
         }
-        seen.add(placement);
-        // A newer report that still shows it running: the stop was lost with its answer.
+        boolean sameAttempt = known != null && known.attempt.equals(status.attempt());
+        Placement placement = sameAttempt ? known : adopt(pass, job, status, known);
+        pass.confirmed.add(placement);
+        // A newer heartbeat that still shows it running: the stop was lost with its answer.
         placement.stopLostIfRunning(status.state());
         if (placement.state != status.state()) {
-            placement.stateReported(status.state(), now);
-            if (status.state() == TaskState.RUNNING) {
-                job.markRun();
-                machine.imageCache.ran(job.spec.image());
-            }
-            cluster.changed();
+            stateChanged(pass, job, placement, status.state());
+        }
+        stopIfUnwanted(pass, job, placement, status);
+    }
+
+    /** Started by an earlier leader, or kept by a machine that was presumed lost: it counts from now on. */
+    private Placement adopt(Pass pass, Job job, TaskStatus status, Placement replaced) {
+        if (replaced != null) {
+            cluster.removePlacement(replaced, pass.now);
+        }
+        Placement placement = new Placement(
+                job,
+                status.task().index(),
+                pass.machine,
+                status.attempt(),
+                status.state(),
+                HeartbeatNumber.NONE,
+                pass.now);
+        cluster.addPlacement(placement);
+        return placement;
+    }
+
+    private void stateChanged(Pass pass, Job job, Placement placement, TaskState state) {
+        placement.stateReported(state, pass.now);
+        if (state == TaskState.RUNNING) {
+            job.markRun();
+            pass.machine.imageCache.confirmCached(job.spec.image());
         }
-        if (job.cancelled || job.isDone(index)) {
-            orders.add(new WorkerCommand.Stop(status.task(), status.attempt(), Span.ZERO));
+        cluster.changed();
+    }
+
+    private static void stopIfUnwanted(Pass pass, Job job, Placement placement, TaskStatus status) {
+        Machine machine = pass.machine;
+        if (job.cancelled || job.isDone(status.task().index())) {
+            pass.commands.add(stop(status, Span.ZERO));
         } else if (machine.quarantined) {
-            orders.add(new WorkerCommand.Stop(status.task(), status.attempt(), job.spec.checkpointTime()));
-        } else if (machine.preemptionAt != null && job.spec.savesProgress() && placement.state == TaskState.RUNNING) {
-            orders.add(new WorkerCommand.Stop(status.task(), status.attempt(), machine.preemptionAt.since(now)));
+            pass.commands.add(stop(status, job.spec.checkpointTime()));
+        } else if (isToBeSavedBeforePreemption(machine, placement)) {
+            pass.commands.add(stop(status, machine.preemptionAt.since(pass.now)));
         }
     }
+
+    private static boolean isToBeSavedBeforePreemption(Machine machine, Placement placement) {
+        return machine.preemptionAt != null
+                && placement.job.spec.savesProgress()
+                && placement.state == TaskState.RUNNING;
+    }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
@@ -8,7 +8,7 @@
 
 /**
  * Which machines to return. The design's part: an idle machine whose paid term ends before the next check, unless a
- * waiting job of its share can use it. Added to it: machines that will never be of use.
+ * waiting job of its queue can use it. Added to it: machines that will never be of use.
  */
 final class ScaleInPolicy {
     /** A machine that is to be returned, and why, as the log says it. */
@@ -16,20 +16,20 @@
 
     private final Cluster cluster;
     private final Dispatcher dispatcher;
-    private final SafetyTimes rules;
-    private final SchedulerSettings tuning;
+    private final SafetyTimes safetyTimes;
+    private final SchedulerSettings settings;
     private final FailureDetector failureDetector;
 
     ScaleInPolicy(
             Cluster cluster,
             Dispatcher dispatcher,
-            SafetyTimes rules,
-            SchedulerSettings tuning,
+            SafetyTimes safetyTimes,
+            SchedulerSettings settings,
             FailureDetector failureDetector) {
         this.cluster = cluster;
         this.dispatcher = dispatcher;
-        this.rules = rules;
-        this.tuning = tuning;
+        this.safetyTimes = safetyTimes;
+        this.settings = settings;
         this.failureDetector = failureDetector;
     }
 
@@ -56,72 +56,88 @@
         return planned;
     }
 
+    /** Why the machine is to be returned now; null if it is not. */
     private String reason(Machine machine, Moment now, boolean settled, boolean mostAreLost) {
-        if (machine.partition.isConfirmed()
-                && (!failureDetector.isZonePartitioned(machine.pool.zone())
-                        || now.since(machine.partition.since()).compareTo(partitionPatience(machine)) > 0)) {
+        if (isUnreachable(machine, now)) {
             return "no-heartbeat-answers missed=" + machine.partition.missed();
         }
-        switch (machine.phase) {
-            case BOOTING:
-                if (now.since(machine.rentedAt).compareTo(machine.type.boot().times(tuning.bootTimeout())) > 0
-                        && now.since(machine.lastHeardAt).compareTo(rules.leaseBound()) > 0) {
-                    return "never-up";
-                }
-                return failureDetector.isMachineFailure(machine, now) ? "silent-since-failover" : null;
-            case LOST:
-                // When most are silent the fault is likely between them and this leader: then keep them.
-                return !mostAreLost && now.since(machine.lastHeardAt).compareTo(patience(machine)) > 0
-                        ? "silent-since-lease-expiry"
-                        : null;
-            default:
-                if (failureDetector.isMachineFailure(machine, now) && !machine.isIdle()) {
-                    return "silent tasks=" + machine.taskCount();
-                }
-                if (!machine.reconciled || !machine.isIdle()) {
-                    return null;
-                }
-                if (machine.quarantined) {
-                    return "fails-tasks";
-                }
-                if (!settled) {
-                    return null;
-                }
-                return termEnds(machine, now)
-                                && !cluster.warmCapacity.isRetained(machine)
-                                && !dispatcher.isUsableByWaitingJob(machine, now)
-                        ? "idle"
-                        : null;
+        return switch (machine.phase) {
+            case BOOTING -> reasonWhileBooting(machine, now);
+            case LOST -> reasonWhileLost(machine, now, mostAreLost);
+            default -> reasonWhileUp(machine, now, settled);
+        };
+    }
+
+    /** Answers do not reach it, by its own fault or for longer than waiting for the network is worth. */
+    private boolean isUnreachable(Machine machine, Moment now) {
+        return machine.partition.isConfirmed()
+                && (!failureDetector.isZonePartitioned(machine.pool.zone())
+                        || now.since(machine.partition.missedSince()).compareTo(partitionPatience(machine)) > 0);
+    }
+
+    private String reasonWhileBooting(Machine machine, Moment now) {
+        Span bootTimeout = machine.type.boot().times(settings.bootTimeout());
+        if (now.since(machine.rentedAt).compareTo(bootTimeout) > 0
+                && now.since(machine.lastHeardAt).compareTo(safetyTimes.leaseBound()) > 0) {
+            return "never-up";
         }
+        return failureDetector.isMachineFailure(machine, now) ? "silent-since-failover" : null;
+    }
+
+    /** When most are silent the fault is likely between them and this leader: then they are kept. */
+    private String reasonWhileLost(Machine machine, Moment now, boolean mostAreLost) {
+        return !mostAreLost && now.since(machine.lastHeardAt).compareTo(patience(machine)) > 0
+                ? "silent-since-lease-expiry"
+                : null;
+    }
+
+    private String reasonWhileUp(Machine machine, Moment now, boolean settled) {
+        if (failureDetector.isMachineFailure(machine, now) && !machine.isIdle()) {
+            return "silent tasks=" + machine.taskCount();
+        }
+        if (!machine.reconciled || !machine.isIdle()) {
+            return null;
+        }
+        if (machine.quarantined) {
+            return "fails-tasks";
+        }
+        return settled && isIdleAtTermEnd(machine, now) ? "idle" : null;
+    }
+
+    private boolean isIdleAtTermEnd(Machine machine, Moment now) {
+        return termEnds(machine, now)
+                && !cluster.warmCapacity.isRetained(machine)
+                && !dispatcher.isUsableByWaitingJob(machine, now);
     }
 
     /**
-     * How long a machine without a lease is paid for in the hope that it comes back. Where the way to it is at fault,
-     * that is until it has cost as much as another one would before it is of any use: its boot and the least that is
-     * paid (the rule of the ski rental). Two fleets gave 400 machines back seconds before a cut of 47 s ended, and
-     * waited half a minute for others to boot.
+     * How long a machine without a lease is paid for in the hope that it comes back. Where the network is at fault, that is
+     * until it has cost as much as another one would before it is of any use: its boot and the minimum paid time (ski-rental
+     * rule). Two fleets returned 400 machines seconds before a partition of 47 s ended, and waited half a minute for others
+     * to boot.
      */
     private Span patience(Machine machine) {
-        Span alone = rules.leaseBound().times(1.5);
-        Span behindCut = partitionPatience(machine);
-        return failureDetector.isZoneUnreachable(machine.pool.zone()) && behindCut.compareTo(alone) > 0
-                ? behindCut
+        Span alone = safetyTimes.leaseBound().times(1.5);
+        Span behindPartition = partitionPatience(machine);
+        return failureDetector.isZoneUnreachable(machine.pool.zone()) && behindPartition.compareTo(alone) > 0
+                ? behindPartition
                 : alone;
     }
 
     private Span partitionPatience(Machine machine) {
-        return rules.leaseBound().plus(machine.type.boot()).plus(tuning.minimumPaidTime());
+        return safetyTimes.leaseBound().plus(machine.type.boot()).plus(settings.minimumPaidTime());
     }
 
+    /** Whether the paid term ends before the next check. */
     boolean termEnds(Machine machine, Moment now) {
-        return remainingTerm(machine, now).compareTo(tuning.checkPeriod()) <= 0;
+        return remainingTerm(machine, now).compareTo(settings.checkPeriod()) <= 0;
     }
 
     /** What is left of the paid term. */
     private Span remainingTerm(Machine machine, Moment now) {
         long beyond =
-                now.since(machine.rentedAt).ms() - tuning.minimumPaidTime().ms();
-        long term = Math.max(1, tuning.term().ms());
+                now.since(machine.rentedAt).ms() - settings.minimumPaidTime().ms();
+        long term = Math.max(1, settings.term().ms());
         return new Span(beyond < 0 ? -beyond : term - beyond % term);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleOutRequest.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleOutRequest.java
@@ -2,5 +2,5 @@
 
 import io.indigoreach.core.model.MachinePool;
 
-/** A wish for {@code count} more machines of a pool. */
+/** A request for {@code count} more machines of a pool. */
 public record ScaleOutRequest(MachinePool pool, int count) {}
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
@@ -190,9 +190,9 @@
     }
 
     /** The cloud has no capacity in this pool. */
-    public void refused(MachinePool pool, Moment now) {
+    public void scaleOutRejected(MachinePool pool, Moment now) {
         bestSize.refused(pool, now);
-        cluster.warmCapacity.refused(pool);
+        cluster.warmCapacity.scaleOutRejected(pool);
     }
 
     /**
@@ -241,7 +241,7 @@
             if (bestSize.mayAsk(request.pool(), now)) {
                 requests.add(request);
             } else {
-                cluster.warmCapacity.refused(request.pool());
+                cluster.warmCapacity.scaleOutRejected(request.pool());
             }
         }
         return requests;
--- a/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
@@ -26,13 +26,13 @@
     /** What holds on every machine alike; null if it is nothing. */
     private WaitReason ownReason(Job job, Moment now) {
         if (!job.hasStartable()) {
-            return WaitReason.TAKE_OVER;
+            return WaitReason.FAILOVER;
         }
         if (now.isBefore(job.retryNotBefore)) {
             return WaitReason.RETRY_PAUSE;
         }
         if (!dispatcher.mayStart(job, now)) {
-            return dispatcher.isFailoverComplete() ? WaitReason.TASKS_OF_ENDED_JOBS : WaitReason.TAKE_OVER;
+            return dispatcher.isFailoverComplete() ? WaitReason.TASKS_OF_ENDED_JOBS : WaitReason.FAILOVER;
         }
         if (job.isSuspectedFaulty() && !job.placements().isEmpty()) {
             return WaitReason.TRIED_ALONE;
@@ -43,7 +43,7 @@
         if (!cluster.teamUsage(job).hasRoomFor(job.spec.demand())) {
             return WaitReason.TEAM_LIMIT;
         }
-        return job.spec.isHolder() ? WaitReason.NO_SEAT : null;
+        return job.spec.isHolder() ? WaitReason.NO_POOL_MEMBERSHIP : null;
     }
 
     private WaitReason machineReason(Job job, Moment now) {
@@ -84,7 +84,7 @@
             return WaitReason.SET_ASIDE;
         }
         if (dispatcher.awaitsImageLocality(job, machine, now)) {
-            return WaitReason.LEFT_TO_HOLDERS;
+            return WaitReason.LEFT_TO_CACHED_MACHINES;
         }
         return reasonInQueue(machine, job, queue, ahead, now);
     }
@@ -97,8 +97,8 @@
             return WaitReason.RESERVATION;
         }
         if (dispatcher.isUnboundedFiller(job) && !dispatcher.leavesRoomForObjectives(queue, job, now)) {
-            return WaitReason.KEPT_FOR_AIMS;
+            return WaitReason.KEPT_FOR_OBJECTIVES;
         }
-        return job.isWithinStartBound() ? WaitReason.NEXT_REPORT : WaitReason.START_BOUND;
+        return job.isWithinStartBound() ? WaitReason.NEXT_HEARTBEAT : WaitReason.START_BOUND;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/WarmCapacity.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WarmCapacity.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Who keeps machines ahead of the work that will need them. Without pools there is {@link #NONE}, which costs nothing. */
+/** Decides which machines are kept ahead of the work that will need them. Without pools it is {@link #NONE}, which keeps none. */
 public interface WarmCapacity {
     WarmCapacity NONE = new WarmCapacity() {};
 
@@ -23,15 +23,16 @@
         return List.of();
     }
 
-    /** A team waits for what it is guaranteed, and this machine would do. */
+    /** A team waits for its guarantee, and this machine can serve it. */
     default void yield(Machine machine, Moment now) {}
 
-    default void refused(MachinePool pool) {}
+    /** The cloud has no capacity in this pool. */
+    default void scaleOutRejected(MachinePool pool) {}
 
-    /** A task is ordered to start there. */
+    /** A task is commanded to start there. */
     default void taskStarting(Job job, Machine machine) {}
 
-    /** Whether it is known which machines are kept: before that what sits on them is left alone. */
+    /** Whether it is known which machines are kept: before that the tasks that hold images on them are not stopped. */
     default boolean isKnown() {
         return false;
     }
--- a/src/main/java/io/indigoreach/core/warm/MembershipRecovery.java
+++ b/src/main/java/io/indigoreach/core/warm/MembershipRecovery.java
@@ -51,7 +51,7 @@
                     s.spec.name(), holder.spec().image(), holder.spec().imageGb(), s.spec.replica()));
         }
         if (line != null && machine.incarnation() > 0) {
-            machine.imageCache().recall(line.image(), line.gb(), line.session() == machine.incarnation());
+            machine.imageCache().restore(line.image(), line.gb(), line.session() == machine.incarnation());
             recalled.remove(machine.id());
         }
     }
--- a/src/main/java/io/indigoreach/core/warm/PoolAssignment.java
+++ b/src/main/java/io/indigoreach/core/warm/PoolAssignment.java
@@ -32,7 +32,7 @@
         s.live.sort(Comparator.comparing(
                         (Machine machine) -> machine.poolMembership().image().equals(s.spec.image()))
                 .thenComparing(machine ->
-                        machine.imageCache().holds(machine.poolMembership().image()))
+                        machine.imageCache().isCached(machine.poolMembership().image()))
                 .thenComparing(machine -> -s.zone(machine.pool().zone())));
         boolean rolls = s.holders.containsKey(s.spec.image());
         int ready = s.ready();
@@ -40,13 +40,14 @@
         int surge = s.surge();
         int excess = s.live.size() - s.target - surge;
         for (Machine machine : new ArrayList<>(s.live)) {
-            boolean holds = machine.imageCache().holds(machine.poolMembership().image());
+            boolean holds =
+                    machine.imageCache().isCached(machine.poolMembership().image());
             boolean old = rolls && !machine.poolMembership().image().equals(s.spec.image());
             boolean mayRoll = old && under < surge && (!holds || ready > Math.min(s.spec.least(), s.target));
             boolean neededStill = old && holds && ready <= s.spec.least() && s.target > 0;
             boolean isTooMuch = excess > 0 && termEnds.test(machine) && !neededStill;
             if ((machine.isIdle() || s.target == 0) && (mayRoll || isTooMuch)) {
-                machine.poolMembership().drop();
+                machine.poolMembership().end();
                 s.leave(machine);
                 excess--;
                 ready -= holds ? 1 : 0;
@@ -98,6 +99,6 @@
         return now.since(s.yielded).compareTo(YIELDED) >= 0
                 && machine.isUsable()
                 && machine.isIdle()
-                && (machine.imageCache().holds(s.spec.image()) || termEnds.test(machine));
+                && (machine.imageCache().isCached(s.spec.image()) || termEnds.test(machine));
     }
 }
--- a/src/main/java/io/indigoreach/core/warm/PoolPlanner.java
+++ b/src/main/java/io/indigoreach/core/warm/PoolPlanner.java
@@ -102,13 +102,13 @@
     @Override
     public boolean isRetained(Machine machine) {
         return isKnown()
-                ? machine.poolMembership() != null && !machine.poolMembership().isDropped()
+                ? machine.poolMembership() != null && !machine.poolMembership().isEnded()
                 : machine.hasHolder();
     }
 
     /** The record does not name this machine any more: another leader would not claim its image. */
     public void released(Machine machine) {
-        if (machine.poolMembership() != null && machine.poolMembership().isDropped()) {
+        if (machine.poolMembership() != null && machine.poolMembership().isEnded()) {
             recall.letGo(machine.id());
             machine.poolMembership(null);
         }
@@ -117,13 +117,13 @@
     @Override
     public void yield(Machine machine, Moment now) {
         PoolState s = states.get(machine.poolMembership().pool());
-        machine.poolMembership().drop();
+        machine.poolMembership().end();
         s.leave(machine);
         s.yielded = now;
     }
 
     @Override
-    public void refused(MachinePool pool) {
+    public void scaleOutRejected(MachinePool pool) {
         if (planned != null) {
             rental.refused(pool, states.values(), planned);
         }
@@ -135,7 +135,7 @@
             return;
         }
         String image = job.spec().image();
-        boolean hit = machine.imageCache().holds(image);
+        boolean hit = machine.imageCache().isCached(image);
         for (PoolState s : states.values()) {
             if (s.spec.image().equals(image)) {
                 s.hits += hit ? 1 : 0;
@@ -195,7 +195,7 @@
         Set<MachineId> there = new HashSet<>();
         for (Machine machine : machines) {
             there.add(machine.id());
-            if (machine.poolMembership() != null && !machine.poolMembership().isDropped() && isLive(machine, now)) {
+            if (machine.poolMembership() != null && !machine.poolMembership().isEnded() && isLive(machine, now)) {
                 states.get(machine.poolMembership().pool()).join(machine);
             }
         }
@@ -226,7 +226,7 @@
         int offered = 0;
         for (Machine machine : s.live) {
             PoolMembership seat = machine.poolMembership();
-            seat.longestGuest(guest);
+            seat.longestOtherTask(guest);
             boolean begins = !machine.hasHolder() && !machine.imageCache().contains(seat.image());
             if (begins && offered >= PoolRental.AT_ONCE) {
                 seat.holder(null);
--- a/src/main/java/io/indigoreach/core/warm/PoolState.java
+++ b/src/main/java/io/indigoreach/core/warm/PoolState.java
@@ -79,7 +79,7 @@
     int ready() {
         return (int) live.stream()
                 .filter(machine ->
-                        machine.imageCache().holds(machine.poolMembership().image()))
+                        machine.imageCache().isCached(machine.poolMembership().image()))
                 .count();
     }
 
--- a/src/main/java/io/indigoreach/load/Arrivals.java
+++ b/src/main/java/io/indigoreach/load/Arrivals.java
@@ -66,25 +66,25 @@
             JobSpec s = a.spec;
             out.add(new Arrival(
                     a.at,
-                    new JobSpec(
-                            new JobId("run-" + ids.get(i)),
-                            s.jobClass(),
-                            s.team(),
-                            s.shape(),
-                            s.urgency(),
-                            s.tasks(),
-                            s.demand(),
-                            s.image(),
-                            s.imageGb(),
-                            s.types(),
-                            s.zone(),
-                            s.oneZone(),
-                            s.spread(),
-                            s.spotAllowed(),
-                            s.estimate(),
-                            s.checkpointEvery(),
-                            s.checkpointTime(),
-                            s.due()),
+                    JobSpec.builder(new JobId("run-" + ids.get(i)))
+                            .jobClass(s.jobClass())
+                            .team(s.team())
+                            .kind(s.kind())
+                            .urgency(s.urgency())
+                            .tasks(s.tasks())
+                            .demand(s.demand())
+                            .image(s.image())
+                            .imageGb(s.imageGb())
+                            .types(s.types())
+                            .zone(s.zone())
+                            .oneZone(s.oneZone())
+                            .spread(s.spread())
+                            .spotAllowed(s.spotAllowed())
+                            .estimate(s.estimate())
+                            .checkpointEvery(s.checkpointEvery())
+                            .checkpointTime(s.checkpointTime())
+                            .due(s.due())
+                            .build(),
                     a.conduct,
                     a.cancelAfter));
         }
@@ -99,25 +99,23 @@
         double estimate = service ? 0 : run * logNormal(c.estimateSpread(), random);
         boolean cancels = service ? run > 0 : random.nextDouble() < c.cancelShare();
         Span cancelAfter = !cancels ? null : Span.seconds(service ? run : 2 * run * random.nextDouble());
-        JobSpec spec = new JobSpec(
-                new JobId("run-0"),
-                c.name(),
-                c.team(),
-                c.shape(),
-                c.urgency(),
-                tasks,
-                new Demand(c.cores(), c.gpus(), c.ramGb()),
-                c.name() + "-" + random.nextInt(c.images()),
-                c.imageGb(),
-                null,
-                null,
-                c.oneZone(),
-                c.spread(),
-                c.spot(),
-                Span.seconds(estimate),
-                Span.seconds(service ? 0 : c.checkpointEveryS()),
-                Span.seconds(c.checkpointS()),
-                c.dueTimes() <= 0 ? null : Span.seconds(estimate * c.dueTimes()));
+        JobSpec spec = JobSpec.builder(new JobId("run-0"))
+                .jobClass(c.name())
+                .team(c.team())
+                .kind(c.shape())
+                .urgency(c.urgency())
+                .tasks(tasks)
+                .demand(new Demand(c.cores(), c.gpus(), c.ramGb()))
+                .image(c.name() + "-" + random.nextInt(c.images()))
+                .imageGb(c.imageGb())
+                .oneZone(c.oneZone())
+                .spread(c.spread())
+                .spotAllowed(c.spot())
+                .estimate(Span.seconds(estimate))
+                .checkpointEvery(Span.seconds(service ? 0 : c.checkpointEveryS()))
+                .checkpointTime(Span.seconds(c.checkpointS()))
+                .due(c.dueTimes() <= 0 ? null : Span.seconds(estimate * c.dueTimes()))
+                .build();
         return new Arrival(
                 at,
                 spec,
--- a/src/main/java/io/indigoreach/scenario/JobFile.java
+++ b/src/main/java/io/indigoreach/scenario/JobFile.java
@@ -89,25 +89,25 @@
 
     /** The job, with {@code made} as its id if the file names none. */
     public JobSpec spec(JobId made) {
-        JobSpec spec = new JobSpec(
-                id.isEmpty() ? made : new JobId(id),
-                jobClass,
-                team,
-                shape,
-                urgency,
-                tasks,
-                new Demand(cores, gpus, ramGb),
-                image,
-                imageGb,
-                machineType.isEmpty() ? null : machineType,
-                zone.isEmpty() ? null : zone,
-                oneZone,
-                spread,
-                spot,
-                Span.seconds(estimateS),
-                Span.seconds(checkpointEveryS),
-                Span.seconds(checkpointS),
-                dueS <= 0 ? null : Span.seconds(dueS));
+        JobSpec spec = JobSpec.builder(id.isEmpty() ? made : new JobId(id))
+                .jobClass(jobClass)
+                .team(team)
+                .kind(shape)
+                .urgency(urgency)
+                .tasks(tasks)
+                .demand(new Demand(cores, gpus, ramGb))
+                .image(image)
+                .imageGb(imageGb)
+                .types(machineType.isEmpty() ? null : machineType)
+                .zone(zone.isEmpty() ? null : zone)
+                .oneZone(oneZone)
+                .spread(spread)
+                .spotAllowed(spot)
+                .estimate(Span.seconds(estimateS))
+                .checkpointEvery(Span.seconds(checkpointEveryS))
+                .checkpointTime(Span.seconds(checkpointS))
+                .due(dueS <= 0 ? null : Span.seconds(dueS))
+                .build();
         JobSpec guarded = recordsPrefix.isEmpty()
                 ? spec
                 : spec.with(JobSpec.RECORDS, Map.of("prefix", recordsPrefix, "from", (long) recordsFrom, "to", (long)
--- a/src/main/java/io/indigoreach/state/DependencyCodec.java
+++ b/src/main/java/io/indigoreach/state/DependencyCodec.java
@@ -31,11 +31,11 @@
         Map<String, Object> all = new LinkedHashMap<>(more);
         all.put(
                 NEEDS,
-                chain.needs().stream()
+                chain.requiredJobs().stream()
                         .map(id -> id.text().substring(PREFIX.length()))
                         .collect(Collectors.joining(BETWEEN)));
         if (chain.isReleased()) {
-            all.put(RELEASED, chain.releasedMs());
+            all.put(RELEASED, chain.releasedAtMs());
         }
         return all;
     }
--- a/src/main/java/io/indigoreach/state/RecordCodec.java
+++ b/src/main/java/io/indigoreach/state/RecordCodec.java
@@ -197,7 +197,7 @@
                 "team",
                 s.team(),
                 "shape",
-                s.shape().name(),
+                s.kind().name(),
                 "urgency",
                 s.urgency().name(),
                 "tasks",
@@ -235,8 +235,8 @@
         putIf(
                 map,
                 "more",
-                DependencyCodec.write(s.more(), s.chain()),
-                !s.more().isEmpty() || !s.chain().isEmpty());
+                DependencyCodec.write(s.more(), s.dependencies()),
+                !s.more().isEmpty() || !s.dependencies().isEmpty());
         putIf(map, "bits", s.tasks() <= IN_RECORD ? bits(done) : null, s.tasks() <= IN_RECORD && !done.isEmpty());
         return map;
     }
@@ -272,27 +272,27 @@
         if (f.whole("tasks") < 1) {
             throw Fields.invalid("tasks");
         }
-        JobSpec spec = new JobSpec(
-                id,
-                f.text("class"),
-                f.text("team"),
-                JobKind.valueOf(f.text("shape")),
-                Urgency.valueOf(f.text("urgency")),
-                (int) f.whole("tasks"),
-                new Demand(f.number("cores"), f.number("gpus"), f.number("ram")),
-                f.text("image"),
-                f.number("gb"),
-                f.optionalTexts("types"),
-                f.optionalText("zone"),
-                f.flag("one_zone", false),
-                f.flag("spread", false),
-                f.flag("spot", false),
-                new Span(f.whole("est")),
-                new Span(f.whole("save_every", 0)),
-                new Span(f.whole("save", 0)),
-                f.has("due") ? new Span(f.whole("due")) : null,
-                f.has("more") ? DependencyCodec.without(f.child("more").map()) : Map.of(),
-                f.has("more") ? DependencyCodec.read(f.child("more")) : JobDependencies.NONE);
+        JobSpec spec = JobSpec.builder(id)
+                .jobClass(f.text("class"))
+                .team(f.text("team"))
+                .kind(JobKind.valueOf(f.text("shape")))
+                .urgency(Urgency.valueOf(f.text("urgency")))
+                .tasks((int) f.whole("tasks"))
+                .demand(new Demand(f.number("cores"), f.number("gpus"), f.number("ram")))
+                .image(f.text("image"))
+                .imageGb(f.number("gb"))
+                .types(f.optionalTexts("types"))
+                .zone(f.optionalText("zone"))
+                .oneZone(f.flag("one_zone", false))
+                .spread(f.flag("spread", false))
+                .spotAllowed(f.flag("spot", false))
+                .estimate(new Span(f.whole("est")))
+                .checkpointEvery(new Span(f.whole("save_every", 0)))
+                .checkpointTime(new Span(f.whole("save", 0)))
+                .due(f.has("due") ? new Span(f.whole("due")) : null)
+                .more(f.has("more") ? DependencyCodec.without(f.child("more").map()) : Map.of())
+                .dependencies(f.has("more") ? DependencyCodec.read(f.child("more")) : JobDependencies.NONE)
+                .build();
         return new JobRecord(
                 spec,
                 f.whole("at"),
--- a/src/main/java/io/indigoreach/tools/MachinesVerb.java
+++ b/src/main/java/io/indigoreach/tools/MachinesVerb.java
@@ -30,7 +30,7 @@
                                         .put("zone", m.pool().zone())
                                         .put("spot", m.pool().spot())
                                         .put("status", status)
-                                        .put("age_s", m.held().seconds())
+                                        .put("age_s", m.sinceRequested().seconds())
                                         .encode()
                                 : String.format(
                                         Locale.ROOT,
@@ -40,7 +40,7 @@
                                         m.pool().zone(),
                                         m.pool().spot() ? "spot" : "ordinary",
                                         status,
-                                        m.held().seconds()));
+                                        m.sinceRequested().seconds()));
             }
         }
         return Tool.DONE;
--- a/src/main/java/io/indigoreach/warm/WarmPoolTerm.java
+++ b/src/main/java/io/indigoreach/warm/WarmPoolTerm.java
@@ -167,7 +167,7 @@
         pools.forEach(p -> teams.put(p.name(), p.team()));
         for (Machine machine : core.machines()) {
             PoolMembership seat =
-                    machine.poolMembership() == null || machine.poolMembership().isDropped()
+                    machine.poolMembership() == null || machine.poolMembership().isEnded()
                             ? null
                             : machine.poolMembership();
             Account payer =
@@ -178,8 +178,8 @@
                     timeOfDay(machine.rentedAt()),
                     payer,
                     seat == null ? "" : seat.image(),
-                    seat == null ? 0 : seat.gb(),
-                    seat != null && machine.imageCache().holds(seat.image()) ? machine.incarnation() : 0,
+                    seat == null ? 0 : seat.imageGb(),
+                    seat != null && machine.imageCache().isCached(seat.image()) ? machine.incarnation() : 0,
                     machine.coresByTeam(),
                     machine.type().capacity().cores(),
                     perHour(machine.pool()),
@@ -230,7 +230,7 @@
     private void release() {
         for (Machine machine : core.machines()) {
             if (machine.poolMembership() != null
-                    && machine.poolMembership().isDropped()
+                    && machine.poolMembership().isEnded()
                     && !meter.isRecordedInPool(machine.id())) {
                 plan.released(machine);
             }
--- a/src/test/java/io/indigoreach/CodecsTest.java
+++ b/src/test/java/io/indigoreach/CodecsTest.java
@@ -48,44 +48,35 @@
 
     @Test
     void jobs() {
-        JobSpec full = new JobSpec(
-                new JobId("run-000412"),
-                "train",
-                "vision",
-                JobKind.SERVICE,
-                Urgency.BEST_EFFORT,
-                16,
-                new Demand(8, 1, 64),
-                "img-07",
-                6.2,
-                List.of("g8"),
-                "a",
-                true,
-                true,
-                true,
-                Span.seconds(240),
-                Span.seconds(30),
-                Span.seconds(4),
-                Span.seconds(900));
-        JobSpec bare = new JobSpec(
-                new JobId("run-1"),
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Urgency.HIGH,
-                1,
-                new Demand(1, 0, 1),
-                "i",
-                0,
-                null,
-                null,
-                false,
-                false,
-                false,
-                Span.ZERO,
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        JobSpec full = JobSpec.builder(new JobId("run-000412"))
+                .jobClass("train")
+                .team("vision")
+                .kind(JobKind.SERVICE)
+                .urgency(Urgency.BEST_EFFORT)
+                .tasks(16)
+                .demand(new Demand(8, 1, 64))
+                .image("img-07")
+                .imageGb(6.2)
+                .types(List.of("g8"))
+                .zone("a")
+                .oneZone()
+                .spread()
+                .spotAllowed()
+                .estimate(Span.seconds(240))
+                .checkpointEvery(Span.seconds(30))
+                .checkpointTime(Span.seconds(4))
+                .due(Span.seconds(900))
+                .build();
+        JobSpec bare = JobSpec.builder(new JobId("run-1"))
+                .jobClass("c")
+                .team("t")
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.HIGH)
+                .tasks(1)
+                .demand(new Demand(1, 0, 1))
+                .image("i")
+                .imageGb(0)
+                .build();
         assertEquals(full, JobCodec.read(sent(JobCodec.write(full))));
         assertEquals(bare, JobCodec.read(sent(JobCodec.write(bare))));
         JobSpec chained = bare.with(JobDependencies.of(List.of(new JobId("run-007"), new JobId("run-8"))));
--- a/src/test/java/io/indigoreach/api/JobServiceTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceTest.java
@@ -236,8 +236,8 @@
                 List.of(new JobId("run-1")),
                 RecordCodec.readJob(new JobId("run-000412"), service.value("j/run-000412"), Revision.ABSENT)
                         .spec()
-                        .chain()
-                        .needs());
+                        .dependencies()
+                        .requiredJobs());
     }
 
     /**
--- a/src/test/java/io/indigoreach/checker/CheckerTest.java
+++ b/src/test/java/io/indigoreach/checker/CheckerTest.java
@@ -44,25 +44,21 @@
             kind.accept(is);
             history.add(new Event.Submitted(
                     at(0),
-                    new JobSpec(
-                            id(n),
-                            "c",
-                            "t",
-                            JobKind.ARRAY,
-                            Urgency.STANDARD,
-                            2,
-                            new Demand(1, 0, 1),
-                            "i",
-                            0,
-                            List.of("m"),
-                            null,
-                            is[1],
-                            is[2],
-                            is[0],
-                            Span.seconds(5),
-                            Span.ZERO,
-                            Span.ZERO,
-                            null)));
+                    JobSpec.builder(id(n))
+                            .jobClass("c")
+                            .team("t")
+                            .kind(JobKind.ARRAY)
+                            .urgency(Urgency.STANDARD)
+                            .tasks(2)
+                            .demand(new Demand(1, 0, 1))
+                            .image("i")
+                            .imageGb(0)
+                            .types(List.of("m"))
+                            .oneZone(is[1])
+                            .spread(is[2])
+                            .spotAllowed(is[0])
+                            .estimate(Span.seconds(5))
+                            .build()));
             return answer(0.1, 0, Question.SUBMIT, n, 201, JobStatus.PENDING);
         }
 
--- a/src/test/java/io/indigoreach/checker/FrontDoors.java
+++ b/src/test/java/io/indigoreach/checker/FrontDoors.java
@@ -188,25 +188,18 @@
     }
 
     private static JobSpec spec(JobId id) {
-        return new JobSpec(
-                id,
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Urgency.STANDARD,
-                TASKS,
-                new Demand(1, 0, 1),
-                "img",
-                0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(10),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        return JobSpec.builder(id)
+                .jobClass("c")
+                .team("t")
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.STANDARD)
+                .tasks(TASKS)
+                .demand(new Demand(1, 0, 1))
+                .image("img")
+                .imageGb(0)
+                .spotAllowed()
+                .estimate(Span.seconds(10))
+                .build();
     }
 
     /** The leader's next write of a job: it runs, it is done, or it is done and moved later. */
--- a/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
@@ -62,25 +62,18 @@
     }
 
     static JobSpec spec(int tasks, int imageName) {
-        return new JobSpec(
-                ID,
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Urgency.STANDARD,
-                tasks,
-                new Demand(1, 0, 1),
-                "i".repeat(imageName),
-                0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(10),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        return JobSpec.builder(ID)
+                .jobClass("c")
+                .team("t")
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.STANDARD)
+                .tasks(tasks)
+                .demand(new Demand(1, 0, 1))
+                .image("i".repeat(imageName))
+                .imageGb(0)
+                .spotAllowed()
+                .estimate(Span.seconds(10))
+                .build();
     }
 
     private CompletionBlockStore book(String next) throws Exception {
--- a/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
@@ -136,25 +136,18 @@
     }
 
     private static JobSpec spec(int id, int... needs) {
-        return new JobSpec(
-                        id(id),
-                        "c",
-                        "t",
-                        JobKind.ARRAY,
-                        Urgency.STANDARD,
-                        1,
-                        new Demand(1, 0, 1),
-                        "img",
-                        0,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        Span.seconds(10),
-                        Span.ZERO,
-                        Span.ZERO,
-                        null)
+        return JobSpec.builder(id(id))
+                .jobClass("c")
+                .team("t")
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.STANDARD)
+                .tasks(1)
+                .demand(new Demand(1, 0, 1))
+                .image("img")
+                .imageGb(0)
+                .spotAllowed()
+                .estimate(Span.seconds(10))
+                .build()
                 .with(JobDependencies.of(
                         IntStream.of(needs).mapToObj(DependencyTaskTest::id).toList()));
     }
--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -110,25 +110,18 @@
     }
 
     private Job job(int id, int tasks, int done, int bound) throws Exception {
-        JobSpec spec = new JobSpec(
-                new JobId("run-" + id),
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Urgency.STANDARD,
-                tasks,
-                new Demand(1, 0, 1),
-                "img",
-                0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(10),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        JobSpec spec = JobSpec.builder(new JobId("run-" + id))
+                .jobClass("c")
+                .team("t")
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.STANDARD)
+                .tasks(tasks)
+                .demand(new Demand(1, 0, 1))
+                .image("img")
+                .imageGb(0)
+                .spotAllowed()
+                .estimate(Span.seconds(10))
+                .build();
         Revision stamp = await(client.commit(new StateClient.Txn()
                         .put(
                                 RecordCodec.openKey(spec.id()),
--- a/src/test/java/io/indigoreach/cluster/LastTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/LastTaskTest.java
@@ -171,25 +171,18 @@
     }
 
     private static JobSpec spec(JobId id) {
-        return new JobSpec(
-                id,
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Urgency.STANDARD,
-                1,
-                new Demand(1, 0, 1),
-                "img",
-                0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(10),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        return JobSpec.builder(id)
+                .jobClass("c")
+                .team("t")
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.STANDARD)
+                .tasks(1)
+                .demand(new Demand(1, 0, 1))
+                .image("img")
+                .imageGb(0)
+                .spotAllowed()
+                .estimate(Span.seconds(10))
+                .build();
     }
 
     /** A job whose one task has ended, as its leader has just seen. */
--- a/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionsTest.java
@@ -434,25 +434,18 @@
     }
 
     private static JobSpec spec(String id, int tasks) {
-        return new JobSpec(
-                new JobId(id),
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Urgency.STANDARD,
-                tasks,
-                new Demand(1, 0, 1),
-                "img",
-                0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(10),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        return JobSpec.builder(new JobId(id))
+                .jobClass("c")
+                .team("t")
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.STANDARD)
+                .tasks(tasks)
+                .demand(new Demand(1, 0, 1))
+                .image("img")
+                .imageGb(0)
+                .spotAllowed()
+                .estimate(Span.seconds(10))
+                .build();
     }
 
     private int submit(JobService desk) throws Exception {
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -380,25 +380,18 @@
     /** Of a job whose record says that nothing of it was ever ordered: not believed while an older version may have led. */
     @Test
     void startBoundsAreReadOnlyWhereEveryLeaderKeptToThem() throws Exception {
-        JobSpec spec = new JobSpec(
-                new JobId("run-1"),
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Urgency.STANDARD,
-                3,
-                new Demand(1, 0, 1),
-                "i",
-                0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(9),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        JobSpec spec = JobSpec.builder(new JobId("run-1"))
+                .jobClass("c")
+                .team("t")
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.STANDARD)
+                .tasks(3)
+                .demand(new Demand(1, 0, 1))
+                .image("i")
+                .imageGb(0)
+                .spotAllowed()
+                .estimate(Span.seconds(9))
+                .build();
         long revision = await(client.commit(new StateClient.Txn()
                         .put(
                                 RecordCodec.openKey(spec.id()),
--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -177,25 +177,18 @@
             state.txnOps = before.size();
             StateClient.Outcome taken = await(client.commit(before));
             state.txnOps = limit;
-            JobSpec spec = new JobSpec(
-                    new JobId("run-1"),
-                    "c",
-                    "t",
-                    JobKind.ARRAY,
-                    Urgency.STANDARD,
-                    2,
-                    new Demand(1, 0, 1),
-                    "img",
-                    0,
-                    null,
-                    null,
-                    false,
-                    false,
-                    true,
-                    Span.seconds(10),
-                    Span.ZERO,
-                    Span.ZERO,
-                    null);
+            JobSpec spec = JobSpec.builder(new JobId("run-1"))
+                    .jobClass("c")
+                    .team("t")
+                    .kind(JobKind.ARRAY)
+                    .urgency(Urgency.STANDARD)
+                    .tasks(2)
+                    .demand(new Demand(1, 0, 1))
+                    .image("img")
+                    .imageGb(0)
+                    .spotAllowed()
+                    .estimate(Span.seconds(10))
+                    .build();
             rememberedState.add(new RememberedState.OpenJob(spec, 1, new BitSet(), 2));
             rememberedState.add(new JobId("run-2"), new RememberedState.FinishedJob(JobStatus.CANCELLED, 0));
             int changes = state.changed;
--- a/src/test/java/io/indigoreach/core/calendar/Samples.java
+++ b/src/test/java/io/indigoreach/core/calendar/Samples.java
@@ -22,25 +22,18 @@
     private Samples() {}
 
     static JobSpec job(int tasks, double runS) {
-        return new JobSpec(
-                new JobId("run-0"),
-                "tours",
-                "t",
-                JobKind.ARRAY,
-                Urgency.HIGH,
-                tasks,
-                new Demand(1, 0, 1),
-                "image",
-                10,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(runS),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        return JobSpec.builder(new JobId("run-0"))
+                .jobClass("tours")
+                .team("t")
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.HIGH)
+                .tasks(tasks)
+                .demand(new Demand(1, 0, 1))
+                .image("image")
+                .imageGb(10)
+                .spotAllowed()
+                .estimate(Span.seconds(runS))
+                .build();
     }
 
     static Plan plan(
--- a/src/test/java/io/indigoreach/core/dependency/DependencyGraphTest.java
+++ b/src/test/java/io/indigoreach/core/dependency/DependencyGraphTest.java
@@ -37,7 +37,7 @@
         add(3, 1, 2);
         graph.done(id(1));
         assertEquals(List.of(), graph.takeReleased());
-        assertEquals(Set.of(id(2)), graph.outstanding(id(3)));
+        assertEquals(Set.of(id(2)), graph.unmetDependencies(id(3)));
         graph.done(id(2));
         graph.done(id(2));
         assertEquals(List.of(id(3)), graph.takeReleased());
@@ -54,23 +54,24 @@
         graph.cancelled(id(1));
         add(6, 4);
         graph.done(id(2));
-        assertEquals(Set.of(id(3), id(4), id(6)), graph.doomed());
+        assertEquals(Set.of(id(3), id(4), id(6)), graph.jobsToCancel());
         assertEquals(List.of(id(5)), graph.takeReleased());
         List.of(4, 3, 6).forEach(n -> graph.cancelled(id(n)));
-        assertTrue(
-                graph.isEmpty() && graph.doomed().isEmpty() && graph.lookUps().isEmpty());
+        assertTrue(graph.isEmpty()
+                && graph.jobsToCancel().isEmpty()
+                && graph.jobsToLookUp().isEmpty());
     }
 
     @Test
     void whatIsNotOpenHereIsLookedUpAsLongAsAnybodyWaitsForIt() {
         graph.add(id(2), List.of(id(1)), need -> false);
-        assertEquals(Set.of(id(1)), graph.lookUps());
+        assertEquals(Set.of(id(1)), graph.jobsToLookUp());
         graph.opened(id(1));
-        assertEquals(Set.of(), graph.lookUps());
+        assertEquals(Set.of(), graph.jobsToLookUp());
         graph.ended(id(1));
-        assertEquals(Set.of(id(1)), graph.lookUps());
+        assertEquals(Set.of(id(1)), graph.jobsToLookUp());
         graph.ended(id(2));
-        assertEquals(Set.of(), graph.lookUps());
+        assertEquals(Set.of(), graph.jobsToLookUp());
     }
 
     /** A line of many, one that many need, and one that needs many: each in a time that grows with its edges alone. */
@@ -80,10 +81,10 @@
             IntStream.range(1, MANY).forEach(n -> add(n, n - 1));
             IntStream.range(0, MANY).forEach(n -> add(2 * MANY + n, MANY));
             add(4 * MANY, IntStream.range(0, MANY).toArray());
-            assertEquals(3 * MANY - 1, graph.fromTheEnds().size());
+            assertEquals(3 * MANY - 1, graph.edgesFromLastJobs().size());
             graph.cancelled(id(0));
             graph.done(id(MANY));
-            assertEquals(MANY, graph.doomed().size());
+            assertEquals(MANY, graph.jobsToCancel().size());
             assertEquals(MANY, graph.takeReleased().size());
             IntStream.range(1, MANY).forEach(n -> graph.cancelled(id(n)));
         });
--- a/src/test/java/io/indigoreach/core/loss/LeaderMemoryTest.java
+++ b/src/test/java/io/indigoreach/core/loss/LeaderMemoryTest.java
@@ -19,25 +19,18 @@
     private static final JobId OVER = new JobId("run-2");
 
     private static RememberedState remains() {
-        JobSpec spec = new JobSpec(
-                OPEN,
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Urgency.STANDARD,
-                2,
-                new Demand(1, 0, 1),
-                "i",
-                1,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(9),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        JobSpec spec = JobSpec.builder(OPEN)
+                .jobClass("c")
+                .team("t")
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.STANDARD)
+                .tasks(2)
+                .demand(new Demand(1, 0, 1))
+                .image("i")
+                .imageGb(1)
+                .spotAllowed()
+                .estimate(Span.seconds(9))
+                .build();
         RememberedState r = new RememberedState();
         r.add(new RememberedState.OpenJob(spec, 1, new BitSet(), 2));
         r.add(OVER, new RememberedState.FinishedJob(JobStatus.DONE, 1));
--- a/src/test/java/io/indigoreach/core/loss/LossTablesTest.java
+++ b/src/test/java/io/indigoreach/core/loss/LossTablesTest.java
@@ -69,25 +69,18 @@
             bits.set(c - '0');
         }
         return new RememberedState.OpenJob(
-                new JobSpec(
-                        new JobId("run-" + id),
-                        "c",
-                        "t",
-                        JobKind.ARRAY,
-                        Urgency.STANDARD,
-                        8,
-                        new Demand(1, 0, 1),
-                        "img",
-                        0,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        Span.seconds(5),
-                        Span.ZERO,
-                        Span.ZERO,
-                        null),
+                JobSpec.builder(new JobId("run-" + id))
+                        .jobClass("c")
+                        .team("t")
+                        .kind(JobKind.ARRAY)
+                        .urgency(Urgency.STANDARD)
+                        .tasks(8)
+                        .demand(new Demand(1, 0, 1))
+                        .image("img")
+                        .imageGb(0)
+                        .spotAllowed()
+                        .estimate(Span.seconds(5))
+                        .build(),
                 100 + id,
                 bits,
                 bound);
--- a/src/test/java/io/indigoreach/core/loss/RecordRepairTest.java
+++ b/src/test/java/io/indigoreach/core/loss/RecordRepairTest.java
@@ -16,25 +16,18 @@
 /** What is written in place of a record that cannot be read; "?" is what it does not say either, "-" what nobody has. */
 class RecordRepairTest {
     private static final JobId ID = new JobId("run-1");
-    private static final JobSpec SPEC = new JobSpec(
-            ID,
-            "c",
-            "t",
-            JobKind.ARRAY,
-            Urgency.STANDARD,
-            8,
-            new Demand(1, 0, 1),
-            "img",
-            0,
-            null,
-            null,
-            false,
-            false,
-            true,
-            Span.seconds(5),
-            Span.ZERO,
-            Span.ZERO,
-            null);
+    private static final JobSpec SPEC = JobSpec.builder(ID)
+            .jobClass("c")
+            .team("t")
+            .kind(JobKind.ARRAY)
+            .urgency(Urgency.STANDARD)
+            .tasks(8)
+            .demand(new Demand(1, 0, 1))
+            .image("img")
+            .imageGb(0)
+            .spotAllowed()
+            .estimate(Span.seconds(5))
+            .build();
 
     private static RecordRepair.Rest rest(String status, String done) {
         return new RecordRepair.Rest(
--- a/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
@@ -226,7 +226,7 @@
     /** The same of those that came from a step on. */
     double served(String name, int within, int from) {
         List<Fate> all = fates.values().stream()
-                .filter(f -> f.spec.shape() == JobKind.ARRAY
+                .filter(f -> f.spec.kind() == JobKind.ARRAY
                         && now - f.came >= within
                         && f.came >= from
                         && (f.spec.jobClass().equals(name) || f.spec.team().equals(name)))
@@ -292,25 +292,20 @@
     }
 
     private void come(Kind kind) {
-        JobSpec spec = new JobSpec(
-                new JobId("run-" + (fates.size() + 1)),
-                kind.name,
-                kind.team,
-                kind.shape,
-                kind.urgency,
-                kind.tasks,
-                new Demand(kind.cores, 0, kind.cores * 4),
-                "img-" + kind.name,
-                0.2,
-                null,
-                null,
-                false,
-                false,
-                kind.shape == JobKind.ARRAY,
-                Span.seconds(kind.run * kind.estimate),
-                Span.seconds(kind.saves ? 10 : 0),
-                Span.seconds(kind.saves ? 2 : 0),
-                null);
+        JobSpec spec = JobSpec.builder(new JobId("run-" + (fates.size() + 1)))
+                .jobClass(kind.name)
+                .team(kind.team)
+                .kind(kind.shape)
+                .urgency(kind.urgency)
+                .tasks(kind.tasks)
+                .demand(new Demand(kind.cores, 0, kind.cores * 4))
+                .image("img-" + kind.name)
+                .imageGb(0.2)
+                .spotAllowed(kind.shape == JobKind.ARRAY)
+                .estimate(Span.seconds(kind.run * kind.estimate))
+                .checkpointEvery(Span.seconds(kind.saves ? 10 : 0))
+                .checkpointTime(Span.seconds(kind.saves ? 2 : 0))
+                .build();
         Job job = new Job(spec, at(now).ms(), at(now), new Revision(fates.size() + 1), new BitSet(), 0, false);
         fates.put(job.id(), new Fate(spec, now, kind.run));
         open.put(job.id(), job);
@@ -327,7 +322,7 @@
                                     .filter(b -> b.pool.equals(request.pool()))
                                     .count());
             if (got < request.count()) {
-                core.refused(request.pool(), at(now));
+                core.scaleOutRejected(request.pool(), at(now));
             }
             List<MachineId> ids = new ArrayList<>();
             for (int i = 0; i < got; i++) {
@@ -381,7 +376,7 @@
         for (WorkerCommand command : orders) {
             Fate fate = fates.get(command.task().job());
             if (command instanceof WorkerCommand.Start) {
-                int run = fate.spec.shape() == JobKind.SERVICE ? 1_000_000 : fate.run;
+                int run = fate.spec.kind() == JobKind.SERVICE ? 1_000_000 : fate.run;
                 box.tasks.put(
                         command, now + (fate.spec.savesProgress() ? left.getOrDefault(command.task(), run) : run));
                 fate.started.putIfAbsent(command.task(), now);
--- a/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
@@ -149,12 +149,12 @@
 
     private void work() {
         leader.dependentJobs().advance(SimulatedWorld.at(step / 10.0), step * 100L);
-        for (JobId id : Set.copyOf(leader.dependentJobs().lookUps())) {
+        for (JobId id : Set.copyOf(leader.dependentJobs().jobsToLookUp())) {
             if (random.nextDouble() < 0.5 && ends.containsKey(id)) {
                 answer(id);
             }
         }
-        for (JobId id : Set.copyOf(leader.dependentJobs().doomed())) {
+        for (JobId id : Set.copyOf(leader.dependentJobs().jobsToCancel())) {
             if (random.nextDouble() < 0.3) {
                 end(id, JobStatus.CANCELLED);
                 acknowledge(id);
@@ -195,8 +195,8 @@
         for (Job job : leader.jobs()) {
             if (job.hasStartable() && !ends.containsKey(job.id())) {
                 job.spec()
-                        .chain()
-                        .needs()
+                        .dependencies()
+                        .requiredJobs()
                         .forEach(need -> assertEquals(
                                 JobStatus.DONE, ends.get(need), job.id() + " could start before " + need + " is done"));
             }
@@ -219,7 +219,7 @@
             return before;
         }
         int since = NEVER;
-        for (JobId need : records.get(id).chain().needs()) {
+        for (JobId need : records.get(id).dependencies().requiredJobs()) {
             if (byUser.contains(need)) {
                 since = Math.min(since, cancelledAt.get(need));
             }
--- a/src/test/java/io/indigoreach/core/scheduling/DependentJobsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependentJobsTest.java
@@ -31,27 +31,27 @@
     }
 
     private static JobSpec due(JobSpec s, Urgency urgency, double dueS) {
-        return new JobSpec(
-                s.id(),
-                s.jobClass(),
-                s.team(),
-                s.shape(),
-                urgency,
-                s.tasks(),
-                s.demand(),
-                s.image(),
-                s.imageGb(),
-                s.types(),
-                s.zone(),
-                s.oneZone(),
-                s.spread(),
-                s.spotAllowed(),
-                s.estimate(),
-                s.checkpointEvery(),
-                s.checkpointTime(),
-                Span.seconds(dueS),
-                s.more(),
-                s.chain());
+        return JobSpec.builder(s.id())
+                .jobClass(s.jobClass())
+                .team(s.team())
+                .kind(s.kind())
+                .urgency(urgency)
+                .tasks(s.tasks())
+                .demand(s.demand())
+                .image(s.image())
+                .imageGb(s.imageGb())
+                .types(s.types())
+                .zone(s.zone())
+                .oneZone(s.oneZone())
+                .spread(s.spread())
+                .spotAllowed(s.spotAllowed())
+                .estimate(s.estimate())
+                .checkpointEvery(s.checkpointEvery())
+                .checkpointTime(s.checkpointTime())
+                .due(Span.seconds(dueS))
+                .more(s.more())
+                .dependencies(s.dependencies())
+                .build();
     }
 
     private void advance(double at) {
@@ -84,7 +84,7 @@
         assertEquals(List.of("run-2/0", "run-2/1"), SimulatedWorld.starts(world.hear("vm-1", 41)));
         assertEquals(SimulatedWorld.at(40), waiting.eligibleSince);
         assertEquals(SimulatedWorld.at(300), waiting.dueAt());
-        assertEquals(40_000, waiting.spec().chain().releasedMs(), "its next record tells a later leader");
+        assertEquals(40_000, waiting.spec().dependencies().releasedAtMs(), "its next record tells a later leader");
     }
 
     /** Its record says when it was released; or a task of it is done, or seen on a machine. Else its needs are looked up. */
@@ -94,7 +94,7 @@
         BitSet one = new BitSet();
         one.set(0);
         Job marked = new Job(
-                chained(2, need).with(chained(2, need).chain().released(25_000)),
+                chained(2, need).with(chained(2, need).dependencies().released(25_000)),
                 5_000,
                 SimulatedWorld.at(5),
                 new Revision(1),
@@ -106,13 +106,14 @@
         List.of(marked, begun).forEach(world.core::addJob);
         assertEquals(SimulatedWorld.at(25), marked.eligibleSince);
         assertTrue(marked.hasWaiting() && begun.hasWaiting());
-        assertTrue(world.core.dependentJobs().lookUps().isEmpty());
+        assertTrue(world.core.dependentJobs().jobsToLookUp().isEmpty());
         world.core.addJob(seen);
-        assertEquals(1, world.core.dependentJobs().lookUps().size());
+        assertEquals(1, world.core.dependentJobs().jobsToLookUp().size());
         world.up("vm-1", "east", 0);
         world.hear("vm-1", 30, SimulatedWorld.foreign("run-4/0", 9));
         advance(31);
-        assertTrue(seen.hasWaiting() && world.core.dependentJobs().lookUps().isEmpty());
+        assertTrue(
+                seen.hasWaiting() && world.core.dependentJobs().jobsToLookUp().isEmpty());
     }
 
     /** A reading of the records that is repeated says nothing of how any job ended. */
@@ -125,7 +126,7 @@
         world.core.addJob(waiting);
         advance(1);
         assertFalse(waiting.hasWaiting());
-        assertEquals(1, world.core.dependentJobs().lookUps().size());
+        assertEquals(1, world.core.dependentJobs().jobsToLookUp().size());
     }
 
     @Test
--- a/src/test/java/io/indigoreach/core/scheduling/FleetCostTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FleetCostTest.java
@@ -10,7 +10,6 @@
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.MachinePool;
-import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.TaskStatus;
 import io.indigoreach.core.model.Team;
 import io.indigoreach.core.model.Urgency;
@@ -52,25 +51,18 @@
         Map<String, TaskStatus[]> tasks = busy(w, machines);
         JobSpec s = spec(3, 4 * machines, 1, 20);
         w.submit(
-                new JobSpec(
-                        s.id(),
-                        s.jobClass(),
-                        "due",
-                        s.shape(),
-                        s.urgency(),
-                        s.tasks(),
-                        s.demand(),
-                        s.image(),
-                        s.imageGb(),
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        s.estimate(),
-                        Span.ZERO,
-                        Span.ZERO,
-                        null),
+                JobSpec.builder(s.id())
+                        .jobClass(s.jobClass())
+                        .team("due")
+                        .kind(s.kind())
+                        .urgency(s.urgency())
+                        .tasks(s.tasks())
+                        .demand(s.demand())
+                        .image(s.image())
+                        .imageGb(s.imageGb())
+                        .spotAllowed()
+                        .estimate(s.estimate())
+                        .build(),
                 3);
         long before = w.core.machineVisits();
         int stops = 0;
--- a/src/test/java/io/indigoreach/core/scheduling/FloodMemoryTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FloodMemoryTest.java
@@ -5,7 +5,6 @@
 import io.indigoreach.core.model.ExitCause;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobSpec;
-import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.TaskId;
 import io.indigoreach.core.model.TaskState;
 import io.indigoreach.core.model.TaskStatus;
@@ -66,25 +65,18 @@
 
     private static JobSpec single(int id) {
         JobSpec s = SimulatedWorld.spec(id, 1, 1, RUN_S);
-        return new JobSpec(
-                s.id(),
-                "class-" + id,
-                s.team(),
-                s.shape(),
-                s.urgency(),
-                1,
-                s.demand(),
-                "image-" + id,
-                0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                s.estimate(),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        return JobSpec.builder(s.id())
+                .jobClass("class-" + id)
+                .team(s.team())
+                .kind(s.kind())
+                .urgency(s.urgency())
+                .tasks(1)
+                .demand(s.demand())
+                .image("image-" + id)
+                .imageGb(0)
+                .spotAllowed()
+                .estimate(s.estimate())
+                .build();
     }
 
     private void report(int m, double now) {
--- a/src/test/java/io/indigoreach/core/scheduling/GatedTasksTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/GatedTasksTest.java
@@ -20,25 +20,18 @@
 
 /** Tasks that wait for something else than machines. */
 class GatedTasksTest {
-    private static final JobSpec PLAIN = new JobSpec(
-            new JobId("run-1"),
-            "c",
-            "t",
-            JobKind.ARRAY,
-            Urgency.STANDARD,
-            6,
-            new Demand(1, 0, 1),
-            "i",
-            0,
-            null,
-            null,
-            false,
-            false,
-            true,
-            Span.seconds(5),
-            Span.ZERO,
-            Span.ZERO,
-            null);
+    private static final JobSpec PLAIN = JobSpec.builder(new JobId("run-1"))
+            .jobClass("c")
+            .team("t")
+            .kind(JobKind.ARRAY)
+            .urgency(Urgency.STANDARD)
+            .tasks(6)
+            .demand(new Demand(1, 0, 1))
+            .image("i")
+            .imageGb(0)
+            .spotAllowed()
+            .estimate(Span.seconds(5))
+            .build();
 
     private static Job job(JobSpec spec) {
         return new Job(spec, 0, new Moment(0), new Revision(1), new BitSet(), 0, false);
--- a/src/test/java/io/indigoreach/core/scheduling/ImageCacheTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ImageCacheTest.java
@@ -18,7 +18,7 @@
 
     private void held(String image, double gb) {
         cache.use(image, gb);
-        cache.ran(image);
+        cache.confirmCached(image);
     }
 
     @Test
@@ -27,36 +27,36 @@
         held("b", 40);
         held("a", 40);
         assertEquals(List.of("b"), cache.use("c", 30));
-        assertTrue(cache.holds("a") && cache.contains("c") && !cache.holds("c"));
+        assertTrue(cache.isCached("a") && cache.contains("c") && !cache.isCached("c"));
     }
 
     @Test
     void aFetchGivenUpLeavesNothing() {
         cache.use("a", 40);
-        assertTrue(cache.givenUp("a"));
+        assertTrue(cache.abandonFetch("a"));
         assertFalse(cache.contains("a"));
         held("a", 40);
-        assertFalse(cache.givenUp("a"));
+        assertFalse(cache.abandonFetch("a"));
     }
 
     @Test
     void aSessionsEndIsADoubtUntilAStart() {
         held("a", 40);
-        cache.doubt();
-        assertTrue(cache.contains("a") && !cache.holds("a"));
-        cache.ran("a");
-        assertTrue(cache.holds("a"));
+        cache.incarnationEnded();
+        assertTrue(cache.contains("a") && !cache.isCached("a"));
+        cache.confirmCached("a");
+        assertTrue(cache.isCached("a"));
     }
 
     @Test
     void whatAnEarlierLeaderRecordedStandsBehindWhatWasSeenSince() {
         held("b", 40);
-        assertTrue(cache.recall("a", 60, true));
-        assertTrue(cache.holds("a"));
+        assertTrue(cache.restore("a", 60, true));
+        assertTrue(cache.isCached("a"));
         assertEquals(List.of("a"), cache.use("c", 10));
-        assertFalse(cache.recall("a", 60, true), "no room for it any more");
-        assertTrue(cache.recall("d", 40, false));
-        assertFalse(cache.holds("d"), "another session");
+        assertFalse(cache.restore("a", 60, true), "no room for it any more");
+        assertTrue(cache.restore("d", 40, false));
+        assertFalse(cache.isCached("d"), "another session");
     }
 
     @Test
--- a/src/test/java/io/indigoreach/core/scheduling/NearObjectiveTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/NearObjectiveTest.java
@@ -64,25 +64,18 @@
         JobSpec low = spec(1, 2, 2, 300);
         w.submit(
                 with(
-                        new JobSpec(
-                                low.id(),
-                                "low",
-                                "t",
-                                low.shape(),
-                                low.urgency(),
-                                2,
-                                low.demand(),
-                                "img",
-                                0,
-                                null,
-                                null,
-                                false,
-                                false,
-                                true,
-                                low.estimate(),
-                                Span.ZERO,
-                                Span.ZERO,
-                                null),
+                        JobSpec.builder(low.id())
+                                .jobClass("low")
+                                .team("t")
+                                .kind(low.kind())
+                                .urgency(low.urgency())
+                                .tasks(2)
+                                .demand(low.demand())
+                                .image("img")
+                                .imageGb(0)
+                                .spotAllowed()
+                                .estimate(low.estimate())
+                                .build(),
                         Urgency.BEST_EFFORT,
                         false,
                         false,
--- a/src/test/java/io/indigoreach/core/scheduling/PlacementTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/PlacementTest.java
@@ -75,25 +75,18 @@
         w.up("a", "east", 0);
         JobSpec batch = spec(1, 8, 1, 300);
         w.submit(
-                new JobSpec(
-                        batch.id(),
-                        "g",
-                        "guest",
-                        batch.shape(),
-                        Urgency.BEST_EFFORT,
-                        8,
-                        batch.demand(),
-                        "img",
-                        0,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        batch.estimate(),
-                        Span.ZERO,
-                        Span.ZERO,
-                        null),
+                JobSpec.builder(batch.id())
+                        .jobClass("g")
+                        .team("guest")
+                        .kind(batch.kind())
+                        .urgency(Urgency.BEST_EFFORT)
+                        .tasks(8)
+                        .demand(batch.demand())
+                        .image("img")
+                        .imageGb(0)
+                        .spotAllowed()
+                        .estimate(batch.estimate())
+                        .build(),
                 0);
         List<WorkerCommand> guests = w.hear("a", 1);
         assertEquals(List.of("run-1/0", "run-1/1"), starts(guests), "its limit still holds");
@@ -126,25 +119,18 @@
         w.core.recordsLoaded();
         JobSpec s = spec(1, 1, 4, 300);
         w.submit(
-                new JobSpec(
-                        s.id(),
-                        "g",
-                        s.team(),
-                        s.shape(),
-                        Urgency.BEST_EFFORT,
-                        1,
-                        s.demand(),
-                        "img",
-                        0,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        s.estimate(),
-                        Span.ZERO,
-                        Span.ZERO,
-                        null),
+                JobSpec.builder(s.id())
+                        .jobClass("g")
+                        .team(s.team())
+                        .kind(s.kind())
+                        .urgency(Urgency.BEST_EFFORT)
+                        .tasks(1)
+                        .demand(s.demand())
+                        .image("img")
+                        .imageGb(0)
+                        .spotAllowed()
+                        .estimate(s.estimate())
+                        .build(),
                 0);
         w.submit(spec(2, 1, 1, 50), 100);
         w.up("a", "east", 100);
@@ -176,25 +162,18 @@
         w.submit(spec(3, 1, 4, 50), 2);
         JobSpec s = spec(4, 2, 1, estimate);
         w.submit(
-                new JobSpec(
-                        s.id(),
-                        jobClass,
-                        s.team(),
-                        s.shape(),
-                        Urgency.BEST_EFFORT,
-                        2,
-                        s.demand(),
-                        "img",
-                        0,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        s.estimate(),
-                        Span.ZERO,
-                        Span.ZERO,
-                        null),
+                JobSpec.builder(s.id())
+                        .jobClass(jobClass)
+                        .team(s.team())
+                        .kind(s.kind())
+                        .urgency(Urgency.BEST_EFFORT)
+                        .tasks(2)
+                        .demand(s.demand())
+                        .image("img")
+                        .imageGb(0)
+                        .spotAllowed()
+                        .estimate(s.estimate())
+                        .build(),
                 3);
         assertEquals(
                 started,
@@ -248,25 +227,18 @@
         w.hear("a", 2, running(borrowed));
         JobSpec s = spec(2, 1, 4, 50);
         w.submit(
-                new JobSpec(
-                        s.id(),
-                        "c",
-                        "owner",
-                        s.shape(),
-                        s.urgency(),
-                        1,
-                        s.demand(),
-                        "i",
-                        0,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        s.estimate(),
-                        Span.ZERO,
-                        Span.ZERO,
-                        null),
+                JobSpec.builder(s.id())
+                        .jobClass("c")
+                        .team("owner")
+                        .kind(s.kind())
+                        .urgency(s.urgency())
+                        .tasks(1)
+                        .demand(s.demand())
+                        .image("i")
+                        .imageGb(0)
+                        .spotAllowed()
+                        .estimate(s.estimate())
+                        .build(),
                 3);
         assertEquals(stopped, stops(w.hear("a", 4, running(borrowed))).size(), why);
         if (stopped > 0) {
--- a/src/test/java/io/indigoreach/core/scheduling/RandomJobs.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomJobs.java
@@ -3,7 +3,6 @@
 import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
-import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
 import java.util.Random;
 
@@ -25,24 +24,18 @@
         if (id % 4 != 0) {
             return s;
         }
-        return new JobSpec(
-                s.id(),
-                s.jobClass(),
-                s.team(),
-                JobKind.SERVICE,
-                s.urgency(),
-                1 + random.nextInt(3),
-                new Demand(1, 0, 1),
-                s.image(),
-                0,
-                null,
-                s.zone(),
-                oneZone,
-                false,
-                true,
-                Span.ZERO,
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        return JobSpec.builder(s.id())
+                .jobClass(s.jobClass())
+                .team(s.team())
+                .kind(JobKind.SERVICE)
+                .urgency(s.urgency())
+                .tasks(1 + random.nextInt(3))
+                .demand(new Demand(1, 0, 1))
+                .image(s.image())
+                .imageGb(0)
+                .zone(s.zone())
+                .oneZone(oneZone)
+                .spotAllowed()
+                .build();
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/ScaleOutTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ScaleOutTest.java
@@ -110,25 +110,25 @@
         w.hear("a", 1).forEach(command -> tasks.add(running(command)));
         w.hear("a", 2, tasks.toArray(TaskStatus[]::new));
         JobSpec s = spec(2, 4, 1, 20);
-        JobSpec due = new JobSpec(
-                s.id(),
-                s.jobClass(),
-                s.team(),
-                s.shape(),
-                s.urgency(),
-                s.tasks(),
-                s.demand(),
-                s.image(),
-                s.imageGb(),
-                s.types(),
-                s.zone(),
-                s.oneZone(),
-                s.spread(),
-                s.spotAllowed(),
-                s.estimate(),
-                s.checkpointEvery(),
-                s.checkpointTime(),
-                Span.seconds(dueS));
+        JobSpec due = JobSpec.builder(s.id())
+                .jobClass(s.jobClass())
+                .team(s.team())
+                .kind(s.kind())
+                .urgency(s.urgency())
+                .tasks(s.tasks())
+                .demand(s.demand())
+                .image(s.image())
+                .imageGb(s.imageGb())
+                .types(s.types())
+                .zone(s.zone())
+                .oneZone(s.oneZone())
+                .spread(s.spread())
+                .spotAllowed(s.spotAllowed())
+                .estimate(s.estimate())
+                .checkpointEvery(s.checkpointEvery())
+                .checkpointTime(s.checkpointTime())
+                .due(Span.seconds(dueS))
+                .build();
         w.submit(planned ? due.with("plan", Map.of("name", "p", "day", "2027-03-01")) : due, 3);
         assertEquals(
                 machines,
@@ -143,13 +143,13 @@
         w.core.recordsLoaded();
         w.submit(spec(1, 4, 1, 100), 0);
         MachinePool first = w.core.scaleOutRequests(at(1)).get(0).pool();
-        w.core.refused(first, at(1));
+        w.core.scaleOutRejected(first, at(1));
         MachinePool second = w.core.scaleOutRequests(at(2)).get(0).pool();
-        w.core.refused(second, at(2));
+        w.core.scaleOutRejected(second, at(2));
         assertEquals(List.of(true, true), List.of(first.spot(), second.spot()));
         assertEquals(List.of(), w.core.scaleOutRequests(at(3)));
-        w.core.refused(first, at(61));
-        w.core.refused(second, at(61));
+        w.core.scaleOutRejected(first, at(61));
+        w.core.scaleOutRejected(second, at(61));
         assertEquals(false, w.core.scaleOutRequests(at(62)).get(0).pool().spot());
     }
 
@@ -161,8 +161,8 @@
         w.core.recordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, tasks, 1, 75), 0);
-        w.core.refused(new MachinePool("quad", "east", true), at(1));
-        w.core.refused(new MachinePool("quad", "west", true), at(1));
+        w.core.scaleOutRejected(new MachinePool("quad", "east", true), at(1));
+        w.core.scaleOutRejected(new MachinePool("quad", "west", true), at(1));
         assertEquals(
                 ordinary,
                 w.core.scaleOutRequests(at(2)).stream()
