--- a/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
@@ -115,25 +115,19 @@
         }
         JobSpec s = service(2, 1);
         w.submit(
-                new JobSpec(
-                        s.id(),
-                        s.jobClass(),
-                        s.team(),
-                        s.shape(),
-                        s.urgency(),
-                        1,
-                        s.demand(),
-                        "img-1",
-                        1,
-                        null,
-                        null,
-                        false,
-                        false,
-                        false,
-                        s.estimate(),
-                        s.checkpointEvery(),
-                        s.checkpointTime(),
-                        null),
+                JobSpec.builder(s.id())
+                        .jobClass(s.jobClass())
+                        .team(s.team())
+                        .kind(s.kind())
+                        .urgency(s.urgency())
+                        .tasks(1)
+                        .demand(s.demand())
+                        .image("img-1")
+                        .imageGb(1)
+                        .estimate(s.estimate())
+                        .checkpointEvery(s.checkpointEvery())
+                        .checkpointTime(s.checkpointTime())
+                        .build(),
                 100);
         assertEquals(started, starts(w.ordinary("b", 100 + waited)).size());
     }
--- a/src/test/java/io/indigoreach/core/scheduling/SimulatedWorld.java
+++ b/src/test/java/io/indigoreach/core/scheduling/SimulatedWorld.java
@@ -76,71 +76,55 @@
     }
 
     static JobSpec spec(int id, int tasks, double cores, double estimate) {
-        return new JobSpec(
-                new JobId("run-" + id),
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Urgency.STANDARD,
-                tasks,
-                new Demand(cores, 0, 1),
-                "img",
-                0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(estimate),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        return JobSpec.builder(new JobId("run-" + id))
+                .jobClass("c")
+                .team("t")
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.STANDARD)
+                .tasks(tasks)
+                .demand(new Demand(cores, 0, 1))
+                .image("img")
+                .imageGb(0)
+                .spotAllowed()
+                .estimate(Span.seconds(estimate))
+                .build();
     }
 
     static JobSpec with(
             JobSpec s, Urgency urgency, boolean oneZone, boolean spread, boolean spot, String zone, double saveEvery) {
-        return new JobSpec(
-                s.id(),
-                s.jobClass(),
-                s.team(),
-                s.shape(),
-                urgency,
-                s.tasks(),
-                s.demand(),
-                s.image(),
-                s.imageGb(),
-                s.types(),
-                zone,
-                oneZone,
-                spread,
-                spot,
-                s.estimate(),
-                Span.seconds(saveEvery),
-                Span.seconds(saveEvery > 0 ? 2 : 0),
-                s.due());
+        return JobSpec.builder(s.id())
+                .jobClass(s.jobClass())
+                .team(s.team())
+                .kind(s.kind())
+                .urgency(urgency)
+                .tasks(s.tasks())
+                .demand(s.demand())
+                .image(s.image())
+                .imageGb(s.imageGb())
+                .types(s.types())
+                .zone(zone)
+                .oneZone(oneZone)
+                .spread(spread)
+                .spotAllowed(spot)
+                .estimate(s.estimate())
+                .checkpointEvery(Span.seconds(saveEvery))
+                .checkpointTime(Span.seconds(saveEvery > 0 ? 2 : 0))
+                .due(s.due())
+                .build();
     }
 
     /** A service: replicas of one core on ordinary machines, until it is cancelled. */
     static JobSpec service(int id, int replicas) {
-        return new JobSpec(
-                new JobId("run-" + id),
-                "s",
-                "t",
-                JobKind.SERVICE,
-                Urgency.PRODUCTION,
-                replicas,
-                new Demand(1, 0, 1),
-                "img-" + id,
-                1,
-                null,
-                null,
-                false,
-                false,
-                false,
-                Span.ZERO,
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        return JobSpec.builder(new JobId("run-" + id))
+                .jobClass("s")
+                .team("t")
+                .kind(JobKind.SERVICE)
+                .urgency(Urgency.PRODUCTION)
+                .tasks(replicas)
+                .demand(new Demand(1, 0, 1))
+                .image("img-" + id)
+                .imageGb(1)
+                .build();
     }
 
     Job submit(JobSpec spec, double at) {
--- a/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulation.java
@@ -7,7 +7,6 @@
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
-import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.TaskId;
 import io.indigoreach.core.model.Team;
 import java.util.ArrayList;
@@ -131,25 +130,19 @@
     private void submit(Team team, JobKind shape, int tasks, boolean oneZone, double now) {
         JobSpec s = SimulatedWorld.spec(++jobs, tasks, 1, shape == JobKind.SERVICE ? 0 : 500);
         site.submit(
-                new JobSpec(
-                        s.id(),
-                        s.jobClass(),
-                        team.name(),
-                        shape,
-                        s.urgency(),
-                        tasks,
-                        s.demand(),
-                        s.image(),
-                        0,
-                        null,
-                        null,
-                        oneZone,
-                        false,
-                        true,
-                        s.estimate(),
-                        Span.ZERO,
-                        Span.ZERO,
-                        null),
+                JobSpec.builder(s.id())
+                        .jobClass(s.jobClass())
+                        .team(team.name())
+                        .kind(shape)
+                        .urgency(s.urgency())
+                        .tasks(tasks)
+                        .demand(s.demand())
+                        .image(s.image())
+                        .imageGb(0)
+                        .oneZone(oneZone)
+                        .spotAllowed()
+                        .estimate(s.estimate())
+                        .build(),
                 now);
     }
 
--- a/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
@@ -40,7 +40,7 @@
     /** One machine of four cores in the east, three of them taken where {@code busy}, and a job that waits. */
     @ParameterizedTest
     @CsvSource({
-        "nothing, NEXT_REPORT",
+        "nothing, NEXT_HEARTBEAT",
         "limit, TEAM_LIMIT",
         "wide, NO_MACHINE",
         "west, NO_MACHINE",
@@ -49,7 +49,7 @@
         "unbound, START_BOUND",
         "booting, BOOTING",
         "unrecorded, MACHINE_RECORD",
-        "inherited, TAKE_OVER",
+        "inherited, FAILOVER",
         "failed, FAILED_THERE",
         "suspect, RETRY_PAUSE",
         "reserved, RESERVATION",
@@ -155,25 +155,18 @@
     }
 
     private static JobSpec of(JobSpec s, String team) {
-        return new JobSpec(
-                s.id(),
-                s.jobClass(),
-                team,
-                s.shape(),
-                s.urgency(),
-                s.tasks(),
-                s.demand(),
-                s.image(),
-                s.imageGb(),
-                null,
-                null,
-                false,
-                false,
-                true,
-                s.estimate(),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        return JobSpec.builder(s.id())
+                .jobClass(s.jobClass())
+                .team(team)
+                .kind(s.kind())
+                .urgency(s.urgency())
+                .tasks(s.tasks())
+                .demand(s.demand())
+                .image(s.image())
+                .imageGb(s.imageGb())
+                .spotAllowed()
+                .estimate(s.estimate())
+                .build();
     }
 
     /** Bound to a zone that the cheapest type is not in, or whose pools are empty: machines come for it, and for others. */
@@ -190,8 +183,8 @@
         w.submit(with(spec(1, 4, 1, 100), Urgency.STANDARD, false, false, true, "west", 0), 0);
         if (refused) {
             w.submit(spec(2, 4, 1, 100), 1);
-            w.core.refused(new MachinePool("quad", "west", true), at(19));
-            w.core.refused(new MachinePool("quad", "west", false), at(19));
+            w.core.scaleOutRejected(new MachinePool("quad", "west", true), at(19));
+            w.core.scaleOutRejected(new MachinePool("quad", "west", false), at(19));
         }
         assertEquals(
                 Set.of(expected),
--- a/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
@@ -172,72 +172,49 @@
     Job keep(PoolSpec p) {
         pools.put(p.name(), p);
         plan.pools(pools.values(), n -> new DemandHistory());
-        return submit(new JobSpec(
-                        new JobId("run-" + ++jobs),
-                        "hold",
-                        p.team(),
-                        JobKind.SERVICE,
-                        Urgency.STANDARD,
-                        p.most(),
-                        new Demand(0.01, 0, 0.1),
-                        p.image(),
-                        p.gb(),
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        Span.ZERO,
-                        Span.ZERO,
-                        Span.ZERO,
-                        null)
+        return submit(JobSpec.builder(new JobId("run-" + ++jobs))
+                .jobClass("hold")
+                .team(p.team())
+                .kind(JobKind.SERVICE)
+                .urgency(Urgency.STANDARD)
+                .tasks(p.most())
+                .demand(new Demand(0.01, 0, 0.1))
+                .image(p.image())
+                .imageGb(p.gb())
+                .spotAllowed()
+                .build()
                 .with(JobSpec.WARM, p.name()));
     }
 
     /** Replicas of a model that take whole machines. */
     Job serve(String image, double gb, int replicas) {
-        return submit(new JobSpec(
-                new JobId("run-" + ++jobs),
-                "serve",
-                "t",
-                JobKind.SERVICE,
-                Urgency.PRODUCTION,
-                replicas,
-                new Demand(8, 0, 8),
-                image,
-                gb,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.ZERO,
-                Span.ZERO,
-                Span.ZERO,
-                null));
+        return submit(JobSpec.builder(new JobId("run-" + ++jobs))
+                .jobClass("serve")
+                .team("t")
+                .kind(JobKind.SERVICE)
+                .urgency(Urgency.PRODUCTION)
+                .tasks(replicas)
+                .demand(new Demand(8, 0, 8))
+                .image(image)
+                .imageGb(gb)
+                .spotAllowed()
+                .build());
     }
 
     /** A guest's array. */
     Job array(String image, double gb, int tasks, double cores, int run) {
-        return submit(new JobSpec(
-                new JobId("run-" + ++jobs),
-                "guest",
-                "g",
-                JobKind.ARRAY,
-                Urgency.BEST_EFFORT,
-                tasks,
-                new Demand(cores, 0, 1),
-                image,
-                gb,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(run),
-                Span.ZERO,
-                Span.ZERO,
-                null));
+        return submit(JobSpec.builder(new JobId("run-" + ++jobs))
+                .jobClass("guest")
+                .team("g")
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.BEST_EFFORT)
+                .tasks(tasks)
+                .demand(new Demand(cores, 0, 1))
+                .image(image)
+                .imageGb(gb)
+                .spotAllowed()
+                .estimate(Span.seconds(run))
+                .build());
     }
 
     private Job submit(JobSpec spec) {
@@ -358,7 +335,7 @@
                                     .filter(b -> b.pool.equals(request.pool()))
                                     .count());
             if (got < request.count()) {
-                core.refused(request.pool(), at(now));
+                core.scaleOutRejected(request.pool(), at(now));
             }
             List<MachineId> ids = new ArrayList<>();
             for (int i = 0; i < got; i++) {
@@ -495,15 +472,15 @@
         List<Meter.Look> looks = new ArrayList<>();
         for (Machine machine : core.machines()) {
             boolean in = machine.poolMembership() != null
-                    && !machine.poolMembership().isDropped();
+                    && !machine.poolMembership().isEnded();
             looks.add(new Meter.Look(
                     machine.id(),
                     machine.pool(),
                     machine.rentedAt().ms(),
                     in ? new Account(machine.poolMembership().pool(), "t") : new Account("", ""),
                     in ? machine.poolMembership().image() : "",
-                    in ? machine.poolMembership().gb() : 0,
-                    in && machine.imageCache().holds(machine.poolMembership().image()) ? machine.incarnation() : 0,
+                    in ? machine.poolMembership().imageGb() : 0,
+                    in && machine.imageCache().isCached(machine.poolMembership().image()) ? machine.incarnation() : 0,
                     machine.coresByTeam(),
                     8,
                     price(machine.pool()),
@@ -531,7 +508,7 @@
             Box box = boxes.get(machine.id().toString());
             if (box != null
                     && machine.poolMembership() != null
-                    && machine.imageCache().holds(machine.poolMembership().image())
+                    && machine.imageCache().isCached(machine.poolMembership().image())
                     && !box.cache.containsKey(machine.poolMembership().image())) {
                 throw new AssertionError("at " + now + " " + machine.id() + " is said to hold "
                         + machine.poolMembership().image() + " and has " + box.cache.keySet());
@@ -542,7 +519,7 @@
     long machines(String pool) {
         return core.machines().stream()
                 .filter(machine -> machine.poolMembership() != null
-                        && !machine.poolMembership().isDropped()
+                        && !machine.poolMembership().isEnded()
                         && machine.poolMembership().pool().equals(pool))
                 .count();
     }
--- a/src/test/java/io/indigoreach/core/scheduling/WarmPoolTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolTest.java
@@ -148,9 +148,9 @@
             w.truthful();
             long ready = w.core.machines().stream()
                     .filter(machine -> machine.poolMembership() != null
-                            && !machine.poolMembership().isDropped()
+                            && !machine.poolMembership().isEnded()
                             && machine.imageCache()
-                                    .holds(machine.poolMembership().image()))
+                                    .isCached(machine.poolMembership().image()))
                     .count();
             fewest[0] = (int) Math.min(fewest[0], ready);
         });
@@ -177,7 +177,7 @@
                                 .filter(machine -> machine.poolMembership() != null
                                         && machine.isUsable()
                                         && machine.pool().zone().equals("west")
-                                        && machine.imageCache().holds(MODEL))
+                                        && machine.imageCache().isCached(MODEL))
                                 .count()
                         >= 10,
                 "the other zone has the number");
@@ -306,7 +306,7 @@
             w.run(1, w::truthful);
             dropped = w.core.machines().stream()
                     .filter(machine -> machine.poolMembership() != null
-                            && machine.poolMembership().isDropped())
+                            && machine.poolMembership().isEnded())
                     .findFirst()
                     .orElse(null);
         }
--- a/src/test/java/io/indigoreach/emulator/LocalCluster.java
+++ b/src/test/java/io/indigoreach/emulator/LocalCluster.java
@@ -151,25 +151,18 @@
     }
 
     static JobSpec job(int n, int tasks, double runS, UnaryOperator<JobSpec> change) {
-        return change.apply(new JobSpec(
-                new JobId("run-" + n),
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Urgency.STANDARD,
-                tasks,
-                new Demand(1, 0, 1),
-                "image",
-                0.5,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(runS),
-                Span.ZERO,
-                Span.ZERO,
-                null));
+        return change.apply(JobSpec.builder(new JobId("run-" + n))
+                .jobClass("c")
+                .team("t")
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.STANDARD)
+                .tasks(tasks)
+                .demand(new Demand(1, 0, 1))
+                .image("image")
+                .imageGb(0.5)
+                .spotAllowed()
+                .estimate(Span.seconds(runS))
+                .build());
     }
 
     /** Runs a job to its end, with polls of every half second. */
--- a/src/test/java/io/indigoreach/emulator/WarmPoolsTest.java
+++ b/src/test/java/io/indigoreach/emulator/WarmPoolsTest.java
@@ -51,25 +51,17 @@
             6L));
 
     private static JobSpec holder(int n, String team, String name) {
-        return new JobSpec(
-                        new JobId("run-" + n),
-                        "hold",
-                        team,
-                        JobKind.SERVICE,
-                        Urgency.STANDARD,
-                        6,
-                        new Demand(0.01, 0, 0.1),
-                        "weights",
-                        4,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        Span.ZERO,
-                        Span.ZERO,
-                        Span.ZERO,
-                        null)
+        return JobSpec.builder(new JobId("run-" + n))
+                .jobClass("hold")
+                .team(team)
+                .kind(JobKind.SERVICE)
+                .urgency(Urgency.STANDARD)
+                .tasks(6)
+                .demand(new Demand(0.01, 0, 0.1))
+                .image("weights")
+                .imageGb(4)
+                .spotAllowed()
+                .build()
                 .with(JobSpec.WARM, name);
     }
 
@@ -158,25 +150,17 @@
                     2,
                     6,
                     30,
-                    s -> new JobSpec(
-                            s.id(),
-                            "serve",
-                            "t",
-                            JobKind.SERVICE,
-                            Urgency.PRODUCTION,
-                            6,
-                            new Demand(4, 0, 1),
-                            "weights",
-                            4,
-                            null,
-                            null,
-                            false,
-                            false,
-                            true,
-                            Span.ZERO,
-                            Span.ZERO,
-                            Span.ZERO,
-                            null));
+                    s -> JobSpec.builder(s.id())
+                            .jobClass("serve")
+                            .team("t")
+                            .kind(JobKind.SERVICE)
+                            .urgency(Urgency.PRODUCTION)
+                            .tasks(6)
+                            .demand(new Demand(4, 0, 1))
+                            .image("weights")
+                            .imageGb(4)
+                            .spotAllowed()
+                            .build());
             LocalCluster.await(cluster.run(burst, 3));
             long ran = cluster.history.events().stream()
                     .skip(before)
--- a/src/test/java/io/indigoreach/emulator/model/WorkerModelTest.java
+++ b/src/test/java/io/indigoreach/emulator/model/WorkerModelTest.java
@@ -47,25 +47,20 @@
     }
 
     private static JobSpec job(int n, double cores, double saveEvery) {
-        return new JobSpec(
-                new JobId("run-" + n),
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Urgency.STANDARD,
-                4,
-                new Demand(cores, 0, 1),
-                "image-" + n,
-                1,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(10),
-                Span.seconds(saveEvery),
-                Span.seconds(1),
-                null);
+        return JobSpec.builder(new JobId("run-" + n))
+                .jobClass("c")
+                .team("t")
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.STANDARD)
+                .tasks(4)
+                .demand(new Demand(cores, 0, 1))
+                .image("image-" + n)
+                .imageGb(1)
+                .spotAllowed()
+                .estimate(Span.seconds(10))
+                .checkpointEvery(Span.seconds(saveEvery))
+                .checkpointTime(Span.seconds(1))
+                .build();
     }
 
     @BeforeEach
--- a/src/test/java/io/indigoreach/state/GoldenRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenRecordsTest.java
@@ -47,48 +47,40 @@
     }
 
     private static JobSpec small(JobKind shape, int tasks) {
-        return new JobSpec(
-                ID,
-                "stock-reconcile",
-                "fleet-ops",
-                shape,
-                Urgency.STANDARD,
-                tasks,
-                new Demand(1, 0, 3.6),
-                "image",
-                0.9,
-                null,
-                null,
-                false,
-                false,
-                false,
-                Span.seconds(18),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        return JobSpec.builder(ID)
+                .jobClass("stock-reconcile")
+                .team("fleet-ops")
+                .kind(shape)
+                .urgency(Urgency.STANDARD)
+                .tasks(tasks)
+                .demand(new Demand(1, 0, 3.6))
+                .image("image")
+                .imageGb(0.9)
+                .estimate(Span.seconds(18))
+                .build();
     }
 
     private static JobSpec full(int tasks) {
-        return new JobSpec(
-                ID,
-                "refill-routes",
-                "fleet-ops",
-                JobKind.SERVICE,
-                Urgency.PRODUCTION,
-                tasks,
-                new Demand(2.5, 1, 3.8),
-                "image",
-                1,
-                List.of("quad", "g8"),
-                "a",
-                true,
-                true,
-                true,
-                Span.seconds(25),
-                Span.seconds(30),
-                Span.seconds(4),
-                Span.seconds(900),
-                Map.of("plan", "2026-12-02/vans"));
+        return JobSpec.builder(ID)
+                .jobClass("refill-routes")
+                .team("fleet-ops")
+                .kind(JobKind.SERVICE)
+                .urgency(Urgency.PRODUCTION)
+                .tasks(tasks)
+                .demand(new Demand(2.5, 1, 3.8))
+                .image("image")
+                .imageGb(1)
+                .types(List.of("quad", "g8"))
+                .zone("a")
+                .oneZone()
+                .spread()
+                .spotAllowed()
+                .estimate(Span.seconds(25))
+                .checkpointEvery(Span.seconds(30))
+                .checkpointTime(Span.seconds(4))
+                .due(Span.seconds(900))
+                .more(Map.of("plan", "2026-12-02/vans"))
+                .build();
     }
 
     private static Golden job(JobSpec spec, JobStatus status, BitSet done) {
--- a/src/test/java/io/indigoreach/state/RecordCodecTest.java
+++ b/src/test/java/io/indigoreach/state/RecordCodecTest.java
@@ -26,25 +26,25 @@
     private static final int TXN_OPS = 12;
 
     private static JobSpec spec(int tasks) {
-        return new JobSpec(
-                new JobId("run-000000000000000001"),
-                "c".repeat(100),
-                "t",
-                JobKind.SERVICE,
-                Urgency.PRODUCTION,
-                tasks,
-                new Demand(1.5, 2, 3.25),
-                "i".repeat(200),
-                1.5,
-                List.of("k1", "k2"),
-                "z",
-                true,
-                true,
-                true,
-                Span.seconds(12.5),
-                Span.seconds(30),
-                Span.seconds(4),
-                Span.seconds(900));
+        return JobSpec.builder(new JobId("run-000000000000000001"))
+                .jobClass("c".repeat(100))
+                .team("t")
+                .kind(JobKind.SERVICE)
+                .urgency(Urgency.PRODUCTION)
+                .tasks(tasks)
+                .demand(new Demand(1.5, 2, 3.25))
+                .image("i".repeat(200))
+                .imageGb(1.5)
+                .types(List.of("k1", "k2"))
+                .zone("z")
+                .oneZone()
+                .spread()
+                .spotAllowed()
+                .estimate(Span.seconds(12.5))
+                .checkpointEvery(Span.seconds(30))
+                .checkpointTime(Span.seconds(4))
+                .due(Span.seconds(900))
+                .build();
     }
 
     @ParameterizedTest
--- a/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
+++ b/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
@@ -193,25 +193,18 @@
         tell("billing --run e1 a/1");
         tell("billed --run e1 a/1=" + tell("billing --run e1 a/1").out().trim().split(" ")[1]);
         SubmissionParticipant field = parts.joinings().get(0);
-        JobSpec plain = new JobSpec(
-                new JobId("run-1"),
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Urgency.STANDARD,
-                2,
-                new Demand(1, 0, 1),
-                "i",
-                0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(5),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        JobSpec plain = JobSpec.builder(new JobId("run-1"))
+                .jobClass("c")
+                .team("t")
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.STANDARD)
+                .tasks(2)
+                .demand(new Demand(1, 0, 1))
+                .image("i")
+                .imageGb(0)
+                .spotAllowed()
+                .estimate(Span.seconds(5))
+                .build();
         JobSpec never = plain.with(JobSpec.RECORDS, Map.of("ids", List.of("a/1", "a/3")));
         ExecutionException refused = assertThrows(ExecutionException.class, () -> await(field.accepting(never)));
         assertTrue(refused.getCause() instanceof RequestRejectedException r
