--- a/src/main/java/io/indigoreach/api/DependencyService.java
+++ b/src/main/java/io/indigoreach/api/DependencyService.java
@@ -70,7 +70,7 @@
         return supportedByAllNodes
                 .get()
                 .compose(supported -> supported
-                        ? submissionLookups.isAnyCancelled(dependencies.needs())
+                        ? submissionLookups.isAnyCancelled(dependencies.requiredJobs())
                         : Future.failedFuture(new RetryLaterException("not every controller knows chained jobs yet")));
     }
 
@@ -83,7 +83,7 @@
         if (!dependencies.isWaiting()) {
             return Future.succeededFuture(false);
         }
-        if (dependencies.needs().stream().anyMatch(knownCancelled)) {
+        if (dependencies.requiredJobs().stream().anyMatch(knownCancelled)) {
             return Future.succeededFuture(true);
         }
         Moment now = clock.now();
--- a/src/main/java/io/indigoreach/api/JobAdmission.java
+++ b/src/main/java/io/indigoreach/api/JobAdmission.java
@@ -44,7 +44,7 @@
         }
         String reason = "the description is too long: " + bytes + " bytes, of at most " + maxBytes;
         return Optional.of(
-                spec.chain().isEmpty()
+                spec.dependencies().isEmpty()
                         ? RequestRejectedException.of(reason)
                         : new MalformedRequestException(reason + ", with the jobs named"));
     }
--- a/src/main/java/io/indigoreach/api/JobCancellation.java
+++ b/src/main/java/io/indigoreach/api/JobCancellation.java
@@ -70,7 +70,7 @@
             return Future.succeededFuture(found);
         }
         return dependencies
-                .isCancelledByCascade(id, open.job().spec().chain(), memory::isCancelled)
+                .isCancelledByCascade(id, open.job().spec().dependencies(), memory::isCancelled)
                 .compose(cancelled -> cancelled ? cancelByCascade(id, open.job()) : Future.succeededFuture(found));
     }
 
--- a/src/main/java/io/indigoreach/api/JobCodec.java
+++ b/src/main/java/io/indigoreach/api/JobCodec.java
@@ -56,15 +56,15 @@
                 "id", spec.id().text(),
                 "jobclass", spec.jobClass(),
                 "owner", spec.team(),
-                "shape", lowerCase(spec.shape()),
+                "shape", lowerCase(spec.kind()),
                 "urgency", lowerCase(spec.urgency()),
                 "pieces", spec.tasks());
         fields.putAll(writeDemand(spec));
         fields.putAll(writePlacement(spec));
         fields.putAll(writeTimes(spec));
         fields.putAll(spec.more());
-        if (!spec.chain().isEmpty()) {
-            fields.put(WAITS_ON, spec.chain().needs().stream().map(JobId::text).toList());
+        if (!spec.dependencies().isEmpty()) {
+            fields.put(WAITS_ON, spec.dependencies().requiredJobs().stream().map(JobId::text).toList());
         }
         return fields;
     }
--- a/src/main/java/io/indigoreach/api/JobSubmission.java
+++ b/src/main/java/io/indigoreach/api/JobSubmission.java
@@ -92,7 +92,7 @@
         Map<String, Object> record =
                 JobRecordCodec.writeJob(spec, submittedMs, JobStatus.PENDING, new BitSet(), 0, firstStartBound(spec));
         return context.dependencies()
-                .isAnyCancelled(spec.chain())
+                .isAnyCancelled(spec.dependencies())
                 .compose(
                         cancelled -> accept(new Acceptance(spec, record, cancelled, submittedMs, 1)),
                         failure -> existingOr(spec.id(), dependencyFailure(failure)));
@@ -110,7 +110,7 @@
      */
     private static int firstStartBound(JobSpec spec) {
         // No task of a job with dependencies starts before its release, which is recorded by the write of the bound.
-        return spec.tasks() == 1 && !spec.isService() && spec.chain().isEmpty() ? 1 : 0;
+        return spec.tasks() == 1 && !spec.isService() && spec.dependencies().isEmpty() ? 1 : 0;
     }
 
     /**
--- a/src/main/java/io/indigoreach/api/ReferencedJobs.java
+++ b/src/main/java/io/indigoreach/api/ReferencedJobs.java
@@ -72,7 +72,7 @@
      * counts as a cancellation.
      */
     Future<Boolean> isCancelledByCascade(JobDependencies dependencies) {
-        return search(new ArrayDeque<>(dependencies.needs()), new HashSet<>(dependencies.needs()));
+        return search(new ArrayDeque<>(dependencies.requiredJobs()), new HashSet<>(dependencies.requiredJobs()));
     }
 
     /** Breadth-first; {@code seen} contains the jobs looked up and those in {@code remaining}. */
@@ -97,9 +97,9 @@
 
     private static List<JobId> waitingFor(StoredJob job) {
         return job.openSpec()
-                .map(JobSpec::chain)
+                .map(JobSpec::dependencies)
                 .filter(JobDependencies::isWaiting)
-                .map(JobDependencies::needs)
+                .map(JobDependencies::requiredJobs)
                 .orElse(List.of());
     }
 
--- a/src/main/java/io/indigoreach/cloud/CloudCodec.java
+++ b/src/main/java/io/indigoreach/cloud/CloudCodec.java
@@ -139,7 +139,7 @@
                 "hall", machine.pool().zone(),
                 "loaners", machine.pool().spot(),
                 "status", text(machine.status()),
-                "held_s", machine.held().seconds());
+                "held_s", machine.sinceRequested().seconds());
     }
 
     static Page readPage(Fields fields) {
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -80,8 +80,8 @@
     }
 
     private void lookUpDependencies(Moment now) {
-        nextLookupAt.keySet().retainAll(dependentJobs.lookUps());
-        for (JobId id : Set.copyOf(dependentJobs.lookUps())) {
+        nextLookupAt.keySet().retainAll(dependentJobs.jobsToLookUp());
+        for (JobId id : Set.copyOf(dependentJobs.jobsToLookUp())) {
             if (readsInFlight.size() >= MAX_READS_IN_FLIGHT) {
                 return;
             }
@@ -146,7 +146,7 @@
     }
 
     private void onRead(JobId id, DependencyState state) {
-        if (!dependentJobs.lookUps().contains(id)) {
+        if (!dependentJobs.jobsToLookUp().contains(id)) {
             return;
         }
         Moment now = context.clock().now();
@@ -166,7 +166,7 @@
     }
 
     private void cancelDependents(Moment now) {
-        for (JobId id : Set.copyOf(dependentJobs.doomed())) {
+        for (JobId id : Set.copyOf(dependentJobs.jobsToCancel())) {
             if (writesInFlight.size() >= MAX_WRITES_IN_FLIGHT) {
                 return;
             }
--- a/src/main/java/io/indigoreach/cluster/FleetManager.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -226,7 +226,7 @@
 
     /** Drops the requests to that pool that were never sent: they would be rejected as well. */
     private void onPoolExhausted(MachinePool pool, boolean noCapacity) {
-        core.refused(pool, context.clock().now());
+        core.scaleOutRejected(pool, context.clock().now());
         List<Request> futile = openRequests.stream()
                 .filter(open -> open.tries == 0 && open.pool().equals(pool) && !inheritedRequests.contains(open.name))
                 .toList();
--- a/src/main/java/io/indigoreach/core/loss/RecordRepair.java
+++ b/src/main/java/io/indigoreach/core/loss/RecordRepair.java
@@ -81,7 +81,7 @@
     private static boolean allDone(ReadableFields readable, RememberedState.OpenJob job) {
         return readable.done != null
                 && job != null
-                && job.spec().shape() == JobKind.ARRAY
+                && job.spec().kind() == JobKind.ARRAY
                 && readable.done == job.spec().tasks();
     }
 
--- a/src/main/java/io/indigoreach/core/loss/RememberedState.java
+++ b/src/main/java/io/indigoreach/core/loss/RememberedState.java
@@ -23,7 +23,7 @@
         OpenJob mergedWith(OpenJob other) {
             BitSet completed = (BitSet) done.clone();
             completed.or(other.done);
-            JobSpec released = other.spec.chain().isReleased() ? other.spec : spec;
+            JobSpec released = other.spec.dependencies().isReleased() ? other.spec : spec;
             return new OpenJob(
                     released, Math.min(submittedMs, other.submittedMs), completed, Math.max(bound, other.bound));
         }
--- a/src/main/java/io/indigoreach/core/scheduling/HolderPlacement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/HolderPlacement.java
@@ -38,7 +38,7 @@
     private static boolean isMisplaced(Placement running, Job due) {
         ImageCache cache = running.machine.imageCache;
         String image = running.job.spec.image();
-        return running.job != due || (running.isRunning() && (!cache.holds(image) || cache.isCrowded(image)));
+        return running.job != due || (running.isRunning() && (!cache.isCached(image) || cache.isCrowded(image)));
     }
 
     private static boolean isNeeded(Job holder, Machine machine) {
--- a/src/main/java/io/indigoreach/state/JobRecordCodec.java
+++ b/src/main/java/io/indigoreach/state/JobRecordCodec.java
@@ -44,7 +44,7 @@
                 "team",
                 spec.team(),
                 "shape",
-                spec.shape().name(),
+                spec.kind().name(),
                 "urgency",
                 spec.urgency().name(),
                 "tasks",
@@ -80,8 +80,8 @@
         putIf(
                 map,
                 "more",
-                DependencyCodec.write(spec.more(), spec.chain()),
-                !spec.more().isEmpty() || !spec.chain().isEmpty());
+                DependencyCodec.write(spec.more(), spec.dependencies()),
+                !spec.more().isEmpty() || !spec.dependencies().isEmpty());
         putIf(
                 map,
                 CompletionBlockCodec.BITS_FIELD,
--- a/src/test/java/io/indigoreach/GoldenSamples.java
+++ b/src/test/java/io/indigoreach/GoldenSamples.java
@@ -27,48 +27,12 @@
 
     /** No field that may be absent. */
     public static JobSpec bare(int tasks) {
-        return new JobSpec(
-                ID,
-                "stock-reconcile",
-                "fleet-ops",
-                JobKind.ARRAY,
-                Urgency.HIGH,
-                tasks,
-                new Demand(1, 0, 3.6),
-                "image",
-                0.9,
-                null,
-                null,
-                false,
-                false,
-                false,
-                Span.seconds(18),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        return JobSpec.builder(ID).jobClass("stock-reconcile").team("fleet-ops").kind(JobKind.ARRAY).urgency(Urgency.HIGH).tasks(tasks).demand(new Demand(1, 0, 3.6)).image("image").imageGb(0.9).estimate(Span.seconds(18)).build();
     }
 
     /** Every field but those of the parts beside the jobs. */
     public static JobSpec full(int tasks, Urgency urgency) {
-        return new JobSpec(
-                ID,
-                "refill-routes",
-                "fleet-ops",
-                JobKind.SERVICE,
-                urgency,
-                tasks,
-                new Demand(2.5, 1, 3.8),
-                "image",
-                1,
-                List.of("quad", "g8"),
-                "a",
-                true,
-                true,
-                true,
-                Span.seconds(25),
-                Span.seconds(30),
-                Span.seconds(4),
-                Span.seconds(900.25));
+        return JobSpec.builder(ID).jobClass("refill-routes").team("fleet-ops").kind(JobKind.SERVICE).urgency(urgency).tasks(tasks).demand(new Demand(2.5, 1, 3.8)).image("image").imageGb(1).types(List.of("quad", "g8")).zone("a").oneZone().spread().spotAllowed().estimate(Span.seconds(25)).checkpointEvery(Span.seconds(30)).checkpointTime(Span.seconds(4)).due(Span.seconds(900.25)).build();
     }
 
     /** Jobs of every kind, by words for it. */
--- a/src/test/java/io/indigoreach/api/JobServiceTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceTest.java
@@ -240,8 +240,8 @@
                 List.of(new JobId("run-1")),
                 JobRecordCodec.readJob(new JobId("run-000412"), service.value("j/run-000412"), Revision.ABSENT)
                         .spec()
-                        .chain()
-                        .needs());
+                        .dependencies()
+                        .requiredJobs());
     }
 
     /**
--- a/src/test/java/io/indigoreach/cluster/LeaderHarness.java
+++ b/src/test/java/io/indigoreach/cluster/LeaderHarness.java
@@ -134,25 +134,7 @@
 
     /** A job array with an image name of its own. */
     static JobSpec spec(JobId id, int tasks, String image) {
-        return new JobSpec(
-                id,
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Urgency.STANDARD,
-                tasks,
-                new Demand(1, 0, 1),
-                image,
-                0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(10),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        return JobSpec.builder(id).jobClass("c").team("t").kind(JobKind.ARRAY).urgency(Urgency.STANDARD).tasks(tasks).demand(new Demand(1, 0, 1)).image(image).imageGb(0).spotAllowed().estimate(Span.seconds(10)).build();
     }
 
     static <T> T await(Future<T> future) throws Exception {
--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -118,25 +118,7 @@
     }
 
     private static JobSpec spec(String id) {
-        return new JobSpec(
-                new JobId(id),
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Urgency.STANDARD,
-                2,
-                new Demand(1, 0, 1),
-                "img",
-                0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                Span.seconds(10),
-                Span.ZERO,
-                Span.ZERO,
-                null);
+        return JobSpec.builder(new JobId(id)).jobClass("c").team("t").kind(JobKind.ARRAY).urgency(Urgency.STANDARD).tasks(2).demand(new Demand(1, 0, 1)).image("img").imageGb(0).spotAllowed().estimate(Span.seconds(10)).build();
     }
 
     /** A leadership key beside more records than a transaction may usually have. */
--- a/src/test/java/io/indigoreach/state/GoldenKeptRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenKeptRecordsTest.java
@@ -69,10 +69,10 @@
         for (JobStatus status : JobStatus.values()) {
             job("job of status " + status.ordinal(), GoldenSamples.bare(100), status, everyThird(100));
         }
-        JobDependencies released = GoldenSamples.jobs().get("chained").chain();
+        JobDependencies released = GoldenSamples.jobs().get("chained").dependencies();
         job(
                 "job released from its chain",
-                GoldenSamples.bare(4).with(new JobDependencies(released.needs(), GoldenSamples.AT)),
+                GoldenSamples.bare(4).with(new JobDependencies(released.requiredJobs(), GoldenSamples.AT)),
                 JobStatus.RUNNING,
                 new BitSet());
         job("job of 8192", GoldenSamples.bare(8192), JobStatus.RUNNING, everyThird(8192));
