--- a/src/main/java/io/indigoreach/core/scheduling/ArrivalRate.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ArrivalRate.java
@@ -9,15 +9,15 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The jobs that came lately. A job whose aim is nearer than a boot is late if machines are rented for it as it waits;
+ * The jobs that came lately. A job whose objective is nearer than a boot is late if machines are rented for it as it waits;
  * only machines that are there for the flow of such jobs serve it in time.
  */
 final class ArrivalRate {
-    private static final int PARTS = 6;
+    private static final int WINDOW_PARTS = 6;
     /** Of the time looked at: what came in less counts as if it had come in that much. */
-    private static final double LEAST = 0.67;
+    private static final double MINIMUM_WINDOW_FRACTION = 0.67;
     /** How many times that long jobs are remembered for their usual size: sizes differ far more than numbers do. */
-    private static final double MEMORY = 5;
+    private static final double REMEMBERED_WINDOWS = 5;
 
     private Moment began;
     private final Deque<Job> jobs = new ArrayDeque<>();
@@ -34,10 +34,11 @@
     double perSecond(Predicate<Job> counts, ToDoubleFunction<Job> size, Span most, Moment now) {
         began = began == null ? now : began;
         Span since = now.since(began).compareTo(most) < 0 ? now.since(began) : most;
-        Span window = since.compareTo(most.times(LEAST)) < 0 ? most.times(LEAST) : since;
+        Span window =
+                since.compareTo(most.times(MINIMUM_WINDOW_FRACTION)) < 0 ? most.times(MINIMUM_WINDOW_FRACTION) : since;
         Moment from = now.minus(since);
-        jobs.removeIf(job -> job.eligibleSince.isBefore(now.minus(most.times(MEMORY))));
-        int[] parts = new int[PARTS];
+        jobs.removeIf(job -> job.eligibleSince.isBefore(now.minus(most.times(REMEMBERED_WINDOWS))));
+        int[] parts = new int[WINDOW_PARTS];
         int known = 0;
         double sizes = 0;
         for (Job job : jobs) {
@@ -47,10 +48,10 @@
             known++;
             sizes += size.applyAsDouble(job);
             if (job.eligibleSince.isAfter(from)) {
-                parts[(int) (Math.max(0, now.since(job.eligibleSince).ms()) * PARTS / window.ms())]++;
+                parts[(int) (Math.max(0, now.since(job.eligibleSince).ms()) * WINDOW_PARTS / window.ms())]++;
             }
         }
         double came = Arrays.stream(parts).sum() - Arrays.stream(parts).max().orElse(0);
-        return known == 0 ? 0 : came * sizes / known / (window.seconds() * (PARTS - 1) / PARTS);
+        return known == 0 ? 0 : came * sizes / known / (window.seconds() * (WINDOW_PARTS - 1) / WINDOW_PARTS);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
@@ -46,7 +46,7 @@
     private void plan(FairShareQueue queue, Moment now) {
         List<Machine> machines = new ArrayList<>();
         for (Machine machine : cluster.machinesServing(queue)) {
-            // Until what was told to save has left it.
+            // Until the tasks that were stopped have left it.
             machine.endDrainingIfStopped();
             machine.uncordon();
             if (machine.isUsable()
@@ -82,12 +82,12 @@
     /** Chooses the machines to empty, from the end of the list. */
     private void chooseMachinesToDrain(FairShareQueue queue, List<Machine> machines, Moment now) {
         Map<Machine, Demand> free = new HashMap<>();
-        double spareRoom = 0;
+        double unclaimedCores = 0;
         for (Machine machine : machines) {
-            spareRoom += roomOn(machine);
+            unclaimedCores += roomOn(machine);
         }
         for (Job job : queue.jobs()) {
-            spareRoom -= job.startableCount() * job.spec.demand().cores();
+            unclaimedCores -= job.startableCount() * job.spec.demand().cores();
         }
         int left = (int) Math.ceil(machines.size() * MAX_DRAINING_FRACTION);
         for (int i = machines.size() - 1; i > 0 && left > 0; i--) {
@@ -97,13 +97,13 @@
             if (machine.isIdle()
                     || machine.draining
                     || free.containsKey(machine)
-                    || spareRoom < cost
+                    || unclaimedCores < cost
                     || !isMovable(machine, now)
                     || !reserveTargets(machine, machines.subList(0, i), free)) {
                 continue;
             }
             machine.startDraining();
-            spareRoom -= cost;
+            unclaimedCores -= cost;
             left--;
         }
     }
@@ -136,20 +136,20 @@
         return true;
     }
 
-    /** Finds a place for each task of {@code m} on a fuller machine that has its image; all or nothing. */
+    /** Finds a place for each task of the machine on a fuller machine that has its image; all or nothing. */
     private static boolean reserveTargets(Machine machine, List<Machine> fuller, Map<Machine, Demand> free) {
         Map<Machine, Demand> after = new HashMap<>(free);
         for (Placement placement : machine.placements().values()) {
             Machine target = null;
-            for (Machine t : fuller) {
-                if (!t.isIdle()
-                        && !t.draining
-                        && !t.surplus
-                        && t.imageCache.contains(placement.job.spec.image())
-                        && t.allows(placement.job.spec)
-                        && !FaultAttribution.isExcluded(placement.job, t)
-                        && placement.demand().fitsIn(after.getOrDefault(t, t.free()))) {
-                    target = t;
+            for (Machine candidate : fuller) {
+                if (!candidate.isIdle()
+                        && !candidate.draining
+                        && !candidate.surplus
+                        && candidate.imageCache.contains(placement.job.spec.image())
+                        && candidate.allows(placement.job.spec)
+                        && !FaultAttribution.isExcluded(placement.job, candidate)
+                        && placement.demand().fitsIn(after.getOrDefault(candidate, candidate.free()))) {
+                    target = candidate;
                     break;
                 }
             }
@@ -164,18 +164,14 @@
 
     /** Stops for a machine that is to be emptied; what is stopped waits for a machine that has its image. */
     List<WorkerCommand> drainCommands(Machine machine, Moment now) {
-        List<WorkerCommand> orders = new ArrayList<>();
+        List<WorkerCommand> commands = new ArrayList<>();
         if (machine.draining && isMovable(machine, now) && rules.cordons().isCordoned(machine, now)) {
             for (Placement placement : machine.placementsCopy()) {
-                placement.stopRequested();
                 placement.job.awaitImageLocality(
                         now.plus(safetyTimes.heartbeatPeriod().times(3)).plus(placement.job.spec.checkpointTime()));
-                orders.add(new WorkerCommand.Stop(
-                        placement.task(),
-                        placement.attempt,
-                        placement.job.spec.checkpointTime().times(2)));
+                commands.add(CommandBatch.stopWithCheckpoint(placement));
             }
         }
-        return orders;
+        return commands;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Estimates.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Estimates.java
@@ -13,9 +13,9 @@
  * in one direction, which would make the top job look stuck (a weak point the design names).
  */
 final class Estimates {
-    private static final double WEIGHT = 0.1;
-    private static final int ENOUGH = 3;
-    private static final int CLASSES = 1000;
+    private static final double OBSERVATION_WEIGHT = 0.1;
+    private static final int SUFFICIENT_RUNS = 3;
+    private static final int MAXIMUM_CLASSES = 1000;
     /** A replica has no end of its own: longer than anything that is waited for. */
     private static final Span UNTIL_CANCELLED = Span.seconds(1e8);
 
@@ -23,15 +23,15 @@
     private final Map<String, Double> logFactor = new LinkedHashMap<>(16, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
-            return size() > CLASSES;
+            return size() > MAXIMUM_CLASSES;
         }
     };
 
     private BiConsumer<Job, Span> listener = (job, run) -> {};
 
-    /** Who else learns of each task's run time, without the image's fetch. */
-    void onRun(BiConsumer<Job, Span> told) {
-        listener = told;
+    /** Sets the listener that is told each task's run time, without the image's fetch. */
+    void onRun(BiConsumer<Job, Span> runListener) {
+        listener = runListener;
     }
 
     /** A task's expected run time, without the image fetch. */
@@ -39,7 +39,7 @@
         if (job.spec.isService()) {
             return UNTIL_CANCELLED;
         }
-        if (job.observedRuns() >= ENOUGH) {
+        if (job.observedRuns() >= SUFFICIENT_RUNS) {
             return job.meanObservedRunTime();
         }
         double factor = Math.exp(logFactor.getOrDefault(job.spec.jobClass(), 0.0));
@@ -56,7 +56,7 @@
         return Span.seconds(type.fetchGbPerS() > 0 ? job.spec.imageGb() / type.fetchGbPerS() : 0);
     }
 
-    /** Whether a task of the job's class has been seen to end, so that its estimate is more than the owner's word. */
+    /** Whether a task of the job's class has been seen to end, so that its estimate rests on more than the owner's figure. */
     boolean hasSeen(Job job) {
         return logFactor.containsKey(job.spec.jobClass());
     }
@@ -67,7 +67,10 @@
         if (job.spec.estimate().ms() > 0) {
             double ratio =
                     Math.log(Math.max(0.05, run.seconds()) / job.spec.estimate().seconds());
-            logFactor.merge(job.spec.jobClass(), ratio * WEIGHT, (old, add) -> old * (1 - WEIGHT) + add);
+            logFactor.merge(
+                    job.spec.jobClass(),
+                    ratio * OBSERVATION_WEIGHT,
+                    (old, add) -> old * (1 - OBSERVATION_WEIGHT) + add);
         }
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/FairShareQueue.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FairShareQueue.java
@@ -13,7 +13,7 @@
 /**
  * A queue of open jobs: that of one team with a guarantee, or that of all teams without one. These have no claim against
  * each other, so the queue's order alone says whose turn it is: with a queue and machines for each, a guest's batch work
- * got as many cores as the plans of the next morning, and kept its machines half used. Machines name the share that they
+ * got as many cores as the plans of the next morning, and kept its machines half used. Machines name the queue that they
  * serve; the leader moves idle ones.
  */
 final class FairShareQueue {
@@ -25,16 +25,16 @@
 
     /**
      * The paper's priority queue, its priority from urgency and time: urgent jobs first, the others mixed, each by the
-     * latest start that still meets an aim; then the order of arrival. Before them what a class is owed ({@link ClassQuota}), and
+     * latest start that still meets an objective; then the order of arrival. Before them under-served classes ({@link ClassQuota}), and
      * before that one task of each job of which nothing has run for too long, in the order of arrival.
      */
-    private static final Comparator<RankedJob> ORDER = Comparator.<RankedJob, Integer>comparing(r -> r.turn)
-            .thenComparing(r -> r.urgency)
-            .thenComparing(r -> r.latestStart)
-            .thenComparingLong(r -> r.job.submittedMs)
-            .thenComparing(r -> r.job.id());
+    private static final Comparator<RankedJob> ORDER = Comparator.<RankedJob, Integer>comparing(ranked -> ranked.turn)
+            .thenComparing(ranked -> ranked.urgency)
+            .thenComparing(ranked -> ranked.latestStart)
+            .thenComparingLong(ranked -> ranked.job.submittedMs)
+            .thenComparing(ranked -> ranked.job.id());
 
-    /** The name of the share of all teams without a guarantee; no team can have it. */
+    /** The name of the queue of all teams without a guarantee; no team can have it. */
     static final String COMMON = "";
 
     final String name;
@@ -47,7 +47,7 @@
     private List<Job> cachedOrder = List.of();
     private Moment orderedAt = Moment.NEVER;
     private double cores;
-    /** What is free on the machines that are not put aside. */
+    /** What is free on the machines that are not cordoned. */
     private List<Demand> roomOutsideCordon = List.of();
 
     FairShareQueue(String name, TeamUsage guaranteed) {
--- a/src/main/java/io/indigoreach/core/scheduling/FaultAttribution.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FaultAttribution.java
@@ -13,6 +13,7 @@
 
     private FaultAttribution() {}
 
+    /** A task has failed: the failure counts against the machine, or against a job that is suspected to be faulty. */
     static void failed(Placement placement, Moment now) {
         Job job = placement.job;
         Machine machine = placement.machine;
@@ -30,6 +31,7 @@
         }
     }
 
+    /** A task has completed: neither the machine nor, there, its job is to blame. */
     static void completed(Placement placement) {
         placement.machine.failedJobs.clear();
         placement.job.failedMachines.remove(placement.machine.id);
--- a/src/main/java/io/indigoreach/core/scheduling/Job.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Job.java
@@ -10,17 +10,20 @@
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
-import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collection;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 
-/** An open job as the leader knows it: which tasks are done, which may be on a machine, which wait. */
+/**
+ * An open job as the leader knows it: its specification, what the scheduler has found out about it, its tasks
+ * ({@link TaskProgress}) and its placements ({@link JobPlacements}).
+ */
 public final class Job {
+    /** A job that has failed on so many machines and completed nothing is suspected to be faulty. */
+    private static final int SUSPECTED_AFTER_MACHINES = 3;
+
     /** As it was submitted; with its release once it waits for no other job. */
     JobSpec spec;
     /** When it was submitted, on this process's clock. */
@@ -29,26 +32,11 @@
     Moment eligibleSince;
     /** Submission by the time of day: the order in the queue, the same for every leader. */
     final long submittedMs;
-    /** It was there before this leader took over: tasks below its bound may be on machines that have not reported yet. */
+    /** It was submitted before this leadership term: tasks below its bound may be on machines that have not sent a heartbeat yet. */
     final boolean inherited;
 
-    private final BitSet done;
-    private final BitSet durable;
-    /** Done, on a machine, or withheld: all that nobody is to start. */
-    private final BitSet notStartable;
-    /** Tasks that wait for something else than machines: they are not there for whoever starts, reserves or rents. */
-    private final BitSet gated = new BitSet();
-
-    private final Map<Integer, Placement> placements = new HashMap<>();
-    private final Map<String, Integer> placementsByZone = new HashMap<>();
-    private int doneCount;
-    private int durableCount;
-    /** Recorded: no leader has ever ordered a task from this one on. */
-    private int startBound;
-    /** To be recorded: tasks up to here are about to be ordered. */
-    private int requestedStartBound;
-    /** Tasks below may be on a machine that this leader has not heard yet. */
-    private int possiblyRunningBelow;
+    private final TaskProgress progress;
+    private final JobPlacements placements = new JobPlacements();
 
     Revision revision;
     boolean cancelled;
@@ -65,7 +53,7 @@
     Moment imageLocalityUntil = Moment.NEVER;
     /** When one of its tasks last got a place, or lost one: what waits may have waited no longer. */
     Moment placementsChangedAt = Moment.NEVER;
-    /** The longest aim of its class is lost to it. */
+    /** It has missed the longest objective of its class. */
     boolean missedObjectives;
     /** Its class is served too little, or it has waited too long: it goes first on a part of the machines. */
     boolean underServed;
@@ -81,8 +69,8 @@
 
     /**
      * @param done tasks recorded as done
-     * @param startBound the job's recorded start bound: no task from this one on was ever ordered
-     * @param inherited it was there before this leader took over
+     * @param startBound the job's recorded start bound: no task from this one on was ever started
+     * @param inherited it was submitted before this leadership term
      */
     public Job(
             JobSpec spec,
@@ -98,23 +86,13 @@
         this.eligibleSince = submitted.plus(releasedAfter(spec, submittedMs));
         this.revision = revision;
         this.inherited = inherited;
-        this.done = (BitSet) done.clone();
-        this.durable = (BitSet) done.clone();
-        this.notStartable = (BitSet) done.clone();
-        if (spec.isGuarded()) {
-            gated.set(0, spec.tasks());
-            notStartable.or(gated);
-        }
-        this.doneCount = done.cardinality();
-        this.hasRun = doneCount > 0;
-        this.durableCount = doneCount;
+        this.hasRun = !done.isEmpty();
         // A task that is done was started, and so the job was released.
         this.hasUnmetDependencies = spec.chain().isWaiting() && !hasRun;
-        this.startBound = startBound;
-        this.requestedStartBound = startBound;
         // Where the others of its tasks are decides where one may go, so nothing of it is started before all is known.
         boolean together = spec.oneZone() || spec.spread();
-        this.possiblyRunningBelow = !inherited ? 0 : together && startBound > 0 ? spec.tasks() : startBound;
+        int possiblyRunningBelow = !inherited ? 0 : together && startBound > 0 ? spec.tasks() : startBound;
+        this.progress = new TaskProgress(spec.tasks(), done, spec.isGuarded(), startBound, possiblyRunningBelow);
     }
 
     /** From its submission to the release that its record tells of. */
@@ -161,54 +139,37 @@
 
     /** The start bound to be written with the job: at least the one that is recorded. */
     public int startBoundToWrite() {
-        return requestedStartBound;
+        return progress.requestedStartBound();
     }
 
-    /** Tasks wait to be ordered until the start bound is raised. */
+    /** Tasks wait to be started until the start bound is raised. */
     public boolean needsHigherStartBound() {
-        return requestedStartBound > startBound;
+        return progress.needsHigherStartBound();
     }
 
-    /** The start bound is in the state service: tasks below it may be ordered. */
+    /** The start bound is in the state service: tasks below it may be started. */
     public void startBoundRecorded(int recorded) {
-        startBound = Math.max(startBound, recorded);
+        progress.startBoundRecorded(recorded);
     }
 
-    /** Asks for {@code n} waiting tasks to be orderable. */
-    void requestStartBoundFor(int n) {
-        requestedStartBound = Math.max(requestedStartBound, Math.min(spec.tasks(), nthStartable(n) + 1));
-    }
-
-    /** The number of the {@code n}-th task that waits and surely is on no machine; beyond the last if there are fewer. */
-    private int nthStartable(int n) {
-        int index = possiblyRunningBelow - 1;
-        for (int left = n; left > 0 && index < spec.tasks(); left--) {
-            index = notStartable.nextClearBit(index + 1);
-        }
-        return index;
+    /** Asks for a start bound below which {@code count} startable tasks lie. */
+    void requestStartBoundFor(int count) {
+        progress.requestStartBoundFor(count);
     }
 
     /** These tasks wait for something else than machines, and no others; what is on a machine stays there. */
     void gate(BitSet tasks) {
-        gated.clear();
-        gated.or(tasks);
-        notStartable.clear();
-        notStartable.or(done);
-        notStartable.or(gated);
-        placements.keySet().forEach(notStartable::set);
+        progress.gate(tasks, placements.indexes());
     }
 
     /** Tasks that are neither done nor on a machine wait for something else than machines. */
     boolean hasGatedTasks() {
-        BitSet left = (BitSet) gated.clone();
-        left.andNot(done);
-        placements.keySet().forEach(left::clear);
-        return !cancelled && !left.isEmpty();
+        return !cancelled && progress.hasGatedTasks(placements.indexes());
     }
 
     /** Every task that an earlier leader may have started is known. */
     void releaseInheritedTasks() {
-        possiblyRunningBelow = 0;
+        progress.releaseInheritedTasks();
     }
 
     public JobId id() {
@@ -237,54 +198,47 @@
     }
 
     public int doneCount() {
-        return doneCount;
+        return progress.doneCount();
     }
 
     public boolean isDone(int index) {
-        return done.get(index);
+        return progress.isDone(index);
     }
 
     boolean isDurable(int index) {
-        return durable.get(index);
+        return progress.isDurable(index);
     }
 
     /** Every task has completed; a service never does. */
     public boolean isComplete() {
-        return doneCount == spec.tasks() && spec.shape() == JobKind.ARRAY;
+        return progress.isComplete() && spec.shape() == JobKind.ARRAY;
     }
 
     public boolean hasUnrecordedCompletions() {
-        return doneCount > durableCount;
+        return progress.hasUnrecordedCompletions();
     }
 
     /** Tasks that have completed without being recorded yet. */
     public BitSet unrecordedCompletions() {
-        BitSet out = completedTasks();
-        out.andNot(durable);
-        return out;
+        return progress.unrecordedCompletions();
     }
 
     public BitSet completedTasks() {
-        return (BitSet) done.clone();
+        return progress.completedTasks();
     }
 
     /** The tasks in {@code recorded} are in the state service. */
     public void completionsRecorded(BitSet recorded) {
-        durable.or(recorded);
-        durableCount = durable.cardinality();
+        progress.completionsRecorded(recorded);
     }
 
-    /** There before this leader took over. */
+    /** Whether it was submitted before this leadership term. */
     public boolean isInherited() {
         return inherited;
     }
 
     public int runningCount() {
-        int n = 0;
-        for (Placement placement : placements.values()) {
-            n += placement.isRunning() ? 1 : 0;
-        }
-        return n;
+        return placements.runningCount();
     }
 
     public JobStatus status() {
@@ -294,12 +248,7 @@
         if (isComplete()) {
             return JobStatus.DONE;
         }
-        for (Placement placement : placements.values()) {
-            if (placement.isRunning()) {
-                return JobStatus.RUNNING;
-            }
-        }
-        return JobStatus.PENDING;
+        return placements.anyRunning() ? JobStatus.RUNNING : JobStatus.PENDING;
     }
 
     /** Nothing of it may start. */
@@ -308,46 +257,42 @@
     }
 
     int waitingCount() {
-        return isBlocked() ? 0 : spec.tasks() - notStartable.cardinality();
+        return isBlocked() ? 0 : progress.waitingCount();
     }
 
     boolean hasWaiting() {
-        return !isBlocked() && notStartable.nextClearBit(0) < spec.tasks();
+        return !isBlocked() && progress.hasWaiting();
     }
 
     /** Waiting tasks that surely are on no machine. */
     int startableCount() {
-        int taken = possiblyRunningBelow == 0
-                ? notStartable.cardinality()
-                : possiblyRunningBelow
-                        + notStartable.get(possiblyRunningBelow, spec.tasks()).cardinality();
-        return isBlocked() ? 0 : spec.tasks() - taken;
+        return isBlocked() ? 0 : progress.startableCount();
     }
 
     boolean hasStartable() {
-        return !isBlocked() && nextStartable() < spec.tasks();
+        return !isBlocked() && progress.hasStartable();
     }
 
     int nextStartable() {
-        return notStartable.nextClearBit(possiblyRunningBelow);
+        return progress.nextStartable();
     }
 
-    /** Whether {@code n} waiting tasks lie below the start bound that is recorded or being recorded. */
-    boolean isWithinStartBound(int n) {
-        return nthStartable(n) < requestedStartBound;
+    /** Whether {@code count} startable tasks lie below the start bound that is recorded or being recorded. */
+    boolean isWithinStartBound(int count) {
+        return progress.isWithinRequestedStartBound(count);
     }
 
     /** Whether its next task lies below the recorded start bound. */
     boolean isWithinStartBound() {
-        return !isBlocked() && nextStartable() < startBound;
+        return !isBlocked() && progress.isWithinStartBound();
     }
 
     Collection<Placement> placements() {
-        return placements.values();
+        return placements.all();
     }
 
     List<Placement> placementsCopy() {
-        return new ArrayList<>(placements.values());
+        return placements.copy();
     }
 
     /** A task of it runs, has run, or is on its way to a machine. */
@@ -428,44 +373,30 @@
     }
 
     int placementsInZone(String zone) {
-        return placementsByZone.getOrDefault(zone, 0);
+        return placements.inZone(zone);
     }
 
     /** The zone that a one-zone job is bound to by tasks that may be on machines, or null. */
     String boundZone() {
-        for (Map.Entry<String, Integer> e : placementsByZone.entrySet()) {
-            if (e.getValue() > 0) {
-                return e.getKey();
-            }
-        }
-        return null;
+        return placements.anyZone().orElse(null);
     }
 
     void addPlacement(Placement placement) {
-        placements.put(placement.index, placement);
-        notStartable.set(placement.index);
-        placementsByZone.merge(placement.machine.pool.zone(), 1, Integer::sum);
+        placements.add(placement);
+        progress.placed(placement.index);
     }
 
     void removePlacement(Placement placement) {
-        if (placements.remove(placement.index, placement)) {
-            placementsByZone.merge(placement.machine.pool.zone(), -1, Integer::sum);
-            if (!done.get(placement.index)) {
-                notStartable.set(placement.index, gated.get(placement.index));
-            }
+        if (placements.remove(placement)) {
+            progress.removed(placement.index);
         }
     }
 
     /** Returns false if the task was known to be done already. */
     boolean complete(int index) {
-        if (done.get(index)) {
-            return false;
-        }
-        done.set(index);
-        notStartable.set(index);
-        hasRun = true;
-        doneCount++;
-        return true;
+        boolean isNew = progress.complete(index);
+        hasRun |= isNew;
+        return isNew;
     }
 
     void observeRunTime(Span run) {
@@ -483,6 +414,6 @@
 
     /** It failed on several machines and never completed a task: most likely submitted with a mistake. */
     boolean isSuspectedFaulty() {
-        return doneCount == 0 && failedMachines.size() >= 3;
+        return progress.doneCount() == 0 && failedMachines.size() >= SUSPECTED_AFTER_MACHINES;
     }
 }
--- /dev/null
+++ b/src/main/java/io/indigoreach/core/scheduling/JobPlacements.java
@@ -0,0 +1,80 @@
+package io.indigoreach.core.scheduling;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+
+/** The placements of one job, by the numbers of its tasks, and how many of them are in each zone. */
+final class JobPlacements {
+    private final Map<Integer, Placement> byIndex = new HashMap<>();
+    private final Map<String, Integer> countByZone = new HashMap<>();
+
+    void add(Placement placement) {
+        byIndex.put(placement.index, placement);
+        countByZone.merge(placement.machine.pool.zone(), 1, Integer::sum);
+    }
+
+    /** Returns false if the task has another placement by now. */
+    boolean remove(Placement placement) {
+        if (!byIndex.remove(placement.index, placement)) {
+            return false;
+        }
+        countByZone.merge(placement.machine.pool.zone(), -1, Integer::sum);
+        return true;
+    }
+
+    Placement get(int index) {
+        return byIndex.get(index);
+    }
+
+    Collection<Placement> all() {
+        return byIndex.values();
+    }
+
+    List<Placement> copy() {
+        return new ArrayList<>(byIndex.values());
+    }
+
+    Set<Integer> indexes() {
+        return byIndex.keySet();
+    }
+
+    boolean isEmpty() {
+        return byIndex.isEmpty();
+    }
+
+    int runningCount() {
+        int count = 0;
+        for (Placement placement : byIndex.values()) {
+            count += placement.isRunning() ? 1 : 0;
+        }
+        return count;
+    }
+
+    boolean anyRunning() {
+        for (Placement placement : byIndex.values()) {
+            if (placement.isRunning()) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    int inZone(String zone) {
+        return countByZone.getOrDefault(zone, 0);
+    }
+
+    /** A zone that has placements; empty if there are none. */
+    Optional<String> anyZone() {
+        for (Map.Entry<String, Integer> entry : countByZone.entrySet()) {
+            if (entry.getValue() > 0) {
+                return Optional.of(entry.getKey());
+            }
+        }
+        return Optional.empty();
+    }
+}
--- a/src/main/java/io/indigoreach/core/scheduling/Placement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Placement.java
@@ -14,9 +14,9 @@
     final Machine machine;
     final Attempt attempt;
     TaskState state;
-    /** The report whose answer carried the start; a newer report without the task shows it was never executed. */
+    /** The heartbeat whose response carried the start; a newer one without the task shows it was never executed. */
     final HeartbeatNumber startedInResponseTo;
-    /** When the task was ordered or first seen; once it runs, when that was first reported. */
+    /** When the task was started or first seen; once it runs, when that was first reported. */
     Moment stateSince;
 
     boolean stopping;
@@ -38,7 +38,7 @@
         this.stateSince = stateSince;
     }
 
-    /** The worker is told to stop the task. */
+    /** A stop command is sent to the worker. */
     void stopRequested() {
         stopping = true;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Reservation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Reservation.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 
 /**
- * The reservation that the top job of a share holds: on which machines its waiting tasks are expected to start, and
+ * The reservation that the top job of a queue holds: on which machines its waiting tasks are expected to start, and
  * when. Other jobs may use those machines only if they do not delay it.
  */
 final class Reservation {
@@ -41,69 +41,78 @@
         return holds.get(machine);
     }
 
+    /** From {@code at} on, {@code tasks} more of the top job fit on the machine. */
+    private record Place(Machine machine, Moment at, int tasks) {}
+
     /** Reserves the earliest places for the waiting tasks of {@code top}. */
     static Reservation of(Job top, Iterable<Machine> machines, Estimates estimates, Moment now) {
-        record Place(Machine machine, Moment at, int tasks) {}
         List<Place> places = new ArrayList<>();
-        int slots = 0;
-        for (Machine m : machines) {
-            boolean coming = m.phase == Machine.Phase.BOOTING;
-            if ((!coming && !m.isUsable()) || !m.allows(top.spec) || FaultAttribution.isExcluded(top, m)) {
-                continue;
-            }
-            Moment start = now;
-            if (coming) {
-                Moment up = m.rentedAt.plus(m.type.boot());
-                start = up.isAfter(now) ? up : now;
-            }
-            Demand room = m.freeFor(top.spec);
-            List<Placement> running = m.placementsCopy();
-            running.removeIf(placement -> placement.job.spec.isService());
-            Map<Placement, Moment> ends = new HashMap<>();
-            for (Placement placement : running) {
-                ends.put(placement, estimates.end(placement, now));
-            }
-            running.sort(Comparator.comparing(ends::get));
-            int taken = 0;
-            int k = 0;
-            while (true) {
-                int fit = top.spec.demand().timesIn(room) - taken;
-                if (fit > 0) {
-                    places.add(new Place(m, start, fit));
-                    slots += fit;
-                    taken += fit;
-                }
-                if (k == running.size()) {
-                    break;
-                }
-                room = room.plus(running.get(k).demand());
-                start = ends.get(running.get(k));
-                k++;
+        for (Machine machine : machines) {
+            boolean booting = machine.phase == Machine.Phase.BOOTING;
+            if ((booting || machine.isUsable())
+                    && machine.allows(top.spec)
+                    && !FaultAttribution.isExcluded(top, machine)) {
+                addPlaces(top, machine, estimates, now, places);
             }
         }
         places.sort(Comparator.comparing(Place::at));
         Map<MachineId, Hold> holds = new HashMap<>();
         int left = top.startableCount();
-        Moment last = slots == 0 ? null : now;
+        Moment lastStart = places.isEmpty() ? null : now;
         for (Place place : places) {
             if (left <= 0) {
                 break;
             }
-            int n = Math.min(left, place.tasks);
-            left -= n;
-            last = place.at;
-            Hold old = holds.get(place.machine.id);
-            holds.put(place.machine.id, new Hold(old == null ? place.at : old.at, old == null ? n : old.tasks + n));
+            int tasks = Math.min(left, place.tasks);
+            left -= tasks;
+            lastStart = place.at;
+            holds.merge(
+                    place.machine.id,
+                    new Hold(place.at, tasks),
+                    (old, more) -> new Hold(old.at, old.tasks + more.tasks));
         }
-        if (left > 0 && slots > 0) {
+        if (left > 0 && !places.isEmpty()) {
             // More tasks than places: the rest starts in further rounds.
-            int rounds = (left + slots - 1) / slots;
-            last = last.plus(estimates.run(top).times(rounds));
+            int perRound = places.stream().mapToInt(Place::tasks).sum();
+            int rounds = (left + perRound - 1) / perRound;
+            lastStart = lastStart.plus(estimates.run(top).times(rounds));
+        }
+        return new Reservation(top, holds, lastStart);
+    }
+
+    /** Adds the machine's places for the top job: those free now, and those that come free as its tasks end. */
+    private static void addPlaces(Job top, Machine machine, Estimates estimates, Moment now, List<Place> places) {
+        Moment start = now;
+        if (machine.phase == Machine.Phase.BOOTING) {
+            Moment up = machine.rentedAt.plus(machine.type.boot());
+            start = up.isAfter(now) ? up : now;
+        }
+        Demand room = machine.freeFor(top.spec);
+        int reserved = addPlace(top, machine, room, start, 0, places);
+        List<Placement> running = machine.placementsCopy();
+        running.removeIf(placement -> placement.job.spec.isService());
+        Map<Placement, Moment> ends = new HashMap<>();
+        for (Placement placement : running) {
+            ends.put(placement, estimates.end(placement, now));
+        }
+        running.sort(Comparator.comparing(ends::get));
+        for (Placement placement : running) {
+            room = room.plus(placement.demand());
+            reserved += addPlace(top, machine, room, ends.get(placement), reserved, places);
+        }
+    }
+
+    /** Adds what fits beyond the tasks that have places there already; returns for how many tasks. */
+    private static int addPlace(Job top, Machine machine, Demand room, Moment start, int reserved, List<Place> places) {
+        int more = top.spec.demand().timesIn(room) - reserved;
+        if (more <= 0) {
+            return 0;
         }
-        return new Reservation(top, holds, last);
+        places.add(new Place(machine, start, more));
+        return more;
     }
 
-    /** Whether a task that takes {@code demand} for {@code time} may start on {@code m} without delaying the top job. */
+    /** Whether a task that takes {@code demand} for {@code time} may start on the machine without delaying the top job. */
     boolean allows(Machine machine, Demand demand, Span time, Estimates estimates, Moment now) {
         Hold hold = holds.get(machine.id);
         if (hold == null || !now.plus(time).isAfter(hold.at)) {
--- a/src/main/java/io/indigoreach/core/scheduling/ReservedCapacity.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ReservedCapacity.java
@@ -12,10 +12,10 @@
 import java.util.Set;
 
 /**
- * The part of a share's machines on which jobs go first that nobody said a time for, once they have waited. Behind a day's
- * aimed work they began when that was over, 338 to 472 s after they came, and less than half of a class was served. Whole
+ * The part of a queue's machines on which jobs without an objective go first once they have waited. Behind a day's work
+ * with objectives they began when that was over, 338 to 472 s after they came, and less than half of a class was served. Whole
  * machines, as a few such tasks on each machine would leave none empty for tasks that take a whole one: with as many cores
- * spread over all machines, such a class had 0.38 within its aim in place of 0.91.
+ * spread over all machines, such a class met its objective for 0.38 of its jobs in place of 0.91.
  */
 final class ReservedCapacity {
     private static final double RESERVED_FRACTION = 0.125;
@@ -25,32 +25,33 @@
     private record Selection(Set<MachineId> machines, List<Job> jobs, Moment at) {}
 
     private final Cluster cluster;
-    private final ServiceLevelObjectives aims;
+    private final ServiceLevelObjectives objectives;
     private final Estimates estimates;
-    private final Map<FairShareQueue, Selection> byShare = new HashMap<>();
+    private final Map<FairShareQueue, Selection> byQueue = new HashMap<>();
 
-    ReservedCapacity(Cluster cluster, ServiceLevelObjectives aims, Estimates estimates) {
+    ReservedCapacity(Cluster cluster, ServiceLevelObjectives objectives, Estimates estimates) {
         this.cluster = cluster;
-        this.aims = aims;
+        this.objectives = objectives;
         this.estimates = estimates;
     }
 
-    /** Nobody said by when it should be served, and it has waited for as long as something of any job should run. */
+    /** Whether it has no objective, and has waited for so long that one task of any job should run. */
     boolean isEligible(Job job, Moment now) {
-        return aims.hasNoObjective(job) && !job.spec.isService() && ServiceLevelObjectives.isStarved(job, now);
+        return objectives.hasNoObjective(job) && !job.spec.isService() && ServiceLevelObjectives.isStarved(job, now);
     }
 
-    boolean isReserved(Machine machine, FairShareQueue share, List<Job> queue, Moment now) {
-        Selection counted = byShare.get(share);
-        if (counted == null || !now.isBefore(counted.at.plus(SELECTION_LIFE))) {
-            List<Job> waiting = queue.stream()
+    /** Whether such jobs go first on the machine; selects machines and jobs anew once per {@link #SELECTION_LIFE}. */
+    boolean isReserved(Machine machine, FairShareQueue queue, List<Job> jobs, Moment now) {
+        Selection selection = byQueue.get(queue);
+        if (selection == null || !now.isBefore(selection.at.plus(SELECTION_LIFE))) {
+            List<Job> waiting = jobs.stream()
                     .filter(job -> isEligible(job, now) && job.hasStartable())
-                    .sorted(Comparator.comparingDouble(this::left))
+                    .sorted(Comparator.comparingDouble(this::remainingWork))
                     .toList();
-            counted = new Selection(waiting.isEmpty() ? Set.of() : choose(share, now), waiting, now);
-            byShare.put(share, counted);
+            selection = new Selection(waiting.isEmpty() ? Set.of() : choose(queue, now), waiting, now);
+            byQueue.put(queue, selection);
         }
-        return counted.machines.contains(machine.id);
+        return selection.machines.contains(machine.id);
     }
 
     /**
@@ -58,10 +59,10 @@
      * array is. That one goes on as soon as it is aged, or wherever there is room.
      */
     List<Job> jobs(FairShareQueue queue) {
-        return byShare.get(queue).jobs;
+        return byQueue.get(queue).jobs;
     }
 
-    private double left(Job job) {
+    private double remainingWork(Job job) {
         return job.waitingCount()
                 * job.spec.demand().cores()
                 * estimates.run(job).seconds();
--- a/src/main/java/io/indigoreach/core/scheduling/StartBounds.java
+++ b/src/main/java/io/indigoreach/core/scheduling/StartBounds.java
@@ -6,14 +6,14 @@
 import java.util.List;
 
 /**
- * Which start bounds to raise. Tasks start in the order of their numbers, and one is ordered only once a bound above it
- * is recorded with its job: so a new leader knows by the record which tasks nobody ever ordered, and starts them before
+ * Which start bounds to raise. Tasks start in the order of their numbers, and one is started only once a bound above it
+ * is recorded with its job: so a new leader knows by the record which tasks were never started, and starts them before
  * it has heard every machine. A bound far ahead of the starts would tell it little, one too close would have machines
- * wait for a write: bounds are kept ahead of the queue by what the machines can take within some reports.
+ * wait for a write: bounds are kept ahead of the queue by what the machines can take within some heartbeats.
  */
 final class StartBounds {
     /** A bound is raised when less than this part of what should be ahead is left. */
-    private static final double LOW = 0.5;
+    private static final double LOW_FRACTION = 0.5;
 
     private static final Span COUNT_LIFE = Span.seconds(0.5);
 
@@ -29,6 +29,7 @@
         this.tuning = tuning;
     }
 
+    /** The jobs whose start bounds are to be written now. */
     List<Job> toRaise(Moment now) {
         count(now);
         List<Job> out = new ArrayList<>();
@@ -38,8 +39,8 @@
                 if (job.hasStartable() && !job.isSuspectedFaulty() && ahead < places) {
                     double size = Math.max(1e-3, job.spec.demand().cores());
                     int startable = job.startableCount();
-                    if (ahead < places * LOW
-                            && !job.isWithinStartBound(within(places * LOW - ahead, size, startable))) {
+                    if (ahead < places * LOW_FRACTION
+                            && !job.isWithinStartBound(within(places * LOW_FRACTION - ahead, size, startable))) {
                         job.requestStartBoundFor(within(places - ahead, size, startable));
                     }
                     ahead += startable * size;
@@ -62,7 +63,7 @@
     }
 
     /**
-     * Cores that are free or coming, and all of them once more: in an outage no bound can be raised, and a leader orders on
+     * Cores that are free or coming, and all of them once more: in an outage no bound can be raised, and a leader starts tasks
      * until its lease ends. With a quarter of them, a fleet of 976 machines ran dry 10 s into an outage.
      */
     private void count(Moment now) {
--- a/src/main/java/io/indigoreach/core/scheduling/TeamUsage.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TeamUsage.java
@@ -22,10 +22,10 @@
         return team.allows(cores + demand.cores(), gpus + demand.gpus());
     }
 
-    /** How many more such tasks the team's limit allows, beside {@code more} that are planned. */
-    int room(Demand demand, double more) {
+    /** How many more such tasks the team's limit allows, beside {@code plannedCores}. */
+    int room(Demand demand, double plannedCores) {
         return team.coresMax() > 0 && demand.cores() > 0
-                ? (int) ((team.coresMax() - cores - more) / demand.cores())
+                ? (int) ((team.coresMax() - cores - plannedCores) / demand.cores())
                 : Integer.MAX_VALUE;
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
@@ -47,12 +47,12 @@
     }
 
     private WaitReason machineReason(Job job, Moment now) {
-        FairShareQueue share = cluster.queueOf(job);
-        List<Job> queue = rules.order().jobs(share, now);
-        List<Job> ahead = queue.subList(0, Math.max(0, queue.indexOf(job)));
+        FairShareQueue queue = cluster.queueOf(job);
+        List<Job> jobs = rules.order().jobs(queue, now);
+        List<Job> ahead = jobs.subList(0, Math.max(0, jobs.indexOf(job)));
         WaitReason furthest = WaitReason.NO_MACHINE;
         for (Machine machine : cluster.machines.values()) {
-            WaitReason here = reasonOn(machine, job, share, ahead, now);
+            WaitReason here = reasonOn(machine, job, queue, ahead, now);
             furthest = here.compareTo(furthest) > 0 ? here : furthest;
         }
         return furthest;
