--- a/src/main/java/io/indigoreach/core/scheduling/Admission.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Admission.java
@@ -13,7 +13,7 @@
     /** Why the job can never run, or null if it can. */
     public static String refusal(JobSpec spec, Collection<Team> teams, Collection<MachineType> types) {
         Team team = teams.stream()
-                .filter(t -> t.name().equals(spec.team()))
+                .filter(candidate -> candidate.name().equals(spec.team()))
                 .findFirst()
                 .orElse(null);
         if (team == null) {
@@ -22,8 +22,8 @@
         if (types.stream().noneMatch(type -> fits(spec, type))) {
             return "a task fits no allowed machine type";
         }
-        int atOnce = spec.shape() == JobKind.SERVICE ? spec.tasks() : 1;
-        if (!team.allows(spec.demand().cores() * atOnce, spec.demand().gpus() * atOnce)) {
+        int concurrentTasks = spec.shape() == JobKind.SERVICE ? spec.tasks() : 1;
+        if (!team.allows(spec.demand().cores() * concurrentTasks, spec.demand().gpus() * concurrentTasks)) {
             return "more than the limit of team " + spec.team();
         }
         return null;
--- a/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
@@ -117,37 +117,33 @@
     /** Not what has hardly run, so that none is moved again and again, nor where a place depends on the job's other tasks. */
     private boolean isMovable(Machine machine, Moment now) {
         for (Placement placement : machine.placements().values()) {
-            Span move = placement
-                    .job
-                    .spec
-                    .checkpointTime()
-                    .plus(safetyTimes.heartbeatPeriod().times(2));
-            if (placement.state != TaskState.RUNNING
-                    || placement.stopping
-                    || !placement.job.spec.savesProgress()
-                    || placement.job.cancelled
-                    || placement.job.spec.oneZone()
-                    || placement.job.spec.spread()
-                    || now.since(placement.stateSince).compareTo(Preemption.MINIMUM_RUN) < 0
-                    || estimates.end(placement, now).since(now).compareTo(move.times(MIN_REMAINING_PER_MOVE)) < 0) {
+            if (!isMovable(placement, now)) {
                 return false;
             }
         }
         return true;
     }
 
+    private boolean isMovable(Placement placement, Moment now) {
+        Job job = placement.job;
+        if (placement.state != TaskState.RUNNING || placement.stopping || job.cancelled) {
+            return false;
+        }
+        if (!job.spec.savesProgress() || job.spec.oneZone() || job.spec.spread()) {
+            return false;
+        }
+        Span move = job.spec.checkpointTime().plus(safetyTimes.heartbeatPeriod().times(2));
+        return now.since(placement.stateSince).compareTo(Preemption.MINIMUM_RUN) >= 0
+                && estimates.end(placement, now).since(now).compareTo(move.times(MIN_REMAINING_PER_MOVE)) >= 0;
+    }
+
     /** Finds a place for each task of the machine on a fuller machine that has its image; all or nothing. */
     private static boolean reserveTargets(Machine machine, List<Machine> fuller, Map<Machine, Demand> free) {
         Map<Machine, Demand> after = new HashMap<>(free);
         for (Placement placement : machine.placements().values()) {
             Machine target = null;
             for (Machine candidate : fuller) {
-                if (!candidate.isIdle()
-                        && !candidate.draining
-                        && !candidate.surplus
-                        && candidate.imageCache.contains(placement.job.spec.image())
-                        && candidate.allows(placement.job.spec)
-                        && !FaultAttribution.isExcluded(placement.job, candidate)
+                if (isTarget(candidate, placement.job)
                         && placement.demand().fitsIn(after.getOrDefault(candidate, candidate.free()))) {
                     target = candidate;
                     break;
@@ -162,6 +158,14 @@
         return true;
     }
 
+    private static boolean isTarget(Machine machine, Job job) {
+        boolean keepsTasks = !machine.isIdle() && !machine.draining && !machine.surplus;
+        return keepsTasks
+                && machine.imageCache.contains(job.spec.image())
+                && machine.allows(job.spec)
+                && !FaultAttribution.isExcluded(job, machine);
+    }
+
     /** Stops for a machine that is to be emptied; what is stopped waits for a machine that has its image. */
     List<WorkerCommand> drainCommands(Machine machine, Moment now) {
         List<WorkerCommand> commands = new ArrayList<>();
--- a/src/main/java/io/indigoreach/core/scheduling/Estimates.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Estimates.java
@@ -39,8 +39,8 @@
         if (job.spec.isService()) {
             return UNTIL_CANCELLED;
         }
-        if (job.observedRuns() >= SUFFICIENT_RUNS) {
-            return job.meanObservedRunTime();
+        if (job.runTimes.runs() >= SUFFICIENT_RUNS) {
+            return job.runTimes.mean();
         }
         double factor = Math.exp(logFactor.getOrDefault(job.spec.jobClass(), 0.0));
         return job.spec.estimate().times(Math.min(3, Math.max(0.33, factor)));
@@ -62,7 +62,7 @@
     }
 
     void observe(Job job, Span run) {
-        job.observeRunTime(run);
+        job.runTimes.add(run);
         listener.accept(job, run);
         if (job.spec.estimate().ms() > 0) {
             double ratio =
--- a/src/main/java/io/indigoreach/core/scheduling/Job.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Job.java
@@ -26,8 +26,6 @@
 
     /** As it was submitted; with its release once it waits for no other job. */
     JobSpec spec;
-    /** When it was submitted, on this process's clock. */
-    private final Moment submitted;
     /** Since when it could be served: its submission, or the moment when the last job that it needs was done. */
     Moment eligibleSince;
     /** Submission by the time of day: the order in the queue, the same for every leader. */
@@ -40,10 +38,10 @@
 
     Revision revision;
     boolean cancelled;
-    /** Others have to be done before any task of it starts. */
+    /** Whether other jobs have to be done before any task of it starts. */
     private boolean hasUnmetDependencies;
-    /** What the jobs that need it ask of it; null if none does. */
-    JobTarget dependentsTarget;
+
+    private final JobTargets targets;
     /** Machines on which one of its tasks has failed since one last completed there. */
     final Set<MachineId> failedMachines = new HashSet<>();
 
@@ -57,15 +55,14 @@
     boolean missedObjectives;
     /** Its class is served too little, or it has waited too long: it goes first on a part of the machines. */
     boolean underServed;
-    /** One of its tasks has run, under this leader or, as far as it knows, an earlier one. */
+    /** Whether one of its tasks has run, under this leader or, as far as it knows, an earlier one. */
     private boolean hasRun;
     /** Nothing of it has run for too long: one task of it goes before all else. */
     boolean starved;
-    /** It began that way. */
+    /** One of its tasks was started while it was starved. */
     boolean startedAsStarved;
 
-    private long observedMs;
-    private int observedRuns;
+    final RunTimeMean runTimes = new RunTimeMean();
 
     /**
      * @param done tasks recorded as done
@@ -82,17 +79,15 @@
             boolean inherited) {
         this.spec = spec;
         this.submittedMs = submittedMs;
-        this.submitted = submitted;
+        this.targets =
+                new JobTargets(new JobTarget(spec.urgency(), spec.due() == null ? null : submitted.plus(spec.due())));
         this.eligibleSince = submitted.plus(releasedAfter(spec, submittedMs));
         this.revision = revision;
         this.inherited = inherited;
         this.hasRun = !done.isEmpty();
         // A task that is done was started, and so the job was released.
         this.hasUnmetDependencies = spec.chain().isWaiting() && !hasRun;
-        // Where the others of its tasks are decides where one may go, so nothing of it is started before all is known.
-        boolean together = spec.oneZone() || spec.spread();
-        int possiblyRunningBelow = !inherited ? 0 : together && startBound > 0 ? spec.tasks() : startBound;
-        this.progress = new TaskProgress(spec.tasks(), done, spec.isGuarded(), startBound, possiblyRunningBelow);
+        this.progress = TaskProgress.of(spec, done, startBound, inherited);
     }
 
     /** From its submission to the release that its record tells of. */
@@ -115,26 +110,22 @@
 
     /** Its priority: its own, or the higher one of a job that needs it. */
     Urgency urgency() {
-        return dependentsTarget == null
-                ? spec.urgency()
-                : ownTarget().and(dependentsTarget).urgency();
+        return targets.urgency();
     }
 
     /** By when it should be done, for its own deadline or that of a job that needs it; null if nothing says so. */
     Moment dueAt() {
-        return dependentsTarget == null
-                ? ownDueAt()
-                : ownTarget().and(dependentsTarget).due();
+        return targets.due();
     }
 
     /** By when it should be done for its own deadline, which counts from its submission; null if it has none. */
     Moment ownDueAt() {
-        return spec.due() == null ? null : submitted.plus(spec.due());
+        return targets.own().due();
     }
 
     /** What its own user asks of it. */
     JobTarget ownTarget() {
-        return new JobTarget(spec.urgency(), ownDueAt());
+        return targets.own();
     }
 
     /** The start bound to be written with the job: at least the one that is recorded. */
@@ -157,12 +148,12 @@
         progress.requestStartBoundFor(count);
     }
 
-    /** These tasks wait for something else than machines, and no others; what is on a machine stays there. */
+    /** Gates these tasks and no others; what is on a machine stays there. */
     void gate(BitSet tasks) {
         progress.gate(tasks, placements.indexes());
     }
 
-    /** Tasks that are neither done nor on a machine wait for something else than machines. */
+    /** Whether tasks that are neither done nor on a machine are gated. */
     boolean hasGatedTasks() {
         return !cancelled && progress.hasGatedTasks(placements.indexes());
     }
@@ -209,7 +200,7 @@
         return progress.isDurable(index);
     }
 
-    /** Every task has completed; a service never does. */
+    /** Whether every task has completed; a service never does. */
     public boolean isComplete() {
         return progress.isComplete() && spec.shape() == JobKind.ARRAY;
     }
@@ -251,7 +242,7 @@
         return placements.anyRunning() ? JobStatus.RUNNING : JobStatus.PENDING;
     }
 
-    /** Nothing of it may start. */
+    /** Whether nothing of it may start. */
     private boolean isBlocked() {
         return cancelled || hasUnmetDependencies;
     }
@@ -295,12 +286,12 @@
         return placements.copy();
     }
 
-    /** A task of it runs, has run, or is on its way to a machine. */
+    /** Whether a task of it runs, has run, or is on its way to a machine. */
     boolean hasBegun() {
         return hasRun || !placements.isEmpty();
     }
 
-    /** Put first with one task, it has had its turn until the queue is ordered anew. */
+    /** Whether it was put first with one task and that task has begun: it has had its turn until the queue is ordered anew. */
     boolean isStarvationRelieved() {
         return starved && hasBegun();
     }
@@ -310,7 +301,7 @@
         hasRun = true;
     }
 
-    /** A task of it is ordered to start. */
+    /** A start command for one of its tasks is sent. */
     void taskStarted() {
         startedAsStarved |= starved;
     }
@@ -334,7 +325,7 @@
 
     /** What the jobs that depend on it ask of it; null if none does. */
     void dependentsAsk(JobTarget target) {
-        dependentsTarget = target;
+        targets.dependentsAsk(target);
     }
 
     /** One of its tasks has failed on the machine. */
@@ -399,20 +390,7 @@
         return isNew;
     }
 
-    void observeRunTime(Span run) {
-        observedMs += Math.max(1, run.ms());
-        observedRuns++;
-    }
-
-    int observedRuns() {
-        return observedRuns;
-    }
-
-    Span meanObservedRunTime() {
-        return new Span(observedMs / Math.max(1, observedRuns));
-    }
-
-    /** It failed on several machines and never completed a task: most likely submitted with a mistake. */
+    /** Whether it failed on several machines and never completed a task: most likely it was submitted with a mistake. */
     boolean isSuspectedFaulty() {
         return progress.doneCount() == 0 && failedMachines.size() >= SUSPECTED_AFTER_MACHINES;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/TaskProgress.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TaskProgress.java
@@ -1,5 +1,6 @@
 package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.model.JobSpec;
 import java.util.BitSet;
 import java.util.Set;
 
@@ -25,7 +26,19 @@
     /** Tasks below this number may be on a machine that this leader has not heard from yet. */
     private int possiblyRunningBelow;
 
-    TaskProgress(int tasks, BitSet done, boolean isGated, int startBound, int possiblyRunningBelow) {
+    /**
+     * The progress of a job as this leader finds it.
+     *
+     * @param inherited the job was submitted before this leadership term
+     */
+    static TaskProgress of(JobSpec spec, BitSet done, int startBound, boolean inherited) {
+        // Where the others of its tasks are decides where one may go, so nothing of it is started before all is known.
+        boolean together = spec.oneZone() || spec.spread();
+        int possiblyRunningBelow = !inherited ? 0 : together && startBound > 0 ? spec.tasks() : startBound;
+        return new TaskProgress(spec.tasks(), done, spec.isGuarded(), startBound, possiblyRunningBelow);
+    }
+
+    private TaskProgress(int tasks, BitSet done, boolean isGated, int startBound, int possiblyRunningBelow) {
         this.tasks = tasks;
         this.done = (BitSet) done.clone();
         this.durable = (BitSet) done.clone();
--- a/src/main/java/io/indigoreach/core/scheduling/TeamUsage.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TeamUsage.java
@@ -3,7 +3,7 @@
 import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.Team;
 
-/** What the tasks of one team use, against what it is guaranteed and what they may never exceed. */
+/** What the tasks of one team use, against its guarantee and the limit that they never exceed. */
 final class TeamUsage {
     final Team team;
     private double cores;
@@ -18,6 +18,7 @@
         gpus += sign * demand.gpus();
     }
 
+    /** Whether one more such task stays within the limit. */
     boolean hasRoomFor(Demand demand) {
         return team.allows(cores + demand.cores(), gpus + demand.gpus());
     }
