--- a/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
@@ -46,7 +46,7 @@
     private void plan(FairShareQueue queue, Moment now) {
         List<Machine> machines = new ArrayList<>();
         for (Machine machine : cluster.machinesServing(queue)) {
-            // Until what was told to save has left it.
+            // Until the tasks that were stopped have left it.
             machine.endDrainingIfStopped();
             machine.uncordon();
             if (machine.isUsable()
@@ -82,12 +82,12 @@
     /** Chooses the machines to empty, from the end of the list. */
     private void chooseMachinesToDrain(FairShareQueue queue, List<Machine> machines, Moment now) {
         Map<Machine, Demand> free = new HashMap<>();
-        double spareRoom = 0;
+        double unclaimedCores = 0;
         for (Machine machine : machines) {
-            spareRoom += roomOn(machine);
+            unclaimedCores += roomOn(machine);
         }
         for (Job job : queue.jobs()) {
-            spareRoom -= job.startableCount() * job.spec.demand().cores();
+            unclaimedCores -= job.startableCount() * job.spec.demand().cores();
         }
         int left = (int) Math.ceil(machines.size() * MAX_DRAINING_FRACTION);
         for (int i = machines.size() - 1; i > 0 && left > 0; i--) {
@@ -97,13 +97,13 @@
             if (machine.isIdle()
                     || machine.draining
                     || free.containsKey(machine)
-                    || spareRoom < cost
+                    || unclaimedCores < cost
                     || !isMovable(machine, now)
                     || !reserveTargets(machine, machines.subList(0, i), free)) {
                 continue;
             }
             machine.startDraining();
-            spareRoom -= cost;
+            unclaimedCores -= cost;
             left--;
         }
     }
@@ -117,39 +117,35 @@
     /** Not what has hardly run, so that none is moved again and again, nor where a place depends on the job's other tasks. */
     private boolean isMovable(Machine machine, Moment now) {
         for (Placement placement : machine.placements().values()) {
-            Span move = placement
-                    .job
-                    .spec
-                    .checkpointTime()
-                    .plus(safetyTimes.heartbeatPeriod().times(2));
-            if (placement.state != TaskState.RUNNING
-                    || placement.stopping
-                    || !placement.job.spec.savesProgress()
-                    || placement.job.cancelled
-                    || placement.job.spec.oneZone()
-                    || placement.job.spec.spread()
-                    || now.since(placement.stateSince).compareTo(Preemption.MINIMUM_RUN) < 0
-                    || estimates.end(placement, now).since(now).compareTo(move.times(MIN_REMAINING_PER_MOVE)) < 0) {
+            if (!isMovable(placement, now)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Finds a place for each task of {@code m} on a fuller machine that has its image; all or nothing. */
+    private boolean isMovable(Placement placement, Moment now) {
+        Job job = placement.job;
+        if (placement.state != TaskState.RUNNING || placement.stopping || job.cancelled) {
+            return false;
+        }
+        if (!job.spec.savesProgress() || job.spec.oneZone() || job.spec.spread()) {
+            return false;
+        }
+        Span move = job.spec.checkpointTime().plus(safetyTimes.heartbeatPeriod().times(2));
+        return now.since(placement.stateSince).compareTo(Preemption.MINIMUM_RUN) >= 0
+                && estimates.end(placement, now).since(now).compareTo(move.times(MIN_REMAINING_PER_MOVE)) >= 0;
+    }
+
+    /** Finds a place for each task of the machine on a fuller machine that has its image; all or nothing. */
     private static boolean reserveTargets(Machine machine, List<Machine> fuller, Map<Machine, Demand> free) {
         Map<Machine, Demand> after = new HashMap<>(free);
         for (Placement placement : machine.placements().values()) {
             Machine target = null;
-            for (Machine t : fuller) {
-                if (!t.isIdle()
-                        && !t.draining
-                        && !t.surplus
-                        && t.imageCache.contains(placement.job.spec.image())
-                        && t.allows(placement.job.spec)
-                        && !FaultAttribution.isExcluded(placement.job, t)
-                        && placement.demand().fitsIn(after.getOrDefault(t, t.free()))) {
-                    target = t;
+            for (Machine candidate : fuller) {
+                if (isTarget(candidate, placement.job)
+                        && placement.demand().fitsIn(after.getOrDefault(candidate, candidate.free()))) {
+                    target = candidate;
                     break;
                 }
             }
@@ -162,20 +158,24 @@
         return true;
     }
 
+    private static boolean isTarget(Machine machine, Job job) {
+        boolean keepsTasks = !machine.isIdle() && !machine.draining && !machine.surplus;
+        return keepsTasks
+                && machine.imageCache.contains(job.spec.image())
+                && machine.allows(job.spec)
+                && !FaultAttribution.isExcluded(job, machine);
+    }
+
     /** Stops for a machine that is to be emptied; what is stopped waits for a machine that has its image. */
     List<WorkerCommand> drainCommands(Machine machine, Moment now) {
-        List<WorkerCommand> orders = new ArrayList<>();
+        List<WorkerCommand> commands = new ArrayList<>();
         if (machine.draining && isMovable(machine, now) && rules.cordons().isCordoned(machine, now)) {
             for (Placement placement : machine.placementsCopy()) {
-                placement.stopRequested();
                 placement.job.awaitImageLocality(
                         now.plus(safetyTimes.heartbeatPeriod().times(3)).plus(placement.job.spec.checkpointTime()));
-                orders.add(new WorkerCommand.Stop(
-                        placement.task(),
-                        placement.attempt,
-                        placement.job.spec.checkpointTime().times(2)));
+                commands.add(CommandBatch.stopWithCheckpoint(placement));
             }
         }
-        return orders;
+        return commands;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/TeamUsage.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TeamUsage.java
@@ -3,7 +3,7 @@
 import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.Team;
 
-/** What the tasks of one team use, against what it is guaranteed and what they may never exceed. */
+/** What the tasks of one team use, against its guarantee and the limit that they never exceed. */
 final class TeamUsage {
     final Team team;
     private double cores;
@@ -18,14 +18,15 @@
         gpus += sign * demand.gpus();
     }
 
+    /** Whether one more such task stays within the limit. */
     boolean hasRoomFor(Demand demand) {
         return team.allows(cores + demand.cores(), gpus + demand.gpus());
     }
 
-    /** How many more such tasks the team's limit allows, beside {@code more} that are planned. */
-    int room(Demand demand, double more) {
+    /** How many more such tasks the team's limit allows, beside {@code plannedCores}. */
+    int room(Demand demand, double plannedCores) {
         return team.coresMax() > 0 && demand.cores() > 0
-                ? (int) ((team.coresMax() - cores - more) / demand.cores())
+                ? (int) ((team.coresMax() - cores - plannedCores) / demand.cores())
                 : Integer.MAX_VALUE;
     }
 
