--- a/src/test/java/io/indigoreach/emulator/AskedJobs.java
+++ b/src/test/java/io/indigoreach/emulator/AskedJobs.java
@@ -20,6 +20,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
 
 /**
  * Jobs at a cluster of this process, and questions about each at every node. A job that is over is never told to be anything
@@ -48,6 +49,14 @@
         callers();
     }
 
+    /** After the test, so that its own failure is the one that is told; there is no cluster where it could not be started. */
+    @AfterEach
+    void closeCluster() throws Exception {
+        if (cluster != null) {
+            cluster.close();
+        }
+    }
+
     void callers() {
         nodes = cluster.emulator.nodes().stream()
                 .map(c -> new ServiceClient(cluster.vertx, c.listen(), 8))
--- a/src/test/java/io/indigoreach/emulator/CloseLooksClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/CloseLooksClusterTest.java
@@ -42,24 +42,20 @@
         "3, fault { kind: refuse at_s: 2 for_s: 4 from: 'node-0' to: 'state' } fault { kind: outage at_s: 3 for_s: 3 to: 'state' }"
     })
     void noControllerAnswersAnythingOlder(int controllers, String faults) throws Exception {
-        try {
-            open(controllers, faults);
-            List<Future<Void>> followed = new ArrayList<>();
-            for (int n = 0; n < LOOKED_AT; n++) {
-                JobSpec spec = LocalCluster.job(n, 2, 0.5 + 0.3 * n);
-                cluster.history.add(new Event.Submitted(cluster.clock.now(), spec));
-                LocalCluster.await(cluster.emulator.upload(
-                        new DepotCodec.Upload(spec, new Depot.Conduct(spec.estimate(), 0.1, false))));
-                followed.add(follow(spec, n, n % 3 == 0));
-            }
-            LocalCluster.await(Future.all(followed));
-            assertEquals(List.of(), JobRegisters.check(List.copyOf(calls)));
-            assertEquals(List.of(), cluster.breaches());
-            for (JobStatus end : new JobStatus[] {JobStatus.DONE, JobStatus.CANCELLED}) {
-                assertTrue(calls.stream().anyMatch(c -> c.told() == end), "nobody was told " + end);
-            }
-        } finally {
-            cluster.close();
+        open(controllers, faults);
+        List<Future<Void>> followed = new ArrayList<>();
+        for (int n = 0; n < LOOKED_AT; n++) {
+            JobSpec spec = LocalCluster.job(n, 2, 0.5 + 0.3 * n);
+            cluster.history.add(new Event.Submitted(cluster.clock.now(), spec));
+            LocalCluster.await(cluster.emulator.upload(
+                    new DepotCodec.Upload(spec, new Depot.Conduct(spec.estimate(), 0.1, false))));
+            followed.add(follow(spec, n, n % 3 == 0));
+        }
+        LocalCluster.await(Future.all(followed));
+        assertEquals(List.of(), JobRegisters.check(List.copyOf(calls)));
+        assertEquals(List.of(), cluster.breaches());
+        for (JobStatus end : new JobStatus[] {JobStatus.DONE, JobStatus.CANCELLED}) {
+            assertTrue(calls.stream().anyMatch(c -> c.told() == end), "nobody was told " + end);
         }
     }
 
--- a/src/test/java/io/indigoreach/emulator/CutOffTest.java
+++ b/src/test/java/io/indigoreach/emulator/CutOffTest.java
@@ -29,54 +29,50 @@
     @ParameterizedTest
     @CsvSource({"3, leader", "5, other", "1, all"})
     void cutOffFromAllButItsWorkers(int controllers, String who) throws Exception {
-        try {
-            StringBuilder faults = new StringBuilder();
-            for (int a = 0; a < controllers; a++) {
-                for (int b = 0; b < controllers; b++) {
-                    if (a != b && (a == 0 || b == 0 || who.equals("all"))) {
-                        faults.append("fault { kind: hold at_s: 10 for_s: 15 from: 'node-" + a + "' to: 'node-" + b
-                                + "' }\n");
-                    }
+        StringBuilder faults = new StringBuilder();
+        for (int a = 0; a < controllers; a++) {
+            for (int b = 0; b < controllers; b++) {
+                if (a != b && (a == 0 || b == 0 || who.equals("all"))) {
+                    faults.append(
+                            "fault { kind: hold at_s: 10 for_s: 15 from: 'node-" + a + "' to: 'node-" + b + "' }\n");
                 }
             }
-            faults.append(
-                    who.equals("all")
-                            ? "fault { kind: outage at_s: 10 for_s: 15 to: 'state' }"
-                            : "fault { kind: refuse at_s: 10 for_s: 15 from: 'node-0' to: 'state' }");
-            open(controllers, faults.toString());
-            jobs();
-            // node-0 is the one that is cut off: the leadership is passed on until it leads, or does not.
-            for (int tries = 0; !who.equals("all") && tries < 4 && (leader() == 0) != who.equals("leader"); tries++) {
-                LocalCluster.await(state.get(RecordCodec.LEADER)
-                        .compose(key -> state.commit(new StateClient.Txn()
-                                .when(RecordCodec.LEADER, key.stamp())
-                                .delete(RecordCodec.LEADER))));
-                LocalCluster.await(cluster.vertx.timer(500, TimeUnit.MILLISECONDS));
-            }
-            until(10);
-            ServiceClient cut = nodes.get(0);
-            until(controllers > 1 ? 10 : 20);
-            awaitReady(cut, controllers > 1 ? 503 : 200, 24);
-            ServiceResponse sentOn = LocalCluster.await(cut.post(WorkerCodec.REPORT, Map.of(), Span.seconds(2)));
-            assertEquals(421, sentOn.status());
-            assertEquals(
-                    Map.of(),
-                    sentOn.body().map().entrySet().stream()
-                            .filter(e -> e.getValue() != null)
-                            .collect(java.util.stream.Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue)),
-                    "no name that may be wrong");
-            assertEquals(503, ask(cut, "run-5").status());
-            if (!who.equals("all")) {
-                allAreAnswered(nodes.subList(1, controllers));
-            }
-            until(25);
-            allAreAnswered(nodes);
-            for (ServiceClient node : nodes) {
-                awaitReady(node, 200, 25 + LONGEST.seconds());
-            }
-            assertEquals(List.of(), cluster.breaches());
-        } finally {
-            cluster.close();
         }
+        faults.append(
+                who.equals("all")
+                        ? "fault { kind: outage at_s: 10 for_s: 15 to: 'state' }"
+                        : "fault { kind: refuse at_s: 10 for_s: 15 from: 'node-0' to: 'state' }");
+        open(controllers, faults.toString());
+        jobs();
+        // node-0 is the one that is cut off: the leadership is passed on until it leads, or does not.
+        for (int tries = 0; !who.equals("all") && tries < 4 && (leader() == 0) != who.equals("leader"); tries++) {
+            LocalCluster.await(state.get(RecordCodec.LEADER)
+                    .compose(key -> state.commit(new StateClient.Txn()
+                            .when(RecordCodec.LEADER, key.stamp())
+                            .delete(RecordCodec.LEADER))));
+            LocalCluster.await(cluster.vertx.timer(500, TimeUnit.MILLISECONDS));
+        }
+        until(10);
+        ServiceClient cut = nodes.get(0);
+        until(controllers > 1 ? 10 : 20);
+        awaitReady(cut, controllers > 1 ? 503 : 200, 24);
+        ServiceResponse sentOn = LocalCluster.await(cut.post(WorkerCodec.REPORT, Map.of(), Span.seconds(2)));
+        assertEquals(421, sentOn.status());
+        assertEquals(
+                Map.of(),
+                sentOn.body().map().entrySet().stream()
+                        .filter(e -> e.getValue() != null)
+                        .collect(java.util.stream.Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue)),
+                "no name that may be wrong");
+        assertEquals(503, ask(cut, "run-5").status());
+        if (!who.equals("all")) {
+            allAreAnswered(nodes.subList(1, controllers));
+        }
+        until(25);
+        allAreAnswered(nodes);
+        for (ServiceClient node : nodes) {
+            awaitReady(node, 200, 25 + LONGEST.seconds());
+        }
+        assertEquals(List.of(), cluster.breaches());
     }
 }
--- a/src/test/java/io/indigoreach/emulator/DependencyClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/DependencyClusterTest.java
@@ -47,60 +47,52 @@
     /** The node that told of the cancellation leads, and ends in the middle of the cascade: another one ends what is left. */
     @Test
     void aCascadeOutlivesTheLeaderThatBeganIt() throws Exception {
-        try {
-            open(3, "");
-            chained(1, 2, 300);
-            for (int n = 2; n <= LINE; n++) {
-                chained(n, 2, 300, n - 1);
-            }
-            int leader = leader();
-            // The first job runs by then, so that the checker has seen a task: on a slow machine none had begun yet.
-            while (cluster.history.events().stream().noneMatch(Event.Running.class::isInstance)) {
-                LocalCluster.await(cluster.vertx.timer(20, TimeUnit.MILLISECONDS));
-            }
-            LocalCluster.await(
-                    nodes.get(leader).post(JobCodec.JOBS + "/run-1" + JobCodec.CANCEL, Map.of(), Span.seconds(5)));
-            Moment told = cluster.clock.now();
-            while (ends() < 3) {
-                LocalCluster.await(cluster.vertx.timer(5, TimeUnit.MILLISECONDS));
-            }
-            cluster.stop(leader);
-            assertTrue(ends() < LINE, "the cascade was over before the leader ended");
-            while (ends() < LINE) {
-                LocalCluster.await(cluster.vertx.timer(20, TimeUnit.MILLISECONDS));
-            }
-            assertTrue(cluster.clock
-                            .now()
-                            .since(told)
-                            .compareTo(Span.seconds(
-                                    cluster.scenario.deployment().workers().cancelS()))
-                    < 0);
-            expected.put("run-" + LINE, "cancelled");
-            expected.put("run-2", "cancelled");
-            allAreAnswered(List.of(nodes.get((leader + 1) % 3), nodes.get((leader + 2) % 3)));
-            assertEquals(List.of(), cluster.breaches());
-        } finally {
-            cluster.close();
+        open(3, "");
+        chained(1, 2, 300);
+        for (int n = 2; n <= LINE; n++) {
+            chained(n, 2, 300, n - 1);
+        }
+        int leader = leader();
+        // The first job runs by then, so that the checker has seen a task: on a slow machine none had begun yet.
+        while (cluster.history.events().stream().noneMatch(Event.Running.class::isInstance)) {
+            LocalCluster.await(cluster.vertx.timer(20, TimeUnit.MILLISECONDS));
         }
+        LocalCluster.await(
+                nodes.get(leader).post(JobCodec.JOBS + "/run-1" + JobCodec.CANCEL, Map.of(), Span.seconds(5)));
+        Moment told = cluster.clock.now();
+        while (ends() < 3) {
+            LocalCluster.await(cluster.vertx.timer(5, TimeUnit.MILLISECONDS));
+        }
+        cluster.stop(leader);
+        assertTrue(ends() < LINE, "the cascade was over before the leader ended");
+        while (ends() < LINE) {
+            LocalCluster.await(cluster.vertx.timer(20, TimeUnit.MILLISECONDS));
+        }
+        assertTrue(cluster.clock
+                        .now()
+                        .since(told)
+                        .compareTo(Span.seconds(
+                                cluster.scenario.deployment().workers().cancelS()))
+                < 0);
+        expected.put("run-" + LINE, "cancelled");
+        expected.put("run-2", "cancelled");
+        allAreAnswered(List.of(nodes.get((leader + 1) % 3), nodes.get((leader + 2) % 3)));
+        assertEquals(List.of(), cluster.breaches());
     }
 
     /** Two jobs side by side, and one that waits for both: no task of it starts before every task of them has ended. */
     @Test
     void aChainRunsInItsOrder() throws Exception {
-        try {
-            open(3, "");
-            chained(1, 3, 0.4);
-            chained(2, 1, 0.8);
-            chained(3, 2, 0.2, 1, 2);
-            while (!"done".equals(told(ask(nodes.get(0), "run-3")))) {
-                LocalCluster.await(cluster.vertx.timer(50, TimeUnit.MILLISECONDS));
-            }
-            List<Event> events = cluster.history.events();
-            int firstOfLast = index(events, 3, true);
-            assertTrue(firstOfLast > index(events, 1, false) && firstOfLast > index(events, 2, false));
-        } finally {
-            cluster.close();
+        open(3, "");
+        chained(1, 3, 0.4);
+        chained(2, 1, 0.8);
+        chained(3, 2, 0.2, 1, 2);
+        while (!"done".equals(told(ask(nodes.get(0), "run-3")))) {
+            LocalCluster.await(cluster.vertx.timer(50, TimeUnit.MILLISECONDS));
         }
+        List<Event> events = cluster.history.events();
+        int firstOfLast = index(events, 3, true);
+        assertTrue(firstOfLast > index(events, 1, false) && firstOfLast > index(events, 2, false));
     }
 
     /** Where a job's first task starts, or its last one goes. */
--- a/src/test/java/io/indigoreach/emulator/HandoverDayTest.java
+++ b/src/test/java/io/indigoreach/emulator/HandoverDayTest.java
@@ -20,7 +20,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.parallel.Isolated;
@@ -45,11 +44,6 @@
 
     private int started;
 
-    @AfterEach
-    void close() throws Exception {
-        cluster.close();
-    }
-
     private void open(String faults) throws Exception {
         cluster = new LocalCluster(3, CANCEL_S, faults.replace('\'', '"'));
         PlatformConfig any = cluster.emulator.nodes().get(2);
--- a/src/test/java/io/indigoreach/emulator/JobVisibilityTest.java
+++ b/src/test/java/io/indigoreach/emulator/JobVisibilityTest.java
@@ -19,56 +19,52 @@
     @ParameterizedTest
     @ValueSource(strings = {"open", "leader ends", "all end", "over", "in a loss"})
     void aSpoiltRecordIsMended(String trouble) throws Exception {
-        try {
-            open(3, "");
-            jobs();
-            List<ServiceClient> asked = nodes;
-            if (trouble.equals("leader ends") || trouble.equals("all end")) {
-                int leader = leader();
-                spoil("j/run-4");
-                for (int n = 0; n < 3; n++) {
-                    if (n == leader || trouble.equals("all end")) {
-                        cluster.stop(n);
-                    }
+        open(3, "");
+        jobs();
+        List<ServiceClient> asked = nodes;
+        if (trouble.equals("leader ends") || trouble.equals("all end")) {
+            int leader = leader();
+            spoil("j/run-4");
+            for (int n = 0; n < 3; n++) {
+                if (n == leader || trouble.equals("all end")) {
+                    cluster.stop(n);
                 }
-                // Spoilt once more, as the leader may have mended it before its end.
+            }
+            // Spoilt once more, as the leader may have mended it before its end.
+            spoil("j/run-4");
+            asked = nodes.stream().filter(c -> c != nodes.get(leader)).toList();
+        }
+        switch (trouble) {
+            case "open" -> {
+                spoil("j/run-3");
                 spoil("j/run-4");
-                asked = nodes.stream().filter(c -> c != nodes.get(leader)).toList();
             }
-            switch (trouble) {
-                case "open" -> {
-                    spoil("j/run-3");
-                    spoil("j/run-4");
-                }
-                case "over" -> {
-                    spoil("f/run-1");
-                    spoil("f/run-2");
-                }
-                case "in a loss" -> {
-                    spoil("j/run-4");
-                    LocalCluster.await(
-                            state.commit(new StateClient.Txn().delete("j/run-3").delete("f/run-1")));
-                    spoil("j/run-4");
-                }
-                case "all end" -> {
-                    for (PlatformConfig c : cluster.emulator.nodes()) {
-                        cluster.start(c);
-                    }
-                    asked = nodes;
-                    submit(1, LocalCluster.job(4, 2, 300));
+            case "over" -> {
+                spoil("f/run-1");
+                spoil("f/run-2");
+            }
+            case "in a loss" -> {
+                spoil("j/run-4");
+                LocalCluster.await(
+                        state.commit(new StateClient.Txn().delete("j/run-3").delete("f/run-1")));
+                spoil("j/run-4");
+            }
+            case "all end" -> {
+                for (PlatformConfig c : cluster.emulator.nodes()) {
+                    cluster.start(c);
                 }
-                default -> {}
+                asked = nodes;
+                submit(1, LocalCluster.job(4, 2, 300));
             }
-            allAreAnswered(asked);
-            // The test itself writes blindly.
-            assertEquals(
-                    List.of(),
-                    cluster.breaches().stream()
-                            .filter(b -> b.rule() != Breach.Rule.BLIND_WRITE)
-                            .toList());
-        } finally {
-            cluster.close();
+            default -> {}
         }
+        allAreAnswered(asked);
+        // The test itself writes blindly.
+        assertEquals(
+                List.of(),
+                cluster.breaches().stream()
+                        .filter(b -> b.rule() != Breach.Rule.BLIND_WRITE)
+                        .toList());
     }
 
     /** Troubles of the ways: at their end every job is answered for, at every node. */
@@ -83,14 +79,10 @@
                 "fault { kind: lose_answer at_s: 8 for_s: 5 to: 'state' share: 0.5 }"
             })
     void afterTheTroubleEveryJobIsAnsweredFor(String faults) throws Exception {
-        try {
-            open(3, faults);
-            jobs();
-            until(13);
-            allAreAnswered(nodes);
-            assertEquals(List.of(), cluster.breaches());
-        } finally {
-            cluster.close();
-        }
+        open(3, faults);
+        jobs();
+        until(13);
+        allAreAnswered(nodes);
+        assertEquals(List.of(), cluster.breaches());
     }
 }
--- a/src/test/java/io/indigoreach/emulator/LocalCluster.java
+++ b/src/test/java/io/indigoreach/emulator/LocalCluster.java
@@ -27,18 +27,23 @@
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
+import java.io.IOException;
+import java.net.ConnectException;
+import java.net.Socket;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
 import java.util.function.Predicate;
 import java.util.function.UnaryOperator;
 
 /** The emulator with controllers and users in this process, for tests; times are short, but proportioned as usual. */
 final class LocalCluster implements AutoCloseable {
     static final long PATIENCE_S = 60;
+    private static final long LISTENING_POLL_MS = 5;
     private static final String SCENARIO = """
             name: "test"
             seed: 5
@@ -63,6 +68,7 @@
     final History history = new History();
     final Scenario scenario;
     final Emulator emulator;
+    private final PortBlock ports;
     private final List<Node> nodes = new ArrayList<>();
     private final List<Vertx> runtimes = new ArrayList<>();
     private final Set<Integer> stopped = new HashSet<>();
@@ -76,7 +82,13 @@
 
     LocalCluster(int controllers, double cancelS, String faults) throws Exception {
         scenario = TextForm.parse("test", SCENARIO.formatted(controllers, cancelS, faults), Scenario.class);
-        emulator = await(Emulator.start(vertx, scenario, Emulator.Place.LOOPBACK, history));
+        ports = PortBlock.acquire();
+        try {
+            emulator = await(Emulator.start(vertx, scenario, ports.place(), history));
+        } catch (Exception e) {
+            closeAfter(e, () -> await(vertx.close()), ports);
+            throw e;
+        }
     }
 
     static <T> T await(Future<T> future) throws Exception {
@@ -89,14 +101,29 @@
         return this;
     }
 
-    /** Starts every controller as it is. */
+    /** Starts every controller as it is; the cluster is closed if one of them does not start. */
     LocalCluster start() throws Exception {
-        for (PlatformConfig c : emulator.nodes()) {
-            start(c);
+        try {
+            for (PlatformConfig c : emulator.nodes()) {
+                start(c);
+            }
+        } catch (Exception e) {
+            closeAfter(e, this);
+            throw e;
         }
         return this;
     }
 
+    private static void closeAfter(Exception cause, AutoCloseable... resources) {
+        for (AutoCloseable resource : resources) {
+            try {
+                resource.close();
+            } catch (Exception e) {
+                cause.addSuppressed(e);
+            }
+        }
+    }
+
     /** Starts a controller with settings of the test's; the result is its port. */
     int start(PlatformConfig config) throws Exception {
         return start(config, PartRegistry.switchedOn(settings));
@@ -117,7 +144,28 @@
                 port.fail(e);
             }
         });
-        return await(port.future());
+        int listening = await(port.future());
+        awaitListening(config.peerListen());
+        return listening;
+    }
+
+    /** A controller opens its port for the other controllers beside that for users, and does not wait for it. */
+    private static void awaitListening(Endpoint endpoint) throws Exception {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        while (!isListening(endpoint)) {
+            if (System.nanoTime() > end) {
+                throw new TimeoutException("nobody listens on " + endpoint);
+            }
+            Thread.sleep(LISTENING_POLL_MS);
+        }
+    }
+
+    private static boolean isListening(Endpoint endpoint) throws IOException {
+        try (Socket socket = new Socket(endpoint.host(), endpoint.port())) {
+            return socket.isConnected();
+        } catch (ConnectException e) {
+            return false;
+        }
     }
 
     /** Ends the n-th controller that was started, connections and all. */
@@ -225,13 +273,15 @@
 
     @Override
     public void close() throws Exception {
-        for (int n = 0; n < runtimes.size(); n++) {
-            stop(n);
-        }
-        if (users != null) {
-            await(users.close());
+        try (ports) {
+            for (int n = 0; n < runtimes.size(); n++) {
+                stop(n);
+            }
+            if (users != null) {
+                await(users.close());
+            }
+            await(emulator.close());
+            await(vertx.close());
         }
-        await(emulator.close());
-        await(vertx.close());
     }
 }
--- a/src/test/java/io/indigoreach/emulator/UnheardCancellationTest.java
+++ b/src/test/java/io/indigoreach/emulator/UnheardCancellationTest.java
@@ -39,43 +39,38 @@
     @ParameterizedTest
     @CsvSource({"3, 14.5, false", "5, 13.2, false", "3, 13.2, true"})
     void tasksAreGoneInTime(int controllers, double outageS, boolean ends) throws Exception {
-        try {
-            open(new LocalCluster(controllers, CANCEL_S, """
+        open(new LocalCluster(controllers, CANCEL_S, """
                     fault { kind: refuse at_s: %s for_s: 6 from: "node-0" to: "state" }
                     fault { kind: outage at_s: %s for_s: %s to: "state" }
                     """.formatted(REFUSED_S, outageS, OVER_S - outageS)));
-            for (int n = 1; n <= RUNNING; n++) {
-                JobSpec spec = LocalCluster.job(n, 2, 300);
-                cluster.history.add(new Event.Submitted(cluster.clock.now(), spec));
-                LocalCluster.await(cluster.emulator.upload(
-                        new DepotCodec.Upload(spec, new Depot.Conduct(spec.estimate(), 0.1, false))));
-                submit(n % controllers, spec);
-            }
-            cluster.awaitEvents(e -> e instanceof Event.Running, 2 * RUNNING);
-            makeLeader(0);
-            until(REFUSED_S + 0.3);
-            Moment told = cancel(1, new JobId("run-1"));
-            assertTrue(
-                    told.isBefore(cluster.emulator.startedAt().plus(Span.seconds(outageS))), "told before the outage");
-            if (ends) {
-                cluster.stop(1);
-            }
-            until(OVER_S);
-            assertEquals(List.of(), cluster.breaches());
-            List<Event.Off> off = cluster.history.events().stream()
-                    .filter(e -> e instanceof Event.Off)
-                    .map(e -> (Event.Off) e)
-                    .toList();
-            assertEquals(
-                    2,
-                    off.stream()
-                            .filter(e -> e.task().job().equals(new JobId("run-1")))
-                            .count(),
-                    "both are gone");
-            assertEquals(ends ? 2 * RUNNING : 2, off.size(), "what else is lost: " + off);
-        } finally {
-            cluster.close();
+        for (int n = 1; n <= RUNNING; n++) {
+            JobSpec spec = LocalCluster.job(n, 2, 300);
+            cluster.history.add(new Event.Submitted(cluster.clock.now(), spec));
+            LocalCluster.await(cluster.emulator.upload(
+                    new DepotCodec.Upload(spec, new Depot.Conduct(spec.estimate(), 0.1, false))));
+            submit(n % controllers, spec);
         }
+        cluster.awaitEvents(e -> e instanceof Event.Running, 2 * RUNNING);
+        makeLeader(0);
+        until(REFUSED_S + 0.3);
+        Moment told = cancel(1, new JobId("run-1"));
+        assertTrue(told.isBefore(cluster.emulator.startedAt().plus(Span.seconds(outageS))), "told before the outage");
+        if (ends) {
+            cluster.stop(1);
+        }
+        until(OVER_S);
+        assertEquals(List.of(), cluster.breaches());
+        List<Event.Off> off = cluster.history.events().stream()
+                .filter(e -> e instanceof Event.Off)
+                .map(e -> (Event.Off) e)
+                .toList();
+        assertEquals(
+                2,
+                off.stream()
+                        .filter(e -> e.task().job().equals(new JobId("run-1")))
+                        .count(),
+                "both are gone");
+        assertEquals(ends ? 2 * RUNNING : 2, off.size(), "what else is lost: " + off);
     }
 
     private Moment cancel(int node, JobId job) throws Exception {
