--- a/src/main/java/io/indigoreach/api/JobCancellation.java
+++ b/src/main/java/io/indigoreach/api/JobCancellation.java
@@ -1,12 +1,12 @@
 package io.indigoreach.api;
 
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.net.WireException;
 import io.indigoreach.state.FinalRecord;
 import io.indigoreach.state.JobRecord;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import org.slf4j.Logger;
--- a/src/main/java/io/indigoreach/api/JobCodec.java
+++ b/src/main/java/io/indigoreach/api/JobCodec.java
@@ -64,7 +64,9 @@
         fields.putAll(writeTimes(spec));
         fields.putAll(spec.more());
         if (!spec.dependencies().isEmpty()) {
-            fields.put(WAITS_ON, spec.dependencies().requiredJobs().stream().map(JobId::text).toList());
+            fields.put(
+                    WAITS_ON,
+                    spec.dependencies().requiredJobs().stream().map(JobId::text).toList());
         }
         return fields;
     }
--- a/src/main/java/io/indigoreach/api/JobLookup.java
+++ b/src/main/java/io/indigoreach/api/JobLookup.java
@@ -1,7 +1,5 @@
 package io.indigoreach.api;
 
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.JobStatus;
@@ -9,7 +7,9 @@
 import io.indigoreach.net.WireException;
 import io.indigoreach.state.FinalRecord;
 import io.indigoreach.state.JobRecord;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.JobRepairer;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import java.util.Optional;
@@ -101,7 +101,9 @@
             // The job has ended; only the record has not been moved to the final key yet.
             return Future.succeededFuture(finished(new FinalRecord(id, JobStatus.DONE, record.doneCount())));
         }
-        return state.areReadsSuspect() ? confirmOpen(search, record) : Future.succeededFuture(new StoredJob.Open(record));
+        return state.areReadsSuspect()
+                ? confirmOpen(search, record)
+                : Future.succeededFuture(new StoredJob.Open(record));
     }
 
     private Future<StoredJob> searchFinal(Search search) {
--- a/src/main/java/io/indigoreach/api/JobReadBatcher.java
+++ b/src/main/java/io/indigoreach/api/JobReadBatcher.java
@@ -1,6 +1,5 @@
 package io.indigoreach.api;
 
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.Moment;
 import io.indigoreach.core.model.Span;
@@ -8,6 +7,7 @@
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.net.WireException;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
--- a/src/main/java/io/indigoreach/api/JobSubmission.java
+++ b/src/main/java/io/indigoreach/api/JobSubmission.java
@@ -1,7 +1,5 @@
 package io.indigoreach.api;
 
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.JobStatus;
@@ -9,6 +7,8 @@
 import io.indigoreach.core.records.Transaction;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.FinalRecord;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.TransactionRejectedException;
 import io.vertx.core.Future;
--- a/src/main/java/io/indigoreach/cli/Rehearsal.java
+++ b/src/main/java/io/indigoreach/cli/Rehearsal.java
@@ -1,6 +1,5 @@
 package io.indigoreach.cli;
 
-import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.api.JobCodec;
 import io.indigoreach.cluster.Node;
 import io.indigoreach.config.ConfigException;
@@ -12,6 +11,7 @@
 import io.indigoreach.net.EventLoops;
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.ServiceClient;
+import io.indigoreach.state.JobRecordCodec;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpServer;
--- a/src/main/java/io/indigoreach/cloud/Catalogue.java
+++ b/src/main/java/io/indigoreach/cloud/Catalogue.java
@@ -1,11 +1,11 @@
 package io.indigoreach.cloud;
 
-import io.indigoreach.state.CatalogueRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.model.MachineType;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.PeriodicTask;
+import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
--- a/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
+++ b/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
@@ -1,11 +1,11 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.scheduling.Job;
 import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.state.CompletionBits;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import java.util.BitSet;
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -1,7 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.core.model.Moment;
@@ -12,6 +10,8 @@
 import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.WireException;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import java.util.HashMap;
--- a/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
+++ b/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
@@ -1,8 +1,8 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.PeriodicTask;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 
--- a/src/main/java/io/indigoreach/cluster/FleetManager.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -256,7 +256,8 @@
         }
         core.setAwakeSince(context.loopMonitor().runningSince());
         core.planScaleIn(context.clock().now());
-        List<MachineId> leaving = intentLog.intents().addReturns(core.machinesToReturn(CloudClient.maxMachinesPerReturn()));
+        List<MachineId> leaving =
+                intentLog.intents().addReturns(core.machinesToReturn(CloudClient.maxMachinesPerReturn()));
         if (leaving.isEmpty()) {
             return Future.succeededFuture(context.settings().tuning().checkPeriod());
         }
--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -1,7 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.IntentRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.intent.Intents;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.MachineId;
@@ -10,6 +8,8 @@
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.JsonSize;
 import io.indigoreach.net.RateLimiter;
+import io.indigoreach.state.IntentRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import java.util.ArrayList;
--- a/src/main/java/io/indigoreach/cluster/JobLoader.java
+++ b/src/main/java/io/indigoreach/cluster/JobLoader.java
@@ -1,8 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.MachineRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.leadership.CancellationHorizon;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.Moment;
@@ -10,7 +7,10 @@
 import io.indigoreach.core.scheduling.Job;
 import io.indigoreach.net.WireException;
 import io.indigoreach.state.CompletionBits;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.MachineRecord;
+import io.indigoreach.state.MachineRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import java.util.ArrayList;
@@ -93,7 +93,8 @@
         private Future<Long> listOpenJobs() {
             // The listing does not contain what was cancelled before it was requested.
             Moment requestedAt = context.clock().now();
-            return listAll(RecordKeys.OPEN_JOBS, this::readOpenJob).onSuccess(revision -> horizon.advanceTo(requestedAt));
+            return listAll(RecordKeys.OPEN_JOBS, this::readOpenJob)
+                    .onSuccess(revision -> horizon.advanceTo(requestedAt));
         }
 
         private void readOpenJob(StateClient.Entry entry) {
--- a/src/main/java/io/indigoreach/cluster/JobRecordLookup.java
+++ b/src/main/java/io/indigoreach/cluster/JobRecordLookup.java
@@ -1,8 +1,8 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.Revision;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 
--- a/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
+++ b/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
@@ -1,7 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.loss.RememberedState;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobStatus;
@@ -11,6 +9,8 @@
 import io.indigoreach.core.scheduling.Job;
 import io.indigoreach.core.scheduling.SchedulerCore;
 import io.indigoreach.net.PeriodicTask;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import java.util.ArrayList;
--- a/src/main/java/io/indigoreach/cluster/JobStore.java
+++ b/src/main/java/io/indigoreach/cluster/JobStore.java
@@ -1,6 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.leadership.CancellationHorizon;
 import io.indigoreach.core.loss.RememberedState;
 import io.indigoreach.core.model.JobId;
@@ -8,6 +7,7 @@
 import io.indigoreach.core.scheduling.Job;
 import io.indigoreach.core.scheduling.SchedulerCore;
 import io.indigoreach.net.Fields;
+import io.indigoreach.state.RecordKeys;
 import io.vertx.core.Future;
 import java.util.HashSet;
 import java.util.List;
--- a/src/main/java/io/indigoreach/cluster/JobWatch.java
+++ b/src/main/java/io/indigoreach/cluster/JobWatch.java
@@ -1,11 +1,11 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.leadership.CancellationHorizon;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.Moment;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.PeriodicTask;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import org.slf4j.Logger;
@@ -66,7 +66,9 @@
         if (mustResynchronize) {
             return resynchronize(sentAt);
         }
-        return context.state().watch(RecordKeys.OPEN_JOBS, nextRevision, maxTime).map(changes -> apply(changes, sentAt));
+        return context.state()
+                .watch(RecordKeys.OPEN_JOBS, nextRevision, maxTime)
+                .map(changes -> apply(changes, sentAt));
     }
 
     private Future<Span> resynchronize(Moment sentAt) {
--- a/src/main/java/io/indigoreach/cluster/LeaderWrites.java
+++ b/src/main/java/io/indigoreach/cluster/LeaderWrites.java
@@ -1,9 +1,9 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.net.RateLimiter;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 
 /**
--- a/src/main/java/io/indigoreach/cluster/MachinePage.java
+++ b/src/main/java/io/indigoreach/cluster/MachinePage.java
@@ -1,11 +1,11 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.MachineRecordCodec;
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.scheduling.SchedulerCore;
 import io.indigoreach.net.JsonSize;
 import io.indigoreach.state.MachineRecord;
+import io.indigoreach.state.MachineRecordCodec;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/io/indigoreach/cluster/MachineStore.java
+++ b/src/main/java/io/indigoreach/cluster/MachineStore.java
@@ -1,7 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.MachineRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.Moment;
 import io.indigoreach.core.model.Revision;
@@ -10,6 +8,8 @@
 import io.indigoreach.core.scheduling.SchedulerCore;
 import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.state.MachineRecord;
+import io.indigoreach.state.MachineRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -197,7 +197,9 @@
             page.removeReturnedMachines(core);
             machines.forEach(machine -> page.machines().put(machine.id(), machine));
             txn.when(page.key(), page.revision())
-                    .put(page.key(), MachineRecordCodec.writeMachines(page.machines().values()));
+                    .put(
+                            page.key(),
+                            MachineRecordCodec.writeMachines(page.machines().values()));
         });
         lastWriteAt = now;
         return commit(txn, List.copyOf(additions.keySet()), revision -> {
@@ -266,7 +268,9 @@
         }
         StateClient.Txn txn = writes.newTransaction()
                 .when(part.key(), Revision.ABSENT)
-                .put(part.key(), MachineRecordCodec.writeMachines(part.machines().values()));
+                .put(
+                        part.key(),
+                        MachineRecordCodec.writeMachines(part.machines().values()));
         pages.add(part);
         return commit(txn, List.of(part), revision -> {
             part.setRevision(revision);
--- a/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
+++ b/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
@@ -1,7 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.leadership.CancellationHorizon;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.Revision;
@@ -10,6 +8,8 @@
 import io.indigoreach.core.scheduling.SchedulerCore;
 import io.indigoreach.net.Fields;
 import io.indigoreach.net.WireException;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.vertx.core.AsyncResult;
 import io.vertx.core.Future;
 
--- a/src/main/java/io/indigoreach/cluster/PartsTask.java
+++ b/src/main/java/io/indigoreach/cluster/PartsTask.java
@@ -1,6 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.model.Moment;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
@@ -9,6 +8,7 @@
 import io.indigoreach.net.PeriodicTask;
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.parts.Part;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.RoutineRunner;
 import io.vertx.core.Future;
 import java.util.ArrayList;
@@ -35,8 +35,7 @@
     private final List<Part.Term> terms = new ArrayList<>();
     private final Map<Part, Moment> nextCollection = new HashMap<>();
 
-    PartsTask(
-            NodeContext context, SchedulerCore core, Revision leadershipRevision, RateLimiter writeLimiter) {
+    PartsTask(NodeContext context, SchedulerCore core, Revision leadershipRevision, RateLimiter writeLimiter) {
         this.context = context;
         this.core = core;
         this.routines = context.parts().all().isEmpty()
--- a/src/main/java/io/indigoreach/cluster/PeerServer.java
+++ b/src/main/java/io/indigoreach/cluster/PeerServer.java
@@ -43,8 +43,7 @@
             PeerProtocol.REMEMBERED_JOB_PATH, this::answerRememberedJob,
             PeerProtocol.JOB_KNOWN_PATH, this::answerJobKnown);
 
-    PeerServer(
-            NodeContext context, Controller controller, LocalMemory memory, ConnectivityCheck connectivity) {
+    PeerServer(NodeContext context, Controller controller, LocalMemory memory, ConnectivityCheck connectivity) {
         this.clock = context.clock();
         this.config = context.config();
         this.state = context.state();
--- a/src/main/java/io/indigoreach/cluster/RebuildInventory.java
+++ b/src/main/java/io/indigoreach/cluster/RebuildInventory.java
@@ -1,13 +1,13 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.MachineRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.state.CompletionBits;
 import io.indigoreach.state.JobRecord;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.MachineRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import java.util.BitSet;
--- a/src/main/java/io/indigoreach/cluster/RebuildWriter.java
+++ b/src/main/java/io/indigoreach/cluster/RebuildWriter.java
@@ -1,10 +1,10 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.JsonSize;
 import io.indigoreach.net.RateLimiter;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateCodec;
 import io.vertx.core.Future;
@@ -60,11 +60,7 @@
     private int present;
 
     /** {@code eraRevision}: the version of the era in which data were lost. */
-    RebuildWriter(
-            NodeContext context,
-            Revision leadershipRevision,
-            Revision eraRevision,
-            RateLimiter writeLimiter) {
+    RebuildWriter(NodeContext context, Revision leadershipRevision, Revision eraRevision, RateLimiter writeLimiter) {
         this.context = context;
         this.leadershipRevision = leadershipRevision;
         this.eraRevision = eraRevision;
@@ -83,9 +79,7 @@
 
     /** A transaction under the conditions of every write: this leadership, and the era in which data were lost. */
     StateClient.Txn transaction() {
-        return new StateClient.Txn()
-                .when(RecordKeys.LEADER, leadershipRevision)
-                .when(RecordKeys.ERA, eraRevision);
+        return new StateClient.Txn().when(RecordKeys.LEADER, leadershipRevision).when(RecordKeys.ERA, eraRevision);
     }
 
     /** Adds the writes for one record, which are committed together. */
--- a/src/main/java/io/indigoreach/cluster/StateRebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -1,9 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.EraRecordCodec;
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.MachineRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.core.loss.RememberedState;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.JobId;
@@ -15,8 +11,12 @@
 import io.indigoreach.net.JsonSize;
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.state.CompletionBits;
+import io.indigoreach.state.EraRecordCodec;
 import io.indigoreach.state.JobRecord;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.MachineRecord;
+import io.indigoreach.state.MachineRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import java.util.ArrayList;
--- a/src/main/java/io/indigoreach/cluster/WarmUp.java
+++ b/src/main/java/io/indigoreach/cluster/WarmUp.java
@@ -152,7 +152,18 @@
 
     /** Jobs of several classes, urgencies and images, as these take different paths through the scheduler. */
     private static JobSpec spec(int index) {
-        return JobSpec.builder(new JobId("run-" + index)).jobClass("c" + index % 3).team(TEAM).kind(JobKind.ARRAY).urgency(Urgency.values()[1 + index % 3]).tasks(TASKS_PER_JOB).demand(TASK_DEMAND).image("i" + index % 4).imageGb(1).spotAllowed().estimate(Span.seconds(20)).build();
+        return JobSpec.builder(new JobId("run-" + index))
+                .jobClass("c" + index % 3)
+                .team(TEAM)
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.values()[1 + index % 3])
+                .tasks(TASKS_PER_JOB)
+                .demand(TASK_DEMAND)
+                .image("i" + index % 4)
+                .imageGb(1)
+                .spotAllowed()
+                .estimate(Span.seconds(20))
+                .build();
     }
 
     private static MachineId machine(int index) {
--- a/src/main/java/io/indigoreach/core/scheduling/JobTargets.java
+++ b/src/main/java/io/indigoreach/core/scheduling/JobTargets.java
@@ -23,7 +23,9 @@
     }
 
     Urgency urgency() {
-        return ofDependents == null ? own.urgency() : own.strictest(ofDependents).urgency();
+        return ofDependents == null
+                ? own.urgency()
+                : own.strictest(ofDependents).urgency();
     }
 
     /** The earlier of the deadlines; null if there is none. */
--- a/src/main/java/io/indigoreach/ownership/OwnershipService.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipService.java
@@ -1,7 +1,5 @@
 package io.indigoreach.ownership;
 
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.api.ApiResponse;
 import io.indigoreach.api.NotFoundException;
 import io.indigoreach.api.Resource;
@@ -25,6 +23,8 @@
 import io.indigoreach.net.Fields;
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.RoutineRunner;
 import io.vertx.core.Future;
 import java.util.ArrayList;
--- a/src/main/java/io/indigoreach/state/RememberedStateCodec.java
+++ b/src/main/java/io/indigoreach/state/RememberedStateCodec.java
@@ -53,7 +53,10 @@
                 "open",
                 open,
                 "more",
-                Math.max(rememberedState.finished().size(), rememberedState.open().size()) > (part + 1) * JOBS_PER_PART
+                Math.max(
+                                        rememberedState.finished().size(),
+                                        rememberedState.open().size())
+                                > (part + 1) * JOBS_PER_PART
                         || rememberedState.records().size() > (part + 1) * RECORDS_PER_PART);
         if (!records.isEmpty()) {
             map.put("records", records);
--- a/src/test/java/io/indigoreach/GoldenSamples.java
+++ b/src/test/java/io/indigoreach/GoldenSamples.java
@@ -27,12 +27,40 @@
 
     /** No field that may be absent. */
     public static JobSpec bare(int tasks) {
-        return JobSpec.builder(ID).jobClass("stock-reconcile").team("fleet-ops").kind(JobKind.ARRAY).urgency(Urgency.HIGH).tasks(tasks).demand(new Demand(1, 0, 3.6)).image("image").imageGb(0.9).estimate(Span.seconds(18)).build();
+        return JobSpec.builder(ID)
+                .jobClass("stock-reconcile")
+                .team("fleet-ops")
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.HIGH)
+                .tasks(tasks)
+                .demand(new Demand(1, 0, 3.6))
+                .image("image")
+                .imageGb(0.9)
+                .estimate(Span.seconds(18))
+                .build();
     }
 
     /** Every field but those of the parts beside the jobs. */
     public static JobSpec full(int tasks, Urgency urgency) {
-        return JobSpec.builder(ID).jobClass("refill-routes").team("fleet-ops").kind(JobKind.SERVICE).urgency(urgency).tasks(tasks).demand(new Demand(2.5, 1, 3.8)).image("image").imageGb(1).types(List.of("quad", "g8")).zone("a").oneZone().spread().spotAllowed().estimate(Span.seconds(25)).checkpointEvery(Span.seconds(30)).checkpointTime(Span.seconds(4)).due(Span.seconds(900.25)).build();
+        return JobSpec.builder(ID)
+                .jobClass("refill-routes")
+                .team("fleet-ops")
+                .kind(JobKind.SERVICE)
+                .urgency(urgency)
+                .tasks(tasks)
+                .demand(new Demand(2.5, 1, 3.8))
+                .image("image")
+                .imageGb(1)
+                .types(List.of("quad", "g8"))
+                .zone("a")
+                .oneZone()
+                .spread()
+                .spotAllowed()
+                .estimate(Span.seconds(25))
+                .checkpointEvery(Span.seconds(30))
+                .checkpointTime(Span.seconds(4))
+                .due(Span.seconds(900.25))
+                .build();
     }
 
     /** Jobs of every kind, by words for it. */
--- a/src/test/java/io/indigoreach/api/GoldenUsersTest.java
+++ b/src/test/java/io/indigoreach/api/GoldenUsersTest.java
@@ -1,8 +1,5 @@
 package io.indigoreach.api;
 
-import io.indigoreach.state.CatalogueRecordCodec;
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.GoldenFile;
 import io.indigoreach.GoldenHttp;
 import io.indigoreach.GoldenSamples;
@@ -17,7 +14,10 @@
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.JobRepairer;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -136,18 +136,12 @@
         answer(golden, "done", ApiResponse.ok(MessagePackFormat.map("id", "x")));
         answer(golden, "error", ApiResponse.error(400, "why"));
         answer(golden, "later", ApiResponse.retryLater("why"));
-        answer(
-                golden,
-                "refusal of a field",
-                ErrorResponses.of(RequestRejectedException.of("field", "why")));
+        answer(golden, "refusal of a field", ErrorResponses.of(RequestRejectedException.of("field", "why")));
         answer(
                 golden,
                 "refusal by a conflict",
                 ErrorResponses.of(RequestRejectedException.conflict("why", MessagePackFormat.map("version", 3L))));
-        answer(
-                golden,
-                "refusal of what is not there",
-                ErrorResponses.of(new NotFoundException("why")));
+        answer(golden, "refusal of what is not there", ErrorResponses.of(new NotFoundException("why")));
         golden.check();
     }
 
@@ -191,7 +185,8 @@
                 new SteadyClock(),
                 8192,
                 100));
-        HttpApi door = new HttpApi(new HttpApi.Context(vertx, new Endpoint("127.0.0.1", 0), desk, null, catalogue::isKnown, Map.of()));
+        HttpApi door = new HttpApi(
+                new HttpApi.Context(vertx, new Endpoint("127.0.0.1", 0), desk, null, catalogue::isKnown, Map.of()));
         kept.add(door);
         node = new Endpoint("127.0.0.1", await(door.open()));
         return catalogue;
--- a/src/test/java/io/indigoreach/api/JobServiceLossTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceLossTest.java
@@ -1,8 +1,5 @@
 package io.indigoreach.api;
 
-import io.indigoreach.state.CatalogueRecordCodec;
-import io.indigoreach.state.EraRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.cloud.Catalogue;
@@ -18,7 +15,10 @@
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.EraRecordCodec;
 import io.indigoreach.state.JobRepairer;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -133,7 +133,8 @@
         assertEquals(503, submit(3), "it may have been over");
         assertEquals(200, status(jobs.query("run-2")), "what was told stays");
         assertEquals(200, submit(2));
-        await(client().commit(new StateClient.Txn().put(RecordKeys.ERA, EraRecordCodec.writeEra(new FencingToken(77)))));
+        await(client().commit(
+                        new StateClient.Txn().put(RecordKeys.ERA, EraRecordCodec.writeEra(new FencingToken(77)))));
         await(state.check());
         assertEquals(List.of(404, 201), List.of(status(jobs.query("run-9")), submit(3)));
     }
@@ -145,7 +146,8 @@
         await(client().commit(new StateClient.Txn().delete("j/run-1")));
         assertEquals(503, status(jobs.query("run-1")));
         assertEquals(true, state.losses().isHolding());
-        await(client().commit(new StateClient.Txn().put(RecordKeys.ERA, EraRecordCodec.writeEra(new FencingToken(77)))));
+        await(client().commit(
+                        new StateClient.Txn().put(RecordKeys.ERA, EraRecordCodec.writeEra(new FencingToken(77)))));
         await(state.check());
         jobs.setPeerQuery(id -> Future.succeededFuture(id.text().equals("run-8")));
         assertEquals(List.of(503, 503), List.of(status(jobs.query("run-8")), status(jobs.query("run-9"))));
--- a/src/test/java/io/indigoreach/api/JobServiceTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceTest.java
@@ -1,8 +1,5 @@
 package io.indigoreach.api;
 
-import io.indigoreach.state.CatalogueRecordCodec;
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -21,7 +18,10 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.JobRepairer;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
--- a/src/test/java/io/indigoreach/calendar/GoldenCalendarTest.java
+++ b/src/test/java/io/indigoreach/calendar/GoldenCalendarTest.java
@@ -1,7 +1,5 @@
 package io.indigoreach.calendar;
 
-import io.indigoreach.state.CatalogueRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.GoldenFile;
 import io.indigoreach.GoldenSamples;
 import io.indigoreach.api.ApiResponse;
@@ -33,6 +31,8 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.net.WireException;
+import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.RoutineRunner;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
@@ -351,8 +351,8 @@
         state = await(new StateStandIn().listen(vertx));
         StateClient client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
-        await(client.commit(
-                new StateClient.Txn().put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(GoldenSamples.TYPES))));
+        await(client.commit(new StateClient.Txn()
+                .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(GoldenSamples.TYPES))));
         RoutineRunner records = records(vertx, state);
         pages(records);
         Catalogue catalogue =
--- a/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
@@ -1,7 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import static io.indigoreach.cluster.LeaderHarness.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,9 +13,11 @@
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.CompletionBits;
 import io.indigoreach.state.JobRecord;
-import io.indigoreach.state.TestBlocks;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
+import io.indigoreach.state.TestBlocks;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
@@ -87,7 +87,9 @@
     /** As the version before wrote it. */
     private void writeAsBefore(JobSpec spec, BitSet done) throws Exception {
         StateClient.Txn txn = new StateClient.Txn()
-                .put(RecordKeys.openKey(ID), JobRecordCodec.writeJob(spec, 1, JobStatus.RUNNING, done, 0, spec.tasks()));
+                .put(
+                        RecordKeys.openKey(ID),
+                        JobRecordCodec.writeJob(spec, 1, JobStatus.RUNNING, done, 0, spec.tasks()));
         for (int n = 0; n < TestBlocks.blocks(spec.tasks()); n++) {
             txn.put(RecordKeys.blockKey(ID, n), TestBlocks.writeBlock(done, n));
         }
--- a/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
@@ -1,7 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import static io.indigoreach.cluster.LeaderHarness.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -18,6 +16,8 @@
 import io.indigoreach.core.scheduling.SchedulerCore;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Promise;
--- a/src/test/java/io/indigoreach/cluster/GoldenPledgesTest.java
+++ b/src/test/java/io/indigoreach/cluster/GoldenPledgesTest.java
@@ -29,7 +29,10 @@
     void whatControllersAskOfALeader() {
         GoldenFile golden = new GoldenFile("pledges.txt");
         golden.both("question", Span.seconds(7.5), PeerPromises::writeRequest, PeerPromises::readRequest)
-                .read("question of the version before", Map.of(), f -> PeerPromises.writeRequest(PeerPromises.readRequest(f)))
+                .read(
+                        "question of the version before",
+                        Map.of(),
+                        f -> PeerPromises.writeRequest(PeerPromises.readRequest(f)))
                 .read(
                         "question from the future",
                         MessagePackFormat.map("back_ms", -5L),
--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -1,7 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import static io.indigoreach.cluster.LeaderHarness.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -26,6 +24,8 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.JobRecord;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -310,7 +310,8 @@
         await(client.commit(new StateClient.Txn()
                 .put(
                         "j/run-2",
-                        JobRecordCodec.writeJob(core.job(new JobId("run-2")).spec(), 1, JobStatus.RUNNING, done, 1, 2))));
+                        JobRecordCodec.writeJob(
+                                core.job(new JobId("run-2")).spec(), 1, JobStatus.RUNNING, done, 1, 2))));
         await(jobStore.load());
         assertEquals(null, core.job(cancelled.id()), "its tasks are to be stopped, and no watch will tell");
         assertEquals(
--- a/src/test/java/io/indigoreach/cluster/LastTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/LastTaskTest.java
@@ -1,8 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.CatalogueRecordCodec;
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import static io.indigoreach.cluster.LeaderHarness.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -29,7 +26,10 @@
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.JobRepairer;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Context;
@@ -143,8 +143,7 @@
 
     /** A job whose one task has ended, as its leader has just seen. */
     private void addCompleted(JobId id) throws Exception {
-        Revision stamp = awaitOnLoop(
-                        () -> leader.commit(new StateClient.Txn().put(RecordKeys.openKey(id), record(id))))
+        Revision stamp = awaitOnLoop(() -> leader.commit(new StateClient.Txn().put(RecordKeys.openKey(id), record(id))))
                 .writtenRevision();
         BitSet done = new BitSet();
         done.set(0);
--- a/src/test/java/io/indigoreach/cluster/LateElectionTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateElectionTransactionsTest.java
@@ -1,6 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.RecordKeys;
 import static io.indigoreach.cluster.LeaderHarness.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,6 +15,7 @@
 import io.indigoreach.state.ElectionSettings;
 import io.indigoreach.state.LeaderElection;
 import io.indigoreach.state.LeaderKey;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateAccess;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
--- a/src/test/java/io/indigoreach/cluster/LateFeatureTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateFeatureTransactionsTest.java
@@ -1,6 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.RecordKeys;
 import static io.indigoreach.cluster.LeaderHarness.await;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -19,6 +18,7 @@
 import io.indigoreach.core.records.VersionedRecord;
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.RateLimiter;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.RoutineRunner;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
@@ -1,7 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import static io.indigoreach.cluster.LeaderHarness.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,7 +15,9 @@
 import io.indigoreach.core.scheduling.Job;
 import io.indigoreach.net.Fields;
 import io.indigoreach.net.MessagePackFormat;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.JobRepairer;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import java.util.BitSet;
 import java.util.LinkedHashMap;
@@ -172,7 +172,8 @@
             String over = RecordKeys.finalKey(JOB);
             StateClient.Outcome unreadable =
                     await(test.client.commit(new StateClient.Txn().put(over, MessagePackFormat.map("status", "DONE"))));
-            StateClient.Entry entry = new StateClient.Entry(over, test.service.value(over), unreadable.writtenRevision(), 0);
+            StateClient.Entry entry =
+                    new StateClient.Entry(over, test.service.value(over), unreadable.writtenRevision(), 0);
             JobRepairer repairer = new JobRepairer(test.client, test.clock);
             test.loseOne(over);
             assertTrue(await(repairer.repairFinal(JOB, entry, null).map(false).otherwise(true)));
--- a/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
@@ -1,8 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.IntentRecordCodec;
-import io.indigoreach.state.MachineRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import static io.indigoreach.cluster.LeaderHarness.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,6 +13,9 @@
 import io.indigoreach.core.model.Moment;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.net.RateLimiter;
+import io.indigoreach.state.IntentRecordCodec;
+import io.indigoreach.state.MachineRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.vertx.core.Future;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
@@ -1,8 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.MachineRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import static io.indigoreach.cluster.LeaderHarness.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,6 +8,9 @@
 import io.indigoreach.api.JobService;
 import io.indigoreach.core.loss.RememberedState;
 import io.indigoreach.core.model.Revision;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.MachineRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import java.util.ArrayList;
 import java.util.BitSet;
--- a/src/test/java/io/indigoreach/cluster/LateTransactionsHarness.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionsHarness.java
@@ -1,8 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.CatalogueRecordCodec;
-import io.indigoreach.state.MachineRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import static io.indigoreach.cluster.LeaderHarness.await;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -27,7 +24,10 @@
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.CatalogueRecordCodec;
 import io.indigoreach.state.JobRepairer;
+import io.indigoreach.state.MachineRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -237,7 +237,8 @@
     /** How many machines the pages name. */
     int recordedMachines() {
         return service.keys(RecordKeys.MACHINE_PAGES).stream()
-                .mapToInt(key -> MachineRecordCodec.readMachines(service.value(key)).size())
+                .mapToInt(key ->
+                        MachineRecordCodec.readMachines(service.value(key)).size())
                 .sum();
     }
 
--- a/src/test/java/io/indigoreach/cluster/LeaderHarness.java
+++ b/src/test/java/io/indigoreach/cluster/LeaderHarness.java
@@ -1,6 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
 import io.indigoreach.core.model.Demand;
@@ -20,6 +19,7 @@
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -134,7 +134,18 @@
 
     /** A job array with an image name of its own. */
     static JobSpec spec(JobId id, int tasks, String image) {
-        return JobSpec.builder(id).jobClass("c").team("t").kind(JobKind.ARRAY).urgency(Urgency.STANDARD).tasks(tasks).demand(new Demand(1, 0, 1)).image(image).imageGb(0).spotAllowed().estimate(Span.seconds(10)).build();
+        return JobSpec.builder(id)
+                .jobClass("c")
+                .team("t")
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.STANDARD)
+                .tasks(tasks)
+                .demand(new Demand(1, 0, 1))
+                .image(image)
+                .imageGb(0)
+                .spotAllowed()
+                .estimate(Span.seconds(10))
+                .build();
     }
 
     static <T> T await(Future<T> future) throws Exception {
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -1,8 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.MachineRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import static io.indigoreach.cluster.LeaderHarness.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -30,7 +27,10 @@
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.MachineRecord;
+import io.indigoreach.state.MachineRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -1,8 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.JobRecordCodec;
-import io.indigoreach.state.MachineRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import static io.indigoreach.cluster.TermFixture.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -25,6 +22,9 @@
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.parts.Parts;
+import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.MachineRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.RememberedStateCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
@@ -52,8 +52,7 @@
         fixture.close();
     }
 
-    private void rebuild(
-            NodeContext context, Revision leadershipRevision, int writesPerS, RememberedState remembered)
+    private void rebuild(NodeContext context, Revision leadershipRevision, int writesPerS, RememberedState remembered)
             throws Exception {
         RateLimiter writeLimiter = new RateLimiter(writesPerS, fixture.clock.now());
         await(new StateRebuilder(context, TOKEN, leadershipRevision, writeLimiter, remembered).run());
@@ -61,7 +60,8 @@
 
     private int recordedMachines() {
         return state.keys("m/").stream()
-                .mapToInt(key -> MachineRecordCodec.readMachines(state.value(key)).size())
+                .mapToInt(
+                        key -> MachineRecordCodec.readMachines(state.value(key)).size())
                 .sum();
     }
 
@@ -118,7 +118,18 @@
     }
 
     private static JobSpec spec(String id) {
-        return JobSpec.builder(new JobId(id)).jobClass("c").team("t").kind(JobKind.ARRAY).urgency(Urgency.STANDARD).tasks(2).demand(new Demand(1, 0, 1)).image("img").imageGb(0).spotAllowed().estimate(Span.seconds(10)).build();
+        return JobSpec.builder(new JobId(id))
+                .jobClass("c")
+                .team("t")
+                .kind(JobKind.ARRAY)
+                .urgency(Urgency.STANDARD)
+                .tasks(2)
+                .demand(new Demand(1, 0, 1))
+                .image("img")
+                .imageGb(0)
+                .spotAllowed()
+                .estimate(Span.seconds(10))
+                .build();
     }
 
     /** A leadership key beside more records than a transaction may usually have. */
--- a/src/test/java/io/indigoreach/cluster/TermFixture.java
+++ b/src/test/java/io/indigoreach/cluster/TermFixture.java
@@ -1,6 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
 import io.indigoreach.core.model.Revision;
@@ -9,6 +8,7 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.parts.Parts;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
--- a/src/test/java/io/indigoreach/emulator/CutOffTest.java
+++ b/src/test/java/io/indigoreach/emulator/CutOffTest.java
@@ -1,11 +1,11 @@
 package io.indigoreach.emulator;
 
-import io.indigoreach.state.RecordKeys;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.ServiceResponse;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.worker.WorkerCodec;
 import java.util.List;
--- a/src/test/java/io/indigoreach/emulator/GoldenPeersTest.java
+++ b/src/test/java/io/indigoreach/emulator/GoldenPeersTest.java
@@ -1,6 +1,5 @@
 package io.indigoreach.emulator;
 
-import io.indigoreach.state.RecordKeys;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.indigoreach.GoldenFile;
@@ -18,6 +17,7 @@
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.state.Golden;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.indigoreach.worker.WorkerCodec;
--- a/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
+++ b/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
@@ -1,6 +1,5 @@
 package io.indigoreach.ownership;
 
-import io.indigoreach.state.JobRecordCodec;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.GoldenFile;
@@ -38,6 +37,7 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.parts.Parts;
+import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -278,7 +278,8 @@
                     new ServiceClient(vertx, state.endpoint(), 8), new ServiceClient(vertx, state.endpoint(), 1));
             Parts parts = Parts.of(
                     PartRegistry.enabled(settings), vertx, client, new SteadyClock(), null, config(), settings);
-            HttpApi door = new HttpApi(new HttpApi.Context(vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources()));
+            HttpApi door = new HttpApi(new HttpApi.Context(
+                    vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources()));
             Endpoint node = new Endpoint("127.0.0.1", await(door.open()));
             answers(node, client);
         } finally {
--- a/src/test/java/io/indigoreach/state/GoldenKeptRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenKeptRecordsTest.java
@@ -129,7 +129,11 @@
                 new MachineRecord(new MachineId("vm-000231"), POOL, GoldenSamples.AT, GoldenSamples.AT + 20_000),
                 new MachineRecord(new MachineId("vm-000232"), new MachinePool("g8", "b", false), GoldenSamples.AT, 0));
         golden.both("page of machines", machines, MachineRecordCodec::writeMachines, MachineRecordCodec::readMachines)
-                .both("empty page of machines", List.of(), MachineRecordCodec::writeMachines, MachineRecordCodec::readMachines)
+                .both(
+                        "empty page of machines",
+                        List.of(),
+                        MachineRecordCodec::writeMachines,
+                        MachineRecordCodec::readMachines)
                 .both(
                         "intents",
                         new Intents.Page(
@@ -142,11 +146,16 @@
                         new Intents.Page(List.of(), List.of()),
                         IntentRecordCodec::writeIntents,
                         IntentRecordCodec::readIntents)
-                .both("catalogue", GoldenSamples.TYPES, CatalogueRecordCodec::writeCatalogue, CatalogueRecordCodec::readCatalogue)
+                .both(
+                        "catalogue",
+                        GoldenSamples.TYPES,
+                        CatalogueRecordCodec::writeCatalogue,
+                        CatalogueRecordCodec::readCatalogue)
                 .text(
                         "bytes that limits are kept by",
                         MachineRecordCodec.bytes(machines.get(0)) + " "
-                                + IntentRecordCodec.bytes(new Intents.Rent("7000001-1", POOL, 50, GoldenSamples.AT)) + " "
+                                + IntentRecordCodec.bytes(new Intents.Rent("7000001-1", POOL, 50, GoldenSamples.AT))
+                                + " "
                                 + IntentRecordCodec.bytes(new MachineId("vm-000233")) + " "
                                 + CompletionBits.recordBytes(GoldenSamples.full(6, Urgency.HIGH), GoldenSamples.AT));
     }
--- a/src/test/java/io/indigoreach/tools/GoldenVerbsTest.java
+++ b/src/test/java/io/indigoreach/tools/GoldenVerbsTest.java
@@ -1,7 +1,5 @@
 package io.indigoreach.tools;
 
-import io.indigoreach.state.EraRecordCodec;
-import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.GoldenFile;
 import io.indigoreach.GoldenSamples;
 import io.indigoreach.calendar.CalendarCodec;
@@ -13,6 +11,8 @@
 import io.indigoreach.net.Endpoint;
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.scenario.TextForm;
+import io.indigoreach.state.EraRecordCodec;
+import io.indigoreach.state.JobRecordCodec;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
--- a/src/test/java/io/indigoreach/warm/GoldenPoolAnswersTest.java
+++ b/src/test/java/io/indigoreach/warm/GoldenPoolAnswersTest.java
@@ -1,7 +1,5 @@
 package io.indigoreach.warm;
 
-import io.indigoreach.state.CatalogueRecordCodec;
-import io.indigoreach.state.RecordKeys;
 import io.indigoreach.GoldenFile;
 import io.indigoreach.GoldenHttp;
 import io.indigoreach.GoldenSamples;
@@ -20,6 +18,8 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.parts.Parts;
+import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
 import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
@@ -83,14 +83,15 @@
             StateStandIn state = await(new StateStandIn().listen(vertx));
             StateClient client = new StateClient(
                     new ServiceClient(vertx, state.endpoint(), 8), new ServiceClient(vertx, state.endpoint(), 1));
-            await(client.commit(
-                    new StateClient.Txn().put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(GoldenSamples.TYPES))));
+            await(client.commit(new StateClient.Txn()
+                    .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(GoldenSamples.TYPES))));
             Settings settings = SettingsFile.parse("test", "warm_pools: 1");
             Catalogue catalogue =
                     new Catalogue(vertx, client, new CloudClient(new ServiceClient(vertx, state.endpoint(), 1)));
             Parts parts = Parts.of(
                     PartRegistry.enabled(settings), vertx, client, new SteadyClock(), catalogue, config(), settings);
-            HttpApi door = new HttpApi(new HttpApi.Context(vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources()));
+            HttpApi door = new HttpApi(new HttpApi.Context(
+                    vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources()));
             answers(new Endpoint("127.0.0.1", await(door.open())), client, catalogue);
         } finally {
             await(vertx.close());
