--- a/src/test/java/io/indigoreach/core/accounts/MeterTest.java
+++ b/src/test/java/io/indigoreach/core/accounts/MeterTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.EffectListener;
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.MachinePool;
 import java.util.ArrayList;
@@ -17,7 +18,7 @@
 
 /** The sum of all accounts against what a cloud charges, over any order of events and any change of leader. */
 @SuppressWarnings("ReferenceEquality") // A write is conditional on the very sheet that was read.
-class MeterTest {
+public class MeterTest {
     private static final MachinePool WHERE = new MachinePool("big", "east", false);
     private static final double PRICE = 3.6;
     private static final long LEAST_MS = 60_000;
@@ -43,6 +44,7 @@
         double bill;
         double bound;
         int names;
+        EffectListener effects = EffectListener.NONE;
         final Map<MachineId, Long> ends = new HashMap<>();
         /** Writes without an answer that may be carried out yet. */
         final List<Late> late = new ArrayList<>();
@@ -81,6 +83,7 @@
             for (int page : meter.behind(all)) {
                 Sheet read = store.getOrDefault(page, Sheet.EMPTY);
                 Sheet next = meter.next(page, read);
+                effects.page(page, next);
                 int fate = random.nextInt(6);
                 if (fate < 2) {
                     late.add(new Late(page, read, next));
@@ -171,9 +174,16 @@
 
     @Property(tries = 150, seed = "36")
     void theSumIsWhatTheCloudCharged(@ForAll long seed) {
+        play(seed, EffectListener.NONE);
+    }
+
+    /** The same run; the listener hears what is written. */
+    public static void play(long seed, EffectListener effects) {
         Run run = new Run(seed);
+        run.effects = effects;
         for (int i = 0; i < 400; i++) {
             run.step();
+            effects.effect(EffectListener.MONEY, run.put());
             assertEquals(run.charged(), run.put(), run.bound + 1e-6);
         }
     }
--- a/src/test/java/io/indigoreach/core/calendar/OnceTest.java
+++ b/src/test/java/io/indigoreach/core/calendar/OnceTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.EffectListener;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
@@ -22,11 +23,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Each occurrence becomes one job, whoever starts it and wherever that ends; and versions are set one after the other. */
-class OnceTest {
+public class OnceTest {
     /** A state service of a map. */
     private static final class Store {
         final Map<String, VersionedRecord> records = new HashMap<>();
         long revision;
+        EffectListener effects = EffectListener.NONE;
 
         boolean commit(Transaction change) {
             if (change.conditions().entrySet().stream()
@@ -48,6 +50,7 @@
             StepResult seen = StepResult.nothing(1, 0);
             for (int i = 0; i < most; i++) {
                 Step<R> step = routine.next(seen);
+                effects.step(step);
                 if (step instanceof Step.End<R> end) {
                     return end.result();
                 } else if (step instanceof Step.Read<R> read) {
@@ -81,8 +84,14 @@
      * are moved; users that took an id. Ends with the first occurrence that has not exactly one job or one word that it is missed.
      */
     private static String run(long seed, boolean marked) {
+        return run(seed, marked, EffectListener.NONE);
+    }
+
+    /** The same; the listener hears what is asked of the state service. */
+    public static String run(long seed, boolean marked, EffectListener effects) {
         SplittableRandom random = new SplittableRandom(seed);
         Store store = new Store();
+        store.effects = effects;
         Map<JobId, String> jobs = new LinkedHashMap<>();
         List<Submission> under = new ArrayList<>();
         Register register = Register.EMPTY.forPlans(
@@ -126,6 +135,7 @@
             Mark mark = page.mark(plan);
             Transaction change = mark == null || now > departs[n] ? null : page.accepting(plan, mark.id(), 8, now);
             if (change != null && random.nextInt(4) == 0) {
+                effects.change(change);
                 under.add(new Submission(mark.id(), plan, change));
             }
             if (!under.isEmpty() && random.nextInt(3) == 0) {
--- a/src/test/java/io/indigoreach/core/intent/IntentsTest.java
+++ b/src/test/java/io/indigoreach/core/intent/IntentsTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.EffectListener;
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.MachinePool;
 import java.util.ArrayList;
@@ -19,7 +20,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Nothing is asked of the cloud that is not recorded, and whoever leads next settles what was. */
-class IntentsTest {
+public class IntentsTest {
     private static final MachinePool POOL = new MachinePool("quad", "east", true);
 
     /** A guard that a run can do without, to see that it then breaks its rule. */
@@ -64,6 +65,13 @@
         assertEquals(List.of(), new Run(seed, null).play());
     }
 
+    /** What is broken in a run whose decisions the listener hears. */
+    public static List<String> play(long seed, EffectListener effects) {
+        Run run = new Run(seed, null);
+        run.effects = effects;
+        return run.play();
+    }
+
     @ParameterizedTest
     @EnumSource
     void withoutAGuardSomethingIs(Without without) {
@@ -81,6 +89,7 @@
      */
     private static final class Run {
         private final Random random;
+        private EffectListener effects = EffectListener.NONE;
         private final Without without;
         private final List<String> broken = new ArrayList<>();
         private final Map<String, Integer> named = new HashMap<>();
@@ -146,6 +155,9 @@
         private void write() {
             Intents.Page page = intents.page();
             record = page;
+            List<Object> rents = new ArrayList<>();
+            page.rents().forEach(r -> rents.addAll(List.of(r.name(), r.count())));
+            effects.effect(EffectListener.INTENTS, rents, texts(page.returns()));
             if (random.nextInt(4) > 0) {
                 intents.recorded(page);
             }
@@ -156,6 +168,7 @@
                     .filter(r -> without == Without.RECORD || intents.mayAsk(r.name()))
                     .findAny()
                     .ifPresent(r -> {
+                        effects.effect(EffectListener.RENT_ASKED, r.name(), r.count());
                         if (named.putIfAbsent(r.name(), r.count()) != null && named.get(r.name()) != r.count()) {
                             broken.add(r.name() + " is used twice");
                         }
@@ -186,6 +199,7 @@
             if (ids.isEmpty() || (without != Without.RECORD && !intents.mayReturn(ids))) {
                 return;
             }
+            effects.effect(EffectListener.RETURN_ASKED, texts(ids));
             asked.addAll(ids);
             if (random.nextBoolean()) {
                 late.add(() -> there.removeAll(ids));
@@ -197,6 +211,10 @@
             }
         }
 
+        private static List<String> texts(List<MachineId> ids) {
+            return ids.stream().map(MachineId::text).toList();
+        }
+
         private void use() {
             known.stream()
                     .filter(id -> !useless.contains(id) && asked.contains(id) && there.contains(id))
--- a/src/test/java/io/indigoreach/core/ownership/RegistryRun.java
+++ b/src/test/java/io/indigoreach/core/ownership/RegistryRun.java
@@ -1,7 +1,9 @@
 package io.indigoreach.core.ownership;
 
+import io.indigoreach.core.EffectListener;
 import io.indigoreach.core.loss.RememberedState;
 import io.indigoreach.core.model.Revision;
+import io.indigoreach.core.model.Span;
 import io.indigoreach.core.records.RecordCache;
 import io.indigoreach.core.records.RecordFamily;
 import io.indigoreach.core.records.Routine;
@@ -26,9 +28,9 @@
  * late or lose their answers, among processes that end after any step, and losses of all or part. The books are the judge: they
  * take a line under a fence that is not below what they know of the record, and once under a billing name.
  */
-final class RegistryRun {
+public final class RegistryRun {
     /** What is left out, to see that it is missed. */
-    enum Fault {
+    public enum Fault {
         NONE,
         NO_FENCE,
         NO_FIRST_STEP,
@@ -65,8 +67,9 @@
     private final List<Actor> actors = new ArrayList<>();
     private final Map<String, JobActor> jobs = new LinkedHashMap<>();
     private int names;
+    private EffectListener effects = EffectListener.NONE;
 
-    RegistryRun(long seed, Fault fault, boolean losing) {
+    public RegistryRun(long seed, Fault fault, boolean losing) {
         this.random = new SplittableRandom(seed);
         this.fault = fault;
         this.losing = losing;
@@ -79,8 +82,14 @@
         }
     }
 
+    /** From now on the listener hears what is asked of the store, and what the requests come to. */
+    public RegistryRun tell(EffectListener listener) {
+        effects = listener;
+        return this;
+    }
+
     /** What went wrong; empty: nothing. */
-    List<String> run() {
+    public List<String> run() {
         new Call<>(new Beginning(true, "test: begun"), o -> {}, () -> breaches.add("not begun")).finish();
         actors.add(new Leader());
         actors.add(new Person());
@@ -230,10 +239,13 @@
             try {
                 step = routine.next(seen);
             } catch (Unsettled e) {
+                effects.effect(EffectListener.ROUTINE_UNSETTLED);
                 failed.run();
                 return true;
             }
+            effects.step(step);
             if (step instanceof Step.End<R> end) {
+                tellResult(end.result());
                 then.accept(end.result());
                 return true;
             }
@@ -299,6 +311,44 @@
         }
     }
 
+    private void tellResult(Object result) {
+        if (result instanceof Outcome o) {
+            o.done().forEach((id, e) -> tellEntry(id, e));
+            effects.effect(EffectListener.ROUTINE_ENDED, o.against(), o.waits());
+        } else if (result instanceof Grant.Given g) {
+            effects.change(g.commit());
+            effects.effect(EffectListener.ROUTINE_ENDED, g.held(), g.against(), g.never());
+        } else if (result instanceof Map<?, ?> shown) {
+            shown.forEach((id, value) -> {
+                Shown s = (Shown) value;
+                effects.effect(
+                        EffectListener.ROUTINE_ENDED,
+                        ((RecordId) id).text(),
+                        s.state(),
+                        s.name(),
+                        s.fence(),
+                        s.attempt(),
+                        s.sinceMs());
+            });
+        } else if (result instanceof Span wait) {
+            effects.effect(EffectListener.ROUTINE_ENDED, wait.ms());
+        } else {
+            throw new IllegalArgumentException("not told to the listener: " + result);
+        }
+    }
+
+    private void tellEntry(RecordId id, Entry e) {
+        effects.effect(
+                EffectListener.ROUTINE_ENDED,
+                id.text(),
+                String.valueOf(e.state().letter),
+                e.fence(),
+                e.holder(),
+                e.task(),
+                e.attempt(),
+                e.sinceMs());
+    }
+
     /** A record as a reader gets it, or as it would without what is left out. */
     private VersionedRecord shown(VersionedRecord k, Routine<?> reader) {
         if (fault == Fault.MISSING_MEANS_FREE && k.key().equals(Registry.ROOT) && k.isThere()) {
--- a/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
@@ -1,5 +1,6 @@
 package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.EffectListener;
 import io.indigoreach.core.leadership.CancellationHorizon;
 import io.indigoreach.core.leadership.CancellationSummary;
 import io.indigoreach.core.leadership.ConfirmedCancellations;
@@ -22,9 +23,9 @@
  * taken for granted, as pledges may carry one through any outage. Checked where the users look: from the first word to a user
  * that a job is cancelled until its last task is gone from a worker.
  */
-final class CancellationSimulation {
+public final class CancellationSimulation {
     /** A guard that a run can do without, to see that the rule then breaks. */
-    enum Without {
+    public enum Without {
         NOTHING,
         /** Workers are answered however long ago cancellations were heard of. */
         BACKSTOP,
@@ -88,7 +89,7 @@
     private final Without without;
     final List<Node> nodes = new ArrayList<>();
     final List<Worker> workers = new ArrayList<>();
-    final List<String> broken = new ArrayList<>();
+    public final List<String> broken = new ArrayList<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final Map<JobId, Double> cancelled = new HashMap<>();
     private final Map<JobId, Double> told = new HashMap<>();
@@ -96,6 +97,7 @@
     private double now;
     private int count;
     private Reign reign;
+    EffectListener effects = EffectListener.NONE;
     /** Tasks of jobs that nobody cancelled, killed as a lease ended. */
     int lost;
     /** Cancelled jobs' tasks that a leader stopped while the state service did not answer it. */
@@ -335,6 +337,12 @@
                 stoppedByWord++;
             }
             mine.horizon.peersAnswered(all.covered(), sent, heard);
+            effects.effect(
+                    EffectListener.CANCELLATIONS_TOLD,
+                    back.ms(),
+                    all.covered().ms(),
+                    texts(all.cancelled()),
+                    mine.horizon.completeUntil().ms());
         });
     }
 
@@ -347,6 +355,7 @@
                 return;
             }
             Set<JobId> stops = new HashSet<>(mine.loaded ? mine.stopped : Set.of());
+            effects.effect(EffectListener.WORKER_ANSWERED, workers.indexOf(w), texts(stops));
             after(way, () -> {
                 w.answered = Math.max(w.answered, sent);
                 w.tasks.removeAll(stops);
@@ -355,6 +364,10 @@
         after(rules.heartbeatPeriod().seconds() * (0.75 + random.nextDouble() / 2), () -> report(w));
     }
 
+    private static List<String> texts(Set<JobId> jobs) {
+        return jobs.stream().map(JobId::text).sorted().toList();
+    }
+
     private boolean mayAnswer(Reign mine) {
         return without == Without.BACKSTOP
                 || ((mine.loaded || without == Without.RECORDS)
--- a/src/test/java/io/indigoreach/core/scheduling/CancellationSimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancellationSimulationTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.EffectListener;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.scheduling.CancellationSimulation.Without;
@@ -20,7 +21,7 @@
  * longer than {@code cancel_s}: those jobs' tasks are gone in time all the same, and as long as all controllers answer each other
  * nothing else is lost.
  */
-class CancellationSimulationTest {
+public class CancellationSimulationTest {
     private static final int JOBS = 8;
     private static final int SEEDS = 1000;
 
@@ -158,11 +159,16 @@
 
     /** Troubles of all kinds, one on the other; each guard that is left out is missed in some run. */
     private static CancellationSimulation random(long seed, Without without) {
+        return random(seed, without, EffectListener.NONE);
+    }
+
+    public static CancellationSimulation random(long seed, Without without, EffectListener effects) {
         Random r = new Random(seed);
         double[][] times = {{22, 5, 42}, {12, 2, 32}, {22, 4, 47}, {22, 4, 29}};
         double[] t = times[r.nextInt(times.length)];
         int nodes = r.nextBoolean() ? 3 : 5;
         CancellationSimulation run = new CancellationSimulation(rules(t[0], t[1], t[2]), nodes, JOBS, seed, without);
+        run.effects = effects;
         int leader = 0;
         double at = 5;
         for (int n = 0; n < 4; n++) {
--- a/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
@@ -1,5 +1,6 @@
 package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.EffectListener;
 import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.ExitCause;
 import io.indigoreach.core.model.FencingToken;
@@ -32,7 +33,7 @@
  * A deployment in simulated steps of a second round the real core: jobs come, machines of four cores boot for 20 steps and
  * report every second one, pools run out. Nothing is random: the same classes give the same run.
  */
-final class CoreHarness implements SchedulerListener {
+public final class CoreHarness implements SchedulerListener {
     static final SchedulerSettings STANDARD = new SchedulerSettings(
             Span.seconds(10),
             Span.seconds(15),
@@ -51,7 +52,7 @@
     private static final int BEGIN = 1000;
 
     /** Jobs of a class: {@code atStart} in the first step, {@code perStep} a step from {@code from} to {@code until}. */
-    record Kind(
+    public record Kind(
             String name,
             String team,
             Urgency urgency,
@@ -65,7 +66,8 @@
             boolean saves,
             JobKind shape,
             double estimate) {
-        static Kind of(String name, Urgency urgency, double perStep, int atStart, int tasks, int run, double cores) {
+        public static Kind of(
+                String name, Urgency urgency, double perStep, int atStart, int tasks, int run, double cores) {
             return new Kind(
                     name,
                     "t",
@@ -82,27 +84,27 @@
                     1);
         }
 
-        Kind team(String other) {
+        public Kind team(String other) {
             return new Kind(
                     name, other, urgency, perStep, atStart, from, until, tasks, run, cores, saves, shape, estimate);
         }
 
-        Kind between(int begin, int end) {
+        public Kind between(int begin, int end) {
             return new Kind(
                     name, team, urgency, perStep, atStart, begin, end, tasks, run, cores, saves, shape, estimate);
         }
 
         /** Its owners' estimates are so many times what tasks take. */
-        Kind estimated(double times) {
+        public Kind estimated(double times) {
             return new Kind(name, team, urgency, perStep, atStart, from, until, tasks, run, cores, saves, shape, times);
         }
 
-        Kind saving() {
+        public Kind saving() {
             return new Kind(
                     name, team, urgency, perStep, atStart, from, until, tasks, run, cores, true, shape, estimate);
         }
 
-        Kind service() {
+        public Kind service() {
             return new Kind(
                     name, team, urgency, 0, atStart, from, until, tasks, run, cores, saves, JobKind.SERVICE, estimate);
         }
@@ -159,8 +161,9 @@
     private int names;
     private int now;
     int mostUp;
+    public EffectListener effects = EffectListener.NONE;
 
-    CoreHarness(List<Kind> kinds, int spot, int ordinary, ServiceLevelObjectives aims, Team... teams) {
+    public CoreHarness(List<Kind> kinds, int spot, int ordinary, ServiceLevelObjectives aims, Team... teams) {
         this(STANDARD, kinds, spot, ordinary, aims, teams);
     }
 
@@ -181,7 +184,7 @@
     }
 
     /** The leader ends and another begins with the records; every machine will report to it. */
-    void newLeader() {
+    public void newLeader() {
         core = new SchedulerCore(new FencingToken(++token), SimulatedWorld.RULES, tuning, aims, teams, this);
         MachineType type = SimulatedWorld.TYPE;
         core.setTypes(List.of(new MachineType(
@@ -211,7 +214,7 @@
         return new Moment((BEGIN + step) * 1000L);
     }
 
-    CoreHarness run(int steps) {
+    public CoreHarness run(int steps) {
         for (int i = 0; i < steps; i++) {
             step();
         }
@@ -270,7 +273,9 @@
         if (now % 2 == 0) {
             tend();
         }
-        for (Job job : core.startBoundsToRaise(at(now))) {
+        List<Job> toRaise = core.startBoundsToRaise(at(now));
+        effects.boundsToRaise(toRaise);
+        for (Job job : toRaise) {
             job.startBoundRecorded(job.startBoundToWrite());
         }
         int n = 0;
@@ -283,6 +288,7 @@
             Job job = i.next();
             job.completionsRecorded(job.completedTasks());
             if (job.isComplete()) {
+                effects.effect(EffectListener.JOB_ENDED, job.id().text());
                 fates.get(job.id()).over = now;
                 core.closeJob(job.id());
                 i.remove();
@@ -318,7 +324,9 @@
     }
 
     private void tend() {
-        for (ScaleOutRequest request : core.scaleOutRequests(at(now))) {
+        List<ScaleOutRequest> wishes = core.scaleOutRequests(at(now));
+        effects.rents(wishes);
+        for (ScaleOutRequest request : wishes) {
             asked.add(request);
             int got = (int) Math.min(
                     request.count(),
@@ -338,6 +346,7 @@
         }
         core.planScaleIn(at(now));
         List<MachineId> leaving = core.machinesToReturn(100);
+        effects.returns(leaving);
         leaving.forEach(id -> boxes.remove(id.toString()));
         core.returned(leaving, at(now));
         mostUp = Math.max(mostUp, boxes.size());
@@ -377,6 +386,7 @@
             core.recorded(new MachineId(name));
             orders.addAll(core.startTasks(new MachineId(name), heartbeat.number(), at(now)));
         }
+        effects.answer(heartbeat.machine(), orders, core.mayAnswer(heartbeat.machine()));
         for (WorkerCommand command : orders) {
             Fate fate = fates.get(command.task().job());
             if (command instanceof WorkerCommand.Start) {
--- a/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.EffectListener;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.JobDependencies;
 import io.indigoreach.core.model.JobId;
@@ -27,7 +28,7 @@
  * order. Checked after each step against what the state service holds: nothing may start before all that its job needs is
  * durably done, and what is below a cancelled job is cancelled in time, and nothing else.
  */
-class DependencySimulationTest {
+public class DependencySimulationTest {
     private static final int STEPS = 2_000;
     private static final int SUBMITTED_UNTIL = 1_500;
     /** Steps of a tenth of a second in the 32 s of a cancellation. */
@@ -52,10 +53,22 @@
     private long token;
     private int step;
     private int until;
+    private EffectListener effects = EffectListener.NONE;
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void nothingIsTooEarlyAndNothingOrphaned(long seed) {
+        play(seed);
+    }
+
+    /** The same run, whose decisions the listener hears. */
+    public static void play(long seed, EffectListener effects) {
+        DependencySimulationTest run = new DependencySimulationTest();
+        run.effects = effects;
+        run.play(seed);
+    }
+
+    private void play(long seed) {
         random = new Random(seed);
         for (step = 0; step < STEPS; step++) {
             if (step < SUBMITTED_UNTIL) {
@@ -149,18 +162,21 @@
 
     private void work() {
         leader.dependentJobs().advance(SimulatedWorld.at(step / 10.0), step * 100L);
-        for (JobId id : Set.copyOf(leader.dependentJobs().lookUps())) {
+        for (JobId id : List.copyOf(leader.dependentJobs().lookUps())) {
+            effects.effect(EffectListener.END_LOOKED_UP, id.text());
             if (random.nextDouble() < 0.5 && ends.containsKey(id)) {
                 answer(id);
             }
         }
-        for (JobId id : Set.copyOf(leader.dependentJobs().doomed())) {
+        for (JobId id : List.copyOf(leader.dependentJobs().doomed())) {
+            effects.effect(EffectListener.END_DOOMED, id.text());
             if (random.nextDouble() < 0.3) {
                 end(id, JobStatus.CANCELLED);
                 acknowledge(id);
             }
         }
         for (Job job : List.copyOf(leader.jobs())) {
+            effects.effect(EffectListener.JOB_STARTABLE, job.id().text(), job.hasStartable(), job.isComplete());
             if (job.isComplete() && random.nextDouble() < 0.2) {
                 end(job.id(), JobStatus.DONE);
                 acknowledge(job.id());
--- a/src/test/java/io/indigoreach/core/scheduling/RandomRecords.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomRecords.java
@@ -1,5 +1,6 @@
 package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.EffectListener;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.MachineId;
@@ -36,6 +37,7 @@
     final Set<String> machines = new LinkedHashSet<>();
 
     final LaggingWrites writes;
+    EffectListener effects = EffectListener.NONE;
     private final RandomSimulation.Without without;
     private final Consumer<Stored> closed;
 
@@ -49,6 +51,7 @@
     void writeBound(double now, long token, Job job, boolean answered) {
         Stored s = jobs.get(job.id());
         int bound = job.startBoundToWrite();
+        effects.effect(EffectListener.START_BOUND, job.id().text(), bound);
         writes.write(
                 now,
                 token,
@@ -58,6 +61,7 @@
 
     void writeMachine(double now, SchedulerCore core, long token, String name) {
         MachineId id = new MachineId(name);
+        effects.effect(EffectListener.MACHINE_RECORD, name);
         if (without == RandomSimulation.Without.MACHINE_RECORD) {
             core.recorded(id);
         }
@@ -68,6 +72,7 @@
         Stored s = jobs.get(job.id());
         BitSet done = job.completedTasks();
         boolean complete = job.isComplete();
+        effects.progress(job);
         writes.write(
                 now,
                 token,
--- a/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
@@ -1,5 +1,6 @@
 package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.EffectListener;
 import io.indigoreach.core.model.ExitCause;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.Heartbeat;
@@ -32,7 +33,7 @@
  * After every step the protocol's rules are checked, that no copy of a report raises a machine, and that no take-over takes
  * longer than two leases. In the end all troubles are over, and every job that nobody cancelled has to be done.
  */
-final class RandomSimulation {
+public final class RandomSimulation {
     private static final double LEASE_S = SimulatedWorld.RULES.workerLease().seconds();
     private static final double CORES_MAX = 24;
     private static final int TROUBLES = 4000;
@@ -44,7 +45,7 @@
             2 * SimulatedWorld.RULES.leaseBound().seconds() + 0.2;
 
     /** A guard that a run can do without, to see that the rules then break. */
-    enum Without {
+    public enum Without {
         NOTHING,
         TAKE_OVER,
         LEASE_BOUND,
@@ -63,7 +64,7 @@
     }
 
     /** Troubles that a run has only if it is told so; they draw random numbers of their own. */
-    enum Trouble {
+    public enum Trouble {
         /** Copies of reports reach the next leader as it begins. */
         KEPT_REPORTS,
         /** Machines, alone, by the third or by the zone, reach no controller for a while. */
@@ -106,12 +107,13 @@
     private int jobs;
     private int starts;
     private int replicaStarts;
+    private EffectListener effects = EffectListener.NONE;
 
     RandomSimulation(long seed, Without without) {
         this(seed, without, EnumSet.noneOf(Trouble.class));
     }
 
-    RandomSimulation(long seed, Without without, EnumSet<Trouble> troubles) {
+    public RandomSimulation(long seed, Without without, EnumSet<Trouble> troubles) {
         this.random = new Random(seed);
         this.without = without;
         this.troubles = troubles;
@@ -122,7 +124,15 @@
         this.limited = seed % 2 == 1;
     }
 
-    List<String> broken() {
+    /** From now on the listener hears what the leaders decide. */
+    public RandomSimulation tell(EffectListener listener) {
+        effects = listener;
+        records.effects = listener;
+        waits.effects = listener;
+        return this;
+    }
+
+    public List<String> broken() {
         return broken;
     }
 
@@ -142,7 +152,7 @@
         return SimulatedWorld.at(now);
     }
 
-    void play() {
+    public void play() {
         takeOver();
         for (int step = 0; step < TROUBLES || (step < MOST_STEPS && hasOpen()); step++) {
             now += 0.1;
@@ -249,7 +259,9 @@
                 List.of(team),
                 new SchedulerListener() {
                     @Override
-                    public void taskCompleted(Job job) {}
+                    public void taskCompleted(Job job) {
+                        effects.effect(EffectListener.TASK_COMPLETED, job.id().text());
+                    }
 
                     @Override
                     public void log(String line) {}
@@ -333,7 +345,9 @@
     /** What the leader's duties do: leases, records, ends of jobs. */
     private void tend() {
         leader.expireLeases(at());
-        for (Job job : leader.startBoundsToRaise(at())) {
+        List<Job> toRaise = leader.startBoundsToRaise(at());
+        effects.boundsToRaise(toRaise);
+        for (Job job : toRaise) {
             // Written now or later; whether this leader hears of it is another matter.
             if (random.nextInt(3) == 0) {
                 records.writeBound(now, token, job, random.nextInt(4) > 0);
@@ -362,6 +376,7 @@
         }
         leader.planScaleIn(at());
         List<MachineId> leaving = leader.machinesToReturn(100);
+        effects.returns(leaving);
         int fate = now % 120 < 20 ? 1 : random.nextInt(6);
         if (fate == 0) {
             late.add(() -> leaving.forEach(this::destroy));
@@ -460,7 +475,7 @@
             kept.keep(heartbeat, token);
         }
         if (fate == 0) {
-            late.add(() -> leader.onHeartbeat(heartbeat, at()));
+            late.add(() -> hear(heartbeat));
             return;
         }
         if (fate < 4) {
@@ -481,10 +496,17 @@
         }
     }
 
+    /** The orders of the leader of this moment; null if the report shows a newer one. */
+    private List<WorkerCommand> hear(Heartbeat heartbeat) {
+        List<WorkerCommand> orders = leader.onHeartbeat(heartbeat, at());
+        effects.answer(heartbeat.machine(), orders, leader.mayAnswer(heartbeat.machine()));
+        return orders;
+    }
+
     /** The leader of this moment reads the report and answers it, or does not. */
     private void arrive(RandomWorker w, RandomWorker.Flight f) {
         boolean early = !loaded && without == Without.EARLY_ANSWER;
-        List<WorkerCommand> orders = early ? List.of() : leader.onHeartbeat(f.report, at());
+        List<WorkerCommand> orders = early ? List.of() : hear(f.report);
         if (orders != null && leader.mayAnswer(f.report.machine())) {
             f.token = token;
             f.orders = orders;
@@ -511,16 +533,8 @@
         HeartbeatNumber number =
                 without == Without.REPORT_NUMBER ? new HeartbeatNumber(w.session, w.serial + 1) : heartbeat.number();
         FencingToken shown = without == Without.OWN_TOKEN ? new FencingToken(token) : heartbeat.token();
-        leader.onHeartbeat(
-                new Heartbeat(
-                        heartbeat.machine(),
-                        heartbeat.address(),
-                        heartbeat.pool(),
-                        number,
-                        shown,
-                        null,
-                        heartbeat.tasks()),
-                at());
+        hear(new Heartbeat(
+                heartbeat.machine(), heartbeat.address(), heartbeat.pool(), number, shown, null, heartbeat.tasks()));
         if (!known && leader.knows(heartbeat.machine())) {
             broken.add(now + ": raised " + heartbeat.machine());
         }
@@ -596,6 +610,7 @@
 
     private void checkRules() {
         broken.addAll(waits.check(leader, calm, now));
+        effects.leader(leader, at());
         if (loaded && !leader.isFailoverComplete() && now - ledSince > LONGEST_TAKE_OVER_S) {
             broken.add(now + ": the take-over of " + ledSince + " waits");
         }
--- a/src/test/java/io/indigoreach/core/scheduling/SimulatedCluster.java
+++ b/src/test/java/io/indigoreach/core/scheduling/SimulatedCluster.java
@@ -1,5 +1,6 @@
 package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.EffectListener;
 import io.indigoreach.core.model.ExitCause;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.Heartbeat;
@@ -29,7 +30,7 @@
  * protocol: sessions, tokens, leases, results that are kept. Tests say when what happens; what breaks a rule on the workers'
  * side is noted.
  */
-final class SimulatedCluster implements SchedulerListener {
+public final class SimulatedCluster implements SchedulerListener {
     /** A worker drops an answer after this long. */
     static final double PATIENCE_S = 4;
 
@@ -148,8 +149,9 @@
 
     private static final MachinePool POOL = new MachinePool("quad", "east", true);
 
-    final List<String> broken = new ArrayList<>();
+    public final List<String> broken = new ArrayList<>();
     final List<String> said = new ArrayList<>();
+    public EffectListener effects = EffectListener.NONE;
     private final Map<String, Box> boxes = new LinkedHashMap<>();
     private final Map<JobId, Recorded> records = new HashMap<>();
     private final Map<TaskId, Integer> starts = new HashMap<>();
@@ -224,11 +226,15 @@
 
     /** The leader's answer to a report; null if there is none. Bounds are recorded before any order goes out. */
     Answer answer(Heartbeat heartbeat, double now) {
-        for (Job job : core.startBoundsToRaise(SimulatedWorld.at(now))) {
+        List<Job> toRaise = core.startBoundsToRaise(SimulatedWorld.at(now));
+        effects.boundsToRaise(toRaise);
+        for (Job job : toRaise) {
             records.get(job.id()).bound = job.startBoundToWrite();
             job.startBoundRecorded(job.startBoundToWrite());
         }
         List<WorkerCommand> orders = core.onHeartbeat(heartbeat, SimulatedWorld.at(now));
+        effects.answer(heartbeat.machine(), orders, core.mayAnswer(heartbeat.machine()));
+        effects.leader(core, SimulatedWorld.at(now));
         for (WorkerCommand command : orders == null ? List.<WorkerCommand>of() : orders) {
             if (command instanceof WorkerCommand.Start) {
                 ordered.merge(command.task(), 1, Integer::sum);
@@ -339,7 +345,9 @@
     }
 
     @Override
-    public void taskCompleted(Job job) {}
+    public void taskCompleted(Job job) {
+        effects.effect(EffectListener.TASK_COMPLETED, job.id().text());
+    }
 
     @Override
     public void log(String line) {
--- a/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulation.java
@@ -24,7 +24,7 @@
  * Every team is at its limit as all jobs that run are cancelled and the leader changes, so many times; half of the machines can't be
  * heard meanwhile. What the teams use is looked at on the workers at every step.
  */
-final class TeamLimitSimulation {
+public final class TeamLimitSimulation {
     private static final double STEP_S = 0.25;
     private static final int MACHINES = 8;
     private static final double CORES_MAX = 8;
@@ -41,7 +41,7 @@
     private static final Team GUARANTEED = new Team("u", 4, CORES_MAX, 0, 0);
 
     /** What befalls a machine in the last second of a leader. */
-    enum Trouble {
+    public enum Trouble {
         NONE,
         /** Neither its reports arrive nor answers, for longer than a lease. */
         CUT,
@@ -68,7 +68,7 @@
 
     private final Random random;
     private final Trouble trouble;
-    final SimulatedCluster site = new SimulatedCluster(PLAIN, GUARANTEED);
+    public final SimulatedCluster site = new SimulatedCluster(PLAIN, GUARANTEED);
     private final Map<SimulatedCluster.Box, Double> nextReport = new HashMap<>();
     private final Map<SimulatedCluster.Box, Double> troubledUntil = new HashMap<>();
     private final List<Late> late = new ArrayList<>();
@@ -79,12 +79,12 @@
     /** Steps in which a cancelled task was on a machine that its leader could not hear. */
     int outOfReach;
 
-    TeamLimitSimulation(long seed, Trouble trouble) {
+    public TeamLimitSimulation(long seed, Trouble trouble) {
         this.random = new Random(seed);
         this.trouble = trouble;
     }
 
-    void play(int changes, double everyS) {
+    public void play(int changes, double everyS) {
         for (int i = 0; i < MACHINES; i++) {
             nextReport.put(site.box("m" + i, 0), random.nextDouble() * 2);
         }
--- a/src/test/java/io/indigoreach/core/scheduling/WaitCheck.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitCheck.java
@@ -1,5 +1,6 @@
 package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.EffectListener;
 import io.indigoreach.core.model.JobId;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -18,12 +19,14 @@
     private record Wait(double since, int tasks, WaitReason reason) {}
 
     private final Map<JobId, Wait> waits = new HashMap<>();
+    EffectListener effects = EffectListener.NONE;
 
     List<String> check(SchedulerCore core, boolean calm, double now) {
         List<String> broken = new ArrayList<>();
         Map<JobId, Wait> next = new HashMap<>();
         for (Job job : core.jobs()) {
             Optional<WaitReason> reason = core.waitReason(job, SimulatedWorld.at(now));
+            effects.waits(job, reason.orElse(null));
             if (reason.isEmpty() == job.hasWaiting()) {
                 broken.add(now + ": " + job.id() + " has " + job.waitingCount() + " tasks waiting for " + reason);
             }
--- a/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
@@ -1,5 +1,6 @@
 package io.indigoreach.core.scheduling;
 
+import io.indigoreach.core.EffectListener;
 import io.indigoreach.core.accounts.Account;
 import io.indigoreach.core.accounts.Meter;
 import io.indigoreach.core.accounts.Sheet;
@@ -95,6 +96,8 @@
     /** A zone that is cut off. */
     String silent;
 
+    EffectListener effects = EffectListener.NONE;
+
     private long token;
     private long serial;
     private int names;
@@ -324,7 +327,9 @@
         if (now % 2 == 0) {
             tend();
         }
-        for (Job job : core.startBoundsToRaise(at(now))) {
+        List<Job> toRaise = core.startBoundsToRaise(at(now));
+        effects.boundsToRaise(toRaise);
+        for (Job job : toRaise) {
             job.startBoundRecorded(job.startBoundToWrite());
         }
         int n = 0;
@@ -340,6 +345,7 @@
             Job job = i.next();
             job.completionsRecorded(job.completedTasks());
             if (job.isComplete()) {
+                effects.effect(EffectListener.JOB_ENDED, job.id().text());
                 core.closeJob(job.id());
                 i.remove();
             }
@@ -349,7 +355,9 @@
     }
 
     private void tend() {
-        for (ScaleOutRequest request : core.scaleOutRequests(at(now))) {
+        List<ScaleOutRequest> wishes = core.scaleOutRequests(at(now));
+        effects.rents(wishes);
+        for (ScaleOutRequest request : wishes) {
             asked.add(request);
             int got = (int) Math.min(
                     request.count(),
@@ -372,6 +380,7 @@
         }
         core.planScaleIn(at(now));
         List<MachineId> leaving = core.machinesToReturn(100);
+        effects.returns(leaving);
         leaving.forEach(id -> end(id.toString()));
         core.returned(leaving, at(now));
     }
@@ -462,6 +471,7 @@
             core.recorded(new MachineId(name));
             orders.addAll(core.startTasks(new MachineId(name), heartbeat.number(), at(now)));
         }
+        effects.answer(heartbeat.machine(), orders, core.mayAnswer(heartbeat.machine()));
         for (WorkerCommand command : orders) {
             if (command instanceof WorkerCommand.Start s) {
                 Job job = open.get(command.task().job());
@@ -511,6 +521,7 @@
         meter.look(looks, at(now).ms());
         for (int page : now % writesEvery == 0 ? meter.behind(now % 20 == 0) : List.<Integer>of()) {
             Sheet next = meter.next(page, sheets.getOrDefault(page, Sheet.EMPTY));
+            effects.page(page, next);
             sheets.put(page, next);
             meter.written(page, next);
         }
@@ -522,6 +533,17 @@
         Map<String, Double> spent = new HashMap<>();
         meter.sums().forEach((account, money) -> spent.merge(account.pool(), money, Double::sum));
         spent.forEach(plan::spent);
+        plan.told()
+                .forEach(t -> effects.effect(
+                        EffectListener.POOL,
+                        t.pool(),
+                        t.target(),
+                        t.seats(),
+                        t.ready(),
+                        t.coming(),
+                        t.hits(),
+                        t.misses(),
+                        t.lost()));
     }
 
     /** What the leader claims of caches is so, and no machine is paid for by two. */
--- a/src/test/java/io/indigoreach/core/scheduling/WarmPoolTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.indigoreach.core.EffectListener;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.Team;
 import io.indigoreach.core.warm.BurstWindow;
@@ -14,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The hard cases of warm pools, on machines whose caches are simulated: what is claimed is compared with them. */
-class WarmPoolTest {
+public class WarmPoolTest {
     private static final String MODEL = WarmPoolHarness.MODEL;
     /** Boot, fetch of 40 GB at 1 GB/s, reports, and checks. */
     private static final int WARM = 20 + 40 + 12;
@@ -321,8 +322,13 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void whateverHappensNothingIsClaimedThatIsNotSoAndAllMoneyIsPutDown(long seed) {
+        play(seed, EffectListener.NONE);
+    }
+
+    public static void play(long seed, EffectListener effects) {
         SplittableRandom random = new SplittableRandom(seed);
         WarmPoolHarness w = new WarmPoolHarness(150, 15);
+        w.effects = effects;
         w.keep(WarmPoolHarness.pool("a", "weights-a", 60, 4, 10, new BurstWindow(20, 25, 5)));
         w.keep(WarmPoolHarness.spot(WarmPoolHarness.pool("b", "weights-b", 100, 4, 8)));
         List<Job> served = new ArrayList<>();
