--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -209,12 +209,14 @@
                 .compose(timer -> leaderKnown(previous, deadline));
     }
 
+    /** Starts to campaign, to raise the data format and to warm up. */
     public void start() {
         election.start();
         formatGate.start();
         warmUp.start();
     }
 
+    /** Ends the term, if this node leads, without removing the leadership key: its lease expires. */
     public void stop() {
         election.stop();
         formatGate.stop();
--- a/src/main/java/io/indigoreach/core/loss/RememberedState.java
+++ b/src/main/java/io/indigoreach/core/loss/RememberedState.java
@@ -47,6 +47,7 @@
     private final Map<MachineId, RentedMachine> machines = new LinkedHashMap<>();
     private final Map<String, VersionedRecord> records = new LinkedHashMap<>();
 
+    /** Adds an open job, unless it is remembered as finished; two copies of one are merged. */
     public void add(OpenJob job) {
         if (!finished.containsKey(job.spec.id())) {
             open.merge(job.spec.id(), job, OpenJob::mergedWith);
@@ -72,6 +73,7 @@
         return records.values();
     }
 
+    /** Adds all that another process remembers. */
     public void add(RememberedState other) {
         other.finished.forEach(this::add);
         other.open.values().forEach(this::add);
--- a/src/main/java/io/indigoreach/core/model/JobId.java
+++ b/src/main/java/io/indigoreach/core/model/JobId.java
@@ -6,6 +6,7 @@
 public record JobId(String text) implements Comparable<JobId> {
     private static final Pattern FORM = Pattern.compile("run-[0-9]{1,18}");
 
+    /** Rejects text that has not the form of a job id. */
     public JobId {
         if (!isValid(text)) {
             throw new IllegalArgumentException("not a job id: " + text);
--- a/src/main/java/io/indigoreach/core/model/JobSpec.java
+++ b/src/main/java/io/indigoreach/core/model/JobSpec.java
@@ -298,6 +298,7 @@
             return this;
         }
 
+        /** The description as built so far; its fields are not checked, as the codecs do that. */
         public JobSpec build() {
             return new JobSpec(
                     id,
--- a/src/main/java/io/indigoreach/core/scheduling/Job.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Job.java
@@ -234,6 +234,7 @@
         return placements.runningCount();
     }
 
+    /** What its user is told of it now. */
     public JobStatus status() {
         if (cancelled) {
             return JobStatus.CANCELLED;
--- a/src/main/java/io/indigoreach/core/scheduling/PoolMembership.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PoolMembership.java
@@ -18,6 +18,7 @@
     private Span longestOtherTask = Span.ZERO;
     private boolean ended;
 
+    /** Membership in a pool that holds an image of {@code gb} gigabytes ahead of replicas which take {@code replica} each. */
     public PoolMembership(String pool, String image, double gb, Demand replica) {
         this.pool = pool;
         this.image = image;
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
@@ -41,6 +41,7 @@
     private final WaitExplainer waitExplainer;
     private final SchedulerListener listener;
 
+    /** The core of one leadership term, without any job, machine or machine type yet. */
     public SchedulerCore(
             FencingToken token,
             SafetyTimes safetyTimes,
--- a/src/main/java/io/indigoreach/core/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ServiceLevelObjectives.java
@@ -21,6 +21,7 @@
 
     private final Map<String, List<Objective>> byClass = new HashMap<>();
 
+    /** The objectives of all job classes, in any order. */
     public ServiceLevelObjectives(List<Objective> objectives) {
         for (Objective objective : objectives) {
             byClass.computeIfAbsent(objective.jobClass(), name -> new ArrayList<>())
