--- a/src/main/java/io/indigoreach/api/ErrorResponses.java
+++ b/src/main/java/io/indigoreach/api/ErrorResponses.java
@@ -3,14 +3,14 @@
 import io.vertx.core.Future;
 
 /** The only place that maps failures to status codes and bodies. */
-final class ErrorResponses {
+public final class ErrorResponses {
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
 
     private ErrorResponses() {}
 
     /** The response to a request that failed; any failure that is no {@link ApiException} means that it may be repeated. */
-    static ApiResponse of(Throwable failure) {
+    public static ApiResponse of(Throwable failure) {
         return failure instanceof ApiException known
                 ? of(known)
                 : ApiResponse.retryLater("the state service does not answer");
--- a/src/main/java/io/indigoreach/calendar/PlanScheduler.java
+++ b/src/main/java/io/indigoreach/calendar/PlanScheduler.java
@@ -184,8 +184,11 @@
                 .filter(o -> o.kind() == Occurrence.Kind.UNKNOWN
                         && o.departs() > today
                         && o.departs() < today + TOLD_AHEAD_MS)
-                .forEach(o ->
-                        tell(o, "is not started: " + o.reason() + ", and nobody guesses it; set the calendar with it"));
+                .forEach(occurrence -> {
+                    if (told.add(occurrence.name())) {
+                        LOG.warn("plan run rejected plan={} reason={}", occurrence.name(), occurrence.reason());
+                    }
+                });
         entries.forEach(e -> foretell(e, today));
     }
 
@@ -196,19 +199,18 @@
             return;
         }
         Outlook outlook = Outlook.of(entry, mark, now);
-        if (outlook.verdict().isBad()) {
-            tell(
-                    entry.occurrence(),
-                    "can't be ready for its departure"
-                            + (outlook.lateBy().ms() == 0 ? "" : ", by " + Outlook.minutes(outlook.lateBy())) + ": "
-                            + outlook.why() + "; what would mend it: " + outlook.mend());
+        if (outlook.verdict().isBad() && told.add(entry.occurrence().name())) {
+            LOG.warn(
+                    "plan run predicted late plan={} late_min={} cause=\"{}\" remedy=\"{}\"",
+                    entry.occurrence().name(),
+                    inMinutes(outlook.lateBy().ms()),
+                    outlook.why(),
+                    outlook.mend());
         }
     }
 
-    private void tell(Occurrence o, String what) {
-        if (told.add(o.name())) {
-            LOG.warn("plan {} {}", o.name(), what);
-        }
+    private static String inMinutes(long ms) {
+        return String.format(Locale.ROOT, "%.1f", ms / 60_000.0);
     }
 
     /** Those whose time has come and that have no job yet. */
@@ -283,15 +285,15 @@
 
     private static void decided(String day, Mark mark) {
         if (mark.state() == Mark.State.MISSED) {
-            LOG.error("plan {}@{} is not started: {}", mark.plan(), day, mark.note());
+            LOG.error("plan run skipped plan={} day={} reason={}", mark.plan(), day, mark.note());
         } else {
             LOG.info(
-                    "plan {}@{} is started as {} (calendar {}){}",
+                    "plan run started plan={} day={} job={} calendar={} note={}",
                     mark.plan(),
                     day,
                     mark.id(),
                     mark.version(),
-                    mark.note().isEmpty() ? "" : ": " + mark.note());
+                    mark.note());
         }
     }
 
@@ -299,7 +301,7 @@
         Mark before = marks.put(o.name(), mark);
         if (mark != null && before == null && mark.version() > current.number()) {
             LOG.error(
-                    "plan {} was decided by calendar {}, and {} is in force: it was rolled back; set the newest again",
+                    "calendar rolled back plan={} decided_by={} in_force={}",
                     o.name(),
                     mark.version(),
                     current.number());
@@ -341,12 +343,12 @@
                                 if (there != null && there.isSettled()) {
                                     refused.remove(o.name());
                                 } else if (answer.status() == 200) {
-                                    LOG.warn("plan {}: {} is a user's job; another id is taken", o.name(), mark.id());
+                                    LOG.warn("plan job id taken plan={} job={}", o.name(), mark.id());
                                     return decide(List.of(entry), true);
                                 } else if (answer.status() != 503) {
                                     refused.put(o.name(), clock.now().plus(REFUSED));
                                     LOG.error(
-                                            "plan {}: its job is refused: {} {}",
+                                            "plan job rejected plan={} status={} error={}",
                                             o.name(),
                                             answer.status(),
                                             answer.body().get("error"));
@@ -402,15 +404,9 @@
                             remember(o, page.mark(o.plan().name()));
                             long late = now - o.departs();
                             if (late > 0) {
-                                LOG.error(
-                                        "plan {} was ready {} after its departure",
-                                        o.name(),
-                                        Outlook.minutes(new Span(late)));
+                                LOG.error("plan run late plan={} late_min={}", o.name(), inMinutes(late));
                             } else {
-                                LOG.info(
-                                        "plan {} is over, {} before its departure",
-                                        o.name(),
-                                        Outlook.minutes(new Span(-late)));
+                                LOG.info("plan run finished plan={} early_min={}", o.name(), inMinutes(-late));
                             }
                         }
                         return null;
--- a/src/main/java/io/indigoreach/core/warm/TargetSize.java
+++ b/src/main/java/io/indigoreach/core/warm/TargetSize.java
@@ -119,7 +119,7 @@
         }
         s.why = wish.why;
         if (wish.atOnce && !wish.why.equals(s.said)) {
-            say.accept("pool " + s.spec.name() + " shrinks at the end of its machines' terms: " + wish.why);
+            say.accept("warm pool shrinking pool=" + s.spec.name() + " reason=" + wish.why);
         }
         s.said = wish.atOnce ? wish.why : "";
     }
--- a/src/main/java/io/indigoreach/ownership/OwnershipGate.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipGate.java
@@ -85,7 +85,7 @@
         try {
             wants = RecordsCodec.readField(next.spec());
         } catch (WireException e) {
-            LOG.error("job {} stands still: its records cannot be read ({})", id, e.getMessage());
+            LOG.error("job gated by unreadable records job={} cause={}", id, e.getMessage());
             whole.add(id);
             return Future.succeededFuture(PERIOD);
         }
@@ -98,7 +98,7 @@
                             whole.add(id);
                         } else {
                             LOG.info(
-                                    "job {}: {} tasks wait for records: {}",
+                                    "tasks gated by records job={} tasks={} reason={}",
                                     id,
                                     given.held().cardinality(),
                                     given.never().isEmpty()
--- a/src/main/java/io/indigoreach/warm/WarmPoolTerm.java
+++ b/src/main/java/io/indigoreach/warm/WarmPoolTerm.java
@@ -118,7 +118,7 @@
                     loaded = true;
                     sinceMs = ground.clock().timeOfDay();
                     LOG.info(
-                            "pools: {}; {} machines in the accounts",
+                            "warm pools loaded pools={} metered={}",
                             pools.size(),
                             meter.lines().size());
                     return null;
--- a/src/test/java/io/indigoreach/calendar/GoldenCalendarTest.java
+++ b/src/test/java/io/indigoreach/calendar/GoldenCalendarTest.java
@@ -2,8 +2,9 @@
 
 import io.indigoreach.GoldenFile;
 import io.indigoreach.GoldenSamples;
+import io.indigoreach.api.ApiException;
 import io.indigoreach.api.ApiResponse;
-import io.indigoreach.api.RequestRejectedException;
+import io.indigoreach.api.ErrorResponses;
 import io.indigoreach.api.Resource;
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
@@ -254,22 +255,18 @@
                 method, Arrays.stream(only.split("/")).filter(s -> !s.isEmpty()).toList(), query, new Fields(body));
     }
 
-    private static ApiResponse rejected(RequestRejectedException reason) {
-        return new ApiResponse(reason.status(), reason.body(), 0);
-    }
-
     private void ask(Resource resource, String name, String method, String path, Map<String, Object> body)
             throws Exception {
         ApiResponse answer;
         try {
             answer = await(resource.serve(call(method, path, body)));
         } catch (ExecutionException e) {
-            if (!(e.getCause() instanceof RequestRejectedException r)) {
+            if (!(e.getCause() instanceof ApiException failure)) {
                 throw e;
             }
-            answer = rejected(r);
-        } catch (RequestRejectedException e) {
-            answer = rejected(e);
+            answer = ErrorResponses.of(failure);
+        } catch (ApiException e) {
+            answer = ErrorResponses.of(e);
         } catch (WireException e) {
             answer = ApiResponse.error(400, e.getMessage());
         }
@@ -337,7 +334,7 @@
             } catch (WireException e) {
                 answer = ApiResponse.error(400, e.getMessage());
             } catch (Exception e) {
-                answer = rejected((RequestRejectedException) e.getCause());
+                answer = ErrorResponses.of((ApiException) e.getCause());
             }
             golden.text("status of a plan's job " + day, answer.status() + " " + answer.retryAfterS())
                     .unordered("answer to a plan's job " + day, answer.body());
--- a/src/test/java/io/indigoreach/emulator/GoldenPeersTest.java
+++ b/src/test/java/io/indigoreach/emulator/GoldenPeersTest.java
@@ -75,8 +75,12 @@
                             post(peers, "/pledge", MessagePackFormat.map("back_ms", "long")))
                     .text("told of a loss", post(peers, "/loss", MessagePackFormat.map("era", 0L)))
                     .text("asked to remove another key", post(peers, "/handover", MessagePackFormat.map("stamp", 1L)))
-                    .text("asked for a job without an id", get(peers, "/knows?id=one"))
-                    .text("answer to a worker's first report", post(users, WorkerCodec.HEARTBEAT, report()))
+                    .text("asked for a job without an id", get(peers, "/knows?id=one"));
+            // A leader sends workers away until it has read the records, however soon it says that it leads.
+            await(
+                    () -> !post(users, WorkerCodec.HEARTBEAT, Map.of()).startsWith("421 "),
+                    "the leader answered no worker");
+            golden.text("answer to a worker's first report", post(users, WorkerCodec.HEARTBEAT, report()))
                     .text("answer to a malformed report", post(users, WorkerCodec.HEARTBEAT, Map.of()))
                     .text("answer to a report by another method", get(users, WorkerCodec.HEARTBEAT));
         }
