--- a/src/main/java/io/indigoreach/api/JobSubmission.java
+++ b/src/main/java/io/indigoreach/api/JobSubmission.java
@@ -110,7 +110,7 @@
      */
     private static int firstStartBound(JobSpec spec) {
         // No task of a job with dependencies starts before its release, which is recorded by the write of the bound.
-        return spec.tasks() == 1 && !spec.isService() && spec.dependencies().isEmpty() ? 1 : 0;
+        return spec.taskCount() == 1 && !spec.isService() && spec.dependencies().isEmpty() ? 1 : 0;
     }
 
     /**
@@ -121,13 +121,13 @@
         if (!state.isEraKnown()) {
             // Without the condition on the era, a transaction without an answer could be executed after a rebuild that
             // no longer knows of the job's end.
-            return state.check().compose(checked -> acceptIfEraKnown(acceptance));
+            return state.checkEra().compose(checked -> acceptIfEraKnown(acceptance));
         }
         JobSpec spec = acceptance.spec();
         StateClient.Txn txn = state.transactionInEra()
                 .when(RecordKeys.openKey(spec.id()), Revision.ABSENT)
                 .when(RecordKeys.finalKey(spec.id()), Revision.ABSENT);
-        if (state.losses().isHolding()) {
+        if (state.losses().isLossPending()) {
             return lookup.find(spec.id()).compose(found -> existingOrRetry(spec.id(), found));
         }
         return participantWrites(acceptance)
@@ -154,10 +154,10 @@
         StateClient.Txn complete = acceptance.cancelled()
                 ? txn.put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))
                 : txn.put(RecordKeys.openKey(id), acceptance.record());
-        return state.commit(complete.and(writes))
-                .compose(outcome -> outcome.done()
+        return state.commit(complete.addAll(writes))
+                .compose(outcome -> outcome.executed()
                         ? Future.succeededFuture(remember(acceptance, writes, outcome.writtenRevision()))
-                        : resolveConflict(acceptance, writes, outcome.failed()));
+                        : resolveConflict(acceptance, writes, outcome.failedKeys()));
     }
 
     private SubmissionResult remember(Acceptance acceptance, Transaction writes, Revision revision) {
@@ -175,7 +175,7 @@
     private Future<SubmissionResult> resolveConflict(
             Acceptance acceptance, Transaction writes, List<String> failedKeys) {
         if (failedKeys.equals(List.of(RecordKeys.ERA)) && acceptance.mayRepeat()) {
-            return state.check().compose(checked -> accept(acceptance.next()));
+            return state.checkEra().compose(checked -> accept(acceptance.next()));
         }
         if (failedKeys.stream().anyMatch(writes.conditions()::containsKey) && acceptance.mayRepeat()) {
             return accept(acceptance.next());
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -151,10 +151,10 @@
         }
         Moment now = context.clock().now();
         switch (state) {
-            case DONE -> dependentJobs.done(id);
+            case DONE -> dependentJobs.jobDone(id);
             case CANCELLED -> {
                 LOG.info("cancellation cascaded job={}", id);
-                dependentJobs.cancelled(id);
+                dependentJobs.jobCancelled(id);
             }
             case OPEN -> nextLookupAt.put(id, now.plus(OPEN_RETRY));
             // Neither done nor cancelled may be assumed: its dependents wait until a record is found.
@@ -195,15 +195,14 @@
                 .commit(txn)
                 .compose(
                         outcome -> onResponse(job, outcome),
-                        failure ->
-                                StateClient.surelyNotExecuted(failure) ? Future.succeededFuture() : readOutcome(job));
+                        failure -> StateClient.wasNotExecuted(failure) ? Future.succeededFuture() : readOutcome(job));
     }
 
     private Future<Void> onResponse(Job job, StateClient.Outcome outcome) {
         if (task.isCancelled()) {
             return Future.succeededFuture();
         }
-        if (outcome.done()) {
+        if (outcome.executed()) {
             onCancelled(job.id());
             return Future.succeededFuture();
         }
@@ -220,7 +219,7 @@
             if (open == null) {
                 return readFinalRecord(job.id());
             }
-            core.revisionSeen(job, open.revision());
+            core.onRevisionSeen(job, open.revision());
             return Future.succeededFuture();
         });
     }
@@ -237,7 +236,7 @@
     }
 
     private void onCancelled(JobId id) {
-        dependentJobs.cancelled(id);
+        dependentJobs.jobCancelled(id);
         jobStore.onCancelled(id);
     }
 }
--- a/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
+++ b/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
@@ -221,7 +221,7 @@
         StateClient.Txn txn = writes.newTransaction().when(RecordKeys.openKey(id), job.revision());
         // Without the bits, a later leader would not know from the open record that the job is over.
         if (job.isComplete() && !(crowded && completionBlocks.hasRoomInRecord(job))) {
-            return moveToFinal(txn, id, JobStatus.DONE, job.spec().tasks());
+            return moveToFinal(txn, id, JobStatus.DONE, job.spec().taskCount());
         }
         completionBlocks.addProgress(txn, job, job.completedTasks());
         return txn;
@@ -242,12 +242,13 @@
         }
         writesInFlight.add(id);
         StateClient.Txn txn = writes.newTransaction().when(RecordKeys.openKey(id), revision);
-        state.commit(moveToFinal(txn, id, finished.status(), finished.done())).onComplete(result -> {
-            writesInFlight.remove(id);
-            if (!isCancelled() && result.failed()) {
-                finishedInOpenRecords.put(id, revision);
-            }
-        });
+        state.commit(moveToFinal(txn, id, finished.status(), finished.completedTaskCount()))
+                .onComplete(result -> {
+                    writesInFlight.remove(id);
+                    if (!isCancelled() && result.failed()) {
+                        finishedInOpenRecords.put(id, revision);
+                    }
+                });
     }
 
     /** The state of a job when its write was sent, which may have changed by the time of the response. */
@@ -278,7 +279,7 @@
                 onResponse(sent, result.result());
             } else {
                 dirty.add(job);
-                if (!StateClient.surelyNotExecuted(result.cause())) {
+                if (!StateClient.wasNotExecuted(result.cause())) {
                     readOutcome(job);
                 }
             }
@@ -286,7 +287,7 @@
     }
 
     private void onResponse(SentWrite sent, StateClient.Outcome outcome) {
-        if (outcome.done()) {
+        if (outcome.executed()) {
             if (sent.complete()) {
                 onCompletionWritten(sent, outcome.writtenRevision());
             } else {
@@ -312,7 +313,7 @@
 
     private void onProgressWritten(SentWrite sent, Revision revision) {
         Job job = sent.job();
-        core.revisionSeen(job, revision);
+        core.onRevisionSeen(job, revision);
         job.completionsRecorded(completionBlocks.written(job, sent.completedTasks()));
         job.startBoundRecorded(sent.startBound());
         // A job that was cancelled before this response must not be remembered, as nothing would remove it again.
@@ -332,7 +333,7 @@
                     if (open == null) {
                         return readFinalRecord(job);
                     }
-                    core.revisionSeen(job, open.revision());
+                    core.onRevisionSeen(job, open.revision());
                     return Future.succeededFuture();
                 })
                 .onComplete(result -> writesInFlight.remove(job.id()));
@@ -355,7 +356,7 @@
         return lookup.confirmAbsent(id)
                 .onSuccess(absent -> {
                     if (absent && !isCancelled()) {
-                        state.recordMissing(RecordKeys.openKey(id));
+                        state.reportMissingRecord(RecordKeys.openKey(id));
                     }
                 })
                 .mapEmpty();
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -89,7 +89,11 @@
         this.startBoundsTrusted = leadership.startBoundsTrusted();
         this.core = newCore(context, leadership.token(), this);
         this.writes = new LeaderWrites(
-                context, leadership.token(), leadership.revision(), newWriteLimiter(context), election::deposed);
+                context,
+                leadership.token(),
+                leadership.revision(),
+                newWriteLimiter(context),
+                election::onLeadershipConflict);
         this.machineStore = new MachineStore(writes, core);
         this.jobStore = new JobStore(writes, core, machineStore, startBoundsTrusted, cancellationHorizon);
         this.dependencyTask = new DependencyTask(writes, core, jobStore);
@@ -126,7 +130,7 @@
 
     private FleetManager newFleetManager() {
         IntentLog intentLog = new IntentLog(
-                context, writes.token(), writes.leadershipRevision(), election::deposed, writes.limiter());
+                context, writes.token(), writes.leadershipRevision(), election::onLeadershipConflict, writes.limiter());
         return new FleetManager(context, core, writes.token(), intentLog, election::isValid);
     }
 
@@ -166,7 +170,7 @@
 
     /** For how long back this leader asks its peers for cancellations. */
     Span cancellationLookBack() {
-        return cancellationHorizon.lookBack(context.clock().now(), PEER_REQUEST_TIME);
+        return cancellationHorizon.requiredLookBack(context.clock().now(), PEER_REQUEST_TIME);
     }
 
     /** Applies the cancellations that all peers together have confirmed, in response to a request of {@code sentAt}. */
@@ -174,7 +178,7 @@
         // Without the records, the cancellations cannot be applied, so the horizon must not advance.
         if (core.areRecordsLoaded()) {
             summary.cancelled().forEach(jobStore::onCancelled);
-            cancellationHorizon.peersAnswered(
+            cancellationHorizon.onPeersResponded(
                     summary.covered(), sentAt, context.clock().now());
         }
     }
@@ -194,7 +198,7 @@
                 token(),
                 heartbeat.token(),
                 result.commands());
-        Optional<Machine> unrecorded = core.unrecorded(heartbeat.machine());
+        Optional<Machine> unrecorded = core.machineToRecord(heartbeat.machine());
         if (unrecorded.isEmpty()) {
             return Future.succeededFuture(result);
         }
@@ -220,7 +224,7 @@
         if (!context.catalogue().isKnown()) {
             return Future.succeededFuture(CATALOGUE_RETRY);
         }
-        core.setTypes(context.catalogue().types());
+        core.addMachineTypes(context.catalogue().types());
         return rebuildIfLost()
                 .compose(rebuilt -> jobStore.load())
                 .compose(revision -> fleetManager.load().map(revision))
@@ -230,7 +234,7 @@
     }
 
     private Span onLoaded(long revision) {
-        core.recordsLoaded();
+        core.onRecordsLoaded();
         servingSince = context.clock().now();
         LOG.info(
                 "records loaded jobs={} machines={} token={} revision={}",
@@ -260,7 +264,7 @@
 
     /** Writes lost records again, before the load reads them. */
     private Future<Void> rebuildIfLost() {
-        if (!context.state().losses().isHolding()) {
+        if (!context.state().losses().isLossPending()) {
             return Future.succeededFuture();
         }
         return gatherRememberedState.get().compose(this::rebuild);
@@ -303,10 +307,10 @@
     private Future<Span> tick() {
         Moment now = context.clock().now();
         Moment awakeSince = context.loopMonitor().runningSince();
-        core.setAwakeSince(awakeSince.isAfter(servingSince) ? awakeSince : servingSince);
+        core.setEventLoopRunningSince(awakeSince.isAfter(servingSince) ? awakeSince : servingSince);
         core.expireLeases(now);
-        if (election.isValid() && !context.config().peers().isEmpty() && core.isCutOffFromWorkers(now)) {
-            election.abdicate("no-heartbeats");
+        if (election.isValid() && !context.config().peers().isEmpty() && core.isPartitionedFromWorkers(now)) {
+            election.resign("no-heartbeats");
             return Future.succeededFuture(TICK_PERIOD);
         }
         if (!startBoundsTrusted && hasNoInheritedJobs()) {
@@ -332,7 +336,7 @@
     }
 
     @Override
-    public void taskCompleted(Job job) {
+    public void onTaskCompleted(Job job) {
         jobStore.markDirty(job);
     }
 
--- a/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
+++ b/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
@@ -43,7 +43,7 @@
     void onWritten(JobId id, Fields value, Revision revision) {
         Job job = core.job(id);
         if (job != null) {
-            core.revisionSeen(job, revision);
+            core.onRevisionSeen(job, revision);
             if (!RecordListing.readOrLog(RecordKeys.openKey(id), () -> JobRecordCodec.readJob(id, value, revision))) {
                 writer.markDirty(job);
             }
@@ -63,16 +63,16 @@
     void onDeleted(JobId id) {
         Job job = core.job(id);
         if (writer.isCancelled() || job == null || (writer.isWriting(id) && job.isComplete())) {
-            horizon.resolved(id);
+            horizon.onMissingRecordResolved(id);
             return;
         }
         if (job.isComplete()) {
             // The completion was written without a response, or the user cancelled first: the next write will show.
             writer.markDirty(job);
-            horizon.resolved(id);
+            horizon.onMissingRecordResolved(id);
             return;
         }
-        horizon.recordGone(id);
+        horizon.onRecordMissing(id);
         readReason(id).onComplete(reason -> onReasonRead(job, reason));
     }
 
@@ -89,11 +89,11 @@
         if (core.job(id) == job) {
             switch (reason.result()) {
                 case CANCELLED -> openJobs.onCancelled(id);
-                case LOST -> context.state().recordMissing(RecordKeys.openKey(id));
+                case LOST -> context.state().reportMissingRecord(RecordKeys.openKey(id));
                 case STILL_OPEN -> {}
             }
         }
-        horizon.resolved(id);
+        horizon.onMissingRecordResolved(id);
     }
 
     /** Why an open record was reported as deleted. */
--- a/src/main/java/io/indigoreach/cluster/PartsTask.java
+++ b/src/main/java/io/indigoreach/cluster/PartsTask.java
@@ -40,7 +40,7 @@
         this.core = core;
         this.routines = context.parts().all().isEmpty()
                 ? null
-                : context.parts().records().leading(RecordKeys.LEADER, leadershipRevision, writeLimiter);
+                : context.parts().records().forLeader(RecordKeys.LEADER, leadershipRevision, writeLimiter);
         this.collectionTask = new PeriodicTask(context.vertx(), "parts", PERIOD, this::collect);
     }
 
@@ -70,7 +70,7 @@
     }
 
     private Future<Span> collect(Part part, GarbageCollector collector) {
-        return routines.run(collector.round()).map(wait -> {
+        return routines.run(collector.newRound()).map(wait -> {
             nextCollection.put(part, context.clock().now().plus(wait));
             return NEXT_ROUND;
         });
--- a/src/main/java/io/indigoreach/cluster/WarmUp.java
+++ b/src/main/java/io/indigoreach/cluster/WarmUp.java
@@ -1,6 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.ExitCause;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.Heartbeat;
@@ -12,6 +11,7 @@
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.core.model.MachineType;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.TaskState;
@@ -55,8 +55,8 @@
     /** In every so many rounds over all machines the running tasks end. */
     private static final int ROUNDS_PER_RUN = 3;
 
-    private static final Demand MACHINE_CAPACITY = new Demand(4, 0, 16);
-    private static final Demand TASK_DEMAND = new Demand(1, 0, 1);
+    private static final Resources MACHINE_CAPACITY = new Resources(4, 0, 16);
+    private static final Resources TASK_DEMAND = new Resources(1, 0, 1);
     private static final MachinePool POOL = new MachinePool("k", "z", true);
     private static final FencingToken TOKEN = new FencingToken(2);
     private static final String TEAM = "t";
@@ -109,7 +109,7 @@
     private SchedulerCore newCore() {
         SchedulerListener silent = new SchedulerListener() {
             @Override
-            public void taskCompleted(Job job) {}
+            public void onTaskCompleted(Job job) {}
 
             @Override
             public void log(String line) {}
@@ -127,13 +127,13 @@
     private void addMachines() {
         MachineType type =
                 new MachineType(POOL.type(), MACHINE_CAPACITY, 40, 0.3, 1, 0.2, Span.seconds(20), List.of(POOL.zone()));
-        core.setTypes(List.of(type));
-        core.recordsLoaded();
+        core.addMachineTypes(List.of(type));
+        core.onRecordsLoaded();
         Moment now = context.clock().now();
         List<MachineId> ids =
                 IntStream.range(0, MACHINES).mapToObj(WarmUp::machine).toList();
-        core.rented(POOL, ids, now, now);
-        ids.forEach(core::recorded);
+        core.onMachinesRented(POOL, ids, now, now);
+        ids.forEach(core::onMachineRecorded);
     }
 
     private void addJobs() {
@@ -157,12 +157,12 @@
                 .team(TEAM)
                 .kind(JobKind.ARRAY)
                 .urgency(Urgency.values()[1 + index % 3])
-                .tasks(TASKS_PER_JOB)
+                .taskCount(TASKS_PER_JOB)
                 .demand(TASK_DEMAND)
                 .image("i" + index % 4)
                 .imageGb(1)
                 .spotAllowed()
-                .estimate(Span.seconds(20))
+                .estimatedRunTime(Span.seconds(20))
                 .build();
     }
 
--- a/src/main/java/io/indigoreach/core/dependency/DependencyGraph.java
+++ b/src/main/java/io/indigoreach/core/dependency/DependencyGraph.java
@@ -25,7 +25,7 @@
     /** Of each waiting job, the required jobs that are not known to be done. */
     private final Map<JobId, Set<JobId>> unmet = new HashMap<>();
     /** The same edges from the other end. */
-    private final Map<JobId, Set<JobId>> dependants = new HashMap<>();
+    private final Map<JobId, Set<JobId>> dependents = new HashMap<>();
     /** Required jobs that are not open here: their ends are to be read. */
     private final Set<JobId> jobsToLookUp = new LinkedHashSet<>();
     /** Waiting jobs below a cancelled one whose own ends are to be written. */
@@ -36,81 +36,81 @@
     /** Adds a waiting job; {@code isOpen}: whether a required job is open here, so that its end will be observed. */
     public void add(JobId job, Collection<JobId> requiredJobs, Predicate<JobId> isOpen) {
         unmet.put(job, new LinkedHashSet<>(requiredJobs));
-        boolean below = false;
+        boolean dependsOnCancelled = false;
         for (JobId required : requiredJobs) {
-            dependants.computeIfAbsent(required, id -> new LinkedHashSet<>()).add(job);
-            below |= jobsToCancel.contains(required);
+            dependents.computeIfAbsent(required, id -> new LinkedHashSet<>()).add(job);
+            dependsOnCancelled |= jobsToCancel.contains(required);
             if (!isOpen.test(required)) {
                 jobsToLookUp.add(required);
             }
         }
-        if (below) {
+        if (dependsOnCancelled) {
             markForCancellation(List.of(job));
         }
     }
 
     /** The job is open here from now on: no look-up is needed as long as it is. */
-    public void opened(JobId job) {
+    public void onOpened(JobId job) {
         jobsToLookUp.remove(job);
     }
 
     /** The job is open here no longer, and how it ended has not been read. */
-    public void ended(JobId job) {
+    public void onEnded(JobId job) {
         removeWaiting(job);
-        if (dependants.getOrDefault(job, Set.of()).stream().anyMatch(dependant -> !jobsToCancel.contains(dependant))) {
+        if (dependents.getOrDefault(job, Set.of()).stream().anyMatch(dependent -> !jobsToCancel.contains(dependent))) {
             jobsToLookUp.add(job);
         }
     }
 
     /** The end of this job as done is durable. */
-    public void done(JobId job) {
+    public void onDone(JobId job) {
         removeWaiting(job);
-        for (JobId dependant : settled(job)) {
-            Set<JobId> left = unmet.get(dependant);
-            left.remove(job);
-            if (left.isEmpty()) {
-                unmet.remove(dependant);
-                released.add(dependant);
+        for (JobId dependent : removeDependents(job)) {
+            Set<JobId> unmetJobs = unmet.get(dependent);
+            unmetJobs.remove(job);
+            if (unmetJobs.isEmpty()) {
+                unmet.remove(dependent);
+                released.add(dependent);
             }
         }
     }
 
     /** The end of this job as cancelled is durable: nothing that needs it, directly or through others, can ever start. */
-    public void cancelled(JobId job) {
+    public void onCancelled(JobId job) {
         removeWaiting(job);
-        markForCancellation(settled(job));
+        markForCancellation(removeDependents(job));
     }
 
     /** A job that waits no longer, whatever else is known of its dependencies. */
     public void removeWaiting(JobId job) {
         jobsToCancel.remove(job);
-        Set<JobId> left = unmet.remove(job);
-        if (left != null) {
-            left.forEach(required -> removeEdge(required, job));
+        Set<JobId> unmetJobs = unmet.remove(job);
+        if (unmetJobs != null) {
+            unmetJobs.forEach(required -> removeEdge(required, job));
         }
     }
 
     private void removeEdge(JobId required, JobId job) {
-        Set<JobId> waiting = dependants.get(required);
+        Set<JobId> waiting = dependents.get(required);
         if (waiting != null && waiting.remove(job) && waiting.isEmpty()) {
-            dependants.remove(required);
+            dependents.remove(required);
             jobsToLookUp.remove(required);
         }
     }
 
-    private Collection<JobId> settled(JobId required) {
+    private Collection<JobId> removeDependents(JobId required) {
         jobsToLookUp.remove(required);
-        Set<JobId> waiting = dependants.remove(required);
+        Set<JobId> waiting = dependents.remove(required);
         return waiting == null ? List.of() : waiting;
     }
 
     /** In the order of distance, so that no job is cancelled long before those between it and the cancelled one. */
-    private void markForCancellation(Collection<JobId> first) {
-        Deque<JobId> queue = new ArrayDeque<>(first);
+    private void markForCancellation(Collection<JobId> roots) {
+        Deque<JobId> queue = new ArrayDeque<>(roots);
         while (!queue.isEmpty()) {
             JobId job = queue.poll();
             if (unmet.containsKey(job) && jobsToCancel.add(job)) {
-                queue.addAll(dependants.getOrDefault(job, Set.of()));
+                queue.addAll(dependents.getOrDefault(job, Set.of()));
             }
         }
     }
@@ -142,7 +142,7 @@
     /** Forgets everything: what is open is read anew. */
     public void clear() {
         unmet.clear();
-        dependants.clear();
+        dependents.clear();
         jobsToLookUp.clear();
         jobsToCancel.clear();
         released.clear();
@@ -152,11 +152,13 @@
      * Every edge that is still relevant, from a job to one that it requires, in topological order from the last jobs: a job's own edges come after all
      * edges that lead to it.
      */
-    public List<Edge> edgesFromLastJobs() {
-        Map<JobId, Integer> left = new HashMap<>();
-        dependants.forEach((required, waiting) -> left.put(required, waiting.size()));
+    public List<Edge> edgesInTopologicalOrder() {
+        Map<JobId, Integer> unvisitedDependents = new HashMap<>();
+        dependents.forEach((required, waiting) -> unvisitedDependents.put(required, waiting.size()));
         Deque<JobId> queue = new ArrayDeque<>();
-        unmet.keySet().stream().filter(job -> !left.containsKey(job)).forEach(queue::add);
+        unmet.keySet().stream()
+                .filter(job -> !unvisitedDependents.containsKey(job))
+                .forEach(queue::add);
         List<Edge> edges = new ArrayList<>();
         while (!queue.isEmpty()) {
             JobId job = queue.poll();
@@ -164,7 +166,7 @@
                 if (!jobsToCancel.contains(job)) {
                     edges.add(new Edge(job, required));
                 }
-                if (left.merge(required, -1, Integer::sum) == 0) {
+                if (unvisitedDependents.merge(required, -1, Integer::sum) == 0) {
                     queue.add(required);
                 }
             }
--- a/src/main/java/io/indigoreach/core/dependency/Lookahead.java
+++ b/src/main/java/io/indigoreach/core/dependency/TargetPropagation.java
@@ -12,8 +12,8 @@
  * time by which a job has to be done for the deadlines after it to be met, derived from expected run times. One pass over
  * all edges.
  */
-public final class Lookahead {
-    private Lookahead() {}
+public final class TargetPropagation {
+    private TargetPropagation() {}
 
     /**
      * The target of each job that another waits for, as its dependants set it.
@@ -21,15 +21,16 @@
      * @param own a job's own target
      * @param runTime a job's expected run time
      */
-    public static Map<JobId, JobTarget> of(
-            DependencyGraph graph, Function<JobId, JobTarget> own, Function<JobId, Span> runTime) {
+    public static Map<JobId, JobTarget> propagate(
+            DependencyGraph graph, Function<JobId, JobTarget> ownTarget, Function<JobId, Span> runTime) {
         Map<JobId, JobTarget> targets = new HashMap<>();
-        for (DependencyGraph.Edge edge : graph.edgesFromLastJobs()) {
-            JobTarget after = targets.get(edge.job());
-            JobTarget combined = after == null
-                    ? own.apply(edge.job())
-                    : own.apply(edge.job()).strictest(after);
-            targets.merge(edge.requiredJob(), combined.before(runTime.apply(edge.job())), JobTarget::strictest);
+        for (DependencyGraph.Edge edge : graph.edgesInTopologicalOrder()) {
+            JobTarget fromDependents = targets.get(edge.job());
+            JobTarget combined = fromDependents == null
+                    ? ownTarget.apply(edge.job())
+                    : ownTarget.apply(edge.job()).combinedWith(fromDependents);
+            targets.merge(
+                    edge.requiredJob(), combined.forRequiredJob(runTime.apply(edge.job())), JobTarget::combinedWith);
         }
         return targets;
     }
--- a/src/main/java/io/indigoreach/core/leadership/CancellationHorizon.java
+++ b/src/main/java/io/indigoreach/core/leadership/CancellationHorizon.java
@@ -26,12 +26,12 @@
      * An open job's record is gone: probably the job is cancelled. This has not been acted on yet, and the reason may not be readable for
      * as long as an outage lasts.
      */
-    public void recordGone(JobId job) {
+    public void onRecordMissing(JobId job) {
         unresolved.putIfAbsent(job, advanceTo);
     }
 
     /** What became of that job is known, and none of its tasks runs on under this leader's commands. */
-    public void resolved(JobId job) {
+    public void onMissingRecordResolved(JobId job) {
         unresolved.remove(job);
     }
 
@@ -40,8 +40,8 @@
      * covered} time before its answer are known here. If that reaches back beyond the present horizon, none confirmed before {@code sent} is
      * missing; one confirmed later has its whole time from then.
      */
-    public void peersAnswered(Span covered, Moment sent, Moment now) {
-        if (covered.compareTo(now.since(advanceTo).withDrift()) > 0) {
+    public void onPeersResponded(Span covered, Moment sent, Moment now) {
+        if (covered.compareTo(now.since(advanceTo).plusClockDrift()) > 0) {
             advanceTo(sent);
         }
     }
@@ -56,9 +56,9 @@
     }
 
     /** How far back the answers of the other nodes must reach to be of use, if they take up to {@code roundTrip}. */
-    public Span lookBack(Moment now, Span roundTrip) {
+    public Span requiredLookBack(Moment now, Span roundTrip) {
         return advanceTo.equals(Moment.NEVER)
                 ? Span.ZERO
-                : now.since(advanceTo).plus(roundTrip).withDrift();
+                : now.since(advanceTo).plus(roundTrip).plusClockDrift();
     }
 }
--- a/src/main/java/io/indigoreach/core/leadership/IsolationCheck.java
+++ b/src/main/java/io/indigoreach/core/leadership/IsolationCheck.java
@@ -31,11 +31,11 @@
     /** The same for a node that was cut off within {@link #REMOVAL_REMEMBERED}. */
     static final Span CUT_OFF_AGAIN_AFTER = Span.seconds(15);
     /** For how long the load balancer remembers that it has removed a node. */
-    static final Span REMOVAL_REMEMBERED = Span.seconds(120);
+    static final Span REMOVAL_MEMORY = Span.seconds(120);
 
     private Verdict verdict = Verdict.TOGETHER;
     private Moment silentSince = Moment.NEVER;
-    private Moment lastCutOff = Moment.NEVER;
+    private Moment lastCutOffAt = Moment.NEVER;
 
     /** Whether users are better served by another node. */
     public boolean isOutOfService() {
@@ -47,11 +47,11 @@
     }
 
     /** The state service answers; true if this ends a verdict. */
-    public boolean onServed() {
-        boolean ends = isOutOfService();
+    public boolean onStateServiceResponded() {
+        boolean wasOutOfService = isOutOfService();
         verdict = Verdict.TOGETHER;
         silentSince = Moment.NEVER;
-        return ends;
+        return wasOutOfService;
     }
 
     /**
@@ -59,22 +59,22 @@
      *
      * @param others for each other node whether it is served, null if it does not answer
      */
-    public Verdict onUnserved(List<Boolean> others, Moment now) {
-        boolean silent = !others.isEmpty() && others.stream().allMatch(Objects::isNull);
-        if (!silent) {
+    public Verdict onStateServiceUnresponsive(List<Boolean> peersServed, Moment now) {
+        boolean allSilent = !peersServed.isEmpty() && peersServed.stream().allMatch(Objects::isNull);
+        if (!allSilent) {
             silentSince = Moment.NEVER;
-            verdict = others.contains(true) ? Verdict.REFUSED_ALONE : Verdict.TOGETHER;
+            verdict = peersServed.contains(true) ? Verdict.REFUSED_ALONE : Verdict.TOGETHER;
             return verdict;
         }
         if (silentSince.equals(Moment.NEVER)) {
             silentSince = now;
         }
-        boolean again =
-                !lastCutOff.equals(Moment.NEVER) && now.since(lastCutOff).compareTo(REMOVAL_REMEMBERED) < 0;
-        Span enough = again && verdict != Verdict.CUT_OFF ? CUT_OFF_AGAIN_AFTER : CUT_OFF_AFTER;
-        if (now.since(silentSince).compareTo(enough) >= 0) {
+        boolean recentlyCutOff =
+                !lastCutOffAt.equals(Moment.NEVER) && now.since(lastCutOffAt).compareTo(REMOVAL_MEMORY) < 0;
+        Span requiredSilence = recentlyCutOff && verdict != Verdict.CUT_OFF ? CUT_OFF_AGAIN_AFTER : CUT_OFF_AFTER;
+        if (now.since(silentSince).compareTo(requiredSilence) >= 0) {
             verdict = Verdict.CUT_OFF;
-            lastCutOff = now;
+            lastCutOffAt = now;
         }
         return verdict;
     }
--- a/src/main/java/io/indigoreach/core/loss/LossDetector.java
+++ b/src/main/java/io/indigoreach/core/loss/LossDetector.java
@@ -15,18 +15,18 @@
  */
 public final class LossDetector {
     /** Evidence of a loss, in words for the operators. */
-    public record Finding(String what, long wanted, long found) {
+    public record Evidence(String subject, long expected, long actual) {
         @Override
         public String toString() {
-            return what + ": " + found + " where " + wanted + " was known";
+            return subject + ": " + actual + " where " + expected + " was known";
         }
     }
 
-    private static final int MAX_FINDINGS = 20;
+    private static final int MAX_EVIDENCE = 20;
 
-    private final List<Finding> findings = new ArrayList<>();
+    private final List<Evidence> evidence = new ArrayList<>();
     private long era;
-    private boolean holding;
+    private boolean lossPending;
 
     /** The newest era that this process knows; 0 as long as it knows none. */
     public long era() {
@@ -34,13 +34,13 @@
     }
 
     /** Whether data were lost and have not been rebuilt yet. */
-    public boolean isHolding() {
-        return holding;
+    public boolean isLossPending() {
+        return lossPending;
     }
 
     /** The evidence, the latest last. */
-    public List<Finding> findings() {
-        return List.copyOf(findings);
+    public List<Evidence> evidence() {
+        return List.copyOf(evidence);
     }
 
     /**
@@ -49,39 +49,40 @@
     public boolean era(long confirmed) {
         if (confirmed > era) {
             era = confirmed;
-            holding = false;
+            lossPending = false;
             return false;
         }
-        return confirmed < era && found(new Finding("era", era, confirmed));
+        return confirmed < era && recordLoss(new Evidence("era", era, confirmed));
     }
 
     /** A transaction was given a revision, after an answer with revision {@code known}: revisions only grow. */
-    public boolean revision(long known, long given) {
-        return given < known && found(new Finding("revision", known, given));
+    public boolean checkRevision(long known, long received) {
+        return received < known && recordLoss(new Evidence("revision", known, received));
     }
 
     /** The token counter as leadership is gained, and the highest token that this process has seen in use. */
-    public boolean counter(FencingToken seen, FencingToken counted) {
-        return counted.value() < seen.value() && found(new Finding("counter of tokens", seen.value(), counted.value()));
+    public boolean checkCounter(FencingToken highestSeen, FencingToken counter) {
+        return counter.value() < highestSeen.value()
+                && recordLoss(new Evidence("counter of tokens", highestSeen.value(), counter.value()));
     }
 
     /** A transaction has confirmed that a record is absent that nobody has removed. */
-    public boolean recordGone(String key) {
-        return found(new Finding("record " + key, 1, 0));
+    public boolean onRecordMissing(String key) {
+        return recordLoss(new Evidence("record " + key, 1, 0));
     }
 
     /** Another controller has found a loss in an era; one before the era that this process knows has been rebuilt already. */
-    public boolean reportedByPeer(long otherEra) {
-        return otherEra >= era && era > 0 && found(new Finding("another controller's word on era", era, otherEra));
+    public boolean onReportedByPeer(long peerEra) {
+        return peerEra >= era && era > 0 && recordLoss(new Evidence("another controller's word on era", era, peerEra));
     }
 
-    private boolean found(Finding finding) {
-        if (findings.size() >= MAX_FINDINGS) {
-            findings.remove(0);
+    private boolean recordLoss(Evidence item) {
+        if (evidence.size() >= MAX_EVIDENCE) {
+            evidence.remove(0);
         }
-        findings.add(finding);
-        boolean is = !holding;
-        holding = true;
-        return is;
+        evidence.add(item);
+        boolean newLoss = !lossPending;
+        lossPending = true;
+        return newLoss;
     }
 }
--- a/src/main/java/io/indigoreach/core/loss/RecordRepair.java
+++ b/src/main/java/io/indigoreach/core/loss/RecordRepair.java
@@ -14,7 +14,7 @@
  */
 public final class RecordRepair {
     /** The fields of a record that can still be read; null where it cannot. */
-    public record ReadableFields(JobStatus status, Long done, Long submittedMs) {}
+    public record ReadableFields(JobStatus status, Long completedTasks, Long submittedMs) {}
 
     private RecordRepair() {}
 
@@ -26,24 +26,24 @@
      * @param offered the specification that its user submits again; null for a query
      * @return what is known of the job; empty if nobody remembers its specification
      */
-    public static RememberedState open(
-            JobId id, ReadableFields readable, RememberedState remembered, JobSpec offered, long nowMs) {
+    public static RememberedState repairOpen(
+            JobId id, ReadableFields readable, RememberedState remembered, JobSpec resubmitted, long nowMs) {
         RememberedState repaired = new RememberedState();
-        RememberedState.FinishedJob end = remembered.finished().get(id);
-        RememberedState.OpenJob job = job(id, remembered, offered, nowMs);
+        RememberedState.FinishedJob end = remembered.finishedJobs().get(id);
+        RememberedState.OpenJob job = rememberedOrSubmitted(id, remembered, resubmitted, nowMs);
         if (end != null) {
             repaired.add(id, end);
         } else if (readable.status == JobStatus.DONE || (readable.status == null && allDone(readable, job))) {
             repaired.add(
                     id,
                     new RememberedState.FinishedJob(
-                            JobStatus.DONE, job != null ? job.spec().tasks() : count(readable)));
+                            JobStatus.DONE, job != null ? job.spec().taskCount() : readableCount(readable)));
         } else if (job != null) {
-            long since = readable.submittedMs == null
+            long earliestSubmittedMs = readable.submittedMs == null
                     ? job.submittedMs()
                     : Math.min(readable.submittedMs, job.submittedMs());
             repaired.add(new RememberedState.OpenJob(
-                    job.spec(), since, job.done(), job.spec().tasks()));
+                    job.spec(), earliestSubmittedMs, job.done(), job.spec().taskCount()));
         }
         return repaired;
     }
@@ -52,40 +52,42 @@
      * For the final record of a job, which is done if all its tasks are and cancelled otherwise. Null if that is not known:
      * either status could contradict what its user was told.
      */
-    public static RememberedState.FinishedJob end(
-            JobId id, ReadableFields readable, RememberedState remembered, JobSpec offered) {
-        RememberedState.FinishedJob end = remembered.finished().get(id);
+    public static RememberedState.FinishedJob repairFinal(
+            JobId id, ReadableFields readable, RememberedState remembered, JobSpec resubmitted) {
+        RememberedState.FinishedJob end = remembered.finishedJobs().get(id);
         if (end != null) {
             return end;
         }
         if (readable.status == JobStatus.DONE || readable.status == JobStatus.CANCELLED) {
-            return new RememberedState.FinishedJob(readable.status, count(readable));
+            return new RememberedState.FinishedJob(readable.status, readableCount(readable));
         }
-        RememberedState.OpenJob job = job(id, remembered, offered, 0);
-        return readable.done == null || job == null
+        RememberedState.OpenJob job = rememberedOrSubmitted(id, remembered, resubmitted, 0);
+        return readable.completedTasks == null || job == null
                 ? null
                 : new RememberedState.FinishedJob(
-                        allDone(readable, job) ? JobStatus.DONE : JobStatus.CANCELLED, count(readable));
+                        allDone(readable, job) ? JobStatus.DONE : JobStatus.CANCELLED, readableCount(readable));
     }
 
-    private static RememberedState.OpenJob job(JobId id, RememberedState remembered, JobSpec offered, long nowMs) {
-        return remembered.open().stream()
-                .filter(o -> o.spec().id().equals(id))
+    private static RememberedState.OpenJob rememberedOrSubmitted(
+            JobId id, RememberedState remembered, JobSpec resubmitted, long nowMs) {
+        return remembered.openJobs().stream()
+                .filter(openJob -> openJob.spec().id().equals(id))
                 .findFirst()
                 .orElse(
-                        offered == null
+                        resubmitted == null
                                 ? null
-                                : new RememberedState.OpenJob(offered, nowMs, new BitSet(), offered.tasks()));
+                                : new RememberedState.OpenJob(
+                                        resubmitted, nowMs, new BitSet(), resubmitted.taskCount()));
     }
 
     private static boolean allDone(ReadableFields readable, RememberedState.OpenJob job) {
-        return readable.done != null
+        return readable.completedTasks != null
                 && job != null
                 && job.spec().kind() == JobKind.ARRAY
-                && readable.done == job.spec().tasks();
+                && readable.completedTasks == job.spec().taskCount();
     }
 
-    private static int count(ReadableFields readable) {
-        return readable.done == null ? 0 : readable.done.intValue();
+    private static int readableCount(ReadableFields readable) {
+        return readable.completedTasks == null ? 0 : readable.completedTasks.intValue();
     }
 }
--- a/src/main/java/io/indigoreach/core/model/FencingToken.java
+++ b/src/main/java/io/indigoreach/core/model/FencingToken.java
@@ -9,8 +9,8 @@
     }
 
     /** The {@code count}-th attempt handed out under this token; no two leaders can hand out the same one. */
-    public Attempt attempt(long count) {
-        return new Attempt((value << 28) | (count & 0xfffffffL));
+    public Attempt newAttempt(long sequenceNumber) {
+        return new Attempt((value << 28) | (sequenceNumber & 0xfffffffL));
     }
 
     @Override
--- a/src/main/java/io/indigoreach/core/model/JobDependencies.java
+++ b/src/main/java/io/indigoreach/core/model/JobDependencies.java
@@ -34,7 +34,7 @@
     }
 
     /** The same dependencies, all of them done. */
-    public JobDependencies released(long timeOfDayMs) {
+    public JobDependencies releasedAt(long timeOfDayMs) {
         return new JobDependencies(requiredJobs, timeOfDayMs);
     }
 }
--- a/src/main/java/io/indigoreach/core/model/JobId.java
+++ b/src/main/java/io/indigoreach/core/model/JobId.java
@@ -4,7 +4,7 @@
 
 /** A job's id, chosen by its user. The form is fixed, so an id can be used as part of a key or a path as it is. */
 public record JobId(String text) implements Comparable<JobId> {
-    private static final Pattern FORM = Pattern.compile("run-[0-9]{1,18}");
+    private static final Pattern PATTERN = Pattern.compile("run-[0-9]{1,18}");
 
     /** Rejects text that has not the form of a job id. */
     public JobId {
@@ -14,7 +14,7 @@
     }
 
     public static boolean isValid(String text) {
-        return text != null && FORM.matcher(text).matches();
+        return text != null && PATTERN.matcher(text).matches();
     }
 
     @Override
--- a/src/main/java/io/indigoreach/core/model/JobSpec.java
+++ b/src/main/java/io/indigoreach/core/model/JobSpec.java
@@ -35,29 +35,29 @@
         String team,
         JobKind kind,
         Urgency urgency,
-        int tasks,
-        Demand demand,
+        int taskCount,
+        Resources demand,
         String image,
         double imageGb,
-        List<String> types,
+        List<String> machineTypes,
         String zone,
-        boolean oneZone,
-        boolean spread,
+        boolean singleZone,
+        boolean spreadOverZones,
         boolean spotAllowed,
-        Span estimate,
-        Span checkpointEvery,
-        Span checkpointTime,
-        Span due,
-        Map<String, Object> more,
+        Span estimatedRunTime,
+        Span checkpointInterval,
+        Span checkpointDuration,
+        Span relativeDeadline,
+        Map<String, Object> extensions,
         JobDependencies dependencies) {
     /** The further field that names records; record ownership decides which tasks may start. */
-    public static final String RECORDS = "records";
+    public static final String RECORDS_FIELD = "records";
     /** The further field that names a holder's pool. */
-    public static final String WARM = "warm";
+    public static final String WARM_POOL_FIELD = "warm";
 
     public JobSpec {
-        types = types == null ? null : List.copyOf(types);
-        more = more.isEmpty() ? Map.of() : Collections.unmodifiableMap(new LinkedHashMap<>(more));
+        machineTypes = machineTypes == null ? null : List.copyOf(machineTypes);
+        extensions = extensions.isEmpty() ? Map.of() : Collections.unmodifiableMap(new LinkedHashMap<>(extensions));
     }
 
     /** Starts a specification with one task; the fields without a default are listed in {@link Builder}. */
@@ -72,28 +72,28 @@
                 .team(team)
                 .kind(kind)
                 .urgency(urgency)
-                .tasks(tasks)
+                .taskCount(taskCount)
                 .demand(demand)
                 .image(image)
                 .imageGb(imageGb)
-                .types(types)
+                .machineTypes(machineTypes)
                 .zone(zone)
-                .oneZone(oneZone)
-                .spread(spread)
+                .singleZone(singleZone)
+                .spreadOverZones(spreadOverZones)
                 .spotAllowed(spotAllowed)
-                .estimate(estimate)
-                .checkpointEvery(checkpointEvery)
-                .checkpointTime(checkpointTime)
-                .due(due)
-                .more(more)
+                .estimatedRunTime(estimatedRunTime)
+                .checkpointInterval(checkpointInterval)
+                .checkpointDuration(checkpointDuration)
+                .relativeDeadline(relativeDeadline)
+                .extensions(extensions)
                 .dependencies(dependencies);
     }
 
     /** The same job with one further field. */
     public JobSpec with(String field, Object value) {
-        Map<String, Object> extended = new LinkedHashMap<>(more);
+        Map<String, Object> extended = new LinkedHashMap<>(extensions);
         extended.put(field, value);
-        return toBuilder().more(extended).build();
+        return toBuilder().extensions(extended).build();
     }
 
     /** The same job with other dependencies. */
@@ -108,29 +108,29 @@
 
     /** Part of a calendar's plan: it is submitted as late as its prediction allows. */
     public boolean isPlanned() {
-        return due != null && more.containsKey("plan");
+        return relativeDeadline != null && extensions.containsKey("plan");
     }
 
     /** Nothing of it starts before its records are known to be its own. */
-    public boolean isGuarded() {
-        return more.containsKey(RECORDS);
+    public boolean requiresRecordOwnership() {
+        return extensions.containsKey(RECORDS_FIELD);
     }
 
     /**
      * Its tasks only make machines fetch an image: they run on members of a warm pool, are in no queue, and neither keep nor
      * rent a machine.
      */
-    public boolean isHolder() {
-        return more.containsKey(WARM);
+    public boolean isWarmPoolHolder() {
+        return extensions.containsKey(WARM_POOL_FIELD);
     }
 
     /** Whether a stopped task resumes from a checkpoint. */
-    public boolean savesProgress() {
-        return checkpointEvery.ms() > 0;
+    public boolean savesCheckpoints() {
+        return checkpointInterval.ms() > 0;
     }
 
     public boolean allowsType(String type) {
-        return types == null || types.contains(type);
+        return machineTypes == null || machineTypes.contains(type);
     }
 
     public boolean allowsZone(String name) {
@@ -138,13 +138,13 @@
     }
 
     /** Whether a task may run on a machine of this price kind. */
-    public boolean allowsKind(boolean spot) {
+    public boolean allowsPricing(boolean spot) {
         return spotAllowed || !spot;
     }
 
     /** At most half of the tasks, rounded up, may be in one zone when the job is to be spread. */
-    public int zoneLimit() {
-        return spread ? (tasks + 1) / 2 : tasks;
+    public int maxTasksPerZone() {
+        return spreadOverZones ? (taskCount + 1) / 2 : taskCount;
     }
 
     /**
@@ -157,20 +157,20 @@
         private String team;
         private JobKind kind = JobKind.ARRAY;
         private Urgency urgency;
-        private int tasks = 1;
-        private Demand demand;
+        private int taskCount = 1;
+        private Resources demand;
         private String image;
         private double imageGb;
-        private List<String> types;
+        private List<String> machineTypes;
         private String zone;
-        private boolean oneZone;
-        private boolean spread;
+        private boolean singleZone;
+        private boolean spreadOverZones;
         private boolean spotAllowed;
-        private Span estimate = Span.ZERO;
-        private Span checkpointEvery = Span.ZERO;
-        private Span checkpointTime = Span.ZERO;
-        private Span due;
-        private Map<String, Object> more = Map.of();
+        private Span estimatedRunTime = Span.ZERO;
+        private Span checkpointInterval = Span.ZERO;
+        private Span checkpointDuration = Span.ZERO;
+        private Span relativeDeadline;
+        private Map<String, Object> extensions = Map.of();
         private JobDependencies dependencies = JobDependencies.NONE;
 
         private Builder(JobId id) {
@@ -197,12 +197,12 @@
             return this;
         }
 
-        public Builder tasks(int value) {
-            tasks = value;
+        public Builder taskCount(int value) {
+            taskCount = value;
             return this;
         }
 
-        public Builder demand(Demand value) {
+        public Builder demand(Resources value) {
             demand = value;
             return this;
         }
@@ -218,8 +218,8 @@
         }
 
         /** The allowed machine types, or null for any. */
-        public Builder types(List<String> value) {
-            types = value;
+        public Builder machineTypes(List<String> value) {
+            machineTypes = value;
             return this;
         }
 
@@ -230,25 +230,25 @@
         }
 
         /** Whether all tasks must be in the same zone. */
-        public Builder oneZone(boolean value) {
-            oneZone = value;
+        public Builder singleZone(boolean value) {
+            singleZone = value;
             return this;
         }
 
         /** All tasks must be in the same zone. */
-        public Builder oneZone() {
-            return oneZone(true);
+        public Builder singleZone() {
+            return singleZone(true);
         }
 
         /** Whether the tasks must be spread over zones. */
-        public Builder spread(boolean value) {
-            spread = value;
+        public Builder spreadOverZones(boolean value) {
+            spreadOverZones = value;
             return this;
         }
 
         /** The tasks must be spread over zones. */
-        public Builder spread() {
-            return spread(true);
+        public Builder spreadOverZones() {
+            return spreadOverZones(true);
         }
 
         /** Whether the tasks may run on spot machines. */
@@ -263,32 +263,32 @@
         }
 
         /** The owner's estimate of a task's run time. */
-        public Builder estimate(Span value) {
-            estimate = value;
+        public Builder estimatedRunTime(Span value) {
+            estimatedRunTime = value;
             return this;
         }
 
         /** The interval of progress after which a task saves by itself. */
-        public Builder checkpointEvery(Span value) {
-            checkpointEvery = value;
+        public Builder checkpointInterval(Span value) {
+            checkpointInterval = value;
             return this;
         }
 
         /** What a task needs to save when it is stopped. */
-        public Builder checkpointTime(Span value) {
-            checkpointTime = value;
+        public Builder checkpointDuration(Span value) {
+            checkpointDuration = value;
             return this;
         }
 
         /** The time allowed from submission to completion, or null. */
-        public Builder due(Span value) {
-            due = value;
+        public Builder relativeDeadline(Span value) {
+            relativeDeadline = value;
             return this;
         }
 
         /** The further fields. */
-        public Builder more(Map<String, Object> value) {
-            more = value;
+        public Builder extensions(Map<String, Object> value) {
+            extensions = value;
             return this;
         }
 
@@ -306,20 +306,20 @@
                     team,
                     kind,
                     urgency,
-                    tasks,
+                    taskCount,
                     demand,
                     image,
                     imageGb,
-                    types,
+                    machineTypes,
                     zone,
-                    oneZone,
-                    spread,
+                    singleZone,
+                    spreadOverZones,
                     spotAllowed,
-                    estimate,
-                    checkpointEvery,
-                    checkpointTime,
-                    due,
-                    more,
+                    estimatedRunTime,
+                    checkpointInterval,
+                    checkpointDuration,
+                    relativeDeadline,
+                    extensions,
                     dependencies);
         }
     }
--- a/src/main/java/io/indigoreach/core/model/JobTarget.java
+++ b/src/main/java/io/indigoreach/core/model/JobTarget.java
@@ -5,19 +5,19 @@
  *
  * @param due null if there is no deadline
  */
-public record JobTarget(Urgency urgency, Moment due) {
+public record JobTarget(Urgency urgency, Moment deadline) {
     /** The stricter of both: the more urgent, the earlier. */
-    public JobTarget strictest(JobTarget other) {
+    public JobTarget combinedWith(JobTarget other) {
         return new JobTarget(
-                other.urgency.isMoreUrgentThan(urgency) ? other.urgency : urgency, earlier(due, other.due));
+                other.urgency.isMoreUrgentThan(urgency) ? other.urgency : urgency, earlierOf(deadline, other.deadline));
     }
 
     /** The same for a job that has to be done before one that runs for {@code run}. */
-    public JobTarget before(Span run) {
-        return new JobTarget(urgency, due == null ? null : due.minus(run));
+    public JobTarget forRequiredJob(Span runTime) {
+        return new JobTarget(urgency, deadline == null ? null : deadline.minus(runTime));
     }
 
-    private static Moment earlier(Moment first, Moment second) {
+    private static Moment earlierOf(Moment first, Moment second) {
         if (first == null || second == null) {
             return first == null ? second : first;
         }
--- a/src/main/java/io/indigoreach/core/model/MachineType.java
+++ b/src/main/java/io/indigoreach/core/model/MachineType.java
@@ -5,12 +5,12 @@
 /** A type of machine as the cloud's catalogue describes it. Prices are per hour. */
 public record MachineType(
         String name,
-        Demand capacity,
-        double cacheGb,
-        double fetchGbPerS,
-        double price,
+        Resources capacity,
+        double imageCacheGb,
+        double imageFetchGbPerS,
+        double onDemandPrice,
         double spotPrice,
-        Span boot,
+        Span bootTime,
         List<String> zones) {
     public MachineType {
         zones = List.copyOf(zones);
--- a/src/main/java/io/indigoreach/core/model/Span.java
+++ b/src/main/java/io/indigoreach/core/model/Span.java
@@ -25,7 +25,7 @@
     }
 
     /** This length on a clock that may run fast by {@code 0.05%}, rounded up: what another machine's clock may need. */
-    public Span withDrift() {
+    public Span plusClockDrift() {
         return new Span(ms + (ms + 999) / 1000);
     }
 
@@ -34,7 +34,7 @@
         return Long.compare(ms, other.ms);
     }
 
-    public static Span longer(Span first, Span second) {
+    public static Span max(Span first, Span second) {
         return first.compareTo(second) > 0 ? first : second;
     }
 }
--- a/src/main/java/io/indigoreach/core/model/TaskState.java
+++ b/src/main/java/io/indigoreach/core/model/TaskState.java
@@ -2,7 +2,7 @@
 
 /** A task's state on a machine. ORDERED: a start was sent, and no newer heartbeat has arrived yet. */
 public enum TaskState {
-    ORDERED,
+    START_SENT,
     FETCHING,
     RUNNING,
     SAVING,
--- a/src/main/java/io/indigoreach/core/model/TaskStatus.java
+++ b/src/main/java/io/indigoreach/core/model/TaskStatus.java
@@ -1,4 +1,4 @@
 package io.indigoreach.core.model;
 
 /** One task as a worker reports it; {@code cause} is null unless the task has exited. */
-public record TaskStatus(TaskId task, Attempt attempt, TaskState state, ExitCause cause, boolean saved) {}
+public record TaskStatus(TaskId task, Attempt attempt, TaskState state, ExitCause exitCause, boolean checkpointSaved) {}
--- a/src/main/java/io/indigoreach/core/model/WorkerCommand.java
+++ b/src/main/java/io/indigoreach/core/model/WorkerCommand.java
@@ -10,7 +10,7 @@
     record Start(TaskId task, Attempt attempt) implements WorkerCommand {}
 
     /** Stop, letting the task save its progress if it can within {@code grace}. */
-    record Stop(TaskId task, Attempt attempt, Span grace) implements WorkerCommand {}
+    record Stop(TaskId task, Attempt attempt, Span gracePeriod) implements WorkerCommand {}
 
     /** Removes an exited task from the worker's heartbeats. */
     record Reap(TaskId task, Attempt attempt) implements WorkerCommand {}
--- a/src/main/java/io/indigoreach/core/query/FairAdmission.java
+++ b/src/main/java/io/indigoreach/core/query/FairAdmission.java
@@ -37,7 +37,7 @@
         return true;
     }
 
-    public void leave() {
+    public void release() {
         waiting--;
     }
 }
--- a/src/main/java/io/indigoreach/core/query/ListingCursor.java
+++ b/src/main/java/io/indigoreach/core/query/ListingCursor.java
@@ -20,18 +20,18 @@
     }
 
     /** Whether all requests are answered. */
-    public boolean isOver() {
+    public boolean isComplete() {
         return remaining.isEmpty();
     }
 
     /** The first key of the next page: the next one with a waiting request, starting over after the last. */
-    public String next() {
+    public String nextPageStart() {
         String key = remaining.ceilingKey(position);
         return key != null ? key : remaining.firstKey();
     }
 
     /** Removes the requests that a page beginning at {@code from} answers: up to its {@code last} key, or to the end if that is null. */
-    public Map<String, W> answered(String from, String last) {
+    public Map<String, W> removeAnswered(String from, String last) {
         SortedMap<String, W> range =
                 last == null ? remaining.tailMap(from, true) : remaining.subMap(from, true, last, true);
         Map<String, W> answered = new TreeMap<>(range);
@@ -42,7 +42,7 @@
     }
 
     /** The page that began at {@code from} has failed: the next listing begins elsewhere. */
-    public void failed(String from) {
+    public void onPageFailed(String from) {
         position = from + " ";
     }
 
--- a/src/main/java/io/indigoreach/core/records/RecordCache.java
+++ b/src/main/java/io/indigoreach/core/records/RecordCache.java
@@ -13,13 +13,14 @@
     /** {@code families}: none may have a prefix that begins with another's. */
     public RecordCache(Collection<RecordFamily> families) {
         for (RecordFamily family : families) {
-            if (byFamily.keySet().stream().anyMatch(f -> f.contains(family.prefix()) || family.contains(f.prefix()))) {
+            if (byFamily.keySet().stream()
+                    .anyMatch(other -> other.contains(family.prefix()) || family.contains(other.prefix()))) {
                 throw new IllegalArgumentException("two families of records under " + family.prefix());
             }
             byFamily.put(family, new LinkedHashMap<>(16, 0.75f, true) {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, VersionedRecord> eldest) {
-                    return size() > family.remembered();
+                    return size() > family.maxRemembered();
                 }
             });
         }
@@ -33,7 +34,7 @@
     /** The family of a key; null if it is of none. */
     public RecordFamily familyOf(String key) {
         return byFamily.keySet().stream()
-                .filter(f -> f.contains(key))
+                .filter(family -> family.contains(key))
                 .findFirst()
                 .orElse(null);
     }
@@ -63,8 +64,8 @@
 
     /** Everything, whole families one after the other. */
     public List<VersionedRecord> all() {
-        List<VersionedRecord> out = new ArrayList<>();
-        byFamily.values().forEach(m -> out.addAll(m.values()));
-        return out;
+        List<VersionedRecord> copies = new ArrayList<>();
+        byFamily.values().forEach(familyCopies -> copies.addAll(familyCopies.values()));
+        return copies;
     }
 }
--- a/src/main/java/io/indigoreach/core/records/RecordFamily.java
+++ b/src/main/java/io/indigoreach/core/records/RecordFamily.java
@@ -10,15 +10,16 @@
  * @param permanent they are never removed: that one is gone, or older than a copy, shows a loss
  * @param mending what to write in place of a lost record
  */
-public record RecordFamily(String prefix, int remembered, boolean permanent, Mending mending) {
+public record RecordFamily(String prefix, int maxRemembered, boolean permanent, MergeRule mergeRule) {
     /** What is written where controllers remember a record that is absent or another in the state service. */
     @FunctionalInterface
-    public interface Mending {
+    public interface MergeRule {
         /** The newer copy, where that is the remembered one. */
-        Mending NEWER = (present, remembered) -> present.version() < remembered.version() ? remembered.value() : null;
+        MergeRule KEEP_NEWER =
+                (present, remembered) -> present.version() < remembered.version() ? remembered.value() : null;
 
         /** The value to be written, counting on from both; null if what is there stays. */
-        Map<String, Object> mend(VersionedRecord present, VersionedRecord remembered);
+        Map<String, Object> merge(VersionedRecord present, VersionedRecord remembered);
     }
 
     /** Checks that the prefix ends in a slash. */
--- a/src/main/java/io/indigoreach/core/records/Routine.java
+++ b/src/main/java/io/indigoreach/core/records/Routine.java
@@ -7,5 +7,5 @@
  */
 public interface Routine<R> {
     /** The next step after the result of the last one; at first {@code seen} is empty. */
-    Step<R> next(StepResult seen);
+    Step<R> next(StepResult result);
 }
--- a/src/main/java/io/indigoreach/core/records/Step.java
+++ b/src/main/java/io/indigoreach/core/records/Step.java
@@ -12,10 +12,10 @@
     }
 
     /** Up to {@code most} records with a prefix, in the order of their keys, beginning after one, or null. */
-    record Scan<R>(String prefix, String after, int most) implements Step<R> {}
+    record Scan<R>(String prefix, String afterKey, int limit) implements Step<R> {}
 
     /** Executed as a whole or not at all; the next {@link StepResult} says which. */
-    record Write<R>(Transaction change) implements Step<R> {}
+    record Write<R>(Transaction transaction) implements Step<R> {}
 
     /** The routine is finished. */
     record End<R>(R result) implements Step<R> {}
--- a/src/main/java/io/indigoreach/core/records/StepResult.java
+++ b/src/main/java/io/indigoreach/core/records/StepResult.java
@@ -18,11 +18,11 @@
         long era,
         long timeOfDayMs,
         Map<String, VersionedRecord> records,
-        boolean more,
-        Revision written,
-        List<String> failed) {
+        boolean hasMore,
+        Revision writtenRevision,
+        List<String> failedKeys) {
     /** The result before the first step. */
-    public static StepResult nothing(long era, long timeOfDayMs) {
+    public static StepResult empty(long era, long timeOfDayMs) {
         return new StepResult(era, timeOfDayMs, Map.of(), false, null, List.of());
     }
 
@@ -33,6 +33,6 @@
 
     /** Whether the last step was a write that was executed. */
     public boolean isWritten() {
-        return written != null;
+        return writtenRevision != null;
     }
 }
--- a/src/main/java/io/indigoreach/core/records/Transaction.java
+++ b/src/main/java/io/indigoreach/core/records/Transaction.java
@@ -28,9 +28,9 @@
 
     /** Puts a new value in place of what was read, if that is still current, and counts the change. */
     public Transaction replace(VersionedRecord read, Map<String, Object> value) {
-        Map<String, Object> counted = new LinkedHashMap<>(value);
-        counted.put(VersionedRecord.VERSION, read.version() + 1);
-        return when(read).put(read.key(), counted);
+        Map<String, Object> newValue = new LinkedHashMap<>(value);
+        newValue.put(VersionedRecord.VERSION_FIELD, read.version() + 1);
+        return when(read).put(read.key(), newValue);
     }
 
     /** Deletes a key. */
--- a/src/main/java/io/indigoreach/core/records/VersionedRecord.java
+++ b/src/main/java/io/indigoreach/core/records/VersionedRecord.java
@@ -13,7 +13,7 @@
  */
 public record VersionedRecord(String key, Map<String, Object> value, Revision revision) {
     /** The field that counts a record's changes; a part's routine raises it with each write. */
-    public static final String VERSION = "v";
+    public static final String VERSION_FIELD = "v";
 
     /** Copies the value. */
     public VersionedRecord {
@@ -32,6 +32,6 @@
 
     /** How often it was changed; 0 if it is not there. */
     public long version() {
-        return value != null && value.get(VERSION) instanceof Number n ? n.longValue() : 0;
+        return value != null && value.get(VERSION_FIELD) instanceof Number number ? number.longValue() : 0;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/AsymmetricPartition.java
+++ b/src/main/java/io/indigoreach/core/scheduling/AsymmetricPartitionDetector.java
@@ -24,16 +24,16 @@
  * a worker that waits 4 s for each answer and is sent back at once, at 16.5 s; by the token alone at 12 s and 33 s. All that
  * is kept is one command, a count and three times.
  */
-final class AsymmetricPartition {
-    private static final int MISSED_TO_CONFIRM = 3;
-    private static final double CONFIRMING_LEASE_FRACTION = 0.5;
+final class AsymmetricPartitionDetector {
+    private static final int MISSED_ANSWERS_TO_CONFIRM = 3;
+    private static final double CONFIRMATION_LEASE_FRACTION = 0.5;
     /** How much more evidence is needed of a machine that has not received any answer of this leader yet. */
-    private static final int UNPROVED_FACTOR = 2;
+    private static final int UNPROVEN_FACTOR = 2;
 
     private enum Evidence {
         RECEIVED,
         MISSED,
-        NONE
+        INCONCLUSIVE
     }
 
     /** A command of the last answer, by which the next heartbeat shows whether it was received; or null. */
@@ -41,11 +41,11 @@
     /** When the previous heartbeat was answered; null if it was not, or too late. */
     private Moment answerSentAt;
 
-    private int missed;
+    private int missedAnswers;
     /** When the first of the missed answers was given. */
-    private Moment missedSince;
+    private Moment firstMissedSentAt;
     /** When the last missed answer was noticed. */
-    private Moment lastMissedAt;
+    private Moment lastMissedDetectedAt;
     /** It has received an answer of this leader. */
     private boolean everReceived;
 
@@ -56,43 +56,44 @@
      *
      * @param awakeSince until then the leader's event loop stood still, and it may have answered late
      */
-    void observe(
+    void recordHeartbeat(
             Heartbeat heartbeat,
             HeartbeatNumber previous,
             FencingToken token,
-            Moment awakeSince,
+            Moment eventLoopRunningSince,
             SafetyTimes safetyTimes,
             Moment now) {
-        Evidence evidence = evidence(heartbeat, previous, token);
-        boolean outlastsLease = missed > 0 && now.since(lastMissedAt).compareTo(safetyTimes.leaseBound()) > 0;
-        if (evidence == Evidence.RECEIVED || (evidence == Evidence.NONE && outlastsLease)) {
+        Evidence evidence = evaluateHeartbeat(heartbeat, previous, token);
+        boolean outlivesLease =
+                missedAnswers > 0 && now.since(lastMissedDetectedAt).compareTo(safetyTimes.leaseBound()) > 0;
+        if (evidence == Evidence.RECEIVED || (evidence == Evidence.INCONCLUSIVE && outlivesLease)) {
             // An incarnation that outlasts a lease was answered meanwhile, whatever else is known.
-            missed = 0;
+            missedAnswers = 0;
             confirmed = false;
             everReceived |= evidence == Evidence.RECEIVED;
-        } else if (evidence == Evidence.MISSED && !awakeSince.isAfter(answerSentAt)) {
-            answerMissed(safetyTimes, now);
+        } else if (evidence == Evidence.MISSED && !eventLoopRunningSince.isAfter(answerSentAt)) {
+            recordMissedAnswer(safetyTimes, now);
         }
         answerSentAt = null;
         probe = null;
     }
 
-    private void answerMissed(SafetyTimes safetyTimes, Moment now) {
-        missedSince = missed == 0 ? answerSentAt : missedSince;
-        lastMissedAt = now;
-        missed++;
-        int factor = everReceived ? 1 : UNPROVED_FACTOR;
-        Span confirmingTime = safetyTimes.workerLease().times(CONFIRMING_LEASE_FRACTION * factor);
-        confirmed =
-                missed >= MISSED_TO_CONFIRM * factor && now.since(missedSince).compareTo(confirmingTime) >= 0;
+    private void recordMissedAnswer(SafetyTimes safetyTimes, Moment now) {
+        firstMissedSentAt = missedAnswers == 0 ? answerSentAt : firstMissedSentAt;
+        lastMissedDetectedAt = now;
+        missedAnswers++;
+        int factor = everReceived ? 1 : UNPROVEN_FACTOR;
+        Span confirmationTime = safetyTimes.workerLease().times(CONFIRMATION_LEASE_FRACTION * factor);
+        confirmed = missedAnswers >= MISSED_ANSWERS_TO_CONFIRM * factor
+                && now.since(firstMissedSentAt).compareTo(confirmationTime) >= 0;
     }
 
-    private Evidence evidence(Heartbeat heartbeat, HeartbeatNumber previous, FencingToken token) {
+    private Evidence evaluateHeartbeat(Heartbeat heartbeat, HeartbeatNumber previous, FencingToken token) {
         if (!everReceived && heartbeat.token().equals(token)) {
             return Evidence.RECEIVED;
         }
         if (answerSentAt == null) {
-            return Evidence.NONE;
+            return Evidence.INCONCLUSIVE;
         }
         if (heartbeat.number().incarnation() > previous.incarnation()) {
             return Evidence.MISSED;
@@ -100,16 +101,18 @@
         if (heartbeat.token().value() < token.value()) {
             return Evidence.MISSED;
         }
-        return probe == null ? Evidence.NONE : evidenceOf(heartbeat.tasks());
+        return probe == null ? Evidence.INCONCLUSIVE : evaluateTasks(heartbeat.tasks());
     }
 
-    private Evidence evidenceOf(List<TaskStatus> tasks) {
+    private Evidence evaluateTasks(List<TaskStatus> tasks) {
         Optional<TaskStatus> reported = tasks.stream()
                 .filter(status ->
                         status.task().equals(probe.task()) && status.attempt().equals(probe.attempt()))
                 .findFirst();
         if (probe instanceof WorkerCommand.Stop) {
-            return reported.filter(AsymmetricPartition::isStillRunning).isPresent() ? Evidence.MISSED : Evidence.NONE;
+            return reported.filter(AsymmetricPartitionDetector::isStillRunning).isPresent()
+                    ? Evidence.MISSED
+                    : Evidence.INCONCLUSIVE;
         }
         boolean expected = probe instanceof WorkerCommand.Start;
         return reported.isPresent() == expected ? Evidence.RECEIVED : Evidence.MISSED;
@@ -120,7 +123,7 @@
     }
 
     /** These commands are in the answer that is sent now: a start is the best evidence, a stop the weakest. */
-    void answerSent(List<WorkerCommand> commands, Moment now) {
+    void recordAnswer(List<WorkerCommand> commands, Moment now) {
         answerSentAt = now;
         for (WorkerCommand command : commands) {
             if (probe == null || command instanceof WorkerCommand.Start || probe instanceof WorkerCommand.Stop) {
@@ -131,7 +134,7 @@
 
     /** It has missed the last answer. */
     boolean isSuspected() {
-        return missed > 0;
+        return missedAnswers > 0;
     }
 
     /** Answers do not reach it: nothing more is to be given to it. */
@@ -140,12 +143,12 @@
     }
 
     /** When the first of the missed answers was given. */
-    Moment missedSince() {
-        return missedSince;
+    Moment firstMissedSentAt() {
+        return firstMissedSentAt;
     }
 
     /** How many answers it has missed in a row. */
-    int missed() {
-        return missed;
+    int missedAnswers() {
+        return missedAnswers;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/AvailableMachines.java
+++ b/src/main/java/io/indigoreach/core/scheduling/AvailableMachineCounter.java
@@ -3,11 +3,11 @@
 import io.indigoreach.core.model.Moment;
 
 /** Counts the machines that a queue has at hand before it scales out. */
-final class AvailableMachines {
+final class AvailableMachineCounter {
     private final Cluster cluster;
     private final double bootPatience;
 
-    AvailableMachines(Cluster cluster, double bootPatience) {
+    AvailableMachineCounter(Cluster cluster, double bootPatience) {
         this.cluster = cluster;
         this.bootPatience = bootPatience;
     }
@@ -41,8 +41,7 @@
     private static boolean isUsableByQueue(FairShareQueue queue, Machine machine) {
         return machine.failedJobs.isEmpty()
                 || queue.jobs().stream()
-                        .anyMatch(job -> job.hasWaiting()
-                                && !job.isSuspectedFaulty()
-                                && !FaultAttribution.isExcluded(job, machine));
+                        .anyMatch(job ->
+                                job.hasWaiting() && !job.isSuspectedFaulty() && !FaultTracker.isExcluded(job, machine));
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Backlog.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Backlog.java
@@ -2,17 +2,17 @@
 
 /** The work of one machine type's queue, added up in the order of the queue, in seconds of a whole machine. */
 final class Backlog {
-    final CapacityForecast spot;
-    final CapacityForecast onDemand;
+    final CapacityForecast spotCapacity;
+    final CapacityForecast onDemandCapacity;
     /** Machines busy all the time with jobs whose objectives are too near to scale out for them. */
     final double arrivalLoad;
 
-    private double work;
+    private double waitingWork;
     private double onDemandNeeded;
 
-    Backlog(CapacityForecast spot, CapacityForecast onDemand, double arrivalLoad) {
-        this.spot = spot;
-        this.onDemand = onDemand;
+    Backlog(CapacityForecast spotCapacity, CapacityForecast onDemandCapacity, double arrivalLoad) {
+        this.spotCapacity = spotCapacity;
+        this.onDemandCapacity = onDemandCapacity;
         this.arrivalLoad = arrivalLoad;
     }
 
@@ -21,8 +21,8 @@
         return onDemandNeeded;
     }
 
-    void add(double machineSeconds) {
-        work += machineSeconds;
+    void addWork(double machineSeconds) {
+        waitingWork += machineSeconds;
     }
 
     /**
@@ -33,23 +33,24 @@
      * @param minimumPaidSeconds seconds that a machine is paid for in any case
      * @param laterMachines machines kept busy by work that comes later and goes before it
      */
-    void mustStartWithin(double secondsLeft, double bootSeconds, double minimumPaidSeconds, double laterMachines) {
+    void requireStartWithin(double secondsLeft, double bootSeconds, double minimumPaidSeconds, double laterMachines) {
         double usefulSeconds = secondsLeft - bootSeconds;
-        double missing = work + laterMachines * secondsLeft - spot.until(secondsLeft);
-        if (usefulSeconds <= 0 || missing <= 0) {
+        double missingWork = waitingWork + laterMachines * secondsLeft - spotCapacity.machineSecondsWithin(secondsLeft);
+        if (usefulSeconds <= 0 || missingWork <= 0) {
             return;
         }
-        double present = onDemand.until(secondsLeft);
+        double onDemandWork = onDemandCapacity.machineSecondsWithin(secondsLeft);
         // A machine is worth renting if it finds work for the time that is paid in any case.
-        double more = Math.max(0, missing - present) / Math.max(usefulSeconds, minimumPaidSeconds);
-        double used = onDemand.machines() * (present > 0 ? Math.min(1, missing / present) : 1);
-        onDemandNeeded = Math.max(onDemandNeeded, more + used);
+        double newMachines = Math.max(0, missingWork - onDemandWork) / Math.max(usefulSeconds, minimumPaidSeconds);
+        double usedMachines =
+                onDemandCapacity.machines() * (onDemandWork > 0 ? Math.min(1, missingWork / onDemandWork) : 1);
+        onDemandNeeded = Math.max(onDemandNeeded, newMachines + usedMachines);
     }
 
     /** Raises the need to what serves the whole queue within {@code limitSeconds}, and the arriving near objectives. */
-    void mustBeServedWithin(double limitSeconds) {
-        double whole = Math.floor(work / limitSeconds) - spot.machines();
-        onDemandNeeded = Math.max(onDemandNeeded, Math.max(whole, arrivalLoad - spot.machines()));
+    void requireServedWithin(double limitSeconds) {
+        double machinesForQueue = Math.floor(waitingWork / limitSeconds) - spotCapacity.machines();
+        onDemandNeeded = Math.max(onDemandNeeded, Math.max(machinesForQueue, arrivalLoad - spotCapacity.machines()));
     }
 
     /**
@@ -57,7 +58,8 @@
      * limit. What is idle or booting is left out here, as it is taken off the whole need.
      */
     double machinesForShortWork(double shortWork, double waitLimitSeconds, double minimumPaidSeconds) {
-        double served = spot.busyUntil(waitLimitSeconds) + onDemand.busyUntil(waitLimitSeconds);
-        return Math.max(0, shortWork - served) / minimumPaidSeconds;
+        double servedWork = spotCapacity.busyMachineSecondsWithin(waitLimitSeconds)
+                + onDemandCapacity.busyMachineSecondsWithin(waitLimitSeconds);
+        return Math.max(0, shortWork - servedWork) / minimumPaidSeconds;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/CapacityForecast.java
+++ b/src/main/java/io/indigoreach/core/scheduling/CapacityForecast.java
@@ -13,7 +13,12 @@
  * @param booting machines that are booting
  * @param bootSeconds what is left of their boot times, in all
  */
-record CapacityForecast(double up, double idle, double busySeconds, int booting, double bootSeconds) {
+record CapacityForecast(
+        double upMachines,
+        double idleMachines,
+        double busyMachineSeconds,
+        int bootingMachines,
+        double remainingBootSeconds) {
     static CapacityForecast of(
             Cluster cluster,
             FairShareQueue queue,
@@ -22,60 +27,67 @@
             Estimates estimates,
             double bootPatience,
             Moment now) {
-        double up = 0;
-        double idle = 0;
-        int booting = 0;
-        double busySeconds = 0;
-        double bootSeconds = 0;
+        double upMachines = 0;
+        double idleMachines = 0;
+        int bootingMachines = 0;
+        double busyMachineSeconds = 0;
+        double remainingBootSeconds = 0;
         for (Machine machine : cluster.machinesServing(queue)) {
-            if (!isOfKind(machine, type, spot)) {
+            if (!matches(machine, type, spot)) {
                 continue;
             }
             if (machine.isHealthy()) {
-                up += 1 - heldByReplicas(machine);
-                idle += machine.isIdle() ? 1 : 0;
+                upMachines += 1 - shareHeldByReplicas(machine);
+                idleMachines += machine.isIdle() ? 1 : 0;
                 for (Placement placement : machine.placements().values()) {
-                    busySeconds += placement.job.spec.isService() ? 0 : secondsLeft(placement, type, estimates, now);
+                    busyMachineSeconds += placement.job.spec.isService()
+                            ? 0
+                            : remainingMachineSeconds(placement, type, estimates, now);
                 }
             } else if (machine.isBooting(now, bootPatience)) {
-                booting++;
-                bootSeconds += Math.max(
-                        0, machine.rentedAt.plus(type.boot()).since(now).seconds());
+                bootingMachines++;
+                remainingBootSeconds += Math.max(
+                        0, machine.rentedAt.plus(type.bootTime()).since(now).seconds());
             }
         }
-        return new CapacityForecast(up, idle, busySeconds, booting, bootSeconds);
+        return new CapacityForecast(
+                upMachines, idleMachines, busyMachineSeconds, bootingMachines, remainingBootSeconds);
     }
 
-    private static boolean isOfKind(Machine machine, MachineType type, boolean spot) {
+    private static boolean matches(Machine machine, MachineType type, boolean spot) {
         return machine.pool.type().equals(type.name()) && machine.pool.spot() == spot && machine.poolMembership == null;
     }
 
-    private static double secondsLeft(Placement placement, MachineType type, Estimates estimates, Moment now) {
-        return estimates.end(placement, now).since(now).seconds()
-                / Math.max(1, placement.demand().timesIn(type.capacity()));
+    private static double remainingMachineSeconds(
+            Placement placement, MachineType type, Estimates estimates, Moment now) {
+        return estimates.expectedEnd(placement, now).since(now).seconds()
+                / Math.max(1, placement.demand().countFittingIn(type.capacity()));
     }
 
     /** The part of a machine that replicas hold: it does not come free by itself. */
-    static double heldByReplicas(Machine machine) {
-        double held = 0;
+    static double shareHeldByReplicas(Machine machine) {
+        double heldShare = 0;
         for (Placement placement : machine.placements().values()) {
-            held += placement.job.spec.isService() ? placement.demand().shareOf(machine.type.capacity()) : 0;
+            heldShare +=
+                    placement.job.spec.isService() ? placement.demand().dominantShareOf(machine.type.capacity()) : 0;
         }
-        return Math.min(1, held);
+        return Math.min(1, heldShare);
     }
 
     double machines() {
-        return up + booting;
+        return upMachines + bootingMachines;
     }
 
     /** Seconds of a whole machine that all can work until so many seconds from now. */
-    double until(double seconds) {
-        return Math.max(0, up * seconds - busySeconds)
-                + (booting == 0 ? 0 : booting * Math.max(0, seconds - bootSeconds / booting));
+    double machineSecondsWithin(double seconds) {
+        return Math.max(0, upMachines * seconds - busyMachineSeconds)
+                + (bootingMachines == 0
+                        ? 0
+                        : bootingMachines * Math.max(0, seconds - remainingBootSeconds / bootingMachines));
     }
 
     /** The same of the machines that have tasks only. */
-    double busyUntil(double seconds) {
-        return Math.max(0, (up - idle) * seconds - busySeconds);
+    double busyMachineSecondsWithin(double seconds) {
+        return Math.max(0, (upMachines - idleMachines) * seconds - busyMachineSeconds);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Cluster.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Cluster.java
@@ -17,11 +17,11 @@
 final class Cluster {
     final Map<JobId, Job> jobs = new HashMap<>();
     final TreeMap<MachineId, Machine> machines = new TreeMap<>();
-    final Map<String, MachineType> types = new LinkedHashMap<>();
-    private final Map<String, TeamUsage> teams = new HashMap<>();
+    final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
+    private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
     private final Map<String, FairShareQueue> queues = new LinkedHashMap<>();
     /** On how many machines each image is. */
-    private final Map<String, Integer> machinesByImage = new HashMap<>();
+    private final Map<String, Integer> machineCountByImage = new HashMap<>();
     /** Jobs whose tasks only hold images: in no queue. */
     final List<Job> holderJobs = new ArrayList<>();
 
@@ -29,28 +29,28 @@
     private int orphanTasks;
     private long machineVisits;
     /** Since when the event loop has run without a pause: heartbeats missing before then may wait to be read. */
-    Moment awakeSince = Moment.NEVER;
+    Moment eventLoopRunningSince = Moment.NEVER;
     /** Rises with every change that can alter a reservation. */
-    long version;
+    long changeCount;
 
     Cluster(Collection<Team> teams) {
         for (Team team : teams) {
             TeamUsage usage = new TeamUsage(team);
-            this.teams.put(team.name(), usage);
+            this.usageByTeam.put(team.name(), usage);
             queueOf(usage);
         }
     }
 
     /** Something has changed that can alter a reservation. */
-    void changed() {
-        version++;
+    void recordChange() {
+        changeCount++;
     }
 
-    void setAwakeSince(Moment since) {
-        awakeSince = since;
+    void setEventLoopRunningSince(Moment since) {
+        eventLoopRunningSince = since;
     }
 
-    void useWarmCapacity(WarmCapacity capacity) {
+    void setWarmCapacity(WarmCapacity capacity) {
         warmCapacity = capacity;
     }
 
@@ -60,12 +60,12 @@
 
     /** What the job's team uses; one that the settings no longer name keeps its jobs, without guarantee or limit. */
     TeamUsage teamUsage(Job job) {
-        return teams.computeIfAbsent(job.spec.team(), name -> new TeamUsage(new Team(name, 0, 0, 0, 0)));
+        return usageByTeam.computeIfAbsent(job.spec.team(), name -> new TeamUsage(new Team(name, 0, 0, 0, 0)));
     }
 
     private FairShareQueue queueOf(TeamUsage usage) {
         return queues.computeIfAbsent(
-                usage.hasGuarantee() ? usage.team.name() : FairShareQueue.COMMON,
+                usage.hasGuarantee() ? usage.team.name() : FairShareQueue.COMMON_QUEUE_NAME,
                 name -> new FairShareQueue(name, usage.hasGuarantee() ? usage : null));
     }
 
@@ -78,22 +78,22 @@
         return machine.queueName == null ? null : queues.get(machine.queueName);
     }
 
-    void add(Job job) {
+    void addJob(Job job) {
         jobs.put(job.id(), job);
         if (!job.hasUnmetDependencies()) {
             enqueue(job);
         }
-        version++;
+        changeCount++;
     }
 
     /** From now on the job is served in its turn. */
     void enqueue(Job job) {
-        if (job.spec.isHolder()) {
+        if (job.spec.isWarmPoolHolder()) {
             holderJobs.add(job);
         } else {
             queueOf(job).add(job);
         }
-        version++;
+        changeCount++;
     }
 
     /** Tasks of jobs that are over, on any machine. */
@@ -103,7 +103,7 @@
 
     void setOrphanTasks(Machine machine, int count) {
         orphanTasks += count - machine.orphanTasks;
-        machine.countOrphanTasks(count);
+        machine.setOrphanTasks(count);
     }
 
     /** How many machines were visited by iterations over a queue's machines: what decisions cost. */
@@ -112,11 +112,11 @@
     }
 
     /** Removes a job from its queue; its placements stay until their tasks surely are gone. */
-    void remove(Job job) {
+    void removeJob(Job job) {
         jobs.remove(job.id(), job);
         holderJobs.remove(job);
         queueOf(job).remove(job);
-        version++;
+        changeCount++;
     }
 
     void addPlacement(Placement placement) {
@@ -125,16 +125,20 @@
         placement.machine.addPlacement(placement);
         String image = placement.job.spec.image();
         if (!placement.machine.imageCache.contains(image)) {
-            machinesByImage.merge(image, 1, Integer::sum);
+            machineCountByImage.merge(image, 1, Integer::sum);
         }
-        placement.machine.imageCache.use(image, placement.job.spec.imageGb()).forEach(this::imageRemoved);
+        placement
+                .machine
+                .imageCache
+                .markUsed(image, placement.job.spec.imageGb())
+                .forEach(this::decrementImageCount);
         if (placement.isRunning()) {
             // Started by an earlier leader: the image was here then, and may have been evicted since.
             placement.machine.imageCache.markUncertain(image);
         }
         queueOf(placement.job).addUsage(placement.demand(), 1);
         teamUsage(placement.job).addUsage(placement.demand(), 1);
-        version++;
+        changeCount++;
     }
 
     /** The task is surely not on its machine any more. */
@@ -146,14 +150,14 @@
         teamUsage(placement.job).addUsage(placement.demand(), -1);
         String image = placement.job.spec.image();
         if (placement.machine.imageCache.isFetching(image)
-                && !placement.machine.hasTaskWith(image)
+                && !placement.machine.hasTaskWithImage(image)
                 && placement.machine.imageCache.abandonFetch(image)) {
-            imageRemoved(image);
+            decrementImageCount(image);
         }
         if (placement.machine.isIdle()) {
-            placement.machine.becameIdle(now);
+            placement.machine.markIdle(now);
         }
-        version++;
+        changeCount++;
     }
 
     void removeAllPlacements(Machine machine, Moment now) {
@@ -167,22 +171,22 @@
     void removeMachine(Machine machine, Moment now) {
         removeAllPlacements(machine, now);
         machines.remove(machine.id);
-        machine.imageCache.images().forEach(this::imageRemoved);
-        version++;
+        machine.imageCache.images().forEach(this::decrementImageCount);
+        changeCount++;
     }
 
     /** Everything that earlier leaders have started is known: each waiting task may be started. */
     void releaseInheritedTasks() {
         jobs.values().forEach(Job::releaseInheritedTasks);
-        version++;
+        changeCount++;
     }
 
-    private void imageRemoved(String image) {
-        machinesByImage.computeIfPresent(image, (key, count) -> count > 1 ? count - 1 : null);
+    private void decrementImageCount(String image) {
+        machineCountByImage.computeIfPresent(image, (key, count) -> count > 1 ? count - 1 : null);
     }
 
     boolean isImageCached(String image) {
-        return machinesByImage.containsKey(image);
+        return machineCountByImage.containsKey(image);
     }
 
     /** Every machine; an iteration over them counts like one over a queue's. */
--- a/src/main/java/io/indigoreach/core/scheduling/CommandBatch.java
+++ b/src/main/java/io/indigoreach/core/scheduling/CommandBatch.java
@@ -14,12 +14,12 @@
     }
 
     /** Adds the start of a task that was placed on the machine. */
-    void start(Placement placement) {
+    void addStart(Placement placement) {
         commands.add(new WorkerCommand.Start(placement.task(), placement.attempt));
     }
 
     /** Adds a stop without time to save. */
-    void stop(Placement placement) {
+    void addStop(Placement placement) {
         placement.stopRequested();
         commands.add(new WorkerCommand.Stop(placement.task(), placement.attempt, Span.ZERO));
     }
@@ -30,6 +30,6 @@
         return new WorkerCommand.Stop(
                 placement.task(),
                 placement.attempt,
-                placement.job.spec.checkpointTime().times(2));
+                placement.job.spec.checkpointDuration().times(2));
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ConsolidationPolicy.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.TaskState;
 import io.indigoreach.core.model.WorkerCommand;
@@ -18,7 +18,7 @@
  * and their image; the machines so emptied take no new tasks and are returned at the end of their term, as any idle one.
  * The protocol allows stopping a task to drain a machine.
  */
-final class Consolidation {
+final class ConsolidationPolicy {
     /** Part of the machines that may be emptied between two checks: what was moved is seen to run before more is. */
     private static final double MAX_DRAINING_FRACTION = 0.02;
     /** A task is moved only if it has this many times longer to run than its move takes. */
@@ -29,7 +29,7 @@
     private final Estimates estimates;
     private final SafetyTimes safetyTimes;
 
-    Consolidation(Cluster cluster, DispatchRules rules, Estimates estimates, SafetyTimes safetyTimes) {
+    ConsolidationPolicy(Cluster cluster, DispatchRules rules, Estimates estimates, SafetyTimes safetyTimes) {
         this.cluster = cluster;
         this.rules = rules;
         this.estimates = estimates;
@@ -37,17 +37,17 @@
     }
 
     /** Marks the machines that are to take no new tasks, and those of them that are to be emptied. */
-    void plan(Moment now) {
+    void planDraining(Moment now) {
         for (FairShareQueue queue : cluster.queues()) {
-            plan(queue, now);
+            planDraining(queue, now);
         }
     }
 
-    private void plan(FairShareQueue queue, Moment now) {
+    private void planDraining(FairShareQueue queue, Moment now) {
         List<Machine> machines = new ArrayList<>();
         for (Machine machine : cluster.machinesServing(queue)) {
             // Until the tasks that were stopped have left it.
-            machine.endDrainingIfStopped();
+            machine.endDrainingIfNoneStopping();
             machine.uncordon();
             if (machine.isUsable()
                     && machine.reconciled
@@ -56,62 +56,62 @@
                 machines.add(machine);
             }
         }
-        if (!rules.placement().isFailoverComplete() || !rules.cordons().fitsIn(queue, room(machines), now)) {
+        if (!rules.placement().isFailoverComplete() || !rules.cordons().fitsIn(queue, freeResources(machines), now)) {
             return;
         }
         machines.sort(Comparator.comparing((Machine machine) -> machine.surplus ? 1 : 0)
                 .thenComparing(machine -> machine.pool.spot() ? 0 : 1)
-                .thenComparing(machine -> -machine.used().shareOf(machine.type.capacity())));
+                .thenComparing(machine -> -machine.usedResources().dominantShareOf(machine.type.capacity())));
         chooseMachinesToDrain(queue, machines, now);
         for (Machine machine : machines) {
             if (machine.isIdle() || machine.draining) {
                 machine.cordonFor(queue);
             }
         }
-        queue.roomOutsideCordon(room(machines));
+        queue.freeOutsideCordon(freeResources(machines));
     }
 
     /** What is free on machines at work. */
-    private static List<Demand> room(List<Machine> machines) {
+    private static List<Resources> freeResources(List<Machine> machines) {
         return machines.stream()
-                .filter(machine -> roomOn(machine) > 0)
-                .map(Machine::free)
+                .filter(machine -> freeCores(machine) > 0)
+                .map(Machine::freeResources)
                 .toList();
     }
 
     /** Chooses the machines to empty, from the end of the list. */
     private void chooseMachinesToDrain(FairShareQueue queue, List<Machine> machines, Moment now) {
-        Map<Machine, Demand> free = new HashMap<>();
+        Map<Machine, Resources> freeAfterMoves = new HashMap<>();
         double unclaimedCores = 0;
         for (Machine machine : machines) {
-            unclaimedCores += roomOn(machine);
+            unclaimedCores += freeCores(machine);
         }
         for (Job job : queue.jobs()) {
             unclaimedCores -= job.startableCount() * job.spec.demand().cores();
         }
-        int left = (int) Math.ceil(machines.size() * MAX_DRAINING_FRACTION);
-        for (int i = machines.size() - 1; i > 0 && left > 0; i--) {
+        int remaining = (int) Math.ceil(machines.size() * MAX_DRAINING_FRACTION);
+        for (int i = machines.size() - 1; i > 0 && remaining > 0; i--) {
             Machine machine = machines.get(i);
             // Its tasks take room elsewhere, and its own is no room any more.
-            double cost = machine.used().cores() + roomOn(machine);
+            double requiredCores = machine.usedResources().cores() + freeCores(machine);
             if (machine.isIdle()
                     || machine.draining
-                    || free.containsKey(machine)
-                    || unclaimedCores < cost
+                    || freeAfterMoves.containsKey(machine)
+                    || unclaimedCores < requiredCores
                     || !isMovable(machine, now)
-                    || !reserveTargets(machine, machines.subList(0, i), free)) {
+                    || !reserveTargets(machine, machines.subList(0, i), freeAfterMoves)) {
                 continue;
             }
-            machine.startDraining();
-            unclaimedCores -= cost;
-            left--;
+            machine.beginDraining();
+            unclaimedCores -= requiredCores;
+            remaining--;
         }
     }
 
-    private static double roomOn(Machine machine) {
+    private static double freeCores(Machine machine) {
         return machine.isIdle() || machine.draining || machine.surplus
                 ? 0
-                : machine.free().cores();
+                : machine.freeResources().cores();
     }
 
     /** Not what has hardly run, so that none is moved again and again, nor where a place depends on the job's other tasks. */
@@ -129,22 +129,25 @@
         if (placement.state != TaskState.RUNNING || placement.stopping || job.cancelled) {
             return false;
         }
-        if (!job.spec.savesProgress() || job.spec.oneZone() || job.spec.spread()) {
+        if (!job.spec.savesCheckpoints() || job.spec.singleZone() || job.spec.spreadOverZones()) {
             return false;
         }
-        Span move = job.spec.checkpointTime().plus(safetyTimes.heartbeatPeriod().times(2));
-        return now.since(placement.stateSince).compareTo(Preemption.MINIMUM_RUN) >= 0
-                && estimates.end(placement, now).since(now).compareTo(move.times(MIN_REMAINING_PER_MOVE)) >= 0;
+        Span moveTime =
+                job.spec.checkpointDuration().plus(safetyTimes.heartbeatPeriod().times(2));
+        return now.since(placement.stateSince).compareTo(PreemptionPolicy.MINIMUM_RUN) >= 0
+                && estimates.expectedEnd(placement, now).since(now).compareTo(moveTime.times(MIN_REMAINING_PER_MOVE))
+                        >= 0;
     }
 
     /** Finds a place for each task of the machine on a fuller machine that has its image; all or nothing. */
-    private static boolean reserveTargets(Machine machine, List<Machine> fuller, Map<Machine, Demand> free) {
-        Map<Machine, Demand> after = new HashMap<>(free);
+    private static boolean reserveTargets(
+            Machine machine, List<Machine> fullerMachines, Map<Machine, Resources> freeAfterMoves) {
+        Map<Machine, Resources> reserved = new HashMap<>(freeAfterMoves);
         for (Placement placement : machine.placements().values()) {
             Machine target = null;
-            for (Machine candidate : fuller) {
+            for (Machine candidate : fullerMachines) {
                 if (isTarget(candidate, placement.job)
-                        && placement.demand().fitsIn(after.getOrDefault(candidate, candidate.free()))) {
+                        && placement.demand().fitsIn(reserved.getOrDefault(candidate, candidate.freeResources()))) {
                     target = candidate;
                     break;
                 }
@@ -152,9 +155,11 @@
             if (target == null) {
                 return false;
             }
-            after.put(target, after.getOrDefault(target, target.free()).minus(placement.demand()));
+            reserved.put(
+                    target,
+                    reserved.getOrDefault(target, target.freeResources()).minus(placement.demand()));
         }
-        free.putAll(after);
+        freeAfterMoves.putAll(reserved);
         return true;
     }
 
@@ -163,7 +168,7 @@
         return keepsTasks
                 && machine.imageCache.contains(job.spec.image())
                 && machine.allows(job.spec)
-                && !FaultAttribution.isExcluded(job, machine);
+                && !FaultTracker.isExcluded(job, machine);
     }
 
     /** Stops for a machine that is to be emptied; what is stopped waits for a machine that has its image. */
@@ -172,7 +177,7 @@
         if (machine.draining && isMovable(machine, now) && rules.cordons().isCordoned(machine, now)) {
             for (Placement placement : machine.placementsCopy()) {
                 placement.job.awaitImageLocality(
-                        now.plus(safetyTimes.heartbeatPeriod().times(3)).plus(placement.job.spec.checkpointTime()));
+                        now.plus(safetyTimes.heartbeatPeriod().times(3)).plus(placement.job.spec.checkpointDuration()));
                 commands.add(CommandBatch.stopWithCheckpoint(placement));
             }
         }
--- a/src/main/java/io/indigoreach/core/scheduling/CordonRules.java
+++ b/src/main/java/io/indigoreach/core/scheduling/CordonRules.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Urgency;
 import java.util.Collection;
 import java.util.Iterator;
@@ -10,33 +10,33 @@
 final class CordonRules {
     private final Cluster cluster;
     private final ServiceLevelObjectives objectives;
-    private final PlacementRules rules;
+    private final PlacementRules placementRules;
 
-    CordonRules(Cluster cluster, ServiceLevelObjectives objectives, PlacementRules rules) {
+    CordonRules(Cluster cluster, ServiceLevelObjectives objectives, PlacementRules placementRules) {
         this.cluster = cluster;
         this.objectives = objectives;
-        this.rules = rules;
+        this.placementRules = placementRules;
     }
 
     /** Whether the machine is cordoned, and no more waits by now than the other machines have room for. */
     boolean isCordoned(Machine machine, Moment now) {
-        return machine.cordonedFor != null && fitsIn(machine.cordonedFor, machine.cordonedFor.roomOutsideCordon(), now);
+        return machine.cordonedFor != null && fitsIn(machine.cordonedFor, machine.cordonedFor.freeOutsideCordon(), now);
     }
 
     /**
      * Whether all that waits in a queue has places in what is free on some machines, each job by itself and all
      * together. Never where a job waits that should not be kept from any place.
      */
-    boolean fitsIn(FairShareQueue queue, Collection<Demand> free, Moment now) {
+    boolean fitsIn(FairShareQueue queue, Collection<Resources> free, Moment now) {
         double cores = 0;
-        for (Demand room : free) {
-            cores += room.cores();
+        for (Resources machineFree : free) {
+            cores += machineFree.cores();
         }
         for (Job job : queue.jobs()) {
-            if (!job.hasStartable() || job.isSuspectedFaulty() || !rules.mayStart(job, now)) {
+            if (!job.hasStartable() || job.isSuspectedFaulty() || !placementRules.mayStart(job, now)) {
                 continue;
             }
-            if (needsEveryPlace(job, now)) {
+            if (needsEveryMachine(job, now)) {
                 return false;
             }
             cores -= job.startableCount() * job.spec.demand().cores();
@@ -47,25 +47,25 @@
         return true;
     }
 
-    private static boolean fitsIn(Job job, Collection<Demand> free) {
-        int lacking = job.startableCount();
-        for (Iterator<Demand> rooms = free.iterator(); lacking > 0 && rooms.hasNext(); ) {
-            lacking -= job.spec.demand().timesIn(rooms.next());
+    private static boolean fitsIn(Job job, Collection<Resources> free) {
+        int missing = job.startableCount();
+        for (Iterator<Resources> freeIterator = free.iterator(); missing > 0 && freeIterator.hasNext(); ) {
+            missing -= job.spec.demand().countFittingIn(freeIterator.next());
         }
-        return lacking <= 0;
+        return missing <= 0;
     }
 
     /** It is urgent, a replica, may not use every machine, or has an objective on its starts that can still be met. */
-    private boolean needsEveryPlace(Job job, Moment now) {
-        Moment due = objectives.latestStartForWait(job);
+    private boolean needsEveryMachine(Job job, Moment now) {
+        Moment latestStart = objectives.latestStartForStartObjective(job);
         return job.urgency().isMoreUrgentThan(Urgency.STANDARD)
                 || job.spec.isService()
-                || isBoundToSomeMachines(job)
-                || (due != null && now.isBefore(due));
+                || isRestrictedToSomeMachines(job)
+                || (latestStart != null && now.isBefore(latestStart));
     }
 
-    private static boolean isBoundToSomeMachines(Job job) {
-        return !job.spec.spotAllowed() || job.spec.zone() != null || job.spec.types() != null;
+    private static boolean isRestrictedToSomeMachines(Job job) {
+        return !job.spec.spotAllowed() || job.spec.zone() != null || job.spec.machineTypes() != null;
     }
 
     /** Whether an idle machine can be used by a job that waits in a queue which the machine serves. */
@@ -90,8 +90,8 @@
         return job.hasWaiting()
                 && !job.isSuspectedFaulty()
                 && machine.allows(job.spec)
-                && job.spec.demand().fitsIn(machine.freeFor(job.spec))
+                && job.spec.demand().fitsIn(machine.freeResourcesFor(job.spec))
                 && !job.failedMachines.contains(machine.id)
-                && rules.isPlaceable(job, machine);
+                && placementRules.isPlaceable(job, machine);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
+++ b/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
 import io.indigoreach.core.dependency.DependencyGraph;
-import io.indigoreach.core.dependency.Lookahead;
+import io.indigoreach.core.dependency.TargetPropagation;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobTarget;
 import io.indigoreach.core.model.Moment;
@@ -16,53 +16,53 @@
  * count from then, except its deadline.
  */
 public final class DependentJobs {
-    private static final Span LOOK_AHEAD = Span.seconds(1);
+    private static final Span TARGET_INTERVAL = Span.seconds(1);
 
     private final Cluster cluster;
     private final Estimates estimates;
     private final DependencyGraph graph = new DependencyGraph();
     /** Waiting jobs that were there before this leader: an earlier one may have released them. */
-    private final Set<Job> inherited = new HashSet<>();
+    private final Set<Job> inheritedWaitingJobs = new HashSet<>();
     /** Jobs that others wait for, with the targets that those set. */
-    private Set<JobId> targeted = Set.of();
+    private Set<JobId> jobsWithTarget = Set.of();
 
-    private Moment lookedAhead = Moment.NEVER;
+    private Moment targetsDerivedAt = Moment.NEVER;
 
     DependentJobs(Cluster cluster, Estimates estimates) {
         this.cluster = cluster;
         this.estimates = estimates;
     }
 
-    void added(Job job) {
-        graph.opened(job.id());
+    void jobAdded(Job job) {
+        graph.onOpened(job.id());
         if (job.hasUnmetDependencies()) {
             graph.add(job.id(), job.spec.dependencies().requiredJobs(), cluster.jobs::containsKey);
             if (job.inherited) {
-                inherited.add(job);
+                inheritedWaitingJobs.add(job);
             }
         }
     }
 
     /** The job is over or not served any more; what became of it is to be read. */
-    void removed(Job job) {
-        inherited.remove(job);
-        graph.ended(job.id());
+    void jobRemoved(Job job) {
+        inheritedWaitingJobs.remove(job);
+        graph.onEnded(job.id());
     }
 
     void clear() {
         graph.clear();
-        inherited.clear();
-        targeted = Set.of();
+        inheritedWaitingJobs.clear();
+        jobsWithTarget = Set.of();
     }
 
     /** The end of a job as done is in the state service. */
-    public void done(JobId id) {
-        graph.done(id);
+    public void jobDone(JobId id) {
+        graph.onDone(id);
     }
 
     /** The end of a job as cancelled is in the state service. */
-    public void cancelled(JobId id) {
-        graph.cancelled(id);
+    public void jobCancelled(JobId id) {
+        graph.onCancelled(id);
     }
 
     /** Jobs that others wait for and that are not open here: their ends are to be read. */
@@ -78,51 +78,51 @@
     /** Enqueues the released jobs, and once a second derives targets of required jobs from the jobs that depend on them. */
     public void advance(Moment now, long timeOfDayMs) {
         graph.takeReleased().forEach(id -> release(id, now, timeOfDayMs));
-        if (now.since(lookedAhead).compareTo(LOOK_AHEAD) >= 0) {
-            lookedAhead = now;
+        if (now.since(targetsDerivedAt).compareTo(TARGET_INTERVAL) >= 0) {
+            targetsDerivedAt = now;
             // A task of it is on a machine, which only a leader that had released it can have started: the jobs it
             // requires were done, also where a data loss has taken their ends.
-            Set.copyOf(inherited).stream().filter(Job::hasBegun).forEach(job -> {
+            Set.copyOf(inheritedWaitingJobs).stream().filter(Job::hasStarted).forEach(job -> {
                 graph.removeWaiting(job.id());
                 release(job.id(), now, timeOfDayMs);
             });
-            lookAhead();
+            deriveTargets();
         }
     }
 
     private void release(JobId id, Moment now, long timeOfDayMs) {
         Job job = cluster.jobs.get(id);
         if (job != null && job.hasUnmetDependencies()) {
-            inherited.remove(job);
+            inheritedWaitingJobs.remove(job);
             job.releaseFromDependencies(now, timeOfDayMs);
             cluster.enqueue(job);
         }
     }
 
-    private void lookAhead() {
-        if (graph.isEmpty() && targeted.isEmpty()) {
+    private void deriveTargets() {
+        if (graph.isEmpty() && jobsWithTarget.isEmpty()) {
             return;
         }
-        Map<JobId, JobTarget> targets =
-                Lookahead.of(graph, id -> cluster.jobs.get(id).ownTarget(), id -> runTime(cluster.jobs.get(id)));
-        for (JobId id : targeted) {
+        Map<JobId, JobTarget> targets = TargetPropagation.propagate(
+                graph, id -> cluster.jobs.get(id).ownTarget(), id -> runTime(cluster.jobs.get(id)));
+        for (JobId id : jobsWithTarget) {
             if (!targets.containsKey(id)) {
-                target(id, null);
+                setDependentsTarget(id, null);
             }
         }
-        targets.forEach(this::target);
-        targeted = Set.copyOf(targets.keySet());
+        targets.forEach(this::setDependentsTarget);
+        jobsWithTarget = Set.copyOf(targets.keySet());
     }
 
     /** A service has reached what its deadline is for when it starts. */
     private Span runTime(Job job) {
-        return job.spec.isService() ? Span.ZERO : estimates.run(job);
+        return job.spec.isService() ? Span.ZERO : estimates.runTime(job);
     }
 
-    private void target(JobId id, JobTarget target) {
+    private void setDependentsTarget(JobId id, JobTarget target) {
         Job job = cluster.jobs.get(id);
         if (job != null) {
-            job.dependentsAsk(target);
+            job.setDependentsTarget(target);
         }
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
@@ -1,9 +1,9 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.HeartbeatNumber;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
@@ -17,31 +17,31 @@
  */
 final class Dispatcher {
     /** A job that has waited for so long takes room that it would otherwise be kept from. */
-    private static final Span OVERDUE = Span.seconds(60);
+    private static final Span OVERDUE_AFTER = Span.seconds(60);
 
     /** Less than this is rounding: the machine has no free cores. */
-    private static final double NO_CORES = 1e-6;
+    private static final double CORES_EPSILON = 1e-6;
 
     private final Cluster cluster;
     private final Estimates estimates;
     private final DispatchRules rules;
-    private final Preemption preemption;
+    private final PreemptionPolicy preemption;
     private final TaskStarter starter;
-    private final HolderPlacement holders;
+    private final HolderPlacement holderPlacement;
 
     Dispatcher(
             Cluster cluster,
             ServiceLevelObjectives objectives,
             Estimates estimates,
-            Failover failover,
+            FailoverTracker failover,
             FencingToken token,
             Span minimumPaidTime) {
         this.cluster = cluster;
         this.estimates = estimates;
         this.rules = DispatchRules.of(cluster, objectives, estimates, failover, minimumPaidTime);
-        this.preemption = new Preemption(cluster, objectives, estimates, rules);
+        this.preemption = new PreemptionPolicy(cluster, objectives, estimates, rules);
         this.starter = new TaskStarter(cluster, token);
-        this.holders = new HolderPlacement(cluster, rules.placement(), starter);
+        this.holderPlacement = new HolderPlacement(cluster, rules.placement(), starter);
     }
 
     /** The rules by which tasks are started. */
@@ -55,32 +55,32 @@
     }
 
     /** Starts tasks on the machine; returns the commands for the response to its heartbeat {@code number}. */
-    List<WorkerCommand> startTasks(Machine machine, HeartbeatNumber number, Moment now) {
-        CommandBatch batch = new CommandBatch(machine, number, now);
+    List<WorkerCommand> startTasks(Machine machine, HeartbeatNumber heartbeatNumber, Moment now) {
+        CommandBatch batch = new CommandBatch(machine, heartbeatNumber, now);
         if (!machine.isUsable()) {
             return batch.commands();
         }
         if (takesOverdueJobsOnly(machine, now)) {
-            startOverdue(batch);
+            startOverdueJobs(batch);
             return batch.commands();
         }
         for (FairShareQueue queue : queuesFor(machine)) {
             int commandsBefore = batch.commands().size();
             startFromQueue(queue, batch);
             if (batch.commands().size() > commandsBefore) {
-                machine.serve(queue);
+                machine.assignTo(queue);
             }
             // Not after the first queue: one that is below its guarantee and has nothing to start kept the machine's
             // own
             // queue from the rest of every machine.
-            if (isAtWorkOutsidePools(machine) && queue.name.equals(machine.queueName)) {
+            if (isBusyOutsidePools(machine) && queue.name.equals(machine.queueName)) {
                 break;
             }
         }
-        if (isAtWorkOutsidePools(machine)) {
-            startOverdue(batch);
+        if (isBusyOutsidePools(machine)) {
+            startOverdueJobs(batch);
         }
-        holders.reconcile(batch);
+        holderPlacement.reconcile(batch);
         return batch.commands();
     }
 
@@ -88,18 +88,18 @@
         return machine.surplus || rules.cordons().isCordoned(machine, now);
     }
 
-    private static boolean isAtWorkOutsidePools(Machine machine) {
+    private static boolean isBusyOutsidePools(Machine machine) {
         return !machine.isIdle() && machine.poolMembership == null;
     }
 
     private static boolean isFull(Machine machine) {
-        return machine.free().cores() <= NO_CORES;
+        return machine.freeResources().cores() <= CORES_EPSILON;
     }
 
     /** The machine's own queue; an idle machine may pass to the queue that is furthest below its guarantee. */
     private List<FairShareQueue> queuesFor(Machine machine) {
         List<FairShareQueue> queues = new ArrayList<>(cluster.queues());
-        queues.sort(Comparator.<FairShareQueue>comparingInt(queue -> queue.isBelowGuarantee(Demand.NOTHING) ? 0 : 1)
+        queues.sort(Comparator.<FairShareQueue>comparingInt(queue -> queue.isBelowGuarantee(Resources.NONE) ? 0 : 1)
                 .thenComparingInt(queue -> queue.name.equals(machine.queueName) ? 0 : 1)
                 .thenComparingDouble(FairShareQueue::coresBeyondGuarantee));
         return queues;
@@ -111,38 +111,40 @@
         if (isFull(machine)) {
             return;
         }
-        List<Job> jobs = rules.order().jobs(queue, now);
+        List<Job> jobs = rules.order().sortedJobs(queue, now);
         if (rules.reservations().isReservedForAged(machine, queue, jobs, now)) {
-            startAged(queue, batch);
+            startAgedJobs(queue, batch);
         }
-        Job top = null;
+        Job topJob = null;
         for (Job job : jobs) {
-            if (isFull(machine) || rules.placement().keepsRoomForReplica(job, machine)) {
+            if (isFull(machine) || rules.placement().keepsCapacityForReplica(job, machine)) {
                 return;
             }
             if (!job.hasStartable() || !rules.placement().mayStart(job, now) || job.isStarvationRelieved()) {
                 continue;
             }
-            start(queue, job, reservationOf(queue, top, now), batch);
-            if (top == null && holdsReservation(queue, job, now)) {
-                top = job;
+            start(queue, job, reservationOf(queue, topJob, now), batch);
+            if (topJob == null && holdsReservation(queue, job, now)) {
+                topJob = job;
             }
         }
     }
 
     /** Starts jobs without an objective that have waited long, on a machine reserved for them. */
-    private void startAged(FairShareQueue queue, CommandBatch batch) {
+    private void startAgedJobs(FairShareQueue queue, CommandBatch batch) {
         for (Job job : rules.reservations().agedJobs(queue)) {
             if (job.hasStartable()
                     && rules.placement().mayStart(job, batch.now())
-                    && batch.machine().free().cores() > NO_CORES) {
-                startBeforeAll(queue, job, batch);
+                    && batch.machine().freeResources().cores() > CORES_EPSILON) {
+                startExemptFromBudget(queue, job, batch);
             }
         }
     }
 
-    private Optional<Reservation> reservationOf(FairShareQueue queue, Job top, Moment now) {
-        return top == null ? Optional.empty() : Optional.of(rules.reservations().of(queue, top, now));
+    private Optional<Reservation> reservationOf(FairShareQueue queue, Job topJob, Moment now) {
+        return topJob == null
+                ? Optional.empty()
+                : Optional.of(rules.reservations().reservationOf(queue, topJob, now));
     }
 
     /** A job that is kept waiting for jobs with an objective must not keep places from them. */
@@ -150,7 +152,7 @@
         ObjectiveBudget budget = rules.objectiveBudget();
         return job.hasStartable()
                 && !job.isStarvationRelieved()
-                && (!budget.isUnboundedFiller(job) || budget.leavesRoomForObjectives(queue, job, now));
+                && (!budget.isUnboundedFiller(job) || budget.leavesCoresForObjectives(queue, job, now));
     }
 
     /**
@@ -158,29 +160,29 @@
      * price or the room elsewhere speaks against it: nothing is to wait beside free room. The top job of the machine's
      * own queue is not delayed.
      */
-    private void startOverdue(CommandBatch batch) {
+    private void startOverdueJobs(CommandBatch batch) {
         Machine machine = batch.machine();
         Moment now = batch.now();
         boolean ownQueueTried = !takesOverdueJobsOnly(machine, now);
         FairShareQueue ownQueue = cluster.queueOf(machine);
-        Job top = ownQueue == null
+        Job topJob = ownQueue == null
                 ? null
                 : rules.reservations().topJob(ownQueue, now).orElse(null);
         for (FairShareQueue queue : queuesFor(machine)) {
             if (queue == ownQueue && ownQueueTried) {
                 continue;
             }
-            for (Job job : rules.order().jobs(queue, now)) {
-                if (isFull(machine) || rules.placement().keepsRoomForReplica(job, machine)) {
+            for (Job job : rules.order().sortedJobs(queue, now)) {
+                if (isFull(machine) || rules.placement().keepsCapacityForReplica(job, machine)) {
                     return;
                 }
                 if (isOverdue(job, now)
                         && job.hasStartable()
                         && rules.placement().mayStart(job, now)) {
                     boolean wasIdle = machine.isIdle();
-                    start(queue, job, reservationOf(ownQueue, top == job ? null : top, now), batch);
+                    start(queue, job, reservationOf(ownQueue, topJob == job ? null : topJob, now), batch);
                     if (wasIdle && !machine.isIdle()) {
-                        machine.serve(queue);
+                        machine.assignTo(queue);
                     }
                 }
             }
@@ -190,11 +192,11 @@
     /** Not the rest of a job whose tasks start or end, nor a job that was just stopped to empty the machine. */
     private static boolean isOverdue(Job job, Moment now) {
         return !job.isStarvationRelieved()
-                && now.since(job.eligibleSince).compareTo(OVERDUE) >= 0
-                && !now.isBefore(job.placementsChangedAt.plus(OVERDUE));
+                && now.since(job.eligibleSince).compareTo(OVERDUE_AFTER) >= 0
+                && !now.isBefore(job.placementsChangedAt.plus(OVERDUE_AFTER));
     }
 
-    private void startBeforeAll(FairShareQueue queue, Job job, CommandBatch batch) {
+    private void startExemptFromBudget(FairShareQueue queue, Job job, CommandBatch batch) {
         start(queue, job, Optional.empty(), batch, true);
     }
 
@@ -211,25 +213,25 @@
             boolean exemptFromBudget) {
         Machine machine = batch.machine();
         Moment now = batch.now();
-        Demand demand = job.spec.demand();
+        Resources demand = job.spec.demand();
         boolean mayContinue = rules.placement().isSuitable(job, machine, now);
-        Span runTime = estimates.onMachine(job, machine);
-        boolean filler =
+        Span runTime = estimates.timeOnMachine(job, machine);
+        boolean isFiller =
                 mayContinue && !exemptFromBudget && rules.objectiveBudget().isUnboundedFiller(job);
         while (mayContinue
                 && hasRoomFor(job, machine)
-                && (!filler || rules.objectiveBudget().leavesRoomForObjectives(queue, job, now))
+                && (!isFiller || rules.objectiveBudget().leavesCoresForObjectives(queue, job, now))
                 && (reservation.isEmpty() || reservation.get().allows(machine, demand, runTime, estimates, now))) {
             if (!job.isWithinStartBound()) {
                 // Further down the queue than the start bounds were raised: it may start here at the next heartbeat.
-                job.requestStartBoundFor(demand.timesIn(machine.free()));
+                job.requestStartBoundFor(demand.countFittingIn(machine.freeResources()));
                 return;
             }
-            if (!demand.fitsIn(machine.free())) {
-                batch.stop(machine.holder());
+            if (!demand.fitsIn(machine.freeResources())) {
+                batch.addStop(machine.holder());
             }
             starter.start(job, batch);
-            if (filler) {
+            if (isFiller) {
                 rules.objectiveBudget().fillerStarted(queue, demand);
             }
             job.taskStarted();
@@ -239,7 +241,7 @@
 
     private boolean hasRoomFor(Job job, Machine machine) {
         return job.hasStartable()
-                && job.spec.demand().fitsIn(machine.freeFor(job.spec))
+                && job.spec.demand().fitsIn(machine.freeResourcesFor(job.spec))
                 && rules.placement().isPlaceable(job, machine);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Estimates.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Estimates.java
@@ -20,66 +20,67 @@
     private static final Span UNTIL_CANCELLED = Span.seconds(1e8);
 
     /** By class, whose names are the users' own: those seen longest ago are forgotten. */
-    private final Map<String, Double> logFactor = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<String, Double> logCorrections = new LinkedHashMap<>(16, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
             return size() > MAXIMUM_CLASSES;
         }
     };
 
-    private BiConsumer<Job, Span> listener = (job, run) -> {};
+    private BiConsumer<Job, Span> runTimeListener = (job, run) -> {};
 
     /** Sets the listener that is told each task's run time, without the image's fetch. */
-    void onRun(BiConsumer<Job, Span> runListener) {
-        listener = runListener;
+    void setRunTimeListener(BiConsumer<Job, Span> newListener) {
+        runTimeListener = newListener;
     }
 
     /** A task's expected run time, without the image fetch. */
-    Span run(Job job) {
+    Span runTime(Job job) {
         if (job.spec.isService()) {
             return UNTIL_CANCELLED;
         }
         if (job.runTimes.runs() >= SUFFICIENT_RUNS) {
             return job.runTimes.mean();
         }
-        double factor = Math.exp(logFactor.getOrDefault(job.spec.jobClass(), 0.0));
-        return job.spec.estimate().times(Math.min(3, Math.max(0.33, factor)));
+        double correction = Math.exp(logCorrections.getOrDefault(job.spec.jobClass(), 0.0));
+        return job.spec.estimatedRunTime().times(Math.min(3, Math.max(0.33, correction)));
     }
 
     /** The expected time a task takes on a machine, image fetch included when it has to be fetched. */
-    Span onMachine(Job job, Machine machine) {
-        Span run = run(job);
-        return machine.imageCache.contains(job.spec.image()) ? run : run.plus(fetch(job, machine.type));
+    Span timeOnMachine(Job job, Machine machine) {
+        Span runTime = runTime(job);
+        return machine.imageCache.contains(job.spec.image()) ? runTime : runTime.plus(fetchTime(job, machine.type));
     }
 
-    static Span fetch(Job job, MachineType type) {
-        return Span.seconds(type.fetchGbPerS() > 0 ? job.spec.imageGb() / type.fetchGbPerS() : 0);
+    static Span fetchTime(Job job, MachineType type) {
+        return Span.seconds(type.imageFetchGbPerS() > 0 ? job.spec.imageGb() / type.imageFetchGbPerS() : 0);
     }
 
     /** Whether a task of the job's class has been seen to end, so that its estimate rests on more than the owner's figure. */
-    boolean hasSeen(Job job) {
-        return logFactor.containsKey(job.spec.jobClass());
+    boolean hasObserved(Job job) {
+        return logCorrections.containsKey(job.spec.jobClass());
     }
 
-    void observe(Job job, Span run) {
-        job.runTimes.add(run);
-        listener.accept(job, run);
-        if (job.spec.estimate().ms() > 0) {
-            double ratio =
-                    Math.log(Math.max(0.05, run.seconds()) / job.spec.estimate().seconds());
-            logFactor.merge(
+    void observe(Job job, Span runTime) {
+        job.runTimes.add(runTime);
+        runTimeListener.accept(job, runTime);
+        if (job.spec.estimatedRunTime().ms() > 0) {
+            double logRatio = Math.log(Math.max(0.05, runTime.seconds())
+                    / job.spec.estimatedRunTime().seconds());
+            logCorrections.merge(
                     job.spec.jobClass(),
-                    ratio * OBSERVATION_WEIGHT,
+                    logRatio * OBSERVATION_WEIGHT,
                     (old, add) -> old * (1 - OBSERVATION_WEIGHT) + add);
         }
     }
 
     /** When a task that may be on a machine is expected to be gone; a task over its time counts as soon over. */
-    Moment end(Placement placement, Moment now) {
-        Span run =
-                placement.state == TaskState.RUNNING ? run(placement.job) : onMachine(placement.job, placement.machine);
-        Moment end = placement.stateSince.plus(run);
-        Moment soonest = now.plus(run.times(0.1));
-        return end.isBefore(soonest) ? soonest : end;
+    Moment expectedEnd(Placement placement, Moment now) {
+        Span runTime = placement.state == TaskState.RUNNING
+                ? runTime(placement.job)
+                : timeOnMachine(placement.job, placement.machine);
+        Moment expectedEnd = placement.stateSince.plus(runTime);
+        Moment earliestEnd = now.plus(runTime.times(0.1));
+        return expectedEnd.isBefore(earliestEnd) ? earliestEnd : expectedEnd;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Failover.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FailoverTracker.java
@@ -10,12 +10,12 @@
  * could command, and these are all recorded in the state service. Until each of them has sent a heartbeat under the new
  * token, or is gone, or its lease has surely expired, no inherited task may be started.
  */
-final class Failover {
+final class FailoverTracker {
     /** Of each, since when no earlier leader has answered it. */
-    private final Map<MachineId, Moment> unreconciled = new HashMap<>();
+    private final Map<MachineId, Moment> unansweredSince = new HashMap<>();
 
-    void expect(MachineId machine, Moment since) {
-        unreconciled.put(machine, since);
+    void addUnreconciled(MachineId machine, Moment since) {
+        unansweredSince.put(machine, since);
     }
 
     /**
@@ -25,21 +25,21 @@
      * older than {@code leaseEnds}. Guards against a failover that waits for as long as a machine sends heartbeats and
      * receives no answers: each heartbeat could be answered, and so each postpones when its lease counts as expired.
      */
-    boolean isInheritedLeaseExpired(MachineId machine, Moment leaseEnds) {
-        Moment since = unreconciled.get(machine);
-        return since != null && since.isBefore(leaseEnds);
+    boolean isInheritedLeaseExpired(MachineId machine, Moment expiredBefore) {
+        Moment since = unansweredSince.get(machine);
+        return since != null && since.isBefore(expiredBefore);
     }
 
     /** Nothing unknown is on this machine any more. */
-    void reconciled(MachineId machine) {
-        unreconciled.remove(machine);
+    void markReconciled(MachineId machine) {
+        unansweredSince.remove(machine);
     }
 
     int unreconciledCount() {
-        return unreconciled.size();
+        return unansweredSince.size();
     }
 
     boolean isComplete() {
-        return unreconciled.isEmpty();
+        return unansweredSince.isEmpty();
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/FairShareQueue.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FairShareQueue.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
 import java.util.ArrayList;
@@ -18,53 +18,54 @@
  */
 final class FairShareQueue {
     /** How long an order of the queue is kept while no job comes or goes. */
-    private static final Span ORDER_LIFE = Span.seconds(1);
+    private static final Span ORDER_CACHE_TIME = Span.seconds(1);
 
     /** A job with what its place in the queue depends on. */
-    private record RankedJob(Job job, int turn, Urgency urgency, Moment latestStart) {}
+    private record RankedJob(Job job, int precedence, Urgency urgency, Moment latestStart) {}
 
     /**
      * The paper's priority queue, its priority from urgency and time: urgent jobs first, the others mixed, each by the
      * latest start that still meets an objective; then the order of arrival. Before them under-served classes ({@link ClassQuota}), and
      * before that one task of each job of which nothing has run for too long, in the order of arrival.
      */
-    private static final Comparator<RankedJob> ORDER = Comparator.<RankedJob, Integer>comparing(ranked -> ranked.turn)
+    private static final Comparator<RankedJob> ORDER = Comparator.<RankedJob, Integer>comparing(
+                    ranked -> ranked.precedence)
             .thenComparing(ranked -> ranked.urgency)
             .thenComparing(ranked -> ranked.latestStart)
             .thenComparingLong(ranked -> ranked.job.submittedMs)
             .thenComparing(ranked -> ranked.job.id());
 
     /** The name of the queue of all teams without a guarantee; no team can have it. */
-    static final String COMMON = "";
+    static final String COMMON_QUEUE_NAME = "";
 
     final String name;
     /** Its team, if it has a guarantee; else null. */
-    final TeamUsage guaranteed;
+    final TeamUsage guaranteedTeamUsage;
 
     private final List<Job> jobs = new ArrayList<>();
     private final ArrivalRate arrivalRate = new ArrivalRate();
-    private final ClassQuota classQuota = new ClassQuota();
+    private final MinimumClassService minimumClassService = new MinimumClassService();
     private List<Job> cachedOrder = List.of();
-    private Moment orderedAt = Moment.NEVER;
-    private double cores;
+    private Moment sortedAt = Moment.NEVER;
+    private double coresInUse;
     /** What is free on the machines that are not cordoned. */
-    private List<Demand> roomOutsideCordon = List.of();
+    private List<Resources> freeOutsideCordon = List.of();
 
-    FairShareQueue(String name, TeamUsage guaranteed) {
+    FairShareQueue(String name, TeamUsage guaranteedTeamUsage) {
         this.name = name;
-        this.guaranteed = guaranteed;
+        this.guaranteedTeamUsage = guaranteedTeamUsage;
     }
 
     void add(Job job) {
         jobs.add(job);
         arrivalRate.add(job);
-        orderedAt = Moment.NEVER;
+        sortedAt = Moment.NEVER;
     }
 
     void remove(Job job) {
         jobs.remove(job);
-        classQuota.jobEnded(job);
-        orderedAt = Moment.NEVER;
+        minimumClassService.jobEnded(job);
+        sortedAt = Moment.NEVER;
     }
 
     List<Job> jobs() {
@@ -76,51 +77,55 @@
     }
 
     /** The queue in the order in which it is served. */
-    List<Job> ordered(
-            Function<Job, Moment> latestStart, Function<Job, Moment> lastChance, Predicate<Job> aged, Moment now) {
-        if (!now.isBefore(orderedAt.plus(ORDER_LIFE))) {
-            classQuota.recount(jobs, cores, lastChance, aged, now);
+    List<Job> sortedJobs(
+            Function<Job, Moment> latestStart,
+            Function<Job, Moment> longestObjectiveStart,
+            Predicate<Job> isAged,
+            Moment now) {
+        if (!now.isBefore(sortedAt.plus(ORDER_CACHE_TIME))) {
+            minimumClassService.recount(jobs, coresInUse, longestObjectiveStart, isAged, now);
             List<RankedJob> ranked = new ArrayList<>(jobs.size());
             for (Job job : jobs) {
                 Urgency urgency = job.urgency() == Urgency.BEST_EFFORT ? Urgency.STANDARD : job.urgency();
                 // A replica that is down is worth more than any job that is late.
-                boolean first = classQuota.servesUnderServedFirst() && (job.underServed || job.spec.isService());
-                int turn = job.starved ? 0 : first ? 1 : 2;
+                boolean goesFirst =
+                        minimumClassService.servesUnderServedFirst() && (job.underServed || job.spec.isService());
+                int precedence = job.starved ? 0 : goesFirst ? 1 : 2;
                 ranked.add(
-                        turn == 0
-                                ? new RankedJob(job, turn, Urgency.PRODUCTION, job.eligibleSince)
-                                : new RankedJob(job, turn, urgency, latestStart.apply(job)));
+                        precedence == 0
+                                ? new RankedJob(job, precedence, Urgency.PRODUCTION, job.eligibleSince)
+                                : new RankedJob(job, precedence, urgency, latestStart.apply(job)));
             }
             ranked.sort(ORDER);
             cachedOrder = ranked.stream().map(RankedJob::job).toList();
-            orderedAt = now;
+            sortedAt = now;
         }
         return cachedOrder;
     }
 
-    void addUsage(Demand demand, int sign) {
-        cores += sign * demand.cores();
+    void addUsage(Resources demand, int sign) {
+        coresInUse += sign * demand.cores();
     }
 
-    void roomOutsideCordon(List<Demand> free) {
-        roomOutsideCordon = free;
+    void freeOutsideCordon(List<Resources> free) {
+        freeOutsideCordon = free;
     }
 
-    List<Demand> roomOutsideCordon() {
-        return roomOutsideCordon;
+    List<Resources> freeOutsideCordon() {
+        return freeOutsideCordon;
     }
 
-    double cores() {
-        return cores;
+    double coresInUse() {
+        return coresInUse;
     }
 
     /** Its team has a guarantee and uses less than that, with {@code more}. */
-    boolean isBelowGuarantee(Demand more) {
-        return guaranteed != null && guaranteed.isWithinGuarantee(more);
+    boolean isBelowGuarantee(Resources additional) {
+        return guaranteedTeamUsage != null && guaranteedTeamUsage.isWithinGuarantee(additional);
     }
 
     /** Cores in use beyond the guarantee. */
     double coresBeyondGuarantee() {
-        return cores - (guaranteed == null ? 0 : guaranteed.team.cores());
+        return coresInUse - (guaranteedTeamUsage == null ? 0 : guaranteedTeamUsage.team.guaranteedCores());
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/FaultAttribution.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FaultTracker.java
@@ -7,21 +7,21 @@
  * Decides from failed tasks whether the machine or the job is at fault. A faulty machine fails the tasks of whichever
  * job it is given; a job submitted with a mistake fails on every machine.
  */
-final class FaultAttribution {
-    private static final Span FIRST_PAUSE = Span.seconds(2);
-    private static final Span LONGEST_PAUSE = Span.seconds(30);
+final class FaultTracker {
+    private static final Span INITIAL_RETRY_DELAY = Span.seconds(2);
+    private static final Span MAX_RETRY_DELAY = Span.seconds(30);
 
-    private FaultAttribution() {}
+    private FaultTracker() {}
 
     /** A task has failed: the failure counts against the machine, or against a job that is suspected to be faulty. */
-    static void failed(Placement placement, Moment now) {
+    static void recordFailure(Placement placement, Moment now) {
         Job job = placement.job;
         Machine machine = placement.machine;
-        job.failedOn(machine);
+        job.recordFailure(machine);
         if (job.isSuspectedFaulty()) {
             // Its failures say nothing about machines: take back what was held against them, and try rarely.
-            Span pause = FIRST_PAUSE.times(Math.pow(2, Math.min(10, job.failures - 3)));
-            job.retryNotBefore(now.plus(pause.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause));
+            Span retryDelay = INITIAL_RETRY_DELAY.times(Math.pow(2, Math.min(10, job.failures - 3)));
+            job.retryNotBefore(now.plus(retryDelay.compareTo(MAX_RETRY_DELAY) > 0 ? MAX_RETRY_DELAY : retryDelay));
             machine.failedJobs.remove(job.id());
             return;
         }
@@ -32,13 +32,13 @@
     }
 
     /** A task has completed: neither the machine nor, there, its job is to blame. */
-    static void completed(Placement placement) {
+    static void recordCompletion(Placement placement) {
         placement.machine.failedJobs.clear();
         placement.job.failedMachines.remove(placement.machine.id);
     }
 
     /** Whether the job may be tried on the machine: not where it has failed, unless it fails everywhere anyway. */
-    static boolean allows(Job job, Machine machine, Moment now) {
+    static boolean isAllowed(Job job, Machine machine, Moment now) {
         if (now.isBefore(job.retryNotBefore)) {
             return false;
         }
--- a/src/main/java/io/indigoreach/core/scheduling/GuaranteeEnforcement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/GuaranteeEnforcement.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.TaskState;
 import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
@@ -11,84 +11,84 @@
 final class GuaranteeEnforcement {
     private final Cluster cluster;
     private final DispatchRules rules;
-    private final PlaceShortages shortages;
+    private final PlaceShortageTracker shortages;
 
-    GuaranteeEnforcement(Cluster cluster, DispatchRules rules, PlaceShortages shortages) {
+    GuaranteeEnforcement(Cluster cluster, DispatchRules rules, PlaceShortageTracker shortages) {
         this.cluster = cluster;
         this.rules = rules;
         this.shortages = shortages;
     }
 
     /** Stops work on the machine that its team runs beyond its guarantee, if another team waits for its own. */
-    List<WorkerCommand> preemptBorrowedWork(Machine machine, Moment now) {
+    List<WorkerCommand> preemptBorrowedTasks(Machine machine, Moment now) {
         List<WorkerCommand> commands = new ArrayList<>();
         for (FairShareQueue queue : cluster.queues()) {
-            if (queue.guaranteed == null) {
+            if (queue.guaranteedTeamUsage == null) {
                 continue;
             }
-            Job top = rules.reservations().topJob(queue, now).orElse(null);
-            if (top == null) {
+            Job topJob = rules.reservations().topJob(queue, now).orElse(null);
+            if (topJob == null) {
                 continue;
             }
-            yieldPoolMachine(queue, top, machine, now);
-            if (!mayClaim(queue, top, machine, now) || shortages.hasEnoughComingPlaces(queue, top, now)) {
+            yieldPoolMachine(queue, topJob, machine, now);
+            if (!mayClaim(queue, topJob, machine, now) || shortages.hasEnoughPlacesSoon(queue, topJob, now)) {
                 continue;
             }
-            if (makeRoom(queue, top, machine, commands)) {
-                shortages.guaranteedPlaceComes(queue, top);
+            if (freeCapacityFor(queue, topJob, machine, commands)) {
+                shortages.recordGuaranteedPlace(queue, topJob);
                 return commands;
             }
         }
         return commands;
     }
 
-    private boolean mayClaim(FairShareQueue queue, Job top, Machine machine, Moment now) {
+    private boolean mayClaim(FairShareQueue queue, Job topJob, Machine machine, Moment now) {
         return machine.isUsable()
-                && queue.isBelowGuarantee(top.spec.demand())
-                && machine.allows(top.spec)
-                && FaultAttribution.allows(top, machine, now)
-                && rules.placement().isPlaceable(top, machine);
+                && queue.isBelowGuarantee(topJob.spec.demand())
+                && machine.allows(topJob.spec)
+                && FaultTracker.isAllowed(topJob, machine, now)
+                && rules.placement().isPlaceable(topJob, machine);
     }
 
     /** Stops borrowed work until the top job fits; returns whether it does. */
-    private boolean makeRoom(FairShareQueue queue, Job top, Machine machine, List<WorkerCommand> commands) {
-        Demand room = machine.free();
+    private boolean freeCapacityFor(FairShareQueue queue, Job topJob, Machine machine, List<WorkerCommand> commands) {
+        Resources freeCapacity = machine.freeResources();
         for (Placement placement : machine.placementsCopy()) {
             FairShareQueue borrower = cluster.queueOf(placement.job);
-            if (!top.spec.demand().fitsIn(room)
+            if (!topJob.spec.demand().fitsIn(freeCapacity)
                     && borrower != queue
                     && !placement.stopping
                     && placement.state == TaskState.RUNNING
-                    && !borrower.isBelowGuarantee(Demand.NOTHING)) {
-                room = room.plus(placement.demand());
+                    && !borrower.isBelowGuarantee(Resources.NONE)) {
+                freeCapacity = freeCapacity.plus(placement.demand());
                 commands.add(CommandBatch.stopWithCheckpoint(placement));
             }
         }
-        return top.spec.demand().fitsIn(room);
+        return topJob.spec.demand().fitsIn(freeCapacity);
     }
 
     /**
      * An idle machine of a warm pool goes to a team that waits for its guarantee, as work beyond the paying team's own
      * guarantee would be stopped.
      */
-    private void yieldPoolMachine(FairShareQueue queue, Job top, Machine machine, Moment now) {
+    private void yieldPoolMachine(FairShareQueue queue, Job topJob, Machine machine, Moment now) {
         Job holder = machine.poolMembership == null ? null : machine.poolMembership.holder();
         if (holder != null
                 && machine.isIdle()
                 && machine.isUsable()
                 && isPaidBeyondGuarantee(holder, queue)
-                && queue.isBelowGuarantee(top.spec.demand())
-                && machine.matchesPool(top.spec)
-                && !machine.allows(top.spec)
-                && top.spec.demand().fitsIn(machine.type.capacity())
-                && !shortages.hasEnoughComingPlaces(queue, top, now)) {
-            cluster.warmCapacity.yield(machine, now);
-            shortages.guaranteedPlaceComes(queue, top);
+                && queue.isBelowGuarantee(topJob.spec.demand())
+                && machine.matchesPool(topJob.spec)
+                && !machine.allows(topJob.spec)
+                && topJob.spec.demand().fitsIn(machine.type.capacity())
+                && !shortages.hasEnoughPlacesSoon(queue, topJob, now)) {
+            cluster.warmCapacity.releaseForGuarantee(machine, now);
+            shortages.recordGuaranteedPlace(queue, topJob);
         }
     }
 
     private boolean isPaidBeyondGuarantee(Job holder, FairShareQueue claimant) {
         FairShareQueue payer = cluster.queueOf(holder);
-        return payer != claimant && !payer.isBelowGuarantee(Demand.NOTHING);
+        return payer != claimant && !payer.isBelowGuarantee(Resources.NONE);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/HolderPlacement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/HolderPlacement.java
@@ -20,37 +20,42 @@
     /** A holder runs where a machine belongs to a warm pool and nothing else keeps the image; elsewhere it is stopped. */
     void reconcile(CommandBatch batch) {
         Machine machine = batch.machine();
-        Job due = machine.poolMembership == null ? null : machine.poolMembership.holder();
+        Job poolHolder = machine.poolMembership == null ? null : machine.poolMembership.holder();
         Placement running = machine.holder();
-        if (running != null && cluster.warmCapacity.isKnown() && isMisplaced(running, due)) {
+        if (running != null && cluster.warmCapacity.isMembershipKnown() && isMisplaced(running, poolHolder)) {
             // Started anew, it shows that its image is here, or fetches it, and the image counts as used last.
-            batch.stop(running);
-        } else if (due != null && isNeeded(due, machine) && mayStartOn(due, machine, batch.now())) {
-            if (due.isWithinStartBound()) {
-                starter.start(due, batch);
+            batch.addStop(running);
+        } else if (poolHolder != null
+                && isNeeded(poolHolder, machine)
+                && mayStartOn(poolHolder, machine, batch.now())) {
+            if (poolHolder.isWithinStartBound()) {
+                starter.start(poolHolder, batch);
             } else {
-                due.requestStartBoundFor(HOLDERS_PER_START_BOUND);
+                poolHolder.requestStartBoundFor(HOLDERS_PER_START_BOUND);
             }
         }
     }
 
     /** It is not the holder that is due, or the machine's cache has lost its image or is about to evict it. */
-    private static boolean isMisplaced(Placement running, Job due) {
+    private static boolean isMisplaced(Placement running, Job poolHolder) {
         ImageCache cache = running.machine.imageCache;
         String image = running.job.spec.image();
-        return running.job != due || (running.isRunning() && (!cache.isCached(image) || cache.isCrowded(image)));
+        return running.job != poolHolder
+                || (running.isRunning() && (!cache.isCached(image) || cache.isEvictionLikely(image)));
     }
 
     private static boolean isNeeded(Job holder, Machine machine) {
-        return !holder.isCancelled() && !machine.hasTaskWith(machine.poolMembership.image()) && holder.hasStartable();
+        return !holder.isCancelled()
+                && !machine.hasTaskWithImage(machine.poolMembership.image())
+                && holder.hasStartable();
     }
 
     private boolean mayStartOn(Job holder, Machine machine, Moment now) {
         return rules.mayStart(holder, now)
                 && !holder.isSuspectedFaulty()
-                && FaultAttribution.allows(holder, machine, now)
+                && FaultTracker.isAllowed(holder, machine, now)
                 && machine.allows(holder.spec)
-                && holder.spec.demand().fitsIn(machine.free())
+                && holder.spec.demand().fitsIn(machine.freeResources())
                 && rules.isPlaceable(holder, machine);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/InheritedTaskRelease.java
+++ b/src/main/java/io/indigoreach/core/scheduling/InheritedTaskReleaser.java
@@ -6,14 +6,14 @@
  * Releases the waiting tasks of inherited jobs once nothing that an earlier leader may have started is unknown: the records
  * are loaded and every machine of the failover is reconciled.
  */
-final class InheritedTaskRelease {
+final class InheritedTaskReleaser {
     private final Cluster cluster;
-    private final Failover failover;
+    private final FailoverTracker failover;
     private boolean recordsLoaded;
     /** Inherited jobs that were added after the records had been loaded are not released yet. */
-    private boolean lateJobsHeld;
+    private boolean hasUnreleasedLateJobs;
 
-    InheritedTaskRelease(Cluster cluster, Failover failover) {
+    InheritedTaskReleaser(Cluster cluster, FailoverTracker failover) {
         this.cluster = cluster;
         this.failover = failover;
     }
@@ -35,9 +35,9 @@
     }
 
     /** Nothing unknown is on this machine any more; after the last one, every job's tasks may be started. */
-    void machineReconciled(MachineId id) {
+    void markReconciled(MachineId id) {
         if (!failover.isComplete()) {
-            failover.reconciled(id);
+            failover.markReconciled(id);
             if (recordsLoaded) {
                 releaseIfFailoverComplete();
             }
@@ -48,15 +48,15 @@
      * An inherited job that is added after the records were loaded, as its record could not be read before, waits until no
      * heartbeat shows a task of an unknown job: what it had on machines is then gone, or counted as its own.
      */
-    void jobAdded(Job job) {
-        lateJobsHeld |= recordsLoaded && job.isInherited();
+    void onJobAdded(Job job) {
+        hasUnreleasedLateJobs |= recordsLoaded && job.isInherited();
         releaseLateJobs();
     }
 
     /** Releases the jobs that were added late, if nothing of them can be on a machine unnoticed. */
     void releaseLateJobs() {
-        if (lateJobsHeld && failover.isComplete() && !cluster.hasOrphanTasks()) {
-            lateJobsHeld = false;
+        if (hasUnreleasedLateJobs && failover.isComplete() && !cluster.hasOrphanTasks()) {
+            hasUnreleasedLateJobs = false;
             cluster.releaseInheritedTasks();
         }
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Job.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Job.java
@@ -22,7 +22,7 @@
  */
 public final class Job {
     /** A job that has failed on so many machines and completed nothing is suspected to be faulty. */
-    private static final int SUSPECTED_AFTER_MACHINES = 3;
+    private static final int FAILED_MACHINES_UNTIL_SUSPECTED = 3;
 
     /** As it was submitted; with its release once it waits for no other job. */
     JobSpec spec;
@@ -60,7 +60,7 @@
     /** Nothing of it has run for too long: one task of it goes before all else. */
     boolean starved;
     /** One of its tasks was started while it was starved. */
-    boolean startedAsStarved;
+    boolean startedWhileStarved;
 
     final RunTimeMean runTimes = new RunTimeMean();
 
@@ -79,9 +79,9 @@
             boolean inherited) {
         this.spec = spec;
         this.submittedMs = submittedMs;
-        this.targets =
-                new JobTargets(new JobTarget(spec.urgency(), spec.due() == null ? null : submitted.plus(spec.due())));
-        this.eligibleSince = submitted.plus(releasedAfter(spec, submittedMs));
+        this.targets = new JobTargets(new JobTarget(
+                spec.urgency(), spec.relativeDeadline() == null ? null : submitted.plus(spec.relativeDeadline())));
+        this.eligibleSince = submitted.plus(timeToRelease(spec, submittedMs));
         this.revision = revision;
         this.inherited = inherited;
         this.hasRun = !done.isEmpty();
@@ -91,7 +91,7 @@
     }
 
     /** From its submission to the release that its record tells of. */
-    private static Span releasedAfter(JobSpec spec, long submittedMs) {
+    private static Span timeToRelease(JobSpec spec, long submittedMs) {
         // By the clocks of two nodes, which may differ by more than that.
         return spec.dependencies().isReleased()
                 ? new Span(Math.max(0, spec.dependencies().releasedAtMs() - submittedMs))
@@ -107,7 +107,7 @@
     void releaseFromDependencies(Moment now, long timeOfDayMs) {
         hasUnmetDependencies = false;
         eligibleSince = now;
-        spec = spec.with(spec.dependencies().released(timeOfDayMs));
+        spec = spec.with(spec.dependencies().releasedAt(timeOfDayMs));
     }
 
     /** Its priority: its own, or the higher one of a job that needs it. */
@@ -117,12 +117,12 @@
 
     /** By when it should be done, for its own deadline or that of a job that needs it; null if nothing says so. */
     Moment dueAt() {
-        return targets.due();
+        return targets.earliestDeadline();
     }
 
     /** By when it should be done for its own deadline, which counts from its submission; null if it has none. */
     Moment ownDueAt() {
-        return targets.own().due();
+        return targets.own().deadline();
     }
 
     /** What its own user asks of it. */
@@ -152,12 +152,12 @@
 
     /** Gates these tasks and no others; what is on a machine stays there. */
     void gate(BitSet tasks) {
-        progress.gate(tasks, placements.indexes());
+        progress.gate(tasks, placements.taskIndexes());
     }
 
     /** Whether tasks that are neither done nor on a machine are gated. */
     boolean hasGatedTasks() {
-        return !cancelled && progress.hasGatedTasks(placements.indexes());
+        return !cancelled && progress.hasGatedTasks(placements.taskIndexes());
     }
 
     /** Every task that an earlier leader may have started is known. */
@@ -198,8 +198,8 @@
         return progress.isDone(index);
     }
 
-    boolean isDurable(int index) {
-        return progress.isDurable(index);
+    boolean isCompletionRecorded(int index) {
+        return progress.isCompletionRecorded(index);
     }
 
     /** Whether every task has completed; a service never does. */
@@ -242,7 +242,7 @@
         if (isComplete()) {
             return JobStatus.DONE;
         }
-        return placements.anyRunning() ? JobStatus.RUNNING : JobStatus.PENDING;
+        return placements.isAnyRunning() ? JobStatus.RUNNING : JobStatus.PENDING;
     }
 
     /** Whether nothing of it may start. */
@@ -290,23 +290,23 @@
     }
 
     /** Whether a task of it runs, has run, or is on its way to a machine. */
-    boolean hasBegun() {
+    boolean hasStarted() {
         return hasRun || !placements.isEmpty();
     }
 
     /** Whether it was put first with one task and that task has begun: it has had its turn until the queue is ordered anew. */
     boolean isStarvationRelieved() {
-        return starved && hasBegun();
+        return starved && hasStarted();
     }
 
     /** One of its tasks was seen to run. */
-    void markRun() {
+    void markHasRun() {
         hasRun = true;
     }
 
     /** A start command for one of its tasks is sent. */
     void taskStarted() {
-        startedAsStarved |= starved;
+        startedWhileStarved |= starved;
     }
 
     /** Its user has cancelled it: nothing of it may start. */
@@ -315,9 +315,9 @@
     }
 
     /** Its record was written or read at {@code seen}; an older revision changes nothing. */
-    void revisionSeen(Revision seen) {
-        if (seen.isAfter(revision)) {
-            revision = seen;
+    void updateRevision(Revision observed) {
+        if (observed.isAfter(revision)) {
+            revision = observed;
         }
     }
 
@@ -327,12 +327,12 @@
     }
 
     /** What the jobs that depend on it ask of it; null if none does. */
-    void dependentsAsk(JobTarget target) {
-        targets.dependentsAsk(target);
+    void setDependentsTarget(JobTarget target) {
+        targets.setDependentsTarget(target);
     }
 
     /** One of its tasks has failed on the machine. */
-    void failedOn(Machine machine) {
+    void recordFailure(Machine machine) {
         failures++;
         failedMachines.add(machine.id);
     }
@@ -348,7 +348,7 @@
     }
 
     /** Whether the longest objective of its class can no longer be met. */
-    void objectivesMissed(boolean missed) {
+    void markMissedObjectives(boolean missed) {
         missedObjectives = missed;
     }
 
@@ -367,7 +367,7 @@
     }
 
     int placementsInZone(String zone) {
-        return placements.inZone(zone);
+        return placements.countInZone(zone);
     }
 
     /** The zone that a one-zone job is bound to by tasks that may be on machines, or null. */
@@ -377,12 +377,12 @@
 
     void addPlacement(Placement placement) {
         placements.add(placement);
-        progress.placed(placement.index);
+        progress.placementAdded(placement.index);
     }
 
     void removePlacement(Placement placement) {
         if (placements.remove(placement)) {
-            progress.removed(placement.index);
+            progress.placementRemoved(placement.index);
         }
     }
 
@@ -395,6 +395,6 @@
 
     /** Whether it failed on several machines and never completed a task: most likely it was submitted with a mistake. */
     boolean isSuspectedFaulty() {
-        return progress.doneCount() == 0 && failedMachines.size() >= SUSPECTED_AFTER_MACHINES;
+        return progress.doneCount() == 0 && failedMachines.size() >= FAILED_MACHINES_UNTIL_SUSPECTED;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Machine.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Machine.java
@@ -1,6 +1,5 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.HeartbeatNumber;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobSpec;
@@ -8,6 +7,7 @@
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.core.model.MachineType;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.TaskId;
 import java.util.HashSet;
 import java.util.List;
@@ -35,7 +35,7 @@
 
     HeartbeatNumber lastHeartbeat = HeartbeatNumber.NONE;
     /** When its last answered heartbeat arrived; its lease cannot outlast this by more than the lease bound. */
-    Moment lastHeardAt;
+    Moment lastAnsweredAt;
     /** Its lease has surely expired since: what it ran is over, and if it lives it continues under a new incarnation. */
     boolean leaseExpired;
     /** Its task list has been taken from a heartbeat under the present token. */
@@ -51,7 +51,7 @@
 
     final Set<JobId> failedJobs = new HashSet<>();
     boolean quarantined;
-    final AsymmetricPartition partition = new AsymmetricPartition();
+    final AsymmetricPartitionDetector partitionDetector = new AsymmetricPartitionDetector();
     /** More than is needed at its price: it gets no new tasks for now. */
     boolean surplus;
     /** It takes no new tasks while the other machines of this queue have room for all that waits; or null. */
@@ -73,10 +73,10 @@
         this.pool = pool;
         this.type = type;
         this.rentedAt = knownToExistAt;
-        this.lastHeardAt = knownToExistAt;
+        this.lastAnsweredAt = knownToExistAt;
         this.idleSince = knownToExistAt;
         this.knownToExistAt = knownToExistAt;
-        this.imageCache = new ImageCache(type.cacheGb());
+        this.imageCache = new ImageCache(type.imageCacheGb());
     }
 
     public MachineId id() {
@@ -107,24 +107,24 @@
         return placements.count();
     }
 
-    private void transition(Phase to, Phase... allowedFrom) {
+    private void transition(Phase newPhase, Phase... allowedFrom) {
         for (Phase from : allowedFrom) {
             if (phase == from) {
-                phase = to;
+                phase = newPhase;
                 return;
             }
         }
-        throw new IllegalStateException("machine " + id + " cannot become " + to + " while it is " + phase);
+        throw new IllegalStateException("machine " + id + " cannot become " + newPhase + " while it is " + phase);
     }
 
     /** Its first heartbeat, or the first after its lease had expired. */
-    void becameUp(Moment now) {
+    void markUp(Moment now) {
         transition(Phase.UP, Phase.BOOTING, Phase.LOST);
         idleSince = now;
     }
 
     /** Its lease has expired without a heartbeat. */
-    void lose() {
+    void markLost() {
         transition(Phase.LOST, Phase.BOOTING, Phase.UP);
     }
 
@@ -135,15 +135,15 @@
     }
 
     /** A machine that an earlier leader recorded; no earlier leader leads since {@code now}. */
-    void inheritedFromRecord(Moment existed, Moment now) {
+    void markInherited(Moment existedAt, Moment now) {
         recorded = true;
-        lastHeardAt = now;
-        knownToExistAt = existed;
+        lastAnsweredAt = now;
+        knownToExistAt = existedAt;
     }
 
     /** A heartbeat of it was answered, which renewed its lease, before the records had been read. */
-    void answeredBeforeLoading(HeartbeatNumber number, Moment answeredAt) {
-        lastHeardAt = answeredAt;
+    void applyAnswerBeforeLoading(HeartbeatNumber number, Moment answeredAt) {
+        lastAnsweredAt = answeredAt;
         lastHeartbeat = number;
     }
 
@@ -152,13 +152,13 @@
         recorded = true;
     }
 
-    void heartbeatReceived(HeartbeatNumber number) {
+    void setLastHeartbeat(HeartbeatNumber number) {
         lastHeartbeat = number;
     }
 
     /** A heartbeat of it is answered now. */
     void renewLease(Moment now) {
-        lastHeardAt = now;
+        lastAnsweredAt = now;
         leaseExpired = false;
     }
 
@@ -168,8 +168,8 @@
     }
 
     /** It was found in the cloud's listing: its lease may have been renewed up to now. */
-    void adoptedAt(Moment now) {
-        lastHeardAt = now;
+    void markAdopted(Moment now) {
+        lastAnsweredAt = now;
     }
 
     /** Its task list was taken from a heartbeat under the present fencing token. */
@@ -178,40 +178,40 @@
     }
 
     /** When the cloud takes it away, as its last heartbeat says; null if it does not. */
-    void preemptionAnnounced(Moment at) {
+    void setPreemptionAt(Moment at) {
         preemptionAt = at;
     }
 
     /** The same machine under its real pool: what was learned of it stays. */
-    void copyHistoryOf(Machine other) {
-        lastHeardAt = other.lastHeardAt;
+    void copyHistoryFrom(Machine other) {
+        lastAnsweredAt = other.lastAnsweredAt;
         knownToExistAt = other.knownToExistAt;
     }
 
     /** The cloud has confirmed the rental that was requested at {@code requestedAt}. */
-    void rentalConfirmed(Moment requestedAt) {
+    void confirmRental(Moment requestedAt) {
         rentedAt = requestedAt;
     }
 
-    void existsAt(Moment moment) {
+    void setKnownToExistAt(Moment moment) {
         knownToExistAt = moment;
     }
 
     /** The cloud's listing has it. */
-    void listed() {
+    void resetMissedListings() {
         missedListings = 0;
     }
 
     /** A listing that should have it lacks it. */
-    void missingFromListing() {
+    void countMissedListing() {
         missedListings++;
     }
 
-    void becameIdle(Moment now) {
+    void markIdle(Moment now) {
         idleSince = now;
     }
 
-    void countOrphanTasks(int count) {
+    void setOrphanTasks(int count) {
         orphanTasks = count;
     }
 
@@ -221,12 +221,12 @@
     }
 
     /** From now on it serves this queue. */
-    void serve(FairShareQueue queue) {
+    void assignTo(FairShareQueue queue) {
         queueName = queue.name;
     }
 
     /** Whether it is more than is needed at its price. */
-    void markSurplus(boolean isSurplus) {
+    void setSurplus(boolean isSurplus) {
         surplus = isSurplus;
     }
 
@@ -240,16 +240,16 @@
     }
 
     /** Its tasks are to be moved to other machines. */
-    void startDraining() {
+    void beginDraining() {
         draining = true;
     }
 
     /** Draining lasts until the tasks that are being stopped have exited. */
-    void endDrainingIfStopped() {
+    void endDrainingIfNoneStopping() {
         draining &= placements.isAnyStopping();
     }
 
-    Demand free() {
+    Resources freeResources() {
         return type.capacity().minus(placements.used());
     }
 
@@ -258,12 +258,14 @@
      * this order, so that the worker never has both. One that still waits for the image stays: without it the fetch would be
      * abandoned, and no replica could run before it is done.
      */
-    Demand freeFor(JobSpec spec) {
+    Resources freeResourcesFor(JobSpec spec) {
         Placement holder = poolMembership == null || !poolMembership.image().equals(spec.image()) ? null : holder();
-        return holder == null || !holder.isRunning() ? free() : free().plus(holder.demand());
+        return holder == null || !holder.isRunning()
+                ? freeResources()
+                : freeResources().plus(holder.demand());
     }
 
-    Demand used() {
+    Resources usedResources() {
         return placements.used();
     }
 
@@ -316,7 +318,7 @@
         return (phase == Phase.BOOTING || phase == Phase.UP)
                 && preemptionAt == null
                 && !quarantined
-                && !partition.isConfirmed();
+                && !partitionDetector.isConfirmed();
     }
 
     /** Whether a task runs on it only to keep an image. */
@@ -340,13 +342,13 @@
         return holder == null ? null : holder.job;
     }
 
-    boolean hasTaskWith(String image) {
-        return placements.hasTaskWith(image);
+    boolean hasTaskWithImage(String image) {
+        return placements.hasTaskWithImage(image);
     }
 
     /** Up, not about to be preempted, and reachable: counted on. */
     boolean isHealthy() {
-        return phase == Phase.UP && preemptionAt == null && !quarantined && !partition.isConfirmed();
+        return phase == Phase.UP && preemptionAt == null && !quarantined && !partitionDetector.isConfirmed();
     }
 
     /** Must be recorded before it can get tasks: it is up, and a later leader would not know of it. */
@@ -361,21 +363,23 @@
 
     /** Being returned as answers do not reach it: no answer may renew its lease, so that its work is not counted for longer. */
     boolean isReturnedAsUnreachable() {
-        return phase == Phase.RETURNING && partition.isConfirmed();
+        return phase == Phase.RETURNING && partitionDetector.isConfirmed();
     }
 
     /** Requested and not up yet, but not overdue by so many of its type's boot times either. */
     boolean isBooting(Moment now, double bootTimes) {
-        return phase == Phase.BOOTING && now.isBefore(rentedAt.plus(type.boot().times(bootTimes)));
+        return phase == Phase.BOOTING
+                && now.isBefore(rentedAt.plus(type.bootTime().times(bootTimes)));
     }
 
     /** Whether the job may use it, its pool membership included. */
     boolean allows(JobSpec spec) {
-        return matchesPool(spec) && (poolMembership == null || poolMembership.admits(spec, imageCache, free()));
+        return matchesPool(spec)
+                && (poolMembership == null || poolMembership.admits(spec, imageCache, freeResources()));
     }
 
     /** Whether the job may use its type, zone and price kind. */
     boolean matchesPool(JobSpec spec) {
-        return spec.allowsType(pool.type()) && spec.allowsZone(pool.zone()) && spec.allowsKind(pool.spot());
+        return spec.allowsType(pool.type()) && spec.allowsZone(pool.zone()) && spec.allowsPricing(pool.spot());
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/MachineAdoption.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachineAdoptionPolicy.java
@@ -16,7 +16,7 @@
  * machine, does: only this leader's answer to that one can have shown the token. What really runs without
  * showing that is adopted from the cloud's listing.
  */
-final class MachineAdoption {
+final class MachineAdoptionPolicy {
     private static final int MAX_ANSWERED = 1000;
 
     private final SafetyTimes safetyTimes;
@@ -35,7 +35,7 @@
     /** Machines up to this one were all in a complete listing that is new enough: an unknown one of them is gone. */
     private MachineId completeUpTo;
 
-    MachineAdoption(SafetyTimes safetyTimes) {
+    MachineAdoptionPolicy(SafetyTimes safetyTimes) {
         this.safetyTimes = safetyTimes;
     }
 
@@ -43,7 +43,7 @@
      * A heartbeat was answered before the records were loaded. Guards against a copy of it, and one of the next, being taken
      * for the first that this leader sees and the proof after it.
      */
-    void answered(MachineId id, HeartbeatNumber number) {
+    void recordAnswered(MachineId id, HeartbeatNumber number) {
         answeredHeartbeats.put(id, number);
     }
 
@@ -57,8 +57,8 @@
             answeredHeartbeats.putIfAbsent(id, heartbeat.number());
             return false;
         }
-        HeartbeatNumber first = answeredHeartbeats.get(id);
-        boolean proven = first != null && heartbeat.number().compareTo(first) > 0;
+        HeartbeatNumber answered = answeredHeartbeats.get(id);
+        boolean proven = answered != null && heartbeat.number().compareTo(answered) > 0;
         if (proven) {
             answeredHeartbeats.remove(id);
         }
@@ -69,7 +69,7 @@
      * A complete listing, of which every machine is known by now. Names are in the order of creation: what was created before a
      * machine of an earlier listing, and is not in a listing that describes a later moment, is gone for good.
      */
-    void listed(Collection<MachineId> listing, Moment requestedAt, Moment now) {
+    void onListing(Collection<MachineId> listing, Moment requestedAt, Moment now) {
         if (newestListed != null && !newestListedAt.isAfter(requestedAt.minus(safetyTimes.oldestListing()))) {
             completeUpTo = newestListed;
             newestListed = null;
--- a/src/main/java/io/indigoreach/core/scheduling/MachinePlacements.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachinePlacements.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.TaskId;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -12,19 +12,19 @@
 /** The tasks that are, or may be, on one machine, and the resources that they use. */
 final class MachinePlacements {
     private final Map<TaskId, Placement> placements = new HashMap<>();
-    private int holders;
-    private Demand used = Demand.NOTHING;
+    private int holderCount;
+    private Resources used = Resources.NONE;
 
     void add(Placement placement) {
         placements.put(placement.task(), placement);
-        holders += placement.job.spec.isHolder() ? 1 : 0;
+        holderCount += placement.job.spec.isWarmPoolHolder() ? 1 : 0;
         used = used.plus(placement.demand());
     }
 
     void remove(Placement placement) {
         if (placements.remove(placement.task(), placement)) {
-            holders -= placement.job.spec.isHolder() ? 1 : 0;
-            used = placements.isEmpty() ? Demand.NOTHING : used.minus(placement.demand());
+            holderCount -= placement.job.spec.isWarmPoolHolder() ? 1 : 0;
+            used = placements.isEmpty() ? Resources.NONE : used.minus(placement.demand());
         }
     }
 
@@ -40,26 +40,26 @@
         return placements.size();
     }
 
-    Demand used() {
+    Resources used() {
         return used;
     }
 
     /** No task is there except holders. */
     boolean isIdle() {
-        return placements.size() == holders;
+        return placements.size() == holderCount;
     }
 
     boolean hasHolder() {
-        return holders > 0;
+        return holderCount > 0;
     }
 
     /** The holder that is not being stopped. */
     Optional<Placement> holder() {
-        if (holders == 0) {
+        if (holderCount == 0) {
             return Optional.empty();
         }
         return placements.values().stream()
-                .filter(placement -> placement.job.spec.isHolder() && !placement.stopping)
+                .filter(placement -> placement.job.spec.isWarmPoolHolder() && !placement.stopping)
                 .findFirst();
     }
 
@@ -68,7 +68,7 @@
     }
 
     /** Whether a task with this image is there. */
-    boolean hasTaskWith(String image) {
+    boolean hasTaskWithImage(String image) {
         return placements.values().stream()
                 .anyMatch(placement -> placement.job.spec.image().equals(image));
     }
@@ -77,7 +77,7 @@
     Map<String, Double> coresByTeam() {
         Map<String, Double> cores = new HashMap<>();
         for (Placement placement : placements.values()) {
-            if (!placement.job.spec.isHolder()) {
+            if (!placement.job.spec.isWarmPoolHolder()) {
                 cores.merge(placement.job.spec.team(), placement.demand().cores(), Double::sum);
             }
         }
--- a/src/main/java/io/indigoreach/core/scheduling/ClassQuota.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MinimumClassService.java
@@ -17,46 +17,46 @@
  * class cannot become the flood of another. The same holds for any job that is older than anything should become. That
  * is ageing as in multilevel feedback queues (Corbató and others, 1962), with classes in place of single jobs.
  */
-final class ClassQuota {
+final class MinimumClassService {
     /** A class of which a smaller part can still be served in time is under-served; above a half, as jobs it counts on may fail. */
     private static final double MINIMUM_SERVED_FRACTION = 0.7;
     /** Of the jobs served so many times those open are remembered: months of good service would hide a flood of today. */
-    private static final int REMEMBERED_PER_OPEN = 4;
+    private static final int PAST_JOBS_PER_OPEN_JOB = 4;
 
-    private static final int MINIMUM_REMEMBERED = 20;
+    private static final int MINIMUM_PAST_JOBS = 20;
     private static final int MAXIMUM_CLASSES = 1000;
     /** A job that has waited for this part of its time is not counted on any more: many are lost together. */
-    private static final double SAFE_FRACTION = 0.75;
+    private static final double ON_TRACK_FRACTION = 0.75;
     /** Part of the cores in use up to which under-served jobs go before all others. */
     private static final double UNDER_SERVED_FRACTION = 0.5;
     /** The same for the one task by which a job begins: a flood of single tasks is not to become everybody's. */
-    private static final double BEGINNING_FRACTION = 0.25;
+    private static final double STARVED_FRACTION = 0.25;
 
     /** Jobs of a class: over in time, or open with time left; and all, those that missed their longest objective among them. */
-    private static final class Tally {
+    private static final class ClassCounts {
         double met;
         double missed;
-        int safe;
+        int onTrack;
         int open;
 
         boolean isUnderServed() {
-            return met + safe < MINIMUM_SERVED_FRACTION * (met + missed + open);
+            return met + onTrack < MINIMUM_SERVED_FRACTION * (met + missed + open);
         }
     }
 
-    private final Map<String, Tally> tallies = new HashMap<>();
+    private final Map<String, ClassCounts> countsByClass = new HashMap<>();
     private final Set<String> underServedClasses = new HashSet<>();
     private boolean underServedFirst;
 
     /** The job is off the queue: done or cancelled. */
     void jobEnded(Job job) {
         if (!job.missedObjectives && job.isComplete()) {
-            tally(job).met++;
+            countsOf(job).met++;
         }
     }
 
-    private Tally tally(Job job) {
-        return tallies.computeIfAbsent(job.spec.jobClass(), name -> new Tally());
+    private ClassCounts countsOf(Job job) {
+        return countsByClass.computeIfAbsent(job.spec.jobClass(), name -> new ClassCounts());
     }
 
     /**
@@ -66,62 +66,67 @@
      * @param lastChance when the longest objective is missed by a job that still waits
      * @param aged the job has waited for longer than anything should
      */
-    void recount(List<Job> jobs, double cores, Function<Job, Moment> lastChance, Predicate<Job> aged, Moment now) {
-        forgetOldServices();
+    void recount(
+            List<Job> jobs,
+            double cores,
+            Function<Job, Moment> longestObjectiveStart,
+            Predicate<Job> isAged,
+            Moment now) {
+        decayPastJobs();
         for (Job job : jobs) {
             if (!job.missedObjectives && !job.spec.isService()) {
-                countOpen(job, lastChance, now);
+                countOpen(job, longestObjectiveStart, now);
             }
         }
         underServedClasses.clear();
-        tallies.forEach((name, tally) -> {
-            if (tally.isUnderServed()) {
+        countsByClass.forEach((name, counts) -> {
+            if (counts.isUnderServed()) {
                 underServedClasses.add(name);
             }
         });
-        markJobs(jobs, cores, aged, now);
+        markJobs(jobs, cores, isAged, now);
     }
 
     /** What was missed is forgotten in proportion to what was met, so that it is made good and then over. */
-    private void forgetOldServices() {
-        if (tallies.size() > MAXIMUM_CLASSES) {
+    private void decayPastJobs() {
+        if (countsByClass.size() > MAXIMUM_CLASSES) {
             // Their names are the users' own; a class without open jobs is not under-served.
-            tallies.values().removeIf(tally -> tally.open == 0);
+            countsByClass.values().removeIf(counts -> counts.open == 0);
         }
-        tallies.values().forEach(tally -> {
-            int remembered = Math.max(MINIMUM_REMEMBERED, REMEMBERED_PER_OPEN * tally.open);
-            double part = Math.min(1, remembered / Math.max(1, tally.met));
-            tally.met *= part;
-            tally.missed *= part;
-            tally.open = 0;
-            tally.safe = 0;
+        countsByClass.values().forEach(counts -> {
+            int pastJobLimit = Math.max(MINIMUM_PAST_JOBS, PAST_JOBS_PER_OPEN_JOB * counts.open);
+            double decayFactor = Math.min(1, pastJobLimit / Math.max(1, counts.met));
+            counts.met *= decayFactor;
+            counts.missed *= decayFactor;
+            counts.open = 0;
+            counts.onTrack = 0;
         });
     }
 
-    private void countOpen(Job job, Function<Job, Moment> lastChance, Moment now) {
-        Tally tally = tally(job);
-        Span whole = lastChance.apply(job).since(job.eligibleSince);
+    private void countOpen(Job job, Function<Job, Moment> longestObjectiveStart, Moment now) {
+        ClassCounts counts = countsOf(job);
+        Span timeLimit = longestObjectiveStart.apply(job).since(job.eligibleSince);
         Span waited = job.hasWaiting() ? now.since(job.eligibleSince) : Span.ZERO;
-        job.objectivesMissed(waited.compareTo(whole) > 0);
-        tally.missed += job.missedObjectives ? 1 : 0;
-        tally.open += job.missedObjectives ? 0 : 1;
-        tally.safe += waited.compareTo(whole.times(SAFE_FRACTION)) <= 0 ? 1 : 0;
+        job.markMissedObjectives(waited.compareTo(timeLimit) > 0);
+        counts.missed += job.missedObjectives ? 1 : 0;
+        counts.open += job.missedObjectives ? 0 : 1;
+        counts.onTrack += waited.compareTo(timeLimit.times(ON_TRACK_FRACTION)) <= 0 ? 1 : 0;
     }
 
-    private void markJobs(List<Job> jobs, double cores, Predicate<Job> aged, Moment now) {
+    private void markJobs(List<Job> jobs, double cores, Predicate<Job> isAged, Moment now) {
         double underServedCores = 0;
-        double begunCores = 0;
+        double starvedCores = 0;
         for (Job job : jobs) {
-            job.markUnderServed(!job.spec.isService() && (aged.test(job) || isOfUnderServedClass(job)));
-            job.markStarved(ServiceLevelObjectives.isStarved(job, now) && !job.hasBegun());
+            job.markUnderServed(!job.spec.isService() && (isAged.test(job) || isOfUnderServedClass(job)));
+            job.markStarved(ServiceLevelObjectives.isStarved(job, now) && !job.hasStarted());
             double coresPerTask = job.spec.demand().cores();
             underServedCores += job.underServed ? job.placements().size() * coresPerTask : 0;
-            begunCores += job.startedAsStarved && !job.placements().isEmpty() ? coresPerTask : 0;
+            starvedCores += job.startedWhileStarved && !job.placements().isEmpty() ? coresPerTask : 0;
         }
         underServedFirst = underServedCores < UNDER_SERVED_FRACTION * cores;
-        boolean mayBegin = begunCores < BEGINNING_FRACTION * cores;
+        boolean servesStarvedFirst = starvedCores < STARVED_FRACTION * cores;
         for (Job job : jobs) {
-            job.markStarved(job.starved && mayBegin);
+            job.markStarved(job.starved && servesStarvedFirst);
         }
     }
 
--- /dev/null
+++ b/src/main/java/io/indigoreach/core/scheduling/PlaceShortageTracker.java
@@ -0,0 +1,106 @@
+package io.indigoreach.core.scheduling;
+
+import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
+import io.indigoreach.core.model.Span;
+import io.indigoreach.core.model.TaskState;
+import java.util.HashMap;
+import java.util.Map;
+
+/** How many places top jobs lack beyond those that come free soon, so that no more tasks are stopped than needed. */
+final class PlaceShortageTracker {
+    /** A place that comes free within this time is waited for. */
+    private static final Span WAIT_FOR_FREE_PLACE = Span.seconds(6);
+    /** How long a shortage is kept: it is counted over all machines, and not for every heartbeat. */
+    private static final Span SHORTAGE_LIFE = Span.seconds(0.5);
+
+    /** Places that the top job lacks, less those for which room is being made since they were counted. */
+    private record Shortage(Job topJob, Moment countedAt, int missingPlaces) {}
+
+    private final Cluster cluster;
+    private final ServiceLevelObjectives objectives;
+    private final Estimates estimates;
+    private final PlacementRules placementRules;
+    /** Of the top job that preempts less urgent work. */
+    private Shortage preemptionShortage;
+    /** Of the top jobs that claim their teams' guarantees. */
+    private final Map<FairShareQueue, Shortage> guaranteeShortages = new HashMap<>();
+
+    PlaceShortageTracker(
+            Cluster cluster, ServiceLevelObjectives objectives, Estimates estimates, PlacementRules placementRules) {
+        this.cluster = cluster;
+        this.objectives = objectives;
+        this.estimates = estimates;
+        this.placementRules = placementRules;
+    }
+
+    /** How many places the top job lacks on the machines that serve its queue. */
+    int missingPlaces(FairShareQueue queue, Job topJob, Moment now) {
+        if (preemptionShortage == null || isOutdated(preemptionShortage, topJob, now)) {
+            preemptionShortage = new Shortage(
+                    topJob, now, topJob.startableCount() - placesFreeSoon(cluster.machinesServing(queue), topJob, now));
+        }
+        return preemptionShortage.missingPlaces;
+    }
+
+    /** Room is being made for the top job: it lacks {@code places} from now on. */
+    void setMissingPlaces(Job topJob, int places) {
+        preemptionShortage = new Shortage(topJob, preemptionShortage.countedAt, places);
+    }
+
+    /** Whether places for a job within its team's guarantee come free without stopping more. */
+    boolean hasEnoughPlacesSoon(FairShareQueue queue, Job topJob, Moment now) {
+        Shortage current = guaranteeShortages.get(queue);
+        if (current == null || isOutdated(current, topJob, now)) {
+            current = new Shortage(
+                    topJob, now, topJob.startableCount() - placesFreeSoon(cluster.allMachines(), topJob, now));
+            guaranteeShortages.put(queue, current);
+        }
+        return current.missingPlaces <= 0;
+    }
+
+    /** Room for one task of the queue's top job is being made. */
+    void recordGuaranteedPlace(FairShareQueue queue, Job topJob) {
+        guaranteeShortages.computeIfPresent(
+                queue, (key, current) -> new Shortage(topJob, current.countedAt, current.missingPlaces - 1));
+    }
+
+    private static boolean isOutdated(Shortage shortage, Job topJob, Moment now) {
+        return shortage.topJob != topJob || !now.isBefore(shortage.countedAt.plus(SHORTAGE_LIFE));
+    }
+
+    /** What is left until an objective on the job's starts is missed, if that is soon; else zero. */
+    Span timeToObjective(Job topJob, Moment now) {
+        Moment latestStart = objectives.latestStartForStartObjective(topJob);
+        Span remaining = latestStart == null ? Span.ZERO : latestStart.since(now);
+        return remaining.ms() < 0 || remaining.compareTo(WAIT_FOR_FREE_PLACE) > 0 ? Span.ZERO : remaining;
+    }
+
+    /** Places for the top job that come free soon by themselves, or because room is being made already. */
+    private int placesFreeSoon(Iterable<Machine> machines, Job topJob, Moment now) {
+        int places = 0;
+        Span timeToObjective = timeToObjective(topJob, now);
+        Span horizon = timeToObjective.ms() > 0 ? timeToObjective : WAIT_FOR_FREE_PLACE;
+        for (Machine machine : machines) {
+            if (!machine.isUsable()
+                    || !machine.allows(topJob.spec)
+                    || placementRules.awaitsImageLocality(topJob, machine, now)) {
+                continue;
+            }
+            Resources free = machine.freeResourcesFor(topJob.spec);
+            for (Placement placement : machine.placements().values()) {
+                if (endsWithin(horizon, placement, now)) {
+                    free = free.plus(placement.demand());
+                }
+            }
+            places += topJob.spec.demand().countFittingIn(free);
+        }
+        return places;
+    }
+
+    private boolean endsWithin(Span horizon, Placement placement, Moment now) {
+        return placement.stopping
+                || placement.state == TaskState.SAVING
+                || estimates.expectedEnd(placement, now).since(now).compareTo(horizon) <= 0;
+    }
+}
--- a/src/main/java/io/indigoreach/core/scheduling/PlacementRules.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PlacementRules.java
@@ -6,9 +6,9 @@
 final class PlacementRules {
     private final Cluster cluster;
     private final ServiceLevelObjectives objectives;
-    private final Failover failover;
+    private final FailoverTracker failover;
 
-    PlacementRules(Cluster cluster, ServiceLevelObjectives objectives, Failover failover) {
+    PlacementRules(Cluster cluster, ServiceLevelObjectives objectives, FailoverTracker failover) {
         this.cluster = cluster;
         this.objectives = objectives;
         this.failover = failover;
@@ -23,7 +23,7 @@
         if (now.isBefore(job.retryNotBefore)) {
             return false;
         }
-        if (cluster.teamUsage(job).team.isLimited()) {
+        if (cluster.teamUsage(job).team.hasLimits()) {
             return failover.isComplete() && !cluster.hasOrphanTasks();
         }
         return true;
@@ -35,19 +35,19 @@
         if (!cluster.teamUsage(job).hasRoomFor(job.spec.demand())) {
             return false;
         }
-        if (job.spec.oneZone()) {
+        if (job.spec.singleZone()) {
             String boundZone = job.boundZone();
             if (boundZone != null && !boundZone.equals(zone)) {
                 return false;
             }
         }
-        return !job.spec.spread() || job.placementsInZone(zone) < job.spec.zoneLimit();
+        return !job.spec.spreadOverZones() || job.placementsInZone(zone) < job.spec.maxTasksPerZone();
     }
 
     /** Whether the machine is suitable for the job: by its pool, its failures and its image, not by its free capacity. */
     boolean isSuitable(Job job, Machine machine, Moment now) {
         return machine.allows(job.spec)
-                && FaultAttribution.allows(job, machine, now)
+                && FaultTracker.isAllowed(job, machine, now)
                 && !awaitsImageLocality(job, machine, now);
     }
 
@@ -60,10 +60,11 @@
         if (now.isBefore(job.imageLocalityUntil) && !machine.imageCache.contains(job.spec.image())) {
             return true;
         }
-        Moment due = machine.imageCache.contains(job.spec.image()) ? null : objectives.latestStartForWait(job);
-        return due != null
-                && now.plus(Estimates.fetch(job, machine.type)).isAfter(due)
-                && now.isBefore(due)
+        Moment latestStart =
+                machine.imageCache.contains(job.spec.image()) ? null : objectives.latestStartForStartObjective(job);
+        return latestStart != null
+                && now.plus(Estimates.fetchTime(job, machine.type)).isAfter(latestStart)
+                && now.isBefore(latestStart)
                 && cluster.isImageCached(job.spec.image());
     }
 
@@ -71,12 +72,12 @@
      * Whether the machine keeps its room for a replica until the failover is complete: a replica that may turn out to
      * run nowhere is not to find its places taken by work that nobody had started yet and that it could not preempt.
      */
-    boolean keepsRoomForReplica(Job job, Machine machine) {
+    boolean keepsCapacityForReplica(Job job, Machine machine) {
         return !failover.isComplete()
                 && job.spec.isService()
                 && job.hasWaiting()
                 && !job.hasStartable()
                 && machine.allows(job.spec)
-                && job.spec.demand().fitsIn(machine.freeFor(job.spec));
+                && job.spec.demand().fitsIn(machine.freeResourcesFor(job.spec));
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/QueueNeed.java
+++ b/src/main/java/io/indigoreach/core/scheduling/QueueNeed.java
@@ -5,26 +5,27 @@
 
 /** What the waiting jobs of one queue need, counted in the order of the queue. */
 final class QueueNeed {
-    private final Map<String, TypeNeed> byType = new HashMap<>();
+    private final Map<String, MachineTypeNeed> byType = new HashMap<>();
     /** Work of the short jobs per machine type, in seconds of a whole machine. */
     private final Map<String, Double> shortWork = new HashMap<>();
     /** Cores counted so far for each team, against its limit. */
     private final Map<TeamUsage, Double> plannedCores = new HashMap<>();
 
-    private boolean topShortCounted;
+    private boolean hasShortJob;
 
     /** The need per machine type, by its name. */
-    Map<String, TypeNeed> byType() {
+    Map<String, MachineTypeNeed> byType() {
         return byType;
     }
 
-    TypeNeed ofType(String type) {
-        return byType.computeIfAbsent(type, name -> new TypeNeed());
+    MachineTypeNeed forType(String type) {
+        return byType.computeIfAbsent(type, name -> new MachineTypeNeed());
     }
 
     /** How many of the job's tasks its team's limit allows beside those counted before; they are counted with them. */
-    int withinTeamLimit(Job job, TeamUsage team) {
-        int tasks = Math.min(job.startableCount(), team.room(job.spec.demand(), plannedCores.getOrDefault(team, 0.0)));
+    int countWithinTeamLimit(Job job, TeamUsage team) {
+        int tasks = Math.min(
+                job.startableCount(), team.remainingTasks(job.spec.demand(), plannedCores.getOrDefault(team, 0.0)));
         plannedCores.merge(team, Math.max(0, tasks) * job.spec.demand().cores(), Double::sum);
         return tasks;
     }
@@ -38,9 +39,9 @@
     }
 
     /** Returns true for the first short job, which is counted whole, and false for those behind it. */
-    boolean countTopShort() {
-        boolean first = !topShortCounted;
-        topShortCounted = true;
+    boolean registerShortJob() {
+        boolean first = !hasShortJob;
+        hasShortJob = true;
         return first;
     }
 }
