--- a/src/main/java/io/indigoreach/core/scheduling/QueueOrder.java
+++ b/src/main/java/io/indigoreach/core/scheduling/QueueOrder.java
@@ -12,7 +12,7 @@
 /** The order in which the jobs of a queue are served, and the latest starts that it is derived from. */
 final class QueueOrder {
     /** How long the count of usable machines is kept. */
-    private static final Span MACHINE_COUNT_LIFE = Span.seconds(1);
+    private static final Span MACHINE_COUNT_CACHE_TIME = Span.seconds(1);
 
     /** An objective nearer than this many boot times and half of the minimum paid time is no reason to scale out. */
     private static final double BOOT_TIMES_TO_OBJECTIVE = 1.2;
@@ -22,9 +22,9 @@
     private final Estimates estimates;
     private final Span minimumPaidTime;
     /** Usable machines of each pool, counted once per {@link #MACHINE_COUNT_LIFE}. */
-    private Map<MachinePool, Integer> usableMachines = Map.of();
+    private Map<MachinePool, Integer> usableMachinesByPool = Map.of();
 
-    private Moment usableCountedAt = Moment.NEVER;
+    private Moment machinesCountedAt = Moment.NEVER;
 
     QueueOrder(Cluster cluster, ServiceLevelObjectives objectives, Estimates estimates, Span minimumPaidTime) {
         this.cluster = cluster;
@@ -34,53 +34,56 @@
     }
 
     /** The jobs of the queue in the order in which they are served. */
-    List<Job> jobs(FairShareQueue queue, Moment now) {
-        return queue.ordered(
+    List<Job> sortedJobs(FairShareQueue queue, Moment now) {
+        return queue.sortedJobs(
                 job -> objectives
-                        .latestStart(job, estimates.run(job), rounds(job, now), now)
-                        .minus(clearingTime(job)),
-                job -> objectives.lastChance(job, estimates.run(job)),
+                        .latestStart(job, estimates.runTime(job), roundCount(job, now), now)
+                        .minus(drainTime(job)),
+                job -> objectives.latestStartForLongestObjective(job, estimates.runTime(job)),
                 job -> objectives.isAged(job, now),
                 now);
     }
 
     /** A task that takes a whole machine starts only when everything else on one has ended. */
-    private Span clearingTime(Job job) {
-        boolean wholeMachine = cluster.types.values().stream()
-                .allMatch(type -> job.spec.demand().timesIn(type.capacity()) <= 1);
-        return wholeMachine ? minimumPaidTime : Span.ZERO;
+    private Span drainTime(Job job) {
+        boolean needsWholeMachine = cluster.machineTypes.values().stream()
+                .allMatch(type -> job.spec.demand().countFittingIn(type.capacity()) <= 1);
+        return needsWholeMachine ? minimumPaidTime : Span.ZERO;
     }
 
     /** How many rounds the job's waiting tasks would take if they had every place of the cluster. */
-    private int rounds(Job job, Moment now) {
-        if (!now.isBefore(usableCountedAt.plus(MACHINE_COUNT_LIFE))) {
+    private int roundCount(Job job, Moment now) {
+        if (!now.isBefore(machinesCountedAt.plus(MACHINE_COUNT_CACHE_TIME))) {
             countUsableMachines(now);
         }
-        int places = 0;
-        for (Map.Entry<MachinePool, Integer> entry : usableMachines.entrySet()) {
+        int slots = 0;
+        for (Map.Entry<MachinePool, Integer> entry : usableMachinesByPool.entrySet()) {
             MachinePool pool = entry.getKey();
             if (allowsPool(job, pool)) {
-                places += entry.getValue()
+                slots += entry.getValue()
                         * job.spec
                                 .demand()
-                                .timesIn(cluster.types.get(pool.type()).capacity());
+                                .countFittingIn(
+                                        cluster.machineTypes.get(pool.type()).capacity());
             }
         }
-        return places == 0 ? 1 : (job.waitingCount() + places - 1) / places;
+        return slots == 0 ? 1 : (job.waitingCount() + slots - 1) / slots;
     }
 
     private void countUsableMachines(Moment now) {
-        usableMachines = new HashMap<>();
-        usableCountedAt = now;
+        usableMachinesByPool = new HashMap<>();
+        machinesCountedAt = now;
         for (Machine machine : cluster.machines.values()) {
             if (machine.isUsable()) {
-                usableMachines.merge(machine.pool, 1, Integer::sum);
+                usableMachinesByPool.merge(machine.pool, 1, Integer::sum);
             }
         }
     }
 
     private static boolean allowsPool(Job job, MachinePool pool) {
-        return job.spec.allowsType(pool.type()) && job.spec.allowsZone(pool.zone()) && job.spec.allowsKind(pool.spot());
+        return job.spec.allowsType(pool.type())
+                && job.spec.allowsZone(pool.zone())
+                && job.spec.allowsPricing(pool.spot());
     }
 
     /**
@@ -93,12 +96,12 @@
 
     /** By when the job's waiting tasks should have started for an objective whose latest start is not before {@code from}. */
     Moment latestStart(Job job, Moment from) {
-        return objectives.latestStart(job, estimates.run(job), 1, from);
+        return objectives.latestStart(job, estimates.runTime(job), 1, from);
     }
 
     /** An objective nearer than this cannot be met by scaling out for what waits. */
     Span shortestRentableObjective(MachineType type) {
-        return type.boot().times(BOOT_TIMES_TO_OBJECTIVE).plus(minimumPaidTime.times(0.5));
+        return type.bootTime().times(BOOT_TIMES_TO_OBJECTIVE).plus(minimumPaidTime.times(0.5));
     }
 
     /**
--- a/src/main/java/io/indigoreach/core/scheduling/RememberedStateView.java
+++ b/src/main/java/io/indigoreach/core/scheduling/RememberedStateBuilder.java
@@ -4,8 +4,8 @@
 import io.indigoreach.core.model.JobStatus;
 
 /** What a leader knows of jobs and machines, in the form in which lost records are rebuilt from it. */
-final class RememberedStateView {
-    private RememberedStateView() {}
+final class RememberedStateBuilder {
+    private RememberedStateBuilder() {}
 
     static RememberedState of(Cluster cluster) {
         RememberedState rememberedState = new RememberedState();
@@ -24,7 +24,7 @@
     static RememberedState of(Job job) {
         RememberedState rememberedState = new RememberedState();
         if (job.isComplete()) {
-            rememberedState.add(job.id(), new RememberedState.FinishedJob(JobStatus.DONE, job.spec.tasks()));
+            rememberedState.add(job.id(), new RememberedState.FinishedJob(JobStatus.DONE, job.spec.taskCount()));
         } else {
             rememberedState.add(new RememberedState.OpenJob(
                     job.spec, job.submittedMs, job.completedTasks(), job.startBoundToWrite()));
--- a/src/main/java/io/indigoreach/core/scheduling/ReservedCapacity.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ReservedCapacity.java
@@ -22,12 +22,12 @@
     private static final Span SELECTION_LIFE = Span.seconds(1);
 
     /** Counted at a moment; empty where no such job waits. The jobs are those with the least work left first. */
-    private record Selection(Set<MachineId> machines, List<Job> jobs, Moment at) {}
+    private record Selection(Set<MachineId> machines, List<Job> eligibleJobs, Moment selectedAt) {}
 
     private final Cluster cluster;
     private final ServiceLevelObjectives objectives;
     private final Estimates estimates;
-    private final Map<FairShareQueue, Selection> byQueue = new HashMap<>();
+    private final Map<FairShareQueue, Selection> selectionByQueue = new HashMap<>();
 
     ReservedCapacity(Cluster cluster, ServiceLevelObjectives objectives, Estimates estimates) {
         this.cluster = cluster;
@@ -42,14 +42,14 @@
 
     /** Whether such jobs go first on the machine; selects machines and jobs anew once per {@link #SELECTION_LIFE}. */
     boolean isReserved(Machine machine, FairShareQueue queue, List<Job> jobs, Moment now) {
-        Selection selection = byQueue.get(queue);
-        if (selection == null || !now.isBefore(selection.at.plus(SELECTION_LIFE))) {
+        Selection selection = selectionByQueue.get(queue);
+        if (selection == null || !now.isBefore(selection.selectedAt.plus(SELECTION_LIFE))) {
             List<Job> waiting = jobs.stream()
                     .filter(job -> isEligible(job, now) && job.hasStartable())
                     .sorted(Comparator.comparingDouble(this::remainingWork))
                     .toList();
-            selection = new Selection(waiting.isEmpty() ? Set.of() : choose(queue, now), waiting, now);
-            byQueue.put(queue, selection);
+            selection = new Selection(waiting.isEmpty() ? Set.of() : chooseMachines(queue, now), waiting, now);
+            selectionByQueue.put(queue, selection);
         }
         return selection.machines.contains(machine.id);
     }
@@ -58,24 +58,24 @@
      * The jobs that go first there, those with the least work left before others: most of a class are over before one large
      * array is. That one goes on as soon as it is aged, or wherever there is room.
      */
-    List<Job> jobs(FairShareQueue queue) {
-        return byQueue.get(queue).jobs;
+    List<Job> eligibleJobs(FairShareQueue queue) {
+        return selectionByQueue.get(queue).eligibleJobs;
     }
 
     private double remainingWork(Job job) {
         return job.waitingCount()
                 * job.spec.demand().cores()
-                * estimates.run(job).seconds();
+                * estimates.runTime(job).seconds();
     }
 
     /** Those that do most such work already, so that they stay the same ones. */
-    private Set<MachineId> choose(FairShareQueue queue, Moment now) {
-        Map<Machine, Double> work = new HashMap<>();
+    private Set<MachineId> chooseMachines(FairShareQueue queue, Moment now) {
+        Map<Machine, Double> eligibleCores = new HashMap<>();
         List<Machine> usable = new ArrayList<>();
         for (Machine machine : cluster.machinesServing(queue)) {
             if (machine.isUsable()) {
                 usable.add(machine);
-                work.put(
+                eligibleCores.put(
                         machine,
                         machine.placements().values().stream()
                                 .filter(placement -> isEligible(placement.job, now))
@@ -83,7 +83,7 @@
                                 .sum());
             }
         }
-        usable.sort(Comparator.<Machine>comparingDouble(machine -> -work.get(machine))
+        usable.sort(Comparator.<Machine>comparingDouble(machine -> -eligibleCores.get(machine))
                 .thenComparing(machine -> machine.id));
         Set<MachineId> chosen = new HashSet<>();
         usable.subList(0, (int) (usable.size() * RESERVED_FRACTION)).forEach(machine -> chosen.add(machine.id));
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
@@ -34,22 +34,23 @@
     }
 
     /** The machines to return, each with the reason; they are RETURNING from now on. */
-    List<PlannedReturn> selectMachines(Moment now, boolean settled) {
+    List<PlannedReturn> selectMachines(Moment now, boolean failoverComplete) {
         List<PlannedReturn> planned = new ArrayList<>();
-        int up = 0;
-        int lost = 0;
+        int upMachines = 0;
+        int lostMachines = 0;
         for (Machine machine : cluster.machines.values()) {
-            up += machine.phase == Machine.Phase.UP ? 1 : 0;
-            lost += machine.phase == Machine.Phase.LOST ? 1 : 0;
+            upMachines += machine.phase == Machine.Phase.UP ? 1 : 0;
+            lostMachines += machine.phase == Machine.Phase.LOST ? 1 : 0;
         }
-        boolean mostAreLost = lost > up;
-        failureDetector.recount(now);
+        boolean mostMachinesLost = lostMachines > upMachines;
+        failureDetector.countZones(now);
         for (Machine machine : cluster.machines.values()) {
-            String reason =
-                    machine.phase == Machine.Phase.RETURNING ? null : reason(machine, now, settled, mostAreLost);
+            String reason = machine.phase == Machine.Phase.RETURNING
+                    ? null
+                    : returnReason(machine, now, failoverComplete, mostMachinesLost);
             if (reason != null) {
                 machine.beginReturn(now);
-                cluster.changed();
+                cluster.recordChange();
                 planned.add(new PlannedReturn(machine.id, reason));
             }
         }
@@ -57,41 +58,43 @@
     }
 
     /** Why the machine is to be returned now; null if it is not. */
-    private String reason(Machine machine, Moment now, boolean settled, boolean mostAreLost) {
+    private String returnReason(Machine machine, Moment now, boolean failoverComplete, boolean mostMachinesLost) {
         if (isUnreachable(machine, now)) {
-            return "no-heartbeat-answers missed=" + machine.partition.missed();
+            return "no-heartbeat-answers missed=" + machine.partitionDetector.missedAnswers();
         }
         return switch (machine.phase) {
             case BOOTING -> reasonWhileBooting(machine, now);
-            case LOST -> reasonWhileLost(machine, now, mostAreLost);
-            default -> reasonWhileUp(machine, now, settled);
+            case LOST -> reasonWhileLost(machine, now, mostMachinesLost);
+            default -> reasonWhileUp(machine, now, failoverComplete);
         };
     }
 
     /** Answers do not reach it, by its own fault or for longer than waiting for the network is worth. */
     private boolean isUnreachable(Machine machine, Moment now) {
-        return machine.partition.isConfirmed()
+        return machine.partitionDetector.isConfirmed()
                 && (!failureDetector.isZonePartitioned(machine.pool.zone())
-                        || now.since(machine.partition.missedSince()).compareTo(partitionPatience(machine)) > 0);
+                        || now.since(machine.partitionDetector.firstMissedSentAt())
+                                        .compareTo(partitionTimeout(machine))
+                                > 0);
     }
 
     private String reasonWhileBooting(Machine machine, Moment now) {
-        Span bootTimeout = machine.type.boot().times(settings.bootTimeout());
+        Span bootTimeout = machine.type.bootTime().times(settings.bootTimeout());
         if (now.since(machine.rentedAt).compareTo(bootTimeout) > 0
-                && now.since(machine.lastHeardAt).compareTo(safetyTimes.leaseBound()) > 0) {
+                && now.since(machine.lastAnsweredAt).compareTo(safetyTimes.leaseBound()) > 0) {
             return "never-up";
         }
         return failureDetector.isMachineFailure(machine, now) ? "silent-since-failover" : null;
     }
 
     /** When most are silent the fault is likely between them and this leader: then they are kept. */
-    private String reasonWhileLost(Machine machine, Moment now, boolean mostAreLost) {
-        return !mostAreLost && now.since(machine.lastHeardAt).compareTo(patience(machine)) > 0
+    private String reasonWhileLost(Machine machine, Moment now, boolean mostMachinesLost) {
+        return !mostMachinesLost && now.since(machine.lastAnsweredAt).compareTo(lostTimeout(machine)) > 0
                 ? "silent-since-lease-expiry"
                 : null;
     }
 
-    private String reasonWhileUp(Machine machine, Moment now, boolean settled) {
+    private String reasonWhileUp(Machine machine, Moment now, boolean failoverComplete) {
         if (failureDetector.isMachineFailure(machine, now) && !machine.isIdle()) {
             return "silent tasks=" + machine.taskCount();
         }
@@ -101,11 +104,11 @@
         if (machine.quarantined) {
             return "fails-tasks";
         }
-        return settled && isIdleAtTermEnd(machine, now) ? "idle" : null;
+        return failoverComplete && isIdleAtTermEnd(machine, now) ? "idle" : null;
     }
 
     private boolean isIdleAtTermEnd(Machine machine, Moment now) {
-        return termEnds(machine, now)
+        return termEndsBeforeNextCheck(machine, now)
                 && !cluster.warmCapacity.isRetained(machine)
                 && !dispatcher.rules().cordons().isUsableByWaitingJob(machine, now);
     }
@@ -116,28 +119,29 @@
      * rule). Two fleets returned 400 machines seconds before a partition of 47 s ended, and waited half a minute for others
      * to boot.
      */
-    private Span patience(Machine machine) {
-        Span alone = safetyTimes.leaseBound().times(1.5);
-        Span behindPartition = partitionPatience(machine);
-        return failureDetector.isZoneUnreachable(machine.pool.zone()) && behindPartition.compareTo(alone) > 0
-                ? behindPartition
-                : alone;
+    private Span lostTimeout(Machine machine) {
+        Span singleMachineTimeout = safetyTimes.leaseBound().times(1.5);
+        Span partitionTimeout = partitionTimeout(machine);
+        return failureDetector.isZoneUnreachable(machine.pool.zone())
+                        && partitionTimeout.compareTo(singleMachineTimeout) > 0
+                ? partitionTimeout
+                : singleMachineTimeout;
     }
 
-    private Span partitionPatience(Machine machine) {
-        return safetyTimes.leaseBound().plus(machine.type.boot()).plus(settings.minimumPaidTime());
+    private Span partitionTimeout(Machine machine) {
+        return safetyTimes.leaseBound().plus(machine.type.bootTime()).plus(settings.minimumPaidTime());
     }
 
     /** Whether the paid term ends before the next check. */
-    boolean termEnds(Machine machine, Moment now) {
+    boolean termEndsBeforeNextCheck(Machine machine, Moment now) {
         return remainingTerm(machine, now).compareTo(settings.checkPeriod()) <= 0;
     }
 
     /** What is left of the paid term. */
     private Span remainingTerm(Machine machine, Moment now) {
-        long beyond =
+        long msBeyondMinimum =
                 now.since(machine.rentedAt).ms() - settings.minimumPaidTime().ms();
-        long term = Math.max(1, settings.term().ms());
-        return new Span(beyond < 0 ? -beyond : term - beyond % term);
+        long termMs = Math.max(1, settings.term().ms());
+        return new Span(msBeyondMinimum < 0 ? -msBeyondMinimum : termMs - msBeyondMinimum % termMs);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleOutTrigger.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleOutTrigger.java
@@ -11,25 +11,26 @@
     private final DispatchRules rules;
     private final Estimates estimates;
     private final SchedulerSettings settings;
-    private final JobSizing sizing;
+    private final JobSizer jobSizer;
 
-    ScaleOutTrigger(DispatchRules rules, Estimates estimates, SchedulerSettings settings, JobSizing sizing) {
+    ScaleOutTrigger(DispatchRules rules, Estimates estimates, SchedulerSettings settings, JobSizer jobSizer) {
         this.rules = rules;
         this.estimates = estimates;
         this.settings = settings;
-        this.sizing = sizing;
+        this.jobSizer = jobSizer;
     }
 
     /** Whether the top job has no place or waits too long for one, or another job behind it does. */
-    boolean mustScaleOut(FairShareQueue queue, Job top, Moment now) {
-        Moment start = rules.reservations().of(queue, top, now).lastStart();
-        return start == null
-                || start.since(top.eligibleSince).compareTo(settings.waitLimit()) > 0
-                || queue.jobs().stream().anyMatch(job -> waitsTooLong(job, now) || bootsTooLate(job, now));
+    boolean mustScaleOut(FairShareQueue queue, Job topJob, Moment now) {
+        Moment predictedStart =
+                rules.reservations().reservationOf(queue, topJob, now).lastStart();
+        return predictedStart == null
+                || predictedStart.since(topJob.eligibleSince).compareTo(settings.waitLimit()) > 0
+                || queue.jobs().stream().anyMatch(job -> hasWaitedTooLong(job, now) || wouldBootTooLate(job, now));
     }
 
     /** Behind an urgent job that is served at once others may wait for ever: their wait is past the limit, not predicted. */
-    private boolean waitsTooLong(Job job, Moment now) {
+    private boolean hasWaitedTooLong(Job job, Moment now) {
         return job.hasStartable()
                 && !job.isSuspectedFaulty()
                 && now.since(job.eligibleSince).compareTo(settings.waitLimit()) > 0
@@ -41,11 +42,11 @@
      * submitted as late as its prediction allows, a boot included. Behind a top job that is served soon the trigger would
      * come only when that boot no longer fits before the departure.
      */
-    private boolean bootsTooLate(Job job, Moment now) {
+    private boolean wouldBootTooLate(Job job, Moment now) {
         if (!job.spec.isPlanned() || !job.hasStartable() || job.isSuspectedFaulty()) {
             return false;
         }
-        Optional<MachineType> type = sizing.cheapestType(job);
+        Optional<MachineType> type = jobSizer.cheapestType(job);
         return type.isPresent()
                 && !endOnNewMachine(job, type.get(), now).isBefore(job.dueAt())
                 && rules.placement().mayStart(job, now);
@@ -53,9 +54,9 @@
 
     /** When a task would end on a machine that is requested after the wait limit. */
     private Moment endOnNewMachine(Job job, MachineType type, Moment now) {
-        return now.plus(type.boot())
-                .plus(estimates.run(job))
-                .plus(Estimates.fetch(job, type))
+        return now.plus(type.bootTime())
+                .plus(estimates.runTime(job))
+                .plus(Estimates.fetchTime(job, type))
                 .plus(settings.waitLimit());
     }
 
@@ -65,13 +66,13 @@
      * one after the other over a single on-demand machine.
      */
     boolean mayUseOnDemand(Job job, Moment now) {
-        Span patience = job.urgency().isMoreUrgentThan(Urgency.STANDARD)
+        Span spotPatience = job.urgency().isMoreUrgentThan(Urgency.STANDARD)
                 ? settings.urgentSpotPatience()
                 : settings.spotPatience();
         if ((rules.order().hasNoReachableObjective(job, now) || job.spec.isPlanned())
-                && settings.waitLimit().compareTo(patience) < 0) {
-            patience = settings.waitLimit();
+                && settings.waitLimit().compareTo(spotPatience) < 0) {
+            spotPatience = settings.waitLimit();
         }
-        return !job.spec.spotAllowed() || now.since(job.eligibleSince).compareTo(patience) >= 0;
+        return !job.spec.spotAllowed() || now.since(job.eligibleSince).compareTo(spotPatience) >= 0;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
@@ -28,15 +28,15 @@
 public final class SchedulerCore {
     private final Cluster cluster;
     private final Estimates estimates = new Estimates();
-    private final Failover failover;
-    private final InheritedTaskRelease inheritedTaskRelease;
+    private final FailoverTracker failover;
+    private final InheritedTaskReleaser inheritedTaskReleaser;
     private final MachineRegistry registry;
     private final HeartbeatHandler heartbeatHandler;
-    private final LeaseExpiry leaseExpiry;
+    private final LeaseMonitor leaseMonitor;
     private final DependentJobs dependentJobs;
-    private final BestSize bestSize;
+    private final ScaleOutPolicy bestSize;
     private final StartBounds startBounds;
-    private final Consolidation consolidation;
+    private final ConsolidationPolicy consolidation;
     private final ScaleInPolicy scaleInPolicy;
     private final WaitExplainer waitExplainer;
     private final SchedulerListener listener;
@@ -51,17 +51,17 @@
             SchedulerListener listener) {
         this.listener = listener;
         this.cluster = new Cluster(teams);
-        this.failover = new Failover();
-        this.inheritedTaskRelease = new InheritedTaskRelease(cluster, failover);
-        this.registry = new MachineRegistry(safetyTimes, cluster, failover, inheritedTaskRelease, listener);
-        this.leaseExpiry = new LeaseExpiry(safetyTimes, cluster, inheritedTaskRelease, listener);
+        this.failover = new FailoverTracker();
+        this.inheritedTaskReleaser = new InheritedTaskReleaser(cluster, failover);
+        this.registry = new MachineRegistry(safetyTimes, cluster, failover, inheritedTaskReleaser, listener);
+        this.leaseMonitor = new LeaseMonitor(safetyTimes, cluster, inheritedTaskReleaser, listener);
         this.dependentJobs = new DependentJobs(cluster, estimates);
         Dispatcher dispatcher =
                 new Dispatcher(cluster, objectives, estimates, failover, token, settings.minimumPaidTime());
         this.waitExplainer = new WaitExplainer(cluster, dispatcher.rules());
-        this.consolidation = new Consolidation(cluster, dispatcher.rules(), estimates, safetyTimes);
+        this.consolidation = new ConsolidationPolicy(cluster, dispatcher.rules(), estimates, safetyTimes);
         FailureDetector failureDetector = new FailureDetector(cluster, safetyTimes);
-        this.bestSize = new BestSize(cluster, dispatcher.rules(), estimates, settings, failureDetector);
+        this.bestSize = new ScaleOutPolicy(cluster, dispatcher.rules(), estimates, settings, failureDetector);
         this.startBounds = new StartBounds(cluster, dispatcher.rules().order(), settings);
         this.scaleInPolicy = new ScaleInPolicy(cluster, dispatcher, safetyTimes, settings, failureDetector);
         this.heartbeatHandler = new HeartbeatHandler(
@@ -70,7 +70,7 @@
                 cluster,
                 registry,
                 failover,
-                inheritedTaskRelease,
+                inheritedTaskReleaser,
                 new Reconciler(cluster, estimates, listener),
                 dispatcher,
                 consolidation,
@@ -78,9 +78,9 @@
     }
 
     /** Makes machine types known, beside those that are. */
-    public void setTypes(Collection<MachineType> types) {
+    public void addMachineTypes(Collection<MachineType> types) {
         for (MachineType type : types) {
-            cluster.types.put(type.name(), type);
+            cluster.machineTypes.put(type.name(), type);
         }
     }
 
@@ -90,27 +90,27 @@
     }
 
     /** Every record has been read: from now on task lists are reconciled and commands given. */
-    public void recordsLoaded() {
-        inheritedTaskRelease.markRecordsLoaded();
-        heartbeatHandler.recordsLoaded();
-        inheritedTaskRelease.releaseIfFailoverComplete();
+    public void onRecordsLoaded() {
+        inheritedTaskReleaser.markRecordsLoaded();
+        heartbeatHandler.onRecordsLoaded();
+        inheritedTaskReleaser.releaseIfFailoverComplete();
     }
 
     /** Registers the observer of the run time of each task that completes. */
-    public void onTaskCompleted(BiConsumer<Job, Span> observer) {
-        estimates.onRun(observer);
+    public void addRunTimeObserver(BiConsumer<Job, Span> observer) {
+        estimates.setRunTimeListener(observer);
     }
 
     public boolean areRecordsLoaded() {
-        return inheritedTaskRelease.areRecordsLoaded();
+        return inheritedTaskReleaser.areRecordsLoaded();
     }
 
     /** Adds an open job, unless it is known; an inherited one that is added late is held until nothing of it can be unknown. */
     public void addJob(Job job) {
         if (!cluster.jobs.containsKey(job.id())) {
-            cluster.add(job);
-            dependentJobs.added(job);
-            inheritedTaskRelease.jobAdded(job);
+            cluster.addJob(job);
+            dependentJobs.jobAdded(job);
+            inheritedTaskReleaser.onJobAdded(job);
         }
     }
 
@@ -132,8 +132,8 @@
         Job job = cluster.jobs.get(id);
         if (job != null) {
             job.cancel();
-            cluster.remove(job);
-            dependentJobs.removed(job);
+            cluster.removeJob(job);
+            dependentJobs.jobRemoved(job);
         }
     }
 
@@ -141,15 +141,15 @@
     public void closeJob(JobId id) {
         Job job = cluster.jobs.get(id);
         if (job != null) {
-            cluster.remove(job);
-            dependentJobs.removed(job);
-            dependentJobs.done(id);
+            cluster.removeJob(job);
+            dependentJobs.jobRemoved(job);
+            dependentJobs.jobDone(id);
         }
     }
 
     /** Before the open jobs are read anew: that a job is not known any more says nothing of its end. */
     public void forgetJobs() {
-        new ArrayList<>(cluster.jobs.values()).forEach(cluster::remove);
+        new ArrayList<>(cluster.jobs.values()).forEach(cluster::removeJob);
         dependentJobs.clear();
     }
 
@@ -159,16 +159,16 @@
     }
 
     /** Only these tasks of an open job wait for something else than machines. */
-    public void gateTasks(JobId id, BitSet tasks) {
+    public void setGatedTasks(JobId id, BitSet tasks) {
         Job job = cluster.jobs.get(id);
         if (job != null) {
             job.gate(tasks);
-            cluster.changed();
+            cluster.recordChange();
         }
     }
 
-    public void revisionSeen(Job job, Revision revision) {
-        job.revisionSeen(revision);
+    public void onRevisionSeen(Job job, Revision revision) {
+        job.updateRevision(revision);
     }
 
     /** Processes a worker's heartbeat; the result has the commands for the answer. */
@@ -186,13 +186,13 @@
     }
 
     /** Machines that the cloud has just rented to this leader. */
-    public void rented(MachinePool pool, List<MachineId> ids, Moment requestedAt, Moment now) {
-        registry.rented(pool, ids, requestedAt, now);
+    public void onMachinesRented(MachinePool pool, List<MachineId> ids, Moment requestedAt, Moment now) {
+        registry.onRented(pool, ids, requestedAt, now);
     }
 
     /** The cloud has no capacity in this pool. */
-    public void scaleOutRejected(MachinePool pool, Moment now) {
-        bestSize.refused(pool, now);
+    public void onScaleOutRejected(MachinePool pool, Moment now) {
+        bestSize.recordRefusal(pool, now);
         cluster.warmCapacity.scaleOutRejected(pool);
     }
 
@@ -200,7 +200,7 @@
      * The machine, if it must be recorded before it can get tasks. One that never sent a heartbeat can hold no task, so a
      * later leader need not wait for it and it needs no record.
      */
-    public Optional<Machine> unrecorded(MachineId id) {
+    public Optional<Machine> machineToRecord(MachineId id) {
         return Optional.ofNullable(cluster.machines.get(id)).filter(Machine::needsRecord);
     }
 
@@ -210,7 +210,7 @@
     }
 
     /** The machine's record is in the state service. */
-    public void recorded(MachineId id) {
+    public void onMachineRecorded(MachineId id) {
         Machine machine = cluster.machines.get(id);
         if (machine != null) {
             machine.markRecorded();
@@ -224,12 +224,12 @@
 
     /** Frees the tasks of machines whose lease has expired. */
     public void expireLeases(Moment now) {
-        leaseExpiry.expireLeases(now);
+        leaseMonitor.expireLeases(now);
     }
 
     /** Jobs whose start bounds are to be recorded now, as their tasks are about to be started. */
     public List<Job> startBoundsToRaise(Moment now) {
-        return areRecordsLoaded() ? startBounds.toRaise(now) : List.of();
+        return areRecordsLoaded() ? startBounds.raiseBounds(now) : List.of();
     }
 
     /** What to rent now; called once each check, so that the needs of several arrivals and completions are one request. */
@@ -239,7 +239,7 @@
         }
         List<ScaleOutRequest> requests = new ArrayList<>(bestSize.scaleOutRequests(now));
         for (ScaleOutRequest request : cluster.warmCapacity.scaleOutRequests(now)) {
-            if (bestSize.mayAsk(request.pool(), now)) {
+            if (bestSize.mayRequest(request.pool(), now)) {
                 requests.add(request);
             } else {
                 cluster.warmCapacity.scaleOutRejected(request.pool());
@@ -249,21 +249,22 @@
     }
 
     /** Since when this node's event loop has run without a pause: missing heartbeats before that may be its own fault. */
-    public void setAwakeSince(Moment since) {
-        cluster.setAwakeSince(since);
+    public void setEventLoopRunningSince(Moment since) {
+        cluster.setEventLoopRunningSince(since);
     }
 
     /** Chooses the machines to return, which get no more tasks. */
     public void planScaleIn(Moment now) {
         if (areRecordsLoaded()) {
-            consolidation.plan(now);
+            consolidation.planDraining(now);
             cluster.warmCapacity.plan(
                     cluster.machines.values(),
                     cluster.jobs.values(),
-                    machine -> scaleInPolicy.termEnds(machine, now),
+                    machine -> scaleInPolicy.termEndsBeforeNextCheck(machine, now),
                     now);
-            for (ScaleInPolicy.PlannedReturn planned : scaleInPolicy.selectMachines(now, failover.isComplete())) {
-                listener.log("machine return planned machine=" + planned.machine() + " reason=" + planned.reason());
+            for (ScaleInPolicy.PlannedReturn plannedReturn : scaleInPolicy.selectMachines(now, failover.isComplete())) {
+                listener.log("machine return planned machine=" + plannedReturn.machine() + " reason="
+                        + plannedReturn.reason());
             }
         }
     }
@@ -279,8 +280,8 @@
     }
 
     /** The cloud has confirmed that these machines are gone. */
-    public void returned(List<MachineId> ids, Moment now) {
-        registry.returned(ids, now);
+    public void onMachinesReturned(List<MachineId> ids, Moment now) {
+        registry.onReturned(ids, now);
     }
 
     /** How many machines decisions have looked at so far. */
@@ -294,18 +295,18 @@
         return machine != null && machine.leaseExpired;
     }
 
-    public boolean knows(MachineId id) {
+    public boolean isKnownMachine(MachineId id) {
         return cluster.machines.containsKey(id);
     }
 
     /** No heartbeat reaches this node: it is more likely cut off from the workers than that all of them have failed. */
-    public boolean isCutOffFromWorkers(Moment now) {
-        return leaseExpiry.isCutOffFromWorkers(now);
+    public boolean isPartitionedFromWorkers(Moment now) {
+        return leaseMonitor.isPartitionedFromWorkers(now);
     }
 
     /** From now on this decides which machines are kept warm. */
-    public void useWarmCapacity(WarmCapacity warmCapacity) {
-        cluster.useWarmCapacity(warmCapacity);
+    public void setWarmCapacity(WarmCapacity warmCapacity) {
+        cluster.setWarmCapacity(warmCapacity);
     }
 
     public Collection<Machine> machines() {
@@ -323,16 +324,16 @@
 
     /** What this leader knows of jobs and machines, should the records of them be lost. */
     public RememberedState rememberedState() {
-        return RememberedStateView.of(cluster);
+        return RememberedStateBuilder.of(cluster);
     }
 
     /** What is known of one open job, whose end may be on its way into the records. */
     public static RememberedState rememberedState(Job job) {
-        return RememberedStateView.of(job);
+        return RememberedStateBuilder.of(job);
     }
 
     /** One line for the log: what there is and what waits. */
     public String summary() {
-        return SchedulerSummary.of(cluster, failover);
+        return SummaryFormatter.of(cluster, failover);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerSettings.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerSettings.java
@@ -29,5 +29,5 @@
         Span spotPatience,
         Span urgentSpotPatience,
         Span backlogLimit,
-        double objectiveShare,
+        double objectiveFraction,
         Span refusalBackoff) {}
--- a/src/main/java/io/indigoreach/core/scheduling/SurplusRetention.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SurplusMarker.java
@@ -8,35 +8,36 @@
 import java.util.Map;
 
 /** Marks on-demand machines that are not needed as surplus, fewer at a time than the need goes down. */
-final class SurplusRetention {
+final class SurplusMarker {
     /** Seconds in which the number of on-demand machines kept goes down by half. */
     private static final double RETENTION_HALF_LIFE_S = 60;
 
-    private record Kept(double machines, Moment at) {}
+    private record Retained(double machines, Moment recordedAt) {}
 
     private final Cluster cluster;
     /** On-demand machines kept, per queue and type: the number follows the need up at once, and down over some time. */
-    private final Map<String, Kept> retained = new HashMap<>();
+    private final Map<String, Retained> updateRetained = new HashMap<>();
 
-    SurplusRetention(Cluster cluster) {
+    SurplusMarker(Cluster cluster) {
         this.cluster = cluster;
     }
 
     /** On-demand machines beyond those needed take no new tasks, those with the fewest tasks first. */
-    void markSurplus(FairShareQueue queue, Map<String, Backlog> backlogs, Map<String, TypeNeed> needs, Moment now) {
+    void markSurplus(
+            FairShareQueue queue, Map<String, Backlog> backlogs, Map<String, MachineTypeNeed> needs, Moment now) {
         Map<String, List<Machine>> onDemand = onDemandMachines(queue);
         boolean someNeedOnDemand = queue.jobs().stream().anyMatch(job -> job.hasWaiting() && !job.spec.spotAllowed());
         onDemand.forEach((type, machines) -> {
-            TypeNeed need = needs.get(type);
-            double needed = backlogs.get(type).onDemandNeeded() + (need == null ? 0 : need.onDemand);
-            double present = machines.stream()
-                    .mapToDouble(machine -> 1 - CapacityForecast.heldByReplicas(machine))
+            MachineTypeNeed need = needs.get(type);
+            double neededMachines = backlogs.get(type).onDemandNeeded() + (need == null ? 0 : need.onDemandMachines);
+            double presentMachines = machines.stream()
+                    .mapToDouble(machine -> 1 - CapacityForecast.shareHeldByReplicas(machine))
                     .sum();
-            double keep = retained(queue.name + " " + type, needed, present, now);
-            if (someNeedOnDemand || cluster.types.get(type).spotPrice() <= 0) {
-                keep = present;
+            double retainedMachines = updateRetained(queue.name + " " + type, neededMachines, presentMachines, now);
+            if (someNeedOnDemand || cluster.machineTypes.get(type).spotPrice() <= 0) {
+                retainedMachines = presentMachines;
             }
-            markSurplus(machines, present - Math.round(keep));
+            markSurplus(machines, presentMachines - Math.round(retainedMachines));
         });
     }
 
@@ -53,11 +54,11 @@
 
     private static void markSurplus(List<Machine> machines, double surplus) {
         machines.sort(Comparator.comparingInt(Machine::taskCount));
-        double left = surplus;
+        double remaining = surplus;
         for (Machine machine : machines) {
             // One that holds replicas is paid for in any case, so the rest of it is used.
-            machine.markSurplus(CapacityForecast.heldByReplicas(machine) == 0 && left >= 1);
-            left -= machine.surplus ? 1 : 0;
+            machine.setSurplus(CapacityForecast.shareHeldByReplicas(machine) == 0 && remaining >= 1);
+            remaining -= machine.surplus ? 1 : 0;
         }
     }
 
@@ -66,11 +67,11 @@
      * goes down by no more than half in that time. A new leader does not know what the machines that are there have been
      * kept for, and begins with all of them.
      */
-    private double retained(String queueAndType, double needed, double present, Moment now) {
-        Kept previous = retained.getOrDefault(queueAndType, new Kept(present, now));
-        double halvings = now.since(previous.at).seconds() / RETENTION_HALF_LIFE_S;
-        double keep = Math.max(needed, previous.machines * Math.pow(0.5, halvings));
-        retained.put(queueAndType, new Kept(keep, now));
-        return keep;
+    private double updateRetained(String queueAndType, double neededMachines, double presentMachines, Moment now) {
+        Retained previous = updateRetained.getOrDefault(queueAndType, new Retained(presentMachines, now));
+        double halvings = now.since(previous.recordedAt).seconds() / RETENTION_HALF_LIFE_S;
+        double retainedMachines = Math.max(neededMachines, previous.machines * Math.pow(0.5, halvings));
+        updateRetained.put(queueAndType, new Retained(retainedMachines, now));
+        return retainedMachines;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/TaskProgress.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TaskProgress.java
@@ -9,16 +9,16 @@
  * Tasks start in the order of their numbers.
  */
 final class TaskProgress {
-    private final int tasks;
+    private final int taskCount;
     private final BitSet done;
-    private final BitSet durable;
+    private final BitSet recordedDone;
     /** Done, on a machine, or gated: all that must not be started. */
     private final BitSet notStartable;
     /** Tasks that wait for something else than machines: nothing starts, reserves or rents for them. */
     private final BitSet gated = new BitSet();
 
     private int doneCount;
-    private int durableCount;
+    private int recordedCount;
     /** Recorded: no leader has ever started a task from this number on. */
     private int startBound;
     /** To be recorded: tasks below this number are about to be started. */
@@ -33,22 +33,23 @@
      */
     static TaskProgress of(JobSpec spec, BitSet done, int startBound, boolean inherited) {
         // Where the others of its tasks are decides where one may go, so nothing of it is started before all is known.
-        boolean together = spec.oneZone() || spec.spread();
-        int possiblyRunningBelow = !inherited ? 0 : together && startBound > 0 ? spec.tasks() : startBound;
-        return new TaskProgress(spec.tasks(), done, spec.isGuarded(), startBound, possiblyRunningBelow);
+        boolean hasZoneConstraint = spec.singleZone() || spec.spreadOverZones();
+        int possiblyRunningBelow = !inherited ? 0 : hasZoneConstraint && startBound > 0 ? spec.taskCount() : startBound;
+        return new TaskProgress(
+                spec.taskCount(), done, spec.requiresRecordOwnership(), startBound, possiblyRunningBelow);
     }
 
-    private TaskProgress(int tasks, BitSet done, boolean isGated, int startBound, int possiblyRunningBelow) {
-        this.tasks = tasks;
+    private TaskProgress(int taskCount, BitSet done, boolean isGated, int startBound, int possiblyRunningBelow) {
+        this.taskCount = taskCount;
         this.done = (BitSet) done.clone();
-        this.durable = (BitSet) done.clone();
+        this.recordedDone = (BitSet) done.clone();
         this.notStartable = (BitSet) done.clone();
         if (isGated) {
-            gated.set(0, tasks);
+            gated.set(0, taskCount);
             notStartable.or(gated);
         }
         this.doneCount = done.cardinality();
-        this.durableCount = doneCount;
+        this.recordedCount = doneCount;
         this.startBound = startBound;
         this.requestedStartBound = startBound;
         this.possiblyRunningBelow = possiblyRunningBelow;
@@ -70,7 +71,7 @@
 
     /** Asks for a start bound below which {@code count} startable tasks lie. */
     void requestStartBoundFor(int count) {
-        requestedStartBound = Math.max(requestedStartBound, Math.min(tasks, nthStartable(count) + 1));
+        requestedStartBound = Math.max(requestedStartBound, Math.min(taskCount, nthStartable(count) + 1));
     }
 
     /** Whether {@code count} startable tasks lie below the start bound that is recorded or being recorded. */
@@ -86,7 +87,7 @@
     /** The number of the {@code count}-th task that waits and surely is on no machine; beyond the last if there are fewer. */
     private int nthStartable(int count) {
         int index = possiblyRunningBelow - 1;
-        for (int left = count; left > 0 && index < tasks; left--) {
+        for (int remaining = count; remaining > 0 && index < taskCount; remaining--) {
             index = notStartable.nextClearBit(index + 1);
         }
         return index;
@@ -98,21 +99,21 @@
     }
 
     /** Gates these tasks and no others; what is on a machine stays there. */
-    void gate(BitSet gatedTasks, Set<Integer> placed) {
+    void gate(BitSet gatedTasks, Set<Integer> placedIndexes) {
         gated.clear();
         gated.or(gatedTasks);
         notStartable.clear();
         notStartable.or(done);
         notStartable.or(gated);
-        placed.forEach(notStartable::set);
+        placedIndexes.forEach(notStartable::set);
     }
 
     /** Whether tasks that are neither done nor on a machine are gated. */
-    boolean hasGatedTasks(Set<Integer> placed) {
-        BitSet left = (BitSet) gated.clone();
-        left.andNot(done);
-        placed.forEach(left::clear);
-        return !left.isEmpty();
+    boolean hasGatedTasks(Set<Integer> placedIndexes) {
+        BitSet waitingGated = (BitSet) gated.clone();
+        waitingGated.andNot(done);
+        placedIndexes.forEach(waitingGated::clear);
+        return !waitingGated.isEmpty();
     }
 
     int doneCount() {
@@ -123,21 +124,21 @@
         return done.get(index);
     }
 
-    boolean isDurable(int index) {
-        return durable.get(index);
+    boolean isCompletionRecorded(int index) {
+        return recordedDone.get(index);
     }
 
     boolean isComplete() {
-        return doneCount == tasks;
+        return doneCount == taskCount;
     }
 
     boolean hasUnrecordedCompletions() {
-        return doneCount > durableCount;
+        return doneCount > recordedCount;
     }
 
     BitSet unrecordedCompletions() {
         BitSet unrecorded = completedTasks();
-        unrecorded.andNot(durable);
+        unrecorded.andNot(recordedDone);
         return unrecorded;
     }
 
@@ -146,8 +147,8 @@
     }
 
     void completionsRecorded(BitSet recorded) {
-        durable.or(recorded);
-        durableCount = durable.cardinality();
+        recordedDone.or(recorded);
+        recordedCount = recordedDone.cardinality();
     }
 
     /** Returns false if the task was known to be done already. */
@@ -161,36 +162,36 @@
         return true;
     }
 
-    void placed(int index) {
+    void placementAdded(int index) {
         notStartable.set(index);
     }
 
     /** The task is on no machine any more: unless it is done or gated, it waits again. */
-    void removed(int index) {
+    void placementRemoved(int index) {
         if (!done.get(index)) {
             notStartable.set(index, gated.get(index));
         }
     }
 
     int waitingCount() {
-        return tasks - notStartable.cardinality();
+        return taskCount - notStartable.cardinality();
     }
 
     boolean hasWaiting() {
-        return notStartable.nextClearBit(0) < tasks;
+        return notStartable.nextClearBit(0) < taskCount;
     }
 
     /** Waiting tasks that surely are on no machine. */
     int startableCount() {
-        int taken = possiblyRunningBelow == 0
+        int excluded = possiblyRunningBelow == 0
                 ? notStartable.cardinality()
                 : possiblyRunningBelow
-                        + notStartable.get(possiblyRunningBelow, tasks).cardinality();
-        return tasks - taken;
+                        + notStartable.get(possiblyRunningBelow, taskCount).cardinality();
+        return taskCount - excluded;
     }
 
     boolean hasStartable() {
-        return nextStartable() < tasks;
+        return nextStartable() < taskCount;
     }
 
     int nextStartable() {
--- a/src/main/java/io/indigoreach/core/scheduling/TaskStarter.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TaskStarter.java
@@ -7,7 +7,7 @@
 final class TaskStarter {
     private final Cluster cluster;
     private final FencingToken token;
-    private long attempts;
+    private long lastAttempt;
 
     TaskStarter(Cluster cluster, FencingToken token) {
         this.cluster = cluster;
@@ -21,13 +21,13 @@
                 job,
                 job.nextStartable(),
                 machine,
-                token.attempt(++attempts),
-                TaskState.ORDERED,
+                token.newAttempt(++lastAttempt),
+                TaskState.START_SENT,
                 batch.number(),
                 batch.now());
         cluster.warmCapacity.taskStarting(job, machine);
         cluster.addPlacement(placement);
-        batch.start(placement);
+        batch.addStart(placement);
         return placement;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/WarmCapacity.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WarmCapacity.java
@@ -24,7 +24,7 @@
     }
 
     /** A team waits for its guarantee, and this machine can serve it. */
-    default void yield(Machine machine, Moment now) {}
+    default void releaseForGuarantee(Machine machine, Moment now) {}
 
     /** The cloud has no capacity in this pool. */
     default void scaleOutRejected(MachinePool pool) {}
@@ -33,7 +33,7 @@
     default void taskStarting(Job job, Machine machine) {}
 
     /** Whether it is known which machines are kept: before that the tasks that hold images on them are not stopped. */
-    default boolean isKnown() {
+    default boolean isMembershipKnown() {
         return false;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/ZoneSpreading.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ZoneBalancer.java
@@ -9,29 +9,29 @@
 import java.util.Map;
 
 /** In which zones machines are requested, given the pools that have refused a request lately. */
-final class ZoneSpreading {
+final class ZoneBalancer {
     /** Machines per request. */
-    static final int MACHINES_PER_REQUEST = 50;
+    static final int MAXIMUM_REQUEST_SIZE = 50;
 
     private final Cluster cluster;
     private final FailureDetector failureDetector;
     private final Span refusalBackoff;
     private final Map<MachinePool, Moment> refusedUntil = new HashMap<>();
 
-    ZoneSpreading(Cluster cluster, FailureDetector failureDetector, Span refusalBackoff) {
+    ZoneBalancer(Cluster cluster, FailureDetector failureDetector, Span refusalBackoff) {
         this.cluster = cluster;
         this.failureDetector = failureDetector;
         this.refusalBackoff = refusalBackoff;
     }
 
     /** The cloud had no machine of the pool: it is not asked again for some time. */
-    void refused(MachinePool pool, Moment now) {
+    void recordRefusal(MachinePool pool, Moment now) {
         refusedUntil.put(pool, now.plus(refusalBackoff));
     }
 
     /** Whether requesting machines of the pool is of use now. */
     boolean mayRequest(MachinePool pool, Moment now) {
-        return !isRefused(pool, now) && !failureDetector.isZoneCutOff(pool.zone());
+        return !isRefused(pool, now) && !failureDetector.isZoneFullyPartitioned(pool.zone());
     }
 
     private boolean isRefused(MachinePool pool, Moment now) {
@@ -40,9 +40,9 @@
     }
 
     /** Whether a pool that the job may use has not just refused. */
-    boolean canBeRented(Job job, MachineType type, Moment now) {
+    boolean canRentFor(Job job, MachineType type, Moment now) {
         return type.zones().stream()
-                .filter(zone -> JobSizing.mayRunIn(job, zone))
+                .filter(zone -> JobSizer.mayRunInZone(job, zone))
                 .anyMatch(zone -> (job.spec.spotAllowed() && !isRefused(new MachinePool(type.name(), zone, true), now))
                         || !isRefused(new MachinePool(type.name(), zone, false), now));
     }
@@ -51,31 +51,32 @@
      * Distributes {@code count} machines over the zones, a request at a time, the zone with the fewest machines first;
      * pools that just refused are left out. Adds them to {@code wanted}; returns false if no pool can be asked.
      */
-    boolean spread(Job job, MachineType type, boolean spot, int count, Moment now, Map<MachinePool, Integer> wanted) {
-        Map<MachinePool, Integer> present = new LinkedHashMap<>();
+    boolean distribute(
+            Job job, MachineType type, boolean spot, int count, Moment now, Map<MachinePool, Integer> requested) {
+        Map<MachinePool, Integer> machinesByPool = new LinkedHashMap<>();
         for (String zone : type.zones()) {
             MachinePool pool = new MachinePool(type.name(), zone, spot);
-            if (JobSizing.mayRunIn(job, zone) && !isRefused(pool, now)) {
-                present.put(pool, 0);
+            if (JobSizer.mayRunInZone(job, zone) && !isRefused(pool, now)) {
+                machinesByPool.put(pool, 0);
             }
         }
-        if (present.keySet().stream().anyMatch(pool -> !failureDetector.isZoneCutOff(pool.zone()))) {
-            present.keySet().removeIf(pool -> failureDetector.isZoneCutOff(pool.zone()));
+        if (machinesByPool.keySet().stream().anyMatch(pool -> !failureDetector.isZoneFullyPartitioned(pool.zone()))) {
+            machinesByPool.keySet().removeIf(pool -> failureDetector.isZoneFullyPartitioned(pool.zone()));
         }
-        if (present.isEmpty()) {
+        if (machinesByPool.isEmpty()) {
             return false;
         }
         for (Machine machine : cluster.machines.values()) {
-            present.computeIfPresent(machine.pool, (pool, number) -> number + 1);
+            machinesByPool.computeIfPresent(machine.pool, (pool, machines) -> machines + 1);
         }
-        for (int left = count; left > 0; left -= MACHINES_PER_REQUEST) {
-            int number = Math.min(left, MACHINES_PER_REQUEST);
-            MachinePool fewest = present.entrySet().stream()
+        for (int remaining = count; remaining > 0; remaining -= MAXIMUM_REQUEST_SIZE) {
+            int machines = Math.min(remaining, MAXIMUM_REQUEST_SIZE);
+            MachinePool smallestPool = machinesByPool.entrySet().stream()
                     .min(Map.Entry.comparingByValue())
                     .orElseThrow()
                     .getKey();
-            wanted.merge(fewest, number, Integer::sum);
-            present.merge(fewest, number, Integer::sum);
+            requested.merge(smallestPool, machines, Integer::sum);
+            machinesByPool.merge(smallestPool, machines, Integer::sum);
         }
         return true;
     }
--- a/src/main/java/io/indigoreach/ownership/OwnershipGate.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipGate.java
@@ -65,8 +65,9 @@
     /** The oldest job that is due: what becomes free goes to those that came first. */
     private Future<Span> step() {
         Moment now = ground.clock().now();
-        List<Job> guarded = new ArrayList<>(
-                core.jobs().stream().filter(job -> job.spec().isGuarded()).toList());
+        List<Job> guarded = new ArrayList<>(core.jobs().stream()
+                .filter(job -> job.spec().requiresRecordOwnership())
+                .toList());
         Set<JobId> open = new HashSet<>();
         guarded.forEach(job -> open.add(job.id()));
         whole.retainAll(open);
@@ -93,7 +94,7 @@
         return records.run(new Grant(registry, most, id.text(), wants, next.completedTasks(), false))
                 .map(given -> {
                     if (!duty.isCancelled()) {
-                        core.gateTasks(id, given.held());
+                        core.setGatedTasks(id, given.held());
                         if (given.held().isEmpty()) {
                             whole.add(id);
                         } else {
--- a/src/main/java/io/indigoreach/state/CampaignResult.java
+++ b/src/main/java/io/indigoreach/state/CampaignResult.java
@@ -24,10 +24,10 @@
      */
     record Won(
             LeaderKey key,
-            long lease,
+            long leaseId,
             Moment leaseSentAt,
             FencingToken highestBefore,
-            FencingToken counted,
-            boolean startBounds)
+            FencingToken counterToken,
+            boolean startBoundsReliable)
             implements CampaignResult {}
 }
--- a/src/main/java/io/indigoreach/state/Candidate.java
+++ b/src/main/java/io/indigoreach/state/Candidate.java
@@ -7,8 +7,8 @@
  * @param process identifies this process of the node
  * @param peers how many other nodes the deployment has
  */
-public record Candidate(String node, String process, int peers) {
+public record Candidate(String node, String process, int peerCount) {
     boolean hasPeers() {
-        return peers > 0;
+        return peerCount > 0;
     }
 }
--- a/src/main/java/io/indigoreach/state/GivenPledges.java
+++ b/src/main/java/io/indigoreach/state/GivenPledges.java
@@ -17,8 +17,8 @@
 
     private final SteadyClock clock;
     private final Moment startedAt;
-    private Supplier<Future<Boolean>> askWhetherNobodyLeads = () -> Future.succeededFuture(false);
-    private Moment bindsUntil = Moment.NEVER;
+    private Supplier<Future<Boolean>> leaderlessQuery = () -> Future.succeededFuture(false);
+    private Moment boundUntil = Moment.NEVER;
     private boolean predecessorMayHavePledged;
 
     GivenPledges(SteadyClock clock, boolean hasPeers) {
@@ -28,31 +28,31 @@
     }
 
     /** {@code whetherNobodyLeads}: asks all peers; true if all have answered that they do not lead. */
-    void askPeersBy(Supplier<Future<Boolean>> whetherNobodyLeads) {
-        askWhetherNobodyLeads = whetherNobodyLeads;
+    void setLeaderlessQuery(Supplier<Future<Boolean>> query) {
+        leaderlessQuery = query;
     }
 
     /** Promises not to campaign for {@link #PLEDGE_TIME} from now on. */
     void give() {
-        bindsUntil = clock.now().plus(PLEDGE_TIME);
+        boundUntil = clock.now().plus(PLEDGE_TIME);
     }
 
     /** Whether a pledge of this process still binds. */
     boolean isBound() {
-        return clock.now().isBefore(bindsUntil);
+        return clock.now().isBefore(boundUntil);
     }
 
     /**
      * Whether a pledge of the process before this one may still bind, unless the deployment is new. It does not once its time
      * is over, nor if nobody leads to whom it was given: whoever leads from now on asks this process.
      */
-    Future<Boolean> mayBindPredecessor() {
+    Future<Boolean> mayPredecessorBeBound() {
         predecessorMayHavePledged &= clock.now().isBefore(startedAt.plus(PLEDGE_TIME));
         if (!predecessorMayHavePledged) {
             return Future.succeededFuture(false);
         }
-        return askWhetherNobodyLeads.get().map(nobodyLeads -> {
-            predecessorMayHavePledged &= !nobodyLeads;
+        return leaderlessQuery.get().map(noPeerLeads -> {
+            predecessorMayHavePledged &= !noPeerLeads;
             return predecessorMayHavePledged;
         });
     }
--- a/src/main/java/io/indigoreach/state/JobRecord.java
+++ b/src/main/java/io/indigoreach/state/JobRecord.java
@@ -21,7 +21,7 @@
         BitSet done,
         int doneCount,
         int running,
-        int bound,
+        int startBound,
         Revision revision) {
     /** The job's id. */
     public JobId id() {
--- a/src/main/java/io/indigoreach/state/JobRepairer.java
+++ b/src/main/java/io/indigoreach/state/JobRepairer.java
@@ -25,11 +25,12 @@
     private final StateClient state;
     private final SteadyClock clock;
     private final StateLimits limits;
-    private Function<JobId, Future<RememberedState>> recall = id -> Future.succeededFuture(new RememberedState());
+    private Function<JobId, Future<RememberedState>> rememberedStateQuery =
+            id -> Future.succeededFuture(new RememberedState());
 
     /** Without limits from the settings. */
     public JobRepairer(StateClient state, SteadyClock clock) {
-        this(state, clock, EffectiveLimits.NONE);
+        this(state, clock, EffectiveLimits.UNLIMITED);
     }
 
     /** {@code limits}: those of the settings. */
@@ -40,8 +41,8 @@
     }
 
     /** How to ask what the controllers remember of a job. */
-    public void recallFrom(Function<JobId, Future<RememberedState>> controllers) {
-        recall = controllers;
+    public void setRememberedStateQuery(Function<JobId, Future<RememberedState>> query) {
+        rememberedStateQuery = query;
     }
 
     /**
@@ -50,38 +51,53 @@
      *
      * @param offered the job as its user submits it again, or null
      */
-    public Future<Void> repairOpen(JobId id, StateClient.Entry unreadable, JobSpec offered) {
-        return recall.apply(id).compose(remembered -> {
-            RememberedState known = RecordRepair.open(
-                    id, JobRecordCodec.readRest(unreadable.value()), remembered, offered, clock.timeOfDay());
+    public Future<Void> repairOpen(JobId id, StateClient.Entry unreadable, JobSpec resubmitted) {
+        return rememberedStateQuery.apply(id).compose(remembered -> {
+            RememberedState repaired = RecordRepair.repairOpen(
+                    id,
+                    JobRecordCodec.readReadableFields(unreadable.value()),
+                    remembered,
+                    resubmitted,
+                    clock.timeOfDay());
             StateClient.Txn txn = state.transactionInEra()
                     .when(unreadable.key(), unreadable.revision())
                     .when(RecordKeys.finalKey(id), Revision.ABSENT);
-            known.finished()
+            repaired.finishedJobs()
                     .values()
-                    .forEach(end -> txn.delete(unreadable.key())
-                            .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(end.status(), end.done())));
+                    .forEach(finished -> txn.delete(unreadable.key())
+                            .put(
+                                    RecordKeys.finalKey(id),
+                                    JobRecordCodec.writeFinal(finished.status(), finished.completedTaskCount())));
             // Blocks of bits that stand beside the record are left as they are: what they say is done stays so. What
             // has no
             // place in the record either is run again and ends at once.
-            CompletionBits bits = new CompletionBits(state.limits().within(limits));
-            known.open()
+            CompletionBits bits = new CompletionBits(state.limits().applyTo(limits));
+            repaired.openJobs()
                     .forEach(job -> txn.put(
                             unreadable.key(),
                             bits.writeJob(
-                                    job.spec(), job.submittedMs(), JobStatus.PENDING, job.done(), 0, job.bound())));
+                                    job.spec(),
+                                    job.submittedMs(),
+                                    JobStatus.PENDING,
+                                    job.done(),
+                                    0,
+                                    job.startBound())));
             return writeRepair(txn, unreadable.key());
         });
     }
 
     /** Repairs the record of a job that is over; as {@link #repairOpen}. */
-    public Future<Void> repairFinal(JobId id, StateClient.Entry unreadable, JobSpec offered) {
-        return recall.apply(id).compose(remembered -> {
-            RememberedState.FinishedJob end =
-                    RecordRepair.end(id, JobRecordCodec.readRest(unreadable.value()), remembered, offered);
+    public Future<Void> repairFinal(JobId id, StateClient.Entry unreadable, JobSpec resubmitted) {
+        return rememberedStateQuery.apply(id).compose(remembered -> {
+            RememberedState.FinishedJob finished = RecordRepair.repairFinal(
+                    id, JobRecordCodec.readReadableFields(unreadable.value()), remembered, resubmitted);
             StateClient.Txn txn = state.transactionInEra().when(unreadable.key(), unreadable.revision());
             return writeRepair(
-                    end == null ? txn : txn.put(unreadable.key(), JobRecordCodec.writeFinal(end.status(), end.done())),
+                    finished == null
+                            ? txn
+                            : txn.put(
+                                    unreadable.key(),
+                                    JobRecordCodec.writeFinal(finished.status(), finished.completedTaskCount())),
                     unreadable.key());
         });
     }
@@ -92,7 +108,7 @@
                     new WireException("the record " + key + " cannot be read, and nobody remembers the job"));
         }
         return state.commit(txn).map(outcome -> {
-            if (outcome.done()) {
+            if (outcome.executed()) {
                 LOG.warn("record repaired key={}", key);
             }
             return null;
--- a/src/main/java/io/indigoreach/state/LeaderElection.java
+++ b/src/main/java/io/indigoreach/state/LeaderElection.java
@@ -34,23 +34,23 @@
          * @param key the revision of the leadership key, on which every write depends
          * @param bounds whether the start bounds in the records can be believed
          */
-        void leadershipGained(FencingToken token, Revision key, boolean bounds);
+        void leadershipGained(FencingToken token, Revision key, boolean startBoundsReliable);
 
         /** This node does not lead any more, for the reason that is logged. */
         void leadershipLost(String reason);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
-    private static final Span RETRY = Span.seconds(0.5);
-    private static final Span RETRY_AFTER_REJECTION = Span.seconds(0.2);
+    private static final Span RETRY_INTERVAL = Span.seconds(0.5);
+    private static final Span RETRY_INTERVAL_AFTER_REJECTION = Span.seconds(0.2);
     /** What the other nodes are given to take a key that was let go. */
-    private static final Span CANDIDATE_DELAY = Span.seconds(0.6);
+    private static final Span PEER_CAMPAIGN_TIME = Span.seconds(0.6);
 
-    private static final Span PLEDGE_PERIOD = Span.seconds(0.5);
+    private static final Span PLEDGE_REQUEST_INTERVAL = Span.seconds(0.5);
     /** The longest that a leader's watch of its own key stays open. */
-    private static final Span OWN_KEY_WATCH = Span.seconds(2);
+    private static final Span OWN_KEY_WATCH_TIME = Span.seconds(2);
     /** The longest that a follower's watch of the key stays open. */
-    private static final Span FOLLOWER_WATCH = Span.seconds(10);
+    private static final Span FOLLOWER_WATCH_TIME = Span.seconds(10);
     /** No revision to watch from: the key is to be read first. */
     private static final long NOT_WATCHED = -1;
 
@@ -64,19 +64,19 @@
     private final LeaseRenewer renewer;
     private final LeadershipValidity validity;
     private final GivenPledges givenPledges;
-    private final OwnTokens ownTokens;
+    private final OwnTokenHistory tokenHistory;
     private final Campaign campaign;
-    private final RaisedFormat raisedFormat = new RaisedFormat();
+    private final DataFormatTracker dataFormat = new DataFormatTracker();
 
-    private Supplier<Future<Boolean>> askForPledges = () -> Future.succeededFuture(false);
+    private Supplier<Future<Boolean>> requestPledges = () -> Future.succeededFuture(false);
     private boolean predecessorKeyRemoved;
-    private LeaderKey current;
+    private LeaderKey currentKey;
     private long watchedRevision = NOT_WATCHED;
     private boolean leading;
-    private long lease;
+    private long leaseId;
     private boolean campaigning;
-    private Moment standAsideUntil = Moment.NEVER;
-    private boolean succeedsItself;
+    private Moment campaignBlockedUntil = Moment.NEVER;
+    private boolean ledPreviousTerm;
 
     /** Does nothing before {@link #start}. */
     public LeaderElection(ElectionSettings settings, Listener listener) {
@@ -86,13 +86,13 @@
         this.candidate = settings.candidate();
         this.listener = listener;
         Vertx vertx = settings.state().vertx();
-        this.electionTask = new PeriodicTask(vertx, "leadership", RETRY, this::step);
-        this.pledgeTask = new PeriodicTask(vertx, "pledges", PLEDGE_PERIOD, this::collectPledges);
+        this.electionTask = new PeriodicTask(vertx, "leadership", RETRY_INTERVAL, this::step);
+        this.pledgeTask = new PeriodicTask(vertx, "pledges", PLEDGE_REQUEST_INTERVAL, this::requestPledgesIfOverdue);
         this.renewer = new LeaseRenewer(vertx, settings.renewals(), clock, settings.leaseTime());
         this.validity = new LeadershipValidity(clock, renewer, settings.leaseTime());
         this.givenPledges = new GivenPledges(clock, candidate.hasPeers());
-        this.ownTokens = new OwnTokens(clock, settings.leaseTime(), settings.tokens());
-        this.campaign = new Campaign(settings, ownTokens, raisedFormat);
+        this.tokenHistory = new OwnTokenHistory(clock, settings.leaseTime(), settings.tokens());
+        this.campaign = new Campaign(settings, tokenHistory, dataFormat);
     }
 
     /** Takes part in elections from now on. */
@@ -109,14 +109,14 @@
     }
 
     /** How to ask all peers: for a pledge, and whether it does not lead; true if all have answered so. */
-    public void askPeersBy(Supplier<Future<Boolean>> forPledges, Supplier<Future<Boolean>> whetherNobodyLeads) {
-        askForPledges = forPledges;
-        givenPledges.askPeersBy(whetherNobodyLeads);
+    public void setPeerQueries(Supplier<Future<Boolean>> pledgeQuery, Supplier<Future<Boolean>> leaderlessQuery) {
+        requestPledges = pledgeQuery;
+        givenPledges.setLeaderlessQuery(leaderlessQuery);
     }
 
     /** Whether this node may act as the leader at this very moment. */
     public boolean isValid() {
-        return leading && validity.holds();
+        return leading && validity.isValid();
     }
 
     /** Promises a leader not to campaign for {@link GivenPledges#PLEDGE_TIME}; false if this node leads or may be about to. */
@@ -134,53 +134,53 @@
     }
 
     /** The data format that this process has seen raised. */
-    RaisedFormat raisedFormat() {
-        return raisedFormat;
+    DataFormatTracker dataFormat() {
+        return dataFormat;
     }
 
     /** The node that leads as far as is known, or null. */
-    public String leader() {
-        return current == null ? null : current.node();
+    public String leaderNode() {
+        return currentKey == null ? null : currentKey.node();
     }
 
     /** No other leadership is known between the one that this node has and the last one that it had. */
-    public boolean succeedsItself() {
-        return succeedsItself;
+    public boolean ledPreviousTerm() {
+        return ledPreviousTerm;
     }
 
     /** A worker has shown a token: what comes after must be above it. */
-    public void tokenSeen(FencingToken token) {
-        settings.tokens().seen(token);
+    public void recordSeenToken(FencingToken token) {
+        settings.tokens().observe(token);
     }
 
     /** A compare-and-swap failed on the leadership key: another node has taken over. */
-    public void deposed() {
+    public void onLeadershipConflict() {
         if (leading) {
             loseLeadership("transaction-refused");
         }
     }
 
     /** Gives leadership up, so that another node can take it at once. */
-    public Future<Void> abdicate(String reason) {
+    public Future<Void> resign(String reason) {
         if (!leading) {
             return Future.succeededFuture();
         }
-        long held = lease;
-        standAsideUntil = clock.now().plus(settings.leaseTime());
+        long heldLeaseId = leaseId;
+        campaignBlockedUntil = clock.now().plus(settings.leaseTime());
         loseLeadership(reason);
-        return state.drop(held);
+        return state.revokeLease(heldLeaseId);
     }
 
     /**
      * Gives leadership up for a node that cannot reach the state service itself: the revision of its key, which another
      * node may now {@link #removeKey}; null if this node does not lead.
      */
-    public Revision stepAside(String reason) {
+    public Revision handOver(String reason) {
         if (!leading) {
             return null;
         }
-        Revision key = current.revision();
-        abdicate(reason);
+        Revision key = currentKey.revision();
+        resign(reason);
         return key;
     }
 
@@ -189,14 +189,15 @@
         if (!leading) {
             return Future.succeededFuture(false);
         }
-        LeaderKey key = current;
+        LeaderKey key = currentKey;
         return state.get(RecordKeys.COUNTER)
                 .compose(entry -> state.commit(startBoundsConfirmation(key, entry)))
-                .map(StateClient.Outcome::done);
+                .map(StateClient.Outcome::executed);
     }
 
     private StateClient.Txn startBoundsConfirmation(LeaderKey key, StateClient.Entry counterEntry) {
-        CounterRecord confirmed = CounterRecord.of(counterEntry).withStartBounds(key.token(), raisedFormat.highest());
+        CounterRecord confirmed =
+                CounterRecord.fromEntry(counterEntry).withStartBounds(key.token(), dataFormat.highest());
         // The counter's revision too: carried out late, after the data format was raised, it would lower it.
         return new StateClient.Txn()
                 .when(RecordKeys.LEADER, key.revision())
@@ -219,33 +220,33 @@
      * leads in a deployment where somebody has led, as far as {@code leads} shows, which is asked about the node that the key
      * names: a leader that ended lately may have left its key. Never fails.
      */
-    public Future<Boolean> clearPredecessor(Function<String, Future<Boolean>> leads) {
+    public Future<Boolean> clearPredecessorKey(Function<String, Future<Boolean>> leadingQuery) {
         return Future.all(state.get(RecordKeys.LEADER), state.get(RecordKeys.COUNTER))
                 .compose(entries -> {
                     observeKey(entries.resultAt(0));
-                    return isLeaderless(entries.resultAt(1) != null, leads);
+                    return isLeaderless(entries.resultAt(1) != null, leadingQuery);
                 })
                 .otherwise(false);
     }
 
-    private Future<Boolean> isLeaderless(boolean somebodyHasLed, Function<String, Future<Boolean>> leads) {
+    private Future<Boolean> isLeaderless(boolean hasHadLeader, Function<String, Future<Boolean>> leadingQuery) {
         if (!candidate.hasPeers()) {
             return Future.succeededFuture(false);
         }
-        if (current == null) {
-            return Future.succeededFuture(somebodyHasLed);
+        if (currentKey == null) {
+            return Future.succeededFuture(hasHadLeader);
         }
-        return isOwn(current)
+        return isOwnKey(currentKey)
                 ? removePredecessorKey().map(true)
-                : leads.apply(current.node()).map(stillLeads -> !stillLeads);
+                : leadingQuery.apply(currentKey.node()).map(stillLeads -> !stillLeads);
     }
 
     /** The revision of the key by which somebody leads as far as is known; {@link Revision#ABSENT} if nobody does. */
     public Revision leadershipRevision() {
-        return current == null ? Revision.ABSENT : current.revision();
+        return currentKey == null ? Revision.ABSENT : currentKey.revision();
     }
 
-    private boolean isOwn(LeaderKey key) {
+    private boolean isOwnKey(LeaderKey key) {
         return key.node().equals(candidate.node());
     }
 
@@ -260,11 +261,11 @@
         observeKey(entry);
         // A key of this very node is that of a predecessor, which has ended, or comes from an attempt of this
         // process whose answer was lost: nobody acts under it, so its lease need not be waited for.
-        if (current != null && isOwn(current) && !predecessorKeyRemoved && candidate.hasPeers()) {
+        if (currentKey != null && isOwnKey(currentKey) && !predecessorKeyRemoved && candidate.hasPeers()) {
             return removePredecessorKey();
         }
-        if (current == null || isOwn(current)) {
-            return clock.now().isBefore(standAsideUntil) ? Future.succeededFuture(RETRY) : campaign();
+        if (currentKey == null || isOwnKey(currentKey)) {
+            return clock.now().isBefore(campaignBlockedUntil) ? Future.succeededFuture(RETRY_INTERVAL) : campaign();
         }
         watchedRevision = entry.revision().value();
         return Future.succeededFuture(Span.ZERO);
@@ -272,35 +273,36 @@
 
     /** Waits for a change of the key by which another node leads. */
     private Future<Span> watchLeader() {
-        return state.watch(RecordKeys.LEADER, watchedRevision, FOLLOWER_WATCH)
+        return state.watch(RecordKeys.LEADER, watchedRevision, FOLLOWER_WATCH_TIME)
                 .onFailure(failure -> watchedRevision = NOT_WATCHED)
                 .map(changes -> {
                     boolean changed = changes.changes().stream()
                             .anyMatch(change -> change.key().equals(RecordKeys.LEADER));
-                    watchedRevision = changes.tooOld() || changed ? NOT_WATCHED : changes.revision();
+                    watchedRevision = changes.compacted() || changed ? NOT_WATCHED : changes.revision();
                     return Span.ZERO;
                 });
     }
 
     private void observeKey(StateClient.Entry entry) {
-        current = entry == null ? null : LeaderKey.read(entry.value(), entry.revision());
-        if (current != null) {
-            settings.tokens().seen(current.token());
+        currentKey = entry == null ? null : LeaderKey.read(entry.value(), entry.revision());
+        if (currentKey != null) {
+            settings.tokens().observe(currentKey.token());
         }
     }
 
     /** Watches the key that this node leads by: once it is gone or another's, what was read under it does not hold. */
     private Future<Span> watchOwnKey() {
-        Revision own = current.revision();
-        return state.watch(RecordKeys.LEADER, own.value(), OWN_KEY_WATCH).map(changes -> {
-            boolean changed = changes.changes().stream()
-                    .anyMatch(change -> change.key().equals(RecordKeys.LEADER)
-                            && !change.revision().equals(own));
-            if (leading && current.revision().equals(own) && changed) {
-                loseLeadership("key-replaced");
-            }
-            return Span.ZERO;
-        });
+        Revision ownRevision = currentKey.revision();
+        return state.watch(RecordKeys.LEADER, ownRevision.value(), OWN_KEY_WATCH_TIME)
+                .map(changes -> {
+                    boolean changed = changes.changes().stream()
+                            .anyMatch(change -> change.key().equals(RecordKeys.LEADER)
+                                    && !change.revision().equals(ownRevision));
+                    if (leading && currentKey.revision().equals(ownRevision) && changed) {
+                        loseLeadership("key-replaced");
+                    }
+                    return Span.ZERO;
+                });
     }
 
     /**
@@ -310,19 +312,19 @@
     private Future<Span> removePredecessorKey() {
         predecessorKeyRemoved = true;
         LOG.info("predecessor key removed");
-        Revision key = current.revision();
-        current = null;
-        return removeKey(key).map(CANDIDATE_DELAY);
+        Revision key = currentKey.revision();
+        currentKey = null;
+        return removeKey(key).map(PEER_CAMPAIGN_TIME);
     }
 
     private Future<Span> campaign() {
         if (givenPledges.isBound()) {
-            return Future.succeededFuture(RETRY);
+            return Future.succeededFuture(RETRY_INTERVAL);
         }
         campaigning = true;
         return givenPledges
-                .mayBindPredecessor()
-                .compose(bound -> campaign.run(leadershipRevision(), bound))
+                .mayPredecessorBeBound()
+                .compose(predecessorMayBeBound -> campaign.run(leadershipRevision(), predecessorMayBeBound))
                 .map(this::concludeCampaign)
                 .onComplete(done -> campaigning = false);
     }
@@ -334,50 +336,50 @@
         watchedRevision = NOT_WATCHED;
         predecessorKeyRemoved = true;
         if (!(result instanceof CampaignResult.Won won)) {
-            return RETRY_AFTER_REJECTION;
+            return RETRY_INTERVAL_AFTER_REJECTION;
         }
-        succeedsItself = ownTokens.isLast(won.highestBefore());
-        state.compareCounter(won.highestBefore(), won.counted());
+        ledPreviousTerm = tokenHistory.wasLastLeader(won.highestBefore());
+        state.compareCounter(won.highestBefore(), won.counterToken());
         becomeLeader(won);
-        return RETRY;
+        return RETRY_INTERVAL;
     }
 
     private void becomeLeader(CampaignResult.Won won) {
         FencingToken token = won.key().token();
-        lease = won.lease();
+        leaseId = won.leaseId();
         leading = true;
-        ownTokens.gained(token);
-        current = won.key();
-        validity.forgetPledges();
-        renewer.renew(won.lease(), won.leaseSentAt(), () -> loseLeadership("lease-expired"));
+        tokenHistory.leadershipGained(token);
+        currentKey = won.key();
+        validity.clearPledges();
+        renewer.startRenewing(won.leaseId(), won.leaseSentAt(), () -> loseLeadership("lease-expired"));
         LOG.info("leadership gained token={}", token);
-        listener.leadershipGained(token, won.key().revision(), won.startBounds());
+        listener.leadershipGained(token, won.key().revision(), won.startBoundsReliable());
     }
 
     /** While renewals stay without an answer, the peers are asked to bridge what is probably an outage. */
-    private Future<Span> collectPledges() {
-        renewer.eventLoopTurned();
-        Moment askedAt = clock.now();
-        if (!isValid() || !validity.isRenewalOverdue(askedAt)) {
-            return Future.succeededFuture(PLEDGE_PERIOD);
+    private Future<Span> requestPledgesIfOverdue() {
+        renewer.recordEventLoopTurn();
+        Moment requestedAt = clock.now();
+        if (!isValid() || !validity.isRenewalOverdue(requestedAt)) {
+            return Future.succeededFuture(PLEDGE_REQUEST_INTERVAL);
         }
-        Revision key = current.revision();
-        return askForPledges.get().map(allPledged -> {
+        Revision key = currentKey.revision();
+        return requestPledges.get().map(allPledged -> {
             // Never after a gap: another may have led in it, and ended.
-            if (allPledged && isValid() && current.revision().equals(key)) {
-                validity.extendByPledges(askedAt);
+            if (allPledged && isValid() && currentKey.revision().equals(key)) {
+                validity.extendByPledges(requestedAt);
             }
-            return PLEDGE_PERIOD;
+            return PLEDGE_REQUEST_INTERVAL;
         });
     }
 
     private void loseLeadership(String reason) {
         leading = false;
-        ownTokens.lost(validity.leaseValidUntil());
+        tokenHistory.leadershipLost(validity.leaseValidUntil());
         renewer.stopRenewing();
-        validity.forgetPledges();
+        validity.clearPledges();
         watchedRevision = NOT_WATCHED;
-        current = null;
+        currentKey = null;
         LOG.info("leadership lost reason={}", reason);
         listener.leadershipLost(reason);
     }
--- a/src/main/java/io/indigoreach/state/LeadershipValidity.java
+++ b/src/main/java/io/indigoreach/state/LeadershipValidity.java
@@ -30,14 +30,14 @@
     }
 
     /** Whether the lease or the peers' pledges allow a leader to act at this moment. */
-    boolean holds() {
+    boolean isValid() {
         Moment now = clock.now();
         return now.isBefore(leaseValidUntil()) || now.isBefore(pledgedUntil);
     }
 
     /** Until when the lease alone allows it. */
     Moment leaseValidUntil() {
-        return renewer.renewedAt().plus(usable(leaseTime));
+        return renewer.renewedAt().plus(safeTime(leaseTime));
     }
 
     /** Whether renewals have gone unanswered for so long at {@code now} that the peers should be asked for pledges. */
@@ -46,16 +46,16 @@
     }
 
     /** All peers have given the pledges for which they were asked at {@code askedAt}. */
-    void extendByPledges(Moment askedAt) {
-        pledgedUntil = askedAt.plus(usable(GivenPledges.PLEDGE_TIME));
+    void extendByPledges(Moment requestedAt) {
+        pledgedUntil = requestedAt.plus(safeTime(GivenPledges.PLEDGE_TIME));
     }
 
     /** Pledges received so far count no more, as leadership was gained or lost. */
-    void forgetPledges() {
+    void clearPledges() {
         pledgedUntil = Moment.NEVER;
     }
 
-    private static Span usable(Span time) {
+    private static Span safeTime(Span time) {
         return new Span(time.ms() - time.ms() / DRIFT_DIVISOR - MARGIN_MS);
     }
 }
--- a/src/main/java/io/indigoreach/state/OwnTokens.java
+++ b/src/main/java/io/indigoreach/state/OwnTokenHistory.java
@@ -12,56 +12,56 @@
  * The fencing tokens under which this process has led, compared with the counter in the state service: whether another
  * leadership came between, and how long to wait where the counter has lost data. Bound to the node's event loop.
  */
-final class OwnTokens {
+final class OwnTokenHistory {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
 
     private final SteadyClock clock;
     private final Span leaseTime;
     private final TokenGenerator tokens;
     /** Until then nobody else may have led, as far as the time of this node's own last lease tells. */
-    private Moment ledUntil = Moment.NEVER;
+    private Moment lastLeaseEnd = Moment.NEVER;
 
-    private FencingToken last = FencingToken.NONE;
+    private FencingToken lastToken = FencingToken.NONE;
     /** A campaign without an answer, before which nobody else had led since {@link #last}; null if there was none. */
-    private FencingToken unanswered;
+    private FencingToken unansweredToken;
 
-    private Moment regressionSeenAt = Moment.NEVER;
+    private Moment regressionDetectedAt = Moment.NEVER;
 
-    OwnTokens(SteadyClock clock, Span leaseTime, TokenGenerator tokens) {
+    OwnTokenHistory(SteadyClock clock, Span leaseTime, TokenGenerator tokens) {
         this.clock = clock;
         this.leaseTime = leaseTime;
         this.tokens = tokens;
     }
 
     /** The counter was read: if it shows the token of the unanswered campaign, that one did succeed. */
-    void counterRead(FencingToken counted) {
-        if (counted.equals(unanswered)) {
+    void observeCounter(FencingToken counterToken) {
+        if (counterToken.equals(unansweredToken)) {
             // That campaign did take the key, and nobody has led since: no leadership of another's comes between.
-            last = unanswered;
+            lastToken = unansweredToken;
         }
     }
 
     /** Whether the highest token in use before a campaign was this process's own: nobody else has led since. */
-    boolean isLast(FencingToken highestBefore) {
-        return highestBefore.equals(last);
+    boolean wasLastLeader(FencingToken highestBefore) {
+        return highestBefore.equals(lastToken);
     }
 
     /** A campaign got no answer, so that {@code token} may or may not have been taken. */
-    void campaignUnanswered(FencingToken token, FencingToken highestBefore) {
-        if (isLast(highestBefore)) {
-            unanswered = token;
+    void recordUnansweredCampaign(FencingToken token, FencingToken highestBefore) {
+        if (wasLastLeader(highestBefore)) {
+            unansweredToken = token;
         }
     }
 
-    void gained(FencingToken token) {
-        last = token;
-        tokens.seen(token);
-        regressionSeenAt = Moment.NEVER;
+    void leadershipGained(FencingToken token) {
+        lastToken = token;
+        tokens.observe(token);
+        regressionDetectedAt = Moment.NEVER;
     }
 
     /** {@code validUntil}: until when the lease would have allowed this node to lead. */
-    void lost(Moment validUntil) {
-        ledUntil = validUntil;
+    void leadershipLost(Moment validUntil) {
+        lastLeaseEnd = validUntil;
     }
 
     /**
@@ -70,16 +70,16 @@
      */
     boolean mayCampaignAfterRegression() {
         Moment now = clock.now();
-        if (regressionSeenAt.equals(Moment.NEVER)) {
-            regressionSeenAt = now;
+        if (regressionDetectedAt.equals(Moment.NEVER)) {
+            regressionDetectedAt = now;
             LOG.warn("token counter regressed");
         }
-        boolean wasLeader = now.isBefore(ledUntil) && !tokens.hasSeenAfter(last);
-        return wasLeader || now.since(regressionSeenAt).compareTo(leaseTime.withDrift()) >= 0;
+        boolean wasLeader = now.isBefore(lastLeaseEnd) && !tokens.hasObservedAfter(lastToken);
+        return wasLeader || now.since(regressionDetectedAt).compareTo(leaseTime.plusClockDrift()) >= 0;
     }
 
     /** The regression was a stale read: nothing is lost. */
-    void regressionRefuted() {
-        regressionSeenAt = Moment.NEVER;
+    void clearRegression() {
+        regressionDetectedAt = Moment.NEVER;
     }
 }
--- a/src/main/java/io/indigoreach/state/RememberedStateCodec.java
+++ b/src/main/java/io/indigoreach/state/RememberedStateCodec.java
@@ -21,19 +21,19 @@
 
     /** The {@code part}-th part, counted from 0. */
     public static Map<String, Object> write(RememberedState rememberedState, int part) {
-        List<Object> over = new ArrayList<>();
-        rememberedState.finished().entrySet().stream()
+        List<Object> finished = new ArrayList<>();
+        rememberedState.finishedJobs().entrySet().stream()
                 .skip((long) part * JOBS_PER_PART)
                 .limit(JOBS_PER_PART)
-                .forEach(e -> over.add(MessagePackFormat.map(
+                .forEach(e -> finished.add(MessagePackFormat.map(
                         "id",
                         e.getKey().text(),
                         "status",
                         e.getValue().status().name(),
                         "done",
-                        e.getValue().done())));
+                        e.getValue().completedTaskCount())));
         List<Object> open = new ArrayList<>();
-        rememberedState.open().stream()
+        rememberedState.openJobs().stream()
                 .skip((long) part * JOBS_PER_PART)
                 .limit(JOBS_PER_PART)
                 .forEach(job -> open.add(MessagePackFormat.map(
@@ -41,27 +41,27 @@
                         job.spec().id().text(),
                         "job",
                         JobRecordCodec.writeJob(
-                                job.spec(), job.submittedMs(), JobStatus.PENDING, job.done(), 0, job.bound()))));
+                                job.spec(), job.submittedMs(), JobStatus.PENDING, job.done(), 0, job.startBound()))));
         List<Object> records = new ArrayList<>();
         rememberedState.records().stream()
                 .skip((long) part * RECORDS_PER_PART)
                 .limit(RECORDS_PER_PART)
                 .forEach(k -> records.add(MessagePackFormat.map("key", k.key(), "value", k.value())));
-        Map<String, Object> map = MessagePackFormat.map(
+        Map<String, Object> message = MessagePackFormat.map(
                 "over",
-                over,
+                finished,
                 "open",
                 open,
                 "more",
                 Math.max(
-                                        rememberedState.finished().size(),
-                                        rememberedState.open().size())
+                                        rememberedState.finishedJobs().size(),
+                                        rememberedState.openJobs().size())
                                 > (part + 1) * JOBS_PER_PART
                         || rememberedState.records().size() > (part + 1) * RECORDS_PER_PART);
         if (!records.isEmpty()) {
-            map.put("records", records);
+            message.put("records", records);
         }
-        return map;
+        return message;
     }
 
     /** Adds a part to what is known; true if there are more. */
@@ -73,7 +73,8 @@
         }
         for (Fields item : body.children("open")) {
             JobRecord record = JobRecordCodec.readJob(new JobId(item.text("id")), item.child("job"), Revision.ABSENT);
-            into.add(new RememberedState.OpenJob(record.spec(), record.submittedMs(), record.done(), record.bound()));
+            into.add(new RememberedState.OpenJob(
+                    record.spec(), record.submittedMs(), record.done(), record.startBound()));
         }
         for (Fields item : body.children("records")) {
             into.add(new VersionedRecord(item.text("key"), item.child("value").map(), Revision.ABSENT));
--- a/src/main/java/io/indigoreach/state/StaleReadDetector.java
+++ b/src/main/java/io/indigoreach/state/StaleReadDetector.java
@@ -8,25 +8,25 @@
     /** So many reads are confirmed after a sign that the service answers with the past. */
     static final int READS_TO_CONFIRM = 1000;
 
-    private long highest;
+    private long highestRevision;
     private int readsToConfirm;
 
     /** The highest revision seen so far, to be taken note of as a request is sent. */
-    long highest() {
-        return highest;
+    long highestRevision() {
+        return highestRevision;
     }
 
     /** An answer had this revision; {@code known} is what {@link #highest} was as its request was sent. */
-    void observe(long known, long revision) {
-        if (revision < known) {
+    void observe(long knownWhenSent, long revision) {
+        if (revision < knownWhenSent) {
             suspectReads();
         }
-        highest = Math.max(highest, revision);
+        highestRevision = Math.max(highestRevision, revision);
     }
 
     /** The service has gone back for good: later answers are compared with this. */
     void restartAt(long revision) {
-        highest = revision;
+        highestRevision = revision;
     }
 
     void suspectReads() {
--- a/src/main/java/io/indigoreach/state/StateClient.java
+++ b/src/main/java/io/indigoreach/state/StateClient.java
@@ -24,7 +24,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
 
     private static final int OK = 200;
-    private static final int MALFORMED = 400;
+    private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
     private static final int CONFLICT = 409;
     private static final int GONE = 410;
@@ -34,16 +34,16 @@
     public record Entry(String key, Fields value, Revision revision, long lease) {}
 
     /** A page of a listing. */
-    public record Page(List<Entry> items, boolean more, long revision) {}
+    public record Page(List<Entry> entries, boolean hasMore, long revision) {}
 
     /** A change of a key; the value is null if it was deleted. */
     public record Change(String key, Fields value, Revision revision) {}
 
     /** What a watch brought; {@code tooOld}: the keys are to be read again. */
-    public record Changes(List<Change> changes, long revision, boolean tooOld) {}
+    public record Changes(List<Change> changes, long revision, boolean compacted) {}
 
     /** A transaction's outcome: done at a revision, or the keys that did not have the given version. */
-    public record Outcome(boolean done, long revision, List<String> failed, boolean leaseGone) {
+    public record Outcome(boolean executed, long revision, List<String> failedKeys, boolean leaseEnded) {
         /** The revision of the keys that were written. */
         public Revision writtenRevision() {
             return new Revision(revision);
@@ -87,7 +87,7 @@
         }
 
         /** With what a part beside the jobs writes, and depends on. */
-        public Txn and(io.indigoreach.core.records.Transaction change) {
+        public Txn addAll(io.indigoreach.core.records.Transaction change) {
             conditions.putAll(change.conditions());
             change.writes().forEach((key, value) -> writes.add(new Write(key, value, 0)));
             return this;
@@ -110,15 +110,15 @@
     }
 
     /** The era of a deployment in which nothing was ever lost: below every leader's token. */
-    private static final FencingToken FIRST = new FencingToken(1);
+    private static final FencingToken FIRST_ERA = new FencingToken(1);
 
-    private static final int OUTAGE = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
     private static final Span TIMEOUT = Span.seconds(2);
     private static final Span ERA_TIMEOUT = Span.seconds(1);
     private static final Span LIST_TIMEOUT = Span.seconds(4);
 
-    private final ServiceClient caller;
-    private final ServiceClient watcher;
+    private final ServiceClient requestClient;
+    private final ServiceClient watchClient;
     private final StaleReadDetector staleReads = new StaleReadDetector();
     private final LossDetector losses = new LossDetector();
     private final EffectiveLimits limits = new EffectiveLimits();
@@ -130,9 +130,9 @@
     private Future<Void> pendingCheck;
 
     /** Watches stay open, so they have connections of their own. */
-    public StateClient(ServiceClient caller, ServiceClient watcher) {
-        this.caller = caller;
-        this.watcher = watcher;
+    public StateClient(ServiceClient requestClient, ServiceClient watchClient) {
+        this.requestClient = requestClient;
+        this.watchClient = watchClient;
     }
 
     /** What is known of losses of data; judged anew with each transaction and each {@link #check}. */
@@ -141,8 +141,8 @@
     }
 
     /** Called when a loss is found that was not known. */
-    public void onLoss(Runnable what) {
-        onLoss = what;
+    public void onLoss(Runnable callback) {
+        onLoss = callback;
     }
 
     /** What the service's refusals have shown of its limits. */
@@ -151,13 +151,13 @@
     }
 
     /** Called when a request gets no answer or is refused as in an outage. */
-    public void onFailure(Runnable what) {
-        onFailure = what;
+    public void onFailure(Runnable callback) {
+        onFailure = callback;
     }
 
-    private Future<ServiceResponse> reportingFailure(Future<ServiceResponse> asked) {
-        return asked.onComplete(r -> {
-            if (r.failed() || r.result().status() == OUTAGE) {
+    private Future<ServiceResponse> reportingFailure(Future<ServiceResponse> response) {
+        return response.onComplete(result -> {
+            if (result.failed() || result.result().status() == SERVICE_UNAVAILABLE) {
                 onFailure.run();
             }
         });
@@ -167,24 +167,24 @@
         if (lost) {
             LOG.error(
                     "state data lost evidence={}",
-                    losses.findings().get(losses.findings().size() - 1));
+                    losses.evidence().get(losses.evidence().size() - 1));
             onLoss.run();
         }
     }
 
     /** Another controller says that data of this era were lost. */
-    public void lossReportedByPeer(long era) {
-        reportLoss(losses.reportedByPeer(era));
+    public void reportLossFromPeer(long era) {
+        reportLoss(losses.onReportedByPeer(era));
     }
 
     /** A record that only a loss can have removed is gone. */
-    public void recordMissing(String key) {
-        reportLoss(losses.recordGone(key));
+    public void reportMissingRecord(String key) {
+        reportLoss(losses.onRecordMissing(key));
     }
 
     /** A leadership was taken with a counter below a token that had been in use. */
-    void compareCounter(FencingToken seen, FencingToken counted) {
-        reportLoss(losses.counter(seen, counted));
+    void compareCounter(FencingToken highestSeen, FencingToken counterToken) {
+        reportLoss(losses.checkCounter(highestSeen, counterToken));
     }
 
     /**
@@ -204,18 +204,18 @@
      * Succeeds if the service answers requests of this node. Reads the era, and where it is not the known one, makes sure by
      * comparing. Who asks while another asks gets the same answer: after a change every submission under way comes here.
      */
-    public Future<Void> check() {
+    public Future<Void> checkEra() {
         if (pendingCheck == null) {
-            Future<Void> begun = readEra();
-            pendingCheck = begun;
-            begun.onComplete(r -> pendingCheck = null);
-            return begun;
+            Future<Void> started = readEra();
+            pendingCheck = started;
+            started.onComplete(r -> pendingCheck = null);
+            return started;
         }
         return pendingCheck;
     }
 
     private Future<Void> readEra() {
-        return reportingFailure(caller.get(StateCodec.keyPath(RecordKeys.ERA), ERA_TIMEOUT))
+        return reportingFailure(requestClient.get(StateCodec.keyPath(RecordKeys.ERA), ERA_TIMEOUT))
                 .compose(this::compareEra);
     }
 
@@ -234,12 +234,12 @@
             return Future.succeededFuture();
         }
         return commit(new Txn().when(RecordKeys.ERA, revision))
-                .compose(outcome -> outcome.done() ? adoptEra(era, revision) : Future.succeededFuture());
+                .compose(outcome -> outcome.executed() ? adoptEra(era, revision) : Future.succeededFuture());
     }
 
     private Future<Void> adoptEra(long era, Revision revision) {
         reportLoss(losses.era(era));
-        if (!losses.isHolding()) {
+        if (!losses.isLossPending()) {
             eraRevision = revision;
         }
         return Future.succeededFuture();
@@ -251,9 +251,10 @@
     private Future<Void> firstEra() {
         return commit(new Txn()
                         .when(RecordKeys.ERA, Revision.ABSENT)
-                        .put(RecordKeys.ERA, EraRecordCodec.writeEra(FIRST)))
-                .compose(outcome ->
-                        outcome.done() ? adoptEra(FIRST.value(), outcome.writtenRevision()) : Future.succeededFuture());
+                        .put(RecordKeys.ERA, EraRecordCodec.writeEra(FIRST_ERA)))
+                .compose(outcome -> outcome.executed()
+                        ? adoptEra(FIRST_ERA.value(), outcome.writtenRevision())
+                        : Future.succeededFuture());
     }
 
     /** The version of what was read; {@link Revision#ABSENT} if nothing was there. */
@@ -263,29 +264,30 @@
 
     /** The entry of a key; null if there is none. */
     public Future<Entry> get(String key) {
-        long known = staleReads.highest();
-        return reportingFailure(caller.get(StateCodec.keyPath(key), TIMEOUT)).map(r -> {
-            if (r.status() == NOT_FOUND) {
-                staleReads.observe(known, StateCodec.readRevision(r.body()));
-                return null;
-            }
-            return StateCodec.readEntry(requireOk(r));
-        });
+        long knownWhenSent = staleReads.highestRevision();
+        return reportingFailure(requestClient.get(StateCodec.keyPath(key), TIMEOUT))
+                .map(response -> {
+                    if (response.status() == NOT_FOUND) {
+                        staleReads.observe(knownWhenSent, StateCodec.readRevision(response.body()));
+                        return null;
+                    }
+                    return StateCodec.readEntry(requireOk(response));
+                });
     }
 
     /** Up to {@code most} entries with a prefix, after a key or from the first if that is null. */
-    public Future<Page> list(String prefix, String after, int most) {
-        long known = staleReads.highest();
-        return reportingFailure(caller.get(StateCodec.listPath(prefix, after, most), LIST_TIMEOUT))
-                .map(r -> {
-                    Page page = StateCodec.readPage(requireOk(r));
-                    staleReads.observe(known, page.revision());
+    public Future<Page> list(String prefix, String after, int limit) {
+        long knownWhenSent = staleReads.highestRevision();
+        return reportingFailure(requestClient.get(StateCodec.listPath(prefix, after, limit), LIST_TIMEOUT))
+                .map(response -> {
+                    Page page = StateCodec.readPage(requireOk(response));
+                    staleReads.observe(knownWhenSent, page.revision());
                     return page;
                 });
     }
 
     /** Whether the service has lately answered with what was there before something it had told already. */
-    public boolean areReadsSuspect() {
+    public boolean shouldConfirmRead() {
         return staleReads.shouldConfirm();
     }
 
@@ -295,45 +297,45 @@
      */
     public Future<Boolean> confirm(Txn comparison) {
         return commit(comparison).map(outcome -> {
-            if (!outcome.done() && !outcome.failed().equals(List.of(RecordKeys.ERA))) {
+            if (!outcome.executed() && !outcome.failedKeys().equals(List.of(RecordKeys.ERA))) {
                 staleReads.suspectReads();
             }
-            return outcome.done();
+            return outcome.executed();
         });
     }
 
     /** Executes a compare-and-swap; fails with {@link TransactionRejectedException} if it can never be executed as it is. */
     public Future<Outcome> commit(Txn txn) {
-        long known = staleReads.highest();
-        return reportingFailure(caller.post(StateCodec.TXN, StateCodec.writeTxn(txn), TIMEOUT))
-                .map(response -> outcome(txn, known, response));
+        long knownWhenSent = staleReads.highestRevision();
+        return reportingFailure(requestClient.post(StateCodec.TXN, StateCodec.writeTxn(txn), TIMEOUT))
+                .map(response -> outcome(txn, knownWhenSent, response));
     }
 
-    private Outcome outcome(Txn txn, long known, ServiceResponse response) {
+    private Outcome outcome(Txn txn, long knownWhenSent, ServiceResponse response) {
         if (response.status() == OK) {
-            return committed(known, StateCodec.readRevision(response.body()));
+            return committed(knownWhenSent, StateCodec.readRevision(response.body()));
         }
         if (response.status() == CONFLICT) {
             Outcome failed = StateCodec.readConflict(response.body());
             staleReads.observe(0, failed.revision());
             return failed;
         }
-        if (response.status() == MALFORMED
+        if (response.status() == BAD_REQUEST
                 && StateCodec.NO_SUCH_LEASE.equals(response.body().optionalText("error"))) {
             return new Outcome(false, 0, List.of(), true);
         }
-        if (response.status() == MALFORMED) {
-            limits.transactionRefused(txn);
-            throw new TransactionRejectedException(MALFORMED);
+        if (response.status() == BAD_REQUEST) {
+            limits.transactionRejected(txn);
+            throw new TransactionRejectedException(BAD_REQUEST);
         }
         throw new StateRequestRejectedException(response.status());
     }
 
     /** {@code known}: the highest revision seen when the transaction was sent; a lower one now shows a loss of data. */
-    private Outcome committed(long known, long revision) {
-        boolean lost = losses.revision(known, revision);
+    private Outcome committed(long knownWhenSent, long revision) {
+        boolean lost = losses.checkRevision(knownWhenSent, revision);
         staleReads.observe(0, revision);
-        if (revision < known) {
+        if (revision < knownWhenSent) {
             staleReads.restartAt(revision);
         }
         reportLoss(lost);
@@ -341,43 +343,46 @@
     }
 
     /** Requests a lease. */
-    public Future<Long> grant(Span life) {
-        return caller.post(StateCodec.LEASES, StateCodec.writeLife(life), TIMEOUT)
+    public Future<Long> grantLease(Span leaseTime) {
+        return requestClient
+                .post(StateCodec.LEASES, StateCodec.writeLeaseTime(leaseTime), TIMEOUT)
                 .map(r -> StateCodec.readLease(requireOk(r)));
     }
 
     /** Whether the lease goes on; false if it has ended. */
-    public Future<Boolean> renew(long lease, Span patience) {
-        return caller.post(StateCodec.leasePath(lease) + StateCodec.RENEW, Map.of(), patience)
-                .map(r -> {
-                    if (r.status() == NOT_FOUND) {
+    public Future<Boolean> renewLease(long lease, Span timeout) {
+        return requestClient
+                .post(StateCodec.leasePath(lease) + StateCodec.RENEW, Map.of(), timeout)
+                .map(response -> {
+                    if (response.status() == NOT_FOUND) {
                         return false;
                     }
-                    requireOk(r);
+                    requireOk(response);
                     return true;
                 });
     }
 
     /** Ends a lease, and deletes the keys attached to it. */
-    public Future<Void> drop(long lease) {
-        return caller.delete(StateCodec.leasePath(lease), TIMEOUT).mapEmpty();
+    public Future<Void> revokeLease(long lease) {
+        return requestClient.delete(StateCodec.leasePath(lease), TIMEOUT).mapEmpty();
     }
 
     /** The changes of keys with a prefix after a revision; waits for the first at most {@code wait}. */
     public Future<Changes> watch(String prefix, long since, Span wait) {
-        return watcher.get(StateCodec.watchPath(prefix, since, wait), wait.plus(TIMEOUT))
+        return watchClient
+                .get(StateCodec.watchPath(prefix, since, wait), wait.plus(TIMEOUT))
                 .map(r -> r.status() == GONE ? new Changes(List.of(), 0, true) : StateCodec.readChanges(requireOk(r)));
     }
 
-    private static Fields requireOk(ServiceResponse reply) {
-        if (reply.status() == OK) {
-            return reply.body();
+    private static Fields requireOk(ServiceResponse response) {
+        if (response.status() == OK) {
+            return response.body();
         }
-        throw new StateRequestRejectedException(reply.status());
+        throw new StateRequestRejectedException(response.status());
     }
 
     /** Whether a failure says that the request surely was not executed. */
-    public static boolean surelyNotExecuted(Throwable failure) {
+    public static boolean wasNotExecuted(Throwable failure) {
         return failure instanceof StateRequestRejectedException;
     }
 }
--- a/src/test/java/io/indigoreach/api/OddRequestsTest.java
+++ b/src/test/java/io/indigoreach/api/OddRequestsTest.java
@@ -5,8 +5,8 @@
 
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Team;
@@ -16,10 +16,10 @@
 import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -48,7 +48,7 @@
     private static final Object ABSENT = new Object();
 
     private final Vertx vertx = Vertx.vertx();
-    private StateStandIn service;
+    private FakeStateService service;
     private HttpClient http;
     private ServiceClient user;
     private Endpoint node;
@@ -57,10 +57,11 @@
 
     @BeforeAll
     void serve() throws Exception {
-        service = await(new StateStandIn().listen(vertx));
+        service = await(new FakeStateService().listen(vertx));
         StateClient state = new StateClient(caller(4), caller(1));
-        MachineType type = new MachineType("quad", new Demand(4, 1, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
-        MachineType far = new MachineType("far", new Demand(8, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("b"));
+        MachineType type =
+                new MachineType("quad", new Resources(4, 1, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
+        MachineType far = new MachineType("far", new Resources(8, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("b"));
         await(state.commit(new StateClient.Txn()
                 .when(RecordKeys.CATALOGUE, Revision.ABSENT)
                 .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type, far)))));
@@ -88,7 +89,7 @@
 
     @AfterEach
     void serveAgain() {
-        service.delaying = (endpoint, path) -> false;
+        service.delayFilter = (endpoint, path) -> false;
     }
 
     @AfterAll
@@ -249,7 +250,7 @@
     @ParameterizedTest
     @CsvSource({"false", "true"})
     void requestsBeyondTheAdmissionLimitAreRejectedAtOnce(boolean submissions) throws Exception {
-        service.delaying = (endpoint, path) -> path.startsWith("/store") || path.equals("/txn");
+        service.delayFilter = (endpoint, path) -> path.startsWith("/store") || path.equals("/txn");
         Map<Integer, Future<ServiceResponse>> answers = new LinkedHashMap<>();
         int[] refused = {0};
         long begun = System.nanoTime();
@@ -274,7 +275,7 @@
 
     @Test
     void unavailableResponseHasRetryAfter() throws Exception {
-        service.delaying = (endpoint, path) -> path.startsWith("/store");
+        service.delayFilter = (endpoint, path) -> path.startsWith("/store");
         Future<String> answer = http.request(HttpMethod.GET, node.port(), node.host(), "/api/jobs/run-60000")
                 .compose(r -> r.send())
                 .map(r -> r.statusCode() + " " + r.getHeader("Retry-After"));
--- a/src/test/java/io/indigoreach/checker/FrontDoors.java
+++ b/src/test/java/io/indigoreach/checker/FrontDoors.java
@@ -7,12 +7,12 @@
 import io.indigoreach.checker.JobRegisters.Call;
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Team;
@@ -22,12 +22,12 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.JobRecord;
 import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -61,7 +61,7 @@
     /** One node's process; a restart makes another. */
     private record Node(Context loop, Catalogue catalogue, JobService desk, Door door) {}
 
-    final StateStandIn service = new StateStandIn();
+    final FakeStateService service = new FakeStateService();
     private final Queue<Call> calls = new ConcurrentLinkedQueue<>();
     private final Vertx serviceRuntime = Vertx.vertx();
     private final List<Vertx> runtimes = new ArrayList<>();
@@ -79,14 +79,15 @@
         this.nodes = new AtomicReferenceArray<>(count);
         await(on(serviceLoop, () -> service.listen(serviceRuntime)));
         leader = client(serviceRuntime, service.endpoint());
-        MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
+        MachineType type =
+                new MachineType("quad", new Resources(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         await(leader.commit(new StateClient.Txn()
                 .when(RecordKeys.CATALOGUE, Revision.ABSENT)
                 .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type)))));
-        await(leader.check());
+        await(leader.checkEra());
         for (int n = 0; n < count; n++) {
             String name = name(n);
-            ways.add(await(on(serviceLoop, () -> service.door(serviceRuntime, name))));
+            ways.add(await(on(serviceLoop, () -> service.addEndpoint(serviceRuntime, name))));
             runtimes.add(Vertx.vertx());
             restart(n);
         }
@@ -195,12 +196,12 @@
                 .team("t")
                 .kind(JobKind.ARRAY)
                 .urgency(Urgency.STANDARD)
-                .tasks(TASKS)
-                .demand(new Demand(1, 0, 1))
+                .taskCount(TASKS)
+                .demand(new Resources(1, 0, 1))
                 .image("img")
                 .imageGb(0)
                 .spotAllowed()
-                .estimate(Span.seconds(10))
+                .estimatedRunTime(Span.seconds(10))
                 .build();
     }
 
--- a/src/test/java/io/indigoreach/cluster/IntentLogTest.java
+++ b/src/test/java/io/indigoreach/cluster/IntentLogTest.java
@@ -10,7 +10,7 @@
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.net.RateLimiter;
-import io.indigoreach.state.StateStandIn;
+import io.indigoreach.state.FakeStateService;
 import io.vertx.core.Future;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -20,10 +20,11 @@
 
 /** Intents are recorded under the leadership key, and whoever leads next reads them. */
 class IntentLogTest {
-    private static final Intents.Rent RENT = new Intents.Rent("t3-1", new MachinePool("quad", "east", true), 50, 1000);
+    private static final Intents.Rental RENT =
+            new Intents.Rental("t3-1", new MachinePool("quad", "east", true), 50, 1000);
     private static final MachineId MACHINE = new MachineId("vm-1");
     private TermFixture fixture;
-    private StateStandIn state;
+    private FakeStateService state;
     private NodeContext context;
     private boolean deposed;
 
@@ -54,15 +55,15 @@
         IntentLog first = newLeader(3);
         first.intents().add(RENT);
         first.intents().addReturns(List.of(MACHINE));
-        assertTrue(await(first.record()) && first.intents().maySend("t3-1"));
+        assertTrue(await(first.record()) && first.intents().maySendRental("t3-1"));
         IntentLog next = newLeader(4);
-        Intents.Page page = await(next.load());
-        assertEquals(new Intents.Page(List.of(RENT), List.of(MACHINE)), page);
+        Intents.Content page = await(next.load());
+        assertEquals(new Intents.Content(List.of(RENT), List.of(MACHINE)), page);
         next.intents().addReturns(page.returns());
         assertTrue(await(next.record()));
         await(next.forgetEarlier());
         assertEquals(List.of("i/4"), state.keys("i/"), "what is not completed is in its own record");
-        next.intents().returned(page.returns());
+        next.intents().completeReturns(page.returns());
         next.intents().add(RENT);
         assertTrue(await(next.record()));
         assertEquals(List.of("i/4"), state.keys("i/"));
@@ -77,7 +78,7 @@
             assertTrue(await(log.record()));
         }
         IntentLog last = newLeader(30);
-        assertEquals(20, await(last.load()).rents().size());
+        assertEquals(20, await(last.load()).rentals().size());
         await(last.forgetEarlier());
         assertEquals(8, state.keys("i/").size());
         await(last.forgetEarlier());
@@ -88,7 +89,7 @@
     @Test
     void intentsBeyondTheRecordsSizeWait() throws Exception {
         context = fixture.context("value_kb = 2.0");
-        state.valueBytes = 2048;
+        state.maxValueBytes = 2048;
         IntentLog log = newLeader(3);
         int rents = 0;
         while (log.intents().hasRoomFor(rent(rents))) {
@@ -100,12 +101,12 @@
         int returns = log.intents().addReturns(machines).size();
         assertTrue(rents >= 10 && returns >= 50, rents + " requests, " + returns + " machines");
         assertTrue(await(log.record()));
-        assertEquals(0, state.tooLarge);
-        assertEquals(rents, await(newLeader(4).load()).rents().size());
+        assertEquals(0, state.oversizedTransactions);
+        assertEquals(rents, await(newLeader(4).load()).rentals().size());
     }
 
-    private static Intents.Rent rent(int n) {
-        return new Intents.Rent(
+    private static Intents.Rental rent(int n) {
+        return new Intents.Rental(
                 "t123-" + n, new MachinePool("quad", "a-zone-of-usual-length", true), 50, 1_800_000_000_000L);
     }
 
@@ -116,7 +117,7 @@
         newLeader(4);
         old.intents().add(RENT);
         assertFalse(await(old.record()));
-        assertFalse(old.intents().maySend("t3-1"));
+        assertFalse(old.intents().maySendRental("t3-1"));
         assertTrue(deposed);
         assertEquals(List.of(), state.keys("i/"));
     }
@@ -136,11 +137,11 @@
     void intentWithALostAnswerIsRecordedBeforeItIsSent() throws Exception {
         IntentLog log = newLeader(3);
         log.intents().add(RENT);
-        state.losingAnswers = 1;
+        state.responsesToLose = 1;
         assertFalse(await(log.record().otherwise(false)));
-        assertFalse(log.intents().maySend("t3-1"), "it may be there or not");
+        assertFalse(log.intents().maySendRental("t3-1"), "it may be there or not");
         assertFalse(await(log.record()), "its version is read first");
-        assertTrue(await(log.record()) && log.intents().maySend("t3-1"));
+        assertTrue(await(log.record()) && log.intents().maySendRental("t3-1"));
         Future<Boolean> one = log.record();
         Future<Boolean> other = log.record();
         assertTrue(await(one) && await(other), "two at once do not get in each other's way");
--- a/src/test/java/io/indigoreach/cluster/LateFeatureTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateFeatureTransactionsTest.java
@@ -34,12 +34,12 @@
         List<RecordFamily> families = new ArrayList<>(Registry.FAMILIES);
         families.add(CalendarVersion.FAMILY);
         families.add(CalendarVersion.TEXT_FAMILY);
-        families.add(new RecordFamily("x/", 10, false, RecordFamily.Mending.NEWER));
+        families.add(new RecordFamily("x/", 10, false, RecordFamily.MergeRule.KEEP_NEWER));
         return new RoutineRunner(vertx, client, clock, new RecordCache(families));
     }
 
     private static Routine<Boolean> removing(String key) {
-        return seen -> seen.isWritten() || !seen.failed().isEmpty()
+        return seen -> seen.isWritten() || !seen.failedKeys().isEmpty()
                 ? new Step.End<>(seen.isWritten())
                 : seen.records().isEmpty()
                         ? new Step.Read<>(List.of(key))
@@ -68,7 +68,7 @@
         });
         CASES.put("a leader's write, after a change of leader", test -> {
             RoutineRunner records =
-                    test.records().leading(RecordKeys.LEADER, test.lead(1), new RateLimiter(100, test.clock.now()));
+                    test.records().forLeader(RecordKeys.LEADER, test.lead(1), new RateLimiter(100, test.clock.now()));
             test.loseOne("x/");
             assertTrue(await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L)))
                     .map(false)
--- a/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
@@ -44,16 +44,16 @@
     /** A job in the state service and in the leader's memory; the first {@code done} of its tasks are done and not recorded. */
     private Job job(String id, int tasks, int done, int bound) throws Exception {
         JobSpec spec = spec(id, tasks);
-        Predicate<Fields> holding = service.holding;
-        Predicate<Fields> losing = service.losing;
+        Predicate<Fields> holding = service.holdFilter;
+        Predicate<Fields> losing = service.loseResponseFilter;
         pass();
         Revision stamp = await(client.commit(new StateClient.Txn()
                         .put(
                                 RecordKeys.openKey(spec.id()),
                                 JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, bound))))
                 .writtenRevision();
-        service.holding = holding;
-        service.losing = losing;
+        service.holdFilter = holding;
+        service.loseResponseFilter = losing;
         BitSet over = new BitSet();
         over.set(0, done);
         Job job = new Job(spec, 1, clock.now(), stamp, over, bound, false);
@@ -212,7 +212,7 @@
         });
         CASES.put("a start bound, after a newer one", test -> {
             JobStore jobStore = test.leading();
-            test.core.rented(POOL, List.of(new MachineId("vm-1")), test.clock.now(), test.clock.now());
+            test.core.onMachinesRented(POOL, List.of(new MachineId("vm-1")), test.clock.now(), test.clock.now());
             test.loseOne(OPEN);
             Job job = test.job(JOB.text(), 4, 0, 0);
             test.begin(jobStore, job);
@@ -221,7 +221,7 @@
         });
         CASES.put("a start bound, after a change of leader: what that one orders by stands", test -> {
             JobStore jobStore = test.leading();
-            test.core.rented(POOL, List.of(new MachineId("vm-1")), test.clock.now(), test.clock.now());
+            test.core.onMachinesRented(POOL, List.of(new MachineId("vm-1")), test.clock.now(), test.clock.now());
             test.loseAll(OPEN);
             Job job = test.job(JOB.text(), 4, 0, 0);
             test.begin(jobStore, job);
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -9,7 +9,6 @@
 import io.indigoreach.cloud.CloudClient;
 import io.indigoreach.config.Settings;
 import io.indigoreach.core.leadership.CancellationHorizon;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.Heartbeat;
 import io.indigoreach.core.model.HeartbeatNumber;
@@ -20,6 +19,7 @@
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.core.model.MachineType;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.scheduling.SchedulerCore;
@@ -27,12 +27,12 @@
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.MachineRecord;
 import io.indigoreach.state.MachineRecordCodec;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
@@ -56,7 +56,7 @@
     private static final Revision NO_LEADER = Revision.ABSENT;
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
-    private StateStandIn state;
+    private FakeStateService state;
     private StateClient client;
     private SchedulerCore core;
     private MachineStore machineStore;
@@ -64,7 +64,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        state = await(new StateStandIn().listen(vertx));
+        state = await(new FakeStateService().listen(vertx));
         client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
         CloudClient cloud = new CloudClient(new ServiceClient(vertx, state.endpoint(), 1));
@@ -73,8 +73,8 @@
                 .catalogue(new Catalogue(vertx, client, cloud))
                 .build();
         core = LeaderHarness.core(context, 3, context.config().teams());
-        core.setTypes(List.of(machineType(POOL.zone())));
-        core.recordsLoaded();
+        core.addMachineTypes(List.of(machineType(POOL.zone())));
+        core.onRecordsLoaded();
         machineStore = new MachineStore(LeaderHarness.writes(context, 3, NO_LEADER, 12), core);
         onLoop(() -> {
             machineStore.start();
@@ -83,7 +83,7 @@
     }
 
     private static MachineType machineType(String zone) {
-        return new MachineType("quad", new Demand(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of(zone));
+        return new MachineType("quad", new Resources(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of(zone));
     }
 
     @AfterEach
@@ -98,11 +98,11 @@
     private Future<Boolean> recordMachine(int number) {
         MachineId id = new MachineId(String.format("vm-%06d", number));
         Moment now = clock.now();
-        core.rented(POOL, List.of(id), now, now);
+        core.onMachinesRented(POOL, List.of(id), now, now);
         core.onHeartbeat(
                 new Heartbeat(id, "10.0.0.1:1", POOL, new HeartbeatNumber(1, 1), new FencingToken(3), null, List.of()),
                 now);
-        return machineStore.record(core.unrecorded(id).orElseThrow());
+        return machineStore.record(core.machineToRecord(id).orElseThrow());
     }
 
     private List<MachineRecord> recorded() {
@@ -124,7 +124,7 @@
         });
         assertFalse(done.contains(false));
         assertEquals(300, recorded().size());
-        assertTrue(state.transactions <= 4, state.transactions + " transactions");
+        assertTrue(state.transactionCount <= 4, state.transactionCount + " transactions");
         for (String key : state.keys(RecordKeys.MACHINE_PAGES)) {
             assertTrue(JsonSize.of(state.value(key).map()) <= VALUE_BYTES);
         }
@@ -133,7 +133,7 @@
     /** A write whose answer was lost is neither lost nor written over: its page's version is read first. */
     @Test
     void aLostResponseLosesNoMachine() throws Exception {
-        state.losingAnswers = 1;
+        state.responsesToLose = 1;
         Future<Boolean> first = onLoop(() -> Future.succeededFuture(recordMachine(1)));
         await(first);
         assertTrue(onLoop(() -> recordMachine(2)));
@@ -195,8 +195,8 @@
         String wide = RecordKeys.machinePageKey(new FencingToken(2), 1);
         Revision stamp = await(client.commit(new StateClient.Txn().put(wide, MachineRecordCodec.writeMachines(lines))))
                 .writtenRevision();
-        state.valueBytes = 2048;
-        state.txnOps = 4;
+        state.maxValueBytes = 2048;
+        state.maxTxnOps = 4;
         NodeContext narrow = NodeContext.builder()
                 .vertx(vertx)
                 .clock(clock)
@@ -218,7 +218,7 @@
         for (String key : state.keys(RecordKeys.MACHINE_PAGES)) {
             assertTrue(JsonSize.of(state.value(key).map()) <= 2048, key);
         }
-        assertEquals(0, state.tooLarge);
+        assertEquals(0, state.oversizedTransactions);
     }
 
     /** Earlier leaders' leases run from when this leadership began, however long its records take to be read. */
@@ -232,7 +232,7 @@
                                         new MachineId("vm-000900"), POOL, clock.timeOfDay(), clock.timeOfDay()))))))
                 .revision();
         SchedulerCore fresh = LeaderHarness.core(context, 3, context.config().teams());
-        fresh.setTypes(List.of(machineType("z")));
+        fresh.addMachineTypes(List.of(machineType("z")));
         JobStore jobStore = new JobStore(
                 LeaderHarness.writes(context, 3, new Revision(revision), 12),
                 fresh,
@@ -244,7 +244,7 @@
             Thread.onSpinWait();
         }
         onLoop(jobStore::load);
-        fresh.recordsLoaded();
+        fresh.onRecordsLoaded();
         Span bound = context.config().rules().leaseBound();
         fresh.expireLeases(before.plus(bound));
         assertFalse(fresh.isFailoverComplete(), "an earlier leader answered until then");
--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -5,7 +5,6 @@
 
 import io.indigoreach.config.Settings;
 import io.indigoreach.core.loss.RememberedState;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
@@ -14,6 +13,7 @@
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
@@ -22,12 +22,12 @@
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.parts.Parts;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.MachineRecordCodec;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.RememberedStateCodec;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
@@ -39,7 +39,7 @@
 class StateRebuilderTest {
     private static final FencingToken TOKEN = new FencingToken(3);
     private TermFixture fixture;
-    private StateStandIn state;
+    private FakeStateService state;
 
     @BeforeEach
     void start() throws Exception {
@@ -82,7 +82,7 @@
     }
 
     private static Map<String, Object> featureRecord(long number) {
-        return MessagePackFormat.map("n", number, VersionedRecord.VERSION, number);
+        return MessagePackFormat.map("n", number, VersionedRecord.VERSION_FIELD, number);
     }
 
     /** As another node receives it. */
@@ -99,7 +99,7 @@
     void featureRecordsAreWrittenByTheirVersions() throws Exception {
         NodeContext context = fixture.context(List.of(new Parts.Kind(
                 Settings.Setting.CHECK_S,
-                List.of(new RecordFamily("x/", 10, true, RecordFamily.Mending.NEWER)),
+                List.of(new RecordFamily("x/", 10, true, RecordFamily.MergeRule.KEEP_NEWER)),
                 ground -> null)));
         Revision leadershipRevision = fixture.gainLeadership(
                 1, new StateClient.Txn().put("x/older", featureRecord(1)).put("x/newer", featureRecord(9)));
@@ -123,21 +123,21 @@
                 .team("t")
                 .kind(JobKind.ARRAY)
                 .urgency(Urgency.STANDARD)
-                .tasks(2)
-                .demand(new Demand(1, 0, 1))
+                .taskCount(2)
+                .demand(new Resources(1, 0, 1))
                 .image("img")
                 .imageGb(0)
                 .spotAllowed()
-                .estimate(Span.seconds(10))
+                .estimatedRunTime(Span.seconds(10))
                 .build();
     }
 
     /** A leadership key beside more records than a transaction may usually have. */
     private Revision gainLeadershipWithoutLimit(StateClient.Txn records) throws Exception {
-        int limit = state.txnOps;
-        state.txnOps = records.size() + 1;
+        int limit = state.maxTxnOps;
+        state.maxTxnOps = records.size() + 1;
         Revision leadershipRevision = fixture.gainLeadership(1, records);
-        state.txnOps = limit;
+        state.maxTxnOps = limit;
         return leadershipRevision;
     }
 
@@ -162,7 +162,7 @@
         JobSpec spec = spec("run-1");
         remembered.add(new RememberedState.OpenJob(spec, 1, new BitSet(), 2));
         remembered.add(new JobId("run-2"), new RememberedState.FinishedJob(JobStatus.CANCELLED, 0));
-        int changes = state.changed;
+        int changes = state.writtenKeys;
         rebuild(context, leadershipRevision, 1000, remembered);
         assertEquals(
                 "t",
@@ -173,6 +173,6 @@
         assertEquals(
                 JobStatus.CANCELLED,
                 JobRecordCodec.readFinal(spec.id(), state.value("f/run-2")).status());
-        assertEquals(4, state.changed - changes, "one record, an end and its move, the era");
+        assertEquals(4, state.writtenKeys - changes, "one record, an end and its move, the era");
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/CancelledTaskRenewalTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancelledTaskRenewalTest.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
-import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
+import static io.indigoreach.core.scheduling.SchedulerFixture.spec;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.core.model.JobId;
@@ -27,15 +27,15 @@
 class CancelledTaskRenewalTest {
     private static final String MACHINE = "a";
     private static final JobId JOB = new JobId("run-1");
-    private static final Team TEAM = SimulatedWorld.team(0);
+    private static final Team TEAM = SchedulerFixture.teamWithCoreLimit(0);
     private static final double CANCELLED_AT = 10;
     private static final double LAST_STEP =
-            CANCELLED_AT + 3 * SimulatedWorld.RULES.cancellationTime().seconds();
+            CANCELLED_AT + 3 * SchedulerFixture.SAFETY_TIMES.cancellationTime().seconds();
 
     private final SimulatedCluster cluster = new SimulatedCluster(TEAM);
 
     /** What a leader knows of the machine besides its heartbeats. */
-    private enum Known {
+    private enum RecordedState {
         /** An earlier leader recorded the machine. */
         RECORDED,
         /** No record names it. */
@@ -47,37 +47,38 @@
     }
 
     @BeforeEach
-    void twoTasksRun() {
-        cluster.box(MACHINE, 0);
-        cluster.lead(0);
-        cluster.become(MACHINE, 1);
+    void startTwoTasks() {
+        cluster.worker(MACHINE, 0);
+        cluster.startLeaderWithRecords(0);
+        cluster.joinLeader(MACHINE, 1);
         cluster.submit(spec(1, 2, 1, 1000), 5);
-        cluster.report(MACHINE, 6);
-        assertEquals(2, cluster.running(6).size());
+        cluster.sendHeartbeat(MACHINE, 6);
+        assertEquals(2, cluster.runningTasks(6).size());
     }
 
-    private void nextLeader(Known known, double now) {
-        cluster.begin(now);
-        boolean recorded = known == Known.RECORDED || known == Known.RECORDED_AND_RETURNED;
-        cluster.load(recorded ? Set.of(MACHINE) : Set.of());
-        if (known == Known.RETURNED || known == Known.RECORDED_AND_RETURNED) {
-            cluster.core.inheritReturns(List.of(new MachineId(MACHINE)), at(now));
+    private void nextLeader(RecordedState recordedState, double now) {
+        cluster.startLeader(now);
+        boolean recorded =
+                recordedState == RecordedState.RECORDED || recordedState == RecordedState.RECORDED_AND_RETURNED;
+        cluster.loadRecords(recorded ? Set.of(MACHINE) : Set.of());
+        if (recordedState == RecordedState.RETURNED || recordedState == RecordedState.RECORDED_AND_RETURNED) {
+            cluster.core.inheritReturns(List.of(new MachineId(MACHINE)), atSeconds(now));
         }
     }
 
     /** Leaders that know of the cancellation follow each other; each answers one heartbeat of the machine in its time, or more. */
-    private List<String> brokenRules(Known known, double leadershipS, double heartbeatPeriodS) {
+    private List<String> violations(RecordedState recordedState, double leadershipS, double heartbeatPeriodS) {
         cluster.cancel(JOB, CANCELLED_AT);
         double leaderUntil = CANCELLED_AT;
         for (double now = CANCELLED_AT; now < LAST_STEP; now += heartbeatPeriodS) {
             if (now >= leaderUntil) {
-                nextLeader(known, now);
+                nextLeader(recordedState, now);
                 leaderUntil = now + leadershipS;
             }
-            cluster.report(MACHINE, now + 1);
-            cluster.used(TEAM, now + 1);
+            cluster.sendHeartbeat(MACHINE, now + 1);
+            cluster.usedCores(TEAM, now + 1);
         }
-        return cluster.broken;
+        return cluster.violations;
     }
 
     /** Each leader ends before the machine's next heartbeat; or one stays, and the cloud does not answer its returns. */
@@ -90,13 +91,13 @@
         "RETURNED, 9, 9",
         "RETURNED, 1000, 2"
     })
-    void tasksEndInTimeThoughNoLeaderReconciles(Known known, double leadershipS, double heartbeatPeriodS) {
-        assertEquals(List.of(), brokenRules(known, leadershipS, heartbeatPeriodS));
+    void tasksEndInTimeWithoutReconciliation(RecordedState recordedState, double leadershipS, double heartbeatPeriodS) {
+        assertEquals(List.of(), violations(recordedState, leadershipS, heartbeatPeriodS));
     }
 
     @ParameterizedTest
     @CsvSource({"RECORDED, 1000, 2", "UNKNOWN, 1000, 2", "RECORDED_AND_RETURNED, 1000, 2"})
-    void tasksEndInTimeUnderALeaderThatReconciles(Known known, double leadershipS, double heartbeatPeriodS) {
-        assertEquals(List.of(), brokenRules(known, leadershipS, heartbeatPeriodS));
+    void tasksEndInTimeWithReconciliation(RecordedState recordedState, double leadershipS, double heartbeatPeriodS) {
+        assertEquals(List.of(), violations(recordedState, leadershipS, heartbeatPeriodS));
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/DelayedHeartbeats.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DelayedHeartbeats.java
@@ -8,12 +8,12 @@
 
 /** Copies of reports in a {@link RandomSimulation} that are kept until another leader begins, some of them for the one after it too. */
 final class DelayedHeartbeats {
-    private static final int MOST = 40;
+    private static final int MAX_COPIES = 40;
 
-    private record Kept(Heartbeat report, long token) {}
+    private record Copy(Heartbeat heartbeat, long token) {}
 
     private final Random random;
-    private final List<Kept> kept = new ArrayList<>();
+    private final List<Copy> copies = new ArrayList<>();
 
     DelayedHeartbeats(Random random) {
         this.random = random;
@@ -21,19 +21,19 @@
 
     /** Sent while the leader with this token led. */
     void keep(Heartbeat heartbeat, long token) {
-        if (kept.size() == MOST) {
-            kept.remove(random.nextInt(MOST));
+        if (copies.size() == MAX_COPIES) {
+            copies.remove(random.nextInt(MAX_COPIES));
         }
-        kept.add(new Kept(heartbeat, token));
+        copies.add(new Copy(heartbeat, token));
     }
 
     /** Hands some of the earlier leaders' to the one with this token, in any order; half of those go to a later one as well. */
-    void arrive(long token, Consumer<Heartbeat> leader) {
-        for (Kept copy : List.copyOf(kept)) {
+    void deliver(long token, Consumer<Heartbeat> receiver) {
+        for (Copy copy : List.copyOf(copies)) {
             if (copy.token < token && random.nextInt(3) > 0) {
-                leader.accept(copy.report);
+                receiver.accept(copy.heartbeat);
                 if (random.nextBoolean()) {
-                    kept.remove(copy);
+                    copies.remove(copy);
                 }
             }
         }
--- a/src/test/java/io/indigoreach/core/scheduling/LateHeartbeatCopyTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/LateHeartbeatCopyTest.java
@@ -1,10 +1,10 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.TOKEN;
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
-import static io.indigoreach.core.scheduling.SimulatedWorld.running;
-import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
-import static io.indigoreach.core.scheduling.SimulatedWorld.starts;
+import static io.indigoreach.core.scheduling.SchedulerFixture.TOKEN;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
+import static io.indigoreach.core.scheduling.SchedulerFixture.runningStatus;
+import static io.indigoreach.core.scheduling.SchedulerFixture.spec;
+import static io.indigoreach.core.scheduling.SchedulerFixture.tasksToStart;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -26,11 +26,11 @@
 
 /** Copies of reports that come late, up to minutes: they show nothing about now. */
 class LateHeartbeatCopyTest {
-    private static final MachineId A = new MachineId("vm-000001");
-    private static final MachinePool EAST = new MachinePool("quad", "east", true);
+    private static final MachineId MACHINE = new MachineId("vm-000001");
+    private static final MachinePool POOL = new MachinePool("quad", "east", true);
 
     private static ListedMachine listed(String name) {
-        return new ListedMachine(new MachineId(name), EAST, ListedMachine.Status.RUNNING, Span.seconds(30));
+        return new ListedMachine(new MachineId(name), POOL, ListedMachine.Status.RUNNING, Span.seconds(30));
     }
 
     /** Its task ran, and the machine is dead since 4 s; the report of 3 s comes at 30 s, once more or for the first time. */
@@ -44,52 +44,54 @@
         "two in the wrong order, true",
         "its session ended, true"
     })
-    void raiseNoDeadMachine(String when, boolean known) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.up(A.text(), "east", 0);
-        w.core.recordsLoaded();
-        Job job = w.submit(spec(1, 1, 1, 500), 0);
-        List<WorkerCommand> orders = w.hear(A.text(), 1);
-        Heartbeat earlier = w.report(A.text(), "east", 1, TOKEN, running(orders.get(0)));
-        Heartbeat copy = w.report(A.text(), "east", 1, TOKEN, running(orders.get(0)));
-        w.core.onHeartbeat(earlier, at(2));
-        if (!when.startsWith("first time")) {
-            w.core.onHeartbeat(copy, at(3));
+    void lateCopiesDoNotAdoptDeadMachines(String scenario, boolean staysKnown) {
+        SchedulerFixture world = new SchedulerFixture();
+        world.addSpotMachine(MACHINE.text(), "east", 0);
+        world.core.onRecordsLoaded();
+        Job job = world.submit(spec(1, 1, 1, 500), 0);
+        List<WorkerCommand> commands = world.heartbeat(MACHINE.text(), 1);
+        Heartbeat earlier = world.newHeartbeat(MACHINE.text(), "east", 1, TOKEN, runningStatus(commands.get(0)));
+        Heartbeat copy = world.newHeartbeat(MACHINE.text(), "east", 1, TOKEN, runningStatus(commands.get(0)));
+        world.core.onHeartbeat(earlier, atSeconds(2));
+        if (!scenario.startsWith("first time")) {
+            world.core.onHeartbeat(copy, atSeconds(3));
         }
-        if (when.startsWith("its session")) {
-            w.core.onHeartbeat(w.report(A.text(), "east", 2, TOKEN), at(4));
+        if (scenario.startsWith("its session")) {
+            world.core.onHeartbeat(world.newHeartbeat(MACHINE.text(), "east", 2, TOKEN), atSeconds(4));
         }
-        if (when.startsWith("after it was") || when.startsWith("its name")) {
-            w.core.returned(List.of(A), at(4));
+        if (scenario.startsWith("after it was") || scenario.startsWith("its name")) {
+            world.core.onMachinesReturned(List.of(MACHINE), atSeconds(4));
         }
-        if (when.startsWith("its name")) {
-            w.core.onMachineListing(List.of(listed("vm-009999")), at(5), at(5));
-            w.core.onMachineListing(List.of(listed("vm-009999")), at(15), at(15));
+        if (scenario.startsWith("its name")) {
+            world.core.onMachineListing(List.of(listed("vm-009999")), atSeconds(5), atSeconds(5));
+            world.core.onMachineListing(List.of(listed("vm-009999")), atSeconds(15), atSeconds(15));
             for (int i = 0; i < 2000; i++) {
-                w.core.returned(List.of(new MachineId("vm-0" + (20_000 + i))), at(16));
+                world.core.onMachinesReturned(List.of(new MachineId("vm-0" + (20_000 + i))), atSeconds(16));
             }
         }
-        if (when.startsWith("under a new")) {
+        if (scenario.startsWith("under a new")) {
             // Rented and returned under the leader before: nothing is recorded of it.
-            w = new SimulatedWorld();
-            w.core.recordsLoaded();
-            job = new Job(spec(1, 1, 1, 500), 1, at(0), new Revision(1), new BitSet(), 1, false);
-            w.core.addJob(job);
+            world = new SchedulerFixture();
+            world.core.onRecordsLoaded();
+            job = new Job(spec(1, 1, 1, 500), 1, atSeconds(0), new Revision(1), new BitSet(), 1, false);
+            world.core.addJob(job);
             copy = withToken(copy, new FencingToken(4));
             earlier = withToken(earlier, new FencingToken(4));
         }
-        w.core.expireLeases(at(20));
-        int machines = w.core.machineCount();
-        w.core.onHeartbeat(copy, at(30));
-        w.core.onHeartbeat(earlier, at(31));
-        w.core.onHeartbeat(copy, at(31.5));
-        assertEquals(machines, w.core.machineCount(), "taken on");
-        assertEquals(known, w.core.knows(A));
+        world.core.expireLeases(atSeconds(20));
+        int machines = world.core.machineCount();
+        world.core.onHeartbeat(copy, atSeconds(30));
+        world.core.onHeartbeat(earlier, atSeconds(31));
+        world.core.onHeartbeat(copy, atSeconds(31.5));
+        assertEquals(machines, world.core.machineCount(), "taken on");
+        assertEquals(staysKnown, world.core.isKnownMachine(MACHINE));
         assertTrue(job.placements().isEmpty(), "a task placed on a dead machine");
-        assertEquals(List.of(), starts(w.core.onHeartbeat(copy, at(32)).commands()));
+        assertEquals(
+                List.of(),
+                tasksToStart(world.core.onHeartbeat(copy, atSeconds(32)).commands()));
         // What it ran goes to a machine that lives, at once.
-        w.up("vm-010001", "east", 32);
-        assertEquals(1, starts(w.hear("vm-010001", 33)).size(), "held by a copy");
+        world.addSpotMachine("vm-010001", "east", 32);
+        assertEquals(1, tasksToStart(world.heartbeat("vm-010001", 33)).size(), "held by a copy");
     }
 
     private static Heartbeat withToken(Heartbeat heartbeat, FencingToken token) {
@@ -114,63 +116,64 @@
         "then listed, 1",
         "then rented, 1"
     })
-    void anUnknownMachineMustShowOurAnswer(String what, int machines) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.submit(spec(1, 4, 1, 500), 0);
-        Heartbeat first = w.report("x", "east", 1, new FencingToken(4));
-        Heartbeat older = w.report("x", "east", 1, new FencingToken(4));
-        Heartbeat second = w.report("x", "east", 1, TOKEN);
-        w.core.onHeartbeat(what.startsWith("wrong") ? second : first, at(1));
-        assertEquals(0, w.core.machineCount());
-        switch (what) {
-            case "twice the same" -> w.core.onHeartbeat(first, at(2));
-            case "two with the older token" -> w.core.onHeartbeat(older, at(2));
-            case "wrong order" -> w.core.onHeartbeat(first, at(2));
-            case "shows the answer" -> w.core.onHeartbeat(second, at(2));
-            case "then listed" -> w.core.onMachineListing(List.of(listed("x")), at(2), at(2));
-            case "then rented" -> w.core.rented(EAST, List.of(new MachineId("x")), at(1), at(2));
+    void anUnknownMachineMustShowThisLeadersAnswer(String scenario, int expectedMachines) {
+        SchedulerFixture world = new SchedulerFixture();
+        world.core.onRecordsLoaded();
+        world.submit(spec(1, 4, 1, 500), 0);
+        Heartbeat first = world.newHeartbeat("x", "east", 1, new FencingToken(4));
+        Heartbeat older = world.newHeartbeat("x", "east", 1, new FencingToken(4));
+        Heartbeat second = world.newHeartbeat("x", "east", 1, TOKEN);
+        world.core.onHeartbeat(scenario.startsWith("wrong") ? second : first, atSeconds(1));
+        assertEquals(0, world.core.machineCount());
+        switch (scenario) {
+            case "twice the same" -> world.core.onHeartbeat(first, atSeconds(2));
+            case "two with the older token" -> world.core.onHeartbeat(older, atSeconds(2));
+            case "wrong order" -> world.core.onHeartbeat(first, atSeconds(2));
+            case "shows the answer" -> world.core.onHeartbeat(second, atSeconds(2));
+            case "then listed" -> world.core.onMachineListing(List.of(listed("x")), atSeconds(2), atSeconds(2));
+            case "then rented" ->
+                world.core.onMachinesRented(POOL, List.of(new MachineId("x")), atSeconds(1), atSeconds(2));
             default -> {}
         }
-        assertEquals(machines, w.core.machineCount());
+        assertEquals(expectedMachines, world.core.machineCount());
         // It counts as none on order: what waits is rented for all the same.
-        if (machines == 0) {
-            SimulatedWorld fresh = new SimulatedWorld();
-            fresh.core.recordsLoaded();
+        if (expectedMachines == 0) {
+            SchedulerFixture fresh = new SchedulerFixture();
+            fresh.core.onRecordsLoaded();
             fresh.submit(spec(1, 4, 1, 500), 0);
-            assertEquals(fresh.core.scaleOutRequests(at(20)), w.core.scaleOutRequests(at(20)));
-            assertFalse(w.core.scaleOutRequests(at(20)).isEmpty());
+            assertEquals(fresh.core.scaleOutRequests(atSeconds(20)), world.core.scaleOutRequests(atSeconds(20)));
+            assertFalse(world.core.scaleOutRequests(atSeconds(20)).isEmpty());
         }
     }
 
     /** Inherited and dead: copies with the older token settle no take-over and put it off once, not with each copy. */
     @Test
-    void copiesOfOneReportPutATakeOverOffOnce() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.inheritMachine(A, EAST, at(-50), at(-50), at(0));
-        w.core.recordsLoaded();
-        Heartbeat copy = w.report(A.text(), "east", 1, new FencingToken(4));
-        List<Double> settled = new ArrayList<>();
+    void copiesOfOneHeartbeatDelayFailoverOnce() {
+        SchedulerFixture world = new SchedulerFixture();
+        world.core.inheritMachine(MACHINE, POOL, atSeconds(-50), atSeconds(-50), atSeconds(0));
+        world.core.onRecordsLoaded();
+        Heartbeat copy = world.newHeartbeat(MACHINE.text(), "east", 1, new FencingToken(4));
+        List<Double> completeAt = new ArrayList<>();
         for (double now = 1; now < 60; now++) {
-            w.core.onHeartbeat(copy, at(now));
-            w.core.expireLeases(at(now));
-            if (w.core.isFailoverComplete()) {
-                settled.add(now);
+            world.core.onHeartbeat(copy, atSeconds(now));
+            world.core.expireLeases(atSeconds(now));
+            if (world.core.isFailoverComplete()) {
+                completeAt.add(now);
             }
         }
-        assertEquals(14, settled.get(0), "1 s and the lease bound");
+        assertEquals(14, completeAt.get(0), "1 s and the lease bound");
     }
 
     /** While the records are read, machines are answered: their leases count from then, not from when they were read. */
     @Test
-    void whatIsAnsweredBeforeTheRecordsAreReadIsCounted() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.inheritMachine(A, EAST, at(-50), at(-50), at(0));
-        w.core.onHeartbeat(w.report(A.text(), "east", 1, new FencingToken(4)), at(6));
-        w.core.recordsLoaded();
-        w.core.expireLeases(at(17));
-        assertFalse(w.core.isFailoverComplete(), "its lease may run until 18 s");
-        w.core.expireLeases(at(18.6));
-        assertTrue(w.core.isFailoverComplete());
+    void answersBeforeTheRecordsAreLoadedRenewLeases() {
+        SchedulerFixture world = new SchedulerFixture();
+        world.core.inheritMachine(MACHINE, POOL, atSeconds(-50), atSeconds(-50), atSeconds(0));
+        world.core.onHeartbeat(world.newHeartbeat(MACHINE.text(), "east", 1, new FencingToken(4)), atSeconds(6));
+        world.core.onRecordsLoaded();
+        world.core.expireLeases(atSeconds(17));
+        assertFalse(world.core.isFailoverComplete(), "its lease may run until 18 s");
+        world.core.expireLeases(atSeconds(18.6));
+        assertTrue(world.core.isFailoverComplete());
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/RandomJobs.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomJobs.java
@@ -1,8 +1,8 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Urgency;
 import java.util.Random;
 
@@ -11,10 +11,10 @@
     private RandomJobs() {}
 
     static JobSpec next(Random random, int id) {
-        JobSpec s = SimulatedWorld.spec(id, 1 + random.nextInt(12), 1 + random.nextInt(4), 3 + random.nextInt(20));
+        JobSpec spec = SchedulerFixture.spec(id, 1 + random.nextInt(12), 1 + random.nextInt(4), 3 + random.nextInt(20));
         boolean oneZone = random.nextInt(4) == 0;
-        s = SimulatedWorld.with(
-                s,
+        spec = SchedulerFixture.withOptions(
+                spec,
                 Urgency.values()[random.nextInt(4)],
                 oneZone,
                 !oneZone && random.nextInt(4) == 0,
@@ -22,19 +22,19 @@
                 random.nextInt(6) == 0 ? "east" : null,
                 random.nextInt(2) * 5);
         if (id % 4 != 0) {
-            return s;
+            return spec;
         }
-        return JobSpec.builder(s.id())
-                .jobClass(s.jobClass())
-                .team(s.team())
+        return JobSpec.builder(spec.id())
+                .jobClass(spec.jobClass())
+                .team(spec.team())
                 .kind(JobKind.SERVICE)
-                .urgency(s.urgency())
-                .tasks(1 + random.nextInt(3))
-                .demand(new Demand(1, 0, 1))
-                .image(s.image())
+                .urgency(spec.urgency())
+                .taskCount(1 + random.nextInt(3))
+                .demand(new Resources(1, 0, 1))
+                .image(spec.image())
                 .imageGb(0)
-                .zone(s.zone())
-                .oneZone(oneZone)
+                .zone(spec.zone())
+                .singleZone(oneZone)
                 .spotAllowed()
                 .build();
     }
