--- a/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
@@ -36,49 +36,50 @@
  * longer than two leases. In the end all troubles are over, and every job that nobody cancelled has to be done.
  */
 public final class RandomSimulation {
-    private static final double LEASE_S = SimulatedWorld.RULES.workerLease().seconds();
-    private static final double CORES_MAX = 24;
-    private static final int TROUBLES = 4000;
-    private static final int MOST_STEPS = 24_000;
+    private static final double LEASE_S =
+            SchedulerFixture.SAFETY_TIMES.workerLease().seconds();
+    private static final double MAX_CORES = 24;
+    private static final int FAULT_STEPS = 4000;
+    private static final int MAX_STEPS = 24_000;
     /** A worker drops an answer after this long. */
-    private static final double PATIENCE_S = 4;
+    private static final double RESPONSE_TIMEOUT_S = 4;
     /** Steps between two heartbeats in the mean. */
     private static final int HEARTBEAT_STEPS = 15;
     /** The same where hardly any leader is to hear of a machine twice. */
-    private static final int RARE_HEARTBEAT_STEPS = 50;
+    private static final int SPARSE_HEARTBEAT_STEPS = 50;
     /** How many jobs are cancelled as short leaderships begin. */
-    private static final int CANCELLED_TOGETHER = 8;
+    private static final int CANCELLATIONS_PER_SERIES = 8;
     /** A machine that answered within the first lease of a take-over may be silent for one more. */
-    private static final double LONGEST_TAKE_OVER_S =
-            2 * SimulatedWorld.RULES.leaseBound().seconds() + 0.2;
+    private static final double MAX_FAILOVER_S =
+            2 * SchedulerFixture.SAFETY_TIMES.leaseBound().seconds() + 0.2;
 
     /** A guard that a run can do without, to see that the rules then break. */
-    public enum Without {
-        NOTHING,
-        TAKE_OVER,
+    public enum DisabledGuard {
+        NONE,
+        INHERITED_MACHINES,
         LEASE_BOUND,
         TEAM_LIMIT,
-        ANSWERED_RETURN,
+        CONFIRMED_RETURN,
         START_BOUND,
-        REPORT_NUMBER,
-        EARLY_ANSWER,
+        HEARTBEAT_NUMBER,
+        EARLY_HEARTBEATS,
         RECORD_BEFORE_REAP,
         /** Lists are believed only under the leader's own token. */
         OWN_TOKEN,
         /** A machine gets tasks only once it is recorded. */
         MACHINE_RECORD,
         /** Orders go out in answers to reports and by no direct command. */
-        ORDERS_IN_ANSWERS,
+        COMMANDS_IN_ANSWERS,
         /** Cancelled jobs' tasks are stopped by every answer, also to a heartbeat with an older leader's token. */
         STOPS_BEFORE_RECONCILIATION
     }
 
     /** Troubles that a run has only if it is told so; they draw random numbers of their own. */
-    public enum Trouble {
+    public enum Fault {
         /** Copies of reports reach the next leader as it begins. */
-        KEPT_REPORTS,
+        DELAYED_HEARTBEATS,
         /** Machines, alone, by the third or by the zone, reach no controller for a while. */
-        MUTE_MACHINES,
+        UNREACHABLE_MACHINES,
         /** The leader's writes come late or have no answer, while machines are up at once and leaders end often. */
         LAGGING_WRITES,
         /** Leaders follow each other that live for about as long as a heartbeat's period, while jobs are cancelled. */
@@ -86,189 +87,192 @@
     }
 
     private final Random random;
-    private final Without without;
-    private final EnumSet<Trouble> troubles;
+    private final DisabledGuard disabledGuard;
+    private final EnumSet<Fault> optionalFaults;
     /** Decides about the further troubles, so that a run without them is the same with and without this code. */
-    private final Random further;
+    private final Random faultRandom;
 
-    private final DelayedHeartbeats kept;
-    private final LateCommands commands;
+    private final DelayedHeartbeats delayedHeartbeats;
+    private final LateCommands lateCommands;
     /** Under a limit a new leader starts nothing before it has heard all; without one, what nobody ever ordered. */
-    private final boolean limited;
+    private final boolean hasTeamLimit;
 
     private final Map<String, RandomWorker> workers = new TreeMap<>();
-    private final RandomRecords records;
-    private final List<String> broken = new ArrayList<>();
-    private final WaitCheck waits = new WaitCheck();
-    private final List<Runnable> late = new ArrayList<>();
+    private final SimulatedRecords records;
+    private final List<String> violations = new ArrayList<>();
+    private final WaitInvariant waitCheck = new WaitInvariant();
+    private final List<Runnable> lateActions = new ArrayList<>();
     private double now;
     private long token;
     private SchedulerCore leader;
-    private double ledSince;
+    private double leaderSince;
     /** Until then the leader reads the records. */
     private double loadedAt;
 
     private boolean loaded;
     /** No new troubles, and no new jobs. */
-    private boolean calm;
+    private boolean finalPhase;
     /** Tasks of arrays that have completed, and those of them that a worker was told to forget. */
     private final Set<TaskId> completed = new HashSet<>();
 
     private final Set<TaskId> reaped = new HashSet<>();
-    private int machines;
-    private int jobs;
-    private int starts;
-    private int replicaStarts;
+    private int machineCount;
+    private int jobCount;
+    private int startCount;
+    private int replicaStartCount;
     private EffectListener effects = EffectListener.NONE;
-    private final LeaseRenewals renewals =
-            new LeaseRenewals(SimulatedWorld.RULES.workerLease(), SimulatedWorld.RULES.cancellationTime());
+    private final LeaseRenewals leaseRenewals = new LeaseRenewals(
+            SchedulerFixture.SAFETY_TIMES.workerLease(), SchedulerFixture.SAFETY_TIMES.cancellationTime());
     /** Until then no leader lives for long. */
     private double shortLeadershipsUntil;
     /** When the last of those leaders was followed by another because of that, or is to be. */
     private double nextShortLeadership;
 
-    RandomSimulation(long seed, Without without) {
-        this(seed, without, EnumSet.noneOf(Trouble.class));
+    RandomSimulation(long seed, DisabledGuard disabledGuard) {
+        this(seed, disabledGuard, EnumSet.noneOf(Fault.class));
     }
 
-    public RandomSimulation(long seed, Without without, EnumSet<Trouble> troubles) {
+    public RandomSimulation(long seed, DisabledGuard disabledGuard, EnumSet<Fault> optionalFaults) {
         this.random = new Random(seed);
-        this.without = without;
-        this.troubles = troubles;
-        this.further = new Random(~seed);
-        this.records = new RandomRecords(further, without, this::checkDone);
-        this.kept = new DelayedHeartbeats(further);
-        this.commands = new LateCommands(further);
-        this.limited = seed % 2 == 1;
+        this.disabledGuard = disabledGuard;
+        this.optionalFaults = optionalFaults;
+        this.faultRandom = new Random(~seed);
+        this.records = new SimulatedRecords(faultRandom, disabledGuard, this::checkDone);
+        this.delayedHeartbeats = new DelayedHeartbeats(faultRandom);
+        this.lateCommands = new LateCommands(faultRandom);
+        this.hasTeamLimit = seed % 2 == 1;
     }
 
     /** From now on the listener hears what the leaders decide. */
-    public RandomSimulation tell(EffectListener listener) {
+    public RandomSimulation withListener(EffectListener listener) {
         effects = listener;
         records.effects = listener;
-        waits.effects = listener;
+        waitCheck.effects = listener;
         return this;
     }
 
-    public List<String> broken() {
-        return broken;
+    public List<String> violations() {
+        return violations;
     }
 
-    int starts() {
-        return starts;
+    int startCount() {
+        return startCount;
     }
 
-    int replicaStarts() {
-        return replicaStarts;
+    int replicaStartCount() {
+        return replicaStartCount;
     }
 
     long completedJobs() {
-        return records.jobs.values().stream().filter(s -> s.closed).count();
+        return records.jobs.values().stream().filter(job -> job.closed).count();
     }
 
-    private Moment at() {
-        return SimulatedWorld.at(now);
+    private Moment moment() {
+        return SchedulerFixture.atSeconds(now);
     }
 
-    public void play() {
-        takeOver();
-        for (int step = 0; step < TROUBLES || (step < MOST_STEPS && hasOpen()); step++) {
+    public void run() {
+        replaceLeader();
+        for (int step = 0; step < FAULT_STEPS || (step < MAX_STEPS && hasOpenJobs()); step++) {
             now += 0.1;
-            if (step == TROUBLES) {
-                calmDown();
+            if (step == FAULT_STEPS) {
+                beginFinalPhase();
             }
-            if (!calm && random.nextInt(60) == 0) {
+            if (!finalPhase && random.nextInt(60) == 0) {
                 submit();
             }
-            if (!calm && random.nextInt(200) == 0) {
+            if (!finalPhase && random.nextInt(200) == 0) {
                 cancel();
             }
-            if (!calm && random.nextInt(250) == 0) {
-                takeOver();
+            if (!finalPhase && random.nextInt(250) == 0) {
+                replaceLeader();
             }
-            if (!calm) {
-                disturb();
+            if (!finalPhase) {
+                beginOptionalFaults();
             }
-            records.writes.advance(now, token);
+            records.writes.applyDue(now, token);
             if (!loaded && now >= loadedAt) {
-                load();
+                finishLoading();
             }
-            boolean few = calm ? workers.values().stream().filter(w -> !w.dead).count() < 16 : machines < 8 + now / 20;
-            if (loaded && few && random.nextInt(20) == 0) {
+            boolean needsMachines = finalPhase
+                    ? workers.values().stream().filter(worker -> !worker.dead).count() < 16
+                    : machineCount < 8 + now / 20;
+            if (loaded && needsMachines && random.nextInt(20) == 0) {
                 rent();
             }
-            for (RandomWorker w : new ArrayList<>(workers.values())) {
-                live(w);
+            for (RandomWorker worker : new ArrayList<>(workers.values())) {
+                stepWorker(worker);
             }
-            if (!late.isEmpty() && random.nextInt(5) == 0) {
-                late.remove(random.nextInt(late.size())).run();
+            if (!lateActions.isEmpty() && random.nextInt(5) == 0) {
+                lateActions.remove(random.nextInt(lateActions.size())).run();
             }
             if (loaded) {
-                tend();
+                runDuties();
             }
             checkRules();
         }
         records.jobs.values().stream()
-                .filter(RandomRecords.Stored::isOpen)
-                .forEach(s -> broken.add("lost " + s.spec.id() + " with " + s.done + " of " + s.spec.tasks()));
+                .filter(SimulatedRecords.StoredJob::isOpen)
+                .forEach(job -> violations.add(
+                        "lost " + job.spec.id() + " with " + job.completedTasks + " of " + job.spec.taskCount()));
     }
 
     /** The further troubles begin. */
-    private void disturb() {
-        if (troubles.contains(Trouble.MUTE_MACHINES) && further.nextInt(150) == 0) {
-            int fate = further.nextInt(4);
-            String zone = further.nextBoolean() ? "east" : "west";
-            for (RandomWorker w : workers.values()) {
-                if (fate == 0 ? w.zone.equals(zone) : further.nextInt(fate == 1 ? 3 : 10) == 0) {
-                    w.cutUntil = Math.max(w.cutUntil, now + 3 + further.nextInt(30));
+    private void beginOptionalFaults() {
+        if (optionalFaults.contains(Fault.UNREACHABLE_MACHINES) && faultRandom.nextInt(150) == 0) {
+            int fate = faultRandom.nextInt(4);
+            String zone = faultRandom.nextBoolean() ? "east" : "west";
+            for (RandomWorker worker : workers.values()) {
+                if (fate == 0 ? worker.zone.equals(zone) : faultRandom.nextInt(fate == 1 ? 3 : 10) == 0) {
+                    worker.unreachableUntil = Math.max(worker.unreachableUntil, now + 3 + faultRandom.nextInt(30));
                 }
             }
         }
-        if (troubles.contains(Trouble.LAGGING_WRITES)) {
-            if (!records.writes.lags(now) && further.nextInt(300) == 0) {
-                records.writes.lagUntil(now + 5 + further.nextInt(20));
+        if (optionalFaults.contains(Fault.LAGGING_WRITES)) {
+            if (!records.writes.isLagging(now) && faultRandom.nextInt(300) == 0) {
+                records.writes.setLaggingUntil(now + 5 + faultRandom.nextInt(20));
                 if (loaded) {
-                    for (int i = 0; i < 4; i++) {
+                    for (int count = 0; count < 4; count++) {
                         rent();
                     }
                 }
-            } else if (records.writes.lags(now) && further.nextInt(60) == 0) {
-                takeOver();
+            } else if (records.writes.isLagging(now) && faultRandom.nextInt(60) == 0) {
+                replaceLeader();
                 // What stands in no record yet is often out of reach just then.
-                for (RandomWorker w : workers.values()) {
-                    if (!records.machines.contains(w.name) && further.nextBoolean()) {
-                        w.cutUntil = Math.max(w.cutUntil, now + 5 + further.nextInt(20));
+                for (RandomWorker worker : workers.values()) {
+                    if (!records.machineNames.contains(worker.name) && faultRandom.nextBoolean()) {
+                        worker.unreachableUntil = Math.max(worker.unreachableUntil, now + 5 + faultRandom.nextInt(20));
                     }
                 }
             }
         }
-        if (troubles.contains(Trouble.SHORT_LEADERSHIPS)) {
-            shortLeaderships();
+        if (optionalFaults.contains(Fault.SHORT_LEADERSHIPS)) {
+            advanceShortLeaderships();
         }
     }
 
     /** For a minute or so leaders that read the records at once and end soon; jobs are cancelled as that begins. */
-    private void shortLeaderships() {
-        if (now >= shortLeadershipsUntil && further.nextInt(600) == 0) {
-            shortLeadershipsUntil = now + 40 + further.nextInt(40);
-            for (int n = 0; n < CANCELLED_TOGETHER; n++) {
+    private void advanceShortLeaderships() {
+        if (now >= shortLeadershipsUntil && faultRandom.nextInt(600) == 0) {
+            shortLeadershipsUntil = now + 40 + faultRandom.nextInt(40);
+            for (int count = 0; count < CANCELLATIONS_PER_SERIES; count++) {
                 cancel();
             }
         }
         if (now < shortLeadershipsUntil && now >= nextShortLeadership) {
-            newLeader();
+            createLeader();
             loadedAt = now;
-            nextShortLeadership = now + 0.2 + further.nextInt(10) / 10.0;
+            nextShortLeadership = now + 0.2 + faultRandom.nextInt(10) / 10.0;
         }
     }
 
-    private boolean hasOpen() {
-        return records.jobs.values().stream().anyMatch(RandomRecords.Stored::isOpen);
+    private boolean hasOpenJobs() {
+        return records.jobs.values().stream().anyMatch(SimulatedRecords.StoredJob::isOpen);
     }
 
     /** Services end by their users alone, and hold places. */
-    private void calmDown() {
-        calm = true;
+    private void beginFinalPhase() {
+        finalPhase = true;
         records.jobs.values().stream()
                 .filter(s -> s.spec.isService() && s.cancelledAt < 0)
                 .forEach(this::cancel);
@@ -278,74 +282,83 @@
      * A new leader, which answers at once; the old one is simply gone, whatever it was doing. Often machines, or all of a zone, can't be
      * reached or hear nothing while it ends.
      */
-    private void takeOver() {
-        newLeader();
+    private void replaceLeader() {
+        createLeader();
         loadedAt = now + (random.nextBoolean() ? 0 : random.nextInt(50) / 10.0);
         if (random.nextInt(3) == 0) {
             String zone = random.nextInt(4) > 0 ? "" : random.nextBoolean() ? "east" : "west";
-            int all = random.nextInt(2);
-            for (RandomWorker w : workers.values()) {
-                int fate = w.zone.equals(zone) ? all : random.nextInt(6);
-                w.deafUntil = fate == 0 ? now + 8 + random.nextInt(52) : w.deafUntil;
-                w.cutUntil = fate == 1 ? now - 2 + random.nextInt(30) : w.cutUntil;
+            int zoneFate = random.nextInt(2);
+            for (RandomWorker worker : workers.values()) {
+                int fate = worker.zone.equals(zone) ? zoneFate : random.nextInt(6);
+                worker.answersLostUntil = fate == 0 ? now + 8 + random.nextInt(52) : worker.answersLostUntil;
+                worker.unreachableUntil = fate == 1 ? now - 2 + random.nextInt(30) : worker.unreachableUntil;
             }
         }
-        kept.arrive(token, this::copy);
+        delayedHeartbeats.deliver(token, this::deliverCopy);
     }
 
     /** A leader that has not read the records. */
-    private void newLeader() {
-        Team team = new Team("t", 0, limited && without != Without.TEAM_LIMIT ? CORES_MAX : 0, 0, 0);
-        SafetyTimes rules = without == Without.LEASE_BOUND
+    private void createLeader() {
+        Team team = new Team("t", 0, hasTeamLimit && disabledGuard != DisabledGuard.TEAM_LIMIT ? MAX_CORES : 0, 0, 0);
+        SafetyTimes safetyTimes = disabledGuard == DisabledGuard.LEASE_BOUND
                 ? new SafetyTimes(
                         Span.seconds(3),
-                        SimulatedWorld.RULES.heartbeatPeriod(),
-                        SimulatedWorld.RULES.cancellationTime(),
-                        SimulatedWorld.RULES.listingLag())
-                : SimulatedWorld.RULES;
+                        SchedulerFixture.SAFETY_TIMES.heartbeatPeriod(),
+                        SchedulerFixture.SAFETY_TIMES.cancellationTime(),
+                        SchedulerFixture.SAFETY_TIMES.listingLag())
+                : SchedulerFixture.SAFETY_TIMES;
         leader = new SchedulerCore(
                 new FencingToken(++token),
-                rules,
-                SimulatedWorld.TUNING,
-                SimulatedWorld.NO_AIMS,
+                safetyTimes,
+                SchedulerFixture.SETTINGS,
+                SchedulerFixture.NO_OBJECTIVES,
                 List.of(team),
                 new SchedulerListener() {
                     @Override
-                    public void taskCompleted(Job job) {
+                    public void onTaskCompleted(Job job) {
                         effects.effect(EffectListener.TASK_COMPLETED, job.id().text());
                     }
 
                     @Override
                     public void log(String line) {}
                 });
-        leader.setTypes(List.of(SimulatedWorld.TYPE));
+        leader.addMachineTypes(List.of(SchedulerFixture.MACHINE_TYPE));
         loaded = false;
-        ledSince = now;
+        leaderSince = now;
     }
 
     /** It has read the records; what is of jobs that came meanwhile is in them. Machines that it answered until now are cut off. */
-    private void load() {
+    private void finishLoading() {
         loaded = true;
-        for (RandomWorker w : workers.values()) {
-            w.cutUntil = now > ledSince && random.nextInt(6) == 0 ? now + 10 + random.nextInt(20) : w.cutUntil;
+        for (RandomWorker worker : workers.values()) {
+            worker.unreachableUntil = now > leaderSince && random.nextInt(6) == 0
+                    ? now + 10 + random.nextInt(20)
+                    : worker.unreachableUntil;
         }
-        for (String name : records.machines) {
-            if (without != Without.TAKE_OVER) {
+        for (String name : records.machineNames) {
+            if (disabledGuard != DisabledGuard.INHERITED_MACHINES) {
                 leader.inheritMachine(
                         new MachineId(name),
                         pool(name),
-                        SimulatedWorld.at(0),
-                        SimulatedWorld.at(ledSince),
-                        SimulatedWorld.at(ledSince));
+                        SchedulerFixture.atSeconds(0),
+                        SchedulerFixture.atSeconds(leaderSince),
+                        SchedulerFixture.atSeconds(leaderSince));
             }
         }
-        for (RandomRecords.Stored s : records.jobs.values()) {
-            if (s.isOpen()) {
-                leader.addJob(new Job(s.spec, s.at, at(), Revision.ABSENT, s.done, s.bound, true));
+        for (SimulatedRecords.StoredJob job : records.jobs.values()) {
+            if (job.isOpen()) {
+                leader.addJob(new Job(
+                        job.spec,
+                        job.submittedMs,
+                        moment(),
+                        Revision.ABSENT,
+                        job.completedTasks,
+                        job.startBound,
+                        true));
             }
         }
-        leader.recordsLoaded();
-        kept.arrive(token, this::copy);
+        leader.onRecordsLoaded();
+        delayedHeartbeats.deliver(token, this::deliverCopy);
     }
 
     private static MachinePool pool(String name) {
@@ -353,52 +366,52 @@
     }
 
     private void rent() {
-        String name = "m" + ++machines;
+        String name = "m" + ++machineCount;
         workers.put(name, new RandomWorker(name, pool(name).zone(), now));
         if (random.nextInt(4) > 0) {
-            leader.rented(pool(name), List.of(new MachineId(name)), at(), at());
+            leader.onMachinesRented(pool(name), List.of(new MachineId(name)), moment(), moment());
         }
     }
 
     private void submit() {
-        JobSpec s = RandomJobs.next(random, ++jobs);
-        records.jobs.put(s.id(), new RandomRecords.Stored(s, jobs));
+        JobSpec spec = RandomJobs.next(random, ++jobCount);
+        records.jobs.put(spec.id(), new SimulatedRecords.StoredJob(spec, jobCount));
         if (!loaded) {
             return;
         }
-        leader.addJob(new Job(s, jobs, at(), Revision.ABSENT, new BitSet(), 0, false));
+        leader.addJob(new Job(spec, jobCount, moment(), Revision.ABSENT, new BitSet(), 0, false));
     }
 
     private void cancel() {
-        List<RandomRecords.Stored> open = records.jobs.values().stream()
-                .filter(RandomRecords.Stored::isOpen)
+        List<SimulatedRecords.StoredJob> open = records.jobs.values().stream()
+                .filter(SimulatedRecords.StoredJob::isOpen)
                 .toList();
         if (!open.isEmpty()) {
             cancel(open.get(random.nextInt(open.size())));
         }
     }
 
-    private void cancel(RandomRecords.Stored s) {
-        s.cancelledAt = now;
-        renewals.cancelled(s.spec.id(), at());
-        leader.cancelJob(s.spec.id());
+    private void cancel(SimulatedRecords.StoredJob job) {
+        job.cancelledAt = now;
+        leaseRenewals.cancelled(job.spec.id(), moment());
+        leader.cancelJob(job.spec.id());
     }
 
     /** What the leader's duties do: leases, records, ends of jobs. */
-    private void tend() {
-        leader.expireLeases(at());
-        List<Job> toRaise = leader.startBoundsToRaise(at());
-        effects.boundsToRaise(toRaise);
+    private void runDuties() {
+        leader.expireLeases(moment());
+        List<Job> toRaise = leader.startBoundsToRaise(moment());
+        effects.onStartBoundsToRaise(toRaise);
         for (Job job : toRaise) {
             // Written now or later; whether this leader hears of it is another matter.
             if (random.nextInt(3) == 0) {
-                records.writeBound(now, token, job, random.nextInt(4) > 0);
+                records.writeStartBound(now, token, job, random.nextInt(4) > 0);
             }
         }
-        giveBack();
+        returnMachines();
         if (random.nextInt(3) == 0) {
             for (String name : workers.keySet()) {
-                if (leader.unrecorded(new MachineId(name)).isPresent()) {
+                if (leader.machineToRecord(new MachineId(name)).isPresent()) {
                     records.writeMachine(now, leader, token, name);
                 }
             }
@@ -412,84 +425,88 @@
     }
 
     /** Silent and idle machines are returned; a request without an answer is executed, now or later, or never. */
-    private void giveBack() {
+    private void returnMachines() {
         if (random.nextInt(20) != 0) {
             return;
         }
-        leader.planScaleIn(at());
-        List<MachineId> leaving = leader.machinesToReturn(100);
-        effects.returns(leaving);
+        leader.planScaleIn(moment());
+        List<MachineId> returning = leader.machinesToReturn(100);
+        effects.onReturns(returning);
         int fate = now % 120 < 20 ? 1 : random.nextInt(6);
         if (fate == 0) {
-            late.add(() -> leaving.forEach(this::destroy));
+            lateActions.add(() -> returning.forEach(this::killMachine));
         } else if (fate > 1) {
-            if (without != Without.ANSWERED_RETURN) {
-                leaving.forEach(this::destroy);
+            if (disabledGuard != DisabledGuard.CONFIRMED_RETURN) {
+                returning.forEach(this::killMachine);
             }
-            leader.returned(leaving, at());
+            leader.onMachinesReturned(returning, moment());
         }
     }
 
-    private void destroy(MachineId id) {
-        RandomWorker w = workers.get(id.toString());
-        if (w != null) {
-            w.dead = true;
-            w.tasks.clear();
+    private void killMachine(MachineId id) {
+        RandomWorker worker = workers.get(id.toString());
+        if (worker != null) {
+            worker.dead = true;
+            worker.tasks.clear();
         }
     }
 
-    private void live(RandomWorker w) {
-        if (w.flight != null && w.flight.token == 0 && now >= w.flight.arrives) {
-            arrive(w, w.flight);
+    private void stepWorker(RandomWorker worker) {
+        if (worker.inFlight != null && worker.inFlight.token == 0 && now >= worker.inFlight.arrivesAt) {
+            deliverAndAnswer(worker, worker.inFlight);
         }
-        if (w.dead || now < w.hangsUntil) {
+        if (worker.dead || now < worker.hangingUntil) {
             return;
         }
-        if (now - w.answered > LEASE_S) {
-            w.tasks.clear();
-            w.ends.clear();
-            w.session++;
-            w.answered = now;
-            w.flight = null;
+        if (now - worker.lastAnsweredAt > LEASE_S) {
+            worker.tasks.clear();
+            worker.endTimes.clear();
+            worker.incarnation++;
+            worker.lastAnsweredAt = now;
+            worker.inFlight = null;
         }
-        for (LateCommands.Command c : commands.arriving(w.name, now)) {
-            if (c.session() == w.session && c.token() >= w.token) {
-                w.token = c.token();
-                c.orders().forEach(command -> execute(w, command));
+        for (LateCommands.CommandsInTransit lateCommand : lateCommands.takeArriving(worker.name, now)) {
+            if (lateCommand.incarnation() == worker.incarnation && lateCommand.token() >= worker.token) {
+                worker.token = lateCommand.token();
+                lateCommand.commands().forEach(command -> execute(worker, command));
             }
         }
-        int fate = calm ? 4000 : random.nextInt(4000);
+        int fate = finalPhase ? 4000 : random.nextInt(4000);
         if (fate == 0) {
-            w.dead = true;
-            w.tasks.clear();
+            worker.dead = true;
+            worker.tasks.clear();
             return;
         } else if (fate < 4) {
-            w.hangsUntil = now + random.nextInt(20);
+            worker.hangingUntil = now + random.nextInt(20);
             return;
         } else if (fate < 6) {
-            w.deafUntil = now + 8 + random.nextInt(16);
+            worker.answersLostUntil = now + 8 + random.nextInt(16);
         }
-        for (Map.Entry<TaskId, Double> end : new ArrayList<>(w.ends.entrySet())) {
-            TaskStatus status = w.tasks.get(end.getKey());
+        for (Map.Entry<TaskId, Double> end : new ArrayList<>(worker.endTimes.entrySet())) {
+            TaskStatus status = worker.tasks.get(end.getKey());
             if (now >= end.getValue() && status.state() != TaskState.EXITED) {
-                exit(w, status, !calm && random.nextInt(30) == 0 ? ExitCause.ERROR : ExitCause.DONE);
+                exit(worker, status, !finalPhase && random.nextInt(30) == 0 ? ExitCause.ERROR : ExitCause.DONE);
             }
         }
-        if (w.flight != null) {
-            if (now - w.flight.sent > PATIENCE_S) {
-                w.flight = null;
-            } else if (w.flight.token > 0 && now >= w.flight.back && now >= w.deafUntil && now >= w.cutUntil) {
-                take(w, w.flight);
-                w.flight = null;
+        if (worker.inFlight != null) {
+            if (now - worker.inFlight.sentAt > RESPONSE_TIMEOUT_S) {
+                worker.inFlight = null;
+            } else if (worker.inFlight.token > 0
+                    && now >= worker.inFlight.answerArrivesAt
+                    && now >= worker.answersLostUntil
+                    && now >= worker.unreachableUntil) {
+                executeAnswer(worker, worker.inFlight);
+                worker.inFlight = null;
             }
-        } else if (random.nextInt(now < shortLeadershipsUntil ? RARE_HEARTBEAT_STEPS : HEARTBEAT_STEPS) == 0) {
-            report(w);
+        } else if (random.nextInt(now < shortLeadershipsUntil ? SPARSE_HEARTBEAT_STEPS : HEARTBEAT_STEPS) == 0) {
+            sendHeartbeat(worker);
         }
     }
 
-    private void exit(RandomWorker w, TaskStatus status, ExitCause cause) {
-        w.tasks.put(status.task(), new TaskStatus(status.task(), status.attempt(), TaskState.EXITED, cause, false));
-        w.ends.remove(status.task());
+    private void exit(RandomWorker worker, TaskStatus status, ExitCause cause) {
+        worker.tasks.put(
+                status.task(), new TaskStatus(status.task(), status.attempt(), TaskState.EXITED, cause, false));
+        worker.endTimes.remove(status.task());
         if (cause == ExitCause.DONE
                 && !records.jobs.get(status.task().job()).spec.isService()) {
             completed.add(status.task());
@@ -500,70 +517,71 @@
      * A report may be lost, come late, or its answer be lost; a late one is answered to nobody. Either may be held up for seconds,
      * and the worker sends none meanwhile.
      */
-    private void report(RandomWorker w) {
+    private void sendHeartbeat(RandomWorker worker) {
         Heartbeat heartbeat = new Heartbeat(
-                new MachineId(w.name),
+                new MachineId(worker.name),
                 "x:1",
-                pool(w.name),
-                new HeartbeatNumber(w.session, ++w.serial),
-                new FencingToken(w.token),
+                pool(worker.name),
+                new HeartbeatNumber(worker.incarnation, ++worker.heartbeatSerial),
+                new FencingToken(worker.token),
                 null,
-                new ArrayList<>(w.tasks.values()));
-        int fate = calm ? 12 : random.nextInt(12);
-        if (now < w.cutUntil) {
+                new ArrayList<>(worker.tasks.values()));
+        int fate = finalPhase ? 12 : random.nextInt(12);
+        if (now < worker.unreachableUntil) {
             return;
         }
-        if (troubles.contains(Trouble.KEPT_REPORTS) && further.nextBoolean()) {
-            kept.keep(heartbeat, token);
+        if (optionalFaults.contains(Fault.DELAYED_HEARTBEATS) && faultRandom.nextBoolean()) {
+            delayedHeartbeats.keep(heartbeat, token);
         }
         if (fate == 0) {
-            late.add(() -> hear(heartbeat));
+            lateActions.add(() -> deliver(heartbeat));
             return;
         }
         if (fate < 4) {
-            late.add(() -> copy(heartbeat));
+            lateActions.add(() -> deliverCopy(heartbeat));
         }
-        double arrives = now + (fate == 4 ? random.nextInt(60) / 10.0 : 0);
-        RandomWorker.Flight f = new RandomWorker.Flight(
-                heartbeat, now, arrives, arrives + (fate == 4 || fate == 5 ? random.nextInt(60) / 10.0 : 0));
-        w.flight = f;
-        if (arrives <= now) {
-            arrive(w, f);
+        double arrivesAt = now + (fate == 4 ? random.nextInt(60) / 10.0 : 0);
+        RandomWorker.HeartbeatInFlight inFlight = new RandomWorker.HeartbeatInFlight(
+                heartbeat, now, arrivesAt, arrivesAt + (fate == 4 || fate == 5 ? random.nextInt(60) / 10.0 : 0));
+        worker.inFlight = inFlight;
+        if (arrivesAt <= now) {
+            deliverAndAnswer(worker, inFlight);
         }
-        if (f.token > 0 && f.back <= now) {
-            if (fate != 1 && now >= w.deafUntil) {
-                take(w, f);
+        if (inFlight.token > 0 && inFlight.answerArrivesAt <= now) {
+            if (fate != 1 && now >= worker.answersLostUntil) {
+                executeAnswer(worker, inFlight);
             }
-            w.flight = null;
+            worker.inFlight = null;
         }
     }
 
     /** The orders of the leader of this moment; null if the report shows a newer one. */
-    private HeartbeatResult hear(Heartbeat heartbeat) {
-        HeartbeatResult result = leader.onHeartbeat(heartbeat, at());
-        effects.answer(heartbeat.machine(), result, leader.mayAnswer(heartbeat.machine()));
+    private HeartbeatResult deliver(Heartbeat heartbeat) {
+        HeartbeatResult result = leader.onHeartbeat(heartbeat, moment());
+        effects.onHeartbeatResponse(heartbeat.machine(), result, leader.mayAnswer(heartbeat.machine()));
         return result;
     }
 
     /** The leader of this moment reads the report and answers it, or does not. */
-    private void arrive(RandomWorker w, RandomWorker.Flight f) {
-        boolean early = !loaded && without == Without.EARLY_ANSWER;
-        HeartbeatResult result = early ? new HeartbeatResult.Commands(List.of()) : hear(f.report);
-        if (!result.isSuperseded() && leader.mayAnswer(f.report.machine())) {
-            f.token = token;
-            f.orders = result.commands();
-            if (without == Without.STOPS_BEFORE_RECONCILIATION
-                    && f.report.token().value() < token) {
-                f.orders = List.of();
+    private void deliverAndAnswer(RandomWorker worker, RandomWorker.HeartbeatInFlight inFlight) {
+        boolean ignored = !loaded && disabledGuard == DisabledGuard.EARLY_HEARTBEATS;
+        HeartbeatResult result = ignored ? new HeartbeatResult.Commands(List.of()) : deliver(inFlight.heartbeat);
+        if (!result.isSuperseded() && leader.mayAnswer(inFlight.heartbeat.machine())) {
+            inFlight.token = token;
+            inFlight.commands = result.commands();
+            if (disabledGuard == DisabledGuard.STOPS_BEFORE_RECONCILIATION
+                    && inFlight.heartbeat.token().value() < token) {
+                inFlight.commands = List.of();
             }
             if (loaded) {
-                checkRenewal(f);
+                checkRenewal(inFlight);
             }
-            if (without == Without.ORDERS_IN_ANSWERS) {
-                commands.send(w.name, f.report.number().incarnation(), token, f.orders, now);
+            if (disabledGuard == DisabledGuard.COMMANDS_IN_ANSWERS) {
+                lateCommands.send(
+                        worker.name, inFlight.heartbeat.number().incarnation(), token, inFlight.commands, now);
             }
         } else {
-            w.flight = null;
+            worker.inFlight = null;
         }
     }
 
@@ -571,59 +589,67 @@
      * Every answer to a worker that waits for it, whether it arrives or not. Those before the records are read are not judged: no
      * controller gives them, and they are here to make what follows harder.
      */
-    private void checkRenewal(RandomWorker.Flight f) {
+    private void checkRenewal(RandomWorker.HeartbeatInFlight inFlight) {
         Event.LeaseRenewed renewal = new Event.LeaseRenewed(
-                at(),
-                f.report.machine(),
-                SimulatedWorld.at(f.sent),
-                f.report.token().value() == token,
-                LeaseRenewals.notStopped(f.report, f.orders));
-        renewals.check(renewal).forEach(finding -> broken.add(now + ": renewed_cancelled " + finding));
+                moment(),
+                inFlight.heartbeat.machine(),
+                SchedulerFixture.atSeconds(inFlight.sentAt),
+                inFlight.heartbeat.token().value() == token,
+                LeaseRenewals.notStopped(inFlight.heartbeat, inFlight.commands));
+        leaseRenewals.check(renewal).forEach(finding -> violations.add(now + ": renewed_cancelled " + finding));
     }
 
-    private void take(RandomWorker w, RandomWorker.Flight f) {
-        if (f.report.number().incarnation() == w.session && f.token >= w.token) {
-            w.token = f.token;
-            w.answered = Math.max(w.answered, f.sent);
-            f.orders.forEach(command -> execute(w, command));
+    private void executeAnswer(RandomWorker worker, RandomWorker.HeartbeatInFlight inFlight) {
+        if (inFlight.heartbeat.number().incarnation() == worker.incarnation && inFlight.token >= worker.token) {
+            worker.token = inFlight.token;
+            worker.lastAnsweredAt = Math.max(worker.lastAnsweredAt, inFlight.sentAt);
+            inFlight.commands.forEach(command -> execute(worker, command));
         }
     }
 
     /** The same report once more, up to minutes later and under any leader; answered to nobody. */
-    private void copy(Heartbeat heartbeat) {
-        RandomWorker w = workers.get(heartbeat.machine().toString());
-        boolean known = leader.knows(heartbeat.machine());
-        HeartbeatNumber number =
-                without == Without.REPORT_NUMBER ? new HeartbeatNumber(w.session, w.serial + 1) : heartbeat.number();
-        FencingToken shown = without == Without.OWN_TOKEN ? new FencingToken(token) : heartbeat.token();
-        hear(new Heartbeat(
-                heartbeat.machine(), heartbeat.address(), heartbeat.pool(), number, shown, null, heartbeat.tasks()));
-        if (!known && leader.knows(heartbeat.machine())) {
-            broken.add(now + ": raised " + heartbeat.machine());
+    private void deliverCopy(Heartbeat heartbeat) {
+        RandomWorker worker = workers.get(heartbeat.machine().toString());
+        boolean wasKnown = leader.isKnownMachine(heartbeat.machine());
+        HeartbeatNumber number = disabledGuard == DisabledGuard.HEARTBEAT_NUMBER
+                ? new HeartbeatNumber(worker.incarnation, worker.heartbeatSerial + 1)
+                : heartbeat.number();
+        FencingToken copiedToken =
+                disabledGuard == DisabledGuard.OWN_TOKEN ? new FencingToken(token) : heartbeat.token();
+        deliver(new Heartbeat(
+                heartbeat.machine(),
+                heartbeat.address(),
+                heartbeat.pool(),
+                number,
+                copiedToken,
+                null,
+                heartbeat.tasks()));
+        if (!wasKnown && leader.isKnownMachine(heartbeat.machine())) {
+            violations.add(now + ": raised " + heartbeat.machine());
         }
     }
 
-    private void execute(RandomWorker w, WorkerCommand command) {
-        TaskStatus status = w.tasks.get(command.task());
+    private void execute(RandomWorker worker, WorkerCommand command) {
+        TaskStatus status = worker.tasks.get(command.task());
         if (command instanceof WorkerCommand.Start) {
             if (status != null
                     && (status.state() != TaskState.EXITED || status.attempt().equals(command.attempt()))) {
                 return;
             }
-            starts++;
-            replicaStarts += records.jobs.get(command.task().job()).spec.isService() ? 1 : 0;
-            checkStart(w, command.task());
-            w.tasks.put(
+            startCount++;
+            replicaStartCount += records.jobs.get(command.task().job()).spec.isService() ? 1 : 0;
+            checkStart(worker, command.task());
+            worker.tasks.put(
                     command.task(), new TaskStatus(command.task(), command.attempt(), TaskState.RUNNING, null, false));
-            boolean replica = records.jobs.get(command.task().job()).spec.isService();
-            int run = 1 + random.nextInt(replica ? 300 : random.nextInt(3) == 0 ? 80 : 20);
-            w.ends.put(command.task(), completed.contains(command.task()) ? now : now + run);
+            boolean isReplica = records.jobs.get(command.task().job()).spec.isService();
+            int runTime = 1 + random.nextInt(isReplica ? 300 : random.nextInt(3) == 0 ? 80 : 20);
+            worker.endTimes.put(command.task(), completed.contains(command.task()) ? now : now + runTime);
         } else if (status != null && status.attempt().equals(command.attempt())) {
             if (command instanceof WorkerCommand.Stop && status.state() != TaskState.EXITED) {
-                exit(w, status, ExitCause.STOPPED);
+                exit(worker, status, ExitCause.STOPPED);
             } else if (command instanceof WorkerCommand.Reap && status.state() == TaskState.EXITED) {
-                w.tasks.remove(command.task());
-                if (completed.contains(command.task()) && status.cause() == ExitCause.DONE) {
+                worker.tasks.remove(command.task());
+                if (completed.contains(command.task()) && status.exitCause() == ExitCause.DONE) {
                     reaped.add(command.task());
                 }
             }
@@ -631,71 +657,75 @@
     }
 
     /** On its machine: until it exits, is killed with its session, or the machine is gone. */
-    private boolean isOn(RandomWorker w, TaskId task) {
-        TaskStatus status = w.tasks.get(task);
-        boolean killed = now - w.answered > LEASE_S;
-        return !w.dead && !killed && status != null && status.state() != TaskState.EXITED;
+    private boolean isOn(RandomWorker worker, TaskId task) {
+        TaskStatus status = worker.tasks.get(task);
+        boolean killed = now - worker.lastAnsweredAt > LEASE_S;
+        return !worker.dead && !killed && status != null && status.state() != TaskState.EXITED;
     }
 
-    private void checkDone(RandomRecords.Stored s) {
-        for (int i = 0; i < s.spec.tasks(); i++) {
-            if (!completed.contains(new TaskId(s.spec.id(), i))) {
-                broken.add(now + ": not_done " + s.spec.id());
+    private void checkDone(SimulatedRecords.StoredJob job) {
+        for (int i = 0; i < job.spec.taskCount(); i++) {
+            if (!completed.contains(new TaskId(job.spec.id(), i))) {
+                violations.add(now + ": not_done " + job.spec.id());
             }
         }
     }
 
-    private void checkStart(RandomWorker here, TaskId task) {
-        RandomRecords.Stored s = records.jobs.get(task.job());
+    private void checkStart(RandomWorker target, TaskId task) {
+        SimulatedRecords.StoredJob job = records.jobs.get(task.job());
         if (reaped.contains(task)) {
-            broken.add(now + ": started after its result was reaped " + task);
+            violations.add(now + ": started after its result was reaped " + task);
         }
-        if (!records.machines.contains(here.name)) {
-            broken.add(now + ": started on a machine in no record " + task);
+        if (!records.machineNames.contains(target.name)) {
+            violations.add(now + ": started on a machine in no record " + task);
         }
         int inZone = 1;
-        Set<String> zones = new HashSet<>(Set.of(here.zone));
-        for (RandomWorker w : workers.values()) {
-            if (isOn(w, task)) {
-                broken.add(now + ": ran_twice " + task + " on " + here.name + " and " + w.name);
-            }
-            for (TaskId other : w.tasks.keySet()) {
-                if (other.job().equals(task.job()) && isOn(w, other)) {
-                    zones.add(w.zone);
-                    inZone += w.zone.equals(here.zone) ? 1 : 0;
+        Set<String> zones = new HashSet<>(Set.of(target.zone));
+        for (RandomWorker worker : workers.values()) {
+            if (isOn(worker, task)) {
+                violations.add(now + ": ran_twice " + task + " on " + target.name + " and " + worker.name);
+            }
+            for (TaskId other : worker.tasks.keySet()) {
+                if (other.job().equals(task.job()) && isOn(worker, other)) {
+                    zones.add(worker.zone);
+                    inZone += worker.zone.equals(target.zone) ? 1 : 0;
                 }
             }
         }
-        if ((s.spec.oneZone() && zones.size() > 1) || inZone > s.spec.zoneLimit() || !s.spec.allowsZone(here.zone)) {
-            broken.add(now + ": wrong_place " + task);
+        if ((job.spec.singleZone() && zones.size() > 1)
+                || inZone > job.spec.maxTasksPerZone()
+                || !job.spec.allowsZone(target.zone)) {
+            violations.add(now + ": wrong_place " + task);
         }
     }
 
     private void checkRules() {
-        broken.addAll(waits.check(leader, calm, now));
-        effects.leader(leader, at());
-        if (loaded && !leader.isFailoverComplete() && now - ledSince > LONGEST_TAKE_OVER_S) {
-            broken.add(now + ": the take-over of " + ledSince + " waits");
+        violations.addAll(waitCheck.check(leader, finalPhase, now));
+        effects.onLeaderState(leader, moment());
+        if (loaded && !leader.isFailoverComplete() && now - leaderSince > MAX_FAILOVER_S) {
+            violations.add(now + ": the take-over of " + leaderSince + " waits");
         }
         double cores = 0;
-        for (RandomWorker w : workers.values()) {
-            for (TaskId task : w.tasks.keySet()) {
-                if (isOn(w, task)) {
-                    RandomRecords.Stored s = records.jobs.get(task.job());
-                    if (leader.isLeaseExpired(new MachineId(w.name))) {
-                        broken.add(now + ": counted as over " + task + " on " + w.name);
+        for (RandomWorker worker : workers.values()) {
+            for (TaskId task : worker.tasks.keySet()) {
+                if (isOn(worker, task)) {
+                    SimulatedRecords.StoredJob job = records.jobs.get(task.job());
+                    if (leader.isLeaseExpired(new MachineId(worker.name))) {
+                        violations.add(now + ": counted as over " + task + " on " + worker.name);
                     }
-                    cores += s.spec.demand().cores();
-                    if (s.cancelledAt >= 0
-                            && now - s.cancelledAt
-                                    > SimulatedWorld.RULES.cancellationTime().seconds()) {
-                        broken.add(now + ": ran_cancelled " + task);
+                    cores += job.spec.demand().cores();
+                    if (job.cancelledAt >= 0
+                            && now - job.cancelledAt
+                                    > SchedulerFixture.SAFETY_TIMES
+                                            .cancellationTime()
+                                            .seconds()) {
+                        violations.add(now + ": ran_cancelled " + task);
                     }
                 }
             }
         }
-        if (limited && cores > CORES_MAX + 1e-6) {
-            broken.add(now + ": quota " + cores);
+        if (hasTeamLimit && cores > MAX_CORES + 1e-6) {
+            violations.add(now + ": quota " + cores);
         }
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/RandomSimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulationTest.java
@@ -16,39 +16,39 @@
     /** The last three found copies that raised machines which were answered before the records were read. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 50, 82, 100})
-    void noRuleIsBroken(long seed) {
-        RandomSimulation run = new RandomSimulation(seed, RandomSimulation.Without.NOTHING);
-        run.play();
-        assertEquals(List.of(), run.broken());
-        assertTrue(run.starts() > 100, "too little happened: " + run.starts());
-        assertTrue(run.replicaStarts() > 5, "too few replicas: " + run.replicaStarts());
+    void rulesHoldInRandomRuns(long seed) {
+        RandomSimulation run = new RandomSimulation(seed, RandomSimulation.DisabledGuard.NONE);
+        run.run();
+        assertEquals(List.of(), run.violations());
+        assertTrue(run.startCount() > 100, "too little happened: " + run.startCount());
+        assertTrue(run.replicaStartCount() > 5, "too few replicas: " + run.replicaStartCount());
         assertTrue(run.completedJobs() > 0, "no job was completed");
     }
 
     @ParameterizedTest
     @EnumSource(
-            value = RandomSimulation.Without.class,
+            value = RandomSimulation.DisabledGuard.class,
             mode = EnumSource.Mode.EXCLUDE,
             names = {"NOTHING", "OWN_TOKEN", "MACHINE_RECORD", "ORDERS_IN_ANSWERS", "STOPS_BEFORE_RECONCILIATION"})
-    void theRulesBreakWithoutTheirGuards(RandomSimulation.Without guard) {
+    void eachDisabledGuardViolatesARule(RandomSimulation.DisabledGuard guard) {
         assertTrue(LongStream.rangeClosed(1, 12).anyMatch(seed -> {
             RandomSimulation run = new RandomSimulation(seed, guard);
-            run.play();
-            return !run.broken().isEmpty();
+            run.run();
+            return !run.violations().isEmpty();
         }));
     }
 
     /** The same with the troubles that reach from one leader to the next, all together; leaderships are long enough for work to be done. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void noRuleIsBrokenWhereTroublesReachTheNextLeader(long seed) {
+    void rulesHoldWithFaultsAcrossLeaders(long seed) {
         RandomSimulation run = new RandomSimulation(
                 seed,
-                RandomSimulation.Without.NOTHING,
-                EnumSet.complementOf(EnumSet.of(RandomSimulation.Trouble.SHORT_LEADERSHIPS)));
-        run.play();
-        assertEquals(List.of(), run.broken());
-        assertTrue(run.starts() > 100, "too little happened: " + run.starts());
+                RandomSimulation.DisabledGuard.NONE,
+                EnumSet.complementOf(EnumSet.of(RandomSimulation.Fault.SHORT_LEADERSHIPS)));
+        run.run();
+        assertEquals(List.of(), run.violations());
+        assertTrue(run.startCount() > 100, "too little happened: " + run.startCount());
         assertTrue(run.completedJobs() > 0, "no job was completed");
     }
 
@@ -58,12 +58,12 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void noRuleIsBrokenUnderShortLeaderships(long seed) {
+    void rulesHoldUnderShortLeaderships(long seed) {
         RandomSimulation run = new RandomSimulation(
-                seed, RandomSimulation.Without.NOTHING, EnumSet.of(RandomSimulation.Trouble.SHORT_LEADERSHIPS));
-        run.play();
-        assertEquals(List.of(), run.broken());
-        assertTrue(run.starts() > 50, "too little happened: " + run.starts());
+                seed, RandomSimulation.DisabledGuard.NONE, EnumSet.of(RandomSimulation.Fault.SHORT_LEADERSHIPS));
+        run.run();
+        assertEquals(List.of(), run.violations());
+        assertTrue(run.startCount() > 50, "too little happened: " + run.startCount());
     }
 
     /** Each of them alone, and late direct commands, find the guard that is left out. */
@@ -81,12 +81,12 @@
         "MUTE_MACHINES, ORDERS_IN_ANSWERS, ran_twice",
         "MUTE_MACHINES, ORDERS_IN_ANSWERS, started after its result was reaped"
     })
-    void eachTroubleFindsTheGuardThatIsLeftOut(
-            RandomSimulation.Trouble trouble, RandomSimulation.Without guard, String rule) {
+    void eachFaultDetectsItsDisabledGuard(
+            RandomSimulation.Fault fault, RandomSimulation.DisabledGuard guard, String violation) {
         assertTrue(LongStream.rangeClosed(1, 12).anyMatch(seed -> {
-            RandomSimulation run = new RandomSimulation(seed, guard, EnumSet.of(trouble));
-            run.play();
-            return run.broken().stream().anyMatch(line -> line.contains(rule));
+            RandomSimulation run = new RandomSimulation(seed, guard, EnumSet.of(fault));
+            run.run();
+            return run.violations().stream().anyMatch(line -> line.contains(violation));
         }));
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
@@ -1,11 +1,11 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
-import static io.indigoreach.core.scheduling.SimulatedWorld.exited;
-import static io.indigoreach.core.scheduling.SimulatedWorld.running;
-import static io.indigoreach.core.scheduling.SimulatedWorld.service;
-import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
-import static io.indigoreach.core.scheduling.SimulatedWorld.starts;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
+import static io.indigoreach.core.scheduling.SchedulerFixture.exitedStatus;
+import static io.indigoreach.core.scheduling.SchedulerFixture.runningStatus;
+import static io.indigoreach.core.scheduling.SchedulerFixture.service;
+import static io.indigoreach.core.scheduling.SchedulerFixture.spec;
+import static io.indigoreach.core.scheduling.SchedulerFixture.tasksToStart;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
@@ -24,25 +24,25 @@
 
 /** Replicas have no end of their own: what that means for every decision that rests on when tasks end. */
 class ServiceTest {
-    private static SimulatedWorld loaded() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        return w;
+    private static SchedulerFixture newWorld() {
+        SchedulerFixture world = new SchedulerFixture();
+        world.core.onRecordsLoaded();
+        return world;
     }
 
     /** An array of twelve short one-core tasks, three rounds of one machine, beside a machine that holds so many replicas. */
     @ParameterizedTest
     @CsvSource({"0, 0", "2, 1", "4, 1"})
-    void aPlaceThatAReplicaHoldsIsNoPlaceForWhatWaits(int replicas, int rented) {
-        SimulatedWorld w = loaded();
+    void replicasDoNotCountAsFutureCapacity(int replicas, int rented) {
+        SchedulerFixture world = newWorld();
         if (replicas > 0) {
-            w.submit(service(1, replicas), 0);
+            world.submit(service(1, replicas), 0);
         }
-        w.hearOrdinary("a", 2, running(w.ordinary("a", 1)));
-        w.submit(spec(2, 12, 1, 15), 3);
+        world.heartbeatOnDemand("a", 2, runningStatus(world.addOnDemandMachine("a", 1)));
+        world.submit(spec(2, 12, 1, 15), 3);
         assertEquals(
                 rented,
-                w.core.scaleOutRequests(at(4)).stream()
+                world.core.scaleOutRequests(atSeconds(4)).stream()
                         .mapToInt(ScaleOutRequest::count)
                         .sum());
     }
@@ -50,15 +50,16 @@
     /** Each end of a replica but its job's cancellation is followed by another start of it; the job is never done. */
     @ParameterizedTest
     @CsvSource({"DONE, 1", "STOPPED, 0", "FULL, 1", "OTHER, 0"})
-    void aReplicaThatEndedIsStartedAgain(ExitCause cause, double after) {
-        SimulatedWorld w = loaded();
-        Job job = w.submit(service(1, 1), 0);
-        WorkerCommand start = w.ordinary("a", 1).get(0);
-        w.hearOrdinary("a", 2, running(start));
-        List<WorkerCommand> orders = w.hearOrdinary("a", 3, exited(start, cause));
-        assertEquals(after > 0 ? 0 : 1, starts(orders).size());
+    void endedReplicaIsRestarted(ExitCause cause, double after) {
+        SchedulerFixture world = newWorld();
+        Job job = world.submit(service(1, 1), 0);
+        WorkerCommand start = world.addOnDemandMachine("a", 1).get(0);
+        world.heartbeatOnDemand("a", 2, runningStatus(start));
+        List<WorkerCommand> commands = world.heartbeatOnDemand("a", 3, exitedStatus(start, cause));
+        assertEquals(after > 0 ? 0 : 1, tasksToStart(commands).size());
         if (after > 0) {
-            assertEquals(1, starts(w.hearOrdinary("a", 3 + after)).size());
+            assertEquals(
+                    1, tasksToStart(world.heartbeatOnDemand("a", 3 + after)).size());
         }
         assertFalse(job.isComplete());
         assertEquals(0, job.doneCount());
@@ -66,20 +67,20 @@
 
     /** With a service first in the queue, 150 spot machines' work was given to ordinary ones (water kiosks, steady). */
     @Test
-    void spotMachinesAreAskedForBesideOrdinaryOnes() {
-        SimulatedWorld w = loaded();
-        w.submit(service(1, 8), 0);
-        w.submit(spec(2, 16, 1, 100), 0);
-        List<ScaleOutRequest> wishes = w.core.scaleOutRequests(at(20));
+    void scaleOutRequestsSpotAndOnDemandMachines() {
+        SchedulerFixture world = newWorld();
+        world.submit(service(1, 8), 0);
+        world.submit(spec(2, 16, 1, 100), 0);
+        List<ScaleOutRequest> requests = world.core.scaleOutRequests(atSeconds(20));
         assertEquals(
                 2,
-                wishes.stream()
+                requests.stream()
                         .filter(r -> !r.pool().spot())
                         .mapToInt(ScaleOutRequest::count)
                         .sum());
         assertEquals(
                 4,
-                wishes.stream()
+                requests.stream()
                         .filter(r -> r.pool().spot())
                         .mapToInt(ScaleOutRequest::count)
                         .sum());
@@ -87,15 +88,18 @@
 
     /** A machine that holds a replica is paid for in any case, so it is not kept empty beside it. */
     @Test
-    void aMachineWithAReplicaIsNeverSpare() {
-        SimulatedWorld w = loaded();
-        w.up("s", "east", 0);
-        w.submit(service(1, 1), 0);
-        List<WorkerCommand> replica = w.ordinary("a", 1);
-        w.core.scaleOutRequests(at(2));
-        w.submit(spec(2, 2, 1, 20), 600);
-        w.core.scaleOutRequests(at(601));
-        assertEquals(2, starts(w.hearOrdinary("a", 602, running(replica))).size());
+    void machineWithReplicaIsNotSurplus() {
+        SchedulerFixture world = newWorld();
+        world.addSpotMachine("s", "east", 0);
+        world.submit(service(1, 1), 0);
+        List<WorkerCommand> replica = world.addOnDemandMachine("a", 1);
+        world.core.scaleOutRequests(atSeconds(2));
+        world.submit(spec(2, 2, 1, 20), 600);
+        world.core.scaleOutRequests(atSeconds(601));
+        assertEquals(
+                2,
+                tasksToStart(world.heartbeatOnDemand("a", 602, runningStatus(replica)))
+                        .size());
     }
 
     /**
@@ -104,60 +108,64 @@
      */
     @ParameterizedTest
     @CsvSource({"0.5, true, 1", "1.5, true, 0", "1.5, false, 1", "3.1, true, 1"})
-    void aStartThatWouldMissItsAimIsLeftToMachinesThatHaveTheImage(double waited, boolean held, int started) {
-        ServiceLevelObjectives aims =
+    void startWaitsForCachedImageIfFetchMissesObjective(double waited, boolean imageCached, int started) {
+        ServiceLevelObjectives objectives =
                 new ServiceLevelObjectives(List.of(new ServiceLevelObjectives.Objective("s", true, Span.seconds(3))));
-        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.TUNING, aims);
-        w.core.recordsLoaded();
-        if (held) {
-            w.submit(service(1, 4), 0);
-            w.ordinary("a", 1);
+        SchedulerFixture world = new SchedulerFixture(SchedulerFixture.SETTINGS, objectives);
+        world.core.onRecordsLoaded();
+        if (imageCached) {
+            world.submit(service(1, 4), 0);
+            world.addOnDemandMachine("a", 1);
         }
-        JobSpec s = service(2, 1);
-        w.submit(
-                JobSpec.builder(s.id())
-                        .jobClass(s.jobClass())
-                        .team(s.team())
-                        .kind(s.kind())
-                        .urgency(s.urgency())
-                        .tasks(1)
-                        .demand(s.demand())
+        JobSpec spec = service(2, 1);
+        world.submit(
+                JobSpec.builder(spec.id())
+                        .jobClass(spec.jobClass())
+                        .team(spec.team())
+                        .kind(spec.kind())
+                        .urgency(spec.urgency())
+                        .taskCount(1)
+                        .demand(spec.demand())
                         .image("img-1")
                         .imageGb(1)
-                        .estimate(s.estimate())
-                        .checkpointEvery(s.checkpointEvery())
-                        .checkpointTime(s.checkpointTime())
+                        .estimatedRunTime(spec.estimatedRunTime())
+                        .checkpointInterval(spec.checkpointInterval())
+                        .checkpointDuration(spec.checkpointDuration())
                         .build(),
                 100);
-        assertEquals(started, starts(w.ordinary("b", 100 + waited)).size());
+        assertEquals(
+                started,
+                tasksToStart(world.addOnDemandMachine("b", 100 + waited)).size());
     }
 
     /** How a machine with a replica was lost, and from when on (seconds) the replica may start on another one. */
     @ParameterizedTest
     @CsvSource({"listed as failed, 3", "lease run out, 14", "gone from two lists, 22"})
-    void aLostReplicaStartsElsewhereOnceItSurelyIsGone(String loss, double from) {
-        SimulatedWorld w = loaded();
-        w.submit(service(1, 1), 0);
-        TaskStatus[] replica = running(w.ordinary("a", 1));
-        w.hearOrdinary("a", 1.5, replica);
-        w.ordinary("b", 1.5);
-        lose(w, loss, from - 1);
-        assertEquals(0, starts(w.hearOrdinary("b", from - 0.5)).size());
-        lose(w, loss, from);
-        assertEquals(1, starts(w.hearOrdinary("b", from + 0.1)).size());
+    void lostReplicaRestartsOnlyOnceItsLossIsConfirmed(String loss, double from) {
+        SchedulerFixture world = newWorld();
+        world.submit(service(1, 1), 0);
+        TaskStatus[] replica = runningStatus(world.addOnDemandMachine("a", 1));
+        world.heartbeatOnDemand("a", 1.5, replica);
+        world.addOnDemandMachine("b", 1.5);
+        simulateLoss(world, loss, from - 1);
+        assertEquals(0, tasksToStart(world.heartbeatOnDemand("b", from - 0.5)).size());
+        simulateLoss(world, loss, from);
+        assertEquals(1, tasksToStart(world.heartbeatOnDemand("b", from + 0.1)).size());
     }
 
     /** What the leader's duties see at {@code now}: the machine fails at 2.5 s, or is never heard or listed again. */
-    private static void lose(SimulatedWorld w, String loss, double now) {
-        ListedMachine b = listed("b", ListedMachine.Status.RUNNING);
+    private static void simulateLoss(SchedulerFixture world, String loss, double now) {
+        ListedMachine machineB = listed("b", ListedMachine.Status.RUNNING);
         switch (loss) {
             case "listed as failed" ->
-                w.core.onMachineListing(
-                        List.of(listed("a", now < 2.5 ? ListedMachine.Status.RUNNING : ListedMachine.Status.FAILED), b),
-                        at(now),
-                        at(now));
-            case "lease run out" -> w.core.expireLeases(at(now));
-            default -> w.core.onMachineListing(List.of(b), at(now), at(now));
+                world.core.onMachineListing(
+                        List.of(
+                                listed("a", now < 2.5 ? ListedMachine.Status.RUNNING : ListedMachine.Status.FAILED),
+                                machineB),
+                        atSeconds(now),
+                        atSeconds(now));
+            case "lease run out" -> world.core.expireLeases(atSeconds(now));
+            default -> world.core.onMachineListing(List.of(machineB), atSeconds(now), atSeconds(now));
         }
     }
 
@@ -168,30 +176,35 @@
     /** A new leader starts no replica that a machine may still hold, and takes on those that are reported. */
     @ParameterizedTest
     @CsvSource({"true, 2, 1", "false, 2, 0", "false, 13, 2"})
-    void afterAChangeOfLeaderReplicasAreTakenOnOrWaitedFor(boolean reported, double at, int started) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.inherited(service(1, 2));
+    void failoverAdoptsReplicasOrWaitsForThem(boolean reported, double at, int started) {
+        SchedulerFixture world = new SchedulerFixture();
+        world.addInheritedJob(service(1, 2));
         for (String name : List.of("a", "b")) {
-            w.core.inheritMachine(new MachineId(name), new MachinePool("quad", "east", false), at(0), at(0), at(0));
+            world.core.inheritMachine(
+                    new MachineId(name),
+                    new MachinePool("quad", "east", false),
+                    atSeconds(0),
+                    atSeconds(0),
+                    atSeconds(0));
         }
-        w.core.recordsLoaded();
+        world.core.onRecordsLoaded();
         if (reported) {
-            w.hearOrdinary("a", 1, SimulatedWorld.foreign("run-1/0", 7));
+            world.heartbeatOnDemand("a", 1, SchedulerFixture.statusOfUnknownTask("run-1/0", 7));
         }
-        w.core.expireLeases(at(at));
-        assertEquals(started, starts(w.hearOrdinary("b", at)).size());
+        world.core.expireLeases(atSeconds(at));
+        assertEquals(started, tasksToStart(world.heartbeatOnDemand("b", at)).size());
     }
 
     /** A start ordered just before the user cancelled is answered with a stop as soon as it shows, and not repeated. */
     @Test
-    void aReplicaOrderedBeforeTheCancellationIsStopped() {
-        SimulatedWorld w = loaded();
-        Job job = w.submit(service(1, 1), 0);
-        List<WorkerCommand> late = w.ordinary("a", 1);
-        w.core.cancelJob(job.id());
-        assertEquals(0, starts(w.ordinary("b", 2)).size());
-        List<WorkerCommand> answer = w.hearOrdinary("a", 3, running(late));
-        assertEquals(List.of("run-1/0"), SimulatedWorld.stops(answer));
-        assertEquals(0, starts(w.hearOrdinary("a", 4)).size());
+    void replicaStartedBeforeCancellationIsStopped() {
+        SchedulerFixture world = newWorld();
+        Job job = world.submit(service(1, 1), 0);
+        List<WorkerCommand> lateStarts = world.addOnDemandMachine("a", 1);
+        world.core.cancelJob(job.id());
+        assertEquals(0, tasksToStart(world.addOnDemandMachine("b", 2)).size());
+        List<WorkerCommand> commands = world.heartbeatOnDemand("a", 3, runningStatus(lateStarts));
+        assertEquals(List.of("run-1/0"), SchedulerFixture.tasksToStop(commands));
+        assertEquals(0, tasksToStart(world.heartbeatOnDemand("a", 4)).size());
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/StaleHeartbeatTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/StaleHeartbeatTest.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
-import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
+import static io.indigoreach.core.scheduling.SchedulerFixture.spec;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -17,10 +17,10 @@
 
 /** A copy of an old report is kept and reaches a leader just as it begins. */
 class StaleHeartbeatTest {
-    private enum Arrives {
+    private enum CopyArrival {
         NEVER,
-        BEFORE_THE_RECORDS_ARE_READ,
-        AFTER_THE_RECORDS_ARE_READ
+        BEFORE_LOADING,
+        AFTER_LOADING
     }
 
     /** Everything goes as without it, whether its machine lives on or is dead. */
@@ -35,69 +35,71 @@
         "its machine was returned, false",
         "its machine was rented by the leader that ended, false"
     })
-    void changesNothing(String what, boolean lives) {
-        List<String> without = trace(what, lives, Arrives.NEVER);
-        assertTrue(without.stream().anyMatch(line -> line.contains("Start")), "nothing happened");
-        if (!what.equals("it bears the new token")) {
-            assertEquals(without, trace(what, lives, Arrives.BEFORE_THE_RECORDS_ARE_READ));
+    void aDelayedCopyChangesNothing(String scenario, boolean isAlive) {
+        List<String> expected = trace(scenario, isAlive, CopyArrival.NEVER);
+        assertTrue(expected.stream().anyMatch(line -> line.contains("Start")), "nothing happened");
+        if (!scenario.equals("it bears the new token")) {
+            assertEquals(expected, trace(scenario, isAlive, CopyArrival.BEFORE_LOADING));
         }
-        assertEquals(without, trace(what, lives, Arrives.AFTER_THE_RECORDS_ARE_READ));
+        assertEquals(expected, trace(scenario, isAlive, CopyArrival.AFTER_LOADING));
     }
 
-    private static List<String> trace(String what, boolean lives, Arrives when) {
-        SimulatedCluster site = new SimulatedCluster();
-        SimulatedCluster.Box a = site.box("a", 0);
-        site.box("n", 0);
-        site.lead(-30);
-        if (what.contains("rented")) {
-            site.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(-30), at(-30));
+    private static List<String> trace(String scenario, boolean isAlive, CopyArrival arrival) {
+        SimulatedCluster cluster = new SimulatedCluster();
+        SimulatedCluster.Worker worker = cluster.worker("a", 0);
+        cluster.worker("n", 0);
+        cluster.startLeaderWithRecords(-30);
+        if (scenario.contains("rented")) {
+            cluster.core.onMachinesRented(
+                    new MachinePool("quad", "east", true), List.of(new MachineId("a")), atSeconds(-30), atSeconds(-30));
         }
-        site.report("a", -21);
-        Heartbeat old = a.sent;
-        site.submit(spec(1, 2, 4, 500), -20);
-        if (!what.contains("rented")) {
-            site.become("a", -19);
-            assertEquals(1, a.tasks.size());
+        cluster.sendHeartbeat("a", -21);
+        Heartbeat copy = worker.lastHeartbeat;
+        cluster.submit(spec(1, 2, 4, 500), -20);
+        if (!scenario.contains("rented")) {
+            cluster.joinLeader("a", -19);
+            assertEquals(1, worker.tasks.size());
         }
-        if (what.contains("session")) {
-            old = a.sent;
-            a.newSession(-8);
-        } else if (what.contains("returned")) {
-            old = a.sent;
-            site.core.returned(List.of(new MachineId("a")), at(-8));
+        if (scenario.contains("session")) {
+            copy = worker.lastHeartbeat;
+            worker.newSession(-8);
+        } else if (scenario.contains("returned")) {
+            copy = worker.lastHeartbeat;
+            cluster.core.onMachinesReturned(List.of(new MachineId("a")), atSeconds(-8));
         }
-        if (what.contains("returned") || what.contains("rented")) {
+        if (scenario.contains("returned") || scenario.contains("rented")) {
             // Nobody has recorded it, or no longer.
-            site.boxes().remove(a);
+            cluster.workers().remove(worker);
         } else {
-            site.report("a", -7);
+            cluster.sendHeartbeat("a", -7);
         }
-        site.begin(0);
-        if (what.contains("new token")) {
-            site.report("a", 0.1);
-            site.report("a", 0.2);
-            old = a.sent;
-            a.end(TaskId.parse("run-1/0"), ExitCause.DONE);
-            site.report("a", 0.3);
+        cluster.startLeader(0);
+        if (scenario.contains("new token")) {
+            cluster.sendHeartbeat("a", 0.1);
+            cluster.sendHeartbeat("a", 0.2);
+            copy = worker.lastHeartbeat;
+            worker.exit(TaskId.parse("run-1/0"), ExitCause.DONE);
+            cluster.sendHeartbeat("a", 0.3);
         }
-        if (when == Arrives.BEFORE_THE_RECORDS_ARE_READ) {
-            site.core.onHeartbeat(old, at(0.4));
+        if (arrival == CopyArrival.BEFORE_LOADING) {
+            cluster.core.onHeartbeat(copy, atSeconds(0.4));
         }
-        site.load();
-        if (when == Arrives.AFTER_THE_RECORDS_ARE_READ) {
-            assertEquals(List.of(), site.core.onHeartbeat(old, at(0.4)).commands());
+        cluster.loadRecords();
+        if (arrival == CopyArrival.AFTER_LOADING) {
+            assertEquals(
+                    List.of(), cluster.core.onHeartbeat(copy, atSeconds(0.4)).commands());
         }
-        List<String> trace = new ArrayList<>(List.of(site.core.summary()));
+        List<String> trace = new ArrayList<>(List.of(cluster.core.summary()));
         for (double now = 1; now < 40; now++) {
-            for (SimulatedCluster.Box box : List.copyOf(site.boxes())) {
-                if (box != a || lives) {
-                    trace.add(now + " " + box.name + " " + site.report(box.name, now));
+            for (SimulatedCluster.Worker box : List.copyOf(cluster.workers())) {
+                if (box != worker || isAlive) {
+                    trace.add(now + " " + box.name + " " + cluster.sendHeartbeat(box.name, now));
                 }
             }
-            site.core.expireLeases(at(now));
-            trace.add(site.core.summary() + " knows " + site.core.knows(new MachineId("a")));
+            cluster.core.expireLeases(atSeconds(now));
+            trace.add(cluster.core.summary() + " knows " + cluster.core.isKnownMachine(new MachineId("a")));
         }
-        assertEquals(List.of(), site.broken);
+        assertEquals(List.of(), cluster.violations);
         return trace;
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulationTest.java
@@ -33,16 +33,16 @@
         "ZONE, 1, 0",
         "ZONE, 2, 6"
     })
-    void noTeamExceedsItsLimit(TeamLimitSimulation.Trouble trouble, int changes, double everyS) {
-        int outOfReach = 0;
+    void noTeamExceedsItsLimit(TeamLimitSimulation.Fault fault, int leaderChanges, double intervalS) {
+        int cancelledTasksOnFaultyMachines = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
-            TeamLimitSimulation run = new TeamLimitSimulation(seed, trouble);
-            run.play(changes, everyS);
-            assertEquals(List.of(), run.site.broken, "seed " + seed);
-            outOfReach += run.outOfReach;
+            TeamLimitSimulation simulation = new TeamLimitSimulation(seed, fault);
+            simulation.simulate(leaderChanges, intervalS);
+            assertEquals(List.of(), simulation.cluster.violations, "seed " + seed);
+            cancelledTasksOnFaultyMachines += simulation.cancelledTasksOnFaultyMachines;
         }
         assertTrue(
-                trouble == TeamLimitSimulation.Trouble.NONE || outOfReach > 0,
+                fault == TeamLimitSimulation.Fault.NONE || cancelledTasksOnFaultyMachines > 0,
                 "cancelled tasks ran on where nobody heard of them");
     }
 }
--- a/src/test/java/io/indigoreach/emulator/DependencyClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/DependencyClusterTest.java
@@ -32,15 +32,15 @@
                 s -> s.with(JobDependencies.of(Arrays.stream(needs)
                         .mapToObj(need -> new JobId("run-" + need))
                         .toList())));
-        LocalCluster.await(
-                cluster.emulator.upload(new DepotCodec.Upload(spec, new Depot.Conduct(spec.estimate(), 0.1, false))));
+        LocalCluster.await(cluster.emulator.upload(
+                new DepotCodec.Upload(spec, new Depot.Conduct(spec.estimatedRunTime(), 0.1, false))));
         cluster.history.add(new Event.Submitted(cluster.clock.now(), spec));
         submit(n % nodes.size(), spec);
     }
 
     private int ends() throws Exception {
         return LocalCluster.await(state.list(RecordKeys.FINAL_JOBS, null, 1000))
-                .items()
+                .entries()
                 .size();
     }
 
--- a/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
+++ b/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
@@ -37,9 +37,9 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.parts.Parts;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.Arrays;
@@ -66,7 +66,7 @@
         private long revision = 10;
 
         <R> R run(Routine<R> routine) {
-            StepResult seen = StepResult.nothing(ERA, now);
+            StepResult seen = StepResult.empty(ERA, now);
             while (true) {
                 Step<R> next = routine.next(seen);
                 now += 1000;
@@ -84,7 +84,7 @@
                         }
                     });
                 } else if (next instanceof Step.Write<R> write) {
-                    written = commit(write.change());
+                    written = commit(write.transaction());
                 }
                 seen = new StepResult(ERA, now, found, false, written, List.of());
             }
@@ -272,7 +272,7 @@
     void whatPeopleAreAnswered() throws Exception {
         Vertx vertx = Vertx.vertx();
         try {
-            StateStandIn state = await(new StateStandIn().listen(vertx));
+            FakeStateService state = await(new FakeStateService().listen(vertx));
             Settings settings = SettingsFile.parse("test", "record_ownership: 1");
             StateClient client = new StateClient(
                     new ServiceClient(vertx, state.endpoint(), 8), new ServiceClient(vertx, state.endpoint(), 1));
--- a/src/test/java/io/indigoreach/state/TestBlocks.java
+++ b/src/test/java/io/indigoreach/state/LegacyCompletionBlocks.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /** Completion blocks as versions of the program before {@link CompletionBits} write and read them. */
-public final class TestBlocks {
-    private TestBlocks() {}
+public final class LegacyCompletionBlocks {
+    private LegacyCompletionBlocks() {}
 
     /** How many blocks of bits are beside the record of a job. */
-    public static int blocks(int tasks) {
+    public static int blockCount(int tasks) {
         return tasks <= CompletionBlockCodec.MAX_TASKS_IN_RECORD
                 ? 0
                 : (tasks + CompletionBlockCodec.BLOCK_TASKS - 1) / CompletionBlockCodec.BLOCK_TASKS;
--- a/src/test/java/io/indigoreach/state/Golden.java
+++ b/src/test/java/io/indigoreach/state/ProductionSample.java
@@ -20,11 +20,11 @@
  * @param read how this version reads it
  * @param value what is read, whichever version wrote it
  */
-public record Golden(Map<String, Object> written, Function<Fields, Object> read, Object value) {
+public record ProductionSample(Map<String, Object> written, Function<Fields, Object> read, Object value) {
     /** The lines of a file, by their names. */
     public static Map<String, String> load(String file) {
         Map<String, String> lines = new LinkedHashMap<>();
-        try (InputStream in = Golden.class.getResourceAsStream("/production/" + file)) {
+        try (InputStream in = ProductionSample.class.getResourceAsStream("/production/" + file)) {
             new String(in.readAllBytes(), StandardCharsets.UTF_8).lines().forEach(line -> {
                 int space = line.lastIndexOf(' ');
                 lines.put(line.substring(0, space), line.substring(space + 1));
