--- a/src/main/java/io/indigoreach/core/dependency/DependencyGraph.java
+++ b/src/main/java/io/indigoreach/core/dependency/DependencyGraph.java
@@ -14,26 +14,26 @@
 import java.util.function.Predicate;
 
 /**
- * Which waiting jobs depend on which others. A dependency is settled only by a durable end: {@link #done} and {@link #cancelled} are
- * called for ends that the state service has acknowledged or was read to hold, never for what a leader believes. Both ends are
- * final and a job has only one of them, so that every leader comes to the same result.
+ * The dependencies of waiting jobs on other jobs. Only a durable end of a required job resolves a dependency: {@link #done} and {@link
+ * #cancelled} are called for ends that the state service has acknowledged or that were read from it, never for ends that a leader only expects.
+ * An end is final and a job has only one, so all leaders come to the same result.
  *
- * <p>Every edge is visited once when it is added and once when it is settled: the cost of an event grows with the edges
- * it settles, not with what is open.
+ * <p>Each edge is visited once when it is added and once when it is resolved: the cost of an event is linear in the edges that it resolves and
+ * independent of the number of open jobs.
  */
 public final class DependencyGraph {
-    /** Of each waiting job, the required jobs that are not known to be done. */
+    /** For each waiting job, the required jobs that are not known to be done. */
     private final Map<JobId, Set<JobId>> unmet = new HashMap<>();
-    /** The same edges from the other end. */
+    /** The reverse edges: for each required job, the waiting jobs that depend on it. */
     private final Map<JobId, Set<JobId>> dependants = new HashMap<>();
-    /** Required jobs that are not open here: their ends are to be read. */
+    /** Required jobs that are not open on this leader, so their ends must be read from the state service. */
     private final Set<JobId> jobsToLookUp = new LinkedHashSet<>();
-    /** Waiting jobs below a cancelled one whose own ends are to be written. */
+    /** Waiting jobs that depend on a cancelled job, directly or transitively, and must be cancelled too. */
     private final Set<JobId> jobsToCancel = new LinkedHashSet<>();
 
     private final List<JobId> released = new ArrayList<>();
 
-    /** Adds a waiting job; {@code isOpen}: whether a required job is open here, so that its end will be observed. */
+    /** Adds a waiting job; {@code isOpen}: whether a required job is open on this leader, which then observes its end. */
     public void add(JobId job, Collection<JobId> requiredJobs, Predicate<JobId> isOpen) {
         unmet.put(job, new LinkedHashSet<>(requiredJobs));
         boolean below = false;
@@ -49,12 +49,12 @@
         }
     }
 
-    /** The job is open here from now on: no look-up is needed as long as it is. */
+    /** Records that the job is open on this leader, so its end need not be looked up. */
     public void opened(JobId job) {
         jobsToLookUp.remove(job);
     }
 
-    /** The job is open here no longer, and how it ended has not been read. */
+    /** Records that the job is no longer open on this leader, and that its end has not been read. */
     public void ended(JobId job) {
         removeWaiting(job);
         if (dependants.getOrDefault(job, Set.of()).stream().anyMatch(dependant -> !jobsToCancel.contains(dependant))) {
@@ -62,7 +62,7 @@
         }
     }
 
-    /** The end of this job as done is durable. */
+    /** Records that the job is done, durably. */
     public void done(JobId job) {
         removeWaiting(job);
         for (JobId dependant : settled(job)) {
@@ -75,13 +75,13 @@
         }
     }
 
-    /** The end of this job as cancelled is durable: nothing that needs it, directly or through others, can ever start. */
+    /** Records that the job is cancelled, durably: jobs that depend on it, directly or transitively, can never start. */
     public void cancelled(JobId job) {
         removeWaiting(job);
         markForCancellation(settled(job));
     }
 
-    /** A job that waits no longer, whatever else is known of its dependencies. */
+    /** Removes a job that no longer waits, even if some of its dependencies are unmet. */
     public void removeWaiting(JobId job) {
         jobsToCancel.remove(job);
         Set<JobId> left = unmet.remove(job);
@@ -104,7 +104,7 @@
         return waiting == null ? List.of() : waiting;
     }
 
-    /** In the order of distance, so that no job is cancelled long before those between it and the cancelled one. */
+    /** Marks the jobs and all their dependants in breadth-first order, so that a job is not cancelled long before the jobs that it depends on. */
     private void markForCancellation(Collection<JobId> first) {
         Deque<JobId> queue = new ArrayDeque<>(first);
         while (!queue.isEmpty()) {
@@ -115,22 +115,24 @@
         }
     }
 
-    /** Jobs whose last dependency was done since the previous call. */
+    /** Returns the jobs whose last dependency was met since the previous call. */
     public List<JobId> takeReleased() {
         List<JobId> taken = List.copyOf(released);
         released.clear();
         return taken;
     }
 
+    /** Returns the required jobs whose ends must be read from the state service. */
     public Set<JobId> jobsToLookUp() {
         return Collections.unmodifiableSet(jobsToLookUp);
     }
 
+    /** Returns the waiting jobs that must be cancelled because a job that they depend on is cancelled. */
     public Set<JobId> jobsToCancel() {
         return Collections.unmodifiableSet(jobsToCancel);
     }
 
-    /** Required jobs of a waiting job that are not known to be done. */
+    /** Returns the required jobs of a waiting job that are not known to be done. */
     public Set<JobId> unmetDependencies(JobId job) {
         return Collections.unmodifiableSet(unmet.getOrDefault(job, Set.of()));
     }
@@ -139,7 +141,7 @@
         return unmet.isEmpty();
     }
 
-    /** Forgets everything: what is open is read anew. */
+    /** Removes all jobs, before the open jobs are read again. */
     public void clear() {
         unmet.clear();
         dependants.clear();
@@ -149,8 +151,8 @@
     }
 
     /**
-     * Every edge that is still relevant, from a job to one that it requires, in topological order from the last jobs: a job's own edges come after all
-     * edges that lead to it.
+     * Returns the edges from waiting jobs to the jobs that they require, in topological order: a job's edges come after those of all jobs that
+     * depend on it. Edges of jobs that must be cancelled are left out.
      */
     public List<Edge> edgesFromLastJobs() {
         Map<JobId, Integer> left = new HashMap<>();
@@ -172,6 +174,6 @@
         return edges;
     }
 
-    /** {@code job} depends on {@code requiredJob}. */
+    /** A dependency of {@code job} on {@code requiredJob}. */
     public record Edge(JobId job, JobId requiredJob) {}
 }
--- a/src/main/java/io/indigoreach/core/dependency/Lookahead.java
+++ b/src/main/java/io/indigoreach/core/dependency/Lookahead.java
@@ -8,18 +8,17 @@
 import java.util.function.Function;
 
 /**
- * Derives targets for required jobs from the jobs that depend on them: the priority of the most urgent dependant, and the
- * time by which a job has to be done for the deadlines after it to be met, derived from expected run times. One pass over
- * all edges.
+ * Propagates targets from jobs to the jobs that they require: the priority of the most urgent dependant, and the latest time by which a job must
+ * complete for its dependants to meet their deadlines, given their expected run times. Takes one pass over all edges.
  */
 public final class Lookahead {
     private Lookahead() {}
 
     /**
-     * The target of each job that another waits for, as its dependants set it.
+     * Returns the target that the dependants impose on each required job.
      *
-     * @param own a job's own target
-     * @param runTime a job's expected run time
+     * @param own returns a job's own target
+     * @param runTime returns a job's expected run time
      */
     public static Map<JobId, JobTarget> of(
             DependencyGraph graph, Function<JobId, JobTarget> own, Function<JobId, Span> runTime) {
--- a/src/main/java/io/indigoreach/core/dependency/package-info.java
+++ b/src/main/java/io/indigoreach/core/dependency/package-info.java
@@ -1,2 +1,2 @@
-/** Jobs that depend on other jobs: which are released, cancelled with another, and when they have to start. */
+/** Dependencies between jobs: when jobs are released, which are cancelled with a required job, and by when required jobs must complete. */
 package io.indigoreach.core.dependency;
--- a/src/main/java/io/indigoreach/core/intent/Intents.java
+++ b/src/main/java/io/indigoreach/core/intent/Intents.java
@@ -12,23 +12,28 @@
 import java.util.Set;
 
 /**
- * The requests to the cloud that a leader has in progress. The cloud knows no fencing tokens: a request that was given up may be executed
- * minutes later, under the next leader. So nothing is requested before it is recorded, as in a redo log: a rental by its name, pool and
- * count, a return by the machine's name. The next leader completes what is open: it repeats a rental under its own name until the
- * outcome is known, and never uses a machine that was to be returned, as the return may still be executed.
+ * A leader's requests to the cloud that are in progress. The cloud does not check fencing tokens: a request that timed out may be executed minutes
+ * later, under the next leader. So each request is recorded before it is sent, as in a redo log: a rental with its name, pool and count, a return
+ * with the machine's name. The next leader completes the open requests: it repeats a rental under the same name until the outcome is known, and
+ * never uses a machine whose return is recorded, as the return may still be executed.
  */
 public final class Intents {
-    /** A request to rent machines; {@code askedMs}: when it was first decided on, in milliseconds since 1970. */
+    /**
+     * A request to rent machines.
+     *
+     * @param name identifies the request, which makes it idempotent
+     * @param askedMs when the request was first decided on, in milliseconds since 1970
+     */
     public record Rent(String name, MachinePool pool, int count, long askedMs) {}
 
-    /** The content of the record. */
+    /** The content of the record: the open requests. */
     public record Page(List<Rent> rents, List<MachineId> returns) {
         public boolean isEmpty() {
             return rents.isEmpty() && returns.isEmpty();
         }
     }
 
-    /** Whether the record, which is one value of limited size, has room for more. */
+    /** Tells whether the record, which is a single value of limited size, has room for another request. */
     public interface Size {
         boolean hasRoomForRent(Collection<Rent> rents, Rent next);
 
@@ -47,10 +52,10 @@
         }
     };
 
-    /** The most rentals in progress at a time. */
+    /** The limit on rentals in progress. */
     public static final int MAX_RENTS = 30;
 
-    /** The most returns in progress at a time. */
+    /** The limit on returns in progress. */
     public static final int MAX_RETURNS = 100;
 
     private final Size size;
@@ -67,19 +72,19 @@
         this.size = size;
     }
 
-    /** Whether there is room for this request to rent. */
+    /** Whether this rental can be added. */
     public boolean hasRoomFor(Rent rent) {
         return rents.isEmpty() || (rents.size() < MAX_RENTS && size.hasRoomForRent(rents.values(), rent));
     }
 
-    /** Adds a rental that is to be requested; the caller has checked {@link #hasRoomFor}. */
+    /** Adds a rental to be requested. The caller must have checked {@link #hasRoomFor}. */
     public void add(Rent rent) {
         rents.put(rent.name, rent);
     }
 
     /**
-     * Adds machines that are to be returned. The result is those of them that have room in the record; the others have to wait until earlier
-     * returns are answered.
+     * Adds machines to be returned, as far as the record has room, and returns those that were added or already present. The other machines have
+     * to wait until earlier returns complete.
      */
     public List<MachineId> addReturns(Collection<MachineId> machines) {
         List<MachineId> now = new ArrayList<>();
@@ -92,42 +97,42 @@
         return now;
     }
 
-    /** The outcome of a rental is known. */
+    /** Removes a rental whose outcome is known. */
     public void completed(String name) {
         rents.remove(name);
     }
 
-    /** The cloud has confirmed that these machines are returned. */
+    /** Removes the returns of these machines, which the cloud has confirmed. */
     public void returned(Collection<MachineId> machines) {
         returns.removeAll(machines);
     }
 
-    /** Whether the rental of that name is recorded and open, so that it may be requested. */
+    /** Whether the rental is recorded and open, and so may be sent to the cloud. */
     public boolean maySend(String name) {
         return rents.containsKey(name) && recordedRents.contains(name);
     }
 
-    /** Whether the returns of all these machines are recorded and open, so that they may be requested. */
+    /** Whether the returns of all these machines are recorded and open, and so may be sent to the cloud. */
     public boolean mayReturn(Collection<MachineId> machines) {
         return returns.containsAll(machines) && recordedReturns.containsAll(machines);
     }
 
-    /** Whether something has to be recorded before it may be requested. */
+    /** Whether there are requests that must be recorded before they are sent. */
     public boolean isUnrecorded() {
         return !recordedRents.containsAll(rents.keySet()) || !recordedReturns.containsAll(returns);
     }
 
-    /** Whether the record contains what is completed: to be removed when there is nothing else to write. */
+    /** Whether the record still contains completed requests; they are removed when there is nothing more urgent to write. */
     public boolean isOutdated() {
         return recordedRents.size() > rents.size() || recordedReturns.size() > returns.size();
     }
 
-    /** What the record should contain now. */
+    /** Returns the content that the record should have now. */
     public Page page() {
         return new Page(List.copyOf(rents.values()), List.copyOf(returns));
     }
 
-    /** The record surely has this content. */
+    /** Records that a write of this content was acknowledged. */
     public void recorded(Page page) {
         recordedRents.clear();
         page.rents.forEach(rent -> recordedRents.add(rent.name));
--- a/src/main/java/io/indigoreach/core/intent/package-info.java
+++ b/src/main/java/io/indigoreach/core/intent/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Requests to the cloud in progress, as a leader records them before it sends them, so that the next leader can complete them. Pure: no
- * input, output, clock or threads.
+ * Requests to the cloud in progress, which a leader records before it sends them so that the next leader can complete them. The code has no side
+ * effects.
  */
 package io.indigoreach.core.intent;
--- a/src/main/java/io/indigoreach/core/leadership/CancellationHorizon.java
+++ b/src/main/java/io/indigoreach/core/leadership/CancellationHorizon.java
@@ -7,58 +7,60 @@
 import java.util.Map;
 
 /**
- * The time up to which a leader knows every cancellation that was confirmed to a user, and has acted on it: by reading the records, by
- * its watch, or, while the state service does not answer it, by the answers of all nodes. Heartbeats are answered for {@link
- * SafetyTimes#maxCancellationAge} after that time and no longer. Before the records are read there is no such time: a cancellation that an
- * earlier leader missed, confirmed at any time, would let its tasks run on under this leader's answers.
+ * The time up to which a leader knows, and has acted on, every cancellation that was confirmed to a user. It advances when the leader
+ * reads the records, when its watch delivers changes and, while the state service does not respond, when all nodes have reported their
+ * confirmed cancellations. The leader responds to heartbeats for {@link SafetyTimes#maxCancellationAge} after that time and no longer.
+ *
+ * <p>The horizon is undefined until the records are read: a cancellation that was confirmed at any earlier time may be unknown, and its
+ * tasks would go on running under this leader's responses.
  */
 public final class CancellationHorizon {
-    private Moment advanceTo = Moment.NEVER;
-    /** Jobs whose records are gone, with the time since when they may have been cancelled, until the reason is known and acted on. */
+    private Moment knownUntil = Moment.NEVER;
+    /** Jobs whose records are missing for an unknown reason, with the time after which they may have been cancelled. */
     private final Map<JobId, Moment> unresolved = new HashMap<>();
 
-    /** Everything that happened before {@code moment} is known. */
+    /** Records that every cancellation before {@code moment} is known and acted on. */
     public void advanceTo(Moment moment) {
-        advanceTo = moment.isAfter(advanceTo) ? moment : advanceTo;
+        knownUntil = moment.isAfter(knownUntil) ? moment : knownUntil;
     }
 
     /**
-     * An open job's record is gone: probably the job is cancelled. This has not been acted on yet, and the reason may not be readable for
-     * as long as an outage lasts.
+     * Records that an open job's record is missing, probably because the job was cancelled. Holds the horizon back until {@link #resolved}
+     * is called: during an outage the reason cannot be read.
      */
     public void recordGone(JobId job) {
-        unresolved.putIfAbsent(job, advanceTo);
+        unresolved.putIfAbsent(job, knownUntil);
     }
 
-    /** What became of that job is known, and none of its tasks runs on under this leader's commands. */
+    /** Records that the reason for a missing record is known and acted on: none of the job's tasks goes on running under this leader. */
     public void resolved(JobId job) {
         unresolved.remove(job);
     }
 
     /**
-     * Every node was asked at {@code sent} and has answered by {@code now}; the cancellations that it confirmed to users in the {@code
-     * covered} time before its answer are known here. If that reaches back beyond the present horizon, none confirmed before {@code sent} is
-     * missing; one confirmed later has its whole time from then.
+     * Records that all nodes have responded by {@code now} to a request sent at {@code sent}, and that the cancellations which they
+     * confirmed in the {@code covered} time before their responses are acted on. If that time reaches back beyond the present horizon, no
+     * cancellation confirmed before {@code sent} is missing, so the horizon advances to {@code sent}.
      */
     public void peersAnswered(Span covered, Moment sent, Moment now) {
-        if (covered.compareTo(now.since(advanceTo).withDrift()) > 0) {
+        if (covered.compareTo(now.since(knownUntil).withDrift()) > 0) {
             advanceTo(sent);
         }
     }
 
-    /** Every cancellation that was confirmed to a user before this moment is known and acted on. */
+    /** Returns the moment before which every cancellation that was confirmed to a user is known and acted on. */
     public Moment completeUntil() {
-        Moment until = advanceTo;
+        Moment until = knownUntil;
         for (Moment since : unresolved.values()) {
             until = since.isBefore(until) ? since : until;
         }
         return until;
     }
 
-    /** How far back the answers of the other nodes must reach to be of use, if they take up to {@code roundTrip}. */
+    /** Returns how far back the responses of the other nodes must reach to advance the horizon, if they take up to {@code roundTrip}. */
     public Span lookBack(Moment now, Span roundTrip) {
-        return advanceTo.equals(Moment.NEVER)
+        return knownUntil.equals(Moment.NEVER)
                 ? Span.ZERO
-                : now.since(advanceTo).plus(roundTrip).withDrift();
+                : now.since(knownUntil).plus(roundTrip).withDrift();
     }
 }
--- a/src/main/java/io/indigoreach/core/leadership/CancellationSummary.java
+++ b/src/main/java/io/indigoreach/core/leadership/CancellationSummary.java
@@ -8,15 +8,15 @@
 /**
  * A node's report on the cancellations that it has confirmed to users.
  *
- * @param cancelled jobs that are surely cancelled
- * @param covered the time before the answer in which no others were confirmed; a node that has just started, or has
- *     forgotten earlier ones, covers less than it is asked for
+ * @param cancelled jobs whose cancellation is durable
+ * @param covered the time before the response in which the node confirmed no other cancellation; shorter than requested if the node
+ *     started within that time or no longer remembers all of it
  */
 public record CancellationSummary(Set<JobId> cancelled, Span covered) {
-    /** Of a node that does not answer, or not legibly: it covers no time, so it never means "nothing cancelled". */
+    /** Stands for a missing or malformed response. It covers no time, so it never implies that nothing was cancelled. */
     public static final CancellationSummary NONE = new CancellationSummary(Set.of(), Span.ZERO);
 
-    /** The report of all nodes together: it covers the shorter time. */
+    /** Combines the reports of two nodes: all cancelled jobs, and the shorter of the covered times. */
     public CancellationSummary and(CancellationSummary other) {
         Set<JobId> all = new HashSet<>(cancelled);
         all.addAll(other.cancelled);
--- a/src/main/java/io/indigoreach/core/leadership/ConfirmedCancellations.java
+++ b/src/main/java/io/indigoreach/core/leadership/ConfirmedCancellations.java
@@ -8,24 +8,24 @@
 import java.util.Set;
 
 /**
- * The latest cancellations that this node has confirmed to users, for a leader that the state service does not answer. A process does not know
- * what its predecessor confirmed, so its reports cover no time before it began.
+ * The latest cancellations that this node has confirmed to users. A leader requests them while the state service does not respond to it. A
+ * process does not know what an earlier process of the node confirmed, so its summaries cover no time before its start.
  */
 public final class ConfirmedCancellations {
-    /** As many as fit into one answer; no known state service confirms more within the first seconds of an outage. */
+    /** As many as fit into one response; no known state service confirms more within the first seconds of an outage. */
     public static final int MAX_REMEMBERED = 1000;
 
     private record ConfirmedCancellation(JobId job, Moment at) {}
 
     private final ArrayDeque<ConfirmedCancellation> confirmed = new ArrayDeque<>();
-    /** All that were confirmed after this moment are kept. */
+    /** All cancellations that were confirmed after this moment are remembered. */
     private Moment coveredSince;
 
     public ConfirmedCancellations(Moment began) {
         coveredSince = began;
     }
 
-    /** This node knows that the job is cancelled, and reports it to users from now on. */
+    /** Records that this node knows that the job is cancelled and confirms it to users from now on. */
     public void add(JobId job, Moment now) {
         confirmed.addLast(new ConfirmedCancellation(job, now));
         if (confirmed.size() > MAX_REMEMBERED) {
@@ -33,7 +33,7 @@
         }
     }
 
-    /** The cancellations confirmed in the last {@code asked}, or as far back as is known. */
+    /** Returns the cancellations confirmed within the last {@code asked}, or as far back as this node remembers them. */
     public CancellationSummary summary(Span asked, Moment now) {
         Span known = now.since(coveredSince);
         Span covered = asked.compareTo(known) < 0 ? asked : known;
@@ -46,7 +46,7 @@
         return new CancellationSummary(jobs, covered);
     }
 
-    /** The time since the last confirmation. */
+    /** Returns the time since the last confirmation, or since the start of the process if there was none. */
     public Span timeSinceLast(Moment now) {
         return now.since(confirmed.isEmpty() ? coveredSince : confirmed.getLast().at);
     }
--- a/src/main/java/io/indigoreach/core/leadership/IsolationCheck.java
+++ b/src/main/java/io/indigoreach/core/leadership/IsolationCheck.java
@@ -6,47 +6,54 @@
 import java.util.Objects;
 
 /**
- * Why the state service does not answer this node, judged by what the other nodes report. If one of them is served, this node alone is refused. If
- * any answers and none is served, it is an outage, in which all stay ready. If none answers, this node is cut off, or an outage coincides with a
- * partition between all nodes: it cannot tell which, and nobody can be served by it in either case, so it is not ready. In a deployment of one
- * node, with nobody to ask, everything counts as an outage.
+ * Determines why the state service does not respond to this node, from the reports of the other nodes:
  *
- * <p>A removal by the load balancer costs users at least 3 s after the node is healthy again, and twice as much each time within two minutes. So a
- * second verdict of being cut off needs a longer silence: a node with an unstable connection is removed once, and later only for
- * partitions that are longer than the pause that they cause.
+ * <ul>
+ *   <li>If another node is served, the state service refuses only this node.
+ *   <li>If other nodes respond and none of them is served, there is an outage, during which all nodes stay ready.
+ *   <li>If no node responds, this node is cut off, or an outage coincides with a partition between all nodes. The node cannot distinguish
+ *       these cases and can serve no user in either, so it is not ready.
+ * </ul>
+ *
+ * <p>In a deployment of one node every failure counts as an outage.
+ *
+ * <p>When the load balancer removes a node, users lose it for at least 3 s after it is healthy again, and for twice as long with each further
+ * removal within two minutes. So a second verdict of being cut off needs a longer silence: a node with an unstable connection is removed once,
+ * and later only for partitions that last longer than the removal.
  */
 public final class IsolationCheck {
-    /** The state of this node. */
+    /** How this node is connected. */
     public enum Verdict {
-        /** Served, or unserved together with all other nodes. */
+        /** The state service serves this node, or no node that responds. */
         TOGETHER,
-        /** The state service serves others but not this node. */
+        /** The state service serves other nodes but not this one. */
         REFUSED_ALONE,
-        /** Neither the state service nor another node answers. */
+        /** Neither the state service nor another node responds. */
         CUT_OFF
     }
 
-    /** Silence of all others before a node counts as cut off: longer than the loss of one request. */
+    /** How long all other nodes must be silent before this node counts as cut off; one lost request takes less. */
     static final Span CUT_OFF_AFTER = Span.seconds(4);
-    /** The same for a node that was cut off within {@link #REMOVAL_REMEMBERED}. */
+    /** The required silence if this node was cut off within the last {@link #REMOVAL_REMEMBERED}. */
     static final Span CUT_OFF_AGAIN_AFTER = Span.seconds(15);
-    /** For how long the load balancer remembers that it has removed a node. */
+    /** How long the load balancer remembers that it removed a node. */
     static final Span REMOVAL_REMEMBERED = Span.seconds(120);
 
     private Verdict verdict = Verdict.TOGETHER;
     private Moment silentSince = Moment.NEVER;
     private Moment lastCutOff = Moment.NEVER;
 
-    /** Whether users are better served by another node. */
+    /** Whether the load balancer should send users to other nodes. */
     public boolean isOutOfService() {
         return verdict != Verdict.TOGETHER;
     }
 
+    /** Whether neither the state service nor another node responds. */
     public boolean isCutOff() {
         return verdict == Verdict.CUT_OFF;
     }
 
-    /** The state service answers; true if this ends a verdict. */
+    /** Records that the state service responds; true if this node was out of service until now. */
     public boolean onServed() {
         boolean ends = isOutOfService();
         verdict = Verdict.TOGETHER;
@@ -55,9 +62,9 @@
     }
 
     /**
-     * The state service surely does not answer.
+     * Updates the verdict while the state service does not respond.
      *
-     * @param others for each other node whether it is served, null if it does not answer
+     * @param others for each other node whether the state service serves it, or null if the node does not respond
      */
     public Verdict onUnserved(List<Boolean> others, Moment now) {
         boolean silent = !others.isEmpty() && others.stream().allMatch(Objects::isNull);
--- a/src/main/java/io/indigoreach/core/leadership/TokenGenerator.java
+++ b/src/main/java/io/indigoreach/core/leadership/TokenGenerator.java
@@ -4,17 +4,17 @@
 import io.indigoreach.core.model.Span;
 
 /**
- * Generates fencing tokens of which none is used twice, whatever the state service answers: its counter may be gone or
- * come from an older copy. A hybrid logical clock (Kulkarni and others, "Logical Physical Clocks", 2014): the next token
- * is above the counter, above every token that this process has seen, and not below the time of day in seconds; its
- * lowest bits identify the node, so that two nodes cannot choose the same one.
+ * Generates fencing tokens that are unique even if the state service loses its token counter or restores it from an older copy. The
+ * tokens are a hybrid logical clock (Kulkarni and others, "Logical Physical Clocks", 2014): the next token is above the counter, above every
+ * token that this process has observed, and not below the time of day in seconds. Its lowest bits identify the node, so two nodes cannot
+ * choose the same token.
  *
- * <p>By the time alone a node could choose the token of its own previous process in the same second: so the second in
- * which this process began, by the worst clock, is left out. Tokens run ahead of the time only where leaderships change, or campaigns
- * stay unanswered, more than once a second on average; a campaign that was rejected gives its token back.
+ * <p>From the time alone a process could choose a token that an earlier process of the same node chose in the same second. So tokens start
+ * after the second in which this process started, with the largest clock error allowed for. Tokens run ahead of the time only if leaderships
+ * change, or campaigns stay unanswered, more than once a second on average; a rejected campaign releases its token.
  */
 public final class TokenGenerator {
-    /** Start of 2020 in seconds since 1970. Beside 28 bits for attempts and those for nodes, 30 bits are left: until 2054. */
+    /** Start of 2020 in seconds since 1970. Attempts take 28 bits; the 30 bits left besides those of the node last until 2054. */
     private static final long EPOCH_S = 1_577_836_800L;
 
     private static final int NODE_BITS = 5;
@@ -23,15 +23,15 @@
     private final long earliestS;
     /** The highest token known to have been in use. */
     private long highest;
-    /** The highest token that this process has campaigned with; it may be in use or not. */
+    /** The highest token that this process has campaigned with; it may or may not be in use. */
     private long lastTried;
     /** {@link #lastTried} before the last campaign. */
     private long previouslyTried;
 
     /**
      * @param node this node's index among all nodes, in the order of their names
-     * @param startedMs when this process began, in milliseconds since 1970
-     * @param clockOff how far any clock may be from true time
+     * @param startedMs when this process started, in milliseconds since 1970
+     * @param clockOff the largest error of any node's clock
      */
     public TokenGenerator(int node, long startedMs, Span clockOff) {
         this.node = node & ((1 << NODE_BITS) - 1);
@@ -42,7 +42,7 @@
         return Math.max(0, timeOfDayMs / 1000 - EPOCH_S);
     }
 
-    /** A token that was in use, from whatever source: later ones are above it. */
+    /** Records a token that has been in use; all later tokens will be above it. */
     public void seen(FencingToken token) {
         highest = Math.max(highest, token.value());
     }
@@ -52,17 +52,22 @@
         return new FencingToken(highest);
     }
 
-    /** The state service's counter is below what it was, or gone. */
+    /** Whether the state service's counter was lost or reset: it is below a token that has been in use. */
     public boolean isBehind(FencingToken counter) {
         return counter.value() < highest;
     }
 
-    /** Whether this process knows of a leadership after that one. */
+    /** Whether this process knows of a leadership term after that of {@code token}. */
     public boolean hasSeenAfter(FencingToken token) {
         return highest > token.value();
     }
 
-    /** The next leadership's token; {@code timeOfDayMs} in milliseconds since 1970. */
+    /**
+     * Returns the token for the next campaign.
+     *
+     * @param counter the state service's counter
+     * @param timeOfDayMs the time of day in milliseconds since 1970
+     */
     public FencingToken next(FencingToken counter, long timeOfDayMs) {
         long nextUnit = (Math.max(counter.value(), Math.max(highest, lastTried)) >> NODE_BITS) + 1;
         long units = Math.max(nextUnit, Math.max(seconds(timeOfDayMs), earliestS));
@@ -72,8 +77,9 @@
     }
 
     /**
-     * The last campaign surely was not and will not be executed, so its token is free. Guards against tokens that run minutes ahead of
-     * the time where a service rejects two campaigns a second: the next process of this node could choose one of them again.
+     * Releases the token of the last campaign, which was rejected and can no longer be executed. Without this, a service that rejects
+     * two campaigns a second would drive the tokens minutes ahead of the time, and the next process of this node could choose one of them
+     * again.
      */
     public void unused(FencingToken token) {
         if (lastTried == token.value()) {
--- a/src/main/java/io/indigoreach/core/leadership/package-info.java
+++ b/src/main/java/io/indigoreach/core/leadership/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Decisions about leadership: fencing tokens, up to when a leader knows confirmed cancellations, and whether a node is isolated. Pure: the
- * election itself is in {@code io.indigoreach.state}, the requests between nodes in {@code io.indigoreach.cluster}.
+ * Decisions about leadership: fencing tokens, the time up to which a leader knows all confirmed cancellations, and whether a node is isolated.
+ * The code has no side effects; the election is in {@code io.indigoreach.state}, the requests between nodes are in {@code
+ * io.indigoreach.cluster}.
  */
 package io.indigoreach.core.leadership;
--- a/src/main/java/io/indigoreach/core/loss/LeaderMemory.java
+++ b/src/main/java/io/indigoreach/core/loss/LeaderMemory.java
@@ -1,29 +1,34 @@
 package io.indigoreach.core.loss;
 
 /**
- * What a node knows from its own leadership terms. Finished jobs are final; open jobs are up to date only as long as nobody else has
- * led since, and are forgotten once somebody has, as they may have finished since.
+ * What a node remembers from its own leadership terms. Finished jobs are final. Open jobs are up to date only until another node leads,
+ * under which they may finish, so they are forgotten then.
  */
 public final class LeaderMemory {
     private RememberedState known = new RememberedState();
 
-    /** A term begins; {@code succeedsItself}: nobody else has led since this node's last term. */
+    /** Records that a term of this node begins; {@code succeedsItself}: no other node has led since its last term. */
     public void termBegins(boolean succeedsItself) {
         if (!succeedsItself) {
-            // Forgotten for good: a term that ends before it has read the records adds nothing, and the next one
-            // succeeds
-            // it. That one would take for up to date what was open two terms ago.
+            // Open jobs are forgotten now and not at the end of the term: a term that ends before it has read the records
+            // adds nothing, and if this node then succeeds itself, it would take the open jobs of two terms ago for up to
+            // date.
             RememberedState finished = new RememberedState();
             known.finished().forEach(finished::add);
             known = finished;
         }
     }
 
-    /** A term ends; {@code last}: what it knew, empty if it had not read the records and so knew less than the one before. */
+    /**
+     * Records that the term ends.
+     *
+     * @param last the state that the term knew; empty if it had not read the records, and then the earlier state is kept
+     */
     public void termEnds(RememberedState last) {
         known = last.isEmpty() ? known : last;
     }
 
+    /** Returns the remembered state. */
     public RememberedState known() {
         return known;
     }
--- a/src/main/java/io/indigoreach/core/loss/LossDetector.java
+++ b/src/main/java/io/indigoreach/core/loss/LossDetector.java
@@ -5,16 +5,17 @@
 import java.util.List;
 
 /**
- * Detects that the state service has lost data that it had acknowledged. A single read proves nothing, as it may be stale ({@code
- * state.StaleReadDetector}); nor does an outage, a lagging listing or a watch that lost its place. What a transaction has compared is evidence.
- * The era is a record that only a leader writes, under its token, when it begins a new deployment or has rebuilt a lost one: while it is the one
- * that this process knows, no older copy can have replaced the data as a whole; when it is absent or older, everything may be lost.
+ * Detects that the state service has lost data that it had acknowledged. Only the comparisons of a transaction are evidence: a single read may be
+ * stale ({@code state.StaleReadDetector}), and an outage, a lagging listing or a watch that lost its position prove nothing.
  *
- * <p>Until a loss is rebuilt no user is told that a job does not exist, and nothing is accepted that may have been there before. A later era ends
- * the loss.
+ * <p>The era is a record that only a leader writes, under its token, when it starts a new deployment or has rebuilt lost data. While it has the
+ * value that this process knows, no older copy can have replaced all the data. If it is absent or older, everything may be lost.
+ *
+ * <p>Until lost data are rebuilt, no response to a user says that a job does not exist, and no job is accepted that may have existed before. A
+ * later era ends the loss.
  */
 public final class LossDetector {
-    /** Evidence of a loss, in words for the operators. */
+    /** Evidence of a loss for the operators: the value that was known, and the lower one that was found. */
     public record Finding(String what, long wanted, long found) {
         @Override
         public String toString() {
@@ -28,23 +29,24 @@
     private long era;
     private boolean holding;
 
-    /** The newest era that this process knows; 0 as long as it knows none. */
+    /** Returns the newest era that this process knows, or 0 if it knows none. */
     public long era() {
         return era;
     }
 
-    /** Whether data were lost and have not been rebuilt yet. */
+    /** Whether data were lost and are not rebuilt yet. */
     public boolean isHolding() {
         return holding;
     }
 
-    /** The evidence, the latest last. */
+    /** Returns the latest evidence, oldest first. */
     public List<Finding> findings() {
         return List.copyOf(findings);
     }
 
     /**
-     * The era as a transaction has confirmed it, 0 if there is none. True if it shows a loss that was not known.
+     * Checks the era that a transaction has confirmed, 0 if the record is absent. Like the other checks, returns true if it detects a loss
+     * while none was known.
      */
     public boolean era(long confirmed) {
         if (confirmed > era) {
@@ -55,22 +57,22 @@
         return confirmed < era && found(new Finding("era", era, confirmed));
     }
 
-    /** A transaction was given a revision, after an answer with revision {@code known}: revisions only grow. */
+    /** Checks the revision of a transaction against an earlier response with revision {@code known}; revisions only increase. */
     public boolean revision(long known, long given) {
         return given < known && found(new Finding("revision", known, given));
     }
 
-    /** The token counter as leadership is gained, and the highest token that this process has seen in use. */
+    /** Checks the token counter, read when leadership was gained, against the highest token that this process has seen in use. */
     public boolean counter(FencingToken seen, FencingToken counted) {
         return counted.value() < seen.value() && found(new Finding("counter of tokens", seen.value(), counted.value()));
     }
 
-    /** A transaction has confirmed that a record is absent that nobody has removed. */
+    /** Records that a transaction has confirmed the absence of a record that no node has removed. */
     public boolean recordGone(String key) {
         return found(new Finding("record " + key, 1, 0));
     }
 
-    /** Another controller has found a loss in an era; one before the era that this process knows has been rebuilt already. */
+    /** Records a loss that another controller detected in an era; losses in eras before this process's are already rebuilt. */
     public boolean reportedByPeer(long otherEra) {
         return otherEra >= era && era > 0 && found(new Finding("another controller's word on era", era, otherEra));
     }
--- a/src/main/java/io/indigoreach/core/loss/RecordRepair.java
+++ b/src/main/java/io/indigoreach/core/loss/RecordRepair.java
@@ -7,24 +7,23 @@
 import java.util.BitSet;
 
 /**
- * Decides what to write in place of a job's record that cannot be read: from the fields that are still readable, what controllers remember and
- * what its user submits again. A job that may have finished is not opened again against any evidence: a remembered end
- * comes first, then what the record still shows. Of a job that is opened again all tasks may have been started, and
- * tasks that were completed may run again: their results are kept, so each exits at once.
+ * Decides how to replace a job's record that cannot be read, from its readable fields, what controllers remember and what its user submits
+ * again. A job is reopened only if there is no evidence that it has finished: a remembered end takes precedence, then the readable fields. All
+ * tasks of a reopened job count as possibly started. Completed tasks may run again; their results are kept, so each exits at once.
  */
 public final class RecordRepair {
-    /** The fields of a record that can still be read; null where it cannot. */
+    /** The fields of a damaged record; null where a field cannot be read. */
     public record ReadableFields(JobStatus status, Long done, Long submittedMs) {}
 
     private RecordRepair() {}
 
     /**
-     * For the record of an open job that has no final record. An end is written into it only while many jobs end at once,
-     * for the seconds until it is moved, and then its count shows that all tasks are done; so where neither status nor count can
-     * be read the job is open.
+     * Repairs the record of an open job that has no final record. Such a record shows the end of a job only while many jobs end at once, for
+     * some seconds until the job is moved to a final record; its count then shows that all tasks are completed. So if neither status nor count
+     * can be read, the job is open.
      *
-     * @param offered the specification that its user submits again; null for a query
-     * @return what is known of the job; empty if nobody remembers its specification
+     * @param offered the specification that the user submits again; null for a query
+     * @return the state of the job; empty if its specification is unknown
      */
     public static RememberedState open(
             JobId id, ReadableFields readable, RememberedState remembered, JobSpec offered, long nowMs) {
@@ -49,8 +48,8 @@
     }
 
     /**
-     * For the final record of a job, which is done if all its tasks are and cancelled otherwise. Null if that is not known:
-     * either status could contradict what its user was told.
+     * Repairs the final record of a job: the job is done if all its tasks are completed, otherwise cancelled. Returns null if that is not
+     * known, as either status could contradict an earlier response to the user.
      */
     public static RememberedState.FinishedJob end(
             JobId id, ReadableFields readable, RememberedState remembered, JobSpec offered) {
--- a/src/main/java/io/indigoreach/core/loss/RememberedState.java
+++ b/src/main/java/io/indigoreach/core/loss/RememberedState.java
@@ -13,12 +13,21 @@
 import java.util.Map;
 
 /**
- * What controllers remember of records that the state service has lost. It can be merged in any order: a finished job takes precedence over
- * an open one, as no user who was told of the end may be told otherwise; a task is completed if any copy shows it; of two start bounds
- * the larger one is kept, as more tasks may have been started under it.
+ * What controllers remember of the records, for rebuilding those that the state service has lost. The order of merging does not matter:
+ *
+ * <ul>
+ *   <li>A finished job takes precedence over an open one, as its end may have been reported to a user.
+ *   <li>A task is completed if any copy shows it.
+ *   <li>The larger of two start bounds is kept, as more tasks may have been started under it.
+ * </ul>
  */
 public final class RememberedState {
-    /** An open job: {@code bound} is its start bound ({@link io.indigoreach.core.scheduling.StartBounds}). */
+    /**
+     * An open job.
+     *
+     * @param done the indexes of the completed tasks
+     * @param bound the start bound ({@link io.indigoreach.core.scheduling.StartBounds})
+     */
     public record OpenJob(JobSpec spec, long submittedMs, BitSet done, int bound) {
         OpenJob mergedWith(OpenJob other) {
             BitSet completed = (BitSet) done.clone();
@@ -36,10 +45,15 @@
         }
     }
 
-    /** The end of a job: its final status, and how many tasks were done. */
+    /** The end of a job: its final status and the number of completed tasks. */
     public record FinishedJob(JobStatus status, int done) {}
 
-    /** A rented machine, which may hold tasks. */
+    /**
+     * A rented machine, which may run tasks.
+     *
+     * @param rented when it was rented
+     * @param existed when it was last known to exist
+     */
     public record RentedMachine(MachineId id, MachinePool pool, Moment rented, Moment existed) {}
 
     private final Map<JobId, OpenJob> open = new LinkedHashMap<>();
@@ -47,14 +61,14 @@
     private final Map<MachineId, RentedMachine> machines = new LinkedHashMap<>();
     private final Map<String, VersionedRecord> records = new LinkedHashMap<>();
 
-    /** Adds an open job, unless it is remembered as finished; two copies of one are merged. */
+    /** Adds an open job, unless it is remembered as finished; merges it with a copy that is already present. */
     public void add(OpenJob job) {
         if (!finished.containsKey(job.spec.id())) {
             open.merge(job.spec.id(), job, OpenJob::mergedWith);
         }
     }
 
-    /** The first end of a job stays: both are final, and only one of them can have been reported to a user. */
+    /** Adds the end of a job. The first one added is kept: only one end can have been reported to a user. */
     public void add(JobId id, FinishedJob end) {
         finished.putIfAbsent(id, end);
         open.remove(id);
@@ -64,7 +78,7 @@
         machines.putIfAbsent(machine.id, machine);
     }
 
-    /** Adds a record of an optional feature; of two copies the newer one is kept. */
+    /** Adds a record of an optional feature; the newer of two copies is kept. */
     public void add(VersionedRecord record) {
         records.merge(record.key(), record, (first, second) -> second.version() > first.version() ? second : first);
     }
@@ -73,7 +87,7 @@
         return records.values();
     }
 
-    /** Adds all that another process remembers. */
+    /** Adds the state that another process remembers. */
     public void add(RememberedState other) {
         other.finished.forEach(this::add);
         other.open.values().forEach(this::add);
@@ -97,14 +111,14 @@
         return machines.values();
     }
 
-    /** The copy to be written where the state service still has {@code kept}; null if {@code kept} is complete. */
+    /** Merges a remembered job into the record that the state service still has, {@code kept}; null if the record needs no change. */
     public static OpenJob merged(OpenJob remembered, OpenJob kept) {
         return remembered.isCoveredBy(kept) ? null : kept.mergedWith(remembered);
     }
 
     @Override
     public String toString() {
-        return open.size() + " open jobs, " + finished.size() + " that are over, " + machines.size() + " machines"
+        return open.size() + " open jobs, " + finished.size() + " finished jobs, " + machines.size() + " machines"
                 + (records.isEmpty() ? "" : ", " + records.size() + " other records");
     }
 }
--- a/src/main/java/io/indigoreach/core/model/Attempt.java
+++ b/src/main/java/io/indigoreach/core/model/Attempt.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.model;
 
-/** Tells one start of a task from every other start of it. */
+/** Identifies one start of a task; each start of the same task has a different value. */
 public record Attempt(long value) {
     @Override
     public String toString() {
--- a/src/main/java/io/indigoreach/core/model/Demand.java
+++ b/src/main/java/io/indigoreach/core/model/Demand.java
@@ -1,9 +1,11 @@
 package io.indigoreach.core.model;
 
-/** The resources that a task needs of its machine, or that a machine offers. */
+/** An amount of resources: what a task requires, or what a machine has in total or free. */
 public record Demand(double cores, double gpus, double ramGb) {
     public static final Demand NOTHING = new Demand(0, 0, 0);
+    /** Sums of fractional amounts may differ by rounding errors. */
     private static final double ROUNDING = 1e-6;
+    /** The result of {@link #timesIn} for a task that requires no resources. */
     private static final double UNBOUNDED = 1e6;
 
     public Demand plus(Demand other) {
@@ -18,7 +20,7 @@
         return cores <= room.cores + ROUNDING && gpus <= room.gpus + ROUNDING && ramGb <= room.ramGb + ROUNDING;
     }
 
-    /** The part of {@code whole} that this takes, of what it takes most of. */
+    /** The dominant share: the largest fraction of {@code whole} that this takes of any single resource. */
     public double shareOf(Demand whole) {
         return Math.max(part(cores, whole.cores), Math.max(part(gpus, whole.gpus), part(ramGb, whole.ramGb)));
     }
@@ -27,7 +29,7 @@
         return taken <= ROUNDING ? 0 : taken / whole;
     }
 
-    /** How many times this fits into {@code room}. */
+    /** Returns how many tasks with this demand fit into {@code room} together. */
     public int timesIn(Demand room) {
         double times = UNBOUNDED;
         if (cores > ROUNDING) {
--- a/src/main/java/io/indigoreach/core/model/FencingToken.java
+++ b/src/main/java/io/indigoreach/core/model/FencingToken.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.model;
 
-/** The leader's number, higher for each new leader; workers discard commands under lower ones. */
+/** Identifies a leadership term and increases with each new one; workers discard commands with a lower token than they have seen. */
 public record FencingToken(long value) {
     public static final FencingToken NONE = new FencingToken(0);
 
@@ -8,7 +8,7 @@
         return new FencingToken(value + 1);
     }
 
-    /** The {@code count}-th attempt handed out under this token; no two leaders can hand out the same one. */
+    /** Returns the attempt with the given sequence number under this token; no other token yields the same attempt. */
     public Attempt attempt(long count) {
         return new Attempt((value << 28) | (count & 0xfffffffL));
     }
--- a/src/main/java/io/indigoreach/core/model/Heartbeat.java
+++ b/src/main/java/io/indigoreach/core/model/Heartbeat.java
@@ -2,7 +2,12 @@
 
 import java.util.List;
 
-/** A worker's heartbeat with all its tasks. {@code preemptionNotice} is the time until the cloud preempts the machine, or null. */
+/**
+ * A worker's heartbeat.
+ *
+ * @param preemptionNotice the time until the cloud preempts the machine; null if no preemption is announced
+ * @param tasks all tasks on the machine
+ */
 public record Heartbeat(
         MachineId machine,
         String address,
--- a/src/main/java/io/indigoreach/core/model/JobDependencies.java
+++ b/src/main/java/io/indigoreach/core/model/JobDependencies.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * The jobs that have to be done before any task of a job starts.
+ * The jobs that must complete before any task of a job starts.
  *
- * @param requiredJobs the named jobs; empty for most jobs
- * @param releasedAtMs when a leader found all of them done, by the time of day; 0 as long as no record says so
+ * @param requiredJobs the required jobs; empty for most jobs
+ * @param releasedAtMs the time of day in milliseconds at which a leader found all required jobs completed; 0 until that is recorded
  */
 public record JobDependencies(List<JobId> requiredJobs, long releasedAtMs) {
-    /** Of a job that waits for no other. */
+    /** The dependencies of a job that requires no other job. */
     public static final JobDependencies NONE = new JobDependencies(List.of(), 0);
 
     public JobDependencies {
@@ -28,12 +28,12 @@
         return releasedAtMs > 0;
     }
 
-    /** As far as its own record says, it waits for others. */
+    /** Whether the job waits for required jobs, according to its own record. */
     public boolean isWaiting() {
         return !requiredJobs.isEmpty() && !isReleased();
     }
 
-    /** The same dependencies, all of them done. */
+    /** Returns the same dependencies, released at the given time of day. */
     public JobDependencies released(long timeOfDayMs) {
         return new JobDependencies(requiredJobs, timeOfDayMs);
     }
--- a/src/main/java/io/indigoreach/core/model/JobId.java
+++ b/src/main/java/io/indigoreach/core/model/JobId.java
@@ -2,11 +2,11 @@
 
 import java.util.regex.Pattern;
 
-/** A job's id, chosen by its user. The form is fixed, so an id can be used as part of a key or a path as it is. */
+/** A job's id, chosen by its user. The format needs no escaping, so an id can be part of a key or a path. */
 public record JobId(String text) implements Comparable<JobId> {
     private static final Pattern FORM = Pattern.compile("run-[0-9]{1,18}");
 
-    /** Rejects text that has not the form of a job id. */
+    /** Rejects text that does not match the format of a job id. */
     public JobId {
         if (!isValid(text)) {
             throw new IllegalArgumentException("not a job id: " + text);
--- a/src/main/java/io/indigoreach/core/model/JobKind.java
+++ b/src/main/java/io/indigoreach/core/model/JobKind.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.model;
 
-/** What kind of job it is. */
+/** Whether the tasks of a job run to completion. */
 public enum JobKind {
     /** A job array: independent tasks that each run to completion. */
     ARRAY,
--- a/src/main/java/io/indigoreach/core/model/JobSpec.java
+++ b/src/main/java/io/indigoreach/core/model/JobSpec.java
@@ -6,28 +6,28 @@
 import java.util.Map;
 
 /**
- * The specification of a job as its owner submitted it. Optional fields are null where absent. Built with {@link #builder}.
+ * The specification of a job as its owner submitted it. Absent optional fields are null. Create one with {@link #builder}.
  *
  * @param id the job's id
- * @param jobClass the class for which objectives are set and run times are observed
+ * @param jobClass the class for which service level objectives are set and run times are estimated
  * @param team the team whose quota the job uses
- * @param kind whether the tasks each run to completion or serve until the job is cancelled
+ * @param kind whether each task runs to completion or serves until the job is cancelled
  * @param urgency the job's priority
- * @param tasks the number of tasks, or of replicas of a service
- * @param demand what each task takes of its machine
- * @param image the image that a machine must have before a task starts
- * @param imageGb the image's size
+ * @param tasks the number of tasks, or of replicas if the job is a service
+ * @param demand the resources that each task requires
+ * @param image the image that a machine must have fetched before a task starts
+ * @param imageGb the image's size in GB
  * @param types the allowed machine types, or null for any
  * @param zone the only allowed zone, or null for any
  * @param oneZone whether all tasks must be in the same zone
  * @param spread whether the tasks must be spread over zones
  * @param spotAllowed whether the tasks may run on spot machines
- * @param estimate the owner's estimate of a task's run time, without the image fetch
- * @param checkpointEvery interval of progress after which a task saves by itself; zero: it never saves
- * @param checkpointTime what a task needs to save when it is stopped
- * @param due time allowed from submission to completion, or null
- * @param more further fields, which the optional features read, as they were submitted; empty for most jobs
- * @param dependencies the jobs that have to be done before any task of this one starts
+ * @param estimate the owner's estimate of a task's run time, not including the image fetch
+ * @param checkpointEvery the interval of progress between periodic checkpoints of a task; zero if it saves none
+ * @param checkpointTime the time that a task needs to save a checkpoint when it is stopped
+ * @param due the time allowed from submission to completion, or null if there is no deadline
+ * @param more the fields of optional features, as submitted; empty for most jobs
+ * @param dependencies the jobs that must complete before any task of this one starts
  */
 public record JobSpec(
         JobId id,
@@ -50,9 +50,9 @@
         Span due,
         Map<String, Object> more,
         JobDependencies dependencies) {
-    /** The further field that names records; record ownership decides which tasks may start. */
+    /** The field of record ownership that names the records to which the tasks need exclusive access. */
     public static final String RECORDS = "records";
-    /** The further field that names a holder's pool. */
+    /** The field that names the warm pool whose image the job holds. */
     public static final String WARM = "warm";
 
     public JobSpec {
@@ -60,12 +60,12 @@
         more = more.isEmpty() ? Map.of() : Collections.unmodifiableMap(new LinkedHashMap<>(more));
     }
 
-    /** Starts a specification with one task; the fields without a default are listed in {@link Builder}. */
+    /** Returns a builder for a job; {@link Builder} lists the fields that have no default. */
     public static Builder builder(JobId id) {
         return new Builder(id);
     }
 
-    /** A builder that starts with this specification. */
+    /** Returns a builder that is initialised with this specification. */
     public Builder toBuilder() {
         return new Builder(id)
                 .jobClass(jobClass)
@@ -89,36 +89,36 @@
                 .dependencies(dependencies);
     }
 
-    /** The same job with one further field. */
+    /** Returns this specification with one field of an optional feature added. */
     public JobSpec with(String field, Object value) {
         Map<String, Object> extended = new LinkedHashMap<>(more);
         extended.put(field, value);
         return toBuilder().more(extended).build();
     }
 
-    /** The same job with other dependencies. */
+    /** Returns this specification with its dependencies replaced. */
     public JobSpec with(JobDependencies other) {
         return toBuilder().dependencies(other).build();
     }
 
-    /** Its tasks run until the job is cancelled. */
+    /** Whether the tasks are replicas that run until the job is cancelled. */
     public boolean isService() {
         return kind == JobKind.SERVICE;
     }
 
-    /** Part of a calendar's plan: it is submitted as late as its prediction allows. */
+    /** Whether the job belongs to a calendar's plan, which submits it as late as the predicted run time allows. */
     public boolean isPlanned() {
         return due != null && more.containsKey("plan");
     }
 
-    /** Nothing of it starts before its records are known to be its own. */
+    /** Whether each task starts only after the job owns the records that the task needs. */
     public boolean isGuarded() {
         return more.containsKey(RECORDS);
     }
 
     /**
-     * Its tasks only make machines fetch an image: they run on members of a warm pool, are in no queue, and neither keep nor
-     * rent a machine.
+     * Whether the tasks only make machines fetch an image. Such tasks run on members of a warm pool, bypass the queues, and cause
+     * machines neither to be rented nor to be kept.
      */
     public boolean isHolder() {
         return more.containsKey(WARM);
@@ -137,19 +137,19 @@
         return zone == null || zone.equals(name);
     }
 
-    /** Whether a task may run on a machine of this price kind. */
+    /** Whether a task may run on a spot machine, if {@code spot} is true, or on an on-demand machine otherwise. */
     public boolean allowsKind(boolean spot) {
         return spotAllowed || !spot;
     }
 
-    /** At most half of the tasks, rounded up, may be in one zone when the job is to be spread. */
+    /** Returns how many tasks may run in the same zone: half of them, rounded up, if they must be spread over zones. */
     public int zoneLimit() {
         return spread ? (tasks + 1) / 2 : tasks;
     }
 
     /**
-     * Builds a specification. Class, team, urgency, demand and image have no default; by default the job is an array of one
-     * task that never saves, may run in any zone on machines of any type but not on spot machines, and has no deadline.
+     * Builds a specification. Class, team, urgency, demand and image have no default. By default the job is an array of one
+     * task that saves no checkpoints, may run in any zone on on-demand machines of any type, and has no deadline.
      */
     public static final class Builder {
         private final JobId id;
@@ -262,43 +262,43 @@
             return spotAllowed(true);
         }
 
-        /** The owner's estimate of a task's run time. */
+        /** The owner's estimate of a task's run time, not including the image fetch. */
         public Builder estimate(Span value) {
             estimate = value;
             return this;
         }
 
-        /** The interval of progress after which a task saves by itself. */
+        /** The interval of progress between periodic checkpoints of a task; zero if it saves none. */
         public Builder checkpointEvery(Span value) {
             checkpointEvery = value;
             return this;
         }
 
-        /** What a task needs to save when it is stopped. */
+        /** The time that a task needs to save a checkpoint when it is stopped. */
         public Builder checkpointTime(Span value) {
             checkpointTime = value;
             return this;
         }
 
-        /** The time allowed from submission to completion, or null. */
+        /** The time allowed from submission to completion, or null if there is no deadline. */
         public Builder due(Span value) {
             due = value;
             return this;
         }
 
-        /** The further fields. */
+        /** The fields of optional features. */
         public Builder more(Map<String, Object> value) {
             more = value;
             return this;
         }
 
-        /** The jobs that have to be done first. */
+        /** The jobs that must complete before any task starts. */
         public Builder dependencies(JobDependencies value) {
             dependencies = value;
             return this;
         }
 
-        /** The description as built so far; its fields are not checked, as the codecs do that. */
+        /** Returns the specification. Its fields are not validated here; the codecs do that. */
         public JobSpec build() {
             return new JobSpec(
                     id,
--- a/src/main/java/io/indigoreach/core/model/JobTarget.java
+++ b/src/main/java/io/indigoreach/core/model/JobTarget.java
@@ -1,18 +1,18 @@
 package io.indigoreach.core.model;
 
 /**
- * The target of a job: how urgent it is, and by when it has to be done.
+ * The scheduling target of a job.
  *
- * @param due null if there is no deadline
+ * @param due the deadline for completion, or null if there is none
  */
 public record JobTarget(Urgency urgency, Moment due) {
-    /** The stricter of both: the more urgent, the earlier. */
+    /** Combines two targets: the higher urgency and the earlier deadline. */
     public JobTarget strictest(JobTarget other) {
         return new JobTarget(
                 other.urgency.isMoreUrgentThan(urgency) ? other.urgency : urgency, earlier(due, other.due));
     }
 
-    /** The same for a job that has to be done before one that runs for {@code run}. */
+    /** Returns the target of a job that must complete before a job with this target starts, where the latter runs for {@code run}. */
     public JobTarget before(Span run) {
         return new JobTarget(urgency, due == null ? null : due.minus(run));
     }
--- a/src/main/java/io/indigoreach/core/model/ListedMachine.java
+++ b/src/main/java/io/indigoreach/core/model/ListedMachine.java
@@ -1,11 +1,16 @@
 package io.indigoreach.core.model;
 
-/** A machine as the cloud lists it. {@code sinceRequested} is the time since it was requested. */
+/**
+ * A machine as the cloud lists it.
+ *
+ * @param sinceRequested the time since the machine was requested
+ */
 public record ListedMachine(MachineId id, MachinePool pool, Status status, Span sinceRequested) {
-    /** FAILED: it stopped by itself, with everything on it. */
+    /** The state of a machine according to the cloud. */
     public enum Status {
         STARTING,
         RUNNING,
+        /** The machine stopped without a request, and its tasks were lost. */
         FAILED
     }
 }
--- a/src/main/java/io/indigoreach/core/model/MachineId.java
+++ b/src/main/java/io/indigoreach/core/model/MachineId.java
@@ -1,10 +1,12 @@
 package io.indigoreach.core.model;
 
-/** A rented machine's name, given by the cloud. */
+/** The name that the cloud assigned to a rented machine. */
 public record MachineId(String text) implements Comparable<MachineId> {
-    /** Rejects text that is no name of a machine. */
+    private static final int MAX_LENGTH = 120;
+
+    /** Rejects text that is not a valid machine name. */
     public MachineId {
-        if (text == null || text.isEmpty() || text.length() > 120 || text.indexOf('/') >= 0 || text.indexOf(' ') >= 0) {
+        if (text == null || text.isEmpty() || text.length() > MAX_LENGTH || text.indexOf('/') >= 0 || text.indexOf(' ') >= 0) {
             throw new IllegalArgumentException("not a machine name: " + text);
         }
     }
--- a/src/main/java/io/indigoreach/core/model/Moment.java
+++ b/src/main/java/io/indigoreach/core/model/Moment.java
@@ -1,8 +1,8 @@
 package io.indigoreach.core.model;
 
-/** A point on this process's steady clock, in milliseconds from an arbitrary start. */
+/** A point in time on this process's monotonic clock, in milliseconds since an arbitrary origin. */
 public record Moment(long ms) implements Comparable<Moment> {
-    /** Before every other moment. */
+    /** Earlier than every other moment; stands for an event that has not happened. */
     public static final Moment NEVER = new Moment(Long.MIN_VALUE / 4);
 
     public Moment plus(Span span) {
@@ -13,7 +13,7 @@
         return new Moment(ms - span.ms());
     }
 
-    /** The time from {@code earlier} until this moment. */
+    /** Returns the time from {@code earlier} until this moment. */
     public Span since(Moment earlier) {
         return new Span(ms - earlier.ms);
     }
--- a/src/main/java/io/indigoreach/core/model/Span.java
+++ b/src/main/java/io/indigoreach/core/model/Span.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.model;
 
-/** A length of time in milliseconds. */
+/** A duration in milliseconds. */
 public record Span(long ms) implements Comparable<Span> {
     public static final Span ZERO = new Span(0);
 
@@ -24,7 +24,10 @@
         return new Span(Math.round(ms * factor));
     }
 
-    /** This length on a clock that may run fast by {@code 0.05%}, rounded up: what another machine's clock may need. */
+    /**
+     * Returns this duration plus 0.1%, rounded up. Clocks may run fast or slow by 0.05%; after the result has passed on one machine's
+     * clock, at least the original duration has passed on another's.
+     */
     public Span withDrift() {
         return new Span(ms + (ms + 999) / 1000);
     }
--- a/src/main/java/io/indigoreach/core/model/TaskId.java
+++ b/src/main/java/io/indigoreach/core/model/TaskId.java
@@ -2,7 +2,11 @@
 
 /** One task of a job, numbered from 0. */
 public record TaskId(JobId job, int index) {
-    /** Reads {@code run-000412/3}; throws {@link IllegalArgumentException} for anything else. */
+    /**
+     * Parses a job id and an index, such as {@code run-000412/3}.
+     *
+     * @throws IllegalArgumentException if the text has another format
+     */
     public static TaskId parse(String text) {
         int slash = text == null ? -1 : text.indexOf('/');
         if (slash < 0) {
--- a/src/main/java/io/indigoreach/core/model/TaskState.java
+++ b/src/main/java/io/indigoreach/core/model/TaskState.java
@@ -1,10 +1,13 @@
 package io.indigoreach.core.model;
 
-/** A task's state on a machine. ORDERED: a start was sent, and no newer heartbeat has arrived yet. */
+/** The state of a task on a machine. */
 public enum TaskState {
+    /** A start command was sent, and no newer heartbeat has arrived. */
     ORDERED,
+    /** The worker is fetching the image, or waits for that. */
     FETCHING,
     RUNNING,
+    /** The task is saving a checkpoint before it stops. */
     SAVING,
     EXITED
 }
--- a/src/main/java/io/indigoreach/core/model/TaskStatus.java
+++ b/src/main/java/io/indigoreach/core/model/TaskStatus.java
@@ -1,4 +1,9 @@
 package io.indigoreach.core.model;
 
-/** One task as a worker reports it; {@code cause} is null unless the task has exited. */
+/**
+ * The status of a task as its worker reports it.
+ *
+ * @param cause null unless the task has exited
+ * @param saved whether the task saved a checkpoint when it stopped
+ */
 public record TaskStatus(TaskId task, Attempt attempt, TaskState state, ExitCause cause, boolean saved) {}
--- a/src/main/java/io/indigoreach/core/model/Urgency.java
+++ b/src/main/java/io/indigoreach/core/model/Urgency.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.model;
 
-/** A job's priority, the most urgent first. */
+/** The priority of a job, in order of decreasing urgency. */
 public enum Urgency {
     PRODUCTION,
     HIGH,
--- a/src/main/java/io/indigoreach/core/model/WorkerCommand.java
+++ b/src/main/java/io/indigoreach/core/model/WorkerCommand.java
@@ -1,15 +1,15 @@
 package io.indigoreach.core.model;
 
-/** What a worker is commanded in the response to its heartbeat. */
+/** A command to a worker, sent in the response to its heartbeat. */
 public sealed interface WorkerCommand {
     TaskId task();
 
     Attempt attempt();
 
-    /** Start a task. */
+    /** Starts a task. */
     record Start(TaskId task, Attempt attempt) implements WorkerCommand {}
 
-    /** Stop, letting the task save its progress if it can within {@code grace}. */
+    /** Stops a task, which may save a checkpoint if that takes at most {@code grace}. */
     record Stop(TaskId task, Attempt attempt, Span grace) implements WorkerCommand {}
 
     /** Removes an exited task from the worker's heartbeats. */
--- a/src/main/java/io/indigoreach/core/package-info.java
+++ b/src/main/java/io/indigoreach/core/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions of the service, pure: events and the time go in, commands and requests come out. Nothing in these packages does
- * input or output, reads a clock or starts a thread.
+ * The decision logic of the service, without side effects: the inputs are events and the current time, the outputs are commands and
+ * requests. The code in these packages performs no input or output, reads no clock and starts no threads.
  */
 package io.indigoreach.core;
--- a/src/main/java/io/indigoreach/core/query/FairAdmission.java
+++ b/src/main/java/io/indigoreach/core/query/FairAdmission.java
@@ -4,16 +4,17 @@
 import java.util.Map;
 
 /**
- * Admission control for requests that wait for the state service. A client that finds no room is rejected at once; each time that it comes back there
- * is more room for it, which first-time clients do not get. Guards against starvation: with one limit for all, a client that came at the wrong moments
- * was rejected for minutes beside others that were always served.
+ * Admission control for requests that wait for the state service. A request above the limit is rejected at once, and each rejection raises the
+ * limit for the client's next request. This prevents starvation: with one limit for all, a client that retried at the wrong moments was rejected for
+ * minutes while others were always served.
  */
 public final class FairAdmission {
-    /** Requests that may wait at a time. */
+    /** The limit on waiting requests for a client without rejections. */
     static final int MAX_WAITING = 100;
-    /** Further places for each rejection before, up to {@link #MAX_COUNTED_REJECTIONS} times: with requests 5 s apart, all after 25 s. */
+    /** The increase of a client's limit for each rejection; a client that retries every 5 s reaches the highest limit after 25 s. */
     static final int EXTRA_PER_REJECTION = 20;
 
+    /** Rejections beyond this number do not raise the limit further. */
     static final int MAX_COUNTED_REJECTIONS = 5;
     private static final int MAX_REMEMBERED_CLIENTS = 4_000;
 
@@ -25,7 +26,7 @@
         }
     };
 
-    /** Takes a place, to be given back by {@link #leave}; false if there is none for {@code who} now. */
+    /** Admits a request of a client, which must call {@link #leave} when it is answered; false if the request is rejected. */
     public boolean tryEnter(String client) {
         int rejected = rejections.getOrDefault(client, 0);
         if (waiting >= MAX_WAITING + EXTRA_PER_REJECTION * rejected) {
@@ -37,6 +38,7 @@
         return true;
     }
 
+    /** Records that an admitted request no longer waits. */
     public void leave() {
         waiting--;
     }
--- a/src/main/java/io/indigoreach/core/query/ListingCursor.java
+++ b/src/main/java/io/indigoreach/core/query/ListingCursor.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 
 /**
- * Assigns the pages of a listing to the requests that wait for its keys. Each listing begins where the previous one ended, and skips
- * what nobody waits for. Guards against starvation: where each listing began at the first key, the last keys were always answered too late.
+ * Assigns the pages of a listing to the requests that wait for its keys. Each listing starts where the previous one ended, and skips ranges
+ * without waiting requests. This prevents starvation: when each listing started at the first key, requests for the last keys always timed out.
  *
  * @param <W> a waiting request
  */
@@ -14,7 +14,7 @@
     private final TreeMap<String, W> remaining = new TreeMap<>();
     private String position = "";
 
-    /** Adds the requests that wait for the listing that begins now, by their keys. */
+    /** Starts a listing for the given requests, by their keys. */
     public void begin(Map<String, W> waiting) {
         remaining.putAll(waiting);
     }
@@ -24,29 +24,29 @@
         return remaining.isEmpty();
     }
 
-    /** The first key of the next page: the next one with a waiting request, starting over after the last. */
+    /** Returns the first key of the next page: the next key with a waiting request, wrapping around after the last. */
     public String next() {
         String key = remaining.ceilingKey(position);
         return key != null ? key : remaining.firstKey();
     }
 
-    /** Removes the requests that a page beginning at {@code from} answers: up to its {@code last} key, or to the end if that is null. */
+    /** Removes and returns the requests that a page from {@code from} to {@code last} answers; null stands for the end of the listing. */
     public Map<String, W> answered(String from, String last) {
         SortedMap<String, W> range =
                 last == null ? remaining.tailMap(from, true) : remaining.subMap(from, true, last, true);
         Map<String, W> answered = new TreeMap<>(range);
         range.clear();
-        // The next page begins after the last key in any case, as that key is not requested again.
+        // The next page starts after the last key, as no remaining request waits for that key.
         position = last == null ? "" : last;
         return answered;
     }
 
-    /** The page that began at {@code from} has failed: the next listing begins elsewhere. */
+    /** Records that the page starting at {@code from} failed; the next page starts after that key. */
     public void failed(String from) {
         position = from + " ";
     }
 
-    /** Ends the listing and removes the requests that are left unanswered; the next listing begins with their keys. */
+    /** Ends the listing, and removes and returns the unanswered requests; the next listing starts with their keys. */
     public Map<String, W> end() {
         Map<String, W> unanswered = new TreeMap<>(remaining);
         remaining.clear();
--- a/src/main/java/io/indigoreach/core/query/package-info.java
+++ b/src/main/java/io/indigoreach/core/query/package-info.java
@@ -1,2 +1,2 @@
-/** Fairness of users' queries: which requests may wait, and in which order shared listings answer them. Pure. */
+/** Fairness of users' queries: admission of requests, and the order in which shared listings answer them. The code has no side effects. */
 package io.indigoreach.core.query;
--- a/src/main/java/io/indigoreach/core/records/GarbageCollector.java
+++ b/src/main/java/io/indigoreach/core/records/GarbageCollector.java
@@ -2,8 +2,8 @@
 
 import io.indigoreach.core.model.Span;
 
-/** The leader's garbage collection for an optional feature: ends what failed controllers left unfinished and removes what has expired. */
+/** Garbage collection by the leader for an optional feature: completes what failed controllers left unfinished and deletes expired records. */
 public interface GarbageCollector {
-    /** One round, from what is recorded; its result is how long to wait until the next. */
+    /** Returns the routine of one collection round, whose result is the time until the next round. */
     Routine<Span> round();
 }
--- a/src/main/java/io/indigoreach/core/records/ListRecords.java
+++ b/src/main/java/io/indigoreach/core/records/ListRecords.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads all records with a prefix, page by page, as of a moment in the recent past. */
+/** Reads all records with a prefix, page by page. The result may be slightly stale. */
 public final class ListRecords implements Routine<List<VersionedRecord>> {
     private static final int PAGE_SIZE = 50;
 
@@ -11,7 +11,7 @@
     private final List<VersionedRecord> found = new ArrayList<>();
     private boolean started;
 
-    /** {@code prefix}: of the keys to be read. */
+    /** {@code prefix}: the prefix of the keys to read. */
     public ListRecords(String prefix) {
         this.prefix = prefix;
     }
--- a/src/main/java/io/indigoreach/core/records/RecordCache.java
+++ b/src/main/java/io/indigoreach/core/records/RecordCache.java
@@ -6,15 +6,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** One controller's copies of the optional features' records: the most recently used of each family, bounded. */
+/** A controller's copies of the optional features' records: a bounded LRU cache for each family. */
 public final class RecordCache {
     private final Map<RecordFamily, Map<String, VersionedRecord>> byFamily = new LinkedHashMap<>();
 
-    /** {@code families}: none may have a prefix that begins with another's. */
+    /** {@code families}: the families to cache; no prefix may start with that of another family. */
     public RecordCache(Collection<RecordFamily> families) {
         for (RecordFamily family : families) {
             if (byFamily.keySet().stream().anyMatch(f -> f.contains(family.prefix()) || family.contains(f.prefix()))) {
-                throw new IllegalArgumentException("two families of records under " + family.prefix());
+                throw new IllegalArgumentException("the prefix of a record family overlaps with another: " + family.prefix());
             }
             byFamily.put(family, new LinkedHashMap<>(16, 0.75f, true) {
                 @Override
@@ -25,12 +25,12 @@
         }
     }
 
-    /** The families whose records are kept. */
+    /** Returns the families whose records are cached. */
     public Collection<RecordFamily> families() {
         return byFamily.keySet();
     }
 
-    /** The family of a key; null if it is of none. */
+    /** Returns the family of a key, or null if it belongs to none. */
     public RecordFamily familyOf(String key) {
         return byFamily.keySet().stream()
                 .filter(f -> f.contains(key))
@@ -38,13 +38,13 @@
                 .orElse(null);
     }
 
-    /** The newest copy; null if there is none. */
+    /** Returns the copy of a record, or null if there is none. */
     public VersionedRecord get(String key) {
         RecordFamily family = familyOf(key);
         return family == null ? null : byFamily.get(family).get(key);
     }
 
-    /** Read or written, and known to have been acknowledged. An older one than the copy is not taken. */
+    /** Adds a record that was read, or whose write was acknowledged, unless the cache has a newer copy. */
     public void add(VersionedRecord record) {
         RecordFamily family = familyOf(record.key());
         if (family != null && record.exists()) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** The record was deleted. */
+    /** Removes the copy of a deleted record. */
     public void remove(String key) {
         RecordFamily family = familyOf(key);
         if (family != null) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Everything, whole families one after the other. */
+    /** Returns all copies, grouped by family. */
     public List<VersionedRecord> all() {
         List<VersionedRecord> out = new ArrayList<>();
         byFamily.values().forEach(m -> out.addAll(m.values()));
--- a/src/main/java/io/indigoreach/core/records/RecordFamily.java
+++ b/src/main/java/io/indigoreach/core/records/RecordFamily.java
@@ -3,32 +3,32 @@
 import java.util.Map;
 
 /**
- * The records of an optional feature under one prefix, as loss detection, rebuilding and garbage collection treat them.
+ * The records of an optional feature under one prefix, with the rules for loss detection, rebuilding and garbage collection.
  *
- * @param prefix ends in a slash; none may begin with another's
- * @param remembered how many of them each controller remembers at most, for when the state service loses them
- * @param permanent they are never removed: that one is gone, or older than a copy, shows a loss
- * @param mending what to write in place of a lost record
+ * @param prefix the prefix of the keys; ends in a slash and does not start with the prefix of another family
+ * @param remembered the most records that each controller remembers in case the state service loses them
+ * @param permanent whether the records are never deleted, so that a missing one shows a loss
+ * @param mending how to rebuild a lost record
  */
 public record RecordFamily(String prefix, int remembered, boolean permanent, Mending mending) {
-    /** What is written where controllers remember a record that is absent or another in the state service. */
+    /** Decides what to write if a remembered record is absent from the state service or differs there. */
     @FunctionalInterface
     public interface Mending {
-        /** The newer copy, where that is the remembered one. */
+        /** Writes the remembered record if it is newer than the present one. */
         Mending NEWER = (present, remembered) -> present.version() < remembered.version() ? remembered.value() : null;
 
-        /** The value to be written, counting on from both; null if what is there stays. */
+        /** Returns the value to write, with a version above those of both copies; null if the present record stays. */
         Map<String, Object> mend(VersionedRecord present, VersionedRecord remembered);
     }
 
     /** Checks that the prefix ends in a slash. */
     public RecordFamily {
         if (!prefix.endsWith("/")) {
-            throw new IllegalArgumentException("a prefix ends in a slash: " + prefix);
+            throw new IllegalArgumentException("the prefix of a record family must end in a slash: " + prefix);
         }
     }
 
-    /** Whether a key is of this family. */
+    /** Whether a key belongs to this family. */
     public boolean contains(String key) {
         return key.startsWith(prefix);
     }
--- a/src/main/java/io/indigoreach/core/records/Routine.java
+++ b/src/main/java/io/indigoreach/core/records/Routine.java
@@ -1,11 +1,11 @@
 package io.indigoreach.core.records;
 
 /**
- * Reads and writes of an optional feature, one step after the other; pure, so that tests can end it after any step. It may be ended after
- * any of its writes, as the process that runs it may, and whoever carries on begins from what is recorded. A write without an
- * answer ends it too: whoever asked repeats it under the same name.
+ * A sequence of reads and writes of an optional feature, as a state machine without side effects, so that tests can interrupt it after any
+ * step. It must tolerate an interruption after any of its writes, as the process that runs it may fail: the next routine continues from the
+ * recorded state. A write without a response also ends the routine, and its caller repeats it under the same name.
  */
 public interface Routine<R> {
-    /** The next step after the result of the last one; at first {@code seen} is empty. */
+    /** Returns the next step, given the result of the previous one; the first call gets an empty result. */
     Step<R> next(StepResult seen);
 }
--- a/src/main/java/io/indigoreach/core/records/Step.java
+++ b/src/main/java/io/indigoreach/core/records/Step.java
@@ -2,21 +2,21 @@
 
 import java.util.List;
 
-/** What a {@link Routine} wants next. */
+/** A step that a {@link Routine} requests. */
 public sealed interface Step<R> {
-    /** The records of these keys as they stand now; one that is absent surely is, in an era that is known. */
+    /** Reads the current records of the given keys; a record that is reported absent is confirmed absent, if the era is known. */
     record Read<R>(List<String> keys) implements Step<R> {
         public Read {
             keys = List.copyOf(keys);
         }
     }
 
-    /** Up to {@code most} records with a prefix, in the order of their keys, beginning after one, or null. */
+    /** Reads up to {@code most} records with a prefix, in key order, after the key {@code after} or, if that is null, from the first. */
     record Scan<R>(String prefix, String after, int most) implements Step<R> {}
 
-    /** Executed as a whole or not at all; the next {@link StepResult} says which. */
+    /** Commits a transaction; the next {@link StepResult} shows whether it was executed. */
     record Write<R>(Transaction change) implements Step<R> {}
 
-    /** The routine is finished. */
+    /** Ends the routine with a result. */
     record End<R>(R result) implements Step<R> {}
 }
--- a/src/main/java/io/indigoreach/core/records/StepResult.java
+++ b/src/main/java/io/indigoreach/core/records/StepResult.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /**
- * What the last {@link Step} brought.
+ * The result of a {@link Step}.
  *
- * @param era the era in which this was seen; records of an earlier one may be gone without having been rebuilt
- * @param timeOfDayMs by this node's clock, which may be off by the settings' bound
- * @param records by key: what was read, absent ones included, or what a scan brought, in the order of the keys
- * @param more a scan has more to bring
- * @param written the version of what was written; null if nothing was
- * @param failed the keys that did not have the given version when a write was refused
+ * @param era the era in which the step was executed; records of an earlier era may have been lost and not rebuilt
+ * @param timeOfDayMs the time of day by this node's clock, which may be off by up to the bound in the settings
+ * @param records the records by key: all that were to be read, including absent ones, or those that a scan found, in key order
+ * @param more whether more records follow those of a scan
+ * @param written the revision of the transaction if one was executed, otherwise null
+ * @param failed the keys whose revision did not meet the conditions of a rejected transaction
  */
 public record StepResult(
         long era,
@@ -21,17 +21,17 @@
         boolean more,
         Revision written,
         List<String> failed) {
-    /** The result before the first step. */
+    /** Returns the empty result that precedes the first step. */
     public static StepResult nothing(long era, long timeOfDayMs) {
         return new StepResult(era, timeOfDayMs, Map.of(), false, null, List.of());
     }
 
-    /** The record of a key; an absent one if it was not read. */
+    /** Returns the record of a key; an absent record if it was not read. */
     public VersionedRecord record(String key) {
         return records.getOrDefault(key, VersionedRecord.absent(key));
     }
 
-    /** Whether the last step was a write that was executed. */
+    /** Whether the step was a write that was executed. */
     public boolean isWritten() {
         return written != null;
     }
--- a/src/main/java/io/indigoreach/core/records/Transaction.java
+++ b/src/main/java/io/indigoreach/core/records/Transaction.java
@@ -4,59 +4,59 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A compare-and-swap: writes that are executed together or not at all, and the revisions that keys must have for them. */
+/** A compare-and-swap: writes that are executed atomically, provided that the given keys have the given revisions. */
 public final class Transaction {
     private final Map<String, Revision> conditions = new LinkedHashMap<>();
     private final Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
 
-    /** Only if the key has this revision. */
+    /** Adds the condition that the key has this revision. */
     public Transaction when(String key, Revision revision) {
         conditions.put(key, revision);
         return this;
     }
 
-    /** Only if the record is still as it was read. */
+    /** Adds the condition that the record has not changed since it was read. */
     public Transaction when(VersionedRecord read) {
         return when(read.key(), read.revision());
     }
 
-    /** Writes a value. */
+    /** Adds a write of a value. */
     public Transaction put(String key, Map<String, Object> value) {
         writes.put(key, value);
         return this;
     }
 
-    /** Puts a new value in place of what was read, if that is still current, and counts the change. */
+    /** Replaces the value of a record if it has not changed since it was read, and increments its version. */
     public Transaction replace(VersionedRecord read, Map<String, Object> value) {
         Map<String, Object> counted = new LinkedHashMap<>(value);
         counted.put(VersionedRecord.VERSION, read.version() + 1);
         return when(read).put(read.key(), counted);
     }
 
-    /** Deletes a key. */
+    /** Adds the deletion of a key. */
     public Transaction delete(String key) {
         writes.put(key, null);
         return this;
     }
 
-    /** Adds another's conditions and writes. */
+    /** Adds the conditions and writes of another transaction. */
     public Transaction and(Transaction other) {
         conditions.putAll(other.conditions);
         writes.putAll(other.writes);
         return this;
     }
 
-    /** The revision that each key must have. */
+    /** Returns the required revisions by key. */
     public Map<String, Revision> conditions() {
         return conditions;
     }
 
-    /** By key; null: the key is deleted. */
+    /** Returns the values to write by key; null deletes the key. */
     public Map<String, Map<String, Object>> writes() {
         return writes;
     }
 
-    /** Whether it neither requires nor writes anything. */
+    /** Whether there are neither conditions nor writes. */
     public boolean isEmpty() {
         return conditions.isEmpty() && writes.isEmpty();
     }
--- a/src/main/java/io/indigoreach/core/records/VersionedRecord.java
+++ b/src/main/java/io/indigoreach/core/records/VersionedRecord.java
@@ -6,13 +6,14 @@
 import java.util.Map;
 
 /**
- * A record of an optional feature as it was read or written. Besides the state service's revision, which begins anew when data are lost, its
- * value counts its own changes under {@link #VERSION}: of two copies the one with the higher count is the newer.
+ * A record of an optional feature as it was read or written. Its value contains a version under {@link #VERSION}, which increases with each
+ * write and determines the newer of two copies. The state service's revision cannot serve for that, as it starts again when data are lost.
  *
- * @param revision the state service's version; {@link Revision#ABSENT} with a null value if there is no such record
+ * @param value the value, or null if the record is absent
+ * @param revision the state service's revision; {@link Revision#ABSENT} if the record is absent
  */
 public record VersionedRecord(String key, Map<String, Object> value, Revision revision) {
-    /** The field that counts a record's changes; a part's routine raises it with each write. */
+    /** The field with a record's version; the routines of the optional features increment it with each write. */
     public static final String VERSION = "v";
 
     /** Copies the value. */
@@ -20,17 +21,17 @@
         value = value == null ? null : Collections.unmodifiableMap(new LinkedHashMap<>(value));
     }
 
-    /** There is no record under this key. */
+    /** Returns a record that stands for an absent key. */
     public static VersionedRecord absent(String key) {
         return new VersionedRecord(key, null, Revision.ABSENT);
     }
 
-    /** Whether there is such a record. */
+    /** Whether the record is present. */
     public boolean exists() {
         return value != null;
     }
 
-    /** How often it was changed; 0 if it is not there. */
+    /** Returns the version, or 0 if the record is absent. */
     public long version() {
         return value != null && value.get(VERSION) instanceof Number n ? n.longValue() : 0;
     }
--- a/src/test/java/io/indigoreach/core/BehaviourDigest.java
+++ b/src/test/java/io/indigoreach/core/BehaviourDigest.java
@@ -29,31 +29,32 @@
 import java.util.stream.LongStream;
 
 /**
- * A digest of what the core decides in its seeded runs: a line for each kind of run and each 20 seeds, with a hash over all effects
- * in their order ({@link EffectListener}). A refactoring leaves every line as it is. To compare with the committed lines, or to
- * write them anew after a change of behaviour that is meant:
+ * Digests the decisions of the core in seeded simulations: one line for each kind of simulation and 20 seeds, with a hash over all effects in
+ * order ({@link EffectListener}). A refactoring must not change any line. To compare with the committed lines, or to rewrite them after an
+ * intended change of behaviour:
  *
  * <pre>{@code
  * src/test/digest.sh --check src/test/resources/behaviour-digests.txt
  * src/test/digest.sh --write src/test/resources/behaviour-digests.txt
  * }</pre>
  *
- * <p>Without arguments the lines are printed. Each also counts the effects, and names the seeds of the runs that broke a rule
- * which their test checks; such a run is hashed up to there. The digest says that behaviour changed, not whether it is right: that is the tests'.
+ * <p>Without arguments the lines are printed. Each line also has the number of effects and the seeds of the simulations that violated an
+ * invariant which their test checks; such a simulation is hashed up to the violation. The digest shows that behaviour changed; whether it is
+ * correct is for the tests to check.
  */
 final class BehaviourDigest {
     private static final int SEEDS_A_LINE = 20;
     private static final int HASH_BYTES = 12;
 
-    /** Plays one run; true if it kept the rules that its test checks. */
+    /** Runs one simulation; returns whether it satisfied the invariants that its test checks. */
     private interface Play {
         boolean run(long seed, EffectListener effects);
     }
 
-    /** Runs with the seeds from 1 on. The name stands in the committed lines. */
+    /** Simulations with the seeds from 1 to {@code seeds}. The committed lines contain the name. */
     private record Runs(String name, int seeds, Play play) {}
 
-    /** {@code hash}: in hexadecimal digits. */
+    /** The result of one simulation; {@code hash} is hexadecimal. */
     private record Result(long seed, String hash, long effects, boolean kept) {}
 
     private static final List<Runs> ALL = List.of(
@@ -175,7 +176,7 @@
                 .isEmpty();
     }
 
-    /** Each trouble with one change of leader, and with several that follow soon and late. */
+    /** Each fault with one change of leader, and with several at short and at long intervals. */
     private static boolean limits(long seed, EffectListener effects) {
         TeamLimitSimulation.Trouble[] troubles = {
             TeamLimitSimulation.Trouble.NONE,
@@ -196,7 +197,7 @@
         return run.site.broken.isEmpty();
     }
 
-    /** Queues of up to four classes and a service, of three teams, for some of which there is an aim; one change of leader. */
+    /** Up to four job classes and a service, of three teams, some with a service level objective; one change of leader. */
     private static boolean queues(long seed, EffectListener effects) {
         SplittableRandom random = new SplittableRandom(seed);
         Urgency[] urgencies = {Urgency.HIGH, Urgency.STANDARD, Urgency.BEST_EFFORT, Urgency.PRODUCTION};
--- a/src/test/java/io/indigoreach/core/EffectHash.java
+++ b/src/test/java/io/indigoreach/core/EffectHash.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A hash over every effect that it hears, in their order. */
+/** Computes a hash over all effects of a simulation, in order. */
 final class EffectHash implements EffectListener {
     private final MessageDigest digest;
     private final DataOutputStream out;
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Each value after a letter for its kind. Whole numbers of all sizes are one kind. */
+    /** Writes a letter for the type of the value, then the value. All integers have the same type. */
     private void write(Object value) throws IOException {
         if (value == null) {
             out.writeByte('0');
@@ -95,7 +95,7 @@
                 write(entry.getValue());
             }
         } else {
-            // The text of anything else may hold names of the code, or an address.
+            // The text of other objects may contain names from the code, or an identity hash.
             throw new IllegalArgumentException("not a plain value: " + value.getClass());
         }
     }
--- a/src/test/java/io/indigoreach/core/EffectListener.java
+++ b/src/test/java/io/indigoreach/core/EffectListener.java
@@ -17,8 +17,8 @@
 import java.util.TreeMap;
 
 /**
- * Hears, in order, what the core decides in a simulated run; see {@link BehaviourDigest}. An effect is a code and plain values, so
- * that it stays the same when classes, methods or constants of the core are renamed. A code keeps its number for ever.
+ * Receives, in order, the decisions of the core in a simulation; see {@link BehaviourDigest}. An effect consists of a code and plain values, so
+ * that renaming classes, methods or constants of the core does not change it. The number of a code must never change.
  */
 @FunctionalInterface
 public interface EffectListener {
@@ -55,17 +55,17 @@
     int MONEY = 29;
 
     /**
-     * Something was decided.
+     * Receives an effect.
      *
-     * @param values numbers, strings, truth values, nulls, bit sets, and lists and maps of these; a map's order counts for nothing
+     * @param values numbers, strings, booleans, nulls, bit sets, and lists and maps of these; the order of a map is ignored
      */
     void effect(int code, Object... values);
 
     /**
-     * The orders for a machine that has reported.
+     * Receives the commands in the response to a heartbeat.
      *
-     * @param result what the core makes of the heartbeat
-     * @param answered whether the report is answered
+     * @param result the core's result for the heartbeat
+     * @param answered whether the heartbeat is responded to
      */
     default void answer(MachineId machine, HeartbeatResult result, boolean answered) {
         effect(
@@ -89,6 +89,7 @@
         }
     }
 
+    /** Receives the requests to rent machines. */
     default void rents(List<ScaleOutRequest> wishes) {
         wishes.forEach(request -> effect(
                 RENT,
@@ -98,21 +99,22 @@
                 request.count()));
     }
 
+    /** Receives the machines to be returned to the cloud. */
     default void returns(List<MachineId> machines) {
         machines.forEach(id -> effect(RETURN, id.text()));
     }
 
-    /** Start bounds whose records the leader asks for. */
+    /** Receives the jobs whose raised start bounds the leader has to record. */
     default void boundsToRaise(List<Job> jobs) {
         jobs.forEach(job -> effect(START_BOUND, job.id().text(), job.startBoundToWrite()));
     }
 
-    /** The job's progress, as its record is to be written. */
+    /** Receives the progress that a job's record is to show. */
     default void progress(Job job) {
         effect(PROGRESS_RECORD, job.id().text(), job.completedTasks(), job.isComplete());
     }
 
-    /** {@code reason}: null if none of the job's tasks waits. */
+    /** Receives the reason why a job's tasks wait; {@code reason} is null if none waits. */
     default void waits(Job job, WaitReason reason) {
         effect(WAITS, job.id().text(), reason == null ? 0 : codeOf(reason));
     }
@@ -144,7 +146,7 @@
         };
     }
 
-    /** What a leader says of itself. */
+    /** Receives a leader's state. */
     default void leader(SchedulerCore core, Moment now) {
         effect(
                 LEADER,
@@ -154,7 +156,7 @@
                 core.machineCount());
     }
 
-    /** What a routine wants next; its result is told by whoever knows its type. */
+    /** Receives a step that a routine requests. The result of a routine is reported separately by its caller, which knows the type. */
     default void step(Step<?> step) {
         if (step instanceof Step.Read<?> read) {
             effect(READ, read.keys());
@@ -167,13 +169,14 @@
         }
     }
 
+    /** Receives a transaction. */
     default void change(Transaction change) {
         Map<String, Object> conditions = new TreeMap<>();
         change.conditions().forEach((key, stamp) -> conditions.put(key, stamp.value()));
         effect(WRITE, conditions, change.writes());
     }
 
-    /** A page of the accounts that is to be written. */
+    /** Receives a page of the accounts that is to be written. */
     default void page(int number, Sheet sheet) {
         List<Object> lines = new ArrayList<>();
         sheet.lines().values().forEach(l -> {
--- a/src/test/java/io/indigoreach/core/dependency/DependencyGraphTest.java
+++ b/src/test/java/io/indigoreach/core/dependency/DependencyGraphTest.java
@@ -17,7 +17,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Releases, cascades and what the ends of chains ask of the jobs before them. */
+/** The release of jobs, cascading cancellation, and the propagation of targets to required jobs. */
 class DependencyGraphTest {
     private static final int MANY = 10_000;
     private static final Duration SOON = Duration.ofSeconds(2);
@@ -46,7 +46,7 @@
         assertTrue(graph.isEmpty());
     }
 
-    /** Through any depth, also what comes later, and none of it is released by another need that is done. */
+    /** Transitively, also for jobs that are added later; another required job that is done does not release them. */
     @Test
     void whatIsBelowACancelledJobIsDoomed() {
         add(3, 1, 2);
@@ -76,8 +76,8 @@
     }
 
     /**
-     * A line of many, one that many need, and one that needs many: each in a time that grows with its edges alone.
-     * Counted is this thread's processor time, which other processes take nothing of.
+     * A long chain, a job that many jobs require, and a job that requires many: guards against a cost that is quadratic in the number of
+     * edges. Measures the CPU time of this thread, on which other processes have no influence.
      */
     @Test
     void nothingIsQuadratic() {
@@ -93,10 +93,10 @@
         assertEquals(MANY, graph.takeReleased().size());
         IntStream.range(1, MANY).forEach(n -> graph.cancelled(id(n)));
         Duration spent = Duration.ofNanos(threads.getCurrentThreadCpuTime() - begun);
-        assertTrue(spent.compareTo(SOON) < 0, "it took " + spent);
+        assertTrue(spent.compareTo(SOON) < 0, "CPU time: " + spent);
     }
 
-    /** 1 and 2 are needed by 3, 3 by 4 and 5. Each runs for as many seconds as its number. */
+    /** Job 3 requires 1 and 2; jobs 4 and 5 require 3. Each job runs for as many seconds as its number. */
     @Test
     void theEndsOfChainsSayWhatIsAskedOfTheJobsBefore() {
         add(3, 1, 2);
--- a/src/test/java/io/indigoreach/core/intent/IntentsTest.java
+++ b/src/test/java/io/indigoreach/core/intent/IntentsTest.java
@@ -19,11 +19,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Nothing is requested of the cloud that is not recorded, and the next leader completes what was. */
+/** No request is sent to the cloud before it is recorded, and the next leader completes the recorded requests. */
 public class IntentsTest {
     private static final MachinePool POOL = new MachinePool("quad", "east", true);
 
-    /** A guard that a run can do without, to see that it then breaks its rule. */
+    /** A safeguard that a simulation can leave out, to check that the simulation then detects a violation. */
     enum Without {
         RECORD,
         COMPLETION,
@@ -40,7 +40,7 @@
         intents.recorded(page);
         assertTrue(
                 intents.maySend("t5-1") && !intents.maySend("t5-2"),
-                "what came while the record was written is not in it");
+                "a request that was added during the write is not in the record");
         assertTrue(intents.isUnrecorded());
         intents.completed("t5-1");
         assertFalse(intents.maySend("t5-1"), "a completed request is not sent again");
@@ -50,7 +50,7 @@
         for (int i = 0; i < 150; i++) {
             many.add(new MachineId("vm-" + i));
         }
-        assertEquals(Intents.MAX_RETURNS, intents.addReturns(many).size(), "no more than a record holds");
+        assertEquals(Intents.MAX_RETURNS, intents.addReturns(many).size(), "as many as the record may hold");
         assertFalse(intents.mayReturn(many.subList(0, 1)));
         intents.recorded(intents.page());
         assertTrue(intents.mayReturn(many.subList(0, 100)) && !intents.mayReturn(many.subList(99, 101)));
@@ -65,7 +65,7 @@
         assertEquals(List.of(), new Run(seed, null).play());
     }
 
-    /** What is broken in a run whose decisions the listener hears. */
+    /** Runs a simulation and returns its violations; {@code effects} receives the decisions. */
     public static List<String> play(long seed, EffectListener effects) {
         Run run = new Run(seed, null);
         run.effects = effects;
@@ -79,13 +79,13 @@
         for (long seed = 1; seed <= 20 && !found; seed++) {
             found = !new Run(seed, without).play().isEmpty();
         }
-        assertTrue(found, "nothing found without " + without);
+        assertTrue(found, "no violation found without " + without);
     }
 
     /**
-     * Leaders follow each other at any moment; answers of the state service and the cloud are lost, requests to the cloud are
-     * executed late. Broken: a machine that nobody knows of in the end, one used after its return was asked for, a name
-     * asked for with another count.
+     * Simulates failovers at random times, lost responses of the state service and the cloud, and requests to the cloud that are executed late.
+     * Violations are a rented machine that the last leader does not know, a machine in use after its return was requested, and a request
+     * name that is sent with two different counts.
      */
     private static final class Run {
         private final Random random;
@@ -143,7 +143,7 @@
             }
             there.stream()
                     .filter(id -> !known.contains(id))
-                    .forEach(id -> broken.add(id + " is paid for and not known"));
+                    .forEach(id -> broken.add(id + " is rented but unknown to the leader"));
             return broken;
         }
 
@@ -170,7 +170,7 @@
                     .ifPresent(r -> {
                         effects.effect(EffectListener.RENT_ASKED, r.name(), r.count());
                         if (named.putIfAbsent(r.name(), r.count()) != null && named.get(r.name()) != r.count()) {
-                            broken.add(r.name() + " is used twice");
+                            broken.add(r.name() + " is sent with different counts");
                         }
                         Runnable executed = () -> rented.computeIfAbsent(r.name(), n -> {
                             List<MachineId> ids = new ArrayList<>();
@@ -221,7 +221,7 @@
                     .forEach(id -> broken.add(id + " is used though its return was requested"));
         }
 
-        /** The next leader knows the record, and the machines that report: all but those that came by a late request. */
+        /** The next leader knows the record and the machines that send heartbeats, but not those of rentals that are executed late. */
         private void failover() {
             leader++;
             Set<MachineId> before = known;
--- a/src/test/java/io/indigoreach/core/leadership/CancellationHorizonTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/CancellationHorizonTest.java
@@ -12,16 +12,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A leader that the state service does not answer may go on only as long as no cancellation can have passed it by. */
+/** A leader may go on without the state service only as long as it cannot have missed a confirmed cancellation. */
 class CancellationHorizonTest {
-    /** Everything until 10 s is known; all nodes asked at 20 s have answered at 21 s. */
+    /** Cancellations until 10 s are known; all nodes have responded at 21 s to requests sent at 20 s. */
     @ParameterizedTest
     @CsvSource({
-        "30, 20, what was confirmed since is known",
-        "11.2, 20, nor is one missing from just before",
-        "11, 10, one may have been confirmed as the watch ended",
-        "3, 10, one was confirmed before that is not among them",
-        "0, 10, a process is new, or did not answer"
+        "30, 20, all cancellations since the horizon are covered",
+        "11.2, 20, also with the allowance for clock drift",
+        "11, 10, a cancellation just after the horizon may not be covered",
+        "3, 10, earlier cancellations are not covered",
+        "0, 10, a process has just started or did not respond"
     })
     void answersOfAllNodesReplaceTheWatch(double covered, double until, String why) {
         CancellationHorizon horizon = new CancellationHorizon();
@@ -29,10 +29,10 @@
         horizon.peersAnswered(Span.seconds(covered), at(20), at(21));
         assertEquals(at(until), horizon.completeUntil(), why);
         horizon.advanceTo(at(15));
-        assertEquals(at(Math.max(15, until)), horizon.completeUntil(), "never goes back");
+        assertEquals(at(Math.max(15, until)), horizon.completeUntil(), "the horizon never goes back");
     }
 
-    /** Guards against a leader that saw that a job was gone, could not read the reason in the outage, and let it run on. */
+    /** Guards against a leader that saw that a record was missing, could not read the reason during an outage, and let the tasks run on. */
     @Test
     void missingJobHoldsTheHorizonUntilItIsResolved() {
         CancellationHorizon horizon = new CancellationHorizon();
@@ -49,7 +49,7 @@
         assertEquals(at(20), horizon.completeUntil());
     }
 
-    /** Guards against a new leader whose records cannot be read: it knows of no cancellation, however old. */
+    /** Guards against a new leader that cannot read the records, and so may not know even old cancellations. */
     @Test
     void nothingIsKnownBeforeTheRecordsAreRead() {
         CancellationHorizon horizon = new CancellationHorizon();
--- a/src/test/java/io/indigoreach/core/leadership/ConfirmedCancellationsTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/ConfirmedCancellationsTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A summary never covers more than the node remembers: a leader must not take what it leaves out for "nothing cancelled". */
+/** A summary never covers more time than the node remembers: otherwise a leader would assume that no other job was cancelled in that time. */
 class ConfirmedCancellationsTest {
-    /** A process that began at 100 s has confirmed run-1 at 110 s and run-2 at 120 s; asked at 130 s. */
+    /** A process that started at 100 s has confirmed run-1 at 110 s and run-2 at 120 s; the summary is requested at 130 s. */
     @ParameterizedTest
     @CsvSource({
         "5, 5, ''",
@@ -39,7 +39,7 @@
         assertEquals(Span.seconds(10), confirmed.timeSinceLast(at(130)));
     }
 
-    /** Guards against a summary that lacks the earliest ones and claims to be complete. */
+    /** Guards against a summary that lacks the earliest cancellations but covers the time of their confirmation. */
     @Test
     void forgottenCancellationsAreNotCovered() {
         ConfirmedCancellations confirmed = new ConfirmedCancellations(at(0));
@@ -49,6 +49,6 @@
         Moment now = at(10 + ConfirmedCancellations.MAX_REMEMBERED + 9);
         CancellationSummary summary = confirmed.summary(Span.seconds(5000), now);
         assertEquals(ConfirmedCancellations.MAX_REMEMBERED, summary.cancelled().size());
-        assertEquals(now.since(at(19)), summary.covered(), "up to the last that was forgotten, confirmed at 19 s");
+        assertEquals(now.since(at(19)), summary.covered(), "the time since the last forgotten cancellation, confirmed at 19 s");
     }
 }
--- a/src/test/java/io/indigoreach/core/leadership/IsolationCheckTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/IsolationCheckTest.java
@@ -10,11 +10,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a node that the state service does not answer is to think, second by second. */
+/** The verdicts of a node to which the state service does not respond. */
 class IsolationCheckTest {
     /**
-     * A word for each second, a letter for each other node: s it is served, n it is not, - it does not answer, alone: there is none; ok: the state
-     * service answers this node; a number repeats the word before it. Then the last verdict, and how often the node was removed.
+     * Each row lists states of the other nodes and for how many seconds they last, then the last verdict and how often the node went out of
+     * service. A state has a letter for each other node: s if it is served, n if not, - if it does not respond; "alone" if there are no other
+     * nodes; "ok" if the state service responds to this node.
      */
     @ParameterizedTest
     @CsvSource({
--- a/src/test/java/io/indigoreach/core/leadership/TokenGeneratorTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/TokenGeneratorTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Guards against a token that is used twice, which the state service's loss of its counter brought about. */
+/** Guards against a token that is used twice, as happened when the state service lost its counter. */
 class TokenGeneratorTest {
     private static final long NOW = 1_800_000_000_000L;
     private static final Span OFF = Span.seconds(0.1);
 
-    /** Three nodes take leadership in turn; processes begin anew, clocks are off, and the counter is lost or goes back. */
+    /** Three nodes become leader in random order; processes restart, clocks have errors, and the counter is lost or goes back. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void noTokenIsUsedTwiceWhateverHappensToTheCounter(long seed) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Beside what an older version of the program counted, and where the clock of the machine says nothing. */
+    /** Also with the small counters of an older version of the program, and with a clock that shows 1970. */
     @ParameterizedTest
     @CsvSource({"0, 0, 0", "7, 0, 0", "99, 1800000000000, 0", "0, 1800000000000, 9000000000000", "9000000000000, 0, 5"})
     void nextTokenIsAboveAllKnownOnes(long counter, long timeOfDay, long seen) {
@@ -62,17 +62,17 @@
         assertTrue(next.value() > counter && next.value() > seen, next.toString());
         assertTrue(
                 generator.next(new FencingToken(counter), timeOfDay).value() > next.value(),
-                "a campaign that was not answered counts");
+                "the token of an unanswered campaign is not used again");
         assertTrue(
                 next.attempt(0xfffffff).value() > 0 || Math.max(counter, seen) > 1L << 35,
-                "attempts stay in their range");
+                "attempts do not overflow");
     }
 
     @Test
     void counterBelowATokenInUseShowsALoss() {
         TokenGenerator generator = new TokenGenerator(0, NOW, OFF);
         FencingToken first = generator.next(FencingToken.NONE, NOW);
-        assertFalse(generator.isBehind(FencingToken.NONE), "a campaign that was not won is no leadership");
+        assertFalse(generator.isBehind(FencingToken.NONE), "a campaign that was not won is no evidence of a loss");
         generator.seen(first);
         assertTrue(generator.isBehind(FencingToken.NONE));
         assertFalse(generator.isBehind(first));
--- a/src/test/java/io/indigoreach/core/loss/LeaderMemoryTest.java
+++ b/src/test/java/io/indigoreach/core/loss/LeaderMemoryTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A node leads, then others or nobody, then it again, perhaps too briefly to read the records: which open jobs it may report. */
+/** Open jobs that a node remembers after further terms of its own, in which it reads no records, and terms of other nodes in between. */
 class LeaderMemoryTest {
     private static final JobId OPEN = new JobId("run-1");
     private static final JobId FINISHED = new JobId("run-2");
@@ -37,7 +37,7 @@
         return remembered;
     }
 
-    /** Of each later term: i if this node succeeds itself, o if another led between; it ends before it knows anything. */
+    /** A letter for each later term, which ends before the records are read: i if this node succeeds itself, o if another node led before it. */
     @ParameterizedTest
     @CsvSource({"'', true", "i, true", "ii, true", "o, false", "io, false", "oi, false", "oiii, false", "ioi, false"})
     void openJobsAreKnownUntilAnotherNodeLeads(String later, boolean open) {
@@ -49,6 +49,6 @@
             memory.termEnds(new RememberedState());
         }
         assertEquals(open ? 1 : 0, memory.known().open().size());
-        assertEquals(JobStatus.DONE, memory.known().finished().get(FINISHED).status(), "final");
+        assertEquals(JobStatus.DONE, memory.known().finished().get(FINISHED).status(), "finished jobs are final");
     }
 }
--- a/src/test/java/io/indigoreach/core/loss/LossTablesTest.java
+++ b/src/test/java/io/indigoreach/core/loss/LossTablesTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is evidence of a loss and what is not, and how copies of lost records are merged. */
+/** The evidence for a data loss, and the merging of remembered records. */
 class LossTablesTest {
-    /** Steps: e5 an era confirmed, r9<3 a revision after one that was known, c9<3 a counter, g a record gone, t5 reported by a peer. */
+    /** Steps: e5 era 5 is confirmed; r9<3 revision 3 after 9, c9<3 counter 3 after 9; g a record is missing; t5 a peer reports a loss in era 5. */
     @ParameterizedTest
     @CsvSource({
         "e0, false",
@@ -86,7 +86,7 @@
                 bound);
     }
 
-    /** In whatever order copies arrive: an end takes precedence, completed tasks are merged, the larger bound is kept. */
+    /** In any order, an end takes precedence, completed tasks are merged, and the larger start bound is kept. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void orderOfCopiesDoesNotMatter(long seed) {
@@ -114,7 +114,7 @@
                         .toList());
     }
 
-    /** A present record is written only if it lacks something that is remembered, and never loses what it has. */
+    /** A present record is written only if it lacks something that is remembered, and keeps all that it has. */
     @ParameterizedTest
     @CsvSource({
         "01, 2, 01, 2, ",
--- a/src/test/java/io/indigoreach/core/loss/RecordRepairTest.java
+++ b/src/test/java/io/indigoreach/core/loss/RecordRepairTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is written in place of a record that cannot be read; "?" is what it does not say either, "-" what nobody has. */
+/** The replacement of a record that cannot be read; "?" is a field that is not readable, "-" a job that no controller remembers. */
 class RecordRepairTest {
     private static final JobId ID = new JobId("run-1");
     private static final JobSpec SPEC = JobSpec.builder(ID)
@@ -50,7 +50,7 @@
         return memory;
     }
 
-    /** Of the record of an open job: its status and count, what is remembered, whether its user submits it again. */
+    /** Readable status and count of the open record, what is remembered, whether the user submits the job again, the repaired job. */
     @ParameterizedTest
     @CsvSource({
         "RUNNING, 3, open, false, open 2",
@@ -81,7 +81,7 @@
                                 : out.finished().get(ID).status().name());
         out.open()
                 .forEach(job -> assertEquals(
-                        "60 8", job.submittedMs() + " " + job.bound(), "its place in the queue; all may run"));
+                        "60 8", job.submittedMs() + " " + job.bound(), "keeps the time of submission; all tasks may have been started"));
     }
 
     @ParameterizedTest
--- a/src/test/java/io/indigoreach/core/query/FairAdmissionTest.java
+++ b/src/test/java/io/indigoreach/core/query/FairAdmissionTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** No client is rejected, or answered too late, again and again while others are served. */
+/** No client starves while others are served. */
 class FairAdmissionTest {
     /**
-     * Twice as many ask, every 5 s, as there are places in the 2 s that each is taken; those of the first half always come first.
-     * With one limit for all the others are never served.
+     * Every 5 s, twice as many clients send a request as the limit admits, always in the same order. With one limit for all, the second
+     * half is never served.
      */
     @ParameterizedTest
     @CsvSource({"true, 30", "false, 200"})
@@ -39,15 +39,15 @@
                     waiting
                             <= FairAdmission.MAX_WAITING
                                     + FairAdmission.EXTRA_PER_REJECTION * FairAdmission.MAX_COUNTED_REJECTIONS,
-                    "waiting: " + waiting);
+                    "waiting requests: " + waiting);
             for (; waiting > 0; waiting--) {
                 admission.leave();
             }
         }
-        assertTrue(remembering ? silence <= longest : silence >= longest - 5, "silence: " + silence);
+        assertTrue(remembering ? silence <= longest : silence >= longest - 5, "longest time without a response, s: " + silence);
     }
 
-    /** Pages of ten keys, of which a listing brings two in time, and everybody asks again. */
+    /** A listing returns two pages of ten keys in time, and all clients repeat their requests. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void everyKeyIsListedInTime(long seed) {
@@ -59,7 +59,7 @@
         ListingCursor<Integer> cursor = new ListingCursor<>();
         Map<String, Integer> answeredIn = new HashMap<>();
         for (int listing = 1; answeredIn.size() < keys.size(); listing++) {
-            assertTrue(listing <= 6, "left: " + (keys.size() - answeredIn.size()));
+            assertTrue(listing <= 6, "unanswered keys: " + (keys.size() - answeredIn.size()));
             cursor.begin(keys);
             for (int page = 0; page < 2 && !cursor.isOver(); page++) {
                 String from = cursor.next();
