--- a/src/main/java/io/indigoreach/core/dependency/DependencyGraph.java
+++ b/src/main/java/io/indigoreach/core/dependency/DependencyGraph.java
@@ -104,7 +104,7 @@
         return waiting == null ? List.of() : waiting;
     }
 
-    /** Marks the jobs and all their dependants in breadth-first order, so that a job is not cancelled long before the jobs that it depends on. */
+    /** Marks the jobs and all their dependents in breadth-first order, so that a job is not cancelled long before the jobs that it depends on. */
     private void markForCancellation(Collection<JobId> first) {
         Deque<JobId> queue = new ArrayDeque<>(first);
         while (!queue.isEmpty()) {
--- a/src/main/java/io/indigoreach/core/dependency/Lookahead.java
+++ b/src/main/java/io/indigoreach/core/dependency/Lookahead.java
@@ -8,14 +8,14 @@
 import java.util.function.Function;
 
 /**
- * Propagates targets from jobs to the jobs that they require: the priority of the most urgent dependant, and the latest time by which a job must
- * complete for its dependants to meet their deadlines, given their expected run times. Takes one pass over all edges.
+ * Propagates targets from jobs to the jobs that they require: the priority of the most urgent dependent, and the latest time by which a job must
+ * complete for its dependents to meet their deadlines, given their expected run times. Takes one pass over all edges.
  */
 public final class Lookahead {
     private Lookahead() {}
 
     /**
-     * Returns the target that the dependants impose on each required job.
+     * Returns the target that the dependents impose on each required job.
      *
      * @param own returns a job's own target
      * @param runTime returns a job's expected run time
