--- a/src/main/java/io/indigoreach/api/HttpApi.java
+++ b/src/main/java/io/indigoreach/api/HttpApi.java
@@ -211,10 +211,10 @@
         try {
             result = work.get();
         } catch (RuntimeException e) {
-            admission.leave();
+            admission.release();
             throw e;
         }
-        return result.onComplete(done -> admission.leave());
+        return result.onComplete(done -> admission.release());
     }
 
     private boolean allows(HttpServerRequest request, HttpMethod method) {
--- a/src/main/java/io/indigoreach/api/JobCodec.java
+++ b/src/main/java/io/indigoreach/api/JobCodec.java
@@ -1,11 +1,11 @@
 package io.indigoreach.api;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobDependencies;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
 import io.indigoreach.net.Fields;
@@ -38,7 +38,7 @@
      * Fields of the optional features. A node keeps them with the job whether it supports them or not, so that a node that
      * does loses nothing.
      */
-    public static final List<String> OPTIONAL_FIELDS = List.of(JobSpec.RECORDS, "plan", JobSpec.WARM);
+    public static final List<String> OPTIONAL_FIELDS = List.of(JobSpec.RECORDS_FIELD, "plan", JobSpec.WARM_POOL_FIELD);
 
     /**
      * Status and progress of a job, as a user is told.
@@ -58,11 +58,11 @@
                 "owner", spec.team(),
                 "shape", lowerCase(spec.kind()),
                 "urgency", lowerCase(spec.urgency()),
-                "pieces", spec.tasks());
+                "pieces", spec.taskCount());
         fields.putAll(writeDemand(spec));
         fields.putAll(writePlacement(spec));
         fields.putAll(writeTimes(spec));
-        fields.putAll(spec.more());
+        fields.putAll(spec.extensions());
         if (!spec.dependencies().isEmpty()) {
             fields.put(
                     WAITS_ON,
@@ -82,19 +82,22 @@
 
     private static Map<String, Object> writePlacement(JobSpec spec) {
         return MessagePackFormat.map(
-                "boxkinds", spec.types(),
+                "boxkinds", spec.machineTypes(),
                 "hall", spec.zone(),
-                "one_zone", spec.oneZone(),
-                "spread", spec.spread(),
+                "one_zone", spec.singleZone(),
+                "spread", spec.spreadOverZones(),
                 "loaners", spec.spotAllowed());
     }
 
     private static Map<String, Object> writeTimes(JobSpec spec) {
         return MessagePackFormat.map(
-                "expected_s", spec.estimate().seconds(),
-                "snapshot_every_s", spec.checkpointEvery().seconds(),
-                "snapshot_s", spec.checkpointTime().seconds(),
-                "due_s", spec.due() == null ? null : spec.due().seconds());
+                "expected_s", spec.estimatedRunTime().seconds(),
+                "snapshot_every_s", spec.checkpointInterval().seconds(),
+                "snapshot_s", spec.checkpointDuration().seconds(),
+                "due_s",
+                        spec.relativeDeadline() == null
+                                ? null
+                                : spec.relativeDeadline().seconds());
     }
 
     /** Reads the response to a query. */
@@ -123,7 +126,7 @@
                 kind(fields.text("shape")),
                 urgency(fields.text("urgency")),
                 tasks,
-                new Demand(amount(fields, "cores"), amount(fields, "gpus"), amount(fields, "ram_gb")),
+                new Resources(amount(fields, "cores"), amount(fields, "gpus"), amount(fields, "ram_gb")),
                 name(fields, "bundle"),
                 amount(fields, "pull_gb"),
                 types,
--- a/src/main/java/io/indigoreach/api/JobLookup.java
+++ b/src/main/java/io/indigoreach/api/JobLookup.java
@@ -142,7 +142,7 @@
     }
 
     private Future<StoredJob> confirmUnknown(Search search) {
-        if (state.losses().isHolding()) {
+        if (state.losses().isLossPending()) {
             return Future.failedFuture(new WireException("data were lost, and this job may be among them"));
         }
         return state.confirm(bothKeysAbsent(state.transactionInEra(), search.id()))
--- a/src/main/java/io/indigoreach/api/JobMemory.java
+++ b/src/main/java/io/indigoreach/api/JobMemory.java
@@ -49,7 +49,7 @@
 
     /** Remembers a job that was accepted just now. */
     void rememberAccepted(JobSpec spec, long submittedMs) {
-        accepted.put(spec.id(), new RememberedState.OpenJob(spec, submittedMs, new BitSet(), spec.tasks()));
+        accepted.put(spec.id(), new RememberedState.OpenJob(spec, submittedMs, new BitSet(), spec.taskCount()));
     }
 
     /** Remembers a final status, before any user is told. */
--- a/src/main/java/io/indigoreach/api/JobReadBatcher.java
+++ b/src/main/java/io/indigoreach/api/JobReadBatcher.java
@@ -99,16 +99,16 @@
     }
 
     private void requestPage(Moment begun) {
-        String from = cursor.next();
+        String from = cursor.nextPageStart();
         state.list(RecordKeys.OPEN_JOBS, RecordKeys.keyBefore(from), PAGE_SIZE).onComplete(page -> {
             if (page.failed()) {
-                cursor.failed(from);
+                cursor.onPageFailed(from);
                 failListing(new WireException(
                         "the open jobs cannot be listed: " + page.cause().getMessage()));
                 return;
             }
             completeReads(from, page.result());
-            if (cursor.isOver()) {
+            if (cursor.isComplete()) {
                 finishListing();
             } else {
                 readNextPage(begun);
@@ -122,7 +122,8 @@
         items.forEach(item -> byKey.put(item.key(), item));
         String last =
                 page.more() && !items.isEmpty() ? items.get(items.size() - 1).key() : null;
-        cursor.answered(from, last).forEach((key, promise) -> promise.complete(Optional.ofNullable(byKey.get(key))));
+        cursor.removeAnswered(from, last)
+                .forEach((key, promise) -> promise.complete(Optional.ofNullable(byKey.get(key))));
     }
 
     private void finishListing() {
--- a/src/main/java/io/indigoreach/api/JobSubmission.java
+++ b/src/main/java/io/indigoreach/api/JobSubmission.java
@@ -110,7 +110,7 @@
      */
     private static int firstStartBound(JobSpec spec) {
         // No task of a job with dependencies starts before its release, which is recorded by the write of the bound.
-        return spec.tasks() == 1 && !spec.isService() && spec.dependencies().isEmpty() ? 1 : 0;
+        return spec.taskCount() == 1 && !spec.isService() && spec.dependencies().isEmpty() ? 1 : 0;
     }
 
     /**
@@ -127,7 +127,7 @@
         StateClient.Txn txn = state.transactionInEra()
                 .when(RecordKeys.openKey(spec.id()), Revision.ABSENT)
                 .when(RecordKeys.finalKey(spec.id()), Revision.ABSENT);
-        if (state.losses().isHolding()) {
+        if (state.losses().isLossPending()) {
             return lookup.find(spec.id()).compose(found -> existingOrRetry(spec.id(), found));
         }
         return participantWrites(acceptance)
--- a/src/main/java/io/indigoreach/api/SubmissionParticipant.java
+++ b/src/main/java/io/indigoreach/api/SubmissionParticipant.java
@@ -6,7 +6,7 @@
 import io.vertx.core.Future;
 
 /**
- * An optional feature that takes part in the acceptance of jobs which have its field ({@link JobSpec#more()}). Called on the
+ * An optional feature that takes part in the acceptance of jobs which have its field ({@link JobSpec#extensions()}). Called on the
  * event loop.
  */
 public interface SubmissionParticipant {
--- a/src/main/java/io/indigoreach/api/SubmissionParticipants.java
+++ b/src/main/java/io/indigoreach/api/SubmissionParticipants.java
@@ -16,7 +16,7 @@
 
     /** The first optional field of the job that no participant handles. */
     Optional<String> unknownField(JobSpec spec) {
-        return spec.more().keySet().stream()
+        return spec.extensions().keySet().stream()
                 .filter(field -> all.stream()
                         .noneMatch(participant -> participant.field().equals(field)))
                 .findFirst();
@@ -38,7 +38,7 @@
 
     private List<SubmissionParticipant> concerned(JobSpec spec) {
         return all.stream()
-                .filter(participant -> spec.more().containsKey(participant.field()))
+                .filter(participant -> spec.extensions().containsKey(participant.field()))
                 .toList();
     }
 }
--- a/src/main/java/io/indigoreach/calendar/PlanJoining.java
+++ b/src/main/java/io/indigoreach/calendar/PlanJoining.java
@@ -40,10 +40,10 @@
     }
 
     private static Fields field(JobSpec spec) {
-        if (!(spec.more().get(Choice.FIELD) instanceof Map<?, ?>)) {
+        if (!(spec.extensions().get(Choice.FIELD) instanceof Map<?, ?>)) {
             throw Fields.invalid(Choice.FIELD);
         }
-        return new Fields(spec.more()).child(Choice.FIELD);
+        return new Fields(spec.extensions()).child(Choice.FIELD);
     }
 
     private static String name(JobSpec spec) {
@@ -62,7 +62,7 @@
     public Future<Transaction> accepting(JobSpec spec) {
         return records.run(PageChange.reading(day(spec), name(spec))).map(page -> {
             Transaction change =
-                    page == null ? null : page.accepting(name(spec), spec.id(), spec.tasks(), time.getAsLong());
+                    page == null ? null : page.accepting(name(spec), spec.id(), spec.taskCount(), time.getAsLong());
             if (change != null) {
                 return change;
             }
--- a/src/main/java/io/indigoreach/calendar/PlanScheduler.java
+++ b/src/main/java/io/indigoreach/calendar/PlanScheduler.java
@@ -122,7 +122,7 @@
         if (current != null
                 && current.stored().calendar().plans().stream()
                         .anyMatch(p -> p.template().jobClass().equals(job.spec().jobClass()))) {
-            runs.ended(job.spec().jobClass(), job.spec().tasks(), run);
+            runs.ended(job.spec().jobClass(), job.spec().taskCount(), run);
         }
     }
 
@@ -375,7 +375,7 @@
             } else if (job.failures() > failures.getOrDefault(job.id(), 0)) {
                 int more = job.failures() - failures.getOrDefault(job.id(), 0);
                 failures.put(job.id(), job.failures());
-                runs.failed(job.spec().jobClass(), job.spec().tasks(), more);
+                runs.failed(job.spec().jobClass(), job.spec().taskCount(), more);
             }
         }
         return done;
--- a/src/main/java/io/indigoreach/calendar/RunTimes.java
+++ b/src/main/java/io/indigoreach/calendar/RunTimes.java
@@ -23,7 +23,7 @@
 final class RunTimes implements Means.Seen {
     static final String PREFIX = "cal/runs/";
     /** Lost ones are learned again. */
-    static final RecordFamily FAMILY = new RecordFamily(PREFIX, 60, false, RecordFamily.Mending.NEWER);
+    static final RecordFamily FAMILY = new RecordFamily(PREFIX, 60, false, RecordFamily.MergeRule.KEEP_NEWER);
 
     private static final double COMPRESSION = 50;
     private static final int HALVED_AT = 2_000;
--- a/src/main/java/io/indigoreach/checker/Checker.java
+++ b/src/main/java/io/indigoreach/checker/Checker.java
@@ -161,18 +161,18 @@
                 ? "type " + pool.type()
                 : !spec.allowsZone(pool.zone())
                         ? "zone " + pool.zone()
-                        : !spec.allowsKind(pool.spot()) ? "a spot machine" : null;
+                        : !spec.allowsPricing(pool.spot()) ? "a spot machine" : null;
         int inZone = 1;
         for (Stay mate : mates) {
             if (s.from.isBefore(mate.to)) {
                 boolean same = pools.get(mate.machine).zone().equals(pool.zone());
                 inZone += same ? 1 : 0;
-                if (spec.oneZone() && !same) {
+                if (spec.singleZone() && !same) {
                     wrong = "another zone than " + mate.task;
                 }
             }
         }
-        if (inZone > spec.zoneLimit()) {
+        if (inZone > spec.maxTasksPerZone()) {
             wrong = inZone + " tasks in one zone";
         }
         if (wrong != null) {
@@ -188,7 +188,7 @@
             JobSpec spec = specs.get(s.task.job());
             if (spec != null
                     && teams.containsKey(spec.team())
-                    && teams.get(spec.team()).isLimited()
+                    && teams.get(spec.team()).hasLimits()
                     && s.from.isBefore(s.to)) {
                 steps.add(new Step(s.from, true, s));
                 steps.add(new Step(s.to, false, s));
@@ -202,7 +202,7 @@
             int sign = step.begins ? 1 : -1;
             sum[0] += sign * spec.demand().cores();
             sum[1] += sign * spec.demand().gpus();
-            if (step.begins && !teams.get(spec.team()).allows(sum[0], sum[1])) {
+            if (step.begins && !teams.get(spec.team()).isWithinLimits(sum[0], sum[1])) {
                 breach(
                         Rule.QUOTA,
                         step.at,
@@ -286,7 +286,7 @@
     }
 
     private void checkDone(JobSpec spec, Event.Answered a, Map<TaskId, Moment> completed) {
-        for (int i = 0; i < spec.tasks(); i++) {
+        for (int i = 0; i < spec.taskCount(); i++) {
             TaskId task = new TaskId(spec.id(), i);
             Moment at = completed.get(task);
             if (at == null || at.isAfter(a.at())) {
--- a/src/main/java/io/indigoreach/checker/LeaseRenewals.java
+++ b/src/main/java/io/indigoreach/checker/LeaseRenewals.java
@@ -77,6 +77,6 @@
         return command instanceof WorkerCommand.Stop stop
                 && stop.task().equals(status.task())
                 && stop.attempt().equals(status.attempt())
-                && stop.grace().ms() == 0;
+                && stop.gracePeriod().ms() == 0;
     }
 }
--- a/src/main/java/io/indigoreach/cloud/CloudCodec.java
+++ b/src/main/java/io/indigoreach/cloud/CloudCodec.java
@@ -1,10 +1,10 @@
 package io.indigoreach.cloud;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.ListedMachine;
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Fields;
 import io.indigoreach.net.MessagePackFormat;
@@ -66,11 +66,11 @@
                 "cores", type.capacity().cores(),
                 "gpus", type.capacity().gpus(),
                 "ram_gb", type.capacity().ramGb(),
-                "cache_gb", type.cacheGb(),
-                "fetch_gb_per_s", type.fetchGbPerS(),
-                "price", type.price(),
+                "cache_gb", type.imageCacheGb(),
+                "fetch_gb_per_s", type.imageFetchGbPerS(),
+                "price", type.onDemandPrice(),
                 "low_price", type.spotPrice(),
-                "boot_s", type.boot().seconds(),
+                "boot_s", type.bootTime().seconds(),
                 "halls", type.zones());
     }
 
@@ -82,7 +82,7 @@
         List<String> zones = fields.optionalTexts("halls");
         return new MachineType(
                 fields.text("label"),
-                new Demand(fields.number("cores"), fields.number("gpus", 0), fields.number("ram_gb")),
+                new Resources(fields.number("cores"), fields.number("gpus", 0), fields.number("ram_gb")),
                 fields.number("cache_gb", 0),
                 fields.number("fetch_gb_per_s", 0),
                 fields.number("price"),
@@ -139,7 +139,7 @@
                 "hall", machine.pool().zone(),
                 "loaners", machine.pool().spot(),
                 "status", text(machine.status()),
-                "held_s", machine.sinceRequested().seconds());
+                "held_s", machine.timeSinceRequest().seconds());
     }
 
     static Page readPage(Fields fields) {
--- a/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
+++ b/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
@@ -103,7 +103,7 @@
             return Future.succeededFuture(false);
         }
         return peers.arePeersServed()
-                .map(answers -> isolation.onUnserved(answers, clock.now()))
+                .map(answers -> isolation.onStateServiceUnresponsive(answers, clock.now()))
                 .map(this::confirm);
     }
 
@@ -130,12 +130,12 @@
     }
 
     private void act(boolean refusedAlone) {
-        if (!unserved && isolation.onServed()) {
+        if (!unserved && isolation.onStateServiceResponded()) {
             lastVerdict = IsolationCheck.Verdict.TOGETHER;
             LOG.info("state service reachable");
         }
         controller.setCutOff(isolation.isCutOff());
-        if (state.losses().isHolding()) {
+        if (state.losses().isLossPending()) {
             peers.announceLoss(state.losses().era());
         }
         Revision leadershipRevision = refusedAlone ? controller.stepAside() : null;
--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -136,7 +136,8 @@
             return term.rememberedState(id);
         }
         RememberedState rememberedState = new RememberedState();
-        RememberedState.FinishedJob end = leaderMemory.known().finished().get(id);
+        RememberedState.FinishedJob end =
+                leaderMemory.rememberedState().finishedJobs().get(id);
         if (end != null) {
             rememberedState.add(id, end);
         }
@@ -145,7 +146,7 @@
 
     private Future<RememberedState> gatherRememberedState() {
         RememberedState all = new RememberedState();
-        all.add(leaderMemory.known());
+        all.add(leaderMemory.rememberedState());
         return rememberedStateSource.gather().map(others -> {
             all.add(others);
             return all;
@@ -285,7 +286,7 @@
 
     @Override
     public void leadershipGained(FencingToken token, Revision leadershipRevision, boolean startBoundsTrusted) {
-        leaderMemory.termBegins(election.succeedsItself());
+        leaderMemory.beginTerm(election.succeedsItself());
         LeadershipTerm.Leadership leadership =
                 new LeadershipTerm.Leadership(token, leadershipRevision, startBoundsTrusted);
         term = new LeadershipTerm(context, election, leadership, this::gatherRememberedState);
@@ -295,7 +296,7 @@
     @Override
     public void leadershipLost(String reason) {
         if (term != null) {
-            leaderMemory.termEnds(term.rememberedState());
+            leaderMemory.endTerm(term.rememberedState());
             term.close();
             term = null;
         }
--- a/src/main/java/io/indigoreach/cluster/FleetManager.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -123,12 +123,12 @@
         });
     }
 
-    private void inherit(Intents.Page page) {
+    private void inherit(Intents.Content page) {
         Moment now = context.clock().now();
         core.inheritReturns(page.returns(), now);
         intentLog.intents().addReturns(page.returns());
-        for (Intents.Rent rent : page.rents()) {
-            Span age = new Span(Math.max(0, context.clock().timeOfDay() - rent.askedMs()));
+        for (Intents.Rental rent : page.rentals()) {
+            Span age = new Span(Math.max(0, context.clock().timeOfDay() - rent.requestedAtMs()));
             ScaleOutRequest scaleOut = new ScaleOutRequest(rent.pool(), rent.count());
             openRequests.add(new Request(rent.name(), scaleOut, now.minus(age), 0, now));
             inheritedRequests.add(rent.name());
@@ -136,7 +136,7 @@
         if (!page.isEmpty()) {
             LOG.info(
                     "cloud requests inherited scale_out={} returns={}",
-                    page.rents().size(),
+                    page.rentals().size(),
                     page.returns().size());
         }
     }
@@ -166,7 +166,7 @@
 
     private Future<Span> sendIfRecorded(Request request, boolean recorded) {
         boolean maySend =
-                inheritedRequests.contains(request.name) || intentLog.intents().maySend(request.name);
+                inheritedRequests.contains(request.name) || intentLog.intents().maySendRental(request.name);
         return recorded && maySend ? send(request) : Future.succeededFuture(UNRECORDED_PAUSE);
     }
 
@@ -178,7 +178,7 @@
         lastCheckAt = now;
         for (ScaleOutRequest scaleOut : core.scaleOutRequests(now)) {
             Request request = new Request("t" + token + "-" + ++requestCount, scaleOut, now, 0, now);
-            Intents.Rent rent = new Intents.Rent(
+            Intents.Rental rent = new Intents.Rental(
                     request.name,
                     request.pool(),
                     request.count(),
@@ -246,7 +246,7 @@
     }
 
     private void complete(Request request) {
-        intentLog.intents().completed(request.name);
+        intentLog.intents().completeRental(request.name);
         inheritedRequests.remove(request.name);
     }
 
@@ -265,12 +265,12 @@
     }
 
     private Future<Span> returnIfRecorded(List<MachineId> machines, boolean recorded) {
-        if (!recorded || !intentLog.intents().mayReturn(machines) || !mayAct.getAsBoolean()) {
+        if (!recorded || !intentLog.intents().maySendReturns(machines) || !mayAct.getAsBoolean()) {
             return Future.succeededFuture(UNRECORDED_RETURN_PAUSE);
         }
         return context.cloud().returnMachines(machines).map(answered -> {
             if (!scaleInTask.isCancelled()) {
-                intentLog.intents().returned(machines);
+                intentLog.intents().completeReturns(machines);
                 core.returned(machines, context.clock().now());
                 LOG.info("scale-in completed machines={}", machines);
             }
--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -32,7 +32,7 @@
     private static final Span CLEANUP_INTERVAL = Span.seconds(2);
 
     private static final int EMPTY_RECORD_BYTES =
-            JsonSize.of(IntentRecordCodec.writeIntents(new Intents.Page(List.of(), List.of())));
+            JsonSize.of(IntentRecordCodec.writeIntents(new Intents.Content(List.of(), List.of())));
 
     private final NodeContext context;
     private final Revision leadershipRevision;
@@ -68,13 +68,13 @@
     }
 
     /** Requests to rent and machines to be returned may fill half of the record's value each. */
-    private final class HalfOfRecordEach implements Intents.Size {
+    private final class HalfOfRecordEach implements Intents.Capacity {
         private int half() {
             return (context.limits().maxRecordBytes() - EMPTY_RECORD_BYTES) / 2;
         }
 
         @Override
-        public boolean hasRoomForRent(Collection<Intents.Rent> rents, Intents.Rent next) {
+        public boolean hasRoomForRental(Collection<Intents.Rental> rents, Intents.Rental next) {
             int used = rents.stream().mapToInt(IntentRecordCodec::bytes).sum();
             return used + IntentRecordCodec.bytes(next) <= half();
         }
@@ -105,17 +105,17 @@
     }
 
     /** What earlier leaders had in progress. */
-    Future<Intents.Page> load() {
-        List<Intents.Rent> rents = new ArrayList<>();
+    Future<Intents.Content> load() {
+        List<Intents.Rental> rents = new ArrayList<>();
         List<MachineId> returns = new ArrayList<>();
         earlierRecords.clear();
         return RecordListing.readAll(context.state(), leadershipRevision, RecordKeys.INTENTS, entry -> {
-                    Intents.Page page = IntentRecordCodec.readIntents(entry.value());
-                    rents.addAll(page.rents());
+                    Intents.Content page = IntentRecordCodec.readIntents(entry.value());
+                    rents.addAll(page.rentals());
                     returns.addAll(page.returns());
                     earlierRecords.put(entry.key(), entry.revision());
                 })
-                .map(revision -> new Intents.Page(rents, returns));
+                .map(revision -> new Intents.Content(rents, returns));
     }
 
     /** Removes earlier leaders' records, as everything in them is completed; as many at a time as a transaction takes. */
@@ -165,10 +165,10 @@
 
     private Future<Boolean> writeIfNeeded() {
         Moment now = context.clock().now();
-        if (intents.isUnrecorded()) {
+        if (intents.hasUnrecordedRequests()) {
             return writeLimiter.take(1, now) ? write(now) : Future.succeededFuture(false);
         }
-        boolean cleanup = (writeUnanswered || intents.isOutdated())
+        boolean cleanup = (writeUnanswered || intents.isRecordOutdated())
                 && now.since(lastWriteAt).compareTo(CLEANUP_INTERVAL) >= 0
                 && writeLimiter.takeSpare(1, now);
         return cleanup ? write(now).map(true).otherwise(true) : Future.succeededFuture(true);
@@ -178,7 +178,7 @@
         if (revisionUnknown) {
             return readOwnRevision().map(false);
         }
-        Intents.Page page = intents.page();
+        Intents.Content page = intents.content();
         // An absent record stays absent as long as there is nothing to record; the conditions are checked all the same.
         boolean puts = writeUnanswered || !page.isEmpty() || !ownRevision.equals(Revision.ABSENT);
         StateClient.Txn txn = new StateClient.Txn()
@@ -202,11 +202,11 @@
         });
     }
 
-    private boolean onWritten(Intents.Page page, boolean puts, StateClient.Outcome outcome) {
+    private boolean onWritten(Intents.Content page, boolean puts, StateClient.Outcome outcome) {
         if (outcome.done()) {
             ownRevision = puts ? outcome.writtenRevision() : Revision.ABSENT;
             writeUnanswered = false;
-            intents.recorded(page);
+            intents.onRecorded(page);
             return true;
         }
         if (outcome.failed().contains(RecordKeys.LEADER)) {
--- a/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
+++ b/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
@@ -221,7 +221,7 @@
         StateClient.Txn txn = writes.newTransaction().when(RecordKeys.openKey(id), job.revision());
         // Without the bits, a later leader would not know from the open record that the job is over.
         if (job.isComplete() && !(crowded && completionBlocks.hasRoomInRecord(job))) {
-            return moveToFinal(txn, id, JobStatus.DONE, job.spec().tasks());
+            return moveToFinal(txn, id, JobStatus.DONE, job.spec().taskCount());
         }
         completionBlocks.addProgress(txn, job, job.completedTasks());
         return txn;
@@ -242,12 +242,13 @@
         }
         writesInFlight.add(id);
         StateClient.Txn txn = writes.newTransaction().when(RecordKeys.openKey(id), revision);
-        state.commit(moveToFinal(txn, id, finished.status(), finished.done())).onComplete(result -> {
-            writesInFlight.remove(id);
-            if (!isCancelled() && result.failed()) {
-                finishedInOpenRecords.put(id, revision);
-            }
-        });
+        state.commit(moveToFinal(txn, id, finished.status(), finished.completedTaskCount()))
+                .onComplete(result -> {
+                    writesInFlight.remove(id);
+                    if (!isCancelled() && result.failed()) {
+                        finishedInOpenRecords.put(id, revision);
+                    }
+                });
     }
 
     /** The state of a job when its write was sent, which may have changed by the time of the response. */
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -166,7 +166,7 @@
 
     /** For how long back this leader asks its peers for cancellations. */
     Span cancellationLookBack() {
-        return cancellationHorizon.lookBack(context.clock().now(), PEER_REQUEST_TIME);
+        return cancellationHorizon.requiredLookBack(context.clock().now(), PEER_REQUEST_TIME);
     }
 
     /** Applies the cancellations that all peers together have confirmed, in response to a request of {@code sentAt}. */
@@ -174,7 +174,7 @@
         // Without the records, the cancellations cannot be applied, so the horizon must not advance.
         if (core.areRecordsLoaded()) {
             summary.cancelled().forEach(jobStore::onCancelled);
-            cancellationHorizon.peersAnswered(
+            cancellationHorizon.onPeersResponded(
                     summary.covered(), sentAt, context.clock().now());
         }
     }
@@ -260,7 +260,7 @@
 
     /** Writes lost records again, before the load reads them. */
     private Future<Void> rebuildIfLost() {
-        if (!context.state().losses().isHolding()) {
+        if (!context.state().losses().isLossPending()) {
             return Future.succeededFuture();
         }
         return gatherRememberedState.get().compose(this::rebuild);
--- a/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
+++ b/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
@@ -63,16 +63,16 @@
     void onDeleted(JobId id) {
         Job job = core.job(id);
         if (writer.isCancelled() || job == null || (writer.isWriting(id) && job.isComplete())) {
-            horizon.resolved(id);
+            horizon.onMissingRecordResolved(id);
             return;
         }
         if (job.isComplete()) {
             // The completion was written without a response, or the user cancelled first: the next write will show.
             writer.markDirty(job);
-            horizon.resolved(id);
+            horizon.onMissingRecordResolved(id);
             return;
         }
-        horizon.recordGone(id);
+        horizon.onRecordMissing(id);
         readReason(id).onComplete(reason -> onReasonRead(job, reason));
     }
 
@@ -93,7 +93,7 @@
                 case STILL_OPEN -> {}
             }
         }
-        horizon.resolved(id);
+        horizon.onMissingRecordResolved(id);
     }
 
     /** Why an open record was reported as deleted. */
--- a/src/main/java/io/indigoreach/cluster/PartsTask.java
+++ b/src/main/java/io/indigoreach/cluster/PartsTask.java
@@ -70,7 +70,7 @@
     }
 
     private Future<Span> collect(Part part, GarbageCollector collector) {
-        return routines.run(collector.round()).map(wait -> {
+        return routines.run(collector.newRound()).map(wait -> {
             nextCollection.put(part, context.clock().now().plus(wait));
             return NEXT_ROUND;
         });
--- a/src/main/java/io/indigoreach/cluster/PeerPromises.java
+++ b/src/main/java/io/indigoreach/cluster/PeerPromises.java
@@ -29,7 +29,7 @@
 
     /** What holds for these peers and the others together. */
     PeerPromises and(PeerPromises other) {
-        return new PeerPromises(allPledged && other.allPledged, cancellations.and(other.cancellations));
+        return new PeerPromises(allPledged && other.allPledged, cancellations.mergedWith(other.cancellations));
     }
 
     /** The request of a leader that needs the cancellations of the last {@code lookBack}. */
--- a/src/main/java/io/indigoreach/cluster/StateRebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -88,11 +88,11 @@
 
     private Future<Void> writeJobsAndMachines() {
         machinePages = inventory.machinePages();
-        remembered.finished().forEach(this::addFinishedJob);
+        remembered.finishedJobs().forEach(this::addFinishedJob);
         addMachines(remembered.machines().stream()
                 .filter(machine -> !inventory.hasMachine(machine.id()))
                 .toList());
-        remembered.open().forEach(this::addOpenJob);
+        remembered.openJobs().forEach(this::addOpenJob);
         return writer.flush();
     }
 
@@ -105,7 +105,7 @@
         StateClient.Txn txn = writer.transaction()
                 .when(RecordKeys.finalKey(id), Revision.ABSENT)
                 .when(RecordKeys.openKey(id), openRevision)
-                .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(end.status(), end.done()));
+                .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(end.status(), end.completedTaskCount()));
         if (!openRevision.equals(Revision.ABSENT)) {
             txn.delete(RecordKeys.openKey(id));
         }
@@ -123,7 +123,8 @@
         }
         addCompletionBlocks(id, merged);
         Map<String, Object> record = completionBits()
-                .writeJob(merged.spec(), merged.submittedMs(), JobStatus.PENDING, merged.done(), 0, merged.bound());
+                .writeJob(
+                        merged.spec(), merged.submittedMs(), JobStatus.PENDING, merged.done(), 0, merged.startBound());
         writer.add(openJobTransaction(id).put(RecordKeys.openKey(id), record));
     }
 
@@ -135,7 +136,7 @@
         }
         BitSet completed = (BitSet) record.done().clone();
         completed.or(inventory.completedInBlocks(id));
-        return RememberedState.merged(
+        return RememberedState.mergeIntoStored(
                 job, new RememberedState.OpenJob(record.spec(), record.submittedMs(), completed, record.bound()));
     }
 
@@ -172,8 +173,8 @@
             MachineRecord line = new MachineRecord(
                     machine.id(),
                     machine.pool(),
-                    timeOfDay - now.since(machine.rented()).ms(),
-                    timeOfDay - now.since(machine.existed()).ms());
+                    timeOfDay - now.since(machine.rentedAt()).ms(),
+                    timeOfDay - now.since(machine.knownToExistAt()).ms());
             bytes += MachineRecordCodec.bytes(line);
             if (bytes > MachinePage.capacity(context)) {
                 addMachinePage(page);
@@ -231,7 +232,7 @@
 
     /** Adds what the family's rule makes of both copies, if the one that is present does not stay. */
     private void addFeatureRecord(RecordFamily family, VersionedRecord present, VersionedRecord rememberedRecord) {
-        Map<String, Object> value = family.mending().mend(present, rememberedRecord);
+        Map<String, Object> value = family.mergeRule().merge(present, rememberedRecord);
         if (value != null) {
             String key = rememberedRecord.key();
             writer.add(writer.transaction().when(key, present.revision()).put(key, value));
@@ -248,7 +249,7 @@
 
     /** With as many of the findings, the latest ones, as one value takes. */
     private Map<String, Object> eraRecord() {
-        List<String> findings = new ArrayList<>(context.state().losses().findings().stream()
+        List<String> findings = new ArrayList<>(context.state().losses().evidence().stream()
                 .map(Object::toString)
                 .distinct()
                 .toList());
--- a/src/main/java/io/indigoreach/cluster/WarmUp.java
+++ b/src/main/java/io/indigoreach/cluster/WarmUp.java
@@ -1,6 +1,5 @@
 package io.indigoreach.cluster;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.ExitCause;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.Heartbeat;
@@ -12,6 +11,7 @@
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.core.model.MachineType;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.TaskState;
@@ -55,8 +55,8 @@
     /** In every so many rounds over all machines the running tasks end. */
     private static final int ROUNDS_PER_RUN = 3;
 
-    private static final Demand MACHINE_CAPACITY = new Demand(4, 0, 16);
-    private static final Demand TASK_DEMAND = new Demand(1, 0, 1);
+    private static final Resources MACHINE_CAPACITY = new Resources(4, 0, 16);
+    private static final Resources TASK_DEMAND = new Resources(1, 0, 1);
     private static final MachinePool POOL = new MachinePool("k", "z", true);
     private static final FencingToken TOKEN = new FencingToken(2);
     private static final String TEAM = "t";
@@ -157,12 +157,12 @@
                 .team(TEAM)
                 .kind(JobKind.ARRAY)
                 .urgency(Urgency.values()[1 + index % 3])
-                .tasks(TASKS_PER_JOB)
+                .taskCount(TASKS_PER_JOB)
                 .demand(TASK_DEMAND)
                 .image("i" + index % 4)
                 .imageGb(1)
                 .spotAllowed()
-                .estimate(Span.seconds(20))
+                .estimatedRunTime(Span.seconds(20))
                 .build();
     }
 
--- a/src/main/java/io/indigoreach/config/PlatformConfigWriter.java
+++ b/src/main/java/io/indigoreach/config/PlatformConfigWriter.java
@@ -62,10 +62,10 @@
     private static Config team(Team team) {
         return table(
                 "name", team.name(),
-                "cpus", team.cores(),
-                "cpus_max", team.coresMax(),
-                "gpus", team.gpus(),
-                "gpus_max", team.gpusMax());
+                "cpus", team.guaranteedCores(),
+                "cpus_max", team.maxCores(),
+                "gpus", team.guaranteedGpus(),
+                "gpus_max", team.maxGpus());
     }
 
     private static Config objective(Objective objective) {
--- a/src/main/java/io/indigoreach/core/calendar/CalendarVersion.java
+++ b/src/main/java/io/indigoreach/core/calendar/CalendarVersion.java
@@ -13,10 +13,10 @@
  */
 public final class CalendarVersion {
     public static final String KEY = "cal/head/now";
-    public static final RecordFamily FAMILY = new RecordFamily("cal/head/", 1, true, RecordFamily.Mending.NEWER);
+    public static final RecordFamily FAMILY = new RecordFamily("cal/head/", 1, true, RecordFamily.MergeRule.KEEP_NEWER);
     private static final String TEXTS = "cal/text/";
     /** Pieces that a controller remembers: the version in force, and a few before it. */
-    public static final RecordFamily TEXT_FAMILY = new RecordFamily(TEXTS, 40, true, RecordFamily.Mending.NEWER);
+    public static final RecordFamily TEXT_FAMILY = new RecordFamily(TEXTS, 40, true, RecordFamily.MergeRule.KEEP_NEWER);
 
     private static final int VERSIONS = 40;
 
--- a/src/main/java/io/indigoreach/core/calendar/Choice.java
+++ b/src/main/java/io/indigoreach/core/calendar/Choice.java
@@ -58,27 +58,27 @@
     /** The job of a chosen occurrence: its deadline is the departure. */
     public static JobSpec job(Occurrence o, Mark mark, long now) {
         JobSpec t = o.plan().template();
-        Map<String, Object> more = new LinkedHashMap<>(t.more());
+        Map<String, Object> more = new LinkedHashMap<>(t.extensions());
         more.put(FIELD, Map.of("name", mark.plan(), "day", o.day().toString()));
         return JobSpec.builder(mark.id())
                 .jobClass(t.jobClass())
                 .team(t.team())
                 .kind(t.kind())
                 .urgency(t.urgency())
-                .tasks(mark.tasks())
+                .taskCount(mark.tasks())
                 .demand(t.demand())
                 .image(t.image())
                 .imageGb(t.imageGb())
-                .types(t.types())
+                .machineTypes(t.machineTypes())
                 .zone(t.zone())
-                .oneZone(t.oneZone())
-                .spread(t.spread())
+                .singleZone(t.singleZone())
+                .spreadOverZones(t.spreadOverZones())
                 .spotAllowed(t.spotAllowed())
-                .estimate(t.estimate())
-                .checkpointEvery(t.checkpointEvery())
-                .checkpointTime(t.checkpointTime())
-                .due(new Span(mark.departs() - now))
-                .more(more)
+                .estimatedRunTime(t.estimatedRunTime())
+                .checkpointInterval(t.checkpointInterval())
+                .checkpointDuration(t.checkpointDuration())
+                .relativeDeadline(new Span(mark.departs() - now))
+                .extensions(more)
                 .build();
     }
 }
--- a/src/main/java/io/indigoreach/core/calendar/DayPage.java
+++ b/src/main/java/io/indigoreach/core/calendar/DayPage.java
@@ -22,7 +22,8 @@
     /** Pages that a controller remembers: three days of a full calendar. */
     private static final int REMEMBERED = 3 * PAGES;
 
-    public static final RecordFamily FAMILY = new RecordFamily(PREFIX, REMEMBERED, true, RecordFamily.Mending.NEWER);
+    public static final RecordFamily FAMILY =
+            new RecordFamily(PREFIX, REMEMBERED, true, RecordFamily.MergeRule.KEEP_NEWER);
 
     private final VersionedRecord read;
     private final Day day;
--- a/src/main/java/io/indigoreach/core/calendar/Forecast.java
+++ b/src/main/java/io/indigoreach/core/calendar/Forecast.java
@@ -1,8 +1,8 @@
 package io.indigoreach.core.calendar;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -152,12 +152,12 @@
 
     private static Work work(Occurrence o, Means means) {
         JobSpec job = o.plan().template();
-        Demand demand = job.demand();
+        Resources demand = job.demand();
         Span ahead = null;
         for (MachineType type : means.types()) {
-            if (job.allowsType(type.name()) && demand.timesIn(type.capacity()) > 0) {
-                Span fetch = Span.seconds(type.fetchGbPerS() > 0 ? job.imageGb() / type.fetchGbPerS() : 0);
-                Span time = type.boot().plus(fetch);
+            if (job.allowsType(type.name()) && demand.countFittingIn(type.capacity()) > 0) {
+                Span fetch = Span.seconds(type.imageFetchGbPerS() > 0 ? job.imageGb() / type.imageFetchGbPerS() : 0);
+                Span time = type.bootTime().plus(fetch);
                 ahead = ahead == null || time.compareTo(ahead) > 0 ? time : ahead;
             }
         }
@@ -170,7 +170,7 @@
                         : "";
         Means.Runs runs = means.seen().of(job.jobClass(), o.tasks());
         boolean known = runs != null && runs.count() >= ENOUGH;
-        double estimate = job.estimate().seconds();
+        double estimate = job.estimatedRunTime().seconds();
         return new Work(
                 o,
                 ahead == null ? BEGIN : ahead.plus(BEGIN),
--- a/src/main/java/io/indigoreach/core/calendar/Means.java
+++ b/src/main/java/io/indigoreach/core/calendar/Means.java
@@ -32,8 +32,8 @@
 
     double coresOf(String team) {
         double most = teams.stream()
-                .filter(t -> t.name().equals(team) && t.coresMax() > 0)
-                .mapToDouble(Team::coresMax)
+                .filter(t -> t.name().equals(team) && t.maxCores() > 0)
+                .mapToDouble(Team::maxCores)
                 .findFirst()
                 .orElse(Double.MAX_VALUE);
         return cores > 0 ? Math.min(most, cores) : most;
--- a/src/main/java/io/indigoreach/core/calendar/Occurrences.java
+++ b/src/main/java/io/indigoreach/core/calendar/Occurrences.java
@@ -69,7 +69,7 @@
                 reason = (reason.isEmpty() ? "" : reason + "; ") + season.name();
             }
         }
-        int tasks = (int) Math.min(MOST_TASKS, Math.ceil(plan.template().tasks() * times - 1e-9));
+        int tasks = (int) Math.min(MOST_TASKS, Math.ceil(plan.template().taskCount() * times - 1e-9));
         return new Occurrence(
                 plan, day, Occurrence.Kind.RUNS, zones.instant(depot.zone(), leaves, time), Math.max(1, tasks), reason);
     }
--- a/src/main/java/io/indigoreach/core/calendar/PageChange.java
+++ b/src/main/java/io/indigoreach/core/calendar/PageChange.java
@@ -38,7 +38,7 @@
         if (seen.isWritten()) {
             // What was written is what stands: the version that a further change needs is this write's.
             return new Step.End<>(DayPage.of(
-                    new VersionedRecord(key, page.with(decided).writes().get(key), seen.written()), day));
+                    new VersionedRecord(key, page.with(decided).writes().get(key), seen.writtenRevision()), day));
         }
         if (!seen.records().containsKey(key)) {
             return tries++ == MOST_TRIES ? new Step.End<>(null) : new Step.Read<>(List.of(key));
--- a/src/main/java/io/indigoreach/core/calendar/Replacing.java
+++ b/src/main/java/io/indigoreach/core/calendar/Replacing.java
@@ -19,7 +19,7 @@
 
     @Override
     public Step<Boolean> next(StepResult seen) {
-        if (seen.isWritten() || !seen.failed().isEmpty()) {
+        if (seen.isWritten() || !seen.failedKeys().isEmpty()) {
             return new Step.End<>(seen.isWritten());
         }
         return seen.records().isEmpty()
--- a/src/main/java/io/indigoreach/core/dependency/DependencyGraph.java
+++ b/src/main/java/io/indigoreach/core/dependency/DependencyGraph.java
@@ -14,8 +14,8 @@
 import java.util.function.Predicate;
 
 /**
- * The dependencies of waiting jobs on other jobs. Only a durable end of a required job resolves a dependency: {@link #done} and {@link
- * #cancelled} are called for ends that the state service has acknowledged or that were read from it, never for ends that a leader only expects.
+ * The dependencies of waiting jobs on other jobs. Only a durable end of a required job resolves a dependency: {@link #onDone} and {@link
+ * #onCancelled} are called for ends that the state service has acknowledged or that were read from it, never for ends that a leader only expects.
  * An end is final and a job has only one, so all leaders come to the same result.
  *
  * <p>Each edge is visited once when it is added and once when it is resolved: the cost of an event is linear in the edges that it resolves and
@@ -25,7 +25,7 @@
     /** For each waiting job, the required jobs that are not known to be done. */
     private final Map<JobId, Set<JobId>> unmet = new HashMap<>();
     /** The reverse edges: for each required job, the waiting jobs that depend on it. */
-    private final Map<JobId, Set<JobId>> dependants = new HashMap<>();
+    private final Map<JobId, Set<JobId>> dependents = new HashMap<>();
     /** Required jobs that are not open on this leader, so their ends must be read from the state service. */
     private final Set<JobId> jobsToLookUp = new LinkedHashSet<>();
     /** Waiting jobs that depend on a cancelled job, directly or transitively, and must be cancelled too. */
@@ -36,81 +36,81 @@
     /** Adds a waiting job; {@code isOpen}: whether a required job is open on this leader, which then observes its end. */
     public void add(JobId job, Collection<JobId> requiredJobs, Predicate<JobId> isOpen) {
         unmet.put(job, new LinkedHashSet<>(requiredJobs));
-        boolean below = false;
+        boolean dependsOnCancelled = false;
         for (JobId required : requiredJobs) {
-            dependants.computeIfAbsent(required, id -> new LinkedHashSet<>()).add(job);
-            below |= jobsToCancel.contains(required);
+            dependents.computeIfAbsent(required, id -> new LinkedHashSet<>()).add(job);
+            dependsOnCancelled |= jobsToCancel.contains(required);
             if (!isOpen.test(required)) {
                 jobsToLookUp.add(required);
             }
         }
-        if (below) {
+        if (dependsOnCancelled) {
             markForCancellation(List.of(job));
         }
     }
 
     /** Records that the job is open on this leader, so its end need not be looked up. */
-    public void opened(JobId job) {
+    public void onOpened(JobId job) {
         jobsToLookUp.remove(job);
     }
 
     /** Records that the job is no longer open on this leader, and that its end has not been read. */
-    public void ended(JobId job) {
+    public void onEnded(JobId job) {
         removeWaiting(job);
-        if (dependants.getOrDefault(job, Set.of()).stream().anyMatch(dependant -> !jobsToCancel.contains(dependant))) {
+        if (dependents.getOrDefault(job, Set.of()).stream().anyMatch(dependent -> !jobsToCancel.contains(dependent))) {
             jobsToLookUp.add(job);
         }
     }
 
     /** Records that the job is done, durably. */
-    public void done(JobId job) {
+    public void onDone(JobId job) {
         removeWaiting(job);
-        for (JobId dependant : settled(job)) {
-            Set<JobId> left = unmet.get(dependant);
-            left.remove(job);
-            if (left.isEmpty()) {
-                unmet.remove(dependant);
-                released.add(dependant);
+        for (JobId dependent : removeDependents(job)) {
+            Set<JobId> unmetJobs = unmet.get(dependent);
+            unmetJobs.remove(job);
+            if (unmetJobs.isEmpty()) {
+                unmet.remove(dependent);
+                released.add(dependent);
             }
         }
     }
 
     /** Records that the job is cancelled, durably: jobs that depend on it, directly or transitively, can never start. */
-    public void cancelled(JobId job) {
+    public void onCancelled(JobId job) {
         removeWaiting(job);
-        markForCancellation(settled(job));
+        markForCancellation(removeDependents(job));
     }
 
     /** Removes a job that no longer waits, even if some of its dependencies are unmet. */
     public void removeWaiting(JobId job) {
         jobsToCancel.remove(job);
-        Set<JobId> left = unmet.remove(job);
-        if (left != null) {
-            left.forEach(required -> removeEdge(required, job));
+        Set<JobId> unmetJobs = unmet.remove(job);
+        if (unmetJobs != null) {
+            unmetJobs.forEach(required -> removeEdge(required, job));
         }
     }
 
     private void removeEdge(JobId required, JobId job) {
-        Set<JobId> waiting = dependants.get(required);
+        Set<JobId> waiting = dependents.get(required);
         if (waiting != null && waiting.remove(job) && waiting.isEmpty()) {
-            dependants.remove(required);
+            dependents.remove(required);
             jobsToLookUp.remove(required);
         }
     }
 
-    private Collection<JobId> settled(JobId required) {
+    private Collection<JobId> removeDependents(JobId required) {
         jobsToLookUp.remove(required);
-        Set<JobId> waiting = dependants.remove(required);
+        Set<JobId> waiting = dependents.remove(required);
         return waiting == null ? List.of() : waiting;
     }
 
     /** Marks the jobs and all their dependents in breadth-first order, so that a job is not cancelled long before the jobs that it depends on. */
-    private void markForCancellation(Collection<JobId> first) {
-        Deque<JobId> queue = new ArrayDeque<>(first);
+    private void markForCancellation(Collection<JobId> roots) {
+        Deque<JobId> queue = new ArrayDeque<>(roots);
         while (!queue.isEmpty()) {
             JobId job = queue.poll();
             if (unmet.containsKey(job) && jobsToCancel.add(job)) {
-                queue.addAll(dependants.getOrDefault(job, Set.of()));
+                queue.addAll(dependents.getOrDefault(job, Set.of()));
             }
         }
     }
@@ -144,7 +144,7 @@
     /** Removes all jobs, before the open jobs are read again. */
     public void clear() {
         unmet.clear();
-        dependants.clear();
+        dependents.clear();
         jobsToLookUp.clear();
         jobsToCancel.clear();
         released.clear();
@@ -154,11 +154,13 @@
      * Returns the edges from waiting jobs to the jobs that they require, in topological order: a job's edges come after those of all jobs that
      * depend on it. Edges of jobs that must be cancelled are left out.
      */
-    public List<Edge> edgesFromLastJobs() {
-        Map<JobId, Integer> left = new HashMap<>();
-        dependants.forEach((required, waiting) -> left.put(required, waiting.size()));
+    public List<Edge> edgesInTopologicalOrder() {
+        Map<JobId, Integer> unvisitedDependents = new HashMap<>();
+        dependents.forEach((required, waiting) -> unvisitedDependents.put(required, waiting.size()));
         Deque<JobId> queue = new ArrayDeque<>();
-        unmet.keySet().stream().filter(job -> !left.containsKey(job)).forEach(queue::add);
+        unmet.keySet().stream()
+                .filter(job -> !unvisitedDependents.containsKey(job))
+                .forEach(queue::add);
         List<Edge> edges = new ArrayList<>();
         while (!queue.isEmpty()) {
             JobId job = queue.poll();
@@ -166,7 +168,7 @@
                 if (!jobsToCancel.contains(job)) {
                     edges.add(new Edge(job, required));
                 }
-                if (left.merge(required, -1, Integer::sum) == 0) {
+                if (unvisitedDependents.merge(required, -1, Integer::sum) == 0) {
                     queue.add(required);
                 }
             }
--- a/src/main/java/io/indigoreach/core/dependency/Lookahead.java
+++ b/src/main/java/io/indigoreach/core/dependency/TargetPropagation.java
@@ -11,24 +11,25 @@
  * Propagates targets from jobs to the jobs that they require: the priority of the most urgent dependent, and the latest time by which a job must
  * complete for its dependents to meet their deadlines, given their expected run times. Takes one pass over all edges.
  */
-public final class Lookahead {
-    private Lookahead() {}
+public final class TargetPropagation {
+    private TargetPropagation() {}
 
     /**
      * Returns the target that the dependents impose on each required job.
      *
-     * @param own returns a job's own target
+     * @param ownTarget returns a job's own target
      * @param runTime returns a job's expected run time
      */
-    public static Map<JobId, JobTarget> of(
-            DependencyGraph graph, Function<JobId, JobTarget> own, Function<JobId, Span> runTime) {
+    public static Map<JobId, JobTarget> propagate(
+            DependencyGraph graph, Function<JobId, JobTarget> ownTarget, Function<JobId, Span> runTime) {
         Map<JobId, JobTarget> targets = new HashMap<>();
-        for (DependencyGraph.Edge edge : graph.edgesFromLastJobs()) {
-            JobTarget after = targets.get(edge.job());
-            JobTarget combined = after == null
-                    ? own.apply(edge.job())
-                    : own.apply(edge.job()).strictest(after);
-            targets.merge(edge.requiredJob(), combined.before(runTime.apply(edge.job())), JobTarget::strictest);
+        for (DependencyGraph.Edge edge : graph.edgesInTopologicalOrder()) {
+            JobTarget fromDependents = targets.get(edge.job());
+            JobTarget combined = fromDependents == null
+                    ? ownTarget.apply(edge.job())
+                    : ownTarget.apply(edge.job()).combinedWith(fromDependents);
+            targets.merge(
+                    edge.requiredJob(), combined.forRequiredJob(runTime.apply(edge.job())), JobTarget::combinedWith);
         }
         return targets;
     }
--- a/src/main/java/io/indigoreach/core/intent/Intents.java
+++ b/src/main/java/io/indigoreach/core/intent/Intents.java
@@ -22,27 +22,27 @@
      * A request to rent machines.
      *
      * @param name identifies the request, which makes it idempotent
-     * @param askedMs when the request was first decided on, in milliseconds since 1970
+     * @param requestedAtMs when the request was first decided on, in milliseconds since 1970
      */
-    public record Rent(String name, MachinePool pool, int count, long askedMs) {}
+    public record Rental(String name, MachinePool pool, int count, long requestedAtMs) {}
 
     /** The content of the record: the open requests. */
-    public record Page(List<Rent> rents, List<MachineId> returns) {
+    public record Content(List<Rental> rentals, List<MachineId> returns) {
         public boolean isEmpty() {
-            return rents.isEmpty() && returns.isEmpty();
+            return rentals.isEmpty() && returns.isEmpty();
         }
     }
 
     /** Tells whether the record, which is a single value of limited size, has room for another request. */
-    public interface Size {
-        boolean hasRoomForRent(Collection<Rent> rents, Rent next);
+    public interface Capacity {
+        boolean hasRoomForRental(Collection<Rental> rentals, Rental next);
 
         boolean hasRoomForReturn(Collection<MachineId> returns, MachineId next);
     }
 
-    private static final Size UNLIMITED = new Size() {
+    private static final Capacity UNLIMITED = new Capacity() {
         @Override
-        public boolean hasRoomForRent(Collection<Rent> rents, Rent next) {
+        public boolean hasRoomForRental(Collection<Rental> rents, Rental next) {
             return true;
         }
 
@@ -53,33 +53,34 @@
     };
 
     /** The limit on rentals in progress. */
-    public static final int MAX_RENTS = 30;
+    public static final int MAX_RENTALS = 30;
 
     /** The limit on returns in progress. */
     public static final int MAX_RETURNS = 100;
 
-    private final Size size;
-    private final Map<String, Rent> rents = new LinkedHashMap<>();
+    private final Capacity capacity;
+    private final Map<String, Rental> rentals = new LinkedHashMap<>();
     private final Set<MachineId> returns = new LinkedHashSet<>();
-    private final Set<String> recordedRents = new HashSet<>();
+    private final Set<String> recordedRentals = new HashSet<>();
     private final Set<MachineId> recordedReturns = new HashSet<>();
 
     public Intents() {
         this(UNLIMITED);
     }
 
-    public Intents(Size size) {
-        this.size = size;
+    public Intents(Capacity capacity) {
+        this.capacity = capacity;
     }
 
     /** Whether this rental can be added. */
-    public boolean hasRoomFor(Rent rent) {
-        return rents.isEmpty() || (rents.size() < MAX_RENTS && size.hasRoomForRent(rents.values(), rent));
+    public boolean hasRoomFor(Rental rental) {
+        return rentals.isEmpty()
+                || (rentals.size() < MAX_RENTALS && capacity.hasRoomForRental(rentals.values(), rental));
     }
 
     /** Adds a rental to be requested. The caller must have checked {@link #hasRoomFor}. */
-    public void add(Rent rent) {
-        rents.put(rent.name, rent);
+    public void add(Rental rental) {
+        rentals.put(rental.name, rental);
     }
 
     /**
@@ -87,56 +88,56 @@
      * to wait until earlier returns complete.
      */
     public List<MachineId> addReturns(Collection<MachineId> machines) {
-        List<MachineId> now = new ArrayList<>();
+        List<MachineId> added = new ArrayList<>();
         for (MachineId id : machines) {
-            if (returns.contains(id) || (returns.size() < MAX_RETURNS && size.hasRoomForReturn(returns, id))) {
+            if (returns.contains(id) || (returns.size() < MAX_RETURNS && capacity.hasRoomForReturn(returns, id))) {
                 returns.add(id);
-                now.add(id);
+                added.add(id);
             }
         }
-        return now;
+        return added;
     }
 
     /** Removes a rental whose outcome is known. */
-    public void completed(String name) {
-        rents.remove(name);
+    public void completeRental(String name) {
+        rentals.remove(name);
     }
 
     /** Removes the returns of these machines, which the cloud has confirmed. */
-    public void returned(Collection<MachineId> machines) {
+    public void completeReturns(Collection<MachineId> machines) {
         returns.removeAll(machines);
     }
 
     /** Whether the rental is recorded and open, and so may be sent to the cloud. */
-    public boolean maySend(String name) {
-        return rents.containsKey(name) && recordedRents.contains(name);
+    public boolean maySendRental(String name) {
+        return rentals.containsKey(name) && recordedRentals.contains(name);
     }
 
     /** Whether the returns of all these machines are recorded and open, and so may be sent to the cloud. */
-    public boolean mayReturn(Collection<MachineId> machines) {
+    public boolean maySendReturns(Collection<MachineId> machines) {
         return returns.containsAll(machines) && recordedReturns.containsAll(machines);
     }
 
     /** Whether there are requests that must be recorded before they are sent. */
-    public boolean isUnrecorded() {
-        return !recordedRents.containsAll(rents.keySet()) || !recordedReturns.containsAll(returns);
+    public boolean hasUnrecordedRequests() {
+        return !recordedRentals.containsAll(rentals.keySet()) || !recordedReturns.containsAll(returns);
     }
 
     /** Whether the record still contains completed requests; they are removed when there is nothing more urgent to write. */
-    public boolean isOutdated() {
-        return recordedRents.size() > rents.size() || recordedReturns.size() > returns.size();
+    public boolean isRecordOutdated() {
+        return recordedRentals.size() > rentals.size() || recordedReturns.size() > returns.size();
     }
 
     /** Returns the content that the record should have now. */
-    public Page page() {
-        return new Page(List.copyOf(rents.values()), List.copyOf(returns));
+    public Content content() {
+        return new Content(List.copyOf(rentals.values()), List.copyOf(returns));
     }
 
     /** Records that a write of this content was acknowledged. */
-    public void recorded(Page page) {
-        recordedRents.clear();
-        page.rents.forEach(rent -> recordedRents.add(rent.name));
+    public void onRecorded(Content content) {
+        recordedRentals.clear();
+        content.rentals.forEach(rental -> recordedRentals.add(rental.name));
         recordedReturns.clear();
-        recordedReturns.addAll(page.returns);
+        recordedReturns.addAll(content.returns);
     }
 }
--- a/src/main/java/io/indigoreach/core/leadership/CancellationHorizon.java
+++ b/src/main/java/io/indigoreach/core/leadership/CancellationHorizon.java
@@ -25,15 +25,15 @@
     }
 
     /**
-     * Records that an open job's record is missing, probably because the job was cancelled. Holds the horizon back until {@link #resolved}
+     * Records that an open job's record is missing, probably because the job was cancelled. Holds the horizon back until {@link #onMissingRecordResolved}
      * is called: during an outage the reason cannot be read.
      */
-    public void recordGone(JobId job) {
+    public void onRecordMissing(JobId job) {
         unresolved.putIfAbsent(job, knownUntil);
     }
 
     /** Records that the reason for a missing record is known and acted on: none of the job's tasks goes on running under this leader. */
-    public void resolved(JobId job) {
+    public void onMissingRecordResolved(JobId job) {
         unresolved.remove(job);
     }
 
@@ -42,8 +42,8 @@
      * confirmed in the {@code covered} time before their responses are acted on. If that time reaches back beyond the present horizon, no
      * cancellation confirmed before {@code sent} is missing, so the horizon advances to {@code sent}.
      */
-    public void peersAnswered(Span covered, Moment sent, Moment now) {
-        if (covered.compareTo(now.since(knownUntil).withDrift()) > 0) {
+    public void onPeersResponded(Span covered, Moment sent, Moment now) {
+        if (covered.compareTo(now.since(knownUntil).plusClockDrift()) > 0) {
             advanceTo(sent);
         }
     }
@@ -58,9 +58,9 @@
     }
 
     /** Returns how far back the responses of the other nodes must reach to advance the horizon, if they take up to {@code roundTrip}. */
-    public Span lookBack(Moment now, Span roundTrip) {
+    public Span requiredLookBack(Moment now, Span roundTrip) {
         return knownUntil.equals(Moment.NEVER)
                 ? Span.ZERO
-                : now.since(knownUntil).plus(roundTrip).withDrift();
+                : now.since(knownUntil).plus(roundTrip).plusClockDrift();
     }
 }
--- a/src/main/java/io/indigoreach/core/leadership/CancellationSummary.java
+++ b/src/main/java/io/indigoreach/core/leadership/CancellationSummary.java
@@ -17,7 +17,7 @@
     public static final CancellationSummary NONE = new CancellationSummary(Set.of(), Span.ZERO);
 
     /** Combines the reports of two nodes: all cancelled jobs, and the shorter of the covered times. */
-    public CancellationSummary and(CancellationSummary other) {
+    public CancellationSummary mergedWith(CancellationSummary other) {
         Set<JobId> all = new HashSet<>(cancelled);
         all.addAll(other.cancelled);
         return new CancellationSummary(all, covered.compareTo(other.covered) < 0 ? covered : other.covered);
--- a/src/main/java/io/indigoreach/core/leadership/ConfirmedCancellations.java
+++ b/src/main/java/io/indigoreach/core/leadership/ConfirmedCancellations.java
@@ -15,31 +15,31 @@
     /** As many as fit into one response; no known state service confirms more within the first seconds of an outage. */
     public static final int MAX_REMEMBERED = 1000;
 
-    private record ConfirmedCancellation(JobId job, Moment at) {}
+    private record ConfirmedCancellation(JobId job, Moment confirmedAt) {}
 
     private final ArrayDeque<ConfirmedCancellation> confirmed = new ArrayDeque<>();
     /** All cancellations that were confirmed after this moment are remembered. */
     private Moment coveredSince;
 
-    public ConfirmedCancellations(Moment began) {
-        coveredSince = began;
+    public ConfirmedCancellations(Moment startedAt) {
+        coveredSince = startedAt;
     }
 
     /** Records that this node knows that the job is cancelled and confirms it to users from now on. */
     public void add(JobId job, Moment now) {
         confirmed.addLast(new ConfirmedCancellation(job, now));
         if (confirmed.size() > MAX_REMEMBERED) {
-            coveredSince = confirmed.removeFirst().at;
+            coveredSince = confirmed.removeFirst().confirmedAt;
         }
     }
 
-    /** Returns the cancellations confirmed within the last {@code asked}, or as far back as this node remembers them. */
-    public CancellationSummary summary(Span asked, Moment now) {
-        Span known = now.since(coveredSince);
-        Span covered = asked.compareTo(known) < 0 ? asked : known;
+    /** Returns the cancellations confirmed within the last {@code lookBack}, or as far back as this node remembers them. */
+    public CancellationSummary summary(Span lookBack, Moment now) {
+        Span remembered = now.since(coveredSince);
+        Span covered = lookBack.compareTo(remembered) < 0 ? lookBack : remembered;
         Set<JobId> jobs = new HashSet<>();
         for (ConfirmedCancellation cancellation : confirmed) {
-            if (now.since(cancellation.at).compareTo(covered) <= 0) {
+            if (now.since(cancellation.confirmedAt).compareTo(covered) <= 0) {
                 jobs.add(cancellation.job);
             }
         }
@@ -48,6 +48,6 @@
 
     /** Returns the time since the last confirmation, or since the start of the process if there was none. */
     public Span timeSinceLast(Moment now) {
-        return now.since(confirmed.isEmpty() ? coveredSince : confirmed.getLast().at);
+        return now.since(confirmed.isEmpty() ? coveredSince : confirmed.getLast().confirmedAt);
     }
 }
--- a/src/main/java/io/indigoreach/core/leadership/IsolationCheck.java
+++ b/src/main/java/io/indigoreach/core/leadership/IsolationCheck.java
@@ -34,14 +34,14 @@
 
     /** How long all other nodes must be silent before this node counts as cut off; one lost request takes less. */
     static final Span CUT_OFF_AFTER = Span.seconds(4);
-    /** The required silence if this node was cut off within the last {@link #REMOVAL_REMEMBERED}. */
+    /** The required silence if this node was cut off within the last {@link #REMOVAL_MEMORY}. */
     static final Span CUT_OFF_AGAIN_AFTER = Span.seconds(15);
     /** How long the load balancer remembers that it removed a node. */
-    static final Span REMOVAL_REMEMBERED = Span.seconds(120);
+    static final Span REMOVAL_MEMORY = Span.seconds(120);
 
     private Verdict verdict = Verdict.TOGETHER;
     private Moment silentSince = Moment.NEVER;
-    private Moment lastCutOff = Moment.NEVER;
+    private Moment lastCutOffAt = Moment.NEVER;
 
     /** Whether the load balancer should send users to other nodes. */
     public boolean isOutOfService() {
@@ -54,34 +54,34 @@
     }
 
     /** Records that the state service responds; true if this node was out of service until now. */
-    public boolean onServed() {
-        boolean ends = isOutOfService();
+    public boolean onStateServiceResponded() {
+        boolean wasOutOfService = isOutOfService();
         verdict = Verdict.TOGETHER;
         silentSince = Moment.NEVER;
-        return ends;
+        return wasOutOfService;
     }
 
     /**
      * Updates the verdict while the state service does not respond.
      *
-     * @param others for each other node whether the state service serves it, or null if the node does not respond
+     * @param peersServed for each other node whether the state service serves it, or null if the node does not respond
      */
-    public Verdict onUnserved(List<Boolean> others, Moment now) {
-        boolean silent = !others.isEmpty() && others.stream().allMatch(Objects::isNull);
-        if (!silent) {
+    public Verdict onStateServiceUnresponsive(List<Boolean> peersServed, Moment now) {
+        boolean allSilent = !peersServed.isEmpty() && peersServed.stream().allMatch(Objects::isNull);
+        if (!allSilent) {
             silentSince = Moment.NEVER;
-            verdict = others.contains(true) ? Verdict.REFUSED_ALONE : Verdict.TOGETHER;
+            verdict = peersServed.contains(true) ? Verdict.REFUSED_ALONE : Verdict.TOGETHER;
             return verdict;
         }
         if (silentSince.equals(Moment.NEVER)) {
             silentSince = now;
         }
-        boolean again =
-                !lastCutOff.equals(Moment.NEVER) && now.since(lastCutOff).compareTo(REMOVAL_REMEMBERED) < 0;
-        Span enough = again && verdict != Verdict.CUT_OFF ? CUT_OFF_AGAIN_AFTER : CUT_OFF_AFTER;
-        if (now.since(silentSince).compareTo(enough) >= 0) {
+        boolean recentlyCutOff =
+                !lastCutOffAt.equals(Moment.NEVER) && now.since(lastCutOffAt).compareTo(REMOVAL_MEMORY) < 0;
+        Span requiredSilence = recentlyCutOff && verdict != Verdict.CUT_OFF ? CUT_OFF_AGAIN_AFTER : CUT_OFF_AFTER;
+        if (now.since(silentSince).compareTo(requiredSilence) >= 0) {
             verdict = Verdict.CUT_OFF;
-            lastCutOff = now;
+            lastCutOffAt = now;
         }
         return verdict;
     }
--- a/src/main/java/io/indigoreach/core/leadership/TokenGenerator.java
+++ b/src/main/java/io/indigoreach/core/leadership/TokenGenerator.java
@@ -19,47 +19,47 @@
 
     private static final int NODE_BITS = 5;
 
-    private final long node;
-    private final long earliestS;
+    private final long nodeIndex;
+    private final long earliestSecond;
     /** The highest token known to have been in use. */
-    private long highest;
+    private long highestKnown;
     /** The highest token that this process has campaigned with; it may or may not be in use. */
-    private long lastTried;
-    /** {@link #lastTried} before the last campaign. */
-    private long previouslyTried;
+    private long lastCampaigned;
+    /** {@link #lastCampaigned} before the last campaign. */
+    private long previouslyCampaigned;
 
     /**
-     * @param node this node's index among all nodes, in the order of their names
+     * @param nodeIndex this node's index among all nodes, in the order of their names
      * @param startedMs when this process started, in milliseconds since 1970
-     * @param clockOff the largest error of any node's clock
+     * @param maxClockError the largest error of any node's clock
      */
-    public TokenGenerator(int node, long startedMs, Span clockOff) {
-        this.node = node & ((1 << NODE_BITS) - 1);
-        this.earliestS = seconds(startedMs + 2 * clockOff.ms()) + 1;
+    public TokenGenerator(int nodeIndex, long startedMs, Span maxClockError) {
+        this.nodeIndex = nodeIndex & ((1 << NODE_BITS) - 1);
+        this.earliestSecond = secondsSinceEpoch(startedMs + 2 * maxClockError.ms()) + 1;
     }
 
-    private static long seconds(long timeOfDayMs) {
+    private static long secondsSinceEpoch(long timeOfDayMs) {
         return Math.max(0, timeOfDayMs / 1000 - EPOCH_S);
     }
 
     /** Records a token that has been in use; all later tokens will be above it. */
-    public void seen(FencingToken token) {
-        highest = Math.max(highest, token.value());
+    public void observe(FencingToken token) {
+        highestKnown = Math.max(highestKnown, token.value());
     }
 
     /** The highest token known to have been in use. */
-    public FencingToken highest() {
-        return new FencingToken(highest);
+    public FencingToken highestKnown() {
+        return new FencingToken(highestKnown);
     }
 
     /** Whether the state service's counter was lost or reset: it is below a token that has been in use. */
-    public boolean isBehind(FencingToken counter) {
-        return counter.value() < highest;
+    public boolean isCounterBehind(FencingToken counter) {
+        return counter.value() < highestKnown;
     }
 
     /** Whether this process knows of a leadership term after that of {@code token}. */
-    public boolean hasSeenAfter(FencingToken token) {
-        return highest > token.value();
+    public boolean hasObservedAfter(FencingToken token) {
+        return highestKnown > token.value();
     }
 
     /**
@@ -69,11 +69,11 @@
      * @param timeOfDayMs the time of day in milliseconds since 1970
      */
     public FencingToken next(FencingToken counter, long timeOfDayMs) {
-        long nextUnit = (Math.max(counter.value(), Math.max(highest, lastTried)) >> NODE_BITS) + 1;
-        long units = Math.max(nextUnit, Math.max(seconds(timeOfDayMs), earliestS));
-        previouslyTried = lastTried;
-        lastTried = units << NODE_BITS | node;
-        return new FencingToken(lastTried);
+        long nextSecond = (Math.max(counter.value(), Math.max(highestKnown, lastCampaigned)) >> NODE_BITS) + 1;
+        long tokenSecond = Math.max(nextSecond, Math.max(secondsSinceEpoch(timeOfDayMs), earliestSecond));
+        previouslyCampaigned = lastCampaigned;
+        lastCampaigned = tokenSecond << NODE_BITS | nodeIndex;
+        return new FencingToken(lastCampaigned);
     }
 
     /**
@@ -81,9 +81,9 @@
      * two campaigns a second would drive the tokens minutes ahead of the time, and the next process of this node could choose one of them
      * again.
      */
-    public void unused(FencingToken token) {
-        if (lastTried == token.value()) {
-            lastTried = previouslyTried;
+    public void release(FencingToken token) {
+        if (lastCampaigned == token.value()) {
+            lastCampaigned = previouslyCampaigned;
         }
     }
 }
--- a/src/main/java/io/indigoreach/core/loss/LossDetector.java
+++ b/src/main/java/io/indigoreach/core/loss/LossDetector.java
@@ -16,18 +16,18 @@
  */
 public final class LossDetector {
     /** Evidence of a loss for the operators: the value that was known, and the lower one that was found. */
-    public record Finding(String what, long wanted, long found) {
+    public record Evidence(String subject, long expected, long actual) {
         @Override
         public String toString() {
-            return what + ": " + found + " where " + wanted + " was known";
+            return subject + ": " + actual + " where " + expected + " was known";
         }
     }
 
-    private static final int MAX_FINDINGS = 20;
+    private static final int MAX_EVIDENCE = 20;
 
-    private final List<Finding> findings = new ArrayList<>();
+    private final List<Evidence> evidence = new ArrayList<>();
     private long era;
-    private boolean holding;
+    private boolean lossPending;
 
     /** Returns the newest era that this process knows, or 0 if it knows none. */
     public long era() {
@@ -35,13 +35,13 @@
     }
 
     /** Whether data were lost and are not rebuilt yet. */
-    public boolean isHolding() {
-        return holding;
+    public boolean isLossPending() {
+        return lossPending;
     }
 
     /** Returns the latest evidence, oldest first. */
-    public List<Finding> findings() {
-        return List.copyOf(findings);
+    public List<Evidence> evidence() {
+        return List.copyOf(evidence);
     }
 
     /**
@@ -51,39 +51,40 @@
     public boolean era(long confirmed) {
         if (confirmed > era) {
             era = confirmed;
-            holding = false;
+            lossPending = false;
             return false;
         }
-        return confirmed < era && found(new Finding("era", era, confirmed));
+        return confirmed < era && recordLoss(new Evidence("era", era, confirmed));
     }
 
     /** Checks the revision of a transaction against an earlier response with revision {@code known}; revisions only increase. */
-    public boolean revision(long known, long given) {
-        return given < known && found(new Finding("revision", known, given));
+    public boolean checkRevision(long known, long received) {
+        return received < known && recordLoss(new Evidence("revision", known, received));
     }
 
     /** Checks the token counter, read when leadership was gained, against the highest token that this process has seen in use. */
-    public boolean counter(FencingToken seen, FencingToken counted) {
-        return counted.value() < seen.value() && found(new Finding("counter of tokens", seen.value(), counted.value()));
+    public boolean checkCounter(FencingToken highestSeen, FencingToken counter) {
+        return counter.value() < highestSeen.value()
+                && recordLoss(new Evidence("counter of tokens", highestSeen.value(), counter.value()));
     }
 
     /** Records that a transaction has confirmed the absence of a record that no node has removed. */
-    public boolean recordGone(String key) {
-        return found(new Finding("record " + key, 1, 0));
+    public boolean onRecordMissing(String key) {
+        return recordLoss(new Evidence("record " + key, 1, 0));
     }
 
     /** Records a loss that another controller detected in an era; losses in eras before this process's are already rebuilt. */
-    public boolean reportedByPeer(long otherEra) {
-        return otherEra >= era && era > 0 && found(new Finding("another controller's word on era", era, otherEra));
+    public boolean onReportedByPeer(long peerEra) {
+        return peerEra >= era && era > 0 && recordLoss(new Evidence("another controller's word on era", era, peerEra));
     }
 
-    private boolean found(Finding finding) {
-        if (findings.size() >= MAX_FINDINGS) {
-            findings.remove(0);
+    private boolean recordLoss(Evidence item) {
+        if (evidence.size() >= MAX_EVIDENCE) {
+            evidence.remove(0);
         }
-        findings.add(finding);
-        boolean is = !holding;
-        holding = true;
-        return is;
+        evidence.add(item);
+        boolean newLoss = !lossPending;
+        lossPending = true;
+        return newLoss;
     }
 }
--- a/src/main/java/io/indigoreach/core/loss/RecordRepair.java
+++ b/src/main/java/io/indigoreach/core/loss/RecordRepair.java
@@ -13,7 +13,7 @@
  */
 public final class RecordRepair {
     /** The fields of a damaged record; null where a field cannot be read. */
-    public record ReadableFields(JobStatus status, Long done, Long submittedMs) {}
+    public record ReadableFields(JobStatus status, Long completedTasks, Long submittedMs) {}
 
     private RecordRepair() {}
 
@@ -22,27 +22,27 @@
      * some seconds until the job is moved to a final record; its count then shows that all tasks are completed. So if neither status nor count
      * can be read, the job is open.
      *
-     * @param offered the specification that the user submits again; null for a query
+     * @param resubmitted the specification that the user submits again; null for a query
      * @return the state of the job; empty if its specification is unknown
      */
-    public static RememberedState open(
-            JobId id, ReadableFields readable, RememberedState remembered, JobSpec offered, long nowMs) {
+    public static RememberedState repairOpen(
+            JobId id, ReadableFields readable, RememberedState remembered, JobSpec resubmitted, long nowMs) {
         RememberedState repaired = new RememberedState();
-        RememberedState.FinishedJob end = remembered.finished().get(id);
-        RememberedState.OpenJob job = job(id, remembered, offered, nowMs);
+        RememberedState.FinishedJob end = remembered.finishedJobs().get(id);
+        RememberedState.OpenJob job = rememberedOrSubmitted(id, remembered, resubmitted, nowMs);
         if (end != null) {
             repaired.add(id, end);
         } else if (readable.status == JobStatus.DONE || (readable.status == null && allDone(readable, job))) {
             repaired.add(
                     id,
                     new RememberedState.FinishedJob(
-                            JobStatus.DONE, job != null ? job.spec().tasks() : count(readable)));
+                            JobStatus.DONE, job != null ? job.spec().taskCount() : readableCount(readable)));
         } else if (job != null) {
-            long since = readable.submittedMs == null
+            long earliestSubmittedMs = readable.submittedMs == null
                     ? job.submittedMs()
                     : Math.min(readable.submittedMs, job.submittedMs());
             repaired.add(new RememberedState.OpenJob(
-                    job.spec(), since, job.done(), job.spec().tasks()));
+                    job.spec(), earliestSubmittedMs, job.done(), job.spec().taskCount()));
         }
         return repaired;
     }
@@ -51,40 +51,42 @@
      * Repairs the final record of a job: the job is done if all its tasks are completed, otherwise cancelled. Returns null if that is not
      * known, as either status could contradict an earlier response to the user.
      */
-    public static RememberedState.FinishedJob end(
-            JobId id, ReadableFields readable, RememberedState remembered, JobSpec offered) {
-        RememberedState.FinishedJob end = remembered.finished().get(id);
+    public static RememberedState.FinishedJob repairFinal(
+            JobId id, ReadableFields readable, RememberedState remembered, JobSpec resubmitted) {
+        RememberedState.FinishedJob end = remembered.finishedJobs().get(id);
         if (end != null) {
             return end;
         }
         if (readable.status == JobStatus.DONE || readable.status == JobStatus.CANCELLED) {
-            return new RememberedState.FinishedJob(readable.status, count(readable));
+            return new RememberedState.FinishedJob(readable.status, readableCount(readable));
         }
-        RememberedState.OpenJob job = job(id, remembered, offered, 0);
-        return readable.done == null || job == null
+        RememberedState.OpenJob job = rememberedOrSubmitted(id, remembered, resubmitted, 0);
+        return readable.completedTasks == null || job == null
                 ? null
                 : new RememberedState.FinishedJob(
-                        allDone(readable, job) ? JobStatus.DONE : JobStatus.CANCELLED, count(readable));
+                        allDone(readable, job) ? JobStatus.DONE : JobStatus.CANCELLED, readableCount(readable));
     }
 
-    private static RememberedState.OpenJob job(JobId id, RememberedState remembered, JobSpec offered, long nowMs) {
-        return remembered.open().stream()
-                .filter(o -> o.spec().id().equals(id))
+    private static RememberedState.OpenJob rememberedOrSubmitted(
+            JobId id, RememberedState remembered, JobSpec resubmitted, long nowMs) {
+        return remembered.openJobs().stream()
+                .filter(openJob -> openJob.spec().id().equals(id))
                 .findFirst()
                 .orElse(
-                        offered == null
+                        resubmitted == null
                                 ? null
-                                : new RememberedState.OpenJob(offered, nowMs, new BitSet(), offered.tasks()));
+                                : new RememberedState.OpenJob(
+                                        resubmitted, nowMs, new BitSet(), resubmitted.taskCount()));
     }
 
     private static boolean allDone(ReadableFields readable, RememberedState.OpenJob job) {
-        return readable.done != null
+        return readable.completedTasks != null
                 && job != null
                 && job.spec().kind() == JobKind.ARRAY
-                && readable.done == job.spec().tasks();
+                && readable.completedTasks == job.spec().taskCount();
     }
 
-    private static int count(ReadableFields readable) {
-        return readable.done == null ? 0 : readable.done.intValue();
+    private static int readableCount(ReadableFields readable) {
+        return readable.completedTasks == null ? 0 : readable.completedTasks.intValue();
     }
 }
--- a/src/main/java/io/indigoreach/core/loss/RememberedState.java
+++ b/src/main/java/io/indigoreach/core/loss/RememberedState.java
@@ -26,52 +26,55 @@
      * An open job.
      *
      * @param done the indexes of the completed tasks
-     * @param bound the start bound ({@link io.indigoreach.core.scheduling.StartBounds})
+     * @param startBound the start bound ({@link io.indigoreach.core.scheduling.StartBounds})
      */
-    public record OpenJob(JobSpec spec, long submittedMs, BitSet done, int bound) {
+    public record OpenJob(JobSpec spec, long submittedMs, BitSet done, int startBound) {
         OpenJob mergedWith(OpenJob other) {
-            BitSet completed = (BitSet) done.clone();
-            completed.or(other.done);
-            JobSpec released = other.spec.dependencies().isReleased() ? other.spec : spec;
+            BitSet mergedTasks = (BitSet) done.clone();
+            mergedTasks.or(other.done);
+            JobSpec mergedSpec = other.spec.dependencies().isReleased() ? other.spec : spec;
             return new OpenJob(
-                    released, Math.min(submittedMs, other.submittedMs), completed, Math.max(bound, other.bound));
+                    mergedSpec,
+                    Math.min(submittedMs, other.submittedMs),
+                    mergedTasks,
+                    Math.max(startBound, other.startBound));
         }
 
         /** Whether this copy adds nothing to {@code other}. */
         public boolean isCoveredBy(OpenJob other) {
             BitSet additional = (BitSet) done.clone();
             additional.andNot(other.done);
-            return additional.isEmpty() && bound <= other.bound;
+            return additional.isEmpty() && startBound <= other.startBound;
         }
     }
 
     /** The end of a job: its final status and the number of completed tasks. */
-    public record FinishedJob(JobStatus status, int done) {}
+    public record FinishedJob(JobStatus status, int completedTaskCount) {}
 
     /**
      * A rented machine, which may run tasks.
      *
-     * @param rented when it was rented
-     * @param existed when it was last known to exist
+     * @param rentedAt when it was rented
+     * @param knownToExistAt when it was last known to exist
      */
-    public record RentedMachine(MachineId id, MachinePool pool, Moment rented, Moment existed) {}
+    public record RentedMachine(MachineId id, MachinePool pool, Moment rentedAt, Moment knownToExistAt) {}
 
-    private final Map<JobId, OpenJob> open = new LinkedHashMap<>();
-    private final Map<JobId, FinishedJob> finished = new LinkedHashMap<>();
+    private final Map<JobId, OpenJob> openJobs = new LinkedHashMap<>();
+    private final Map<JobId, FinishedJob> finishedJobs = new LinkedHashMap<>();
     private final Map<MachineId, RentedMachine> machines = new LinkedHashMap<>();
     private final Map<String, VersionedRecord> records = new LinkedHashMap<>();
 
     /** Adds an open job, unless it is remembered as finished; merges it with a copy that is already present. */
     public void add(OpenJob job) {
-        if (!finished.containsKey(job.spec.id())) {
-            open.merge(job.spec.id(), job, OpenJob::mergedWith);
+        if (!finishedJobs.containsKey(job.spec.id())) {
+            openJobs.merge(job.spec.id(), job, OpenJob::mergedWith);
         }
     }
 
     /** Adds the end of a job. The first one added is kept: only one end can have been reported to a user. */
     public void add(JobId id, FinishedJob end) {
-        finished.putIfAbsent(id, end);
-        open.remove(id);
+        finishedJobs.putIfAbsent(id, end);
+        openJobs.remove(id);
     }
 
     public void add(RentedMachine machine) {
@@ -89,36 +92,36 @@
 
     /** Adds the state that another process remembers. */
     public void add(RememberedState other) {
-        other.finished.forEach(this::add);
-        other.open.values().forEach(this::add);
+        other.finishedJobs.forEach(this::add);
+        other.openJobs.values().forEach(this::add);
         other.machines.values().forEach(this::add);
         other.records.values().forEach(this::add);
     }
 
     public boolean isEmpty() {
-        return open.isEmpty() && finished.isEmpty() && machines.isEmpty() && records.isEmpty();
+        return openJobs.isEmpty() && finishedJobs.isEmpty() && machines.isEmpty() && records.isEmpty();
     }
 
-    public Collection<OpenJob> open() {
-        return open.values();
+    public Collection<OpenJob> openJobs() {
+        return openJobs.values();
     }
 
-    public Map<JobId, FinishedJob> finished() {
-        return finished;
+    public Map<JobId, FinishedJob> finishedJobs() {
+        return finishedJobs;
     }
 
     public Collection<RentedMachine> machines() {
         return machines.values();
     }
 
-    /** Merges a remembered job into the record that the state service still has, {@code kept}; null if the record needs no change. */
-    public static OpenJob merged(OpenJob remembered, OpenJob kept) {
-        return remembered.isCoveredBy(kept) ? null : kept.mergedWith(remembered);
+    /** Merges a remembered job into the record that the state service still has, {@code stored}; null if the record needs no change. */
+    public static OpenJob mergeIntoStored(OpenJob remembered, OpenJob stored) {
+        return remembered.isCoveredBy(stored) ? null : stored.mergedWith(remembered);
     }
 
     @Override
     public String toString() {
-        return open.size() + " open jobs, " + finished.size() + " finished jobs, " + machines.size() + " machines"
-                + (records.isEmpty() ? "" : ", " + records.size() + " other records");
+        return openJobs.size() + " open jobs, " + finishedJobs.size() + " finished jobs, " + machines.size()
+                + " machines" + (records.isEmpty() ? "" : ", " + records.size() + " other records");
     }
 }
--- a/src/main/java/io/indigoreach/core/model/FencingToken.java
+++ b/src/main/java/io/indigoreach/core/model/FencingToken.java
@@ -9,8 +9,8 @@
     }
 
     /** Returns the attempt with the given sequence number under this token; no other token yields the same attempt. */
-    public Attempt attempt(long count) {
-        return new Attempt((value << 28) | (count & 0xfffffffL));
+    public Attempt newAttempt(long sequenceNumber) {
+        return new Attempt((value << 28) | (sequenceNumber & 0xfffffffL));
     }
 
     @Override
--- a/src/main/java/io/indigoreach/core/model/JobDependencies.java
+++ b/src/main/java/io/indigoreach/core/model/JobDependencies.java
@@ -34,7 +34,7 @@
     }
 
     /** Returns the same dependencies, released at the given time of day. */
-    public JobDependencies released(long timeOfDayMs) {
+    public JobDependencies releasedAt(long timeOfDayMs) {
         return new JobDependencies(requiredJobs, timeOfDayMs);
     }
 }
--- a/src/main/java/io/indigoreach/core/model/JobId.java
+++ b/src/main/java/io/indigoreach/core/model/JobId.java
@@ -4,7 +4,7 @@
 
 /** A job's id, chosen by its user. The format needs no escaping, so an id can be part of a key or a path. */
 public record JobId(String text) implements Comparable<JobId> {
-    private static final Pattern FORM = Pattern.compile("run-[0-9]{1,18}");
+    private static final Pattern PATTERN = Pattern.compile("run-[0-9]{1,18}");
 
     /** Rejects text that does not match the format of a job id. */
     public JobId {
@@ -14,7 +14,7 @@
     }
 
     public static boolean isValid(String text) {
-        return text != null && FORM.matcher(text).matches();
+        return text != null && PATTERN.matcher(text).matches();
     }
 
     @Override
--- a/src/main/java/io/indigoreach/core/model/JobSpec.java
+++ b/src/main/java/io/indigoreach/core/model/JobSpec.java
@@ -13,20 +13,20 @@
  * @param team the team whose quota the job uses
  * @param kind whether each task runs to completion or serves until the job is cancelled
  * @param urgency the job's priority
- * @param tasks the number of tasks, or of replicas if the job is a service
+ * @param taskCount the number of tasks, or of replicas if the job is a service
  * @param demand the resources that each task requires
  * @param image the image that a machine must have fetched before a task starts
  * @param imageGb the image's size in GB
- * @param types the allowed machine types, or null for any
+ * @param machineTypes the allowed machine types, or null for any
  * @param zone the only allowed zone, or null for any
- * @param oneZone whether all tasks must be in the same zone
- * @param spread whether the tasks must be spread over zones
+ * @param singleZone whether all tasks must be in the same zone
+ * @param spreadOverZones whether the tasks must be spread over zones
  * @param spotAllowed whether the tasks may run on spot machines
- * @param estimate the owner's estimate of a task's run time, not including the image fetch
- * @param checkpointEvery the interval of progress between periodic checkpoints of a task; zero if it saves none
- * @param checkpointTime the time that a task needs to save a checkpoint when it is stopped
- * @param due the time allowed from submission to completion, or null if there is no deadline
- * @param more the fields of optional features, as submitted; empty for most jobs
+ * @param estimatedRunTime the owner's estimate of a task's run time, not including the image fetch
+ * @param checkpointInterval the interval of progress between periodic checkpoints of a task; zero if it saves none
+ * @param checkpointDuration the time that a task needs to save a checkpoint when it is stopped
+ * @param relativeDeadline the time allowed from submission to completion, or null if there is no deadline
+ * @param extensions the fields of optional features, as submitted; empty for most jobs
  * @param dependencies the jobs that must complete before any task of this one starts
  */
 public record JobSpec(
@@ -35,29 +35,29 @@
         String team,
         JobKind kind,
         Urgency urgency,
-        int tasks,
-        Demand demand,
+        int taskCount,
+        Resources demand,
         String image,
         double imageGb,
-        List<String> types,
+        List<String> machineTypes,
         String zone,
-        boolean oneZone,
-        boolean spread,
+        boolean singleZone,
+        boolean spreadOverZones,
         boolean spotAllowed,
-        Span estimate,
-        Span checkpointEvery,
-        Span checkpointTime,
-        Span due,
-        Map<String, Object> more,
+        Span estimatedRunTime,
+        Span checkpointInterval,
+        Span checkpointDuration,
+        Span relativeDeadline,
+        Map<String, Object> extensions,
         JobDependencies dependencies) {
     /** The field of record ownership that names the records to which the tasks need exclusive access. */
-    public static final String RECORDS = "records";
+    public static final String RECORDS_FIELD = "records";
     /** The field that names the warm pool whose image the job holds. */
-    public static final String WARM = "warm";
+    public static final String WARM_POOL_FIELD = "warm";
 
     public JobSpec {
-        types = types == null ? null : List.copyOf(types);
-        more = more.isEmpty() ? Map.of() : Collections.unmodifiableMap(new LinkedHashMap<>(more));
+        machineTypes = machineTypes == null ? null : List.copyOf(machineTypes);
+        extensions = extensions.isEmpty() ? Map.of() : Collections.unmodifiableMap(new LinkedHashMap<>(extensions));
     }
 
     /** Returns a builder for a job; {@link Builder} lists the fields that have no default. */
@@ -72,28 +72,28 @@
                 .team(team)
                 .kind(kind)
                 .urgency(urgency)
-                .tasks(tasks)
+                .taskCount(taskCount)
                 .demand(demand)
                 .image(image)
                 .imageGb(imageGb)
-                .types(types)
+                .machineTypes(machineTypes)
                 .zone(zone)
-                .oneZone(oneZone)
-                .spread(spread)
+                .singleZone(singleZone)
+                .spreadOverZones(spreadOverZones)
                 .spotAllowed(spotAllowed)
-                .estimate(estimate)
-                .checkpointEvery(checkpointEvery)
-                .checkpointTime(checkpointTime)
-                .due(due)
-                .more(more)
+                .estimatedRunTime(estimatedRunTime)
+                .checkpointInterval(checkpointInterval)
+                .checkpointDuration(checkpointDuration)
+                .relativeDeadline(relativeDeadline)
+                .extensions(extensions)
                 .dependencies(dependencies);
     }
 
     /** Returns this specification with one field of an optional feature added. */
     public JobSpec with(String field, Object value) {
-        Map<String, Object> extended = new LinkedHashMap<>(more);
+        Map<String, Object> extended = new LinkedHashMap<>(extensions);
         extended.put(field, value);
-        return toBuilder().more(extended).build();
+        return toBuilder().extensions(extended).build();
     }
 
     /** Returns this specification with its dependencies replaced. */
@@ -108,29 +108,29 @@
 
     /** Whether the job belongs to a calendar's plan, which submits it as late as the predicted run time allows. */
     public boolean isPlanned() {
-        return due != null && more.containsKey("plan");
+        return relativeDeadline != null && extensions.containsKey("plan");
     }
 
     /** Whether each task starts only after the job owns the records that the task needs. */
-    public boolean isGuarded() {
-        return more.containsKey(RECORDS);
+    public boolean requiresRecordOwnership() {
+        return extensions.containsKey(RECORDS_FIELD);
     }
 
     /**
      * Whether the tasks only make machines fetch an image. Such tasks run on members of a warm pool, bypass the queues, and cause
      * machines neither to be rented nor to be kept.
      */
-    public boolean isHolder() {
-        return more.containsKey(WARM);
+    public boolean isWarmPoolHolder() {
+        return extensions.containsKey(WARM_POOL_FIELD);
     }
 
     /** Whether a stopped task resumes from a checkpoint. */
-    public boolean savesProgress() {
-        return checkpointEvery.ms() > 0;
+    public boolean savesCheckpoints() {
+        return checkpointInterval.ms() > 0;
     }
 
     public boolean allowsType(String type) {
-        return types == null || types.contains(type);
+        return machineTypes == null || machineTypes.contains(type);
     }
 
     public boolean allowsZone(String name) {
@@ -138,13 +138,13 @@
     }
 
     /** Whether a task may run on a spot machine, if {@code spot} is true, or on an on-demand machine otherwise. */
-    public boolean allowsKind(boolean spot) {
+    public boolean allowsPricing(boolean spot) {
         return spotAllowed || !spot;
     }
 
     /** Returns how many tasks may run in the same zone: half of them, rounded up, if they must be spread over zones. */
-    public int zoneLimit() {
-        return spread ? (tasks + 1) / 2 : tasks;
+    public int maxTasksPerZone() {
+        return spreadOverZones ? (taskCount + 1) / 2 : taskCount;
     }
 
     /**
@@ -157,20 +157,20 @@
         private String team;
         private JobKind kind = JobKind.ARRAY;
         private Urgency urgency;
-        private int tasks = 1;
-        private Demand demand;
+        private int taskCount = 1;
+        private Resources demand;
         private String image;
         private double imageGb;
-        private List<String> types;
+        private List<String> machineTypes;
         private String zone;
-        private boolean oneZone;
-        private boolean spread;
+        private boolean singleZone;
+        private boolean spreadOverZones;
         private boolean spotAllowed;
-        private Span estimate = Span.ZERO;
-        private Span checkpointEvery = Span.ZERO;
-        private Span checkpointTime = Span.ZERO;
-        private Span due;
-        private Map<String, Object> more = Map.of();
+        private Span estimatedRunTime = Span.ZERO;
+        private Span checkpointInterval = Span.ZERO;
+        private Span checkpointDuration = Span.ZERO;
+        private Span relativeDeadline;
+        private Map<String, Object> extensions = Map.of();
         private JobDependencies dependencies = JobDependencies.NONE;
 
         private Builder(JobId id) {
@@ -197,12 +197,12 @@
             return this;
         }
 
-        public Builder tasks(int value) {
-            tasks = value;
+        public Builder taskCount(int value) {
+            taskCount = value;
             return this;
         }
 
-        public Builder demand(Demand value) {
+        public Builder demand(Resources value) {
             demand = value;
             return this;
         }
@@ -218,8 +218,8 @@
         }
 
         /** The allowed machine types, or null for any. */
-        public Builder types(List<String> value) {
-            types = value;
+        public Builder machineTypes(List<String> value) {
+            machineTypes = value;
             return this;
         }
 
@@ -230,25 +230,25 @@
         }
 
         /** Whether all tasks must be in the same zone. */
-        public Builder oneZone(boolean value) {
-            oneZone = value;
+        public Builder singleZone(boolean value) {
+            singleZone = value;
             return this;
         }
 
         /** All tasks must be in the same zone. */
-        public Builder oneZone() {
-            return oneZone(true);
+        public Builder singleZone() {
+            return singleZone(true);
         }
 
         /** Whether the tasks must be spread over zones. */
-        public Builder spread(boolean value) {
-            spread = value;
+        public Builder spreadOverZones(boolean value) {
+            spreadOverZones = value;
             return this;
         }
 
         /** The tasks must be spread over zones. */
-        public Builder spread() {
-            return spread(true);
+        public Builder spreadOverZones() {
+            return spreadOverZones(true);
         }
 
         /** Whether the tasks may run on spot machines. */
@@ -263,32 +263,32 @@
         }
 
         /** The owner's estimate of a task's run time, not including the image fetch. */
-        public Builder estimate(Span value) {
-            estimate = value;
+        public Builder estimatedRunTime(Span value) {
+            estimatedRunTime = value;
             return this;
         }
 
         /** The interval of progress between periodic checkpoints of a task; zero if it saves none. */
-        public Builder checkpointEvery(Span value) {
-            checkpointEvery = value;
+        public Builder checkpointInterval(Span value) {
+            checkpointInterval = value;
             return this;
         }
 
         /** The time that a task needs to save a checkpoint when it is stopped. */
-        public Builder checkpointTime(Span value) {
-            checkpointTime = value;
+        public Builder checkpointDuration(Span value) {
+            checkpointDuration = value;
             return this;
         }
 
         /** The time allowed from submission to completion, or null if there is no deadline. */
-        public Builder due(Span value) {
-            due = value;
+        public Builder relativeDeadline(Span value) {
+            relativeDeadline = value;
             return this;
         }
 
         /** The fields of optional features. */
-        public Builder more(Map<String, Object> value) {
-            more = value;
+        public Builder extensions(Map<String, Object> value) {
+            extensions = value;
             return this;
         }
 
@@ -306,20 +306,20 @@
                     team,
                     kind,
                     urgency,
-                    tasks,
+                    taskCount,
                     demand,
                     image,
                     imageGb,
-                    types,
+                    machineTypes,
                     zone,
-                    oneZone,
-                    spread,
+                    singleZone,
+                    spreadOverZones,
                     spotAllowed,
-                    estimate,
-                    checkpointEvery,
-                    checkpointTime,
-                    due,
-                    more,
+                    estimatedRunTime,
+                    checkpointInterval,
+                    checkpointDuration,
+                    relativeDeadline,
+                    extensions,
                     dependencies);
         }
     }
--- a/src/main/java/io/indigoreach/core/model/ListedMachine.java
+++ b/src/main/java/io/indigoreach/core/model/ListedMachine.java
@@ -3,9 +3,9 @@
 /**
  * A machine as the cloud lists it.
  *
- * @param sinceRequested the time since the machine was requested
+ * @param timeSinceRequest the time since the machine was requested
  */
-public record ListedMachine(MachineId id, MachinePool pool, Status status, Span sinceRequested) {
+public record ListedMachine(MachineId id, MachinePool pool, Status status, Span timeSinceRequest) {
     /** The state of a machine according to the cloud. */
     public enum Status {
         STARTING,
--- a/src/main/java/io/indigoreach/core/model/MachineId.java
+++ b/src/main/java/io/indigoreach/core/model/MachineId.java
@@ -6,7 +6,11 @@
 
     /** Rejects text that is not a valid machine name. */
     public MachineId {
-        if (text == null || text.isEmpty() || text.length() > MAX_LENGTH || text.indexOf('/') >= 0 || text.indexOf(' ') >= 0) {
+        if (text == null
+                || text.isEmpty()
+                || text.length() > MAX_LENGTH
+                || text.indexOf('/') >= 0
+                || text.indexOf(' ') >= 0) {
             throw new IllegalArgumentException("not a machine name: " + text);
         }
     }
--- a/src/main/java/io/indigoreach/core/model/Span.java
+++ b/src/main/java/io/indigoreach/core/model/Span.java
@@ -28,7 +28,7 @@
      * Returns this duration plus 0.1%, rounded up. Clocks may run fast or slow by 0.05%; after the result has passed on one machine's
      * clock, at least the original duration has passed on another's.
      */
-    public Span withDrift() {
+    public Span plusClockDrift() {
         return new Span(ms + (ms + 999) / 1000);
     }
 
@@ -37,7 +37,7 @@
         return Long.compare(ms, other.ms);
     }
 
-    public static Span longer(Span first, Span second) {
+    public static Span max(Span first, Span second) {
         return first.compareTo(second) > 0 ? first : second;
     }
 }
--- a/src/main/java/io/indigoreach/core/model/TaskState.java
+++ b/src/main/java/io/indigoreach/core/model/TaskState.java
@@ -3,7 +3,7 @@
 /** The state of a task on a machine. */
 public enum TaskState {
     /** A start command was sent, and no newer heartbeat has arrived. */
-    ORDERED,
+    START_SENT,
     /** The worker is fetching the image, or waits for that. */
     FETCHING,
     RUNNING,
--- a/src/main/java/io/indigoreach/core/model/TaskStatus.java
+++ b/src/main/java/io/indigoreach/core/model/TaskStatus.java
@@ -3,7 +3,7 @@
 /**
  * The status of a task as its worker reports it.
  *
- * @param cause null unless the task has exited
- * @param saved whether the task saved a checkpoint when it stopped
+ * @param exitCause null unless the task has exited
+ * @param checkpointSaved whether the task saved a checkpoint when it stopped
  */
-public record TaskStatus(TaskId task, Attempt attempt, TaskState state, ExitCause cause, boolean saved) {}
+public record TaskStatus(TaskId task, Attempt attempt, TaskState state, ExitCause exitCause, boolean checkpointSaved) {}
--- a/src/main/java/io/indigoreach/core/model/WorkerCommand.java
+++ b/src/main/java/io/indigoreach/core/model/WorkerCommand.java
@@ -9,8 +9,8 @@
     /** Starts a task. */
     record Start(TaskId task, Attempt attempt) implements WorkerCommand {}
 
-    /** Stops a task, which may save a checkpoint if that takes at most {@code grace}. */
-    record Stop(TaskId task, Attempt attempt, Span grace) implements WorkerCommand {}
+    /** Stops a task, which may save a checkpoint if that takes at most {@code gracePeriod}. */
+    record Stop(TaskId task, Attempt attempt, Span gracePeriod) implements WorkerCommand {}
 
     /** Removes an exited task from the worker's heartbeats. */
     record Reap(TaskId task, Attempt attempt) implements WorkerCommand {}
--- a/src/main/java/io/indigoreach/core/ownership/ClaimCollector.java
+++ b/src/main/java/io/indigoreach/core/ownership/ClaimCollector.java
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public Routine<Span> round() {
+    public Routine<Span> newRound() {
         return new Round();
     }
 
@@ -77,7 +77,7 @@
                     return new Step.Scan<>(Registry.CLAIMS, after, CLAIMS);
                 case LISTED:
                     claims.addAll(seen.records().values());
-                    more = seen.more() && !claims.isEmpty();
+                    more = seen.hasMore() && !claims.isEmpty();
                     after = more ? claims.getLast().key() : null;
                     return nextClaim(seen);
                 case JOB_OPEN:
@@ -166,7 +166,7 @@
                 }
                 pageAfter = kept.key();
             }
-            if (!seen.more()) {
+            if (!seen.hasMore()) {
                 prefixes.poll();
                 pageAfter = null;
             }
--- a/src/main/java/io/indigoreach/core/ownership/Registry.java
+++ b/src/main/java/io/indigoreach/core/ownership/Registry.java
@@ -35,7 +35,7 @@
     private static final int CLAIMS_KEPT = 400;
 
     /** A billing in either copy is true whatever was written after it. */
-    private static final RecordFamily.Mending PAGE = (present, remembered) -> {
+    private static final RecordFamily.MergeRule PAGE = (present, remembered) -> {
         if (present.version() >= remembered.version()) {
             Page there = Page.read(present.value());
             Page both = there.and(Page.read(remembered.value()));
@@ -46,8 +46,8 @@
 
     public static final List<RecordFamily> FAMILIES = List.of(
             new RecordFamily(PAGES, PAGES_KEPT, true, PAGE),
-            new RecordFamily(CLAIMS, CLAIMS_KEPT, false, RecordFamily.Mending.NEWER),
-            new RecordFamily(ROOTS, 1, true, RecordFamily.Mending.NEWER));
+            new RecordFamily(CLAIMS, CLAIMS_KEPT, false, RecordFamily.MergeRule.KEEP_NEWER),
+            new RecordFamily(ROOTS, 1, true, RecordFamily.MergeRule.KEEP_NEWER));
 
     /**
      * The registry's beginning.
@@ -82,7 +82,7 @@
 
     private static Map<String, Object> counted(Page page, VersionedRecord present, VersionedRecord remembered) {
         Map<String, Object> value = page.write();
-        value.put(VersionedRecord.VERSION, Math.max(present.version(), remembered.version()) + 1);
+        value.put(VersionedRecord.VERSION_FIELD, Math.max(present.version(), remembered.version()) + 1);
         return value;
     }
 
--- a/src/main/java/io/indigoreach/core/ownership/Survey.java
+++ b/src/main/java/io/indigoreach/core/ownership/Survey.java
@@ -51,7 +51,7 @@
                 if (!page.divided()) {
                     page.entries().keySet().forEach(id -> ids.add(new RecordId(id)));
                 }
-                last = seen.more() ? key : null;
+                last = seen.hasMore() ? key : null;
             });
             shown = Edit.show(registry, ids);
         }
--- a/src/main/java/io/indigoreach/core/ownership/Work.java
+++ b/src/main/java/io/indigoreach/core/ownership/Work.java
@@ -67,7 +67,7 @@
         if (underWay == null) {
             seen.records().values().forEach(this::has);
         } else if (seen.isWritten()) {
-            underWay.writes().forEach((key, value) -> has(new VersionedRecord(key, value, seen.written())));
+            underWay.writes().forEach((key, value) -> has(new VersionedRecord(key, value, seen.writtenRevision())));
         } else {
             if (++refused > MOST_REFUSED) {
                 throw new Unsettled("these records change at this moment");
@@ -82,7 +82,7 @@
         List<String> missing = missing();
         Step<R> step = missing.isEmpty() ? plan() : new Step.Read<>(missing);
         if (step instanceof Step.Write<R> write) {
-            underWay = write.change();
+            underWay = write.transaction();
         }
         return step;
     }
--- a/src/main/java/io/indigoreach/core/query/FairAdmission.java
+++ b/src/main/java/io/indigoreach/core/query/FairAdmission.java
@@ -16,6 +16,7 @@
 
     /** Rejections beyond this number do not raise the limit further. */
     static final int MAX_COUNTED_REJECTIONS = 5;
+
     private static final int MAX_REMEMBERED_CLIENTS = 4_000;
 
     private int waiting;
@@ -26,7 +27,7 @@
         }
     };
 
-    /** Admits a request of a client, which must call {@link #leave} when it is answered; false if the request is rejected. */
+    /** Admits a request of a client, which must call {@link #release} when it is answered; false if the request is rejected. */
     public boolean tryEnter(String client) {
         int rejected = rejections.getOrDefault(client, 0);
         if (waiting >= MAX_WAITING + EXTRA_PER_REJECTION * rejected) {
@@ -39,7 +40,7 @@
     }
 
     /** Records that an admitted request no longer waits. */
-    public void leave() {
+    public void release() {
         waiting--;
     }
 }
--- a/src/main/java/io/indigoreach/core/query/ListingCursor.java
+++ b/src/main/java/io/indigoreach/core/query/ListingCursor.java
@@ -20,18 +20,18 @@
     }
 
     /** Whether all requests are answered. */
-    public boolean isOver() {
+    public boolean isComplete() {
         return remaining.isEmpty();
     }
 
     /** Returns the first key of the next page: the next key with a waiting request, wrapping around after the last. */
-    public String next() {
+    public String nextPageStart() {
         String key = remaining.ceilingKey(position);
         return key != null ? key : remaining.firstKey();
     }
 
     /** Removes and returns the requests that a page from {@code from} to {@code last} answers; null stands for the end of the listing. */
-    public Map<String, W> answered(String from, String last) {
+    public Map<String, W> removeAnswered(String from, String last) {
         SortedMap<String, W> range =
                 last == null ? remaining.tailMap(from, true) : remaining.subMap(from, true, last, true);
         Map<String, W> answered = new TreeMap<>(range);
@@ -42,7 +42,7 @@
     }
 
     /** Records that the page starting at {@code from} failed; the next page starts after that key. */
-    public void failed(String from) {
+    public void onPageFailed(String from) {
         position = from + " ";
     }
 
--- a/src/main/java/io/indigoreach/core/records/ListRecords.java
+++ b/src/main/java/io/indigoreach/core/records/ListRecords.java
@@ -17,9 +17,9 @@
     }
 
     @Override
-    public Step<List<VersionedRecord>> next(StepResult seen) {
-        found.addAll(seen.records().values());
-        if (started && !seen.more()) {
+    public Step<List<VersionedRecord>> next(StepResult result) {
+        found.addAll(result.records().values());
+        if (started && !result.hasMore()) {
             return new Step.End<>(found);
         }
         started = true;
--- a/src/main/java/io/indigoreach/core/records/RecordCache.java
+++ b/src/main/java/io/indigoreach/core/records/RecordCache.java
@@ -13,13 +13,15 @@
     /** {@code families}: the families to cache; no prefix may start with that of another family. */
     public RecordCache(Collection<RecordFamily> families) {
         for (RecordFamily family : families) {
-            if (byFamily.keySet().stream().anyMatch(f -> f.contains(family.prefix()) || family.contains(f.prefix()))) {
-                throw new IllegalArgumentException("the prefix of a record family overlaps with another: " + family.prefix());
+            if (byFamily.keySet().stream()
+                    .anyMatch(other -> other.contains(family.prefix()) || family.contains(other.prefix()))) {
+                throw new IllegalArgumentException(
+                        "the prefix of a record family overlaps with another: " + family.prefix());
             }
             byFamily.put(family, new LinkedHashMap<>(16, 0.75f, true) {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, VersionedRecord> eldest) {
-                    return size() > family.remembered();
+                    return size() > family.maxRemembered();
                 }
             });
         }
@@ -33,7 +35,7 @@
     /** Returns the family of a key, or null if it belongs to none. */
     public RecordFamily familyOf(String key) {
         return byFamily.keySet().stream()
-                .filter(f -> f.contains(key))
+                .filter(family -> family.contains(key))
                 .findFirst()
                 .orElse(null);
     }
@@ -63,8 +65,8 @@
 
     /** Returns all copies, grouped by family. */
     public List<VersionedRecord> all() {
-        List<VersionedRecord> out = new ArrayList<>();
-        byFamily.values().forEach(m -> out.addAll(m.values()));
-        return out;
+        List<VersionedRecord> copies = new ArrayList<>();
+        byFamily.values().forEach(familyCopies -> copies.addAll(familyCopies.values()));
+        return copies;
     }
 }
--- a/src/main/java/io/indigoreach/core/records/Routine.java
+++ b/src/main/java/io/indigoreach/core/records/Routine.java
@@ -7,5 +7,5 @@
  */
 public interface Routine<R> {
     /** Returns the next step, given the result of the previous one; the first call gets an empty result. */
-    Step<R> next(StepResult seen);
+    Step<R> next(StepResult result);
 }
--- a/src/main/java/io/indigoreach/core/records/Step.java
+++ b/src/main/java/io/indigoreach/core/records/Step.java
@@ -11,11 +11,11 @@
         }
     }
 
-    /** Reads up to {@code most} records with a prefix, in key order, after the key {@code after} or, if that is null, from the first. */
-    record Scan<R>(String prefix, String after, int most) implements Step<R> {}
+    /** Reads up to {@code limit} records with a prefix, in key order, after the key {@code afterKey} or, if that is null, from the first. */
+    record Scan<R>(String prefix, String afterKey, int limit) implements Step<R> {}
 
     /** Commits a transaction; the next {@link StepResult} shows whether it was executed. */
-    record Write<R>(Transaction change) implements Step<R> {}
+    record Write<R>(Transaction transaction) implements Step<R> {}
 
     /** Ends the routine with a result. */
     record End<R>(R result) implements Step<R> {}
--- a/src/main/java/io/indigoreach/core/records/Transaction.java
+++ b/src/main/java/io/indigoreach/core/records/Transaction.java
@@ -28,9 +28,9 @@
 
     /** Replaces the value of a record if it has not changed since it was read, and increments its version. */
     public Transaction replace(VersionedRecord read, Map<String, Object> value) {
-        Map<String, Object> counted = new LinkedHashMap<>(value);
-        counted.put(VersionedRecord.VERSION, read.version() + 1);
-        return when(read).put(read.key(), counted);
+        Map<String, Object> newValue = new LinkedHashMap<>(value);
+        newValue.put(VersionedRecord.VERSION_FIELD, read.version() + 1);
+        return when(read).put(read.key(), newValue);
     }
 
     /** Adds the deletion of a key. */
--- a/src/main/java/io/indigoreach/core/records/VersionedRecord.java
+++ b/src/main/java/io/indigoreach/core/records/VersionedRecord.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * A record of an optional feature as it was read or written. Its value contains a version under {@link #VERSION}, which increases with each
+ * A record of an optional feature as it was read or written. Its value contains a version under {@link #VERSION_FIELD}, which increases with each
  * write and determines the newer of two copies. The state service's revision cannot serve for that, as it starts again when data are lost.
  *
  * @param value the value, or null if the record is absent
@@ -14,7 +14,7 @@
  */
 public record VersionedRecord(String key, Map<String, Object> value, Revision revision) {
     /** The field with a record's version; the routines of the optional features increment it with each write. */
-    public static final String VERSION = "v";
+    public static final String VERSION_FIELD = "v";
 
     /** Copies the value. */
     public VersionedRecord {
@@ -33,6 +33,6 @@
 
     /** Returns the version, or 0 if the record is absent. */
     public long version() {
-        return value != null && value.get(VERSION) instanceof Number n ? n.longValue() : 0;
+        return value != null && value.get(VERSION_FIELD) instanceof Number number ? number.longValue() : 0;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Admission.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Admission.java
@@ -22,8 +22,9 @@
         if (types.stream().noneMatch(type -> fits(spec, type))) {
             return "a task fits no allowed machine type";
         }
-        int concurrentTasks = spec.kind() == JobKind.SERVICE ? spec.tasks() : 1;
-        if (!team.allows(spec.demand().cores() * concurrentTasks, spec.demand().gpus() * concurrentTasks)) {
+        int concurrentTasks = spec.kind() == JobKind.SERVICE ? spec.taskCount() : 1;
+        if (!team.isWithinLimits(
+                spec.demand().cores() * concurrentTasks, spec.demand().gpus() * concurrentTasks)) {
             return "more than the limit of team " + spec.team();
         }
         return null;
--- a/src/main/java/io/indigoreach/core/scheduling/BacklogEstimator.java
+++ b/src/main/java/io/indigoreach/core/scheduling/BacklogEstimator.java
@@ -53,7 +53,7 @@
         Moment latestStart = order.latestStart(job, now.plus(order.shortestRentableObjective(type)));
         backlog.mustStartWithin(
                 latestStart.since(now).seconds() * settings.objectiveShare(),
-                type.boot().seconds(),
+                type.bootTime().seconds(),
                 settings.minimumPaidTime().seconds(),
                 order.isObjectiveTooNearToRent(job, type) ? 0 : backlog.arrivalLoad);
     }
@@ -68,7 +68,7 @@
                 .perSecond(
                         job -> sizing.cheapestType(job).filter(type::equals).isPresent()
                                 && order.isObjectiveTooNearToRent(job, type),
-                        job -> job.spec.tasks() * sizing.machineSeconds(job, type),
+                        job -> job.spec.taskCount() * sizing.machineSeconds(job, type),
                         settings.minimumPaidTime(),
                         now);
     }
--- a/src/main/java/io/indigoreach/core/scheduling/CapacityForecast.java
+++ b/src/main/java/io/indigoreach/core/scheduling/CapacityForecast.java
@@ -40,7 +40,7 @@
             } else if (machine.isBooting(now, bootPatience)) {
                 booting++;
                 bootSeconds += Math.max(
-                        0, machine.rentedAt.plus(type.boot()).since(now).seconds());
+                        0, machine.rentedAt.plus(type.bootTime()).since(now).seconds());
             }
         }
         return new CapacityForecast(up, idle, busySeconds, booting, bootSeconds);
@@ -52,14 +52,14 @@
 
     private static double secondsLeft(Placement placement, MachineType type, Estimates estimates, Moment now) {
         return estimates.end(placement, now).since(now).seconds()
-                / Math.max(1, placement.demand().timesIn(type.capacity()));
+                / Math.max(1, placement.demand().countFittingIn(type.capacity()));
     }
 
     /** The part of a machine that replicas hold: it does not come free by itself. */
     static double heldByReplicas(Machine machine) {
         double held = 0;
         for (Placement placement : machine.placements().values()) {
-            held += placement.job.spec.isService() ? placement.demand().shareOf(machine.type.capacity()) : 0;
+            held += placement.job.spec.isService() ? placement.demand().dominantShareOf(machine.type.capacity()) : 0;
         }
         return Math.min(1, held);
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Cluster.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Cluster.java
@@ -88,7 +88,7 @@
 
     /** From now on the job is served in its turn. */
     void enqueue(Job job) {
-        if (job.spec.isHolder()) {
+        if (job.spec.isWarmPoolHolder()) {
             holderJobs.add(job);
         } else {
             queueOf(job).add(job);
--- a/src/main/java/io/indigoreach/core/scheduling/CommandBatch.java
+++ b/src/main/java/io/indigoreach/core/scheduling/CommandBatch.java
@@ -30,6 +30,6 @@
         return new WorkerCommand.Stop(
                 placement.task(),
                 placement.attempt,
-                placement.job.spec.checkpointTime().times(2));
+                placement.job.spec.checkpointDuration().times(2));
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.TaskState;
 import io.indigoreach.core.model.WorkerCommand;
@@ -61,7 +61,7 @@
         }
         machines.sort(Comparator.comparing((Machine machine) -> machine.surplus ? 1 : 0)
                 .thenComparing(machine -> machine.pool.spot() ? 0 : 1)
-                .thenComparing(machine -> -machine.used().shareOf(machine.type.capacity())));
+                .thenComparing(machine -> -machine.used().dominantShareOf(machine.type.capacity())));
         chooseMachinesToDrain(queue, machines, now);
         for (Machine machine : machines) {
             if (machine.isIdle() || machine.draining) {
@@ -72,7 +72,7 @@
     }
 
     /** What is free on machines at work. */
-    private static List<Demand> room(List<Machine> machines) {
+    private static List<Resources> room(List<Machine> machines) {
         return machines.stream()
                 .filter(machine -> roomOn(machine) > 0)
                 .map(Machine::free)
@@ -81,7 +81,7 @@
 
     /** Chooses the machines to empty, from the end of the list. */
     private void chooseMachinesToDrain(FairShareQueue queue, List<Machine> machines, Moment now) {
-        Map<Machine, Demand> free = new HashMap<>();
+        Map<Machine, Resources> free = new HashMap<>();
         double unclaimedCores = 0;
         for (Machine machine : machines) {
             unclaimedCores += roomOn(machine);
@@ -129,17 +129,18 @@
         if (placement.state != TaskState.RUNNING || placement.stopping || job.cancelled) {
             return false;
         }
-        if (!job.spec.savesProgress() || job.spec.oneZone() || job.spec.spread()) {
+        if (!job.spec.savesCheckpoints() || job.spec.singleZone() || job.spec.spreadOverZones()) {
             return false;
         }
-        Span move = job.spec.checkpointTime().plus(safetyTimes.heartbeatPeriod().times(2));
+        Span move =
+                job.spec.checkpointDuration().plus(safetyTimes.heartbeatPeriod().times(2));
         return now.since(placement.stateSince).compareTo(Preemption.MINIMUM_RUN) >= 0
                 && estimates.end(placement, now).since(now).compareTo(move.times(MIN_REMAINING_PER_MOVE)) >= 0;
     }
 
     /** Finds a place for each task of the machine on a fuller machine that has its image; all or nothing. */
-    private static boolean reserveTargets(Machine machine, List<Machine> fuller, Map<Machine, Demand> free) {
-        Map<Machine, Demand> after = new HashMap<>(free);
+    private static boolean reserveTargets(Machine machine, List<Machine> fuller, Map<Machine, Resources> free) {
+        Map<Machine, Resources> after = new HashMap<>(free);
         for (Placement placement : machine.placements().values()) {
             Machine target = null;
             for (Machine candidate : fuller) {
@@ -172,7 +173,7 @@
         if (machine.draining && isMovable(machine, now) && rules.cordons().isCordoned(machine, now)) {
             for (Placement placement : machine.placementsCopy()) {
                 placement.job.awaitImageLocality(
-                        now.plus(safetyTimes.heartbeatPeriod().times(3)).plus(placement.job.spec.checkpointTime()));
+                        now.plus(safetyTimes.heartbeatPeriod().times(3)).plus(placement.job.spec.checkpointDuration()));
                 commands.add(CommandBatch.stopWithCheckpoint(placement));
             }
         }
--- a/src/main/java/io/indigoreach/core/scheduling/CordonRules.java
+++ b/src/main/java/io/indigoreach/core/scheduling/CordonRules.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Urgency;
 import java.util.Collection;
 import java.util.Iterator;
@@ -27,9 +27,9 @@
      * Whether all that waits in a queue has places in what is free on some machines, each job by itself and all
      * together. Never where a job waits that should not be kept from any place.
      */
-    boolean fitsIn(FairShareQueue queue, Collection<Demand> free, Moment now) {
+    boolean fitsIn(FairShareQueue queue, Collection<Resources> free, Moment now) {
         double cores = 0;
-        for (Demand room : free) {
+        for (Resources room : free) {
             cores += room.cores();
         }
         for (Job job : queue.jobs()) {
@@ -47,10 +47,10 @@
         return true;
     }
 
-    private static boolean fitsIn(Job job, Collection<Demand> free) {
+    private static boolean fitsIn(Job job, Collection<Resources> free) {
         int lacking = job.startableCount();
-        for (Iterator<Demand> rooms = free.iterator(); lacking > 0 && rooms.hasNext(); ) {
-            lacking -= job.spec.demand().timesIn(rooms.next());
+        for (Iterator<Resources> rooms = free.iterator(); lacking > 0 && rooms.hasNext(); ) {
+            lacking -= job.spec.demand().countFittingIn(rooms.next());
         }
         return lacking <= 0;
     }
@@ -65,7 +65,7 @@
     }
 
     private static boolean isBoundToSomeMachines(Job job) {
-        return !job.spec.spotAllowed() || job.spec.zone() != null || job.spec.types() != null;
+        return !job.spec.spotAllowed() || job.spec.zone() != null || job.spec.machineTypes() != null;
     }
 
     /** Whether an idle machine can be used by a job that waits in a queue which the machine serves. */
--- a/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
+++ b/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
 import io.indigoreach.core.dependency.DependencyGraph;
-import io.indigoreach.core.dependency.Lookahead;
+import io.indigoreach.core.dependency.TargetPropagation;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobTarget;
 import io.indigoreach.core.model.Moment;
@@ -34,7 +34,7 @@
     }
 
     void added(Job job) {
-        graph.opened(job.id());
+        graph.onOpened(job.id());
         if (job.hasUnmetDependencies()) {
             graph.add(job.id(), job.spec.dependencies().requiredJobs(), cluster.jobs::containsKey);
             if (job.inherited) {
@@ -46,7 +46,7 @@
     /** The job is over or not served any more; what became of it is to be read. */
     void removed(Job job) {
         inherited.remove(job);
-        graph.ended(job.id());
+        graph.onEnded(job.id());
     }
 
     void clear() {
@@ -57,12 +57,12 @@
 
     /** The end of a job as done is in the state service. */
     public void done(JobId id) {
-        graph.done(id);
+        graph.onDone(id);
     }
 
     /** The end of a job as cancelled is in the state service. */
     public void cancelled(JobId id) {
-        graph.cancelled(id);
+        graph.onCancelled(id);
     }
 
     /** Jobs that others wait for and that are not open here: their ends are to be read. */
@@ -103,8 +103,8 @@
         if (graph.isEmpty() && targeted.isEmpty()) {
             return;
         }
-        Map<JobId, JobTarget> targets =
-                Lookahead.of(graph, id -> cluster.jobs.get(id).ownTarget(), id -> runTime(cluster.jobs.get(id)));
+        Map<JobId, JobTarget> targets = TargetPropagation.propagate(
+                graph, id -> cluster.jobs.get(id).ownTarget(), id -> runTime(cluster.jobs.get(id)));
         for (JobId id : targeted) {
             if (!targets.containsKey(id)) {
                 target(id, null);
--- a/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
@@ -1,9 +1,9 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.HeartbeatNumber;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
@@ -99,7 +99,7 @@
     /** The machine's own queue; an idle machine may pass to the queue that is furthest below its guarantee. */
     private List<FairShareQueue> queuesFor(Machine machine) {
         List<FairShareQueue> queues = new ArrayList<>(cluster.queues());
-        queues.sort(Comparator.<FairShareQueue>comparingInt(queue -> queue.isBelowGuarantee(Demand.NOTHING) ? 0 : 1)
+        queues.sort(Comparator.<FairShareQueue>comparingInt(queue -> queue.isBelowGuarantee(Resources.NONE) ? 0 : 1)
                 .thenComparingInt(queue -> queue.name.equals(machine.queueName) ? 0 : 1)
                 .thenComparingDouble(FairShareQueue::coresBeyondGuarantee));
         return queues;
@@ -211,7 +211,7 @@
             boolean exemptFromBudget) {
         Machine machine = batch.machine();
         Moment now = batch.now();
-        Demand demand = job.spec.demand();
+        Resources demand = job.spec.demand();
         boolean mayContinue = rules.placement().isSuitable(job, machine, now);
         Span runTime = estimates.onMachine(job, machine);
         boolean filler =
@@ -222,7 +222,7 @@
                 && (reservation.isEmpty() || reservation.get().allows(machine, demand, runTime, estimates, now))) {
             if (!job.isWithinStartBound()) {
                 // Further down the queue than the start bounds were raised: it may start here at the next heartbeat.
-                job.requestStartBoundFor(demand.timesIn(machine.free()));
+                job.requestStartBoundFor(demand.countFittingIn(machine.free()));
                 return;
             }
             if (!demand.fitsIn(machine.free())) {
--- a/src/main/java/io/indigoreach/core/scheduling/Estimates.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Estimates.java
@@ -43,7 +43,7 @@
             return job.runTimes.mean();
         }
         double factor = Math.exp(logFactor.getOrDefault(job.spec.jobClass(), 0.0));
-        return job.spec.estimate().times(Math.min(3, Math.max(0.33, factor)));
+        return job.spec.estimatedRunTime().times(Math.min(3, Math.max(0.33, factor)));
     }
 
     /** The expected time a task takes on a machine, image fetch included when it has to be fetched. */
@@ -53,7 +53,7 @@
     }
 
     static Span fetch(Job job, MachineType type) {
-        return Span.seconds(type.fetchGbPerS() > 0 ? job.spec.imageGb() / type.fetchGbPerS() : 0);
+        return Span.seconds(type.imageFetchGbPerS() > 0 ? job.spec.imageGb() / type.imageFetchGbPerS() : 0);
     }
 
     /** Whether a task of the job's class has been seen to end, so that its estimate rests on more than the owner's figure. */
@@ -64,9 +64,9 @@
     void observe(Job job, Span run) {
         job.runTimes.add(run);
         listener.accept(job, run);
-        if (job.spec.estimate().ms() > 0) {
-            double ratio =
-                    Math.log(Math.max(0.05, run.seconds()) / job.spec.estimate().seconds());
+        if (job.spec.estimatedRunTime().ms() > 0) {
+            double ratio = Math.log(
+                    Math.max(0.05, run.seconds()) / job.spec.estimatedRunTime().seconds());
             logFactor.merge(
                     job.spec.jobClass(),
                     ratio * OBSERVATION_WEIGHT,
--- a/src/main/java/io/indigoreach/core/scheduling/FailureDetector.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FailureDetector.java
@@ -105,7 +105,7 @@
         }
         return overdueInZone > NEARLY_NONE
                 ? safetyTimes.suspicionTimeout().plus(safetyTimes.responseTimeout())
-                : Span.longer(safetyTimes.suspicionTimeout(), safetyTimes.leaderDiscovery());
+                : Span.max(safetyTimes.suspicionTimeout(), safetyTimes.leaderDiscovery());
     }
 
     /** So many of the zone's machines are silent that the network is at fault. */
--- a/src/main/java/io/indigoreach/core/scheduling/FairShareQueue.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FairShareQueue.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
 import java.util.ArrayList;
@@ -48,7 +48,7 @@
     private Moment orderedAt = Moment.NEVER;
     private double cores;
     /** What is free on the machines that are not cordoned. */
-    private List<Demand> roomOutsideCordon = List.of();
+    private List<Resources> roomOutsideCordon = List.of();
 
     FairShareQueue(String name, TeamUsage guaranteed) {
         this.name = name;
@@ -98,15 +98,15 @@
         return cachedOrder;
     }
 
-    void addUsage(Demand demand, int sign) {
+    void addUsage(Resources demand, int sign) {
         cores += sign * demand.cores();
     }
 
-    void roomOutsideCordon(List<Demand> free) {
+    void roomOutsideCordon(List<Resources> free) {
         roomOutsideCordon = free;
     }
 
-    List<Demand> roomOutsideCordon() {
+    List<Resources> roomOutsideCordon() {
         return roomOutsideCordon;
     }
 
@@ -115,12 +115,12 @@
     }
 
     /** Its team has a guarantee and uses less than that, with {@code more}. */
-    boolean isBelowGuarantee(Demand more) {
+    boolean isBelowGuarantee(Resources more) {
         return guaranteed != null && guaranteed.isWithinGuarantee(more);
     }
 
     /** Cores in use beyond the guarantee. */
     double coresBeyondGuarantee() {
-        return cores - (guaranteed == null ? 0 : guaranteed.team.cores());
+        return cores - (guaranteed == null ? 0 : guaranteed.team.guaranteedCores());
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/GuaranteeEnforcement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/GuaranteeEnforcement.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.TaskState;
 import io.indigoreach.core.model.WorkerCommand;
 import java.util.ArrayList;
@@ -52,14 +52,14 @@
 
     /** Stops borrowed work until the top job fits; returns whether it does. */
     private boolean makeRoom(FairShareQueue queue, Job top, Machine machine, List<WorkerCommand> commands) {
-        Demand room = machine.free();
+        Resources room = machine.free();
         for (Placement placement : machine.placementsCopy()) {
             FairShareQueue borrower = cluster.queueOf(placement.job);
             if (!top.spec.demand().fitsIn(room)
                     && borrower != queue
                     && !placement.stopping
                     && placement.state == TaskState.RUNNING
-                    && !borrower.isBelowGuarantee(Demand.NOTHING)) {
+                    && !borrower.isBelowGuarantee(Resources.NONE)) {
                 room = room.plus(placement.demand());
                 commands.add(CommandBatch.stopWithCheckpoint(placement));
             }
@@ -89,6 +89,6 @@
 
     private boolean isPaidBeyondGuarantee(Job holder, FairShareQueue claimant) {
         FairShareQueue payer = cluster.queueOf(holder);
-        return payer != claimant && !payer.isBelowGuarantee(Demand.NOTHING);
+        return payer != claimant && !payer.isBelowGuarantee(Resources.NONE);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Job.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Job.java
@@ -79,8 +79,8 @@
             boolean inherited) {
         this.spec = spec;
         this.submittedMs = submittedMs;
-        this.targets =
-                new JobTargets(new JobTarget(spec.urgency(), spec.due() == null ? null : submitted.plus(spec.due())));
+        this.targets = new JobTargets(new JobTarget(
+                spec.urgency(), spec.relativeDeadline() == null ? null : submitted.plus(spec.relativeDeadline())));
         this.eligibleSince = submitted.plus(releasedAfter(spec, submittedMs));
         this.revision = revision;
         this.inherited = inherited;
@@ -107,7 +107,7 @@
     void releaseFromDependencies(Moment now, long timeOfDayMs) {
         hasUnmetDependencies = false;
         eligibleSince = now;
-        spec = spec.with(spec.dependencies().released(timeOfDayMs));
+        spec = spec.with(spec.dependencies().releasedAt(timeOfDayMs));
     }
 
     /** Its priority: its own, or the higher one of a job that needs it. */
@@ -122,7 +122,7 @@
 
     /** By when it should be done for its own deadline, which counts from its submission; null if it has none. */
     Moment ownDueAt() {
-        return targets.own().due();
+        return targets.own().deadline();
     }
 
     /** What its own user asks of it. */
--- a/src/main/java/io/indigoreach/core/scheduling/JobSizing.java
+++ b/src/main/java/io/indigoreach/core/scheduling/JobSizing.java
@@ -29,14 +29,14 @@
         MachineType best = null;
         double bestPrice = Double.MAX_VALUE;
         for (MachineType type : cluster.types.values()) {
-            int tasksPerMachine = spec.demand().timesIn(type.capacity());
+            int tasksPerMachine = spec.demand().countFittingIn(type.capacity());
             if (tasksPerMachine == 0
                     || !spec.allowsType(type.name())
                     || type.zones().stream().noneMatch(zone -> mayRunIn(job, zone))) {
                 continue;
             }
             boolean onSpot = spec.spotAllowed() && type.spotPrice() > 0;
-            double price = (onSpot ? type.spotPrice() : type.price()) / tasksPerMachine;
+            double price = (onSpot ? type.spotPrice() : type.onDemandPrice()) / tasksPerMachine;
             if (price < bestPrice) {
                 best = type;
                 bestPrice = price;
@@ -47,7 +47,7 @@
 
     /** Whether the job may run in the zone, by its specification and by the zone of its other tasks. */
     static boolean mayRunIn(Job job, String zone) {
-        String boundZone = job.spec.oneZone() ? job.boundZone() : null;
+        String boundZone = job.spec.singleZone() ? job.boundZone() : null;
         return job.spec.allowsZone(zone) && (boundZone == null || boundZone.equals(zone));
     }
 
@@ -70,6 +70,6 @@
     }
 
     private static int tasksPerMachine(Job job, MachineType type) {
-        return Math.max(1, job.spec.demand().timesIn(type.capacity()));
+        return Math.max(1, job.spec.demand().countFittingIn(type.capacity()));
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/JobTargets.java
+++ b/src/main/java/io/indigoreach/core/scheduling/JobTargets.java
@@ -25,11 +25,13 @@
     Urgency urgency() {
         return ofDependents == null
                 ? own.urgency()
-                : own.strictest(ofDependents).urgency();
+                : own.combinedWith(ofDependents).urgency();
     }
 
     /** The earlier of the deadlines; null if there is none. */
     Moment due() {
-        return ofDependents == null ? own.due() : own.strictest(ofDependents).due();
+        return ofDependents == null
+                ? own.deadline()
+                : own.combinedWith(ofDependents).deadline();
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/LeaseExpiry.java
+++ b/src/main/java/io/indigoreach/core/scheduling/LeaseExpiry.java
@@ -52,8 +52,7 @@
         if (cluster.awakeSince.isAfter(suspectedSince)) {
             return false;
         }
-        Moment undiscoveredSince =
-                now.minus(Span.longer(safetyTimes.suspicionTimeout(), safetyTimes.leaderDiscovery()));
+        Moment undiscoveredSince = now.minus(Span.max(safetyTimes.suspicionTimeout(), safetyTimes.leaderDiscovery()));
         int silent = 0;
         for (Machine machine : cluster.machines.values()) {
             if (machine.recorded && machine.phase != Machine.Phase.RETURNING) {
--- a/src/main/java/io/indigoreach/core/scheduling/Machine.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Machine.java
@@ -1,6 +1,5 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.HeartbeatNumber;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobSpec;
@@ -8,6 +7,7 @@
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.core.model.MachineType;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.TaskId;
 import java.util.HashSet;
 import java.util.List;
@@ -76,7 +76,7 @@
         this.lastHeardAt = knownToExistAt;
         this.idleSince = knownToExistAt;
         this.knownToExistAt = knownToExistAt;
-        this.imageCache = new ImageCache(type.cacheGb());
+        this.imageCache = new ImageCache(type.imageCacheGb());
     }
 
     public MachineId id() {
@@ -249,7 +249,7 @@
         draining &= placements.isAnyStopping();
     }
 
-    Demand free() {
+    Resources free() {
         return type.capacity().minus(placements.used());
     }
 
@@ -258,12 +258,12 @@
      * this order, so that the worker never has both. One that still waits for the image stays: without it the fetch would be
      * abandoned, and no replica could run before it is done.
      */
-    Demand freeFor(JobSpec spec) {
+    Resources freeFor(JobSpec spec) {
         Placement holder = poolMembership == null || !poolMembership.image().equals(spec.image()) ? null : holder();
         return holder == null || !holder.isRunning() ? free() : free().plus(holder.demand());
     }
 
-    Demand used() {
+    Resources used() {
         return placements.used();
     }
 
@@ -366,7 +366,8 @@
 
     /** Requested and not up yet, but not overdue by so many of its type's boot times either. */
     boolean isBooting(Moment now, double bootTimes) {
-        return phase == Phase.BOOTING && now.isBefore(rentedAt.plus(type.boot().times(bootTimes)));
+        return phase == Phase.BOOTING
+                && now.isBefore(rentedAt.plus(type.bootTime().times(bootTimes)));
     }
 
     /** Whether the job may use it, its pool membership included. */
@@ -376,6 +377,6 @@
 
     /** Whether the job may use its type, zone and price kind. */
     boolean matchesPool(JobSpec spec) {
-        return spec.allowsType(pool.type()) && spec.allowsZone(pool.zone()) && spec.allowsKind(pool.spot());
+        return spec.allowsType(pool.type()) && spec.allowsZone(pool.zone()) && spec.allowsPricing(pool.spot());
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/MachinePlacements.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachinePlacements.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.TaskId;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -13,18 +13,18 @@
 final class MachinePlacements {
     private final Map<TaskId, Placement> placements = new HashMap<>();
     private int holders;
-    private Demand used = Demand.NOTHING;
+    private Resources used = Resources.NONE;
 
     void add(Placement placement) {
         placements.put(placement.task(), placement);
-        holders += placement.job.spec.isHolder() ? 1 : 0;
+        holders += placement.job.spec.isWarmPoolHolder() ? 1 : 0;
         used = used.plus(placement.demand());
     }
 
     void remove(Placement placement) {
         if (placements.remove(placement.task(), placement)) {
-            holders -= placement.job.spec.isHolder() ? 1 : 0;
-            used = placements.isEmpty() ? Demand.NOTHING : used.minus(placement.demand());
+            holders -= placement.job.spec.isWarmPoolHolder() ? 1 : 0;
+            used = placements.isEmpty() ? Resources.NONE : used.minus(placement.demand());
         }
     }
 
@@ -40,7 +40,7 @@
         return placements.size();
     }
 
-    Demand used() {
+    Resources used() {
         return used;
     }
 
@@ -59,7 +59,7 @@
             return Optional.empty();
         }
         return placements.values().stream()
-                .filter(placement -> placement.job.spec.isHolder() && !placement.stopping)
+                .filter(placement -> placement.job.spec.isWarmPoolHolder() && !placement.stopping)
                 .findFirst();
     }
 
@@ -77,7 +77,7 @@
     Map<String, Double> coresByTeam() {
         Map<String, Double> cores = new HashMap<>();
         for (Placement placement : placements.values()) {
-            if (!placement.job.spec.isHolder()) {
+            if (!placement.job.spec.isWarmPoolHolder()) {
                 cores.merge(placement.job.spec.team(), placement.demand().cores(), Double::sum);
             }
         }
--- a/src/main/java/io/indigoreach/core/scheduling/MachineRegistry.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachineRegistry.java
@@ -175,7 +175,7 @@
     private Machine adopt(ListedMachine listed, Moment now) {
         listener.log("machine adopted by listing machine=" + listed.id());
         MachineType type = cluster.types.get(listed.pool().type());
-        Machine machine = new Machine(listed.id(), listed.pool(), type, now.minus(listed.sinceRequested()));
+        Machine machine = new Machine(listed.id(), listed.pool(), type, now.minus(listed.timeSinceRequest()));
         machine.adoptedAt(now);
         cluster.machines.put(machine.id, machine);
         return machine;
--- a/src/main/java/io/indigoreach/core/scheduling/ObjectiveBudget.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ObjectiveBudget.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
 import java.util.HashMap;
@@ -55,7 +55,7 @@
     }
 
     /** A task of an unbounded filler was started: its cores are taken off the budget. */
-    void fillerStarted(FairShareQueue queue, Demand demand) {
+    void fillerStarted(FairShareQueue queue, Resources demand) {
         budgets.computeIfPresent(queue, (key, budget) -> new CoreBudget(budget.cores - demand.cores(), budget.counted));
     }
 
@@ -82,7 +82,7 @@
         return queue.arrivalRate()
                 .perSecond(
                         job -> !objectives.hasNoObjective(job),
-                        job -> job.spec.tasks()
+                        job -> job.spec.taskCount()
                                 * estimates.run(job).seconds()
                                 * job.spec.demand().cores(),
                         minimumPaidTime,
--- a/src/main/java/io/indigoreach/core/scheduling/PlaceShortages.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PlaceShortages.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.TaskState;
 import java.util.HashMap;
@@ -83,13 +83,13 @@
             if (!machine.isUsable() || !machine.allows(top.spec) || rules.awaitsImageLocality(top, machine, now)) {
                 continue;
             }
-            Demand room = machine.freeFor(top.spec);
+            Resources room = machine.freeFor(top.spec);
             for (Placement placement : machine.placements().values()) {
                 if (endsWithin(soon, placement, now)) {
                     room = room.plus(placement.demand());
                 }
             }
-            places += top.spec.demand().timesIn(room);
+            places += top.spec.demand().countFittingIn(room);
         }
         return places;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Placement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Placement.java
@@ -1,9 +1,9 @@
 package io.indigoreach.core.scheduling;
 
 import io.indigoreach.core.model.Attempt;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.HeartbeatNumber;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.TaskId;
 import io.indigoreach.core.model.TaskState;
 
@@ -64,7 +64,7 @@
         return state == TaskState.RUNNING || state == TaskState.SAVING;
     }
 
-    Demand demand() {
+    Resources demand() {
         return job.spec.demand();
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/PlacementRules.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PlacementRules.java
@@ -23,7 +23,7 @@
         if (now.isBefore(job.retryNotBefore)) {
             return false;
         }
-        if (cluster.teamUsage(job).team.isLimited()) {
+        if (cluster.teamUsage(job).team.hasLimits()) {
             return failover.isComplete() && !cluster.hasOrphanTasks();
         }
         return true;
@@ -35,13 +35,13 @@
         if (!cluster.teamUsage(job).hasRoomFor(job.spec.demand())) {
             return false;
         }
-        if (job.spec.oneZone()) {
+        if (job.spec.singleZone()) {
             String boundZone = job.boundZone();
             if (boundZone != null && !boundZone.equals(zone)) {
                 return false;
             }
         }
-        return !job.spec.spread() || job.placementsInZone(zone) < job.spec.zoneLimit();
+        return !job.spec.spreadOverZones() || job.placementsInZone(zone) < job.spec.maxTasksPerZone();
     }
 
     /** Whether the machine is suitable for the job: by its pool, its failures and its image, not by its free capacity. */
--- a/src/main/java/io/indigoreach/core/scheduling/PoolMembership.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PoolMembership.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 
 /**
@@ -13,13 +13,13 @@
     private final String pool;
     private final String image;
     private final double imageGb;
-    private final Demand replica;
+    private final Resources replica;
     private Job holder;
     private Span longestOtherTask = Span.ZERO;
     private boolean ended;
 
     /** Membership in a pool that holds an image of {@code gb} gigabytes ahead of replicas which take {@code replica} each. */
-    public PoolMembership(String pool, String image, double gb, Demand replica) {
+    public PoolMembership(String pool, String image, double gb, Resources replica) {
         this.pool = pool;
         this.image = image;
         this.imageGb = gb;
@@ -65,12 +65,12 @@
      * fetch would share its rate), where theirs fits beside it, and where they leave room for a replica or, by twice the
      * owner's estimate, are gone before one is expected.
      */
-    public boolean admits(JobSpec spec, ImageCache cache, Demand free) {
+    public boolean admits(JobSpec spec, ImageCache cache, Resources free) {
         if (spec.image().equals(image)) {
             return true;
         }
         boolean leavesRoom = replica.fitsIn(free.minus(spec.demand()))
-                || (!spec.isService() && spec.estimate().times(2).compareTo(longestOtherTask) <= 0);
+                || (!spec.isService() && spec.estimatedRunTime().times(2).compareTo(longestOtherTask) <= 0);
         return leavesRoom && cache.isCached(image) && cache.hasRoomBeside(image, spec.image(), spec.imageGb());
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Preemption.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Preemption.java
@@ -1,8 +1,8 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.MachineType;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.TaskState;
 import io.indigoreach.core.model.Urgency;
@@ -77,15 +77,15 @@
         int missing = shortages.missingPlaces(queue, top, now);
         victims.sort(Comparator.comparing((Placement placement) -> placement.job.urgency())
                 .reversed());
-        Demand room = machine.free();
+        Resources room = machine.free();
         for (Placement placement : victims) {
-            int placesBefore = top.spec.demand().timesIn(room);
+            int placesBefore = top.spec.demand().countFittingIn(room);
             room = room.plus(placement.demand());
             if (missing <= 0) {
                 break;
             }
             commands.add(CommandBatch.stopWithCheckpoint(placement));
-            missing -= top.spec.demand().timesIn(room) - placesBefore;
+            missing -= top.spec.demand().countFittingIn(room) - placesBefore;
         }
         shortages.setMissingPlaces(top, missing);
     }
@@ -97,12 +97,14 @@
                 || !top.urgency().isMoreUrgentThan(placement.job.urgency())) {
             return false;
         }
-        return placement.job.spec.savesProgress() ? hasRunLongEnough(placement, now) : losesLittle(placement, top, now);
+        return placement.job.spec.savesCheckpoints()
+                ? hasRunLongEnough(placement, now)
+                : losesLittle(placement, top, now);
     }
 
     /** A task that keeps its progress is stopped if it has not just begun, and does not end as soon by itself. */
     private boolean hasRunLongEnough(Placement placement, Moment now) {
-        Span grace = placement.job.spec.checkpointTime().times(2);
+        Span grace = placement.job.spec.checkpointDuration().times(2);
         return now.since(placement.stateSince).compareTo(MINIMUM_RUN) >= 0
                 && estimates.end(placement, now).since(now).compareTo(grace) > 0;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/QueueOrder.java
+++ b/src/main/java/io/indigoreach/core/scheduling/QueueOrder.java
@@ -47,7 +47,7 @@
     /** A task that takes a whole machine starts only when everything else on one has ended. */
     private Span clearingTime(Job job) {
         boolean wholeMachine = cluster.types.values().stream()
-                .allMatch(type -> job.spec.demand().timesIn(type.capacity()) <= 1);
+                .allMatch(type -> job.spec.demand().countFittingIn(type.capacity()) <= 1);
         return wholeMachine ? minimumPaidTime : Span.ZERO;
     }
 
@@ -63,7 +63,7 @@
                 places += entry.getValue()
                         * job.spec
                                 .demand()
-                                .timesIn(cluster.types.get(pool.type()).capacity());
+                                .countFittingIn(cluster.types.get(pool.type()).capacity());
             }
         }
         return places == 0 ? 1 : (job.waitingCount() + places - 1) / places;
@@ -80,7 +80,9 @@
     }
 
     private static boolean allowsPool(Job job, MachinePool pool) {
-        return job.spec.allowsType(pool.type()) && job.spec.allowsZone(pool.zone()) && job.spec.allowsKind(pool.spot());
+        return job.spec.allowsType(pool.type())
+                && job.spec.allowsZone(pool.zone())
+                && job.spec.allowsPricing(pool.spot());
     }
 
     /**
@@ -98,7 +100,7 @@
 
     /** An objective nearer than this cannot be met by scaling out for what waits. */
     Span shortestRentableObjective(MachineType type) {
-        return type.boot().times(BOOT_TIMES_TO_OBJECTIVE).plus(minimumPaidTime.times(0.5));
+        return type.bootTime().times(BOOT_TIMES_TO_OBJECTIVE).plus(minimumPaidTime.times(0.5));
     }
 
     /**
--- a/src/main/java/io/indigoreach/core/scheduling/Reconciler.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Reconciler.java
@@ -49,7 +49,7 @@
     /** The open job that the task belongs to; null if its job is cancelled or over, or never had such a task. */
     private Job openJobOf(TaskStatus status) {
         Job job = cluster.jobs.get(status.task().job());
-        return job != null && status.task().index() < job.spec.tasks() ? job : null;
+        return job != null && status.task().index() < job.spec.taskCount() ? job : null;
     }
 
     /** Takes over what the heartbeat shows; the commands come on top of those of {@link #stopEndedJobs}. */
@@ -111,7 +111,7 @@
         Placement current = job.placements(status.task().index());
         Optional<Placement> placement = Optional.ofNullable(current)
                 .filter(candidate -> candidate.machine == pass.machine && candidate.attempt.equals(status.attempt()));
-        switch (status.cause()) {
+        switch (status.exitCause()) {
             case DONE -> {
                 pass.machine.imageCache.confirmCached(job.spec.image());
                 if (!job.spec.isService()) {
@@ -127,7 +127,7 @@
             }
             case FULL, IN_USE, UNKNOWN ->
                 placement.ifPresent(refused -> {
-                    listener.startRefused(refused, status.cause());
+                    listener.startRefused(refused, status.exitCause());
                     retryLater(pass, job, refused);
                 });
             default -> placement.ifPresent(ended -> cluster.removePlacement(ended, pass.now));
@@ -214,7 +214,7 @@
         if (job.cancelled || job.isDone(status.task().index())) {
             pass.commands.add(stop(status, Span.ZERO));
         } else if (machine.quarantined) {
-            pass.commands.add(stop(status, job.spec.checkpointTime()));
+            pass.commands.add(stop(status, job.spec.checkpointDuration()));
         } else if (isToBeSavedBeforePreemption(machine, placement)) {
             pass.commands.add(stop(status, machine.preemptionAt.since(pass.now)));
         }
@@ -222,7 +222,7 @@
 
     private static boolean isToBeSavedBeforePreemption(Machine machine, Placement placement) {
         return machine.preemptionAt != null
-                && placement.job.spec.savesProgress()
+                && placement.job.spec.savesCheckpoints()
                 && placement.state == TaskState.RUNNING;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/RememberedStateView.java
+++ b/src/main/java/io/indigoreach/core/scheduling/RememberedStateView.java
@@ -24,7 +24,7 @@
     static RememberedState of(Job job) {
         RememberedState rememberedState = new RememberedState();
         if (job.isComplete()) {
-            rememberedState.add(job.id(), new RememberedState.FinishedJob(JobStatus.DONE, job.spec.tasks()));
+            rememberedState.add(job.id(), new RememberedState.FinishedJob(JobStatus.DONE, job.spec.taskCount()));
         } else {
             rememberedState.add(new RememberedState.OpenJob(
                     job.spec, job.submittedMs, job.completedTasks(), job.startBoundToWrite()));
--- a/src/main/java/io/indigoreach/core/scheduling/Reservation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Reservation.java
@@ -1,8 +1,8 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -84,10 +84,10 @@
     private static void addPlaces(Job top, Machine machine, Estimates estimates, Moment now, List<Place> places) {
         Moment start = now;
         if (machine.phase == Machine.Phase.BOOTING) {
-            Moment up = machine.rentedAt.plus(machine.type.boot());
+            Moment up = machine.rentedAt.plus(machine.type.bootTime());
             start = up.isAfter(now) ? up : now;
         }
-        Demand room = machine.freeFor(top.spec);
+        Resources room = machine.freeFor(top.spec);
         int reserved = addPlace(top, machine, room, start, 0, places);
         List<Placement> running = machine.placementsCopy();
         running.removeIf(placement -> placement.job.spec.isService());
@@ -103,8 +103,9 @@
     }
 
     /** Adds what fits beyond the tasks that have places there already; returns for how many tasks. */
-    private static int addPlace(Job top, Machine machine, Demand room, Moment start, int reserved, List<Place> places) {
-        int more = top.spec.demand().timesIn(room) - reserved;
+    private static int addPlace(
+            Job top, Machine machine, Resources room, Moment start, int reserved, List<Place> places) {
+        int more = top.spec.demand().countFittingIn(room) - reserved;
         if (more <= 0) {
             return 0;
         }
@@ -113,17 +114,18 @@
     }
 
     /** Whether a task that takes {@code demand} for {@code time} may start on the machine without delaying the top job. */
-    boolean allows(Machine machine, Demand demand, Span time, Estimates estimates, Moment now) {
+    boolean allows(Machine machine, Resources demand, Span time, Estimates estimates, Moment now) {
         Hold hold = holds.get(machine.id);
         if (hold == null || !now.plus(time).isAfter(hold.at)) {
             return true;
         }
-        Demand room = machine.type.capacity().minus(demand);
+        Resources room = machine.type.capacity().minus(demand);
         for (Placement placement : machine.placements().values()) {
-            if (!placement.job.spec.isHolder() && estimates.end(placement, now).isAfter(hold.at)) {
+            if (!placement.job.spec.isWarmPoolHolder()
+                    && estimates.end(placement, now).isAfter(hold.at)) {
                 room = room.minus(placement.demand());
             }
         }
-        return top.spec.demand().timesIn(room) >= hold.tasks;
+        return top.spec.demand().countFittingIn(room) >= hold.tasks;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/SafetyTimes.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SafetyTimes.java
@@ -15,7 +15,7 @@
 
     /** After this long without an answered heartbeat, nothing runs on a machine: its lease, drift and a margin. */
     public Span leaseBound() {
-        return workerLease.withDrift().plus(MARGIN);
+        return workerLease.plusClockDrift().plus(MARGIN);
     }
 
     /**
@@ -38,7 +38,7 @@
 
     /** A heartbeat that has not arrived this long after the previous one is overdue: its longest interval, and latency. */
     public Span heartbeatOverdue() {
-        return heartbeatPeriod.times(1.25).withDrift().plus(Span.seconds(1));
+        return heartbeatPeriod.times(1.25).plusClockDrift().plus(Span.seconds(1));
     }
 
     /**
@@ -46,11 +46,11 @@
      * a usual one more, and a second of latency.
      */
     public Span suspicionTimeout() {
-        return heartbeatPeriod.times(1.25 + 0.5).withDrift().plus(Span.seconds(1));
+        return heartbeatPeriod.times(1.25 + 0.5).plusClockDrift().plus(Span.seconds(1));
     }
 
     /** A listing requested now describes a moment that is at most this long ago. */
     public Span oldestListing() {
-        return listingLag.times(2).withDrift().plus(Span.seconds(1));
+        return listingLag.times(2).plusClockDrift().plus(Span.seconds(1));
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
@@ -76,7 +76,7 @@
     }
 
     private String reasonWhileBooting(Machine machine, Moment now) {
-        Span bootTimeout = machine.type.boot().times(settings.bootTimeout());
+        Span bootTimeout = machine.type.bootTime().times(settings.bootTimeout());
         if (now.since(machine.rentedAt).compareTo(bootTimeout) > 0
                 && now.since(machine.lastHeardAt).compareTo(safetyTimes.leaseBound()) > 0) {
             return "never-up";
@@ -125,7 +125,7 @@
     }
 
     private Span partitionPatience(Machine machine) {
-        return safetyTimes.leaseBound().plus(machine.type.boot()).plus(settings.minimumPaidTime());
+        return safetyTimes.leaseBound().plus(machine.type.bootTime()).plus(settings.minimumPaidTime());
     }
 
     /** Whether the paid term ends before the next check. */
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleOutTrigger.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleOutTrigger.java
@@ -53,7 +53,7 @@
 
     /** When a task would end on a machine that is requested after the wait limit. */
     private Moment endOnNewMachine(Job job, MachineType type, Moment now) {
-        return now.plus(type.boot())
+        return now.plus(type.bootTime())
                 .plus(estimates.run(job))
                 .plus(Estimates.fetch(job, type))
                 .plus(settings.waitLimit());
--- a/src/main/java/io/indigoreach/core/scheduling/TaskProgress.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TaskProgress.java
@@ -33,9 +33,10 @@
      */
     static TaskProgress of(JobSpec spec, BitSet done, int startBound, boolean inherited) {
         // Where the others of its tasks are decides where one may go, so nothing of it is started before all is known.
-        boolean together = spec.oneZone() || spec.spread();
-        int possiblyRunningBelow = !inherited ? 0 : together && startBound > 0 ? spec.tasks() : startBound;
-        return new TaskProgress(spec.tasks(), done, spec.isGuarded(), startBound, possiblyRunningBelow);
+        boolean together = spec.singleZone() || spec.spreadOverZones();
+        int possiblyRunningBelow = !inherited ? 0 : together && startBound > 0 ? spec.taskCount() : startBound;
+        return new TaskProgress(
+                spec.taskCount(), done, spec.requiresRecordOwnership(), startBound, possiblyRunningBelow);
     }
 
     private TaskProgress(int tasks, BitSet done, boolean isGated, int startBound, int possiblyRunningBelow) {
--- a/src/main/java/io/indigoreach/core/scheduling/TaskStarter.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TaskStarter.java
@@ -21,8 +21,8 @@
                 job,
                 job.nextStartable(),
                 machine,
-                token.attempt(++attempts),
-                TaskState.ORDERED,
+                token.newAttempt(++attempts),
+                TaskState.START_SENT,
                 batch.number(),
                 batch.now());
         cluster.warmCapacity.taskStarting(job, machine);
--- a/src/main/java/io/indigoreach/core/scheduling/TeamUsage.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TeamUsage.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Team;
 
 /** What the tasks of one team use, against its guarantee and the limit that they never exceed. */
@@ -13,28 +13,28 @@
         this.team = team;
     }
 
-    void addUsage(Demand demand, int sign) {
+    void addUsage(Resources demand, int sign) {
         cores += sign * demand.cores();
         gpus += sign * demand.gpus();
     }
 
     /** Whether one more such task stays within the limit. */
-    boolean hasRoomFor(Demand demand) {
-        return team.allows(cores + demand.cores(), gpus + demand.gpus());
+    boolean hasRoomFor(Resources demand) {
+        return team.isWithinLimits(cores + demand.cores(), gpus + demand.gpus());
     }
 
     /** How many more such tasks the team's limit allows, beside {@code plannedCores}. */
-    int room(Demand demand, double plannedCores) {
-        return team.coresMax() > 0 && demand.cores() > 0
-                ? (int) ((team.coresMax() - cores - plannedCores) / demand.cores())
+    int room(Resources demand, double plannedCores) {
+        return team.maxCores() > 0 && demand.cores() > 0
+                ? (int) ((team.maxCores() - cores - plannedCores) / demand.cores())
                 : Integer.MAX_VALUE;
     }
 
     boolean hasGuarantee() {
-        return team.cores() > 0 || team.gpus() > 0;
+        return team.guaranteedCores() > 0 || team.guaranteedGpus() > 0;
     }
 
-    boolean isWithinGuarantee(Demand more) {
+    boolean isWithinGuarantee(Resources more) {
         return team.isWithinGuarantee(cores + more.cores(), gpus + more.gpus());
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
@@ -43,7 +43,7 @@
         if (!cluster.teamUsage(job).hasRoomFor(job.spec.demand())) {
             return WaitReason.TEAM_LIMIT;
         }
-        return job.spec.isHolder() ? WaitReason.NO_POOL_MEMBERSHIP : null;
+        return job.spec.isWarmPoolHolder() ? WaitReason.NO_POOL_MEMBERSHIP : null;
     }
 
     private WaitReason machineReason(Job job, Moment now) {
--- a/src/main/java/io/indigoreach/core/warm/MembershipRecovery.java
+++ b/src/main/java/io/indigoreach/core/warm/MembershipRecovery.java
@@ -58,6 +58,6 @@
 
     /** The pool that a holder names. */
     static String poolOf(Job job) {
-        return String.valueOf(job.spec().more().get(JobSpec.WARM));
+        return String.valueOf(job.spec().extensions().get(JobSpec.WARM_POOL_FIELD));
     }
 }
--- a/src/main/java/io/indigoreach/core/warm/PoolPlanner.java
+++ b/src/main/java/io/indigoreach/core/warm/PoolPlanner.java
@@ -131,7 +131,7 @@
 
     @Override
     public void taskStarting(Job job, Machine machine) {
-        if (job.spec().isHolder()) {
+        if (job.spec().isWarmPoolHolder()) {
             return;
         }
         String image = job.spec().image();
@@ -185,8 +185,8 @@
     private static boolean isLive(Machine machine, Moment now) {
         return machine.isExpectedToServe()
                 && (machine.phase() != Machine.Phase.BOOTING
-                        || now.isBefore(
-                                machine.rentedAt().plus(machine.type().boot().times(BOOT_PATIENCE))));
+                        || now.isBefore(machine.rentedAt()
+                                .plus(machine.type().bootTime().times(BOOT_PATIENCE))));
     }
 
     private void count(Collection<Machine> machines, Collection<Job> jobs, Moment now) {
@@ -209,7 +209,7 @@
 
     private void count(Job job) {
         JobSpec spec = job.spec();
-        if (spec.isHolder()) {
+        if (spec.isWarmPoolHolder()) {
             PoolState own = states.get(MembershipRecovery.poolOf(job));
             if (own != null && spec.team().equals(own.spec.team()) && !job.isCancelled()) {
                 own.holders.putIfAbsent(spec.image(), job);
@@ -217,7 +217,7 @@
             return;
         }
         for (PoolState s : states.values()) {
-            s.demand += s.spec.image().equals(spec.image()) ? spec.tasks() - job.doneCount() : 0;
+            s.demand += s.spec.image().equals(spec.image()) ? spec.taskCount() - job.doneCount() : 0;
         }
     }
 
--- a/src/main/java/io/indigoreach/core/warm/PoolSizing.java
+++ b/src/main/java/io/indigoreach/core/warm/PoolSizing.java
@@ -27,8 +27,8 @@
 
     /** From a request to rent until the image is there, as late as is usual; another fetch may share the rate. */
     public static Span lead(MachineType type, double gb, boolean shared) {
-        double fetch = type.fetchGbPerS() > 0 ? gb / (type.fetchGbPerS() * SLOW_FETCH) : 0;
-        return type.boot().times(LATE_BOOT).plus(Span.seconds(shared ? 2 * fetch : fetch));
+        double fetch = type.imageFetchGbPerS() > 0 ? gb / (type.imageFetchGbPerS() * SLOW_FETCH) : 0;
+        return type.bootTime().times(LATE_BOOT).plus(Span.seconds(shared ? 2 * fetch : fetch));
     }
 
     /** The smallest n with P(D &lt;= n) &gt;= ratio for a Poisson demand. */
--- a/src/main/java/io/indigoreach/core/warm/PoolSpec.java
+++ b/src/main/java/io/indigoreach/core/warm/PoolSpec.java
@@ -1,8 +1,8 @@
 package io.indigoreach.core.warm;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Team;
 import java.util.Collection;
 import java.util.List;
@@ -26,7 +26,7 @@
         String team,
         String image,
         double gb,
-        Demand replica,
+        Resources replica,
         List<String> types,
         List<String> zones,
         double zonePart,
@@ -97,8 +97,8 @@
             if (type == null) {
                 return new Fault("types", "unknown machine type " + name);
             }
-            if (type.cacheGb() > 0 && gb > type.cacheGb()) {
-                return new Fault("gb", gb + " GB do not fit the cache of " + name + ", " + type.cacheGb() + " GB");
+            if (type.imageCacheGb() > 0 && gb > type.imageCacheGb()) {
+                return new Fault("gb", gb + " GB do not fit the cache of " + name + ", " + type.imageCacheGb() + " GB");
             }
             if (!replica.fitsIn(type.capacity())) {
                 return new Fault("cores", "a replica does not fit " + name);
--- a/src/main/java/io/indigoreach/core/warm/TargetSize.java
+++ b/src/main/java/io/indigoreach/core/warm/TargetSize.java
@@ -82,7 +82,7 @@
                 .orElse(0);
         int replicas = Math.max(
                 PoolSizing.poisson(expected, p.wanted()), p.learned() ? s.seen.expected(at, lead, p.wanted()) : 0);
-        int need = PoolSizing.machines(replicas, p.replica().timesIn(type.capacity()));
+        int need = PoolSizing.machines(replicas, p.replica().countFittingIn(type.capacity()));
         int withLosses = p.spot() ? PoolSizing.withLosses(need, s.lossRate(), lead) : need;
         return new Wish(
                 Math.min(p.most(), Math.max(p.least(), withLosses)),
@@ -95,11 +95,11 @@
     private Wish limited(PoolState s, Wish wish) {
         Job current = s.holders.get(s.spec.image());
         Job holder = current == null ? s.holders.values().iterator().next() : current;
-        int tasks = holder.spec().tasks();
+        int tasks = holder.spec().taskCount();
         double each = holder.spec().demand().cores();
         Team team = teams.get(s.spec.team());
         int allowed =
-                team == null || team.coresMax() <= 0 || each <= 0 ? PoolSpec.MOST : (int) (team.coresMax() / each);
+                team == null || team.maxCores() <= 0 || each <= 0 ? PoolSpec.MOST : (int) (team.maxCores() / each);
         if (Math.min(tasks, allowed) >= wish.machines) {
             return wish;
         }
--- a/src/main/java/io/indigoreach/emulator/model/CloudModel.java
+++ b/src/main/java/io/indigoreach/emulator/model/CloudModel.java
@@ -145,11 +145,11 @@
                 .map(type -> new MachineType(
                         type.name(),
                         type.capacity(),
-                        type.cacheGb(),
-                        type.fetchGbPerS(),
-                        type.price(),
+                        type.imageCacheGb(),
+                        type.imageFetchGbPerS(),
+                        type.onDemandPrice(),
                         price.get(type.name()),
-                        type.boot(),
+                        type.bootTime(),
                         type.zones()))
                 .toList()));
     }
@@ -202,7 +202,7 @@
         boolean never = noBoot || random.nextDouble() < deployment.cloud().bootNever();
         double factor =
                 boots < deployment.cloud().bootLate() ? 3 + 3 * random.nextDouble() : 0.6 + 0.9 * random.nextDouble();
-        machine.up = never ? null : now.plus(type.boot().times(factor));
+        machine.up = never ? null : now.plus(type.bootTime().times(factor));
         double perHour = deployment.spot().perHour();
         if (pool.spot() && perHour > 0) {
             plan(
@@ -339,7 +339,9 @@
                     ? Math.max(0, LEAST_PAID.minus(now.since(machine.rented)).seconds())
                     : 0;
             machine.cost = cost(machine, now)
-                    + least / HOUR_S * (machine.pool.spot() ? price.get(machine.type.name()) : machine.type.price());
+                    + least
+                            / HOUR_S
+                            * (machine.pool.spot() ? price.get(machine.type.name()) : machine.type.onDemandPrice());
             events.add(new Event.Gone(machine, why));
         }
         machine.gone = now;
@@ -373,7 +375,7 @@
     private double cost(Machine machine, Moment now) {
         return machine.pool.spot()
                 ? meter(machine.pool) - machine.meterAtStart
-                : machine.type.price()
+                : machine.type.onDemandPrice()
                         * machine.chargedUntil(now).since(machine.rented).seconds()
                         / HOUR_S;
     }
--- a/src/main/java/io/indigoreach/emulator/model/Depot.java
+++ b/src/main/java/io/indigoreach/emulator/model/Depot.java
@@ -56,7 +56,7 @@
         Upload upload = uploads.get(task.job());
         double mean = upload.conduct.run.ms() > 0
                 ? upload.conduct.run.seconds()
-                : upload.spec.estimate().seconds();
+                : upload.spec.estimatedRunTime().seconds();
         double spread = upload.conduct.spread;
         double factor = Math.exp(
                 spread * new SplittableRandom(seed * 31 + task.hashCode()).nextGaussian() - spread * spread / 2);
--- a/src/main/java/io/indigoreach/emulator/model/WorkerModel.java
+++ b/src/main/java/io/indigoreach/emulator/model/WorkerModel.java
@@ -1,7 +1,6 @@
 package io.indigoreach.emulator.model;
 
 import io.indigoreach.core.model.Attempt;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.ExitCause;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.Heartbeat;
@@ -9,6 +8,7 @@
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.TaskId;
 import io.indigoreach.core.model.TaskState;
@@ -183,7 +183,7 @@
         images.put(fetching, depotSize(fetching));
         double held = images.values().stream().mapToDouble(d -> d).sum();
         for (String oldest : List.copyOf(images.keySet())) {
-            if (held <= machine.type().cacheGb() || oldest.equals(fetching)) {
+            if (held <= machine.type().imageCacheGb() || oldest.equals(fetching)) {
                 break;
             }
             held -= images.remove(oldest);
@@ -221,8 +221,8 @@
         fetching = waiting == null ? null : waiting.spec.image();
         fetched = waiting == null
                 ? null
-                : at.plus(Span.seconds(
-                        waiting.spec.imageGb() / (machine.type().fetchGbPerS() * (0.67 + 0.66 * random.nextDouble()))));
+                : at.plus(Span.seconds(waiting.spec.imageGb()
+                        / (machine.type().imageFetchGbPerS() * (0.67 + 0.66 * random.nextDouble()))));
     }
 
     private void run(Key key, Held h, Moment at) {
@@ -245,7 +245,7 @@
             if (h.ends != null && !h.ends.isAfter(at)) {
                 TaskId task = e.getKey().task;
                 if (h.state == TaskState.SAVING) {
-                    depot.save(task, progress(h, h.ends.minus(h.spec.checkpointTime())));
+                    depot.save(task, progress(h, h.ends.minus(h.spec.checkpointDuration())));
                     exit(e.getKey(), h, at, ExitCause.STOPPED, true);
                 } else if (!depot.hasResult(task) && (spoilt || depot.fails(task.job()))) {
                     exit(e.getKey(), h, at, ExitCause.ERROR, false);
@@ -279,7 +279,7 @@
 
     /** What the task has saved by itself, at each interval of progress. */
     private void keepCheckpoints(TaskId task, Held h, Moment at) {
-        long every = h.spec.checkpointEvery().ms();
+        long every = h.spec.checkpointInterval().ms();
         if (every > 0 && h.since != null) {
             depot.save(task, new Span(progress(h, at).ms() / every * every));
         }
@@ -399,7 +399,7 @@
             }
         } else if (command instanceof WorkerCommand.Stop stop) {
             if (held != null) {
-                stop(key, held, stop.grace(), now);
+                stop(key, held, stop.gracePeriod(), now);
             }
         } else if (held != null && held.state == TaskState.EXITED) {
             tasks.remove(key);
@@ -412,11 +412,11 @@
         changed = true;
         listener.started(now, machine.id(), key.task, key.attempt, token);
         JobSpec spec = depot.spec(key.task.job());
-        if (spec == null || key.task.index() >= spec.tasks()) {
+        if (spec == null || key.task.index() >= spec.taskCount()) {
             refuse(key, null, ExitCause.UNKNOWN);
             return;
         }
-        Demand room = machine.type().capacity();
+        Resources room = machine.type().capacity();
         for (Map.Entry<Key, Held> e : tasks.entrySet()) {
             Held h = e.getValue();
             if (h.state != TaskState.EXITED) {
@@ -448,9 +448,11 @@
 
     private void stop(Key key, Held h, Span grace, Moment now) {
         changed = true;
-        if (h.state == TaskState.RUNNING && h.spec.savesProgress() && grace.compareTo(h.spec.checkpointTime()) >= 0) {
+        if (h.state == TaskState.RUNNING
+                && h.spec.savesCheckpoints()
+                && grace.compareTo(h.spec.checkpointDuration()) >= 0) {
             h.state = TaskState.SAVING;
-            h.ends = now.plus(h.spec.checkpointTime());
+            h.ends = now.plus(h.spec.checkpointDuration());
         } else if (h.state == TaskState.SAVING ? grace.ms() == 0 : h.state != TaskState.EXITED) {
             exit(key, h, now, ExitCause.STOPPED, false);
         }
--- a/src/main/java/io/indigoreach/experiment/Figures.java
+++ b/src/main/java/io/indigoreach/experiment/Figures.java
@@ -80,14 +80,14 @@
         outcome.scenario().deployment().aim().forEach(a -> aims.add(judge(a)));
         outcome.scenario().jobs().stream().map(JobClass::name).distinct().forEach(c -> {
             served.add(served("class " + c, spec -> spec.jobClass().equals(c)));
-            largest(c, "tasks", JobSpec::tasks);
+            largest(c, "tasks", JobSpec::taskCount);
             largest(c, "cores a task", spec -> spec.demand().cores());
             largest(
                     c,
                     "work",
-                    spec -> spec.tasks()
+                    spec -> spec.taskCount()
                             * spec.demand().cores()
-                            * spec.estimate().seconds());
+                            * spec.estimatedRunTime().seconds());
         });
         outcome.scenario()
                 .deployment()
@@ -133,7 +133,7 @@
     }
 
     private double beginsAfter(Users.Mine m) {
-        return IntStream.range(0, m.spec().tasks())
+        return IntStream.range(0, m.spec().taskCount())
                 .mapToObj(i -> firstRun.get(new TaskId(m.spec().id(), i)))
                 .filter(Objects::nonNull)
                 .mapToDouble(at -> at.since(m.asked()).seconds())
@@ -167,7 +167,7 @@
         for (Event e : events) {
             if (e instanceof Event.Submitted s && specs.putIfAbsent(s.spec().id(), s.spec()) == null) {
                 submitted.put(s.spec().id(), s.at());
-                waiting[0] += s.spec().tasks();
+                waiting[0] += s.spec().taskCount();
             } else if (e instanceof Event.Running r) {
                 starts++;
                 running.put(r.machine() + " " + r.task() + " " + r.attempt(), r.at());
@@ -196,13 +196,13 @@
                 }
             } else if (e instanceof Event.CancelAsked c && specs.containsKey(c.job()) && gone.add(c.job())) {
                 int over = 0;
-                for (int i = 0; i < specs.get(c.job()).tasks(); i++) {
+                for (int i = 0; i < specs.get(c.job()).taskCount(); i++) {
                     over += done.contains(new TaskId(c.job(), i)) ? 1 : 0;
                 }
                 int runs = (int) running.keySet().stream()
                         .filter(k -> k.contains(" " + c.job() + "/"))
                         .count();
-                waiting[0] -= specs.get(c.job()).tasks() - over - runs;
+                waiting[0] -= specs.get(c.job()).taskCount() - over - runs;
             } else if (e instanceof Event.Answered a && a.question() == Event.Question.POLL && a.status() != null) {
                 record("poll answered", a.at().since(a.asked()).ms());
             }
@@ -222,14 +222,16 @@
                 continue;
             }
             if (aim.kind().equals("wait")) {
-                of += spec.tasks();
-                for (int i = 0; i < spec.tasks(); i++) {
+                of += spec.taskCount();
+                for (int i = 0; i < spec.taskCount(); i++) {
                     Moment ran = firstRun.get(new TaskId(spec.id(), i));
                     met += ran != null && ran.since(m.asked()).seconds() <= aim.withinS() ? 1 : 0;
                 }
             } else {
                 double within = aim.kind().equals("deadline")
-                        ? spec.due() == null ? Double.MAX_VALUE : spec.due().seconds()
+                        ? spec.relativeDeadline() == null
+                                ? Double.MAX_VALUE
+                                : spec.relativeDeadline().seconds()
                         : aim.withinS();
                 of++;
                 met += m.overAfter() != null && m.overAfter().seconds() <= within ? 1 : 0;
--- a/src/main/java/io/indigoreach/load/Arrivals.java
+++ b/src/main/java/io/indigoreach/load/Arrivals.java
@@ -1,8 +1,8 @@
 package io.indigoreach.load;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.emulator.model.Depot;
 import io.indigoreach.scenario.JobClass;
@@ -71,19 +71,19 @@
                             .team(s.team())
                             .kind(s.kind())
                             .urgency(s.urgency())
-                            .tasks(s.tasks())
+                            .taskCount(s.taskCount())
                             .demand(s.demand())
                             .image(s.image())
                             .imageGb(s.imageGb())
-                            .types(s.types())
+                            .machineTypes(s.machineTypes())
                             .zone(s.zone())
-                            .oneZone(s.oneZone())
-                            .spread(s.spread())
+                            .singleZone(s.singleZone())
+                            .spreadOverZones(s.spreadOverZones())
                             .spotAllowed(s.spotAllowed())
-                            .estimate(s.estimate())
-                            .checkpointEvery(s.checkpointEvery())
-                            .checkpointTime(s.checkpointTime())
-                            .due(s.due())
+                            .estimatedRunTime(s.estimatedRunTime())
+                            .checkpointInterval(s.checkpointInterval())
+                            .checkpointDuration(s.checkpointDuration())
+                            .relativeDeadline(s.relativeDeadline())
                             .build(),
                     a.conduct,
                     a.cancelAfter));
@@ -104,17 +104,17 @@
                 .team(c.team())
                 .kind(c.shape())
                 .urgency(c.urgency())
-                .tasks(tasks)
-                .demand(new Demand(c.cores(), c.gpus(), c.ramGb()))
+                .taskCount(tasks)
+                .demand(new Resources(c.cores(), c.gpus(), c.ramGb()))
                 .image(c.name() + "-" + random.nextInt(c.images()))
                 .imageGb(c.imageGb())
-                .oneZone(c.oneZone())
-                .spread(c.spread())
+                .singleZone(c.oneZone())
+                .spreadOverZones(c.spread())
                 .spotAllowed(c.spot())
-                .estimate(Span.seconds(estimate))
-                .checkpointEvery(Span.seconds(service ? 0 : c.checkpointEveryS()))
-                .checkpointTime(Span.seconds(c.checkpointS()))
-                .due(c.dueTimes() <= 0 ? null : Span.seconds(estimate * c.dueTimes()))
+                .estimatedRunTime(Span.seconds(estimate))
+                .checkpointInterval(Span.seconds(service ? 0 : c.checkpointEveryS()))
+                .checkpointDuration(Span.seconds(c.checkpointS()))
+                .relativeDeadline(c.dueTimes() <= 0 ? null : Span.seconds(estimate * c.dueTimes()))
                 .build();
         return new Arrival(
                 at,
--- a/src/main/java/io/indigoreach/ownership/OwnershipGate.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipGate.java
@@ -65,8 +65,9 @@
     /** The oldest job that is due: what becomes free goes to those that came first. */
     private Future<Span> step() {
         Moment now = ground.clock().now();
-        List<Job> guarded = new ArrayList<>(
-                core.jobs().stream().filter(job -> job.spec().isGuarded()).toList());
+        List<Job> guarded = new ArrayList<>(core.jobs().stream()
+                .filter(job -> job.spec().requiresRecordOwnership())
+                .toList());
         Set<JobId> open = new HashSet<>();
         guarded.forEach(job -> open.add(job.id()));
         whole.retainAll(open);
--- a/src/main/java/io/indigoreach/ownership/OwnershipService.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipService.java
@@ -177,7 +177,7 @@
             }
             JobSpec spec = JobRecordCodec.readJob(id, new Fields(kept.value()), kept.revision())
                     .spec();
-            if (!spec.isGuarded()) {
+            if (!spec.requiresRecordOwnership()) {
                 throw new NotFoundException("job " + id + " names no records");
             }
             JobRecords wants = RecordsCodec.readField(spec);
--- a/src/main/java/io/indigoreach/ownership/RecordsCodec.java
+++ b/src/main/java/io/indigoreach/ownership/RecordsCodec.java
@@ -33,12 +33,12 @@
 
     /** The records that a job names; throws {@link WireException} if they are malformed. */
     static JobRecords readField(JobSpec spec) {
-        List<RecordId> ids = ids(new Fields(spec.more()).child(JobSpec.RECORDS), JobRecords.MOST);
+        List<RecordId> ids = ids(new Fields(spec.extensions()).child(JobSpec.RECORDS_FIELD), JobRecords.MOST);
         if (spec.isService()) {
             throw RequestRejectedException.of(
-                    JobSpec.RECORDS, "a service never ends, so its records would never be billed");
+                    JobSpec.RECORDS_FIELD, "a service never ends, so its records would never be billed");
         }
-        return new JobRecords(ids, spec.tasks());
+        return new JobRecords(ids, spec.taskCount());
     }
 
     /** A list under {@code ids}, or {@code prefix}, {@code from} and {@code to}: a range of a group. */
--- a/src/main/java/io/indigoreach/ownership/RecordsField.java
+++ b/src/main/java/io/indigoreach/ownership/RecordsField.java
@@ -34,7 +34,7 @@
 
     @Override
     public String field() {
-        return JobSpec.RECORDS;
+        return JobSpec.RECORDS_FIELD;
     }
 
     @Override
@@ -53,7 +53,7 @@
                 .compose(given -> given.never().isEmpty()
                         ? Future.succeededFuture(given.commit())
                         : Future.failedFuture(
-                                RequestRejectedException.of(JobSpec.RECORDS, String.join("; ", given.never()))));
+                                RequestRejectedException.of(JobSpec.RECORDS_FIELD, String.join("; ", given.never()))));
         preparing.put(spec.id(), begun);
         begun.onComplete(r -> preparing.remove(spec.id()));
         return begun;
--- a/src/main/java/io/indigoreach/scenario/Deployment.java
+++ b/src/main/java/io/indigoreach/scenario/Deployment.java
@@ -1,8 +1,8 @@
 package io.indigoreach.scenario;
 
 import io.indigoreach.config.PlatformConfig;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import java.util.List;
 
@@ -111,7 +111,7 @@
         MachineType type(List<String> zones) {
             return new MachineType(
                     name,
-                    new Demand(cores, gpus, ramGb),
+                    new Resources(cores, gpus, ramGb),
                     cacheGb,
                     fetchGbPerS,
                     price,
