--- a/src/main/java/io/indigoreach/scenario/JobFile.java
+++ b/src/main/java/io/indigoreach/scenario/JobFile.java
@@ -1,9 +1,9 @@
 package io.indigoreach.scenario;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
 import java.util.List;
@@ -94,24 +94,25 @@
                 .team(team)
                 .kind(shape)
                 .urgency(urgency)
-                .tasks(tasks)
-                .demand(new Demand(cores, gpus, ramGb))
+                .taskCount(tasks)
+                .demand(new Resources(cores, gpus, ramGb))
                 .image(image)
                 .imageGb(imageGb)
-                .types(machineType.isEmpty() ? null : machineType)
+                .machineTypes(machineType.isEmpty() ? null : machineType)
                 .zone(zone.isEmpty() ? null : zone)
-                .oneZone(oneZone)
-                .spread(spread)
+                .singleZone(oneZone)
+                .spreadOverZones(spread)
                 .spotAllowed(spot)
-                .estimate(Span.seconds(estimateS))
-                .checkpointEvery(Span.seconds(checkpointEveryS))
-                .checkpointTime(Span.seconds(checkpointS))
-                .due(dueS <= 0 ? null : Span.seconds(dueS))
+                .estimatedRunTime(Span.seconds(estimateS))
+                .checkpointInterval(Span.seconds(checkpointEveryS))
+                .checkpointDuration(Span.seconds(checkpointS))
+                .relativeDeadline(dueS <= 0 ? null : Span.seconds(dueS))
                 .build();
         JobSpec guarded = recordsPrefix.isEmpty()
                 ? spec
-                : spec.with(JobSpec.RECORDS, Map.of("prefix", recordsPrefix, "from", (long) recordsFrom, "to", (long)
-                        recordsTo));
-        return warm.isEmpty() ? guarded : guarded.with(JobSpec.WARM, warm);
+                : spec.with(
+                        JobSpec.RECORDS_FIELD,
+                        Map.of("prefix", recordsPrefix, "from", (long) recordsFrom, "to", (long) recordsTo));
+        return warm.isEmpty() ? guarded : guarded.with(JobSpec.WARM_POOL_FIELD, warm);
     }
 }
--- a/src/main/java/io/indigoreach/state/Campaign.java
+++ b/src/main/java/io/indigoreach/state/Campaign.java
@@ -54,13 +54,13 @@
             return notAttempted(RETRY_WHILE_BOUND);
         }
         Revision counterRevision = StateClient.revisionOf(counterEntry);
-        if (tokens.isBehind(counted) && !ownTokens.mayCampaignAfterRegression()) {
+        if (tokens.isCounterBehind(counted) && !ownTokens.mayCampaignAfterRegression()) {
             return confirmRegression(counterRevision);
         }
         // Who led between this node's last leadership and now may have let its key go before this node ever read
         // it: the counter knows. Else what this node remembers as open would count as the newest there is.
-        tokens.seen(counted);
-        FencingToken highestBefore = tokens.highest();
+        tokens.observe(counted);
+        FencingToken highestBefore = tokens.highestKnown();
         Moment leaseSentAt = clock.now();
         return state.grant(leaseTime)
                 .compose(lease ->
@@ -110,7 +110,7 @@
 
     private void campaignFailed(Throwable failure, FencingToken token, FencingToken highestBefore) {
         if (StateClient.surelyNotExecuted(failure)) {
-            tokens.unused(token);
+            tokens.release(token);
         } else {
             ownTokens.campaignUnanswered(token, highestBefore);
         }
@@ -118,7 +118,7 @@
 
     private CampaignResult result(Attempt attempt, FencingToken token, StateClient.Outcome outcome) {
         if (!outcome.done()) {
-            tokens.unused(token);
+            tokens.release(token);
             return new CampaignResult.Rejected();
         }
         return new CampaignResult.Won(
--- a/src/main/java/io/indigoreach/state/CatalogueRecordCodec.java
+++ b/src/main/java/io/indigoreach/state/CatalogueRecordCodec.java
@@ -1,7 +1,7 @@
 package io.indigoreach.state;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Fields;
 import io.indigoreach.net.MessagePackFormat;
@@ -25,15 +25,15 @@
                     "ram",
                     type.capacity().ramGb(),
                     "cache",
-                    type.cacheGb(),
+                    type.imageCacheGb(),
                     "fetch",
-                    type.fetchGbPerS(),
+                    type.imageFetchGbPerS(),
                     "price",
-                    type.price(),
+                    type.onDemandPrice(),
                     "spot",
                     type.spotPrice(),
                     "boot",
-                    type.boot().ms(),
+                    type.bootTime().ms(),
                     "zones",
                     type.zones()));
         }
@@ -46,7 +46,7 @@
         for (Fields type : catalogue.children("types")) {
             types.add(new MachineType(
                     type.text("name"),
-                    new Demand(type.number("cores"), type.number("gpus"), type.number("ram")),
+                    new Resources(type.number("cores"), type.number("gpus"), type.number("ram")),
                     type.number("cache"),
                     type.number("fetch"),
                     type.number("price"),
--- a/src/main/java/io/indigoreach/state/CompletionBits.java
+++ b/src/main/java/io/indigoreach/state/CompletionBits.java
@@ -62,8 +62,8 @@
 
     /** Whether the record takes the bits of all the job's tasks. */
     public boolean areInRecord(JobSpec spec, long submittedMs) {
-        return spec.tasks() <= CompletionBlockCodec.MAX_TASKS_IN_RECORD
-                && recordBytes(spec, submittedMs) + blockBytes(spec.tasks()) <= limits.maxRecordBytes();
+        return spec.taskCount() <= CompletionBlockCodec.MAX_TASKS_IN_RECORD
+                && recordBytes(spec, submittedMs) + blockBytes(spec.taskCount()) <= limits.maxRecordBytes();
     }
 
     /** A job's record, with the bits or without them as the limits have it. */
--- a/src/main/java/io/indigoreach/state/IntentRecordCodec.java
+++ b/src/main/java/io/indigoreach/state/IntentRecordCodec.java
@@ -13,9 +13,9 @@
 /** A leader's requests to the cloud in progress. */
 public final class IntentRecordCodec {
     /** Requests to rent and machines to be returned; lists, as there may be a hundred. */
-    public static Map<String, Object> writeIntents(Intents.Page page) {
+    public static Map<String, Object> writeIntents(Intents.Content page) {
         List<Object> rents = new ArrayList<>();
-        page.rents().forEach(rent -> rents.add(line(rent)));
+        page.rentals().forEach(rent -> rents.add(line(rent)));
         return MessagePackFormat.map(
                 "rents",
                 rents,
@@ -23,18 +23,18 @@
                 page.returns().stream().map(MachineId::text).toList());
     }
 
-    private static List<Object> line(Intents.Rent rent) {
+    private static List<Object> line(Intents.Rental rent) {
         return List.of(
                 rent.name(),
                 rent.pool().type(),
                 rent.pool().zone(),
                 rent.pool().spot(),
                 (long) rent.count(),
-                rent.askedMs());
+                rent.requestedAtMs());
     }
 
     /** What a request to rent takes of its record, with the comma after it. */
-    public static int bytes(Intents.Rent rent) {
+    public static int bytes(Intents.Rental rent) {
         return JsonSize.of(line(rent)) + 1;
     }
 
@@ -44,17 +44,17 @@
     }
 
     /** The requests of a record. */
-    public static Intents.Page readIntents(Fields page) {
-        List<Intents.Rent> rents = new ArrayList<>();
+    public static Intents.Content readIntents(Fields page) {
+        List<Intents.Rental> rents = new ArrayList<>();
         for (List<?> line : page.lists("rents")) {
-            rents.add(new Intents.Rent(
+            rents.add(new Intents.Rental(
                     (String) line.get(0),
                     new MachinePool((String) line.get(1), (String) line.get(2), (Boolean) line.get(3)),
                     ((Long) line.get(4)).intValue(),
                     (Long) line.get(5)));
         }
         List<String> names = page.optionalTexts("condemned");
-        return new Intents.Page(
+        return new Intents.Content(
                 rents,
                 names == null ? List.of() : names.stream().map(MachineId::new).toList());
     }
--- a/src/main/java/io/indigoreach/state/JobRecordCodec.java
+++ b/src/main/java/io/indigoreach/state/JobRecordCodec.java
@@ -1,12 +1,12 @@
 package io.indigoreach.state;
 
 import io.indigoreach.core.loss.RecordRepair;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobDependencies;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
@@ -48,7 +48,7 @@
                 "urgency",
                 spec.urgency().name(),
                 "tasks",
-                spec.tasks(),
+                spec.taskCount(),
                 "cores",
                 spec.demand().cores(),
                 "gpus",
@@ -60,33 +60,41 @@
                 "gb",
                 spec.imageGb(),
                 "est",
-                spec.estimate().ms());
+                spec.estimatedRunTime().ms());
     }
 
     /** Fields that are written only where they differ from the default, in this order. */
     private static void putOptional(Map<String, Object> map, JobSpec spec, BitSet done) {
-        putIf(map, "types", spec.types(), spec.types() != null);
+        putIf(map, "types", spec.machineTypes(), spec.machineTypes() != null);
         putIf(map, "zone", spec.zone(), spec.zone() != null);
-        putIf(map, "one_zone", true, spec.oneZone());
-        putIf(map, "spread", true, spec.spread());
+        putIf(map, "one_zone", true, spec.singleZone());
+        putIf(map, "spread", true, spec.spreadOverZones());
         putIf(map, "spot", true, spec.spotAllowed());
         putIf(
                 map,
                 "save_every",
-                spec.checkpointEvery().ms(),
-                spec.checkpointEvery().ms() > 0);
-        putIf(map, "save", spec.checkpointTime().ms(), spec.checkpointTime().ms() > 0);
-        putIf(map, "due", spec.due() == null ? null : spec.due().ms(), spec.due() != null);
+                spec.checkpointInterval().ms(),
+                spec.checkpointInterval().ms() > 0);
+        putIf(
+                map,
+                "save",
+                spec.checkpointDuration().ms(),
+                spec.checkpointDuration().ms() > 0);
+        putIf(
+                map,
+                "due",
+                spec.relativeDeadline() == null ? null : spec.relativeDeadline().ms(),
+                spec.relativeDeadline() != null);
         putIf(
                 map,
                 "more",
-                DependencyCodec.write(spec.more(), spec.dependencies()),
-                !spec.more().isEmpty() || !spec.dependencies().isEmpty());
+                DependencyCodec.write(spec.extensions(), spec.dependencies()),
+                !spec.extensions().isEmpty() || !spec.dependencies().isEmpty());
         putIf(
                 map,
                 CompletionBlockCodec.BITS_FIELD,
-                spec.tasks() <= CompletionBlockCodec.MAX_TASKS_IN_RECORD ? CompletionBlockCodec.encode(done) : null,
-                spec.tasks() <= CompletionBlockCodec.MAX_TASKS_IN_RECORD && !done.isEmpty());
+                spec.taskCount() <= CompletionBlockCodec.MAX_TASKS_IN_RECORD ? CompletionBlockCodec.encode(done) : null,
+                spec.taskCount() <= CompletionBlockCodec.MAX_TASKS_IN_RECORD && !done.isEmpty());
     }
 
     private static void putIf(Map<String, Object> map, String key, Object value, boolean present) {
@@ -120,7 +128,7 @@
                 CompletionBlockCodec.decode(fields.optionalText(CompletionBlockCodec.BITS_FIELD)),
                 (int) fields.whole("done", 0),
                 (int) fields.whole("running", 0),
-                (int) fields.whole("bound", spec.tasks()),
+                (int) fields.whole("bound", spec.taskCount()),
                 revision);
     }
 
@@ -132,7 +140,7 @@
                 JobKind.valueOf(fields.text("shape")),
                 Urgency.valueOf(fields.text("urgency")),
                 (int) fields.whole("tasks"),
-                new Demand(fields.number("cores"), fields.number("gpus"), fields.number("ram")),
+                new Resources(fields.number("cores"), fields.number("gpus"), fields.number("ram")),
                 fields.text("image"),
                 fields.number("gb"),
                 fields.optionalTexts("types"),
--- a/src/main/java/io/indigoreach/state/JobRepairer.java
+++ b/src/main/java/io/indigoreach/state/JobRepairer.java
@@ -52,24 +52,31 @@
      */
     public Future<Void> repairOpen(JobId id, StateClient.Entry unreadable, JobSpec offered) {
         return recall.apply(id).compose(remembered -> {
-            RememberedState known = RecordRepair.open(
+            RememberedState known = RecordRepair.repairOpen(
                     id, JobRecordCodec.readRest(unreadable.value()), remembered, offered, clock.timeOfDay());
             StateClient.Txn txn = state.transactionInEra()
                     .when(unreadable.key(), unreadable.revision())
                     .when(RecordKeys.finalKey(id), Revision.ABSENT);
-            known.finished()
+            known.finishedJobs()
                     .values()
                     .forEach(end -> txn.delete(unreadable.key())
-                            .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(end.status(), end.done())));
+                            .put(
+                                    RecordKeys.finalKey(id),
+                                    JobRecordCodec.writeFinal(end.status(), end.completedTaskCount())));
             // Blocks of bits that stand beside the record are left as they are: what they say is done stays so. What
             // has no
             // place in the record either is run again and ends at once.
             CompletionBits bits = new CompletionBits(state.limits().within(limits));
-            known.open()
+            known.openJobs()
                     .forEach(job -> txn.put(
                             unreadable.key(),
                             bits.writeJob(
-                                    job.spec(), job.submittedMs(), JobStatus.PENDING, job.done(), 0, job.bound())));
+                                    job.spec(),
+                                    job.submittedMs(),
+                                    JobStatus.PENDING,
+                                    job.done(),
+                                    0,
+                                    job.startBound())));
             return writeRepair(txn, unreadable.key());
         });
     }
@@ -78,10 +85,14 @@
     public Future<Void> repairFinal(JobId id, StateClient.Entry unreadable, JobSpec offered) {
         return recall.apply(id).compose(remembered -> {
             RememberedState.FinishedJob end =
-                    RecordRepair.end(id, JobRecordCodec.readRest(unreadable.value()), remembered, offered);
+                    RecordRepair.repairFinal(id, JobRecordCodec.readRest(unreadable.value()), remembered, offered);
             StateClient.Txn txn = state.transactionInEra().when(unreadable.key(), unreadable.revision());
             return writeRepair(
-                    end == null ? txn : txn.put(unreadable.key(), JobRecordCodec.writeFinal(end.status(), end.done())),
+                    end == null
+                            ? txn
+                            : txn.put(
+                                    unreadable.key(),
+                                    JobRecordCodec.writeFinal(end.status(), end.completedTaskCount())),
                     unreadable.key());
         });
     }
--- a/src/main/java/io/indigoreach/state/LeaderElection.java
+++ b/src/main/java/io/indigoreach/state/LeaderElection.java
@@ -150,7 +150,7 @@
 
     /** A worker has shown a token: what comes after must be above it. */
     public void tokenSeen(FencingToken token) {
-        settings.tokens().seen(token);
+        settings.tokens().observe(token);
     }
 
     /** A compare-and-swap failed on the leadership key: another node has taken over. */
@@ -285,7 +285,7 @@
     private void observeKey(StateClient.Entry entry) {
         current = entry == null ? null : LeaderKey.read(entry.value(), entry.revision());
         if (current != null) {
-            settings.tokens().seen(current.token());
+            settings.tokens().observe(current.token());
         }
     }
 
--- a/src/main/java/io/indigoreach/state/OwnTokens.java
+++ b/src/main/java/io/indigoreach/state/OwnTokens.java
@@ -55,7 +55,7 @@
 
     void gained(FencingToken token) {
         last = token;
-        tokens.seen(token);
+        tokens.observe(token);
         regressionSeenAt = Moment.NEVER;
     }
 
@@ -74,8 +74,8 @@
             regressionSeenAt = now;
             LOG.warn("token counter regressed");
         }
-        boolean wasLeader = now.isBefore(ledUntil) && !tokens.hasSeenAfter(last);
-        return wasLeader || now.since(regressionSeenAt).compareTo(leaseTime.withDrift()) >= 0;
+        boolean wasLeader = now.isBefore(ledUntil) && !tokens.hasObservedAfter(last);
+        return wasLeader || now.since(regressionSeenAt).compareTo(leaseTime.plusClockDrift()) >= 0;
     }
 
     /** The regression was a stale read: nothing is lost. */
--- a/src/main/java/io/indigoreach/state/RememberedStateCodec.java
+++ b/src/main/java/io/indigoreach/state/RememberedStateCodec.java
@@ -22,7 +22,7 @@
     /** The {@code part}-th part, counted from 0. */
     public static Map<String, Object> write(RememberedState rememberedState, int part) {
         List<Object> over = new ArrayList<>();
-        rememberedState.finished().entrySet().stream()
+        rememberedState.finishedJobs().entrySet().stream()
                 .skip((long) part * JOBS_PER_PART)
                 .limit(JOBS_PER_PART)
                 .forEach(e -> over.add(MessagePackFormat.map(
@@ -31,9 +31,9 @@
                         "status",
                         e.getValue().status().name(),
                         "done",
-                        e.getValue().done())));
+                        e.getValue().completedTaskCount())));
         List<Object> open = new ArrayList<>();
-        rememberedState.open().stream()
+        rememberedState.openJobs().stream()
                 .skip((long) part * JOBS_PER_PART)
                 .limit(JOBS_PER_PART)
                 .forEach(job -> open.add(MessagePackFormat.map(
@@ -41,7 +41,7 @@
                         job.spec().id().text(),
                         "job",
                         JobRecordCodec.writeJob(
-                                job.spec(), job.submittedMs(), JobStatus.PENDING, job.done(), 0, job.bound()))));
+                                job.spec(), job.submittedMs(), JobStatus.PENDING, job.done(), 0, job.startBound()))));
         List<Object> records = new ArrayList<>();
         rememberedState.records().stream()
                 .skip((long) part * RECORDS_PER_PART)
@@ -54,8 +54,8 @@
                 open,
                 "more",
                 Math.max(
-                                        rememberedState.finished().size(),
-                                        rememberedState.open().size())
+                                        rememberedState.finishedJobs().size(),
+                                        rememberedState.openJobs().size())
                                 > (part + 1) * JOBS_PER_PART
                         || rememberedState.records().size() > (part + 1) * RECORDS_PER_PART);
         if (!records.isEmpty()) {
--- a/src/main/java/io/indigoreach/state/RoutineRunner.java
+++ b/src/main/java/io/indigoreach/state/RoutineRunner.java
@@ -80,11 +80,11 @@
     }
 
     private <R> Future<R> begin(Routine<R> routine) {
-        return step(routine, StepResult.nothing(state.losses().era(), clock.timeOfDay()));
+        return step(routine, StepResult.empty(state.losses().era(), clock.timeOfDay()));
     }
 
     private <R> Future<R> step(Routine<R> routine, StepResult seen) {
-        if (state.losses().isHolding()) {
+        if (state.losses().isLossPending()) {
             return Future.failedFuture(new WireException("data were lost, and are not rebuilt yet"));
         }
         Step<R> next = routine.next(seen);
@@ -95,9 +95,9 @@
         if (next instanceof Step.Read<R> read) {
             done = read(read.keys(), 0, new LinkedHashMap<>());
         } else if (next instanceof Step.Scan<R> scan) {
-            done = scan(scan.prefix(), scan.after(), scan.most());
+            done = scan(scan.prefix(), scan.afterKey(), scan.limit());
         } else {
-            done = write(((Step.Write<R>) next).change(), 1);
+            done = write(((Step.Write<R>) next).transaction(), 1);
         }
         return done.compose(s -> step(routine, s));
     }
@@ -158,7 +158,7 @@
 
     private Future<List<VersionedRecord>> acceptConfirmed(List<VersionedRecord> read, List<VersionedRecord> older) {
         older.forEach(this::lost);
-        if (state.losses().isHolding()) {
+        if (state.losses().isLossPending()) {
             return Future.failedFuture(new WireException("data were lost"));
         }
         read.forEach(copies::add);
--- a/src/main/java/io/indigoreach/state/StateClient.java
+++ b/src/main/java/io/indigoreach/state/StateClient.java
@@ -167,24 +167,24 @@
         if (lost) {
             LOG.error(
                     "state data lost evidence={}",
-                    losses.findings().get(losses.findings().size() - 1));
+                    losses.evidence().get(losses.evidence().size() - 1));
             onLoss.run();
         }
     }
 
     /** Another controller says that data of this era were lost. */
     public void lossReportedByPeer(long era) {
-        reportLoss(losses.reportedByPeer(era));
+        reportLoss(losses.onReportedByPeer(era));
     }
 
     /** A record that only a loss can have removed is gone. */
     public void recordMissing(String key) {
-        reportLoss(losses.recordGone(key));
+        reportLoss(losses.onRecordMissing(key));
     }
 
     /** A leadership was taken with a counter below a token that had been in use. */
     void compareCounter(FencingToken seen, FencingToken counted) {
-        reportLoss(losses.counter(seen, counted));
+        reportLoss(losses.checkCounter(seen, counted));
     }
 
     /**
@@ -239,7 +239,7 @@
 
     private Future<Void> adoptEra(long era, Revision revision) {
         reportLoss(losses.era(era));
-        if (!losses.isHolding()) {
+        if (!losses.isLossPending()) {
             eraRevision = revision;
         }
         return Future.succeededFuture();
@@ -331,7 +331,7 @@
 
     /** {@code known}: the highest revision seen when the transaction was sent; a lower one now shows a loss of data. */
     private Outcome committed(long known, long revision) {
-        boolean lost = losses.revision(known, revision);
+        boolean lost = losses.checkRevision(known, revision);
         staleReads.observe(0, revision);
         if (revision < known) {
             staleReads.restartAt(revision);
--- a/src/main/java/io/indigoreach/tools/CalendarVerb.java
+++ b/src/main/java/io/indigoreach/tools/CalendarVerb.java
@@ -196,7 +196,8 @@
                                     System.out.println("season     " + s.name() + ": " + y.from() + " to " + y.to())));
             k.plans()
                     .forEach(p -> System.out.println("plan       " + p.name() + " before " + p.depot() + ", "
-                            + p.template().tasks() + " tasks of " + p.template().jobClass()));
+                            + p.template().taskCount() + " tasks of "
+                            + p.template().jobClass()));
             for (Fields v : f.children("history")) {
                 System.out.println("set        " + v.whole("version") + " at "
                         + new JavaZones().text("UTC", v.whole("at")) + " " + v.text("note"));
--- a/src/main/java/io/indigoreach/tools/Cluster.java
+++ b/src/main/java/io/indigoreach/tools/Cluster.java
@@ -155,11 +155,11 @@
         for (StateClient.Entry e :
                 await(state.list(RecordKeys.INTENTS, null, PAGE)).items()) {
             String by = " (token " + e.key().substring(RecordKeys.INTENTS.length()) + ")";
-            Intents.Page page = IntentRecordCodec.readIntents(e.value());
-            page.rents()
+            Intents.Content page = IntentRecordCodec.readIntents(e.value());
+            page.rentals()
                     .forEach(r -> lines.add("renting    " + r.name() + ": " + r.count() + " "
                             + (r.pool().spot() ? "spot " : "") + r.pool().type() + " in "
-                            + r.pool().zone() + ", for " + (clock.timeOfDay() - r.askedMs()) / 1000 + " s" + by));
+                            + r.pool().zone() + ", for " + (clock.timeOfDay() - r.requestedAtMs()) / 1000 + " s" + by));
             page.returns().forEach(id -> lines.add("returning  " + id + by));
         }
         StateClient.Entry era = await(state.get(RecordKeys.ERA));
--- a/src/main/java/io/indigoreach/tools/DemoVerb.java
+++ b/src/main/java/io/indigoreach/tools/DemoVerb.java
@@ -73,7 +73,7 @@
                         "%-18s %-18s %4d tasks  %-10s %s%n",
                         m.spec().id(),
                         m.spec().jobClass(),
-                        m.spec().tasks(),
+                        m.spec().taskCount(),
                         m.status() == null ? "refused" : m.status().name().toLowerCase(Locale.ROOT),
                         m.overAfter() == null
                                 ? ""
--- a/src/main/java/io/indigoreach/tools/JobsVerb.java
+++ b/src/main/java/io/indigoreach/tools/JobsVerb.java
@@ -29,7 +29,7 @@
                                         .put("class", record.spec().jobClass())
                                         .put("team", record.spec().team())
                                         .put("status", status)
-                                        .put("tasks", record.spec().tasks())
+                                        .put("tasks", record.spec().taskCount())
                                         .put("done", record.doneCount())
                                         .put("running", record.running())
                                         .encode()
@@ -40,7 +40,7 @@
                                         record.spec().jobClass(),
                                         record.spec().team(),
                                         status,
-                                        record.spec().tasks(),
+                                        record.spec().taskCount(),
                                         record.doneCount(),
                                         record.running()));
             }
--- a/src/main/java/io/indigoreach/tools/MachinesVerb.java
+++ b/src/main/java/io/indigoreach/tools/MachinesVerb.java
@@ -30,7 +30,7 @@
                                         .put("zone", m.pool().zone())
                                         .put("spot", m.pool().spot())
                                         .put("status", status)
-                                        .put("age_s", m.sinceRequested().seconds())
+                                        .put("age_s", m.timeSinceRequest().seconds())
                                         .encode()
                                 : String.format(
                                         Locale.ROOT,
@@ -40,7 +40,7 @@
                                         m.pool().zone(),
                                         m.pool().spot() ? "spot" : "ordinary",
                                         status,
-                                        m.sinceRequested().seconds()));
+                                        m.timeSinceRequest().seconds()));
             }
         }
         return Tool.DONE;
--- a/src/main/java/io/indigoreach/warm/HolderJoining.java
+++ b/src/main/java/io/indigoreach/warm/HolderJoining.java
@@ -23,20 +23,20 @@
 
     @Override
     public String field() {
-        return JobSpec.WARM;
+        return JobSpec.WARM_POOL_FIELD;
     }
 
     @Override
     public void check(JobSpec spec) {
-        if (!(spec.more().get(JobSpec.WARM) instanceof String name) || !PoolSpec.isName(name)) {
-            throw Fields.invalid(JobSpec.WARM);
+        if (!(spec.extensions().get(JobSpec.WARM_POOL_FIELD) instanceof String name) || !PoolSpec.isName(name)) {
+            throw Fields.invalid(JobSpec.WARM_POOL_FIELD);
         }
     }
 
     /** Accepted only beside the pool as it was read. */
     @Override
     public Future<Transaction> accepting(JobSpec spec) {
-        String name = (String) spec.more().get(JobSpec.WARM);
+        String name = (String) spec.extensions().get(JobSpec.WARM_POOL_FIELD);
         return ground.records().run(PoolRoutines.read(PoolRecords.POOLS + name)).map(kept -> {
             refuse(spec, name, kept);
             return new Transaction().when(kept);
@@ -45,27 +45,31 @@
 
     private static void refuse(JobSpec spec, String name, VersionedRecord kept) {
         if (!kept.exists()) {
-            throw RequestRejectedException.of(JobSpec.WARM, "there is no pool " + name);
+            throw RequestRejectedException.of(JobSpec.WARM_POOL_FIELD, "there is no pool " + name);
         }
         PoolSpec pool = PoolCodec.read(name, new Fields(kept.value()));
         check(spec.isService(), "shape", "a holder is a service");
-        check(spec.team().equals(pool.team()), JobSpec.WARM, "pool " + name + " is paid for by team " + pool.team());
+        check(
+                spec.team().equals(pool.team()),
+                JobSpec.WARM_POOL_FIELD,
+                "pool " + name + " is paid for by team " + pool.team());
         check(
                 spec.image().equals(pool.image()) && spec.imageGb() == pool.gb(),
-                JobSpec.WARM,
+                JobSpec.WARM_POOL_FIELD,
                 "pool " + name + " holds image " + pool.image() + " of " + pool.gb() + " GB");
         check(spec.demand().cores() <= MOST_CORES, "cores", "a holder takes at most " + MOST_CORES);
         check(spec.demand().gpus() == 0, "gpus", "a holder takes none");
         check(spec.demand().ramGb() <= MOST_RAM_GB, "ram_gb", "a holder takes at most " + MOST_RAM_GB);
-        check(!spec.oneZone(), "one_zone", "the pool says how its machines are spread");
-        check(!spec.spread(), "spread", "the pool says how its machines are spread");
+        check(!spec.singleZone(), "one_zone", "the pool says how its machines are spread");
+        check(!spec.spreadOverZones(), "spread", "the pool says how its machines are spread");
         check(
                 spec.spotAllowed() || !pool.spot(),
-                JobSpec.WARM,
+                JobSpec.WARM_POOL_FIELD,
                 "pool " + name + " is on spot machines, which this job refuses");
         check(
-                spec.zone() == null && (spec.types() == null || spec.types().containsAll(pool.types())),
-                JobSpec.WARM,
+                spec.zone() == null
+                        && (spec.machineTypes() == null || spec.machineTypes().containsAll(pool.types())),
+                JobSpec.WARM_POOL_FIELD,
                 "the job must allow every type and zone of pool " + name);
     }
 
--- a/src/main/java/io/indigoreach/warm/PoolCodec.java
+++ b/src/main/java/io/indigoreach/warm/PoolCodec.java
@@ -3,9 +3,9 @@
 import io.indigoreach.core.accounts.Account;
 import io.indigoreach.core.accounts.Line;
 import io.indigoreach.core.accounts.Sheet;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.warm.BurstWindow;
 import io.indigoreach.core.warm.DemandHistory;
 import io.indigoreach.core.warm.PoolSpec;
@@ -82,7 +82,7 @@
                 text(f, "team"),
                 text(f, "image"),
                 amount(f, "gb"),
-                new Demand(
+                new Resources(
                         amount(f, "cores"),
                         f.has("gpus") ? amount(f, "gpus") : 0,
                         f.has("ram_gb") ? amount(f, "ram_gb") : 0),
--- a/src/main/java/io/indigoreach/warm/PoolRecords.java
+++ b/src/main/java/io/indigoreach/warm/PoolRecords.java
@@ -14,10 +14,10 @@
     static final String SEEN = "warm/seen/";
 
     public static final List<RecordFamily> FAMILIES = List.of(
-            new RecordFamily(POOLS, 300, true, RecordFamily.Mending.NEWER),
-            new RecordFamily(SHEETS, 300, true, RecordFamily.Mending.NEWER),
-            new RecordFamily(TOLD, 0, false, RecordFamily.Mending.NEWER),
-            new RecordFamily(SEEN, 100, false, RecordFamily.Mending.NEWER));
+            new RecordFamily(POOLS, 300, true, RecordFamily.MergeRule.KEEP_NEWER),
+            new RecordFamily(SHEETS, 300, true, RecordFamily.MergeRule.KEEP_NEWER),
+            new RecordFamily(TOLD, 0, false, RecordFamily.MergeRule.KEEP_NEWER),
+            new RecordFamily(SEEN, 100, false, RecordFamily.MergeRule.KEEP_NEWER));
 
     private PoolRecords() {}
 
--- a/src/main/java/io/indigoreach/warm/PoolRoutines.java
+++ b/src/main/java/io/indigoreach/warm/PoolRoutines.java
@@ -42,14 +42,14 @@
 
             @Override
             public Step<List<VersionedRecord>> next(StepResult seen) {
-                if (found != null && !seen.failed().isEmpty()) {
+                if (found != null && !seen.failedKeys().isEmpty()) {
                     if (++tries >= MOST_TRIES) {
                         throw new IllegalStateException("the accounts are listed as they were");
                     }
                     found = null;
                     compared = 0;
                     listing = all(PoolRecords.SHEETS);
-                    return next(StepResult.nothing(seen.era(), seen.timeOfDayMs()));
+                    return next(StepResult.empty(seen.era(), seen.timeOfDayMs()));
                 }
                 if (found == null) {
                     Step<List<VersionedRecord>> step = listing.next(seen);
@@ -101,7 +101,7 @@
     /** A record's fields without the count of its changes. */
     static Map<String, Object> plain(VersionedRecord kept) {
         Map<String, Object> fields = new LinkedHashMap<>(kept.value());
-        fields.remove(VersionedRecord.VERSION);
+        fields.remove(VersionedRecord.VERSION_FIELD);
         return fields;
     }
 }
--- a/src/main/java/io/indigoreach/warm/WarmPoolTerm.java
+++ b/src/main/java/io/indigoreach/warm/WarmPoolTerm.java
@@ -160,7 +160,7 @@
 
     private double perHour(MachinePool pool) {
         MachineType type = prices.get(pool.type());
-        return type == null ? 0 : pool.spot() ? type.spotPrice() : type.price();
+        return type == null ? 0 : pool.spot() ? type.spotPrice() : type.onDemandPrice();
     }
 
     private void look(Moment now) {
--- a/src/main/java/io/indigoreach/worker/WorkerCodec.java
+++ b/src/main/java/io/indigoreach/worker/WorkerCodec.java
@@ -60,8 +60,8 @@
         Map<String, Object> fields = MessagePackFormat.map(
                 "piece", status.task().toString(), "try", status.attempt().value(), "status", text(status.state()));
         if (status.state() == TaskState.EXITED) {
-            fields.put("cause", status.cause().name().toLowerCase(Locale.ROOT));
-            if (status.saved()) {
+            fields.put("cause", status.exitCause().name().toLowerCase(Locale.ROOT));
+            if (status.checkpointSaved()) {
                 fields.put("kept", true);
             }
         }
@@ -113,7 +113,7 @@
             case FETCHING -> "pulling";
             case SAVING -> "saving";
             case EXITED -> "exited";
-            case ORDERED, RUNNING -> "running";
+            case START_SENT, RUNNING -> "running";
         };
     }
 
@@ -170,7 +170,7 @@
                 "try",
                 command.attempt().value());
         if (command instanceof WorkerCommand.Stop stop) {
-            fields.put("wind_down_s", Math.max(0, stop.grace().seconds()));
+            fields.put("wind_down_s", Math.max(0, stop.gracePeriod().seconds()));
         }
         return fields;
     }
--- a/src/test/java/io/indigoreach/CodecsTest.java
+++ b/src/test/java/io/indigoreach/CodecsTest.java
@@ -5,7 +5,6 @@
 
 import io.indigoreach.api.JobCodec;
 import io.indigoreach.core.model.Attempt;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.ExitCause;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.Heartbeat;
@@ -16,6 +15,7 @@
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.TaskId;
@@ -53,27 +53,27 @@
                 .team("vision")
                 .kind(JobKind.SERVICE)
                 .urgency(Urgency.BEST_EFFORT)
-                .tasks(16)
-                .demand(new Demand(8, 1, 64))
+                .taskCount(16)
+                .demand(new Resources(8, 1, 64))
                 .image("img-07")
                 .imageGb(6.2)
-                .types(List.of("g8"))
+                .machineTypes(List.of("g8"))
                 .zone("a")
-                .oneZone()
-                .spread()
+                .singleZone()
+                .spreadOverZones()
                 .spotAllowed()
-                .estimate(Span.seconds(240))
-                .checkpointEvery(Span.seconds(30))
-                .checkpointTime(Span.seconds(4))
-                .due(Span.seconds(900))
+                .estimatedRunTime(Span.seconds(240))
+                .checkpointInterval(Span.seconds(30))
+                .checkpointDuration(Span.seconds(4))
+                .relativeDeadline(Span.seconds(900))
                 .build();
         JobSpec bare = JobSpec.builder(new JobId("run-1"))
                 .jobClass("c")
                 .team("t")
                 .kind(JobKind.ARRAY)
                 .urgency(Urgency.HIGH)
-                .tasks(1)
-                .demand(new Demand(1, 0, 1))
+                .taskCount(1)
+                .demand(new Resources(1, 0, 1))
                 .image("i")
                 .imageGb(0)
                 .build();
--- a/src/test/java/io/indigoreach/GoldenSamples.java
+++ b/src/test/java/io/indigoreach/GoldenSamples.java
@@ -1,11 +1,11 @@
 package io.indigoreach;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobDependencies;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
 import io.indigoreach.net.MessagePackFormat;
@@ -20,8 +20,8 @@
     public static final long AT = 1_700_000_000_123L;
 
     public static final List<MachineType> TYPES = List.of(
-            new MachineType("quad", new Demand(4, 0, 16), 40, 0.5, 1, 0.3, Span.seconds(20), List.of("a", "b")),
-            new MachineType("g8", new Demand(32.5, 8, 256), 500, 2, 12.25, 0, Span.seconds(90.5), List.of()));
+            new MachineType("quad", new Resources(4, 0, 16), 40, 0.5, 1, 0.3, Span.seconds(20), List.of("a", "b")),
+            new MachineType("g8", new Resources(32.5, 8, 256), 500, 2, 12.25, 0, Span.seconds(90.5), List.of()));
 
     private GoldenSamples() {}
 
@@ -32,11 +32,11 @@
                 .team("fleet-ops")
                 .kind(JobKind.ARRAY)
                 .urgency(Urgency.HIGH)
-                .tasks(tasks)
-                .demand(new Demand(1, 0, 3.6))
+                .taskCount(tasks)
+                .demand(new Resources(1, 0, 3.6))
                 .image("image")
                 .imageGb(0.9)
-                .estimate(Span.seconds(18))
+                .estimatedRunTime(Span.seconds(18))
                 .build();
     }
 
@@ -47,19 +47,19 @@
                 .team("fleet-ops")
                 .kind(JobKind.SERVICE)
                 .urgency(urgency)
-                .tasks(tasks)
-                .demand(new Demand(2.5, 1, 3.8))
+                .taskCount(tasks)
+                .demand(new Resources(2.5, 1, 3.8))
                 .image("image")
                 .imageGb(1)
-                .types(List.of("quad", "g8"))
+                .machineTypes(List.of("quad", "g8"))
                 .zone("a")
-                .oneZone()
-                .spread()
+                .singleZone()
+                .spreadOverZones()
                 .spotAllowed()
-                .estimate(Span.seconds(25))
-                .checkpointEvery(Span.seconds(30))
-                .checkpointTime(Span.seconds(4))
-                .due(Span.seconds(900.25))
+                .estimatedRunTime(Span.seconds(25))
+                .checkpointInterval(Span.seconds(30))
+                .checkpointDuration(Span.seconds(4))
+                .relativeDeadline(Span.seconds(900.25))
                 .build();
     }
 
@@ -77,11 +77,13 @@
                         .with("plan", MessagePackFormat.map("name", "kochi-tankers", "day", "2027-08-24")));
         jobs.put(
                 "with records",
-                bare(3).with(JobSpec.RECORDS, MessagePackFormat.map("prefix", "KL-1/farm-", "from", 1L, "to", 3L)));
-        jobs.put("holder", bare(2).with(JobSpec.WARM, "model-a"));
+                bare(3).with(
+                                JobSpec.RECORDS_FIELD,
+                                MessagePackFormat.map("prefix", "KL-1/farm-", "from", 1L, "to", 3L)));
+        jobs.put("holder", bare(2).with(JobSpec.WARM_POOL_FIELD, "model-a"));
         jobs.put(
                 "chained, with records and a plan",
-                bare(1).with(JobSpec.RECORDS, MessagePackFormat.map("ids", List.of("a/1")))
+                bare(1).with(JobSpec.RECORDS_FIELD, MessagePackFormat.map("ids", List.of("a/1")))
                         .with("plan", MessagePackFormat.map("name", "p", "day", "2027-08-24"))
                         .with(JobDependencies.of(List.of(new JobId("run-1")))));
         return jobs;
--- a/src/test/java/io/indigoreach/api/GoldenUsersTest.java
+++ b/src/test/java/io/indigoreach/api/GoldenUsersTest.java
@@ -5,9 +5,9 @@
 import io.indigoreach.GoldenSamples;
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Team;
 import io.indigoreach.net.Endpoint;
@@ -159,7 +159,8 @@
 
     private Catalogue serve() throws Exception {
         state = await(new StateStandIn().listen(vertx));
-        MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
+        MachineType type =
+                new MachineType("quad", new Resources(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         await(client().commit(new StateClient.Txn()
                 .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type)))
                 .put("f/run-5", JobRecordCodec.writeFinal(JobStatus.DONE, 2))
--- a/src/test/java/io/indigoreach/api/JobCodecTest.java
+++ b/src/test/java/io/indigoreach/api/JobCodecTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Team;
 import io.indigoreach.core.scheduling.Admission;
@@ -155,7 +155,8 @@
                         ? (Object) (field.equals("pieces") ? (Object) 20 : (Object) Double.valueOf(value))
                         : value);
         JobSpec spec = JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(job)));
-        MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
+        MachineType type =
+                new MachineType("quad", new Resources(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         String refusal = Admission.refusal(spec, List.of(new Team("t", 0, 8, 0, 0)), List.of(type));
         if (reason == null) {
             assertNull(refusal);
--- a/src/test/java/io/indigoreach/api/JobServiceLossTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceLossTest.java
@@ -5,11 +5,11 @@
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
 import io.indigoreach.core.loss.RememberedState;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Team;
 import io.indigoreach.net.MessagePackFormat;
@@ -46,7 +46,8 @@
     void serve() throws Exception {
         service = await(new StateStandIn().listen(vertx));
         state = client();
-        MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
+        MachineType type =
+                new MachineType("quad", new Resources(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         await(state.commit(
                 new StateClient.Txn().put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type)))));
         catalogue = new Catalogue(vertx, state, new CloudClient(new ServiceClient(vertx, service.endpoint(), 1)));
@@ -145,14 +146,14 @@
         assertEquals(201, submit(1));
         await(client().commit(new StateClient.Txn().delete("j/run-1")));
         assertEquals(503, status(jobs.query("run-1")));
-        assertEquals(true, state.losses().isHolding());
+        assertEquals(true, state.losses().isLossPending());
         await(client().commit(
                         new StateClient.Txn().put(RecordKeys.ERA, EraRecordCodec.writeEra(new FencingToken(77)))));
         await(state.check());
         jobs.setPeerQuery(id -> Future.succeededFuture(id.text().equals("run-8")));
         assertEquals(List.of(503, 503), List.of(status(jobs.query("run-8")), status(jobs.query("run-9"))));
-        assertEquals(Map.of(), Map.copyOf(jobs.rememberedState().finished()));
-        assertEquals(1, jobs.rememberedState().open().size());
+        assertEquals(Map.of(), Map.copyOf(jobs.rememberedState().finishedJobs()));
+        assertEquals(1, jobs.rememberedState().openJobs().size());
     }
 
     /**
@@ -194,7 +195,7 @@
                 "its user submits it again");
         assertEquals(
                 answered.endsWith("done") || prefix.equals("f/") ? List.of() : List.of("j/run-1"), service.keys("j/"));
-        assertEquals(false, state.losses().isHolding());
+        assertEquals(false, state.losses().isLossPending());
     }
 
     /** The job service of another node that has accepted nothing, with the same repairer. */
--- a/src/test/java/io/indigoreach/api/JobServiceTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceTest.java
@@ -5,11 +5,11 @@
 
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Team;
@@ -55,7 +55,8 @@
     @BeforeEach
     void serve() throws Exception {
         service = await(new StateStandIn().listen(vertx));
-        MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
+        MachineType type =
+                new MachineType("quad", new Resources(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         await(client().commit(new StateClient.Txn()
                 .when(RecordKeys.CATALOGUE, Revision.ABSENT)
                 .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type)))));
@@ -134,7 +135,7 @@
         assertEquals(422, reply.status());
         assertEquals("records: this is not switched on here", reply.body().optionalText("error"));
         JobSpec spec = JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(job)));
-        assertEquals(Map.of("records", Map.of("group", "g")), spec.more());
+        assertEquals(Map.of("records", Map.of("group", "g")), spec.extensions());
         assertEquals(
                 spec,
                 JobRecordCodec.readJob(
@@ -293,9 +294,9 @@
         JobSpec spec = JobRecordCodec.readJob(new JobId("run-000412"), service.value("j/run-000412"), Revision.ABSENT)
                 .spec();
         BitSet all = new BitSet();
-        all.set(0, spec.tasks());
+        all.set(0, spec.taskCount());
         await(client().commit(new StateClient.Txn()
-                .put("j/run-000412", JobRecordCodec.writeJob(spec, 1, JobStatus.DONE, all, 0, spec.tasks()))));
+                .put("j/run-000412", JobRecordCodec.writeJob(spec, 1, JobStatus.DONE, all, 0, spec.taskCount()))));
         assertEquals("200 done", status(call(first, HttpMethod.POST, "/api/jobs/run-000412/cancel", Map.of())));
         assertEquals("200 done", status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
         assertEquals("200 done", status(call(second, HttpMethod.POST, "/api/jobs", JobCodecTest.job())));
--- a/src/test/java/io/indigoreach/api/OddRequestsTest.java
+++ b/src/test/java/io/indigoreach/api/OddRequestsTest.java
@@ -5,8 +5,8 @@
 
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Team;
@@ -59,8 +59,9 @@
     void serve() throws Exception {
         service = await(new StateStandIn().listen(vertx));
         StateClient state = new StateClient(caller(4), caller(1));
-        MachineType type = new MachineType("quad", new Demand(4, 1, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
-        MachineType far = new MachineType("far", new Demand(8, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("b"));
+        MachineType type =
+                new MachineType("quad", new Resources(4, 1, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
+        MachineType far = new MachineType("far", new Resources(8, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("b"));
         await(state.commit(new StateClient.Txn()
                 .when(RecordKeys.CATALOGUE, Revision.ABSENT)
                 .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type, far)))));
--- a/src/test/java/io/indigoreach/checker/CheckerTest.java
+++ b/src/test/java/io/indigoreach/checker/CheckerTest.java
@@ -5,7 +5,6 @@
 import io.indigoreach.checker.Breach.Rule;
 import io.indigoreach.checker.Event.Question;
 import io.indigoreach.core.model.Attempt;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
@@ -14,6 +13,7 @@
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.TaskId;
@@ -50,15 +50,15 @@
                             .team("t")
                             .kind(JobKind.ARRAY)
                             .urgency(Urgency.STANDARD)
-                            .tasks(2)
-                            .demand(new Demand(1, 0, 1))
+                            .taskCount(2)
+                            .demand(new Resources(1, 0, 1))
                             .image("i")
                             .imageGb(0)
-                            .types(List.of("m"))
-                            .oneZone(is[1])
-                            .spread(is[2])
+                            .machineTypes(List.of("m"))
+                            .singleZone(is[1])
+                            .spreadOverZones(is[2])
                             .spotAllowed(is[0])
-                            .estimate(Span.seconds(5))
+                            .estimatedRunTime(Span.seconds(5))
                             .build()));
             return answer(0.1, 0, Question.SUBMIT, n, 201, JobStatus.PENDING);
         }
--- a/src/test/java/io/indigoreach/checker/FrontDoors.java
+++ b/src/test/java/io/indigoreach/checker/FrontDoors.java
@@ -7,12 +7,12 @@
 import io.indigoreach.checker.JobRegisters.Call;
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Team;
@@ -79,7 +79,8 @@
         this.nodes = new AtomicReferenceArray<>(count);
         await(on(serviceLoop, () -> service.listen(serviceRuntime)));
         leader = client(serviceRuntime, service.endpoint());
-        MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
+        MachineType type =
+                new MachineType("quad", new Resources(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         await(leader.commit(new StateClient.Txn()
                 .when(RecordKeys.CATALOGUE, Revision.ABSENT)
                 .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type)))));
@@ -195,12 +196,12 @@
                 .team("t")
                 .kind(JobKind.ARRAY)
                 .urgency(Urgency.STANDARD)
-                .tasks(TASKS)
-                .demand(new Demand(1, 0, 1))
+                .taskCount(TASKS)
+                .demand(new Resources(1, 0, 1))
                 .image("img")
                 .imageGb(0)
                 .spotAllowed()
-                .estimate(Span.seconds(10))
+                .estimatedRunTime(Span.seconds(10))
                 .build();
     }
 
--- a/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
@@ -89,8 +89,8 @@
         StateClient.Txn txn = new StateClient.Txn()
                 .put(
                         RecordKeys.openKey(ID),
-                        JobRecordCodec.writeJob(spec, 1, JobStatus.RUNNING, done, 0, spec.tasks()));
-        for (int n = 0; n < TestBlocks.blocks(spec.tasks()); n++) {
+                        JobRecordCodec.writeJob(spec, 1, JobStatus.RUNNING, done, 0, spec.taskCount()));
+        for (int n = 0; n < TestBlocks.blocks(spec.taskCount()); n++) {
             txn.put(RecordKeys.blockKey(ID, n), TestBlocks.writeBlock(done, n));
         }
         assertTrue(await(client.commit(txn)).done());
--- a/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
@@ -208,7 +208,7 @@
         int before = state.transactions;
         until(() -> state.transactions > before);
         assertTrue(leader.blocksAll());
-        assertFalse(client.losses().isHolding());
+        assertFalse(client.losses().isLossPending());
         over(1, JobStatus.DONE);
         until(() -> !leader.blocksAll());
     }
--- a/src/test/java/io/indigoreach/cluster/IntentLogTest.java
+++ b/src/test/java/io/indigoreach/cluster/IntentLogTest.java
@@ -20,7 +20,8 @@
 
 /** Intents are recorded under the leadership key, and whoever leads next reads them. */
 class IntentLogTest {
-    private static final Intents.Rent RENT = new Intents.Rent("t3-1", new MachinePool("quad", "east", true), 50, 1000);
+    private static final Intents.Rental RENT =
+            new Intents.Rental("t3-1", new MachinePool("quad", "east", true), 50, 1000);
     private static final MachineId MACHINE = new MachineId("vm-1");
     private TermFixture fixture;
     private StateStandIn state;
@@ -54,15 +55,15 @@
         IntentLog first = newLeader(3);
         first.intents().add(RENT);
         first.intents().addReturns(List.of(MACHINE));
-        assertTrue(await(first.record()) && first.intents().maySend("t3-1"));
+        assertTrue(await(first.record()) && first.intents().maySendRental("t3-1"));
         IntentLog next = newLeader(4);
-        Intents.Page page = await(next.load());
-        assertEquals(new Intents.Page(List.of(RENT), List.of(MACHINE)), page);
+        Intents.Content page = await(next.load());
+        assertEquals(new Intents.Content(List.of(RENT), List.of(MACHINE)), page);
         next.intents().addReturns(page.returns());
         assertTrue(await(next.record()));
         await(next.forgetEarlier());
         assertEquals(List.of("i/4"), state.keys("i/"), "what is not completed is in its own record");
-        next.intents().returned(page.returns());
+        next.intents().completeReturns(page.returns());
         next.intents().add(RENT);
         assertTrue(await(next.record()));
         assertEquals(List.of("i/4"), state.keys("i/"));
@@ -77,7 +78,7 @@
             assertTrue(await(log.record()));
         }
         IntentLog last = newLeader(30);
-        assertEquals(20, await(last.load()).rents().size());
+        assertEquals(20, await(last.load()).rentals().size());
         await(last.forgetEarlier());
         assertEquals(8, state.keys("i/").size());
         await(last.forgetEarlier());
@@ -101,11 +102,11 @@
         assertTrue(rents >= 10 && returns >= 50, rents + " requests, " + returns + " machines");
         assertTrue(await(log.record()));
         assertEquals(0, state.tooLarge);
-        assertEquals(rents, await(newLeader(4).load()).rents().size());
+        assertEquals(rents, await(newLeader(4).load()).rentals().size());
     }
 
-    private static Intents.Rent rent(int n) {
-        return new Intents.Rent(
+    private static Intents.Rental rent(int n) {
+        return new Intents.Rental(
                 "t123-" + n, new MachinePool("quad", "a-zone-of-usual-length", true), 50, 1_800_000_000_000L);
     }
 
@@ -116,7 +117,7 @@
         newLeader(4);
         old.intents().add(RENT);
         assertFalse(await(old.record()));
-        assertFalse(old.intents().maySend("t3-1"));
+        assertFalse(old.intents().maySendRental("t3-1"));
         assertTrue(deposed);
         assertEquals(List.of(), state.keys("i/"));
     }
@@ -138,9 +139,9 @@
         log.intents().add(RENT);
         state.losingAnswers = 1;
         assertFalse(await(log.record().otherwise(false)));
-        assertFalse(log.intents().maySend("t3-1"), "it may be there or not");
+        assertFalse(log.intents().maySendRental("t3-1"), "it may be there or not");
         assertFalse(await(log.record()), "its version is read first");
-        assertTrue(await(log.record()) && log.intents().maySend("t3-1"));
+        assertTrue(await(log.record()) && log.intents().maySendRental("t3-1"));
         Future<Boolean> one = log.record();
         Future<Boolean> other = log.record();
         assertTrue(await(one) && await(other), "two at once do not get in each other's way");
--- a/src/test/java/io/indigoreach/cluster/LateFeatureTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateFeatureTransactionsTest.java
@@ -34,12 +34,12 @@
         List<RecordFamily> families = new ArrayList<>(Registry.FAMILIES);
         families.add(CalendarVersion.FAMILY);
         families.add(CalendarVersion.TEXT_FAMILY);
-        families.add(new RecordFamily("x/", 10, false, RecordFamily.Mending.NEWER));
+        families.add(new RecordFamily("x/", 10, false, RecordFamily.MergeRule.KEEP_NEWER));
         return new RoutineRunner(vertx, client, clock, new RecordCache(families));
     }
 
     private static Routine<Boolean> removing(String key) {
-        return seen -> seen.isWritten() || !seen.failed().isEmpty()
+        return seen -> seen.isWritten() || !seen.failedKeys().isEmpty()
                 ? new Step.End<>(seen.isWritten())
                 : seen.records().isEmpty()
                         ? new Step.Read<>(List.of(key))
--- a/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
@@ -59,10 +59,10 @@
         return await(intentLog.record().otherwise(false));
     }
 
-    private Intents.Page intended() throws Exception {
+    private Intents.Content intended() throws Exception {
         return service.has("i/3")
                 ? IntentRecordCodec.readIntents(service.value("i/3"))
-                : new Intents.Page(List.of(), List.of());
+                : new Intents.Content(List.of(), List.of());
     }
 
     private static final Map<String, Case<LateMachineTransactionsTest>> CASES = new LinkedHashMap<>();
@@ -126,8 +126,8 @@
             IntentLog intentLog = test.newIntentLog(test.lead(1));
             intentLog.intents().add(RENT);
             test.loseOne(RecordKeys.INTENTS);
-            assertFalse(record(intentLog) || intentLog.intents().maySend(RENT.name()), "it may be there or not");
-            test.until(() -> record(intentLog) && intentLog.intents().maySend(RENT.name()));
+            assertFalse(record(intentLog) || intentLog.intents().maySendRental(RENT.name()), "it may be there or not");
+            test.until(() -> record(intentLog) && intentLog.intents().maySendRental(RENT.name()));
             test.changesNothingMore();
         });
         CASES.put("an intent's first record, after all in it is settled", test -> {
@@ -135,8 +135,8 @@
             intentLog.intents().add(RENT);
             test.loseOne(RecordKeys.INTENTS);
             assertFalse(record(intentLog));
-            test.until(() -> record(intentLog) && intentLog.intents().maySend(RENT.name()));
-            intentLog.intents().completed(RENT.name());
+            test.until(() -> record(intentLog) && intentLog.intents().maySendRental(RENT.name()));
+            intentLog.intents().completeRental(RENT.name());
             test.until(() -> record(intentLog) && test.intended().isEmpty());
             test.changesNothingMore();
             assertTrue(test.intended().isEmpty(), "the next leader would ask once more");
@@ -146,7 +146,7 @@
             intentLog.intents().add(RENT);
             test.loseOne(RecordKeys.INTENTS);
             assertFalse(record(intentLog));
-            intentLog.intents().completed(RENT.name());
+            intentLog.intents().completeRental(RENT.name());
             test.until(() -> record(intentLog)
                     && test.service.has("i/3")
                     && test.intended().isEmpty());
@@ -160,7 +160,7 @@
             assertFalse(record(intentLog));
             test.lead(4);
             test.changesNothingMore();
-            assertFalse(intentLog.intents().maySend(RENT.name()));
+            assertFalse(intentLog.intents().maySendRental(RENT.name()));
         });
         CASES.put("an earlier leader's intents are removed, and again", test -> {
             IntentLog old = test.newIntentLog(test.lead(1));
--- a/src/test/java/io/indigoreach/cluster/LateTransactionsHarness.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionsHarness.java
@@ -55,7 +55,7 @@
     static final MachinePool POOL = new MachinePool("quad", "a", true);
     static final JobId JOB = new JobId("run-1");
     static final String OPEN = RecordKeys.openKey(JOB);
-    static final Intents.Rent RENT = new Intents.Rent("t3-1", POOL, 50, 1000);
+    static final Intents.Rental RENT = new Intents.Rental("t3-1", POOL, 50, 1000);
     final Vertx vertx = Vertx.vertx();
     final SteadyClock clock = new SteadyClock();
     /** Vert.x closes a client that nothing refers to any more. */
--- a/src/test/java/io/indigoreach/cluster/LeaderHarness.java
+++ b/src/test/java/io/indigoreach/cluster/LeaderHarness.java
@@ -2,12 +2,12 @@
 
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Team;
@@ -108,7 +108,7 @@
 
     /** The one machine type of these tests. */
     static MachineType quad() {
-        return new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
+        return new MachineType("quad", new Resources(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
     }
 
     /** Writes the leadership key; the result is its revision. */
@@ -139,12 +139,12 @@
                 .team("t")
                 .kind(JobKind.ARRAY)
                 .urgency(Urgency.STANDARD)
-                .tasks(tasks)
-                .demand(new Demand(1, 0, 1))
+                .taskCount(tasks)
+                .demand(new Resources(1, 0, 1))
                 .image(image)
                 .imageGb(0)
                 .spotAllowed()
-                .estimate(Span.seconds(10))
+                .estimatedRunTime(Span.seconds(10))
                 .build();
     }
 
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -9,7 +9,6 @@
 import io.indigoreach.cloud.CloudClient;
 import io.indigoreach.config.Settings;
 import io.indigoreach.core.leadership.CancellationHorizon;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.Heartbeat;
 import io.indigoreach.core.model.HeartbeatNumber;
@@ -20,6 +19,7 @@
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.core.model.MachineType;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.scheduling.SchedulerCore;
@@ -83,7 +83,7 @@
     }
 
     private static MachineType machineType(String zone) {
-        return new MachineType("quad", new Demand(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of(zone));
+        return new MachineType("quad", new Resources(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of(zone));
     }
 
     @AfterEach
--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -5,7 +5,6 @@
 
 import io.indigoreach.config.Settings;
 import io.indigoreach.core.loss.RememberedState;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
@@ -14,6 +13,7 @@
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
@@ -82,7 +82,7 @@
     }
 
     private static Map<String, Object> featureRecord(long number) {
-        return MessagePackFormat.map("n", number, VersionedRecord.VERSION, number);
+        return MessagePackFormat.map("n", number, VersionedRecord.VERSION_FIELD, number);
     }
 
     /** As another node receives it. */
@@ -99,7 +99,7 @@
     void featureRecordsAreWrittenByTheirVersions() throws Exception {
         NodeContext context = fixture.context(List.of(new Parts.Kind(
                 Settings.Setting.CHECK_S,
-                List.of(new RecordFamily("x/", 10, true, RecordFamily.Mending.NEWER)),
+                List.of(new RecordFamily("x/", 10, true, RecordFamily.MergeRule.KEEP_NEWER)),
                 ground -> null)));
         Revision leadershipRevision = fixture.gainLeadership(
                 1, new StateClient.Txn().put("x/older", featureRecord(1)).put("x/newer", featureRecord(9)));
@@ -123,12 +123,12 @@
                 .team("t")
                 .kind(JobKind.ARRAY)
                 .urgency(Urgency.STANDARD)
-                .tasks(2)
-                .demand(new Demand(1, 0, 1))
+                .taskCount(2)
+                .demand(new Resources(1, 0, 1))
                 .image("img")
                 .imageGb(0)
                 .spotAllowed()
-                .estimate(Span.seconds(10))
+                .estimatedRunTime(Span.seconds(10))
                 .build();
     }
 
--- a/src/test/java/io/indigoreach/core/BehaviourDigest.java
+++ b/src/test/java/io/indigoreach/core/BehaviourDigest.java
@@ -43,55 +43,55 @@
  * correct is for the tests to check.
  */
 final class BehaviourDigest {
-    private static final int SEEDS_A_LINE = 20;
+    private static final int SEEDS_PER_LINE = 20;
     private static final int HASH_BYTES = 12;
 
     /** Runs one simulation; returns whether it satisfied the invariants that its test checks. */
-    private interface Play {
+    private interface Simulation {
         boolean run(long seed, EffectListener effects);
     }
 
     /** Simulations with the seeds from 1 to {@code seeds}. The committed lines contain the name. */
-    private record Runs(String name, int seeds, Play play) {}
+    private record SimulationSet(String name, int seeds, Simulation simulation) {}
 
     /** The result of one simulation; {@code hash} is hexadecimal. */
-    private record Result(long seed, String hash, long effects, boolean kept) {}
+    private record Result(long seed, String hash, long effects, boolean satisfied) {}
 
-    private static final List<Runs> ALL = List.of(
-            new Runs(
+    private static final List<SimulationSet> SIMULATIONS = List.of(
+            new SimulationSet(
                     "random",
                     100,
                     (seed, effects) -> random(seed, effects, EnumSet.noneOf(RandomSimulation.Trouble.class))),
-            new Runs(
+            new SimulationSet(
                     "random-with-troubles",
                     100,
                     (seed, effects) -> random(
                             seed,
                             effects,
                             EnumSet.complementOf(EnumSet.of(RandomSimulation.Trouble.SHORT_LEADERSHIPS)))),
-            new Runs(
+            new SimulationSet(
                     "random-with-short-leaderships",
                     100,
                     (seed, effects) -> random(seed, effects, EnumSet.of(RandomSimulation.Trouble.SHORT_LEADERSHIPS))),
-            new Runs("cancellations", 1000, BehaviourDigest::cancellations),
-            new Runs("limits", 360, BehaviourDigest::limits),
-            new Runs("chains", 300, (seed, effects) -> {
+            new SimulationSet("cancellations", 1000, BehaviourDigest::cancellations),
+            new SimulationSet("limits", 360, BehaviourDigest::limits),
+            new SimulationSet("chains", 300, (seed, effects) -> {
                 DependencySimulationTest.play(seed, effects);
                 return true;
             }),
-            new Runs("queues", 200, BehaviourDigest::queues),
-            new Runs("warm-pools", 200, (seed, effects) -> {
+            new SimulationSet("queues", 200, BehaviourDigest::queues),
+            new SimulationSet("warm-pools", 200, (seed, effects) -> {
                 WarmPoolTest.play(seed, effects);
                 return true;
             }),
-            new Runs("ownership", 200, (seed, effects) -> ownership(seed, effects, false)),
-            new Runs("ownership-with-losses", 200, (seed, effects) -> ownership(seed, effects, true)),
-            new Runs(
+            new SimulationSet("ownership", 200, (seed, effects) -> ownership(seed, effects, false)),
+            new SimulationSet("ownership-with-losses", 200, (seed, effects) -> ownership(seed, effects, true)),
+            new SimulationSet(
                     "intents",
                     300,
                     (seed, effects) -> IntentsTest.play(seed, effects).isEmpty()),
-            new Runs("calendar-starts", 200, (seed, effects) -> OnceTest.run(seed, true, effects) == null),
-            new Runs("accounts", 200, (seed, effects) -> {
+            new SimulationSet("calendar-starts", 200, (seed, effects) -> OnceTest.run(seed, true, effects) == null),
+            new SimulationSet("accounts", 200, (seed, effects) -> {
                 MeterTest.play(seed, effects);
                 return true;
             }));
@@ -99,64 +99,67 @@
     private BehaviourDigest() {}
 
     public static void main(String[] args) throws IOException {
-        boolean writes = args.length == 2 && args[0].equals("--write");
-        boolean checks = args.length == 2 && args[0].equals("--check");
-        if (args.length > 0 && !writes && !checks) {
+        boolean write = args.length == 2 && args[0].equals("--write");
+        boolean check = args.length == 2 && args[0].equals("--check");
+        if (args.length > 0 && !write && !check) {
             System.err.println("usage: BehaviourDigest [--check FILE | --write FILE]");
             System.exit(2);
         }
         List<String> lines = new ArrayList<>();
-        for (Runs runs : ALL) {
-            List<String> some = digest(runs);
-            lines.addAll(some);
-            if (!checks) {
-                some.forEach(System.out::println);
+        for (SimulationSet set : SIMULATIONS) {
+            List<String> setLines = digest(set);
+            lines.addAll(setLines);
+            if (!check) {
+                setLines.forEach(System.out::println);
             }
         }
-        if (writes) {
+        if (write) {
             Files.write(Path.of(args[1]), lines);
         }
-        if (checks && differs(Files.readAllLines(Path.of(args[1])), lines)) {
+        if (check && reportDifference(Files.readAllLines(Path.of(args[1])), lines)) {
             System.exit(1);
         }
     }
 
-    private static List<String> digest(Runs runs) {
-        List<Result> results = LongStream.rangeClosed(1, runs.seeds)
+    private static List<String> digest(SimulationSet set) {
+        List<Result> results = LongStream.rangeClosed(1, set.seeds)
                 .parallel()
-                .mapToObj(seed -> play(runs.play, seed))
+                .mapToObj(seed -> play(set.simulation, seed))
                 .toList();
         List<String> lines = new ArrayList<>();
-        for (int from = 0; from < results.size(); from += SEEDS_A_LINE) {
-            List<Result> some = results.subList(from, Math.min(results.size(), from + SEEDS_A_LINE));
-            MessageDigest all = EffectHash.sha256();
-            some.forEach(r -> all.update(HexFormat.of().parseHex(r.hash)));
-            lines.add(runs.name + " " + (from + 1) + "-" + (from + some.size()) + ": "
-                    + some.stream().mapToLong(Result::effects).sum() + " effects, broken "
-                    + some.stream().filter(r -> !r.kept).map(Result::seed).toList() + ", "
-                    + HexFormat.of().formatHex(Arrays.copyOf(all.digest(), HASH_BYTES)));
+        for (int from = 0; from < results.size(); from += SEEDS_PER_LINE) {
+            List<Result> chunk = results.subList(from, Math.min(results.size(), from + SEEDS_PER_LINE));
+            MessageDigest digest = EffectHash.sha256();
+            chunk.forEach(result -> digest.update(HexFormat.of().parseHex(result.hash)));
+            lines.add(set.name + " " + (from + 1) + "-" + (from + chunk.size()) + ": "
+                    + chunk.stream().mapToLong(Result::effects).sum() + " effects, broken "
+                    + chunk.stream()
+                            .filter(result -> !result.satisfied)
+                            .map(Result::seed)
+                            .toList() + ", "
+                    + HexFormat.of().formatHex(Arrays.copyOf(digest.digest(), HASH_BYTES)));
         }
         return lines;
     }
 
-    private static Result play(Play play, long seed) {
+    private static Result play(Simulation simulation, long seed) {
         EffectHash hash = new EffectHash();
-        boolean kept;
+        boolean satisfied;
         try {
-            kept = play.run(seed, hash);
+            satisfied = simulation.run(seed, hash);
         } catch (AssertionError e) {
-            kept = false;
+            satisfied = false;
         }
-        return new Result(seed, HexFormat.of().formatHex(hash.hash()), hash.count(), kept);
+        return new Result(seed, HexFormat.of().formatHex(hash.hash()), hash.count(), satisfied);
     }
 
-    private static boolean differs(List<String> expected, List<String> found) {
+    private static boolean reportDifference(List<String> expected, List<String> found) {
         for (int i = 0; i < Math.max(expected.size(), found.size()); i++) {
-            String then = i < expected.size() ? expected.get(i) : "(no line)";
-            String now = i < found.size() ? found.get(i) : "(no line)";
-            if (!then.equals(now)) {
-                System.out.println(
-                        "Behaviour differs, first in line " + (i + 1) + "\n  was " + then + "\n  is  " + now);
+            String expectedLine = i < expected.size() ? expected.get(i) : "(no line)";
+            String foundLine = i < found.size() ? found.get(i) : "(no line)";
+            if (!expectedLine.equals(foundLine)) {
+                System.out.println("Behaviour differs, first in line " + (i + 1) + "\n  was " + expectedLine
+                        + "\n  is  " + foundLine);
                 return true;
             }
         }
@@ -164,10 +167,11 @@
         return false;
     }
 
-    private static boolean random(long seed, EffectListener effects, EnumSet<RandomSimulation.Trouble> troubles) {
-        RandomSimulation run = new RandomSimulation(seed, RandomSimulation.Without.NOTHING, troubles).tell(effects);
-        run.play();
-        return run.broken().isEmpty();
+    private static boolean random(long seed, EffectListener effects, EnumSet<RandomSimulation.Trouble> faults) {
+        RandomSimulation simulation =
+                new RandomSimulation(seed, RandomSimulation.Without.NOTHING, faults).tell(effects);
+        simulation.play();
+        return simulation.broken().isEmpty();
     }
 
     private static boolean cancellations(long seed, EffectListener effects) {
@@ -178,7 +182,7 @@
 
     /** Each fault with one change of leader, and with several at short and at long intervals. */
     private static boolean limits(long seed, EffectListener effects) {
-        TeamLimitSimulation.Trouble[] troubles = {
+        TeamLimitSimulation.Trouble[] faults = {
             TeamLimitSimulation.Trouble.NONE,
             TeamLimitSimulation.Trouble.CUT,
             TeamLimitSimulation.Trouble.DEAF,
@@ -187,14 +191,14 @@
             TeamLimitSimulation.Trouble.AWAY,
             TeamLimitSimulation.Trouble.ZONE
         };
-        TeamLimitSimulation run = new TeamLimitSimulation(seed, troubles[(int) (seed % troubles.length)]);
-        run.site.effects = effects;
-        switch ((int) (seed / troubles.length % 3)) {
-            case 0 -> run.play(1, 0);
-            case 1 -> run.play(2, 7);
-            default -> run.play(10, 9);
+        TeamLimitSimulation simulation = new TeamLimitSimulation(seed, faults[(int) (seed % faults.length)]);
+        simulation.site.effects = effects;
+        switch ((int) (seed / faults.length % 3)) {
+            case 0 -> simulation.play(1, 0);
+            case 1 -> simulation.play(2, 7);
+            default -> simulation.play(10, 9);
         }
-        return run.site.broken.isEmpty();
+        return simulation.site.broken.isEmpty();
     }
 
     /** Up to four job classes and a service, of three teams, some with a service level objective; one change of leader. */
@@ -204,11 +208,11 @@
         String[] teams = {"free", "guaranteed", "limited"};
         double[] cores = {0.5, 1, 2, 4};
         List<Kind> kinds = new ArrayList<>();
-        List<ServiceLevelObjectives.Objective> aims = new ArrayList<>();
+        List<ServiceLevelObjectives.Objective> objectives = new ArrayList<>();
         for (int i = 0; i < 2 + random.nextInt(3); i++) {
             String name = "class-" + i;
-            int from = random.nextInt(60);
-            Kind kind = Kind.of(
+            int startsAt = random.nextInt(60);
+            Kind jobKind = Kind.of(
                             name,
                             urgencies[random.nextInt(urgencies.length)],
                             random.nextDouble() * 0.4,
@@ -216,35 +220,35 @@
                             1 + random.nextInt(40),
                             5 + random.nextInt(60),
                             cores[random.nextInt(cores.length)])
-                    .between(from, from + 60 + random.nextInt(150))
+                    .between(startsAt, startsAt + 60 + random.nextInt(150))
                     .team(teams[random.nextInt(teams.length)])
                     .estimated(0.5 + random.nextDouble() * 2);
-            kinds.add(random.nextInt(3) == 0 ? kind.saving() : kind);
+            kinds.add(random.nextInt(3) == 0 ? jobKind.saving() : jobKind);
             if (random.nextBoolean()) {
-                aims.add(new ServiceLevelObjectives.Objective(
+                objectives.add(new ServiceLevelObjectives.Objective(
                         name, random.nextInt(3) == 0, Span.seconds(60 + random.nextInt(240))));
             }
         }
         kinds.add(Kind.of("replicas", Urgency.PRODUCTION, 0, random.nextInt(3), 1 + random.nextInt(8), 0, 1)
                 .team("free")
                 .service());
-        CoreHarness steps = new CoreHarness(
+        CoreHarness harness = new CoreHarness(
                 kinds,
                 random.nextInt(80),
                 5 + random.nextInt(30),
-                new ServiceLevelObjectives(aims),
+                new ServiceLevelObjectives(objectives),
                 new Team("free", 0, 0, 0, 0),
                 new Team("guaranteed", 40, 0, 0, 0),
                 new Team("limited", 0, 30, 0, 0));
-        steps.effects = effects;
-        steps.run(100 + random.nextInt(100));
-        steps.newLeader();
-        steps.run(200);
+        harness.effects = effects;
+        harness.run(100 + random.nextInt(100));
+        harness.newLeader();
+        harness.run(200);
         return true;
     }
 
-    private static boolean ownership(long seed, EffectListener effects, boolean losing) {
-        return new RegistryRun(seed, RegistryRun.Fault.NONE, losing)
+    private static boolean ownership(long seed, EffectListener effects, boolean withLosses) {
+        return new RegistryRun(seed, RegistryRun.Fault.NONE, withLosses)
                 .tell(effects)
                 .run()
                 .isEmpty();
--- a/src/test/java/io/indigoreach/core/EffectListener.java
+++ b/src/test/java/io/indigoreach/core/EffectListener.java
@@ -24,10 +24,10 @@
 public interface EffectListener {
     EffectListener NONE = (code, values) -> {};
 
-    int ANSWER = 1;
+    int HEARTBEAT_RESPONSE = 1;
     int START = 2;
     int STOP = 3;
-    int FORGET = 4;
+    int REAP = 4;
     int RENT = 5;
     int RETURN = 6;
     int START_BOUND = 7;
@@ -35,24 +35,24 @@
     int PROGRESS_RECORD = 9;
     int TASK_COMPLETED = 10;
     int JOB_ENDED = 11;
-    int WAITS = 12;
-    int LEADER = 13;
+    int WAIT_REASON = 12;
+    int LEADER_STATE = 13;
     int READ = 14;
     int SCAN = 15;
     int WRITE = 16;
     int ROUTINE_ENDED = 17;
-    int ROUTINE_UNSETTLED = 18;
+    int ROUTINE_INTERRUPTED = 18;
     int ACCOUNTS_PAGE = 19;
-    int POOL = 20;
-    int CANCELLATIONS_TOLD = 21;
-    int WORKER_ANSWERED = 22;
+    int POOL_STATE = 20;
+    int CANCELLATIONS_REPORTED = 21;
+    int WORKER_RESPONSE = 22;
     int END_LOOKED_UP = 23;
-    int END_DOOMED = 24;
-    int JOB_STARTABLE = 25;
+    int CANCELLATION_REQUIRED = 24;
+    int JOB_STATE = 25;
     int INTENTS = 26;
-    int RENT_ASKED = 27;
-    int RETURN_ASKED = 28;
-    int MONEY = 29;
+    int RENT_REQUESTED = 27;
+    int RETURN_REQUESTED = 28;
+    int ACCOUNTED_COST = 29;
 
     /**
      * Receives an effect.
@@ -67,31 +67,31 @@
      * @param result the core's result for the heartbeat
      * @param answered whether the heartbeat is responded to
      */
-    default void answer(MachineId machine, HeartbeatResult result, boolean answered) {
+    default void onHeartbeatResponse(MachineId machine, HeartbeatResult result, boolean answered) {
         effect(
-                ANSWER,
+                HEARTBEAT_RESPONSE,
                 machine.text(),
                 result.isSuperseded() ? -1 : result.commands().size(),
                 answered);
-        result.commands().forEach(this::order);
+        result.commands().forEach(this::onCommand);
     }
 
-    private void order(WorkerCommand command) {
+    private void onCommand(WorkerCommand command) {
         String job = command.task().job().text();
         int index = command.task().index();
         long attempt = command.attempt().value();
         if (command instanceof WorkerCommand.Start) {
             effect(START, job, index, attempt);
         } else if (command instanceof WorkerCommand.Stop stop) {
-            effect(STOP, job, index, attempt, stop.grace().ms());
+            effect(STOP, job, index, attempt, stop.gracePeriod().ms());
         } else {
-            effect(FORGET, job, index, attempt);
+            effect(REAP, job, index, attempt);
         }
     }
 
     /** Receives the requests to rent machines. */
-    default void rents(List<ScaleOutRequest> wishes) {
-        wishes.forEach(request -> effect(
+    default void onRentRequests(List<ScaleOutRequest> requests) {
+        requests.forEach(request -> effect(
                 RENT,
                 request.pool().type(),
                 request.pool().zone(),
@@ -100,23 +100,23 @@
     }
 
     /** Receives the machines to be returned to the cloud. */
-    default void returns(List<MachineId> machines) {
+    default void onReturns(List<MachineId> machines) {
         machines.forEach(id -> effect(RETURN, id.text()));
     }
 
     /** Receives the jobs whose raised start bounds the leader has to record. */
-    default void boundsToRaise(List<Job> jobs) {
+    default void onStartBoundsToRaise(List<Job> jobs) {
         jobs.forEach(job -> effect(START_BOUND, job.id().text(), job.startBoundToWrite()));
     }
 
     /** Receives the progress that a job's record is to show. */
-    default void progress(Job job) {
+    default void onProgress(Job job) {
         effect(PROGRESS_RECORD, job.id().text(), job.completedTasks(), job.isComplete());
     }
 
     /** Receives the reason why a job's tasks wait; {@code reason} is null if none waits. */
-    default void waits(Job job, WaitReason reason) {
-        effect(WAITS, job.id().text(), reason == null ? 0 : codeOf(reason));
+    default void onWaitReason(Job job, WaitReason reason) {
+        effect(WAIT_REASON, job.id().text(), reason == null ? 0 : codeOf(reason));
     }
 
     private static int codeOf(WaitReason reason) {
@@ -147,9 +147,9 @@
     }
 
     /** Receives a leader's state. */
-    default void leader(SchedulerCore core, Moment now) {
+    default void onLeaderState(SchedulerCore core, Moment now) {
         effect(
-                LEADER,
+                LEADER_STATE,
                 core.areRecordsLoaded(),
                 core.isFailoverComplete(),
                 core.isCutOffFromWorkers(now),
@@ -157,37 +157,41 @@
     }
 
     /** Receives a step that a routine requests. The result of a routine is reported separately by its caller, which knows the type. */
-    default void step(Step<?> step) {
+    default void onStep(Step<?> step) {
         if (step instanceof Step.Read<?> read) {
             effect(READ, read.keys());
         } else if (step instanceof Step.Scan<?> scan) {
-            effect(SCAN, scan.prefix(), scan.after(), scan.most());
+            effect(SCAN, scan.prefix(), scan.afterKey(), scan.limit());
         } else if (step instanceof Step.Write<?> write) {
-            change(write.change());
+            onTransaction(write.transaction());
         } else {
             effect(ROUTINE_ENDED);
         }
     }
 
     /** Receives a transaction. */
-    default void change(Transaction change) {
+    default void onTransaction(Transaction transaction) {
         Map<String, Object> conditions = new TreeMap<>();
-        change.conditions().forEach((key, stamp) -> conditions.put(key, stamp.value()));
-        effect(WRITE, conditions, change.writes());
+        transaction.conditions().forEach((key, revision) -> conditions.put(key, revision.value()));
+        effect(WRITE, conditions, transaction.writes());
     }
 
     /** Receives a page of the accounts that is to be written. */
-    default void page(int number, Sheet sheet) {
+    default void onAccountsPage(int number, Sheet sheet) {
         List<Object> lines = new ArrayList<>();
-        sheet.lines().values().forEach(l -> {
-            lines.add(l.machine().text());
-            lines.addAll(List.of(l.where().type(), l.where().zone(), l.where().spot()));
+        sheet.lines().values().forEach(line -> {
+            lines.add(line.machine().text());
             lines.addAll(List.of(
-                    l.begunMs(), l.paidToMs(), l.payer().pool(), l.payer().team()));
-            lines.addAll(List.of(l.image(), l.gb(), l.session()));
+                    line.where().type(), line.where().zone(), line.where().spot()));
+            lines.addAll(List.of(
+                    line.begunMs(),
+                    line.paidToMs(),
+                    line.payer().pool(),
+                    line.payer().team()));
+            lines.addAll(List.of(line.image(), line.gb(), line.session()));
         });
-        List<Object> sums = new ArrayList<>();
-        sheet.sums().forEach((account, money) -> sums.addAll(List.of(account.pool(), account.team(), money)));
-        effect(ACCOUNTS_PAGE, number, lines, sums);
+        List<Object> totals = new ArrayList<>();
+        sheet.sums().forEach((account, money) -> totals.addAll(List.of(account.pool(), account.team(), money)));
+        effect(ACCOUNTS_PAGE, number, lines, totals);
     }
 }
--- a/src/test/java/io/indigoreach/core/accounts/MeterTest.java
+++ b/src/test/java/io/indigoreach/core/accounts/MeterTest.java
@@ -83,7 +83,7 @@
             for (int page : meter.behind(all)) {
                 Sheet read = store.getOrDefault(page, Sheet.EMPTY);
                 Sheet next = meter.next(page, read);
-                effects.page(page, next);
+                effects.onAccountsPage(page, next);
                 int fate = random.nextInt(6);
                 if (fate < 2) {
                     late.add(new Late(page, read, next));
@@ -183,7 +183,7 @@
         run.effects = effects;
         for (int i = 0; i < 400; i++) {
             run.step();
-            effects.effect(EffectListener.MONEY, run.put());
+            effects.effect(EffectListener.ACCOUNTED_COST, run.put());
             assertEquals(run.charged(), run.put(), run.bound + 1e-6);
         }
     }
--- a/src/test/java/io/indigoreach/core/calendar/ForecastTest.java
+++ b/src/test/java/io/indigoreach/core/calendar/ForecastTest.java
@@ -161,7 +161,11 @@
                 .mark(null, false, now)
                 .note()
                 .startsWith("late by"));
-        assertEquals(H, Choice.job(occurrence("p", 10 * H, 8), first, now).due().ms());
+        assertEquals(
+                H,
+                Choice.job(occurrence("p", 10 * H, 8), first, now)
+                        .relativeDeadline()
+                        .ms());
     }
 
     @Test
--- a/src/test/java/io/indigoreach/core/calendar/OnceTest.java
+++ b/src/test/java/io/indigoreach/core/calendar/OnceTest.java
@@ -47,10 +47,10 @@
 
         /** Runs a routine to its end, or until it has made {@code most} steps: then null. */
         <R> R run(Routine<R> routine, int most) {
-            StepResult seen = StepResult.nothing(1, 0);
+            StepResult seen = StepResult.empty(1, 0);
             for (int i = 0; i < most; i++) {
                 Step<R> step = routine.next(seen);
-                effects.step(step);
+                effects.onStep(step);
                 if (step instanceof Step.End<R> end) {
                     return end.result();
                 } else if (step instanceof Step.Read<R> read) {
@@ -58,7 +58,7 @@
                     read.keys().forEach(k -> found.put(k, read(k)));
                     seen = new StepResult(1, 0, found, false, null, List.of());
                 } else {
-                    Transaction change = ((Step.Write<R>) step).change();
+                    Transaction change = ((Step.Write<R>) step).transaction();
                     boolean done = commit(change);
                     seen = new StepResult(
                             1,
@@ -135,7 +135,7 @@
             Mark mark = page.mark(plan);
             Transaction change = mark == null || now > departs[n] ? null : page.accepting(plan, mark.id(), 8, now);
             if (change != null && random.nextInt(4) == 0) {
-                effects.change(change);
+                effects.onTransaction(change);
                 under.add(new Submission(mark.id(), plan, change));
             }
             if (!under.isEmpty() && random.nextInt(3) == 0) {
--- a/src/test/java/io/indigoreach/core/calendar/Samples.java
+++ b/src/test/java/io/indigoreach/core/calendar/Samples.java
@@ -1,11 +1,11 @@
 package io.indigoreach.core.calendar;
 
 import io.indigoreach.calendar.JavaZones;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Team;
 import io.indigoreach.core.model.Urgency;
@@ -17,7 +17,7 @@
     static final Zones ZONES = new JavaZones();
     static final Plan.Days ANY = new Plan.Days(List.of(), List.of(), List.of());
     static final MachineType TYPE =
-            new MachineType("quad", new Demand(4, 0, 16), 100, 0.5, 1, 0.3, Span.seconds(60), List.of("a"));
+            new MachineType("quad", new Resources(4, 0, 16), 100, 0.5, 1, 0.3, Span.seconds(60), List.of("a"));
 
     private Samples() {}
 
@@ -27,12 +27,12 @@
                 .team("t")
                 .kind(JobKind.ARRAY)
                 .urgency(Urgency.HIGH)
-                .tasks(tasks)
-                .demand(new Demand(1, 0, 1))
+                .taskCount(tasks)
+                .demand(new Resources(1, 0, 1))
                 .image("image")
                 .imageGb(10)
                 .spotAllowed()
-                .estimate(Span.seconds(runS))
+                .estimatedRunTime(Span.seconds(runS))
                 .build();
     }
 
--- a/src/test/java/io/indigoreach/core/intent/IntentsTest.java
+++ b/src/test/java/io/indigoreach/core/intent/IntentsTest.java
@@ -24,62 +24,63 @@
     private static final MachinePool POOL = new MachinePool("quad", "east", true);
 
     /** A safeguard that a simulation can leave out, to check that the simulation then detects a violation. */
-    enum Without {
-        RECORD,
-        COMPLETION,
-        RETURNS
+    enum OmittedSafeguard {
+        RECORD_BEFORE_SENDING,
+        COMPLETE_INHERITED_RENTALS,
+        KEEP_INHERITED_RETURNS
     }
 
     @Test
     void onlyRecordedIntentsMayBeSent() {
         Intents intents = new Intents();
-        intents.add(new Intents.Rent("t5-1", POOL, 50, 0));
-        assertFalse(intents.maySend("t5-1"));
-        Intents.Page page = intents.page();
-        intents.add(new Intents.Rent("t5-2", POOL, 50, 0));
-        intents.recorded(page);
+        intents.add(new Intents.Rental("t5-1", POOL, 50, 0));
+        assertFalse(intents.maySendRental("t5-1"));
+        Intents.Content content = intents.content();
+        intents.add(new Intents.Rental("t5-2", POOL, 50, 0));
+        intents.onRecorded(content);
         assertTrue(
-                intents.maySend("t5-1") && !intents.maySend("t5-2"),
+                intents.maySendRental("t5-1") && !intents.maySendRental("t5-2"),
                 "a request that was added during the write is not in the record");
-        assertTrue(intents.isUnrecorded());
-        intents.completed("t5-1");
-        assertFalse(intents.maySend("t5-1"), "a completed request is not sent again");
-        intents.recorded(intents.page());
-        assertFalse(intents.isUnrecorded() || intents.isOutdated());
-        List<MachineId> many = new ArrayList<>();
+        assertTrue(intents.hasUnrecordedRequests());
+        intents.completeRental("t5-1");
+        assertFalse(intents.maySendRental("t5-1"), "a completed request is not sent again");
+        intents.onRecorded(intents.content());
+        assertFalse(intents.hasUnrecordedRequests() || intents.isRecordOutdated());
+        List<MachineId> machines = new ArrayList<>();
         for (int i = 0; i < 150; i++) {
-            many.add(new MachineId("vm-" + i));
+            machines.add(new MachineId("vm-" + i));
         }
-        assertEquals(Intents.MAX_RETURNS, intents.addReturns(many).size(), "as many as the record may hold");
-        assertFalse(intents.mayReturn(many.subList(0, 1)));
-        intents.recorded(intents.page());
-        assertTrue(intents.mayReturn(many.subList(0, 100)) && !intents.mayReturn(many.subList(99, 101)));
-        intents.returned(many.subList(0, 100));
-        intents.completed("t5-2");
-        assertTrue(intents.page().isEmpty() && intents.isOutdated());
+        assertEquals(Intents.MAX_RETURNS, intents.addReturns(machines).size(), "as many as the record may hold");
+        assertFalse(intents.maySendReturns(machines.subList(0, 1)));
+        intents.onRecorded(intents.content());
+        assertTrue(
+                intents.maySendReturns(machines.subList(0, 100)) && !intents.maySendReturns(machines.subList(99, 101)));
+        intents.completeReturns(machines.subList(0, 100));
+        intents.completeRental("t5-2");
+        assertTrue(intents.content().isEmpty() && intents.isRecordOutdated());
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-    void nothingIsLostAcrossFailovers(long seed) {
-        assertEquals(List.of(), new Run(seed, null).play());
+    void simulationHasNoViolations(long seed) {
+        assertEquals(List.of(), new Simulation(seed, null).play());
     }
 
     /** Runs a simulation and returns its violations; {@code effects} receives the decisions. */
     public static List<String> play(long seed, EffectListener effects) {
-        Run run = new Run(seed, null);
-        run.effects = effects;
-        return run.play();
+        Simulation simulation = new Simulation(seed, null);
+        simulation.effects = effects;
+        return simulation.play();
     }
 
     @ParameterizedTest
     @EnumSource
-    void withoutAGuardSomethingIsLost(Without without) {
+    void omittedSafeguardCausesAViolation(OmittedSafeguard omitted) {
         boolean found = false;
         for (long seed = 1; seed <= 20 && !found; seed++) {
-            found = !new Run(seed, without).play().isEmpty();
+            found = !new Simulation(seed, omitted).play().isEmpty();
         }
-        assertTrue(found, "no violation found without " + without);
+        assertTrue(found, "no violation found without " + omitted);
     }
 
     /**
@@ -87,156 +88,161 @@
      * Violations are a rented machine that the last leader does not know, a machine in use after its return was requested, and a request
      * name that is sent with two different counts.
      */
-    private static final class Run {
+    private static final class Simulation {
         private final Random random;
         private EffectListener effects = EffectListener.NONE;
-        private final Without without;
-        private final List<String> broken = new ArrayList<>();
-        private final Map<String, Integer> named = new HashMap<>();
-        private final Map<String, List<MachineId>> rented = new HashMap<>();
-        private final Set<MachineId> there = new HashSet<>();
-        private final Set<MachineId> asked = new HashSet<>();
-        private final List<Runnable> late = new ArrayList<>();
-        private Intents.Page record = new Intents.Page(List.of(), List.of());
+        private final OmittedSafeguard omitted;
+        private final List<String> violations = new ArrayList<>();
+        private final Map<String, Integer> countByRentalName = new HashMap<>();
+        private final Map<String, List<MachineId>> machinesByRentalName = new HashMap<>();
+        private final Set<MachineId> existing = new HashSet<>();
+        private final Set<MachineId> returnRequested = new HashSet<>();
+        private final List<Runnable> delayedRequests = new ArrayList<>();
+        private Intents.Content record = new Intents.Content(List.of(), List.of());
         private Intents intents = new Intents();
-        private Set<MachineId> known = new HashSet<>();
-        private Set<MachineId> useless = new HashSet<>();
-        private int leader = 1;
-        private int requests;
-        private int machines;
+        private Set<MachineId> knownToLeader = new HashSet<>();
+        private Set<MachineId> notUsable = new HashSet<>();
+        private int leaderNumber = 1;
+        private int rentalNumber;
+        private int machineNumber;
 
-        Run(long seed, Without without) {
+        Simulation(long seed, OmittedSafeguard omitted) {
             this.random = new Random(seed);
-            this.without = without;
+            this.omitted = omitted;
         }
 
         List<String> play() {
             for (int step = 0; step < 600; step++) {
                 switch (random.nextInt(8)) {
                     case 0 ->
-                        intents.add(new Intents.Rent("t" + leader + "-" + ++requests, POOL, 1 + random.nextInt(3), 0));
+                        intents.add(new Intents.Rental(
+                                "t" + leaderNumber + "-" + ++rentalNumber, POOL, 1 + random.nextInt(3), 0));
                     case 1 ->
-                        known.stream()
-                                .filter(id -> !useless.contains(id))
+                        knownToLeader.stream()
+                                .filter(id -> !notUsable.contains(id))
                                 .findAny()
-                                .ifPresent(this::giveUp);
-                    case 2 -> write();
-                    case 3, 4 -> ask();
-                    case 5 -> giveBack();
-                    case 6 -> use();
+                                .ifPresent(this::markForReturn);
+                    case 2 -> writeRecord();
+                    case 3, 4 -> sendRental();
+                    case 5 -> sendReturns();
+                    case 6 -> checkUse();
                     default -> {
                         if (random.nextInt(6) == 0) {
                             failover();
-                        } else if (!late.isEmpty()) {
-                            late.remove(random.nextInt(late.size())).run();
+                        } else if (!delayedRequests.isEmpty()) {
+                            delayedRequests
+                                    .remove(random.nextInt(delayedRequests.size()))
+                                    .run();
                         }
                     }
                 }
             }
             failover();
-            late.forEach(Runnable::run);
-            write();
+            delayedRequests.forEach(Runnable::run);
+            writeRecord();
             for (int i = 0; i < 400; i++) {
-                ask();
-                giveBack();
-                write();
+                sendRental();
+                sendReturns();
+                writeRecord();
             }
-            there.stream()
-                    .filter(id -> !known.contains(id))
-                    .forEach(id -> broken.add(id + " is rented but unknown to the leader"));
-            return broken;
+            existing.stream()
+                    .filter(id -> !knownToLeader.contains(id))
+                    .forEach(id -> violations.add(id + " is rented but unknown to the leader"));
+            return violations;
         }
 
-        private void giveUp(MachineId id) {
-            useless.add(id);
+        private void markForReturn(MachineId id) {
+            notUsable.add(id);
             intents.addReturns(List.of(id));
         }
 
-        private void write() {
-            Intents.Page page = intents.page();
-            record = page;
-            List<Object> rents = new ArrayList<>();
-            page.rents().forEach(r -> rents.addAll(List.of(r.name(), r.count())));
-            effects.effect(EffectListener.INTENTS, rents, texts(page.returns()));
+        private void writeRecord() {
+            Intents.Content content = intents.content();
+            record = content;
+            List<Object> rentals = new ArrayList<>();
+            content.rentals().forEach(rental -> rentals.addAll(List.of(rental.name(), rental.count())));
+            effects.effect(EffectListener.INTENTS, rentals, names(content.returns()));
             if (random.nextInt(4) > 0) {
-                intents.recorded(page);
+                intents.onRecorded(content);
             }
         }
 
-        private void ask() {
-            intents.page().rents().stream()
-                    .filter(r -> without == Without.RECORD || intents.maySend(r.name()))
+        private void sendRental() {
+            intents.content().rentals().stream()
+                    .filter(rental ->
+                            omitted == OmittedSafeguard.RECORD_BEFORE_SENDING || intents.maySendRental(rental.name()))
                     .findAny()
-                    .ifPresent(r -> {
-                        effects.effect(EffectListener.RENT_ASKED, r.name(), r.count());
-                        if (named.putIfAbsent(r.name(), r.count()) != null && named.get(r.name()) != r.count()) {
-                            broken.add(r.name() + " is sent with different counts");
+                    .ifPresent(rental -> {
+                        effects.effect(EffectListener.RENT_REQUESTED, rental.name(), rental.count());
+                        if (countByRentalName.putIfAbsent(rental.name(), rental.count()) != null
+                                && countByRentalName.get(rental.name()) != rental.count()) {
+                            violations.add(rental.name() + " is sent with different counts");
                         }
-                        Runnable executed = () -> rented.computeIfAbsent(r.name(), n -> {
+                        Runnable execution = () -> machinesByRentalName.computeIfAbsent(rental.name(), name -> {
                             List<MachineId> ids = new ArrayList<>();
-                            for (int i = 0; i < r.count(); i++) {
-                                ids.add(new MachineId("vm-" + ++machines));
+                            for (int i = 0; i < rental.count(); i++) {
+                                ids.add(new MachineId("vm-" + ++machineNumber));
                             }
-                            there.addAll(ids);
+                            existing.addAll(ids);
                             return ids;
                         });
                         if (random.nextInt(3) == 0) {
-                            late.add(executed);
+                            delayedRequests.add(execution);
                         } else {
-                            executed.run();
+                            execution.run();
                             if (random.nextInt(3) > 0) {
-                                rented.get(r.name()).stream()
-                                        .filter(there::contains)
-                                        .forEach(known::add);
-                                intents.completed(r.name());
+                                machinesByRentalName.get(rental.name()).stream()
+                                        .filter(existing::contains)
+                                        .forEach(knownToLeader::add);
+                                intents.completeRental(rental.name());
                             }
                         }
                     });
         }
 
-        private void giveBack() {
-            List<MachineId> ids = intents.page().returns();
-            if (ids.isEmpty() || (without != Without.RECORD && !intents.mayReturn(ids))) {
+        private void sendReturns() {
+            List<MachineId> ids = intents.content().returns();
+            if (ids.isEmpty() || (omitted != OmittedSafeguard.RECORD_BEFORE_SENDING && !intents.maySendReturns(ids))) {
                 return;
             }
-            effects.effect(EffectListener.RETURN_ASKED, texts(ids));
-            asked.addAll(ids);
+            effects.effect(EffectListener.RETURN_REQUESTED, names(ids));
+            returnRequested.addAll(ids);
             if (random.nextBoolean()) {
-                late.add(() -> there.removeAll(ids));
+                delayedRequests.add(() -> existing.removeAll(ids));
             } else {
-                there.removeAll(ids);
-                known.removeAll(ids);
-                useless.removeAll(ids);
-                intents.returned(ids);
+                existing.removeAll(ids);
+                knownToLeader.removeAll(ids);
+                notUsable.removeAll(ids);
+                intents.completeReturns(ids);
             }
         }
 
-        private static List<String> texts(List<MachineId> ids) {
+        private static List<String> names(List<MachineId> ids) {
             return ids.stream().map(MachineId::text).toList();
         }
 
-        private void use() {
-            known.stream()
-                    .filter(id -> !useless.contains(id) && asked.contains(id) && there.contains(id))
-                    .forEach(id -> broken.add(id + " is used though its return was requested"));
+        private void checkUse() {
+            knownToLeader.stream()
+                    .filter(id -> !notUsable.contains(id) && returnRequested.contains(id) && existing.contains(id))
+                    .forEach(id -> violations.add(id + " is used though its return was requested"));
         }
 
         /** The next leader knows the record and the machines that send heartbeats, but not those of rentals that are executed late. */
         private void failover() {
-            leader++;
-            Set<MachineId> before = known;
+            leaderNumber++;
+            Set<MachineId> previouslyKnown = knownToLeader;
             intents = new Intents();
-            known = new HashSet<>();
-            useless = new HashSet<>();
-            before.stream().filter(there::contains).forEach(known::add);
-            if (without != Without.COMPLETION) {
-                record.rents().forEach(intents::add);
+            knownToLeader = new HashSet<>();
+            notUsable = new HashSet<>();
+            previouslyKnown.stream().filter(existing::contains).forEach(knownToLeader::add);
+            if (omitted != OmittedSafeguard.COMPLETE_INHERITED_RENTALS) {
+                record.rentals().forEach(intents::add);
             }
-            if (without != Without.RETURNS) {
+            if (omitted != OmittedSafeguard.KEEP_INHERITED_RETURNS) {
                 intents.addReturns(record.returns());
-                useless.addAll(record.returns());
+                notUsable.addAll(record.returns());
             }
-            intents.recorded(record);
+            intents.onRecorded(record);
         }
     }
 }
--- a/src/test/java/io/indigoreach/core/leadership/CancellationHorizonTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/CancellationHorizonTest.java
@@ -23,39 +23,39 @@
         "3, 10, earlier cancellations are not covered",
         "0, 10, a process has just started or did not respond"
     })
-    void answersOfAllNodesReplaceTheWatch(double covered, double until, String why) {
+    void responsesOfAllNodesAdvanceTheHorizon(double covered, double until, String reason) {
         CancellationHorizon horizon = new CancellationHorizon();
         horizon.advanceTo(at(10));
-        horizon.peersAnswered(Span.seconds(covered), at(20), at(21));
-        assertEquals(at(until), horizon.completeUntil(), why);
+        horizon.onPeersResponded(Span.seconds(covered), at(20), at(21));
+        assertEquals(at(until), horizon.completeUntil(), reason);
         horizon.advanceTo(at(15));
         assertEquals(at(Math.max(15, until)), horizon.completeUntil(), "the horizon never goes back");
     }
 
     /** Guards against a leader that saw that a record was missing, could not read the reason during an outage, and let the tasks run on. */
     @Test
-    void missingJobHoldsTheHorizonUntilItIsResolved() {
+    void missingRecordHoldsTheHorizonUntilItIsResolved() {
         CancellationHorizon horizon = new CancellationHorizon();
         horizon.advanceTo(at(10));
-        horizon.recordGone(new JobId("run-1"));
+        horizon.onRecordMissing(new JobId("run-1"));
         horizon.advanceTo(at(12));
-        horizon.recordGone(new JobId("run-2"));
-        horizon.recordGone(new JobId("run-1"));
-        horizon.peersAnswered(Span.seconds(30), at(20), at(21));
+        horizon.onRecordMissing(new JobId("run-2"));
+        horizon.onRecordMissing(new JobId("run-1"));
+        horizon.onPeersResponded(Span.seconds(30), at(20), at(21));
         assertEquals(at(10), horizon.completeUntil());
-        horizon.resolved(new JobId("run-1"));
+        horizon.onMissingRecordResolved(new JobId("run-1"));
         assertEquals(at(12), horizon.completeUntil());
-        horizon.resolved(new JobId("run-2"));
+        horizon.onMissingRecordResolved(new JobId("run-2"));
         assertEquals(at(20), horizon.completeUntil());
     }
 
     /** Guards against a new leader that cannot read the records, and so may not know even old cancellations. */
     @Test
-    void nothingIsKnownBeforeTheRecordsAreRead() {
+    void horizonIsUndefinedBeforeTheRecordsAreRead() {
         CancellationHorizon horizon = new CancellationHorizon();
-        horizon.peersAnswered(Span.seconds(1e6), at(20), at(21));
+        horizon.onPeersResponded(Span.seconds(1e6), at(20), at(21));
         assertEquals(Moment.NEVER, horizon.completeUntil());
-        assertEquals(Span.ZERO, horizon.lookBack(at(20), Span.seconds(3)));
+        assertEquals(Span.ZERO, horizon.requiredLookBack(at(20), Span.seconds(3)));
         assertTrue(at(20).since(horizon.completeUntil()).compareTo(SimulatedWorld.RULES.maxCancellationAge()) > 0);
     }
 }
--- a/src/test/java/io/indigoreach/core/leadership/ConfirmedCancellationsTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/ConfirmedCancellationsTest.java
@@ -25,7 +25,7 @@
         "60, 30, run-1 run-2",
         "0, 0, ''"
     })
-    void coversTheRequestedTimeSinceTheProcessBegan(double requested, double covered, String jobs) {
+    void summaryCoversAtMostTheTimeSinceTheStart(double requested, double covered, String jobs) {
         ConfirmedCancellations confirmed = new ConfirmedCancellations(at(100));
         confirmed.add(new JobId("run-1"), at(110));
         confirmed.add(new JobId("run-2"), at(120));
@@ -49,6 +49,9 @@
         Moment now = at(10 + ConfirmedCancellations.MAX_REMEMBERED + 9);
         CancellationSummary summary = confirmed.summary(Span.seconds(5000), now);
         assertEquals(ConfirmedCancellations.MAX_REMEMBERED, summary.cancelled().size());
-        assertEquals(now.since(at(19)), summary.covered(), "the time since the last forgotten cancellation, confirmed at 19 s");
+        assertEquals(
+                now.since(at(19)),
+                summary.covered(),
+                "the time since the last forgotten cancellation, confirmed at 19 s");
     }
 }
--- a/src/test/java/io/indigoreach/core/leadership/IsolationCheckTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/IsolationCheckTest.java
@@ -40,34 +40,34 @@
         "---- 5, CUT_OFF, 1",
         "---n 9, TOGETHER, 0"
     })
-    void verdicts(String seconds, IsolationCheck.Verdict last, int removals) {
-        IsolationCheck node = new IsolationCheck();
+    void verdictFollowsReportsOfOtherNodes(String timeline, IsolationCheck.Verdict lastVerdict, int removals) {
+        IsolationCheck check = new IsolationCheck();
         Moment now = SimulatedWorld.at(100);
-        int removed = 0;
-        String[] words = seconds.split(" ");
-        for (int i = 0; i < words.length; i += 2) {
-            for (int n = Integer.parseInt(words[i + 1]); n > 0; n--) {
-                boolean was = node.isOutOfService();
-                if (words[i].equals("ok")) {
-                    node.onServed();
+        int observedRemovals = 0;
+        String[] states = timeline.split(" ");
+        for (int i = 0; i < states.length; i += 2) {
+            for (int secondsLeft = Integer.parseInt(states[i + 1]); secondsLeft > 0; secondsLeft--) {
+                boolean wasOutOfService = check.isOutOfService();
+                if (states[i].equals("ok")) {
+                    check.onStateServiceResponded();
                 } else {
-                    node.onUnserved(others(words[i]), now);
+                    check.onStateServiceUnresponsive(peersServed(states[i]), now);
                 }
-                removed += !was && node.isOutOfService() ? 1 : 0;
+                observedRemovals += !wasOutOfService && check.isOutOfService() ? 1 : 0;
                 now = now.plus(Span.seconds(1));
             }
         }
-        IsolationCheck.Verdict is = node.isCutOff()
+        IsolationCheck.Verdict verdict = check.isCutOff()
                 ? IsolationCheck.Verdict.CUT_OFF
-                : node.isOutOfService() ? IsolationCheck.Verdict.REFUSED_ALONE : IsolationCheck.Verdict.TOGETHER;
-        assertEquals(last + " " + removals, is + " " + removed);
+                : check.isOutOfService() ? IsolationCheck.Verdict.REFUSED_ALONE : IsolationCheck.Verdict.TOGETHER;
+        assertEquals(lastVerdict + " " + removals, verdict + " " + observedRemovals);
     }
 
-    private static List<Boolean> others(String word) {
-        List<Boolean> out = new ArrayList<>();
-        for (char c : word.replace("alone", "").toCharArray()) {
-            out.add(c == '-' ? null : c == 's');
+    private static List<Boolean> peersServed(String state) {
+        List<Boolean> served = new ArrayList<>();
+        for (char letter : state.replace("alone", "").toCharArray()) {
+            served.add(letter == '-' ? null : letter == 's');
         }
-        return out;
+        return served;
     }
 }
--- a/src/test/java/io/indigoreach/core/loss/LeaderMemoryTest.java
+++ b/src/test/java/io/indigoreach/core/loss/LeaderMemoryTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
 import java.util.BitSet;
@@ -24,12 +24,12 @@
                 .team("t")
                 .kind(JobKind.ARRAY)
                 .urgency(Urgency.STANDARD)
-                .tasks(2)
-                .demand(new Demand(1, 0, 1))
+                .taskCount(2)
+                .demand(new Resources(1, 0, 1))
                 .image("i")
                 .imageGb(1)
                 .spotAllowed()
-                .estimate(Span.seconds(9))
+                .estimatedRunTime(Span.seconds(9))
                 .build();
         RememberedState remembered = new RememberedState();
         remembered.add(new RememberedState.OpenJob(spec, 1, new BitSet(), 2));
@@ -40,15 +40,19 @@
     /** A letter for each later term, which ends before the records are read: i if this node succeeds itself, o if another node led before it. */
     @ParameterizedTest
     @CsvSource({"'', true", "i, true", "ii, true", "o, false", "io, false", "oi, false", "oiii, false", "ioi, false"})
-    void openJobsAreKnownUntilAnotherNodeLeads(String later, boolean open) {
+    void openJobsAreKnownUntilAnotherNodeLeads(String laterTerms, boolean remembersOpenJob) {
         LeaderMemory memory = new LeaderMemory();
-        memory.termBegins(false);
-        memory.termEnds(rememberedState());
-        for (char term : later.toCharArray()) {
-            memory.termBegins(term == 'i');
-            memory.termEnds(new RememberedState());
+        memory.beginTerm(false);
+        memory.endTerm(rememberedState());
+        for (char term : laterTerms.toCharArray()) {
+            memory.beginTerm(term == 'i');
+            memory.endTerm(new RememberedState());
         }
-        assertEquals(open ? 1 : 0, memory.known().open().size());
-        assertEquals(JobStatus.DONE, memory.known().finished().get(FINISHED).status(), "finished jobs are final");
+        assertEquals(
+                remembersOpenJob ? 1 : 0, memory.rememberedState().openJobs().size());
+        assertEquals(
+                JobStatus.DONE,
+                memory.rememberedState().finishedJobs().get(FINISHED).status(),
+                "finished jobs are final");
     }
 }
--- a/src/test/java/io/indigoreach/core/loss/LossTablesTest.java
+++ b/src/test/java/io/indigoreach/core/loss/LossTablesTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
 import java.util.ArrayList;
@@ -47,43 +47,44 @@
         "e5 e0 e6 t5, false",
         "e5 e0 e6 e0, true"
     })
-    void lossIsHolding(String steps, boolean holding) {
+    void lossIsPendingAfterEvidence(String steps, boolean pending) {
         LossDetector detector = new LossDetector();
         for (String step : steps.split(" ")) {
             String[] numbers = step.substring(1).split("<");
             long first = numbers[0].isEmpty() ? 0 : Long.parseLong(numbers[0]);
             switch (step.charAt(0)) {
                 case 'e' -> detector.era(first);
-                case 'r' -> detector.revision(first, Long.parseLong(numbers[1]));
-                case 'c' -> detector.counter(new FencingToken(first), new FencingToken(Long.parseLong(numbers[1])));
-                case 't' -> detector.reportedByPeer(first);
-                default -> detector.recordGone("j/run-1");
+                case 'r' -> detector.checkRevision(first, Long.parseLong(numbers[1]));
+                case 'c' ->
+                    detector.checkCounter(new FencingToken(first), new FencingToken(Long.parseLong(numbers[1])));
+                case 't' -> detector.onReportedByPeer(first);
+                default -> detector.onRecordMissing("j/run-1");
             }
         }
-        assertEquals(holding, detector.isHolding(), detector.findings().toString());
+        assertEquals(pending, detector.isLossPending(), detector.evidence().toString());
     }
 
-    private static RememberedState.OpenJob open(int id, String done, int bound) {
-        BitSet bits = new BitSet();
-        for (char c : done.toCharArray()) {
-            bits.set(c - '0');
+    private static RememberedState.OpenJob openJob(int number, String completedTasks, int startBound) {
+        BitSet completedBits = new BitSet();
+        for (char digit : completedTasks.toCharArray()) {
+            completedBits.set(digit - '0');
         }
         return new RememberedState.OpenJob(
-                JobSpec.builder(new JobId("run-" + id))
+                JobSpec.builder(new JobId("run-" + number))
                         .jobClass("c")
                         .team("t")
                         .kind(JobKind.ARRAY)
                         .urgency(Urgency.STANDARD)
-                        .tasks(8)
-                        .demand(new Demand(1, 0, 1))
+                        .taskCount(8)
+                        .demand(new Resources(1, 0, 1))
                         .image("img")
                         .imageGb(0)
                         .spotAllowed()
-                        .estimate(Span.seconds(5))
+                        .estimatedRunTime(Span.seconds(5))
                         .build(),
-                100 + id,
-                bits,
-                bound);
+                100 + number,
+                completedBits,
+                startBound);
     }
 
     /** In any order, an end takes precedence, completed tasks are merged, and the larger start bound is kept. */
@@ -92,24 +93,24 @@
     void orderOfCopiesDoesNotMatter(long seed) {
         List<RememberedState> copies = new ArrayList<>();
         for (RememberedState.OpenJob job :
-                List.of(open(1, "01", 2), open(1, "3", 5), open(2, "", 8), open(3, "0", 1))) {
-            RememberedState one = new RememberedState();
-            one.add(job);
-            copies.add(one);
+                List.of(openJob(1, "01", 2), openJob(1, "3", 5), openJob(2, "", 8), openJob(3, "0", 1))) {
+            RememberedState copy = new RememberedState();
+            copy.add(job);
+            copies.add(copy);
         }
         RememberedState ended = new RememberedState();
         ended.add(new JobId("run-2"), new RememberedState.FinishedJob(JobStatus.CANCELLED, 1));
         copies.add(ended);
         Collections.shuffle(copies, new Random(seed));
-        RememberedState all = new RememberedState();
-        copies.forEach(all::add);
+        RememberedState merged = new RememberedState();
+        copies.forEach(merged::add);
         assertEquals(
                 List.of("run-2"),
-                all.finished().keySet().stream().map(JobId::text).toList());
+                merged.finishedJobs().keySet().stream().map(JobId::text).toList());
         assertEquals(
                 List.of("run-1 {0, 1, 3} 5", "run-3 {0} 1"),
-                all.open().stream()
-                        .map(j -> j.spec().id() + " " + j.done() + " " + j.bound())
+                merged.openJobs().stream()
+                        .map(j -> j.spec().id() + " " + j.done() + " " + j.startBound())
                         .sorted()
                         .toList());
     }
@@ -125,12 +126,13 @@
         "1, 5, 0, 7, 01 7"
     })
     void presentRecordIsMergedWithTheRememberedOne(
-            String remembered, int bound, String kept, int keptBound, String written) {
-        RememberedState.OpenJob merged = RememberedState.merged(open(1, remembered, bound), open(1, kept, keptBound));
+            String remembered, int rememberedBound, String stored, int storedBound, String written) {
+        RememberedState.OpenJob merged = RememberedState.mergeIntoStored(
+                openJob(1, remembered, rememberedBound), openJob(1, stored, storedBound));
         if (written == null) {
             assertNull(merged);
         } else {
-            assertEquals(open(1, written.split(" ")[0], Integer.parseInt(written.split(" ")[1])), merged);
+            assertEquals(openJob(1, written.split(" ")[0], Integer.parseInt(written.split(" ")[1])), merged);
         }
     }
 }
--- a/src/test/java/io/indigoreach/core/loss/RecordRepairTest.java
+++ b/src/test/java/io/indigoreach/core/loss/RecordRepairTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
 import java.util.BitSet;
@@ -21,33 +21,33 @@
             .team("t")
             .kind(JobKind.ARRAY)
             .urgency(Urgency.STANDARD)
-            .tasks(8)
-            .demand(new Demand(1, 0, 1))
+            .taskCount(8)
+            .demand(new Resources(1, 0, 1))
             .image("img")
             .imageGb(0)
             .spotAllowed()
-            .estimate(Span.seconds(5))
+            .estimatedRunTime(Span.seconds(5))
             .build();
 
-    private static RecordRepair.ReadableFields rest(String status, String done) {
+    private static RecordRepair.ReadableFields readableFields(String status, String done) {
         return new RecordRepair.ReadableFields(
                 status.equals("?") ? null : JobStatus.valueOf(status),
                 done.equals("?") ? null : Long.valueOf(done),
                 60L);
     }
 
-    private static RememberedState memory(String remembered) {
-        RememberedState memory = new RememberedState();
+    private static RememberedState rememberedState(String remembered) {
+        RememberedState state = new RememberedState();
         switch (remembered) {
             case "-" -> {}
             case "open" -> {
-                BitSet two = new BitSet();
-                two.set(3, 5);
-                memory.add(new RememberedState.OpenJob(SPEC, 100, two, 4));
+                BitSet completedTasks = new BitSet();
+                completedTasks.set(3, 5);
+                state.add(new RememberedState.OpenJob(SPEC, 100, completedTasks, 4));
             }
-            default -> memory.add(ID, new RememberedState.FinishedJob(JobStatus.valueOf(remembered), 8));
+            default -> state.add(ID, new RememberedState.FinishedJob(JobStatus.valueOf(remembered), 8));
         }
-        return memory;
+        return state;
     }
 
     /** Readable status and count of the open record, what is remembered, whether the user submits the job again, the repaired job. */
@@ -70,18 +70,26 @@
         "?, 8, -, false, nothing",
         "RUNNING, 8, -, true, open 0"
     })
-    void openJobIsRepaired(String status, String done, String remembered, boolean offered, String written) {
-        RememberedState out = RecordRepair.open(ID, rest(status, done), memory(remembered), offered ? SPEC : null, 500);
+    void openJobIsRepaired(String status, String done, String remembered, boolean resubmitted, String expected) {
+        RememberedState repaired = RecordRepair.repairOpen(
+                ID, readableFields(status, done), rememberedState(remembered), resubmitted ? SPEC : null, 500);
         assertEquals(
-                written,
-                out.isEmpty()
+                expected,
+                repaired.isEmpty()
                         ? "nothing"
-                        : out.finished().isEmpty()
-                                ? "open " + out.open().iterator().next().done().cardinality()
-                                : out.finished().get(ID).status().name());
-        out.open()
+                        : repaired.finishedJobs().isEmpty()
+                                ? "open "
+                                        + repaired.openJobs()
+                                                .iterator()
+                                                .next()
+                                                .done()
+                                                .cardinality()
+                                : repaired.finishedJobs().get(ID).status().name());
+        repaired.openJobs()
                 .forEach(job -> assertEquals(
-                        "60 8", job.submittedMs() + " " + job.bound(), "keeps the time of submission; all tasks may have been started"));
+                        "60 8",
+                        job.submittedMs() + " " + job.startBound(),
+                        "keeps the time of submission; all tasks may have been started"));
     }
 
     @ParameterizedTest
@@ -98,9 +106,9 @@
         "PENDING, 3, -, true, CANCELLED",
         "DONE, 8, CANCELLED, false, CANCELLED"
     })
-    void finishedJobIsRepaired(String status, String done, String remembered, boolean offered, String written) {
-        RememberedState.FinishedJob end =
-                RecordRepair.end(ID, rest(status, done), memory(remembered), offered ? SPEC : null);
-        assertEquals(written, end == null ? "nothing" : end.status().name());
+    void finishedJobIsRepaired(String status, String done, String remembered, boolean resubmitted, String expected) {
+        RememberedState.FinishedJob end = RecordRepair.repairFinal(
+                ID, readableFields(status, done), rememberedState(remembered), resubmitted ? SPEC : null);
+        assertEquals(expected, end == null ? "nothing" : end.status().name());
     }
 }
--- a/src/test/java/io/indigoreach/core/ownership/OwnershipTest.java
+++ b/src/test/java/io/indigoreach/core/ownership/OwnershipTest.java
@@ -41,7 +41,7 @@
     }
 
     private <R> R run(Routine<R> routine) {
-        StepResult seen = StepResult.nothing(era, now);
+        StepResult seen = StepResult.empty(era, now);
         for (int steps = 0; steps < 100_000; steps++) {
             Step<R> step = routine.next(seen);
             if (step instanceof Step.End<R> end) {
@@ -53,11 +53,11 @@
             } else if (step instanceof Step.Scan<R> scan) {
                 store.values().stream()
                         .filter(k -> k.key().startsWith(scan.prefix())
-                                && (scan.after() == null || k.key().compareTo(scan.after()) > 0))
-                        .limit(scan.most())
+                                && (scan.afterKey() == null || k.key().compareTo(scan.afterKey()) > 0))
+                        .limit(scan.limit())
                         .forEach(k -> found.put(k.key(), k));
             } else {
-                Transaction change = ((Step.Write<R>) step).change();
+                Transaction change = ((Step.Write<R>) step).transaction();
                 change.conditions()
                         .forEach((k, s) -> assertEquals(
                                 s,
@@ -74,7 +74,7 @@
                     era,
                     now,
                     found,
-                    found.size() > 0 && step instanceof Step.Scan<R> s && found.size() == s.most(),
+                    found.size() > 0 && step instanceof Step.Scan<R> s && found.size() == s.limit(),
                     null,
                     List.of());
         }
@@ -203,13 +203,13 @@
         ClaimCollector tidy =
                 new ClaimCollector(new ClaimCollector.Jobs(n -> n.startsWith("run-"), n -> "j/" + n, n -> "f/" + n));
         for (int round = 0; round < 3; round++) {
-            Span wait = run(tidy.round());
+            Span wait = run(tidy.newRound());
             assertTrue(wait.ms() > 0);
         }
         assertEquals(List.of("in doubt", "free"), List.of(state("a/1"), state("a/2")));
         assertTrue(billing("run-1", "0", 3, "a/1").isDone(), "the same name goes on");
         int before = changes;
-        run(tidy.round());
+        run(tidy.newRound());
         assertEquals(before, changes, "nothing is left to be done");
     }
 
--- a/src/test/java/io/indigoreach/core/ownership/RegistryRun.java
+++ b/src/test/java/io/indigoreach/core/ownership/RegistryRun.java
@@ -191,7 +191,7 @@
         for (VersionedRecord kept : rememberedState.records()) {
             RecordFamily family = copies.get(0).familyOf(kept.key());
             VersionedRecord there = store.getOrDefault(kept.key(), VersionedRecord.absent(kept.key()));
-            Map<String, Object> value = family.mending().mend(there, kept);
+            Map<String, Object> value = family.mergeRule().merge(there, kept);
             if (value != null) {
                 store.put(kept.key(), new VersionedRecord(kept.key(), value, new Revision(++revision)));
             }
@@ -218,7 +218,7 @@
         private final Consumer<R> then;
         private final Runnable failed;
         private final int node = random.nextInt(NODES);
-        private StepResult seen = StepResult.nothing(era, now);
+        private StepResult seen = StepResult.empty(era, now);
 
         Call(Routine<R> routine, Consumer<R> then, Runnable failed) {
             this.routine = routine;
@@ -239,11 +239,11 @@
             try {
                 step = routine.next(seen);
             } catch (Unsettled e) {
-                effects.effect(EffectListener.ROUTINE_UNSETTLED);
+                effects.effect(EffectListener.ROUTINE_INTERRUPTED);
                 failed.run();
                 return true;
             }
-            effects.step(step);
+            effects.onStep(step);
             if (step instanceof Step.End<R> end) {
                 tellResult(end.result());
                 then.accept(end.result());
@@ -258,22 +258,22 @@
             } else if (step instanceof Step.Scan<R> scan) {
                 Map<String, VersionedRecord> found = new LinkedHashMap<>();
                 store
-                        .tailMap(scan.after() == null ? scan.prefix() : scan.after(), scan.after() == null)
+                        .tailMap(scan.afterKey() == null ? scan.prefix() : scan.afterKey(), scan.afterKey() == null)
                         .values()
                         .stream()
                         .filter(k -> k.key().startsWith(scan.prefix()))
-                        .limit(scan.most() + 1)
+                        .limit(scan.limit() + 1)
                         .forEach(k -> found.put(k.key(), k));
-                boolean more = found.size() > scan.most();
+                boolean more = found.size() > scan.limit();
                 if (more) {
                     found.remove(found.keySet().stream()
-                            .skip(scan.most())
+                            .skip(scan.limit())
                             .findFirst()
                             .orElseThrow());
                 }
                 seen = new StepResult(era, now, found, more, null, List.of());
             } else {
-                return write(((Step.Write<R>) step).change());
+                return write(((Step.Write<R>) step).transaction());
             }
             if (!calm && random.nextInt(60) == 0) {
                 failed.run();
@@ -316,7 +316,7 @@
             o.done().forEach((id, e) -> tellEntry(id, e));
             effects.effect(EffectListener.ROUTINE_ENDED, o.against(), o.waits());
         } else if (result instanceof Grant.Given g) {
-            effects.change(g.commit());
+            effects.onTransaction(g.commit());
             effects.effect(EffectListener.ROUTINE_ENDED, g.held(), g.against(), g.never());
         } else if (result instanceof Map<?, ?> shown) {
             shown.forEach((id, value) -> {
@@ -667,7 +667,7 @@
             List<JobActor> open =
                     jobs.values().stream().filter(j -> j.accepted && !j.over).toList();
             if (open.isEmpty() || random.nextBoolean()) {
-                ask(tidy.round(), wait -> {});
+                ask(tidy.newRound(), wait -> {});
             } else {
                 JobActor job = open.get(random.nextInt(open.size()));
                 ask(new Grant(registry, 5, job.name, job.wants, job.done, false), g -> {
--- a/src/test/java/io/indigoreach/core/query/FairAdmissionTest.java
+++ b/src/test/java/io/indigoreach/core/query/FairAdmissionTest.java
@@ -21,19 +21,19 @@
      */
     @ParameterizedTest
     @CsvSource({"true, 30", "false, 200"})
-    void rejectedClientsGoFirst(boolean remembering, int longest) {
+    void rejectedClientsGoFirst(boolean rejectionsCount, int expectedWait) {
         FairAdmission admission = new FairAdmission();
-        int users = 2 * FairAdmission.MAX_WAITING;
-        int[] servedAt = new int[users];
-        int silence = 0;
-        for (int s = 0; s < 200; s += 5) {
+        int clientCount = 2 * FairAdmission.MAX_WAITING;
+        int[] servedAt = new int[clientCount];
+        int longestWait = 0;
+        for (int second = 0; second < 200; second += 5) {
             int waiting = 0;
-            for (int u = 0; u < users; u++) {
-                if (admission.tryEnter(remembering ? "run-" + u : "run-" + u + "-" + s)) {
+            for (int client = 0; client < clientCount; client++) {
+                if (admission.tryEnter(rejectionsCount ? "run-" + client : "run-" + client + "-" + second)) {
                     waiting++;
-                    servedAt[u] = s;
+                    servedAt[client] = second;
                 }
-                silence = Math.max(silence, s - servedAt[u]);
+                longestWait = Math.max(longestWait, second - servedAt[client]);
             }
             assertTrue(
                     waiting
@@ -41,10 +41,12 @@
                                     + FairAdmission.EXTRA_PER_REJECTION * FairAdmission.MAX_COUNTED_REJECTIONS,
                     "waiting requests: " + waiting);
             for (; waiting > 0; waiting--) {
-                admission.leave();
+                admission.release();
             }
         }
-        assertTrue(remembering ? silence <= longest : silence >= longest - 5, "longest time without a response, s: " + silence);
+        assertTrue(
+                rejectionsCount ? longestWait <= expectedWait : longestWait >= expectedWait - 5,
+                "longest time without a response, s: " + longestWait);
     }
 
     /** A listing returns two pages of ten keys in time, and all clients repeat their requests. */
@@ -53,27 +55,27 @@
     void everyKeyIsListedInTime(long seed) {
         Random random = new Random(seed);
         TreeMap<String, Integer> keys = new TreeMap<>();
-        for (int n = 0; n < 100; n++) {
+        for (int i = 0; i < 100; i++) {
             keys.put("j/run-" + random.nextInt(100_000), 0);
         }
         ListingCursor<Integer> cursor = new ListingCursor<>();
-        Map<String, Integer> answeredIn = new HashMap<>();
-        for (int listing = 1; answeredIn.size() < keys.size(); listing++) {
-            assertTrue(listing <= 6, "unanswered keys: " + (keys.size() - answeredIn.size()));
+        Map<String, Integer> listingByKey = new HashMap<>();
+        for (int listing = 1; listingByKey.size() < keys.size(); listing++) {
+            assertTrue(listing <= 6, "unanswered keys: " + (keys.size() - listingByKey.size()));
             cursor.begin(keys);
-            for (int page = 0; page < 2 && !cursor.isOver(); page++) {
-                String from = cursor.next();
-                Deque<String> items = new ArrayDeque<>();
-                keys.tailMap(from, true).keySet().stream().limit(10).forEach(items::add);
-                String last = keys.lastKey().equals(items.peekLast()) ? null : items.peekLast();
-                int asked = listing;
-                cursor.answered(from, last).keySet().forEach(k -> {
-                    assertTrue(items.contains(k));
-                    answeredIn.putIfAbsent(k, asked);
+            for (int page = 0; page < 2 && !cursor.isComplete(); page++) {
+                String from = cursor.nextPageStart();
+                Deque<String> pageKeys = new ArrayDeque<>();
+                keys.tailMap(from, true).keySet().stream().limit(10).forEach(pageKeys::add);
+                String last = keys.lastKey().equals(pageKeys.peekLast()) ? null : pageKeys.peekLast();
+                int currentListing = listing;
+                cursor.removeAnswered(from, last).keySet().forEach(key -> {
+                    assertTrue(pageKeys.contains(key));
+                    listingByKey.putIfAbsent(key, currentListing);
                 });
             }
             cursor.end();
         }
-        assertEquals(keys.keySet(), new TreeMap<>(answeredIn).keySet());
+        assertEquals(keys.keySet(), new TreeMap<>(listingByKey).keySet());
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/AsymmetricPartitionTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/AsymmetricPartitionTest.java
@@ -46,7 +46,7 @@
         w.up("a", "east", 0);
         w.core.recordsLoaded();
         w.submit(spec(1, 4, 1, 500), 0);
-        WorkerCommand foreign = new WorkerCommand.Start(TaskId.parse("run-9/0"), TOKEN.attempt(9));
+        WorkerCommand foreign = new WorkerCommand.Start(TaskId.parse("run-9/0"), TOKEN.newAttempt(9));
         int given = 0;
         double last = -1;
         for (int i = 0; last < 0 && i < 150; i++) {
--- a/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
@@ -281,9 +281,9 @@
             return;
         }
         news.forEach(job -> {
-            mine.horizon.recordGone(job);
+            mine.horizon.onRecordMissing(job);
             if (without == Without.UNSETTLED) {
-                mine.horizon.resolved(job);
+                mine.horizon.onMissingRecordResolved(job);
             }
             // The state service may answer slowly, so that the refusal comes first.
             after(random.nextDouble() * (random.nextInt(4) == 0 ? 6 : 0.3), () -> why(mine, job));
@@ -299,7 +299,7 @@
             return;
         }
         mine.stopped.add(job);
-        mine.horizon.resolved(job);
+        mine.horizon.onMissingRecordResolved(job);
     }
 
     private void ask(Reign mine) {
@@ -312,7 +312,7 @@
             return;
         }
         Moment sent = mine.node.at(now);
-        Span back = mine.horizon.lookBack(sent, Span.seconds(3));
+        Span back = mine.horizon.requiredLookBack(sent, Span.seconds(3));
         List<CancellationSummary> words = new ArrayList<>();
         for (Node other : nodes) {
             if (other != mine.node) {
@@ -331,14 +331,14 @@
             Moment heard = mine.node.at(now);
             CancellationSummary all = mine.node.told.summary(back, heard);
             for (CancellationSummary word : words) {
-                all = all.and(word);
+                all = all.mergedWith(word);
             }
             if (without != Without.NAMES && mine.stopped.addAll(all.cancelled())) {
                 stoppedByWord++;
             }
-            mine.horizon.peersAnswered(all.covered(), sent, heard);
+            mine.horizon.onPeersResponded(all.covered(), sent, heard);
             effects.effect(
-                    EffectListener.CANCELLATIONS_TOLD,
+                    EffectListener.CANCELLATIONS_REPORTED,
                     back.ms(),
                     all.covered().ms(),
                     texts(all.cancelled()),
@@ -355,7 +355,7 @@
                 return;
             }
             Set<JobId> stops = new HashSet<>(mine.loaded ? mine.stopped : Set.of());
-            effects.effect(EffectListener.WORKER_ANSWERED, workers.indexOf(w), texts(stops));
+            effects.effect(EffectListener.WORKER_RESPONSE, workers.indexOf(w), texts(stops));
             after(way, () -> {
                 w.answered = Math.max(w.answered, sent);
                 w.tasks.removeAll(stops);
--- a/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
@@ -1,7 +1,6 @@
 package io.indigoreach.core.scheduling;
 
 import io.indigoreach.core.EffectListener;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.ExitCause;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.Heartbeat;
@@ -13,6 +12,7 @@
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.core.model.MachineType;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.TaskId;
@@ -125,7 +125,7 @@
         }
 
         int lastStart(int now) {
-            return started.size() < spec.tasks()
+            return started.size() < spec.taskCount()
                     ? now
                     : started.values().stream().mapToInt(i -> i).max().orElse(now);
         }
@@ -190,11 +190,11 @@
         core.setTypes(List.of(new MachineType(
                 type.name(),
                 type.capacity(),
-                type.cacheGb(),
-                type.fetchGbPerS(),
-                type.price(),
+                type.imageCacheGb(),
+                type.imageFetchGbPerS(),
+                type.onDemandPrice(),
                 type.spotPrice(),
-                type.boot(),
+                type.bootTime(),
                 List.of("east"))));
         boxes.forEach((name, box) ->
                 core.inheritMachine(new MachineId(name), box.pool, at(box.up - BOOT), at(box.up), at(now)));
@@ -274,7 +274,7 @@
             tend();
         }
         List<Job> toRaise = core.startBoundsToRaise(at(now));
-        effects.boundsToRaise(toRaise);
+        effects.onStartBoundsToRaise(toRaise);
         for (Job job : toRaise) {
             job.startBoundRecorded(job.startBoundToWrite());
         }
@@ -303,14 +303,14 @@
                 .team(kind.team)
                 .kind(kind.shape)
                 .urgency(kind.urgency)
-                .tasks(kind.tasks)
-                .demand(new Demand(kind.cores, 0, kind.cores * 4))
+                .taskCount(kind.tasks)
+                .demand(new Resources(kind.cores, 0, kind.cores * 4))
                 .image("img-" + kind.name)
                 .imageGb(0.2)
                 .spotAllowed(kind.shape == JobKind.ARRAY)
-                .estimate(Span.seconds(kind.run * kind.estimate))
-                .checkpointEvery(Span.seconds(kind.saves ? 10 : 0))
-                .checkpointTime(Span.seconds(kind.saves ? 2 : 0))
+                .estimatedRunTime(Span.seconds(kind.run * kind.estimate))
+                .checkpointInterval(Span.seconds(kind.saves ? 10 : 0))
+                .checkpointDuration(Span.seconds(kind.saves ? 2 : 0))
                 .build();
         Job job = new Job(spec, at(now).ms(), at(now), new Revision(fates.size() + 1), new BitSet(), 0, false);
         fates.put(job.id(), new Fate(spec, now, kind.run));
@@ -320,7 +320,7 @@
 
     private void tend() {
         List<ScaleOutRequest> wishes = core.scaleOutRequests(at(now));
-        effects.rents(wishes);
+        effects.onRentRequests(wishes);
         for (ScaleOutRequest request : wishes) {
             asked.add(request);
             int got = (int) Math.min(
@@ -341,7 +341,7 @@
         }
         core.planScaleIn(at(now));
         List<MachineId> leaving = core.machinesToReturn(100);
-        effects.returns(leaving);
+        effects.onReturns(leaving);
         leaving.forEach(id -> boxes.remove(id.toString()));
         core.returned(leaving, at(now));
         mostUp = Math.max(mostUp, boxes.size());
@@ -382,13 +382,14 @@
             core.recorded(new MachineId(name));
             orders.addAll(core.startTasks(new MachineId(name), heartbeat.number(), at(now)));
         }
-        effects.answer(heartbeat.machine(), new HeartbeatResult.Commands(orders), core.mayAnswer(heartbeat.machine()));
+        effects.onHeartbeatResponse(
+                heartbeat.machine(), new HeartbeatResult.Commands(orders), core.mayAnswer(heartbeat.machine()));
         for (WorkerCommand command : orders) {
             Fate fate = fates.get(command.task().job());
             if (command instanceof WorkerCommand.Start) {
                 int run = fate.spec.kind() == JobKind.SERVICE ? 1_000_000 : fate.run;
                 box.tasks.put(
-                        command, now + (fate.spec.savesProgress() ? left.getOrDefault(command.task(), run) : run));
+                        command, now + (fate.spec.savesCheckpoints() ? left.getOrDefault(command.task(), run) : run));
                 fate.started.putIfAbsent(command.task(), now);
             } else if (command instanceof WorkerCommand.Stop) {
                 box.stopping.add(command.task());
--- a/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
@@ -169,14 +169,14 @@
             }
         }
         for (JobId id : List.copyOf(leader.dependentJobs().jobsToCancel())) {
-            effects.effect(EffectListener.END_DOOMED, id.text());
+            effects.effect(EffectListener.CANCELLATION_REQUIRED, id.text());
             if (random.nextDouble() < 0.3) {
                 end(id, JobStatus.CANCELLED);
                 acknowledge(id);
             }
         }
         for (Job job : List.copyOf(leader.jobs())) {
-            effects.effect(EffectListener.JOB_STARTABLE, job.id().text(), job.hasStartable(), job.isComplete());
+            effects.effect(EffectListener.JOB_STATE, job.id().text(), job.hasStartable(), job.isComplete());
             if (job.isComplete() && random.nextDouble() < 0.2) {
                 end(job.id(), JobStatus.DONE);
                 acknowledge(job.id());
--- a/src/test/java/io/indigoreach/core/scheduling/DependentJobsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependentJobsTest.java
@@ -36,20 +36,20 @@
                 .team(s.team())
                 .kind(s.kind())
                 .urgency(urgency)
-                .tasks(s.tasks())
+                .taskCount(s.taskCount())
                 .demand(s.demand())
                 .image(s.image())
                 .imageGb(s.imageGb())
-                .types(s.types())
+                .machineTypes(s.machineTypes())
                 .zone(s.zone())
-                .oneZone(s.oneZone())
-                .spread(s.spread())
+                .singleZone(s.singleZone())
+                .spreadOverZones(s.spreadOverZones())
                 .spotAllowed(s.spotAllowed())
-                .estimate(s.estimate())
-                .checkpointEvery(s.checkpointEvery())
-                .checkpointTime(s.checkpointTime())
-                .due(Span.seconds(dueS))
-                .more(s.more())
+                .estimatedRunTime(s.estimatedRunTime())
+                .checkpointInterval(s.checkpointInterval())
+                .checkpointDuration(s.checkpointDuration())
+                .relativeDeadline(Span.seconds(dueS))
+                .extensions(s.extensions())
                 .dependencies(s.dependencies())
                 .build();
     }
@@ -94,7 +94,7 @@
         BitSet one = new BitSet();
         one.set(0);
         Job marked = new Job(
-                chained(2, need).with(chained(2, need).dependencies().released(25_000)),
+                chained(2, need).with(chained(2, need).dependencies().releasedAt(25_000)),
                 5_000,
                 SimulatedWorld.at(5),
                 new Revision(1),
--- a/src/test/java/io/indigoreach/core/scheduling/FleetCostTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FleetCostTest.java
@@ -56,12 +56,12 @@
                         .team("due")
                         .kind(s.kind())
                         .urgency(s.urgency())
-                        .tasks(s.tasks())
+                        .taskCount(s.taskCount())
                         .demand(s.demand())
                         .image(s.image())
                         .imageGb(s.imageGb())
                         .spotAllowed()
-                        .estimate(s.estimate())
+                        .estimatedRunTime(s.estimatedRunTime())
                         .build(),
                 3);
         long before = w.core.machineVisits();
--- a/src/test/java/io/indigoreach/core/scheduling/FloodMemoryTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FloodMemoryTest.java
@@ -70,12 +70,12 @@
                 .team(s.team())
                 .kind(s.kind())
                 .urgency(s.urgency())
-                .tasks(1)
+                .taskCount(1)
                 .demand(s.demand())
                 .image("image-" + id)
                 .imageGb(0)
                 .spotAllowed()
-                .estimate(s.estimate())
+                .estimatedRunTime(s.estimatedRunTime())
                 .build();
     }
 
--- a/src/test/java/io/indigoreach/core/scheduling/GatedTasksTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/GatedTasksTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.JobStatus;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
@@ -25,12 +25,12 @@
             .team("t")
             .kind(JobKind.ARRAY)
             .urgency(Urgency.STANDARD)
-            .tasks(6)
-            .demand(new Demand(1, 0, 1))
+            .taskCount(6)
+            .demand(new Resources(1, 0, 1))
             .image("i")
             .imageGb(0)
             .spotAllowed()
-            .estimate(Span.seconds(5))
+            .estimatedRunTime(Span.seconds(5))
             .build();
 
     private static Job job(JobSpec spec) {
@@ -39,7 +39,7 @@
 
     @Test
     void areNotThereForWhoeverStartsReservesOrRents() {
-        Job job = job(PLAIN.with(JobSpec.RECORDS, Map.of("ids", List.of("a/1"))));
+        Job job = job(PLAIN.with(JobSpec.RECORDS_FIELD, Map.of("ids", List.of("a/1"))));
         assertFalse(job.hasWaiting(), "nothing is known of its records yet");
         assertEquals(0, job.startableCount());
         BitSet held = new BitSet();
--- a/src/test/java/io/indigoreach/core/scheduling/NearObjectiveTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/NearObjectiveTest.java
@@ -69,12 +69,12 @@
                                 .team("t")
                                 .kind(low.kind())
                                 .urgency(low.urgency())
-                                .tasks(2)
+                                .taskCount(2)
                                 .demand(low.demand())
                                 .image("img")
                                 .imageGb(0)
                                 .spotAllowed()
-                                .estimate(low.estimate())
+                                .estimatedRunTime(low.estimatedRunTime())
                                 .build(),
                         Urgency.BEST_EFFORT,
                         false,
--- a/src/test/java/io/indigoreach/core/scheduling/PlacementTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/PlacementTest.java
@@ -80,12 +80,12 @@
                         .team("guest")
                         .kind(batch.kind())
                         .urgency(Urgency.BEST_EFFORT)
-                        .tasks(8)
+                        .taskCount(8)
                         .demand(batch.demand())
                         .image("img")
                         .imageGb(0)
                         .spotAllowed()
-                        .estimate(batch.estimate())
+                        .estimatedRunTime(batch.estimatedRunTime())
                         .build(),
                 0);
         List<WorkerCommand> guests = w.hear("a", 1);
@@ -124,12 +124,12 @@
                         .team(s.team())
                         .kind(s.kind())
                         .urgency(Urgency.BEST_EFFORT)
-                        .tasks(1)
+                        .taskCount(1)
                         .demand(s.demand())
                         .image("img")
                         .imageGb(0)
                         .spotAllowed()
-                        .estimate(s.estimate())
+                        .estimatedRunTime(s.estimatedRunTime())
                         .build(),
                 0);
         w.submit(spec(2, 1, 1, 50), 100);
@@ -167,12 +167,12 @@
                         .team(s.team())
                         .kind(s.kind())
                         .urgency(Urgency.BEST_EFFORT)
-                        .tasks(2)
+                        .taskCount(2)
                         .demand(s.demand())
                         .image("img")
                         .imageGb(0)
                         .spotAllowed()
-                        .estimate(s.estimate())
+                        .estimatedRunTime(s.estimatedRunTime())
                         .build(),
                 3);
         assertEquals(
@@ -232,12 +232,12 @@
                         .team("owner")
                         .kind(s.kind())
                         .urgency(s.urgency())
-                        .tasks(1)
+                        .taskCount(1)
                         .demand(s.demand())
                         .image("i")
                         .imageGb(0)
                         .spotAllowed()
-                        .estimate(s.estimate())
+                        .estimatedRunTime(s.estimatedRunTime())
                         .build(),
                 3);
         assertEquals(stopped, stops(w.hear("a", 4, running(borrowed))).size(), why);
--- a/src/test/java/io/indigoreach/core/scheduling/RandomJobs.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomJobs.java
@@ -1,8 +1,8 @@
 package io.indigoreach.core.scheduling;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Urgency;
 import java.util.Random;
 
@@ -29,12 +29,12 @@
                 .team(s.team())
                 .kind(JobKind.SERVICE)
                 .urgency(s.urgency())
-                .tasks(1 + random.nextInt(3))
-                .demand(new Demand(1, 0, 1))
+                .taskCount(1 + random.nextInt(3))
+                .demand(new Resources(1, 0, 1))
                 .image(s.image())
                 .imageGb(0)
                 .zone(s.zone())
-                .oneZone(oneZone)
+                .singleZone(oneZone)
                 .spotAllowed()
                 .build();
     }
--- a/src/test/java/io/indigoreach/core/scheduling/RandomRecords.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomRecords.java
@@ -72,7 +72,7 @@
         Stored s = jobs.get(job.id());
         BitSet done = job.completedTasks();
         boolean complete = job.isComplete();
-        effects.progress(job);
+        effects.onProgress(job);
         writes.write(
                 now,
                 token,
--- a/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
@@ -210,7 +210,7 @@
         }
         records.jobs.values().stream()
                 .filter(RandomRecords.Stored::isOpen)
-                .forEach(s -> broken.add("lost " + s.spec.id() + " with " + s.done + " of " + s.spec.tasks()));
+                .forEach(s -> broken.add("lost " + s.spec.id() + " with " + s.done + " of " + s.spec.taskCount()));
     }
 
     /** The further troubles begin. */
@@ -388,7 +388,7 @@
     private void tend() {
         leader.expireLeases(at());
         List<Job> toRaise = leader.startBoundsToRaise(at());
-        effects.boundsToRaise(toRaise);
+        effects.onStartBoundsToRaise(toRaise);
         for (Job job : toRaise) {
             // Written now or later; whether this leader hears of it is another matter.
             if (random.nextInt(3) == 0) {
@@ -418,7 +418,7 @@
         }
         leader.planScaleIn(at());
         List<MachineId> leaving = leader.machinesToReturn(100);
-        effects.returns(leaving);
+        effects.onReturns(leaving);
         int fate = now % 120 < 20 ? 1 : random.nextInt(6);
         if (fate == 0) {
             late.add(() -> leaving.forEach(this::destroy));
@@ -541,7 +541,7 @@
     /** The orders of the leader of this moment; null if the report shows a newer one. */
     private HeartbeatResult hear(Heartbeat heartbeat) {
         HeartbeatResult result = leader.onHeartbeat(heartbeat, at());
-        effects.answer(heartbeat.machine(), result, leader.mayAnswer(heartbeat.machine()));
+        effects.onHeartbeatResponse(heartbeat.machine(), result, leader.mayAnswer(heartbeat.machine()));
         return result;
     }
 
@@ -623,7 +623,7 @@
                 exit(w, status, ExitCause.STOPPED);
             } else if (command instanceof WorkerCommand.Reap && status.state() == TaskState.EXITED) {
                 w.tasks.remove(command.task());
-                if (completed.contains(command.task()) && status.cause() == ExitCause.DONE) {
+                if (completed.contains(command.task()) && status.exitCause() == ExitCause.DONE) {
                     reaped.add(command.task());
                 }
             }
@@ -638,7 +638,7 @@
     }
 
     private void checkDone(RandomRecords.Stored s) {
-        for (int i = 0; i < s.spec.tasks(); i++) {
+        for (int i = 0; i < s.spec.taskCount(); i++) {
             if (!completed.contains(new TaskId(s.spec.id(), i))) {
                 broken.add(now + ": not_done " + s.spec.id());
             }
@@ -666,14 +666,16 @@
                 }
             }
         }
-        if ((s.spec.oneZone() && zones.size() > 1) || inZone > s.spec.zoneLimit() || !s.spec.allowsZone(here.zone)) {
+        if ((s.spec.singleZone() && zones.size() > 1)
+                || inZone > s.spec.maxTasksPerZone()
+                || !s.spec.allowsZone(here.zone)) {
             broken.add(now + ": wrong_place " + task);
         }
     }
 
     private void checkRules() {
         broken.addAll(waits.check(leader, calm, now));
-        effects.leader(leader, at());
+        effects.onLeaderState(leader, at());
         if (loaded && !leader.isFailoverComplete() && now - ledSince > LONGEST_TAKE_OVER_S) {
             broken.add(now + ": the take-over of " + ledSince + " waits");
         }
--- a/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
@@ -120,13 +120,13 @@
                         .team(s.team())
                         .kind(s.kind())
                         .urgency(s.urgency())
-                        .tasks(1)
+                        .taskCount(1)
                         .demand(s.demand())
                         .image("img-1")
                         .imageGb(1)
-                        .estimate(s.estimate())
-                        .checkpointEvery(s.checkpointEvery())
-                        .checkpointTime(s.checkpointTime())
+                        .estimatedRunTime(s.estimatedRunTime())
+                        .checkpointInterval(s.checkpointInterval())
+                        .checkpointDuration(s.checkpointDuration())
                         .build(),
                 100);
         assertEquals(started, starts(w.ordinary("b", 100 + waited)).size());
--- a/src/test/java/io/indigoreach/core/scheduling/SimulatedCluster.java
+++ b/src/test/java/io/indigoreach/core/scheduling/SimulatedCluster.java
@@ -121,7 +121,7 @@
                     end(command.task(), ExitCause.STOPPED);
                 } else if (command instanceof WorkerCommand.Reap && status.state() == TaskState.EXITED) {
                     tasks.remove(command.task());
-                    if (status.cause() == ExitCause.DONE) {
+                    if (status.exitCause() == ExitCause.DONE) {
                         reaped.add(command.task());
                     }
                 }
@@ -227,14 +227,14 @@
     /** The leader's answer to a report; null if there is none. Bounds are recorded before any order goes out. */
     Answer answer(Heartbeat heartbeat, double now) {
         List<Job> toRaise = core.startBoundsToRaise(SimulatedWorld.at(now));
-        effects.boundsToRaise(toRaise);
+        effects.onStartBoundsToRaise(toRaise);
         for (Job job : toRaise) {
             records.get(job.id()).bound = job.startBoundToWrite();
             job.startBoundRecorded(job.startBoundToWrite());
         }
         HeartbeatResult result = core.onHeartbeat(heartbeat, SimulatedWorld.at(now));
-        effects.answer(heartbeat.machine(), result, core.mayAnswer(heartbeat.machine()));
-        effects.leader(core, SimulatedWorld.at(now));
+        effects.onHeartbeatResponse(heartbeat.machine(), result, core.mayAnswer(heartbeat.machine()));
+        effects.onLeaderState(core, SimulatedWorld.at(now));
         for (WorkerCommand command : result.commands()) {
             if (command instanceof WorkerCommand.Start) {
                 ordered.merge(command.task(), 1, Integer::sum);
@@ -298,7 +298,7 @@
                 }
             }
         }
-        if (!team.allows(cores, 0)) {
+        if (!team.isWithinLimits(cores, 0)) {
             broken.add(now + ": quota of " + team.name() + " " + cores);
         }
         return cores;
--- a/src/test/java/io/indigoreach/core/scheduling/SimulatedWorld.java
+++ b/src/test/java/io/indigoreach/core/scheduling/SimulatedWorld.java
@@ -1,7 +1,6 @@
 package io.indigoreach.core.scheduling;
 
 import io.indigoreach.core.model.Attempt;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.ExitCause;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.Heartbeat;
@@ -13,6 +12,7 @@
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.core.model.MachineType;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.TaskId;
@@ -28,7 +28,7 @@
 /** A small setting for tests of the core: one machine type in two zones, a leader under token 5, jobs and reports. */
 public final class SimulatedWorld implements SchedulerListener {
     static final MachineType TYPE = new MachineType(
-            "quad", new Demand(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of("east", "west"));
+            "quad", new Resources(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of("east", "west"));
     public static final SafetyTimes RULES =
             new SafetyTimes(Span.seconds(12), Span.seconds(2), Span.seconds(32), Span.seconds(3));
     static final SchedulerSettings TUNING = new SchedulerSettings(
@@ -81,12 +81,12 @@
                 .team("t")
                 .kind(JobKind.ARRAY)
                 .urgency(Urgency.STANDARD)
-                .tasks(tasks)
-                .demand(new Demand(cores, 0, 1))
+                .taskCount(tasks)
+                .demand(new Resources(cores, 0, 1))
                 .image("img")
                 .imageGb(0)
                 .spotAllowed()
-                .estimate(Span.seconds(estimate))
+                .estimatedRunTime(Span.seconds(estimate))
                 .build();
     }
 
@@ -97,19 +97,19 @@
                 .team(s.team())
                 .kind(s.kind())
                 .urgency(urgency)
-                .tasks(s.tasks())
+                .taskCount(s.taskCount())
                 .demand(s.demand())
                 .image(s.image())
                 .imageGb(s.imageGb())
-                .types(s.types())
+                .machineTypes(s.machineTypes())
                 .zone(zone)
-                .oneZone(oneZone)
-                .spread(spread)
+                .singleZone(oneZone)
+                .spreadOverZones(spread)
                 .spotAllowed(spot)
-                .estimate(s.estimate())
-                .checkpointEvery(Span.seconds(saveEvery))
-                .checkpointTime(Span.seconds(saveEvery > 0 ? 2 : 0))
-                .due(s.due())
+                .estimatedRunTime(s.estimatedRunTime())
+                .checkpointInterval(Span.seconds(saveEvery))
+                .checkpointDuration(Span.seconds(saveEvery > 0 ? 2 : 0))
+                .relativeDeadline(s.relativeDeadline())
                 .build();
     }
 
@@ -120,8 +120,8 @@
                 .team("t")
                 .kind(JobKind.SERVICE)
                 .urgency(Urgency.PRODUCTION)
-                .tasks(replicas)
-                .demand(new Demand(1, 0, 1))
+                .taskCount(replicas)
+                .demand(new Resources(1, 0, 1))
                 .image("img-" + id)
                 .imageGb(1)
                 .build();
@@ -134,14 +134,14 @@
                 at(at),
                 new Revision(100 + jobs),
                 new BitSet(),
-                spec.tasks(),
+                spec.taskCount(),
                 false);
         core.addJob(job);
         return job;
     }
 
     Job inherited(JobSpec spec) {
-        return inherited(spec, spec.tasks());
+        return inherited(spec, spec.taskCount());
     }
 
     /** One of whose tasks an earlier leader may have started those below {@code bound}. */
--- a/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulation.java
@@ -135,13 +135,13 @@
                         .team(team.name())
                         .kind(shape)
                         .urgency(s.urgency())
-                        .tasks(tasks)
+                        .taskCount(tasks)
                         .demand(s.demand())
                         .image(s.image())
                         .imageGb(0)
-                        .oneZone(oneZone)
+                        .singleZone(oneZone)
                         .spotAllowed()
-                        .estimate(s.estimate())
+                        .estimatedRunTime(s.estimatedRunTime())
                         .build(),
                 now);
     }
--- a/src/test/java/io/indigoreach/core/scheduling/WaitCheck.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitCheck.java
@@ -26,7 +26,7 @@
         Map<JobId, Wait> next = new HashMap<>();
         for (Job job : core.jobs()) {
             Optional<WaitReason> reason = core.waitReason(job, SimulatedWorld.at(now));
-            effects.waits(job, reason.orElse(null));
+            effects.onWaitReason(job, reason.orElse(null));
             if (reason.isEmpty() == job.hasWaiting()) {
                 broken.add(now + ": " + job.id() + " has " + job.waitingCount() + " tasks waiting for " + reason);
             }
--- a/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
@@ -8,13 +8,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.core.model.Attempt;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.ExitCause;
 import io.indigoreach.core.model.HeartbeatNumber;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.TaskState;
@@ -160,12 +160,12 @@
                 .team(team)
                 .kind(s.kind())
                 .urgency(s.urgency())
-                .tasks(s.tasks())
+                .taskCount(s.taskCount())
                 .demand(s.demand())
                 .image(s.image())
                 .imageGb(s.imageGb())
                 .spotAllowed()
-                .estimate(s.estimate())
+                .estimatedRunTime(s.estimatedRunTime())
                 .build();
     }
 
@@ -175,9 +175,9 @@
     void aBoundJobIsRentedForWhereItMayBe(boolean refused, String expected) {
         SimulatedWorld w = new SimulatedWorld();
         MachineType east =
-                new MachineType("quad", new Demand(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of("east"));
+                new MachineType("quad", new Resources(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of("east"));
         MachineType dear = new MachineType(
-                "dear", new Demand(4, 0, 16), 40, 0.5, 0.4, 0.1, Span.seconds(20), List.of("west", "east"));
+                "dear", new Resources(4, 0, 16), 40, 0.5, 0.4, 0.1, Span.seconds(20), List.of("west", "east"));
         w.core.setTypes(refused ? List.of(SimulatedWorld.TYPE) : List.of(east, dear));
         w.core.recordsLoaded();
         w.submit(with(spec(1, 4, 1, 100), Urgency.STANDARD, false, false, true, "west", 0), 0);
--- a/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
@@ -4,7 +4,6 @@
 import io.indigoreach.core.accounts.Account;
 import io.indigoreach.core.accounts.Meter;
 import io.indigoreach.core.accounts.Sheet;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.ExitCause;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.Heartbeat;
@@ -17,6 +16,7 @@
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.core.model.MachineType;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.TaskId;
@@ -106,7 +106,7 @@
 
     WarmPoolHarness(double cacheGb, int perZone) {
         type = new MachineType(
-                "big", new Demand(8, 0, 64), cacheGb, 1.0, 3.6, 1.2, Span.seconds(20), List.of("east", "west"));
+                "big", new Resources(8, 0, 64), cacheGb, 1.0, 3.6, 1.2, Span.seconds(20), List.of("east", "west"));
         for (String zone : type.zones()) {
             capacity.put(new MachinePool("big", zone, true), perZone);
             capacity.put(new MachinePool("big", zone, false), perZone);
@@ -120,7 +120,7 @@
                 "t",
                 image,
                 gb,
-                new Demand(8, 0, 8),
+                new Resources(8, 0, 8),
                 List.of("big"),
                 List.of(),
                 0.5,
@@ -180,13 +180,13 @@
                 .team(p.team())
                 .kind(JobKind.SERVICE)
                 .urgency(Urgency.STANDARD)
-                .tasks(p.most())
-                .demand(new Demand(0.01, 0, 0.1))
+                .taskCount(p.most())
+                .demand(new Resources(0.01, 0, 0.1))
                 .image(p.image())
                 .imageGb(p.gb())
                 .spotAllowed()
                 .build()
-                .with(JobSpec.WARM, p.name()));
+                .with(JobSpec.WARM_POOL_FIELD, p.name()));
     }
 
     /** Replicas of a model that take whole machines. */
@@ -196,8 +196,8 @@
                 .team("t")
                 .kind(JobKind.SERVICE)
                 .urgency(Urgency.PRODUCTION)
-                .tasks(replicas)
-                .demand(new Demand(8, 0, 8))
+                .taskCount(replicas)
+                .demand(new Resources(8, 0, 8))
                 .image(image)
                 .imageGb(gb)
                 .spotAllowed()
@@ -211,12 +211,12 @@
                 .team("g")
                 .kind(JobKind.ARRAY)
                 .urgency(Urgency.BEST_EFFORT)
-                .tasks(tasks)
-                .demand(new Demand(cores, 0, 1))
+                .taskCount(tasks)
+                .demand(new Resources(cores, 0, 1))
                 .image(image)
                 .imageGb(gb)
                 .spotAllowed()
-                .estimate(Span.seconds(run))
+                .estimatedRunTime(Span.seconds(run))
                 .build());
     }
 
@@ -283,7 +283,7 @@
     }
 
     private double price(MachinePool where) {
-        return where.spot() ? type.spotPrice() : type.price();
+        return where.spot() ? type.spotPrice() : type.onDemandPrice();
     }
 
     WarmPoolHarness run(int steps) {
@@ -305,7 +305,7 @@
             tend();
         }
         List<Job> toRaise = core.startBoundsToRaise(at(now));
-        effects.boundsToRaise(toRaise);
+        effects.onStartBoundsToRaise(toRaise);
         for (Job job : toRaise) {
             job.startBoundRecorded(job.startBoundToWrite());
         }
@@ -333,7 +333,7 @@
 
     private void tend() {
         List<ScaleOutRequest> wishes = core.scaleOutRequests(at(now));
-        effects.rents(wishes);
+        effects.onRentRequests(wishes);
         for (ScaleOutRequest request : wishes) {
             asked.add(request);
             int got = (int) Math.min(
@@ -350,14 +350,14 @@
                 ids.add(new MachineId(String.format("m%05d", ++names)));
                 boxes.put(
                         ids.get(i).toString(),
-                        new Box(request.pool(), now, now + (int) type.boot().seconds()));
+                        new Box(request.pool(), now, now + (int) type.bootTime().seconds()));
                 rents++;
             }
             core.rented(request.pool(), ids, at(now), at(now));
         }
         core.planScaleIn(at(now));
         List<MachineId> leaving = core.machinesToReturn(100);
-        effects.returns(leaving);
+        effects.onReturns(leaving);
         leaving.forEach(id -> end(id.toString()));
         core.returned(leaving, at(now));
     }
@@ -405,7 +405,7 @@
             box.cache.put(image, gb);
             for (Iterator<Map.Entry<String, Double>> i = box.cache.entrySet().iterator();
                     i.hasNext()
-                            && box.cache.values().stream().mapToDouble(d -> d).sum() > type.cacheGb(); ) {
+                            && box.cache.values().stream().mapToDouble(d -> d).sum() > type.imageCacheGb(); ) {
                 if (!i.next().getKey().equals(image)) {
                     i.remove();
                 }
@@ -416,11 +416,11 @@
                 t.state = TaskState.RUNNING;
                 t.ends = t.spec.isService()
                         ? Integer.MAX_VALUE
-                        : now + (int) t.spec.estimate().seconds();
+                        : now + (int) t.spec.estimatedRunTime().seconds();
                 began.get(t.spec.id()).add(now);
             } else if (t.state == TaskState.FETCHING && box.fetching == null) {
                 box.fetching = t.spec.image();
-                box.fetched = now + (int) Math.ceil(t.spec.imageGb() / type.fetchGbPerS());
+                box.fetched = now + (int) Math.ceil(t.spec.imageGb() / type.imageFetchGbPerS());
             } else if (t.state == TaskState.RUNNING && now >= t.ends) {
                 t.state = TaskState.EXITED;
             }
@@ -449,7 +449,8 @@
             core.recorded(new MachineId(name));
             orders.addAll(core.startTasks(new MachineId(name), heartbeat.number(), at(now)));
         }
-        effects.answer(heartbeat.machine(), new HeartbeatResult.Commands(orders), core.mayAnswer(heartbeat.machine()));
+        effects.onHeartbeatResponse(
+                heartbeat.machine(), new HeartbeatResult.Commands(orders), core.mayAnswer(heartbeat.machine()));
         for (WorkerCommand command : orders) {
             if (command instanceof WorkerCommand.Start s) {
                 Job job = open.get(command.task().job());
@@ -499,7 +500,7 @@
         meter.look(looks, at(now).ms());
         for (int page : now % writesEvery == 0 ? meter.behind(now % 20 == 0) : List.<Integer>of()) {
             Sheet next = meter.next(page, sheets.getOrDefault(page, Sheet.EMPTY));
-            effects.page(page, next);
+            effects.onAccountsPage(page, next);
             sheets.put(page, next);
             meter.written(page, next);
         }
@@ -513,7 +514,7 @@
         spent.forEach(plan::spent);
         plan.told()
                 .forEach(t -> effects.effect(
-                        EffectListener.POOL,
+                        EffectListener.POOL_STATE,
                         t.pool(),
                         t.target(),
                         t.seats(),
--- a/src/test/java/io/indigoreach/emulator/AskedJobs.java
+++ b/src/test/java/io/indigoreach/emulator/AskedJobs.java
@@ -80,7 +80,7 @@
         for (int n = 1; n <= JOBS; n++) {
             JobSpec spec = LocalCluster.job(n, 2, n == 1 ? 0.2 : 300);
             LocalCluster.await(cluster.emulator.upload(
-                    new DepotCodec.Upload(spec, new Depot.Conduct(spec.estimate(), 0.1, false))));
+                    new DepotCodec.Upload(spec, new Depot.Conduct(spec.estimatedRunTime(), 0.1, false))));
             submit(n % nodes.size(), spec);
             expected.put(spec.id().text(), OPEN);
         }
--- a/src/test/java/io/indigoreach/emulator/CalendarClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/CalendarClusterTest.java
@@ -154,8 +154,8 @@
             for (Map.Entry<JobId, Occurrence> e : wanted.entrySet()) {
                 Mark mark = new Mark(e.getValue().plan().name(), Mark.State.CHOSEN, e.getKey(), 1, 0, 0, 0, 2, "");
                 JobSpec spec = Choice.job(e.getValue(), mark, 0);
-                LocalCluster.await(
-                        cluster.emulator.upload(new DepotCodec.Upload(spec, new Conduct(spec.estimate(), 0.1, false))));
+                LocalCluster.await(cluster.emulator.upload(
+                        new DepotCodec.Upload(spec, new Conduct(spec.estimatedRunTime(), 0.1, false))));
             }
             List<PlatformConfig> configs = cluster.emulator.nodes();
             for (PlatformConfig c : configs) {
--- a/src/test/java/io/indigoreach/emulator/CloseLooksClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/CloseLooksClusterTest.java
@@ -48,7 +48,7 @@
             JobSpec spec = LocalCluster.job(n, 2, 0.5 + 0.3 * n);
             cluster.history.add(new Event.Submitted(cluster.clock.now(), spec));
             LocalCluster.await(cluster.emulator.upload(
-                    new DepotCodec.Upload(spec, new Depot.Conduct(spec.estimate(), 0.1, false))));
+                    new DepotCodec.Upload(spec, new Depot.Conduct(spec.estimatedRunTime(), 0.1, false))));
             followed.add(follow(spec, n, n % 3 == 0));
         }
         LocalCluster.await(Future.all(followed));
--- a/src/test/java/io/indigoreach/emulator/DependencyClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/DependencyClusterTest.java
@@ -32,8 +32,8 @@
                 s -> s.with(JobDependencies.of(Arrays.stream(needs)
                         .mapToObj(need -> new JobId("run-" + need))
                         .toList())));
-        LocalCluster.await(
-                cluster.emulator.upload(new DepotCodec.Upload(spec, new Depot.Conduct(spec.estimate(), 0.1, false))));
+        LocalCluster.await(cluster.emulator.upload(
+                new DepotCodec.Upload(spec, new Depot.Conduct(spec.estimatedRunTime(), 0.1, false))));
         cluster.history.add(new Event.Submitted(cluster.clock.now(), spec));
         submit(n % nodes.size(), spec);
     }
--- a/src/test/java/io/indigoreach/emulator/LocalCluster.java
+++ b/src/test/java/io/indigoreach/emulator/LocalCluster.java
@@ -10,10 +10,10 @@
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
 import io.indigoreach.config.SettingsFile;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
 import io.indigoreach.emulator.model.Depot;
@@ -204,19 +204,19 @@
                 .team("t")
                 .kind(JobKind.ARRAY)
                 .urgency(Urgency.STANDARD)
-                .tasks(tasks)
-                .demand(new Demand(1, 0, 1))
+                .taskCount(tasks)
+                .demand(new Resources(1, 0, 1))
                 .image("image")
                 .imageGb(0.5)
                 .spotAllowed()
-                .estimate(Span.seconds(runS))
+                .estimatedRunTime(Span.seconds(runS))
                 .build());
     }
 
     /** Runs a job to its end, with polls of every half second. */
     Future<Users.Mine> run(JobSpec spec, double cancelAfterS) {
         Promise<Users.Mine> over = Promise.promise();
-        emulator.upload(new DepotCodec.Upload(spec, new Depot.Conduct(spec.estimate(), 0.1, false)))
+        emulator.upload(new DepotCodec.Upload(spec, new Depot.Conduct(spec.estimatedRunTime(), 0.1, false)))
                 .onSuccess(v -> vertx.runOnContext(
                         c -> users().run(spec, cancelAfterS <= 0 ? null : Span.seconds(cancelAfterS), Span.seconds(0.5))
                                 .onComplete(over)));
--- a/src/test/java/io/indigoreach/emulator/RecordsClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/RecordsClusterTest.java
@@ -49,7 +49,7 @@
                 int from = n * tasks / 2 % Math.max(1, EACH - tasks);
                 JobSpec spec = LocalCluster.job(100 + n, tasks, 1)
                         .with(
-                                JobSpec.RECORDS,
+                                JobSpec.RECORDS_FIELD,
                                 MessagePackFormat.map(
                                         "prefix",
                                         "coop-" + n % GROUPS + "/farm/",
@@ -95,7 +95,7 @@
             LocalCluster.await(run.ask("begin", MessagePackFormat.map("by", "anna", "reason", "first day")));
             LocalCluster.await(run.ask("claim", MessagePackFormat.map("run", "e1", "ids", List.of("coop/1"))));
             JobSpec spec = LocalCluster.job(1, 3, 0.5)
-                    .with(JobSpec.RECORDS, MessagePackFormat.map("prefix", "coop/", "from", 0L, "to", 2L));
+                    .with(JobSpec.RECORDS_FIELD, MessagePackFormat.map("prefix", "coop/", "from", 0L, "to", 2L));
             Future<Users.Mine> job = cluster.run(spec, 0);
             cluster.awaitEvents(e -> e instanceof Event.Off, 2);
             ServiceResponse waits = LocalCluster.await(run.ask("jobs/run-1", null));
--- a/src/test/java/io/indigoreach/emulator/RecordsContention.java
+++ b/src/test/java/io/indigoreach/emulator/RecordsContention.java
@@ -155,7 +155,7 @@
                     Attempt attempt = running.attempt();
                     JobSpec spec = jobs.get(task.job().text());
                     if (spec != null) {
-                        Fields f = new Fields(spec.more()).child(JobSpec.RECORDS);
+                        Fields f = new Fields(spec.extensions()).child(JobSpec.RECORDS_FIELD);
                         bill(
                                 MessagePackFormat.map(
                                         "job",
--- a/src/test/java/io/indigoreach/emulator/UnheardCancellationTest.java
+++ b/src/test/java/io/indigoreach/emulator/UnheardCancellationTest.java
@@ -47,7 +47,7 @@
             JobSpec spec = LocalCluster.job(n, 2, 300);
             cluster.history.add(new Event.Submitted(cluster.clock.now(), spec));
             LocalCluster.await(cluster.emulator.upload(
-                    new DepotCodec.Upload(spec, new Depot.Conduct(spec.estimate(), 0.1, false))));
+                    new DepotCodec.Upload(spec, new Depot.Conduct(spec.estimatedRunTime(), 0.1, false))));
             submit(n % controllers, spec);
         }
         cluster.awaitEvents(e -> e instanceof Event.Running, 2 * RUNNING);
--- a/src/test/java/io/indigoreach/emulator/WarmPoolsTest.java
+++ b/src/test/java/io/indigoreach/emulator/WarmPoolsTest.java
@@ -6,10 +6,10 @@
 import io.indigoreach.api.JobCodec;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.SettingsFile;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
 import io.indigoreach.emulator.model.Depot;
@@ -56,13 +56,13 @@
                 .team(team)
                 .kind(JobKind.SERVICE)
                 .urgency(Urgency.STANDARD)
-                .tasks(6)
-                .demand(new Demand(0.01, 0, 0.1))
+                .taskCount(6)
+                .demand(new Resources(0.01, 0, 0.1))
                 .image("weights")
                 .imageGb(4)
                 .spotAllowed()
                 .build()
-                .with(JobSpec.WARM, name);
+                .with(JobSpec.WARM_POOL_FIELD, name);
     }
 
     /** Asks each node in turn until one answers for good. */
@@ -155,8 +155,8 @@
                             .team("t")
                             .kind(JobKind.SERVICE)
                             .urgency(Urgency.PRODUCTION)
-                            .tasks(6)
-                            .demand(new Demand(4, 0, 1))
+                            .taskCount(6)
+                            .demand(new Resources(4, 0, 1))
                             .image("weights")
                             .imageGb(4)
                             .spotAllowed()
--- a/src/test/java/io/indigoreach/emulator/model/WorkerModelTest.java
+++ b/src/test/java/io/indigoreach/emulator/model/WorkerModelTest.java
@@ -9,7 +9,6 @@
 import io.indigoreach.cloud.CloudCodec;
 import io.indigoreach.config.ConfigException;
 import io.indigoreach.core.model.Attempt;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.ExitCause;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.Heartbeat;
@@ -19,6 +18,7 @@
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.core.model.Moment;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.TaskId;
 import io.indigoreach.core.model.TaskState;
@@ -52,14 +52,14 @@
                 .team("t")
                 .kind(JobKind.ARRAY)
                 .urgency(Urgency.STANDARD)
-                .tasks(4)
-                .demand(new Demand(cores, 0, 1))
+                .taskCount(4)
+                .demand(new Resources(cores, 0, 1))
                 .image("image-" + n)
                 .imageGb(1)
                 .spotAllowed()
-                .estimate(Span.seconds(10))
-                .checkpointEvery(Span.seconds(saveEvery))
-                .checkpointTime(Span.seconds(1))
+                .estimatedRunTime(Span.seconds(10))
+                .checkpointInterval(Span.seconds(saveEvery))
+                .checkpointDuration(Span.seconds(1))
                 .build();
     }
 
@@ -152,7 +152,7 @@
         return worker.state(now).tasks().stream()
                 .map(status -> status.task() + "/" + status.attempt() + " "
                         + (status.state() == TaskState.EXITED
-                                ? status.cause() + (status.saved() ? " saved" : "")
+                                ? status.exitCause() + (status.checkpointSaved() ? " saved" : "")
                                 : status.state()))
                 .reduce((a, b) -> a + ", " + b)
                 .orElse("");
@@ -344,6 +344,6 @@
         worker.spoil();
         go(5, 1, start(1, 0, 7));
         TaskStatus status = worker.state(now).tasks().get(0);
-        assertEquals(ExitCause.ERROR, status.cause());
+        assertEquals(ExitCause.ERROR, status.exitCause());
     }
 }
--- a/src/test/java/io/indigoreach/load/ArrivalsTest.java
+++ b/src/test/java/io/indigoreach/load/ArrivalsTest.java
@@ -61,11 +61,12 @@
         assertEquals(all.size(), all.stream().map(a -> a.spec().id()).distinct().count());
         double tasks = all.stream()
                 .filter(a -> a.spec().jobClass().equals("a"))
-                .mapToInt(a -> a.spec().tasks())
+                .mapToInt(a -> a.spec().taskCount())
                 .average()
                 .orElseThrow();
         assertTrue(tasks > 7.5 && tasks < 10, "" + tasks);
-        assertTrue(all.stream().allMatch(a -> a.spec().tasks() <= 20 || a.spec().isService()));
+        assertTrue(all.stream()
+                .allMatch(a -> a.spec().taskCount() <= 20 || a.spec().isService()));
         double mean = all.stream()
                 .mapToDouble(a -> a.conduct().run().seconds())
                 .filter(s -> s < 20)
@@ -79,6 +80,6 @@
         assertTrue(all.stream()
                 .filter(a -> a.spec().isService())
                 .allMatch(a -> (a.cancelAfter() == null) == a.spec().jobClass().equals("ever")
-                        && a.spec().estimate().equals(Span.ZERO)));
+                        && a.spec().estimatedRunTime().equals(Span.ZERO)));
     }
 }
