--- a/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
+++ b/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
@@ -66,7 +66,7 @@
         private long revision = 10;
 
         <R> R run(Routine<R> routine) {
-            StepResult seen = StepResult.nothing(ERA, now);
+            StepResult seen = StepResult.empty(ERA, now);
             while (true) {
                 Step<R> next = routine.next(seen);
                 now += 1000;
@@ -84,7 +84,7 @@
                         }
                     });
                 } else if (next instanceof Step.Write<R> write) {
-                    written = commit(write.change());
+                    written = commit(write.transaction());
                 }
                 seen = new StepResult(ERA, now, found, false, written, List.of());
             }
--- a/src/test/java/io/indigoreach/state/GoldenKeptRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenKeptRecordsTest.java
@@ -58,9 +58,9 @@
     }
 
     private void job(String name, JobSpec spec, JobStatus status, BitSet done) {
-        BitSet inside = spec.tasks() > CompletionBlockCodec.MAX_TASKS_IN_RECORD ? new BitSet() : done;
+        BitSet inside = spec.taskCount() > CompletionBlockCodec.MAX_TASKS_IN_RECORD ? new BitSet() : done;
         JobRecord record =
-                new JobRecord(spec, GoldenSamples.AT, status, inside, done.cardinality(), 3, spec.tasks(), STAMP);
+                new JobRecord(spec, GoldenSamples.AT, status, inside, done.cardinality(), 3, spec.taskCount(), STAMP);
         golden.both(name, record, GoldenKeptRecordsTest::write, f -> JobRecordCodec.readJob(ID, f, STAMP));
     }
 
@@ -136,14 +136,14 @@
                         MachineRecordCodec::readMachines)
                 .both(
                         "intents",
-                        new Intents.Page(
-                                List.of(new Intents.Rent("7000001-1", POOL, 50, GoldenSamples.AT)),
+                        new Intents.Content(
+                                List.of(new Intents.Rental("7000001-1", POOL, 50, GoldenSamples.AT)),
                                 List.of(new MachineId("vm-000233"))),
                         IntentRecordCodec::writeIntents,
                         IntentRecordCodec::readIntents)
                 .both(
                         "no intents",
-                        new Intents.Page(List.of(), List.of()),
+                        new Intents.Content(List.of(), List.of()),
                         IntentRecordCodec::writeIntents,
                         IntentRecordCodec::readIntents)
                 .both(
@@ -154,7 +154,7 @@
                 .text(
                         "bytes that limits are kept by",
                         MachineRecordCodec.bytes(machines.get(0)) + " "
-                                + IntentRecordCodec.bytes(new Intents.Rent("7000001-1", POOL, 50, GoldenSamples.AT))
+                                + IntentRecordCodec.bytes(new Intents.Rental("7000001-1", POOL, 50, GoldenSamples.AT))
                                 + " "
                                 + IntentRecordCodec.bytes(new MachineId("vm-000233")) + " "
                                 + CompletionBits.recordBytes(GoldenSamples.full(6, Urgency.HIGH), GoldenSamples.AT));
@@ -219,7 +219,7 @@
         all.add(new JobId("run-000399"), new RememberedState.FinishedJob(JobStatus.DONE, 8));
         all.add(new RememberedState.RentedMachine(new MachineId("vm-1"), POOL, new Moment(1), new Moment(2)));
         all.add(new VersionedRecord(
-                "warm/pool/a", MessagePackFormat.map("team", "t", VersionedRecord.VERSION, 3L), STAMP));
+                "warm/pool/a", MessagePackFormat.map("team", "t", VersionedRecord.VERSION_FIELD, 3L), STAMP));
         return all;
     }
 
@@ -229,7 +229,8 @@
             all.add(new JobId("run-" + n), new RememberedState.FinishedJob(JobStatus.DONE, n));
         }
         for (int n = 0; n < 21; n++) {
-            all.add(new VersionedRecord("own/c/run-" + n, MessagePackFormat.map(VersionedRecord.VERSION, 1L), STAMP));
+            all.add(new VersionedRecord(
+                    "own/c/run-" + n, MessagePackFormat.map(VersionedRecord.VERSION_FIELD, 1L), STAMP));
         }
         return all;
     }
--- a/src/test/java/io/indigoreach/state/GoldenRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenRecordsTest.java
@@ -4,7 +4,6 @@
 
 import io.indigoreach.core.intent.Intents;
 import io.indigoreach.core.loss.RememberedState;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
@@ -13,6 +12,7 @@
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.core.model.MachineType;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
@@ -52,11 +52,11 @@
                 .team("fleet-ops")
                 .kind(shape)
                 .urgency(Urgency.STANDARD)
-                .tasks(tasks)
-                .demand(new Demand(1, 0, 3.6))
+                .taskCount(tasks)
+                .demand(new Resources(1, 0, 3.6))
                 .image("image")
                 .imageGb(0.9)
-                .estimate(Span.seconds(18))
+                .estimatedRunTime(Span.seconds(18))
                 .build();
     }
 
@@ -66,25 +66,25 @@
                 .team("fleet-ops")
                 .kind(JobKind.SERVICE)
                 .urgency(Urgency.PRODUCTION)
-                .tasks(tasks)
-                .demand(new Demand(2.5, 1, 3.8))
+                .taskCount(tasks)
+                .demand(new Resources(2.5, 1, 3.8))
                 .image("image")
                 .imageGb(1)
-                .types(List.of("quad", "g8"))
+                .machineTypes(List.of("quad", "g8"))
                 .zone("a")
-                .oneZone()
-                .spread()
+                .singleZone()
+                .spreadOverZones()
                 .spotAllowed()
-                .estimate(Span.seconds(25))
-                .checkpointEvery(Span.seconds(30))
-                .checkpointTime(Span.seconds(4))
-                .due(Span.seconds(900))
-                .more(Map.of("plan", "2026-12-02/vans"))
+                .estimatedRunTime(Span.seconds(25))
+                .checkpointInterval(Span.seconds(30))
+                .checkpointDuration(Span.seconds(4))
+                .relativeDeadline(Span.seconds(900))
+                .extensions(Map.of("plan", "2026-12-02/vans"))
                 .build();
     }
 
     private static Golden job(JobSpec spec, JobStatus status, BitSet done) {
-        boolean beside = TestBlocks.blocks(spec.tasks()) > 0;
+        boolean beside = TestBlocks.blocks(spec.taskCount()) > 0;
         return new Golden(
                 JobRecordCodec.writeJob(spec, 1_700_000_000_123L, status, done, 3, 5),
                 f -> JobRecordCodec.readJob(ID, f, STAMP),
@@ -115,7 +115,7 @@
 
     /** What there is to compare of remains, which have no equality of their own. */
     private static Object content(RememberedState r) {
-        return List.of(List.copyOf(r.open()), r.finished(), List.copyOf(r.records()));
+        return List.of(List.copyOf(r.openJobs()), r.finishedJobs(), List.copyOf(r.records()));
     }
 
     private static Object remembered(Fields f) {
@@ -154,13 +154,13 @@
         all.put(
                 "machines",
                 new Golden(MachineRecordCodec.writeMachines(machines), MachineRecordCodec::readMachines, machines));
-        Intents.Page intents = new Intents.Page(
-                List.of(new Intents.Rent("t3-1", POOL, 50, 1_700_000_000_000L)), List.of(new MachineId("vm-000233")));
+        Intents.Content intents = new Intents.Content(
+                List.of(new Intents.Rental("t3-1", POOL, 50, 1_700_000_000_000L)), List.of(new MachineId("vm-000233")));
         all.put(
                 "intents",
                 new Golden(IntentRecordCodec.writeIntents(intents), IntentRecordCodec::readIntents, intents));
-        List<MachineType> types = List.of(
-                new MachineType("quad", new Demand(4, 0, 16), 40, 1, 0.2, 0.05, Span.seconds(20), List.of("a", "b")));
+        List<MachineType> types = List.of(new MachineType(
+                "quad", new Resources(4, 0, 16), 40, 1, 0.2, 0.05, Span.seconds(20), List.of("a", "b")));
         all.put(
                 "catalogue",
                 new Golden(CatalogueRecordCodec.writeCatalogue(types), CatalogueRecordCodec::readCatalogue, types));
--- a/src/test/java/io/indigoreach/state/HandoverTest.java
+++ b/src/test/java/io/indigoreach/state/HandoverTest.java
@@ -480,7 +480,7 @@
             FencingToken refused = tokens.next(FencingToken.NONE, clock.timeOfDay());
             assertTrue(
                     refused.value() > held.value() && held.value() > first.value(), "those may still be carried out");
-            tokens.unused(refused);
+            tokens.release(refused);
         }
         assertEquals(3 << 5, tokens.next(FencingToken.NONE, clock.timeOfDay()).value() - (first.value() - (1 << 5)));
     }
--- a/src/test/java/io/indigoreach/state/JobRecordCodecTest.java
+++ b/src/test/java/io/indigoreach/state/JobRecordCodecTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobDependencies;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
 import io.indigoreach.core.model.JobStatus;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Revision;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
@@ -31,19 +31,19 @@
                 .team("t")
                 .kind(JobKind.SERVICE)
                 .urgency(Urgency.PRODUCTION)
-                .tasks(tasks)
-                .demand(new Demand(1.5, 2, 3.25))
+                .taskCount(tasks)
+                .demand(new Resources(1.5, 2, 3.25))
                 .image("i".repeat(200))
                 .imageGb(1.5)
-                .types(List.of("k1", "k2"))
+                .machineTypes(List.of("k1", "k2"))
                 .zone("z")
-                .oneZone()
-                .spread()
+                .singleZone()
+                .spreadOverZones()
                 .spotAllowed()
-                .estimate(Span.seconds(12.5))
-                .checkpointEvery(Span.seconds(30))
-                .checkpointTime(Span.seconds(4))
-                .due(Span.seconds(900))
+                .estimatedRunTime(Span.seconds(12.5))
+                .checkpointInterval(Span.seconds(30))
+                .checkpointDuration(Span.seconds(4))
+                .relativeDeadline(Span.seconds(900))
                 .build();
     }
 
@@ -88,6 +88,6 @@
         JobRecord back = JobRecordCodec.readJob(
                 chained.id(), MessagePackFormat.readMap(MessagePackFormat.write(record)), new Revision(9));
         assertEquals(chained, back.spec());
-        assertEquals(Map.of("plan", Map.of("day", "d")), back.spec().more());
+        assertEquals(Map.of("plan", Map.of("day", "d")), back.spec().extensions());
     }
 }
--- a/src/test/java/io/indigoreach/state/RoutineRunnerTest.java
+++ b/src/test/java/io/indigoreach/state/RoutineRunnerTest.java
@@ -27,8 +27,8 @@
 
 /** Parts' routines against a state service that loses records, and a leadership that ends. */
 class RoutineRunnerTest {
-    private static final RecordFamily LASTING = new RecordFamily("a/", 100, true, RecordFamily.Mending.NEWER);
-    private static final RecordFamily PASSING = new RecordFamily("b/", 100, false, RecordFamily.Mending.NEWER);
+    private static final RecordFamily LASTING = new RecordFamily("a/", 100, true, RecordFamily.MergeRule.KEEP_NEWER);
+    private static final RecordFamily PASSING = new RecordFamily("b/", 100, false, RecordFamily.MergeRule.KEEP_NEWER);
 
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
@@ -63,7 +63,7 @@
                 if (seen.isWritten()) {
                     return new Step.End<>(sum);
                 }
-                if (!seen.failed().isEmpty()) {
+                if (!seen.failedKeys().isEmpty()) {
                     return new Step.End<>(-1L);
                 }
                 if (seen.records().isEmpty()) {
@@ -89,7 +89,7 @@
         await(records.run(adding("a/1")));
         client.commit(new StateClient.Txn().delete("a/1"));
         assertThrows(ExecutionException.class, () -> await(records.run(adding("a/1"))));
-        assertTrue(client.losses().isHolding());
+        assertTrue(client.losses().isLossPending());
         assertThrows(ExecutionException.class, () -> await(records.run(adding("a/2"))));
         assertFalse(service.has("a/2"));
     }
@@ -99,16 +99,16 @@
         await(records.run(adding("b/1")));
         client.commit(new StateClient.Txn().delete("b/1"));
         assertEquals(1, await(records.run(adding("b/1"))));
-        assertFalse(client.losses().isHolding());
+        assertFalse(client.losses().isLossPending());
     }
 
     @Test
     void anOlderValueThanTheOneRememberedIsALossInAnyFamily() throws Exception {
         await(records.run(adding("b/1")));
         await(records.run(adding("b/1")));
-        client.commit(new StateClient.Txn().put("b/1", Map.of("n", 1L, VersionedRecord.VERSION, 1L)));
+        client.commit(new StateClient.Txn().put("b/1", Map.of("n", 1L, VersionedRecord.VERSION_FIELD, 1L)));
         assertThrows(ExecutionException.class, () -> await(records.run(adding("b/1"))));
-        assertTrue(client.losses().isHolding());
+        assertTrue(client.losses().isLossPending());
     }
 
     @Test
@@ -126,6 +126,7 @@
     void familiesDoNotShareAPrefix() {
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new RecordCache(List.of(LASTING, new RecordFamily("a/b/", 1, true, RecordFamily.Mending.NEWER))));
+                () -> new RecordCache(
+                        List.of(LASTING, new RecordFamily("a/b/", 1, true, RecordFamily.MergeRule.KEEP_NEWER))));
     }
 }
--- a/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
+++ b/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
@@ -11,10 +11,10 @@
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
 import io.indigoreach.config.SettingsFile;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobKind;
 import io.indigoreach.core.model.JobSpec;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Urgency;
 import io.indigoreach.core.records.Transaction;
@@ -199,25 +199,25 @@
                 .team("t")
                 .kind(JobKind.ARRAY)
                 .urgency(Urgency.STANDARD)
-                .tasks(2)
-                .demand(new Demand(1, 0, 1))
+                .taskCount(2)
+                .demand(new Resources(1, 0, 1))
                 .image("i")
                 .imageGb(0)
                 .spotAllowed()
-                .estimate(Span.seconds(5))
+                .estimatedRunTime(Span.seconds(5))
                 .build();
-        JobSpec never = plain.with(JobSpec.RECORDS, Map.of("ids", List.of("a/1", "a/3")));
+        JobSpec never = plain.with(JobSpec.RECORDS_FIELD, Map.of("ids", List.of("a/1", "a/3")));
         ExecutionException refused = assertThrows(ExecutionException.class, () -> await(field.accepting(never)));
         assertTrue(refused.getCause() instanceof RequestRejectedException r
                 && r.status() == 422
                 && r.getMessage().contains("billed by e1"));
-        JobSpec waits = plain.with(JobSpec.RECORDS, Map.of("prefix", "a/", "from", 2L, "to", 3L));
+        JobSpec waits = plain.with(JobSpec.RECORDS_FIELD, Map.of("prefix", "a/", "from", 2L, "to", 3L));
         Transaction commit = await(field.accepting(waits));
         assertEquals(List.of("own/c/run-1"), List.copyOf(commit.writes().keySet()));
         assertThrows(
                 WireException.class,
-                () -> field.check(plain.with(JobSpec.RECORDS, Map.of("ids", List.of("a/1", "a/1")))));
-        assertThrows(WireException.class, () -> field.check(plain.with(JobSpec.RECORDS, List.of("a/1"))));
+                () -> field.check(plain.with(JobSpec.RECORDS_FIELD, Map.of("ids", List.of("a/1", "a/1")))));
+        assertThrows(WireException.class, () -> field.check(plain.with(JobSpec.RECORDS_FIELD, List.of("a/1"))));
     }
 
     @Test
--- a/src/test/java/io/indigoreach/warm/GoldenPoolsTest.java
+++ b/src/test/java/io/indigoreach/warm/GoldenPoolsTest.java
@@ -5,9 +5,9 @@
 import io.indigoreach.core.accounts.Account;
 import io.indigoreach.core.accounts.Line;
 import io.indigoreach.core.accounts.Sheet;
-import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.MachinePool;
+import io.indigoreach.core.model.Resources;
 import io.indigoreach.core.warm.BurstWindow;
 import io.indigoreach.core.warm.DemandHistory;
 import io.indigoreach.core.warm.PoolSpec;
@@ -25,7 +25,7 @@
             "vision",
             "img-07",
             6.2,
-            new Demand(8, 1, 64),
+            new Resources(8, 1, 64),
             List.of("g8", "quad"),
             List.of("a", "b"),
             0.5,
