--- a/src/main/java/io/indigoreach/core/intent/Intents.java
+++ b/src/main/java/io/indigoreach/core/intent/Intents.java
@@ -42,7 +42,7 @@
 
     private static final Capacity UNLIMITED = new Capacity() {
         @Override
-        public boolean hasRoomForRental(Collection<Rental> rents, Rental next) {
+        public boolean hasRoomForRental(Collection<Rental> rentals, Rental next) {
             return true;
         }
 
--- a/src/main/java/io/indigoreach/core/model/Resources.java
+++ b/src/main/java/io/indigoreach/core/model/Resources.java
@@ -16,6 +16,7 @@
         return new Resources(cores - other.cores, gpus - other.gpus, ramGb - other.ramGb);
     }
 
+    /** Whether these resources fit into {@code available}. */
     public boolean fitsIn(Resources available) {
         return cores <= available.cores + ROUNDING_TOLERANCE
                 && gpus <= available.gpus + ROUNDING_TOLERANCE
