--- a/src/main/java/io/indigoreach/core/loss/RememberedState.java
+++ b/src/main/java/io/indigoreach/core/loss/RememberedState.java
@@ -13,12 +13,21 @@
 import java.util.Map;
 
 /**
- * What controllers remember of records that the state service has lost. It can be merged in any order: a finished job takes precedence over
- * an open one, as no user who was told of the end may be told otherwise; a task is completed if any copy shows it; of two start bounds
- * the larger one is kept, as more tasks may have been started under it.
+ * What controllers remember of the records, for rebuilding those that the state service has lost. The order of merging does not matter:
+ *
+ * <ul>
+ *   <li>A finished job takes precedence over an open one, as its end may have been reported to a user.
+ *   <li>A task is completed if any copy shows it.
+ *   <li>The larger of two start bounds is kept, as more tasks may have been started under it.
+ * </ul>
  */
 public final class RememberedState {
-    /** An open job: {@code bound} is its start bound ({@link io.indigoreach.core.scheduling.StartBounds}). */
+    /**
+     * An open job.
+     *
+     * @param done the indexes of the completed tasks
+     * @param startBound the start bound ({@link io.indigoreach.core.scheduling.StartBounds})
+     */
     public record OpenJob(JobSpec spec, long submittedMs, BitSet done, int startBound) {
         OpenJob mergedWith(OpenJob other) {
             BitSet mergedTasks = (BitSet) done.clone();
@@ -39,10 +48,15 @@
         }
     }
 
-    /** The end of a job: its final status, and how many tasks were done. */
+    /** The end of a job: its final status and the number of completed tasks. */
     public record FinishedJob(JobStatus status, int completedTaskCount) {}
 
-    /** A rented machine, which may hold tasks. */
+    /**
+     * A rented machine, which may run tasks.
+     *
+     * @param rentedAt when it was rented
+     * @param knownToExistAt when it was last known to exist
+     */
     public record RentedMachine(MachineId id, MachinePool pool, Moment rentedAt, Moment knownToExistAt) {}
 
     private final Map<JobId, OpenJob> openJobs = new LinkedHashMap<>();
@@ -50,14 +64,14 @@
     private final Map<MachineId, RentedMachine> machines = new LinkedHashMap<>();
     private final Map<String, VersionedRecord> records = new LinkedHashMap<>();
 
-    /** Adds an open job, unless it is remembered as finished; two copies of one are merged. */
+    /** Adds an open job, unless it is remembered as finished; merges it with a copy that is already present. */
     public void add(OpenJob job) {
         if (!finishedJobs.containsKey(job.spec.id())) {
             openJobs.merge(job.spec.id(), job, OpenJob::mergedWith);
         }
     }
 
-    /** The first end of a job stays: both are final, and only one of them can have been reported to a user. */
+    /** Adds the end of a job. The first one added is kept: only one end can have been reported to a user. */
     public void add(JobId id, FinishedJob end) {
         finishedJobs.putIfAbsent(id, end);
         openJobs.remove(id);
@@ -67,7 +81,7 @@
         machines.putIfAbsent(machine.id, machine);
     }
 
-    /** Adds a record of an optional feature; of two copies the newer one is kept. */
+    /** Adds a record of an optional feature; the newer of two copies is kept. */
     public void add(VersionedRecord record) {
         records.merge(record.key(), record, (first, second) -> second.version() > first.version() ? second : first);
     }
@@ -76,7 +90,7 @@
         return records.values();
     }
 
-    /** Adds all that another process remembers. */
+    /** Adds the state that another process remembers. */
     public void add(RememberedState other) {
         other.finishedJobs.forEach(this::add);
         other.openJobs.values().forEach(this::add);
@@ -100,14 +114,14 @@
         return machines.values();
     }
 
-    /** The copy to be written where the state service still has {@code kept}; null if {@code kept} is complete. */
+    /** Merges a remembered job into the record that the state service still has, {@code stored}; null if the record needs no change. */
     public static OpenJob mergeIntoStored(OpenJob remembered, OpenJob stored) {
         return remembered.isCoveredBy(stored) ? null : stored.mergedWith(remembered);
     }
 
     @Override
     public String toString() {
-        return openJobs.size() + " open jobs, " + finishedJobs.size() + " that are over, " + machines.size()
+        return openJobs.size() + " open jobs, " + finishedJobs.size() + " finished jobs, " + machines.size()
                 + " machines" + (records.isEmpty() ? "" : ", " + records.size() + " other records");
     }
 }
--- a/src/main/java/io/indigoreach/core/model/JobTarget.java
+++ b/src/main/java/io/indigoreach/core/model/JobTarget.java
@@ -1,18 +1,18 @@
 package io.indigoreach.core.model;
 
 /**
- * The target of a job: how urgent it is, and by when it has to be done.
+ * The scheduling target of a job.
  *
- * @param due null if there is no deadline
+ * @param deadline the deadline for completion, or null if there is none
  */
 public record JobTarget(Urgency urgency, Moment deadline) {
-    /** The stricter of both: the more urgent, the earlier. */
+    /** Combines two targets: the higher urgency and the earlier deadline. */
     public JobTarget combinedWith(JobTarget other) {
         return new JobTarget(
                 other.urgency.isMoreUrgentThan(urgency) ? other.urgency : urgency, earlierOf(deadline, other.deadline));
     }
 
-    /** The same for a job that has to be done before one that runs for {@code run}. */
+    /** Returns the target of a job that must complete before a job with this target starts, where the latter runs for {@code runTime}. */
     public JobTarget forRequiredJob(Span runTime) {
         return new JobTarget(urgency, deadline == null ? null : deadline.minus(runTime));
     }
--- a/src/main/java/io/indigoreach/core/model/Resources.java
+++ b/src/main/java/io/indigoreach/core/model/Resources.java
@@ -1,9 +1,11 @@
 package io.indigoreach.core.model;
 
-/** The resources that a task needs of its machine, or that a machine offers. */
+/** An amount of resources: what a task requires, or what a machine has in total or free. */
 public record Resources(double cores, double gpus, double ramGb) {
     public static final Resources NONE = new Resources(0, 0, 0);
+    /** Sums of fractional amounts may differ by rounding errors. */
     private static final double ROUNDING_TOLERANCE = 1e-6;
+    /** The result of {@link #countFittingIn} for a task that requires no resources. */
     private static final double MAX_COUNT = 1e6;
 
     public Resources plus(Resources other) {
@@ -14,13 +16,14 @@
         return new Resources(cores - other.cores, gpus - other.gpus, ramGb - other.ramGb);
     }
 
+    /** Whether these resources fit into {@code available}. */
     public boolean fitsIn(Resources available) {
         return cores <= available.cores + ROUNDING_TOLERANCE
                 && gpus <= available.gpus + ROUNDING_TOLERANCE
                 && ramGb <= available.ramGb + ROUNDING_TOLERANCE;
     }
 
-    /** The part of {@code whole} that this takes, of what it takes most of. */
+    /** The dominant share: the largest fraction of {@code total} that this takes of any single resource. */
     public double dominantShareOf(Resources total) {
         return Math.max(
                 fraction(cores, total.cores), Math.max(fraction(gpus, total.gpus), fraction(ramGb, total.ramGb)));
@@ -30,7 +33,7 @@
         return used <= ROUNDING_TOLERANCE ? 0 : used / total;
     }
 
-    /** How many times this fits into {@code room}. */
+    /** Returns how many tasks that require these resources fit into {@code available} together. */
     public int countFittingIn(Resources available) {
         double count = MAX_COUNT;
         if (cores > ROUNDING_TOLERANCE) {
--- a/src/main/java/io/indigoreach/core/model/Team.java
+++ b/src/main/java/io/indigoreach/core/model/Team.java
@@ -1,10 +1,21 @@
 package io.indigoreach.core.model;
 
-/** A team: what it is guaranteed, and what its tasks may never exceed together. */
+/**
+ * A team with its guaranteed resources and its limits.
+ *
+ * @param guaranteedCores the guaranteed cores
+ * @param maxCores the most cores that the team's tasks may use together; 0 if there is no limit
+ * @param guaranteedGpus the guaranteed GPUs
+ * @param maxGpus the most GPUs that the team's tasks may use together; 0 if there is no limit
+ */
 public record Team(String name, double guaranteedCores, double maxCores, double guaranteedGpus, double maxGpus) {
-    /** A limit of 0 means that there is none. */
+    /** Sums of fractional amounts may differ by rounding errors. */
+    private static final double ROUNDING_TOLERANCE = 1e-6;
+
+    /** Whether the given usage is within the team's limits. */
     public boolean isWithinLimits(double coresInUse, double gpusInUse) {
-        return (maxCores <= 0 || coresInUse <= maxCores + 1e-6) && (maxGpus <= 0 || gpusInUse <= maxGpus + 1e-6);
+        return (maxCores <= 0 || coresInUse <= maxCores + ROUNDING_TOLERANCE)
+                && (maxGpus <= 0 || gpusInUse <= maxGpus + ROUNDING_TOLERANCE);
     }
 
     public boolean hasLimits() {
@@ -12,6 +23,6 @@
     }
 
     public boolean isWithinGuarantee(double coresInUse, double gpusInUse) {
-        return coresInUse <= guaranteedCores + 1e-6 && gpusInUse <= guaranteedGpus + 1e-6;
+        return coresInUse <= guaranteedCores + ROUNDING_TOLERANCE && gpusInUse <= guaranteedGpus + ROUNDING_TOLERANCE;
     }
 }
--- a/src/test/java/io/indigoreach/core/intent/IntentsTest.java
+++ b/src/test/java/io/indigoreach/core/intent/IntentsTest.java
@@ -19,11 +19,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Nothing is requested of the cloud that is not recorded, and the next leader completes what was. */
+/** No request is sent to the cloud before it is recorded, and the next leader completes the recorded requests. */
 public class IntentsTest {
     private static final MachinePool POOL = new MachinePool("quad", "east", true);
 
-    /** A guard that a run can do without, to see that it then breaks its rule. */
+    /** A safeguard that a simulation can leave out, to check that the simulation then detects a violation. */
     enum OmittedSafeguard {
         RECORD_BEFORE_SENDING,
         COMPLETE_INHERITED_RENTALS,
@@ -40,7 +40,7 @@
         intents.onRecorded(content);
         assertTrue(
                 intents.maySendRental("t5-1") && !intents.maySendRental("t5-2"),
-                "what came while the record was written is not in it");
+                "a request that was added during the write is not in the record");
         assertTrue(intents.hasUnrecordedRequests());
         intents.completeRental("t5-1");
         assertFalse(intents.maySendRental("t5-1"), "a completed request is not sent again");
@@ -50,7 +50,7 @@
         for (int i = 0; i < 150; i++) {
             machines.add(new MachineId("vm-" + i));
         }
-        assertEquals(Intents.MAX_RETURNS, intents.addReturns(machines).size(), "no more than a record holds");
+        assertEquals(Intents.MAX_RETURNS, intents.addReturns(machines).size(), "as many as the record may hold");
         assertFalse(intents.maySendReturns(machines.subList(0, 1)));
         intents.onRecorded(intents.content());
         assertTrue(
@@ -66,7 +66,7 @@
         assertEquals(List.of(), new Simulation(seed, null).play());
     }
 
-    /** What is broken in a run whose decisions the listener hears. */
+    /** Runs a simulation and returns its violations; {@code effects} receives the decisions. */
     public static List<String> play(long seed, EffectListener effects) {
         Simulation simulation = new Simulation(seed, null);
         simulation.effects = effects;
@@ -80,13 +80,13 @@
         for (long seed = 1; seed <= 20 && !found; seed++) {
             found = !new Simulation(seed, omitted).play().isEmpty();
         }
-        assertTrue(found, "nothing found without " + omitted);
+        assertTrue(found, "no violation found without " + omitted);
     }
 
     /**
-     * Leaders follow each other at any moment; answers of the state service and the cloud are lost, requests to the cloud are
-     * executed late. Broken: a machine that nobody knows of in the end, one used after its return was asked for, a name
-     * asked for with another count.
+     * Simulates failovers at random times, lost responses of the state service and the cloud, and requests to the cloud that are executed late.
+     * Violations are a rented machine that the last leader does not know, a machine in use after its return was requested, and a request
+     * name that is sent with two different counts.
      */
     private static final class Simulation {
         private final Random random;
@@ -147,7 +147,7 @@
             }
             existing.stream()
                     .filter(id -> !knownToLeader.contains(id))
-                    .forEach(id -> violations.add(id + " is paid for and not known"));
+                    .forEach(id -> violations.add(id + " is rented but unknown to the leader"));
             return violations;
         }
 
@@ -176,7 +176,7 @@
                         effects.effect(EffectListener.RENT_REQUESTED, rental.name(), rental.count());
                         if (countByRentalName.putIfAbsent(rental.name(), rental.count()) != null
                                 && countByRentalName.get(rental.name()) != rental.count()) {
-                            violations.add(rental.name() + " is used twice");
+                            violations.add(rental.name() + " is sent with different counts");
                         }
                         Runnable execution = () -> machinesByRentalName.computeIfAbsent(rental.name(), name -> {
                             List<MachineId> ids = new ArrayList<>();
@@ -227,7 +227,7 @@
                     .forEach(id -> violations.add(id + " is used though its return was requested"));
         }
 
-        /** The next leader knows the record, and the machines that report: all but those that came by a late request. */
+        /** The next leader knows the record and the machines that send heartbeats, but not those of rentals that are executed late. */
         private void failover() {
             leaderNumber++;
             Set<MachineId> previouslyKnown = knownToLeader;
--- a/src/test/java/io/indigoreach/core/query/FairAdmissionTest.java
+++ b/src/test/java/io/indigoreach/core/query/FairAdmissionTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** No client is rejected, or answered too late, again and again while others are served. */
+/** No client starves while others are served. */
 class FairAdmissionTest {
     /**
-     * Twice as many ask, every 5 s, as there are places in the 2 s that each is taken; those of the first half always come first.
-     * With one limit for all the others are never served.
+     * Every 5 s, twice as many clients send a request as the limit admits, always in the same order. With one limit for all, the second
+     * half is never served.
      */
     @ParameterizedTest
     @CsvSource({"true, 30", "false, 200"})
@@ -39,17 +39,17 @@
                     waiting
                             <= FairAdmission.MAX_WAITING
                                     + FairAdmission.EXTRA_PER_REJECTION * FairAdmission.MAX_COUNTED_REJECTIONS,
-                    "waiting: " + waiting);
+                    "waiting requests: " + waiting);
             for (; waiting > 0; waiting--) {
                 admission.release();
             }
         }
         assertTrue(
                 rejectionsCount ? longestWait <= expectedWait : longestWait >= expectedWait - 5,
-                "silence: " + longestWait);
+                "longest time without a response, s: " + longestWait);
     }
 
-    /** Pages of ten keys, of which a listing brings two in time, and everybody asks again. */
+    /** A listing returns two pages of ten keys in time, and all clients repeat their requests. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void everyKeyIsListedInTime(long seed) {
@@ -61,7 +61,7 @@
         ListingCursor<Integer> cursor = new ListingCursor<>();
         Map<String, Integer> listingByKey = new HashMap<>();
         for (int listing = 1; listingByKey.size() < keys.size(); listing++) {
-            assertTrue(listing <= 6, "left: " + (keys.size() - listingByKey.size()));
+            assertTrue(listing <= 6, "unanswered keys: " + (keys.size() - listingByKey.size()));
             cursor.begin(keys);
             for (int page = 0; page < 2 && !cursor.isComplete(); page++) {
                 String from = cursor.nextPageStart();
