--- a/src/main/java/io/indigoreach/state/Campaign.java
+++ b/src/main/java/io/indigoreach/state/Campaign.java
@@ -9,8 +9,8 @@
 import io.vertx.core.Future;
 
 /**
- * One attempt after another to gain leadership: a compare-and-swap that writes the leadership key, attached to a new lease,
- * and raises the counter of tokens. Bound to the node's event loop.
+ * Attempts to gain leadership. Each attempt is one compare-and-swap that writes the leadership key, attached to a new lease, and
+ * raises the token counter. Bound to the node's event loop.
  */
 final class Campaign {
     private static final Span RETRY = Span.seconds(0.5);
@@ -37,15 +37,16 @@
     /**
      * Attempts once to gain leadership.
      *
-     * @param held the revision of the leadership key that is to be replaced, or {@link Revision#ABSENT}
-     * @param boundUnlessNew a pledge of a former process may bind this node, unless nobody has ever led
+     * @param held the revision of the leadership key that the attempt replaces, or {@link Revision#ABSENT}
+     * @param boundUnlessNew whether a pledge given by the previous process of this node may still be in force; it is ignored in
+     *     a new deployment, which has no token counter yet
      */
     Future<CampaignResult> run(Revision held, boolean boundUnlessNew) {
         return state.get(RecordKeys.COUNTER).compose(entry -> attempt(held, entry, boundUnlessNew));
     }
 
     private Future<CampaignResult> attempt(Revision held, StateClient.Entry counterEntry, boolean boundUnlessNew) {
-        // Fails before anything is written if the counter is of a later version of the program.
+        // Fails before anything is written if a later version of the program wrote the counter.
         CounterRecord counter = CounterRecord.of(counterEntry);
         raisedFormat.seen(counter);
         FencingToken counted = counter.highest();
@@ -57,8 +58,8 @@
         if (tokens.isBehind(counted) && !ownTokens.mayCampaignAfterRegression()) {
             return confirmRegression(counterRevision);
         }
-        // Who led between this node's last leadership and now may have let its key go before this node ever read
-        // it: the counter knows. Else what this node remembers as open would count as the newest there is.
+        // Another node may have led and resigned before this node read its key. Only the counter shows that
+        // leadership; without it, this node would take its own cached jobs for the latest state.
         tokens.seen(counted);
         FencingToken highestBefore = tokens.highest();
         Moment leaseSentAt = clock.now();
@@ -71,7 +72,7 @@
         return Future.succeededFuture(new CampaignResult.NotAttempted(retryAfter));
     }
 
-    /** A read may be stale; then nothing is lost. */
+    /** Checks by a comparison that the counter really regressed: the read may have been stale. */
     private Future<CampaignResult> confirmRegression(Revision counterRevision) {
         return state.confirm(new StateClient.Txn().when(RecordKeys.COUNTER, counterRevision))
                 .map(confirmed -> {
@@ -82,7 +83,7 @@
                 });
     }
 
-    /** What a compare-and-swap for the key is based on. */
+    /** The state that one compare-and-swap on the leadership key is based on. */
     private record Attempt(
             Revision held,
             CounterRecord counter,
--- a/src/main/java/io/indigoreach/state/CampaignResult.java
+++ b/src/main/java/io/indigoreach/state/CampaignResult.java
@@ -4,9 +4,9 @@
 import io.indigoreach.core.model.Moment;
 import io.indigoreach.core.model.Span;
 
-/** What came of a {@link Campaign}. */
+/** The result of one attempt of a {@link Campaign}. */
 sealed interface CampaignResult {
-    /** No compare-and-swap was attempted; try again after {@code retryAfter}. */
+    /** No compare-and-swap was attempted; the caller retries after {@code retryAfter}. */
     record NotAttempted(Span retryAfter) implements CampaignResult {}
 
     /** The compare-and-swap was rejected: the key or the counter has changed. */
@@ -18,9 +18,9 @@
      * @param key the key as written
      * @param lease the lease that the key is attached to
      * @param leaseSentAt when the lease was requested
-     * @param highestBefore the highest token known before
-     * @param counted the token in the counter before
-     * @param startBounds whether the start bounds in the records can be believed
+     * @param highestBefore the highest token that this node knew before the attempt
+     * @param counted the token in the counter before the attempt
+     * @param startBounds whether the start bounds in the job records are reliable
      */
     record Won(
             LeaderKey key,
--- a/src/main/java/io/indigoreach/state/Candidate.java
+++ b/src/main/java/io/indigoreach/state/Candidate.java
@@ -1,11 +1,11 @@
 package io.indigoreach.state;
 
 /**
- * Who takes part in leader election.
+ * The identity of a node that takes part in leader election.
  *
- * @param node the node's name, the same after a restart
- * @param process identifies this process of the node
- * @param peers how many other nodes the deployment has
+ * @param node the node's name, which a restart does not change
+ * @param process identifies the running process of the node
+ * @param peers the number of other nodes in the deployment
  */
 public record Candidate(String node, String process, int peers) {
     boolean hasPeers() {
--- a/src/main/java/io/indigoreach/state/CatalogueRecordCodec.java
+++ b/src/main/java/io/indigoreach/state/CatalogueRecordCodec.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The machine types that the cloud offers. */
+/** Encodes and decodes the catalogue of machine types that the cloud offers. */
 public final class CatalogueRecordCodec {
-    /** The value of the catalogue's record. */
+    /** The value of the catalogue record. */
     public static Map<String, Object> writeCatalogue(List<MachineType> types) {
         List<Object> list = new ArrayList<>();
         for (MachineType type : types) {
@@ -40,7 +40,7 @@
         return MessagePackFormat.map("types", list);
     }
 
-    /** The machine types of the catalogue's record. */
+    /** Decodes the machine types of the catalogue record. */
     public static List<MachineType> readCatalogue(Fields catalogue) {
         List<MachineType> types = new ArrayList<>();
         for (Fields type : catalogue.children("types")) {
--- a/src/main/java/io/indigoreach/state/CompletionBits.java
+++ b/src/main/java/io/indigoreach/state/CompletionBits.java
@@ -11,22 +11,22 @@
 import java.util.Map;
 
 /**
- * Where the bits of a job's done tasks are written under the limits in force: in the job's record, in blocks as versions before
- * this one write and read them, or in smaller blocks. Whoever reads takes all three together, so the limits may change at any time: a bit
- * that is set anywhere is true for ever, as a task that is done stays done.
+ * Chooses where to store the completion bits of a job under the limits in force: in the job's record, in full-size blocks as
+ * earlier versions write and read them, or in smaller blocks. Readers combine the bits of all three, so the limits may change at
+ * any time: a completed task stays completed, so a bit that is set in any of them is valid.
  *
- * <p>Small blocks have a prefix of their own, as an older version would read them as large ones: it does not see them, and runs
- * the tasks again, which end at once.
+ * <p>Small blocks have a separate key prefix, because an older version would read them as full-size blocks. It does not see
+ * them and runs the tasks again, which end at once.
  */
 public final class CompletionBits {
-    /** Blocks named by their first task and as long as they happen to be. */
+    /** Key prefix of small blocks, which are named by their first task and have no fixed size. */
     public static final String SMALL_BLOCKS = "d/";
 
     private static final int MIN_BLOCK_TASKS = 1024;
-    /** What a block takes besides its bits. */
+    /** The size of a block without bits. */
     private static final int FRAME_BYTES = JsonSize.of(CompletionBlockCodec.writeBits(new BitSet()));
 
-    /** Digits that a record's counters may gain while the job runs. */
+    /** An upper bound of tasks, which reserves space for the counters in a record to grow while the job runs. */
     private static final int MAX_TASKS = 100_000;
 
     private final StateLimits limits;
@@ -42,31 +42,31 @@
         this.blockTasks = blockTasks;
     }
 
-    /** What bits take as unpadded Base64. */
+    /** The size of a block with the bits of this many tasks as unpadded Base64. */
     private static int blockBytes(int tasks) {
         int bytes = (tasks + Byte.SIZE - 1) / Byte.SIZE;
         return FRAME_BYTES + (bytes * 4 + 2) / 3;
     }
 
-    /** How long the job's record becomes without bits. */
+    /** The maximum size of the job's record without bits. */
     public static int recordBytes(JobSpec spec, long submittedMs) {
         return JsonSize.of(JobRecordCodec.writeJob(
                         spec, submittedMs, JobStatus.CANCELLED, new BitSet(), MAX_TASKS, MAX_TASKS))
                 + Integer.toString(MAX_TASKS).length();
     }
 
-    /** Whether the record fits at all: an earlier version may have accepted a longer description. */
+    /** Whether the record without bits fits the limits; earlier versions may have accepted a longer job description. */
     public boolean canBeWritten(JobSpec spec, long submittedMs) {
         return recordBytes(spec, submittedMs) <= limits.valueBytes();
     }
 
-    /** Whether the record takes the bits of all the job's tasks. */
+    /** Whether the bits of all the job's tasks fit into its record. */
     public boolean areInRecord(JobSpec spec, long submittedMs) {
         return spec.tasks() <= CompletionBlockCodec.MAX_TASKS_IN_RECORD
                 && recordBytes(spec, submittedMs) + blockBytes(spec.tasks()) <= limits.maxRecordBytes();
     }
 
-    /** A job's record, with the bits or without them as the limits have it. */
+    /** The value of a job's record, with the bits if they fit into it. */
     public Map<String, Object> writeJob(
             JobSpec spec, long submittedMs, JobStatus status, BitSet done, int running, int bound) {
         Map<String, Object> record = JobRecordCodec.writeJob(spec, submittedMs, status, done, running, bound);
@@ -76,7 +76,10 @@
         return record;
     }
 
-    /** The blocks that hold {@code missing}, by their keys, at most {@code most}; each with the tasks it covers. */
+    /**
+     * The blocks to write so that the tasks in {@code missing} are stored, at most {@code most}: by key, the completed tasks that
+     * each block covers.
+     */
     public Map<String, BitSet> blocksWith(JobId id, BitSet missing, BitSet done, int most) {
         Map<String, BitSet> blocks = new LinkedHashMap<>();
         int next = missing.nextSetBit(0);
@@ -97,13 +100,13 @@
                 : SMALL_BLOCKS + id.text() + "/" + n * blockTasks;
     }
 
-    /** The value of a block that {@link #blocksWith} has named. */
+    /** The value of a block that {@link #blocksWith} has returned. */
     public static Map<String, Object> writeBlock(String key, BitSet covered) {
         int from = firstOf(key);
         return CompletionBlockCodec.writeBits(covered.get(from, Math.max(from, covered.length())));
     }
 
-    /** Adds a block's bits; throws {@link io.indigoreach.net.WireException} if it cannot be read. */
+    /** Adds a block's bits to {@code into}; throws {@link io.indigoreach.net.WireException} if the block is malformed. */
     public static void readBlock(String key, Fields value, BitSet into) {
         BitSet block = CompletionBlockCodec.readBits(value);
         int from = firstOf(key);
@@ -115,7 +118,7 @@
         return key.startsWith(SMALL_BLOCKS) ? number : number * CompletionBlockCodec.BLOCK_TASKS;
     }
 
-    /** Of whose tasks this block's are. */
+    /** The job that a block belongs to. */
     public static JobId jobOf(String key) {
         return RecordKeys.jobOfBlock(key);
     }
--- a/src/main/java/io/indigoreach/state/CompletionBlockCodec.java
+++ b/src/main/java/io/indigoreach/state/CompletionBlockCodec.java
@@ -6,11 +6,11 @@
 import java.util.BitSet;
 import java.util.Map;
 
-/** Completion bits, one per completed task, as text within a record and as blocks beside it. */
+/** Encodes and decodes completion bits, one per task, as a text field of a job's record or as separate blocks. */
 final class CompletionBlockCodec {
-    /** Up to this many tasks, the bits fit into the job's own record. */
+    /** The largest number of tasks whose bits fit into the job's record. */
     static final int MAX_TASKS_IN_RECORD = 8192;
-    /** The tasks of a block beside the record. */
+    /** The number of tasks of a full-size block. */
     static final int BLOCK_TASKS = 32768;
 
     static final String BITS_FIELD = "bits";
@@ -20,17 +20,17 @@
         return MessagePackFormat.map(BITS_FIELD, encode(block));
     }
 
-    /** The bits of a block; throws {@link io.indigoreach.net.WireException} if it cannot be read. */
+    /** Decodes the bits of a block; throws {@link io.indigoreach.net.WireException} if it is malformed. */
     static BitSet readBits(Fields block) {
         return RecordReader.read(() -> decode(block.optionalText(BITS_FIELD)));
     }
 
-    /** Bits as unpadded Base64. */
+    /** Encodes bits as unpadded Base64. */
     static String encode(BitSet bits) {
         return Base64.getEncoder().withoutPadding().encodeToString(bits.toByteArray());
     }
 
-    /** The bits of an unpadded Base64 text; none for null. */
+    /** Decodes bits from unpadded Base64; none for null. */
     static BitSet decode(String text) {
         return text == null ? new BitSet() : BitSet.valueOf(Base64.getDecoder().decode(text));
     }
--- a/src/main/java/io/indigoreach/state/CounterRecord.java
+++ b/src/main/java/io/indigoreach/state/CounterRecord.java
@@ -7,24 +7,24 @@
 import java.util.Map;
 
 /**
- * The counter of tokens, with the data format that the deployment has been raised to. A campaign reads it before it writes
- * anything, so a version of the program that cannot read it cannot lead. The first format has the highest token under another
- * name than the later ones: what knows only the first finds no token (docs/notes/versions.md).
+ * The token counter, which also holds the data format of the deployment. A campaign reads it before it writes anything, so a
+ * version of the program that cannot read it cannot lead. The first format stores the highest token under a different field
+ * name, so a version that supports only the first format finds no token in a later one (docs/notes/versions.md).
  *
  * @param highest the highest token so far
- * @param startBounds whether every leader that had a part in any open job kept to start bounds: what a version before these
- *     writes here says nothing, and then no bound is believed
+ * @param startBounds whether every leader of any open job has maintained start bounds. Versions without start bounds write the
+ *     counter without this field, and then no start bound is reliable.
  * @param format the data format, from {@link #FIRST} to {@link #KNOWN}
  */
 public record CounterRecord(FencingToken highest, boolean startBounds, int format) {
-    /** The format of the versions that know no chained jobs. */
+    /** The format of versions that do not support job dependencies. */
     public static final int FIRST = 1;
-    /** From this format on every node knows chained jobs. */
+    /** The first format in which every node supports job dependencies. */
     public static final int CHAINS = 2;
-    /** The newest format that this version knows. */
+    /** The newest format that this version supports. */
     public static final int KNOWN = CHAINS;
 
-    /** A deployment in which nobody has led. */
+    /** The state of a new deployment that has had no leader yet. */
     static final CounterRecord NONE = new CounterRecord(FencingToken.NONE, true, FIRST);
 
     private static final String FIRST_HIGHEST = "value";
@@ -32,7 +32,7 @@
     private static final String BOUNDS = "bounds";
     private static final String FORMAT = "format";
 
-    /** Throws {@link WireException} if it cannot be read, or is of a format that this version does not know. */
+    /** Throws {@link WireException} if the record is malformed or has a format that this version does not support. */
     public static CounterRecord read(Fields value) {
         boolean bounds = value.flag(BOUNDS, false);
         if (!value.has(FORMAT)) {
@@ -45,12 +45,12 @@
         return new CounterRecord(new FencingToken(value.whole(HIGHEST)), bounds, (int) format);
     }
 
-    /** {@link #NONE} if there is no counter. */
+    /** Reads the counter from an entry; {@link #NONE} if the entry is null. */
     static CounterRecord of(StateClient.Entry entry) {
         return entry == null ? NONE : read(entry.value());
     }
 
-    /** The record as it is written. */
+    /** Encodes the record. */
     public Map<String, Object> write() {
         Map<String, Object> map = MessagePackFormat.map(format == FIRST ? FIRST_HIGHEST : HIGHEST, highest.value());
         if (startBounds) {
@@ -62,12 +62,12 @@
         return map;
     }
 
-    /** The next leadership's, of no lower a format. */
+    /** The counter of the next leadership, with at least the format {@code atLeast}. */
     CounterRecord next(FencingToken token, int atLeast) {
         return new CounterRecord(token, startBounds, Math.max(format, atLeast));
     }
 
-    /** As this leadership confirms that start bounds can be believed. */
+    /** The counter after the leader has confirmed that start bounds are reliable. */
     CounterRecord withStartBounds(FencingToken leader, int atLeast) {
         return new CounterRecord(leader, true, Math.max(format, atLeast));
     }
--- a/src/main/java/io/indigoreach/state/DependencyCodec.java
+++ b/src/main/java/io/indigoreach/state/DependencyCodec.java
@@ -10,20 +10,21 @@
 import java.util.stream.Collectors;
 
 /**
- * A job's chain within its record. It stands among the record's further fields, as a version of the program that does not
- * know it keeps those unchanged when it rewrites the record, and would drop a field of its own.
+ * Encodes and decodes a job's dependencies within its record. They are stored among the record's additional fields: a version of
+ * the program without dependencies keeps additional fields unchanged when it rewrites the record, but drops unknown fields of
+ * the record itself.
  */
 final class DependencyCodec {
     private static final String NEEDS = "needs";
     private static final String RELEASED = "released";
-    /** Every id begins so. Without it a hundred of the usual ids take as many bytes as half that many with it. */
+    /** The prefix of every job id. It is omitted, which halves the size of a hundred typical ids. */
     private static final String PREFIX = "run-";
 
     private static final String SEPARATOR = ",";
 
     private DependencyCodec() {}
 
-    /** The further fields with the chain among them. */
+    /** Adds the dependencies to the additional fields. */
     static Map<String, Object> write(Map<String, Object> more, JobDependencies chain) {
         if (chain.isEmpty()) {
             return more;
@@ -40,6 +41,7 @@
         return all;
     }
 
+    /** Decodes the dependencies from the additional fields. */
     static JobDependencies read(Fields more) {
         if (!more.has(NEEDS)) {
             return JobDependencies.NONE;
@@ -51,7 +53,7 @@
         return new JobDependencies(needs, more.whole(RELEASED, 0));
     }
 
-    /** The further fields without the chain. */
+    /** Removes the dependencies from the additional fields. */
     static Map<String, Object> without(Map<String, Object> all) {
         if (!all.containsKey(NEEDS)) {
             return all;
--- a/src/main/java/io/indigoreach/state/EffectiveLimits.java
+++ b/src/main/java/io/indigoreach/state/EffectiveLimits.java
@@ -6,38 +6,38 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The limits that the state service has shown by refusing a transaction as too large. Settings that announce what comes make this
- * unnecessary; where they don't, a refusal lowers what is written from then on, step by step down to a floor, so that
- * nothing is repeated for ever as it was.
+ * Adapts the limits for transactions to the ones that the state service enforces. When the service rejects a transaction that is
+ * within the configured limits, this class lowers the limits to half the size of that transaction, down to a minimum, so that the
+ * same transaction is not retried unchanged forever. Correctly configured limits make this unnecessary.
  */
 public final class EffectiveLimits {
     private static final Logger LOG = LoggerFactory.getLogger(EffectiveLimits.class);
     private static final int MIN_VALUE_BYTES = 512;
 
-    /** No limit at all. */
+    /** Unlimited. */
     static final StateLimits NONE =
             new StateLimits(Double.MAX_VALUE, Double.MAX_VALUE, Integer.MAX_VALUE, Integer.MAX_VALUE);
 
     private StateLimits observed = NONE;
     private int refusals;
 
-    /** What holds under these settings. */
+    /** The stricter of the configured and the observed limits. */
     public StateLimits within(StateLimits settings) {
         return settings.atMost(observed);
     }
 
-    /** How long a value may become where the settings allow {@code valueBytes}. */
+    /** The maximum size of a record if the settings allow {@code valueBytes}. */
     public int room(int valueBytes) {
         return within(new StateLimits(NONE.requestsPerS(), NONE.writesPerS(), valueBytes, NONE.txnOps()))
                 .maxRecordBytes();
     }
 
-    /** Transactions that were refused as malformed or too large. */
+    /** The number of transactions that were rejected as malformed or too large. */
     public int refusals() {
         return refusals;
     }
 
-    /** The service does not say which limit it was: both are taken to be lower than what was sent. */
+    /** Lowers both limits below the rejected transaction, as the service does not report which limit was exceeded. */
     void transactionRefused(StateClient.Txn txn) {
         refusals++;
         String key = "";
--- a/src/main/java/io/indigoreach/state/ElectionSettings.java
+++ b/src/main/java/io/indigoreach/state/ElectionSettings.java
@@ -5,13 +5,13 @@
 import io.indigoreach.net.SteadyClock;
 
 /**
- * What leader election depends on.
+ * The dependencies and settings of leader election.
  *
  * @param state the node's event loop, on which the election runs
- * @param renewals an event loop for lease renewals alone
+ * @param renewals a separate event loop that only renews leases
  * @param clock this process's clock
  * @param candidate this node
- * @param leaseTime how long the leader's lease lasts without renewal
+ * @param leaseTime the time after which the leader's lease expires unless it is renewed
  * @param tokens generates the fencing token of each leadership
  */
 public record ElectionSettings(
--- a/src/main/java/io/indigoreach/state/EraRecordCodec.java
+++ b/src/main/java/io/indigoreach/state/EraRecordCodec.java
@@ -8,19 +8,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** The record of the era: the epoch of the stored data, which changes when data were lost and rebuilt. */
+/** Encodes and decodes the record of the era: the epoch of the stored data, which changes when lost data are rebuilt. */
 public final class EraRecordCodec {
-    /** The era, by the token of the leadership that wrote it. */
+    /** The value of an era, which is identified by the token of the leadership that wrote it. */
     public static Map<String, Object> writeEra(FencingToken token) {
         return MessagePackFormat.map("token", token.value());
     }
 
-    /** The same after a loss, with the evidence and the number of records rebuilt; {@code atMs} is the time of day. */
+    /** The value of an era after a loss, with the evidence and the number of rebuilt records; {@code atMs} is time of day. */
     public static Map<String, Object> writeEra(FencingToken token, long atMs, List<String> findings, int written) {
         return MessagePackFormat.map("token", token.value(), "at", atMs, "findings", findings, "written", written);
     }
 
-    /** What the loss before this era was, in words for a person; empty if there was none. */
+    /** Describes the loss before this era in lines for an operator; empty if there was none. */
     public static List<String> readLoss(Fields era) {
         List<String> findings = era.optionalTexts("findings");
         List<String> out = new ArrayList<>();
--- a/src/main/java/io/indigoreach/state/FinalRecord.java
+++ b/src/main/java/io/indigoreach/state/FinalRecord.java
@@ -3,5 +3,5 @@
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.JobStatus;
 
-/** A job that is over: done or cancelled, for ever. */
+/** The record of a finished job, which is permanently done or cancelled. */
 public record FinalRecord(JobId id, JobStatus status, int done) {}
--- a/src/main/java/io/indigoreach/state/FormatGate.java
+++ b/src/main/java/io/indigoreach/state/FormatGate.java
@@ -18,24 +18,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether every node of the deployment knows this version's data format. Each node records the format that it knows under a
- * key of its own; when all have, the leader raises the format in the counter of tokens, by which a process of an older version
- * cannot lead any more ({@link CounterRecord}). It is raised once and never lowered by the program. Once this process has seen
- * it raised, nothing is read or written any more (docs/notes/versions.md).
+ * Enables this version's data format once every node of the deployment supports it. Each node records the newest format that it
+ * supports under its own key. When all nodes have done so, the leader raises the format in the token counter, after which a
+ * process of an older version cannot lead ({@link CounterRecord}). The format is raised once and the program never lowers it.
+ * Once this process has seen it raised, the gate makes no further requests (docs/notes/versions.md).
  */
 public final class FormatGate {
     private static final Logger LOG = LoggerFactory.getLogger(FormatGate.class);
-    /** A record for each node, with the newest format that it knows. */
+    /** Key prefix of the nodes' records, each with the newest format that the node supports. */
     static final String NODES = "v/";
 
     private static final String FORMAT = "format";
-    /** Between the looks of a leader at what the nodes have recorded. */
+    /** Interval at which the leader reads the formats that the nodes have recorded. */
     private static final Span RAISE_INTERVAL = Span.seconds(1);
-    /** A node makes sure of its own record this often, as data may be lost. */
+    /** Interval at which a node checks that its own record exists, as it may have been lost. */
     private static final Span CHECK_INTERVAL = Span.seconds(5);
-    /** Those who ask in a row share one reading. */
+    /** Calls of {@link #isOpen} within this time share one read of the counter. */
     private static final Span SHARED_READ_TIME = Span.seconds(0.5);
-    /** Deployments have a handful of nodes; nodes that were removed may have left records. */
+    /** Upper bound of node records to read. Deployments have a few nodes, but removed nodes may have left records. */
     private static final int MAX_NODES = 500;
 
     private final StateClient state;
@@ -48,7 +48,7 @@
     private Moment readAt = Moment.NEVER;
     private Future<Boolean> sharedRead = Future.succeededFuture(false);
 
-    /** {@code all}: the names of all nodes of the deployment, with this one's. */
+    /** {@code all}: the names of all nodes of the deployment, including this one. */
     public FormatGate(
             Vertx vertx,
             StateClient state,
@@ -64,17 +64,20 @@
         this.task = new PeriodicTask(vertx, "data format", RAISE_INTERVAL, this::step);
     }
 
-    /** Records this node's format, and as a leader raises the format, from now on. */
+    /** Starts to record this node's format and, while this node leads, to raise the deployment's format. */
     public void start() {
         task.start();
     }
 
-    /** Stops doing so. */
+    /** Stops the periodic checks. */
     public void stop() {
         task.cancel();
     }
 
-    /** Whether all nodes know chained jobs; false also as long as the state service does not say. Never fails. */
+    /**
+     * Whether the newest data format is in force, so that all nodes support job dependencies. False also while the state service
+     * does not respond. Never fails.
+     */
     public Future<Boolean> isOpen() {
         if (election.raisedFormat().isNewest()) {
             return Future.succeededFuture(true);
@@ -107,7 +110,7 @@
                 .map(RAISE_INTERVAL);
     }
 
-    /** Learns whether the format is raised; if not, sees to it that this node's record says what this version knows. */
+    /** Reads whether the format is raised; if not, makes sure that this node's record has the format of this version. */
     private Future<Void> check() {
         return readCounter()
                 .onFailure(this::reportIfUnreadable)
@@ -137,7 +140,7 @@
         });
     }
 
-    /** What a node of this version records. */
+    /** The value of the record of a node of this version. */
     static Map<String, Object> write() {
         return MessagePackFormat.map(FORMAT, (long) CounterRecord.KNOWN);
     }
@@ -158,8 +161,9 @@
     }
 
     /**
-     * Conditional on the leader's key, so that no leader of an older version is in office when it is done, and on the counter's
-     * version, so that it is done once, and a campaign that read the counter before it fails.
+     * Raises the format in the counter. The write is conditional on the leadership key, so that no process of an older version
+     * leads when it is executed, and on the counter's revision, so that it is executed once and any campaign that read the
+     * counter earlier fails.
      */
     private Future<Void> raise(Revision key) {
         return readCounter().compose(entry -> {
--- a/src/main/java/io/indigoreach/state/GivenPledges.java
+++ b/src/main/java/io/indigoreach/state/GivenPledges.java
@@ -8,11 +8,11 @@
 
 /**
  * The pledges that this node has given: promises to a leader not to campaign for {@link #PLEDGE_TIME}. Pledges are kept in
- * memory only, so a process that has just started reckons with one that its predecessor may have given. Bound to the node's
- * event loop.
+ * memory only, so a new process assumes that the previous process of this node may have given one. Bound to the node's event
+ * loop.
  */
 final class GivenPledges {
-    /** For how long a pledge binds: some pledge requests, and no longer than a process takes to start. */
+    /** How long a pledge is in force: several pledge request intervals, but no longer than a process takes to start. */
     static final Span PLEDGE_TIME = Span.seconds(2);
 
     private final SteadyClock clock;
@@ -27,24 +27,24 @@
         this.predecessorMayHavePledged = hasPeers;
     }
 
-    /** {@code whetherNobodyLeads}: asks all peers; true if all have answered that they do not lead. */
+    /** {@code whetherNobodyLeads}: queries all peers; true if every peer has replied that it does not lead. */
     void askPeersBy(Supplier<Future<Boolean>> whetherNobodyLeads) {
         askWhetherNobodyLeads = whetherNobodyLeads;
     }
 
-    /** Promises not to campaign for {@link #PLEDGE_TIME} from now on. */
+    /** Gives a pledge that is in force for {@link #PLEDGE_TIME} from now on. */
     void give() {
         bindsUntil = clock.now().plus(PLEDGE_TIME);
     }
 
-    /** Whether a pledge of this process still binds. */
+    /** Whether a pledge that this process gave is still in force. */
     boolean isBound() {
         return clock.now().isBefore(bindsUntil);
     }
 
     /**
-     * Whether a pledge of the process before this one may still bind, unless the deployment is new. It does not once its time
-     * is over, nor if nobody leads to whom it was given: whoever leads from now on asks this process.
+     * Whether a pledge of the previous process of this node may still be in force, unless the deployment is new. It is not once
+     * its time has passed, nor if no peer leads: a later leader requests its pledges from this process.
      */
     Future<Boolean> mayBindPredecessor() {
         predecessorMayHavePledged &= clock.now().isBefore(startedAt.plus(PLEDGE_TIME));
--- a/src/main/java/io/indigoreach/state/IntentRecordCodec.java
+++ b/src/main/java/io/indigoreach/state/IntentRecordCodec.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** A leader's requests to the cloud in progress. */
+/** Encodes and decodes a leader's requests to the cloud that are in progress. */
 public final class IntentRecordCodec {
-    /** Requests to rent and machines to be returned; lists, as there may be a hundred. */
+    /** The value of a record: rent requests and machines to return, as lists because there may be a hundred of them. */
     public static Map<String, Object> writeIntents(Intents.Page page) {
         List<Object> rents = new ArrayList<>();
         page.rents().forEach(rent -> rents.add(line(rent)));
@@ -33,17 +33,17 @@
                 rent.askedMs());
     }
 
-    /** What a request to rent takes of its record, with the comma after it. */
+    /** The bytes that a rent request takes in its record, including the comma after it. */
     public static int bytes(Intents.Rent rent) {
         return JsonSize.of(line(rent)) + 1;
     }
 
-    /** What a machine to be returned takes of its record, with the comma after it. */
+    /** The bytes that a machine to return takes in its record, including the comma after it. */
     public static int bytes(MachineId condemned) {
         return JsonSize.of(condemned.text()) + 1;
     }
 
-    /** The requests of a record. */
+    /** Decodes the requests of a record. */
     public static Intents.Page readIntents(Fields page) {
         List<Intents.Rent> rents = new ArrayList<>();
         for (List<?> line : page.lists("rents")) {
--- a/src/main/java/io/indigoreach/state/JobRecord.java
+++ b/src/main/java/io/indigoreach/state/JobRecord.java
@@ -7,12 +7,13 @@
 import java.util.BitSet;
 
 /**
- * An open job as the state service keeps it.
+ * An open job as stored in the state service.
  *
- * @param done which tasks are done; for large jobs these bits are kept beside the record
- * @param doneCount how many are done, the bits beside the record included
- * @param running how many ran when it was last written, for display
- * @param bound the start bound: no task from this one on was ever ordered; all of them may have been where none is kept
+ * @param done the completed tasks; for large jobs these bits are stored in completion blocks instead
+ * @param doneCount the number of completed tasks, including those in completion blocks
+ * @param running the number of tasks that ran when the record was last written, for display
+ * @param bound the start bound: this task and all later ones have never been started. A record without a start bound reads as
+ *     the number of tasks, as any of them may have been started.
  */
 public record JobRecord(
         JobSpec spec,
--- a/src/main/java/io/indigoreach/state/JobRecordCodec.java
+++ b/src/main/java/io/indigoreach/state/JobRecordCodec.java
@@ -16,14 +16,14 @@
 import java.util.BitSet;
 import java.util.Map;
 
-/** The records of jobs: open ones, and those that are over. */
+/** Encodes and decodes the records of open and finished jobs. */
 public final class JobRecordCodec {
     /**
      * The value of an open job's record.
      *
-     * @param done which tasks are completed; written into the record for small jobs only
-     * @param running how many tasks run now, for display
-     * @param bound the start bound: no task from this one on was ever started
+     * @param done the completed tasks; written into the record for small jobs only
+     * @param running the number of tasks that run now, for display
+     * @param bound the start bound: this task and all later ones have never been started
      */
     public static Map<String, Object> writeJob(
             JobSpec spec, long submittedMs, JobStatus status, BitSet done, int running, int bound) {
@@ -63,7 +63,7 @@
                 spec.estimate().ms());
     }
 
-    /** Fields that are written only where they differ from the default, in this order. */
+    /** Adds the fields that differ from their default, in this order. */
     private static void putOptional(Map<String, Object> map, JobSpec spec, BitSet done) {
         putIf(map, "types", spec.types(), spec.types() != null);
         putIf(map, "zone", spec.zone(), spec.zone() != null);
@@ -95,12 +95,12 @@
         }
     }
 
-    /** Throws {@link WireException} if it cannot be read. */
+    /** Decodes an open job's record; throws {@link WireException} if it is malformed. */
     public static JobRecord readJob(JobId id, Fields fields, Revision revision) {
         return RecordReader.read(() -> job(id, fields, revision));
     }
 
-    /** What a record that cannot be read as a whole still says; null where it does not. */
+    /** Decodes the fields that are readable in a malformed record; the others are null. */
     public static RecordRepair.ReadableFields readRest(Fields fields) {
         return new RecordRepair.ReadableFields(
                 RecordReader.orNull(() -> JobStatus.valueOf(fields.text("status"))),
@@ -150,12 +150,12 @@
                 fields.has("more") ? DependencyCodec.read(fields.child("more")) : JobDependencies.NONE);
     }
 
-    /** The value of the record of a job that is over. */
+    /** The value of a finished job's record. */
     public static Map<String, Object> writeFinal(JobStatus status, int done) {
         return MessagePackFormat.map("status", status.name(), "done", done);
     }
 
-    /** Throws {@link WireException} if it cannot be read. */
+    /** Decodes a finished job's record; throws {@link WireException} if it is malformed. */
     public static FinalRecord readFinal(JobId id, Fields fields) {
         return RecordReader.read(
                 () -> new FinalRecord(id, JobStatus.valueOf(fields.text("status")), (int) fields.whole("done", 0)));
--- a/src/main/java/io/indigoreach/state/JobRepairer.java
+++ b/src/main/java/io/indigoreach/state/JobRepairer.java
@@ -15,9 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes a job's record that cannot be read anew, from what the controllers remember of the job and what its user submits again
- * ({@link RecordRepair}). Any node may: each write is conditional on the version that cannot be read, so of two only one is done, and
- * nothing newer is overwritten.
+ * Rewrites a job's unreadable record from the state that the controllers remember and from a repeated submission by its user
+ * ({@link RecordRepair}). Any node may repair a record: each write is conditional on the revision of the unreadable record, so
+ * only one of two concurrent repairs is executed and no newer record is overwritten.
  */
 public final class JobRepairer {
     private static final Logger LOG = LoggerFactory.getLogger(JobRepairer.class);
@@ -27,28 +27,29 @@
     private final StateLimits limits;
     private Function<JobId, Future<RememberedState>> recall = id -> Future.succeededFuture(new RememberedState());
 
-    /** Without limits from the settings. */
+    /** Creates a repairer without configured limits. */
     public JobRepairer(StateClient state, SteadyClock clock) {
         this(state, clock, EffectiveLimits.NONE);
     }
 
-    /** {@code limits}: those of the settings. */
+    /** {@code limits}: the configured limits of the state service. */
     public JobRepairer(StateClient state, SteadyClock clock, StateLimits limits) {
         this.state = state;
         this.clock = clock;
         this.limits = limits;
     }
 
-    /** How to ask what the controllers remember of a job. */
+    /** Sets the query for the state of a job that the controllers remember. */
     public void recallFrom(Function<JobId, Future<RememberedState>> controllers) {
         recall = controllers;
     }
 
     /**
-     * Repairs an open job's record, or moves the job to those that are over. Succeeds also if somebody else has changed it: it is
-     * to be read again in any case. Fails if nobody knows the job.
+     * Repairs an open job's record, or moves the job to the finished ones. Succeeds also if the record has been changed
+     * concurrently; the caller reads it again in any case. Fails if no controller remembers the job and no user has resubmitted
+     * it.
      *
-     * @param offered the job as its user submits it again, or null
+     * @param offered the job that its user has resubmitted, or null
      */
     public Future<Void> repairOpen(JobId id, StateClient.Entry unreadable, JobSpec offered) {
         return recall.apply(id).compose(remembered -> {
@@ -61,9 +62,8 @@
                     .values()
                     .forEach(end -> txn.delete(unreadable.key())
                             .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(end.status(), end.done())));
-            // Blocks of bits that stand beside the record are left as they are: what they say is done stays so. What
-            // has no
-            // place in the record either is run again and ends at once.
+            // Keeps the completion blocks, as their bits remain valid. Tasks whose completion is recorded neither there
+            // nor in the record run again and end at once.
             CompletionBits bits = new CompletionBits(state.limits().within(limits));
             known.open()
                     .forEach(job -> txn.put(
@@ -74,7 +74,7 @@
         });
     }
 
-    /** Repairs the record of a job that is over; as {@link #repairOpen}. */
+    /** Repairs the record of a finished job, under the same conditions as {@link #repairOpen}. */
     public Future<Void> repairFinal(JobId id, StateClient.Entry unreadable, JobSpec offered) {
         return recall.apply(id).compose(remembered -> {
             RememberedState.FinishedJob end =
@@ -89,7 +89,7 @@
     private Future<Void> writeRepair(StateClient.Txn txn, String key) {
         if (txn.size() == 0) {
             return Future.failedFuture(
-                    new WireException("the record " + key + " cannot be read, and nobody remembers the job"));
+                    new WireException("the record " + key + " cannot be read, and no controller remembers the job"));
         }
         return state.commit(txn).map(outcome -> {
             if (outcome.done()) {
--- a/src/main/java/io/indigoreach/state/LeaderElection.java
+++ b/src/main/java/io/indigoreach/state/LeaderElection.java
@@ -14,44 +14,44 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes and keeps leadership: a key attached to a lease. {@link Campaign} gains the key, {@link LeaseRenewer} renews the lease,
- * {@link LeadershipValidity} says until when this node may act as the leader, {@link GivenPledges} when it may not campaign, and
- * {@link OwnTokens} whether another has led since.
+ * Leader election. The leader holds a key that is attached to a lease. {@link Campaign} gains the key, {@link LeaseRenewer}
+ * renews the lease, {@link LeadershipValidity} determines until when this node may act as the leader, {@link GivenPledges} when
+ * it must not campaign, and {@link OwnTokens} whether another node has led since.
  *
- * <p>A key that is removed without its lease having ended, as by a loss of data, lets another node in too soon. So the
- * leader watches its own key; and where the counter shows a loss, a node that did not lead waits for a whole lease, while
- * the one that led may take the key again at once, as long as its lease's time would have lasted.
+ * <p>If a loss of data removes the key before its lease has expired, another node could gain leadership too early. Therefore the
+ * leader watches its own key. If the token counter shows a loss, a node that was not the leader waits for a full lease time,
+ * while the former leader may campaign at once until its lease would have expired.
  *
- * <p>Bound to the node's event loop: every method is called on it.
+ * <p>Bound to the node's event loop: callers call every method on it.
  */
 public final class LeaderElection {
-    /** Notified of changes, on the event loop. */
+    /** Receives changes of this node's leadership, on the event loop. */
     public interface Listener {
         /**
-         * This node leads from now on.
+         * Called when this node has gained leadership.
          *
          * @param token the fencing token of this leadership
          * @param key the revision of the leadership key, on which every write depends
-         * @param bounds whether the start bounds in the records can be believed
+         * @param bounds whether the start bounds in the job records are reliable
          */
         void leadershipGained(FencingToken token, Revision key, boolean bounds);
 
-        /** This node does not lead any more, for the reason that is logged. */
+        /** Called when this node has lost leadership; {@code reason} is the one in the log. */
         void leadershipLost(String reason);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
     private static final Span RETRY = Span.seconds(0.5);
     private static final Span RETRY_AFTER_REJECTION = Span.seconds(0.2);
-    /** What the other nodes are given to take a key that was let go. */
+    /** How long this node waits after it has removed its predecessor's key, so that other nodes can campaign first. */
     private static final Span CANDIDATE_DELAY = Span.seconds(0.6);
 
     private static final Span PLEDGE_PERIOD = Span.seconds(0.5);
-    /** The longest that a leader's watch of its own key stays open. */
+    /** The maximum duration of one watch request of the leader on its own key. */
     private static final Span OWN_KEY_WATCH = Span.seconds(2);
-    /** The longest that a follower's watch of the key stays open. */
+    /** The maximum duration of one watch request of a follower on the leadership key. */
     private static final Span FOLLOWER_WATCH = Span.seconds(10);
-    /** No revision to watch from: the key is to be read first. */
+    /** No revision to watch from: the next step reads the key first. */
     private static final long NOT_WATCHED = -1;
 
     private final StateClient state;
@@ -78,7 +78,7 @@
     private Moment standAsideUntil = Moment.NEVER;
     private boolean succeedsItself;
 
-    /** Does nothing before {@link #start}. */
+    /** Creates the election; it does nothing before {@link #start}. */
     public LeaderElection(ElectionSettings settings, Listener listener) {
         this.settings = settings;
         this.state = settings.state().client();
@@ -101,25 +101,28 @@
         pledgeTask.start();
     }
 
-    /** Takes part no more; a lease that is held runs out by itself. */
+    /** Stops taking part in elections; a held lease is not revoked and expires on its own. */
     public void stop() {
         electionTask.cancel();
         pledgeTask.cancel();
         renewer.close();
     }
 
-    /** How to ask all peers: for a pledge, and whether it does not lead; true if all have answered so. */
+    /**
+     * Sets the queries to all peers. {@code forPledges} requests a pledge from each; {@code whetherNobodyLeads} queries whether
+     * each of them does not lead. Both return true only if every peer has confirmed.
+     */
     public void askPeersBy(Supplier<Future<Boolean>> forPledges, Supplier<Future<Boolean>> whetherNobodyLeads) {
         askForPledges = forPledges;
         givenPledges.askPeersBy(whetherNobodyLeads);
     }
 
-    /** Whether this node may act as the leader at this very moment. */
+    /** Whether this node may act as the leader now. */
     public boolean isValid() {
         return leading && validity.holds();
     }
 
-    /** Promises a leader not to campaign for {@link GivenPledges#PLEDGE_TIME}; false if this node leads or may be about to. */
+    /** Pledges not to campaign for {@link GivenPledges#PLEDGE_TIME}; false if this node leads or has a campaign in progress. */
     public boolean pledge() {
         if (leading || campaigning) {
             return false;
@@ -128,7 +131,7 @@
         return true;
     }
 
-    /** Whether this node has the leadership key, as far as it knows. */
+    /** Whether this node holds the leadership key as far as it knows, even if its lease may have expired. */
     public boolean isLeading() {
         return leading;
     }
@@ -138,29 +141,29 @@
         return raisedFormat;
     }
 
-    /** The node that leads as far as is known, or null. */
+    /** The node named by the last leadership key that this node has seen; null if there is none. */
     public String leader() {
         return current == null ? null : current.node();
     }
 
-    /** No other leadership is known between the one that this node has and the last one that it had. */
+    /** Whether no other node is known to have led between this node's current leadership and its previous one. */
     public boolean succeedsItself() {
         return succeedsItself;
     }
 
-    /** A worker has shown a token: what comes after must be above it. */
+    /** Records a token that a worker has reported; later tokens are higher. */
     public void tokenSeen(FencingToken token) {
         settings.tokens().seen(token);
     }
 
-    /** A compare-and-swap failed on the leadership key: another node has taken over. */
+    /** Ends this node's leadership after a compare-and-swap has failed on the leadership key. */
     public void deposed() {
         if (leading) {
             loseLeadership("transaction-refused");
         }
     }
 
-    /** Gives leadership up, so that another node can take it at once. */
+    /** Gives up leadership and revokes the lease, so that another node can gain leadership at once. */
     public Future<Void> abdicate(String reason) {
         if (!leading) {
             return Future.succeededFuture();
@@ -172,8 +175,8 @@
     }
 
     /**
-     * Gives leadership up for a node that cannot reach the state service itself: the revision of its key, which another
-     * node may now {@link #removeKey}; null if this node does not lead.
+     * Gives up leadership when this node cannot reach the state service. Returns the revision of its key, which another node may
+     * now pass to {@link #removeKey}, or null if this node does not lead.
      */
     public Revision stepAside(String reason) {
         if (!leading) {
@@ -184,7 +187,7 @@
         return key;
     }
 
-    /** Records for later leaders that start bounds can be believed again; whether the counter says so now. */
+    /** Records in the counter that start bounds are reliable again; returns whether the write was committed. */
     public Future<Boolean> confirmStartBounds() {
         if (!leading) {
             return Future.succeededFuture(false);
@@ -197,7 +200,8 @@
 
     private StateClient.Txn startBoundsConfirmation(LeaderKey key, StateClient.Entry counterEntry) {
         CounterRecord confirmed = CounterRecord.of(counterEntry).withStartBounds(key.token(), raisedFormat.highest());
-        // The counter's revision too: carried out late, after the data format was raised, it would lower it.
+        // Also conditional on the counter's revision: a delayed execution after the data format was raised would
+        // lower the format.
         return new StateClient.Txn()
                 .when(RecordKeys.LEADER, key.revision())
                 .when(RecordKeys.COUNTER, StateClient.revisionOf(counterEntry))
@@ -205,8 +209,8 @@
     }
 
     /**
-     * Removes the key of a leader that has given up and cannot remove it itself. A request that comes late does no harm:
-     * the key of a later leadership has another revision.
+     * Removes the key of a leader that has resigned and cannot remove it itself. A late request does not affect a later
+     * leadership, whose key has another revision.
      */
     public Future<Void> removeKey(Revision key) {
         return state.commit(new StateClient.Txn().when(RecordKeys.LEADER, key).delete(RecordKeys.LEADER))
@@ -214,10 +218,12 @@
     }
 
     /**
-     * Removes the key of a predecessor of this process, before anything else is done: a node that is warmed up can then
-     * lead at once. Done later, it competes for the processor with hundreds of workers looking for a leader. True if nobody
-     * leads in a deployment where somebody has led, as far as {@code leads} shows, which is asked about the node that the key
-     * names: a leader that ended lately may have left its key. Never fails.
+     * Removes the key that the previous process of this node has left, as the first step of the start, so that a peer that is
+     * already warmed up can lead at once. Later, the request would compete for the CPU with hundreds of workers that are looking
+     * for a leader.
+     *
+     * <p>Returns whether the deployment had a leader before and has none now. {@code leads} queries whether the node named in the
+     * key still leads, as a process that has ended may have left its key. Never fails.
      */
     public Future<Boolean> clearPredecessor(Function<String, Future<Boolean>> leads) {
         return Future.all(state.get(RecordKeys.LEADER), state.get(RecordKeys.COUNTER))
@@ -240,7 +246,7 @@
                 : leads.apply(current.node()).map(stillLeads -> !stillLeads);
     }
 
-    /** The revision of the key by which somebody leads as far as is known; {@link Revision#ABSENT} if nobody does. */
+    /** The revision of the last leadership key that this node has seen; {@link Revision#ABSENT} if there is none. */
     public Revision leadershipRevision() {
         return current == null ? Revision.ABSENT : current.revision();
     }
@@ -258,8 +264,8 @@
 
     private Future<Span> followOrCampaign(StateClient.Entry entry) {
         observeKey(entry);
-        // A key of this very node is that of a predecessor, which has ended, or comes from an attempt of this
-        // process whose answer was lost: nobody acts under it, so its lease need not be waited for.
+        // A key of this node was written by its previous process, which has ended, or by a campaign of this
+        // process whose response was lost. No process acts under it, so this node need not wait for its lease.
         if (current != null && isOwn(current) && !predecessorKeyRemoved && candidate.hasPeers()) {
             return removePredecessorKey();
         }
@@ -270,7 +276,7 @@
         return Future.succeededFuture(Span.ZERO);
     }
 
-    /** Waits for a change of the key by which another node leads. */
+    /** Waits for a change of another node's leadership key. */
     private Future<Span> watchLeader() {
         return state.watch(RecordKeys.LEADER, watchedRevision, FOLLOWER_WATCH)
                 .onFailure(failure -> watchedRevision = NOT_WATCHED)
@@ -289,7 +295,7 @@
         }
     }
 
-    /** Watches the key that this node leads by: once it is gone or another's, what was read under it does not hold. */
+    /** Watches this node's leadership key; if the key is deleted or replaced, this node has lost leadership. */
     private Future<Span> watchOwnKey() {
         Revision own = current.revision();
         return state.watch(RecordKeys.LEADER, own.value(), OWN_KEY_WATCH).map(changes -> {
@@ -304,8 +310,8 @@
     }
 
     /**
-     * This process has just started and its predecessor led. A node that has been up all along leads sooner and better
-     * than one that is still warming up, so the key is removed, and taken only if nobody else does.
+     * Removes the key of this node's previous process. A peer that has been running can take over sooner than a node that is
+     * still warming up, so this node campaigns only after {@link #CANDIDATE_DELAY}.
      */
     private Future<Span> removePredecessorKey() {
         predecessorKeyRemoved = true;
@@ -354,7 +360,7 @@
         listener.leadershipGained(token, won.key().revision(), won.startBounds());
     }
 
-    /** While renewals stay without an answer, the peers are asked to bridge what is probably an outage. */
+    /** Requests pledges from all peers while lease renewals are overdue, to bridge a probable outage of the state service. */
     private Future<Span> collectPledges() {
         renewer.eventLoopTurned();
         Moment askedAt = clock.now();
@@ -363,7 +369,7 @@
         }
         Revision key = current.revision();
         return askForPledges.get().map(allPledged -> {
-            // Never after a gap: another may have led in it, and ended.
+            // Not after a gap in validity: another node may have led and ended during the gap.
             if (allPledged && isValid() && current.revision().equals(key)) {
                 validity.extendByPledges(askedAt);
             }
--- a/src/main/java/io/indigoreach/state/LeaderKey.java
+++ b/src/main/java/io/indigoreach/state/LeaderKey.java
@@ -6,7 +6,7 @@
 import io.indigoreach.net.MessagePackFormat;
 import java.util.Map;
 
-/** The leadership key: which node leads, which of its processes, and under which token. */
+/** The leadership key: the node that leads, its process, its fencing token, and the revision of the key. */
 public record LeaderKey(String node, String process, FencingToken token, Revision revision) {
     /** Throws {@link io.indigoreach.net.WireException} if the key cannot be read. */
     public static LeaderKey read(Fields value, Revision revision) {
--- a/src/main/java/io/indigoreach/state/LeadershipValidity.java
+++ b/src/main/java/io/indigoreach/state/LeadershipValidity.java
@@ -5,17 +5,17 @@
 import io.indigoreach.net.SteadyClock;
 
 /**
- * Until when a leader may act. Its lease counts from when the last answered renewal was sent, less clock drift, so that the
- * leader stops before the state service can let another one in. While the state service answers nobody, the pledges of all
- * peers extend this time. Bound to the node's event loop.
+ * Determines until when a leader may act. Its lease time counts from the sending of the last renewal that succeeded, less clock
+ * drift, so the leader stops before the state service can expire the lease and let another node lead. During an outage of the
+ * state service, pledges of all peers extend this time. Bound to the node's event loop.
  */
 final class LeadershipValidity {
-    /** Renewals that have not been answered for so long are reason to ask the peers for pledges. */
+    /** Time without a successful renewal after which the leader requests pledges from its peers. */
     private static final Span RENEWAL_OVERDUE = Span.seconds(1.5);
-    /** A lease or pledge is used for its time less this margin and less {@link #DRIFT_DIVISOR}. */
+    /** Safety margin that is subtracted from the time of a lease or pledge, in addition to clock drift. */
     private static final long MARGIN_MS = 200;
 
-    /** Clocks of two machines differ by no more than this part of a time. */
+    /** The clocks of two machines drift apart by at most one part in this many of the elapsed time. */
     private static final long DRIFT_DIVISOR = 1000;
 
     private final SteadyClock clock;
@@ -29,28 +29,28 @@
         this.leaseTime = leaseTime;
     }
 
-    /** Whether the lease or the peers' pledges allow a leader to act at this moment. */
+    /** Whether the lease or the peers' pledges allow the leader to act now. */
     boolean holds() {
         Moment now = clock.now();
         return now.isBefore(leaseValidUntil()) || now.isBefore(pledgedUntil);
     }
 
-    /** Until when the lease alone allows it. */
+    /** The time until which the lease alone allows the leader to act. */
     Moment leaseValidUntil() {
         return renewer.renewedAt().plus(usable(leaseTime));
     }
 
-    /** Whether renewals have gone unanswered for so long at {@code now} that the peers should be asked for pledges. */
+    /** Whether at {@code now} no renewal has succeeded for so long that the leader should request pledges. */
     boolean isRenewalOverdue(Moment now) {
         return now.since(renewer.renewedAt()).compareTo(RENEWAL_OVERDUE) >= 0;
     }
 
-    /** All peers have given the pledges for which they were asked at {@code askedAt}. */
+    /** Extends the validity after all peers have given the pledges that were requested at {@code askedAt}. */
     void extendByPledges(Moment askedAt) {
         pledgedUntil = askedAt.plus(usable(GivenPledges.PLEDGE_TIME));
     }
 
-    /** Pledges received so far count no more, as leadership was gained or lost. */
+    /** Discards the pledges received so far, because leadership was gained or lost. */
     void forgetPledges() {
         pledgedUntil = Moment.NEVER;
     }
--- a/src/main/java/io/indigoreach/state/LeaseRenewer.java
+++ b/src/main/java/io/indigoreach/state/LeaseRenewer.java
@@ -8,24 +8,24 @@
 import io.vertx.core.Vertx;
 
 /**
- * Renews the leader's lease on an event loop and a connection of its own. On the node's loop a renewal waits its turn: a
- * node that had never led took the leadership, was handed 450 machines at once, did not come to renew for 4.5 s, and the
- * leadership passed to another cold node with the same herd. The loop of the node must turn all the same: one that hangs
- * loses its lease.
+ * Renews the leader's lease on a separate event loop and connection. On the node's event loop, renewals queue behind other work:
+ * a newly started node gained leadership, received reports of 450 machines at once and did not renew for 4.5 s, so that the
+ * leadership passed to another newly started node under the same load. Renewals still stop when the node's event loop hangs, so
+ * that a hanging node loses its lease.
  */
 final class LeaseRenewer {
-    /** The node's loop has not turned for so long that another node had better lead. */
+    /** Time without a turn of the node's event loop after which renewals stop, so that another node can lead. */
     private static final Span HUNG = Span.seconds(10);
 
     private static final Span IDLE = Span.seconds(0.25);
 
     /**
-     * The lease that is kept, and when its last answered renewal was sent. Each lease has its own: an answer that comes
-     * after this lease was let go and another was taken says nothing about the new one.
+     * A held lease and the time at which its last successful renewal was sent. Each lease has its own instance, so a late response
+     * for an earlier lease does not change the state of the next one.
      */
     private static final class Held {
         final long lease;
-        /** Run on the node's event loop when the service reports that the lease has ended. */
+        /** Runs on the node's event loop when the state service reports that the lease has expired. */
         final Runnable ended;
 
         volatile Moment renewed;
@@ -47,13 +47,13 @@
     private volatile Held held;
     private volatile Moment lastTurn;
 
-    /** {@code nodeVertx} runs the node's event loop; renewals run on that of {@code renewals}. */
+    /** {@code nodeVertx} runs the node's event loop; renewals run on the event loop of {@code renewals}. */
     LeaseRenewer(Vertx nodeVertx, StateAccess renewals, SteadyClock clock, Span leaseTime) {
         this.nodeVertx = nodeVertx;
         this.renewalVertx = renewals.vertx();
         this.state = renewals.client();
         this.clock = clock;
-        // Often: how long an outage is bridged counts from the last renewal before it.
+        // Short, because the time that a lease bridges an outage counts from the last renewal before the outage.
         this.interval = Span.seconds(Math.min(1, leaseTime.seconds() * 0.2));
         this.timeout = leaseTime.times(0.3);
         this.lastTurn = clock.now();
@@ -70,13 +70,13 @@
         held = null;
     }
 
-    /** When the last renewal that was answered was sent. */
+    /** The time at which the last successful renewal was sent. */
     Moment renewedAt() {
         Held now = held;
         return now == null ? Moment.NEVER : now.renewed;
     }
 
-    /** The node's loop turns. */
+    /** Records that the node's event loop is running. */
     void eventLoopTurned() {
         lastTurn = clock.now();
     }
@@ -96,7 +96,7 @@
             if (alive) {
                 mine.renewed = sent;
             } else {
-                // Asked again there: the lease may have been let go meanwhile, and the leadership taken anew.
+                // Compared on the node's event loop: meanwhile it may have released this lease and gained another.
                 nodeVertx.runOnContext(v -> {
                     if (held == mine) {
                         mine.ended.run();
--- a/src/main/java/io/indigoreach/state/MachineRecord.java
+++ b/src/main/java/io/indigoreach/state/MachineRecord.java
@@ -3,5 +3,10 @@
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.MachinePool;
 
-/** A machine that may hold tasks: when it was asked for, and a moment at which it surely existed, by the time of day. */
+/**
+ * A rented machine that may run tasks.
+ *
+ * @param rentedMs when the machine was requested, as time of day in ms
+ * @param existedMs a time at which the machine is known to have existed, as time of day in ms; 0 if there is none
+ */
 public record MachineRecord(MachineId id, MachinePool pool, long rentedMs, long existedMs) {}
--- a/src/main/java/io/indigoreach/state/MachineRecordCodec.java
+++ b/src/main/java/io/indigoreach/state/MachineRecordCodec.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Pages of rented machines. */
+/** Encodes and decodes pages of rented machines. */
 public final class MachineRecordCodec {
-    /** A page of machines; each is a list, as hundreds of them are written. */
+    /** The value of a page; each machine is a list without field names, because a page holds hundreds of them. */
     public static Map<String, Object> writeMachines(Collection<MachineRecord> machines) {
         List<Object> lines = new ArrayList<>(machines.size());
         for (MachineRecord machine : machines) {
@@ -31,7 +31,7 @@
                 machine.existedMs());
     }
 
-    /** The machines of a page; throws {@link io.indigoreach.net.WireException} if it cannot be read. */
+    /** Decodes the machines of a page; throws {@link io.indigoreach.net.WireException} if it is malformed. */
     public static List<MachineRecord> readMachines(Fields page) {
         return RecordReader.read(() -> machines(page));
     }
@@ -48,7 +48,7 @@
         return out;
     }
 
-    /** What a machine takes of its page's value, with the comma after it. */
+    /** The bytes that a machine takes in its page, including the comma after it. */
     public static int bytes(MachineRecord machine) {
         return JsonSize.of(line(machine)) + 1;
     }
--- a/src/main/java/io/indigoreach/state/OwnTokens.java
+++ b/src/main/java/io/indigoreach/state/OwnTokens.java
@@ -9,8 +9,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The fencing tokens under which this process has led, compared with the counter in the state service: whether another
- * leadership came between, and how long to wait where the counter has lost data. Bound to the node's event loop.
+ * Tracks the fencing tokens under which this process has led and compares them with the token counter in the state service. It
+ * tells whether another node has led in between, and how long to wait when the counter has lost data. Bound to the node's event
+ * loop.
  */
 final class OwnTokens {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
@@ -18,11 +19,14 @@
     private final SteadyClock clock;
     private final Span leaseTime;
     private final TokenGenerator tokens;
-    /** Until then nobody else may have led, as far as the time of this node's own last lease tells. */
+    /** The end of this node's last lease: until then no other node can have gained leadership. */
     private Moment ledUntil = Moment.NEVER;
 
     private FencingToken last = FencingToken.NONE;
-    /** A campaign without an answer, before which nobody else had led since {@link #last}; null if there was none. */
+    /**
+     * The token of a campaign without a response, if no other node had led between {@link #last} and that campaign; null if
+     * there is none.
+     */
     private FencingToken unanswered;
 
     private Moment regressionSeenAt = Moment.NEVER;
@@ -33,20 +37,20 @@
         this.tokens = tokens;
     }
 
-    /** The counter was read: if it shows the token of the unanswered campaign, that one did succeed. */
+    /** Records a read of the counter. If it holds the token of the unanswered campaign, that campaign did succeed. */
     void counterRead(FencingToken counted) {
         if (counted.equals(unanswered)) {
-            // That campaign did take the key, and nobody has led since: no leadership of another's comes between.
+            // That campaign gained the key and no other node has led since.
             last = unanswered;
         }
     }
 
-    /** Whether the highest token in use before a campaign was this process's own: nobody else has led since. */
+    /** Whether the highest token before a campaign was this process's own, so that no other node has led since. */
     boolean isLast(FencingToken highestBefore) {
         return highestBefore.equals(last);
     }
 
-    /** A campaign got no answer, so that {@code token} may or may not have been taken. */
+    /** Records a campaign without a response, which may or may not have used {@code token}. */
     void campaignUnanswered(FencingToken token, FencingToken highestBefore) {
         if (isLast(highestBefore)) {
             unanswered = token;
@@ -59,14 +63,15 @@
         regressionSeenAt = Moment.NEVER;
     }
 
-    /** {@code validUntil}: until when the lease would have allowed this node to lead. */
+    /** {@code validUntil}: the time at which this node's lease would have expired. */
     void lost(Moment validUntil) {
         ledUntil = validUntil;
     }
 
     /**
-     * The counter is below a token that was in use: data were lost. Whoever led may not have noticed and go on until its
-     * lease's time is over, unless it was this node.
+     * Whether this node may campaign although the counter is below a token that was in use, which means that data were lost. The
+     * former leader may not have noticed the loss and may act until its lease expires, so this node waits for that time unless
+     * it was the leader itself.
      */
     boolean mayCampaignAfterRegression() {
         Moment now = clock.now();
@@ -78,7 +83,7 @@
         return wasLeader || now.since(regressionSeenAt).compareTo(leaseTime.withDrift()) >= 0;
     }
 
-    /** The regression was a stale read: nothing is lost. */
+    /** Records that the regression was a stale read and no data were lost. */
     void regressionRefuted() {
         regressionSeenAt = Moment.NEVER;
     }
--- a/src/main/java/io/indigoreach/state/RaisedFormat.java
+++ b/src/main/java/io/indigoreach/state/RaisedFormat.java
@@ -1,6 +1,6 @@
 package io.indigoreach.state;
 
-/** The data format to which this process has seen the deployment raised. It never falls, whatever the state service loses. */
+/** The highest data format that this process has seen in the token counter. It never decreases, even if the counter is lost. */
 final class RaisedFormat {
     private int highest = CounterRecord.FIRST;
 
--- a/src/main/java/io/indigoreach/state/RecordReader.java
+++ b/src/main/java/io/indigoreach/state/RecordReader.java
@@ -3,9 +3,9 @@
 import io.indigoreach.net.WireException;
 import java.util.function.Supplier;
 
-/** Reads records so that whatever a malformed value causes becomes a {@link WireException}. */
+/** Reads records and converts the exceptions that malformed values cause into {@link WireException}. */
 final class RecordReader {
-    /** The result of {@code reading}; a malformed value becomes a {@link WireException}, unlike a fault of the program. */
+    /** The result of {@code reading}; a malformed value causes a {@link WireException}, other exceptions pass through. */
     static <T> T read(Supplier<T> reading) {
         try {
             return reading.get();
--- a/src/main/java/io/indigoreach/state/RememberedStateCodec.java
+++ b/src/main/java/io/indigoreach/state/RememberedStateCodec.java
@@ -11,15 +11,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a controller remembers of jobs, as it tells it to another, a part at a time. */
+/** Encodes the job state that a controller remembers for a peer that rebuilds lost records, split into parts. */
 public final class RememberedStateCodec {
     private static final int JOBS_PER_PART = 200;
-    /** Records of the parts beside the jobs may be as large as the state service takes. */
+    /** Records of optional features may be as large as the state service allows. */
     private static final int RECORDS_PER_PART = 20;
 
     private RememberedStateCodec() {}
 
-    /** The {@code part}-th part, counted from 0. */
+    /** Encodes the part with this number, counted from 0. */
     public static Map<String, Object> write(RememberedState rememberedState, int part) {
         List<Object> over = new ArrayList<>();
         rememberedState.finished().entrySet().stream()
@@ -64,7 +64,7 @@
         return map;
     }
 
-    /** Adds a part to what is known; true if there are more. */
+    /** Adds the content of a part to {@code into}; true if there are further parts. */
     public static boolean read(Fields body, RememberedState into) {
         for (Fields item : body.children("over")) {
             into.add(
--- a/src/main/java/io/indigoreach/state/RoutineRunner.java
+++ b/src/main/java/io/indigoreach/state/RoutineRunner.java
@@ -21,9 +21,10 @@
 import java.util.Map;
 
 /**
- * Runs the {@link Routine}s of optional features against the state service, on the event loop of its Vert.x instance. Every write is made only in the era that this process knows, and what
- * is absent is said to be so only when a transaction has compared it in that era; while a loss of data is not mended nothing is
- * read or written at all, since "not there" would mean "lost". What is read or written is remembered for rebuilding.
+ * Runs the {@link Routine}s of optional features against the state service, on the event loop of its Vert.x instance. Every write
+ * is conditional on the era that this process knows, and a record is reported as absent only after a transaction has confirmed
+ * it in that era. While a loss of data is not rebuilt, routines fail, because a missing record may have been lost. Records that
+ * were read or written are cached, so that a lost one can be rebuilt.
  */
 public final class RoutineRunner {
     private static final int READ_AT_ONCE = 8;
@@ -34,12 +35,12 @@
     private final StateClient state;
     private final SteadyClock clock;
     private final RecordCache copies;
-    /** Key and version of the leadership for which this writes; null where any node may. */
+    /** The key and revision of the leadership that writes depend on; null if any node may write. */
     private final VersionedRecord leadership;
 
     private final RateLimiter budget;
 
-    /** Runs routines for any node, without a limit on its requests. */
+    /** Creates a runner whose writes depend on no leadership and whose requests are not limited. */
     public RoutineRunner(Vertx vertx, StateClient state, SteadyClock clock, RecordCache copies) {
         this(vertx, state, clock, copies, null, null);
     }
@@ -59,22 +60,25 @@
         this.budget = budget;
     }
 
-    /** The same for a leader: writes depend on its key, and take only what the leader's budget has to spare. */
+    /** A runner for a leader: writes depend on the leadership key and use only the spare part of its request budget. */
     public RoutineRunner leading(String key, Revision revision, RateLimiter spare) {
         return new RoutineRunner(vertx, state, clock, copies, new VersionedRecord(key, null, revision), spare);
     }
 
-    /** The same, with no more changes than half of a budget has to spare: what people ask of a part comes behind jobs. */
+    /** A runner that takes writes only from the upper half of a budget, so that users' requests to a feature yield to jobs. */
     public RoutineRunner within(RateLimiter spare) {
         return new RoutineRunner(vertx, state, clock, copies, null, spare);
     }
 
-    /** This node's copies of the records. */
+    /** This node's cache of the records. */
     public RecordCache copies() {
         return copies;
     }
 
-    /** Fails if the state service does not answer, has lost data, or this node's leadership has ended. */
+    /**
+     * Runs a routine to its end. Fails if the state service does not respond or has lost data, or if this node's leadership has
+     * ended.
+     */
     public <R> Future<R> run(Routine<R> routine) {
         return state.losses().era() == 0 ? state.check().compose(v -> begin(routine)) : begin(routine);
     }
@@ -85,7 +89,7 @@
 
     private <R> Future<R> step(Routine<R> routine, StepResult seen) {
         if (state.losses().isHolding()) {
-            return Future.failedFuture(new WireException("data were lost, and are not rebuilt yet"));
+            return Future.failedFuture(new WireException("state data were lost and have not been rebuilt yet"));
         }
         Step<R> next = routine.next(seen);
         if (next instanceof Step.End<R> end) {
@@ -113,7 +117,7 @@
         List<String> some = keys.subList(from, Math.min(keys.size(), from + READ_AT_ONCE));
         return readSome(some, 1).compose(read -> {
             read.forEach(k -> into.put(k.key(), k));
-            // Hundreds of reads at once would be refused, and leases' renewals with them.
+            // The service would reject hundreds of reads at once, and lease renewals with them.
             return from + READ_AT_ONCE < keys.size() && budget != null
                     ? pause().compose(v -> read(keys, from + READ_AT_ONCE, into))
                     : read(keys, from + READ_AT_ONCE, into);
@@ -132,7 +136,7 @@
                 : new VersionedRecord(key, entry.value().map(), entry.revision());
     }
 
-    /** Confirms by a compare-and-swap what may be a stale read: absent records, and ones older than this node's copies. */
+    /** Confirms by a comparison every read that may be stale: absent records, and records older than the cached ones. */
     private Future<List<VersionedRecord>> confirmSuspect(List<String> keys, List<VersionedRecord> read, int attempt) {
         List<VersionedRecord> suspect = read.stream()
                 .filter(record -> !record.exists() || state.areReadsSuspect() || isOlderThanCopy(record))
@@ -141,7 +145,7 @@
             read.forEach(copies::add);
             return Future.succeededFuture(read);
         }
-        // Decided by what was known before the comparison was sent: what another routine writes meanwhile is newer.
+        // Determined before the comparison is sent, because another routine may write newer records meanwhile.
         List<VersionedRecord> older =
                 suspect.stream().filter(this::isOlderThanCopy).toList();
         StateClient.Txn comparison = state.transactionInEra();
@@ -153,13 +157,13 @@
     private Future<List<VersionedRecord>> readAgain(List<String> keys, int attempt) {
         return attempt < MAX_ATTEMPTS
                 ? state.check().compose(v -> readSome(keys, attempt + 1))
-                : Future.failedFuture(new WireException("the records change at this moment"));
+                : Future.failedFuture(new WireException("records kept changing during " + MAX_ATTEMPTS + " attempts to read " + keys));
     }
 
     private Future<List<VersionedRecord>> acceptConfirmed(List<VersionedRecord> read, List<VersionedRecord> older) {
         older.forEach(this::lost);
         if (state.losses().isHolding()) {
-            return Future.failedFuture(new WireException("data were lost"));
+            return Future.failedFuture(new WireException("state data were lost"));
         }
         read.forEach(copies::add);
         return Future.succeededFuture(read);
@@ -170,7 +174,7 @@
         return copy != null && read.version() < copy.version();
     }
 
-    /** It surely is older than what was acknowledged: only another family's way of removing records explains it. */
+    /** Handles a record that is confirmed to be older than the cached one: a loss, unless its family may delete records. */
     private void lost(VersionedRecord read) {
         RecordFamily family = copies.familyOf(read.key());
         if (family.permanent() || read.exists()) {
@@ -186,7 +190,7 @@
             page.items().forEach(entry -> {
                 VersionedRecord record = versioned(entry.key(), entry);
                 found.put(entry.key(), record);
-                // A listing may be stale: it is returned as it is, and writes depend on the revisions in it.
+                // A listing may be stale and is returned unconfirmed, as writes depend on the revisions in it.
                 copies.add(record);
             });
             return seen(found, page.more());
@@ -219,7 +223,7 @@
                         List.of()));
             }
             if (leadership != null && outcome.failed().contains(leadership.key())) {
-                return Future.failedFuture(new WireException("another node leads"));
+                return Future.failedFuture(new WireException("leadership lost: the key " + leadership.key() + " has changed"));
             }
             if (outcome.failed().equals(List.of(RecordKeys.ERA)) && attempt < MAX_ATTEMPTS) {
                 return state.check().compose(v -> write(change, attempt + 1));
@@ -229,7 +233,7 @@
         });
     }
 
-    /** A change that went with another transaction is done. */
+    /** Updates the cache after a change was committed as part of another transaction. */
     public void written(Transaction change, Revision revision) {
         change.writes().forEach((key, value) -> {
             if (value == null) {
--- a/src/main/java/io/indigoreach/state/StaleReadDetector.java
+++ b/src/main/java/io/indigoreach/state/StaleReadDetector.java
@@ -1,22 +1,23 @@
 package io.indigoreach.state;
 
 /**
- * Detects stale reads: answers of the state service that are older than one before. Its revision only grows; an answer
- * with a lower one than this node knew when it asked is stale, and then reads are confirmed for a while.
+ * Detects stale reads: responses of the state service that are older than an earlier one. The revision of the store only grows, so
+ * a response with a lower revision than this node had seen when it sent the request is stale. After a stale read, the next
+ * {@link #READS_TO_CONFIRM} reads must be confirmed.
  */
 final class StaleReadDetector {
-    /** So many reads are confirmed after a sign that the service answers with the past. */
+    /** The number of reads to confirm after a stale read. */
     static final int READS_TO_CONFIRM = 1000;
 
     private long highest;
     private int readsToConfirm;
 
-    /** The highest revision seen so far, to be taken note of as a request is sent. */
+    /** The highest revision seen so far; callers save it when they send a request. */
     long highest() {
         return highest;
     }
 
-    /** An answer had this revision; {@code known} is what {@link #highest} was as its request was sent. */
+    /** Records the revision of a response; {@code known} is the value of {@link #highest} when the request was sent. */
     void observe(long known, long revision) {
         if (revision < known) {
             suspectReads();
@@ -24,7 +25,7 @@
         highest = Math.max(highest, revision);
     }
 
-    /** The service has gone back for good: later answers are compared with this. */
+    /** Resets the highest revision after the service has lost data and continues from a lower one. */
     void restartAt(long revision) {
         highest = revision;
     }
@@ -33,7 +34,7 @@
         readsToConfirm = READS_TO_CONFIRM;
     }
 
-    /** Counts a read: true if it is to be confirmed. */
+    /** Counts one read; true if it must be confirmed. */
     boolean shouldConfirm() {
         return readsToConfirm > 0 && readsToConfirm-- > 0;
     }
--- a/src/main/java/io/indigoreach/state/StateClient.java
+++ b/src/main/java/io/indigoreach/state/StateClient.java
@@ -17,8 +17,8 @@
 
 /**
  * The client of the state service, a consensus-backed key-value store whose transactions are compare-and-swaps. Bound to the
- * event loop of its connections. A failed future means that the outcome is unknown or that the
- * request was refused and surely not executed ({@link StateRequestRejectedException}).
+ * event loop of its connections. A future that fails with {@link StateRequestRejectedException} means that the service rejected
+ * the request without executing it; any other failure leaves the outcome unknown.
  */
 public final class StateClient {
     private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
@@ -30,19 +30,22 @@
     private static final int GONE = 410;
     private static final int TOO_MANY_REQUESTS = 429;
 
-    /** A key with its value, its version and the lease that it is attached to, or 0. */
+    /** A key with its value, its revision and the lease that it is attached to, or 0 if there is none. */
     public record Entry(String key, Fields value, Revision revision, long lease) {}
 
-    /** A page of a listing. */
+    /** One page of a listing; {@code more} tells whether further keys follow. */
     public record Page(List<Entry> items, boolean more, long revision) {}
 
     /** A change of a key; the value is null if it was deleted. */
     public record Change(String key, Fields value, Revision revision) {}
 
-    /** What a watch brought; {@code tooOld}: the keys are to be read again. */
+    /** The result of a watch; {@code tooOld}: the revision has been compacted, so the caller reads the keys again. */
     public record Changes(List<Change> changes, long revision, boolean tooOld) {}
 
-    /** A transaction's outcome: done at a revision, or the keys that did not have the given version. */
+    /**
+     * The outcome of a transaction: executed at a revision, or rejected because {@code failed} keys did not have the required
+     * revision or because a lease had expired.
+     */
     public record Outcome(boolean done, long revision, List<String> failed, boolean leaseGone) {
         /** The revision of the keys that were written. */
         public Revision writtenRevision() {
@@ -50,7 +53,7 @@
         }
     }
 
-    /** One change of a transaction: a new value, attached to a lease unless that is 0, or null to delete the key. */
+    /** One write of a transaction: a new value, attached to a lease unless that is 0, or null to delete the key. */
     public record Write(String key, Map<String, Object> value, long lease) {
         /** Whether the key is deleted. */
         public boolean isDelete() {
@@ -58,35 +61,35 @@
         }
     }
 
-    /** A transaction being put together: versions that keys must have, and what is then written. */
+    /** A mutable transaction: the revisions that keys must have, and the writes to execute if they do. */
     public static final class Txn {
         private final Map<String, Revision> conditions = new LinkedHashMap<>();
         private final List<Write> writes = new ArrayList<>();
 
-        /** Only if the key has this revision; {@link Revision#ABSENT}: only if it is absent. */
+        /** Requires that the key has this revision, or that it does not exist for {@link Revision#ABSENT}. */
         public Txn when(String key, Revision revision) {
             conditions.put(key, revision);
             return this;
         }
 
-        /** Writes a value. */
+        /** Adds a write of a value. */
         public Txn put(String key, Map<String, Object> value) {
             return put(key, value, 0);
         }
 
-        /** Writes a value that is deleted when the lease ends. */
+        /** Adds a write of a value that is deleted when the lease ends. */
         public Txn put(String key, Map<String, Object> value, long lease) {
             writes.add(new Write(key, value, lease));
             return this;
         }
 
-        /** Deletes a key. */
+        /** Adds the deletion of a key. */
         public Txn delete(String key) {
             writes.add(new Write(key, null, 0));
             return this;
         }
 
-        /** With what a part beside the jobs writes, and depends on. */
+        /** Adds the conditions and writes of an optional feature's transaction. */
         public Txn and(io.indigoreach.core.records.Transaction change) {
             conditions.putAll(change.conditions());
             change.writes().forEach((key, value) -> writes.add(new Write(key, value, 0)));
@@ -98,18 +101,18 @@
             return conditions;
         }
 
-        /** What is written, in order. */
+        /** The writes, in order. */
         public List<Write> writes() {
             return writes;
         }
 
-        /** How many keys are written. */
+        /** The number of writes. */
         public int size() {
             return writes.size();
         }
     }
 
-    /** The era of a deployment in which nothing was ever lost: below every leader's token. */
+    /** The era of a deployment that has never lost data; it is below every leader's token. */
     private static final FencingToken FIRST = new FencingToken(1);
 
     private static final int OUTAGE = 503;
@@ -122,35 +125,35 @@
     private final StaleReadDetector staleReads = new StaleReadDetector();
     private final LossDetector losses = new LossDetector();
     private final EffectiveLimits limits = new EffectiveLimits();
-    /** The era's version as it was last confirmed. */
+    /** The revision of the era record when it was last confirmed. */
     private Revision eraRevision = Revision.ABSENT;
 
     private Runnable onLoss = () -> {};
     private Runnable onFailure = () -> {};
     private Future<Void> pendingCheck;
 
-    /** Watches stay open, so they have connections of their own. */
+    /** {@code watcher} has separate connections, because a watch request occupies its connection while it waits. */
     public StateClient(ServiceClient caller, ServiceClient watcher) {
         this.caller = caller;
         this.watcher = watcher;
     }
 
-    /** What is known of losses of data; judged anew with each transaction and each {@link #check}. */
+    /** Detects losses of data from the revisions and eras in the responses of each transaction and each {@link #check}. */
     public LossDetector losses() {
         return losses;
     }
 
-    /** Called when a loss is found that was not known. */
+    /** Sets the callback for each newly detected loss of data. */
     public void onLoss(Runnable what) {
         onLoss = what;
     }
 
-    /** What the service's refusals have shown of its limits. */
+    /** The limits of the service that rejected transactions have revealed. */
     public EffectiveLimits limits() {
         return limits;
     }
 
-    /** Called when a request gets no answer or is refused as in an outage. */
+    /** Sets the callback for each request that gets no response or the status of an outage. */
     public void onFailure(Runnable what) {
         onFailure = what;
     }
@@ -172,37 +175,37 @@
         }
     }
 
-    /** Another controller says that data of this era were lost. */
+    /** Records that a peer has reported a loss of the data of this era. */
     public void lossReportedByPeer(long era) {
         reportLoss(losses.reportedByPeer(era));
     }
 
-    /** A record that only a loss can have removed is gone. */
+    /** Reports that a record is missing that only a loss of data can have removed. */
     public void recordMissing(String key) {
         reportLoss(losses.recordGone(key));
     }
 
-    /** A leadership was taken with a counter below a token that had been in use. */
+    /** Compares the counter at a campaign with the highest token seen before; a lower counter shows a loss of data. */
     void compareCounter(FencingToken seen, FencingToken counted) {
         reportLoss(losses.counter(seen, counted));
     }
 
     /**
-     * A condition under which nothing was lost since the era was last confirmed. A process that has just started knows none:
-     * whatever is there is the content to it.
+     * A transaction that fails if data were lost since the era was last confirmed. A new process that has not read the era yet
+     * gets a transaction without this condition.
      */
     public Txn transactionInEra() {
         return losses.era() == 0 ? new Txn() : new Txn().when(RecordKeys.ERA, eraRevision);
     }
 
-    /** Whether {@link #transactionInEra} says anything: this process has read the era. */
+    /** Whether this process has read the era, so that {@link #transactionInEra} has a condition. */
     public boolean isEraKnown() {
         return losses.era() != 0;
     }
 
     /**
-     * Succeeds if the service answers requests of this node. Reads the era, and where it is not the known one, makes sure by
-     * comparing. Who asks while another asks gets the same answer: after a change every submission under way comes here.
+     * Reads the era and, if it differs from the known one, confirms it by a comparison. Succeeds if the service responds to this
+     * node. Concurrent callers share one request, because after a change of the era every submission in progress calls this.
      */
     public Future<Void> check() {
         if (pendingCheck == null) {
@@ -227,7 +230,7 @@
         Revision revision = revisionOf(entry);
         long era = entry == null ? 0 : EraRecordCodec.readEra(entry.value());
         if (losses.era() == 0) {
-            // Nothing is known to compare with; a stale answer fails in the first transaction.
+            // No known era to compare with; if this read is stale, the first transaction fails.
             return entry == null ? firstEra() : adoptEra(era, revision);
         }
         if (revision.equals(eraRevision) && era == losses.era()) {
@@ -246,7 +249,8 @@
     }
 
     /**
-     * A new deployment, as far as this process can know. Whoever knows better sees a lower era than there was, and says so.
+     * Writes the first era if no era record exists. If the record was lost instead, the other controllers see an era below the
+     * one that they know and report the loss.
      */
     private Future<Void> firstEra() {
         return commit(new Txn()
@@ -256,12 +260,12 @@
                         outcome.done() ? adoptEra(FIRST.value(), outcome.writtenRevision()) : Future.succeededFuture());
     }
 
-    /** The version of what was read; {@link Revision#ABSENT} if nothing was there. */
+    /** The revision of an entry; {@link Revision#ABSENT} if it is null. */
     static Revision revisionOf(Entry entry) {
         return entry == null ? Revision.ABSENT : entry.revision();
     }
 
-    /** The entry of a key; null if there is none. */
+    /** Reads the entry of a key; null if there is none. */
     public Future<Entry> get(String key) {
         long known = staleReads.highest();
         return reportingFailure(caller.get(StateCodec.keyPath(key), TIMEOUT)).map(r -> {
@@ -273,7 +277,7 @@
         });
     }
 
-    /** Up to {@code most} entries with a prefix, after a key or from the first if that is null. */
+    /** Lists up to {@code most} entries with a prefix, starting after a key, or from the first if it is null. */
     public Future<Page> list(String prefix, String after, int most) {
         long known = staleReads.highest();
         return reportingFailure(caller.get(StateCodec.listPath(prefix, after, most), LIST_TIMEOUT))
@@ -284,14 +288,14 @@
                 });
     }
 
-    /** Whether the service has lately answered with what was there before something it had told already. */
+    /** Whether a read must be confirmed, because the service has recently returned stale data. Counts as one read. */
     public boolean areReadsSuspect() {
         return staleReads.shouldConfirm();
     }
 
     /**
-     * Whether these keys have these versions at this moment: by a transaction that only compares, which unlike a read
-     * cannot be answered with the past. A failed comparison is a sign that a read was.
+     * Whether these keys have these revisions now. Executes a transaction that only compares: unlike a read, it cannot return
+     * stale data. A failed comparison indicates that an earlier read was stale.
      */
     public Future<Boolean> confirm(Txn comparison) {
         return commit(comparison).map(outcome -> {
@@ -302,7 +306,7 @@
         });
     }
 
-    /** Executes a compare-and-swap; fails with {@link TransactionRejectedException} if it can never be executed as it is. */
+    /** Executes a transaction; fails with {@link TransactionRejectedException} if it can never be executed unchanged. */
     public Future<Outcome> commit(Txn txn) {
         long known = staleReads.highest();
         return reportingFailure(caller.post(StateCodec.TXN, StateCodec.writeTxn(txn), TIMEOUT))
@@ -329,7 +333,7 @@
         throw new StateRequestRejectedException(response.status());
     }
 
-    /** {@code known}: the highest revision seen when the transaction was sent; a lower one now shows a loss of data. */
+    /** {@code known}: the highest revision seen when the transaction was sent; a lower {@code revision} shows a loss of data. */
     private Outcome committed(long known, long revision) {
         boolean lost = losses.revision(known, revision);
         staleReads.observe(0, revision);
@@ -340,13 +344,13 @@
         return new Outcome(true, revision, List.of(), false);
     }
 
-    /** Requests a lease. */
+    /** Requests a lease that expires after {@code life} unless it is renewed. */
     public Future<Long> grant(Span life) {
         return caller.post(StateCodec.LEASES, StateCodec.writeLife(life), TIMEOUT)
                 .map(r -> StateCodec.readLease(requireOk(r)));
     }
 
-    /** Whether the lease goes on; false if it has ended. */
+    /** Renews a lease; false if it has ended. */
     public Future<Boolean> renew(long lease, Span patience) {
         return caller.post(StateCodec.leasePath(lease) + StateCodec.RENEW, Map.of(), patience)
                 .map(r -> {
@@ -358,12 +362,12 @@
                 });
     }
 
-    /** Ends a lease, and deletes the keys attached to it. */
+    /** Revokes a lease, which deletes the keys attached to it. */
     public Future<Void> drop(long lease) {
         return caller.delete(StateCodec.leasePath(lease), TIMEOUT).mapEmpty();
     }
 
-    /** The changes of keys with a prefix after a revision; waits for the first at most {@code wait}. */
+    /** Returns the changes of keys with a prefix after a revision, waiting up to {@code wait} for the first. */
     public Future<Changes> watch(String prefix, long since, Span wait) {
         return watcher.get(StateCodec.watchPath(prefix, since, wait), wait.plus(TIMEOUT))
                 .map(r -> r.status() == GONE ? new Changes(List.of(), 0, true) : StateCodec.readChanges(requireOk(r)));
@@ -376,7 +380,7 @@
         throw new StateRequestRejectedException(reply.status());
     }
 
-    /** Whether a failure says that the request surely was not executed. */
+    /** Whether a failure shows that the request was not executed. */
     public static boolean surelyNotExecuted(Throwable failure) {
         return failure instanceof StateRequestRejectedException;
     }
--- a/src/main/java/io/indigoreach/state/StateCodec.java
+++ b/src/main/java/io/indigoreach/state/StateCodec.java
@@ -10,29 +10,29 @@
 import java.util.Map;
 
 /**
- * The wire format of the state service: its paths, and each request and response both written and read here, so that the client
- * and an emulated service cannot come to differ.
+ * The wire format of the state service: its paths, and the encoding and decoding of every request and response. The client and
+ * the emulated service share it, so that their formats cannot diverge.
  */
 public final class StateCodec {
     /** Path of keys and listings. */
     public static final String STORE = "/store";
-    /** Path of compare-and-swaps. */
+    /** Path of transactions. */
     public static final String TXN = "/txn";
     /** Path of leases. */
     public static final String LEASES = "/grants";
     /** Path of watches. */
     public static final String WATCH = "/changes";
-    /** Renews the lease whose path precedes it. */
+    /** Suffix of a lease's path that renews the lease. */
     public static final String RENEW = "/renew";
     /** Query parameter: the prefix of the keys. */
     public static final String PREFIX = "starts";
-    /** Query parameter: after which key or revision. */
+    /** Query parameter: the key or revision after which the result starts. */
     public static final String SINCE = "since";
-    /** Query parameter: the most entries of a page. */
+    /** Query parameter: the maximum number of entries in a page. */
     public static final String LIMIT = "most";
-    /** Query parameter: how long a watch waits. */
+    /** Query parameter: how long a watch waits, in milliseconds. */
     public static final String WAIT = "wait_ms";
-    /** The error of a compare-and-swap with a lease that has ended. */
+    /** The error of a transaction with a lease that has ended. */
     public static final String NO_SUCH_LEASE = "no such lease";
 
     private static final String NAMELESS = "";
@@ -40,8 +40,9 @@
     private StateCodec() {}
 
     /**
-     * A value as it is kept: this project's are maps, the protocol allows any data. What is no map becomes the only
-     * field, without a name, of one; so does a map that looks like that, and thus each comes back as it was.
+     * Reads a stored value as a map. This project stores maps, but the protocol allows any data. A value of another type is
+     * wrapped into a map whose only field has an empty name. A map that already has this form is wrapped as well, so that
+     * {@link #toWire} restores every value unchanged.
      */
     private static Fields unwrapped(Fields body, String name) {
         if (!body.has(name)) {
@@ -53,7 +54,7 @@
                 : new Fields(MessagePackFormat.map(NAMELESS, value));
     }
 
-    /** A kept value as it is on the wire. */
+    /** Converts a value that was wrapped on reading back to its wire form. */
     public static Object toWire(Map<String, Object> kept) {
         return isWrapped(kept) ? kept.get(NAMELESS) : kept;
     }
@@ -79,7 +80,7 @@
         return LEASES + "/" + lease;
     }
 
-    /** The body of a key's response. */
+    /** The body of a response to a read of a key. */
     public static Map<String, Object> writeEntry(StateClient.Entry entry) {
         Map<String, Object> map = MessagePackFormat.map(
                 "path",
@@ -94,23 +95,23 @@
         return map;
     }
 
-    /** A key with its value, from a response or an item of a page. */
+    /** Decodes a key with its value from a response or an item of a page. */
     public static StateClient.Entry readEntry(Fields body) {
         return new StateClient.Entry(
                 body.text("path"), unwrapped(body, "data"), new Revision(body.whole("stamp")), body.whole("permit", 0));
     }
 
-    /** What is said where there is only the revision to tell: a key that is absent, a transaction that is done. */
+    /** The body of a response with only a revision: for an absent key or an executed transaction. */
     public static Map<String, Object> writeRevision(long revision) {
         return MessagePackFormat.map("ledger_rev", revision);
     }
 
-    /** The revision of the store in a response. */
+    /** Decodes the store's revision from a response. */
     public static long readRevision(Fields body) {
         return body.whole("ledger_rev");
     }
 
-    /** The body of a listing's response. */
+    /** The body of a response to a listing. */
     public static Map<String, Object> writePage(StateClient.Page page) {
         List<Object> items = new ArrayList<>(page.items().size());
         page.items().forEach(entry -> items.add(writeEntry(entry)));
@@ -124,7 +125,7 @@
                 readRevision(body));
     }
 
-    /** The body of a compare-and-swap. */
+    /** The body of a transaction request. */
     public static Map<String, Object> writeTxn(StateClient.Txn txn) {
         List<Object> when = new ArrayList<>();
         txn.conditions()
@@ -146,7 +147,7 @@
         return MessagePackFormat.map("when", when, "writes", writes);
     }
 
-    /** Throws {@link io.indigoreach.net.WireException} for anything that is not a transaction. */
+    /** Decodes a transaction; throws {@link io.indigoreach.net.WireException} if it is malformed. */
     public static StateClient.Txn readTxn(Fields body) {
         StateClient.Txn txn = new StateClient.Txn();
         for (Fields condition : body.children("when")) {
@@ -162,7 +163,7 @@
         return txn;
     }
 
-    /** The body of a rejected compare-and-swap: the keys whose conditions failed. */
+    /** The body of a response to a rejected transaction: the keys whose conditions failed. */
     public static Map<String, Object> writeConflict(List<String> failed, long revision) {
         return MessagePackFormat.map("failed", failed, "ledger_rev", revision);
     }
@@ -177,12 +178,12 @@
         return MessagePackFormat.map("life_ms", life.ms());
     }
 
-    /** How long the requested lease lasts without renewal. */
+    /** Decodes the time after which the requested lease expires unless it is renewed. */
     public static Span readLife(Fields body) {
         return new Span(body.whole("life_ms"));
     }
 
-    /** The body of a granted lease. */
+    /** The body of the response with a granted lease. */
     public static Map<String, Object> writeLease(long lease) {
         return MessagePackFormat.map("permit", lease);
     }
@@ -191,7 +192,7 @@
         return body.whole("permit");
     }
 
-    /** The body of a watch's response. */
+    /** The body of a response to a watch. */
     public static Map<String, Object> writeChanges(StateClient.Changes changes) {
         List<Object> events = new ArrayList<>(changes.changes().size());
         for (StateClient.Change change : changes.changes()) {
--- a/src/main/java/io/indigoreach/state/TransactionRejectedException.java
+++ b/src/main/java/io/indigoreach/state/TransactionRejectedException.java
@@ -1,6 +1,6 @@
 package io.indigoreach.state;
 
-/** The state service rejected a transaction that it never will execute as it is: too large, or malformed. */
+/** The state service rejected a transaction as malformed or too large; repeating it unchanged cannot succeed. */
 public final class TransactionRejectedException extends StateRequestRejectedException {
     private static final long serialVersionUID = 1;
 
--- a/src/test/java/io/indigoreach/state/FormatGateTest.java
+++ b/src/test/java/io/indigoreach/state/FormatGateTest.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When the data format is raised, and that no process of an older version leads from then on. Waits are for events, not times. */
+/**
+ * Tests when the data format is raised, and that no process of an older version leads afterwards. The tests wait for events, not for
+ * fixed times.
+ */
 class FormatGateTest {
     private static final String COUNTER = RecordKeys.COUNTER;
     private static final String LEADER = RecordKeys.LEADER;
@@ -41,7 +44,7 @@
     private static void until(Callable<Boolean> holds) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (!holds.call()) {
-            assertTrue(System.nanoTime() < end, "in vain");
+            assertTrue(System.nanoTime() < end, "the condition was not met within 20 s");
             Thread.sleep(5);
         }
     }
@@ -50,7 +53,7 @@
         VersionProcesses.await(site.client().commit(new StateClient.Txn().put(key, MessagePackFormat.map(value))));
     }
 
-    /** Nodes that are down now and have recorded their format before count; those that have not, or another one, do not. */
+    /** Nodes that are down count if they have recorded a new enough format before; nodes without such a record do not. */
     @ParameterizedTest
     @CsvSource({"2, 2, true", "2, -, false", "2, 1, false", "2, 3, true"})
     void itIsRaisedWhenEveryNodeHasRecordedIt(String b, String c, boolean raised) throws Exception {
@@ -67,7 +70,7 @@
         assertEquals(raised, site.isRaised());
     }
 
-    /** A node that does not lead learns it from the counter, and who has learnt it asks no more. */
+    /** A follower reads the raised format from the counter; a node that has seen it raised makes no further requests. */
     @Test
     void everyNodeLearnsOfItOnce() throws Exception {
         VersionProcesses.Newer a = site.newer("a");
@@ -81,7 +84,7 @@
         assertEquals(reads, site.service.reads);
     }
 
-    /** Lost with all records, by a process that has seen it raised; the records alone are written again. */
+    /** A process that has seen the format raised restores it after a loss of all records; a lost node record is rewritten. */
     @Test
     void itIsNotLoweredByALossOfData() throws Exception {
         VersionProcesses.Newer a = site.newer("a");
@@ -99,7 +102,7 @@
         assertTrue(site.isRaised());
     }
 
-    /** As a process of production in a raised deployment: it reads the counter, and stands back before it writes anything. */
+    /** Like a process of an older version in a raised deployment, it reads the counter and does not write anything. */
     @Test
     void thisVersionDoesNotLeadInALaterOnesDeployment() throws Exception {
         put(COUNTER, "highest", 7L, "format", CounterRecord.KNOWN + 1L);
@@ -111,7 +114,7 @@
         assertEquals(transactions, site.service.transactions);
     }
 
-    /** The word for start bounds means the same in both forms, and a campaign keeps form and word. */
+    /** The start bounds flag means the same in both formats, and a campaign preserves the format and the flag. */
     @ParameterizedTest
     @CsvSource({"1, false", "1, true", "2, false", "2, true"})
     void aCampaignKeepsDataFormatAndStartBounds(int format, boolean bounds) throws Exception {
@@ -126,8 +129,8 @@
     }
 
     /**
-     * A roll in a seeded order: processes end and come back old before their turn and new from then on, those of production stand
-     * at any moment, and their campaigns are carried out at once or several steps late.
+     * A rolling update in a seeded order. Processes restart with the old version before their update and with the new one after
+     * it. Processes of the old version campaign at any time, and their transactions are executed at once or several steps late.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -138,7 +141,7 @@
         List<VersionProcesses.Older> older = new ArrayList<>();
         toRoll.forEach(n -> older.add(site.older(n)));
         List<StateClient.Txn> late = new ArrayList<>();
-        assertEquals(1, carriedOut(stand(older.get(0))), "nobody is locked out before");
+        assertEquals(1, carriedOut(stand(older.get(0))), "an older process could not lead before the format was raised");
         boolean wasRaised = false;
         for (int step = 0; step < 150 || !toRoll.isEmpty(); step++) {
             switch (random.nextInt(5)) {
@@ -158,13 +161,13 @@
                 default -> roll(random, toRoll, newer);
             }
             if (!toRoll.isEmpty()) {
-                assertFalse(site.isRaised(), "a node has never had the new version");
+                assertFalse(site.isRaised(), "the format is raised although a node has never run the new version");
                 for (VersionProcesses.Newer node : newer) {
                     assertFalse(node != null && node.isOpen());
                 }
             }
             boolean raised = site.isRaised();
-            assertTrue(raised || !wasRaised, "lowered");
+            assertTrue(raised || !wasRaised, "the format was lowered");
             wasRaised = raised;
         }
         for (VersionProcesses.Newer node : newer) {
@@ -173,7 +176,7 @@
         endLeases();
         assertNull(stand(older.get(0)));
         for (StateClient.Txn campaign : late) {
-            assertEquals(0, carriedOut(campaign), "a campaign that began before");
+            assertEquals(0, carriedOut(campaign), "a campaign that began before the format was raised was executed");
         }
     }
 
@@ -186,15 +189,15 @@
         ended.get(20, TimeUnit.SECONDS);
     }
 
-    /** What a process of production would write, null if another leads or it cannot read the counter, which is raised then. */
+    /** The transaction of an older process's campaign; null if another node leads or the raised counter is unreadable to it. */
     private StateClient.Txn stand(VersionProcesses.Older process) throws Exception {
         boolean wasRaised = site.isRaised();
         try {
             StateClient.Txn campaign = VersionProcesses.await(process.stand());
-            assertTrue(campaign == null || !wasRaised, "stands in a raised deployment");
+            assertTrue(campaign == null || !wasRaised, "an older process campaigns in a raised deployment");
             return campaign;
         } catch (ExecutionException e) {
-            assertTrue(site.isRaised(), "locked out before: " + e.getCause());
+            assertTrue(site.isRaised(), "an older process cannot campaign before the format is raised: " + e.getCause());
             return null;
         }
     }
@@ -202,11 +205,11 @@
     private int carriedOut(StateClient.Txn campaign) throws Exception {
         boolean wasRaised = site.isRaised();
         boolean done = VersionProcesses.await(site.client().commit(campaign)).done();
-        assertFalse(done && wasRaised, "an older process leads");
+        assertFalse(done && wasRaised, "an older process leads after the format was raised");
         return done ? 1 : 0;
     }
 
-    /** A node ends and comes back: with the new version if that is its turn, or if it has had it before. */
+    /** Restarts a node: with the new version if its update is due or if it has run the new version before. */
     private void roll(SplittableRandom random, List<String> toRoll, VersionProcesses.Newer[] newer) {
         int n = random.nextInt(newer.length);
         String node = VersionProcesses.NODES.get(n);
@@ -219,7 +222,7 @@
         newer[n] = site.newer(node);
     }
 
-    /** Two raise it at once, the first one's transaction comes late: the second finds another leader's key. */
+    /** Two leaderships raise the format; the transaction of the first is executed late and must fail on the leadership key. */
     @Test
     void aRaiseOfAnEarlierLeadershipIsRefused() throws Exception {
         put(FormatGate.NODES + "b", "format", 2L);
@@ -237,7 +240,7 @@
         until(a::isOpen);
     }
 
-    /** The word for start bounds, without an answer and carried out after the raise: it was read from the form before. */
+    /** The confirmation of start bounds gets no response and is executed after the format was raised: it must fail. */
     @Test
     void aLateConfirmationOfStartBoundsDoesNotLowerTheFormat() throws Exception {
         VersionProcesses.Newer a = site.newer("a");
--- a/src/test/java/io/indigoreach/state/Golden.java
+++ b/src/test/java/io/indigoreach/state/Golden.java
@@ -13,15 +13,15 @@
 import java.util.function.Function;
 
 /**
- * Records and messages as another version of the program wrote them: a file in the test resources, a line for each with its name
- * and its bytes (docs/notes/versions.md says how the files are made).
+ * A record or message that an earlier version of the program wrote. The test resources have a file with one line per sample, with its
+ * name and its bytes in hex (docs/notes/versions.md describes how to create the files).
  *
- * @param written as this version writes it
- * @param read how this version reads it
- * @param value what is read, whichever version wrote it
+ * @param written the map that this version writes
+ * @param read decodes the sample in this version
+ * @param value the expected decoded value, whichever version wrote the sample
  */
 public record Golden(Map<String, Object> written, Function<Fields, Object> read, Object value) {
-    /** The lines of a file, by their names. */
+    /** The samples of a file in hex, by name. */
     public static Map<String, String> load(String file) {
         Map<String, String> lines = new LinkedHashMap<>();
         try (InputStream in = Golden.class.getResourceAsStream("/production/" + file)) {
@@ -39,7 +39,7 @@
         return MessagePackFormat.readMap(Buffer.buffer(HexFormat.of().parseHex(hex)));
     }
 
-    /** As it stands in a file. */
+    /** The bytes that this version writes, in hex as in the files. */
     public String hex() {
         return hex(MessagePackFormat.write(written));
     }
--- a/src/test/java/io/indigoreach/state/GoldenKeptRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenKeptRecordsTest.java
@@ -23,7 +23,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The records of jobs, machines and leaderships with their keys, and what controllers tell each other of them. */
+/** Golden tests of the records of jobs, machines and leaderships, their keys, and the remembered state that peers exchange. */
 class GoldenKeptRecordsTest {
     private static final JobId ID = GoldenSamples.ID;
     private static final Revision STAMP = new Revision(9);
@@ -50,7 +50,7 @@
         return done;
     }
 
-    /** Of a job whose bits stand beside its record these are as many, and any. */
+    /** Encodes a record. If its bits are stored in blocks, any {@code doneCount} bits give the same bytes. */
     private static Map<String, Object> write(JobRecord record) {
         BitSet done = record.done().isEmpty() ? first(record.doneCount()) : record.done();
         return JobRecordCodec.writeJob(
--- a/src/test/java/io/indigoreach/state/GoldenRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenRecordsTest.java
@@ -28,14 +28,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The records of the version in production, both ways: this version reads each, and writes the same bytes for the same values. */
+/** Tests that this version reads the records of the version in production and writes the same bytes for the same values. */
 class GoldenRecordsTest {
     private static final String FILE = "records.txt";
     private static final JobId ID = new JobId("run-000412");
     private static final Revision STAMP = new Revision(9);
     private static final FencingToken TOKEN = new FencingToken(7_000_001);
     private static final MachinePool POOL = new MachinePool("quad", "a", true);
-    /** What production writes into one value, and a later version may divide: it has to be read, and need not be written so. */
+    /** Records that production writes as one value and later versions may split: this version only has to read them. */
     private static final Set<String> READ_ONLY = Set.of("job of 5000", "job of 40000", "block 1 of 40000");
 
     private static BitSet everyThird(int tasks) {
@@ -113,7 +113,7 @@
         return all;
     }
 
-    /** What there is to compare of remains, which have no equality of their own. */
+    /** The comparable content of a remembered state, which does not implement {@code equals}. */
     private static Object content(RememberedState r) {
         return List.of(List.copyOf(r.open()), r.finished(), List.copyOf(r.records()));
     }
@@ -124,7 +124,7 @@
         return content(into);
     }
 
-    /** The counter, written as this version does. */
+    /** A counter in the first format. */
     private static Golden counter(boolean bounds) {
         CounterRecord record = new CounterRecord(TOKEN, bounds, CounterRecord.FIRST);
         return new Golden(record.write(), CounterRecord::read, record);
@@ -215,8 +215,8 @@
     }
 
     /**
-     * What production has no form for. It was shown to production's code (docs/notes/versions.md): that keeps a chained job's
-     * further field when it writes the job's record anew, and finds no token in a raised counter.
+     * Checks records that the version in production does not have. Its code was run against these bytes (docs/notes/versions.md): it
+     * keeps the additional field with a job's dependencies when it rewrites the record, and finds no token in a raised counter.
      */
     @Test
     void whatIsNewIsWrittenAsItWasShownToProduction() {
--- a/src/test/java/io/indigoreach/state/GoldenStateServiceTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenStateServiceTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What is asked of the state service, and its answers. */
+/** Golden tests of the requests to the state service and its responses. */
 class GoldenStateServiceTest {
     private static final Map<String, Object> VALUE = MessagePackFormat.map(
             "n", 1L, "list", List.of("a", 2.5, true), "nothing", null, "map", MessagePackFormat.map("x", -7L));
@@ -28,7 +28,7 @@
                 .delete("f/run-1");
     }
 
-    /** A transaction, which has no equality of its own, by what it says. */
+    /** Decodes a transaction; a separate method, as {@code StateClient.Txn} does not implement {@code equals}. */
     private static StateClient.Txn read(Fields f) {
         return StateCodec.readTxn(f);
     }
--- a/src/test/java/io/indigoreach/state/HandoverTest.java
+++ b/src/test/java/io/indigoreach/state/HandoverTest.java
@@ -31,9 +31,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Controllers hand over and back, end, and return within a fraction of a second, while requests are refused, held back and carried
- * out late: one leader at any moment, and tokens that only grow. Against a stand-in for the state service; each world runs on one
- * event loop, on which its processes are looked at as well.
+ * Tests that there is at most one valid leader at any time and that tokens only grow, while controllers hand over leadership, stop
+ * and restart within a fraction of a second, and requests are rejected, delayed and executed late. The tests use a fake state
+ * service; each simulated cluster runs on one event loop, which also checks its processes.
  */
 class HandoverTest {
     private static final List<String> NODES = List.of("a", "b", "c");
@@ -47,7 +47,7 @@
         vertx.close().toCompletionStage().toCompletableFuture().get();
     }
 
-    /** Three nodes, of which each is a process or none, and their state service. */
+    /** A cluster of three nodes, each with at most one running process, and their state service. */
     private final class World {
         final Context loop = vertx.getOrCreateContext();
         final StateStandIn service = new StateStandIn();
@@ -82,7 +82,7 @@
             return done.get(PATIENCE_S, TimeUnit.SECONDS);
         }
 
-        /** Until it holds, as seen on the loop. */
+        /** Waits until a condition holds, which the event loop evaluates. */
         void until(BooleanSupplier holds) throws Exception {
             CompletableFuture<Void> done = new CompletableFuture<>();
             on(() -> vertx.setPeriodic(1, 2, t -> {
@@ -101,7 +101,7 @@
                     .map(p -> p.name)
                     .toList();
             if (valid.size() > 1) {
-                breaches.add("more than one leads: " + valid);
+                breaches.add("more than one valid leader: " + valid);
             }
             running.values().forEach(p -> bridged += p.leadership.isValid() && p.ownLeaseIsOver() ? 1 : 0);
         }
@@ -128,7 +128,10 @@
                     .orElse(null);
         }
 
-        /** What all others say, each after a while and as it is then; false if one is not there, or its answer is lost. */
+        /**
+         * Queries all peers, each after a delay; the peer evaluates the query when it arrives. False if a peer is down, its response
+         * is lost or its result is false.
+         */
         private Future<Boolean> ask(String asker, java.util.function.Predicate<Process> what) {
             List<Future<Boolean>> answers = new ArrayList<>();
             for (String other : NODES) {
@@ -180,7 +183,7 @@
                         public void leadershipGained(FencingToken token, Revision key, boolean bounds) {
                             if (!ended) {
                                 if (token.value() <= world.highest) {
-                                    world.breaches.add(name + " took " + token + " after " + world.highest);
+                                    world.breaches.add(name + " gained token " + token + " after " + world.highest);
                                 }
                                 world.highest = Math.max(world.highest, token.value());
                                 world.took.add(Process.this);
@@ -191,7 +194,7 @@
                         @Override
                         public void leadershipLost(String reason) {}
                     });
-            // As Standing does: who was served when it last asked leaves it to the state service.
+            // As in the controller: a node whose last connectivity check succeeded does not pledge.
             leadership.askPeersBy(
                     () -> world.ask(node, other -> other.unserved && other.leadership.pledge()),
                     () -> world.ask(node, other -> !other.leadership.isLeading()));
@@ -219,9 +222,9 @@
     }
 
     /**
-     * Everything at random, several worlds at once: processes end and return at once or later, leaders let go and stand aside with
-     * requests to remove their key that come late and twice, nodes are refused alone, all of them one by one while leases go on
-     * to end, the service is out, transactions are carried out late.
+     * Injects random faults into several clusters at once: processes restart at once or later; leaders resign, with late and
+     * repeated requests to remove their key; requests of one node are rejected, or of all nodes one by one while leases keep
+     * expiring; the service has outages; transactions are executed late.
      */
     @Test
     void oneLeadsAndTokensGrowWhateverHappens() throws Exception {
@@ -242,8 +245,8 @@
         for (World w : worlds) {
             assertEquals(List.of(), w.on(() -> List.copyOf(w.breaches)));
         }
-        assertTrue(worlds.stream().mapToInt(w -> w.took.size()).sum() >= 4 * worlds.size(), "leadership changes");
-        assertTrue(worlds.stream().anyMatch(w -> w.bridged > 0), "nobody went on by pledges");
+        assertTrue(worlds.stream().mapToInt(w -> w.took.size()).sum() >= 4 * worlds.size(), "too few leadership changes");
+        assertTrue(worlds.stream().anyMatch(w -> w.bridged > 0), "no leader stayed valid by pledges");
     }
 
     private void disturb(World w) {
@@ -271,9 +274,8 @@
             }
             case 4 -> refuse(w, any, 0.3 + r.nextDouble(4));
             case 5, 7, 8 -> {
-                // Not an outage: leases end meanwhile, while the leader goes on by pledges; then those who pledged are
-                // served
-                // before the leader is, and one of them may have ended and returned.
+                // Not an outage: leases expire while the leader stays valid by pledges. Then the service accepts requests
+                // of the nodes that pledged before those of the leader, and one of these nodes may have restarted.
                 double least = 3.3 + r.nextDouble(1.5);
                 NODES.forEach(
                         n -> refuse(w, n, least + (leader != null && n.equals(leader.node) ? 3 : r.nextDouble(1.5))));
@@ -316,8 +318,9 @@
     }
 
     /**
-     * A campaign's transaction is held back until its sender has given up and pledged not to lead, and carried out then; another
-     * node leads meanwhile, or has led and let go again, or none has: nobody leads by it.
+     * A campaign's transaction is delayed until its sender has timed out and pledged not to campaign, and is executed then.
+     * Meanwhile another node leads, has led and resigned, or none has led. No node may act as the leader because of the delayed
+     * transaction.
      */
     @ParameterizedTest
     @CsvSource({"another leads", "another has led", "it has pledged"})
@@ -326,9 +329,9 @@
         w.service.delaying = (door, path) -> door.equals("a") && path.equals("/txn");
         Process a = w.on(() -> w.start("a"));
         w.until(() -> w.service.delayed() > 0);
-        assertFalse(w.on(() -> a.leadership.pledge()), "its transaction may be under way");
+        assertFalse(w.on(() -> a.leadership.pledge()), "a node with a campaign in progress pledged");
         w.on(() -> {
-            // Its requests are refused from here on, so it tries no further; it gives up the first after 2 s.
+            // Rejected from now on, so node a sends no further campaign; its first one times out after 2 s.
             w.service.refused.add("a");
             return null;
         });
@@ -353,7 +356,7 @@
                     w.service.has(RecordKeys.LEADER)
                             ? w.service.value(RecordKeys.LEADER).text("node")
                             : "none",
-                    "whose key stands there");
+                    "the node in the leadership key");
             assertFalse(a.leadership.isLeading());
             w.service.refused.clear();
             return clock.now();
@@ -364,11 +367,11 @@
             return;
         }
         w.until(a.leadership::isValid);
-        assertTrue(clock.now().since(pledged).compareTo(GivenPledges.PLEDGE_TIME) >= 0, "it had pledged");
+        assertTrue(clock.now().since(pledged).compareTo(GivenPledges.PLEDGE_TIME) >= 0, "node a gained leadership before its pledge expired");
         assertEquals(List.of(), w.breaches);
     }
 
-    /** The key's removal is asked for late and twice, when the node that stood aside leads again: that leadership goes on. */
+    /** Late and repeated requests to remove a resigned leader's key do not end the next leadership of the same node. */
     @Test
     void aLateHandoverDoesNotAffectTheNextTermOfTheSameNode() throws Exception {
         World w = new World(1, Span.seconds(1));
@@ -388,7 +391,7 @@
         assertEquals(List.of(), w.breaches);
     }
 
-    /** A renewal is answered when its lease was let go and another taken: what it says of the old one is not said of the new. */
+    /** The response to a renewal arrives after the node has gained another lease: it must not affect the new lease. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void aLateRenewalResponseDoesNotAffectTheNextLease(boolean ended) throws Exception {
@@ -414,29 +417,32 @@
         w.until(() -> w.took.size() == 2);
         Moment again = clock.now();
         w.on(() -> {
-            // All that is held by now is of the first lease, as the duty has not come to renew the second.
+            // All delayed renewals are of the first lease, as the renewal task has not yet renewed the second.
             w.service.letThrough();
             return null;
         });
         w.until(() -> clock.now().since(again).compareTo(Span.seconds(1)) > 0 || w.took.size() > 2);
-        assertEquals(2, w.took.size(), "the second leadership goes on");
-        // No renewal of the second lease gets through: its time runs from when it was asked for, and not from the first
-        // one's renewal.
+        assertEquals(2, w.took.size(), "the second leadership continues");
+        // No renewal of the second lease succeeds, so its validity counts from its request, not from the renewal of the
+        // first lease.
         w.until(() -> !a.leadership.isValid());
         Span valid = clock.now().since(again);
         assertTrue(
                 valid.compareTo(w.life) < 0 && valid.compareTo(w.life.minus(Span.seconds(0.75))) > 0,
-                valid + " of its own lease");
+                "validity " + valid + " does not match the time of the second lease");
     }
 
-    /** What a node remembers as open is the newest there is only if nobody has led since, also where it never read who did. */
+    /**
+     * A node's cached state is current only if no other node has led since its last leadership. The node detects another leadership
+     * even if it has never read that leader's key.
+     */
     @ParameterizedTest
     @CsvSource({"nobody, true", "another, false", "its own try without an answer, true"})
     void aNodeSucceedsItselfOnlyIfNobodyHasLedSince(String between, boolean itself) throws Exception {
         World w = new World(1, Span.seconds(2));
         Process a = w.on(() -> w.start("a"));
         w.until(a.leadership::isValid);
-        assertTrue(w.on(a.leadership::succeedsItself), "the first of all");
+        assertTrue(w.on(a.leadership::succeedsItself), "the first leadership of the deployment");
         switch (between) {
             case "another" -> {
                 w.on(() -> {
@@ -470,7 +476,7 @@
         assertEquals(List.of(), w.breaches);
     }
 
-    /** Tries that the service refuses use up no numbers: tokens do not run ahead of the time, from which the next process chooses. */
+    /** Rejected campaigns return their tokens, so that tokens do not run ahead of the clock that the next process starts from. */
     @Test
     void rejectedCampaignsDoNotAdvanceTokens() {
         TokenGenerator tokens = new TokenGenerator(1, clock.timeOfDay(), Span.seconds(0.1));
@@ -479,7 +485,7 @@
         for (int n = 0; n < 100; n++) {
             FencingToken refused = tokens.next(FencingToken.NONE, clock.timeOfDay());
             assertTrue(
-                    refused.value() > held.value() && held.value() > first.value(), "those may still be carried out");
+                    refused.value() > held.value() && held.value() > first.value(), "the new token is not above the tokens of campaigns that may still be executed");
             tokens.unused(refused);
         }
         assertEquals(3 << 5, tokens.next(FencingToken.NONE, clock.timeOfDay()).value() - (first.value() - (1 << 5)));
--- a/src/test/java/io/indigoreach/state/JobRecordCodecTest.java
+++ b/src/test/java/io/indigoreach/state/JobRecordCodecTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Records come back as they were, and fit the smaller of the deployments' limits at their largest. */
+/** Tests that job records round-trip and that the largest ones fit the smallest limits of any deployment. */
 class JobRecordCodecTest {
     private static final int VALUE_BYTES = 8 * 1024;
     private static final int TXN_OPS = 12;
@@ -75,7 +75,7 @@
                 back);
     }
 
-    /** An older version takes the chain for a further field and writes it back unchanged; with a hundred names it is short. */
+    /** Older versions treat dependencies as an additional field and preserve it. With a hundred job ids it stays short. */
     @ParameterizedTest
     @ValueSource(longs = {0, 1_790_000_000_000L})
     void dependenciesAreStoredAmongTheAdditionalFields(long released) {
--- a/src/test/java/io/indigoreach/state/LeaderElectionTest.java
+++ b/src/test/java/io/indigoreach/state/LeaderElectionTest.java
@@ -29,13 +29,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Taking, keeping and losing leadership, against a stand-in for the state service. Waits are for events, not times. */
+/** Tests gaining, keeping and losing leadership against a fake state service. The tests wait for events, not for fixed times. */
 class LeaderElectionTest {
     private final Vertx vertx = Vertx.vertx();
     private final BlockingQueue<String> events = new ArrayBlockingQueue<>(100);
     private final SteadyClock clock = new SteadyClock();
     private final AtomicLong highest = new AtomicLong();
-    /** How many leaderships there were, each under a token above all before. */
+    /** The number of leaderships that had a higher token than all before. */
     private final AtomicLong taken = new AtomicLong();
 
     private StateStandIn service;
@@ -106,7 +106,7 @@
         assertEquals("b1 took 2", next());
     }
 
-    /** Whether a node that starts waits for a leader before it listens: nobody leads, in a deployment where somebody has. */
+    /** A starting node waits for a leader before it accepts requests if the deployment has had a leader and has none now. */
     @ParameterizedTest
     @CsvSource({
         "-, false, false, false",
@@ -144,7 +144,7 @@
                         .get(20, TimeUnit.SECONDS));
     }
 
-    /** Guards against waiting a whole lease for a process that surely has ended. */
+    /** Guards against waiting a full lease time for the node's own previous process, which has ended. */
     @Test
     void aRestartedNodeTakesItsPredecessorsPlace() throws Exception {
         LeaderElection a = node("a", "a1", 0);
@@ -167,7 +167,7 @@
         assertTrue(next().endsWith("took 2"));
     }
 
-    /** The key was written but the answer lost: this process may take it again, under a higher token. */
+    /** The campaign was executed but its response lost: the process may campaign again with a higher token. */
     @Test
     void aLostAnswerToTheCampaignDoesNotBlockLeadership() throws Exception {
         service.losingAnswers = 1;
@@ -187,7 +187,7 @@
         assertFalse(a.isValid() && events.isEmpty());
     }
 
-    /** A leader that alone is refused by the state service held its key for a whole lease (water kiosks, apart). */
+    /** Guards against a leader that the state service alone rejects and whose key stays for a full lease time. */
     @Test
     void aPeerRemovesTheKeyOfALeaderThatSteppedAside() throws Exception {
         LeaderElection a = node("a", "a1", 2);
@@ -205,12 +205,12 @@
         });
         assertEquals("b1 took 2", next());
         b.removeKey(key.get()).toCompletionStage().toCompletableFuture().get();
-        assertTrue(service.has(RecordKeys.LEADER), "a late request leaves a later leader's key alone");
+        assertTrue(service.has(RecordKeys.LEADER), "a late request removed a later leader's key");
     }
 
     /**
-     * An older version of the program led in between: it orders tasks without raising their bounds, and its counter does not
-     * say otherwise. Bounds are believed again once a leader has vouched for all that is open.
+     * An older version of the program has led and started tasks without maintaining start bounds; its counter lacks the flag for
+     * them. Start bounds are reliable again once a leader has confirmed them for all open jobs.
      */
     @Test
     void boundsAreNotBelievedAfterAnOlderVersionHasLed() throws Exception {
@@ -233,7 +233,7 @@
         assertEquals("a1 took 3", next());
     }
 
-    /** Found on loopback: with the leader's key and the counter deleted, the next leader took the first token once more. */
+    /** Guards against a reused token: after the leadership key and the counter were deleted, the next leader got token 1 again. */
     @ParameterizedTest
     @ValueSource(strings = {"leader", "counter", "leader counter"})
     void noTokenIsTakenTwiceWhateverIsDeleted(String keys) throws Exception {
@@ -249,13 +249,13 @@
                 vertx.runOnContext(v -> a.deposed());
             }
             assertEquals("a1 lost", next());
-            assertEquals("a1 took " + round, next(), "it led until now, so it need not wait for its own lease");
+            assertEquals("a1 took " + round, next(), "the former leader waited for its own lease");
         }
     }
 
     /**
-     * In an outage of the state service a leader goes on by the others' pledges, and by nothing less: not by those of some,
-     * and not by those that come when its own time was over, as another may have led in between.
+     * During an outage of the state service, a leader stays valid only by the pledges of all peers. Pledges of some peers are not
+     * enough, nor are pledges that arrive after its validity has ended, as another node may have led in between.
      */
     @ParameterizedTest
     @CsvSource({"always, true", "never, false", "late, false"})
@@ -286,15 +286,15 @@
         while (!a.isValid()) {
             Thread.onSpinWait();
         }
-        assertTrue(events.isEmpty(), "its lease has never ended");
+        assertTrue(events.isEmpty(), "leadership changed although the lease never ended");
     }
 
-    /** Guards against two leaders: who has pledged, or may have in a former process, does not take a key that is free. */
+    /** Guards against two leaders: a node whose pledge, or whose previous process's pledge, may be in force does not campaign. */
     @Test
     void aPledgeDefersCampaigning() throws Exception {
         LeaderElection a = node("a", "a1", 2);
         assertEquals("a1 took 1", next());
-        assertFalse(a.pledge(), "a leader does not pledge");
+        assertFalse(a.pledge(), "a leader pledged");
         LeaderElection b = node("b", "b1", 2);
         while (service.transactions < 2 && b.leader() == null) {
             Thread.onSpinWait();
@@ -316,7 +316,7 @@
         assertEquals("c1 took 3", next());
         assertTrue(
                 clock.now().since(began).compareTo(GivenPledges.PLEDGE_TIME) >= 0,
-                "a former process of it may have pledged");
+                "node c campaigned although its previous process may have pledged");
         service.endLeases();
         assertEquals("c1 lost", next());
         vertx.runOnContext(v -> c.stop());
@@ -325,6 +325,6 @@
                 node("d", "d1", 2, Span.seconds(10), () -> Future.succeededFuture(asked.compareAndSet(false, true)));
         service.endLeases();
         assertEquals("d1 took 4", next());
-        assertTrue(asked.get() && d.isValid(), "not so if nobody leads");
+        assertTrue(asked.get() && d.isValid(), "node d waited for a pledge of its previous process although no peer leads");
     }
 }
--- a/src/test/java/io/indigoreach/state/RoutineRunnerTest.java
+++ b/src/test/java/io/indigoreach/state/RoutineRunnerTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Parts' routines against a state service that loses records, and a leadership that ends. */
+/** Tests routines of optional features against a state service that loses records, and with a leadership that ends. */
 class RoutineRunnerTest {
     private static final RecordFamily LASTING = new RecordFamily("a/", 100, true, RecordFamily.Mending.NEWER);
     private static final RecordFamily PASSING = new RecordFamily("b/", 100, false, RecordFamily.Mending.NEWER);
@@ -53,7 +53,7 @@
         return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     }
 
-    /** Reads a record, adds one to its number, and ends with what it wrote, or with -1 if the record changed meanwhile. */
+    /** Increments the number in a record. Its result is the new number, or -1 if the record changed concurrently. */
     private static Routine<Long> adding(String key) {
         return new Routine<>() {
             private long sum;
--- a/src/test/java/io/indigoreach/state/StateStandIn.java
+++ b/src/test/java/io/indigoreach/state/StateStandIn.java
@@ -30,15 +30,15 @@
 import java.util.function.ToIntFunction;
 
 /**
- * A stand-in for the state service that speaks its protocol; it can refuse requests, execute them and not answer, or not answer
- * and execute them late.
+ * A fake state service that implements the protocol of the real one. It can reject requests, execute them without a response, or
+ * execute them late without a response.
  */
-@SuppressWarnings("NonAtomicVolatileUpdate") // Counters are raised by its event loop alone, and read by tests.
+@SuppressWarnings("NonAtomicVolatileUpdate") // Only the event loop writes the counters; tests read them.
 public final class StateStandIn {
     private record Item(Map<String, Object> data, long stamp, long lease) {}
 
     private final ConcurrentSkipListMap<String, Item> items = new ConcurrentSkipListMap<>();
-    /** When each lease ends, by the steady clock in ns; only where they {@link #expiring expire}. */
+    /** The time at which each lease ends, by {@link System#nanoTime}; used only if leases are {@link #expiring}. */
     private final Map<Long, Long> leases = new HashMap<>();
 
     private final Map<Long, Long> lives = new HashMap<>();
@@ -48,43 +48,44 @@
     private long revision = 10;
     private long lastLease;
     public volatile boolean refusing;
-    /** Requests that were refused. */
+    /** The number of rejected requests. */
     public volatile int refusals;
-    /** Callers that are refused alone, by the names of their {@link #door doors}; their open watches wait. */
+    /** Callers whose requests are rejected, by the names of their {@link #door endpoints}; their open watches wait. */
     public final Set<String> refused = new HashSet<>();
-    /** What is delayed until it is {@link #letThrough let through}, by the caller's door and the path. */
+    /** Selects requests, by the caller's endpoint name and the path, that wait until {@link #letThrough}. */
     public BiPredicate<String, String> delaying = (door, path) -> false;
-    /** Leases end by their time; after an outage each has its full time again. */
+    /** Whether leases expire; after an outage each lease gets its full time again. */
     public boolean expiring;
-    /** The answers to the next transactions are lost after these were executed. */
+    /** The number of following transactions that are executed without a response. */
     public int losingAnswers;
-    /** Transactions that are executed at once, and whose answer is lost. */
+    /** Selects transactions that are executed at once, without a response. */
     public volatile Predicate<Fields> losing = txn -> false;
-    /** How many of those there were. */
+    /** The number of transactions that {@link #losing} has selected. */
     public volatile int lost;
-    /** For how many milliseconds an answer is held up on its way, by the path; what it says is as old as its request. */
+    /** The delay of responses in ms, by path. A delayed response has the state at the time of its request. */
     public volatile ToIntFunction<String> lagMs = path -> 0;
-    /** Leases are not ended on request: as if it came from a node that is refused. */
+    /** Whether requests to revoke a lease have no effect, as if they came from a node whose requests are rejected. */
     public boolean keepingLeases;
-    /** Transactions that get no answer, and are executed by {@link #executeLate}. */
+    /** Selects transactions that get no response and are executed by {@link #executeLate}. */
     public volatile Predicate<Fields> holding = txn -> false;
 
     private final Queue<Fields> held = new ConcurrentLinkedQueue<>();
     private volatile Context loop;
     public volatile int transactions;
-    /** Records and listings that were read. */
+    /** The number of reads of keys and listings. */
     public volatile int reads;
-    /** Limits of a value, in bytes, and of a transaction, in changes; lowered by some tests at some time. */
+    /** The maximum size of a value in bytes; some tests lower it. */
     public volatile int valueBytes = 8 * 1024;
 
+    /** The maximum number of writes in a transaction; some tests lower it. */
     public volatile int txnOps = 16;
     private static final int CONDITIONS_PER_CHANGE = 4;
-    /** For how long a test waits for the stand-in, in seconds. */
+    /** How long a test waits for this service, in seconds. */
     private static final int PATIENCE_S = 20;
 
-    /** Transactions that were refused as too large. */
+    /** The number of transactions rejected as too large. */
     public volatile int tooLarge;
-    /** Keys that were written or deleted. */
+    /** The number of writes and deletions of keys. */
     public volatile int changed;
 
     private Endpoint endpoint;
@@ -96,7 +97,7 @@
         });
     }
 
-    /** A way in for one caller, who can be refused alone. */
+    /** Opens an endpoint for one caller, whose requests can be rejected separately. */
     public Future<Endpoint> door(Vertx vertx, String name) {
         return vertx.createHttpServer()
                 .requestHandler(r -> handle(r, name))
@@ -104,7 +105,7 @@
                 .map(s -> new Endpoint("127.0.0.1", s.actualPort()));
     }
 
-    /** What was delayed is executed now, and answered to whoever still waits. */
+    /** Executes the delayed requests and responds to the callers that still wait. */
     public void letThrough() {
         List<Runnable> all = new ArrayList<>(delayed);
         delayed.clear();
@@ -115,7 +116,7 @@
         return delayed.size();
     }
 
-    /** An outage ends: every lease has its full time again. */
+    /** Ends an outage; every lease gets its full time again. */
     public void serveAgain() {
         refusing = false;
         leases.replaceAll((lease, ends) -> System.nanoTime() + lives.get(lease));
@@ -137,20 +138,20 @@
         return new Fields(items.get(key).data);
     }
 
-    /** How many transactions are held back. */
+    /** The number of transactions that wait for {@link #executeLate}. */
     public int held() {
         return held.size();
     }
 
-    /** Executes what is held back, the oldest first; the statuses that nobody is told. */
+    /** Executes the held transactions, the oldest first, and returns their statuses, which are not sent to the callers. */
     public List<Integer> executeLate() {
         Context now = loop;
         if (Vertx.currentContext() == now) {
             return executeHeld();
         }
         CompletableFuture<List<Integer>> statuses = new CompletableFuture<>();
-        // Not by this method again: another connection may have become the current one, and its loop would wait for
-        // itself.
+        // Does not call this method again: another connection may have set the event loop meanwhile, and a loop that waits
+        // for itself would deadlock.
         now.runOnContext(v -> statuses.complete(executeHeld()));
         return statuses.orTimeout(PATIENCE_S, TimeUnit.SECONDS).join();
     }
@@ -162,7 +163,7 @@
         return statuses;
     }
 
-    /** Ends every lease, with the keys attached to it. */
+    /** Ends every lease and deletes the keys attached to it. */
     public void endLeases() {
         List.copyOf(leases.keySet()).forEach(this::endLease);
     }
@@ -177,7 +178,7 @@
         wakeWatchers();
     }
 
-    /** Ends the leases whose time is over; none in an outage. */
+    /** Ends the leases whose time has passed, except during an outage. */
     public void expire() {
         if (refusing) {
             return;
@@ -359,7 +360,7 @@
     }
 
     private void reply(HttpServerRequest request, int status, Map<String, Object> body) {
-        // As it is now: a listing's values are those of this moment.
+        // Encoded before the delay, so that the response has the state at the time of the request.
         Buffer written = MessagePackFormat.write(body);
         int lag = lagMs.applyAsInt(request.path());
         if (lag > 0) {
--- a/src/test/java/io/indigoreach/state/TestBlocks.java
+++ b/src/test/java/io/indigoreach/state/TestBlocks.java
@@ -4,11 +4,11 @@
 import java.util.BitSet;
 import java.util.Map;
 
-/** Completion blocks as versions of the program before {@link CompletionBits} write and read them. */
+/** Encodes and decodes completion blocks like versions of the program before {@link CompletionBits}. */
 public final class TestBlocks {
     private TestBlocks() {}
 
-    /** How many blocks of bits are beside the record of a job. */
+    /** The number of completion blocks of a job; 0 if its bits are stored in its record. */
     public static int blocks(int tasks) {
         return tasks <= CompletionBlockCodec.MAX_TASKS_IN_RECORD
                 ? 0
--- a/src/test/java/io/indigoreach/state/VersionProcesses.java
+++ b/src/test/java/io/indigoreach/state/VersionProcesses.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Controllers of this version and of the one in production, as far as they lead, over a stand-in for the state service. */
+/** Runs leader election of this version and of the version in production against one fake state service. */
 final class VersionProcesses implements AutoCloseable {
     static final List<String> NODES = List.of("a", "b", "c");
     private static final Span LIFE = Span.seconds(1.5);
@@ -32,9 +32,12 @@
         }
     }
 
-    /** A controller of the version in production: it campaigns by the rules of commit 633f24e when it is told to. */
+    /** A controller of the version in production. It campaigns like commit 633f24e, when a test calls it. */
     record Older(String node, StateClient client) {
-        /** Reads the leader's key and the counter, and gets a lease; fails where production's code does. Null: another leads. */
+        /**
+         * Reads the leadership key and the counter and requests a lease. Returns the campaign's transaction, or null if another
+         * node leads; fails where production's code fails.
+         */
         Future<StateClient.Txn> stand() {
             return client.get(RecordKeys.LEADER)
                     .compose(leader -> leader != null
@@ -58,7 +61,7 @@
     final Vertx vertx = Vertx.vertx();
     final SteadyClock clock = new SteadyClock();
     final StateStandIn service;
-    /** Vert.x closes a client that nothing refers to any more. */
+    /** Keeps the clients reachable, as Vert.x closes unreachable ones. */
     private final List<ServiceClient> callers = new ArrayList<>();
 
     VersionProcesses() throws Exception {
