--- a/src/test/java/io/indigoreach/state/HandoverTest.java
+++ b/src/test/java/io/indigoreach/state/HandoverTest.java
@@ -274,8 +274,8 @@
             }
             case 4 -> refuse(w, any, 0.3 + r.nextDouble(4));
             case 5, 7, 8 -> {
-                // Not an outage: leases expire while the leader stays valid by pledges. Then the service accepts requests
-                // of the nodes that pledged before those of the leader, and one of these nodes may have restarted.
+                // Not an outage: leases expire while the leader stays valid by pledges. Then the service accepts
+                // requests of the nodes that pledged before those of the leader; one of these nodes may have restarted.
                 double least = 3.3 + r.nextDouble(1.5);
                 NODES.forEach(
                         n -> refuse(w, n, least + (leader != null && n.equals(leader.node) ? 3 : r.nextDouble(1.5))));
--- a/src/test/java/io/indigoreach/state/LeaderElectionTest.java
+++ b/src/test/java/io/indigoreach/state/LeaderElectionTest.java
@@ -77,8 +77,8 @@
                     @Override
                     public void leadershipGained(FencingToken token, Revision key, boolean bounds) {
                         boolean above = token.value() > highest.getAndSet(token.value());
-                        events.add(process + " took " + (above ? taken.incrementAndGet() : "an old token")
-                                + (bounds ? "" : ", bounds in doubt"));
+                        events.add(process + " gained " + (above ? taken.incrementAndGet() : "an old token")
+                                + (bounds ? "" : ", start bounds unreliable"));
                     }
 
                     @Override
@@ -98,12 +98,12 @@
     @Test
     void theNextLeadersTokenIsHigherAndTheFirstIsNotValidAnyMore() throws Exception {
         LeaderElection a = node("a", "a1", 0);
-        assertEquals("a1 took 1", next());
+        assertEquals("a1 gained 1", next());
         assertTrue(a.isValid());
         vertx.runOnContext(v -> a.stop());
         node("b", "b1", 0);
         service.endLeases();
-        assertEquals("b1 took 2", next());
+        assertEquals("b1 gained 2", next());
     }
 
     /** A starting node waits for a leader before it accepts requests if the deployment has had a leader and has none now. */
@@ -148,16 +148,16 @@
     @Test
     void aRestartedNodeTakesItsPredecessorsPlace() throws Exception {
         LeaderElection a = node("a", "a1", 0);
-        assertEquals("a1 took 1", next());
+        assertEquals("a1 gained 1", next());
         vertx.runOnContext(v -> a.stop());
         node("a", "a2", 0);
-        assertEquals("a2 took 2", next());
+        assertEquals("a2 gained 2", next());
     }
 
     @Test
     void aRestartedNodeLetsANodeThatIsUpLeadFirst() throws Exception {
         LeaderElection a = node("a", "a1", 2);
-        assertEquals("a1 took 1", next());
+        assertEquals("a1 gained 1", next());
         vertx.runOnContext(v -> a.stop());
         node("b", "b1", 2);
         while (service.transactions < 1) {
@@ -172,16 +172,16 @@
     void aLostAnswerToTheCampaignDoesNotBlockLeadership() throws Exception {
         service.losingAnswers = 1;
         node("a", "a1", 0);
-        assertEquals("a1 took 1", next());
+        assertEquals("a1 gained 1", next());
     }
 
     @Test
     void aLeaderWhoseLeaseHasEndedSaysSo() throws Exception {
         LeaderElection a = node("a", "a1", 0);
-        assertEquals("a1 took 1", next());
+        assertEquals("a1 gained 1", next());
         service.endLeases();
         assertEquals("a1 lost", next());
-        assertEquals("a1 took 2", next());
+        assertEquals("a1 gained 2", next());
         vertx.runOnContext(v -> a.deposed());
         assertEquals("a1 lost", next());
         assertFalse(a.isValid() && events.isEmpty());
@@ -191,7 +191,7 @@
     @Test
     void aPeerRemovesTheKeyOfALeaderThatSteppedAside() throws Exception {
         LeaderElection a = node("a", "a1", 2);
-        assertEquals("a1 took 1", next());
+        assertEquals("a1 gained 1", next());
         LeaderElection b = node("b", "b1", 2);
         service.keepingLeases = true;
         CompletableFuture<Revision> key = new CompletableFuture<>();
@@ -203,7 +203,7 @@
         vertx.runOnContext(v -> {
             var unused = key.thenAccept(b::removeKey);
         });
-        assertEquals("b1 took 2", next());
+        assertEquals("b1 gained 2", next());
         b.removeKey(key.get()).toCompletionStage().toCompletableFuture().get();
         assertTrue(service.has(RecordKeys.LEADER), "a late request removed a later leader's key");
     }
@@ -221,16 +221,16 @@
                 .toCompletableFuture()
                 .get();
         LeaderElection a = node("a", "a1", 0);
-        assertEquals("a1 took 1, bounds in doubt", next());
+        assertEquals("a1 gained 1, start bounds unreliable", next());
         vertx.runOnContext(v -> a.deposed());
         assertEquals("a1 lost", next());
-        assertEquals("a1 took 2, bounds in doubt", next());
+        assertEquals("a1 gained 2, start bounds unreliable", next());
         CompletableFuture<Void> vouched = new CompletableFuture<>();
         vertx.runOnContext(v -> a.confirmStartBounds().onComplete(r -> vouched.complete(null)));
         vouched.get();
         vertx.runOnContext(v -> a.deposed());
         assertEquals("a1 lost", next());
-        assertEquals("a1 took 3", next());
+        assertEquals("a1 gained 3", next());
     }
 
     /** Guards against a reused token: after the leadership key and the counter were deleted, the next leader got token 1 again. */
@@ -240,7 +240,7 @@
         StateClient client = new StateClient(
                 new ServiceClient(vertx, service.endpoint(), 1), new ServiceClient(vertx, service.endpoint(), 1));
         LeaderElection a = node("a", "a1", 2);
-        assertEquals("a1 took 1", next());
+        assertEquals("a1 gained 1", next());
         for (int round = 2; round < 4; round++) {
             StateClient.Txn loss = new StateClient.Txn();
             List.of(keys.split(" ")).forEach(loss::delete);
@@ -249,7 +249,7 @@
                 vertx.runOnContext(v -> a.deposed());
             }
             assertEquals("a1 lost", next());
-            assertEquals("a1 took " + round, next(), "the former leader waited for its own lease");
+            assertEquals("a1 gained " + round, next(), "the former leader waited for its own lease");
         }
     }
 
@@ -264,7 +264,7 @@
         AtomicBoolean pledging = new AtomicBoolean("always".equals(pledged));
         vertx.runOnContext(
                 v -> a.askPeersBy(() -> Future.succeededFuture(pledging.get()), () -> Future.succeededFuture(false)));
-        assertEquals("a1 took 1", next());
+        assertEquals("a1 gained 1", next());
         service.refusing = true;
         Moment over = clock.now().plus(Span.seconds(3.5));
         while (a.isValid() && clock.now().isBefore(over)) {
@@ -293,7 +293,7 @@
     @Test
     void aPledgeDefersCampaigning() throws Exception {
         LeaderElection a = node("a", "a1", 2);
-        assertEquals("a1 took 1", next());
+        assertEquals("a1 gained 1", next());
         assertFalse(a.pledge(), "a leader pledged");
         LeaderElection b = node("b", "b1", 2);
         while (service.transactions < 2 && b.leader() == null) {
@@ -307,13 +307,13 @@
             service.endLeases();
         });
         Moment given = pledge.get();
-        assertEquals("b1 took 2", next());
+        assertEquals("b1 gained 2", next());
         assertTrue(clock.now().since(given).compareTo(GivenPledges.PLEDGE_TIME) >= 0);
         vertx.runOnContext(v -> b.stop());
         Moment began = clock.now();
         LeaderElection c = node("c", "c1", 2);
         service.endLeases();
-        assertEquals("c1 took 3", next());
+        assertEquals("c1 gained 3", next());
         assertTrue(
                 clock.now().since(began).compareTo(GivenPledges.PLEDGE_TIME) >= 0,
                 "node c campaigned although its previous process may have pledged");
@@ -324,7 +324,7 @@
         LeaderElection d =
                 node("d", "d1", 2, Span.seconds(10), () -> Future.succeededFuture(asked.compareAndSet(false, true)));
         service.endLeases();
-        assertEquals("d1 took 4", next());
+        assertEquals("d1 gained 4", next());
         assertTrue(asked.get() && d.isValid(), "node d waited for a pledge of its previous process although no peer leads");
     }
 }
--- a/src/test/java/io/indigoreach/state/StateStandIn.java
+++ b/src/test/java/io/indigoreach/state/StateStandIn.java
@@ -150,8 +150,8 @@
             return executeHeld();
         }
         CompletableFuture<List<Integer>> statuses = new CompletableFuture<>();
-        // Does not call this method again: another connection may have set the event loop meanwhile, and a loop that waits
-        // for itself would deadlock.
+        // Does not call this method again: another connection may have set the event loop meanwhile, and a loop that
+        // waits for itself would deadlock.
         now.runOnContext(v -> statuses.complete(executeHeld()));
         return statuses.orTimeout(PATIENCE_S, TimeUnit.SECONDS).join();
     }
