--- a/src/test/java/io/indigoreach/state/HandoverTest.java
+++ b/src/test/java/io/indigoreach/state/HandoverTest.java
@@ -437,14 +437,14 @@
      * even if it has never read that leader's key.
      */
     @ParameterizedTest
-    @CsvSource({"nobody, true", "another, false", "its own try without an answer, true"})
+    @CsvSource({"no node, true", "another node, false", "own campaign without a response, true"})
     void aNodeSucceedsItselfOnlyIfNobodyHasLedSince(String between, boolean itself) throws Exception {
         World w = new World(1, Span.seconds(2));
         Process a = w.on(() -> w.start("a"));
         w.until(a.leadership::isValid);
         assertTrue(w.on(a.leadership::succeedsItself), "the first leadership of the deployment");
         switch (between) {
-            case "another" -> {
+            case "another node" -> {
                 w.on(() -> {
                     w.service.refused.add("a");
                     w.service.endLeases();
@@ -458,7 +458,7 @@
                     return w.service.refused.remove("a");
                 });
             }
-            case "nobody" ->
+            case "no node" ->
                 w.on(() -> {
                     a.leadership.deposed();
                     return null;
--- a/src/test/java/io/indigoreach/state/LeaderElectionTest.java
+++ b/src/test/java/io/indigoreach/state/LeaderElectionTest.java
@@ -196,7 +196,7 @@
         service.keepingLeases = true;
         CompletableFuture<Revision> key = new CompletableFuture<>();
         vertx.runOnContext(v -> {
-            key.complete(a.stepAside("refused alone"));
+            key.complete(a.stepAside("state service unreachable"));
             a.stop();
         });
         assertEquals("a1 lost", next());
