--- a/src/main/java/io/indigoreach/api/JobAdmission.java
+++ b/src/main/java/io/indigoreach/api/JobAdmission.java
@@ -38,7 +38,7 @@
 
     private Optional<ApiException> tooLarge(JobSpec spec, long submittedMs) {
         int bytes = CompletionBits.recordBytes(spec, submittedMs);
-        int maxBytes = state.limits().room(maxValueBytes);
+        int maxBytes = state.limits().maxRecordBytes(maxValueBytes);
         if (bytes <= maxBytes) {
             return Optional.empty();
         }
--- a/src/main/java/io/indigoreach/api/JobCancellation.java
+++ b/src/main/java/io/indigoreach/api/JobCancellation.java
@@ -49,7 +49,7 @@
             return Future.failedFuture(NotFoundException.job());
         }
         return state.commit(cancelling(open.job())).compose(outcome -> {
-            if (outcome.done()) {
+            if (outcome.executed()) {
                 LOG.info("job cancelled by user job={}", id);
                 memory.rememberFinished(cancelled(open.job()));
                 return Future.succeededFuture(JobStatus.CANCELLED);
@@ -76,7 +76,7 @@
 
     private Future<StoredJob> cancelByCascade(JobId id, JobRecord open) {
         return state.commit(cancelling(open)).compose(outcome -> {
-            if (!outcome.done()) {
+            if (!outcome.executed()) {
                 return Future.failedFuture(new WireException("the job changes at this moment"));
             }
             LOG.info("job cancelled by dependency job={}", id);
--- a/src/main/java/io/indigoreach/api/JobLookup.java
+++ b/src/main/java/io/indigoreach/api/JobLookup.java
@@ -101,7 +101,7 @@
             // The job has ended; only the record has not been moved to the final key yet.
             return Future.succeededFuture(finished(new FinalRecord(id, JobStatus.DONE, record.doneCount())));
         }
-        return state.areReadsSuspect()
+        return state.shouldConfirmRead()
                 ? confirmOpen(search, record)
                 : Future.succeededFuture(new StoredJob.Open(record));
     }
@@ -150,7 +150,7 @@
     }
 
     private Future<StoredJob> searchAfterStaleRead(Search search) {
-        return searchAgain(search.withoutSubmission(), state.check(), "the state service answers with the past");
+        return searchAgain(search.withoutSubmission(), state.checkEra(), "the state service answers with the past");
     }
 
     /** No user is told that a job does not exist while any controller remembers it: its record was lost. */
@@ -168,7 +168,7 @@
                 return searchAgain(
                         search.withoutSubmission(), Future.succeededFuture(), "the job changes at this moment");
             }
-            state.recordMissing(RecordKeys.openKey(search.id()));
+            state.reportMissingRecord(RecordKeys.openKey(search.id()));
             return Future.failedFuture(new WireException("the record of this job was lost"));
         });
     }
--- a/src/main/java/io/indigoreach/api/JobReadBatcher.java
+++ b/src/main/java/io/indigoreach/api/JobReadBatcher.java
@@ -117,11 +117,11 @@
     }
 
     private void completeReads(String from, StateClient.Page page) {
-        List<StateClient.Entry> items = page.items();
+        List<StateClient.Entry> items = page.entries();
         Map<String, StateClient.Entry> byKey = new HashMap<>();
         items.forEach(item -> byKey.put(item.key(), item));
         String last =
-                page.more() && !items.isEmpty() ? items.get(items.size() - 1).key() : null;
+                page.hasMore() && !items.isEmpty() ? items.get(items.size() - 1).key() : null;
         cursor.answered(from, last).forEach((key, promise) -> promise.complete(Optional.ofNullable(byKey.get(key))));
     }
 
--- a/src/main/java/io/indigoreach/api/JobService.java
+++ b/src/main/java/io/indigoreach/api/JobService.java
@@ -57,7 +57,7 @@
         memory = new JobMemory(clock);
         JobReadBatcher batchedReads = new JobReadBatcher(context.vertx(), state, clock, context.queriesPerSecond());
         lookup = new JobLookup(state, context.repairer(), memory, batchedReads);
-        CascadeFreshness freshness = new CascadeFreshness(clock, state::areReadsSuspect);
+        CascadeFreshness freshness = new CascadeFreshness(clock, state::shouldConfirmRead);
         state.onFailure(freshness::requestFailed);
         dependencies = new DependencyService(clock, lookup::find, lookup::findBatched, freshness);
         cancellation = new JobCancellation(state, lookup, memory, dependencies);
--- a/src/main/java/io/indigoreach/api/JobSubmission.java
+++ b/src/main/java/io/indigoreach/api/JobSubmission.java
@@ -121,7 +121,7 @@
         if (!state.isEraKnown()) {
             // Without the condition on the era, a transaction without an answer could be executed after a rebuild that
             // no longer knows of the job's end.
-            return state.check().compose(checked -> acceptIfEraKnown(acceptance));
+            return state.checkEra().compose(checked -> acceptIfEraKnown(acceptance));
         }
         JobSpec spec = acceptance.spec();
         StateClient.Txn txn = state.transactionInEra()
@@ -154,10 +154,10 @@
         StateClient.Txn complete = acceptance.cancelled()
                 ? txn.put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))
                 : txn.put(RecordKeys.openKey(id), acceptance.record());
-        return state.commit(complete.and(writes))
-                .compose(outcome -> outcome.done()
+        return state.commit(complete.addAll(writes))
+                .compose(outcome -> outcome.executed()
                         ? Future.succeededFuture(remember(acceptance, writes, outcome.writtenRevision()))
-                        : resolveConflict(acceptance, writes, outcome.failed()));
+                        : resolveConflict(acceptance, writes, outcome.failedKeys()));
     }
 
     private SubmissionResult remember(Acceptance acceptance, Transaction writes, Revision revision) {
@@ -175,7 +175,7 @@
     private Future<SubmissionResult> resolveConflict(
             Acceptance acceptance, Transaction writes, List<String> failedKeys) {
         if (failedKeys.equals(List.of(RecordKeys.ERA)) && acceptance.mayRepeat()) {
-            return state.check().compose(checked -> accept(acceptance.next()));
+            return state.checkEra().compose(checked -> accept(acceptance.next()));
         }
         if (failedKeys.stream().anyMatch(writes.conditions()::containsKey) && acceptance.mayRepeat()) {
             return accept(acceptance.next());
--- a/src/main/java/io/indigoreach/calendar/PlanJoining.java
+++ b/src/main/java/io/indigoreach/calendar/PlanJoining.java
@@ -79,6 +79,6 @@
 
     @Override
     public void accepted(Transaction change, Revision stamp) {
-        records.written(change, stamp);
+        records.recordCommitted(change, stamp);
     }
 }
--- a/src/main/java/io/indigoreach/checker/Checker.java
+++ b/src/main/java/io/indigoreach/checker/Checker.java
@@ -365,7 +365,7 @@
                     boolean counted = c.txn().writes().stream()
                             .anyMatch(o -> o.key().equals(RecordKeys.COUNTER)
                                     && CounterRecord.read(new Fields(o.value()))
-                                                    .highest()
+                                                    .highestToken()
                                                     .value()
                                             == token);
                     if (w.lease() == 0 || token <= highest || !counted) {
@@ -398,7 +398,7 @@
         if (conditions.containsKey(key)) {
             return true;
         }
-        String guard = RecordKeys.guardOf(key);
+        String guard = RecordKeys.guardKeyOf(key);
         if (guard == null || !conditions.containsKey(guard)) {
             return false;
         }
--- a/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
+++ b/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
@@ -88,7 +88,7 @@
 
     /** Whether the job's completion bits fit into its own record, so that it has no blocks. */
     boolean hasRoomInRecord(Job job) {
-        return bits().areInRecord(job.spec(), job.submittedMs());
+        return bits().fitInRecord(job.spec(), job.submittedMs());
     }
 
     /**
@@ -96,7 +96,7 @@
      * the job is over.
      */
     boolean canBeWritten(Job job) {
-        return bits().canBeWritten(job.spec(), job.submittedMs());
+        return bits().recordFits(job.spec(), job.submittedMs());
     }
 
     /** Adds the job's record to a transaction, and as many of its outdated blocks as fit. */
@@ -109,7 +109,7 @@
         BitSet unwritten = (BitSet) done.clone();
         unwritten.andNot(blocks.written);
         int room = context.limits().txnOps() - txn.size();
-        blocks.inFlight = bits().blocksWith(job.id(), unwritten, done, room);
+        blocks.inFlight = bits().blocksCovering(job.id(), unwritten, done, room);
         blocks.inFlight.forEach(
                 (blockKey, completed) -> txn.put(blockKey, CompletionBits.writeBlock(blockKey, completed)));
     }
@@ -175,7 +175,7 @@
         StateClient.Txn txn = writes.newTransaction().when(finalRecord.key(), finalRecord.revision());
         keys.forEach(txn::delete);
         return context.state().commit(txn).map(outcome -> {
-            if (outcome.done()) {
+            if (outcome.executed()) {
                 onDeleted(id, keys);
             } else if (!cleanupTask.isCancelled() && LeaderWrites.isDeposed(outcome)) {
                 writes.deposed();
--- a/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
+++ b/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
@@ -85,7 +85,7 @@
     }
 
     private Future<Span> step() {
-        return state.check()
+        return state.checkEra()
                 .map(answer -> {
                     lastServedAt = clock.now();
                     return false;
--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -122,7 +122,7 @@
 
     /** The state service has lost data: a leader keeps what it knows, and campaigns anew to rebuild from it. */
     void onStateLoss() {
-        election.deposed();
+        election.onLeadershipConflict();
     }
 
     /** Whether this node leads and has the job open. */
@@ -154,7 +154,7 @@
 
     /** How to ask every other node for its pledge not to lead, and whether none of them leads now. */
     void setPeers(PledgeSource pledges, Supplier<Future<Boolean>> noPeerLeads) {
-        election.askPeersBy(() -> requestPledges(pledges), noPeerLeads);
+        election.setPeerQueries(() -> requestPledges(pledges), noPeerLeads);
     }
 
     /** Whether every other node has pledged; the cancellations in their answers go to the current term. */
@@ -186,7 +186,7 @@
 
     /** Removes what a predecessor of this process left behind; true if nobody leads any more. Never fails. */
     public Future<Boolean> clearPredecessor(Function<String, Future<Boolean>> leads) {
-        return election.clearPredecessor(leads);
+        return election.clearPredecessorKey(leads);
     }
 
     /**
@@ -200,7 +200,7 @@
 
     private Future<Void> leaderKnown(Revision previous, Moment deadline) {
         boolean begun =
-                election.leader() != null && !election.leadershipRevision().equals(previous);
+                election.leaderNode() != null && !election.leadershipRevision().equals(previous);
         if (election.isLeading() || begun || !context.clock().now().isBefore(deadline)) {
             return Future.succeededFuture();
         }
@@ -234,7 +234,7 @@
 
     /** Gives leadership up where this node alone is without the state service; null if it does not lead. */
     Revision stepAside() {
-        return election.stepAside(UNREACHABLE_FROM_THIS_NODE_ONLY);
+        return election.handOver(UNREACHABLE_FROM_THIS_NODE_ONLY);
     }
 
     /** Removes the key of a leader that has stepped aside. */
@@ -252,13 +252,13 @@
         }
         LeadershipTerm current = term;
         Heartbeat heartbeat = decoder.get();
-        election.tokenSeen(heartbeat.token());
+        election.recordSeenToken(heartbeat.token());
         return current.onHeartbeat(heartbeat).map(result -> respond(current, heartbeat, result));
     }
 
     private HeartbeatResponse respond(LeadershipTerm asked, Heartbeat heartbeat, HeartbeatResult result) {
         if (result.isSuperseded()) {
-            election.deposed();
+            election.onLeadershipConflict();
             return HeartbeatResponse.redirect(null);
         }
         // Checked as the response is written: the leadership may have ended while a record was being written.
@@ -279,13 +279,13 @@
 
     /** Who else leads, for a worker to go to; null if that is not known, as a wrong name costs the worker more than none. */
     private String otherLeader() {
-        String leader = election.leader();
+        String leader = election.leaderNode();
         return cutOff || context.config().node().equals(leader) ? null : leader;
     }
 
     @Override
     public void leadershipGained(FencingToken token, Revision leadershipRevision, boolean startBoundsTrusted) {
-        leaderMemory.termBegins(election.succeedsItself());
+        leaderMemory.termBegins(election.ledPreviousTerm());
         LeadershipTerm.Leadership leadership =
                 new LeadershipTerm.Leadership(token, leadershipRevision, startBoundsTrusted);
         term = new LeadershipTerm(context, election, leadership, this::gatherRememberedState);
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -195,15 +195,14 @@
                 .commit(txn)
                 .compose(
                         outcome -> onResponse(job, outcome),
-                        failure ->
-                                StateClient.surelyNotExecuted(failure) ? Future.succeededFuture() : readOutcome(job));
+                        failure -> StateClient.wasNotExecuted(failure) ? Future.succeededFuture() : readOutcome(job));
     }
 
     private Future<Void> onResponse(Job job, StateClient.Outcome outcome) {
         if (task.isCancelled()) {
             return Future.succeededFuture();
         }
-        if (outcome.done()) {
+        if (outcome.executed()) {
             onCancelled(job.id());
             return Future.succeededFuture();
         }
--- a/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
+++ b/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
@@ -39,14 +39,14 @@
     }
 
     private Future<Span> apply(StateClient.Changes changes) {
-        if (changes.tooOld()) {
+        if (changes.compacted()) {
             return skipToCurrentRevision();
         }
         nextRevision = Math.max(nextRevision, changes.revision());
         changes.changes().stream()
                 .filter(change -> change.value() == null && !watchTask.isCancelled())
                 .findFirst()
-                .ifPresent(change -> state.recordMissing(change.key()));
+                .ifPresent(change -> state.reportMissingRecord(change.key()));
         return Future.succeededFuture(PAUSE);
     }
 
--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -75,14 +75,15 @@
 
         @Override
         public boolean hasRoomForRent(Collection<Intents.Rent> rents, Intents.Rent next) {
-            int used = rents.stream().mapToInt(IntentRecordCodec::bytes).sum();
-            return used + IntentRecordCodec.bytes(next) <= half();
+            int used = rents.stream().mapToInt(IntentRecordCodec::encodedBytes).sum();
+            return used + IntentRecordCodec.encodedBytes(next) <= half();
         }
 
         @Override
         public boolean hasRoomForReturn(Collection<MachineId> returns, MachineId next) {
-            int used = returns.stream().mapToInt(IntentRecordCodec::bytes).sum();
-            return used + IntentRecordCodec.bytes(next) <= half();
+            int used =
+                    returns.stream().mapToInt(IntentRecordCodec::encodedBytes).sum();
+            return used + IntentRecordCodec.encodedBytes(next) <= half();
         }
     }
 
@@ -139,13 +140,13 @@
     }
 
     private void onEarlierRemoved(List<String> keys, StateClient.Outcome outcome) {
-        if (outcome.done()) {
+        if (outcome.executed()) {
             keys.forEach(earlierRecords::remove);
-        } else if (outcome.failed().contains(RecordKeys.LEADER)) {
+        } else if (outcome.failedKeys().contains(RecordKeys.LEADER)) {
             onLeadershipKeyChanged();
         } else {
             // Removed by a write whose answer was lost, or added to by a leader that had not been replaced then.
-            outcome.failed().forEach(earlierRecords::remove);
+            outcome.failedKeys().forEach(earlierRecords::remove);
         }
     }
 
@@ -203,13 +204,13 @@
     }
 
     private boolean onWritten(Intents.Page page, boolean puts, StateClient.Outcome outcome) {
-        if (outcome.done()) {
+        if (outcome.executed()) {
             ownRevision = puts ? outcome.writtenRevision() : Revision.ABSENT;
             writeUnanswered = false;
             intents.recorded(page);
             return true;
         }
-        if (outcome.failed().contains(RecordKeys.LEADER)) {
+        if (outcome.failedKeys().contains(RecordKeys.LEADER)) {
             onLeadershipKeyChanged();
         }
         revisionUnknown = true;
@@ -217,7 +218,7 @@
     }
 
     private void onWriteFailed(Throwable cause) {
-        revisionUnknown |= !StateClient.surelyNotExecuted(cause);
+        revisionUnknown |= !StateClient.wasNotExecuted(cause);
         writeUnanswered |= revisionUnknown;
     }
 }
--- a/src/main/java/io/indigoreach/cluster/JobLoader.java
+++ b/src/main/java/io/indigoreach/cluster/JobLoader.java
@@ -155,7 +155,7 @@
         machineStore.inherit(page.key(), page.revision(), machines);
         for (MachineRecord machine : machines) {
             // Another node wrote this time, and its clock may be off as far in the other direction as this node's.
-            Moment knownToExistAt = context.toSteadyTime(machine.existedMs())
+            Moment knownToExistAt = context.toSteadyTime(machine.knownToExistMs())
                     .plus(context.config().maxClockError().times(2));
             jobs.core()
                     .inheritMachine(
--- a/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
+++ b/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
@@ -278,7 +278,7 @@
                 onResponse(sent, result.result());
             } else {
                 dirty.add(job);
-                if (!StateClient.surelyNotExecuted(result.cause())) {
+                if (!StateClient.wasNotExecuted(result.cause())) {
                     readOutcome(job);
                 }
             }
@@ -286,7 +286,7 @@
     }
 
     private void onResponse(SentWrite sent, StateClient.Outcome outcome) {
-        if (outcome.done()) {
+        if (outcome.executed()) {
             if (sent.complete()) {
                 onCompletionWritten(sent, outcome.writtenRevision());
             } else {
@@ -355,7 +355,7 @@
         return lookup.confirmAbsent(id)
                 .onSuccess(absent -> {
                     if (absent && !isCancelled()) {
-                        state.recordMissing(RecordKeys.openKey(id));
+                        state.reportMissingRecord(RecordKeys.openKey(id));
                     }
                 })
                 .mapEmpty();
--- a/src/main/java/io/indigoreach/cluster/JobWatch.java
+++ b/src/main/java/io/indigoreach/cluster/JobWatch.java
@@ -84,7 +84,7 @@
         if (watchTask.isCancelled()) {
             return PAUSE;
         }
-        if (changes.tooOld()) {
+        if (changes.compacted()) {
             mustResynchronize = true;
             return Span.ZERO;
         }
--- a/src/main/java/io/indigoreach/cluster/LeaderWrites.java
+++ b/src/main/java/io/indigoreach/cluster/LeaderWrites.java
@@ -31,7 +31,7 @@
 
     /** Whether a transaction was rejected because the leadership key has changed. */
     static boolean isDeposed(StateClient.Outcome outcome) {
-        return outcome.failed().contains(RecordKeys.LEADER);
+        return outcome.failedKeys().contains(RecordKeys.LEADER);
     }
 
     void deposed() {
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -89,7 +89,11 @@
         this.startBoundsTrusted = leadership.startBoundsTrusted();
         this.core = newCore(context, leadership.token(), this);
         this.writes = new LeaderWrites(
-                context, leadership.token(), leadership.revision(), newWriteLimiter(context), election::deposed);
+                context,
+                leadership.token(),
+                leadership.revision(),
+                newWriteLimiter(context),
+                election::onLeadershipConflict);
         this.machineStore = new MachineStore(writes, core);
         this.jobStore = new JobStore(writes, core, machineStore, startBoundsTrusted, cancellationHorizon);
         this.dependencyTask = new DependencyTask(writes, core, jobStore);
@@ -126,7 +130,7 @@
 
     private FleetManager newFleetManager() {
         IntentLog intentLog = new IntentLog(
-                context, writes.token(), writes.leadershipRevision(), election::deposed, writes.limiter());
+                context, writes.token(), writes.leadershipRevision(), election::onLeadershipConflict, writes.limiter());
         return new FleetManager(context, core, writes.token(), intentLog, election::isValid);
     }
 
@@ -306,7 +310,7 @@
         core.setAwakeSince(awakeSince.isAfter(servingSince) ? awakeSince : servingSince);
         core.expireLeases(now);
         if (election.isValid() && !context.config().peers().isEmpty() && core.isCutOffFromWorkers(now)) {
-            election.abdicate("no-heartbeats");
+            election.resign("no-heartbeats");
             return Future.succeededFuture(TICK_PERIOD);
         }
         if (!startBoundsTrusted && hasNoInheritedJobs()) {
--- a/src/main/java/io/indigoreach/cluster/MachinePage.java
+++ b/src/main/java/io/indigoreach/cluster/MachinePage.java
@@ -86,7 +86,7 @@
     int freeBytes(SchedulerCore core, int capacity) {
         int used = machines.values().stream()
                 .filter(machine -> core.knows(machine.id()))
-                .mapToInt(MachineRecordCodec::bytes)
+                .mapToInt(MachineRecordCodec::encodedBytes)
                 .sum();
         return capacity - used;
     }
--- a/src/main/java/io/indigoreach/cluster/MachineStore.java
+++ b/src/main/java/io/indigoreach/cluster/MachineStore.java
@@ -152,7 +152,7 @@
         int maxPages = Math.min(MAX_PAGES_PER_WRITE, context.limits().txnOps());
         for (MachineId id : pending.keySet()) {
             MachineRecord machine = toRecord(core.unrecorded(id).orElseThrow(), wallClockMs, now);
-            int bytes = MachineRecordCodec.bytes(machine);
+            int bytes = MachineRecordCodec.encodedBytes(machine);
             MachinePage page = pageWithRoom(bytes, freeBytes);
             if (additions.size() >= maxPages && !additions.containsKey(page)) {
                 break;
@@ -290,7 +290,7 @@
                 })
                 .recover(failure -> {
                     LOG.debug("machine pages not written cause={}", failure.toString());
-                    if (!StateClient.surelyNotExecuted(failure)) {
+                    if (!StateClient.wasNotExecuted(failure)) {
                         written.forEach(page -> page.setRevisionUncertain(true));
                     }
                     return Future.succeededFuture(PERIOD);
@@ -298,7 +298,7 @@
     }
 
     private void onResponse(StateClient.Outcome outcome, List<MachinePage> written, Consumer<Revision> onDone) {
-        if (outcome.done()) {
+        if (outcome.executed()) {
             onDone.accept(outcome.writtenRevision());
         } else if (LeaderWrites.isDeposed(outcome)) {
             writes.deposed();
--- a/src/main/java/io/indigoreach/cluster/Node.java
+++ b/src/main/java/io/indigoreach/cluster/Node.java
@@ -113,7 +113,7 @@
     private void connect(NodeContext context, JobService jobService) {
         controller.setRememberedStateSource(peerClient::rememberedState);
         controller.setPeers(peerClient::requestPledges, peerClient::noPeerLeads);
-        context.repairer().recallFrom(peerClient::rememberedState);
+        context.repairer().setRememberedStateQuery(peerClient::rememberedState);
         jobService.setCascadeTime(context.config().rules().cancellationTime(), controller::currentLeadership);
         jobService.setDependencySupportCheck(() -> controller.formatGate().isOpen());
         jobService.setParticipants(context.parts().joinings());
--- a/src/main/java/io/indigoreach/cluster/NodeContext.java
+++ b/src/main/java/io/indigoreach/cluster/NodeContext.java
@@ -32,7 +32,7 @@
 
     /** The limits of the state service in force, by which values, transactions and rate limits are sized. */
     PlatformConfig.StateLimits limits() {
-        return state.limits().within(config.stateLimits());
+        return state.limits().applyTo(config.stateLimits());
     }
 
     /** The moment of this process's steady clock for a wall-clock time in ms; times in the future count as now. */
--- a/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
+++ b/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
@@ -89,7 +89,7 @@
         if (core.job(id) == job) {
             switch (reason.result()) {
                 case CANCELLED -> openJobs.onCancelled(id);
-                case LOST -> context.state().recordMissing(RecordKeys.openKey(id));
+                case LOST -> context.state().reportMissingRecord(RecordKeys.openKey(id));
                 case STILL_OPEN -> {}
             }
         }
--- a/src/main/java/io/indigoreach/cluster/OpenJobs.java
+++ b/src/main/java/io/indigoreach/cluster/OpenJobs.java
@@ -63,7 +63,7 @@
         BitSet done = (BitSet) blockBits.clone();
         done.or(record.done());
         // An earlier leader may have run a version that started tasks without raising their start bounds.
-        int startBound = inherited && !startBoundsTrusted ? record.spec().tasks() : record.bound();
+        int startBound = inherited && !startBoundsTrusted ? record.spec().tasks() : record.startBound();
         Job job = new Job(
                 record.spec(),
                 record.submittedMs(),
--- a/src/main/java/io/indigoreach/cluster/PartsTask.java
+++ b/src/main/java/io/indigoreach/cluster/PartsTask.java
@@ -40,7 +40,7 @@
         this.core = core;
         this.routines = context.parts().all().isEmpty()
                 ? null
-                : context.parts().records().leading(RecordKeys.LEADER, leadershipRevision, writeLimiter);
+                : context.parts().records().forLeader(RecordKeys.LEADER, leadershipRevision, writeLimiter);
         this.collectionTask = new PeriodicTask(context.vertx(), "parts", PERIOD, this::collect);
     }
 
--- a/src/main/java/io/indigoreach/cluster/RebuildWriter.java
+++ b/src/main/java/io/indigoreach/cluster/RebuildWriter.java
@@ -135,11 +135,11 @@
         }
         conditions.forEach(combined::when);
         return context.state().commit(combined).compose(outcome -> {
-            if (outcome.done()) {
+            if (outcome.executed()) {
                 written += batch.size();
                 return Future.succeededFuture();
             }
-            return commitWithout(List.copyOf(outcome.failed()), batch);
+            return commitWithout(List.copyOf(outcome.failedKeys()), batch);
         });
     }
 
--- a/src/main/java/io/indigoreach/cluster/RecordListing.java
+++ b/src/main/java/io/indigoreach/cluster/RecordListing.java
@@ -45,7 +45,7 @@
             // The last records of an earlier leader could be missing, in particular machines that run tasks.
             return Future.failedFuture(new WireException("the state service lists a revision before this leadership"));
         }
-        List<StateClient.Entry> entries = page.items();
+        List<StateClient.Entry> entries = page.entries();
         for (StateClient.Entry entry : entries) {
             try {
                 consumer.accept(entry);
@@ -55,7 +55,7 @@
         }
         // The oldest page counts: a watch from there reports whatever a later page did not include yet.
         long revision = Math.min(oldestRevision, page.revision());
-        if (page.more() && !entries.isEmpty()) {
+        if (page.hasMore() && !entries.isEmpty()) {
             return readFrom(entries.get(entries.size() - 1).key(), revision);
         }
         return Future.succeededFuture(revision);
--- a/src/main/java/io/indigoreach/cluster/StateRebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -136,7 +136,7 @@
         BitSet completed = (BitSet) record.done().clone();
         completed.or(inventory.completedInBlocks(id));
         return RememberedState.merged(
-                job, new RememberedState.OpenJob(record.spec(), record.submittedMs(), completed, record.bound()));
+                job, new RememberedState.OpenJob(record.spec(), record.submittedMs(), completed, record.startBound()));
     }
 
     /** A transaction under the conditions that an open job is as it was read, and has not finished. */
@@ -148,12 +148,12 @@
 
     /** Before the job's record: the next attempt takes a job whose record is there to be complete. */
     private void addCompletionBlocks(JobId id, RememberedState.OpenJob job) {
-        if (completionBits().areInRecord(job.spec(), job.submittedMs())) {
+        if (completionBits().fitInRecord(job.spec(), job.submittedMs())) {
             return;
         }
         BitSet missing = (BitSet) job.done().clone();
         missing.andNot(inventory.completedInBlocks(id));
-        Map<String, BitSet> blocks = completionBits().blocksWith(id, missing, job.done(), Integer.MAX_VALUE);
+        Map<String, BitSet> blocks = completionBits().blocksCovering(id, missing, job.done(), Integer.MAX_VALUE);
         blocks.forEach((key, completed) ->
                 writer.add(openJobTransaction(id).put(key, CompletionBits.writeBlock(key, completed))));
     }
@@ -174,11 +174,11 @@
                     machine.pool(),
                     timeOfDay - now.since(machine.rented()).ms(),
                     timeOfDay - now.since(machine.existed()).ms());
-            bytes += MachineRecordCodec.bytes(line);
+            bytes += MachineRecordCodec.encodedBytes(line);
             if (bytes > MachinePage.capacity(context)) {
                 addMachinePage(page);
                 page.clear();
-                bytes = MachineRecordCodec.bytes(line);
+                bytes = MachineRecordCodec.encodedBytes(line);
             }
             page.add(line);
         }
@@ -243,7 +243,8 @@
         StateClient.Txn txn = writer.transaction().put(RecordKeys.ERA, eraRecord());
         return context.state()
                 .commit(txn)
-                .compose(outcome -> outcome.done() ? context.state().check() : RebuildWriter.failedByAnotherLeader());
+                .compose(outcome ->
+                        outcome.executed() ? context.state().checkEra() : RebuildWriter.failedByAnotherLeader());
     }
 
     /** With as many of the findings, the latest ones, as one value takes. */
--- a/src/main/java/io/indigoreach/emulator/StateServer.java
+++ b/src/main/java/io/indigoreach/emulator/StateServer.java
@@ -132,7 +132,7 @@
                 r.whenClosed(() -> model.giveUp(watch));
             }
         } else if (path.equals(StateCodec.LEASES) && r.is(HttpMethod.POST)) {
-            kept.accept(model.grant(now, StateCodec.readLife(r.body())));
+            kept.accept(model.grant(now, StateCodec.readLeaseTime(r.body())));
         } else if (path.startsWith(StateCodec.LEASES + "/")) {
             kept.accept(lease(r, now, path.substring(StateCodec.LEASES.length() + 1)));
         } else {
--- a/src/main/java/io/indigoreach/experiment/Experiment.java
+++ b/src/main/java/io/indigoreach/experiment/Experiment.java
@@ -187,16 +187,16 @@
         state.list(f.to(), after, most)
                 .compose(page -> {
                     StateClient.Txn loss = new StateClient.Txn();
-                    page.items().stream()
+                    page.entries().stream()
                             .filter(e -> random.nextDouble() < f.share())
                             .forEach(e -> loss.when(e.key(), e.revision()).delete(e.key()));
                     // What has changed meanwhile is tried again; what is spared is passed over.
                     return state.commit(loss)
-                            .map(outcome -> outcome.done()
-                                    ? page.items().isEmpty()
+                            .map(outcome -> outcome.executed()
+                                    ? page.entries().isEmpty()
                                             ? null
-                                            : page.items()
-                                                    .get(page.items().size() - 1)
+                                            : page.entries()
+                                                    .get(page.entries().size() - 1)
                                                     .key()
                                     : after == null ? "" : after);
                 })
--- a/src/main/java/io/indigoreach/ownership/OwnershipPart.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipPart.java
@@ -40,7 +40,8 @@
                 * WRITES
                 / (ground.config().peers().size() + 1);
         RoutineRunner within = ground.records()
-                .within(new RateLimiter(perS, 2 * most / perS, ground.clock().now()));
+                .withBudget(
+                        new RateLimiter(perS, 2 * most / perS, ground.clock().now()));
         this.desk = new OwnershipService(within, registry, most, ground.clock());
         this.field = new RecordsField(within, registry, most);
         this.tidy = new ClaimCollector(new ClaimCollector.Jobs(
--- a/src/main/java/io/indigoreach/ownership/RecordsField.java
+++ b/src/main/java/io/indigoreach/ownership/RecordsField.java
@@ -61,6 +61,6 @@
 
     @Override
     public void accepted(Transaction change, Revision stamp) {
-        records.written(change, stamp);
+        records.recordCommitted(change, stamp);
     }
 }
--- a/src/main/java/io/indigoreach/state/Campaign.java
+++ b/src/main/java/io/indigoreach/state/Campaign.java
@@ -13,59 +13,59 @@
  * raises the token counter. Bound to the node's event loop.
  */
 final class Campaign {
-    private static final Span RETRY = Span.seconds(0.5);
-    private static final Span RETRY_WHILE_BOUND = Span.seconds(0.1);
+    private static final Span RETRY_INTERVAL = Span.seconds(0.5);
+    private static final Span RETRY_INTERVAL_WHILE_BOUND = Span.seconds(0.1);
 
     private final StateClient state;
     private final SteadyClock clock;
     private final Candidate candidate;
     private final Span leaseTime;
     private final TokenGenerator tokens;
-    private final OwnTokens ownTokens;
-    private final RaisedFormat raisedFormat;
+    private final OwnTokenHistory tokenHistory;
+    private final DataFormatTracker dataFormat;
 
-    Campaign(ElectionSettings settings, OwnTokens ownTokens, RaisedFormat raisedFormat) {
+    Campaign(ElectionSettings settings, OwnTokenHistory tokenHistory, DataFormatTracker dataFormat) {
         this.state = settings.state().client();
         this.clock = settings.clock();
         this.candidate = settings.candidate();
         this.leaseTime = settings.leaseTime();
         this.tokens = settings.tokens();
-        this.ownTokens = ownTokens;
-        this.raisedFormat = raisedFormat;
+        this.tokenHistory = tokenHistory;
+        this.dataFormat = dataFormat;
     }
 
     /**
      * Attempts once to gain leadership.
      *
-     * @param held the revision of the leadership key that the attempt replaces, or {@link Revision#ABSENT}
-     * @param boundUnlessNew whether a pledge given by the previous process of this node may still be in force; it is ignored in
+     * @param keyRevision the revision of the leadership key that the attempt replaces, or {@link Revision#ABSENT}
+     * @param mayBeBound whether a pledge given by the previous process of this node may still be in force; it is ignored in
      *     a new deployment, which has no token counter yet
      */
-    Future<CampaignResult> run(Revision held, boolean boundUnlessNew) {
-        return state.get(RecordKeys.COUNTER).compose(entry -> attempt(held, entry, boundUnlessNew));
+    Future<CampaignResult> run(Revision keyRevision, boolean mayBeBound) {
+        return state.get(RecordKeys.COUNTER).compose(entry -> attempt(keyRevision, entry, mayBeBound));
     }
 
-    private Future<CampaignResult> attempt(Revision held, StateClient.Entry counterEntry, boolean boundUnlessNew) {
+    private Future<CampaignResult> attempt(Revision keyRevision, StateClient.Entry counterEntry, boolean mayBeBound) {
         // Fails before anything is written if a later version of the program wrote the counter.
-        CounterRecord counter = CounterRecord.of(counterEntry);
-        raisedFormat.seen(counter);
-        FencingToken counted = counter.highest();
-        ownTokens.counterRead(counted);
-        if (boundUnlessNew && counterEntry != null) {
-            return notAttempted(RETRY_WHILE_BOUND);
+        CounterRecord counter = CounterRecord.fromEntry(counterEntry);
+        dataFormat.observe(counter);
+        FencingToken counterToken = counter.highestToken();
+        tokenHistory.observeCounter(counterToken);
+        if (mayBeBound && counterEntry != null) {
+            return notAttempted(RETRY_INTERVAL_WHILE_BOUND);
         }
         Revision counterRevision = StateClient.revisionOf(counterEntry);
-        if (tokens.isBehind(counted) && !ownTokens.mayCampaignAfterRegression()) {
+        if (tokens.isBehind(counterToken) && !tokenHistory.mayCampaignAfterRegression()) {
             return confirmRegression(counterRevision);
         }
         // Another node may have led and resigned before this node read its key. Only the counter shows that
         // leadership; without it, this node would take its own cached jobs for the latest state.
-        tokens.seen(counted);
+        tokens.seen(counterToken);
         FencingToken highestBefore = tokens.highest();
         Moment leaseSentAt = clock.now();
-        return state.grant(leaseTime)
-                .compose(lease ->
-                        takeKey(new Attempt(held, counter, counterRevision, highestBefore, leaseSentAt, lease)));
+        return state.grantLease(leaseTime)
+                .compose(lease -> tryAcquireKey(
+                        new Attempt(keyRevision, counter, counterRevision, highestBefore, leaseSentAt, lease)));
     }
 
     private Future<CampaignResult> notAttempted(Span retryAfter) {
@@ -77,57 +77,59 @@
         return state.confirm(new StateClient.Txn().when(RecordKeys.COUNTER, counterRevision))
                 .map(confirmed -> {
                     if (!confirmed) {
-                        ownTokens.regressionRefuted();
+                        tokenHistory.clearRegression();
                     }
-                    return new CampaignResult.NotAttempted(RETRY);
+                    return new CampaignResult.NotAttempted(RETRY_INTERVAL);
                 });
     }
 
     /** The state that one compare-and-swap on the leadership key is based on. */
     private record Attempt(
-            Revision held,
+            Revision keyRevision,
             CounterRecord counter,
             Revision counterRevision,
             FencingToken highestBefore,
             Moment leaseSentAt,
-            long lease) {}
+            long leaseId) {}
 
-    private Future<CampaignResult> takeKey(Attempt attempt) {
-        FencingToken token = tokens.next(attempt.counter.highest(), clock.timeOfDay());
+    private Future<CampaignResult> tryAcquireKey(Attempt attempt) {
+        FencingToken token = tokens.next(attempt.counter.highestToken(), clock.timeOfDay());
         return state.commit(transaction(attempt, token))
                 .onFailure(failure -> campaignFailed(failure, token, attempt.highestBefore))
-                .map(outcome -> result(attempt, token, outcome));
+                .map(outcome -> toResult(attempt, token, outcome));
     }
 
     private StateClient.Txn transaction(Attempt attempt, FencingToken token) {
         return new StateClient.Txn()
-                .when(RecordKeys.LEADER, attempt.held)
+                .when(RecordKeys.LEADER, attempt.keyRevision)
                 .when(RecordKeys.COUNTER, attempt.counterRevision)
-                .put(RecordKeys.LEADER, LeaderKey.write(candidate.node(), candidate.process(), token), attempt.lease)
+                .put(RecordKeys.LEADER, LeaderKey.write(candidate.node(), candidate.process(), token), attempt.leaseId)
                 .put(
                         RecordKeys.COUNTER,
-                        attempt.counter.next(token, raisedFormat.highest()).write());
+                        attempt.counter
+                                .forNextLeadership(token, dataFormat.highest())
+                                .write());
     }
 
     private void campaignFailed(Throwable failure, FencingToken token, FencingToken highestBefore) {
-        if (StateClient.surelyNotExecuted(failure)) {
+        if (StateClient.wasNotExecuted(failure)) {
             tokens.unused(token);
         } else {
-            ownTokens.campaignUnanswered(token, highestBefore);
+            tokenHistory.recordUnansweredCampaign(token, highestBefore);
         }
     }
 
-    private CampaignResult result(Attempt attempt, FencingToken token, StateClient.Outcome outcome) {
-        if (!outcome.done()) {
+    private CampaignResult toResult(Attempt attempt, FencingToken token, StateClient.Outcome outcome) {
+        if (!outcome.executed()) {
             tokens.unused(token);
             return new CampaignResult.Rejected();
         }
         return new CampaignResult.Won(
                 new LeaderKey(candidate.node(), candidate.process(), token, outcome.writtenRevision()),
-                attempt.lease,
+                attempt.leaseId,
                 attempt.leaseSentAt,
                 attempt.highestBefore,
-                attempt.counter.highest(),
-                attempt.counter.startBounds());
+                attempt.counter.highestToken(),
+                attempt.counter.startBoundsReliable());
     }
 }
--- a/src/main/java/io/indigoreach/state/CampaignResult.java
+++ b/src/main/java/io/indigoreach/state/CampaignResult.java
@@ -16,18 +16,18 @@
      * This node holds the leadership key.
      *
      * @param key the key as written
-     * @param lease the lease that the key is attached to
+     * @param leaseId the lease that the key is attached to
      * @param leaseSentAt when the lease was requested
      * @param highestBefore the highest token that this node knew before the attempt
-     * @param counted the token in the counter before the attempt
-     * @param startBounds whether the start bounds in the job records are reliable
+     * @param counterToken the token in the counter before the attempt
+     * @param startBoundsReliable whether the start bounds in the job records are reliable
      */
     record Won(
             LeaderKey key,
-            long lease,
+            long leaseId,
             Moment leaseSentAt,
             FencingToken highestBefore,
-            FencingToken counted,
-            boolean startBounds)
+            FencingToken counterToken,
+            boolean startBoundsReliable)
             implements CampaignResult {}
 }
--- a/src/main/java/io/indigoreach/state/Candidate.java
+++ b/src/main/java/io/indigoreach/state/Candidate.java
@@ -5,10 +5,10 @@
  *
  * @param node the node's name, which a restart does not change
  * @param process identifies the running process of the node
- * @param peers the number of other nodes in the deployment
+ * @param peerCount the number of other nodes in the deployment
  */
-public record Candidate(String node, String process, int peers) {
+public record Candidate(String node, String process, int peerCount) {
     boolean hasPeers() {
-        return peers > 0;
+        return peerCount > 0;
     }
 }
--- a/src/main/java/io/indigoreach/state/CompletionBits.java
+++ b/src/main/java/io/indigoreach/state/CompletionBits.java
@@ -27,7 +27,7 @@
     private static final int FRAME_BYTES = JsonSize.of(CompletionBlockCodec.writeBits(new BitSet()));
 
     /** An upper bound of tasks, which reserves space for the counters in a record to grow while the job runs. */
-    private static final int MAX_TASKS = 100_000;
+    private static final int MAX_COUNTER_VALUE = 100_000;
 
     private final StateLimits limits;
     private final int blockTasks;
@@ -51,75 +51,75 @@
     /** The maximum size of the job's record without bits. */
     public static int recordBytes(JobSpec spec, long submittedMs) {
         return JsonSize.of(JobRecordCodec.writeJob(
-                        spec, submittedMs, JobStatus.CANCELLED, new BitSet(), MAX_TASKS, MAX_TASKS))
-                + Integer.toString(MAX_TASKS).length();
+                        spec, submittedMs, JobStatus.CANCELLED, new BitSet(), MAX_COUNTER_VALUE, MAX_COUNTER_VALUE))
+                + Integer.toString(MAX_COUNTER_VALUE).length();
     }
 
     /** Whether the record without bits fits the limits; earlier versions may have accepted a longer job description. */
-    public boolean canBeWritten(JobSpec spec, long submittedMs) {
+    public boolean recordFits(JobSpec spec, long submittedMs) {
         return recordBytes(spec, submittedMs) <= limits.valueBytes();
     }
 
     /** Whether the bits of all the job's tasks fit into its record. */
-    public boolean areInRecord(JobSpec spec, long submittedMs) {
+    public boolean fitInRecord(JobSpec spec, long submittedMs) {
         return spec.tasks() <= CompletionBlockCodec.MAX_TASKS_IN_RECORD
                 && recordBytes(spec, submittedMs) + blockBytes(spec.tasks()) <= limits.maxRecordBytes();
     }
 
     /** The value of a job's record, with the bits if they fit into it. */
     public Map<String, Object> writeJob(
-            JobSpec spec, long submittedMs, JobStatus status, BitSet done, int running, int bound) {
-        Map<String, Object> record = JobRecordCodec.writeJob(spec, submittedMs, status, done, running, bound);
-        if (!areInRecord(spec, submittedMs)) {
+            JobSpec spec, long submittedMs, JobStatus status, BitSet done, int running, int startBound) {
+        Map<String, Object> record = JobRecordCodec.writeJob(spec, submittedMs, status, done, running, startBound);
+        if (!fitInRecord(spec, submittedMs)) {
             record.remove(CompletionBlockCodec.BITS_FIELD);
         }
         return record;
     }
 
     /**
-     * The blocks to write so that the tasks in {@code missing} are stored, at most {@code most}: by key, the completed tasks that
+     * The blocks to write so that the tasks in {@code missing} are stored, at most {@code maxBlocks}: by key, the completed tasks that
      * each block covers.
      */
-    public Map<String, BitSet> blocksWith(JobId id, BitSet missing, BitSet done, int most) {
+    public Map<String, BitSet> blocksCovering(JobId id, BitSet missing, BitSet done, int maxBlocks) {
         Map<String, BitSet> blocks = new LinkedHashMap<>();
         int next = missing.nextSetBit(0);
-        while (next >= 0 && blocks.size() < most) {
-            int n = next / blockTasks;
+        while (next >= 0 && blocks.size() < maxBlocks) {
+            int blockNumber = next / blockTasks;
             BitSet covered = new BitSet();
-            covered.set(n * blockTasks, (n + 1) * blockTasks);
+            covered.set(blockNumber * blockTasks, (blockNumber + 1) * blockTasks);
             covered.and(done);
-            blocks.put(key(id, n), covered);
-            next = missing.nextSetBit((n + 1) * blockTasks);
+            blocks.put(blockKey(id, blockNumber), covered);
+            next = missing.nextSetBit((blockNumber + 1) * blockTasks);
         }
         return blocks;
     }
 
-    private String key(JobId id, int n) {
+    private String blockKey(JobId id, int blockNumber) {
         return blockTasks == CompletionBlockCodec.BLOCK_TASKS
-                ? RecordKeys.blockKey(id, n)
-                : SMALL_BLOCKS + id.text() + "/" + n * blockTasks;
+                ? RecordKeys.completionBlockKey(id, blockNumber)
+                : SMALL_BLOCKS + id.text() + "/" + blockNumber * blockTasks;
     }
 
-    /** The value of a block that {@link #blocksWith} has returned. */
+    /** The value of a block that {@link #blocksCovering} has returned. */
     public static Map<String, Object> writeBlock(String key, BitSet covered) {
-        int from = firstOf(key);
-        return CompletionBlockCodec.writeBits(covered.get(from, Math.max(from, covered.length())));
+        int firstTask = firstTaskOf(key);
+        return CompletionBlockCodec.writeBits(covered.get(firstTask, Math.max(firstTask, covered.length())));
     }
 
     /** Adds a block's bits to {@code into}; throws {@link io.indigoreach.net.WireException} if the block is malformed. */
     public static void readBlock(String key, Fields value, BitSet into) {
         BitSet block = CompletionBlockCodec.readBits(value);
-        int from = firstOf(key);
-        block.stream().forEach(i -> into.set(from + i));
+        int firstTask = firstTaskOf(key);
+        block.stream().forEach(i -> into.set(firstTask + i));
     }
 
-    private static int firstOf(String key) {
+    private static int firstTaskOf(String key) {
         int number = RecordReader.read(() -> Integer.parseInt(key.substring(key.lastIndexOf('/') + 1)));
         return key.startsWith(SMALL_BLOCKS) ? number : number * CompletionBlockCodec.BLOCK_TASKS;
     }
 
     /** The job that a block belongs to. */
     public static JobId jobOf(String key) {
-        return RecordKeys.jobOfBlock(key);
+        return RecordKeys.jobOfCompletionBlock(key);
     }
 }
--- a/src/main/java/io/indigoreach/state/RaisedFormat.java
+++ b/src/main/java/io/indigoreach/state/DataFormatTracker.java
@@ -1,10 +1,10 @@
 package io.indigoreach.state;
 
 /** The highest data format that this process has seen in the token counter. It never decreases, even if the counter is lost. */
-final class RaisedFormat {
-    private int highest = CounterRecord.FIRST;
+final class DataFormatTracker {
+    private int highest = CounterRecord.ORIGINAL_FORMAT;
 
-    void seen(CounterRecord counter) {
+    void observe(CounterRecord counter) {
         highest = Math.max(highest, counter.format());
     }
 
@@ -13,6 +13,6 @@
     }
 
     boolean isNewest() {
-        return highest == CounterRecord.KNOWN;
+        return highest == CounterRecord.NEWEST_FORMAT;
     }
 }
--- a/src/main/java/io/indigoreach/state/DependencyCodec.java
+++ b/src/main/java/io/indigoreach/state/DependencyCodec.java
@@ -15,52 +15,52 @@
  * the record itself.
  */
 final class DependencyCodec {
-    private static final String NEEDS = "needs";
-    private static final String RELEASED = "released";
+    private static final String NEEDS_FIELD = "needs";
+    private static final String RELEASED_FIELD = "released";
     /** The prefix of every job id. It is omitted, which halves the size of a hundred typical ids. */
-    private static final String PREFIX = "run-";
+    private static final String JOB_ID_PREFIX = "run-";
 
     private static final String SEPARATOR = ",";
 
     private DependencyCodec() {}
 
     /** Adds the dependencies to the additional fields. */
-    static Map<String, Object> write(Map<String, Object> more, JobDependencies chain) {
-        if (chain.isEmpty()) {
-            return more;
+    static Map<String, Object> write(Map<String, Object> additionalFields, JobDependencies dependencies) {
+        if (dependencies.isEmpty()) {
+            return additionalFields;
         }
-        Map<String, Object> all = new LinkedHashMap<>(more);
+        Map<String, Object> all = new LinkedHashMap<>(additionalFields);
         all.put(
-                NEEDS,
-                chain.requiredJobs().stream()
-                        .map(id -> id.text().substring(PREFIX.length()))
+                NEEDS_FIELD,
+                dependencies.requiredJobs().stream()
+                        .map(id -> id.text().substring(JOB_ID_PREFIX.length()))
                         .collect(Collectors.joining(SEPARATOR)));
-        if (chain.isReleased()) {
-            all.put(RELEASED, chain.releasedAtMs());
+        if (dependencies.isReleased()) {
+            all.put(RELEASED_FIELD, dependencies.releasedAtMs());
         }
         return all;
     }
 
     /** Decodes the dependencies from the additional fields. */
-    static JobDependencies read(Fields more) {
-        if (!more.has(NEEDS)) {
+    static JobDependencies read(Fields additionalFields) {
+        if (!additionalFields.has(NEEDS_FIELD)) {
             return JobDependencies.NONE;
         }
-        List<JobId> needs = new ArrayList<>();
-        for (String number : more.text(NEEDS).split(SEPARATOR, -1)) {
-            needs.add(new JobId(PREFIX + number));
+        List<JobId> requiredJobs = new ArrayList<>();
+        for (String number : additionalFields.text(NEEDS_FIELD).split(SEPARATOR, -1)) {
+            requiredJobs.add(new JobId(JOB_ID_PREFIX + number));
         }
-        return new JobDependencies(needs, more.whole(RELEASED, 0));
+        return new JobDependencies(requiredJobs, additionalFields.whole(RELEASED_FIELD, 0));
     }
 
     /** Removes the dependencies from the additional fields. */
-    static Map<String, Object> without(Map<String, Object> all) {
-        if (!all.containsKey(NEEDS)) {
+    static Map<String, Object> withoutDependencies(Map<String, Object> all) {
+        if (!all.containsKey(NEEDS_FIELD)) {
             return all;
         }
-        Map<String, Object> more = new LinkedHashMap<>(all);
-        more.remove(NEEDS);
-        more.remove(RELEASED);
-        return more;
+        Map<String, Object> additionalFields = new LinkedHashMap<>(all);
+        additionalFields.remove(NEEDS_FIELD);
+        additionalFields.remove(RELEASED_FIELD);
+        return additionalFields;
     }
 }
--- a/src/main/java/io/indigoreach/state/EffectiveLimits.java
+++ b/src/main/java/io/indigoreach/state/EffectiveLimits.java
@@ -15,50 +15,51 @@
     private static final int MIN_VALUE_BYTES = 512;
 
     /** Unlimited. */
-    static final StateLimits NONE =
+    static final StateLimits UNLIMITED =
             new StateLimits(Double.MAX_VALUE, Double.MAX_VALUE, Integer.MAX_VALUE, Integer.MAX_VALUE);
 
-    private StateLimits observed = NONE;
-    private int refusals;
+    private StateLimits observed = UNLIMITED;
+    private int rejections;
 
     /** The stricter of the configured and the observed limits. */
-    public StateLimits within(StateLimits settings) {
-        return settings.atMost(observed);
+    public StateLimits applyTo(StateLimits configured) {
+        return configured.atMost(observed);
     }
 
     /** The maximum size of a record if the settings allow {@code valueBytes}. */
-    public int room(int valueBytes) {
-        return within(new StateLimits(NONE.requestsPerS(), NONE.writesPerS(), valueBytes, NONE.txnOps()))
+    public int maxRecordBytes(int valueBytes) {
+        return applyTo(new StateLimits(
+                        UNLIMITED.requestsPerS(), UNLIMITED.writesPerS(), valueBytes, UNLIMITED.txnOps()))
                 .maxRecordBytes();
     }
 
     /** The number of transactions that were rejected as malformed or too large. */
-    public int refusals() {
-        return refusals;
+    public int rejections() {
+        return rejections;
     }
 
     /** Lowers both limits below the rejected transaction, as the service does not report which limit was exceeded. */
-    void transactionRefused(StateClient.Txn txn) {
-        refusals++;
-        String key = "";
-        int largest = 0;
+    void transactionRejected(StateClient.Txn txn) {
+        rejections++;
+        String largestKey = "";
+        int largestBytes = 0;
         for (StateClient.Write write : txn.writes()) {
             int bytes = write.isDelete() ? 0 : JsonSize.of(write.value());
-            if (bytes >= largest) {
-                largest = bytes;
-                key = write.key();
+            if (bytes >= largestBytes) {
+                largestBytes = bytes;
+                largestKey = write.key();
             }
         }
         LOG.error(
                 "transaction rejected by limits changes={} largest_key={} largest_bytes={} refusals={}",
                 txn.size(),
-                key,
-                largest,
-                refusals);
+                largestKey,
+                largestBytes,
+                rejections);
         observed = observed.atMost(new StateLimits(
                 observed.requestsPerS(),
                 observed.writesPerS(),
-                largest > MIN_VALUE_BYTES ? Math.max(MIN_VALUE_BYTES, largest / 2) : observed.valueBytes(),
+                largestBytes > MIN_VALUE_BYTES ? Math.max(MIN_VALUE_BYTES, largestBytes / 2) : observed.valueBytes(),
                 txn.size() > StateLimits.MIN_TXN_OPS
                         ? Math.max(StateLimits.MIN_TXN_OPS, txn.size() / 2)
                         : observed.txnOps()));
--- a/src/main/java/io/indigoreach/state/EraRecordCodec.java
+++ b/src/main/java/io/indigoreach/state/EraRecordCodec.java
@@ -16,20 +16,22 @@
     }
 
     /** The value of an era after a loss, with the evidence and the number of rebuilt records; {@code atMs} is time of day. */
-    public static Map<String, Object> writeEra(FencingToken token, long atMs, List<String> findings, int written) {
-        return MessagePackFormat.map("token", token.value(), "at", atMs, "findings", findings, "written", written);
+    public static Map<String, Object> writeEra(
+            FencingToken token, long atMs, List<String> findings, int rebuiltRecords) {
+        return MessagePackFormat.map(
+                "token", token.value(), "at", atMs, "findings", findings, "written", rebuiltRecords);
     }
 
     /** Describes the loss before this era in lines for an operator; empty if there was none. */
-    public static List<String> readLoss(Fields era) {
+    public static List<String> describeLoss(Fields era) {
         List<String> findings = era.optionalTexts("findings");
-        List<String> out = new ArrayList<>();
+        List<String> lines = new ArrayList<>();
         if (findings != null) {
-            out.add("found and rebuilt by " + Instant.ofEpochMilli(era.whole("at")) + ": " + era.whole("written")
+            lines.add("found and rebuilt by " + Instant.ofEpochMilli(era.whole("at")) + ": " + era.whole("written")
                     + " records written anew");
-            out.addAll(findings);
+            lines.addAll(findings);
         }
-        return out;
+        return lines;
     }
 
     /** The number of the era. */
--- a/src/main/java/io/indigoreach/state/FormatGate.java
+++ b/src/main/java/io/indigoreach/state/FormatGate.java
@@ -26,9 +26,9 @@
 public final class FormatGate {
     private static final Logger LOG = LoggerFactory.getLogger(FormatGate.class);
     /** Key prefix of the nodes' records, each with the newest format that the node supports. */
-    static final String NODES = "v/";
+    static final String NODE_PREFIX = "v/";
 
-    private static final String FORMAT = "format";
+    private static final String FORMAT_FIELD = "format";
     /** Interval at which the leader reads the formats that the nodes have recorded. */
     private static final Span RAISE_INTERVAL = Span.seconds(1);
     /** Interval at which a node checks that its own record exists, as it may have been lost. */
@@ -48,19 +48,19 @@
     private Moment readAt = Moment.NEVER;
     private Future<Boolean> sharedRead = Future.succeededFuture(false);
 
-    /** {@code all}: the names of all nodes of the deployment, including this one. */
+    /** {@code nodes}: the names of all nodes of the deployment, including this one. */
     public FormatGate(
             Vertx vertx,
             StateClient state,
             SteadyClock clock,
-            LeaderElection leadership,
+            LeaderElection leaderElection,
             String node,
-            List<String> all) {
+            List<String> nodes) {
         this.state = state;
         this.clock = clock;
-        this.election = leadership;
+        this.election = leaderElection;
         this.node = node;
-        this.allNodes = List.copyOf(all);
+        this.allNodes = List.copyOf(nodes);
         this.task = new PeriodicTask(vertx, "data format", RAISE_INTERVAL, this::step);
     }
 
@@ -79,42 +79,42 @@
      * does not respond. Never fails.
      */
     public Future<Boolean> isOpen() {
-        if (election.raisedFormat().isNewest()) {
+        if (election.dataFormat().isNewest()) {
             return Future.succeededFuture(true);
         }
         Moment now = clock.now();
         if (readAt.equals(Moment.NEVER) || now.since(readAt).compareTo(SHARED_READ_TIME) >= 0) {
             readAt = now;
             sharedRead =
-                    readCounter().map(c -> election.raisedFormat().isNewest()).otherwise(false);
+                    readCounter().map(c -> election.dataFormat().isNewest()).otherwise(false);
         }
         return sharedRead;
     }
 
     private Future<StateClient.Entry> readCounter() {
         return state.get(RecordKeys.COUNTER).map(entry -> {
-            election.raisedFormat().seen(CounterRecord.of(entry));
+            election.dataFormat().observe(CounterRecord.fromEntry(entry));
             return entry;
         });
     }
 
     private Future<Span> step() {
-        if (election.raisedFormat().isNewest()) {
+        if (election.dataFormat().isNewest()) {
             task.cancel();
             return Future.succeededFuture(RAISE_INTERVAL);
         }
         boolean isDue =
                 checkedAt.equals(Moment.NEVER) || clock.now().since(checkedAt).compareTo(CHECK_INTERVAL) >= 0;
-        return (isDue ? check() : Future.<Void>succeededFuture())
-                .compose(v -> election.isLeading() ? raiseIfAllSupport() : Future.succeededFuture())
+        return (isDue ? checkOwnRecord() : Future.<Void>succeededFuture())
+                .compose(v -> election.isLeading() ? raiseIfAllNodesSupport() : Future.succeededFuture())
                 .map(RAISE_INTERVAL);
     }
 
     /** Reads whether the format is raised; if not, makes sure that this node's record has the format of this version. */
-    private Future<Void> check() {
+    private Future<Void> checkOwnRecord() {
         return readCounter()
                 .onFailure(this::reportIfUnreadable)
-                .compose(v -> election.raisedFormat().isNewest() ? Future.succeededFuture() : recordSupport());
+                .compose(v -> election.dataFormat().isNewest() ? Future.succeededFuture() : recordSupport());
     }
 
     private void reportIfUnreadable(Throwable failure) {
@@ -125,38 +125,38 @@
     }
 
     private Future<Void> recordSupport() {
-        String key = NODES + node;
+        String key = NODE_PREFIX + node;
         return state.get(key).compose(entry -> {
             if (entry != null && supportsNewest(entry.value())) {
                 checkedAt = clock.now();
                 return Future.succeededFuture();
             }
             Revision revision = entry == null ? Revision.ABSENT : entry.revision();
-            return state.commit(new StateClient.Txn().when(key, revision).put(key, write()))
+            return state.commit(new StateClient.Txn().when(key, revision).put(key, writeSupport()))
                     .map(outcome -> {
-                        checkedAt = outcome.done() ? clock.now() : checkedAt;
+                        checkedAt = outcome.executed() ? clock.now() : checkedAt;
                         return null;
                     });
         });
     }
 
     /** The value of the record of a node of this version. */
-    static Map<String, Object> write() {
-        return MessagePackFormat.map(FORMAT, (long) CounterRecord.KNOWN);
+    static Map<String, Object> writeSupport() {
+        return MessagePackFormat.map(FORMAT_FIELD, (long) CounterRecord.NEWEST_FORMAT);
     }
 
     private static boolean supportsNewest(Fields record) {
-        return record.whole(FORMAT, CounterRecord.FIRST) >= CounterRecord.KNOWN;
+        return record.whole(FORMAT_FIELD, CounterRecord.ORIGINAL_FORMAT) >= CounterRecord.NEWEST_FORMAT;
     }
 
-    private Future<Void> raiseIfAllSupport() {
-        Revision key = election.leadershipRevision();
-        return state.list(NODES, null, MAX_NODES).compose(page -> {
-            Set<String> know = new HashSet<>();
-            page.items().stream()
+    private Future<Void> raiseIfAllNodesSupport() {
+        Revision leaderRevision = election.leadershipRevision();
+        return state.list(NODE_PREFIX, null, MAX_NODES).compose(page -> {
+            Set<String> supportingNodes = new HashSet<>();
+            page.entries().stream()
                     .filter(e -> supportsNewest(e.value()))
-                    .forEach(e -> know.add(e.key().substring(NODES.length())));
-            return know.containsAll(allNodes) ? raise(key) : Future.succeededFuture();
+                    .forEach(e -> supportingNodes.add(e.key().substring(NODE_PREFIX.length())));
+            return supportingNodes.containsAll(allNodes) ? raise(leaderRevision) : Future.succeededFuture();
         });
     }
 
@@ -165,19 +165,19 @@
      * leads when it is executed, and on the counter's revision, so that it is executed once and any campaign that read the
      * counter earlier fails.
      */
-    private Future<Void> raise(Revision key) {
+    private Future<Void> raise(Revision leaderRevision) {
         return readCounter().compose(entry -> {
-            if (entry == null || election.raisedFormat().isNewest()) {
+            if (entry == null || election.dataFormat().isNewest()) {
                 return Future.succeededFuture();
             }
-            CounterRecord raised = CounterRecord.of(entry).raised();
+            CounterRecord raised = CounterRecord.fromEntry(entry).withNewestFormat();
             return state.commit(new StateClient.Txn()
-                            .when(RecordKeys.LEADER, key)
+                            .when(RecordKeys.LEADER, leaderRevision)
                             .when(RecordKeys.COUNTER, entry.revision())
                             .put(RecordKeys.COUNTER, raised.write()))
                     .map(outcome -> {
-                        if (outcome.done()) {
-                            election.raisedFormat().seen(raised);
+                        if (outcome.executed()) {
+                            election.dataFormat().observe(raised);
                             LOG.info("data format raised format={}", raised.format());
                         }
                         return null;
--- a/src/main/java/io/indigoreach/state/GivenPledges.java
+++ b/src/main/java/io/indigoreach/state/GivenPledges.java
@@ -17,8 +17,8 @@
 
     private final SteadyClock clock;
     private final Moment startedAt;
-    private Supplier<Future<Boolean>> askWhetherNobodyLeads = () -> Future.succeededFuture(false);
-    private Moment bindsUntil = Moment.NEVER;
+    private Supplier<Future<Boolean>> leaderlessQuery = () -> Future.succeededFuture(false);
+    private Moment boundUntil = Moment.NEVER;
     private boolean predecessorMayHavePledged;
 
     GivenPledges(SteadyClock clock, boolean hasPeers) {
@@ -27,32 +27,32 @@
         this.predecessorMayHavePledged = hasPeers;
     }
 
-    /** {@code whetherNobodyLeads}: queries all peers; true if every peer has replied that it does not lead. */
-    void askPeersBy(Supplier<Future<Boolean>> whetherNobodyLeads) {
-        askWhetherNobodyLeads = whetherNobodyLeads;
+    /** {@code query}: queries all peers; true if every peer has replied that it does not lead. */
+    void setLeaderlessQuery(Supplier<Future<Boolean>> query) {
+        leaderlessQuery = query;
     }
 
     /** Gives a pledge that is in force for {@link #PLEDGE_TIME} from now on. */
     void give() {
-        bindsUntil = clock.now().plus(PLEDGE_TIME);
+        boundUntil = clock.now().plus(PLEDGE_TIME);
     }
 
     /** Whether a pledge that this process gave is still in force. */
     boolean isBound() {
-        return clock.now().isBefore(bindsUntil);
+        return clock.now().isBefore(boundUntil);
     }
 
     /**
      * Whether a pledge of the previous process of this node may still be in force, unless the deployment is new. It is not once
      * its time has passed, nor if no peer leads: a later leader requests its pledges from this process.
      */
-    Future<Boolean> mayBindPredecessor() {
+    Future<Boolean> mayPredecessorBeBound() {
         predecessorMayHavePledged &= clock.now().isBefore(startedAt.plus(PLEDGE_TIME));
         if (!predecessorMayHavePledged) {
             return Future.succeededFuture(false);
         }
-        return askWhetherNobodyLeads.get().map(nobodyLeads -> {
-            predecessorMayHavePledged &= !nobodyLeads;
+        return leaderlessQuery.get().map(noPeerLeads -> {
+            predecessorMayHavePledged &= !noPeerLeads;
             return predecessorMayHavePledged;
         });
     }
--- a/src/main/java/io/indigoreach/state/IntentRecordCodec.java
+++ b/src/main/java/io/indigoreach/state/IntentRecordCodec.java
@@ -15,7 +15,7 @@
     /** The value of a record: rent requests and machines to return, as lists because there may be a hundred of them. */
     public static Map<String, Object> writeIntents(Intents.Page page) {
         List<Object> rents = new ArrayList<>();
-        page.rents().forEach(rent -> rents.add(line(rent)));
+        page.rents().forEach(rent -> rents.add(encodeRent(rent)));
         return MessagePackFormat.map(
                 "rents",
                 rents,
@@ -23,7 +23,7 @@
                 page.returns().stream().map(MachineId::text).toList());
     }
 
-    private static List<Object> line(Intents.Rent rent) {
+    private static List<Object> encodeRent(Intents.Rent rent) {
         return List.of(
                 rent.name(),
                 rent.pool().type(),
@@ -34,24 +34,24 @@
     }
 
     /** The bytes that a rent request takes in its record, including the comma after it. */
-    public static int bytes(Intents.Rent rent) {
-        return JsonSize.of(line(rent)) + 1;
+    public static int encodedBytes(Intents.Rent rent) {
+        return JsonSize.of(encodeRent(rent)) + 1;
     }
 
     /** The bytes that a machine to return takes in its record, including the comma after it. */
-    public static int bytes(MachineId condemned) {
+    public static int encodedBytes(MachineId condemned) {
         return JsonSize.of(condemned.text()) + 1;
     }
 
     /** Decodes the requests of a record. */
     public static Intents.Page readIntents(Fields page) {
         List<Intents.Rent> rents = new ArrayList<>();
-        for (List<?> line : page.lists("rents")) {
+        for (List<?> rent : page.lists("rents")) {
             rents.add(new Intents.Rent(
-                    (String) line.get(0),
-                    new MachinePool((String) line.get(1), (String) line.get(2), (Boolean) line.get(3)),
-                    ((Long) line.get(4)).intValue(),
-                    (Long) line.get(5)));
+                    (String) rent.get(0),
+                    new MachinePool((String) rent.get(1), (String) rent.get(2), (Boolean) rent.get(3)),
+                    ((Long) rent.get(4)).intValue(),
+                    (Long) rent.get(5)));
         }
         List<String> names = page.optionalTexts("condemned");
         return new Intents.Page(
--- a/src/main/java/io/indigoreach/state/JobRecord.java
+++ b/src/main/java/io/indigoreach/state/JobRecord.java
@@ -12,7 +12,7 @@
  * @param done the completed tasks; for large jobs these bits are stored in completion blocks instead
  * @param doneCount the number of completed tasks, including those in completion blocks
  * @param running the number of tasks that ran when the record was last written, for display
- * @param bound the start bound: this task and all later ones have never been started. A record without a start bound reads as
+ * @param startBound the start bound: this task and all later ones have never been started. A record without a start bound reads as
  *     the number of tasks, as any of them may have been started.
  */
 public record JobRecord(
@@ -22,7 +22,7 @@
         BitSet done,
         int doneCount,
         int running,
-        int bound,
+        int startBound,
         Revision revision) {
     /** The job's id. */
     public JobId id() {
--- a/src/main/java/io/indigoreach/state/JobRecordCodec.java
+++ b/src/main/java/io/indigoreach/state/JobRecordCodec.java
@@ -23,21 +23,21 @@
      *
      * @param done the completed tasks; written into the record for small jobs only
      * @param running the number of tasks that run now, for display
-     * @param bound the start bound: this task and all later ones have never been started
+     * @param startBound the start bound: this task and all later ones have never been started
      */
     public static Map<String, Object> writeJob(
-            JobSpec spec, long submittedMs, JobStatus status, BitSet done, int running, int bound) {
-        Map<String, Object> map = required(spec);
+            JobSpec spec, long submittedMs, JobStatus status, BitSet done, int running, int startBound) {
+        Map<String, Object> map = requiredFields(spec);
         map.put("at", submittedMs);
         map.put("status", status.name());
         map.put("done", done.cardinality());
         map.put("running", running);
-        map.put("bound", bound);
+        map.put("bound", startBound);
         putOptional(map, spec, done);
         return map;
     }
 
-    private static Map<String, Object> required(JobSpec spec) {
+    private static Map<String, Object> requiredFields(JobSpec spec) {
         return MessagePackFormat.map(
                 "class",
                 spec.jobClass(),
@@ -97,22 +97,22 @@
 
     /** Decodes an open job's record; throws {@link WireException} if it is malformed. */
     public static JobRecord readJob(JobId id, Fields fields, Revision revision) {
-        return RecordReader.read(() -> job(id, fields, revision));
+        return RecordReader.read(() -> decodeJob(id, fields, revision));
     }
 
     /** Decodes the fields that are readable in a malformed record; the others are null. */
-    public static RecordRepair.ReadableFields readRest(Fields fields) {
+    public static RecordRepair.ReadableFields readReadableFields(Fields fields) {
         return new RecordRepair.ReadableFields(
-                RecordReader.orNull(() -> JobStatus.valueOf(fields.text("status"))),
-                RecordReader.orNull(() -> fields.whole("done")),
-                RecordReader.orNull(() -> fields.whole("at")));
+                RecordReader.readOrNull(() -> JobStatus.valueOf(fields.text("status"))),
+                RecordReader.readOrNull(() -> fields.whole("done")),
+                RecordReader.readOrNull(() -> fields.whole("at")));
     }
 
-    private static JobRecord job(JobId id, Fields fields, Revision revision) {
+    private static JobRecord decodeJob(JobId id, Fields fields, Revision revision) {
         if (fields.whole("tasks") < 1) {
             throw Fields.invalid("tasks");
         }
-        JobSpec spec = spec(id, fields);
+        JobSpec spec = decodeSpec(id, fields);
         return new JobRecord(
                 spec,
                 fields.whole("at"),
@@ -124,7 +124,7 @@
                 revision);
     }
 
-    private static JobSpec spec(JobId id, Fields fields) {
+    private static JobSpec decodeSpec(JobId id, Fields fields) {
         return new JobSpec(
                 id,
                 fields.text("class"),
@@ -145,7 +145,8 @@
                 new Span(fields.whole("save", 0)),
                 fields.has("due") ? new Span(fields.whole("due")) : null,
                 fields.has("more")
-                        ? DependencyCodec.without(fields.child("more").map())
+                        ? DependencyCodec.withoutDependencies(
+                                fields.child("more").map())
                         : Map.of(),
                 fields.has("more") ? DependencyCodec.read(fields.child("more")) : JobDependencies.NONE);
     }
--- a/src/main/java/io/indigoreach/state/JobRepairer.java
+++ b/src/main/java/io/indigoreach/state/JobRepairer.java
@@ -25,11 +25,12 @@
     private final StateClient state;
     private final SteadyClock clock;
     private final StateLimits limits;
-    private Function<JobId, Future<RememberedState>> recall = id -> Future.succeededFuture(new RememberedState());
+    private Function<JobId, Future<RememberedState>> rememberedStateQuery =
+            id -> Future.succeededFuture(new RememberedState());
 
     /** Creates a repairer without configured limits. */
     public JobRepairer(StateClient state, SteadyClock clock) {
-        this(state, clock, EffectiveLimits.NONE);
+        this(state, clock, EffectiveLimits.UNLIMITED);
     }
 
     /** {@code limits}: the configured limits of the state service. */
@@ -40,8 +41,8 @@
     }
 
     /** Sets the query for the state of a job that the controllers remember. */
-    public void recallFrom(Function<JobId, Future<RememberedState>> controllers) {
-        recall = controllers;
+    public void setRememberedStateQuery(Function<JobId, Future<RememberedState>> query) {
+        rememberedStateQuery = query;
     }
 
     /**
@@ -49,23 +50,29 @@
      * concurrently; the caller reads it again in any case. Fails if no controller remembers the job and no user has resubmitted
      * it.
      *
-     * @param offered the job that its user has resubmitted, or null
+     * @param resubmitted the job that its user has resubmitted, or null
      */
-    public Future<Void> repairOpen(JobId id, StateClient.Entry unreadable, JobSpec offered) {
-        return recall.apply(id).compose(remembered -> {
-            RememberedState known = RecordRepair.open(
-                    id, JobRecordCodec.readRest(unreadable.value()), remembered, offered, clock.timeOfDay());
+    public Future<Void> repairOpen(JobId id, StateClient.Entry unreadable, JobSpec resubmitted) {
+        return rememberedStateQuery.apply(id).compose(remembered -> {
+            RememberedState repaired = RecordRepair.open(
+                    id,
+                    JobRecordCodec.readReadableFields(unreadable.value()),
+                    remembered,
+                    resubmitted,
+                    clock.timeOfDay());
             StateClient.Txn txn = state.transactionInEra()
                     .when(unreadable.key(), unreadable.revision())
                     .when(RecordKeys.finalKey(id), Revision.ABSENT);
-            known.finished()
+            repaired.finished()
                     .values()
-                    .forEach(end -> txn.delete(unreadable.key())
-                            .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(end.status(), end.done())));
+                    .forEach(finished -> txn.delete(unreadable.key())
+                            .put(
+                                    RecordKeys.finalKey(id),
+                                    JobRecordCodec.writeFinal(finished.status(), finished.done())));
             // Keeps the completion blocks, as their bits remain valid. Tasks whose completion is recorded neither there
             // nor in the record run again and end at once.
-            CompletionBits bits = new CompletionBits(state.limits().within(limits));
-            known.open()
+            CompletionBits bits = new CompletionBits(state.limits().applyTo(limits));
+            repaired.open()
                     .forEach(job -> txn.put(
                             unreadable.key(),
                             bits.writeJob(
@@ -75,13 +82,15 @@
     }
 
     /** Repairs the record of a finished job, under the same conditions as {@link #repairOpen}. */
-    public Future<Void> repairFinal(JobId id, StateClient.Entry unreadable, JobSpec offered) {
-        return recall.apply(id).compose(remembered -> {
-            RememberedState.FinishedJob end =
-                    RecordRepair.end(id, JobRecordCodec.readRest(unreadable.value()), remembered, offered);
+    public Future<Void> repairFinal(JobId id, StateClient.Entry unreadable, JobSpec resubmitted) {
+        return rememberedStateQuery.apply(id).compose(remembered -> {
+            RememberedState.FinishedJob finished = RecordRepair.end(
+                    id, JobRecordCodec.readReadableFields(unreadable.value()), remembered, resubmitted);
             StateClient.Txn txn = state.transactionInEra().when(unreadable.key(), unreadable.revision());
             return writeRepair(
-                    end == null ? txn : txn.put(unreadable.key(), JobRecordCodec.writeFinal(end.status(), end.done())),
+                    finished == null
+                            ? txn
+                            : txn.put(unreadable.key(), JobRecordCodec.writeFinal(finished.status(), finished.done())),
                     unreadable.key());
         });
     }
@@ -92,7 +101,7 @@
                     new WireException("the record " + key + " cannot be read, and no controller remembers the job"));
         }
         return state.commit(txn).map(outcome -> {
-            if (outcome.done()) {
+            if (outcome.executed()) {
                 LOG.warn("record repaired key={}", key);
             }
             return null;
--- a/src/main/java/io/indigoreach/state/LeaderElection.java
+++ b/src/main/java/io/indigoreach/state/LeaderElection.java
@@ -16,7 +16,7 @@
 /**
  * Leader election. The leader holds a key that is attached to a lease. {@link Campaign} gains the key, {@link LeaseRenewer}
  * renews the lease, {@link LeadershipValidity} determines until when this node may act as the leader, {@link GivenPledges} when
- * it must not campaign, and {@link OwnTokens} whether another node has led since.
+ * it must not campaign, and {@link OwnTokenHistory} whether another node has led since.
  *
  * <p>If a loss of data removes the key before its lease has expired, another node could gain leadership too early. Therefore the
  * leader watches its own key. If the token counter shows a loss, a node that was not the leader waits for a full lease time,
@@ -32,25 +32,25 @@
          *
          * @param token the fencing token of this leadership
          * @param key the revision of the leadership key, on which every write depends
-         * @param bounds whether the start bounds in the job records are reliable
+         * @param startBoundsReliable whether the start bounds in the job records are reliable
          */
-        void leadershipGained(FencingToken token, Revision key, boolean bounds);
+        void leadershipGained(FencingToken token, Revision key, boolean startBoundsReliable);
 
         /** Called when this node has lost leadership; {@code reason} is the one in the log. */
         void leadershipLost(String reason);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
-    private static final Span RETRY = Span.seconds(0.5);
-    private static final Span RETRY_AFTER_REJECTION = Span.seconds(0.2);
+    private static final Span RETRY_INTERVAL = Span.seconds(0.5);
+    private static final Span RETRY_INTERVAL_AFTER_REJECTION = Span.seconds(0.2);
     /** How long this node waits after it has removed its predecessor's key, so that other nodes can campaign first. */
-    private static final Span CANDIDATE_DELAY = Span.seconds(0.6);
+    private static final Span PEER_CAMPAIGN_TIME = Span.seconds(0.6);
 
-    private static final Span PLEDGE_PERIOD = Span.seconds(0.5);
+    private static final Span PLEDGE_REQUEST_INTERVAL = Span.seconds(0.5);
     /** The maximum duration of one watch request of the leader on its own key. */
-    private static final Span OWN_KEY_WATCH = Span.seconds(2);
+    private static final Span OWN_KEY_WATCH_TIME = Span.seconds(2);
     /** The maximum duration of one watch request of a follower on the leadership key. */
-    private static final Span FOLLOWER_WATCH = Span.seconds(10);
+    private static final Span FOLLOWER_WATCH_TIME = Span.seconds(10);
     /** No revision to watch from: the next step reads the key first. */
     private static final long NOT_WATCHED = -1;
 
@@ -64,19 +64,19 @@
     private final LeaseRenewer renewer;
     private final LeadershipValidity validity;
     private final GivenPledges givenPledges;
-    private final OwnTokens ownTokens;
+    private final OwnTokenHistory tokenHistory;
     private final Campaign campaign;
-    private final RaisedFormat raisedFormat = new RaisedFormat();
+    private final DataFormatTracker dataFormat = new DataFormatTracker();
 
-    private Supplier<Future<Boolean>> askForPledges = () -> Future.succeededFuture(false);
+    private Supplier<Future<Boolean>> requestPledges = () -> Future.succeededFuture(false);
     private boolean predecessorKeyRemoved;
-    private LeaderKey current;
+    private LeaderKey currentKey;
     private long watchedRevision = NOT_WATCHED;
     private boolean leading;
-    private long lease;
+    private long leaseId;
     private boolean campaigning;
-    private Moment standAsideUntil = Moment.NEVER;
-    private boolean succeedsItself;
+    private Moment campaignBlockedUntil = Moment.NEVER;
+    private boolean ledPreviousTerm;
 
     /** Creates the election; it does nothing before {@link #start}. */
     public LeaderElection(ElectionSettings settings, Listener listener) {
@@ -86,13 +86,13 @@
         this.candidate = settings.candidate();
         this.listener = listener;
         Vertx vertx = settings.state().vertx();
-        this.electionTask = new PeriodicTask(vertx, "leadership", RETRY, this::step);
-        this.pledgeTask = new PeriodicTask(vertx, "pledges", PLEDGE_PERIOD, this::collectPledges);
+        this.electionTask = new PeriodicTask(vertx, "leadership", RETRY_INTERVAL, this::step);
+        this.pledgeTask = new PeriodicTask(vertx, "pledges", PLEDGE_REQUEST_INTERVAL, this::requestPledgesIfOverdue);
         this.renewer = new LeaseRenewer(vertx, settings.renewals(), clock, settings.leaseTime());
         this.validity = new LeadershipValidity(clock, renewer, settings.leaseTime());
         this.givenPledges = new GivenPledges(clock, candidate.hasPeers());
-        this.ownTokens = new OwnTokens(clock, settings.leaseTime(), settings.tokens());
-        this.campaign = new Campaign(settings, ownTokens, raisedFormat);
+        this.tokenHistory = new OwnTokenHistory(clock, settings.leaseTime(), settings.tokens());
+        this.campaign = new Campaign(settings, tokenHistory, dataFormat);
     }
 
     /** Takes part in elections from now on. */
@@ -109,17 +109,17 @@
     }
 
     /**
-     * Sets the queries to all peers. {@code forPledges} requests a pledge from each; {@code whetherNobodyLeads} queries whether
+     * Sets the queries to all peers. {@code pledgeQuery} requests a pledge from each; {@code leaderlessQuery} queries whether
      * each of them does not lead. Both return true only if every peer has confirmed.
      */
-    public void askPeersBy(Supplier<Future<Boolean>> forPledges, Supplier<Future<Boolean>> whetherNobodyLeads) {
-        askForPledges = forPledges;
-        givenPledges.askPeersBy(whetherNobodyLeads);
+    public void setPeerQueries(Supplier<Future<Boolean>> pledgeQuery, Supplier<Future<Boolean>> leaderlessQuery) {
+        requestPledges = pledgeQuery;
+        givenPledges.setLeaderlessQuery(leaderlessQuery);
     }
 
     /** Whether this node may act as the leader now. */
     public boolean isValid() {
-        return leading && validity.holds();
+        return leading && validity.isValid();
     }
 
     /** Pledges not to campaign for {@link GivenPledges#PLEDGE_TIME}; false if this node leads or has a campaign in progress. */
@@ -137,53 +137,53 @@
     }
 
     /** The data format that this process has seen raised. */
-    RaisedFormat raisedFormat() {
-        return raisedFormat;
+    DataFormatTracker dataFormat() {
+        return dataFormat;
     }
 
     /** The node named by the last leadership key that this node has seen; null if there is none. */
-    public String leader() {
-        return current == null ? null : current.node();
+    public String leaderNode() {
+        return currentKey == null ? null : currentKey.node();
     }
 
     /** Whether no other node is known to have led between this node's current leadership and its previous one. */
-    public boolean succeedsItself() {
-        return succeedsItself;
+    public boolean ledPreviousTerm() {
+        return ledPreviousTerm;
     }
 
     /** Records a token that a worker has reported; later tokens are higher. */
-    public void tokenSeen(FencingToken token) {
+    public void recordSeenToken(FencingToken token) {
         settings.tokens().seen(token);
     }
 
     /** Ends this node's leadership after a compare-and-swap has failed on the leadership key. */
-    public void deposed() {
+    public void onLeadershipConflict() {
         if (leading) {
             loseLeadership("transaction-refused");
         }
     }
 
     /** Gives up leadership and revokes the lease, so that another node can gain leadership at once. */
-    public Future<Void> abdicate(String reason) {
+    public Future<Void> resign(String reason) {
         if (!leading) {
             return Future.succeededFuture();
         }
-        long held = lease;
-        standAsideUntil = clock.now().plus(settings.leaseTime());
+        long heldLeaseId = leaseId;
+        campaignBlockedUntil = clock.now().plus(settings.leaseTime());
         loseLeadership(reason);
-        return state.drop(held);
+        return state.revokeLease(heldLeaseId);
     }
 
     /**
      * Gives up leadership when this node cannot reach the state service. Returns the revision of its key, which another node may
      * now pass to {@link #removeKey}, or null if this node does not lead.
      */
-    public Revision stepAside(String reason) {
+    public Revision handOver(String reason) {
         if (!leading) {
             return null;
         }
-        Revision key = current.revision();
-        abdicate(reason);
+        Revision key = currentKey.revision();
+        resign(reason);
         return key;
     }
 
@@ -192,14 +192,15 @@
         if (!leading) {
             return Future.succeededFuture(false);
         }
-        LeaderKey key = current;
+        LeaderKey key = currentKey;
         return state.get(RecordKeys.COUNTER)
                 .compose(entry -> state.commit(startBoundsConfirmation(key, entry)))
-                .map(StateClient.Outcome::done);
+                .map(StateClient.Outcome::executed);
     }
 
     private StateClient.Txn startBoundsConfirmation(LeaderKey key, StateClient.Entry counterEntry) {
-        CounterRecord confirmed = CounterRecord.of(counterEntry).withStartBounds(key.token(), raisedFormat.highest());
+        CounterRecord confirmed =
+                CounterRecord.fromEntry(counterEntry).withStartBounds(key.token(), dataFormat.highest());
         // Also conditional on the counter's revision: a delayed execution after the data format was raised would
         // lower the format.
         return new StateClient.Txn()
@@ -222,36 +223,36 @@
      * already warmed up can lead at once. Later, the request would compete for the CPU with hundreds of workers that are looking
      * for a leader.
      *
-     * <p>Returns whether the deployment had a leader before and has none now. {@code leads} queries whether the node named in the
+     * <p>Returns whether the deployment had a leader before and has none now. {@code leadingQuery} queries whether the node named in the
      * key still leads, as a process that has ended may have left its key. Never fails.
      */
-    public Future<Boolean> clearPredecessor(Function<String, Future<Boolean>> leads) {
+    public Future<Boolean> clearPredecessorKey(Function<String, Future<Boolean>> leadingQuery) {
         return Future.all(state.get(RecordKeys.LEADER), state.get(RecordKeys.COUNTER))
                 .compose(entries -> {
                     observeKey(entries.resultAt(0));
-                    return isLeaderless(entries.resultAt(1) != null, leads);
+                    return isLeaderless(entries.resultAt(1) != null, leadingQuery);
                 })
                 .otherwise(false);
     }
 
-    private Future<Boolean> isLeaderless(boolean somebodyHasLed, Function<String, Future<Boolean>> leads) {
+    private Future<Boolean> isLeaderless(boolean hasHadLeader, Function<String, Future<Boolean>> leadingQuery) {
         if (!candidate.hasPeers()) {
             return Future.succeededFuture(false);
         }
-        if (current == null) {
-            return Future.succeededFuture(somebodyHasLed);
+        if (currentKey == null) {
+            return Future.succeededFuture(hasHadLeader);
         }
-        return isOwn(current)
+        return isOwnKey(currentKey)
                 ? removePredecessorKey().map(true)
-                : leads.apply(current.node()).map(stillLeads -> !stillLeads);
+                : leadingQuery.apply(currentKey.node()).map(stillLeads -> !stillLeads);
     }
 
     /** The revision of the last leadership key that this node has seen; {@link Revision#ABSENT} if there is none. */
     public Revision leadershipRevision() {
-        return current == null ? Revision.ABSENT : current.revision();
+        return currentKey == null ? Revision.ABSENT : currentKey.revision();
     }
 
-    private boolean isOwn(LeaderKey key) {
+    private boolean isOwnKey(LeaderKey key) {
         return key.node().equals(candidate.node());
     }
 
@@ -266,11 +267,11 @@
         observeKey(entry);
         // A key of this node was written by its previous process, which has ended, or by a campaign of this
         // process whose response was lost. No process acts under it, so this node need not wait for its lease.
-        if (current != null && isOwn(current) && !predecessorKeyRemoved && candidate.hasPeers()) {
+        if (currentKey != null && isOwnKey(currentKey) && !predecessorKeyRemoved && candidate.hasPeers()) {
             return removePredecessorKey();
         }
-        if (current == null || isOwn(current)) {
-            return clock.now().isBefore(standAsideUntil) ? Future.succeededFuture(RETRY) : campaign();
+        if (currentKey == null || isOwnKey(currentKey)) {
+            return clock.now().isBefore(campaignBlockedUntil) ? Future.succeededFuture(RETRY_INTERVAL) : campaign();
         }
         watchedRevision = entry.revision().value();
         return Future.succeededFuture(Span.ZERO);
@@ -278,57 +279,58 @@
 
     /** Waits for a change of another node's leadership key. */
     private Future<Span> watchLeader() {
-        return state.watch(RecordKeys.LEADER, watchedRevision, FOLLOWER_WATCH)
+        return state.watch(RecordKeys.LEADER, watchedRevision, FOLLOWER_WATCH_TIME)
                 .onFailure(failure -> watchedRevision = NOT_WATCHED)
                 .map(changes -> {
                     boolean changed = changes.changes().stream()
                             .anyMatch(change -> change.key().equals(RecordKeys.LEADER));
-                    watchedRevision = changes.tooOld() || changed ? NOT_WATCHED : changes.revision();
+                    watchedRevision = changes.compacted() || changed ? NOT_WATCHED : changes.revision();
                     return Span.ZERO;
                 });
     }
 
     private void observeKey(StateClient.Entry entry) {
-        current = entry == null ? null : LeaderKey.read(entry.value(), entry.revision());
-        if (current != null) {
-            settings.tokens().seen(current.token());
+        currentKey = entry == null ? null : LeaderKey.read(entry.value(), entry.revision());
+        if (currentKey != null) {
+            settings.tokens().seen(currentKey.token());
         }
     }
 
     /** Watches this node's leadership key; if the key is deleted or replaced, this node has lost leadership. */
     private Future<Span> watchOwnKey() {
-        Revision own = current.revision();
-        return state.watch(RecordKeys.LEADER, own.value(), OWN_KEY_WATCH).map(changes -> {
-            boolean changed = changes.changes().stream()
-                    .anyMatch(change -> change.key().equals(RecordKeys.LEADER)
-                            && !change.revision().equals(own));
-            if (leading && current.revision().equals(own) && changed) {
-                loseLeadership("key-replaced");
-            }
-            return Span.ZERO;
-        });
+        Revision ownRevision = currentKey.revision();
+        return state.watch(RecordKeys.LEADER, ownRevision.value(), OWN_KEY_WATCH_TIME)
+                .map(changes -> {
+                    boolean changed = changes.changes().stream()
+                            .anyMatch(change -> change.key().equals(RecordKeys.LEADER)
+                                    && !change.revision().equals(ownRevision));
+                    if (leading && currentKey.revision().equals(ownRevision) && changed) {
+                        loseLeadership("key-replaced");
+                    }
+                    return Span.ZERO;
+                });
     }
 
     /**
      * Removes the key of this node's previous process. A peer that has been running can take over sooner than a node that is
-     * still warming up, so this node campaigns only after {@link #CANDIDATE_DELAY}.
+     * still warming up, so this node campaigns only after {@link #PEER_CAMPAIGN_TIME}.
      */
     private Future<Span> removePredecessorKey() {
         predecessorKeyRemoved = true;
         LOG.info("predecessor key removed");
-        Revision key = current.revision();
-        current = null;
-        return removeKey(key).map(CANDIDATE_DELAY);
+        Revision key = currentKey.revision();
+        currentKey = null;
+        return removeKey(key).map(PEER_CAMPAIGN_TIME);
     }
 
     private Future<Span> campaign() {
         if (givenPledges.isBound()) {
-            return Future.succeededFuture(RETRY);
+            return Future.succeededFuture(RETRY_INTERVAL);
         }
         campaigning = true;
         return givenPledges
-                .mayBindPredecessor()
-                .compose(bound -> campaign.run(leadershipRevision(), bound))
+                .mayPredecessorBeBound()
+                .compose(predecessorMayBeBound -> campaign.run(leadershipRevision(), predecessorMayBeBound))
                 .map(this::concludeCampaign)
                 .onComplete(done -> campaigning = false);
     }
@@ -340,50 +342,50 @@
         watchedRevision = NOT_WATCHED;
         predecessorKeyRemoved = true;
         if (!(result instanceof CampaignResult.Won won)) {
-            return RETRY_AFTER_REJECTION;
+            return RETRY_INTERVAL_AFTER_REJECTION;
         }
-        succeedsItself = ownTokens.isLast(won.highestBefore());
-        state.compareCounter(won.highestBefore(), won.counted());
+        ledPreviousTerm = tokenHistory.wasLastLeader(won.highestBefore());
+        state.compareCounter(won.highestBefore(), won.counterToken());
         becomeLeader(won);
-        return RETRY;
+        return RETRY_INTERVAL;
     }
 
     private void becomeLeader(CampaignResult.Won won) {
         FencingToken token = won.key().token();
-        lease = won.lease();
+        leaseId = won.leaseId();
         leading = true;
-        ownTokens.gained(token);
-        current = won.key();
-        validity.forgetPledges();
-        renewer.renew(won.lease(), won.leaseSentAt(), () -> loseLeadership("lease-expired"));
+        tokenHistory.leadershipGained(token);
+        currentKey = won.key();
+        validity.clearPledges();
+        renewer.startRenewing(won.leaseId(), won.leaseSentAt(), () -> loseLeadership("lease-expired"));
         LOG.info("leadership gained token={}", token);
-        listener.leadershipGained(token, won.key().revision(), won.startBounds());
+        listener.leadershipGained(token, won.key().revision(), won.startBoundsReliable());
     }
 
     /** Requests pledges from all peers while lease renewals are overdue, to bridge a probable outage of the state service. */
-    private Future<Span> collectPledges() {
-        renewer.eventLoopTurned();
-        Moment askedAt = clock.now();
-        if (!isValid() || !validity.isRenewalOverdue(askedAt)) {
-            return Future.succeededFuture(PLEDGE_PERIOD);
+    private Future<Span> requestPledgesIfOverdue() {
+        renewer.recordEventLoopTurn();
+        Moment requestedAt = clock.now();
+        if (!isValid() || !validity.isRenewalOverdue(requestedAt)) {
+            return Future.succeededFuture(PLEDGE_REQUEST_INTERVAL);
         }
-        Revision key = current.revision();
-        return askForPledges.get().map(allPledged -> {
+        Revision key = currentKey.revision();
+        return requestPledges.get().map(allPledged -> {
             // Not after a gap in validity: another node may have led and ended during the gap.
-            if (allPledged && isValid() && current.revision().equals(key)) {
-                validity.extendByPledges(askedAt);
+            if (allPledged && isValid() && currentKey.revision().equals(key)) {
+                validity.extendByPledges(requestedAt);
             }
-            return PLEDGE_PERIOD;
+            return PLEDGE_REQUEST_INTERVAL;
         });
     }
 
     private void loseLeadership(String reason) {
         leading = false;
-        ownTokens.lost(validity.leaseValidUntil());
+        tokenHistory.leadershipLost(validity.leaseValidUntil());
         renewer.stopRenewing();
-        validity.forgetPledges();
+        validity.clearPledges();
         watchedRevision = NOT_WATCHED;
-        current = null;
+        currentKey = null;
         LOG.info("leadership lost reason={}", reason);
         listener.leadershipLost(reason);
     }
--- a/src/main/java/io/indigoreach/state/LeadershipValidity.java
+++ b/src/main/java/io/indigoreach/state/LeadershipValidity.java
@@ -30,14 +30,14 @@
     }
 
     /** Whether the lease or the peers' pledges allow the leader to act now. */
-    boolean holds() {
+    boolean isValid() {
         Moment now = clock.now();
         return now.isBefore(leaseValidUntil()) || now.isBefore(pledgedUntil);
     }
 
     /** The time until which the lease alone allows the leader to act. */
     Moment leaseValidUntil() {
-        return renewer.renewedAt().plus(usable(leaseTime));
+        return renewer.renewedAt().plus(safeTime(leaseTime));
     }
 
     /** Whether at {@code now} no renewal has succeeded for so long that the leader should request pledges. */
@@ -45,17 +45,17 @@
         return now.since(renewer.renewedAt()).compareTo(RENEWAL_OVERDUE) >= 0;
     }
 
-    /** Extends the validity after all peers have given the pledges that were requested at {@code askedAt}. */
-    void extendByPledges(Moment askedAt) {
-        pledgedUntil = askedAt.plus(usable(GivenPledges.PLEDGE_TIME));
+    /** Extends the validity after all peers have given the pledges that were requested at {@code requestedAt}. */
+    void extendByPledges(Moment requestedAt) {
+        pledgedUntil = requestedAt.plus(safeTime(GivenPledges.PLEDGE_TIME));
     }
 
     /** Discards the pledges received so far, because leadership was gained or lost. */
-    void forgetPledges() {
+    void clearPledges() {
         pledgedUntil = Moment.NEVER;
     }
 
-    private static Span usable(Span time) {
+    private static Span safeTime(Span time) {
         return new Span(time.ms() - time.ms() / DRIFT_DIVISOR - MARGIN_MS);
     }
 }
--- a/src/main/java/io/indigoreach/state/LeaseRenewer.java
+++ b/src/main/java/io/indigoreach/state/LeaseRenewer.java
@@ -15,25 +15,25 @@
  */
 final class LeaseRenewer {
     /** Time without a turn of the node's event loop after which renewals stop, so that another node can lead. */
-    private static final Span HUNG = Span.seconds(10);
+    private static final Span EVENT_LOOP_TIMEOUT = Span.seconds(10);
 
-    private static final Span IDLE = Span.seconds(0.25);
+    private static final Span IDLE_INTERVAL = Span.seconds(0.25);
 
     /**
      * A held lease and the time at which its last successful renewal was sent. Each lease has its own instance, so a late response
      * for an earlier lease does not change the state of the next one.
      */
-    private static final class Held {
-        final long lease;
+    private static final class HeldLease {
+        final long leaseId;
         /** Runs on the node's event loop when the state service reports that the lease has expired. */
-        final Runnable ended;
+        final Runnable onExpired;
 
-        volatile Moment renewed;
+        volatile Moment renewedAt;
 
-        Held(long lease, Runnable ended, Moment renewed) {
-            this.lease = lease;
-            this.ended = ended;
-            this.renewed = renewed;
+        HeldLease(long leaseId, Runnable onExpired, Moment renewedAt) {
+            this.leaseId = leaseId;
+            this.onExpired = onExpired;
+            this.renewedAt = renewedAt;
         }
     }
 
@@ -44,8 +44,8 @@
     private final Span interval;
     private final Span timeout;
     private final PeriodicTask renewalTask;
-    private volatile Held held;
-    private volatile Moment lastTurn;
+    private volatile HeldLease heldLease;
+    private volatile Moment lastEventLoopTurn;
 
     /** {@code nodeVertx} runs the node's event loop; renewals run on the event loop of {@code renewals}. */
     LeaseRenewer(Vertx nodeVertx, StateAccess renewals, SteadyClock clock, Span leaseTime) {
@@ -56,50 +56,50 @@
         // Short, because the time that a lease bridges an outage counts from the last renewal before the outage.
         this.interval = Span.seconds(Math.min(1, leaseTime.seconds() * 0.2));
         this.timeout = leaseTime.times(0.3);
-        this.lastTurn = clock.now();
+        this.lastEventLoopTurn = clock.now();
         this.renewalTask = new PeriodicTask(renewalVertx, "lease renewal", interval, this::step);
         renewalVertx.runOnContext(v -> renewalTask.start());
     }
 
-    void renew(long lease, Moment sent, Runnable ended) {
-        eventLoopTurned();
-        held = new Held(lease, ended, sent);
+    void startRenewing(long leaseId, Moment sentAt, Runnable onExpired) {
+        recordEventLoopTurn();
+        heldLease = new HeldLease(leaseId, onExpired, sentAt);
     }
 
     void stopRenewing() {
-        held = null;
+        heldLease = null;
     }
 
     /** The time at which the last successful renewal was sent. */
     Moment renewedAt() {
-        Held now = held;
-        return now == null ? Moment.NEVER : now.renewed;
+        HeldLease current = heldLease;
+        return current == null ? Moment.NEVER : current.renewedAt;
     }
 
     /** Records that the node's event loop is running. */
-    void eventLoopTurned() {
-        lastTurn = clock.now();
+    void recordEventLoopTurn() {
+        lastEventLoopTurn = clock.now();
     }
 
     void close() {
-        held = null;
+        heldLease = null;
         renewalVertx.runOnContext(v -> renewalTask.cancel());
     }
 
     private Future<Span> step() {
-        Held mine = held;
-        Moment sent = clock.now();
-        if (mine == null || sent.since(lastTurn).compareTo(HUNG) > 0) {
-            return Future.succeededFuture(IDLE);
+        HeldLease renewedLease = heldLease;
+        Moment sentAt = clock.now();
+        if (renewedLease == null || sentAt.since(lastEventLoopTurn).compareTo(EVENT_LOOP_TIMEOUT) > 0) {
+            return Future.succeededFuture(IDLE_INTERVAL);
         }
-        return state.renew(mine.lease, timeout).map(alive -> {
+        return state.renewLease(renewedLease.leaseId, timeout).map(alive -> {
             if (alive) {
-                mine.renewed = sent;
+                renewedLease.renewedAt = sentAt;
             } else {
                 // Compared on the node's event loop: meanwhile it may have released this lease and gained another.
                 nodeVertx.runOnContext(v -> {
-                    if (held == mine) {
-                        mine.ended.run();
+                    if (heldLease == renewedLease) {
+                        renewedLease.onExpired.run();
                     }
                 });
             }
--- a/src/main/java/io/indigoreach/state/MachineRecord.java
+++ b/src/main/java/io/indigoreach/state/MachineRecord.java
@@ -7,6 +7,6 @@
  * A rented machine that may run tasks.
  *
  * @param rentedMs when the machine was requested, as time of day in ms
- * @param existedMs a time at which the machine is known to have existed, as time of day in ms
+ * @param knownToExistMs a time at which the machine is known to have existed, as time of day in ms
  */
-public record MachineRecord(MachineId id, MachinePool pool, long rentedMs, long existedMs) {}
+public record MachineRecord(MachineId id, MachinePool pool, long rentedMs, long knownToExistMs) {}
--- a/src/main/java/io/indigoreach/state/MachineRecordCodec.java
+++ b/src/main/java/io/indigoreach/state/MachineRecordCodec.java
@@ -14,43 +14,43 @@
 public final class MachineRecordCodec {
     /** The value of a page; each machine is a list without field names, because a page holds hundreds of them. */
     public static Map<String, Object> writeMachines(Collection<MachineRecord> machines) {
-        List<Object> lines = new ArrayList<>(machines.size());
+        List<Object> list = new ArrayList<>(machines.size());
         for (MachineRecord machine : machines) {
-            lines.add(line(machine));
+            list.add(encodeMachine(machine));
         }
-        return MessagePackFormat.map("machines", lines);
+        return MessagePackFormat.map("machines", list);
     }
 
-    private static List<Object> line(MachineRecord machine) {
+    private static List<Object> encodeMachine(MachineRecord machine) {
         return List.of(
                 machine.id().text(),
                 machine.pool().type(),
                 machine.pool().zone(),
                 machine.pool().spot(),
                 machine.rentedMs(),
-                machine.existedMs());
+                machine.knownToExistMs());
     }
 
     /** Decodes the machines of a page; throws {@link io.indigoreach.net.WireException} if it is malformed. */
     public static List<MachineRecord> readMachines(Fields page) {
-        return RecordReader.read(() -> machines(page));
+        return RecordReader.read(() -> decodeMachines(page));
     }
 
-    private static List<MachineRecord> machines(Fields page) {
-        List<MachineRecord> out = new ArrayList<>();
-        for (List<?> line : page.lists("machines")) {
-            out.add(new MachineRecord(
-                    new MachineId((String) line.get(0)),
-                    new MachinePool((String) line.get(1), (String) line.get(2), (Boolean) line.get(3)),
-                    (Long) line.get(4),
-                    (Long) line.get(5)));
+    private static List<MachineRecord> decodeMachines(Fields page) {
+        List<MachineRecord> machines = new ArrayList<>();
+        for (List<?> machine : page.lists("machines")) {
+            machines.add(new MachineRecord(
+                    new MachineId((String) machine.get(0)),
+                    new MachinePool((String) machine.get(1), (String) machine.get(2), (Boolean) machine.get(3)),
+                    (Long) machine.get(4),
+                    (Long) machine.get(5)));
         }
-        return out;
+        return machines;
     }
 
     /** The bytes that a machine takes in its page, including the comma after it. */
-    public static int bytes(MachineRecord machine) {
-        return JsonSize.of(line(machine)) + 1;
+    public static int encodedBytes(MachineRecord machine) {
+        return JsonSize.of(encodeMachine(machine)) + 1;
     }
 
     private MachineRecordCodec() {}
--- a/src/main/java/io/indigoreach/state/OwnTokens.java
+++ b/src/main/java/io/indigoreach/state/OwnTokenHistory.java
@@ -13,59 +13,59 @@
  * tells whether another node has led in between, and how long to wait when the counter has lost data. Bound to the node's event
  * loop.
  */
-final class OwnTokens {
+final class OwnTokenHistory {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
 
     private final SteadyClock clock;
     private final Span leaseTime;
     private final TokenGenerator tokens;
     /** The end of this node's last lease: until then no other node can have gained leadership. */
-    private Moment ledUntil = Moment.NEVER;
+    private Moment lastLeaseEnd = Moment.NEVER;
 
-    private FencingToken last = FencingToken.NONE;
+    private FencingToken lastToken = FencingToken.NONE;
     /**
-     * The token of a campaign without a response, if no other node had led between {@link #last} and that campaign; null if
+     * The token of a campaign without a response, if no other node had led between {@link #lastToken} and that campaign; null if
      * there is none.
      */
-    private FencingToken unanswered;
+    private FencingToken unansweredToken;
 
-    private Moment regressionSeenAt = Moment.NEVER;
+    private Moment regressionDetectedAt = Moment.NEVER;
 
-    OwnTokens(SteadyClock clock, Span leaseTime, TokenGenerator tokens) {
+    OwnTokenHistory(SteadyClock clock, Span leaseTime, TokenGenerator tokens) {
         this.clock = clock;
         this.leaseTime = leaseTime;
         this.tokens = tokens;
     }
 
     /** Records a read of the counter. If it holds the token of the unanswered campaign, that campaign did succeed. */
-    void counterRead(FencingToken counted) {
-        if (counted.equals(unanswered)) {
+    void observeCounter(FencingToken counterToken) {
+        if (counterToken.equals(unansweredToken)) {
             // That campaign gained the key and no other node has led since.
-            last = unanswered;
+            lastToken = unansweredToken;
         }
     }
 
     /** Whether the highest token before a campaign was this process's own, so that no other node has led since. */
-    boolean isLast(FencingToken highestBefore) {
-        return highestBefore.equals(last);
+    boolean wasLastLeader(FencingToken highestBefore) {
+        return highestBefore.equals(lastToken);
     }
 
     /** Records a campaign without a response, which may or may not have used {@code token}. */
-    void campaignUnanswered(FencingToken token, FencingToken highestBefore) {
-        if (isLast(highestBefore)) {
-            unanswered = token;
+    void recordUnansweredCampaign(FencingToken token, FencingToken highestBefore) {
+        if (wasLastLeader(highestBefore)) {
+            unansweredToken = token;
         }
     }
 
-    void gained(FencingToken token) {
-        last = token;
+    void leadershipGained(FencingToken token) {
+        lastToken = token;
         tokens.seen(token);
-        regressionSeenAt = Moment.NEVER;
+        regressionDetectedAt = Moment.NEVER;
     }
 
     /** {@code validUntil}: the time at which this node's lease would have expired. */
-    void lost(Moment validUntil) {
-        ledUntil = validUntil;
+    void leadershipLost(Moment validUntil) {
+        lastLeaseEnd = validUntil;
     }
 
     /**
@@ -75,16 +75,16 @@
      */
     boolean mayCampaignAfterRegression() {
         Moment now = clock.now();
-        if (regressionSeenAt.equals(Moment.NEVER)) {
-            regressionSeenAt = now;
+        if (regressionDetectedAt.equals(Moment.NEVER)) {
+            regressionDetectedAt = now;
             LOG.warn("token counter regressed");
         }
-        boolean wasLeader = now.isBefore(ledUntil) && !tokens.hasSeenAfter(last);
-        return wasLeader || now.since(regressionSeenAt).compareTo(leaseTime.withDrift()) >= 0;
+        boolean wasLeader = now.isBefore(lastLeaseEnd) && !tokens.hasSeenAfter(lastToken);
+        return wasLeader || now.since(regressionDetectedAt).compareTo(leaseTime.withDrift()) >= 0;
     }
 
     /** Records that the regression was a stale read and no data were lost. */
-    void regressionRefuted() {
-        regressionSeenAt = Moment.NEVER;
+    void clearRegression() {
+        regressionDetectedAt = Moment.NEVER;
     }
 }
--- a/src/main/java/io/indigoreach/state/RecordKeys.java
+++ b/src/main/java/io/indigoreach/state/RecordKeys.java
@@ -54,7 +54,7 @@
     }
 
     /** The key of a completion block. */
-    public static String blockKey(JobId id, int number) {
+    public static String completionBlockKey(JobId id, int number) {
         return COMPLETION_BLOCKS + id.text() + "/" + number;
     }
 
@@ -62,12 +62,12 @@
      * The second key whose revision a write of {@code key} depends on: the open job's key for records that belong to a job, the
      * leadership key for records that only a leader writes; null if there is none.
      */
-    public static String guardOf(String key) {
+    public static String guardKeyOf(String key) {
         if (key.startsWith(FINAL_JOBS)) {
             return OPEN_JOBS + key.substring(FINAL_JOBS.length());
         }
         if (key.startsWith(COMPLETION_BLOCKS) || key.startsWith(CompletionBits.SMALL_BLOCKS)) {
-            return openKey(jobOfBlock(key));
+            return openKey(jobOfCompletionBlock(key));
         }
         return key.startsWith(MACHINE_PAGES) || key.startsWith(INTENTS) ? LEADER : null;
     }
@@ -83,7 +83,7 @@
     }
 
     /** The job of a completion block's key; throws {@link io.indigoreach.net.WireException} if it is malformed. */
-    public static JobId jobOfBlock(String key) {
+    public static JobId jobOfCompletionBlock(String key) {
         return RecordReader.read(() -> new JobId(key.substring(COMPLETION_BLOCKS.length(), key.lastIndexOf('/'))));
     }
 
--- a/src/main/java/io/indigoreach/state/RecordReader.java
+++ b/src/main/java/io/indigoreach/state/RecordReader.java
@@ -5,20 +5,20 @@
 
 /** Reads records and converts the exceptions that malformed values cause into {@link WireException}. */
 final class RecordReader {
-    /** The result of {@code reading}; a malformed value causes a {@link WireException}, other exceptions pass through. */
-    static <T> T read(Supplier<T> reading) {
+    /** The result of {@code reader}; a malformed value causes a {@link WireException}, other exceptions pass through. */
+    static <T> T read(Supplier<T> reader) {
         try {
-            return reading.get();
+            return reader.get();
         } catch (IllegalArgumentException | ClassCastException | IndexOutOfBoundsException e) {
             throw new WireException(
                     e.getClass().getSimpleName() + (e.getMessage() == null ? "" : " " + e.getMessage()));
         }
     }
 
-    /** The result of {@code reading}, or null if the value is malformed. */
-    static <T> T orNull(Supplier<T> reading) {
+    /** The result of {@code reader}, or null if the value is malformed. */
+    static <T> T readOrNull(Supplier<T> reader) {
         try {
-            return read(reading);
+            return read(reader);
         } catch (WireException e) {
             return null;
         }
--- a/src/main/java/io/indigoreach/state/RememberedStateCodec.java
+++ b/src/main/java/io/indigoreach/state/RememberedStateCodec.java
@@ -21,11 +21,11 @@
 
     /** Encodes the part with this number, counted from 0. */
     public static Map<String, Object> write(RememberedState rememberedState, int part) {
-        List<Object> over = new ArrayList<>();
+        List<Object> finished = new ArrayList<>();
         rememberedState.finished().entrySet().stream()
                 .skip((long) part * JOBS_PER_PART)
                 .limit(JOBS_PER_PART)
-                .forEach(e -> over.add(MessagePackFormat.map(
+                .forEach(e -> finished.add(MessagePackFormat.map(
                         "id",
                         e.getKey().text(),
                         "status",
@@ -47,9 +47,9 @@
                 .skip((long) part * RECORDS_PER_PART)
                 .limit(RECORDS_PER_PART)
                 .forEach(k -> records.add(MessagePackFormat.map("key", k.key(), "value", k.value())));
-        Map<String, Object> map = MessagePackFormat.map(
+        Map<String, Object> message = MessagePackFormat.map(
                 "over",
-                over,
+                finished,
                 "open",
                 open,
                 "more",
@@ -59,9 +59,9 @@
                                 > (part + 1) * JOBS_PER_PART
                         || rememberedState.records().size() > (part + 1) * RECORDS_PER_PART);
         if (!records.isEmpty()) {
-            map.put("records", records);
+            message.put("records", records);
         }
-        return map;
+        return message;
     }
 
     /** Adds the content of a part to {@code into}; true if there are further parts. */
@@ -73,7 +73,8 @@
         }
         for (Fields item : body.children("open")) {
             JobRecord record = JobRecordCodec.readJob(new JobId(item.text("id")), item.child("job"), Revision.ABSENT);
-            into.add(new RememberedState.OpenJob(record.spec(), record.submittedMs(), record.done(), record.bound()));
+            into.add(new RememberedState.OpenJob(
+                    record.spec(), record.submittedMs(), record.done(), record.startBound()));
         }
         for (Fields item : body.children("records")) {
             into.add(new VersionedRecord(item.text("key"), item.child("value").map(), Revision.ABSENT));
--- a/src/main/java/io/indigoreach/state/RoutineRunner.java
+++ b/src/main/java/io/indigoreach/state/RoutineRunner.java
@@ -27,52 +27,52 @@
  * were read or written are cached, so that a lost one can be rebuilt.
  */
 public final class RoutineRunner {
-    private static final int READ_AT_ONCE = 8;
+    private static final int MAX_CONCURRENT_READS = 8;
     private static final int MAX_ATTEMPTS = 3;
-    private static final Span PACE = Span.seconds(0.1);
+    private static final Span PAUSE_TIME = Span.seconds(0.1);
 
     private final Vertx vertx;
     private final StateClient state;
     private final SteadyClock clock;
-    private final RecordCache copies;
+    private final RecordCache cache;
     /** The key and revision of the leadership that writes depend on; null if any node may write. */
     private final VersionedRecord leadership;
 
     private final RateLimiter budget;
 
     /** Creates a runner whose writes depend on no leadership and whose requests are not limited. */
-    public RoutineRunner(Vertx vertx, StateClient state, SteadyClock clock, RecordCache copies) {
-        this(vertx, state, clock, copies, null, null);
+    public RoutineRunner(Vertx vertx, StateClient state, SteadyClock clock, RecordCache cache) {
+        this(vertx, state, clock, cache, null, null);
     }
 
     private RoutineRunner(
             Vertx vertx,
             StateClient state,
             SteadyClock clock,
-            RecordCache copies,
+            RecordCache cache,
             VersionedRecord leadership,
             RateLimiter budget) {
         this.vertx = vertx;
         this.state = state;
         this.clock = clock;
-        this.copies = copies;
+        this.cache = cache;
         this.leadership = leadership;
         this.budget = budget;
     }
 
     /** A runner for a leader: writes depend on the leadership key and use only the spare part of its request budget. */
-    public RoutineRunner leading(String key, Revision revision, RateLimiter spare) {
-        return new RoutineRunner(vertx, state, clock, copies, new VersionedRecord(key, null, revision), spare);
+    public RoutineRunner forLeader(String key, Revision revision, RateLimiter leaderBudget) {
+        return new RoutineRunner(vertx, state, clock, cache, new VersionedRecord(key, null, revision), leaderBudget);
     }
 
     /** A runner that takes writes only from the upper half of a budget, so that users' requests to a feature yield to jobs. */
-    public RoutineRunner within(RateLimiter spare) {
-        return new RoutineRunner(vertx, state, clock, copies, null, spare);
+    public RoutineRunner withBudget(RateLimiter writeBudget) {
+        return new RoutineRunner(vertx, state, clock, cache, null, writeBudget);
     }
 
     /** This node's cache of the records. */
-    public RecordCache copies() {
-        return copies;
+    public RecordCache cache() {
+        return cache;
     }
 
     /**
@@ -80,54 +80,54 @@
      * ended.
      */
     public <R> Future<R> run(Routine<R> routine) {
-        return state.losses().era() == 0 ? state.check().compose(v -> begin(routine)) : begin(routine);
+        return state.losses().era() == 0 ? state.checkEra().compose(v -> start(routine)) : start(routine);
     }
 
-    private <R> Future<R> begin(Routine<R> routine) {
+    private <R> Future<R> start(Routine<R> routine) {
         return step(routine, StepResult.nothing(state.losses().era(), clock.timeOfDay()));
     }
 
-    private <R> Future<R> step(Routine<R> routine, StepResult seen) {
+    private <R> Future<R> step(Routine<R> routine, StepResult previous) {
         if (state.losses().isHolding()) {
             return Future.failedFuture(new WireException("state data were lost and have not been rebuilt yet"));
         }
-        Step<R> next = routine.next(seen);
+        Step<R> next = routine.next(previous);
         if (next instanceof Step.End<R> end) {
             return Future.succeededFuture(end.result());
         }
-        Future<StepResult> done;
+        Future<StepResult> result;
         if (next instanceof Step.Read<R> read) {
-            done = read(read.keys(), 0, new LinkedHashMap<>());
+            result = read(read.keys(), 0, new LinkedHashMap<>());
         } else if (next instanceof Step.Scan<R> scan) {
-            done = scan(scan.prefix(), scan.after(), scan.most());
+            result = scan(scan.prefix(), scan.after(), scan.most());
         } else {
-            done = write(((Step.Write<R>) next).change(), 1);
+            result = write(((Step.Write<R>) next).change(), 1);
         }
-        return done.compose(s -> step(routine, s));
+        return result.compose(nextResult -> step(routine, nextResult));
     }
 
-    private StepResult seen(Map<String, VersionedRecord> records, boolean more) {
+    private StepResult toResult(Map<String, VersionedRecord> records, boolean more) {
         return new StepResult(state.losses().era(), clock.timeOfDay(), records, more, null, List.of());
     }
 
-    private Future<StepResult> read(List<String> keys, int from, Map<String, VersionedRecord> into) {
-        if (from >= keys.size()) {
-            return Future.succeededFuture(seen(into, false));
+    private Future<StepResult> read(List<String> keys, int fromIndex, Map<String, VersionedRecord> into) {
+        if (fromIndex >= keys.size()) {
+            return Future.succeededFuture(toResult(into, false));
         }
-        List<String> some = keys.subList(from, Math.min(keys.size(), from + READ_AT_ONCE));
-        return readSome(some, 1).compose(read -> {
+        List<String> batch = keys.subList(fromIndex, Math.min(keys.size(), fromIndex + MAX_CONCURRENT_READS));
+        return readBatch(batch, 1).compose(read -> {
             read.forEach(k -> into.put(k.key(), k));
             // The service would reject hundreds of reads at once, and lease renewals with them.
-            return from + READ_AT_ONCE < keys.size() && budget != null
-                    ? pause().compose(v -> read(keys, from + READ_AT_ONCE, into))
-                    : read(keys, from + READ_AT_ONCE, into);
+            return fromIndex + MAX_CONCURRENT_READS < keys.size() && budget != null
+                    ? pause().compose(v -> read(keys, fromIndex + MAX_CONCURRENT_READS, into))
+                    : read(keys, fromIndex + MAX_CONCURRENT_READS, into);
         });
     }
 
-    private Future<List<VersionedRecord>> readSome(List<String> keys, int attempt) {
+    private Future<List<VersionedRecord>> readBatch(List<String> batch, int attempt) {
         List<Future<VersionedRecord>> reads = new ArrayList<>();
-        keys.forEach(key -> reads.add(state.get(key).map(entry -> versioned(key, entry))));
-        return Future.all(reads).compose(all -> confirmSuspect(keys, all.list(), attempt));
+        batch.forEach(key -> reads.add(state.get(key).map(entry -> versioned(key, entry))));
+        return Future.all(reads).compose(all -> confirmSuspectReads(batch, all.list(), attempt));
     }
 
     private static VersionedRecord versioned(String key, StateClient.Entry entry) {
@@ -137,69 +137,72 @@
     }
 
     /** Confirms by a comparison every read that may be stale: absent records, and records older than the cached ones. */
-    private Future<List<VersionedRecord>> confirmSuspect(List<String> keys, List<VersionedRecord> read, int attempt) {
+    private Future<List<VersionedRecord>> confirmSuspectReads(
+            List<String> keys, List<VersionedRecord> read, int attempt) {
         List<VersionedRecord> suspect = read.stream()
-                .filter(record -> !record.exists() || state.areReadsSuspect() || isOlderThanCopy(record))
+                .filter(record -> !record.exists() || state.shouldConfirmRead() || isOlderThanCached(record))
                 .toList();
         if (suspect.isEmpty()) {
-            read.forEach(copies::add);
+            read.forEach(cache::add);
             return Future.succeededFuture(read);
         }
         // Determined before the comparison is sent, because another routine may write newer records meanwhile.
-        List<VersionedRecord> older =
-                suspect.stream().filter(this::isOlderThanCopy).toList();
+        List<VersionedRecord> olderThanCache =
+                suspect.stream().filter(this::isOlderThanCached).toList();
         StateClient.Txn comparison = state.transactionInEra();
         suspect.forEach(record -> comparison.when(record.key(), record.revision()));
         return state.confirm(comparison)
-                .compose(confirmed -> confirmed ? acceptConfirmed(read, older) : readAgain(keys, attempt));
+                .compose(confirmed -> confirmed ? acceptConfirmed(read, olderThanCache) : readAgain(keys, attempt));
     }
 
     private Future<List<VersionedRecord>> readAgain(List<String> keys, int attempt) {
         return attempt < MAX_ATTEMPTS
-                ? state.check().compose(v -> readSome(keys, attempt + 1))
-                : Future.failedFuture(new WireException("records kept changing during " + MAX_ATTEMPTS + " attempts to read " + keys));
+                ? state.checkEra().compose(v -> readBatch(keys, attempt + 1))
+                : Future.failedFuture(new WireException(
+                        "records kept changing during " + MAX_ATTEMPTS + " attempts to read " + keys));
     }
 
-    private Future<List<VersionedRecord>> acceptConfirmed(List<VersionedRecord> read, List<VersionedRecord> older) {
-        older.forEach(this::lost);
+    private Future<List<VersionedRecord>> acceptConfirmed(
+            List<VersionedRecord> read, List<VersionedRecord> olderThanCache) {
+        olderThanCache.forEach(this::handleOlderRecord);
         if (state.losses().isHolding()) {
             return Future.failedFuture(new WireException("state data were lost"));
         }
-        read.forEach(copies::add);
+        read.forEach(cache::add);
         return Future.succeededFuture(read);
     }
 
-    private boolean isOlderThanCopy(VersionedRecord read) {
-        VersionedRecord copy = copies.get(read.key());
-        return copy != null && read.version() < copy.version();
+    private boolean isOlderThanCached(VersionedRecord read) {
+        VersionedRecord cached = cache.get(read.key());
+        return cached != null && read.version() < cached.version();
     }
 
     /** Handles a record that is confirmed to be older than the cached one: a loss, unless its family may delete records. */
-    private void lost(VersionedRecord read) {
-        RecordFamily family = copies.familyOf(read.key());
+    private void handleOlderRecord(VersionedRecord read) {
+        RecordFamily family = cache.familyOf(read.key());
         if (family.permanent() || read.exists()) {
-            state.recordMissing(read.key());
+            state.reportMissingRecord(read.key());
         } else {
-            copies.remove(read.key());
+            cache.remove(read.key());
         }
     }
 
-    private Future<StepResult> scan(String prefix, String after, int most) {
-        return state.list(prefix, after, most).map(page -> {
+    private Future<StepResult> scan(String prefix, String after, int limit) {
+        return state.list(prefix, after, limit).map(page -> {
             Map<String, VersionedRecord> found = new LinkedHashMap<>();
-            page.items().forEach(entry -> {
+            page.entries().forEach(entry -> {
                 VersionedRecord record = versioned(entry.key(), entry);
                 found.put(entry.key(), record);
                 // A listing may be stale and is returned unconfirmed, as writes depend on the revisions in it.
-                copies.add(record);
+                cache.add(record);
             });
-            return seen(found, page.more());
+            return toResult(found, page.hasMore());
         });
     }
 
     private Future<Void> pause() {
         Promise<Void> later = Promise.promise();
-        vertx.setTimer(PACE.ms(), t -> later.complete());
+        vertx.setTimer(PAUSE_TIME.ms(), t -> later.complete());
         return later.future();
     }
 
@@ -207,13 +210,13 @@
         if (budget != null && !budget.takeSpare(change.writes().size(), clock.now())) {
             return pause().compose(v -> write(change, attempt));
         }
-        StateClient.Txn txn = state.transactionInEra().and(change);
+        StateClient.Txn txn = state.transactionInEra().addAll(change);
         if (leadership != null) {
             txn.when(leadership.key(), leadership.revision());
         }
         return state.commit(txn).compose(outcome -> {
-            if (outcome.done()) {
-                written(change, outcome.writtenRevision());
+            if (outcome.executed()) {
+                recordCommitted(change, outcome.writtenRevision());
                 return Future.succeededFuture(new StepResult(
                         state.losses().era(),
                         clock.timeOfDay(),
@@ -222,24 +225,25 @@
                         outcome.writtenRevision(),
                         List.of()));
             }
-            if (leadership != null && outcome.failed().contains(leadership.key())) {
-                return Future.failedFuture(new WireException("leadership lost: the key " + leadership.key() + " has changed"));
+            if (leadership != null && outcome.failedKeys().contains(leadership.key())) {
+                return Future.failedFuture(
+                        new WireException("leadership lost: the key " + leadership.key() + " has changed"));
             }
-            if (outcome.failed().equals(List.of(RecordKeys.ERA)) && attempt < MAX_ATTEMPTS) {
-                return state.check().compose(v -> write(change, attempt + 1));
+            if (outcome.failedKeys().equals(List.of(RecordKeys.ERA)) && attempt < MAX_ATTEMPTS) {
+                return state.checkEra().compose(v -> write(change, attempt + 1));
             }
-            return Future.succeededFuture(
-                    new StepResult(state.losses().era(), clock.timeOfDay(), Map.of(), false, null, outcome.failed()));
+            return Future.succeededFuture(new StepResult(
+                    state.losses().era(), clock.timeOfDay(), Map.of(), false, null, outcome.failedKeys()));
         });
     }
 
     /** Updates the cache after a change was committed as part of another transaction. */
-    public void written(Transaction change, Revision revision) {
+    public void recordCommitted(Transaction change, Revision revision) {
         change.writes().forEach((key, value) -> {
             if (value == null) {
-                copies.remove(key);
+                cache.remove(key);
             } else {
-                copies.add(new VersionedRecord(key, value, revision));
+                cache.add(new VersionedRecord(key, value, revision));
             }
         });
     }
--- a/src/main/java/io/indigoreach/state/StaleReadDetector.java
+++ b/src/main/java/io/indigoreach/state/StaleReadDetector.java
@@ -9,25 +9,25 @@
     /** The number of reads to confirm after a stale read. */
     static final int READS_TO_CONFIRM = 1000;
 
-    private long highest;
+    private long highestRevision;
     private int readsToConfirm;
 
     /** The highest revision seen so far; callers save it when they send a request. */
-    long highest() {
-        return highest;
+    long highestRevision() {
+        return highestRevision;
     }
 
-    /** Records the revision of a response; {@code known} is the value of {@link #highest} when the request was sent. */
-    void observe(long known, long revision) {
-        if (revision < known) {
+    /** Records the revision of a response; {@code knownWhenSent} is the value of {@link #highestRevision} when the request was sent. */
+    void observe(long knownWhenSent, long revision) {
+        if (revision < knownWhenSent) {
             suspectReads();
         }
-        highest = Math.max(highest, revision);
+        highestRevision = Math.max(highestRevision, revision);
     }
 
     /** Resets the highest revision after the service has lost data and continues from a lower one. */
     void restartAt(long revision) {
-        highest = revision;
+        highestRevision = revision;
     }
 
     void suspectReads() {
--- a/src/main/java/io/indigoreach/state/StateClient.java
+++ b/src/main/java/io/indigoreach/state/StateClient.java
@@ -24,7 +24,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
 
     private static final int OK = 200;
-    private static final int MALFORMED = 400;
+    private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
     private static final int CONFLICT = 409;
     private static final int GONE = 410;
@@ -33,20 +33,20 @@
     /** A key with its value, its revision and the lease that it is attached to, or 0 if there is none. */
     public record Entry(String key, Fields value, Revision revision, long lease) {}
 
-    /** One page of a listing; {@code more} tells whether further keys follow. */
-    public record Page(List<Entry> items, boolean more, long revision) {}
+    /** One page of a listing; {@code hasMore} tells whether further keys follow. */
+    public record Page(List<Entry> entries, boolean hasMore, long revision) {}
 
     /** A change of a key; the value is null if it was deleted. */
     public record Change(String key, Fields value, Revision revision) {}
 
-    /** The result of a watch; {@code tooOld}: the revision has been compacted, so the caller reads the keys again. */
-    public record Changes(List<Change> changes, long revision, boolean tooOld) {}
+    /** The result of a watch; {@code compacted}: the revision has been compacted, so the caller reads the keys again. */
+    public record Changes(List<Change> changes, long revision, boolean compacted) {}
 
     /**
-     * The outcome of a transaction: executed at a revision, or rejected because {@code failed} keys did not have the required
+     * The outcome of a transaction: executed at a revision, or rejected because {@code failedKeys} did not have the required
      * revision or because a lease had expired.
      */
-    public record Outcome(boolean done, long revision, List<String> failed, boolean leaseGone) {
+    public record Outcome(boolean executed, long revision, List<String> failedKeys, boolean leaseEnded) {
         /** The revision of the keys that were written. */
         public Revision writtenRevision() {
             return new Revision(revision);
@@ -90,7 +90,7 @@
         }
 
         /** Adds the conditions and writes of an optional feature's transaction. */
-        public Txn and(io.indigoreach.core.records.Transaction change) {
+        public Txn addAll(io.indigoreach.core.records.Transaction change) {
             conditions.putAll(change.conditions());
             change.writes().forEach((key, value) -> writes.add(new Write(key, value, 0)));
             return this;
@@ -113,15 +113,15 @@
     }
 
     /** The era of a deployment that has never lost data; it is below every leader's token. */
-    private static final FencingToken FIRST = new FencingToken(1);
+    private static final FencingToken FIRST_ERA = new FencingToken(1);
 
-    private static final int OUTAGE = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
     private static final Span TIMEOUT = Span.seconds(2);
     private static final Span ERA_TIMEOUT = Span.seconds(1);
     private static final Span LIST_TIMEOUT = Span.seconds(4);
 
-    private final ServiceClient caller;
-    private final ServiceClient watcher;
+    private final ServiceClient requestClient;
+    private final ServiceClient watchClient;
     private final StaleReadDetector staleReads = new StaleReadDetector();
     private final LossDetector losses = new LossDetector();
     private final EffectiveLimits limits = new EffectiveLimits();
@@ -132,20 +132,20 @@
     private Runnable onFailure = () -> {};
     private Future<Void> pendingCheck;
 
-    /** {@code watcher} has separate connections, because a watch request occupies its connection while it waits. */
-    public StateClient(ServiceClient caller, ServiceClient watcher) {
-        this.caller = caller;
-        this.watcher = watcher;
+    /** {@code watchClient} has separate connections, because a watch request occupies its connection while it waits. */
+    public StateClient(ServiceClient requestClient, ServiceClient watchClient) {
+        this.requestClient = requestClient;
+        this.watchClient = watchClient;
     }
 
-    /** Detects losses of data from the revisions and eras in the responses of each transaction and each {@link #check}. */
+    /** Detects losses of data from the revisions and eras in the responses of each transaction and each {@link #checkEra}. */
     public LossDetector losses() {
         return losses;
     }
 
     /** Sets the callback for each newly detected loss of data. */
-    public void onLoss(Runnable what) {
-        onLoss = what;
+    public void onLoss(Runnable callback) {
+        onLoss = callback;
     }
 
     /** The limits of the service that rejected transactions have revealed. */
@@ -154,13 +154,13 @@
     }
 
     /** Sets the callback for each request that gets no response or the status of an outage. */
-    public void onFailure(Runnable what) {
-        onFailure = what;
+    public void onFailure(Runnable callback) {
+        onFailure = callback;
     }
 
-    private Future<ServiceResponse> reportingFailure(Future<ServiceResponse> asked) {
-        return asked.onComplete(r -> {
-            if (r.failed() || r.result().status() == OUTAGE) {
+    private Future<ServiceResponse> reportingFailure(Future<ServiceResponse> response) {
+        return response.onComplete(result -> {
+            if (result.failed() || result.result().status() == SERVICE_UNAVAILABLE) {
                 onFailure.run();
             }
         });
@@ -176,18 +176,18 @@
     }
 
     /** Records that a peer has reported a loss of the data of this era. */
-    public void lossReportedByPeer(long era) {
+    public void reportLossFromPeer(long era) {
         reportLoss(losses.reportedByPeer(era));
     }
 
     /** Reports that a record is missing that only a loss of data can have removed. */
-    public void recordMissing(String key) {
+    public void reportMissingRecord(String key) {
         reportLoss(losses.recordGone(key));
     }
 
     /** Compares the counter at a campaign with the highest token seen before; a lower counter shows a loss of data. */
-    void compareCounter(FencingToken seen, FencingToken counted) {
-        reportLoss(losses.counter(seen, counted));
+    void compareCounter(FencingToken highestSeen, FencingToken counterToken) {
+        reportLoss(losses.counter(highestSeen, counterToken));
     }
 
     /**
@@ -207,18 +207,18 @@
      * Reads the era and, if it differs from the known one, confirms it by a comparison. Succeeds if the service responds to this
      * node. Concurrent callers share one request, because after a change of the era every submission in progress calls this.
      */
-    public Future<Void> check() {
+    public Future<Void> checkEra() {
         if (pendingCheck == null) {
-            Future<Void> begun = readEra();
-            pendingCheck = begun;
-            begun.onComplete(r -> pendingCheck = null);
-            return begun;
+            Future<Void> started = readEra();
+            pendingCheck = started;
+            started.onComplete(r -> pendingCheck = null);
+            return started;
         }
         return pendingCheck;
     }
 
     private Future<Void> readEra() {
-        return reportingFailure(caller.get(StateCodec.keyPath(RecordKeys.ERA), ERA_TIMEOUT))
+        return reportingFailure(requestClient.get(StateCodec.keyPath(RecordKeys.ERA), ERA_TIMEOUT))
                 .compose(this::compareEra);
     }
 
@@ -237,7 +237,7 @@
             return Future.succeededFuture();
         }
         return commit(new Txn().when(RecordKeys.ERA, revision))
-                .compose(outcome -> outcome.done() ? adoptEra(era, revision) : Future.succeededFuture());
+                .compose(outcome -> outcome.executed() ? adoptEra(era, revision) : Future.succeededFuture());
     }
 
     private Future<Void> adoptEra(long era, Revision revision) {
@@ -255,9 +255,10 @@
     private Future<Void> firstEra() {
         return commit(new Txn()
                         .when(RecordKeys.ERA, Revision.ABSENT)
-                        .put(RecordKeys.ERA, EraRecordCodec.writeEra(FIRST)))
-                .compose(outcome ->
-                        outcome.done() ? adoptEra(FIRST.value(), outcome.writtenRevision()) : Future.succeededFuture());
+                        .put(RecordKeys.ERA, EraRecordCodec.writeEra(FIRST_ERA)))
+                .compose(outcome -> outcome.executed()
+                        ? adoptEra(FIRST_ERA.value(), outcome.writtenRevision())
+                        : Future.succeededFuture());
     }
 
     /** The revision of an entry; {@link Revision#ABSENT} if it is null. */
@@ -267,29 +268,30 @@
 
     /** Reads the entry of a key; null if there is none. */
     public Future<Entry> get(String key) {
-        long known = staleReads.highest();
-        return reportingFailure(caller.get(StateCodec.keyPath(key), TIMEOUT)).map(r -> {
-            if (r.status() == NOT_FOUND) {
-                staleReads.observe(known, StateCodec.readRevision(r.body()));
-                return null;
-            }
-            return StateCodec.readEntry(requireOk(r));
-        });
+        long knownWhenSent = staleReads.highestRevision();
+        return reportingFailure(requestClient.get(StateCodec.keyPath(key), TIMEOUT))
+                .map(response -> {
+                    if (response.status() == NOT_FOUND) {
+                        staleReads.observe(knownWhenSent, StateCodec.readRevision(response.body()));
+                        return null;
+                    }
+                    return StateCodec.readEntry(requireOk(response));
+                });
     }
 
-    /** Lists up to {@code most} entries with a prefix, starting after a key, or from the first if it is null. */
-    public Future<Page> list(String prefix, String after, int most) {
-        long known = staleReads.highest();
-        return reportingFailure(caller.get(StateCodec.listPath(prefix, after, most), LIST_TIMEOUT))
-                .map(r -> {
-                    Page page = StateCodec.readPage(requireOk(r));
-                    staleReads.observe(known, page.revision());
+    /** Lists up to {@code limit} entries with a prefix, starting after a key, or from the first if it is null. */
+    public Future<Page> list(String prefix, String after, int limit) {
+        long knownWhenSent = staleReads.highestRevision();
+        return reportingFailure(requestClient.get(StateCodec.listPath(prefix, after, limit), LIST_TIMEOUT))
+                .map(response -> {
+                    Page page = StateCodec.readPage(requireOk(response));
+                    staleReads.observe(knownWhenSent, page.revision());
                     return page;
                 });
     }
 
     /** Whether a read must be confirmed, because the service has recently returned stale data. Counts as one read. */
-    public boolean areReadsSuspect() {
+    public boolean shouldConfirmRead() {
         return staleReads.shouldConfirm();
     }
 
@@ -299,89 +301,92 @@
      */
     public Future<Boolean> confirm(Txn comparison) {
         return commit(comparison).map(outcome -> {
-            if (!outcome.done() && !outcome.failed().equals(List.of(RecordKeys.ERA))) {
+            if (!outcome.executed() && !outcome.failedKeys().equals(List.of(RecordKeys.ERA))) {
                 staleReads.suspectReads();
             }
-            return outcome.done();
+            return outcome.executed();
         });
     }
 
     /** Executes a transaction; fails with {@link TransactionRejectedException} if it can never be executed unchanged. */
     public Future<Outcome> commit(Txn txn) {
-        long known = staleReads.highest();
-        return reportingFailure(caller.post(StateCodec.TXN, StateCodec.writeTxn(txn), TIMEOUT))
-                .map(response -> outcome(txn, known, response));
+        long knownWhenSent = staleReads.highestRevision();
+        return reportingFailure(requestClient.post(StateCodec.TXN, StateCodec.writeTxn(txn), TIMEOUT))
+                .map(response -> outcome(txn, knownWhenSent, response));
     }
 
-    private Outcome outcome(Txn txn, long known, ServiceResponse response) {
+    private Outcome outcome(Txn txn, long knownWhenSent, ServiceResponse response) {
         if (response.status() == OK) {
-            return committed(known, StateCodec.readRevision(response.body()));
+            return committed(knownWhenSent, StateCodec.readRevision(response.body()));
         }
         if (response.status() == CONFLICT) {
             Outcome failed = StateCodec.readConflict(response.body());
             staleReads.observe(0, failed.revision());
             return failed;
         }
-        if (response.status() == MALFORMED
+        if (response.status() == BAD_REQUEST
                 && StateCodec.NO_SUCH_LEASE.equals(response.body().optionalText("error"))) {
             return new Outcome(false, 0, List.of(), true);
         }
-        if (response.status() == MALFORMED) {
-            limits.transactionRefused(txn);
-            throw new TransactionRejectedException(MALFORMED);
+        if (response.status() == BAD_REQUEST) {
+            limits.transactionRejected(txn);
+            throw new TransactionRejectedException(BAD_REQUEST);
         }
         throw new StateRequestRejectedException(response.status());
     }
 
-    /** {@code known}: the highest revision seen when the transaction was sent; a lower {@code revision} shows a loss of data. */
-    private Outcome committed(long known, long revision) {
-        boolean lost = losses.revision(known, revision);
+    /** {@code knownWhenSent}: the highest revision seen when the transaction was sent; a lower {@code revision} shows a loss of data. */
+    private Outcome committed(long knownWhenSent, long revision) {
+        boolean lost = losses.revision(knownWhenSent, revision);
         staleReads.observe(0, revision);
-        if (revision < known) {
+        if (revision < knownWhenSent) {
             staleReads.restartAt(revision);
         }
         reportLoss(lost);
         return new Outcome(true, revision, List.of(), false);
     }
 
-    /** Requests a lease that expires after {@code life} unless it is renewed. */
-    public Future<Long> grant(Span life) {
-        return caller.post(StateCodec.LEASES, StateCodec.writeLife(life), TIMEOUT)
+    /** Requests a lease that expires after {@code leaseTime} unless it is renewed. */
+    public Future<Long> grantLease(Span leaseTime) {
+        return requestClient
+                .post(StateCodec.LEASES, StateCodec.writeLeaseTime(leaseTime), TIMEOUT)
                 .map(r -> StateCodec.readLease(requireOk(r)));
     }
 
     /** Renews a lease; false if it has ended. */
-    public Future<Boolean> renew(long lease, Span patience) {
-        return caller.post(StateCodec.leasePath(lease) + StateCodec.RENEW, Map.of(), patience)
-                .map(r -> {
-                    if (r.status() == NOT_FOUND) {
+    public Future<Boolean> renewLease(long lease, Span timeout) {
+        return requestClient
+                .post(StateCodec.leasePath(lease) + StateCodec.RENEW, Map.of(), timeout)
+                .map(response -> {
+                    if (response.status() == NOT_FOUND) {
                         return false;
                     }
-                    requireOk(r);
+                    requireOk(response);
                     return true;
                 });
     }
 
     /** Revokes a lease, which deletes the keys attached to it. */
-    public Future<Void> drop(long lease) {
-        return caller.delete(StateCodec.leasePath(lease), TIMEOUT).mapEmpty();
+    public Future<Void> revokeLease(long lease) {
+        return requestClient.delete(StateCodec.leasePath(lease), TIMEOUT).mapEmpty();
     }
 
     /** Returns the changes of keys with a prefix after a revision, waiting up to {@code wait} for the first. */
     public Future<Changes> watch(String prefix, long since, Span wait) {
-        return watcher.get(StateCodec.watchPath(prefix, since, wait), wait.plus(TIMEOUT))
+        return watchClient
+                .get(StateCodec.watchPath(prefix, since, wait), wait.plus(TIMEOUT))
                 .map(r -> r.status() == GONE ? new Changes(List.of(), 0, true) : StateCodec.readChanges(requireOk(r)));
     }
 
-    private static Fields requireOk(ServiceResponse reply) {
-        if (reply.status() == OK) {
-            return reply.body();
+    private static Fields requireOk(ServiceResponse response) {
+        if (response.status() == OK) {
+            return response.body();
         }
-        throw new StateRequestRejectedException(reply.status());
+        throw new StateRequestRejectedException(response.status());
     }
 
     /** Whether a failure shows that the request was not executed. */
-    public static boolean surelyNotExecuted(Throwable failure) {
+    public static boolean wasNotExecuted(Throwable failure) {
         return failure instanceof StateRequestRejectedException;
     }
 }
--- a/src/main/java/io/indigoreach/state/StateCodec.java
+++ b/src/main/java/io/indigoreach/state/StateCodec.java
@@ -35,7 +35,7 @@
     /** The error of a transaction with a lease that has ended. */
     public static final String NO_SUCH_LEASE = "no such lease";
 
-    private static final String NAMELESS = "";
+    private static final String UNNAMED_FIELD = "";
 
     private StateCodec() {}
 
@@ -44,32 +44,32 @@
      * wrapped into a map whose only field has an empty name. A map that already has this form is wrapped as well, so that
      * {@link #toWire} restores every value unchanged.
      */
-    private static Fields unwrapped(Fields body, String name) {
+    private static Fields readValue(Fields body, String name) {
         if (!body.has(name)) {
             return body.child(name);
         }
         Object value = body.map().get(name);
         return value instanceof Map<?, ?> map && !isWrapped(map)
                 ? body.child(name)
-                : new Fields(MessagePackFormat.map(NAMELESS, value));
+                : new Fields(MessagePackFormat.map(UNNAMED_FIELD, value));
     }
 
     /** Converts a value that was wrapped on reading back to its wire form. */
-    public static Object toWire(Map<String, Object> kept) {
-        return isWrapped(kept) ? kept.get(NAMELESS) : kept;
+    public static Object toWire(Map<String, Object> value) {
+        return isWrapped(value) ? value.get(UNNAMED_FIELD) : value;
     }
 
     private static boolean isWrapped(Map<?, ?> map) {
-        return map.size() == 1 && map.containsKey(NAMELESS);
+        return map.size() == 1 && map.containsKey(UNNAMED_FIELD);
     }
 
     static String keyPath(String key) {
         return STORE + "/" + key;
     }
 
-    static String listPath(String prefix, String after, int most) {
+    static String listPath(String prefix, String after, int limit) {
         return STORE + "?" + PREFIX + "=" + prefix + (after == null ? "" : "&" + SINCE + "=" + after) + "&" + LIMIT
-                + "=" + most;
+                + "=" + limit;
     }
 
     static String watchPath(String prefix, long since, Span wait) {
@@ -98,7 +98,7 @@
     /** Decodes a key with its value from a response or an item of a page. */
     public static StateClient.Entry readEntry(Fields body) {
         return new StateClient.Entry(
-                body.text("path"), unwrapped(body, "data"), new Revision(body.whole("stamp")), body.whole("permit", 0));
+                body.text("path"), readValue(body, "data"), new Revision(body.whole("stamp")), body.whole("permit", 0));
     }
 
     /** The body of a response with only a revision: for an absent key or an executed transaction. */
@@ -113,9 +113,9 @@
 
     /** The body of a response to a listing. */
     public static Map<String, Object> writePage(StateClient.Page page) {
-        List<Object> items = new ArrayList<>(page.items().size());
-        page.items().forEach(entry -> items.add(writeEntry(entry)));
-        return MessagePackFormat.map("items", items, "truncated", page.more(), "ledger_rev", page.revision());
+        List<Object> items = new ArrayList<>(page.entries().size());
+        page.entries().forEach(entry -> items.add(writeEntry(entry)));
+        return MessagePackFormat.map("items", items, "truncated", page.hasMore(), "ledger_rev", page.revision());
     }
 
     static StateClient.Page readPage(Fields body) {
@@ -157,7 +157,7 @@
             if (write.has("delete")) {
                 txn.delete(write.text("delete"));
             } else {
-                txn.put(write.text("write"), unwrapped(write, "data").map(), write.whole("permit", 0));
+                txn.put(write.text("write"), readValue(write, "data").map(), write.whole("permit", 0));
             }
         }
         return txn;
@@ -174,12 +174,12 @@
     }
 
     /** The body of a request for a lease. */
-    public static Map<String, Object> writeLife(Span life) {
-        return MessagePackFormat.map("life_ms", life.ms());
+    public static Map<String, Object> writeLeaseTime(Span leaseTime) {
+        return MessagePackFormat.map("life_ms", leaseTime.ms());
     }
 
     /** Decodes the time after which the requested lease expires unless it is renewed. */
-    public static Span readLife(Fields body) {
+    public static Span readLeaseTime(Fields body) {
         return new Span(body.whole("life_ms"));
     }
 
@@ -220,7 +220,7 @@
             Revision revision = new Revision(event.whole("stamp"));
             changes.add(
                     event.has("write")
-                            ? new StateClient.Change(event.text("write"), unwrapped(event, "data"), revision)
+                            ? new StateClient.Change(event.text("write"), readValue(event, "data"), revision)
                             : new StateClient.Change(event.text("delete"), null, revision));
         }
         return new StateClient.Changes(changes, readRevision(body), false);
--- a/src/main/java/io/indigoreach/tools/Cluster.java
+++ b/src/main/java/io/indigoreach/tools/Cluster.java
@@ -133,11 +133,11 @@
         String after = null;
         for (boolean more = true; more; ) {
             StateClient.Page page = await(state.list(RecordKeys.OPEN_JOBS, after, PAGE));
-            for (StateClient.Entry e : page.items()) {
+            for (StateClient.Entry e : page.entries()) {
                 jobs.add(JobRecordCodec.readJob(RecordKeys.jobOfOpenKey(e.key()), e.value(), e.revision()));
                 after = e.key();
             }
-            more = page.more();
+            more = page.hasMore();
         }
         return jobs;
     }
@@ -153,7 +153,7 @@
                         : leader.value().text("node") + ", token "
                                 + LeaderKey.tokenOf(leader.value().map())));
         for (StateClient.Entry e :
-                await(state.list(RecordKeys.INTENTS, null, PAGE)).items()) {
+                await(state.list(RecordKeys.INTENTS, null, PAGE)).entries()) {
             String by = " (token " + e.key().substring(RecordKeys.INTENTS.length()) + ")";
             Intents.Page page = IntentRecordCodec.readIntents(e.value());
             page.rents()
@@ -165,7 +165,7 @@
         StateClient.Entry era = await(state.get(RecordKeys.ERA));
         lines.add("era        " + (era == null ? "none" : Long.toString(EraRecordCodec.readEra(era.value()))));
         if (era != null) {
-            EraRecordCodec.readLoss(era.value()).forEach(line -> lines.add("loss       " + line));
+            EraRecordCodec.describeLoss(era.value()).forEach(line -> lines.add("loss       " + line));
         }
         return lines;
     }
--- a/src/test/java/io/indigoreach/api/GoldenUsersTest.java
+++ b/src/test/java/io/indigoreach/api/GoldenUsersTest.java
@@ -15,11 +15,11 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.io.IOException;
@@ -40,7 +40,7 @@
     /** Vert.x closes a client that nothing refers to any more. */
     private final List<Object> kept = new ArrayList<>();
 
-    private StateStandIn state;
+    private FakeStateService state;
     private Endpoint node;
 
     @AfterEach
@@ -158,7 +158,7 @@
     }
 
     private Catalogue serve() throws Exception {
-        state = await(new StateStandIn().listen(vertx));
+        state = await(new FakeStateService().listen(vertx));
         MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         await(client().commit(new StateClient.Txn()
                 .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type)))
@@ -247,7 +247,7 @@
                 .text("no path", GoldenHttp.get(node, "/nowhere"))
                 .text("no path below jobs", GoldenHttp.get(node, "/api/jobs/run-5/tasks"))
                 .text("a part's path where it is off", GoldenHttp.get(node, "/api/pools"));
-        state.refusing = true;
+        state.unavailable = true;
         golden.text("submission in an outage", submit(with("id", "run-8")))
                 .text("poll in an outage", GoldenHttp.get(node, "/api/jobs/run-8"))
                 .text("cancel in an outage", GoldenHttp.post(node, "/api/jobs/run-8/cancel", Map.of()))
--- a/src/test/java/io/indigoreach/api/JobServiceLossTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceLossTest.java
@@ -17,10 +17,10 @@
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.CatalogueRecordCodec;
 import io.indigoreach.state.EraRecordCodec;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -36,7 +36,7 @@
 /** What users are told while the state service has lost data, by one node and without a leader. */
 class JobServiceLossTest {
     private final Vertx vertx = Vertx.vertx();
-    private StateStandIn service;
+    private FakeStateService service;
     private StateClient state;
     private Catalogue catalogue;
     private JobRepairer repairer;
@@ -44,7 +44,7 @@
 
     @BeforeEach
     void serve() throws Exception {
-        service = await(new StateStandIn().listen(vertx));
+        service = await(new FakeStateService().listen(vertx));
         state = client();
         MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         await(state.commit(
@@ -57,7 +57,7 @@
         while (!catalogue.isKnown()) {
             Thread.onSpinWait();
         }
-        await(state.check());
+        await(state.checkEra());
     }
 
     @AfterEach
@@ -135,7 +135,7 @@
         assertEquals(200, submit(2));
         await(client().commit(
                         new StateClient.Txn().put(RecordKeys.ERA, EraRecordCodec.writeEra(new FencingToken(77)))));
-        await(state.check());
+        await(state.checkEra());
         assertEquals(List.of(404, 201), List.of(status(jobs.query("run-9")), submit(3)));
     }
 
@@ -148,7 +148,7 @@
         assertEquals(true, state.losses().isHolding());
         await(client().commit(
                         new StateClient.Txn().put(RecordKeys.ERA, EraRecordCodec.writeEra(new FencingToken(77)))));
-        await(state.check());
+        await(state.checkEra());
         jobs.setPeerQuery(id -> Future.succeededFuture(id.text().equals("run-8")));
         assertEquals(List.of(503, 503), List.of(status(jobs.query("run-8")), status(jobs.query("run-9"))));
         assertEquals(Map.of(), Map.copyOf(jobs.rememberedState().finished()));
@@ -172,13 +172,13 @@
         JobService queried = remembered.equals("here") ? jobs : other();
         assertEquals(201, submit(1));
         if (remembered.equals("elsewhere")) {
-            repairer.recallFrom(id -> Future.succeededFuture(jobs.rememberedState(id)));
+            repairer.setRememberedStateQuery(id -> Future.succeededFuture(jobs.rememberedState(id)));
         } else if (remembered.equals("ended")) {
             RememberedState ended = new RememberedState();
             ended.add(new JobId("run-1"), new RememberedState.FinishedJob(JobStatus.DONE, 2));
-            repairer.recallFrom(id -> Future.succeededFuture(ended));
+            repairer.setRememberedStateQuery(id -> Future.succeededFuture(ended));
         } else if (remembered.equals("here")) {
-            repairer.recallFrom(id -> Future.succeededFuture(jobs.rememberedState(id)));
+            repairer.setRememberedStateQuery(id -> Future.succeededFuture(jobs.rememberedState(id)));
         }
         StateClient.Txn txn = new StateClient.Txn();
         if (prefix.equals("f/")) {
--- a/src/test/java/io/indigoreach/api/JobServiceTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceTest.java
@@ -19,11 +19,11 @@
 import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
@@ -48,13 +48,13 @@
     private final List<Object> kept = new ArrayList<>();
 
     private final List<JobService> services = new ArrayList<>();
-    private StateStandIn service;
+    private FakeStateService service;
     private Endpoint first;
     private Endpoint second;
 
     @BeforeEach
     void serve() throws Exception {
-        service = await(new StateStandIn().listen(vertx));
+        service = await(new FakeStateService().listen(vertx));
         MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         await(client().commit(new StateClient.Txn()
                 .when(RecordKeys.CATALOGUE, Revision.ABSENT)
@@ -151,7 +151,7 @@
         Map<String, Object> job = JobCodecTest.job();
         job.put("pieces", 100_000L);
         assertEquals("201 pending", status(call(first, HttpMethod.POST, "/api/jobs", job)));
-        service.txnOps = 2;
+        service.maxTxnOps = 2;
         assertEquals("200 cancelled", status(call(second, HttpMethod.POST, "/api/jobs/run-000412/cancel", Map.of())));
         assertEquals("200 cancelled", status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
     }
@@ -164,9 +164,9 @@
         List<Object> types = new ArrayList<>((List<?>) job.get("boxkinds"));
         types.addAll(java.util.Collections.nCopies(otherTypes, "k".repeat(100)));
         job.put("boxkinds", types);
-        service.valueBytes = valueBytes;
+        service.maxValueBytes = valueBytes;
         assertEquals(expected, call(first, HttpMethod.POST, "/api/jobs", job).status());
-        service.valueBytes = 512;
+        service.maxValueBytes = 512;
         int again = call(second, HttpMethod.POST, "/api/jobs", job).status();
         assertEquals(expected == 201 ? 200 : 422, again);
     }
@@ -203,7 +203,7 @@
                     .delete("j/run-1")
                     .put("f/run-1", JobRecordCodec.writeFinal(JobStatus.valueOf(state.toUpperCase(Locale.ROOT)), 0))));
         }
-        service.refusing = state.equals("refused");
+        service.unavailable = state.equals("refused");
     }
 
     /** By what has become of the job that is named: the answer, and what is told later. */
@@ -256,9 +256,9 @@
         call(second, HttpMethod.POST, "/api/jobs", between);
         call(second, HttpMethod.POST, "/api/jobs", withDependencies("run-2"));
         createDependency("cancelled");
-        int before = service.reads;
+        int before = service.readCount;
         assertEquals("200 pending", status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
-        assertEquals(1, service.reads - before);
+        assertEquals(1, service.readCount - before);
         services.get(0).setCascadeTime(Span.seconds(60), () -> "");
         assertEquals("200 cancelled", status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
         assertEquals("200 cancelled", status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
@@ -274,7 +274,7 @@
             job.put("id", "run-" + n);
             call(node, HttpMethod.POST, "/api/jobs", job);
         }
-        int before = service.reads;
+        int before = service.readCount;
         List<Future<ServiceResponse>> answers = new ArrayList<>();
         ServiceClient users = keep(new ServiceClient(vertx, node, 90));
         for (int n = 0; n < 90; n++) {
@@ -283,7 +283,7 @@
         for (ServiceResponse reply : await(Future.all(answers)).<ServiceResponse>list()) {
             assertEquals("200 pending", status(reply));
         }
-        assertTrue(service.reads - before < 30, "reads: " + (service.reads - before));
+        assertTrue(service.readCount - before < 30, "reads: " + (service.readCount - before));
     }
 
     /** In a flood of ends a job's end stands in its open record before it is moved: it is over all the same. */
@@ -304,12 +304,12 @@
 
     @Test
     void submissionIsIdempotentAfterALostResponse() throws Exception {
-        service.losing = txn -> txn.children("writes").stream()
+        service.loseResponseFilter = txn -> txn.children("writes").stream()
                 .anyMatch(w -> w.has("write") && w.text("write").equals("j/run-000412"));
         assertEquals(
                 503,
                 call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job()).status());
-        assertEquals(1, service.lost, "it was carried out");
+        assertEquals(1, service.lostResponses, "it was carried out");
         assertEquals("200 pending", status(call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job())));
     }
 
@@ -317,7 +317,7 @@
     @Test
     void acceptanceIsConditionalOnTheEraBeforeItWasRead() throws Exception {
         List<List<String>> conditions = new ArrayList<>();
-        service.holding = txn -> {
+        service.holdFilter = txn -> {
             List<String> keys =
                     txn.children("when").stream().map(w -> w.text("path")).toList();
             if (keys.contains("j/run-000412")) {
@@ -336,7 +336,7 @@
         other.put("id", "run-5");
         call(first, HttpMethod.POST, "/api/jobs", other);
         call(first, HttpMethod.POST, "/api/jobs/run-5/cancel", Map.of());
-        service.refusing = true;
+        service.unavailable = true;
         assertEquals(
                 503, call(first, HttpMethod.GET, "/api/jobs/run-000412", null).status());
         assertEquals(503, call(second, HttpMethod.GET, "/api/jobs/run-5", null).status());
--- a/src/test/java/io/indigoreach/api/OddRequestsTest.java
+++ b/src/test/java/io/indigoreach/api/OddRequestsTest.java
@@ -16,10 +16,10 @@
 import io.indigoreach.net.ServiceResponse;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -48,7 +48,7 @@
     private static final Object ABSENT = new Object();
 
     private final Vertx vertx = Vertx.vertx();
-    private StateStandIn service;
+    private FakeStateService service;
     private HttpClient http;
     private ServiceClient user;
     private Endpoint node;
@@ -57,7 +57,7 @@
 
     @BeforeAll
     void serve() throws Exception {
-        service = await(new StateStandIn().listen(vertx));
+        service = await(new FakeStateService().listen(vertx));
         StateClient state = new StateClient(caller(4), caller(1));
         MachineType type = new MachineType("quad", new Demand(4, 1, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         MachineType far = new MachineType("far", new Demand(8, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("b"));
@@ -88,7 +88,7 @@
 
     @AfterEach
     void serveAgain() {
-        service.delaying = (endpoint, path) -> false;
+        service.delayFilter = (endpoint, path) -> false;
     }
 
     @AfterAll
@@ -249,7 +249,7 @@
     @ParameterizedTest
     @CsvSource({"false", "true"})
     void requestsBeyondTheAdmissionLimitAreRejectedAtOnce(boolean submissions) throws Exception {
-        service.delaying = (endpoint, path) -> path.startsWith("/store") || path.equals("/txn");
+        service.delayFilter = (endpoint, path) -> path.startsWith("/store") || path.equals("/txn");
         Map<Integer, Future<ServiceResponse>> answers = new LinkedHashMap<>();
         int[] refused = {0};
         long begun = System.nanoTime();
@@ -274,7 +274,7 @@
 
     @Test
     void unavailableResponseHasRetryAfter() throws Exception {
-        service.delaying = (endpoint, path) -> path.startsWith("/store");
+        service.delayFilter = (endpoint, path) -> path.startsWith("/store");
         Future<String> answer = http.request(HttpMethod.GET, node.port(), node.host(), "/api/jobs/run-60000")
                 .compose(r -> r.send())
                 .map(r -> r.statusCode() + " " + r.getHeader("Retry-After"));
--- a/src/test/java/io/indigoreach/calendar/GoldenCalendarTest.java
+++ b/src/test/java/io/indigoreach/calendar/GoldenCalendarTest.java
@@ -33,10 +33,10 @@
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.net.WireException;
 import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.RoutineRunner;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -66,7 +66,7 @@
 
     private final Vertx vertx = Vertx.vertx();
     private final GoldenFile golden = new GoldenFile("calendar.txt");
-    private StateStandIn state;
+    private FakeStateService state;
 
     @AfterEach
     void close() throws Exception {
@@ -195,7 +195,7 @@
                 "kochi-tankers", state, id, 3, NOW + 1, NOW - 1, NOW, 20, state == Mark.State.MISSED ? "too late" : "");
     }
 
-    private static RoutineRunner records(Vertx vertx, StateStandIn state) {
+    private static RoutineRunner records(Vertx vertx, FakeStateService state) {
         return new RoutineRunner(
                 vertx,
                 new StateClient(
@@ -345,7 +345,7 @@
     void whatIsKeptAndSaid() throws Exception {
         texts();
         runs();
-        state = await(new StateStandIn().listen(vertx));
+        state = await(new FakeStateService().listen(vertx));
         StateClient client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
         await(client.commit(new StateClient.Txn()
--- a/src/test/java/io/indigoreach/checker/CloseLooksTest.java
+++ b/src/test/java/io/indigoreach/checker/CloseLooksTest.java
@@ -59,15 +59,15 @@
         List<Finding> play() throws Exception {
             SplittableRandom draws = random.split();
             doors.trouble(() -> {
-                doors.service.lagMs = path -> draws.nextInt(3) == 0 ? draws.nextInt(1, LONGEST_LAG_MS) : 0;
-                doors.service.losing = txn -> isAboutAJob(txn) && draws.nextInt(8) == 0;
-                doors.service.holding = txn -> isAboutAJob(txn) && draws.nextInt(12) == 0;
+                doors.service.responseDelayMs = path -> draws.nextInt(3) == 0 ? draws.nextInt(1, LONGEST_LAG_MS) : 0;
+                doors.service.loseResponseFilter = txn -> isAboutAJob(txn) && draws.nextInt(8) == 0;
+                doors.service.holdFilter = txn -> isAboutAJob(txn) && draws.nextInt(12) == 0;
             });
             for (int round = 0; round < ROUNDS; round++) {
                 begin(random.nextInt(8));
                 FrontDoors.await(Future.join(jobs.stream().map(this::step).toList()));
                 if (random.nextBoolean()) {
-                    doors.service.executeLate();
+                    doors.service.executeHeldTransactions();
                 }
             }
             return JobRegisters.check(doors.calls());
@@ -87,9 +87,9 @@
             if (kind == 0 || kind == 1) {
                 doors.trouble(() -> {
                     if (kind == 0) {
-                        doors.service.refused.add(door);
+                        doors.service.rejectedCallers.add(door);
                     } else {
-                        doors.service.delaying = (d, path) -> d.equals(door);
+                        doors.service.delayFilter = (d, path) -> d.equals(door);
                     }
                     Vertx.currentContext().owner().setTimer(ms, t -> pass());
                 });
@@ -101,9 +101,9 @@
         }
 
         private void pass() {
-            doors.service.refused.clear();
-            doors.service.delaying = (d, path) -> false;
-            doors.service.letThrough();
+            doors.service.rejectedCallers.clear();
+            doors.service.delayFilter = (d, path) -> false;
+            doors.service.executeDelayed();
         }
 
         private Future<?> step(JobId job) {
@@ -139,12 +139,12 @@
         /** With all troubles over every node has the same to say of every job. */
         void settle() throws Exception {
             doors.trouble(() -> {
-                doors.service.lagMs = path -> 0;
-                doors.service.losing = txn -> false;
-                doors.service.holding = txn -> false;
+                doors.service.responseDelayMs = path -> 0;
+                doors.service.loseResponseFilter = txn -> false;
+                doors.service.holdFilter = txn -> false;
                 pass();
             });
-            doors.service.executeLate();
+            doors.service.executeHeldTransactions();
             for (JobId job : jobs) {
                 Set<JobStatus> told = new HashSet<>();
                 for (int node = 0; node < doors.count(); node++) {
--- a/src/test/java/io/indigoreach/checker/FrontDoors.java
+++ b/src/test/java/io/indigoreach/checker/FrontDoors.java
@@ -22,12 +22,12 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.JobRecord;
 import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -61,7 +61,7 @@
     /** One node's process; a restart makes another. */
     private record Node(Context loop, Catalogue catalogue, JobService desk, Door door) {}
 
-    final StateStandIn service = new StateStandIn();
+    final FakeStateService service = new FakeStateService();
     private final Queue<Call> calls = new ConcurrentLinkedQueue<>();
     private final Vertx serviceRuntime = Vertx.vertx();
     private final List<Vertx> runtimes = new ArrayList<>();
@@ -83,10 +83,10 @@
         await(leader.commit(new StateClient.Txn()
                 .when(RecordKeys.CATALOGUE, Revision.ABSENT)
                 .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type)))));
-        await(leader.check());
+        await(leader.checkEra());
         for (int n = 0; n < count; n++) {
             String name = name(n);
-            ways.add(await(on(serviceLoop, () -> service.door(serviceRuntime, name))));
+            ways.add(await(on(serviceLoop, () -> service.addEndpoint(serviceRuntime, name))));
             runtimes.add(Vertx.vertx());
             restart(n);
         }
--- a/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
@@ -12,12 +12,12 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.CompletionBits;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.JobRecord;
 import io.indigoreach.state.JobRecordCodec;
+import io.indigoreach.state.LegacyCompletionBlocks;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
-import io.indigoreach.state.TestBlocks;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
@@ -36,13 +36,13 @@
     private static final JobId ID = new JobId("run-1");
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
-    private StateStandIn state;
+    private FakeStateService state;
     private StateClient client;
     private Revision leader;
 
     @BeforeEach
     void start() throws Exception {
-        state = await(new StateStandIn().listen(vertx));
+        state = await(new FakeStateService().listen(vertx));
         client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
     }
@@ -68,7 +68,7 @@
     private BitSet read(CompletionBlockStore blockStore) throws Exception {
         BitSet done = new BitSet();
         for (String prefix : List.of(RecordKeys.COMPLETION_BLOCKS, CompletionBits.SMALL_BLOCKS)) {
-            for (StateClient.Entry e : await(client.list(prefix, null, 1000)).items()) {
+            for (StateClient.Entry e : await(client.list(prefix, null, 1000)).entries()) {
                 BitSet block = new BitSet();
                 CompletionBits.readBlock(e.key(), e.value(), block);
                 blockStore.inherit(e.key(), block);
@@ -90,10 +90,10 @@
                 .put(
                         RecordKeys.openKey(ID),
                         JobRecordCodec.writeJob(spec, 1, JobStatus.RUNNING, done, 0, spec.tasks()));
-        for (int n = 0; n < TestBlocks.blocks(spec.tasks()); n++) {
-            txn.put(RecordKeys.blockKey(ID, n), TestBlocks.writeBlock(done, n));
+        for (int n = 0; n < LegacyCompletionBlocks.blockCount(spec.tasks()); n++) {
+            txn.put(RecordKeys.completionBlockKey(ID, n), LegacyCompletionBlocks.writeBlock(done, n));
         }
-        assertTrue(await(client.commit(txn)).done());
+        assertTrue(await(client.commit(txn)).executed());
     }
 
     private static void complete(SplittableRandom random, BitSet done, int tasks) {
@@ -114,8 +114,8 @@
         recorded.or(done);
         for (int life = 0; life < 8; life++) {
             if (life == 4) {
-                state.valueBytes = 2048;
-                state.txnOps = 4;
+                state.maxValueBytes = 2048;
+                state.maxTxnOps = 4;
             }
             CompletionBlockStore blockStore = newBlockStore(life < 2 ? "" : NEXT);
             BitSet heard = read(blockStore);
@@ -132,24 +132,24 @@
                 blockStore.addProgress(txn, job, done);
                 // The last write of this leader has no answer, and is carried out after the next leader's first.
                 boolean held = writes == 1 && random.nextBoolean();
-                state.holding = t -> held;
+                state.holdFilter = t -> held;
                 Future<StateClient.Outcome> outcome = client.commit(txn);
                 while (held && state.held() == 0) {
                     Thread.onSpinWait();
                 }
                 if (!held) {
-                    assertTrue(await(outcome).done());
+                    assertTrue(await(outcome).executed());
                     recorded.or(blockStore.written(job, done));
                 }
             }
-            state.holding = t -> false;
+            state.holdFilter = t -> false;
             int waited = state.held();
             assertTrue(waited <= 1);
             newBlockStore(NEXT);
-            assertEquals(waited == 0 ? List.of() : List.of(409), state.executeLate());
+            assertEquals(waited == 0 ? List.of() : List.of(409), state.executeHeldTransactions());
         }
-        assertEquals(0, state.tooLarge);
-        assertEquals(0, client.limits().refusals());
+        assertEquals(0, state.oversizedTransactions);
+        assertEquals(0, client.limits().rejections());
     }
 
     /** The end is two changes however large the job is; its blocks follow, also under the next leader. */
@@ -159,12 +159,12 @@
         BitSet done = new BitSet();
         done.set(0, tasks - 1);
         writeAsBefore(spec(tasks, 10), done);
-        state.txnOps = 4;
+        state.maxTxnOps = 4;
         CompletionBlockStore blockStore = newBlockStore(NEXT);
         Job job = new Job(spec(tasks, 10), 1, clock.now(), open().revision(), done, tasks, true);
         StateClient.Txn txn = new StateClient.Txn();
         blockStore.addProgress(txn, job, done);
-        assertTrue(await(client.commit(txn)).done() && txn.size() <= 4);
+        assertTrue(await(client.commit(txn)).executed() && txn.size() <= 4);
         await(client.commit(new StateClient.Txn()
                 .delete(RecordKeys.openKey(ID))
                 .put(RecordKeys.finalKey(ID), JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
@@ -195,8 +195,8 @@
         BitSet done = new BitSet();
         writeAsBefore(spec, done);
         done.set(0, 90_000);
-        state.valueBytes = valueBytes;
-        state.txnOps = txnOps;
+        state.maxValueBytes = valueBytes;
+        state.maxTxnOps = txnOps;
         Job job = new Job(spec, 1, clock.now(), open().revision(), done, 100_000, true);
         int tries = 0;
         while (blockStore.isBehind(job) && tries < 60) {
@@ -210,7 +210,8 @@
         }
         assertTrue(!blockStore.isBehind(job), "tries: " + tries);
         assertTrue(
-                client.limits().refusals() <= 4, "refusals: " + client.limits().refusals());
+                client.limits().rejections() <= 4,
+                "refusals: " + client.limits().rejections());
         assertEquals(done, read(newBlockStore("")));
     }
 }
--- a/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
@@ -16,10 +16,10 @@
 import io.indigoreach.core.scheduling.SchedulerCore;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
@@ -39,7 +39,7 @@
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
     private final List<Leader> leaders = new ArrayList<>();
-    private StateStandIn state;
+    private FakeStateService state;
     private StateClient client;
 
     /** A leadership term, as far as it serves jobs. */
@@ -84,7 +84,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        state = await(new StateStandIn().listen(vertx));
+        state = await(new FakeStateService().listen(vertx));
         client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 8), new ServiceClient(vertx, state.endpoint(), 1));
     }
@@ -150,10 +150,10 @@
         open(5, 9);
         open(9);
         Leader leader = new Leader(3);
-        int before = state.changed;
-        state.losingAnswers = 1;
+        int before = state.writtenKeys;
+        state.responsesToLose = 1;
         awaitCancelled(2, 3, 4);
-        assertEquals(2 * 3, state.changed - before);
+        assertEquals(2 * 3, state.writtenKeys - before);
         assertEquals(List.of("j/run-5", "j/run-9"), state.keys("j/"));
         over(9, JobStatus.CANCELLED);
         vertx.runOnContext(v -> leader.jobStore.onOpenRecordDeleted(id(9)));
@@ -168,7 +168,7 @@
             open(n, n - 1);
         }
         int[] written = {0};
-        state.holding = txn -> written[0]++ > 0;
+        state.holdFilter = txn -> written[0]++ > 0;
         Leader first = new Leader(3);
         until(() -> state.held() > 0);
         Promise<Void> stopped = Promise.promise();
@@ -177,16 +177,16 @@
             stopped.complete();
         });
         await(stopped.future());
-        state.holding = txn -> false;
+        state.holdFilter = txn -> false;
         new Leader(4);
-        assertTrue(state.executeLate().stream().allMatch(status -> status == 409));
+        assertTrue(state.executeHeldTransactions().stream().allMatch(status -> status == 409));
         awaitCancelled(2, 3, 4, 5, 6, 7);
     }
 
     /** All tasks are completed, but the write of the completion has not been executed: the dependent waits. */
     @Test
     void aDependentStartsOnlyAfterTheCompletionIsRecorded() throws Exception {
-        state.holding =
+        state.holdFilter =
                 txn -> txn.children("writes").stream().anyMatch(w -> "j/run-1".equals(w.optionalText("delete")));
         open(spec(1), 1);
         open(2, 1);
@@ -194,8 +194,8 @@
         until(() -> state.held() > 0);
         await(vertx.timer(500, TimeUnit.MILLISECONDS));
         assertTrue(leader.blocksAll());
-        state.holding = txn -> false;
-        state.executeLate();
+        state.holdFilter = txn -> false;
+        state.executeHeldTransactions();
         until(() -> !leader.blocksAll());
         assertEquals("DONE", state.value("f/run-1").text("status"));
     }
@@ -205,8 +205,8 @@
     void aMissingDependencyBlocksItsDependents() throws Exception {
         open(2, 1);
         Leader leader = new Leader(3);
-        int before = state.transactions;
-        until(() -> state.transactions > before);
+        int before = state.transactionCount;
+        until(() -> state.transactionCount > before);
         assertTrue(leader.blocksAll());
         assertFalse(client.losses().isHolding());
         over(1, JobStatus.DONE);
--- a/src/test/java/io/indigoreach/cluster/GoldenMessagesTest.java
+++ b/src/test/java/io/indigoreach/cluster/GoldenMessagesTest.java
@@ -6,7 +6,7 @@
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.Span;
 import io.indigoreach.net.Fields;
-import io.indigoreach.state.Golden;
+import io.indigoreach.state.ProductionSample;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -20,16 +20,17 @@
 class GoldenMessagesTest {
     private static final String FILE = "pledges.txt";
 
-    private static Golden answer(boolean pledged, Set<JobId> told) {
+    private static ProductionSample answer(boolean pledged, Set<JobId> told) {
         PeerPromises said = new PeerPromises(pledged, new CancellationSummary(told, Span.seconds(7)));
-        return new Golden(said.write(Span.seconds(2)), PeerPromises::read, said);
+        return new ProductionSample(said.write(Span.seconds(2)), PeerPromises::read, said);
     }
 
-    static Map<String, Golden> all() {
-        Map<String, Golden> all = new LinkedHashMap<>();
+    static Map<String, ProductionSample> all() {
+        Map<String, ProductionSample> all = new LinkedHashMap<>();
         all.put(
                 "question",
-                new Golden(PeerPromises.writeRequest(Span.seconds(7)), PeerPromises::readRequest, Span.seconds(7)));
+                new ProductionSample(
+                        PeerPromises.writeRequest(Span.seconds(7)), PeerPromises::readRequest, Span.seconds(7)));
         all.put("no pledge, nothing told", answer(false, Set.of()));
         all.put("pledge, one told", answer(true, Set.of(new JobId("run-000398"))));
         return all;
@@ -42,15 +43,15 @@
     @ParameterizedTest
     @MethodSource("names")
     void whatProductionSaidIsReadAndSaidInTheSameWords(String name) {
-        Golden golden = all().get(name);
-        String line = Golden.load(FILE).get(name);
-        Fields said = Golden.fields(line);
+        ProductionSample golden = all().get(name);
+        String line = ProductionSample.load(FILE).get(name);
+        Fields said = ProductionSample.fields(line);
         assertEquals(golden.value(), golden.read().apply(said));
         assertEquals(line, golden.hex());
     }
 
     @Test
     void everyLineIsTested() {
-        assertEquals(List.copyOf(Golden.load(FILE).keySet()), new ArrayList<>(names()));
+        assertEquals(List.copyOf(ProductionSample.load(FILE).keySet()), new ArrayList<>(names()));
     }
 }
--- a/src/test/java/io/indigoreach/cluster/IntentLogTest.java
+++ b/src/test/java/io/indigoreach/cluster/IntentLogTest.java
@@ -10,7 +10,7 @@
 import io.indigoreach.core.model.MachineId;
 import io.indigoreach.core.model.MachinePool;
 import io.indigoreach.net.RateLimiter;
-import io.indigoreach.state.StateStandIn;
+import io.indigoreach.state.FakeStateService;
 import io.vertx.core.Future;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -23,7 +23,7 @@
     private static final Intents.Rent RENT = new Intents.Rent("t3-1", new MachinePool("quad", "east", true), 50, 1000);
     private static final MachineId MACHINE = new MachineId("vm-1");
     private TermFixture fixture;
-    private StateStandIn state;
+    private FakeStateService state;
     private NodeContext context;
     private boolean deposed;
 
@@ -88,7 +88,7 @@
     @Test
     void intentsBeyondTheRecordsSizeWait() throws Exception {
         context = fixture.context("value_kb = 2.0");
-        state.valueBytes = 2048;
+        state.maxValueBytes = 2048;
         IntentLog log = newLeader(3);
         int rents = 0;
         while (log.intents().hasRoomFor(rent(rents))) {
@@ -100,7 +100,7 @@
         int returns = log.intents().addReturns(machines).size();
         assertTrue(rents >= 10 && returns >= 50, rents + " requests, " + returns + " machines");
         assertTrue(await(log.record()));
-        assertEquals(0, state.tooLarge);
+        assertEquals(0, state.oversizedTransactions);
         assertEquals(rents, await(newLeader(4).load()).rents().size());
     }
 
@@ -136,7 +136,7 @@
     void intentWithALostAnswerIsRecordedBeforeItIsSent() throws Exception {
         IntentLog log = newLeader(3);
         log.intents().add(RENT);
-        state.losingAnswers = 1;
+        state.responsesToLose = 1;
         assertFalse(await(log.record().otherwise(false)));
         assertFalse(log.intents().maySend("t3-1"), "it may be there or not");
         assertFalse(await(log.record()), "its version is read first");
