--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -23,11 +23,11 @@
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.JobRecord;
 import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
@@ -48,7 +48,7 @@
     private static final int COMPLETIONS = 40;
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
-    private StateStandIn state;
+    private FakeStateService state;
     private StateClient client;
     private SchedulerCore core;
     private NodeContext context;
@@ -57,7 +57,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        state = await(new StateStandIn().listen(vertx));
+        state = await(new FakeStateService().listen(vertx));
         client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
         context = LeaderHarness.context(vertx, clock, client).build();
@@ -85,7 +85,7 @@
 
     /** The records of all open jobs. */
     private Map<JobId, JobRecord> openRecords() throws Exception {
-        return await(client.list(RecordKeys.OPEN_JOBS, null, 1000)).items().stream()
+        return await(client.list(RecordKeys.OPEN_JOBS, null, 1000)).entries().stream()
                 .map(e -> JobRecordCodec.readJob(RecordKeys.jobOfOpenKey(e.key()), e.value(), e.revision()))
                 .collect(Collectors.toMap(JobRecord::id, record -> record));
     }
@@ -106,21 +106,21 @@
         Job waiting = job(COMPLETIONS, 40_000, 0, 0);
         core.addJob(waiting);
         core.rented(new MachinePool("quad", "a", true), List.of(new MachineId("vm-1")), clock.now(), clock.now());
-        int before = state.changed;
+        int before = state.writtenKeys;
         vertx.runOnContext(v -> jobStore.start());
         Map<JobId, JobRecord> now = openRecords();
-        while (now.get(waiting.id()).bound() == 0) {
+        while (now.get(waiting.id()).startBound() == 0) {
             now = openRecords();
         }
         assertTrue(countUnfinished(now) > 1, "the start bound does not wait for all ends");
         while (countUnfinished(now) > 1) {
             now = openRecords();
         }
-        assertTrue(state.changed - before < 2 * COMPLETIONS - 10, "changes: " + (state.changed - before));
+        assertTrue(state.writtenKeys - before < 2 * COMPLETIONS - 10, "changes: " + (state.writtenKeys - before));
         while (openRecords().size() > 1) {
             Thread.onSpinWait();
         }
-        assertEquals(COMPLETIONS, await(client.list("f/", null, 1000)).items().size(), "moved in the end");
+        assertEquals(COMPLETIONS, await(client.list("f/", null, 1000)).entries().size(), "moved in the end");
     }
 
     /**
@@ -138,11 +138,11 @@
                 .put(RecordKeys.finalKey(job.id()), JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
         Moment before = clock.now();
         horizon.advanceTo(before);
-        state.refusing = true;
+        state.unavailable = true;
         await(vertx.timer(20, TimeUnit.MILLISECONDS));
         onLoop(() -> jobStore.onOpenRecordDeleted(job.id()));
-        int refused = state.refusals;
-        while (state.refusals < refused + 2) {
+        int refused = state.rejectedRequests;
+        while (state.rejectedRequests < refused + 2) {
             Thread.onSpinWait();
         }
         onLoop(() -> horizon.advanceTo(clock.now()));
@@ -152,7 +152,7 @@
             onLoop(() -> jobStore.onCancelled(job.id()));
             assertTrue(job.isCancelled());
         }
-        state.refusing = confirmedByPeer;
+        state.unavailable = confirmedByPeer;
         while (horizon.completeUntil().equals(before)) {
             onLoop(() -> {});
         }
@@ -189,11 +189,11 @@
             for (int n = first; n < first + 10; n++) {
                 jobs.put("j/run-" + n, JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 1));
             }
-            assertTrue(await(client.commit(jobs)).done());
+            assertTrue(await(client.commit(jobs)).executed());
         }
         AtomicInteger listings = new AtomicInteger();
         // Two kinds of blocks of bits, machines, and the first page of the jobs come before it.
-        state.delaying = (door, path) -> path.equals("/store") && listings.incrementAndGet() == 5;
+        state.delayFilter = (door, path) -> path.equals("/store") && listings.incrementAndGet() == 5;
         Future<Long> loaded = jobStore.load();
         while (state.delayed() == 0) {
             Thread.onSpinWait();
@@ -203,7 +203,7 @@
                     .delete("j/" + id)
                     .put("f/" + id, JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
         }
-        onLoop(state::letThrough);
+        onLoop(state::executeDelayed);
         long revision = await(loaded);
         assertNotNull(core.job(new JobId("run-1000")), "its page had been read");
         assertNull(core.job(new JobId("run-1599")));
@@ -262,9 +262,9 @@
         Job tooLong = new Job(spec, 1, clock.now(), stamp, new BitSet(), 0, false);
         Revision leadershipRevision = await(client.get(RecordKeys.LEADER)).revision();
         jobStore = new JobStore(LeaderHarness.writes(context, 3, leadershipRevision, 20), core, null, true, horizon);
-        state.valueBytes = 2048;
-        state.txnOps = 4;
-        int before = state.changed;
+        state.maxValueBytes = 2048;
+        state.maxTxnOps = 4;
+        int before = state.writtenKeys;
         core.addJob(tooLong);
         jobStore.markDirty(tooLong);
         Job large = job(2, 100_000, 100_000, 100_000);
@@ -274,8 +274,8 @@
         while (!state.has("f/run-2")) {
             Thread.onSpinWait();
         }
-        assertEquals(0, state.tooLarge);
-        assertEquals(3, state.changed - before, "one for the job, two for its end");
+        assertEquals(0, state.oversizedTransactions);
+        assertEquals(3, state.writtenKeys - before, "one for the job, two for its end");
         assertTrue(state.has("j/run-1"));
     }
 
--- a/src/test/java/io/indigoreach/cluster/LastTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/LastTaskTest.java
@@ -27,11 +27,11 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -65,7 +65,7 @@
     /** Vert.x closes a client that nothing refers to any more. */
     private final List<Object> kept = new ArrayList<>();
 
-    private final StateStandIn service = new StateStandIn();
+    private final FakeStateService service = new FakeStateService();
     private StateClient leader;
     private Catalogue catalogue;
     private SchedulerCore core;
@@ -126,7 +126,7 @@
     }
 
     private StateClient client(String node) throws Exception {
-        Endpoint endpoint = awaitOnLoop(() -> service.door(vertx, node));
+        Endpoint endpoint = awaitOnLoop(() -> service.addEndpoint(vertx, node));
         return keep(new StateClient(
                 keep(new ServiceClient(vertx, endpoint, 4)), keep(new ServiceClient(vertx, endpoint, 1))));
     }
@@ -190,7 +190,7 @@
         }
         Fields before = MessagePackFormat.readMap(MessagePackFormat.write(record(JOB)));
         // Those at the other node have come already, and are looked after when it is over.
-        service.delaying = (door, path) -> door.equals("b")
+        service.delayFilter = (door, path) -> door.equals("b")
                 || (path.equals("/txn") && (door.equals("a") ? held.equals("the user") : held.equals("the leader")));
         Future<ApiResponse> question = ask(() -> b.query(JOB.text()));
         Future<ApiResponse> repeated = submit(b);
@@ -211,8 +211,8 @@
             await(cancellation);
         }
         loop.runOnContext(v -> {
-            service.delaying = (door, path) -> false;
-            service.letThrough();
+            service.delayFilter = (door, path) -> false;
+            service.executeDelayed();
         });
         assertEquals("200 " + expected, statusOf(await(cancellation)));
         assertEquals("200 " + expected, statusOf(await(question)));
--- a/src/test/java/io/indigoreach/cluster/LateElectionTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateElectionTransactionsTest.java
@@ -51,7 +51,7 @@
                         events.add(node + " lost");
                     }
                 });
-        made[0].askPeersBy(() -> Future.succeededFuture(false), () -> Future.succeededFuture(true));
+        made[0].setPeerQueries(() -> Future.succeededFuture(false), () -> Future.succeededFuture(true));
         return keep(made[0]);
     }
 
@@ -90,7 +90,7 @@
             test.loseOne(RecordKeys.LEADER);
             test.run(a::start);
             test.awaitGained("a");
-            test.run(() -> a.abdicate("test"));
+            test.run(() -> a.resign("test"));
             test.until(() -> !test.service.has(RecordKeys.LEADER));
             test.changesNothingMore();
             assertFalse(test.service.has(RecordKeys.LEADER));
@@ -109,7 +109,7 @@
             LeaderElection b = test.newElection("b", 0);
             test.run(b::start);
             test.awaitGained("b");
-            test.run(() -> b.abdicate("test"));
+            test.run(() -> b.resign("test"));
             test.until(() -> !test.service.has(RecordKeys.LEADER));
             test.changesNothingMore();
         });
@@ -128,7 +128,7 @@
                     .put(RecordKeys.LEADER, MessagePackFormat.map("node", "a", "process", "a0", "token", 1L))));
             LeaderElection a = test.newElection("a", 2);
             test.loseOne(RecordKeys.LEADER);
-            await(a.clearPredecessor(node -> Future.succeededFuture(false)));
+            await(a.clearPredecessorKey(node -> Future.succeededFuture(false)));
             test.run(a::start);
             test.awaitGained("a");
             test.changesNothingMore();
@@ -147,7 +147,7 @@
                     .handle((v, e) -> e != null)
                     .get(20, TimeUnit.SECONDS));
             test.run(a::stop);
-            test.run(() -> a.abdicate("test"));
+            test.run(() -> a.resign("test"));
             test.awaitLost("a");
             test.run(b::start);
             test.awaitGained("b");
@@ -164,7 +164,7 @@
             test.run(a::confirmStartBounds);
             test.untilUnanswered();
             test.pass();
-            test.run(a::deposed);
+            test.run(a::onLeadershipConflict);
             test.awaitLost("a");
             test.awaitGained("a");
             test.changesNothingMore();
@@ -186,11 +186,11 @@
         vertx.setPeriodic(1, timer -> {
             if (!pledged.isDone() && a.pledge()) {
                 pledged.complete(clock.now());
-                service.holding = txn -> false;
+                service.holdFilter = txn -> false;
             }
         });
         Moment given = pledged.get(20, TimeUnit.SECONDS);
-        assertTrue(service.executeLate().contains(200));
+        assertTrue(service.executeHeldTransactions().contains(200));
         long token = LeaderKey.tokenOf(service.value(RecordKeys.LEADER).map());
         assertTrue(service.has(RecordKeys.LEADER) && events.isEmpty() && !a.isLeading());
         awaitGained("a");
--- a/src/test/java/io/indigoreach/cluster/LateFeatureTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateFeatureTransactionsTest.java
@@ -68,7 +68,7 @@
         });
         CASES.put("a leader's write, after a change of leader", test -> {
             RoutineRunner records =
-                    test.records().leading(RecordKeys.LEADER, test.lead(1), new RateLimiter(100, test.clock.now()));
+                    test.records().forLeader(RecordKeys.LEADER, test.lead(1), new RateLimiter(100, test.clock.now()));
             test.loseOne("x/");
             assertTrue(await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L)))
                     .map(false)
--- a/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
@@ -44,16 +44,16 @@
     /** A job in the state service and in the leader's memory; the first {@code done} of its tasks are done and not recorded. */
     private Job job(String id, int tasks, int done, int bound) throws Exception {
         JobSpec spec = spec(id, tasks);
-        Predicate<Fields> holding = service.holding;
-        Predicate<Fields> losing = service.losing;
+        Predicate<Fields> holding = service.holdFilter;
+        Predicate<Fields> losing = service.loseResponseFilter;
         pass();
         Revision stamp = await(client.commit(new StateClient.Txn()
                         .put(
                                 RecordKeys.openKey(spec.id()),
                                 JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, bound))))
                 .writtenRevision();
-        service.holding = holding;
-        service.losing = losing;
+        service.holdFilter = holding;
+        service.loseResponseFilter = losing;
         BitSet over = new BitSet();
         over.set(0, done);
         Job job = new Job(spec, 1, clock.now(), stamp, over, bound, false);
--- a/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
@@ -24,7 +24,7 @@
 /** Transactions of a rebuild after a data loss that get no response ({@link LateTransactionsHarness}). */
 class LateRebuildTransactionsTest extends LateTransactionsHarness {
     private int bound() {
-        return JobRecordCodec.readJob(JOB, service.value(OPEN), Revision.ABSENT).bound();
+        return JobRecordCodec.readJob(JOB, service.value(OPEN), Revision.ABSENT).startBound();
     }
 
     private static final Map<String, Case<LateRebuildTransactionsTest>> CASES = new LinkedHashMap<>();
@@ -32,7 +32,7 @@
     static {
         for (String key : List.of(RecordKeys.MACHINE_PAGES, OPEN, RecordKeys.FINAL_JOBS, RecordKeys.ERA)) {
             CASES.put("a rebuilding's " + key + ", after the next try", test -> {
-                await(test.client.check());
+                await(test.client.checkEra());
                 Revision leader = test.lead(1);
                 test.loseOne(key);
                 assertFalse(test.rebuilds(leader));
@@ -40,7 +40,7 @@
                 test.changesNothingMore();
             });
             CASES.put("a rebuilding's " + key + ", after a change of leader", test -> {
-                await(test.client.check());
+                await(test.client.checkEra());
                 Revision leader = test.lead(1);
                 test.loseOne(key);
                 assertFalse(test.rebuilds(leader));
@@ -49,7 +49,7 @@
             });
         }
         CASES.put("a rebuilt page, after the next try and all on it are gone", test -> {
-            await(test.client.check());
+            await(test.client.checkEra());
             Revision leader = test.lead(1);
             test.loseOne(RecordKeys.MACHINE_PAGES);
             assertFalse(test.rebuilds(leader));
@@ -66,7 +66,7 @@
             assertEquals(0, test.recordedMachines());
         });
         CASES.put("a rebuilt job with blocks of bits, after the next try and its end", test -> {
-            await(test.client.check());
+            await(test.client.checkEra());
             Revision leader = test.lead(1);
             test.loseOne(OPEN);
             assertFalse(test.rebuilds(leader));
@@ -76,13 +76,13 @@
             // As the leader does behind the end.
             StateClient.Txn removal = new StateClient.Txn();
             test.service.keys(RecordKeys.COMPLETION_BLOCKS).forEach(removal::delete);
-            assertTrue(await(test.client.commit(removal)).done());
+            assertTrue(await(test.client.commit(removal)).executed());
             test.changesNothingMore();
             assertFalse(test.service.has(OPEN));
             assertEquals(List.of(), test.service.keys(RecordKeys.COMPLETION_BLOCKS));
         });
         CASES.put("a rebuilt job, after a next try that no longer knew of it", test -> {
-            await(test.client.check());
+            await(test.client.checkEra());
             Revision leader = test.lead(1);
             test.loseOne(OPEN);
             assertFalse(test.rebuilds(leader));
@@ -95,7 +95,7 @@
             }
         });
         CASES.put("an acceptance, after a loss was mended and the job's end was lost", test -> {
-            await(test.client.check());
+            await(test.client.checkEra());
             JobService jobService = test.newJobService();
             test.loseOne(OPEN);
             assertEquals(503, test.submit(jobService));
@@ -108,10 +108,10 @@
         });
         CASES.put("a deployment's first era, after another process wrote it", test -> {
             test.loseOne(RecordKeys.ERA);
-            assertTrue(await(test.client.check().map(false).otherwise(true)));
-            await(test.client().check());
+            assertTrue(await(test.client.checkEra().map(false).otherwise(true)));
+            await(test.client().checkEra());
             test.changesNothingMore();
-            await(test.client.check());
+            await(test.client.checkEra());
             assertTrue(test.client.isEraKnown());
         });
     }
@@ -124,9 +124,9 @@
         assertEquals(503, submit(jobService));
         Revision leader = lead(1);
         List<Integer> late = new ArrayList<>();
-        service.holding = txn -> {
+        service.holdFilter = txn -> {
             if (touches(txn, OPEN)) {
-                late.addAll(service.executeLate());
+                late.addAll(service.executeHeldTransactions());
             }
             return false;
         };
--- a/src/test/java/io/indigoreach/cluster/LateTransactionsHarness.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionsHarness.java
@@ -25,11 +25,11 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.JobRepairer;
 import io.indigoreach.state.MachineRecordCodec;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
@@ -62,7 +62,7 @@
     private final List<Object> kept = new ArrayList<>();
 
     final BlockingQueue<String> events = new ArrayBlockingQueue<>(100);
-    StateStandIn service;
+    FakeStateService service;
     StateClient client;
     NodeContext context;
     SchedulerCore core;
@@ -99,7 +99,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        service = await(new StateStandIn().listen(vertx));
+        service = await(new FakeStateService().listen(vertx));
         client = client();
         Catalogue catalogue = new Catalogue(
                 vertx, client, keep(new CloudClient(keep(new ServiceClient(vertx, service.endpoint(), 1)))));
@@ -149,9 +149,9 @@
 
     void leaveUnanswered(Predicate<Fields> which) {
         if (isAtOnce()) {
-            service.losing = which;
+            service.loseResponseFilter = which;
         } else {
-            service.holding = which;
+            service.holdFilter = which;
         }
     }
 
@@ -172,7 +172,7 @@
     }
 
     int unanswered() {
-        return service.held() + service.lost;
+        return service.held() + service.lostResponses;
     }
 
     void untilUnanswered() throws Exception {
@@ -183,10 +183,10 @@
     void changesNothingMore() {
         pass();
         if (isAtOnce()) {
-            assertTrue(service.lost > 0, "every answer came");
+            assertTrue(service.lostResponses > 0, "every answer came");
             return;
         }
-        List<Integer> statuses = service.executeLate();
+        List<Integer> statuses = service.executeHeldTransactions();
         assertFalse(statuses.isEmpty(), "nothing was held back");
         assertFalse(statuses.contains(200), "carried out late: " + statuses);
     }
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -27,12 +27,12 @@
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.MachineRecord;
 import io.indigoreach.state.MachineRecordCodec;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
@@ -56,7 +56,7 @@
     private static final Revision NO_LEADER = Revision.ABSENT;
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
-    private StateStandIn state;
+    private FakeStateService state;
     private StateClient client;
     private SchedulerCore core;
     private MachineStore machineStore;
@@ -64,7 +64,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        state = await(new StateStandIn().listen(vertx));
+        state = await(new FakeStateService().listen(vertx));
         client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
         CloudClient cloud = new CloudClient(new ServiceClient(vertx, state.endpoint(), 1));
@@ -124,7 +124,7 @@
         });
         assertFalse(done.contains(false));
         assertEquals(300, recorded().size());
-        assertTrue(state.transactions <= 4, state.transactions + " transactions");
+        assertTrue(state.transactionCount <= 4, state.transactionCount + " transactions");
         for (String key : state.keys(RecordKeys.MACHINE_PAGES)) {
             assertTrue(JsonSize.of(state.value(key).map()) <= VALUE_BYTES);
         }
@@ -133,7 +133,7 @@
     /** A write whose answer was lost is neither lost nor written over: its page's version is read first. */
     @Test
     void aLostResponseLosesNoMachine() throws Exception {
-        state.losingAnswers = 1;
+        state.responsesToLose = 1;
         Future<Boolean> first = onLoop(() -> Future.succeededFuture(recordMachine(1)));
         await(first);
         assertTrue(onLoop(() -> recordMachine(2)));
@@ -195,8 +195,8 @@
         String wide = RecordKeys.machinePageKey(new FencingToken(2), 1);
         Revision stamp = await(client.commit(new StateClient.Txn().put(wide, MachineRecordCodec.writeMachines(lines))))
                 .writtenRevision();
-        state.valueBytes = 2048;
-        state.txnOps = 4;
+        state.maxValueBytes = 2048;
+        state.maxTxnOps = 4;
         NodeContext narrow = NodeContext.builder()
                 .vertx(vertx)
                 .clock(clock)
@@ -218,7 +218,7 @@
         for (String key : state.keys(RecordKeys.MACHINE_PAGES)) {
             assertTrue(JsonSize.of(state.value(key).map()) <= 2048, key);
         }
-        assertEquals(0, state.tooLarge);
+        assertEquals(0, state.oversizedTransactions);
     }
 
     /** Earlier leaders' leases run from when this leadership began, however long its records take to be read. */
--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -22,12 +22,12 @@
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.RateLimiter;
 import io.indigoreach.parts.Parts;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.MachineRecordCodec;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.RememberedStateCodec;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
@@ -39,7 +39,7 @@
 class StateRebuilderTest {
     private static final FencingToken TOKEN = new FencingToken(3);
     private TermFixture fixture;
-    private StateStandIn state;
+    private FakeStateService state;
 
     @BeforeEach
     void start() throws Exception {
@@ -134,10 +134,10 @@
 
     /** A leadership key beside more records than a transaction may usually have. */
     private Revision gainLeadershipWithoutLimit(StateClient.Txn records) throws Exception {
-        int limit = state.txnOps;
-        state.txnOps = records.size() + 1;
+        int limit = state.maxTxnOps;
+        state.maxTxnOps = records.size() + 1;
         Revision leadershipRevision = fixture.gainLeadership(1, records);
-        state.txnOps = limit;
+        state.maxTxnOps = limit;
         return leadershipRevision;
     }
 
@@ -162,7 +162,7 @@
         JobSpec spec = spec("run-1");
         remembered.add(new RememberedState.OpenJob(spec, 1, new BitSet(), 2));
         remembered.add(new JobId("run-2"), new RememberedState.FinishedJob(JobStatus.CANCELLED, 0));
-        int changes = state.changed;
+        int changes = state.writtenKeys;
         rebuild(context, leadershipRevision, 1000, remembered);
         assertEquals(
                 "t",
@@ -173,6 +173,6 @@
         assertEquals(
                 JobStatus.CANCELLED,
                 JobRecordCodec.readFinal(spec.id(), state.value("f/run-2")).status());
-        assertEquals(4, state.changed - changes, "one record, an end and its move, the era");
+        assertEquals(4, state.writtenKeys - changes, "one record, an end and its move, the era");
     }
 }
--- a/src/test/java/io/indigoreach/cluster/TermFixture.java
+++ b/src/test/java/io/indigoreach/cluster/TermFixture.java
@@ -8,9 +8,9 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.parts.Parts;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.List;
@@ -22,11 +22,11 @@
 
     final Vertx vertx = Vertx.vertx();
     final SteadyClock clock = new SteadyClock();
-    final StateStandIn state;
+    final FakeStateService state;
     final StateClient client;
 
     TermFixture() throws Exception {
-        state = await(new StateStandIn().listen(vertx));
+        state = await(new FakeStateService().listen(vertx));
         client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
     }
--- a/src/test/java/io/indigoreach/emulator/DependencyClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/DependencyClusterTest.java
@@ -40,7 +40,7 @@
 
     private int ends() throws Exception {
         return LocalCluster.await(state.list(RecordKeys.FINAL_JOBS, null, 1000))
-                .items()
+                .entries()
                 .size();
     }
 
--- a/src/test/java/io/indigoreach/emulator/GoldenPeersTest.java
+++ b/src/test/java/io/indigoreach/emulator/GoldenPeersTest.java
@@ -16,10 +16,10 @@
 import io.indigoreach.net.Endpoint;
 import io.indigoreach.net.MessagePackFormat;
 import io.indigoreach.net.ServiceClient;
-import io.indigoreach.state.Golden;
+import io.indigoreach.state.FakeStateService;
+import io.indigoreach.state.ProductionSample;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.indigoreach.worker.WorkerCodec;
 import io.vertx.core.http.HttpServerRequest;
 import java.net.ConnectException;
@@ -108,7 +108,7 @@
             request.body().onSuccess(body -> {
                 String sent = body.length() == 0
                         ? ""
-                        : Golden.hex(MessagePackFormat.write(
+                        : ProductionSample.hex(MessagePackFormat.write(
                                 GoldenHttp.still(MessagePackFormat.readMap(body).map(), OF_THE_MOMENT)));
                 asked.putIfAbsent(request.path(), request.method() + " " + request.uri() + " " + sent);
                 boolean isKnown = request.path().equals("/standing");
@@ -175,7 +175,7 @@
             Others others = new Others();
             others.listen(cluster, 1);
             others.listen(cluster, 2);
-            StateStandIn state = LocalCluster.await(new StateStandIn().listen(cluster.vertx));
+            FakeStateService state = LocalCluster.await(new FakeStateService().listen(cluster.vertx));
             PlatformConfig own = cluster.emulator.nodes().get(0);
             int port = cluster.start(LocalCluster.with(own, own.listen(), state.endpoint()));
             Endpoint users = new Endpoint(own.listen().host(), port);
@@ -192,18 +192,18 @@
             LocalCluster.await(
                     client.commit(new StateClient.Txn().delete(RecordKeys.openKey(new JobId("run-000413")))));
             others.served = true;
-            state.refusing = true;
+            state.unavailable = true;
             others.await("/standing");
             others.await("/handover");
             golden.text("answer to a report where another node may lead", awaitSentElsewhere(users));
             others.served = false;
-            state.serveAgain();
+            state.endOutage();
             awaitLeading(own);
             for (int tries = 0; tries < 5 && !others.asked.containsKey("/pledge"); tries++) {
                 // Only while the lease lasts, which a busy machine may let pass.
-                state.refusing = true;
+                state.unavailable = true;
                 LocalCluster.await(cluster.vertx.timer(6, TimeUnit.SECONDS));
-                state.serveAgain();
+                state.endOutage();
                 awaitLeading(own);
             }
             others.await("/pledge");
--- a/src/test/java/io/indigoreach/emulator/GoldenRoutesTest.java
+++ b/src/test/java/io/indigoreach/emulator/GoldenRoutesTest.java
@@ -5,7 +5,7 @@
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.net.Fields;
 import io.indigoreach.net.MessagePackFormat;
-import io.indigoreach.state.Golden;
+import io.indigoreach.state.ProductionSample;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpClient;
 import io.vertx.core.http.HttpMethod;
@@ -52,14 +52,14 @@
         return LocalCluster.await(client.request(
                         method, config.peerListen().port(), config.peerListen().host(), path)
                 .compose(r -> r.send(body == null ? Buffer.buffer() : MessagePackFormat.write(body)))
-                .compose(r -> r.body().map(b -> r.statusCode() + ":" + Golden.hex(b))));
+                .compose(r -> r.body().map(b -> r.statusCode() + ":" + ProductionSample.hex(b))));
     }
 
     /** An answer's status, and its fields with their types: their values are those of the moment. */
     private static String shape(String answer) {
         String[] parts = answer.split(":", 2);
         Map<String, String> types = new TreeMap<>();
-        Fields fields = Golden.fields(parts[1]);
+        Fields fields = ProductionSample.fields(parts[1]);
         fields.map().forEach((k, v) -> types.put(k, v.getClass().getSimpleName()));
         return parts[0] + " " + types;
     }
@@ -67,7 +67,7 @@
     @Test
     void everyQuestionOfProductionsIsAnsweredAsProductionDoes() throws Exception {
         Map<String, String> now = answers();
-        Map<String, String> then = Golden.load("routes.txt");
+        Map<String, String> then = ProductionSample.load("routes.txt");
         assertEquals(then.keySet(), now.keySet());
         then.forEach((question, answer) -> assertEquals(shape(answer), shape(now.get(question)), question));
     }
--- a/src/test/java/io/indigoreach/emulator/LossTest.java
+++ b/src/test/java/io/indigoreach/emulator/LossTest.java
@@ -98,13 +98,13 @@
         // What changes between reading and deleting is read again, the transaction being conditional.
         for (int tries = 0; tries < 200; tries++) {
             StateClient.Page page = LocalCluster.await(state.list(prefix, null, 12));
-            if (page.items().isEmpty()) {
+            if (page.entries().isEmpty()) {
                 return;
             }
             StateClient.Txn txn = new StateClient.Txn();
-            page.items().forEach(e -> txn.when(e.key(), e.revision()).delete(e.key()));
+            page.entries().forEach(e -> txn.when(e.key(), e.revision()).delete(e.key()));
             LocalCluster.await(state.commit(txn));
-            if ((prefix.isEmpty() || prefix.endsWith("/")) ? page.items().size() < 12 : true) {
+            if ((prefix.isEmpty() || prefix.endsWith("/")) ? page.entries().size() < 12 : true) {
                 return;
             }
         }
--- a/src/test/java/io/indigoreach/emulator/StateServerTest.java
+++ b/src/test/java/io/indigoreach/emulator/StateServerTest.java
@@ -146,7 +146,7 @@
     void isDurableWithClientsConnected() throws Exception {
         Path first = data.resolve("first");
         StateClient client = open(first, 0);
-        long lease = LocalCluster.await(client.grant(Span.seconds(30)));
+        long lease = LocalCluster.await(client.grantLease(Span.seconds(30)));
         List<Future<StateClient.Outcome>> writes = new ArrayList<>();
         for (int i = 0; i < 150; i++) {
             writes.add(client.commit(put("k/" + i, i)));
@@ -170,9 +170,9 @@
         assertEquals(
                 149,
                 LocalCluster.await(client.list("k/", null, 1000).recover(e -> client.list("k/", null, 1000)))
-                        .items()
+                        .entries()
                         .size());
-        assertTrue(LocalCluster.await(client.renew(lease, Span.seconds(2))));
+        assertTrue(LocalCluster.await(client.renewLease(lease, Span.seconds(2))));
         assertEquals(1, LocalCluster.await(client.get("leased")).value().whole("n"));
         assertEquals(152, LocalCluster.await(client.commit(put("k/0", 1))).revision());
     }
@@ -184,7 +184,7 @@
         StateClient other = another();
         Future<StateClient.Outcome> first = late.commit(put("a", 1).when("a", Revision.ABSENT));
         assertTrue(LocalCluster.await(other.commit(put("a", 2).when("a", Revision.ABSENT)))
-                .done());
+                .executed());
         assertTrue(fails(first), "it got no answer");
         assertEquals(2, LocalCluster.await(other.get("a")).value().whole("n"));
         assertEquals(1, server.model().revision());
@@ -195,7 +195,7 @@
     @Timeout(LocalCluster.PATIENCE_S)
     void refusesConnections() throws Exception {
         StateClient client = open(null, 0, "kind: closed at_s: 3 for_s: 1");
-        assertTrue(LocalCluster.await(client.commit(put("a", 1))).done());
+        assertTrue(LocalCluster.await(client.commit(put("a", 1))).executed());
         boolean refused = false;
         for (boolean again = false; !again; ) {
             String why = LocalCluster.await(vertx.createNetClient()
@@ -216,7 +216,7 @@
         StateClient other = another();
         assertTrue(fails(deaf.commit(put("a", 1).when("a", Revision.ABSENT))));
         StateClient.Outcome again = LocalCluster.await(other.commit(put("a", 2).when("a", Revision.ABSENT)));
-        assertEquals(List.of("a"), again.failed());
+        assertEquals(List.of("a"), again.failedKeys());
     }
 
     /** Reads from the past: the client notices, confirms by comparing, and no user is told 404 or an older state. */
@@ -232,9 +232,9 @@
                                 RecordKeys.openKey(id),
                                 JobRecordCodec.writeJob(
                                         LocalCluster.job(1, 1, 1), 1, JobStatus.PENDING, new BitSet(), 0, 0))))
-                .done());
+                .executed());
         assertNull(LocalCluster.await(client.get(RecordKeys.openKey(id))), "the read comes from before");
-        assertTrue(client.areReadsSuspect());
+        assertTrue(client.shouldConfirmRead());
         assertTrue(fails(desk.query(id.text())), "neither 404 nor anything else is known");
         for (int i = 0; i < 3; i++) {
             LocalCluster.await(client.commit(put("other", i)));
@@ -245,7 +245,7 @@
                         .when(RecordKeys.openKey(id), open.revision())
                         .delete(RecordKeys.openKey(id))
                         .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))))
-                .done());
+                .executed());
         assertTrue(fails(desk.query(id.text())), "not told that it is open once it is cancelled");
         for (int i = 0; i < 3; i++) {
             LocalCluster.await(client.commit(put("other", i)));
@@ -316,7 +316,7 @@
             int status = LocalCluster.await(caller.get(path, Span.seconds(2))).status();
             assertTrue(status >= 400 && status < 500, path + " " + status);
         }
-        assertTrue(LocalCluster.await(client.commit(put("a", 1))).done());
+        assertTrue(LocalCluster.await(client.commit(put("a", 1))).executed());
         assertTrue(silent.stream().allMatch(Future::succeeded));
         LocalCluster.await(connections.close());
     }
--- a/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
+++ b/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
@@ -37,9 +37,9 @@
 import io.indigoreach.net.ServiceClient;
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.parts.Parts;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.JobRecordCodec;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.Arrays;
@@ -272,7 +272,7 @@
     void whatPeopleAreAnswered() throws Exception {
         Vertx vertx = Vertx.vertx();
         try {
-            StateStandIn state = await(new StateStandIn().listen(vertx));
+            FakeStateService state = await(new FakeStateService().listen(vertx));
             Settings settings = SettingsFile.parse("test", "record_ownership: 1");
             StateClient client = new StateClient(
                     new ServiceClient(vertx, state.endpoint(), 8), new ServiceClient(vertx, state.endpoint(), 1));
--- a/src/test/java/io/indigoreach/state/StateStandIn.java
+++ b/src/test/java/io/indigoreach/state/FakeStateService.java
@@ -34,71 +34,72 @@
  * execute them late without a response.
  */
 @SuppressWarnings("NonAtomicVolatileUpdate") // Only the event loop writes the counters; tests read them.
-public final class StateStandIn {
-    private record Item(Map<String, Object> data, long stamp, long lease) {}
+public final class FakeStateService {
+    private record StoredEntry(Map<String, Object> data, long revision, long lease) {}
 
-    private final ConcurrentSkipListMap<String, Item> items = new ConcurrentSkipListMap<>();
-    /** The time at which each lease ends, by {@link System#nanoTime}; used only if leases are {@link #expiring}. */
+    private final ConcurrentSkipListMap<String, StoredEntry> entries = new ConcurrentSkipListMap<>();
+    /** The time at which each lease ends, by {@link System#nanoTime}; used only if leases are {@link #leasesExpire}. */
     private final Map<Long, Long> leases = new HashMap<>();
 
-    private final Map<Long, Long> lives = new HashMap<>();
+    private final Map<Long, Long> leaseTimesNs = new HashMap<>();
     private final List<Runnable> delayed = new CopyOnWriteArrayList<>();
     private final List<Promise<Void>> watchers = new ArrayList<>();
     private final List<Map<String, Object>> changes = new ArrayList<>();
     private long revision = 10;
     private long lastLease;
-    public volatile boolean refusing;
+    public volatile boolean unavailable;
     /** The number of rejected requests. */
-    public volatile int refusals;
-    /** Callers whose requests are rejected, by the names of their {@link #door endpoints}; their open watches wait. */
-    public final Set<String> refused = new HashSet<>();
-    /** Selects requests, by the caller's endpoint name and the path, that wait until {@link #letThrough}. */
-    public BiPredicate<String, String> delaying = (door, path) -> false;
+    public volatile int rejectedRequests;
+    /** Callers whose requests are rejected, by the names of their {@link #addEndpoint endpoints}; their open watches wait. */
+    public final Set<String> rejectedCallers = new HashSet<>();
+    /** Selects requests, by the caller's endpoint name and the path, that wait until {@link #executeDelayed}. */
+    public BiPredicate<String, String> delayFilter = (door, path) -> false;
     /** Whether leases expire; after an outage each lease gets its full time again. */
-    public boolean expiring;
+    public boolean leasesExpire;
     /** The number of following transactions that are executed without a response. */
-    public int losingAnswers;
+    public int responsesToLose;
     /** Selects transactions that are executed at once, without a response. */
-    public volatile Predicate<Fields> losing = txn -> false;
-    /** The number of transactions that {@link #losing} has selected. */
-    public volatile int lost;
+    public volatile Predicate<Fields> loseResponseFilter = txn -> false;
+    /** The number of transactions that {@link #loseResponseFilter} has selected. */
+    public volatile int lostResponses;
     /** The delay of responses in ms, by path. A delayed response has the state at the time of its request. */
-    public volatile ToIntFunction<String> lagMs = path -> 0;
+    public volatile ToIntFunction<String> responseDelayMs = path -> 0;
     /** Whether requests to revoke a lease have no effect, as if they came from a node whose requests are rejected. */
-    public boolean keepingLeases;
-    /** Selects transactions that get no response and are executed by {@link #executeLate}. */
-    public volatile Predicate<Fields> holding = txn -> false;
+    public boolean ignoreLeaseRevocation;
+    /** Selects transactions that get no response and are executed by {@link #executeHeldTransactions}. */
+    public volatile Predicate<Fields> holdFilter = txn -> false;
 
     private final Queue<Fields> held = new ConcurrentLinkedQueue<>();
-    private volatile Context loop;
-    public volatile int transactions;
+    private volatile Context eventLoop;
+    public volatile int transactionCount;
     /** The number of reads of keys and listings. */
-    public volatile int reads;
+    public volatile int readCount;
     /** The maximum size of a value in bytes; some tests lower it. */
-    public volatile int valueBytes = 8 * 1024;
+    public volatile int maxValueBytes = 8 * 1024;
 
     /** The maximum number of writes in a transaction; some tests lower it. */
-    public volatile int txnOps = 16;
+    public volatile int maxTxnOps = 16;
+
     private static final int CONDITIONS_PER_CHANGE = 4;
     /** How long a test waits for this service, in seconds. */
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_S = 20;
 
     /** The number of transactions rejected as too large. */
-    public volatile int tooLarge;
+    public volatile int oversizedTransactions;
     /** The number of writes and deletions of keys. */
-    public volatile int changed;
+    public volatile int writtenKeys;
 
     private Endpoint endpoint;
 
-    public Future<StateStandIn> listen(Vertx vertx) {
-        return door(vertx, "").map(at -> {
+    public Future<FakeStateService> listen(Vertx vertx) {
+        return addEndpoint(vertx, "").map(at -> {
             endpoint = at;
             return this;
         });
     }
 
     /** Opens an endpoint for one caller, whose requests can be rejected separately. */
-    public Future<Endpoint> door(Vertx vertx, String name) {
+    public Future<Endpoint> addEndpoint(Vertx vertx, String name) {
         return vertx.createHttpServer()
                 .requestHandler(r -> handle(r, name))
                 .listen(0, "127.0.0.1")
@@ -106,10 +107,10 @@
     }
 
     /** Executes the delayed requests and responds to the callers that still wait. */
-    public void letThrough() {
-        List<Runnable> all = new ArrayList<>(delayed);
+    public void executeDelayed() {
+        List<Runnable> requests = new ArrayList<>(delayed);
         delayed.clear();
-        all.forEach(Runnable::run);
+        requests.forEach(Runnable::run);
     }
 
     public int delayed() {
@@ -117,9 +118,9 @@
     }
 
     /** Ends an outage; every lease gets its full time again. */
-    public void serveAgain() {
-        refusing = false;
-        leases.replaceAll((lease, ends) -> System.nanoTime() + lives.get(lease));
+    public void endOutage() {
+        unavailable = false;
+        leases.replaceAll((lease, ends) -> System.nanoTime() + leaseTimesNs.get(lease));
     }
 
     public Endpoint endpoint() {
@@ -127,33 +128,33 @@
     }
 
     public boolean has(String key) {
-        return items.containsKey(key);
+        return entries.containsKey(key);
     }
 
     public List<String> keys(String prefix) {
-        return items.keySet().stream().filter(k -> k.startsWith(prefix)).toList();
+        return entries.keySet().stream().filter(k -> k.startsWith(prefix)).toList();
     }
 
     public Fields value(String key) {
-        return new Fields(items.get(key).data);
+        return new Fields(entries.get(key).data);
     }
 
-    /** The number of transactions that wait for {@link #executeLate}. */
+    /** The number of transactions that wait for {@link #executeHeldTransactions}. */
     public int held() {
         return held.size();
     }
 
     /** Executes the held transactions, the oldest first, and returns their statuses, which are not sent to the callers. */
-    public List<Integer> executeLate() {
-        Context now = loop;
-        if (Vertx.currentContext() == now) {
+    public List<Integer> executeHeldTransactions() {
+        Context currentLoop = eventLoop;
+        if (Vertx.currentContext() == currentLoop) {
             return executeHeld();
         }
         CompletableFuture<List<Integer>> statuses = new CompletableFuture<>();
         // Does not call this method again: another connection may have set the event loop meanwhile, and a loop that
         // waits for itself would deadlock.
-        now.runOnContext(v -> statuses.complete(executeHeld()));
-        return statuses.orTimeout(PATIENCE_S, TimeUnit.SECONDS).join();
+        currentLoop.runOnContext(v -> statuses.complete(executeHeld()));
+        return statuses.orTimeout(TIMEOUT_S, TimeUnit.SECONDS).join();
     }
 
     private List<Integer> executeHeld() {
@@ -170,17 +171,17 @@
 
     private void endLease(long lease) {
         leases.remove(lease);
-        List<String> gone = items.entrySet().stream()
+        List<String> deletedKeys = entries.entrySet().stream()
                 .filter(e -> e.getValue().lease == lease)
                 .map(Map.Entry::getKey)
                 .toList();
-        gone.forEach(this::delete);
+        deletedKeys.forEach(this::delete);
         wakeWatchers();
     }
 
     /** Ends the leases whose time has passed, except during an outage. */
     public void expire() {
-        if (refusing) {
+        if (unavailable) {
             return;
         }
         long now = System.nanoTime();
@@ -189,70 +190,71 @@
                 .forEach(this::endLease);
     }
 
-    private void handle(HttpServerRequest request, String door) {
-        loop = Vertx.currentContext();
+    private void handle(HttpServerRequest request, String endpointName) {
+        eventLoop = Vertx.currentContext();
         request.body().onSuccess(body -> {
-            if (refusing || refused.contains(door)) {
-                refusals++;
+            if (unavailable || rejectedCallers.contains(endpointName)) {
+                rejectedRequests++;
                 reply(request, 503, Map.of());
-            } else if (delaying.test(door, request.path())) {
-                delayed.add(() -> serve(request, door, body));
+            } else if (delayFilter.test(endpointName, request.path())) {
+                delayed.add(() -> serve(request, endpointName, body));
             } else {
-                serve(request, door, body);
+                serve(request, endpointName, body);
             }
         });
     }
 
-    private void serve(HttpServerRequest request, String door, Buffer body) {
+    private void serve(HttpServerRequest request, String endpointName, Buffer body) {
         String path = request.path();
-        if (expiring) {
+        if (leasesExpire) {
             expire();
         }
         if (path.equals("/txn")) {
             commit(request, MessagePackFormat.readMap(body));
         } else if (path.equals("/store")) {
-            reads++;
+            readCount++;
             list(request);
         } else if (path.startsWith("/store/")) {
-            reads++;
-            Item item = items.get(path.substring(7));
+            readCount++;
+            StoredEntry entry = entries.get(path.substring(7));
             reply(
                     request,
-                    item == null ? 404 : 200,
-                    item == null
+                    entry == null ? 404 : 200,
+                    entry == null
                             ? MessagePackFormat.map("ledger_rev", revision)
-                            : MessagePackFormat.map("path", path.substring(7), "data", item.data, "stamp", item.stamp));
+                            : MessagePackFormat.map(
+                                    "path", path.substring(7), "data", entry.data, "stamp", entry.revision));
         } else if (path.equals("/grants")) {
-            lives.put(++lastLease, MessagePackFormat.readMap(body).whole("life_ms") * 1_000_000);
-            leases.put(lastLease, System.nanoTime() + lives.get(lastLease));
+            leaseTimesNs.put(++lastLease, MessagePackFormat.readMap(body).whole("life_ms") * 1_000_000);
+            leases.put(lastLease, System.nanoTime() + leaseTimesNs.get(lastLease));
             reply(request, 200, MessagePackFormat.map("permit", lastLease));
         } else if (path.startsWith("/grants/")) {
             long lease = Long.parseLong(path.split("/")[2]);
-            if (request.method().equals(HttpMethod.DELETE) && !keepingLeases) {
+            if (request.method().equals(HttpMethod.DELETE) && !ignoreLeaseRevocation) {
                 endLease(lease);
             }
-            leases.computeIfPresent(lease, (l, ends) -> System.nanoTime() + lives.get(l));
+            leases.computeIfPresent(lease, (l, ends) -> System.nanoTime() + leaseTimesNs.get(l));
             reply(request, leases.containsKey(lease) ? 200 : 404, Map.of());
         } else if (path.equals("/changes")) {
-            watch(request, door, request.getParam("starts"), Long.parseLong(request.getParam("since")));
+            watch(request, endpointName, request.getParam("starts"), Long.parseLong(request.getParam("since")));
         }
     }
 
     private void commit(HttpServerRequest request, Fields txn) {
-        transactions++;
-        if (holding.test(txn)) {
+        transactionCount++;
+        if (holdFilter.test(txn)) {
             held.add(txn);
             request.connection().close();
             return;
         }
         ServiceResponse reply = execute(txn);
-        if (reply.isOk() && losingAnswers > 0) {
-            losingAnswers--;
+        if (reply.isOk() && responsesToLose > 0) {
+            responsesToLose--;
             request.connection().close();
             return;
         }
-        if (reply.isOk() && losing.test(txn)) {
-            lost++;
+        if (reply.isOk() && loseResponseFilter.test(txn)) {
+            lostResponses++;
             request.connection().close();
             return;
         }
@@ -260,22 +262,22 @@
     }
 
     private boolean isTooLarge(Fields txn) {
-        return txn.children("writes").size() > txnOps
-                || txn.children("when").size() > CONDITIONS_PER_CHANGE * txnOps
+        return txn.children("writes").size() > maxTxnOps
+                || txn.children("when").size() > CONDITIONS_PER_CHANGE * maxTxnOps
                 || txn.children("writes").stream()
                         .anyMatch(w ->
-                                w.has("write") && JsonSize.of(w.child("data").map()) > valueBytes);
+                                w.has("write") && JsonSize.of(w.child("data").map()) > maxValueBytes);
     }
 
     private ServiceResponse execute(Fields txn) {
         if (isTooLarge(txn)) {
-            tooLarge++;
+            oversizedTransactions++;
             return new ServiceResponse(400, new Fields(MessagePackFormat.map("error", "too large")));
         }
         List<String> failed = new ArrayList<>();
         for (Fields when : txn.children("when")) {
-            Item item = items.get(when.text("path"));
-            if ((item == null ? 0 : item.stamp) != when.whole("stamp")) {
+            StoredEntry entry = entries.get(when.text("path"));
+            if ((entry == null ? 0 : entry.revision) != when.whole("stamp")) {
                 failed.add(when.text("path"));
             }
         }
@@ -290,13 +292,13 @@
         }
         revision++;
         for (Fields write : txn.children("writes")) {
-            changed++;
+            writtenKeys++;
             if (write.has("delete")) {
                 revision--;
                 delete(write.text("delete"));
             } else {
                 Map<String, Object> data = write.child("data").map();
-                items.put(write.text("write"), new Item(data, revision, write.whole("permit", 0)));
+                entries.put(write.text("write"), new StoredEntry(data, revision, write.whole("permit", 0)));
                 changes.add(MessagePackFormat.map("write", write.text("write"), "data", data, "stamp", revision));
             }
         }
@@ -305,7 +307,7 @@
     }
 
     private void delete(String key) {
-        if (items.remove(key) != null) {
+        if (entries.remove(key) != null) {
             changes.add(MessagePackFormat.map("delete", key, "stamp", ++revision));
         } else {
             revision++;
@@ -313,12 +315,12 @@
     }
 
     private void list(HttpServerRequest request) {
-        List<Object> out = new ArrayList<>();
-        int most = Integer.parseInt(request.getParam("most"));
+        List<Object> matches = new ArrayList<>();
+        int limit = Integer.parseInt(request.getParam("most"));
         String since = request.getParam("since");
-        items.tailMap(since == null ? "" : since, false).forEach((key, item) -> {
+        entries.tailMap(since == null ? "" : since, false).forEach((key, item) -> {
             if (key.startsWith(request.getParam("starts"))) {
-                out.add(MessagePackFormat.map("path", key, "data", item.data, "stamp", item.stamp));
+                matches.add(MessagePackFormat.map("path", key, "data", item.data, "stamp", item.revision));
             }
         });
         reply(
@@ -326,15 +328,15 @@
                 200,
                 MessagePackFormat.map(
                         "items",
-                        out.subList(0, Math.min(most, out.size())),
+                        matches.subList(0, Math.min(limit, matches.size())),
                         "truncated",
-                        out.size() > most,
+                        matches.size() > limit,
                         "ledger_rev",
                         revision));
     }
 
-    private void watch(HttpServerRequest request, String door, String prefix, long since) {
-        if (refusing || refused.contains(door)) {
+    private void watch(HttpServerRequest request, String endpointName, String prefix, long since) {
+        if (unavailable || rejectedCallers.contains(endpointName)) {
             return;
         }
         List<Object> events = new ArrayList<>();
@@ -350,7 +352,7 @@
         }
         Promise<Void> change = Promise.promise();
         watchers.add(change);
-        change.future().onSuccess(v -> watch(request, door, prefix, since));
+        change.future().onSuccess(v -> watch(request, endpointName, prefix, since));
     }
 
     private void wakeWatchers() {
@@ -361,12 +363,12 @@
 
     private void reply(HttpServerRequest request, int status, Map<String, Object> body) {
         // Encoded before the delay, so that the response has the state at the time of the request.
-        Buffer written = MessagePackFormat.write(body);
-        int lag = lagMs.applyAsInt(request.path());
-        if (lag > 0) {
-            Vertx.currentContext().owner().setTimer(lag, t -> send(request, status, written));
+        Buffer encoded = MessagePackFormat.write(body);
+        int delayMs = responseDelayMs.applyAsInt(request.path());
+        if (delayMs > 0) {
+            Vertx.currentContext().owner().setTimer(delayMs, t -> send(request, status, encoded));
         } else {
-            send(request, status, written);
+            send(request, status, encoded);
         }
     }
 
--- a/src/test/java/io/indigoreach/state/FormatGateTest.java
+++ b/src/test/java/io/indigoreach/state/FormatGateTest.java
@@ -29,103 +29,108 @@
 class FormatGateTest {
     private static final String COUNTER = RecordKeys.COUNTER;
     private static final String LEADER = RecordKeys.LEADER;
-    private VersionProcesses site;
+    private MixedVersionCluster cluster;
 
     @BeforeEach
     void open() throws Exception {
-        site = new VersionProcesses();
+        cluster = new MixedVersionCluster();
     }
 
     @AfterEach
     void close() throws Exception {
-        site.close();
+        cluster.close();
     }
 
-    private static void until(Callable<Boolean> holds) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (!holds.call()) {
-            assertTrue(System.nanoTime() < end, "the condition was not met within 20 s");
+    private static void waitUntil(Callable<Boolean> condition) throws Exception {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (!condition.call()) {
+            assertTrue(System.nanoTime() < deadline, "the condition was not met within 20 s");
             Thread.sleep(5);
         }
     }
 
     private void put(String key, Object... value) throws Exception {
-        VersionProcesses.await(site.client().commit(new StateClient.Txn().put(key, MessagePackFormat.map(value))));
+        MixedVersionCluster.await(
+                cluster.client().commit(new StateClient.Txn().put(key, MessagePackFormat.map(value))));
     }
 
     /** Nodes that are down count if they have recorded a new enough format before; nodes without such a record do not. */
     @ParameterizedTest
     @CsvSource({"2, 2, true", "2, -, false", "2, 1, false", "2, 3, true"})
-    void itIsRaisedWhenEveryNodeHasRecordedIt(String b, String c, boolean raised) throws Exception {
-        for (String record : List.of("b" + b, "c" + c)) {
+    void formatIsRaisedOnlyWhenEveryNodeSupportsIt(String formatOfB, String formatOfC, boolean raised)
+            throws Exception {
+        for (String record : List.of("b" + formatOfB, "c" + formatOfC)) {
             if (!record.endsWith("-")) {
-                put(FormatGate.NODES + record.charAt(0), "format", Long.parseLong(record.substring(1)));
+                put(FormatGate.NODE_PREFIX + record.charAt(0), "format", Long.parseLong(record.substring(1)));
             }
         }
-        VersionProcesses.Newer a = site.newer("a");
-        until(() -> site.service.has(FormatGate.NODES + "a") && a.leadership().isLeading());
-        int reads = site.service.reads;
-        until(() -> raised ? a.isOpen() : site.service.reads > reads + 2);
-        assertEquals(raised, a.isOpen());
-        assertEquals(raised, site.isRaised());
+        MixedVersionCluster.CurrentNode nodeA = cluster.startCurrentNode("a");
+        waitUntil(() -> cluster.service.has(FormatGate.NODE_PREFIX + "a")
+                && nodeA.election().isLeading());
+        int reads = cluster.service.readCount;
+        waitUntil(() -> raised ? nodeA.isOpen() : cluster.service.readCount > reads + 2);
+        assertEquals(raised, nodeA.isOpen());
+        assertEquals(raised, cluster.isRaised());
     }
 
     /** A follower reads the raised format from the counter; a node that has seen it raised makes no further requests. */
     @Test
-    void everyNodeLearnsOfItOnce() throws Exception {
-        VersionProcesses.Newer a = site.newer("a");
-        VersionProcesses.Newer b = site.newer("b");
-        assertFalse(a.isOpen() || b.isOpen());
-        VersionProcesses.Newer c = site.newer("c");
-        until(() -> a.isOpen() && b.isOpen() && c.isOpen());
-        int reads = site.service.reads;
-        site.service.refusing = true;
-        assertTrue(a.isOpen() && b.isOpen() && c.isOpen());
-        assertEquals(reads, site.service.reads);
+    void nodesStopReadingOnceTheFormatIsRaised() throws Exception {
+        MixedVersionCluster.CurrentNode nodeA = cluster.startCurrentNode("a");
+        MixedVersionCluster.CurrentNode nodeB = cluster.startCurrentNode("b");
+        assertFalse(nodeA.isOpen() || nodeB.isOpen());
+        MixedVersionCluster.CurrentNode nodeC = cluster.startCurrentNode("c");
+        waitUntil(() -> nodeA.isOpen() && nodeB.isOpen() && nodeC.isOpen());
+        int reads = cluster.service.readCount;
+        cluster.service.unavailable = true;
+        assertTrue(nodeA.isOpen() && nodeB.isOpen() && nodeC.isOpen());
+        assertEquals(reads, cluster.service.readCount);
     }
 
     /** A process that has seen the format raised restores it after a loss of all records; a lost node record is rewritten. */
     @Test
-    void itIsNotLoweredByALossOfData() throws Exception {
-        VersionProcesses.Newer a = site.newer("a");
-        until(() -> site.service.has(FormatGate.NODES + "a"));
-        VersionProcesses.await(site.client().commit(new StateClient.Txn().delete(FormatGate.NODES + "a")));
-        until(() -> site.service.has(FormatGate.NODES + "a"));
-        assertFalse(site.isRaised());
-        put(FormatGate.NODES + "b", "format", 2L);
-        put(FormatGate.NODES + "c", "format", 2L);
-        until(a::isOpen);
+    void lossOfDataDoesNotLowerTheFormat() throws Exception {
+        MixedVersionCluster.CurrentNode nodeA = cluster.startCurrentNode("a");
+        waitUntil(() -> cluster.service.has(FormatGate.NODE_PREFIX + "a"));
+        MixedVersionCluster.await(cluster.client().commit(new StateClient.Txn().delete(FormatGate.NODE_PREFIX + "a")));
+        waitUntil(() -> cluster.service.has(FormatGate.NODE_PREFIX + "a"));
+        assertFalse(cluster.isRaised());
+        put(FormatGate.NODE_PREFIX + "b", "format", 2L);
+        put(FormatGate.NODE_PREFIX + "c", "format", 2L);
+        waitUntil(nodeA::isOpen);
         StateClient.Txn loss = new StateClient.Txn().delete(LEADER).delete(COUNTER);
-        VersionProcesses.NODES.forEach(n -> loss.delete(FormatGate.NODES + n));
-        VersionProcesses.await(site.client().commit(loss));
-        until(() -> site.service.has(COUNTER));
-        assertTrue(site.isRaised());
+        MixedVersionCluster.NODES.forEach(n -> loss.delete(FormatGate.NODE_PREFIX + n));
+        MixedVersionCluster.await(cluster.client().commit(loss));
+        waitUntil(() -> cluster.service.has(COUNTER));
+        assertTrue(cluster.isRaised());
     }
 
     /** Like a process of an older version in a raised deployment, it reads the counter and does not write anything. */
     @Test
-    void thisVersionDoesNotLeadInALaterOnesDeployment() throws Exception {
-        put(COUNTER, "highest", 7L, "format", CounterRecord.KNOWN + 1L);
-        VersionProcesses.Newer a = site.newer("a");
-        int transactions = site.service.transactions;
-        int reads = site.service.reads;
-        until(() -> site.service.reads > reads + 8);
-        assertFalse(a.leadership().isLeading() || a.isOpen());
-        assertEquals(transactions, site.service.transactions);
+    void doesNotLeadIfTheFormatIsNewerThanSupported() throws Exception {
+        put(COUNTER, "highest", 7L, "format", CounterRecord.NEWEST_FORMAT + 1L);
+        MixedVersionCluster.CurrentNode nodeA = cluster.startCurrentNode("a");
+        int transactions = cluster.service.transactionCount;
+        int reads = cluster.service.readCount;
+        waitUntil(() -> cluster.service.readCount > reads + 8);
+        assertFalse(nodeA.election().isLeading() || nodeA.isOpen());
+        assertEquals(transactions, cluster.service.transactionCount);
     }
 
     /** The start bounds flag means the same in both formats, and a campaign preserves the format and the flag. */
     @ParameterizedTest
     @CsvSource({"1, false", "1, true", "2, false", "2, true"})
-    void aCampaignKeepsDataFormatAndStartBounds(int format, boolean bounds) throws Exception {
-        CounterRecord before = new CounterRecord(new FencingToken(7), bounds, format);
-        VersionProcesses.await(site.client().commit(new StateClient.Txn().put(COUNTER, before.write())));
-        VersionProcesses.Newer a = site.newer("a");
-        until(a.leadership()::isLeading);
-        CounterRecord after = CounterRecord.read(site.service.value(COUNTER));
-        assertEquals(new CounterRecord(after.highest(), bounds, format), after);
-        assertTrue(VersionProcesses.await(a.leadership().confirmStartBounds()));
-        assertEquals(new CounterRecord(after.highest(), true, format), CounterRecord.read(site.service.value(COUNTER)));
+    void campaignKeepsDataFormatAndStartBounds(int format, boolean startBounds) throws Exception {
+        CounterRecord before = new CounterRecord(new FencingToken(7), startBounds, format);
+        MixedVersionCluster.await(cluster.client().commit(new StateClient.Txn().put(COUNTER, before.write())));
+        MixedVersionCluster.CurrentNode nodeA = cluster.startCurrentNode("a");
+        waitUntil(nodeA.election()::isLeading);
+        CounterRecord after = CounterRecord.read(cluster.service.value(COUNTER));
+        assertEquals(new CounterRecord(after.highestToken(), startBounds, format), after);
+        assertTrue(MixedVersionCluster.await(nodeA.election().confirmStartBounds()));
+        assertEquals(
+                new CounterRecord(after.highestToken(), true, format),
+                CounterRecord.read(cluster.service.value(COUNTER)));
     }
 
     /**
@@ -136,124 +141,134 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void noOlderProcessLeadsOnceAllNodesHaveTheNewVersion(long seed) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
-        List<String> toRoll = new ArrayList<>(VersionProcesses.NODES);
-        VersionProcesses.Newer[] newer = new VersionProcesses.Newer[toRoll.size()];
-        List<VersionProcesses.Older> older = new ArrayList<>();
-        toRoll.forEach(n -> older.add(site.older(n)));
-        List<StateClient.Txn> late = new ArrayList<>();
-        assertEquals(1, carriedOut(stand(older.get(0))), "an older process could not lead before the format was raised");
+        List<String> nodesToUpdate = new ArrayList<>(MixedVersionCluster.NODES);
+        MixedVersionCluster.CurrentNode[] updatedNodes = new MixedVersionCluster.CurrentNode[nodesToUpdate.size()];
+        List<MixedVersionCluster.ProductionNode> olderNodes = new ArrayList<>();
+        nodesToUpdate.forEach(n -> olderNodes.add(cluster.productionNode(n)));
+        List<StateClient.Txn> delayedCampaigns = new ArrayList<>();
+        assertEquals(
+                1,
+                execute(campaign(olderNodes.get(0))),
+                "an older process could not lead before the format was raised");
         boolean wasRaised = false;
-        for (int step = 0; step < 150 || !toRoll.isEmpty(); step++) {
+        for (int step = 0; step < 150 || !nodesToUpdate.isEmpty(); step++) {
             switch (random.nextInt(5)) {
                 case 0 -> {
-                    StateClient.Txn campaign = stand(older.get(random.nextInt(older.size())));
+                    StateClient.Txn campaign = campaign(olderNodes.get(random.nextInt(olderNodes.size())));
                     if (campaign != null) {
-                        late.add(campaign);
+                        delayedCampaigns.add(campaign);
                     }
                 }
                 case 1 -> {
-                    if (!late.isEmpty()) {
-                        carriedOut(late.remove(random.nextInt(late.size())));
+                    if (!delayedCampaigns.isEmpty()) {
+                        execute(delayedCampaigns.remove(random.nextInt(delayedCampaigns.size())));
                     }
                 }
                 case 2 -> endLeases();
-                case 3 -> until(() -> late.size() < 3 || site.service.has(LEADER) || carriedOut(late.remove(0)) > 0);
-                default -> roll(random, toRoll, newer);
+                case 3 ->
+                    waitUntil(() -> delayedCampaigns.size() < 3
+                            || cluster.service.has(LEADER)
+                            || execute(delayedCampaigns.remove(0)) > 0);
+                default -> restartNode(random, nodesToUpdate, updatedNodes);
             }
-            if (!toRoll.isEmpty()) {
-                assertFalse(site.isRaised(), "the format is raised although a node has never run the new version");
-                for (VersionProcesses.Newer node : newer) {
+            if (!nodesToUpdate.isEmpty()) {
+                assertFalse(cluster.isRaised(), "the format is raised although a node has never run the new version");
+                for (MixedVersionCluster.CurrentNode node : updatedNodes) {
                     assertFalse(node != null && node.isOpen());
                 }
             }
-            boolean raised = site.isRaised();
+            boolean raised = cluster.isRaised();
             assertTrue(raised || !wasRaised, "the format was lowered");
             wasRaised = raised;
         }
-        for (VersionProcesses.Newer node : newer) {
-            until(node::isOpen);
+        for (MixedVersionCluster.CurrentNode node : updatedNodes) {
+            waitUntil(node::isOpen);
         }
         endLeases();
-        assertNull(stand(older.get(0)));
-        for (StateClient.Txn campaign : late) {
-            assertEquals(0, carriedOut(campaign), "a campaign that began before the format was raised was executed");
+        assertNull(campaign(olderNodes.get(0)));
+        for (StateClient.Txn campaign : delayedCampaigns) {
+            assertEquals(0, execute(campaign), "a campaign that began before the format was raised was executed");
         }
     }
 
     private void endLeases() throws Exception {
         CompletableFuture<Void> ended = new CompletableFuture<>();
-        site.vertx.runOnContext(v -> {
-            site.service.endLeases();
+        cluster.vertx.runOnContext(v -> {
+            cluster.service.endLeases();
             ended.complete(null);
         });
         ended.get(20, TimeUnit.SECONDS);
     }
 
     /** The transaction of an older process's campaign; null if another node leads or the raised counter is unreadable to it. */
-    private StateClient.Txn stand(VersionProcesses.Older process) throws Exception {
-        boolean wasRaised = site.isRaised();
+    private StateClient.Txn campaign(MixedVersionCluster.ProductionNode process) throws Exception {
+        boolean wasRaised = cluster.isRaised();
         try {
-            StateClient.Txn campaign = VersionProcesses.await(process.stand());
+            StateClient.Txn campaign = MixedVersionCluster.await(process.campaign());
             assertTrue(campaign == null || !wasRaised, "an older process campaigns in a raised deployment");
             return campaign;
         } catch (ExecutionException e) {
-            assertTrue(site.isRaised(), "an older process cannot campaign before the format is raised: " + e.getCause());
+            assertTrue(
+                    cluster.isRaised(),
+                    "an older process cannot campaign before the format is raised: " + e.getCause());
             return null;
         }
     }
 
-    private int carriedOut(StateClient.Txn campaign) throws Exception {
-        boolean wasRaised = site.isRaised();
-        boolean done = VersionProcesses.await(site.client().commit(campaign)).done();
-        assertFalse(done && wasRaised, "an older process leads after the format was raised");
-        return done ? 1 : 0;
+    private int execute(StateClient.Txn campaign) throws Exception {
+        boolean wasRaised = cluster.isRaised();
+        boolean executed =
+                MixedVersionCluster.await(cluster.client().commit(campaign)).executed();
+        assertFalse(executed && wasRaised, "an older process leads after the format was raised");
+        return executed ? 1 : 0;
     }
 
     /** Restarts a node: with the new version if its update is due or if it has run the new version before. */
-    private void roll(SplittableRandom random, List<String> toRoll, VersionProcesses.Newer[] newer) {
-        int n = random.nextInt(newer.length);
-        String node = VersionProcesses.NODES.get(n);
-        if (newer[n] == null && (random.nextInt(3) > 0 || !toRoll.remove(node))) {
+    private void restartNode(
+            SplittableRandom random, List<String> nodesToUpdate, MixedVersionCluster.CurrentNode[] updatedNodes) {
+        int index = random.nextInt(updatedNodes.length);
+        String node = MixedVersionCluster.NODES.get(index);
+        if (updatedNodes[index] == null && (random.nextInt(3) > 0 || !nodesToUpdate.remove(node))) {
             return;
         }
-        if (newer[n] != null) {
-            newer[n].end();
+        if (updatedNodes[index] != null) {
+            updatedNodes[index].stop();
         }
-        newer[n] = site.newer(node);
+        updatedNodes[index] = cluster.startCurrentNode(node);
     }
 
     /** Two leaderships raise the format; the transaction of the first is executed late and must fail on the leadership key. */
     @Test
-    void aRaiseOfAnEarlierLeadershipIsRefused() throws Exception {
-        put(FormatGate.NODES + "b", "format", 2L);
-        put(FormatGate.NODES + "c", "format", 2L);
-        site.service.holding = txn -> txn.children("writes").size() == 1
+    void delayedRaiseOfAnEarlierLeadershipIsRejected() throws Exception {
+        put(FormatGate.NODE_PREFIX + "b", "format", 2L);
+        put(FormatGate.NODE_PREFIX + "c", "format", 2L);
+        cluster.service.holdFilter = txn -> txn.children("writes").size() == 1
                 && COUNTER.equals(txn.children("writes").get(0).optionalText("write"));
-        VersionProcesses.Newer a = site.newer("a");
-        until(() -> site.service.held() > 0);
-        Revision key = a.leadership().leadershipRevision();
-        site.vertx.runOnContext(v -> a.leadership().deposed());
-        until(() -> a.leadership().isLeading()
-                && !a.leadership().leadershipRevision().equals(key));
-        site.service.holding = txn -> false;
-        assertEquals(409, site.service.executeLate().get(0));
-        until(a::isOpen);
+        MixedVersionCluster.CurrentNode nodeA = cluster.startCurrentNode("a");
+        waitUntil(() -> cluster.service.held() > 0);
+        Revision key = nodeA.election().leadershipRevision();
+        cluster.vertx.runOnContext(v -> nodeA.election().onLeadershipConflict());
+        waitUntil(() -> nodeA.election().isLeading()
+                && !nodeA.election().leadershipRevision().equals(key));
+        cluster.service.holdFilter = txn -> false;
+        assertEquals(409, cluster.service.executeHeldTransactions().get(0));
+        waitUntil(nodeA::isOpen);
     }
 
     /** The confirmation of start bounds gets no response and is executed after the format was raised: it must fail. */
     @Test
-    void aLateConfirmationOfStartBoundsDoesNotLowerTheFormat() throws Exception {
-        VersionProcesses.Newer a = site.newer("a");
-        until(a.leadership()::isLeading);
-        site.service.holding =
+    void lateStartBoundsConfirmationDoesNotLowerTheFormat() throws Exception {
+        MixedVersionCluster.CurrentNode nodeA = cluster.startCurrentNode("a");
+        waitUntil(nodeA.election()::isLeading);
+        cluster.service.holdFilter =
                 txn -> COUNTER.equals(txn.children("writes").get(0).optionalText("write"));
-        site.vertx.runOnContext(v -> a.leadership().confirmStartBounds());
-        until(() -> site.service.held() > 0);
-        site.service.holding = txn -> false;
-        put(FormatGate.NODES + "b", "format", 2L);
-        put(FormatGate.NODES + "c", "format", 2L);
-        until(site::isRaised);
-        assertEquals(List.of(409), site.service.executeLate());
-        assertTrue(site.isRaised());
+        cluster.vertx.runOnContext(v -> nodeA.election().confirmStartBounds());
+        waitUntil(() -> cluster.service.held() > 0);
+        cluster.service.holdFilter = txn -> false;
+        put(FormatGate.NODE_PREFIX + "b", "format", 2L);
+        put(FormatGate.NODE_PREFIX + "c", "format", 2L);
+        waitUntil(cluster::isRaised);
+        assertEquals(List.of(409), cluster.service.executeHeldTransactions());
+        assertTrue(cluster.isRaised());
     }
 }
--- a/src/test/java/io/indigoreach/state/GoldenRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenRecordsTest.java
@@ -32,7 +32,7 @@
 class GoldenRecordsTest {
     private static final String FILE = "records.txt";
     private static final JobId ID = new JobId("run-000412");
-    private static final Revision STAMP = new Revision(9);
+    private static final Revision REVISION = new Revision(9);
     private static final FencingToken TOKEN = new FencingToken(7_000_001);
     private static final MachinePool POOL = new MachinePool("quad", "a", true);
     /** Records that production writes as one value and later versions may split: this version only has to read them. */
@@ -46,11 +46,11 @@
         return done;
     }
 
-    private static JobSpec small(JobKind shape, int tasks) {
+    private static JobSpec small(JobKind kind, int tasks) {
         return JobSpec.builder(ID)
                 .jobClass("stock-reconcile")
                 .team("fleet-ops")
-                .kind(shape)
+                .kind(kind)
                 .urgency(Urgency.STANDARD)
                 .tasks(tasks)
                 .demand(new Demand(1, 0, 3.6))
@@ -83,29 +83,29 @@
                 .build();
     }
 
-    private static Golden job(JobSpec spec, JobStatus status, BitSet done) {
-        boolean beside = TestBlocks.blocks(spec.tasks()) > 0;
-        return new Golden(
+    private static ProductionSample jobSample(JobSpec spec, JobStatus status, BitSet done) {
+        boolean inBlocks = LegacyCompletionBlocks.blockCount(spec.tasks()) > 0;
+        return new ProductionSample(
                 JobRecordCodec.writeJob(spec, 1_700_000_000_123L, status, done, 3, 5),
-                f -> JobRecordCodec.readJob(ID, f, STAMP),
+                f -> JobRecordCodec.readJob(ID, f, REVISION),
                 new JobRecord(
                         spec,
                         1_700_000_000_123L,
                         status,
-                        beside ? new BitSet() : done,
+                        inBlocks ? new BitSet() : done,
                         done.cardinality(),
                         3,
                         5,
-                        STAMP));
+                        REVISION));
     }
 
-    private static Object block(int n, Fields f) {
+    private static Object readBlock(int blockNumber, Fields f) {
         BitSet into = new BitSet();
-        TestBlocks.readBlock(RecordKeys.blockKey(ID, n), f, into);
+        LegacyCompletionBlocks.readBlock(RecordKeys.completionBlockKey(ID, blockNumber), f, into);
         return into;
     }
 
-    private static RememberedState remains() {
+    private static RememberedState rememberedState() {
         RememberedState all = new RememberedState();
         all.add(new RememberedState.OpenJob(full(6), 1_700_000_000_123L, everyThird(6), 4));
         all.add(new JobId("run-000398"), new RememberedState.FinishedJob(JobStatus.CANCELLED, 2));
@@ -118,100 +118,111 @@
         return List.of(List.copyOf(r.open()), r.finished(), List.copyOf(r.records()));
     }
 
-    private static Object remembered(Fields f) {
+    private static Object readRememberedState(Fields f) {
         RememberedState into = new RememberedState();
         RememberedStateCodec.read(f, into);
         return content(into);
     }
 
     /** A counter in the first format. */
-    private static Golden counter(boolean bounds) {
-        CounterRecord record = new CounterRecord(TOKEN, bounds, CounterRecord.FIRST);
-        return new Golden(record.write(), CounterRecord::read, record);
+    private static ProductionSample counterSample(boolean bounds) {
+        CounterRecord record = new CounterRecord(TOKEN, bounds, CounterRecord.ORIGINAL_FORMAT);
+        return new ProductionSample(record.write(), CounterRecord::read, record);
     }
 
-    static Map<String, Golden> all() {
-        Map<String, Golden> all = new LinkedHashMap<>();
+    static Map<String, ProductionSample> samples() {
+        Map<String, ProductionSample> samples = new LinkedHashMap<>();
         for (JobStatus status : JobStatus.values()) {
-            all.put("array " + status, job(small(JobKind.ARRAY, 100), status, everyThird(100)));
+            samples.put("array " + status, jobSample(small(JobKind.ARRAY, 100), status, everyThird(100)));
         }
-        all.put("service", job(small(JobKind.SERVICE, 3), JobStatus.RUNNING, new BitSet()));
-        all.put("every field", job(full(6), JobStatus.PENDING, everyThird(6)));
-        all.put("job of 5000", job(small(JobKind.ARRAY, 5000), JobStatus.RUNNING, everyThird(5000)));
-        all.put("job of 40000", job(small(JobKind.ARRAY, 40_000), JobStatus.RUNNING, everyThird(40_000)));
-        BitSet second = everyThird(40_000);
-        second.clear(0, 32_768);
-        all.put("block 1 of 40000", new Golden(TestBlocks.writeBlock(everyThird(40_000), 1), f -> block(1, f), second));
-        all.put(
+        samples.put("service", jobSample(small(JobKind.SERVICE, 3), JobStatus.RUNNING, new BitSet()));
+        samples.put("every field", jobSample(full(6), JobStatus.PENDING, everyThird(6)));
+        samples.put("job of 5000", jobSample(small(JobKind.ARRAY, 5000), JobStatus.RUNNING, everyThird(5000)));
+        samples.put("job of 40000", jobSample(small(JobKind.ARRAY, 40_000), JobStatus.RUNNING, everyThird(40_000)));
+        BitSet secondBlock = everyThird(40_000);
+        secondBlock.clear(0, 32_768);
+        samples.put(
+                "block 1 of 40000",
+                new ProductionSample(
+                        LegacyCompletionBlocks.writeBlock(everyThird(40_000), 1), f -> readBlock(1, f), secondBlock));
+        samples.put(
                 "end",
-                new Golden(
+                new ProductionSample(
                         JobRecordCodec.writeFinal(JobStatus.CANCELLED, 17),
                         f -> JobRecordCodec.readFinal(ID, f),
                         new FinalRecord(ID, JobStatus.CANCELLED, 17)));
         List<MachineRecord> machines = List.of(
                 new MachineRecord(new MachineId("vm-000231"), POOL, 1_700_000_000_000L, 1_700_000_020_000L),
                 new MachineRecord(new MachineId("vm-000232"), POOL, 1_700_000_001_000L, 0));
-        all.put(
+        samples.put(
                 "machines",
-                new Golden(MachineRecordCodec.writeMachines(machines), MachineRecordCodec::readMachines, machines));
+                new ProductionSample(
+                        MachineRecordCodec.writeMachines(machines), MachineRecordCodec::readMachines, machines));
         Intents.Page intents = new Intents.Page(
                 List.of(new Intents.Rent("t3-1", POOL, 50, 1_700_000_000_000L)), List.of(new MachineId("vm-000233")));
-        all.put(
+        samples.put(
                 "intents",
-                new Golden(IntentRecordCodec.writeIntents(intents), IntentRecordCodec::readIntents, intents));
+                new ProductionSample(IntentRecordCodec.writeIntents(intents), IntentRecordCodec::readIntents, intents));
         List<MachineType> types = List.of(
                 new MachineType("quad", new Demand(4, 0, 16), 40, 1, 0.2, 0.05, Span.seconds(20), List.of("a", "b")));
-        all.put(
+        samples.put(
                 "catalogue",
-                new Golden(CatalogueRecordCodec.writeCatalogue(types), CatalogueRecordCodec::readCatalogue, types));
-        all.put("counter", counter(false));
-        all.put("counter with bounds", counter(true));
-        all.put("era", new Golden(EraRecordCodec.writeEra(TOKEN), EraRecordCodec::readEra, TOKEN.value()));
-        all.put(
+                new ProductionSample(
+                        CatalogueRecordCodec.writeCatalogue(types), CatalogueRecordCodec::readCatalogue, types));
+        samples.put("counter", counterSample(false));
+        samples.put("counter with bounds", counterSample(true));
+        samples.put(
+                "era", new ProductionSample(EraRecordCodec.writeEra(TOKEN), EraRecordCodec::readEra, TOKEN.value()));
+        samples.put(
                 "era after a loss",
-                new Golden(
+                new ProductionSample(
                         EraRecordCodec.writeEra(TOKEN, 1_700_000_000_000L, List.of("era: 0 where 1 was known"), 12),
-                        EraRecordCodec::readLoss,
+                        EraRecordCodec::describeLoss,
                         List.of(
                                 "found and rebuilt by 2023-11-14T22:13:20Z: 12 records written anew",
                                 "era: 0 where 1 was known")));
-        all.put(
+        samples.put(
                 "leader",
-                new Golden(
+                new ProductionSample(
                         LeaderKey.write("worker-1", "5f-1700000000000", TOKEN),
-                        f -> LeaderKey.read(f, STAMP),
-                        new LeaderKey("worker-1", "5f-1700000000000", TOKEN, STAMP)));
-        all.put(
+                        f -> LeaderKey.read(f, REVISION),
+                        new LeaderKey("worker-1", "5f-1700000000000", TOKEN, REVISION)));
+        samples.put(
                 "memory",
-                new Golden(
-                        RememberedStateCodec.write(remains(), 0), GoldenRecordsTest::remembered, content(remains())));
-        return all;
+                new ProductionSample(
+                        RememberedStateCodec.write(rememberedState(), 0),
+                        GoldenRecordsTest::readRememberedState,
+                        content(rememberedState())));
+        return samples;
     }
 
     static Set<String> names() {
-        return all().keySet();
+        return samples().keySet();
     }
 
     @ParameterizedTest
     @MethodSource("names")
-    void whatProductionWroteIsRead(String name) {
-        Golden golden = all().get(name);
+    void productionRecordsAreReadable(String name) {
+        ProductionSample sample = samples().get(name);
         assertEquals(
-                golden.value(),
-                golden.read().apply(Golden.fields(Golden.load(FILE).get(name))));
+                sample.value(),
+                sample.read()
+                        .apply(ProductionSample.fields(
+                                ProductionSample.load(FILE).get(name))));
     }
 
     @ParameterizedTest
     @MethodSource("names")
-    void whatIsWrittenIsWhatProductionWrites(String name) {
+    void recordsAreWrittenAsInProduction(String name) {
         if (!READ_ONLY.contains(name)) {
-            assertEquals(Golden.load(FILE).get(name), all().get(name).hex());
+            assertEquals(
+                    ProductionSample.load(FILE).get(name), samples().get(name).hex());
         }
     }
 
     @Test
-    void everyLineIsTested() {
-        assertEquals(List.copyOf(Golden.load(FILE).keySet()), new ArrayList<>(names()));
+    void everySampleIsTested() {
+        assertEquals(List.copyOf(ProductionSample.load(FILE).keySet()), new ArrayList<>(names()));
     }
 
     /**
@@ -219,17 +230,19 @@
      * keeps the additional field with a job's dependencies when it rewrites the record, and finds no token in a raised counter.
      */
     @Test
-    void whatIsNewIsWrittenAsItWasShownToProduction() {
+    void newRecordsMatchTheBytesTestedWithProduction() {
         JobSpec chained = small(JobKind.ARRAY, 100).with("waits_on", List.of("run-000398", "run-000405"));
         Map<String, String> lines = new LinkedHashMap<>();
-        lines.put("chained job", job(chained, JobStatus.PENDING, new BitSet()).hex());
+        lines.put(
+                "chained job",
+                jobSample(chained, JobStatus.PENDING, new BitSet()).hex());
         for (boolean bounds : new boolean[] {false, true}) {
-            CounterRecord counter = new CounterRecord(TOKEN, bounds, CounterRecord.CHAINS);
+            CounterRecord counter = new CounterRecord(TOKEN, bounds, CounterRecord.DEPENDENCIES_FORMAT);
             assertEquals(
                     counter, CounterRecord.read(MessagePackFormat.readMap(MessagePackFormat.write(counter.write()))));
-            lines.put("raised counter " + bounds, Golden.hex(MessagePackFormat.write(counter.write())));
+            lines.put("raised counter " + bounds, ProductionSample.hex(MessagePackFormat.write(counter.write())));
         }
-        lines.put("a node's format", Golden.hex(MessagePackFormat.write(FormatGate.write())));
-        assertEquals(Golden.load("new.txt"), lines);
+        lines.put("a node's format", ProductionSample.hex(MessagePackFormat.write(FormatGate.writeSupport())));
+        assertEquals(ProductionSample.load("new.txt"), lines);
     }
 }
--- a/src/test/java/io/indigoreach/state/GoldenStateServiceTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenStateServiceTest.java
@@ -29,16 +29,16 @@
     }
 
     /** Decodes a transaction; a separate method, as {@code StateClient.Txn} does not implement {@code equals}. */
-    private static StateClient.Txn read(Fields f) {
+    private static StateClient.Txn readTxn(Fields f) {
         return StateCodec.readTxn(f);
     }
 
-    private static Map<String, Object> write(StateClient.Outcome conflict) {
-        return StateCodec.writeConflict(conflict.failed(), conflict.revision());
+    private static Map<String, Object> writeConflict(StateClient.Outcome conflict) {
+        return StateCodec.writeConflict(conflict.failedKeys(), conflict.revision());
     }
 
     @Test
-    void whatIsAskedAndAnswered() {
+    void requestsAndResponsesMatchGoldenFile() {
         GoldenFile golden = new GoldenFile("state-service.txt");
         golden.text("path of transactions", StateCodec.TXN)
                 .text("path of a key", StateCodec.keyPath("j/run-1"))
@@ -76,22 +76,22 @@
                         new StateClient.Page(List.of(), false, 41),
                         StateCodec::writePage,
                         StateCodec::readPage);
-        golden.again("transaction", txn(), StateCodec::writeTxn, GoldenStateServiceTest::read)
+        golden.again("transaction", txn(), StateCodec::writeTxn, GoldenStateServiceTest::readTxn)
                 .again(
                         "comparison",
                         new StateClient.Txn().when("era", new Revision(9)),
                         StateCodec::writeTxn,
-                        GoldenStateServiceTest::read)
+                        GoldenStateServiceTest::readTxn)
                 .refused(
                         "transaction without a key",
                         MessagePackFormat.map("writes", List.of(MessagePackFormat.map("data", Map.of()))),
-                        GoldenStateServiceTest::read)
+                        GoldenStateServiceTest::readTxn)
                 .both(
                         "conflict",
                         new StateClient.Outcome(false, 41, List.of("era", "j/run-1"), false),
-                        GoldenStateServiceTest::write,
+                        GoldenStateServiceTest::writeConflict,
                         StateCodec::readConflict);
-        golden.both("life of a lease", Span.seconds(4.5), StateCodec::writeLife, StateCodec::readLife)
+        golden.both("life of a lease", Span.seconds(4.5), StateCodec::writeLeaseTime, StateCodec::readLeaseTime)
                 .both("lease", 7L, StateCodec::writeLease, StateCodec::readLease);
         golden.both(
                         "changes",
--- a/src/test/java/io/indigoreach/state/GoldenKeptRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenStoredRecordsTest.java
@@ -24,19 +24,19 @@
 import org.junit.jupiter.api.Test;
 
 /** Golden tests of the records of jobs, machines and leaderships, their keys, and the remembered state that peers exchange. */
-class GoldenKeptRecordsTest {
+class GoldenStoredRecordsTest {
     private static final JobId ID = GoldenSamples.ID;
-    private static final Revision STAMP = new Revision(9);
+    private static final Revision REVISION = new Revision(9);
     private static final FencingToken TOKEN = new FencingToken(7_000_001);
     private static final MachinePool POOL = new MachinePool("quad", "a", true);
 
     private final GoldenFile golden = new GoldenFile("records.txt");
 
-    private static Fields sent(Map<String, Object> message) {
+    private static Fields encodeAndDecode(Map<String, Object> message) {
         return MessagePackFormat.readMap(MessagePackFormat.write(message));
     }
 
-    private static BitSet first(int tasks) {
+    private static BitSet firstTasks(int tasks) {
         BitSet done = new BitSet();
         done.set(0, tasks);
         return done;
@@ -52,37 +52,38 @@
 
     /** Encodes a record. If its bits are stored in blocks, any {@code doneCount} bits give the same bytes. */
     private static Map<String, Object> write(JobRecord record) {
-        BitSet done = record.done().isEmpty() ? first(record.doneCount()) : record.done();
+        BitSet done = record.done().isEmpty() ? firstTasks(record.doneCount()) : record.done();
         return JobRecordCodec.writeJob(
-                record.spec(), record.submittedMs(), record.status(), done, record.running(), record.bound());
+                record.spec(), record.submittedMs(), record.status(), done, record.running(), record.startBound());
     }
 
-    private void job(String name, JobSpec spec, JobStatus status, BitSet done) {
-        BitSet inside = spec.tasks() > CompletionBlockCodec.MAX_TASKS_IN_RECORD ? new BitSet() : done;
-        JobRecord record =
-                new JobRecord(spec, GoldenSamples.AT, status, inside, done.cardinality(), 3, spec.tasks(), STAMP);
-        golden.both(name, record, GoldenKeptRecordsTest::write, f -> JobRecordCodec.readJob(ID, f, STAMP));
+    private void checkJob(String name, JobSpec spec, JobStatus status, BitSet done) {
+        BitSet bitsInRecord = spec.tasks() > CompletionBlockCodec.MAX_TASKS_IN_RECORD ? new BitSet() : done;
+        JobRecord record = new JobRecord(
+                spec, GoldenSamples.AT, status, bitsInRecord, done.cardinality(), 3, spec.tasks(), REVISION);
+        golden.both(name, record, GoldenStoredRecordsTest::write, f -> JobRecordCodec.readJob(ID, f, REVISION));
     }
 
-    private void jobs() {
-        GoldenSamples.jobs().forEach((name, spec) -> job("job " + name, spec, JobStatus.PENDING, new BitSet()));
+    private void checkJobs() {
+        GoldenSamples.jobs().forEach((name, spec) -> checkJob("job " + name, spec, JobStatus.PENDING, new BitSet()));
         for (JobStatus status : JobStatus.values()) {
-            job("job of status " + status.ordinal(), GoldenSamples.bare(100), status, everyThird(100));
+            checkJob("job of status " + status.ordinal(), GoldenSamples.bare(100), status, everyThird(100));
         }
         JobDependencies released = GoldenSamples.jobs().get("chained").dependencies();
-        job(
+        checkJob(
                 "job released from its chain",
                 GoldenSamples.bare(4).with(new JobDependencies(released.requiredJobs(), GoldenSamples.AT)),
                 JobStatus.RUNNING,
                 new BitSet());
-        job("job of 8192", GoldenSamples.bare(8192), JobStatus.RUNNING, everyThird(8192));
-        job("job of 40000", GoldenSamples.bare(40_000), JobStatus.RUNNING, first(20_000));
-        Map<String, Object> without =
-                write(new JobRecord(GoldenSamples.bare(2), 1, JobStatus.PENDING, new BitSet(), 0, 0, 0, STAMP));
-        without.remove("bound");
-        golden.read("job without a start bound", without, f -> write(JobRecordCodec.readJob(ID, f, STAMP)));
+        checkJob("job of 8192", GoldenSamples.bare(8192), JobStatus.RUNNING, everyThird(8192));
+        checkJob("job of 40000", GoldenSamples.bare(40_000), JobStatus.RUNNING, firstTasks(20_000));
+        Map<String, Object> withoutStartBound =
+                write(new JobRecord(GoldenSamples.bare(2), 1, JobStatus.PENDING, new BitSet(), 0, 0, 0, REVISION));
+        withoutStartBound.remove("bound");
+        golden.read(
+                "job without a start bound", withoutStartBound, f -> write(JobRecordCodec.readJob(ID, f, REVISION)));
         golden.refused(
-                "job without tasks", MessagePackFormat.map("class", "c"), f -> JobRecordCodec.readJob(ID, f, STAMP));
+                "job without tasks", MessagePackFormat.map("class", "c"), f -> JobRecordCodec.readJob(ID, f, REVISION));
         for (JobStatus status : List.of(JobStatus.DONE, JobStatus.CANCELLED)) {
             golden.both(
                     "end of status " + status.ordinal(),
@@ -92,13 +93,13 @@
         }
     }
 
-    private void bits() {
+    private void checkCompletionBits() {
         BitSet done = everyThird(40_000);
         for (int n = 0; n < 2; n++) {
             int block = n;
-            golden.again("block " + n + " of 40000", done, all -> TestBlocks.writeBlock(all, block), f -> {
+            golden.again("block " + n + " of 40000", done, all -> LegacyCompletionBlocks.writeBlock(all, block), f -> {
                 BitSet into = new BitSet();
-                TestBlocks.readBlock(RecordKeys.blockKey(ID, block), f, into);
+                LegacyCompletionBlocks.readBlock(RecordKeys.completionBlockKey(ID, block), f, into);
                 return into;
             });
         }
@@ -107,7 +108,7 @@
             BitSet missing = new BitSet();
             missing.set(9_000);
             missing.set(39_999);
-            bits.blocksWith(ID, missing, done, 16)
+            bits.blocksCovering(ID, missing, done, 16)
                     .forEach((key, covered) -> golden.again(
                             "blocks of values of " + bytes + " bytes, " + key,
                             covered,
@@ -124,7 +125,7 @@
         }
     }
 
-    private void machines() {
+    private void checkMachines() {
         List<MachineRecord> machines = List.of(
                 new MachineRecord(new MachineId("vm-000231"), POOL, GoldenSamples.AT, GoldenSamples.AT + 20_000),
                 new MachineRecord(new MachineId("vm-000232"), new MachinePool("g8", "b", false), GoldenSamples.AT, 0));
@@ -153,15 +154,16 @@
                         CatalogueRecordCodec::readCatalogue)
                 .text(
                         "bytes that limits are kept by",
-                        MachineRecordCodec.bytes(machines.get(0)) + " "
-                                + IntentRecordCodec.bytes(new Intents.Rent("7000001-1", POOL, 50, GoldenSamples.AT))
+                        MachineRecordCodec.encodedBytes(machines.get(0)) + " "
+                                + IntentRecordCodec.encodedBytes(
+                                        new Intents.Rent("7000001-1", POOL, 50, GoldenSamples.AT))
                                 + " "
-                                + IntentRecordCodec.bytes(new MachineId("vm-000233")) + " "
+                                + IntentRecordCodec.encodedBytes(new MachineId("vm-000233")) + " "
                                 + CompletionBits.recordBytes(GoldenSamples.full(6, Urgency.HIGH), GoldenSamples.AT));
     }
 
-    private void leaderships() {
-        for (int format : new int[] {CounterRecord.FIRST, CounterRecord.CHAINS}) {
+    private void checkLeadershipRecords() {
+        for (int format : new int[] {CounterRecord.ORIGINAL_FORMAT, CounterRecord.DEPENDENCIES_FORMAT}) {
             for (boolean bounds : new boolean[] {false, true}) {
                 golden.both(
                         "counter of format " + format + (bounds ? " with bounds" : ""),
@@ -172,14 +174,14 @@
         }
         golden.refused(
                 "counter of a later format",
-                MessagePackFormat.map("highest", 7L, "format", CounterRecord.KNOWN + 1L),
+                MessagePackFormat.map("highest", 7L, "format", CounterRecord.NEWEST_FORMAT + 1L),
                 CounterRecord::read);
-        golden.written("format that a node knows", FormatGate.write())
+        golden.written("format that a node knows", FormatGate.writeSupport())
                 .both(
                         "leader",
-                        new LeaderKey("worker-1", "5f-1700000000000", TOKEN, STAMP),
+                        new LeaderKey("worker-1", "5f-1700000000000", TOKEN, REVISION),
                         k -> LeaderKey.write(k.node(), k.process(), k.token()),
-                        f -> LeaderKey.read(f, STAMP))
+                        f -> LeaderKey.read(f, REVISION))
                 .both("era", TOKEN.value(), t -> EraRecordCodec.writeEra(new FencingToken(t)), EraRecordCodec::readEra)
                 .written(
                         "era after a loss",
@@ -188,11 +190,11 @@
                         "words for a loss",
                         String.join(
                                 "\n",
-                                EraRecordCodec.readLoss(sent(EraRecordCodec.writeEra(
+                                EraRecordCodec.describeLoss(encodeAndDecode(EraRecordCodec.writeEra(
                                         TOKEN, GoldenSamples.AT, List.of("era: 0 where 1 was known"), 12)))));
     }
 
-    private void keys() {
+    private void checkKeys() {
         golden.text(
                 "keys",
                 String.join(
@@ -203,15 +205,15 @@
                         RecordKeys.CATALOGUE,
                         RecordKeys.openKey(ID),
                         RecordKeys.finalKey(ID),
-                        RecordKeys.blockKey(ID, 1),
+                        RecordKeys.completionBlockKey(ID, 1),
                         RecordKeys.machinePageKey(TOKEN, 3),
                         RecordKeys.intentsKey(TOKEN),
-                        FormatGate.NODES,
+                        FormatGate.NODE_PREFIX,
                         CompletionBits.SMALL_BLOCKS,
                         RecordKeys.keyBefore(RecordKeys.openKey(ID))));
     }
 
-    private static RememberedState remains() {
+    private static RememberedState rememberedState() {
         RememberedState all = new RememberedState();
         all.add(new RememberedState.OpenJob(
                 GoldenSamples.jobs().get("chained, with records and a plan"), GoldenSamples.AT, new BitSet(), 1));
@@ -219,52 +221,60 @@
         all.add(new JobId("run-000399"), new RememberedState.FinishedJob(JobStatus.DONE, 8));
         all.add(new RememberedState.RentedMachine(new MachineId("vm-1"), POOL, new Moment(1), new Moment(2)));
         all.add(new VersionedRecord(
-                "warm/pool/a", MessagePackFormat.map("team", "t", VersionedRecord.VERSION, 3L), STAMP));
+                "warm/pool/a", MessagePackFormat.map("team", "t", VersionedRecord.VERSION, 3L), REVISION));
         return all;
     }
 
-    private static RememberedState many() {
+    private static RememberedState largeRememberedState() {
         RememberedState all = new RememberedState();
         for (int n = 0; n < 201; n++) {
             all.add(new JobId("run-" + n), new RememberedState.FinishedJob(JobStatus.DONE, n));
         }
         for (int n = 0; n < 21; n++) {
-            all.add(new VersionedRecord("own/c/run-" + n, MessagePackFormat.map(VersionedRecord.VERSION, 1L), STAMP));
+            all.add(new VersionedRecord(
+                    "own/c/run-" + n, MessagePackFormat.map(VersionedRecord.VERSION, 1L), REVISION));
         }
         return all;
     }
 
-    private void memory() {
-        golden.again("memory", remains(), r -> RememberedStateCodec.write(r, 0), GoldenKeptRecordsTest::remembered)
+    private void checkRememberedState() {
+        golden.again(
+                        "memory",
+                        rememberedState(),
+                        r -> RememberedStateCodec.write(r, 0),
+                        GoldenStoredRecordsTest::readRememberedState)
                 .again(
                         "empty memory",
                         new RememberedState(),
                         r -> RememberedStateCodec.write(r, 0),
-                        GoldenKeptRecordsTest::remembered)
-                .written("first part of a long memory", RememberedStateCodec.write(many(), 0))
-                .written("second part of a long memory", RememberedStateCodec.write(many(), 1))
+                        GoldenStoredRecordsTest::readRememberedState)
+                .written("first part of a long memory", RememberedStateCodec.write(largeRememberedState(), 0))
+                .written("second part of a long memory", RememberedStateCodec.write(largeRememberedState(), 1))
                 .text(
                         "whether there are more parts",
-                        RememberedStateCodec.read(sent(RememberedStateCodec.write(many(), 0)), new RememberedState())
+                        RememberedStateCodec.read(
+                                        encodeAndDecode(RememberedStateCodec.write(largeRememberedState(), 0)),
+                                        new RememberedState())
                                 + " "
                                 + RememberedStateCodec.read(
-                                        sent(RememberedStateCodec.write(many(), 1)), new RememberedState()));
+                                        encodeAndDecode(RememberedStateCodec.write(largeRememberedState(), 1)),
+                                        new RememberedState()));
     }
 
-    private static RememberedState remembered(Fields f) {
+    private static RememberedState readRememberedState(Fields f) {
         RememberedState into = new RememberedState();
         RememberedStateCodec.read(f, into);
         return into;
     }
 
     @Test
-    void whatIsKept() {
-        jobs();
-        bits();
-        machines();
-        leaderships();
-        keys();
-        memory();
+    void storedRecordsMatchGoldenFile() {
+        checkJobs();
+        checkCompletionBits();
+        checkMachines();
+        checkLeadershipRecords();
+        checkKeys();
+        checkRememberedState();
         golden.check();
     }
 }
--- a/src/test/java/io/indigoreach/state/HandoverTest.java
+++ b/src/test/java/io/indigoreach/state/HandoverTest.java
@@ -37,7 +37,7 @@
  */
 class HandoverTest {
     private static final List<String> NODES = List.of("a", "b", "c");
-    private static final long PATIENCE_S = 40;
+    private static final long TIMEOUT_S = 40;
 
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
@@ -48,82 +48,82 @@
     }
 
     /** A cluster of three nodes, each with at most one running process, and their state service. */
-    private final class World {
+    private final class TestCluster {
         final Context loop = vertx.getOrCreateContext();
-        final StateStandIn service = new StateStandIn();
-        final Map<String, Endpoint> doors = new HashMap<>();
-        final Map<String, Process> running = new HashMap<>();
-        final List<String> breaches = new ArrayList<>();
-        final List<Process> took = new ArrayList<>();
+        final FakeStateService service = new FakeStateService();
+        final Map<String, Endpoint> endpoints = new HashMap<>();
+        final Map<String, TestProcess> processes = new HashMap<>();
+        final List<String> violations = new ArrayList<>();
+        final List<TestProcess> gainedLeaderships = new ArrayList<>();
         final SplittableRandom random;
-        final Span life;
-        long highest;
-        int bridged;
+        final Span leaseTime;
+        long highestToken;
+        int bridgedChecks;
 
-        World(long seed, Span life) throws Exception {
+        TestCluster(long seed, Span leaseTime) throws Exception {
             this.random = new SplittableRandom(seed);
-            this.life = life;
-            service.expiring = true;
-            await(on(() -> Future.all(NODES.stream()
-                    .map(n -> service.door(vertx, n).onSuccess(d -> doors.put(n, d)))
+            this.leaseTime = leaseTime;
+            service.leasesExpire = true;
+            await(callOnLoop(() -> Future.all(NODES.stream()
+                    .map(n -> service.addEndpoint(vertx, n).onSuccess(d -> endpoints.put(n, d)))
                     .toList())));
-            on(() -> vertx.setPeriodic(2, t -> look()));
+            callOnLoop(() -> vertx.setPeriodic(2, t -> checkInvariants()));
         }
 
-        <T> T on(Callable<T> what) throws Exception {
-            CompletableFuture<T> done = new CompletableFuture<>();
+        <T> T callOnLoop(Callable<T> operation) throws Exception {
+            CompletableFuture<T> result = new CompletableFuture<>();
             loop.runOnContext(v -> {
                 try {
-                    done.complete(what.call());
+                    result.complete(operation.call());
                 } catch (Exception e) {
-                    done.completeExceptionally(e);
+                    result.completeExceptionally(e);
                 }
             });
-            return done.get(PATIENCE_S, TimeUnit.SECONDS);
+            return result.get(TIMEOUT_S, TimeUnit.SECONDS);
         }
 
         /** Waits until a condition holds, which the event loop evaluates. */
-        void until(BooleanSupplier holds) throws Exception {
-            CompletableFuture<Void> done = new CompletableFuture<>();
-            on(() -> vertx.setPeriodic(1, 2, t -> {
-                if (holds.getAsBoolean()) {
+        void waitUntil(BooleanSupplier condition) throws Exception {
+            CompletableFuture<Void> satisfied = new CompletableFuture<>();
+            callOnLoop(() -> vertx.setPeriodic(1, 2, t -> {
+                if (condition.getAsBoolean()) {
                     vertx.cancelTimer(t);
-                    done.complete(null);
+                    satisfied.complete(null);
                 }
             }));
-            done.get(PATIENCE_S, TimeUnit.SECONDS);
+            satisfied.get(TIMEOUT_S, TimeUnit.SECONDS);
         }
 
-        private void look() {
+        private void checkInvariants() {
             service.expire();
-            List<String> valid = running.values().stream()
-                    .filter(p -> p.leadership.isValid())
+            List<String> valid = processes.values().stream()
+                    .filter(p -> p.election.isValid())
                     .map(p -> p.name)
                     .toList();
             if (valid.size() > 1) {
-                breaches.add("more than one valid leader: " + valid);
+                violations.add("more than one valid leader: " + valid);
             }
-            running.values().forEach(p -> bridged += p.leadership.isValid() && p.ownLeaseIsOver() ? 1 : 0);
+            processes.values().forEach(p -> bridgedChecks += p.election.isValid() && p.hasLeaseExpired() ? 1 : 0);
         }
 
-        Process start(String node) {
-            Process p = new Process(this, node);
-            running.put(node, p);
-            p.leadership.start();
-            return p;
+        TestProcess start(String node) {
+            TestProcess process = new TestProcess(this, node);
+            processes.put(node, process);
+            process.election.start();
+            return process;
         }
 
-        void end(String node) {
-            Process p = running.remove(node);
-            if (p != null) {
-                p.ended = true;
-                p.leadership.stop();
+        void stop(String node) {
+            TestProcess process = processes.remove(node);
+            if (process != null) {
+                process.stopped = true;
+                process.election.stop();
             }
         }
 
-        Process leader() {
-            return running.values().stream()
-                    .filter(p -> p.leadership.isLeading())
+        TestProcess leader() {
+            return processes.values().stream()
+                    .filter(p -> p.election.isLeading())
                     .findFirst()
                     .orElse(null);
         }
@@ -132,11 +132,11 @@
          * Queries all peers, each after a delay; the peer evaluates the query when it arrives. False if a peer is down, its response
          * is lost or its result is false.
          */
-        private Future<Boolean> ask(String asker, java.util.function.Predicate<Process> what) {
+        private Future<Boolean> queryPeers(String sender, java.util.function.Predicate<TestProcess> query) {
             List<Future<Boolean>> answers = new ArrayList<>();
             for (String other : NODES) {
-                if (!other.equals(asker)) {
-                    answers.add(delay().map(v -> running.containsKey(other) && what.test(running.get(other)))
+                if (!other.equals(sender)) {
+                    answers.add(delay().map(v -> processes.containsKey(other) && query.test(processes.get(other)))
                             .compose(is -> delay().map(v -> is && random.nextInt(20) > 0)));
                 }
             }
@@ -148,46 +148,47 @@
                     .mapEmpty();
         }
 
-        private void after(double s, Runnable then) {
-            vertx.setTimer(Math.max(1, Math.round(s * 1000)), t -> then.run());
+        private void schedule(double delayS, Runnable action) {
+            vertx.setTimer(Math.max(1, Math.round(delayS * 1000)), t -> action.run());
         }
     }
 
     /** One process of a node. */
-    private final class Process {
-        final World world;
+    private final class TestProcess {
+        final TestCluster cluster;
         final String node;
         final String name;
-        final LeaderElection leadership;
-        boolean ended;
-        boolean unserved;
-        Moment renewedBefore = Moment.NEVER;
+        final LeaderElection election;
+        boolean stopped;
+        boolean rejected;
+        Moment lastServedAt = Moment.NEVER;
 
-        Process(World world, String node) {
-            this.world = world;
+        TestProcess(TestCluster cluster, String node) {
+            this.cluster = cluster;
             this.node = node;
-            this.name = node + "-" + Math.abs(world.random.nextInt());
+            this.name = node + "-" + Math.abs(cluster.random.nextInt());
             StateClient client = new StateClient(
-                    new ServiceClient(vertx, world.doors.get(node), 4),
-                    new ServiceClient(vertx, world.doors.get(node), 2));
-            this.leadership = new LeaderElection(
+                    new ServiceClient(vertx, cluster.endpoints.get(node), 4),
+                    new ServiceClient(vertx, cluster.endpoints.get(node), 2));
+            this.election = new LeaderElection(
                     new ElectionSettings(
                             new StateAccess(vertx, client),
                             new StateAccess(vertx, client),
                             clock,
                             new Candidate(node, name, NODES.size() - 1),
-                            world.life,
+                            cluster.leaseTime,
                             new TokenGenerator(NODES.indexOf(node), clock.timeOfDay(), Span.seconds(0.1))),
                     new LeaderElection.Listener() {
                         @Override
                         public void leadershipGained(FencingToken token, Revision key, boolean bounds) {
-                            if (!ended) {
-                                if (token.value() <= world.highest) {
-                                    world.breaches.add(name + " gained token " + token + " after " + world.highest);
+                            if (!stopped) {
+                                if (token.value() <= cluster.highestToken) {
+                                    cluster.violations.add(
+                                            name + " gained token " + token + " after " + cluster.highestToken);
                                 }
-                                world.highest = Math.max(world.highest, token.value());
-                                world.took.add(Process.this);
-                                world.look();
+                                cluster.highestToken = Math.max(cluster.highestToken, token.value());
+                                cluster.gainedLeaderships.add(TestProcess.this);
+                                cluster.checkInvariants();
                             }
                         }
 
@@ -195,30 +196,31 @@
                         public void leadershipLost(String reason) {}
                     });
             // As in the controller: a node whose last connectivity check succeeded does not pledge.
-            leadership.askPeersBy(
-                    () -> world.ask(node, other -> other.unserved && other.leadership.pledge()),
-                    () -> world.ask(node, other -> !other.leadership.isLeading()));
-            unserved = false;
+            election.setPeerQueries(
+                    () -> cluster.queryPeers(node, other -> other.rejected && other.election.pledge()),
+                    () -> cluster.queryPeers(node, other -> !other.election.isLeading()));
+            rejected = false;
             vertx.setPeriodic(1, 500, t -> {
-                unserved = isRefused();
-                renewedBefore = unserved ? renewedBefore : clock.now();
-                if (ended) {
+                rejected = isRejected();
+                lastServedAt = rejected ? lastServedAt : clock.now();
+                if (stopped) {
                     vertx.cancelTimer(t);
                 }
             });
         }
 
-        boolean isRefused() {
-            return world.service.refusing || world.service.refused.contains(node);
+        boolean isRejected() {
+            return cluster.service.unavailable || cluster.service.rejectedCallers.contains(node);
         }
 
-        boolean ownLeaseIsOver() {
-            return isRefused() && clock.now().since(renewedBefore).compareTo(world.life.plus(Span.seconds(0.5))) > 0;
+        boolean hasLeaseExpired() {
+            return isRejected()
+                    && clock.now().since(lastServedAt).compareTo(cluster.leaseTime.plus(Span.seconds(0.5))) > 0;
         }
     }
 
     private static <T> T await(Future<T> future) throws Exception {
-        return future.toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
+        return future.toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     /**
@@ -227,93 +229,103 @@
      * expiring; the service has outages; transactions are executed late.
      */
     @Test
-    void oneLeadsAndTokensGrowWhateverHappens() throws Exception {
-        List<World> worlds = new ArrayList<>();
+    void atMostOneNodeLeadsAndTokensGrowUnderRandomFaults() throws Exception {
+        List<TestCluster> clusters = new ArrayList<>();
         for (long seed : IntStream.rangeClosed(1, 16).toArray()) {
-            World w = new World(seed, Span.seconds(3));
-            worlds.add(w);
-            w.on(() -> {
-                NODES.forEach(w::start);
-                w.after(0.5, () -> disturb(w));
+            TestCluster cluster = new TestCluster(seed, Span.seconds(3));
+            clusters.add(cluster);
+            cluster.callOnLoop(() -> {
+                NODES.forEach(cluster::start);
+                cluster.schedule(0.5, () -> injectFault(cluster));
                 return null;
             });
         }
-        Moment over = clock.now().plus(Span.seconds(25));
-        for (World w : worlds) {
-            w.until(() -> clock.now().isAfter(over) || !w.breaches.isEmpty());
+        Moment endAt = clock.now().plus(Span.seconds(25));
+        for (TestCluster cluster : clusters) {
+            cluster.waitUntil(() -> clock.now().isAfter(endAt) || !cluster.violations.isEmpty());
         }
-        for (World w : worlds) {
-            assertEquals(List.of(), w.on(() -> List.copyOf(w.breaches)));
+        for (TestCluster cluster : clusters) {
+            assertEquals(List.of(), cluster.callOnLoop(() -> List.copyOf(cluster.violations)));
         }
-        assertTrue(worlds.stream().mapToInt(w -> w.took.size()).sum() >= 4 * worlds.size(), "too few leadership changes");
-        assertTrue(worlds.stream().anyMatch(w -> w.bridged > 0), "no leader stayed valid by pledges");
+        assertTrue(
+                clusters.stream()
+                                .mapToInt(cluster -> cluster.gainedLeaderships.size())
+                                .sum()
+                        >= 4 * clusters.size(),
+                "too few leadership changes");
+        assertTrue(
+                clusters.stream().anyMatch(cluster -> cluster.bridgedChecks > 0), "no leader stayed valid by pledges");
     }
 
-    private void disturb(World w) {
-        SplittableRandom r = w.random;
-        String any = NODES.get(r.nextInt(NODES.size()));
-        Process leader = w.leader();
-        switch (r.nextInt(10)) {
-            case 0, 1 -> endAndReturn(w, any);
+    private void injectFault(TestCluster cluster) {
+        SplittableRandom random = cluster.random;
+        String randomNode = NODES.get(random.nextInt(NODES.size()));
+        TestProcess leader = cluster.leader();
+        switch (random.nextInt(10)) {
+            case 0, 1 -> restart(cluster, randomNode);
             case 2 -> {
                 if (leader != null) {
-                    leader.leadership.abdicate("test");
+                    leader.election.resign("test");
                 }
             }
             case 3 -> {
                 if (leader != null) {
-                    Revision key = leader.leadership.stepAside("test");
-                    for (double late : new double[] {r.nextDouble(0.3), r.nextDouble(6)}) {
-                        w.after(late, () -> {
-                            if (w.running.containsKey(any)) {
-                                w.running.get(any).leadership.removeKey(key);
+                    Revision key = leader.election.handOver("test");
+                    for (double delayS : new double[] {random.nextDouble(0.3), random.nextDouble(6)}) {
+                        cluster.schedule(delayS, () -> {
+                            if (cluster.processes.containsKey(randomNode)) {
+                                cluster.processes.get(randomNode).election.removeKey(key);
                             }
                         });
                     }
                 }
             }
-            case 4 -> refuse(w, any, 0.3 + r.nextDouble(4));
+            case 4 -> rejectRequests(cluster, randomNode, 0.3 + random.nextDouble(4));
             case 5, 7, 8 -> {
                 // Not an outage: leases expire while the leader stays valid by pledges. Then the service accepts
                 // requests of the nodes that pledged before those of the leader; one of these nodes may have restarted.
-                double least = 3.3 + r.nextDouble(1.5);
-                NODES.forEach(
-                        n -> refuse(w, n, least + (leader != null && n.equals(leader.node) ? 3 : r.nextDouble(1.5))));
-                if (r.nextBoolean()) {
-                    w.after(least + r.nextDouble(1) - 0.3, () -> endAndReturn(w, NODES.get(r.nextInt(NODES.size()))));
+                double minDelayS = 3.3 + random.nextDouble(1.5);
+                NODES.forEach(n -> rejectRequests(
+                        cluster,
+                        n,
+                        minDelayS + (leader != null && n.equals(leader.node) ? 3 : random.nextDouble(1.5))));
+                if (random.nextBoolean()) {
+                    cluster.schedule(
+                            minDelayS + random.nextDouble(1) - 0.3,
+                            () -> restart(cluster, NODES.get(random.nextInt(NODES.size()))));
                 }
-                w.after(least + r.nextDouble(3), () -> disturb(w));
+                cluster.schedule(minDelayS + random.nextDouble(3), () -> injectFault(cluster));
                 return;
             }
             case 6 -> {
-                if (!w.service.refusing) {
-                    w.service.refusing = true;
-                    w.after(1 + r.nextDouble(4), w.service::serveAgain);
+                if (!cluster.service.unavailable) {
+                    cluster.service.unavailable = true;
+                    cluster.schedule(1 + random.nextDouble(4), cluster.service::endOutage);
                 }
             }
             default -> {
-                w.service.delaying = (door, path) -> door.equals(any) && path.equals("/txn");
-                w.after(0.2 + r.nextDouble(3), () -> {
-                    w.service.delaying = (door, path) -> false;
-                    w.service.letThrough();
+                cluster.service.delayFilter = (door, path) -> door.equals(randomNode) && path.equals("/txn");
+                cluster.schedule(0.2 + random.nextDouble(3), () -> {
+                    cluster.service.delayFilter = (door, path) -> false;
+                    cluster.service.executeDelayed();
                 });
             }
         }
-        w.after(0.1 + r.nextDouble(r.nextInt(3) == 0 ? 3 : 0.8), () -> disturb(w));
+        cluster.schedule(0.1 + random.nextDouble(random.nextInt(3) == 0 ? 3 : 0.8), () -> injectFault(cluster));
     }
 
-    private void endAndReturn(World w, String node) {
-        w.end(node);
-        w.after(w.random.nextBoolean() ? 0.01 : w.random.nextDouble(1.2), () -> {
-            if (!w.running.containsKey(node)) {
-                w.start(node);
+    private void restart(TestCluster cluster, String node) {
+        cluster.stop(node);
+        cluster.schedule(cluster.random.nextBoolean() ? 0.01 : cluster.random.nextDouble(1.2), () -> {
+            if (!cluster.processes.containsKey(node)) {
+                cluster.start(node);
             }
         });
     }
 
-    private void refuse(World w, String node, double s) {
-        if (w.service.refused.add(node)) {
-            w.after(s, () -> w.service.refused.remove(node));
+    private void rejectRequests(TestCluster cluster, String node, double durationS) {
+        if (cluster.service.rejectedCallers.add(node)) {
+            cluster.schedule(durationS, () -> cluster.service.rejectedCallers.remove(node));
         }
     }
 
@@ -324,112 +336,118 @@
      */
     @ParameterizedTest
     @CsvSource({"another leads", "another has led", "it has pledged"})
-    void aCampaignThatIsCarriedOutLateMakesNobodyLead(String meanwhile) throws Exception {
-        World w = new World(1, Span.seconds(6));
-        w.service.delaying = (door, path) -> door.equals("a") && path.equals("/txn");
-        Process a = w.on(() -> w.start("a"));
-        w.until(() -> w.service.delayed() > 0);
-        assertFalse(w.on(() -> a.leadership.pledge()), "a node with a campaign in progress pledged");
-        w.on(() -> {
+    void delayedCampaignDoesNotCreateAValidLeader(String meanwhile) throws Exception {
+        TestCluster cluster = new TestCluster(1, Span.seconds(6));
+        cluster.service.delayFilter = (door, path) -> door.equals("a") && path.equals("/txn");
+        TestProcess nodeA = cluster.callOnLoop(() -> cluster.start("a"));
+        cluster.waitUntil(() -> cluster.service.delayed() > 0);
+        assertFalse(cluster.callOnLoop(() -> nodeA.election.pledge()), "a node with a campaign in progress pledged");
+        cluster.callOnLoop(() -> {
             // Rejected from now on, so node a sends no further campaign; its first one times out after 2 s.
-            w.service.refused.add("a");
+            cluster.service.rejectedCallers.add("a");
             return null;
         });
-        w.until(a.leadership::pledge);
-        Moment pledged = clock.now();
+        cluster.waitUntil(nodeA.election::pledge);
+        Moment pledgedAt = clock.now();
         if (meanwhile.startsWith("another")) {
-            Process b = w.on(() -> w.start("b"));
-            w.until(b.leadership::isValid);
+            TestProcess nodeB = cluster.callOnLoop(() -> cluster.start("b"));
+            cluster.waitUntil(nodeB.election::isValid);
             if (meanwhile.endsWith("has led")) {
-                w.on(() -> b.leadership.abdicate("test"));
-                w.on(() -> {
-                    w.end("b");
+                cluster.callOnLoop(() -> nodeB.election.resign("test"));
+                cluster.callOnLoop(() -> {
+                    cluster.stop("b");
                     return null;
                 });
             }
         }
-        Moment late = w.on(() -> {
-            w.service.delaying = (door, path) -> false;
-            w.service.letThrough();
+        Moment executedAt = cluster.callOnLoop(() -> {
+            cluster.service.delayFilter = (door, path) -> false;
+            cluster.service.executeDelayed();
             assertEquals(
                     meanwhile.startsWith("another") ? meanwhile.endsWith("has led") ? "none" : "b" : "a",
-                    w.service.has(RecordKeys.LEADER)
-                            ? w.service.value(RecordKeys.LEADER).text("node")
+                    cluster.service.has(RecordKeys.LEADER)
+                            ? cluster.service.value(RecordKeys.LEADER).text("node")
                             : "none",
                     "the node in the leadership key");
-            assertFalse(a.leadership.isLeading());
-            w.service.refused.clear();
+            assertFalse(nodeA.election.isLeading());
+            cluster.service.rejectedCallers.clear();
             return clock.now();
         });
         if (meanwhile.equals("another leads")) {
-            w.until(() -> clock.now().since(late).compareTo(Span.seconds(1)) > 0);
-            assertEquals(List.of("b"), w.took.stream().map(p -> p.node).toList());
+            cluster.waitUntil(() -> clock.now().since(executedAt).compareTo(Span.seconds(1)) > 0);
+            assertEquals(
+                    List.of("b"),
+                    cluster.gainedLeaderships.stream().map(p -> p.node).toList());
             return;
         }
-        w.until(a.leadership::isValid);
-        assertTrue(clock.now().since(pledged).compareTo(GivenPledges.PLEDGE_TIME) >= 0, "node a gained leadership before its pledge expired");
-        assertEquals(List.of(), w.breaches);
+        cluster.waitUntil(nodeA.election::isValid);
+        assertTrue(
+                clock.now().since(pledgedAt).compareTo(GivenPledges.PLEDGE_TIME) >= 0,
+                "node a gained leadership before its pledge expired");
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** Late and repeated requests to remove a resigned leader's key do not end the next leadership of the same node. */
     @Test
-    void aLateHandoverDoesNotAffectTheNextTermOfTheSameNode() throws Exception {
-        World w = new World(1, Span.seconds(1));
-        Process a = w.on(() -> w.start("a"));
-        w.until(a.leadership::isValid);
-        Revision first = w.on(() -> a.leadership.stepAside("test"));
-        w.until(() -> w.took.size() == 2 && a.leadership.isValid());
-        Revision second = w.on(a.leadership::leadershipRevision);
+    void lateKeyRemovalDoesNotAffectTheNextTermOfTheSameNode() throws Exception {
+        TestCluster cluster = new TestCluster(1, Span.seconds(1));
+        TestProcess nodeA = cluster.callOnLoop(() -> cluster.start("a"));
+        cluster.waitUntil(nodeA.election::isValid);
+        Revision first = cluster.callOnLoop(() -> nodeA.election.handOver("test"));
+        cluster.waitUntil(() -> cluster.gainedLeaderships.size() == 2 && nodeA.election.isValid());
+        Revision second = cluster.callOnLoop(nodeA.election::leadershipRevision);
         for (int times = 0; times < 2; times++) {
-            await(w.on(() -> a.leadership.removeKey(first)));
+            await(cluster.callOnLoop(() -> nodeA.election.removeKey(first)));
         }
-        Moment asked = clock.now();
-        w.until(() -> clock.now().since(asked).compareTo(Span.seconds(1.5)) > 0);
-        assertTrue(w.on(() ->
-                a.leadership.isValid() && a.leadership.leadershipRevision().equals(second)));
-        assertEquals(2, w.took.size());
-        assertEquals(List.of(), w.breaches);
+        Moment removedAt = clock.now();
+        cluster.waitUntil(() -> clock.now().since(removedAt).compareTo(Span.seconds(1.5)) > 0);
+        assertTrue(cluster.callOnLoop(() ->
+                nodeA.election.isValid() && nodeA.election.leadershipRevision().equals(second)));
+        assertEquals(2, cluster.gainedLeaderships.size());
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** The response to a renewal arrives after the node has gained another lease: it must not affect the new lease. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void aLateRenewalResponseDoesNotAffectTheNextLease(boolean ended) throws Exception {
-        World w = new World(1, Span.seconds(6));
-        Process a = w.on(() -> w.start("a"));
-        w.until(a.leadership::isValid);
-        w.on(() -> {
-            w.service.delaying = (door, path) -> path.endsWith("/renew");
+    void lateRenewalResponseDoesNotAffectTheNextLease(boolean leasesEnd) throws Exception {
+        TestCluster cluster = new TestCluster(1, Span.seconds(6));
+        TestProcess nodeA = cluster.callOnLoop(() -> cluster.start("a"));
+        cluster.waitUntil(nodeA.election::isValid);
+        cluster.callOnLoop(() -> {
+            cluster.service.delayFilter = (door, path) -> path.endsWith("/renew");
             return null;
         });
-        w.until(() -> w.service.delayed() > 0);
-        Moment sent = clock.now();
-        w.until(() -> clock.now().since(sent).compareTo(Span.seconds(1)) > 0);
-        w.on(() -> {
-            Revision key = a.leadership.leadershipRevision();
-            a.leadership.deposed();
-            if (ended) {
-                w.service.endLeases();
+        cluster.waitUntil(() -> cluster.service.delayed() > 0);
+        Moment delayedAt = clock.now();
+        cluster.waitUntil(() -> clock.now().since(delayedAt).compareTo(Span.seconds(1)) > 0);
+        cluster.callOnLoop(() -> {
+            Revision key = nodeA.election.leadershipRevision();
+            nodeA.election.onLeadershipConflict();
+            if (leasesEnd) {
+                cluster.service.endLeases();
                 return null;
             }
-            return a.leadership.removeKey(key);
+            return nodeA.election.removeKey(key);
         });
-        w.until(() -> w.took.size() == 2);
-        Moment again = clock.now();
-        w.on(() -> {
+        cluster.waitUntil(() -> cluster.gainedLeaderships.size() == 2);
+        Moment regainedAt = clock.now();
+        cluster.callOnLoop(() -> {
             // All delayed renewals are of the first lease, as the renewal task has not yet renewed the second.
-            w.service.letThrough();
+            cluster.service.executeDelayed();
             return null;
         });
-        w.until(() -> clock.now().since(again).compareTo(Span.seconds(1)) > 0 || w.took.size() > 2);
-        assertEquals(2, w.took.size(), "the second leadership continues");
+        cluster.waitUntil(() ->
+                clock.now().since(regainedAt).compareTo(Span.seconds(1)) > 0 || cluster.gainedLeaderships.size() > 2);
+        assertEquals(2, cluster.gainedLeaderships.size(), "the second leadership continues");
         // No renewal of the second lease succeeds, so its validity counts from its request, not from the renewal of the
         // first lease.
-        w.until(() -> !a.leadership.isValid());
-        Span valid = clock.now().since(again);
+        cluster.waitUntil(() -> !nodeA.election.isValid());
+        Span validity = clock.now().since(regainedAt);
         assertTrue(
-                valid.compareTo(w.life) < 0 && valid.compareTo(w.life.minus(Span.seconds(0.75))) > 0,
-                "validity " + valid + " does not match the time of the second lease");
+                validity.compareTo(cluster.leaseTime) < 0
+                        && validity.compareTo(cluster.leaseTime.minus(Span.seconds(0.75))) > 0,
+                "validity " + validity + " does not match the time of the second lease");
     }
 
     /**
@@ -438,42 +456,43 @@
      */
     @ParameterizedTest
     @CsvSource({"no node, true", "another node, false", "own campaign without a response, true"})
-    void aNodeSucceedsItselfOnlyIfNobodyHasLedSince(String between, boolean itself) throws Exception {
-        World w = new World(1, Span.seconds(2));
-        Process a = w.on(() -> w.start("a"));
-        w.until(a.leadership::isValid);
-        assertTrue(w.on(a.leadership::succeedsItself), "the first leadership of the deployment");
+    void ledPreviousTermOnlyIfNoOtherNodeHasLed(String between, boolean ledPreviousTerm) throws Exception {
+        TestCluster cluster = new TestCluster(1, Span.seconds(2));
+        TestProcess nodeA = cluster.callOnLoop(() -> cluster.start("a"));
+        cluster.waitUntil(nodeA.election::isValid);
+        assertTrue(cluster.callOnLoop(nodeA.election::ledPreviousTerm), "the first leadership of the deployment");
         switch (between) {
             case "another node" -> {
-                w.on(() -> {
-                    w.service.refused.add("a");
-                    w.service.endLeases();
-                    return w.start("b");
+                cluster.callOnLoop(() -> {
+                    cluster.service.rejectedCallers.add("a");
+                    cluster.service.endLeases();
+                    return cluster.start("b");
                 });
-                w.until(() -> w.took.size() == 2);
-                await(w.on(() -> w.running.get("b").leadership.abdicate("test")));
-                w.on(() -> {
-                    w.end("b");
-                    w.service.endLeases();
-                    return w.service.refused.remove("a");
+                cluster.waitUntil(() -> cluster.gainedLeaderships.size() == 2);
+                await(cluster.callOnLoop(
+                        () -> cluster.processes.get("b").election.resign("test")));
+                cluster.callOnLoop(() -> {
+                    cluster.stop("b");
+                    cluster.service.endLeases();
+                    return cluster.service.rejectedCallers.remove("a");
                 });
             }
             case "no node" ->
-                w.on(() -> {
-                    a.leadership.deposed();
+                cluster.callOnLoop(() -> {
+                    nodeA.election.onLeadershipConflict();
                     return null;
                 });
             default ->
-                w.on(() -> {
-                    w.service.losingAnswers = 1;
-                    a.leadership.deposed();
+                cluster.callOnLoop(() -> {
+                    cluster.service.responsesToLose = 1;
+                    nodeA.election.onLeadershipConflict();
                     return null;
                 });
         }
-        int before = w.took.size();
-        w.until(() -> w.took.size() > before && a.leadership.isValid());
-        assertEquals(itself, w.on(a.leadership::succeedsItself));
-        assertEquals(List.of(), w.breaches);
+        int leadershipsBefore = cluster.gainedLeaderships.size();
+        cluster.waitUntil(() -> cluster.gainedLeaderships.size() > leadershipsBefore && nodeA.election.isValid());
+        assertEquals(ledPreviousTerm, cluster.callOnLoop(nodeA.election::ledPreviousTerm));
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** Rejected campaigns return their tokens, so that tokens do not run ahead of the clock that the next process starts from. */
@@ -485,7 +504,8 @@
         for (int n = 0; n < 100; n++) {
             FencingToken refused = tokens.next(FencingToken.NONE, clock.timeOfDay());
             assertTrue(
-                    refused.value() > held.value() && held.value() > first.value(), "the new token is not above the tokens of campaigns that may still be executed");
+                    refused.value() > held.value() && held.value() > first.value(),
+                    "the new token is not above the tokens of campaigns that may still be executed");
             tokens.unused(refused);
         }
         assertEquals(3 << 5, tokens.next(FencingToken.NONE, clock.timeOfDay()).value() - (first.value() - (1 << 5)));
--- a/src/test/java/io/indigoreach/state/JobRecordCodecTest.java
+++ b/src/test/java/io/indigoreach/state/JobRecordCodecTest.java
@@ -57,37 +57,39 @@
         done.set(tasks - 1);
         Map<String, Object> record = JobRecordCodec.writeJob(spec(tasks), 42, JobStatus.RUNNING, done, 7, 5);
         assertTrue(MessagePackFormat.write(record).length() <= VALUE_BYTES);
-        JobRecord back = JobRecordCodec.readJob(
+        JobRecord decoded = JobRecordCodec.readJob(
                 spec(tasks).id(), MessagePackFormat.readMap(MessagePackFormat.write(record)), new Revision(9));
-        BitSet bits = back.done();
-        int blocks = TestBlocks.blocks(tasks);
+        BitSet bits = decoded.done();
+        int blocks = LegacyCompletionBlocks.blockCount(tasks);
         assertTrue(blocks + 2 <= TXN_OPS);
-        for (int n = 0; n < blocks; n++) {
-            Map<String, Object> block = TestBlocks.writeBlock(done, n);
+        for (int blockNumber = 0; blockNumber < blocks; blockNumber++) {
+            Map<String, Object> block = LegacyCompletionBlocks.writeBlock(done, blockNumber);
             assertTrue(MessagePackFormat.write(block).length() <= VALUE_BYTES);
-            String key = RecordKeys.blockKey(back.id(), n);
-            assertEquals(back.id(), RecordKeys.jobOfBlock(key));
-            TestBlocks.readBlock(key, MessagePackFormat.readMap(MessagePackFormat.write(block)), bits);
+            String key = RecordKeys.completionBlockKey(decoded.id(), blockNumber);
+            assertEquals(decoded.id(), RecordKeys.jobOfCompletionBlock(key));
+            LegacyCompletionBlocks.readBlock(key, MessagePackFormat.readMap(MessagePackFormat.write(block)), bits);
         }
         assertEquals(done, bits);
         assertEquals(
                 new JobRecord(spec(tasks), 42, JobStatus.RUNNING, bits, done.cardinality(), 7, 5, new Revision(9)),
-                back);
+                decoded);
     }
 
     /** Older versions treat dependencies as an additional field and preserve it. With a hundred job ids it stays short. */
     @ParameterizedTest
     @ValueSource(longs = {0, 1_790_000_000_000L})
-    void dependenciesAreStoredAmongTheAdditionalFields(long released) {
-        List<JobId> needs = IntStream.range(100_000, 100_100)
+    void dependenciesAreStoredAmongTheAdditionalFields(long releasedAtMs) {
+        List<JobId> requiredJobs = IntStream.range(100_000, 100_100)
                 .mapToObj(n -> new JobId("run-" + n))
                 .toList();
-        JobSpec chained = spec(16).with(new JobDependencies(needs, released)).with("plan", Map.of("day", "d"));
-        Map<String, Object> record = JobRecordCodec.writeJob(chained, 42, JobStatus.PENDING, new BitSet(), 0, 0);
+        JobSpec jobWithDependencies =
+                spec(16).with(new JobDependencies(requiredJobs, releasedAtMs)).with("plan", Map.of("day", "d"));
+        Map<String, Object> record =
+                JobRecordCodec.writeJob(jobWithDependencies, 42, JobStatus.PENDING, new BitSet(), 0, 0);
         assertTrue(record.get("more").toString().length() < 800);
-        JobRecord back = JobRecordCodec.readJob(
-                chained.id(), MessagePackFormat.readMap(MessagePackFormat.write(record)), new Revision(9));
-        assertEquals(chained, back.spec());
-        assertEquals(Map.of("plan", Map.of("day", "d")), back.spec().more());
+        JobRecord decoded = JobRecordCodec.readJob(
+                jobWithDependencies.id(), MessagePackFormat.readMap(MessagePackFormat.write(record)), new Revision(9));
+        assertEquals(jobWithDependencies, decoded.spec());
+        assertEquals(Map.of("plan", Map.of("day", "d")), decoded.spec().more());
     }
 }
--- a/src/test/java/io/indigoreach/state/LeaderElectionTest.java
+++ b/src/test/java/io/indigoreach/state/LeaderElectionTest.java
@@ -34,15 +34,15 @@
     private final Vertx vertx = Vertx.vertx();
     private final BlockingQueue<String> events = new ArrayBlockingQueue<>(100);
     private final SteadyClock clock = new SteadyClock();
-    private final AtomicLong highest = new AtomicLong();
+    private final AtomicLong highestToken = new AtomicLong();
     /** The number of leaderships that had a higher token than all before. */
-    private final AtomicLong taken = new AtomicLong();
+    private final AtomicLong leadershipCount = new AtomicLong();
 
-    private StateStandIn service;
+    private FakeStateService service;
 
     @BeforeEach
     void listen() throws Exception {
-        service = new StateStandIn()
+        service = new FakeStateService()
                 .listen(vertx)
                 .toCompletionStage()
                 .toCompletableFuture()
@@ -54,15 +54,16 @@
         vertx.close().toCompletionStage().toCompletableFuture().get();
     }
 
-    private LeaderElection node(String node, String process, int peers) {
-        return node(node, process, peers, Span.seconds(10));
+    private LeaderElection startNode(String node, String process, int peers) {
+        return startNode(node, process, peers, Span.seconds(10));
     }
 
-    private LeaderElection node(String node, String process, int peers, Span life) {
-        return node(node, process, peers, life, () -> Future.succeededFuture(false));
+    private LeaderElection startNode(String node, String process, int peers, Span leaseTime) {
+        return startNode(node, process, peers, leaseTime, () -> Future.succeededFuture(false));
     }
 
-    private LeaderElection node(String node, String process, int peers, Span life, Supplier<Future<Boolean>> unled) {
+    private LeaderElection startNode(
+            String node, String process, int peers, Span leaseTime, Supplier<Future<Boolean>> leaderlessQuery) {
         StateClient client = new StateClient(
                 new ServiceClient(vertx, service.endpoint(), 4), new ServiceClient(vertx, service.endpoint(), 2));
         LeaderElection election = new LeaderElection(
@@ -71,13 +72,13 @@
                         new StateAccess(vertx, client),
                         clock,
                         new Candidate(node, process, peers),
-                        life,
+                        leaseTime,
                         new TokenGenerator(node.charAt(0) - 'a', clock.timeOfDay(), Span.seconds(0.1))),
                 new LeaderElection.Listener() {
                     @Override
                     public void leadershipGained(FencingToken token, Revision key, boolean bounds) {
-                        boolean above = token.value() > highest.getAndSet(token.value());
-                        events.add(process + " gained " + (above ? taken.incrementAndGet() : "an old token")
+                        boolean above = token.value() > highestToken.getAndSet(token.value());
+                        events.add(process + " gained " + (above ? leadershipCount.incrementAndGet() : "an old token")
                                 + (bounds ? "" : ", start bounds unreliable"));
                     }
 
@@ -86,24 +87,24 @@
                         events.add(process + " lost");
                     }
                 });
-        election.askPeersBy(() -> Future.succeededFuture(false), unled);
+        election.setPeerQueries(() -> Future.succeededFuture(false), leaderlessQuery);
         vertx.runOnContext(v -> election.start());
         return election;
     }
 
-    private String next() throws InterruptedException {
+    private String nextEvent() throws InterruptedException {
         return events.poll(20, TimeUnit.SECONDS);
     }
 
     @Test
-    void theNextLeadersTokenIsHigherAndTheFirstIsNotValidAnyMore() throws Exception {
-        LeaderElection a = node("a", "a1", 0);
-        assertEquals("a1 gained 1", next());
-        assertTrue(a.isValid());
-        vertx.runOnContext(v -> a.stop());
-        node("b", "b1", 0);
+    void nextLeaderHasHigherToken() throws Exception {
+        LeaderElection nodeA = startNode("a", "a1", 0);
+        assertEquals("a1 gained 1", nextEvent());
+        assertTrue(nodeA.isValid());
+        vertx.runOnContext(v -> nodeA.stop());
+        startNode("b", "b1", 0);
         service.endLeases();
-        assertEquals("b1 gained 2", next());
+        assertEquals("b1 gained 2", nextEvent());
     }
 
     /** A starting node waits for a leader before it accepts requests if the deployment has had a leader and has none now. */
@@ -115,19 +116,21 @@
         "b, true, true, false",
         "b, true, false, true"
     })
-    void aNodeThatStartsKnowsWhetherAnybodyLeads(String leader, boolean counter, boolean answers, boolean leaderless)
-            throws Exception {
+    void startingNodeDetectsLeaderlessDeployment(
+            String leader, boolean counterExists, boolean peerLeads, boolean leaderless) throws Exception {
         StateClient client = new StateClient(
                 new ServiceClient(vertx, service.endpoint(), 4), new ServiceClient(vertx, service.endpoint(), 2));
-        StateClient.Txn there = new StateClient.Txn();
-        if (counter) {
-            there.put(RecordKeys.COUNTER, new CounterRecord(new FencingToken(4), true, CounterRecord.FIRST).write());
+        StateClient.Txn initialState = new StateClient.Txn();
+        if (counterExists) {
+            initialState.put(
+                    RecordKeys.COUNTER,
+                    new CounterRecord(new FencingToken(4), true, CounterRecord.ORIGINAL_FORMAT).write());
         }
         if (!leader.equals("-")) {
-            there.put(RecordKeys.LEADER, LeaderKey.write(leader, "p", new FencingToken(4)));
+            initialState.put(RecordKeys.LEADER, LeaderKey.write(leader, "p", new FencingToken(4)));
         }
-        client.commit(there).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
-        LeaderElection a = new LeaderElection(
+        client.commit(initialState).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
+        LeaderElection nodeA = new LeaderElection(
                 new ElectionSettings(
                         new StateAccess(vertx, client),
                         new StateAccess(vertx, client),
@@ -138,7 +141,7 @@
                 null);
         assertEquals(
                 leaderless,
-                a.clearPredecessor(node -> Future.succeededFuture(answers && node.equals("b")))
+                nodeA.clearPredecessorKey(node -> Future.succeededFuture(peerLeads && node.equals("b")))
                         .toCompletionStage()
                         .toCompletableFuture()
                         .get(20, TimeUnit.SECONDS));
@@ -146,65 +149,65 @@
 
     /** Guards against waiting a full lease time for the node's own previous process, which has ended. */
     @Test
-    void aRestartedNodeTakesItsPredecessorsPlace() throws Exception {
-        LeaderElection a = node("a", "a1", 0);
-        assertEquals("a1 gained 1", next());
-        vertx.runOnContext(v -> a.stop());
-        node("a", "a2", 0);
-        assertEquals("a2 gained 2", next());
+    void restartedNodeDoesNotWaitForItsOldLease() throws Exception {
+        LeaderElection nodeA = startNode("a", "a1", 0);
+        assertEquals("a1 gained 1", nextEvent());
+        vertx.runOnContext(v -> nodeA.stop());
+        startNode("a", "a2", 0);
+        assertEquals("a2 gained 2", nextEvent());
     }
 
     @Test
-    void aRestartedNodeLetsANodeThatIsUpLeadFirst() throws Exception {
-        LeaderElection a = node("a", "a1", 2);
-        assertEquals("a1 gained 1", next());
-        vertx.runOnContext(v -> a.stop());
-        node("b", "b1", 2);
-        while (service.transactions < 1) {
+    void restartedNodeLetsRunningNodeLeadFirst() throws Exception {
+        LeaderElection nodeA = startNode("a", "a1", 2);
+        assertEquals("a1 gained 1", nextEvent());
+        vertx.runOnContext(v -> nodeA.stop());
+        startNode("b", "b1", 2);
+        while (service.transactionCount < 1) {
             Thread.onSpinWait();
         }
-        node("a", "a2", 2);
-        assertTrue(next().endsWith("took 2"));
+        startNode("a", "a2", 2);
+        assertTrue(nextEvent().endsWith("took 2"));
     }
 
     /** The campaign was executed but its response lost: the process may campaign again with a higher token. */
     @Test
-    void aLostAnswerToTheCampaignDoesNotBlockLeadership() throws Exception {
-        service.losingAnswers = 1;
-        node("a", "a1", 0);
-        assertEquals("a1 gained 1", next());
+    void lostCampaignResponseDoesNotBlockLeadership() throws Exception {
+        service.responsesToLose = 1;
+        startNode("a", "a1", 0);
+        assertEquals("a1 gained 1", nextEvent());
     }
 
     @Test
-    void aLeaderWhoseLeaseHasEndedSaysSo() throws Exception {
-        LeaderElection a = node("a", "a1", 0);
-        assertEquals("a1 gained 1", next());
+    void leaderReportsLossWhenItsLeaseEnds() throws Exception {
+        LeaderElection nodeA = startNode("a", "a1", 0);
+        assertEquals("a1 gained 1", nextEvent());
         service.endLeases();
-        assertEquals("a1 lost", next());
-        assertEquals("a1 gained 2", next());
-        vertx.runOnContext(v -> a.deposed());
-        assertEquals("a1 lost", next());
-        assertFalse(a.isValid() && events.isEmpty());
+        assertEquals("a1 lost", nextEvent());
+        assertEquals("a1 gained 2", nextEvent());
+        vertx.runOnContext(v -> nodeA.onLeadershipConflict());
+        assertEquals("a1 lost", nextEvent());
+        assertFalse(nodeA.isValid() && events.isEmpty());
     }
 
     /** Guards against a leader that the state service alone rejects and whose key stays for a full lease time. */
     @Test
-    void aPeerRemovesTheKeyOfALeaderThatSteppedAside() throws Exception {
-        LeaderElection a = node("a", "a1", 2);
-        assertEquals("a1 gained 1", next());
-        LeaderElection b = node("b", "b1", 2);
-        service.keepingLeases = true;
+    void peerRemovesTheKeyOfAResignedLeader() throws Exception {
+        LeaderElection nodeA = startNode("a", "a1", 2);
+        assertEquals("a1 gained 1", nextEvent());
+        LeaderElection nodeB = startNode("b", "b1", 2);
+        service.ignoreLeaseRevocation = true;
         CompletableFuture<Revision> key = new CompletableFuture<>();
         vertx.runOnContext(v -> {
-            key.complete(a.stepAside("state service unreachable"));
-            a.stop();
+            key.complete(nodeA.handOver("state service unreachable"));
+            nodeA.stop();
         });
-        assertEquals("a1 lost", next());
+        assertEquals("a1 lost", nextEvent());
         vertx.runOnContext(v -> {
-            var unused = key.thenAccept(b::removeKey);
+            var unused = key.thenAccept(nodeB::removeKey);
         });
-        assertEquals("b1 gained 2", next());
-        b.removeKey(key.get()).toCompletionStage().toCompletableFuture().get();
+        assertEquals("b1 gained 2", nextEvent());
+        nodeB.removeKey(key.get()).toCompletionStage().toCompletableFuture().get();
         assertTrue(service.has(RecordKeys.LEADER), "a late request removed a later leader's key");
     }
 
@@ -213,43 +216,43 @@
      * them. Start bounds are reliable again once a leader has confirmed them for all open jobs.
      */
     @Test
-    void boundsAreNotBelievedAfterAnOlderVersionHasLed() throws Exception {
+    void startBoundsAreUnreliableAfterAnOlderVersionHasLed() throws Exception {
         StateClient client = new StateClient(
                 new ServiceClient(vertx, service.endpoint(), 1), new ServiceClient(vertx, service.endpoint(), 1));
         client.commit(new StateClient.Txn().put(RecordKeys.COUNTER, MessagePackFormat.map("value", 7L)))
                 .toCompletionStage()
                 .toCompletableFuture()
                 .get();
-        LeaderElection a = node("a", "a1", 0);
-        assertEquals("a1 gained 1, start bounds unreliable", next());
-        vertx.runOnContext(v -> a.deposed());
-        assertEquals("a1 lost", next());
-        assertEquals("a1 gained 2, start bounds unreliable", next());
-        CompletableFuture<Void> vouched = new CompletableFuture<>();
-        vertx.runOnContext(v -> a.confirmStartBounds().onComplete(r -> vouched.complete(null)));
-        vouched.get();
-        vertx.runOnContext(v -> a.deposed());
-        assertEquals("a1 lost", next());
-        assertEquals("a1 gained 3", next());
+        LeaderElection nodeA = startNode("a", "a1", 0);
+        assertEquals("a1 gained 1, start bounds unreliable", nextEvent());
+        vertx.runOnContext(v -> nodeA.onLeadershipConflict());
+        assertEquals("a1 lost", nextEvent());
+        assertEquals("a1 gained 2, start bounds unreliable", nextEvent());
+        CompletableFuture<Void> confirmed = new CompletableFuture<>();
+        vertx.runOnContext(v -> nodeA.confirmStartBounds().onComplete(r -> confirmed.complete(null)));
+        confirmed.get();
+        vertx.runOnContext(v -> nodeA.onLeadershipConflict());
+        assertEquals("a1 lost", nextEvent());
+        assertEquals("a1 gained 3", nextEvent());
     }
 
     /** Guards against a reused token: after the leadership key and the counter were deleted, the next leader got token 1 again. */
     @ParameterizedTest
     @ValueSource(strings = {"leader", "counter", "leader counter"})
-    void noTokenIsTakenTwiceWhateverIsDeleted(String keys) throws Exception {
+    void tokensAreNotReusedAfterKeysAreDeleted(String keys) throws Exception {
         StateClient client = new StateClient(
                 new ServiceClient(vertx, service.endpoint(), 1), new ServiceClient(vertx, service.endpoint(), 1));
-        LeaderElection a = node("a", "a1", 2);
-        assertEquals("a1 gained 1", next());
+        LeaderElection nodeA = startNode("a", "a1", 2);
+        assertEquals("a1 gained 1", nextEvent());
         for (int round = 2; round < 4; round++) {
-            StateClient.Txn loss = new StateClient.Txn();
-            List.of(keys.split(" ")).forEach(loss::delete);
-            client.commit(loss).toCompletionStage().toCompletableFuture().get();
+            StateClient.Txn deletion = new StateClient.Txn();
+            List.of(keys.split(" ")).forEach(deletion::delete);
+            client.commit(deletion).toCompletionStage().toCompletableFuture().get();
             if (!keys.contains("leader")) {
-                vertx.runOnContext(v -> a.deposed());
+                vertx.runOnContext(v -> nodeA.onLeadershipConflict());
             }
-            assertEquals("a1 lost", next());
-            assertEquals("a1 gained " + round, next(), "the former leader waited for its own lease");
+            assertEquals("a1 lost", nextEvent());
+            assertEquals("a1 gained " + round, nextEvent(), "the former leader waited for its own lease");
         }
     }
 
@@ -259,31 +262,31 @@
      */
     @ParameterizedTest
     @CsvSource({"always, true", "never, false", "late, false"})
-    void pledgesBridgeAnOutageAndNothingElseDoes(String pledged, boolean valid) throws Exception {
-        LeaderElection a = node("a", "a1", 2, Span.seconds(3));
+    void onlyPledgesOfAllPeersBridgeAnOutage(String pledged, boolean valid) throws Exception {
+        LeaderElection nodeA = startNode("a", "a1", 2, Span.seconds(3));
         AtomicBoolean pledging = new AtomicBoolean("always".equals(pledged));
-        vertx.runOnContext(
-                v -> a.askPeersBy(() -> Future.succeededFuture(pledging.get()), () -> Future.succeededFuture(false)));
-        assertEquals("a1 gained 1", next());
-        service.refusing = true;
-        Moment over = clock.now().plus(Span.seconds(3.5));
-        while (a.isValid() && clock.now().isBefore(over)) {
+        vertx.runOnContext(v -> nodeA.setPeerQueries(
+                () -> Future.succeededFuture(pledging.get()), () -> Future.succeededFuture(false)));
+        assertEquals("a1 gained 1", nextEvent());
+        service.unavailable = true;
+        Moment endAt = clock.now().plus(Span.seconds(3.5));
+        while (nodeA.isValid() && clock.now().isBefore(endAt)) {
             Thread.onSpinWait();
         }
         pledging.set(!"never".equals(pledged));
-        CompletableFuture<Boolean> asked = new CompletableFuture<>();
-        vertx.runOnContext(v -> a.askPeersBy(
+        CompletableFuture<Boolean> requested = new CompletableFuture<>();
+        vertx.runOnContext(v -> nodeA.setPeerQueries(
                 () -> {
-                    vertx.setTimer(1, t -> asked.complete(true));
+                    vertx.setTimer(1, t -> requested.complete(true));
                     return Future.succeededFuture(pledging.get());
                 },
                 () -> Future.succeededFuture(false)));
         if (valid) {
-            asked.get(20, TimeUnit.SECONDS);
+            requested.get(20, TimeUnit.SECONDS);
         }
-        assertEquals(valid, a.isValid());
-        service.refusing = false;
-        while (!a.isValid()) {
+        assertEquals(valid, nodeA.isValid());
+        service.unavailable = false;
+        while (!nodeA.isValid()) {
             Thread.onSpinWait();
         }
         assertTrue(events.isEmpty(), "leadership changed although the lease never ended");
@@ -291,40 +294,42 @@
 
     /** Guards against two leaders: a node whose pledge, or whose previous process's pledge, may be in force does not campaign. */
     @Test
-    void aPledgeDefersCampaigning() throws Exception {
-        LeaderElection a = node("a", "a1", 2);
-        assertEquals("a1 gained 1", next());
-        assertFalse(a.pledge(), "a leader pledged");
-        LeaderElection b = node("b", "b1", 2);
-        while (service.transactions < 2 && b.leader() == null) {
+    void pledgeDefersCampaigning() throws Exception {
+        LeaderElection nodeA = startNode("a", "a1", 2);
+        assertEquals("a1 gained 1", nextEvent());
+        assertFalse(nodeA.pledge(), "a leader pledged");
+        LeaderElection nodeB = startNode("b", "b1", 2);
+        while (service.transactionCount < 2 && nodeB.leaderNode() == null) {
             Thread.onSpinWait();
         }
-        CompletableFuture<Moment> pledge = new CompletableFuture<>();
+        CompletableFuture<Moment> pledgedAt = new CompletableFuture<>();
         vertx.runOnContext(v -> {
-            assertTrue(b.pledge());
-            pledge.complete(clock.now());
-            a.stop();
+            assertTrue(nodeB.pledge());
+            pledgedAt.complete(clock.now());
+            nodeA.stop();
             service.endLeases();
         });
-        Moment given = pledge.get();
-        assertEquals("b1 gained 2", next());
-        assertTrue(clock.now().since(given).compareTo(GivenPledges.PLEDGE_TIME) >= 0);
-        vertx.runOnContext(v -> b.stop());
-        Moment began = clock.now();
-        LeaderElection c = node("c", "c1", 2);
+        Moment pledgeTime = pledgedAt.get();
+        assertEquals("b1 gained 2", nextEvent());
+        assertTrue(clock.now().since(pledgeTime).compareTo(GivenPledges.PLEDGE_TIME) >= 0);
+        vertx.runOnContext(v -> nodeB.stop());
+        Moment startedAt = clock.now();
+        LeaderElection nodeC = startNode("c", "c1", 2);
         service.endLeases();
-        assertEquals("c1 gained 3", next());
+        assertEquals("c1 gained 3", nextEvent());
         assertTrue(
-                clock.now().since(began).compareTo(GivenPledges.PLEDGE_TIME) >= 0,
+                clock.now().since(startedAt).compareTo(GivenPledges.PLEDGE_TIME) >= 0,
                 "node c campaigned although its previous process may have pledged");
         service.endLeases();
-        assertEquals("c1 lost", next());
-        vertx.runOnContext(v -> c.stop());
-        AtomicBoolean asked = new AtomicBoolean();
-        LeaderElection d =
-                node("d", "d1", 2, Span.seconds(10), () -> Future.succeededFuture(asked.compareAndSet(false, true)));
+        assertEquals("c1 lost", nextEvent());
+        vertx.runOnContext(v -> nodeC.stop());
+        AtomicBoolean queried = new AtomicBoolean();
+        LeaderElection nodeD = startNode(
+                "d", "d1", 2, Span.seconds(10), () -> Future.succeededFuture(queried.compareAndSet(false, true)));
         service.endLeases();
-        assertEquals("d1 gained 4", next());
-        assertTrue(asked.get() && d.isValid(), "node d waited for a pledge of its previous process although no peer leads");
+        assertEquals("d1 gained 4", nextEvent());
+        assertTrue(
+                queried.get() && nodeD.isValid(),
+                "node d waited for a pledge of its previous process although no peer leads");
     }
 }
--- a/src/test/java/io/indigoreach/state/TestBlocks.java
+++ b/src/test/java/io/indigoreach/state/LegacyCompletionBlocks.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /** Encodes and decodes completion blocks like versions of the program before {@link CompletionBits}. */
-public final class TestBlocks {
-    private TestBlocks() {}
+public final class LegacyCompletionBlocks {
+    private LegacyCompletionBlocks() {}
 
     /** The number of completion blocks of a job; 0 if its bits are stored in its record. */
-    public static int blocks(int tasks) {
+    public static int blockCount(int tasks) {
         return tasks <= CompletionBlockCodec.MAX_TASKS_IN_RECORD
                 ? 0
                 : (tasks + CompletionBlockCodec.BLOCK_TASKS - 1) / CompletionBlockCodec.BLOCK_TASKS;
--- a/src/test/java/io/indigoreach/state/VersionProcesses.java
+++ b/src/test/java/io/indigoreach/state/MixedVersionCluster.java
@@ -14,42 +14,43 @@
 import java.util.concurrent.TimeUnit;
 
 /** Runs leader election of this version and of the version in production against one fake state service. */
-final class VersionProcesses implements AutoCloseable {
+final class MixedVersionCluster implements AutoCloseable {
     static final List<String> NODES = List.of("a", "b", "c");
-    private static final Span LIFE = Span.seconds(1.5);
+    private static final Span LEASE_TIME = Span.seconds(1.5);
 
     /** A controller of this version. */
-    record Newer(Vertx vertx, StateClient client, LeaderElection leadership, FormatGate gate) {
+    record CurrentNode(Vertx vertx, StateClient client, LeaderElection election, FormatGate gate) {
         boolean isOpen() throws Exception {
-            return await(VersionProcesses.on(vertx, gate::isOpen));
+            return await(MixedVersionCluster.runOn(vertx, gate::isOpen));
         }
 
-        void end() {
+        void stop() {
             vertx.runOnContext(v -> {
                 gate.stop();
-                leadership.stop();
+                election.stop();
             });
         }
     }
 
     /** A controller of the version in production. It campaigns like commit 633f24e, when a test calls it. */
-    record Older(String node, StateClient client) {
+    record ProductionNode(String node, StateClient client) {
         /**
          * Reads the leadership key and the counter and requests a lease. Returns the campaign's transaction, or null if another
          * node leads; fails where production's code fails.
          */
-        Future<StateClient.Txn> stand() {
+        Future<StateClient.Txn> campaign() {
             return client.get(RecordKeys.LEADER)
                     .compose(leader -> leader != null
                             ? Future.succeededFuture()
                             : client.get(RecordKeys.COUNTER).compose(counter -> {
-                                long counted =
+                                long counterToken =
                                         counter == null ? 0 : counter.value().whole("value");
-                                return client.grant(LIFE).map(lease -> campaign(counted + 1000, counter, lease));
+                                return client.grantLease(LEASE_TIME)
+                                        .map(lease -> campaignTxn(counterToken + 1000, counter, lease));
                             }));
         }
 
-        private StateClient.Txn campaign(long token, StateClient.Entry counter, long lease) {
+        private StateClient.Txn campaignTxn(long token, StateClient.Entry counter, long lease) {
             return new StateClient.Txn()
                     .when(RecordKeys.LEADER, Revision.ABSENT)
                     .when(RecordKeys.COUNTER, StateClient.revisionOf(counter))
@@ -60,47 +61,47 @@
 
     final Vertx vertx = Vertx.vertx();
     final SteadyClock clock = new SteadyClock();
-    final StateStandIn service;
+    final FakeStateService service;
     /** Keeps the clients reachable, as Vert.x closes unreachable ones. */
-    private final List<ServiceClient> callers = new ArrayList<>();
+    private final List<ServiceClient> serviceClients = new ArrayList<>();
 
-    VersionProcesses() throws Exception {
-        service = await(new StateStandIn().listen(vertx));
-        service.expiring = true;
+    MixedVersionCluster() throws Exception {
+        service = await(new FakeStateService().listen(vertx));
+        service.leasesExpire = true;
     }
 
     static <T> T await(Future<T> future) throws Exception {
         return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     }
 
-    private static <T> Future<T> on(Vertx vertx, java.util.function.Supplier<Future<T>> what) {
-        io.vertx.core.Promise<T> done = io.vertx.core.Promise.promise();
-        vertx.runOnContext(v -> what.get().onComplete(done));
-        return done.future();
+    private static <T> Future<T> runOn(Vertx vertx, java.util.function.Supplier<Future<T>> operation) {
+        io.vertx.core.Promise<T> promise = io.vertx.core.Promise.promise();
+        vertx.runOnContext(v -> operation.get().onComplete(promise));
+        return promise.future();
     }
 
     StateClient client() {
-        return new StateClient(caller(), caller());
+        return new StateClient(newServiceClient(), newServiceClient());
     }
 
-    private ServiceClient caller() {
-        callers.add(new ServiceClient(vertx, service.endpoint(), 4));
-        return callers.get(callers.size() - 1);
+    private ServiceClient newServiceClient() {
+        serviceClients.add(new ServiceClient(vertx, service.endpoint(), 4));
+        return serviceClients.get(serviceClients.size() - 1);
     }
 
-    Older older(String node) {
-        return new Older(node, client());
+    ProductionNode productionNode(String node) {
+        return new ProductionNode(node, client());
     }
 
-    Newer newer(String node) {
+    CurrentNode startCurrentNode(String node) {
         StateClient client = client();
         LeaderElection election = new LeaderElection(
                 new ElectionSettings(
                         new StateAccess(vertx, client),
                         new StateAccess(vertx, client),
                         clock,
-                        new Candidate(node, node + "-" + callers.size(), NODES.size() - 1),
-                        LIFE,
+                        new Candidate(node, node + "-" + serviceClients.size(), NODES.size() - 1),
+                        LEASE_TIME,
                         new TokenGenerator(NODES.indexOf(node), clock.timeOfDay(), Span.seconds(0.1))),
                 new LeaderElection.Listener() {
                     @Override
@@ -109,13 +110,13 @@
                     @Override
                     public void leadershipLost(String reason) {}
                 });
-        election.askPeersBy(() -> Future.succeededFuture(false), () -> Future.succeededFuture(true));
+        election.setPeerQueries(() -> Future.succeededFuture(false), () -> Future.succeededFuture(true));
         FormatGate gate = new FormatGate(vertx, client, clock, election, node, NODES);
         vertx.runOnContext(v -> {
             election.start();
             gate.start();
         });
-        return new Newer(vertx, client, election, gate);
+        return new CurrentNode(vertx, client, election, gate);
     }
 
     boolean isRaised() {
--- a/src/test/java/io/indigoreach/state/Golden.java
+++ b/src/test/java/io/indigoreach/state/ProductionSample.java
@@ -20,11 +20,11 @@
  * @param read decodes the sample in this version
  * @param value the expected decoded value, whichever version wrote the sample
  */
-public record Golden(Map<String, Object> written, Function<Fields, Object> read, Object value) {
+public record ProductionSample(Map<String, Object> written, Function<Fields, Object> read, Object value) {
     /** The samples of a file in hex, by name. */
     public static Map<String, String> load(String file) {
         Map<String, String> lines = new LinkedHashMap<>();
-        try (InputStream in = Golden.class.getResourceAsStream("/production/" + file)) {
+        try (InputStream in = ProductionSample.class.getResourceAsStream("/production/" + file)) {
             new String(in.readAllBytes(), StandardCharsets.UTF_8).lines().forEach(line -> {
                 int space = line.lastIndexOf(' ');
                 lines.put(line.substring(0, space), line.substring(space + 1));
--- a/src/test/java/io/indigoreach/state/RoutineRunnerTest.java
+++ b/src/test/java/io/indigoreach/state/RoutineRunnerTest.java
@@ -27,21 +27,21 @@
 
 /** Tests routines of optional features against a state service that loses records, and with a leadership that ends. */
 class RoutineRunnerTest {
-    private static final RecordFamily LASTING = new RecordFamily("a/", 100, true, RecordFamily.Mending.NEWER);
-    private static final RecordFamily PASSING = new RecordFamily("b/", 100, false, RecordFamily.Mending.NEWER);
+    private static final RecordFamily PERMANENT_FAMILY = new RecordFamily("a/", 100, true, RecordFamily.Mending.NEWER);
+    private static final RecordFamily REMOVABLE_FAMILY = new RecordFamily("b/", 100, false, RecordFamily.Mending.NEWER);
 
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
-    private StateStandIn service;
+    private FakeStateService service;
     private StateClient client;
-    private RoutineRunner records;
+    private RoutineRunner runner;
 
     @BeforeEach
     void start() throws Exception {
-        service = await(new StateStandIn().listen(vertx));
+        service = await(new FakeStateService().listen(vertx));
         client = new StateClient(
                 new ServiceClient(vertx, service.endpoint(), 4), new ServiceClient(vertx, service.endpoint(), 1));
-        records = new RoutineRunner(vertx, client, clock, new RecordCache(List.of(LASTING, PASSING)));
+        runner = new RoutineRunner(vertx, client, clock, new RecordCache(List.of(PERMANENT_FAMILY, REMOVABLE_FAMILY)));
     }
 
     @AfterEach
@@ -54,7 +54,7 @@
     }
 
     /** Increments the number in a record. Its result is the new number, or -1 if the record changed concurrently. */
-    private static Routine<Long> adding(String key) {
+    private static Routine<Long> increment(String key) {
         return new Routine<>() {
             private long sum;
 
@@ -77,48 +77,48 @@
     }
 
     @Test
-    void aRoutineReadsAndWritesAndItsRecordsAreRemembered() throws Exception {
-        assertEquals(1, await(records.run(adding("a/1"))));
-        assertEquals(2, await(records.run(adding("a/1"))));
-        assertEquals(2, records.copies().get("a/1").version());
+    void routineReadsWritesAndCachesRecords() throws Exception {
+        assertEquals(1, await(runner.run(increment("a/1"))));
+        assertEquals(2, await(runner.run(increment("a/1"))));
+        assertEquals(2, runner.cache().get("a/1").version());
         assertEquals(2, service.value("a/1").whole("n"));
     }
 
     @Test
-    void aMissingPermanentRecordIsALossUntilRepaired() throws Exception {
-        await(records.run(adding("a/1")));
+    void missingPermanentRecordIsALossUntilRepaired() throws Exception {
+        await(runner.run(increment("a/1")));
         client.commit(new StateClient.Txn().delete("a/1"));
-        assertThrows(ExecutionException.class, () -> await(records.run(adding("a/1"))));
+        assertThrows(ExecutionException.class, () -> await(runner.run(increment("a/1"))));
         assertTrue(client.losses().isHolding());
-        assertThrows(ExecutionException.class, () -> await(records.run(adding("a/2"))));
+        assertThrows(ExecutionException.class, () -> await(runner.run(increment("a/2"))));
         assertFalse(service.has("a/2"));
     }
 
     @Test
-    void aRemovableRecordMayBeAbsent() throws Exception {
-        await(records.run(adding("b/1")));
+    void removableRecordMayBeAbsent() throws Exception {
+        await(runner.run(increment("b/1")));
         client.commit(new StateClient.Txn().delete("b/1"));
-        assertEquals(1, await(records.run(adding("b/1"))));
+        assertEquals(1, await(runner.run(increment("b/1"))));
         assertFalse(client.losses().isHolding());
     }
 
     @Test
-    void anOlderValueThanTheOneRememberedIsALossInAnyFamily() throws Exception {
-        await(records.run(adding("b/1")));
-        await(records.run(adding("b/1")));
+    void olderValueThanTheCachedOneIsALossInAnyFamily() throws Exception {
+        await(runner.run(increment("b/1")));
+        await(runner.run(increment("b/1")));
         client.commit(new StateClient.Txn().put("b/1", Map.of("n", 1L, VersionedRecord.VERSION, 1L)));
-        assertThrows(ExecutionException.class, () -> await(records.run(adding("b/1"))));
+        assertThrows(ExecutionException.class, () -> await(runner.run(increment("b/1"))));
         assertTrue(client.losses().isHolding());
     }
 
     @Test
-    void aLeaderWhoseKeyIsGoneWritesNothing() throws Exception {
+    void writesFailAfterTheLeadershipKeyIsDeleted() throws Exception {
         Revision key = await(client.commit(new StateClient.Txn().put(RecordKeys.LEADER, Map.of("t", 1L))))
                 .writtenRevision();
-        RoutineRunner leading = records.leading(RecordKeys.LEADER, key, new RateLimiter(100, clock.now()));
-        assertEquals(1, await(leading.run(adding("a/1"))));
+        RoutineRunner leaderRunner = runner.forLeader(RecordKeys.LEADER, key, new RateLimiter(100, clock.now()));
+        assertEquals(1, await(leaderRunner.run(increment("a/1"))));
         await(client.commit(new StateClient.Txn().delete(RecordKeys.LEADER)));
-        assertThrows(ExecutionException.class, () -> await(leading.run(adding("a/1"))));
+        assertThrows(ExecutionException.class, () -> await(leaderRunner.run(increment("a/1"))));
         assertEquals(1, service.value("a/1").whole("n"));
     }
 
@@ -126,6 +126,7 @@
     void familiesDoNotShareAPrefix() {
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new RecordCache(List.of(LASTING, new RecordFamily("a/b/", 1, true, RecordFamily.Mending.NEWER))));
+                () -> new RecordCache(
+                        List.of(PERMANENT_FAMILY, new RecordFamily("a/b/", 1, true, RecordFamily.Mending.NEWER))));
     }
 }
--- a/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
+++ b/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
@@ -25,8 +25,8 @@
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.net.WireException;
 import io.indigoreach.parts.Parts;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.nio.file.Files;
@@ -50,12 +50,12 @@
     private final Vertx vertx = Vertx.vertx();
     private Parts parts;
     private ServiceClient http;
-    private StateStandIn state;
+    private FakeStateService state;
     private String cluster;
 
     @BeforeEach
     void serve() throws Exception {
-        state = await(new StateStandIn().listen(vertx));
+        state = await(new FakeStateService().listen(vertx));
         PlatformConfig config = new PlatformConfig(
                 "a",
                 "z",
@@ -223,6 +223,6 @@
     @Test
     void whereItIsOffThereIsNothing() throws Exception {
         assertEquals(List.of(), PartRegistry.enabled(SettingsFile.parse("test", "")));
-        assertEquals(0, state.reads + state.transactions);
+        assertEquals(0, state.readCount + state.transactionCount);
     }
 }
--- a/src/test/java/io/indigoreach/warm/GoldenPoolAnswersTest.java
+++ b/src/test/java/io/indigoreach/warm/GoldenPoolAnswersTest.java
@@ -19,9 +19,9 @@
 import io.indigoreach.net.SteadyClock;
 import io.indigoreach.parts.Parts;
 import io.indigoreach.state.CatalogueRecordCodec;
+import io.indigoreach.state.FakeStateService;
 import io.indigoreach.state.RecordKeys;
 import io.indigoreach.state.StateClient;
-import io.indigoreach.state.StateStandIn;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.List;
@@ -80,7 +80,7 @@
     void whatPeopleAreAnswered() throws Exception {
         Vertx vertx = Vertx.vertx();
         try {
-            StateStandIn state = await(new StateStandIn().listen(vertx));
+            FakeStateService state = await(new FakeStateService().listen(vertx));
             StateClient client = new StateClient(
                     new ServiceClient(vertx, state.endpoint(), 8), new ServiceClient(vertx, state.endpoint(), 1));
             await(client.commit(new StateClient.Txn()
