--- a/src/test/java/io/indigoreach/state/LeaderElectionTest.java
+++ b/src/test/java/io/indigoreach/state/LeaderElectionTest.java
@@ -167,7 +167,7 @@
             Thread.onSpinWait();
         }
         startNode("a", "a2", 2);
-        assertTrue(nextEvent().endsWith("took 2"));
+        assertTrue(nextEvent().endsWith("gained 2"));
     }
 
     /** The campaign was executed but its response lost: the process may campaign again with a higher token. */
