--- a/src/main/java/io/indigoreach/state/RoutineRunner.java
+++ b/src/main/java/io/indigoreach/state/RoutineRunner.java
@@ -21,9 +21,10 @@
 import java.util.Map;
 
 /**
- * Runs the {@link Routine}s of optional features against the state service, on the event loop of its Vert.x instance. Every write is made only in the era that this process knows, and what
- * is absent is said to be so only when a transaction has compared it in that era; while a loss of data is not mended nothing is
- * read or written at all, since "not there" would mean "lost". What is read or written is remembered for rebuilding.
+ * Runs the {@link Routine}s of optional features against the state service, on the event loop of its Vert.x instance. Every write
+ * is conditional on the era that this process knows, and a record is reported as absent only after a transaction has confirmed
+ * it in that era. While a loss of data is not rebuilt, routines fail, because a missing record may have been lost. Records that
+ * were read or written are cached, so that a lost one can be rebuilt.
  */
 public final class RoutineRunner {
     private static final int MAX_CONCURRENT_READS = 8;
@@ -34,12 +35,12 @@
     private final StateClient state;
     private final SteadyClock clock;
     private final RecordCache cache;
-    /** Key and version of the leadership for which this writes; null where any node may. */
+    /** The key and revision of the leadership that writes depend on; null if any node may write. */
     private final VersionedRecord leadership;
 
     private final RateLimiter budget;
 
-    /** Runs routines for any node, without a limit on its requests. */
+    /** Creates a runner whose writes depend on no leadership and whose requests are not limited. */
     public RoutineRunner(Vertx vertx, StateClient state, SteadyClock clock, RecordCache cache) {
         this(vertx, state, clock, cache, null, null);
     }
@@ -59,22 +60,25 @@
         this.budget = budget;
     }
 
-    /** The same for a leader: writes depend on its key, and take only what the leader's budget has to spare. */
+    /** A runner for a leader: writes depend on the leadership key and use only the spare part of its request budget. */
     public RoutineRunner forLeader(String key, Revision revision, RateLimiter leaderBudget) {
         return new RoutineRunner(vertx, state, clock, cache, new VersionedRecord(key, null, revision), leaderBudget);
     }
 
-    /** The same, with no more changes than half of a budget has to spare: what people ask of a part comes behind jobs. */
+    /** A runner that takes writes only from the upper half of a budget, so that users' requests to a feature yield to jobs. */
     public RoutineRunner withBudget(RateLimiter writeBudget) {
         return new RoutineRunner(vertx, state, clock, cache, null, writeBudget);
     }
 
-    /** This node's copies of the records. */
+    /** This node's cache of the records. */
     public RecordCache cache() {
         return cache;
     }
 
-    /** Fails if the state service does not answer, has lost data, or this node's leadership has ended. */
+    /**
+     * Runs a routine to its end. Fails if the state service does not respond or has lost data, or if this node's leadership has
+     * ended.
+     */
     public <R> Future<R> run(Routine<R> routine) {
         return state.losses().era() == 0 ? state.checkEra().compose(v -> start(routine)) : start(routine);
     }
@@ -85,7 +89,7 @@
 
     private <R> Future<R> step(Routine<R> routine, StepResult previous) {
         if (state.losses().isLossPending()) {
-            return Future.failedFuture(new WireException("data were lost, and are not rebuilt yet"));
+            return Future.failedFuture(new WireException("state data were lost and have not been rebuilt yet"));
         }
         Step<R> next = routine.next(previous);
         if (next instanceof Step.End<R> end) {
@@ -113,7 +117,7 @@
         List<String> batch = keys.subList(fromIndex, Math.min(keys.size(), fromIndex + MAX_CONCURRENT_READS));
         return readBatch(batch, 1).compose(read -> {
             read.forEach(k -> into.put(k.key(), k));
-            // Hundreds of reads at once would be refused, and leases' renewals with them.
+            // The service would reject hundreds of reads at once, and lease renewals with them.
             return fromIndex + MAX_CONCURRENT_READS < keys.size() && budget != null
                     ? pause().compose(v -> read(keys, fromIndex + MAX_CONCURRENT_READS, into))
                     : read(keys, fromIndex + MAX_CONCURRENT_READS, into);
@@ -132,7 +136,7 @@
                 : new VersionedRecord(key, entry.value().map(), entry.revision());
     }
 
-    /** Confirms by a compare-and-swap what may be a stale read: absent records, and ones older than this node's copies. */
+    /** Confirms by a comparison every read that may be stale: absent records, and records older than the cached ones. */
     private Future<List<VersionedRecord>> confirmSuspectReads(
             List<String> keys, List<VersionedRecord> read, int attempt) {
         List<VersionedRecord> suspect = read.stream()
@@ -142,7 +146,7 @@
             read.forEach(cache::add);
             return Future.succeededFuture(read);
         }
-        // Decided by what was known before the comparison was sent: what another routine writes meanwhile is newer.
+        // Determined before the comparison is sent, because another routine may write newer records meanwhile.
         List<VersionedRecord> olderThanCache =
                 suspect.stream().filter(this::isOlderThanCached).toList();
         StateClient.Txn comparison = state.transactionInEra();
@@ -154,14 +158,15 @@
     private Future<List<VersionedRecord>> readAgain(List<String> keys, int attempt) {
         return attempt < MAX_ATTEMPTS
                 ? state.checkEra().compose(v -> readBatch(keys, attempt + 1))
-                : Future.failedFuture(new WireException("the records change at this moment"));
+                : Future.failedFuture(new WireException(
+                        "records kept changing during " + MAX_ATTEMPTS + " attempts to read " + keys));
     }
 
     private Future<List<VersionedRecord>> acceptConfirmed(
             List<VersionedRecord> read, List<VersionedRecord> olderThanCache) {
         olderThanCache.forEach(this::handleOlderRecord);
         if (state.losses().isLossPending()) {
-            return Future.failedFuture(new WireException("data were lost"));
+            return Future.failedFuture(new WireException("state data were lost"));
         }
         read.forEach(cache::add);
         return Future.succeededFuture(read);
@@ -172,7 +177,7 @@
         return cached != null && read.version() < cached.version();
     }
 
-    /** It surely is older than what was acknowledged: only another family's way of removing records explains it. */
+    /** Handles a record that is confirmed to be older than the cached one: a loss, unless its family may delete records. */
     private void handleOlderRecord(VersionedRecord read) {
         RecordFamily family = cache.familyOf(read.key());
         if (family.permanent() || read.exists()) {
@@ -188,7 +193,7 @@
             page.entries().forEach(entry -> {
                 VersionedRecord record = versioned(entry.key(), entry);
                 found.put(entry.key(), record);
-                // A listing may be stale: it is returned as it is, and writes depend on the revisions in it.
+                // A listing may be stale and is returned unconfirmed, as writes depend on the revisions in it.
                 cache.add(record);
             });
             return toResult(found, page.hasMore());
@@ -221,7 +226,8 @@
                         List.of()));
             }
             if (leadership != null && outcome.failedKeys().contains(leadership.key())) {
-                return Future.failedFuture(new WireException("another node leads"));
+                return Future.failedFuture(
+                        new WireException("leadership lost: the key " + leadership.key() + " has changed"));
             }
             if (outcome.failedKeys().equals(List.of(RecordKeys.ERA)) && attempt < MAX_ATTEMPTS) {
                 return state.checkEra().compose(v -> write(change, attempt + 1));
@@ -231,7 +237,7 @@
         });
     }
 
-    /** A change that went with another transaction is done. */
+    /** Updates the cache after a change was committed as part of another transaction. */
     public void recordCommitted(Transaction change, Revision revision) {
         change.writes().forEach((key, value) -> {
             if (value == null) {
--- a/src/test/java/io/indigoreach/state/FakeStateService.java
+++ b/src/test/java/io/indigoreach/state/FakeStateService.java
@@ -30,15 +30,15 @@
 import java.util.function.ToIntFunction;
 
 /**
- * A stand-in for the state service that speaks its protocol; it can refuse requests, execute them and not answer, or not answer
- * and execute them late.
+ * A fake state service that implements the protocol of the real one. It can reject requests, execute them without a response, or
+ * execute them late without a response.
  */
-@SuppressWarnings("NonAtomicVolatileUpdate") // Counters are raised by its event loop alone, and read by tests.
+@SuppressWarnings("NonAtomicVolatileUpdate") // Only the event loop writes the counters; tests read them.
 public final class FakeStateService {
     private record StoredEntry(Map<String, Object> data, long revision, long lease) {}
 
     private final ConcurrentSkipListMap<String, StoredEntry> entries = new ConcurrentSkipListMap<>();
-    /** When each lease ends, by the steady clock in ns; only where they {@link #expiring expire}. */
+    /** The time at which each lease ends, by {@link System#nanoTime}; used only if leases are {@link #leasesExpire}. */
     private final Map<Long, Long> leases = new HashMap<>();
 
     private final Map<Long, Long> leaseTimesNs = new HashMap<>();
@@ -48,43 +48,45 @@
     private long revision = 10;
     private long lastLease;
     public volatile boolean unavailable;
-    /** Requests that were refused. */
+    /** The number of rejected requests. */
     public volatile int rejectedRequests;
-    /** Callers that are refused alone, by the names of their {@link #door doors}; their open watches wait. */
+    /** Callers whose requests are rejected, by the names of their {@link #addEndpoint endpoints}; their open watches wait. */
     public final Set<String> rejectedCallers = new HashSet<>();
-    /** What is delayed until it is {@link #letThrough let through}, by the caller's door and the path. */
+    /** Selects requests, by the caller's endpoint name and the path, that wait until {@link #executeDelayed}. */
     public BiPredicate<String, String> delayFilter = (door, path) -> false;
-    /** Leases end by their time; after an outage each has its full time again. */
+    /** Whether leases expire; after an outage each lease gets its full time again. */
     public boolean leasesExpire;
-    /** The answers to the next transactions are lost after these were executed. */
+    /** The number of following transactions that are executed without a response. */
     public int responsesToLose;
-    /** Transactions that are executed at once, and whose answer is lost. */
+    /** Selects transactions that are executed at once, without a response. */
     public volatile Predicate<Fields> loseResponseFilter = txn -> false;
-    /** How many of those there were. */
+    /** The number of transactions that {@link #loseResponseFilter} has selected. */
     public volatile int lostResponses;
-    /** For how many milliseconds an answer is held up on its way, by the path; what it says is as old as its request. */
+    /** The delay of responses in ms, by path. A delayed response has the state at the time of its request. */
     public volatile ToIntFunction<String> responseDelayMs = path -> 0;
-    /** Leases are not ended on request: as if it came from a node that is refused. */
+    /** Whether requests to revoke a lease have no effect, as if they came from a node whose requests are rejected. */
     public boolean ignoreLeaseRevocation;
-    /** Transactions that get no answer, and are executed by {@link #executeLate}. */
+    /** Selects transactions that get no response and are executed by {@link #executeHeldTransactions}. */
     public volatile Predicate<Fields> holdFilter = txn -> false;
 
     private final Queue<Fields> held = new ConcurrentLinkedQueue<>();
     private volatile Context eventLoop;
     public volatile int transactionCount;
-    /** Records and listings that were read. */
+    /** The number of reads of keys and listings. */
     public volatile int readCount;
-    /** Limits of a value, in bytes, and of a transaction, in changes; lowered by some tests at some time. */
+    /** The maximum size of a value in bytes; some tests lower it. */
     public volatile int maxValueBytes = 8 * 1024;
 
+    /** The maximum number of writes in a transaction; some tests lower it. */
     public volatile int maxTxnOps = 16;
+
     private static final int CONDITIONS_PER_CHANGE = 4;
-    /** For how long a test waits for the stand-in, in seconds. */
+    /** How long a test waits for this service, in seconds. */
     private static final int TIMEOUT_S = 20;
 
-    /** Transactions that were refused as too large. */
+    /** The number of transactions rejected as too large. */
     public volatile int oversizedTransactions;
-    /** Keys that were written or deleted. */
+    /** The number of writes and deletions of keys. */
     public volatile int writtenKeys;
 
     private Endpoint endpoint;
@@ -96,7 +98,7 @@
         });
     }
 
-    /** A way in for one caller, who can be refused alone. */
+    /** Opens an endpoint for one caller, whose requests can be rejected separately. */
     public Future<Endpoint> addEndpoint(Vertx vertx, String name) {
         return vertx.createHttpServer()
                 .requestHandler(r -> handle(r, name))
@@ -104,7 +106,7 @@
                 .map(s -> new Endpoint("127.0.0.1", s.actualPort()));
     }
 
-    /** What was delayed is executed now, and answered to whoever still waits. */
+    /** Executes the delayed requests and responds to the callers that still wait. */
     public void executeDelayed() {
         List<Runnable> requests = new ArrayList<>(delayed);
         delayed.clear();
@@ -115,7 +117,7 @@
         return delayed.size();
     }
 
-    /** An outage ends: every lease has its full time again. */
+    /** Ends an outage; every lease gets its full time again. */
     public void endOutage() {
         unavailable = false;
         leases.replaceAll((lease, ends) -> System.nanoTime() + leaseTimesNs.get(lease));
@@ -137,20 +139,20 @@
         return new Fields(entries.get(key).data);
     }
 
-    /** How many transactions are held back. */
+    /** The number of transactions that wait for {@link #executeHeldTransactions}. */
     public int held() {
         return held.size();
     }
 
-    /** Executes what is held back, the oldest first; the statuses that nobody is told. */
+    /** Executes the held transactions, the oldest first, and returns their statuses, which are not sent to the callers. */
     public List<Integer> executeHeldTransactions() {
         Context currentLoop = eventLoop;
         if (Vertx.currentContext() == currentLoop) {
             return executeHeld();
         }
         CompletableFuture<List<Integer>> statuses = new CompletableFuture<>();
-        // Not by this method again: another connection may have become the current one, and its loop would wait for
-        // itself.
+        // Does not call this method again: another connection may have set the event loop meanwhile, and a loop that
+        // waits for itself would deadlock.
         currentLoop.runOnContext(v -> statuses.complete(executeHeld()));
         return statuses.orTimeout(TIMEOUT_S, TimeUnit.SECONDS).join();
     }
@@ -162,7 +164,7 @@
         return statuses;
     }
 
-    /** Ends every lease, with the keys attached to it. */
+    /** Ends every lease and deletes the keys attached to it. */
     public void endLeases() {
         List.copyOf(leases.keySet()).forEach(this::endLease);
     }
@@ -177,7 +179,7 @@
         wakeWatchers();
     }
 
-    /** Ends the leases whose time is over; none in an outage. */
+    /** Ends the leases whose time has passed, except during an outage. */
     public void expire() {
         if (unavailable) {
             return;
@@ -360,7 +362,7 @@
     }
 
     private void reply(HttpServerRequest request, int status, Map<String, Object> body) {
-        // As it is now: a listing's values are those of this moment.
+        // Encoded before the delay, so that the response has the state at the time of the request.
         Buffer encoded = MessagePackFormat.write(body);
         int delayMs = responseDelayMs.applyAsInt(request.path());
         if (delayMs > 0) {
--- a/src/test/java/io/indigoreach/state/FormatGateTest.java
+++ b/src/test/java/io/indigoreach/state/FormatGateTest.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When the data format is raised, and that no process of an older version leads from then on. Waits are for events, not times. */
+/**
+ * Tests when the data format is raised, and that no process of an older version leads afterwards. The tests wait for events, not for
+ * fixed times.
+ */
 class FormatGateTest {
     private static final String COUNTER = RecordKeys.COUNTER;
     private static final String LEADER = RecordKeys.LEADER;
@@ -41,7 +44,7 @@
     private static void waitUntil(Callable<Boolean> condition) throws Exception {
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (!condition.call()) {
-            assertTrue(System.nanoTime() < deadline, "in vain");
+            assertTrue(System.nanoTime() < deadline, "the condition was not met within 20 s");
             Thread.sleep(5);
         }
     }
@@ -51,7 +54,7 @@
                 cluster.client().commit(new StateClient.Txn().put(key, MessagePackFormat.map(value))));
     }
 
-    /** Nodes that are down now and have recorded their format before count; those that have not, or another one, do not. */
+    /** Nodes that are down count if they have recorded a new enough format before; nodes without such a record do not. */
     @ParameterizedTest
     @CsvSource({"2, 2, true", "2, -, false", "2, 1, false", "2, 3, true"})
     void formatIsRaisedOnlyWhenEveryNodeSupportsIt(String formatOfB, String formatOfC, boolean raised)
@@ -70,7 +73,7 @@
         assertEquals(raised, cluster.isRaised());
     }
 
-    /** A node that does not lead learns it from the counter, and who has learnt it asks no more. */
+    /** A follower reads the raised format from the counter; a node that has seen it raised makes no further requests. */
     @Test
     void nodesStopReadingOnceTheFormatIsRaised() throws Exception {
         MixedVersionCluster.CurrentNode nodeA = cluster.startCurrentNode("a");
@@ -84,7 +87,7 @@
         assertEquals(reads, cluster.service.readCount);
     }
 
-    /** Lost with all records, by a process that has seen it raised; the records alone are written again. */
+    /** A process that has seen the format raised restores it after a loss of all records; a lost node record is rewritten. */
     @Test
     void lossOfDataDoesNotLowerTheFormat() throws Exception {
         MixedVersionCluster.CurrentNode nodeA = cluster.startCurrentNode("a");
@@ -102,7 +105,7 @@
         assertTrue(cluster.isRaised());
     }
 
-    /** As a process of production in a raised deployment: it reads the counter, and stands back before it writes anything. */
+    /** Like a process of an older version in a raised deployment, it reads the counter and does not write anything. */
     @Test
     void doesNotLeadIfTheFormatIsNewerThanSupported() throws Exception {
         put(COUNTER, "highest", 7L, "format", CounterRecord.NEWEST_FORMAT + 1L);
@@ -114,7 +117,7 @@
         assertEquals(transactions, cluster.service.transactionCount);
     }
 
-    /** The word for start bounds means the same in both forms, and a campaign keeps form and word. */
+    /** The start bounds flag means the same in both formats, and a campaign preserves the format and the flag. */
     @ParameterizedTest
     @CsvSource({"1, false", "1, true", "2, false", "2, true"})
     void campaignKeepsDataFormatAndStartBounds(int format, boolean startBounds) throws Exception {
@@ -131,8 +134,8 @@
     }
 
     /**
-     * A roll in a seeded order: processes end and come back old before their turn and new from then on, those of production stand
-     * at any moment, and their campaigns are carried out at once or several steps late.
+     * A rolling update in a seeded order. Processes restart with the old version before their update and with the new one after
+     * it. Processes of the old version campaign at any time, and their transactions are executed at once or several steps late.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -143,7 +146,10 @@
         List<MixedVersionCluster.ProductionNode> olderNodes = new ArrayList<>();
         nodesToUpdate.forEach(n -> olderNodes.add(cluster.productionNode(n)));
         List<StateClient.Txn> delayedCampaigns = new ArrayList<>();
-        assertEquals(1, execute(campaign(olderNodes.get(0))), "nobody is locked out before");
+        assertEquals(
+                1,
+                execute(campaign(olderNodes.get(0))),
+                "an older process could not lead before the format was raised");
         boolean wasRaised = false;
         for (int step = 0; step < 150 || !nodesToUpdate.isEmpty(); step++) {
             switch (random.nextInt(5)) {
@@ -166,13 +172,13 @@
                 default -> restartNode(random, nodesToUpdate, updatedNodes);
             }
             if (!nodesToUpdate.isEmpty()) {
-                assertFalse(cluster.isRaised(), "a node has never had the new version");
+                assertFalse(cluster.isRaised(), "the format is raised although a node has never run the new version");
                 for (MixedVersionCluster.CurrentNode node : updatedNodes) {
                     assertFalse(node != null && node.isOpen());
                 }
             }
             boolean raised = cluster.isRaised();
-            assertTrue(raised || !wasRaised, "lowered");
+            assertTrue(raised || !wasRaised, "the format was lowered");
             wasRaised = raised;
         }
         for (MixedVersionCluster.CurrentNode node : updatedNodes) {
@@ -181,7 +187,7 @@
         endLeases();
         assertNull(campaign(olderNodes.get(0)));
         for (StateClient.Txn campaign : delayedCampaigns) {
-            assertEquals(0, execute(campaign), "a campaign that began before");
+            assertEquals(0, execute(campaign), "a campaign that began before the format was raised was executed");
         }
     }
 
@@ -194,15 +200,17 @@
         ended.get(20, TimeUnit.SECONDS);
     }
 
-    /** What a process of production would write, null if another leads or it cannot read the counter, which is raised then. */
+    /** The transaction of an older process's campaign; null if another node leads or the raised counter is unreadable to it. */
     private StateClient.Txn campaign(MixedVersionCluster.ProductionNode process) throws Exception {
         boolean wasRaised = cluster.isRaised();
         try {
             StateClient.Txn campaign = MixedVersionCluster.await(process.campaign());
-            assertTrue(campaign == null || !wasRaised, "stands in a raised deployment");
+            assertTrue(campaign == null || !wasRaised, "an older process campaigns in a raised deployment");
             return campaign;
         } catch (ExecutionException e) {
-            assertTrue(cluster.isRaised(), "locked out before: " + e.getCause());
+            assertTrue(
+                    cluster.isRaised(),
+                    "an older process cannot campaign before the format is raised: " + e.getCause());
             return null;
         }
     }
@@ -211,11 +219,11 @@
         boolean wasRaised = cluster.isRaised();
         boolean executed =
                 MixedVersionCluster.await(cluster.client().commit(campaign)).executed();
-        assertFalse(executed && wasRaised, "an older process leads");
+        assertFalse(executed && wasRaised, "an older process leads after the format was raised");
         return executed ? 1 : 0;
     }
 
-    /** A node ends and comes back: with the new version if that is its turn, or if it has had it before. */
+    /** Restarts a node: with the new version if its update is due or if it has run the new version before. */
     private void restartNode(
             SplittableRandom random, List<String> nodesToUpdate, MixedVersionCluster.CurrentNode[] updatedNodes) {
         int index = random.nextInt(updatedNodes.length);
@@ -229,7 +237,7 @@
         updatedNodes[index] = cluster.startCurrentNode(node);
     }
 
-    /** Two raise it at once, the first one's transaction comes late: the second finds another leader's key. */
+    /** Two leaderships raise the format; the transaction of the first is executed late and must fail on the leadership key. */
     @Test
     void delayedRaiseOfAnEarlierLeadershipIsRejected() throws Exception {
         put(FormatGate.NODE_PREFIX + "b", "format", 2L);
@@ -247,7 +255,7 @@
         waitUntil(nodeA::isOpen);
     }
 
-    /** The word for start bounds, without an answer and carried out after the raise: it was read from the form before. */
+    /** The confirmation of start bounds gets no response and is executed after the format was raised: it must fail. */
     @Test
     void lateStartBoundsConfirmationDoesNotLowerTheFormat() throws Exception {
         MixedVersionCluster.CurrentNode nodeA = cluster.startCurrentNode("a");
--- a/src/test/java/io/indigoreach/state/HandoverTest.java
+++ b/src/test/java/io/indigoreach/state/HandoverTest.java
@@ -31,9 +31,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Controllers hand over and back, end, and return within a fraction of a second, while requests are refused, held back and carried
- * out late: one leader at any moment, and tokens that only grow. Against a stand-in for the state service; each world runs on one
- * event loop, on which its processes are looked at as well.
+ * Tests that there is at most one valid leader at any time and that tokens only grow, while controllers hand over leadership, stop
+ * and restart within a fraction of a second, and requests are rejected, delayed and executed late. The tests use a fake state
+ * service; each simulated cluster runs on one event loop, which also checks its processes.
  */
 class HandoverTest {
     private static final List<String> NODES = List.of("a", "b", "c");
@@ -47,7 +47,7 @@
         vertx.close().toCompletionStage().toCompletableFuture().get();
     }
 
-    /** Three nodes, of which each is a process or none, and their state service. */
+    /** A cluster of three nodes, each with at most one running process, and their state service. */
     private final class TestCluster {
         final Context loop = vertx.getOrCreateContext();
         final FakeStateService service = new FakeStateService();
@@ -82,7 +82,7 @@
             return result.get(TIMEOUT_S, TimeUnit.SECONDS);
         }
 
-        /** Until it holds, as seen on the loop. */
+        /** Waits until a condition holds, which the event loop evaluates. */
         void waitUntil(BooleanSupplier condition) throws Exception {
             CompletableFuture<Void> satisfied = new CompletableFuture<>();
             callOnLoop(() -> vertx.setPeriodic(1, 2, t -> {
@@ -101,7 +101,7 @@
                     .map(p -> p.name)
                     .toList();
             if (valid.size() > 1) {
-                violations.add("more than one leads: " + valid);
+                violations.add("more than one valid leader: " + valid);
             }
             processes.values().forEach(p -> bridgedChecks += p.election.isValid() && p.hasLeaseExpired() ? 1 : 0);
         }
@@ -128,7 +128,10 @@
                     .orElse(null);
         }
 
-        /** What all others say, each after a while and as it is then; false if one is not there, or its answer is lost. */
+        /**
+         * Queries all peers, each after a delay; the peer evaluates the query when it arrives. False if a peer is down, its response
+         * is lost or its result is false.
+         */
         private Future<Boolean> queryPeers(String sender, java.util.function.Predicate<TestProcess> query) {
             List<Future<Boolean>> answers = new ArrayList<>();
             for (String other : NODES) {
@@ -180,7 +183,8 @@
                         public void leadershipGained(FencingToken token, Revision key, boolean bounds) {
                             if (!stopped) {
                                 if (token.value() <= cluster.highestToken) {
-                                    cluster.violations.add(name + " took " + token + " after " + cluster.highestToken);
+                                    cluster.violations.add(
+                                            name + " gained token " + token + " after " + cluster.highestToken);
                                 }
                                 cluster.highestToken = Math.max(cluster.highestToken, token.value());
                                 cluster.gainedLeaderships.add(TestProcess.this);
@@ -191,7 +195,7 @@
                         @Override
                         public void leadershipLost(String reason) {}
                     });
-            // As Standing does: who was served when it last asked leaves it to the state service.
+            // As in the controller: a node whose last connectivity check succeeded does not pledge.
             election.setPeerQueries(
                     () -> cluster.queryPeers(node, other -> other.rejected && other.election.pledge()),
                     () -> cluster.queryPeers(node, other -> !other.election.isLeading()));
@@ -220,9 +224,9 @@
     }
 
     /**
-     * Everything at random, several worlds at once: processes end and return at once or later, leaders let go and stand aside with
-     * requests to remove their key that come late and twice, nodes are refused alone, all of them one by one while leases go on
-     * to end, the service is out, transactions are carried out late.
+     * Injects random faults into several clusters at once: processes restart at once or later; leaders resign, with late and
+     * repeated requests to remove their key; requests of one node are rejected, or of all nodes one by one while leases keep
+     * expiring; the service has outages; transactions are executed late.
      */
     @Test
     void atMostOneNodeLeadsAndTokensGrowUnderRandomFaults() throws Exception {
@@ -248,8 +252,9 @@
                                 .mapToInt(cluster -> cluster.gainedLeaderships.size())
                                 .sum()
                         >= 4 * clusters.size(),
-                "leadership changes");
-        assertTrue(clusters.stream().anyMatch(cluster -> cluster.bridgedChecks > 0), "nobody went on by pledges");
+                "too few leadership changes");
+        assertTrue(
+                clusters.stream().anyMatch(cluster -> cluster.bridgedChecks > 0), "no leader stayed valid by pledges");
     }
 
     private void injectFault(TestCluster cluster) {
@@ -277,9 +282,8 @@
             }
             case 4 -> rejectRequests(cluster, randomNode, 0.3 + random.nextDouble(4));
             case 5, 7, 8 -> {
-                // Not an outage: leases end meanwhile, while the leader goes on by pledges; then those who pledged are
-                // served
-                // before the leader is, and one of them may have ended and returned.
+                // Not an outage: leases expire while the leader stays valid by pledges. Then the service accepts
+                // requests of the nodes that pledged before those of the leader; one of these nodes may have restarted.
                 double minDelayS = 3.3 + random.nextDouble(1.5);
                 NODES.forEach(n -> rejectRequests(
                         cluster,
@@ -326,8 +330,9 @@
     }
 
     /**
-     * A campaign's transaction is held back until its sender has given up and pledged not to lead, and carried out then; another
-     * node leads meanwhile, or has led and let go again, or none has: nobody leads by it.
+     * A campaign's transaction is delayed until its sender has timed out and pledged not to campaign, and is executed then.
+     * Meanwhile another node leads, has led and resigned, or none has led. No node may act as the leader because of the delayed
+     * transaction.
      */
     @ParameterizedTest
     @CsvSource({"another leads", "another has led", "it has pledged"})
@@ -336,9 +341,9 @@
         cluster.service.delayFilter = (door, path) -> door.equals("a") && path.equals("/txn");
         TestProcess nodeA = cluster.callOnLoop(() -> cluster.start("a"));
         cluster.waitUntil(() -> cluster.service.delayed() > 0);
-        assertFalse(cluster.callOnLoop(() -> nodeA.election.pledge()), "its transaction may be under way");
+        assertFalse(cluster.callOnLoop(() -> nodeA.election.pledge()), "a node with a campaign in progress pledged");
         cluster.callOnLoop(() -> {
-            // Its requests are refused from here on, so it tries no further; it gives up the first after 2 s.
+            // Rejected from now on, so node a sends no further campaign; its first one times out after 2 s.
             cluster.service.rejectedCallers.add("a");
             return null;
         });
@@ -363,7 +368,7 @@
                     cluster.service.has(RecordKeys.LEADER)
                             ? cluster.service.value(RecordKeys.LEADER).text("node")
                             : "none",
-                    "whose key stands there");
+                    "the node in the leadership key");
             assertFalse(nodeA.election.isLeading());
             cluster.service.rejectedCallers.clear();
             return clock.now();
@@ -376,11 +381,13 @@
             return;
         }
         cluster.waitUntil(nodeA.election::isValid);
-        assertTrue(clock.now().since(pledgedAt).compareTo(GivenPledges.PLEDGE_TIME) >= 0, "it had pledged");
+        assertTrue(
+                clock.now().since(pledgedAt).compareTo(GivenPledges.PLEDGE_TIME) >= 0,
+                "node a gained leadership before its pledge expired");
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** The key's removal is asked for late and twice, when the node that stood aside leads again: that leadership goes on. */
+    /** Late and repeated requests to remove a resigned leader's key do not end the next leadership of the same node. */
     @Test
     void lateKeyRemovalDoesNotAffectTheNextTermOfTheSameNode() throws Exception {
         TestCluster cluster = new TestCluster(1, Span.seconds(1));
@@ -400,7 +407,7 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** A renewal is answered when its lease was let go and another taken: what it says of the old one is not said of the new. */
+    /** The response to a renewal arrives after the node has gained another lease: it must not affect the new lease. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void lateRenewalResponseDoesNotAffectTheNextLease(boolean leasesEnd) throws Exception {
@@ -426,33 +433,36 @@
         cluster.waitUntil(() -> cluster.gainedLeaderships.size() == 2);
         Moment regainedAt = clock.now();
         cluster.callOnLoop(() -> {
-            // All that is held by now is of the first lease, as the duty has not come to renew the second.
+            // All delayed renewals are of the first lease, as the renewal task has not yet renewed the second.
             cluster.service.executeDelayed();
             return null;
         });
         cluster.waitUntil(() ->
                 clock.now().since(regainedAt).compareTo(Span.seconds(1)) > 0 || cluster.gainedLeaderships.size() > 2);
-        assertEquals(2, cluster.gainedLeaderships.size(), "the second leadership goes on");
-        // No renewal of the second lease gets through: its time runs from when it was asked for, and not from the first
-        // one's renewal.
+        assertEquals(2, cluster.gainedLeaderships.size(), "the second leadership continues");
+        // No renewal of the second lease succeeds, so its validity counts from its request, not from the renewal of the
+        // first lease.
         cluster.waitUntil(() -> !nodeA.election.isValid());
         Span validity = clock.now().since(regainedAt);
         assertTrue(
                 validity.compareTo(cluster.leaseTime) < 0
                         && validity.compareTo(cluster.leaseTime.minus(Span.seconds(0.75))) > 0,
-                validity + " of its own lease");
+                "validity " + validity + " does not match the time of the second lease");
     }
 
-    /** What a node remembers as open is the newest there is only if nobody has led since, also where it never read who did. */
+    /**
+     * A node's cached state is current only if no other node has led since its last leadership. The node detects another leadership
+     * even if it has never read that leader's key.
+     */
     @ParameterizedTest
-    @CsvSource({"nobody, true", "another, false", "its own try without an answer, true"})
+    @CsvSource({"no node, true", "another node, false", "own campaign without a response, true"})
     void ledPreviousTermOnlyIfNoOtherNodeHasLed(String between, boolean ledPreviousTerm) throws Exception {
         TestCluster cluster = new TestCluster(1, Span.seconds(2));
         TestProcess nodeA = cluster.callOnLoop(() -> cluster.start("a"));
         cluster.waitUntil(nodeA.election::isValid);
-        assertTrue(cluster.callOnLoop(nodeA.election::ledPreviousTerm), "the first of all");
+        assertTrue(cluster.callOnLoop(nodeA.election::ledPreviousTerm), "the first leadership of the deployment");
         switch (between) {
-            case "another" -> {
+            case "another node" -> {
                 cluster.callOnLoop(() -> {
                     cluster.service.rejectedCallers.add("a");
                     cluster.service.endLeases();
@@ -467,7 +477,7 @@
                     return cluster.service.rejectedCallers.remove("a");
                 });
             }
-            case "nobody" ->
+            case "no node" ->
                 cluster.callOnLoop(() -> {
                     nodeA.election.onLeadershipConflict();
                     return null;
@@ -485,7 +495,7 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** Tries that the service refuses use up no numbers: tokens do not run ahead of the time, from which the next process chooses. */
+    /** Rejected campaigns return their tokens, so that tokens do not run ahead of the clock that the next process starts from. */
     @Test
     void rejectedCampaignsDoNotAdvanceTokens() {
         TokenGenerator tokens = new TokenGenerator(1, clock.timeOfDay(), Span.seconds(0.1));
@@ -494,7 +504,8 @@
         for (int n = 0; n < 100; n++) {
             FencingToken refused = tokens.next(FencingToken.NONE, clock.timeOfDay());
             assertTrue(
-                    refused.value() > held.value() && held.value() > first.value(), "those may still be carried out");
+                    refused.value() > held.value() && held.value() > first.value(),
+                    "the new token is not above the tokens of campaigns that may still be executed");
             tokens.release(refused);
         }
         assertEquals(3 << 5, tokens.next(FencingToken.NONE, clock.timeOfDay()).value() - (first.value() - (1 << 5)));
--- a/src/test/java/io/indigoreach/state/LeaderElectionTest.java
+++ b/src/test/java/io/indigoreach/state/LeaderElectionTest.java
@@ -29,13 +29,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Taking, keeping and losing leadership, against a stand-in for the state service. Waits are for events, not times. */
+/** Tests gaining, keeping and losing leadership against a fake state service. The tests wait for events, not for fixed times. */
 class LeaderElectionTest {
     private final Vertx vertx = Vertx.vertx();
     private final BlockingQueue<String> events = new ArrayBlockingQueue<>(100);
     private final SteadyClock clock = new SteadyClock();
     private final AtomicLong highestToken = new AtomicLong();
-    /** How many leaderships there were, each under a token above all before. */
+    /** The number of leaderships that had a higher token than all before. */
     private final AtomicLong leadershipCount = new AtomicLong();
 
     private FakeStateService service;
@@ -78,8 +78,8 @@
                     @Override
                     public void leadershipGained(FencingToken token, Revision key, boolean bounds) {
                         boolean above = token.value() > highestToken.getAndSet(token.value());
-                        events.add(process + " took " + (above ? leadershipCount.incrementAndGet() : "an old token")
-                                + (bounds ? "" : ", bounds in doubt"));
+                        events.add(process + " gained " + (above ? leadershipCount.incrementAndGet() : "an old token")
+                                + (bounds ? "" : ", start bounds unreliable"));
                     }
 
                     @Override
@@ -99,15 +99,15 @@
     @Test
     void nextLeaderHasHigherToken() throws Exception {
         LeaderElection nodeA = startNode("a", "a1", 0);
-        assertEquals("a1 took 1", nextEvent());
+        assertEquals("a1 gained 1", nextEvent());
         assertTrue(nodeA.isValid());
         vertx.runOnContext(v -> nodeA.stop());
         startNode("b", "b1", 0);
         service.endLeases();
-        assertEquals("b1 took 2", nextEvent());
+        assertEquals("b1 gained 2", nextEvent());
     }
 
-    /** Whether a node that starts waits for a leader before it listens: nobody leads, in a deployment where somebody has. */
+    /** A starting node waits for a leader before it accepts requests if the deployment has had a leader and has none now. */
     @ParameterizedTest
     @CsvSource({
         "-, false, false, false",
@@ -147,73 +147,73 @@
                         .get(20, TimeUnit.SECONDS));
     }
 
-    /** Guards against waiting a whole lease for a process that surely has ended. */
+    /** Guards against waiting a full lease time for the node's own previous process, which has ended. */
     @Test
     void restartedNodeDoesNotWaitForItsOldLease() throws Exception {
         LeaderElection nodeA = startNode("a", "a1", 0);
-        assertEquals("a1 took 1", nextEvent());
+        assertEquals("a1 gained 1", nextEvent());
         vertx.runOnContext(v -> nodeA.stop());
         startNode("a", "a2", 0);
-        assertEquals("a2 took 2", nextEvent());
+        assertEquals("a2 gained 2", nextEvent());
     }
 
     @Test
     void restartedNodeLetsRunningNodeLeadFirst() throws Exception {
         LeaderElection nodeA = startNode("a", "a1", 2);
-        assertEquals("a1 took 1", nextEvent());
+        assertEquals("a1 gained 1", nextEvent());
         vertx.runOnContext(v -> nodeA.stop());
         startNode("b", "b1", 2);
         while (service.transactionCount < 1) {
             Thread.onSpinWait();
         }
         startNode("a", "a2", 2);
-        assertTrue(nextEvent().endsWith("took 2"));
+        assertTrue(nextEvent().endsWith("gained 2"));
     }
 
-    /** The key was written but the answer lost: this process may take it again, under a higher token. */
+    /** The campaign was executed but its response lost: the process may campaign again with a higher token. */
     @Test
     void lostCampaignResponseDoesNotBlockLeadership() throws Exception {
         service.responsesToLose = 1;
         startNode("a", "a1", 0);
-        assertEquals("a1 took 1", nextEvent());
+        assertEquals("a1 gained 1", nextEvent());
     }
 
     @Test
     void leaderReportsLossWhenItsLeaseEnds() throws Exception {
         LeaderElection nodeA = startNode("a", "a1", 0);
-        assertEquals("a1 took 1", nextEvent());
+        assertEquals("a1 gained 1", nextEvent());
         service.endLeases();
         assertEquals("a1 lost", nextEvent());
-        assertEquals("a1 took 2", nextEvent());
+        assertEquals("a1 gained 2", nextEvent());
         vertx.runOnContext(v -> nodeA.onLeadershipConflict());
         assertEquals("a1 lost", nextEvent());
         assertFalse(nodeA.isValid() && events.isEmpty());
     }
 
-    /** A leader that alone is refused by the state service held its key for a whole lease (water kiosks, apart). */
+    /** Guards against a leader that the state service alone rejects and whose key stays for a full lease time. */
     @Test
     void peerRemovesTheKeyOfAResignedLeader() throws Exception {
         LeaderElection nodeA = startNode("a", "a1", 2);
-        assertEquals("a1 took 1", nextEvent());
+        assertEquals("a1 gained 1", nextEvent());
         LeaderElection nodeB = startNode("b", "b1", 2);
         service.ignoreLeaseRevocation = true;
         CompletableFuture<Revision> key = new CompletableFuture<>();
         vertx.runOnContext(v -> {
-            key.complete(nodeA.handOver("refused alone"));
+            key.complete(nodeA.handOver("state service unreachable"));
             nodeA.stop();
         });
         assertEquals("a1 lost", nextEvent());
         vertx.runOnContext(v -> {
             var unused = key.thenAccept(nodeB::removeKey);
         });
-        assertEquals("b1 took 2", nextEvent());
+        assertEquals("b1 gained 2", nextEvent());
         nodeB.removeKey(key.get()).toCompletionStage().toCompletableFuture().get();
-        assertTrue(service.has(RecordKeys.LEADER), "a late request leaves a later leader's key alone");
+        assertTrue(service.has(RecordKeys.LEADER), "a late request removed a later leader's key");
     }
 
     /**
-     * An older version of the program led in between: it orders tasks without raising their bounds, and its counter does not
-     * say otherwise. Bounds are believed again once a leader has vouched for all that is open.
+     * An older version of the program has led and started tasks without maintaining start bounds; its counter lacks the flag for
+     * them. Start bounds are reliable again once a leader has confirmed them for all open jobs.
      */
     @Test
     void startBoundsAreUnreliableAfterAnOlderVersionHasLed() throws Exception {
@@ -224,26 +224,26 @@
                 .toCompletableFuture()
                 .get();
         LeaderElection nodeA = startNode("a", "a1", 0);
-        assertEquals("a1 took 1, bounds in doubt", nextEvent());
+        assertEquals("a1 gained 1, start bounds unreliable", nextEvent());
         vertx.runOnContext(v -> nodeA.onLeadershipConflict());
         assertEquals("a1 lost", nextEvent());
-        assertEquals("a1 took 2, bounds in doubt", nextEvent());
+        assertEquals("a1 gained 2, start bounds unreliable", nextEvent());
         CompletableFuture<Void> confirmed = new CompletableFuture<>();
         vertx.runOnContext(v -> nodeA.confirmStartBounds().onComplete(r -> confirmed.complete(null)));
         confirmed.get();
         vertx.runOnContext(v -> nodeA.onLeadershipConflict());
         assertEquals("a1 lost", nextEvent());
-        assertEquals("a1 took 3", nextEvent());
+        assertEquals("a1 gained 3", nextEvent());
     }
 
-    /** Found on loopback: with the leader's key and the counter deleted, the next leader took the first token once more. */
+    /** Guards against a reused token: after the leadership key and the counter were deleted, the next leader got token 1 again. */
     @ParameterizedTest
     @ValueSource(strings = {"leader", "counter", "leader counter"})
     void tokensAreNotReusedAfterKeysAreDeleted(String keys) throws Exception {
         StateClient client = new StateClient(
                 new ServiceClient(vertx, service.endpoint(), 1), new ServiceClient(vertx, service.endpoint(), 1));
         LeaderElection nodeA = startNode("a", "a1", 2);
-        assertEquals("a1 took 1", nextEvent());
+        assertEquals("a1 gained 1", nextEvent());
         for (int round = 2; round < 4; round++) {
             StateClient.Txn deletion = new StateClient.Txn();
             List.of(keys.split(" ")).forEach(deletion::delete);
@@ -252,13 +252,13 @@
                 vertx.runOnContext(v -> nodeA.onLeadershipConflict());
             }
             assertEquals("a1 lost", nextEvent());
-            assertEquals("a1 took " + round, nextEvent(), "it led until now, so it need not wait for its own lease");
+            assertEquals("a1 gained " + round, nextEvent(), "the former leader waited for its own lease");
         }
     }
 
     /**
-     * In an outage of the state service a leader goes on by the others' pledges, and by nothing less: not by those of some,
-     * and not by those that come when its own time was over, as another may have led in between.
+     * During an outage of the state service, a leader stays valid only by the pledges of all peers. Pledges of some peers are not
+     * enough, nor are pledges that arrive after its validity has ended, as another node may have led in between.
      */
     @ParameterizedTest
     @CsvSource({"always, true", "never, false", "late, false"})
@@ -267,7 +267,7 @@
         AtomicBoolean pledging = new AtomicBoolean("always".equals(pledged));
         vertx.runOnContext(v -> nodeA.setPeerQueries(
                 () -> Future.succeededFuture(pledging.get()), () -> Future.succeededFuture(false)));
-        assertEquals("a1 took 1", nextEvent());
+        assertEquals("a1 gained 1", nextEvent());
         service.unavailable = true;
         Moment endAt = clock.now().plus(Span.seconds(3.5));
         while (nodeA.isValid() && clock.now().isBefore(endAt)) {
@@ -289,15 +289,15 @@
         while (!nodeA.isValid()) {
             Thread.onSpinWait();
         }
-        assertTrue(events.isEmpty(), "its lease has never ended");
+        assertTrue(events.isEmpty(), "leadership changed although the lease never ended");
     }
 
-    /** Guards against two leaders: who has pledged, or may have in a former process, does not take a key that is free. */
+    /** Guards against two leaders: a node whose pledge, or whose previous process's pledge, may be in force does not campaign. */
     @Test
     void pledgeDefersCampaigning() throws Exception {
         LeaderElection nodeA = startNode("a", "a1", 2);
-        assertEquals("a1 took 1", nextEvent());
-        assertFalse(nodeA.pledge(), "a leader does not pledge");
+        assertEquals("a1 gained 1", nextEvent());
+        assertFalse(nodeA.pledge(), "a leader pledged");
         LeaderElection nodeB = startNode("b", "b1", 2);
         while (service.transactionCount < 2 && nodeB.leaderNode() == null) {
             Thread.onSpinWait();
@@ -310,16 +310,16 @@
             service.endLeases();
         });
         Moment pledgeTime = pledgedAt.get();
-        assertEquals("b1 took 2", nextEvent());
+        assertEquals("b1 gained 2", nextEvent());
         assertTrue(clock.now().since(pledgeTime).compareTo(GivenPledges.PLEDGE_TIME) >= 0);
         vertx.runOnContext(v -> nodeB.stop());
         Moment startedAt = clock.now();
         LeaderElection nodeC = startNode("c", "c1", 2);
         service.endLeases();
-        assertEquals("c1 took 3", nextEvent());
+        assertEquals("c1 gained 3", nextEvent());
         assertTrue(
                 clock.now().since(startedAt).compareTo(GivenPledges.PLEDGE_TIME) >= 0,
-                "a former process of it may have pledged");
+                "node c campaigned although its previous process may have pledged");
         service.endLeases();
         assertEquals("c1 lost", nextEvent());
         vertx.runOnContext(v -> nodeC.stop());
@@ -327,7 +327,9 @@
         LeaderElection nodeD = startNode(
                 "d", "d1", 2, Span.seconds(10), () -> Future.succeededFuture(queried.compareAndSet(false, true)));
         service.endLeases();
-        assertEquals("d1 took 4", nextEvent());
-        assertTrue(queried.get() && nodeD.isValid(), "not so if nobody leads");
+        assertEquals("d1 gained 4", nextEvent());
+        assertTrue(
+                queried.get() && nodeD.isValid(),
+                "node d waited for a pledge of its previous process although no peer leads");
     }
 }
