--- a/src/main/java/io/indigoreach/core/scheduling/Admission.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Admission.java
@@ -6,11 +6,11 @@
 import io.indigoreach.core.model.Team;
 import java.util.Collection;
 
-/** Whether a well-formed job can ever run here. */
+/** Checks whether the cluster's teams and machine types allow a well-formed job to run. */
 public final class Admission {
     private Admission() {}
 
-    /** Why the job can never run, or null if it can. */
+    /** Returns why the job can never run, or null if it can. */
     public static String refusal(JobSpec spec, Collection<Team> teams, Collection<MachineType> types) {
         Team team = teams.stream()
                 .filter(candidate -> candidate.name().equals(spec.team()))
--- a/src/main/java/io/indigoreach/core/scheduling/ClassQuota.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ClassQuota.java
@@ -11,28 +11,43 @@
 import java.util.function.Predicate;
 
 /**
- * A floor under what each class of jobs of a queue is served. Urgent jobs go first, and a flood of them that takes every
- * machine would leave the others nothing for as long as it lasts. So a class of which too many jobs have missed their longest
- * objective is under-served: those that can still meet it go first, on a part of what the queue uses at most, so that the floor of one
- * class cannot become the flood of another. The same holds for any job that is older than anything should become. That
- * is ageing as in multilevel feedback queues (Corbató and others, 1962), with classes in place of single jobs.
+ * Guarantees a minimum of service to each job class of a queue. Urgent jobs go first, so a burst of them that takes
+ * every machine would starve the other classes while it lasts. A class in which too many jobs have missed their longest
+ * objective is therefore under-served: its jobs that can still meet the objective go first, but only on a part of the
+ * cores that the queue uses, so that they cannot starve other classes in turn. The same applies to any aged job. This
+ * is ageing as in multilevel feedback queues (Corbató et al., 1962), applied to classes instead of single jobs.
  */
 final class ClassQuota {
-    /** A class of which a smaller part can still be served in time is under-served; above a half, as jobs it counts on may fail. */
+    /**
+     * A class is under-served if a smaller fraction of its jobs can still meet the objective. The limit is above one
+     * half because some of the jobs that are expected to meet it fail.
+     */
     private static final double MINIMUM_SERVED_FRACTION = 0.7;
-    /** Of the jobs served so many times those open are remembered: months of good service would hide a flood of today. */
+    /**
+     * Past jobs are remembered up to this multiple of the open jobs. With a longer memory, months of good service would
+     * hide a current shortage.
+     */
     private static final int REMEMBERED_PER_OPEN = 4;
 
     private static final int MINIMUM_REMEMBERED = 20;
     private static final int MAXIMUM_CLASSES = 1000;
-    /** A job that has waited for this part of its time is not counted on any more: many are lost together. */
+    /**
+     * A job that has waited for more than this fraction of its time no longer counts as likely to meet the objective,
+     * because many jobs tend to miss it together.
+     */
     private static final double SAFE_FRACTION = 0.75;
-    /** Part of the cores in use up to which under-served jobs go before all others. */
+    /** The fraction of the cores in use up to which under-served jobs go before others. */
     private static final double UNDER_SERVED_FRACTION = 0.5;
-    /** The same for the one task by which a job begins: a flood of single tasks is not to become everybody's. */
+    /**
+     * The fraction of the cores in use up to which starved jobs start one task each, so that a burst of single-task
+     * jobs cannot take over.
+     */
     private static final double BEGINNING_FRACTION = 0.25;
 
-    /** Jobs of a class: over in time, or open with time left; and all, those that missed their longest objective among them. */
+    /**
+     * Counts of the jobs of a class: completed in time, missed, open, and safe. A safe job is open and has enough time
+     * left. The counts of completed and missed jobs are fractional because they decay.
+     */
     private static final class Tally {
         double met;
         double missed;
@@ -48,7 +63,7 @@
     private final Set<String> underServedClasses = new HashSet<>();
     private boolean underServedFirst;
 
-    /** The job is off the queue: done or cancelled. */
+    /** Counts a job that has left the queue because it is done or cancelled. */
     void jobEnded(Job job) {
         if (!job.missedObjectives && job.isComplete()) {
             tally(job).met++;
@@ -60,11 +75,11 @@
     }
 
     /**
-     * Counts the open jobs anew and says which go first on a part of the {@code cores} in use: {@link Job#starved},
+     * Recounts the open jobs and marks those that go first on a part of the {@code cores} in use: {@link Job#starved},
      * {@link Job#underServed}.
      *
-     * @param lastChance when the longest objective is missed by a job that still waits
-     * @param aged the job has waited for longer than anything should
+     * @param lastChance the latest start with which a job still meets its longest objective
+     * @param aged whether a job has waited longer than any job should
      */
     void recount(List<Job> jobs, double cores, Function<Job, Moment> lastChance, Predicate<Job> aged, Moment now) {
         forgetOldServices();
@@ -82,10 +97,10 @@
         markJobs(jobs, cores, aged, now);
     }
 
-    /** What was missed is forgotten in proportion to what was met, so that it is made good and then over. */
+    /** Scales down the counts of past jobs. Missed jobs decay with met ones, so that an under-served class recovers. */
     private void forgetOldServices() {
         if (tallies.size() > MAXIMUM_CLASSES) {
-            // Their names are the users' own; a class without open jobs is not under-served.
+            // Users choose class names, so their number is unbounded. A class without open jobs is not under-served.
             tallies.values().removeIf(tally -> tally.open == 0);
         }
         tallies.values().forEach(tally -> {
@@ -129,7 +144,7 @@
         return !job.missedObjectives && underServedClasses.contains(job.spec.jobClass());
     }
 
-    /** Whether under-served jobs go first at this moment: they use less than their part of the cores. */
+    /** Whether under-served jobs go first, because they use less than their fraction of the cores. */
     boolean servesUnderServedFirst() {
         return underServedFirst;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
+++ b/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 
 /**
- * The jobs of one leadership term that depend on others. While a job waits for others it is in no queue, so that it holds no
- * reservation and causes no scale-out: it is enqueued when the ends of all the jobs that it requires are durable, and its times
- * count from then, except its deadline.
+ * Releases the jobs that depend on others, within one leadership term. A job with unmet dependencies is in no queue, so
+ * that it holds no reservation and causes no scale-out. It is enqueued when the completion of all required jobs is
+ * durable. Its waiting time counts from then, but its deadline counts from the submission.
  */
 public final class DependentJobs {
     private static final Span LOOK_AHEAD = Span.seconds(1);
@@ -21,9 +21,9 @@
     private final Cluster cluster;
     private final Estimates estimates;
     private final DependencyGraph graph = new DependencyGraph();
-    /** Waiting jobs that were there before this leader: an earlier one may have released them. */
+    /** Waiting jobs submitted before this leadership term. An earlier leader may have released them. */
     private final Set<Job> inherited = new HashSet<>();
-    /** Jobs that others wait for, with the targets that those set. */
+    /** Required jobs that currently have a target derived from their dependents. */
     private Set<JobId> targeted = Set.of();
 
     private Moment lookedAhead = Moment.NEVER;
@@ -43,7 +43,7 @@
         }
     }
 
-    /** The job is over or not served any more; what became of it is to be read. */
+    /** Removes a job that has ended or is no longer served. If others require it, its end is read from its record. */
     void removed(Job job) {
         inherited.remove(job);
         graph.ended(job.id());
@@ -55,33 +55,33 @@
         targeted = Set.of();
     }
 
-    /** The end of a job as done is in the state service. */
+    /** Notes that the state service has recorded the job as done. */
     public void done(JobId id) {
         graph.done(id);
     }
 
-    /** The end of a job as cancelled is in the state service. */
+    /** Notes that the state service has recorded the job as cancelled. */
     public void cancelled(JobId id) {
         graph.cancelled(id);
     }
 
-    /** Jobs that others wait for and that are not open here: their ends are to be read. */
+    /** Required jobs that are not open on this leader, so that their ends must be read from the state service. */
     public Set<JobId> jobsToLookUp() {
         return graph.jobsToLookUp();
     }
 
-    /** Jobs below a cancelled one, whose own ends are to be written. */
+    /** Jobs that depend on a cancelled job and must be recorded as cancelled too. */
     public Set<JobId> jobsToCancel() {
         return graph.jobsToCancel();
     }
 
-    /** Enqueues the released jobs, and once a second derives targets of required jobs from the jobs that depend on them. */
+    /** Enqueues released jobs, and once a second derives the targets of required jobs from their dependents. */
     public void advance(Moment now, long timeOfDayMs) {
         graph.takeReleased().forEach(id -> release(id, now, timeOfDayMs));
         if (now.since(lookedAhead).compareTo(LOOK_AHEAD) >= 0) {
             lookedAhead = now;
-            // A task of it is on a machine, which only a leader that had released it can have started: the jobs it
-            // requires were done, also where a data loss has taken their ends.
+            // Only a leader that had released the job can have started a task of it. So the required jobs were done,
+            // even if their ends were lost with data of the state service.
             Set.copyOf(inherited).stream().filter(Job::hasBegun).forEach(job -> {
                 graph.removeWaiting(job.id());
                 release(job.id(), now, timeOfDayMs);
@@ -114,7 +114,7 @@
         targeted = Set.copyOf(targets.keySet());
     }
 
-    /** A service has reached what its deadline is for when it starts. */
+    /** The expected run time; zero for a service, which meets its deadline when it starts. */
     private Span runTime(Job job) {
         return job.spec.isService() ? Span.ZERO : estimates.run(job);
     }
--- a/src/main/java/io/indigoreach/core/scheduling/DispatchRules.java
+++ b/src/main/java/io/indigoreach/core/scheduling/DispatchRules.java
@@ -2,7 +2,10 @@
 
 import io.indigoreach.core.model.Span;
 
-/** The rules that decide which waiting task may start where, shared by all that start, stop, rent or explain. */
+/**
+ * The rules that decide which waiting task may start where. Dispatch, preemption, scale-out and wait explanation share
+ * them.
+ */
 record DispatchRules(
         QueueOrder order,
         PlacementRules placement,
--- a/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
@@ -12,14 +12,14 @@
 import java.util.Optional;
 
 /**
- * Starts tasks on a machine that has just sent a heartbeat: those of the top job of its queue first, others backfilled
- * where they do not delay it.
+ * Starts tasks on a machine that has just sent a heartbeat. Jobs start in queue order; jobs behind the top job are
+ * backfilled where they do not delay it.
  */
 final class Dispatcher {
-    /** A job that has waited for so long takes room that it would otherwise be kept from. */
+    /** A job that has waited this long may use free capacity that is otherwise kept from it. */
     private static final Span OVERDUE = Span.seconds(60);
 
-    /** Less than this is rounding: the machine has no free cores. */
+    /** Free cores up to this value are rounding errors and count as none. */
     private static final double NO_CORES = 1e-6;
 
     private final Cluster cluster;
@@ -49,7 +49,9 @@
         return rules;
     }
 
-    /** Commands for the machine that make room on it for more urgent work, or for teams that wait for their guarantee. */
+    /**
+     * Returns the commands that free capacity on the machine for more urgent jobs or for teams below their guarantee.
+     */
     List<WorkerCommand> preempt(Machine machine, Moment now) {
         return preemption.preempt(machine, now);
     }
@@ -70,9 +72,8 @@
             if (batch.commands().size() > commandsBefore) {
                 machine.serve(queue);
             }
-            // Not after the first queue: one that is below its guarantee and has nothing to start kept the machine's
-            // own
-            // queue from the rest of every machine.
+            // The loop does not end after the first queue: a queue below its guarantee with nothing to start would keep
+            // the machine's own queue from the rest of the machine.
             if (isAtWorkOutsidePools(machine) && queue.name.equals(machine.queueName)) {
                 break;
             }
@@ -96,7 +97,10 @@
         return machine.free().cores() <= NO_CORES;
     }
 
-    /** The machine's own queue; an idle machine may pass to the queue that is furthest below its guarantee. */
+    /**
+     * All queues: those below their guarantee first, then the one that the machine serves, then by use beyond the
+     * guarantee.
+     */
     private List<FairShareQueue> queuesFor(Machine machine) {
         List<FairShareQueue> queues = new ArrayList<>(cluster.queues());
         queues.sort(Comparator.<FairShareQueue>comparingInt(queue -> queue.isBelowGuarantee(Demand.NOTHING) ? 0 : 1)
@@ -130,7 +134,7 @@
         }
     }
 
-    /** Starts jobs without an objective that have waited long, on a machine reserved for them. */
+    /** Starts aged jobs without an objective on a machine that is reserved for them. */
     private void startAged(FairShareQueue queue, CommandBatch batch) {
         for (Job job : rules.reservations().agedJobs(queue)) {
             if (job.hasStartable()
@@ -145,7 +149,7 @@
         return top == null ? Optional.empty() : Optional.of(rules.reservations().of(queue, top, now));
     }
 
-    /** A job that is kept waiting for jobs with an objective must not keep places from them. */
+    /** Excludes a job that is held back in favour of jobs with an objective: its reservation would block those. */
     private boolean holdsReservation(FairShareQueue queue, Job job, Moment now) {
         ObjectiveBudget budget = rules.objectiveBudget();
         return job.hasStartable()
@@ -154,9 +158,8 @@
     }
 
     /**
-     * Starts jobs that have waited for long wherever the machine has room, of whichever queue, and also where only its
-     * price or the room elsewhere speaks against it: nothing is to wait beside free room. The top job of the machine's
-     * own queue is not delayed.
+     * Starts overdue jobs of any queue where the machine has free capacity, also on a surplus or cordoned machine, so
+     * that no job waits for long beside free capacity. The top job of the machine's own queue is not delayed.
      */
     private void startOverdue(CommandBatch batch) {
         Machine machine = batch.machine();
@@ -187,7 +190,7 @@
         }
     }
 
-    /** Not the rest of a job whose tasks start or end, nor a job that was just stopped to empty the machine. */
+    /** Excludes jobs whose placements changed recently: their tasks are starting or ending, or were just preempted. */
     private static boolean isOverdue(Job job, Moment now) {
         return !job.isStarvationRelieved()
                 && now.since(job.eligibleSince).compareTo(OVERDUE) >= 0
@@ -202,7 +205,7 @@
         start(queue, job, reservation, batch, false);
     }
 
-    /** Starts as many of the job's tasks as the machine, the reservation and the budget for fillers allow. */
+    /** Starts as many of the job's tasks as the machine, the reservation and the budget for unbounded fillers allow. */
     private void start(
             FairShareQueue queue,
             Job job,
@@ -221,7 +224,8 @@
                 && (!filler || rules.objectiveBudget().leavesRoomForObjectives(queue, job, now))
                 && (reservation.isEmpty() || reservation.get().allows(machine, demand, runTime, estimates, now))) {
             if (!job.isWithinStartBound()) {
-                // Further down the queue than the start bounds were raised: it may start here at the next heartbeat.
+                // StartBounds raises bounds for the head of the queue only. The job may start here at the next
+                // heartbeat.
                 job.requestStartBoundFor(demand.timesIn(machine.free()));
                 return;
             }
--- a/src/main/java/io/indigoreach/core/scheduling/Estimates.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Estimates.java
@@ -9,17 +9,20 @@
 import java.util.function.BiConsumer;
 
 /**
- * Run-time estimates, corrected by what was seen. Owners' estimates are often wrong by half, and on some days mostly
- * in one direction, which would make the top job look stuck (a weak point the design names).
+ * Run-time estimates, corrected by observed run times. Users' estimates are often wrong by half, and on some days
+ * mostly in one direction, which would make the top job appear stuck.
  */
 final class Estimates {
     private static final double OBSERVATION_WEIGHT = 0.1;
     private static final int SUFFICIENT_RUNS = 3;
     private static final int MAXIMUM_CLASSES = 1000;
-    /** A replica has no end of its own: longer than anything that is waited for. */
+    /** The run time assumed for service replicas, which run until cancelled: longer than any wait. */
     private static final Span UNTIL_CANCELLED = Span.seconds(1e8);
 
-    /** By class, whose names are the users' own: those seen longest ago are forgotten. */
+    /**
+     * The logarithm of observed over estimated run time, by job class. Users choose class names, so the least recently
+     * used ones are evicted.
+     */
     private final Map<String, Double> logFactor = new LinkedHashMap<>(16, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
@@ -29,7 +32,7 @@
 
     private BiConsumer<Job, Span> listener = (job, run) -> {};
 
-    /** Sets the listener that is told each task's run time, without the image's fetch. */
+    /** Sets the listener for each task's observed run time, without the image fetch. */
     void onRun(BiConsumer<Job, Span> runListener) {
         listener = runListener;
     }
@@ -46,7 +49,7 @@
         return job.spec.estimate().times(Math.min(3, Math.max(0.33, factor)));
     }
 
-    /** The expected time a task takes on a machine, image fetch included when it has to be fetched. */
+    /** A task's expected time on the machine, including the image fetch if the machine lacks the image. */
     Span onMachine(Job job, Machine machine) {
         Span run = run(job);
         return machine.imageCache.contains(job.spec.image()) ? run : run.plus(fetch(job, machine.type));
@@ -56,7 +59,7 @@
         return Span.seconds(type.fetchGbPerS() > 0 ? job.spec.imageGb() / type.fetchGbPerS() : 0);
     }
 
-    /** Whether a task of the job's class has been seen to end, so that its estimate rests on more than the owner's figure. */
+    /** Whether a task of the job's class has ended, so that the estimate rests on more than the user's figure. */
     boolean hasSeen(Job job) {
         return logFactor.containsKey(job.spec.jobClass());
     }
@@ -74,7 +77,7 @@
         }
     }
 
-    /** When a task that may be on a machine is expected to be gone; a task over its time counts as soon over. */
+    /** When the task is expected to end. An overdue task is expected to end after another tenth of its run time. */
     Moment end(Placement placement, Moment now) {
         Span run =
                 placement.state == TaskState.RUNNING ? run(placement.job) : onMachine(placement.job, placement.machine);
--- a/src/main/java/io/indigoreach/core/scheduling/FairShareQueue.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FairShareQueue.java
@@ -11,22 +11,22 @@
 import java.util.function.Predicate;
 
 /**
- * A queue of open jobs: that of one team with a guarantee, or that of all teams without one. These have no claim against
- * each other, so the queue's order alone says whose turn it is: with a queue and machines for each, a guest's batch work
- * got as many cores as the plans of the next morning, and kept its machines half used. Machines name the queue that they
- * serve; the leader moves idle ones.
+ * A queue of open jobs: one per team with a guarantee, and one common queue for all teams without a guarantee. Teams
+ * without a guarantee have no claim against each other, so only the queue order ranks their jobs. With one queue per
+ * team, the batch jobs of one team got as many cores as the urgent jobs of another and left their machines half used.
+ * Each machine serves one queue; the leader reassigns idle machines.
  */
 final class FairShareQueue {
-    /** How long an order of the queue is kept while no job comes or goes. */
+    /** How long the sorted order is cached while no job is added or removed. */
     private static final Span ORDER_LIFE = Span.seconds(1);
 
-    /** A job with what its place in the queue depends on. */
+    /** A job with its sort keys. */
     private record RankedJob(Job job, int turn, Urgency urgency, Moment latestStart) {}
 
     /**
-     * The paper's priority queue, its priority from urgency and time: urgent jobs first, the others mixed, each by the
-     * latest start that still meets an objective; then the order of arrival. Before them under-served classes ({@link ClassQuota}), and
-     * before that one task of each job of which nothing has run for too long, in the order of arrival.
+     * Orders jobs by urgency, where best-effort counts as standard, then by the latest start that still meets an
+     * objective, then by submission. While {@link ClassQuota} allows, services and under-served jobs go before these.
+     * Starved jobs go before all others, in the order in which they became eligible.
      */
     private static final Comparator<RankedJob> ORDER = Comparator.<RankedJob, Integer>comparing(ranked -> ranked.turn)
             .thenComparing(ranked -> ranked.urgency)
@@ -34,11 +34,11 @@
             .thenComparingLong(ranked -> ranked.job.submittedMs)
             .thenComparing(ranked -> ranked.job.id());
 
-    /** The name of the queue of all teams without a guarantee; no team can have it. */
+    /** The name of the common queue for teams without a guarantee. A team name cannot be empty. */
     static final String COMMON = "";
 
     final String name;
-    /** Its team, if it has a guarantee; else null. */
+    /** The usage of the queue's team; null for the common queue. */
     final TeamUsage guaranteed;
 
     private final List<Job> jobs = new ArrayList<>();
@@ -47,7 +47,7 @@
     private List<Job> cachedOrder = List.of();
     private Moment orderedAt = Moment.NEVER;
     private double cores;
-    /** What is free on the machines that are not cordoned. */
+    /** The free capacity of each machine that is not cordoned. */
     private List<Demand> roomOutsideCordon = List.of();
 
     FairShareQueue(String name, TeamUsage guaranteed) {
@@ -75,7 +75,7 @@
         return arrivalRate;
     }
 
-    /** The queue in the order in which it is served. */
+    /** The jobs in the order in which they are served. */
     List<Job> ordered(
             Function<Job, Moment> latestStart, Function<Job, Moment> lastChance, Predicate<Job> aged, Moment now) {
         if (!now.isBefore(orderedAt.plus(ORDER_LIFE))) {
@@ -83,7 +83,7 @@
             List<RankedJob> ranked = new ArrayList<>(jobs.size());
             for (Job job : jobs) {
                 Urgency urgency = job.urgency() == Urgency.BEST_EFFORT ? Urgency.STANDARD : job.urgency();
-                // A replica that is down is worth more than any job that is late.
+                // A service replica that is down takes precedence over any late job.
                 boolean first = classQuota.servesUnderServedFirst() && (job.underServed || job.spec.isService());
                 int turn = job.starved ? 0 : first ? 1 : 2;
                 ranked.add(
@@ -114,12 +114,12 @@
         return cores;
     }
 
-    /** Its team has a guarantee and uses less than that, with {@code more}. */
+    /** Whether the queue's team has a guarantee and stays within it when it uses {@code more}. */
     boolean isBelowGuarantee(Demand more) {
         return guaranteed != null && guaranteed.isWithinGuarantee(more);
     }
 
-    /** Cores in use beyond the guarantee. */
+    /** The cores in use beyond the guarantee; negative if the team uses less. */
     double coresBeyondGuarantee() {
         return cores - (guaranteed == null ? 0 : guaranteed.team.cores());
     }
--- a/src/main/java/io/indigoreach/core/scheduling/GuaranteeEnforcement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/GuaranteeEnforcement.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Takes machines from teams that use more than their guarantee where another team waits for its own. */
+/** Reclaims machines from teams beyond their guarantee for teams that wait for theirs. */
 final class GuaranteeEnforcement {
     private final Cluster cluster;
     private final DispatchRules rules;
@@ -19,7 +19,7 @@
         this.shortages = shortages;
     }
 
-    /** Stops work on the machine that its team runs beyond its guarantee, if another team waits for its own. */
+    /** Stops tasks of teams beyond their guarantee on the machine, if another team waits for its guarantee. */
     List<WorkerCommand> preemptBorrowedWork(Machine machine, Moment now) {
         List<WorkerCommand> commands = new ArrayList<>();
         for (FairShareQueue queue : cluster.queues()) {
@@ -50,7 +50,7 @@
                 && rules.placement().isPlaceable(top, machine);
     }
 
-    /** Stops borrowed work until the top job fits; returns whether it does. */
+    /** Stops borrowed tasks until the top job fits; returns whether it fits. */
     private boolean makeRoom(FairShareQueue queue, Job top, Machine machine, List<WorkerCommand> commands) {
         Demand room = machine.free();
         for (Placement placement : machine.placementsCopy()) {
@@ -68,8 +68,8 @@
     }
 
     /**
-     * An idle machine of a warm pool goes to a team that waits for its guarantee, as work beyond the paying team's own
-     * guarantee would be stopped.
+     * Gives an idle warm-pool machine to a team that waits for its guarantee, if the team that pays for the pool is
+     * beyond its own guarantee. Tasks beyond that guarantee would be stopped in the same way.
      */
     private void yieldPoolMachine(FairShareQueue queue, Job top, Machine machine, Moment now) {
         Job holder = machine.poolMembership == null ? null : machine.poolMembership.holder();
--- a/src/main/java/io/indigoreach/core/scheduling/HolderPlacement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/HolderPlacement.java
@@ -4,7 +4,7 @@
 
 /** Starts and stops the holder tasks that keep the images of warm pools on their machines. */
 final class HolderPlacement {
-    /** Holders whose start bound is raised at once. */
+    /** The number of startable holder tasks that a raised start bound covers. */
     private static final int HOLDERS_PER_START_BOUND = 50;
 
     private final Cluster cluster;
@@ -17,13 +17,16 @@
         this.starter = starter;
     }
 
-    /** A holder runs where a machine belongs to a warm pool and nothing else keeps the image; elsewhere it is stopped. */
+    /**
+     * Starts the pool's holder if the machine belongs to a warm pool and no task there keeps the image; stops misplaced
+     * holders.
+     */
     void reconcile(CommandBatch batch) {
         Machine machine = batch.machine();
         Job due = machine.poolMembership == null ? null : machine.poolMembership.holder();
         Placement running = machine.holder();
         if (running != null && cluster.warmCapacity.isKnown() && isMisplaced(running, due)) {
-            // Started anew, it shows that its image is here, or fetches it, and the image counts as used last.
+            // A restarted holder confirms or fetches the image, which becomes the most recently used one.
             batch.stop(running);
         } else if (due != null && isNeeded(due, machine) && mayStartOn(due, machine, batch.now())) {
             if (due.isWithinStartBound()) {
@@ -34,7 +37,9 @@
         }
     }
 
-    /** It is not the holder that is due, or the machine's cache has lost its image or is about to evict it. */
+    /**
+     * Whether the holder belongs to another pool, or the machine's cache has lost its image or is about to evict it.
+     */
     private static boolean isMisplaced(Placement running, Job due) {
         ImageCache cache = running.machine.imageCache;
         String image = running.job.spec.image();
--- a/src/main/java/io/indigoreach/core/scheduling/ImageCache.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ImageCache.java
@@ -7,34 +7,37 @@
 import java.util.Map;
 
 /**
- * Which images a machine has, as far as its heartbeats show. The protocol defines the size of the cache and that the most
- * recently used images stay; what no heartbeat shows is not claimed. Sizes in GB.
+ * The leader's model of a machine's image cache, derived from heartbeats. The worker protocol defines the cache size
+ * and LRU eviction; images that no heartbeat implies are not assumed. Sizes are in GB.
  */
 public final class ImageCache {
-    /** A bound for images that take no room. */
+    /** Limits the number of entries, as images of size zero never exceed the capacity. */
     private static final int MAX_IMAGES = 256;
 
     private enum State {
-        /** A task that needs it was started; it may be being fetched, which is abandoned when no task waits for it. */
+        /** A task that needs the image was started. The worker abandons the fetch when no task waits for it. */
         FETCHING,
-        /** A task that needs it ran here since, in this incarnation, and nothing has evicted it. */
+        /** A task that needs the image has run in this incarnation, and the image was not evicted since. */
         CACHED,
-        /** It was here; the end of an incarnation or a failover may have lost it. The duration of the next start shows. */
+        /**
+         * The image was cached, but an incarnation end or a failover may have lost it. The next start shows by its
+         * duration.
+         */
         UNCERTAIN
     }
 
     private record Entry(double gb, State state) {}
 
     private final double capacity;
-    /** The least recently used first. */
+    /** Entries by image, the least recently used first. */
     private final Map<String, Entry> entries = new LinkedHashMap<>();
 
-    /** {@code capacity} 0: not known, and nothing is ever evicted. */
+    /** With {@code capacity} 0 the size is unknown and images are evicted only by their number. */
     public ImageCache(double capacity) {
         this.capacity = capacity;
     }
 
-    /** A task that needs the image is started or reported; returns the images that are evicted for it. */
+    /** Notes that a task that needs the image was started or reported; returns the images evicted for it. */
     public List<String> use(String image, double gb) {
         Entry known = entries.remove(image);
         entries.put(image, known == null ? new Entry(gb, State.FETCHING) : known);
@@ -66,34 +69,36 @@
         return total;
     }
 
-    /** A task that needs it runs, or ran: whatever was uncertain, it is here now. */
+    /** Notes that a task that needs the image runs or ran, so that the image is cached. */
     public void confirmCached(String image) {
         entries.computeIfPresent(image, (name, entry) -> new Entry(entry.gb, State.CACHED));
     }
 
-    /** A task that needs it was reported running, but its start was not observed. */
+    /** Notes that a task that needs the image was reported running, but its start was not observed. */
     public void markUncertain(String image) {
         entries.computeIfPresent(
                 image, (name, entry) -> entry.state == State.FETCHING ? new Entry(entry.gb, State.UNCERTAIN) : entry);
     }
 
-    /** No task waits for it any more before one has run; false if it is here all the same. */
+    /**
+     * Removes the image if it is still being fetched, as no task waits for it any more; returns whether it was removed.
+     */
     public boolean abandonFetch(String image) {
         Entry entry = entries.get(image);
         return entry != null && entry.state == State.FETCHING && entries.remove(image) != null;
     }
 
-    /** The incarnation has ended: cached images may still be here, fetches have been lost. */
+    /** Notes the end of the worker's incarnation, after which cached images are uncertain. */
     public void incarnationEnded() {
         entries.replaceAll((name, entry) -> entry.state == State.CACHED ? new Entry(entry.gb, State.UNCERTAIN) : entry);
     }
 
     /**
-     * An earlier leader recorded it as cached. Whatever this leader has observed in use since is newer, so it ranks behind
-     * that, and only if it has room.
+     * Restores an image that an earlier leader recorded as cached. Images that this leader has observed in use are
+     * newer, so the restored one ranks as least recently used, and is dropped if it does not fit.
      *
-     * @param sure whether the incarnation is the one of the record
-     * @return whether it was restored
+     * @param sure whether the record is of the worker's current incarnation
+     * @return whether the image was restored
      */
     public boolean restore(String image, double gb, boolean sure) {
         Entry known = entries.get(image);
@@ -113,12 +118,12 @@
         return true;
     }
 
-    /** It is here, may be here, or is being fetched. */
+    /** Whether the image is or may be cached, or is being fetched. */
     public boolean contains(String image) {
         return entries.containsKey(image);
     }
 
-    /** It is here by the last heartbeats. */
+    /** Whether the last heartbeats show that the image is cached. */
     public boolean isCached(String image) {
         Entry entry = entries.get(image);
         return entry != null && entry.state == State.CACHED;
@@ -129,12 +134,18 @@
         return entry != null && entry.state == State.FETCHING;
     }
 
-    /** Whether another image can be fetched without evicting one that is here: all used later than that stays too. */
+    /**
+     * Whether {@code other} fits without evicting {@code keep}, for which all images used later than {@code keep} must
+     * fit too.
+     */
     public boolean hasRoomBeside(String keep, String other, double gb) {
         return capacity <= 0 || usedLaterThan(keep, other) + gb + size(keep) <= capacity;
     }
 
-    /** So much was used since the image was that another of the size it left at first might not fit beside it. */
+    /**
+     * Whether images used later than {@code keep} take more than half of the other capacity, so that it may soon be
+     * evicted.
+     */
     public boolean isCrowded(String keep) {
         return capacity > 0 && usedLaterThan(keep, keep) > (capacity - size(keep)) / 2;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Job.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Job.java
@@ -17,20 +17,23 @@
 import java.util.Set;
 
 /**
- * An open job as the leader knows it: its specification, what the scheduler has found out about it, its tasks
+ * An open job in the leader's memory: its specification, its scheduling state, the progress of its tasks
  * ({@link TaskProgress}) and its placements ({@link JobPlacements}).
  */
 public final class Job {
-    /** A job that has failed on so many machines and completed nothing is suspected to be faulty. */
+    /** A job that has failed on this many machines without completing a task is suspected to be faulty. */
     private static final int SUSPECTED_AFTER_MACHINES = 3;
 
-    /** As it was submitted; with its release once it waits for no other job. */
+    /** The specification as submitted, plus the release time once all required jobs are done. */
     JobSpec spec;
-    /** Since when it could be served: its submission, or the moment when the last job that it needs was done. */
+    /** When the job became eligible to start: at its submission, or when the last job that it requires was done. */
     Moment eligibleSince;
-    /** Submission by the time of day: the order in the queue, the same for every leader. */
+    /** Submission in epoch milliseconds. It decides the order in the queue and is the same for every leader. */
     final long submittedMs;
-    /** It was submitted before this leadership term: tasks below its bound may be on machines that have not sent a heartbeat yet. */
+    /**
+     * Whether the job was submitted before this leadership term. Its tasks below the start bound may be on machines
+     * that have not sent a heartbeat to this leader yet.
+     */
     final boolean inherited;
 
     private final TaskProgress progress;
@@ -38,36 +41,36 @@
 
     Revision revision;
     boolean cancelled;
-    /** Whether other jobs have to be done before any task of it starts. */
+    /** Whether other jobs must be done before any task of this job may start. */
     private boolean hasUnmetDependencies;
 
     private final JobTargets targets;
-    /** Machines on which one of its tasks has failed since one last completed there. */
+    /** Machines on which a task of this job has failed and none has completed since. */
     final Set<MachineId> failedMachines = new HashSet<>();
 
     int failures;
     Moment retryNotBefore = Moment.NEVER;
-    /** Until then its tasks wait for a machine that has their image: they were moved there. */
+    /** Until this moment the job's tasks start only on machines that have their image. */
     Moment imageLocalityUntil = Moment.NEVER;
-    /** When one of its tasks last got a place, or lost one: what waits may have waited no longer. */
+    /** When a placement was last added or removed. The waiting tasks may have been waiting only since then. */
     Moment placementsChangedAt = Moment.NEVER;
-    /** It has missed the longest objective of its class. */
+    /** Whether the job has missed the longest objective of its class. */
     boolean missedObjectives;
-    /** Its class is served too little, or it has waited too long: it goes first on a part of the machines. */
+    /** Whether the job's class is under-served or the job has aged. Such jobs go first on a part of the machines. */
     boolean underServed;
-    /** Whether one of its tasks has run, under this leader or, as far as it knows, an earlier one. */
+    /** Whether a task of the job is known to have run, under this leader or an earlier one. */
     private boolean hasRun;
-    /** Nothing of it has run for too long: one task of it goes before all else. */
+    /** Whether the job has waited too long without any task running. One of its tasks goes before all other jobs. */
     boolean starved;
-    /** One of its tasks was started while it was starved. */
+    /** Whether a task was started while the job was starved. */
     boolean startedAsStarved;
 
     final RunTimeMean runTimes = new RunTimeMean();
 
     /**
      * @param done tasks recorded as done
-     * @param startBound the job's recorded start bound: no task from this one on was ever started
-     * @param inherited it was submitted before this leadership term
+     * @param startBound the job's recorded start bound: no task with this index or a higher one was ever started
+     * @param inherited whether the job was submitted before this leadership term
      */
     public Job(
             JobSpec spec,
@@ -85,72 +88,75 @@
         this.revision = revision;
         this.inherited = inherited;
         this.hasRun = !done.isEmpty();
-        // A task that is done was started, and so the job was released.
+        // A job with a completed task must have been released earlier.
         this.hasUnmetDependencies = spec.dependencies().isWaiting() && !hasRun;
         this.progress = TaskProgress.of(spec, done, startBound, inherited);
     }
 
-    /** From its submission to the release that its record tells of. */
+    /** The time from submission to the recorded release. */
     private static Span releasedAfter(JobSpec spec, long submittedMs) {
-        // By the clocks of two nodes, which may differ by more than that.
+        // The two times come from the clocks of two nodes, whose skew may make the difference negative.
         return spec.dependencies().isReleased()
                 ? new Span(Math.max(0, spec.dependencies().releasedAtMs() - submittedMs))
                 : Span.ZERO;
     }
 
-    /** Jobs that it needs are not known to be done: it is in no queue, and nothing of it may start. */
+    /** Whether a required job is not known to be done. Such a job is in no queue and none of its tasks may start. */
     boolean hasUnmetDependencies() {
         return hasUnmetDependencies;
     }
 
-    /** All that it needs is done: its times count from now, and its next record says so. */
+    /**
+     * Releases the job once all required jobs are done: its waiting time counts from now, and its next record has the
+     * release.
+     */
     void releaseFromDependencies(Moment now, long timeOfDayMs) {
         hasUnmetDependencies = false;
         eligibleSince = now;
         spec = spec.with(spec.dependencies().released(timeOfDayMs));
     }
 
-    /** Its priority: its own, or the higher one of a job that needs it. */
+    /** The job's effective urgency: its own, or the higher one of a job that depends on it. */
     Urgency urgency() {
         return targets.urgency();
     }
 
-    /** By when it should be done, for its own deadline or that of a job that needs it; null if nothing says so. */
+    /** The earliest deadline derived from the job itself and from the jobs that depend on it; null if there is none. */
     Moment dueAt() {
         return targets.due();
     }
 
-    /** By when it should be done for its own deadline, which counts from its submission; null if it has none. */
+    /** The job's own deadline, which counts from its submission; null if it has none. */
     Moment ownDueAt() {
         return targets.own().due();
     }
 
-    /** What its own user asks of it. */
+    /** The urgency and deadline that the user submitted. */
     JobTarget ownTarget() {
         return targets.own();
     }
 
-    /** The start bound to be written with the job: at least the one that is recorded. */
+    /** The start bound to write with the job's record. It is never below the recorded one. */
     public int startBoundToWrite() {
         return progress.requestedStartBound();
     }
 
-    /** Tasks wait to be started until the start bound is raised. */
+    /** Whether tasks cannot start until a higher start bound is recorded. */
     public boolean needsHigherStartBound() {
         return progress.needsHigherStartBound();
     }
 
-    /** The start bound is in the state service: tasks below it may be started. */
+    /** Notes that the state service holds this start bound. Tasks below it may be started. */
     public void startBoundRecorded(int recorded) {
         progress.startBoundRecorded(recorded);
     }
 
-    /** Asks for a start bound below which {@code count} startable tasks lie. */
+    /** Requests a start bound that covers {@code count} startable tasks. */
     void requestStartBoundFor(int count) {
         progress.requestStartBoundFor(count);
     }
 
-    /** Gates these tasks and no others; what is on a machine stays there. */
+    /** Gates exactly these tasks. Tasks that are on a machine stay there. */
     void gate(BitSet tasks) {
         progress.gate(tasks, placements.indexes());
     }
@@ -160,7 +166,7 @@
         return !cancelled && progress.hasGatedTasks(placements.indexes());
     }
 
-    /** Every task that an earlier leader may have started is known. */
+    /** Makes inherited tasks startable, as every task that an earlier leader may have started is known. */
     void releaseInheritedTasks() {
         progress.releaseInheritedTasks();
     }
@@ -220,7 +226,7 @@
         return progress.completedTasks();
     }
 
-    /** The tasks in {@code recorded} are in the state service. */
+    /** Notes that the state service holds the completion of the tasks in {@code recorded}. */
     public void completionsRecorded(BitSet recorded) {
         progress.completionsRecorded(recorded);
     }
@@ -234,7 +240,7 @@
         return placements.runningCount();
     }
 
-    /** What its user is told of it now. */
+    /** The status that the API reports to users. */
     public JobStatus status() {
         if (cancelled) {
             return JobStatus.CANCELLED;
@@ -245,7 +251,7 @@
         return placements.anyRunning() ? JobStatus.RUNNING : JobStatus.PENDING;
     }
 
-    /** Whether nothing of it may start. */
+    /** Whether no task of the job may start. */
     private boolean isBlocked() {
         return cancelled || hasUnmetDependencies;
     }
@@ -258,7 +264,7 @@
         return !isBlocked() && progress.hasWaiting();
     }
 
-    /** Waiting tasks that surely are on no machine. */
+    /** The number of waiting tasks that are known to be on no machine. */
     int startableCount() {
         return isBlocked() ? 0 : progress.startableCount();
     }
@@ -271,12 +277,12 @@
         return progress.nextStartable();
     }
 
-    /** Whether {@code count} startable tasks lie below the start bound that is recorded or being recorded. */
+    /** Whether the recorded or requested start bound covers {@code count} startable tasks. */
     boolean isWithinStartBound(int count) {
         return progress.isWithinRequestedStartBound(count);
     }
 
-    /** Whether its next task lies below the recorded start bound. */
+    /** Whether the next task lies below the recorded start bound. */
     boolean isWithinStartBound() {
         return !isBlocked() && progress.isWithinStartBound();
     }
@@ -289,75 +295,78 @@
         return placements.copy();
     }
 
-    /** Whether a task of it runs, has run, or is on its way to a machine. */
+    /** Whether a task of the job runs, has run, or was sent to a machine. */
     boolean hasBegun() {
         return hasRun || !placements.isEmpty();
     }
 
-    /** Whether it was put first with one task and that task has begun: it has had its turn until the queue is ordered anew. */
+    /**
+     * Whether the job is starved and its one prioritised task has started. The other tasks wait until the queue is
+     * sorted again.
+     */
     boolean isStarvationRelieved() {
         return starved && hasBegun();
     }
 
-    /** One of its tasks was seen to run. */
+    /** Notes that a task of the job was reported as running. */
     void markRun() {
         hasRun = true;
     }
 
-    /** A start command for one of its tasks is sent. */
+    /** Notes that a start command for one of the job's tasks was issued. */
     void taskStarted() {
         startedAsStarved |= starved;
     }
 
-    /** Its user has cancelled it: nothing of it may start. */
+    /** Marks the job as cancelled by its user. No further task may start. */
     void cancel() {
         cancelled = true;
     }
 
-    /** Its record was written or read at {@code seen}; an older revision changes nothing. */
+    /** Notes the revision at which the job's record was written or read. Older revisions are ignored. */
     void revisionSeen(Revision seen) {
         if (seen.isAfter(revision)) {
             revision = seen;
         }
     }
 
-    /** One of its tasks got a place, or lost one, at {@code moment}. */
+    /** Notes that a placement of the job was added or removed at {@code moment}. */
     void placementsChanged(Moment moment) {
         placementsChangedAt = moment;
     }
 
-    /** What the jobs that depend on it ask of it; null if none does. */
+    /** Sets the urgency and deadline required by the jobs that depend on this one; null if there are none. */
     void dependentsAsk(JobTarget target) {
         targets.dependentsAsk(target);
     }
 
-    /** One of its tasks has failed on the machine. */
+    /** Counts a task failure on the machine. */
     void failedOn(Machine machine) {
         failures++;
         failedMachines.add(machine.id);
     }
 
-    /** None of its tasks is tried before {@code moment}. */
+    /** Delays the next start of a task until {@code moment}. */
     void retryNotBefore(Moment moment) {
         retryNotBefore = moment;
     }
 
-    /** Its tasks wait for a machine that has their image until {@code moment}. */
+    /** Restricts starts to machines that have the job's image until {@code moment}. */
     void awaitImageLocality(Moment moment) {
         imageLocalityUntil = moment;
     }
 
-    /** Whether the longest objective of its class can no longer be met. */
+    /** Sets whether the longest objective of the job's class can no longer be met. */
     void objectivesMissed(boolean missed) {
         missedObjectives = missed;
     }
 
-    /** Whether it goes first on a part of the machines, as its class is served too little or it has aged. */
+    /** Sets whether the job goes first on a part of the machines, because its class is under-served or it has aged. */
     void markUnderServed(boolean isUnderServed) {
         underServed = isUnderServed;
     }
 
-    /** Whether one task of it goes before all else, as none has run for too long. */
+    /** Sets whether one task of the job goes before all other jobs, because none has run for too long. */
     void markStarved(boolean isStarved) {
         starved = isStarved;
     }
@@ -370,7 +379,7 @@
         return placements.inZone(zone);
     }
 
-    /** The zone that a one-zone job is bound to by tasks that may be on machines, or null. */
+    /** The zone of the job's placements, to which a one-zone job is bound; null if it has no placements. */
     String boundZone() {
         return placements.anyZone().orElse(null);
     }
@@ -386,14 +395,17 @@
         }
     }
 
-    /** Returns false if the task was known to be done already. */
+    /** Marks the task as done; returns false if it was done already. */
     boolean complete(int index) {
         boolean isNew = progress.complete(index);
         hasRun |= isNew;
         return isNew;
     }
 
-    /** Whether it failed on several machines and never completed a task: most likely it was submitted with a mistake. */
+    /**
+     * Whether the job failed on several machines and never completed a task, so that the job itself is the likely
+     * cause.
+     */
     boolean isSuspectedFaulty() {
         return progress.doneCount() == 0 && failedMachines.size() >= SUSPECTED_AFTER_MACHINES;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/JobPlacements.java
+++ b/src/main/java/io/indigoreach/core/scheduling/JobPlacements.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The placements of one job, by the numbers of its tasks, and how many of them are in each zone. */
+/** The placements of one job by task index, with a count per zone. */
 final class JobPlacements {
     private final Map<Integer, Placement> byIndex = new HashMap<>();
     private final Map<String, Integer> countByZone = new HashMap<>();
@@ -18,7 +18,7 @@
         countByZone.merge(placement.machine.pool.zone(), 1, Integer::sum);
     }
 
-    /** Returns false if the task has another placement by now. */
+    /** Removes the placement; returns false if the task has a newer one. */
     boolean remove(Placement placement) {
         if (!byIndex.remove(placement.index, placement)) {
             return false;
@@ -68,7 +68,7 @@
         return countByZone.getOrDefault(zone, 0);
     }
 
-    /** A zone that has placements; empty if there are none. */
+    /** Any zone with placements; empty if there are none. */
     Optional<String> anyZone() {
         for (Map.Entry<String, Integer> entry : countByZone.entrySet()) {
             if (entry.getValue() > 0) {
--- a/src/main/java/io/indigoreach/core/scheduling/JobTargets.java
+++ b/src/main/java/io/indigoreach/core/scheduling/JobTargets.java
@@ -4,10 +4,10 @@
 import io.indigoreach.core.model.Moment;
 import io.indigoreach.core.model.Urgency;
 
-/** Priority and deadline of a job: its own, and what the jobs that depend on it ask of it. */
+/** The urgency and deadline of a job: its own, and those derived from the jobs that depend on it. */
 final class JobTargets {
     private final JobTarget own;
-    /** Null if no job depends on it. */
+    /** The target derived from dependent jobs; null if no job depends on this one. */
     private JobTarget ofDependents;
 
     JobTargets(JobTarget own) {
@@ -28,7 +28,7 @@
                 : own.strictest(ofDependents).urgency();
     }
 
-    /** The earlier of the deadlines; null if there is none. */
+    /** The earlier of the two deadlines; null if there is none. */
     Moment due() {
         return ofDependents == null ? own.due() : own.strictest(ofDependents).due();
     }
--- a/src/main/java/io/indigoreach/core/scheduling/MachinePlacements.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachinePlacements.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The tasks that are, or may be, on one machine, and the resources that they use. */
+/** The tasks that may be on one machine, and the resources that they use. */
 final class MachinePlacements {
     private final Map<TaskId, Placement> placements = new HashMap<>();
     private int holders;
@@ -44,7 +44,7 @@
         return used;
     }
 
-    /** No task is there except holders. */
+    /** Whether the machine has no tasks except holders. */
     boolean isIdle() {
         return placements.size() == holders;
     }
@@ -53,7 +53,7 @@
         return holders > 0;
     }
 
-    /** The holder that is not being stopped. */
+    /** A holder that is not being stopped; empty if there is none. */
     Optional<Placement> holder() {
         if (holders == 0) {
             return Optional.empty();
@@ -67,13 +67,13 @@
         return placements.values().stream().anyMatch(placement -> placement.stopping);
     }
 
-    /** Whether a task with this image is there. */
+    /** Whether the machine has a task with this image. */
     boolean hasTaskWith(String image) {
         return placements.values().stream()
                 .anyMatch(placement -> placement.job.spec.image().equals(image));
     }
 
-    /** Cores that each team's tasks use; holders use next to none. */
+    /** The cores that each team's tasks use, without holders, which use next to none. */
     Map<String, Double> coresByTeam() {
         Map<String, Double> cores = new HashMap<>();
         for (Placement placement : placements.values()) {
--- a/src/main/java/io/indigoreach/core/scheduling/ObjectiveBudget.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ObjectiveBudget.java
@@ -7,9 +7,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Limits long tasks without an objective to the cores that the jobs with an objective leave free. */
+/** Limits long tasks without an objective to the cores that jobs with an objective leave free. */
 final class ObjectiveBudget {
-    /** How long a counted budget is kept. */
+    /** How long a computed budget is cached. */
     private static final Span BUDGET_LIFE = Span.seconds(1);
 
     private record CoreBudget(double cores, Moment counted) {}
@@ -18,7 +18,7 @@
     private final ServiceLevelObjectives objectives;
     private final Estimates estimates;
     private final Span minimumPaidTime;
-    /** Cores that the unbounded fillers of each queue may still take, counted once per {@link #BUDGET_LIFE}. */
+    /** The cores that unbounded fillers of each queue may still take, recomputed once per {@link #BUDGET_LIFE}. */
     private final Map<FairShareQueue, CoreBudget> budgets = new HashMap<>();
 
     ObjectiveBudget(Cluster cluster, ServiceLevelObjectives objectives, Estimates estimates, Span minimumPaidTime) {
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Whether the job's tasks are long, have no objective, and can be preempted by nothing of their own urgency: once
-     * on every machine they keep all jobs with an objective waiting until they end.
+     * Whether the job's tasks are long, have no objective, and cannot be preempted by jobs of the same urgency. Once
+     * such tasks are on every machine, all jobs with an objective wait until they end.
      */
     boolean isUnboundedFiller(Job job) {
         return objectives.hasNoObjective(job)
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Whether one more task of the job leaves enough beside all fillers for the jobs with an objective: those that are
-     * present, and those expected by their arrival rate.
+     * Whether one more task of the job leaves enough cores for the jobs with an objective: those in the queue, or those
+     * expected by their arrival rate if that is more.
      */
     boolean leavesRoomForObjectives(FairShareQueue queue, Job job, Moment now) {
         CoreBudget budget = budgets.get(queue);
@@ -54,7 +54,7 @@
         return budget.cores >= job.spec.demand().cores();
     }
 
-    /** A task of an unbounded filler was started: its cores are taken off the budget. */
+    /** Subtracts the cores of a started task of an unbounded filler from the budget. */
     void fillerStarted(FairShareQueue queue, Demand demand) {
         budgets.computeIfPresent(queue, (key, budget) -> new CoreBudget(budget.cores - demand.cores(), budget.counted));
     }
@@ -77,7 +77,7 @@
         return new CoreBudget(keptFree > 0 ? cores - keptFree : Double.MAX_VALUE, now);
     }
 
-    /** Cores that the jobs with an objective use on average, by the rate at which they arrive. */
+    /** The cores that jobs with an objective use on average, by their arrival rate. */
     private double arrivingCores(FairShareQueue queue, Moment now) {
         return queue.arrivalRate()
                 .perSecond(
--- a/src/main/java/io/indigoreach/core/scheduling/Placement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Placement.java
@@ -7,16 +7,24 @@
 import io.indigoreach.core.model.TaskId;
 import io.indigoreach.core.model.TaskState;
 
-/** A task that may be on a machine. It counts against the machine, the job and the team until it surely is not. */
+/**
+ * A task that may be on a machine. It counts against the capacity of the machine, the placements of the job and the
+ * usage of the team until the leader knows that the task is gone.
+ */
 public final class Placement {
     final Job job;
     final int index;
     final Machine machine;
     final Attempt attempt;
     TaskState state;
-    /** The heartbeat whose response carried the start; a newer one without the task shows it was never executed. */
+    /**
+     * The heartbeat whose response carried the start command. A newer one without the task shows that it never started.
+     */
     final HeartbeatNumber startedInResponseTo;
-    /** When the task was started or first seen; once it runs, when that was first reported. */
+    /**
+     * When the start was issued or the task was first reported; for a running task, when it was first reported as
+     * running.
+     */
     Moment stateSince;
 
     boolean stopping;
@@ -38,17 +46,19 @@
         this.stateSince = stateSince;
     }
 
-    /** A stop command is sent to the worker. */
+    /** Notes that a stop command was issued for the task. */
     void stopRequested() {
         stopping = true;
     }
 
-    /** A newer heartbeat that still shows the task running: the stop was lost with its response. */
+    /** Notes that a newer heartbeat still reports the task as running: the response with the stop command was lost. */
     void stopLostIfRunning(TaskState reported) {
         stopping &= reported != TaskState.RUNNING;
     }
 
-    /** A heartbeat shows another state; the time since which it runs counts from the first one that says so. */
+    /**
+     * Records the state in a heartbeat; the run time counts from the first heartbeat that reports the task as running.
+     */
     void stateReported(TaskState reported, Moment now) {
         if (reported == TaskState.RUNNING) {
             stateSince = now;
--- a/src/main/java/io/indigoreach/core/scheduling/PlacementRules.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PlacementRules.java
@@ -2,7 +2,7 @@
 
 import io.indigoreach.core.model.Moment;
 
-/** Whether a job's tasks may start now, and on which machines. */
+/** Decides whether a job's tasks may start now, and on which machines. */
 final class PlacementRules {
     private final Cluster cluster;
     private final ServiceLevelObjectives objectives;
@@ -18,7 +18,10 @@
         return failover.isComplete();
     }
 
-    /** Under a team's limit nothing can be started before all that an earlier leader started is known. */
+    /**
+     * Whether tasks of the job may start now. Tasks of a team with a limit start only when all tasks that an earlier
+     * leader started are known, because they count against the limit.
+     */
     boolean mayStart(Job job, Moment now) {
         if (now.isBefore(job.retryNotBefore)) {
             return false;
@@ -29,7 +32,7 @@
         return true;
     }
 
-    /** Whether the team's limit and the job's rules on zones allow one more of its tasks on the machine. */
+    /** Whether the team's limit and the job's zone constraints allow one more of its tasks on the machine. */
     boolean isPlaceable(Job job, Machine machine) {
         String zone = machine.pool.zone();
         if (!cluster.teamUsage(job).hasRoomFor(job.spec.demand())) {
@@ -44,7 +47,7 @@
         return !job.spec.spread() || job.placementsInZone(zone) < job.spec.zoneLimit();
     }
 
-    /** Whether the machine is suitable for the job: by its pool, its failures and its image, not by its free capacity. */
+    /** Whether the machine suits the job by its pool, earlier failures and image cache, regardless of free capacity. */
     boolean isSuitable(Job job, Machine machine, Moment now) {
         return machine.allows(job.spec)
                 && FaultAttribution.allows(job, machine, now)
@@ -52,9 +55,8 @@
     }
 
     /**
-     * Whether fetching its image on this machine would make the task start too late for an objective that it can still
-     * meet on a machine which has the image. Such a machine is waited for until the objective is missed; then any will
-     * do.
+     * Whether the job should wait for a machine that has its image, because the fetch on this machine would miss a
+     * start objective that can still be met elsewhere. Once the objective is missed, the job may use any machine.
      */
     boolean awaitsImageLocality(Job job, Machine machine, Moment now) {
         if (now.isBefore(job.imageLocalityUntil) && !machine.imageCache.contains(job.spec.image())) {
@@ -68,8 +70,8 @@
     }
 
     /**
-     * Whether the machine keeps its room for a replica until the failover is complete: a replica that may turn out to
-     * run nowhere is not to find its places taken by work that nobody had started yet and that it could not preempt.
+     * Whether the machine keeps capacity free for the service until the failover is complete. A replica may turn out to
+     * run nowhere, and new tasks on the machine might not be preemptible for it.
      */
     boolean keepsRoomForReplica(Job job, Machine machine) {
         return !failover.isComplete()
--- a/src/main/java/io/indigoreach/core/scheduling/QueueOrder.java
+++ b/src/main/java/io/indigoreach/core/scheduling/QueueOrder.java
@@ -9,12 +9,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** The order in which the jobs of a queue are served, and the latest starts that it is derived from. */
+/** Computes the order in which the jobs of a queue are served, from their latest starts. */
 final class QueueOrder {
-    /** How long the count of usable machines is kept. */
+    /** How long the count of usable machines is cached. */
     private static final Span MACHINE_COUNT_LIFE = Span.seconds(1);
 
-    /** An objective nearer than this many boot times and half of the minimum paid time is no reason to scale out. */
+    /** An objective nearer than this many boot times plus half of the minimum paid time is no reason to scale out. */
     private static final double BOOT_TIMES_TO_OBJECTIVE = 1.2;
 
     private final Cluster cluster;
@@ -44,14 +44,14 @@
                 now);
     }
 
-    /** A task that takes a whole machine starts only when everything else on one has ended. */
+    /** The time to wait until a machine is empty, for tasks that take a whole machine; otherwise zero. */
     private Span clearingTime(Job job) {
         boolean wholeMachine = cluster.types.values().stream()
                 .allMatch(type -> job.spec.demand().timesIn(type.capacity()) <= 1);
         return wholeMachine ? minimumPaidTime : Span.ZERO;
     }
 
-    /** How many rounds the job's waiting tasks would take if they had every place of the cluster. */
+    /** The number of rounds that the job's waiting tasks would take with the whole cluster to themselves. */
     private int rounds(Job job, Moment now) {
         if (!now.isBefore(usableCountedAt.plus(MACHINE_COUNT_LIFE))) {
             countUsableMachines(now);
@@ -84,26 +84,26 @@
     }
 
     /**
-     * Whether the job has no objective, or is past all of them: then the design's rule alone holds for it, that the
-     * cluster scales out while the wait exceeds the limit.
+     * Whether the job has no objective, or is past all of them. The cluster then scales out for it only when its wait
+     * exceeds the limit.
      */
     boolean hasNoReachableObjective(Job job, Moment now) {
         return objectives.hasNoObjective(job) || objectives.isAged(job, now);
     }
 
-    /** By when the job's waiting tasks should have started for an objective whose latest start is not before {@code from}. */
+    /** The latest start of the job's waiting tasks for its next objective that can still be met at {@code from}. */
     Moment latestStart(Job job, Moment from) {
         return objectives.latestStart(job, estimates.run(job), 1, from);
     }
 
-    /** An objective nearer than this cannot be met by scaling out for what waits. */
+    /** The shortest objective that can be met by scaling out for waiting tasks. */
     Span shortestRentableObjective(MachineType type) {
         return type.boot().times(BOOT_TIMES_TO_OBJECTIVE).plus(minimumPaidTime.times(0.5));
     }
 
     /**
-     * Whether the job had, when it became eligible, an objective that is too near to be met by scaling out for it.
-     * Urgent jobs are excluded: they go first, preempt others and wait less for spot machines in any case.
+     * Whether the job's objective was already too near to be met by scaling out when the job became eligible. Urgent
+     * jobs are excluded: they go first, preempt others and wait less for spot machines in any case.
      */
     boolean isObjectiveTooNearToRent(Job job, MachineType type) {
         return !job.urgency().isMoreUrgentThan(Urgency.STANDARD)
--- a/src/main/java/io/indigoreach/core/scheduling/Reservation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Reservation.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 
 /**
- * The reservation that the top job of a queue holds: on which machines its waiting tasks are expected to start, and
- * when. Other jobs may use those machines only if they do not delay it.
+ * The reservation of a queue's top job: the machines on which its waiting tasks are expected to start, and when. Other
+ * jobs are backfilled on those machines only if they do not delay the top job.
  */
 final class Reservation {
-    /** From {@code at} on, {@code tasks} of the top job have a place on this machine. */
+    /** From {@code at} on, the machine is reserved for {@code tasks} tasks of the top job. */
     record Hold(Moment at, int tasks) {}
 
     private final Job top;
@@ -28,7 +28,7 @@
         this.lastStart = lastStart;
     }
 
-    /** When the last waiting task of the top job is expected to start; null if no machine can ever take it. */
+    /** When the last waiting task of the top job is expected to start; null if no current machine can run it. */
     Moment lastStart() {
         return lastStart;
     }
@@ -41,10 +41,10 @@
         return holds.get(machine);
     }
 
-    /** From {@code at} on, {@code tasks} more of the top job fit on the machine. */
+    /** From {@code at} on, {@code tasks} more tasks of the top job fit on the machine. */
     private record Place(Machine machine, Moment at, int tasks) {}
 
-    /** Reserves the earliest places for the waiting tasks of {@code top}. */
+    /** Reserves the earliest available slots for the waiting tasks of {@code top}. */
     static Reservation of(Job top, Iterable<Machine> machines, Estimates estimates, Moment now) {
         List<Place> places = new ArrayList<>();
         for (Machine machine : machines) {
@@ -72,7 +72,7 @@
                     (old, more) -> new Hold(old.at, old.tasks + more.tasks));
         }
         if (left > 0 && !places.isEmpty()) {
-            // More tasks than places: the rest starts in further rounds.
+            // There are more tasks than slots: the remaining tasks start in further rounds.
             int perRound = places.stream().mapToInt(Place::tasks).sum();
             int rounds = (left + perRound - 1) / perRound;
             lastStart = lastStart.plus(estimates.run(top).times(rounds));
@@ -80,7 +80,7 @@
         return new Reservation(top, holds, lastStart);
     }
 
-    /** Adds the machine's places for the top job: those free now, and those that come free as its tasks end. */
+    /** Adds the machine's slots for the top job: those free now, and those freed as running tasks end. */
     private static void addPlaces(Job top, Machine machine, Estimates estimates, Moment now, List<Place> places) {
         Moment start = now;
         if (machine.phase == Machine.Phase.BOOTING) {
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Adds what fits beyond the tasks that have places there already; returns for how many tasks. */
+    /** Adds a slot for the tasks that fit beyond the {@code reserved} ones; returns their number. */
     private static int addPlace(Job top, Machine machine, Demand room, Moment start, int reserved, List<Place> places) {
         int more = top.spec.demand().timesIn(room) - reserved;
         if (more <= 0) {
@@ -112,7 +112,9 @@
         return more;
     }
 
-    /** Whether a task that takes {@code demand} for {@code time} may start on the machine without delaying the top job. */
+    /**
+     * Whether a task that takes {@code demand} for {@code time} may start on the machine without delaying the top job.
+     */
     boolean allows(Machine machine, Demand demand, Span time, Estimates estimates, Moment now) {
         Hold hold = holds.get(machine.id);
         if (hold == null || !now.plus(time).isAfter(hold.at)) {
--- a/src/main/java/io/indigoreach/core/scheduling/ReservationTable.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ReservationTable.java
@@ -8,9 +8,11 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The top job of each queue and the reservation that it holds, with the capacity reserved for aged jobs. */
+/**
+ * Finds the top job of each queue and caches its reservation, taking the capacity reserved for aged jobs into account.
+ */
 final class ReservationTable {
-    /** How long a reservation is kept. */
+    /** How long a reservation is cached. */
     private static final Span RESERVATION_LIFE = Span.seconds(1);
 
     private record CachedReservation(Reservation reservation, Moment made) {}
@@ -35,7 +37,7 @@
         this.estimates = estimates;
     }
 
-    /** The top job: the first in the queue that has tasks waiting and may start. */
+    /** The top job: the first in queue order that has startable tasks and may start. */
     Optional<Job> topJob(FairShareQueue queue, Moment now) {
         for (Job job : order.jobs(queue, now)) {
             if (job.hasStartable()
@@ -48,7 +50,7 @@
         return Optional.empty();
     }
 
-    /** Whether a start of the job on the machine would delay the top job, if that is another. */
+    /** Whether starting the job on the machine would delay the top job, if that is another job. */
     boolean delaysTopJob(FairShareQueue queue, Job job, Machine machine, Moment now) {
         return topJob(queue, now)
                 .filter(top -> top != job)
@@ -57,7 +59,7 @@
                 .isPresent();
     }
 
-    /** The reservation of the queue's top job, made anew once per {@link #RESERVATION_LIFE}. */
+    /** The reservation of the queue's top job, recomputed once per {@link #RESERVATION_LIFE}. */
     Reservation of(FairShareQueue queue, Job top, Moment now) {
         CachedReservation cached = reservations.get(top.id());
         if (cached != null && cached.reservation.top() == top && !isOutdated(cached, now)) {
@@ -77,12 +79,12 @@
         return !now.isBefore(cached.made.plus(RESERVATION_LIFE));
     }
 
-    /** Whether jobs without an objective that have waited long go first on the machine. */
+    /** Whether the machine is reserved for aged jobs without an objective. */
     boolean isReservedForAged(Machine machine, FairShareQueue queue, List<Job> jobs, Moment now) {
         return reservedCapacity.isReserved(machine, queue, jobs, now);
     }
 
-    /** The jobs that go first on the machines reserved for them, as counted by {@link #isReservedForAged}. */
+    /** The aged jobs that the last call of {@link #isReservedForAged} found in the queue. */
     List<Job> agedJobs(FairShareQueue queue) {
         return reservedCapacity.jobs(queue);
     }
--- a/src/main/java/io/indigoreach/core/scheduling/RunTimeMean.java
+++ b/src/main/java/io/indigoreach/core/scheduling/RunTimeMean.java
@@ -2,7 +2,7 @@
 
 import io.indigoreach.core.model.Span;
 
-/** The mean run time of a job's tasks that have ended. */
+/** The mean run time of a job's ended tasks. */
 final class RunTimeMean {
     private long totalMs;
     private int runs;
--- a/src/main/java/io/indigoreach/core/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ServiceLevelObjectives.java
@@ -7,16 +7,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the users expect of each class of jobs: tasks started, or jobs finished, within a time. */
+/** The service level objectives of each job class: tasks started, or jobs finished, within a given time. */
 public final class ServiceLevelObjectives {
-    /** One expectation; {@code start}: of each task's start, else of the whole job's end. */
+    /** One objective; {@code start} selects the start of each task, otherwise the end of the whole job is meant. */
     public record Objective(String jobClass, boolean start, Span within) {}
 
-    /** A job past all its objectives counts as expected this long after its arrival. */
+    /** A job past all its objectives is due this long after it became eligible. */
     private static final Span AGED_WITH_OBJECTIVE = Span.seconds(600);
-    /** One without any is served by then: with 600 s less than half of such a class was over at the end of a full day. */
+    /**
+     * A job without an objective is due this long after it became eligible. With 600 s, less than half of such jobs had
+     * finished at the end of a busy day.
+     */
     private static final Span AGED_WITHOUT_OBJECTIVE = Span.seconds(400);
-    /** A job of which nothing has run after this part of that goes first with one task. */
+    /** A job without a running task is starved after this fraction of {@link #AGED_WITHOUT_OBJECTIVE}. */
     private static final double STARVED_FRACTION = 0.3;
 
     private final Map<String, List<Objective>> byClass = new HashMap<>();
@@ -30,10 +33,10 @@
     }
 
     /**
-     * The next moment by which the job's waiting tasks should have started, for an objective that can still be met.
+     * The latest start of the job's waiting tasks for its next objective that can still be met.
      *
-     * @param rounds how many rounds its waiting tasks would take with every place there is: an objective that is out of
-     *     reach even so is no reason to go before others
+     * @param rounds the number of rounds that the waiting tasks would take with the whole cluster to themselves. An
+     *     objective that cannot be met even so gives the job no precedence.
      */
     Moment latestStart(Job job, Span run, int rounds, Moment now) {
         Moment next = job.eligibleSince.plus(AGED_WITH_OBJECTIVE);
@@ -50,8 +53,8 @@
     }
 
     /**
-     * The last moment at which its waiting tasks may start for the longest objective of its class, or its deadline; without
-     * either there is only the age that nothing should reach.
+     * The latest start of the job's waiting tasks for the longest objective of its class or for its deadline. Without
+     * either it is the age limit for jobs without an objective.
      */
     Moment lastChance(Job job, Span run) {
         Moment last = null;
@@ -60,8 +63,8 @@
                     objective.start() ? objective.within() : objective.within().minus(run));
             last = last == null || latest.isAfter(last) ? latest : last;
         }
-        // A deadline of a job after it makes it more urgent; it is no reason to be late for the objectives of its own
-        // class.
+        // A deadline inherited from a dependent job makes this job more urgent, but does not extend the objectives of
+        // its own class.
         Moment due = last == null ? job.dueAt() : job.ownDueAt();
         if (due != null) {
             Moment latest = due.minus(run);
@@ -70,12 +73,12 @@
         return last == null ? job.eligibleSince.plus(AGED_WITHOUT_OBJECTIVE) : last;
     }
 
-    /** Waiting for longer than anything should: whatever its class and urgency, it is served now. */
+    /** Whether the job has waited longer than any job should, so that it takes precedence over class and urgency. */
     boolean isAged(Job job, Moment now) {
         return now.isAfter(job.eligibleSince.plus(hasNoObjective(job) ? AGED_WITHOUT_OBJECTIVE : AGED_WITH_OBJECTIVE));
     }
 
-    /** It has waited for so long that something of it should run, whatever its class and urgency. */
+    /** Whether the job has waited so long that one of its tasks should run, regardless of class and urgency. */
     static boolean isStarved(Job job, Moment now) {
         return now.isAfter(job.eligibleSince.plus(AGED_WITHOUT_OBJECTIVE.times(STARVED_FRACTION)));
     }
@@ -86,7 +89,7 @@
                 && byClass.getOrDefault(job.spec.jobClass(), List.of()).isEmpty();
     }
 
-    /** The moment by which the job's tasks should have started for its nearest objective on starts, or null. */
+    /** The latest start of the job's tasks for its nearest start objective; null if it has none. */
     Moment latestStartForWait(Job job) {
         return byClass.getOrDefault(job.spec.jobClass(), List.of()).stream()
                 .filter(Objective::start)
--- a/src/main/java/io/indigoreach/core/scheduling/StartBounds.java
+++ b/src/main/java/io/indigoreach/core/scheduling/StartBounds.java
@@ -6,13 +6,14 @@
 import java.util.List;
 
 /**
- * Which start bounds to raise. Tasks start in the order of their numbers, and one is started only once a bound above it
- * is recorded with its job: so a new leader knows by the record which tasks were never started, and starts them before
- * it has heard every machine. A bound far ahead of the starts would tell it little, one too close would have machines
- * wait for a write: bounds are kept ahead of the queue by what the machines can take within some heartbeats.
+ * Decides which start bounds to raise. Tasks start in index order, and a task starts only once a higher bound is
+ * recorded with its job. A new leader therefore knows from the record which tasks were never started, and can start
+ * them before every machine has sent a heartbeat. A bound far ahead of the started tasks would rule out few of them,
+ * and one too close would make machines wait for a write. Bounds are therefore kept ahead by the tasks that the
+ * machines can take within some heartbeats.
  */
 final class StartBounds {
-    /** A bound is raised when less than this part of what should be ahead is left. */
+    /** Bounds are raised when they cover less than this fraction of the cores that they should cover. */
     private static final double LOW_FRACTION = 0.5;
 
     private static final Span COUNT_LIFE = Span.seconds(0.5);
@@ -29,7 +30,7 @@
         this.tuning = tuning;
     }
 
-    /** The jobs whose start bounds are to be written now. */
+    /** Raises the start bounds that are too low; returns the jobs whose bounds must be recorded. */
     List<Job> toRaise(Moment now) {
         count(now);
         List<Job> out = new ArrayList<>();
@@ -63,8 +64,9 @@
     }
 
     /**
-     * Cores that are free or coming, and all of them once more: in an outage no bound can be raised, and a leader starts tasks
-     * until its lease ends. With a quarter of them, a fleet of 976 machines ran dry 10 s into an outage.
+     * Counts the free cores of healthy and booting machines, plus their whole capacity. No bound can be raised during
+     * an outage of the state service, while the leader starts tasks until its lease ends. With a quarter of the
+     * capacity, a cluster of 976 machines ran out of startable tasks 10 s into an outage.
      */
     private void count(Moment now) {
         if (now.isBefore(countedAt.plus(COUNT_LIFE))) {
--- a/src/main/java/io/indigoreach/core/scheduling/TaskProgress.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TaskProgress.java
@@ -5,34 +5,37 @@
 import java.util.Set;
 
 /**
- * Which tasks of a job are done, recorded as done, gated or on a machine, and up to which number they may be started.
- * Tasks start in the order of their numbers.
+ * Tracks which tasks of a job are done, durably recorded as done, gated or on a machine, and below which index tasks
+ * may be started. Tasks start in index order.
  */
 final class TaskProgress {
     private final int tasks;
     private final BitSet done;
     private final BitSet durable;
-    /** Done, on a machine, or gated: all that must not be started. */
+    /** Tasks that must not be started: done, on a machine, or gated. */
     private final BitSet notStartable;
-    /** Tasks that wait for something else than machines: nothing starts, reserves or rents for them. */
+    /**
+     * Tasks held back for a reason other than machine capacity. The scheduler neither starts, reserves nor scales out
+     * for them.
+     */
     private final BitSet gated = new BitSet();
 
     private int doneCount;
     private int durableCount;
-    /** Recorded: no leader has ever started a task from this number on. */
+    /** The recorded bound: no leader has ever started a task with this index or a higher one. */
     private int startBound;
-    /** To be recorded: tasks below this number are about to be started. */
+    /** The bound to record next: tasks below this index are about to be started. */
     private int requestedStartBound;
-    /** Tasks below this number may be on a machine that this leader has not heard from yet. */
+    /** Tasks below this index may be on a machine that has not sent a heartbeat to this leader yet. */
     private int possiblyRunningBelow;
 
     /**
-     * The progress of a job as this leader finds it.
+     * The progress of a job when a leader loads or accepts it.
      *
-     * @param inherited the job was submitted before this leadership term
+     * @param inherited whether the job was submitted before this leadership term
      */
     static TaskProgress of(JobSpec spec, BitSet done, int startBound, boolean inherited) {
-        // Where the others of its tasks are decides where one may go, so nothing of it is started before all is known.
+        // Zone constraints depend on where the other tasks are, so no task starts before all placements are known.
         boolean together = spec.oneZone() || spec.spread();
         int possiblyRunningBelow = !inherited ? 0 : together && startBound > 0 ? spec.tasks() : startBound;
         return new TaskProgress(spec.tasks(), done, spec.isGuarded(), startBound, possiblyRunningBelow);
@@ -58,22 +61,22 @@
         return requestedStartBound;
     }
 
-    /** Tasks wait to be started until the start bound is raised. */
+    /** Whether tasks cannot start until a higher start bound is recorded. */
     boolean needsHigherStartBound() {
         return requestedStartBound > startBound;
     }
 
-    /** The start bound is in the state service: tasks below it may be started. */
+    /** Notes that the state service holds this start bound. Tasks below it may be started. */
     void startBoundRecorded(int recorded) {
         startBound = Math.max(startBound, recorded);
     }
 
-    /** Asks for a start bound below which {@code count} startable tasks lie. */
+    /** Requests a start bound that covers {@code count} startable tasks. */
     void requestStartBoundFor(int count) {
         requestedStartBound = Math.max(requestedStartBound, Math.min(tasks, nthStartable(count) + 1));
     }
 
-    /** Whether {@code count} startable tasks lie below the start bound that is recorded or being recorded. */
+    /** Whether the recorded or requested start bound covers {@code count} startable tasks. */
     boolean isWithinRequestedStartBound(int count) {
         return nthStartable(count) < requestedStartBound;
     }
@@ -83,7 +86,7 @@
         return nextStartable() < startBound;
     }
 
-    /** The number of the {@code count}-th task that waits and surely is on no machine; beyond the last if there are fewer. */
+    /** The index of the {@code count}-th startable task; the number of tasks if there are fewer. */
     private int nthStartable(int count) {
         int index = possiblyRunningBelow - 1;
         for (int left = count; left > 0 && index < tasks; left--) {
@@ -92,12 +95,12 @@
         return index;
     }
 
-    /** Every task that an earlier leader may have started is known. */
+    /** Makes inherited tasks startable, as every task that an earlier leader may have started is known. */
     void releaseInheritedTasks() {
         possiblyRunningBelow = 0;
     }
 
-    /** Gates these tasks and no others; what is on a machine stays there. */
+    /** Gates exactly these tasks. Tasks that are on a machine stay there. */
     void gate(BitSet gatedTasks, Set<Integer> placed) {
         gated.clear();
         gated.or(gatedTasks);
@@ -150,7 +153,7 @@
         durableCount = durable.cardinality();
     }
 
-    /** Returns false if the task was known to be done already. */
+    /** Marks the task as done; returns false if it was done already. */
     boolean complete(int index) {
         if (done.get(index)) {
             return false;
@@ -165,7 +168,7 @@
         notStartable.set(index);
     }
 
-    /** The task is on no machine any more: unless it is done or gated, it waits again. */
+    /** Notes that the task is on no machine any more. It waits again unless it is done or gated. */
     void removed(int index) {
         if (!done.get(index)) {
             notStartable.set(index, gated.get(index));
@@ -180,7 +183,7 @@
         return notStartable.nextClearBit(0) < tasks;
     }
 
-    /** Waiting tasks that surely are on no machine. */
+    /** The number of waiting tasks that are known to be on no machine. */
     int startableCount() {
         int taken = possiblyRunningBelow == 0
                 ? notStartable.cardinality()
--- a/src/main/java/io/indigoreach/core/scheduling/TaskStarter.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TaskStarter.java
@@ -3,7 +3,7 @@
 import io.indigoreach.core.model.FencingToken;
 import io.indigoreach.core.model.TaskState;
 
-/** Places tasks on machines; its attempt numbers are unique within the leadership term. */
+/** Places tasks on machines and assigns attempt numbers that are unique within the leadership term. */
 final class TaskStarter {
     private final Cluster cluster;
     private final FencingToken token;
--- a/src/main/java/io/indigoreach/core/scheduling/TeamUsage.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TeamUsage.java
@@ -3,7 +3,7 @@
 import io.indigoreach.core.model.Demand;
 import io.indigoreach.core.model.Team;
 
-/** What the tasks of one team use, against its guarantee and the limit that they never exceed. */
+/** The resources that one team's tasks use, compared with the team's guarantee and its hard limit. */
 final class TeamUsage {
     final Team team;
     private double cores;
@@ -18,12 +18,12 @@
         gpus += sign * demand.gpus();
     }
 
-    /** Whether one more such task stays within the limit. */
+    /** Whether one more task with this demand stays within the limit. */
     boolean hasRoomFor(Demand demand) {
         return team.allows(cores + demand.cores(), gpus + demand.gpus());
     }
 
-    /** How many more such tasks the team's limit allows, beside {@code plannedCores}. */
+    /** The number of further tasks with this demand that the limit allows in addition to {@code plannedCores}. */
     int room(Demand demand, double plannedCores) {
         return team.coresMax() > 0 && demand.cores() > 0
                 ? (int) ((team.coresMax() - cores - plannedCores) / demand.cores())
--- a/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Explains by name why a job waits, by the same conditions that the dispatcher starts tasks by. */
+/** Explains why a job waits, using the same conditions as the dispatcher. */
 final class WaitExplainer {
     private final Cluster cluster;
     private final DispatchRules rules;
@@ -14,7 +14,7 @@
         this.rules = rules;
     }
 
-    /** What the job's next task waits for; empty if none of its tasks waits. */
+    /** Why the job's next task waits; empty if none of its tasks waits. */
     Optional<WaitReason> reason(Job job, Moment now) {
         if (!job.hasWaiting()) {
             return job.hasGatedTasks() ? Optional.of(WaitReason.RECORDS_WITHHELD) : Optional.empty();
@@ -23,7 +23,7 @@
         return Optional.of(own != null ? own : machineReason(job, now));
     }
 
-    /** What holds on every machine alike; null if it is nothing. */
+    /** The reason that applies on every machine alike; null if there is none. */
     private WaitReason ownReason(Job job, Moment now) {
         if (!job.hasStartable()) {
             return WaitReason.FAILOVER;
--- a/src/main/java/io/indigoreach/core/scheduling/WaitReason.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WaitReason.java
@@ -1,56 +1,57 @@
 package io.indigoreach.core.scheduling;
 
 /**
- * What keeps a job's next waiting task from starting, in the order in which a start passes these conditions: first those of
- * the job by itself, then those of a machine. Of several machines the one counts on which the task comes furthest.
+ * Why a job's next waiting task does not start. The constants are in the order in which the conditions are checked:
+ * first those of the job, then those of a machine. Of several machines, the one counts on which the task passes most
+ * conditions.
  */
 public enum WaitReason {
-    /** All that waits is withheld until the job's records are known to be its own. */
+    /** All waiting tasks are gated until the job owns the records that they process. */
     RECORDS_WITHHELD,
-    /** What an earlier leader started may still be on a machine that has not been reconciled. */
+    /** Tasks that an earlier leader started may still be on a machine that was not reconciled yet. */
     FAILOVER,
-    /** Tasks of jobs that are over are still on machines, and count against the limit of a team that may be this one. */
+    /** Tasks of ended jobs are still on machines and may count against the limit of the job's team. */
     TASKS_OF_ENDED_JOBS,
-    /** It has failed on several machines, and is tried again after a pause. */
+    /** The job has failed repeatedly and is retried after a pause. */
     RETRY_PAUSE,
-    /** It has failed on several machines, and is tried with one task at a time. */
+    /** The job has failed on several machines and is retried with one task at a time. */
     TRIED_ALONE,
-    /** One of its tasks was started before all others; the rest wait until the queue is ordered again. */
+    /** The job was starved and one of its tasks was started. The others wait until the queue is sorted again. */
     HAD_ITS_TURN,
-    /** Its team uses all that it may. */
+    /** The job's team is at its limit. */
     TEAM_LIMIT,
-    /** A task that holds an image runs only on members of its pool. */
+    /** The job is the holder of a warm pool, whose tasks run only on machines of that pool. */
     NO_POOL_MEMBERSHIP,
-    /** No machine is there that it may use. */
+    /** The cluster has no machine that the job may use. */
     NO_MACHINE,
-    /** Where its other tasks are, or how many are in a zone, leaves it other zones than those of the machines. */
+    /** The job's zone constraints, given its other placements, exclude the zones of the machines. */
     OTHER_ZONE,
-    /** A machine that it may use is booting. */
+    /** A machine that the job may use is booting. */
     BOOTING,
-    /** A machine that it may use is not recorded yet. */
+    /** A machine that the job may use is not recorded yet. */
     MACHINE_RECORD,
-    /** It has failed on the machines that it may use. */
+    /** The job is excluded from the machines on which it has failed. */
     FAILED_THERE,
-    /** The machines that it may use are full. */
+    /** The machines that the job may use are full. */
     NO_ROOM,
-    /** The room is on machines that a warm pool pays for. */
+    /** Free capacity is only on machines that are kept for a warm pool. */
     KEPT_FOR_POOL,
-    /** The room is on machines that are surplus, or cordoned while others have room. */
+    /** Free capacity is only on machines that are surplus or cordoned. */
     SET_ASIDE,
-    /** It is left to machines that have its image, for an objective that a fetch would miss. */
+    /** The job waits for a machine that has its image, because a fetch would miss an objective. */
     LEFT_TO_CACHED_MACHINES,
-    /** During a failover the room is kept for replicas that may turn out to be nowhere. */
+    /** During a failover, capacity is kept for service replicas that may turn out to run nowhere. */
     KEPT_FOR_REPLICAS,
-    /** A reservation ahead of it would be delayed. */
+    /** A start would delay the reservation of the top job. */
     RESERVATION,
-    /** The room is kept for the jobs that have an objective. */
+    /** Capacity is kept for jobs with an objective. */
     KEPT_FOR_OBJECTIVES,
-    /** Its start bound is not recorded yet. */
+    /** The required start bound is not recorded yet. */
     START_BOUND,
-    /** A machine has room for it, and gets it with its next heartbeat. */
+    /** A machine has capacity for the task and receives it with the response to its next heartbeat. */
     NEXT_HEARTBEAT;
 
-    /** Whether no machine that fits the job has room, or its team is at its limit: what a job may wait for at any length. */
+    /** Whether the job waits for capacity or its team's limit, which may take any length of time. */
     public boolean isLimitOrRoom() {
         return switch (this) {
             case TEAM_LIMIT, NO_POOL_MEMBERSHIP, NO_MACHINE, OTHER_ZONE, BOOTING, NO_ROOM -> true;
--- a/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
@@ -24,14 +24,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Chained jobs under some ten leaders, whose writes are answered, lost or answered late, and who hear of jobs and ends in any
- * order. Checked after each step against what the state service holds: nothing may start before all that its job needs is
- * durably done, and what is below a cancelled job is cancelled in time, and nothing else.
+ * Runs dependent jobs under some ten successive leaders. Responses to their writes may be lost or late, and job and end
+ * notifications arrive in any order. After each step the test compares the leader with the state service: no job may
+ * start before all required jobs are durably done, and exactly the dependents of a cancelled job are cancelled in time.
  */
 public class DependencySimulationTest {
     private static final int STEPS = 2_000;
     private static final int SUBMITTED_UNTIL = 1_500;
-    /** Steps of a tenth of a second in the 32 s of a cancellation. */
+    /** The 32 s within which a cancellation must reach dependents, in steps of a tenth of a second. */
     private static final int CANCEL_STEPS = 320;
 
     private static final int SAME_MOMENT = 20;
@@ -40,13 +40,13 @@
 
     private Random random;
     private final Map<JobId, JobSpec> records = new LinkedHashMap<>();
-    /** What the state service holds; absent: open. */
+    /** The ends recorded in the state service; an absent job is open. */
     private final Map<JobId, JobStatus> ends = new HashMap<>();
 
     private final Map<JobId, Integer> cancelledAt = new HashMap<>();
     private final Set<JobId> byUser = new HashSet<>();
     private final Set<JobId> bornCancelled = new HashSet<>();
-    /** What the leader has not heard of yet. */
+    /** Notifications that the leader has not received yet. */
     private final List<Runnable> unheard = new ArrayList<>();
 
     private SchedulerCore leader;
@@ -61,7 +61,7 @@
         play(seed);
     }
 
-    /** The same run, whose decisions the listener hears. */
+    /** Runs the simulation with a listener for the leader's decisions. */
     public static void play(long seed, EffectListener effects) {
         DependencySimulationTest run = new DependencySimulationTest();
         run.effects = effects;
@@ -82,8 +82,8 @@
             work();
             check();
         }
-        assertTrue(token > 3 && byUser.size() > 10, token + " leaders, " + byUser.size() + " cancelled");
-        assertTrue(ends.size() > records.size() / 2, "over: " + ends.size() + " of " + records.size());
+        assertTrue(token > 3 && byUser.size() > 10, token + " leaders, " + byUser.size() + " jobs cancelled by users");
+        assertTrue(ends.size() > records.size() / 2, "ended jobs: " + ends.size() + " of " + records.size());
     }
 
     private void users() {
@@ -106,7 +106,7 @@
         List<JobId> needs = before.stream().limit(random.nextInt(4)).toList();
         JobSpec spec = SimulatedWorld.spec(records.size(), 2, 1, 20).with(JobDependencies.of(needs));
         records.put(id, spec);
-        // A node's look-up may be older than the end of a job that was open: then the new one is accepted as open.
+        // A node may have looked up a required job before it was cancelled. The new job is then accepted as open.
         if (needs.stream()
                 .anyMatch(n -> ends.get(n) == JobStatus.CANCELLED
                         && (random.nextDouble() < 0.5
@@ -118,7 +118,7 @@
         }
         SchedulerCore then = leader;
         unheard.add(() -> {
-            // The watch tells of a job before it tells of its end.
+            // The watch delivers a job before its end.
             if (!ends.containsKey(id)) {
                 then.addJob(job(id, false));
             }
@@ -181,7 +181,7 @@
                 end(job.id(), JobStatus.DONE);
                 acknowledge(job.id());
             } else if (job.hasStartable() && random.nextDouble() < 0.05) {
-                // The leader believes that it is done; a later one may never hear of it.
+                // This leader knows that the tasks are done; a later leader may never learn it.
                 job.complete(0);
                 job.complete(1);
             } else if (job.hasStartable() && random.nextDouble() < 0.2) {
@@ -190,7 +190,7 @@
         }
     }
 
-    /** The answer to a write, unless it is lost: then the next try finds what is there. */
+    /** Delivers the response to a write unless it is lost. After a loss, the next attempt finds the recorded end. */
     private void acknowledge(JobId id) {
         if (random.nextDouble() < 0.7) {
             answer(id);
@@ -221,14 +221,14 @@
         for (JobId id : records.keySet()) {
             int since = lostSince(id, lostSince);
             if (ends.get(id) == JobStatus.CANCELLED) {
-                assertTrue(since < NEVER || byUser.contains(id), () -> id + " is cancelled by nobody");
+                assertTrue(since < NEVER || byUser.contains(id), () -> id + " is cancelled without a cancelled required job");
             } else {
-                assertTrue(since == NEVER || step - since < CANCEL_STEPS, () -> id + " is orphaned");
+                assertTrue(since == NEVER || step - since < CANCEL_STEPS, () -> id + " is not cancelled in time after a required job");
             }
         }
     }
 
-    /** Since when a user knows a job before this one to be cancelled. */
+    /** The first step at which a job that this one requires, directly or not, was cancelled by a user. */
     private int lostSince(JobId id, Map<JobId, Integer> known) {
         Integer before = known.get(id);
         if (before != null) {
--- a/src/test/java/io/indigoreach/core/scheduling/DependentJobsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependentJobsTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Chained jobs among the others of a leader: what they hold while they wait, and what counts from the release. */
+/** Dependent jobs of a leader: what they hold while they wait, and which times count from the release. */
 class DependentJobsTest {
     private final SimulatedWorld world = new SimulatedWorld(SimulatedWorld.team(4));
 
@@ -58,7 +58,7 @@
         world.core.dependentJobs().advance(SimulatedWorld.at(at), Math.round(at * 1000));
     }
 
-    /** Its need's tasks are all done, and the leader knows it: not before that end is recorded does anything of it move. */
+    /** A job stays blocked when all tasks of the required job are done, until that end is recorded. */
     @Test
     void itHoldsNothingUntilTheEndIsDurable() {
         JobSpec need = SimulatedWorld.spec(1, 2, 1, 20);
@@ -84,10 +84,13 @@
         assertEquals(List.of("run-2/0", "run-2/1"), SimulatedWorld.starts(world.hear("vm-1", 41)));
         assertEquals(SimulatedWorld.at(40), waiting.eligibleSince);
         assertEquals(SimulatedWorld.at(300), waiting.dueAt());
-        assertEquals(40_000, waiting.spec().dependencies().releasedAtMs(), "its next record tells a later leader");
+        assertEquals(40_000, waiting.spec().dependencies().releasedAtMs(), "the next record has the release time");
     }
 
-    /** Its record says when it was released; or a task of it is done, or seen on a machine. Else its needs are looked up. */
+    /**
+     * A later leader takes a release from the record, a completed task or a reported task; otherwise it looks up the
+     * required jobs.
+     */
     @Test
     void aLaterLeaderKnowsWhatWasReleased() {
         JobSpec need = SimulatedWorld.spec(1, 2, 1, 20);
@@ -116,7 +119,7 @@
                 seen.hasWaiting() && world.core.dependentJobs().jobsToLookUp().isEmpty());
     }
 
-    /** A reading of the records that is repeated says nothing of how any job ended. */
+    /** Loading the records again does not make a job that is no longer loaded count as done. */
     @Test
     void whatIsReadAnewIsNotDone() {
         JobSpec need = SimulatedWorld.spec(1, 2, 1, 20);
--- a/src/test/java/io/indigoreach/core/scheduling/FloodMemoryTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FloodMemoryTest.java
@@ -23,7 +23,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** One-task jobs, four a second for an hour, each of its own class and image, a quarter of them cancelled while they run. */
+/**
+ * Guards against a memory leak per job: one-task jobs arrive four times a second for an hour, each with its own class
+ * and image, and a quarter of them are cancelled while they run.
+ */
 class FloodMemoryTest {
     private static final int MACHINES = 30;
     private static final double RUN_S = 15;
@@ -58,9 +61,9 @@
             }
             afterAThird = step == 4800 ? reachable(w.core) : afterAThird;
         }
-        assertTrue(finished > 10_000, "done: " + finished);
+        assertTrue(finished > 10_000, "finished jobs: " + finished);
         int atTheEnd = reachable(w.core);
-        assertTrue(atTheEnd < 1.1 * afterAThird, afterAThird + " objects have become " + atTheEnd);
+        assertTrue(atTheEnd < 1.1 * afterAThird, "reachable objects grew from " + afterAThird + " to " + atTheEnd);
     }
 
     private static JobSpec single(int id) {
@@ -106,7 +109,7 @@
         }
     }
 
-    /** Our own objects that are reached through fields and collections. */
+    /** Counts the elements and field values reachable through collections and the project's own classes. */
     private static int reachable(Object root) throws IllegalAccessException {
         Set<Object> seen = Collections.newSetFromMap(new IdentityHashMap<>());
         Deque<Object> left = new ArrayDeque<>(List.of(root));
--- a/src/test/java/io/indigoreach/core/scheduling/GatedTasksTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/GatedTasksTest.java
@@ -18,7 +18,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Tasks that wait for something else than machines. */
+/** Gated tasks, which are held back for a reason other than machine capacity. */
 class GatedTasksTest {
     private static final JobSpec PLAIN = JobSpec.builder(new JobId("run-1"))
             .jobClass("c")
@@ -40,7 +40,7 @@
     @Test
     void areNotThereForWhoeverStartsReservesOrRents() {
         Job job = job(PLAIN.with(JobSpec.RECORDS, Map.of("ids", List.of("a/1"))));
-        assertFalse(job.hasWaiting(), "nothing is known of its records yet");
+        assertFalse(job.hasWaiting(), "the owned records are not known yet");
         assertEquals(0, job.startableCount());
         BitSet held = new BitSet();
         held.set(0, 2);
@@ -54,7 +54,7 @@
         assertTrue(job.hasWaiting());
         held.set(0, 6);
         job.gate(held);
-        assertFalse(job.isComplete(), "held tasks are not done");
+        assertFalse(job.isComplete(), "gated tasks are not done");
         assertFalse(job.hasWaiting());
     }
 
--- a/src/test/java/io/indigoreach/core/scheduling/ImageCacheTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ImageCacheTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a machine is said to hold, and how many machines a forecast asks for. */
+/** The model of a machine's image cache, and the sizing of warm pools. */
 class ImageCacheTest {
     private final ImageCache cache = new ImageCache(100);
 
@@ -54,9 +54,9 @@
         assertTrue(cache.restore("a", 60, true));
         assertTrue(cache.isCached("a"));
         assertEquals(List.of("a"), cache.use("c", 10));
-        assertFalse(cache.restore("a", 60, true), "no room for it any more");
+        assertFalse(cache.restore("a", 60, true), "the image no longer fits");
         assertTrue(cache.restore("d", 40, false));
-        assertFalse(cache.isCached("d"), "another session");
+        assertFalse(cache.isCached("d"), "the record is of another incarnation");
     }
 
     @Test
@@ -71,7 +71,7 @@
         assertTrue(cache.hasRoomBeside("w", "h", 20) && !cache.isCrowded("w"));
     }
 
-    /** Quantiles of the Poisson distribution by published tables. */
+    /** Compares with published quantiles of the Poisson distribution. */
     @ParameterizedTest
     @CsvSource({"0, 0.95, 0", "1, 0.95, 3", "12, 0.95, 18", "12, 0.5, 12", "100, 0.99, 124", "10000, 0.95, 10165"})
     void theNewsvendorsQuantile(double mean, double ratio, int expected) {
@@ -85,7 +85,7 @@
         assertEquals(
                 20,
                 PoolSizing.withLosses(10, 1000, io.indigoreach.core.model.Span.seconds(120)),
-                "at most as many again");
+                "spares at most double the pool");
     }
 
     @Test
--- a/src/test/java/io/indigoreach/core/scheduling/MinimumServiceTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/MinimumServiceTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Every class and every team is served: floods, empty pools, queues behind urgent jobs; in steps of a second. */
+/** Every job class and team gets a minimum of service during bursts and shortages, simulated in steps of a second. */
 class MinimumServiceTest {
     private static final ServiceLevelObjectives AIMS =
             new ServiceLevelObjectives(List.of(aim("urgent", 150), aim("usual", 180), aim("slow", 300)));
@@ -21,7 +21,7 @@
         return new ServiceLevelObjectives.Objective(jobClass, false, Span.seconds(within));
     }
 
-    /** Some 1,100 of 1,200 cores' worth until 380, and between 80 and 230 so many times as many urgent jobs. */
+    /** A load of 1,100 of 1,200 cores until 380 s, with {@code times} the rate of urgent jobs from 80 s to 230 s. */
     private static CoreHarness flood(int times, ServiceLevelObjectives aims) {
         return new CoreHarness(
                 List.of(
@@ -37,7 +37,9 @@
                 aims);
     }
 
-    /** Guards against a flood of urgent jobs that leaves the others nothing: usual jobs were served 0.37 within their aim. */
+    /**
+     * Guards against starvation by a burst of urgent jobs, in which only 0.37 of the usual jobs met their objective.
+     */
     @ParameterizedTest
     @CsvSource({"1, 1.0, 1.0, 1.0", "3, 0.95, 0.6, 0.6", "6, 0.6, 0.5, 0.5"})
     void noClassFallsUnderHalfWithinItsLongestAim(int times, double urgent, double usual, double slow) {
@@ -48,10 +50,10 @@
         assertTrue(
                 s.served("urgent", 150) >= urgent && s.served("usual", 180) >= usual && s.served("slow", 300) >= slow,
                 served);
-        assertEquals(1, s.served("usual", 800), "all are served in the end");
+        assertEquals(1, s.served("usual", 800), "all jobs are served in the end");
     }
 
-    /** Good service for an hour is no reason to leave a class with nothing in a flood of today. */
+    /** Guards against good service in the last hour that hides the starvation of a class by a current burst. */
     @Test
     void anHourOfGoodServiceDoesNotHideAFlood() {
         int begin = 3600;
@@ -68,7 +70,7 @@
         assertTrue(s.served("usual", 180, begin) >= 0.5, "usual " + s.served("usual", 180, begin));
     }
 
-    /** An endless flood that takes all there is: what nobody has an aim for starts when it is ten minutes old all the same. */
+    /** During an endless overload, jobs without an objective start when they are aged. */
     @Test
     void ageHasABound() {
         CoreHarness s = new CoreHarness(
@@ -84,8 +86,8 @@
     }
 
     /**
-     * No spot machine is to be had, and no aim says when ordinary ones are worth their price: 94 tasks went one after the
-     * other over one machine, and a spot machine was asked for all the while.
+     * Guards against waiting for unavailable spot machines when no objective justifies on-demand ones: 94 tasks ran one
+     * after the other on one machine while the scheduler kept requesting a spot machine.
      */
     @ParameterizedTest
     @CsvSource({"0, 20", "3, 20", "0, 2"})
@@ -96,12 +98,15 @@
         int boots = 2 * 20;
         int atOnce = Math.min(9, spot + ordinary) * 4;
         int bound = boots + (94 + atOnce - 1) / atOnce * 24;
-        assertTrue(s.longestWait("c", 0) <= bound, "waits " + s.longestWait("c", 0) + " of " + bound);
+        assertTrue(s.longestWait("c", 0) <= bound, "longest wait " + s.longestWait("c", 0) + ", limit " + bound);
         long asked = s.asked.stream().filter(request -> request.pool().spot()).count();
-        assertTrue(asked <= 42, "spot machines asked for " + asked + " times");
+        assertTrue(asked <= 42, asked + " requests for spot machines");
     }
 
-    /** Behind a service and short jobs that start at once, longer ones wait: the top job alone did not say so. */
+    /**
+     * Guards against scale-out by the top job alone: longer jobs wait behind a service and short jobs that start at
+     * once.
+     */
     @Test
     void waitsFallUnderTheThresholdAfterAChangeOfLeader() {
         CoreHarness s = new CoreHarness(
@@ -120,7 +125,10 @@
                 "waits " + s.longestWait("short", 60) + " and " + s.longestWait("long", 60));
     }
 
-    /** The top job has a place at once, so it rents nothing; a whole-machine task behind it waits past the limit of 45 s. */
+    /**
+     * The top job can start at once and needs no machine, but a whole-machine task behind it waits past the limit of 45
+     * s.
+     */
     @ParameterizedTest
     @CsvSource({"40, 0", "50, 2"})
     void whoWaitsBehindATopJobThatStartsAtOnceIsRentedFor(double at, int machines) {
@@ -139,8 +147,9 @@
     }
 
     /**
-     * What nobody said a time for, behind more aimed work than there is room for: it began when that was over, 338 s and later.
-     * The flood is of jobs that go first by urgency; the guests' are large arrays, tasks of a whole machine, or many.
+     * Guards against starvation of jobs without an objective during an overload by jobs with one: they began only after
+     * the overload, at 338 s or later. The overload is of urgent jobs. The guest jobs are large arrays, whole-machine
+     * tasks, or many small jobs.
      */
     @ParameterizedTest
     @CsvSource({
@@ -169,7 +178,9 @@
         assertTrue(s.latestBegin("slow") <= 240, "slow " + s.latestBegin("slow"));
     }
 
-    /** Jobs without an aim go first on an eighth of the machines, whole ones: tasks of a whole machine find the others. */
+    /**
+     * Jobs without an objective go first on an eighth of the machines only, so whole-machine tasks can use the others.
+     */
     @Test
     void whatNobodySaidATimeForDoesNotTakeEveryMachineFromTasksOfAWholeOne() {
         CoreHarness s = new CoreHarness(
@@ -185,7 +196,7 @@
         assertTrue(s.latestBegin("guest") <= 240, "guest " + s.latestBegin("guest"));
     }
 
-    /** A thousand machines, three teams: one floods, one has a guarantee, one a limit; each is served. */
+    /** On a thousand machines, three teams are served: one submits a burst, one has a guarantee, one has a limit. */
     @Test
     void everyTeamIsServed() {
         Team[] teams = {
--- a/src/test/java/io/indigoreach/core/scheduling/NearObjectiveTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/NearObjectiveTest.java
@@ -18,13 +18,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Jobs whose aim is nearer than a boot: machines for their flow, room made for them, and room kept for bulky ones. */
+/** Jobs whose objective is nearer than a machine's boot time: their arrival rate, and preemption for them. */
 class NearObjectiveTest {
     private static Job job(int id, double arrived) {
         return new Job(spec(id, 1, 1, 10), id, at(arrived), Revision.ABSENT, new BitSet(), 99, false);
     }
 
-    /** Jobs that arrive at these seconds, one unit each, asked about at 60 (a minute after the first question). */
+    /** The rate at 60 s of jobs that arrive at these seconds; the first query is at 0 s. */
     @ParameterizedTest
     @CsvSource({
         "5 15 25 35 45 55,             0.1",
@@ -42,7 +42,10 @@
         assertEquals(perSecond, inflow.perSecond(job -> true, job -> 1, Span.seconds(60), at(60)), 1e-9);
     }
 
-    /** Five seconds after a take-over one large job is no proof of a flow (334 machines were rented for such). */
+    /**
+     * Guards against a rate derived from one large job five seconds after a failover, for which 334 machines were
+     * rented.
+     */
     @Test
     void littleTimeTellsLittle() {
         ArrivalRate inflow = new ArrivalRate();
@@ -52,7 +55,10 @@
         assertEquals(true, inflow.perSecond(job -> true, job -> 100, Span.seconds(60), at(5)) <= 3);
     }
 
-    /** A job due in {@code within} seconds that runs 20: low tasks that save are stopped for it only if it is near. */
+    /**
+     * Best-effort tasks with checkpoints are preempted for a 20 s job only if its objective in {@code within} s is
+     * near.
+     */
     @ParameterizedTest
     @CsvSource({"60, STANDARD, 2", "60, BEST_EFFORT, 0", "300, STANDARD, 0"})
     void lowTasksMakeRoomForNearAims(double within, Urgency urgency, int stopped) {
@@ -92,8 +98,9 @@
     }
 
     /**
-     * A replica due to start within 2 s found every machine with its image busy. Tasks that do not save make room for it
-     * if they have hardly begun, and only while its aim can be met.
+     * Guards against a replica that misses its start objective of 2 s because every machine with its image is busy.
+     * Tasks without checkpoints are preempted for it if they have just started, and only while the objective can be
+     * met.
      */
     @ParameterizedTest
     @CsvSource({"1, 1, 1", "10, 1, 0", "1, 3, 0"})
--- a/src/test/java/io/indigoreach/core/scheduling/PlacementTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/PlacementTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which task goes where, and which does not. */
+/** Which tasks the dispatcher starts, preempts or holds back on a machine. */
 class PlacementTest {
     /** Two spot machines, one in each zone: how many of six one-core tasks start at once. */
     @ParameterizedTest
@@ -67,7 +67,10 @@
         assertEquals(started, starts(w.hear("a", 1)).size());
     }
 
-    /** A guest's batch work had as many cores as another team's urgent jobs, and kept the machines it once had. */
+    /**
+     * Guards against queues per team without a guarantee, where batch jobs got as many cores as another team's urgent
+     * jobs.
+     */
     @Test
     void teamsWithoutAGuaranteeShareOneQueue() {
         SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(0), new Team("guest", 0, 2, 0, 0));
@@ -89,12 +92,12 @@
                         .build(),
                 0);
         List<WorkerCommand> guests = w.hear("a", 1);
-        assertEquals(List.of("run-1/0", "run-1/1"), starts(guests), "its limit still holds");
+        assertEquals(List.of("run-1/0", "run-1/1"), starts(guests), "the team's limit still holds");
         w.submit(with(spec(2, 8, 1, 20), Urgency.HIGH, false, false, true, null, 0), 2);
         assertEquals(
                 List.of("run-2/0", "run-2/1"),
                 starts(w.hear("a", 3, SimulatedWorld.running(guests))),
-                "the rest of a machine that a guest was given first is not left empty");
+                "another team uses the rest of the machine");
     }
 
     @Test
@@ -108,8 +111,10 @@
         assertEquals(List.of("run-2/0", "run-3/0", "run-1/0"), starts(w.hear("a", 3)));
     }
 
-    /** A machine with one two-core task that ends at 60 s; the top job needs all four cores. */
-    /** A long task that waits for a job with an aim came before it in the queue, and its reservation kept that job waiting. */
+    /**
+     * Guards against a reservation for a long task that is held back in favour of jobs with an objective: the
+     * reservation kept those jobs waiting.
+     */
     @Test
     void whatLeavesRoomHoldsNoReservation() {
         SimulatedWorld w = new SimulatedWorld(
@@ -138,14 +143,14 @@
     }
 
     /**
-     * Only the top job has a reservation: behind it, tasks of five minutes that nobody had said a time for took the rest of every
-     * machine, and half of a class with an aim waited for them (a guest's day at 500 machines).
+     * Guards against long tasks without an objective that fill the rest of every machine behind the top job's
+     * reservation: on 500 machines, half of the jobs of a class with an objective waited for five-minute tasks.
      */
     @ParameterizedTest
     @CsvSource({
-        "g, 300, 0, leaves room for what waits with an aim",
-        "c, 300, 1, has an aim itself",
-        "g, 50, 1, soon over"
+        "g, 300, 0, leaves capacity for waiting jobs with an objective",
+        "c, 300, 1, has an objective itself",
+        "g, 50, 1, ends soon"
     })
     void longTasksWithoutAnAimLeaveRoomForThoseWithOne(String jobClass, double estimate, int started, String why) {
         SimulatedWorld w = new SimulatedWorld(
@@ -182,6 +187,7 @@
                 why);
     }
 
+    /** A machine runs one two-core task that ends at 60 s; the top job needs all four cores. */
     @ParameterizedTest
     @CsvSource({"20, 1, short enough to end before the top job's start", "200, 0, would delay the top job"})
     void backfillDoesNotDelayTheReservedTopJob(double estimate, int started, String why) {
@@ -260,7 +266,7 @@
         assertEquals(List.of(new MachineId("a")), w.core.machinesToReturn(9));
     }
 
-    /** A job with a mistake fails everywhere: good machines are kept, and it is tried ever more rarely. */
+    /** A faulty job fails on every machine: the machines are kept, and the job is retried with growing pauses. */
     @Test
     void aJobThatFailsEverywhereCondemnsNoMachine() {
         SimulatedWorld w = new SimulatedWorld();
@@ -284,7 +290,7 @@
                 pending.set(m, next);
             }
         }
-        assertTrue(tries >= 5 && tries < 20, "tries: " + tries);
+        assertTrue(tries >= 5 && tries < 20, "attempts: " + tries);
         w.submit(spec(2, 4, 4, 50), 100);
         long started = 0;
         for (int m = 0; m < 4; m++) {
--- a/src/test/java/io/indigoreach/core/scheduling/RandomJobs.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomJobs.java
@@ -6,7 +6,9 @@
 import io.indigoreach.core.model.Urgency;
 import java.util.Random;
 
-/** Jobs of a {@link RandomSimulation}: arrays of every urgency and placement, and each fourth a service. */
+/**
+ * Generates the jobs of a {@link RandomSimulation}: arrays of every urgency and placement, with every fourth a service.
+ */
 final class RandomJobs {
     private RandomJobs() {}
 
--- a/src/test/java/io/indigoreach/core/scheduling/ServiceLevelObjectivesTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ServiceLevelObjectivesTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A job that arrived at 0 with tasks of 20 s, to be finished in 150 s, or else in 250 s: by when it should start. */
+/** The latest start of a job that arrived at 0 s with tasks of 20 s and objectives to finish within 150 s and 250 s. */
 class ServiceLevelObjectivesTest {
     @ParameterizedTest
     @CsvSource({
-        "0,   1,  130, the first aim",
-        "131, 1,  230, the first is missed",
-        "40,  5,  130, five rounds still do",
-        "60,  5,  230, five rounds are too many for the first",
-        "0,   20, 600, out of reach of both however soon it starts",
-        "240, 1,  600, both are missed"
+        "0,   1,  130, the first objective",
+        "131, 1,  230, the first objective is missed",
+        "40,  5,  130, five rounds can still meet the first objective",
+        "60,  5,  230, five rounds cannot meet the first objective",
+        "0,   20, 600, neither objective can be met",
+        "240, 1,  600, both objectives are missed"
     })
     void aimsOutOfReachGiveNoPrecedence(double now, int rounds, double latest, String why) {
         ServiceLevelObjectives aims = new ServiceLevelObjectives(List.of(
--- a/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Replicas have no end of their own: what that means for every decision that rests on when tasks end. */
+/** Service replicas, which run until cancelled, in every decision that depends on when tasks end. */
 class ServiceTest {
     private static SimulatedWorld loaded() {
         SimulatedWorld w = new SimulatedWorld();
@@ -30,7 +30,7 @@
         return w;
     }
 
-    /** An array of twelve short one-core tasks, three rounds of one machine, beside a machine that holds so many replicas. */
+    /** Twelve one-core tasks need three rounds of a machine, which may be partly or fully taken by replicas. */
     @ParameterizedTest
     @CsvSource({"0, 0", "2, 1", "4, 1"})
     void aPlaceThatAReplicaHoldsIsNoPlaceForWhatWaits(int replicas, int rented) {
@@ -47,7 +47,7 @@
                         .sum());
     }
 
-    /** Each end of a replica but its job's cancellation is followed by another start of it; the job is never done. */
+    /** A replica is restarted whenever it ends, unless its job was cancelled; the job is never done. */
     @ParameterizedTest
     @CsvSource({"DONE, 1", "STOPPED, 0", "FULL, 1", "OTHER, 0"})
     void aReplicaThatEndedIsStartedAgain(ExitCause cause, double after) {
@@ -64,7 +64,7 @@
         assertEquals(0, job.doneCount());
     }
 
-    /** With a service first in the queue, 150 spot machines' work was given to ordinary ones (water kiosks, steady). */
+    /** Guards against a service at the head of the queue that moved the work of 150 spot machines to on-demand ones. */
     @Test
     void spotMachinesAreAskedForBesideOrdinaryOnes() {
         SimulatedWorld w = loaded();
@@ -85,7 +85,7 @@
                         .sum());
     }
 
-    /** A machine that holds a replica is paid for in any case, so it is not kept empty beside it. */
+    /** A machine with a replica must be paid for in any case, so other tasks use the rest of it. */
     @Test
     void aMachineWithAReplicaIsNeverSpare() {
         SimulatedWorld w = loaded();
@@ -99,8 +99,8 @@
     }
 
     /**
-     * An image of 1 GB takes 2 s; replicas are to start within 3 s. A machine without the image is passed over only
-     * while the aim would be missed there and can be met on one that has it.
+     * An image of 1 GB takes 2 s to fetch, and replicas have a start objective of 3 s. The dispatcher skips a machine
+     * without the image only while the objective would be missed there and can be met on a machine that has it.
      */
     @ParameterizedTest
     @CsvSource({"0.5, true, 1", "1.5, true, 0", "1.5, false, 1", "3.1, true, 1"})
@@ -132,9 +132,9 @@
         assertEquals(started, starts(w.ordinary("b", 100 + waited)).size());
     }
 
-    /** How a machine with a replica was lost, and from when on (seconds) the replica may start on another one. */
+    /** How a machine with a replica was lost, and from which second on the replica may start on another machine. */
     @ParameterizedTest
-    @CsvSource({"listed as failed, 3", "lease run out, 14", "gone from two lists, 22"})
+    @CsvSource({"listed as failed, 3", "lease expired, 14", "missing from two listings, 22"})
     void aLostReplicaStartsElsewhereOnceItSurelyIsGone(String loss, double from) {
         SimulatedWorld w = loaded();
         w.submit(service(1, 1), 0);
@@ -147,7 +147,10 @@
         assertEquals(1, starts(w.hearOrdinary("b", from + 0.1)).size());
     }
 
-    /** What the leader's duties see at {@code now}: the machine fails at 2.5 s, or is never heard or listed again. */
+    /**
+     * Reports the loss at {@code now}: the machine fails at 2.5 s, or sends no heartbeats, or is missing from the
+     * listing.
+     */
     private static void lose(SimulatedWorld w, String loss, double now) {
         ListedMachine b = listed("b", ListedMachine.Status.RUNNING);
         switch (loss) {
@@ -156,7 +159,7 @@
                         List.of(listed("a", now < 2.5 ? ListedMachine.Status.RUNNING : ListedMachine.Status.FAILED), b),
                         at(now),
                         at(now));
-            case "lease run out" -> w.core.expireLeases(at(now));
+            case "lease expired" -> w.core.expireLeases(at(now));
             default -> w.core.onMachineListing(List.of(b), at(now), at(now));
         }
     }
@@ -165,7 +168,7 @@
         return new ListedMachine(new MachineId(name), new MachinePool("quad", "east", false), status, Span.seconds(1));
     }
 
-    /** A new leader starts no replica that a machine may still hold, and takes on those that are reported. */
+    /** A new leader starts no replica that a machine may still run, and adopts those that heartbeats report. */
     @ParameterizedTest
     @CsvSource({"true, 2, 1", "false, 2, 0", "false, 13, 2"})
     void afterAChangeOfLeaderReplicasAreTakenOnOrWaitedFor(boolean reported, double at, int started) {
@@ -182,7 +185,10 @@
         assertEquals(started, starts(w.hearOrdinary("b", at)).size());
     }
 
-    /** A start ordered just before the user cancelled is answered with a stop as soon as it shows, and not repeated. */
+    /**
+     * A replica whose start was sent just before the cancellation is stopped when it is reported, and not started
+     * again.
+     */
     @Test
     void aReplicaOrderedBeforeTheCancellationIsStopped() {
         SimulatedWorld w = loaded();
--- a/src/test/java/io/indigoreach/core/scheduling/ShortQueueTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ShortQueueTest.java
@@ -11,13 +11,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Guards against a backlog of short jobs that grows though machines are to be had (found on an emulated deployment
- * without aims): BestSize counts the top short job only, so one or two machines were rented per boot, whatever waited.
+ * Guards against a growing backlog of short jobs although machines are available. BestSize counted only the top short
+ * job, so that one or two machines were rented per boot time regardless of the backlog.
  */
 class ShortQueueTest {
     /**
-     * Short jobs of 20 tasks of 6 s, four at once on a machine, beside one that comes free in 10 of the 45 s: a third of
-     * 30 s a job, as nobody has seen one of them end, less 35 s, by the paid minute.
+     * Short jobs of 20 tasks of 6 s run four at once on a machine, which takes 30 s per job. No task has ended yet, so
+     * a third of the estimate counts. The existing machine is free for 35 s of the wait limit of 45 s, and machines are
+     * paid by the minute.
      */
     @ParameterizedTest
     @CsvSource({"1, 1", "20, 3", "200, 33", "1000, 167"})
@@ -37,7 +38,7 @@
                         .sum());
     }
 
-    /** A job a second of 20 tasks of 5 s: 25 machines' work, on top of 120 jobs that came while nothing served. */
+    /** A job of 20 tasks of 5 s per second keeps 25 machines busy; 120 jobs are waiting at the start. */
     @ParameterizedTest
     @CsvSource({"1, 75", "3, 75", "0.4, 90"})
     void waitsFallUnderTheLimitAndNoMoreIsRentedThanNeeded(double estimates, int mostMachines) {
@@ -52,7 +53,7 @@
         assertTrue(
                 run.longestWait("short", 200)
                         < SimulatedWorld.TUNING.waitLimit().seconds(),
-                "waits " + run.longestWait("short", 200));
+                "longest wait " + run.longestWait("short", 200));
         assertTrue(run.mostUp <= mostMachines && run.mostUp >= 25, "machines " + run.mostUp);
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulation.java
@@ -20,41 +20,44 @@
 import java.util.stream.Collectors;
 
 /**
- * Every team is at its limit as all jobs that run are cancelled and the leader changes, so many times; half of the machines can't be
- * heard meanwhile. What the teams use is looked at on the workers at every step.
+ * Repeatedly cancels all running jobs and changes the leader while every team is at its limit and half of the machines
+ * have a fault. Every step measures the teams' usage on the workers.
  */
 public final class TeamLimitSimulation {
     private static final double STEP_S = 0.25;
     private static final int MACHINES = 8;
     private static final double CORES_MAX = 8;
-    /** By then whoever leads has heard each machine and seen strangers go, or its lease is over. */
+    /**
+     * After this time each machine has sent heartbeats to the new leader and its orphan tasks are gone, or its lease
+     * has expired.
+     */
     private static final double SETTLED_S =
             2 * SimulatedWorld.RULES.leaseBound().seconds() + 6;
 
     /** Longer than a lease. */
     private static final double AWAY_S = 20;
-    /** From when a leader is cut off until another may lead. */
+    /** The time from the partition of a leader until another node may lead. */
     private static final double LEADS_ON_S = 4;
 
     private static final Team PLAIN = new Team("t", 0, CORES_MAX, 0, 0);
     private static final Team GUARANTEED = new Team("u", 4, CORES_MAX, 0, 0);
 
-    /** What befalls a machine in the last second of a leader. */
+    /** The fault of machines in the last second of a leader. */
     public enum Trouble {
         NONE,
-        /** Neither its reports arrive nor answers, for longer than a lease. */
+        /** Neither heartbeats nor responses arrive, for longer than a lease. */
         CUT,
-        /** Its reports arrive, answers do not. */
+        /** Heartbeats arrive, responses do not. */
         DEAF,
-        /** It stands still within its lease and goes on with what it ran. */
+        /** The worker pauses within its lease and then continues its tasks. */
         HUNG,
-        /** The old leader's last answer comes just before the worker would drop it. */
+        /** The old leader's last response arrives just before the worker's timeout. */
         HELD_UP,
-        /** All controllers are away for longer than a lease. */
+        /** All controllers are unavailable for longer than a lease. */
         AWAY,
         /**
-         * Half of the machines are cut off with the old leader, which answers them, and nobody else, until another may lead; then nobody
-         * does for longer than a lease.
+         * A partition leaves half of the machines with the old leader, until another node may lead. Then no controller
+         * reaches these machines for longer than a lease.
          */
         ZONE
     }
@@ -75,7 +78,7 @@
     private final Set<JobId> cancelled = new HashSet<>();
     private int jobs;
     private double loads = Double.MAX_VALUE;
-    /** Steps in which a cancelled task was on a machine that its leader could not hear. */
+    /** The number of steps and machines with a fault in which a cancelled task was on the machine. */
     int outOfReach;
 
     public TeamLimitSimulation(long seed, Trouble trouble) {
@@ -114,11 +117,11 @@
             now = run(now, now + everyS);
         }
         now = run(now, now + SETTLED_S);
-        assertEquals(CORES_MAX, site.used(PLAIN, now), "what waits has begun");
-        assertEquals(CORES_MAX, site.used(GUARANTEED, now), "what waits has begun");
+        assertEquals(CORES_MAX, site.used(PLAIN, now), "waiting tasks have started");
+        assertEquals(CORES_MAX, site.used(GUARANTEED, now), "waiting tasks have started");
     }
 
-    /** Arrays, gangs and services of both teams, and more than their limits allow. */
+    /** Submits services, one-zone arrays and other arrays of both teams, more than their limits allow. */
     private void submitAll(double now) {
         for (Team team : List.of(PLAIN, GUARANTEED)) {
             submit(team, JobKind.SERVICE, 2, false, now);
@@ -150,7 +153,9 @@
         return box.name.compareTo("m" + MACHINES / 2) < 0;
     }
 
-    /** Half of the machines, each for its own time; one that hangs goes on within its lease. */
+    /**
+     * Starts the fault on about half of the machines, each for a random time; a hung worker resumes within its lease.
+     */
     private void befall(double now, double begins) {
         for (SimulatedCluster.Box box : site.boxes()) {
             if (trouble == Trouble.AWAY || trouble == Trouble.ZONE) {
@@ -162,7 +167,7 @@
         }
     }
 
-    /** All jobs of which something runs; whoever leads hears of it within two seconds. New ones come instead. */
+    /** Cancels all jobs with a running task and submits new ones; the leader is notified within two seconds. */
     private void cancelAll(double now, double heardFrom) {
         for (JobId job : site.running(now).stream().map(TaskId::job).collect(Collectors.toSet())) {
             if (cancelled.add(job)) {
--- a/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulationTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Limits, cancellations and changes of leader, each one on the others. */
+/** Team limits hold during cancellations, leader changes and machine faults. */
 class TeamLimitSimulationTest {
     private static final int SEEDS = 12;
 
-    /** {@code everyS}: from one change of leader to the next. */
+    /** {@code everyS} is the time from one leader change to the next. */
     @ParameterizedTest
     @CsvSource({
         "NONE, 1, 0",
@@ -43,6 +43,6 @@
         }
         assertTrue(
                 trouble == TeamLimitSimulation.Trouble.NONE || outOfReach > 0,
-                "cancelled tasks ran on where nobody heard of them");
+                "no cancelled task was on a machine with a fault");
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/WaitCheck.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitCheck.java
@@ -9,13 +9,13 @@
 import java.util.Optional;
 
 /**
- * Every job that waits has a reason by name, and once the troubles are over none waits 90 s on end, with no task of it started,
- * for anything but its team's limit or room.
+ * Checks that every waiting job has a {@link WaitReason}, and that after the faults no job waits for 90 s without a
+ * started task, except for its team's limit or capacity.
  */
 final class WaitCheck {
     private static final double LONGEST_S = 90;
 
-    /** A job waits for no limit and no room since then, with so many tasks waiting. */
+    /** A wait for a reason other than a limit or capacity: its start, and the number of waiting tasks. */
     private record Wait(double since, int tasks, WaitReason reason) {}
 
     private final Map<JobId, Wait> waits = new HashMap<>();
@@ -28,7 +28,7 @@
             Optional<WaitReason> reason = core.waitReason(job, SimulatedWorld.at(now));
             effects.waits(job, reason.orElse(null));
             if (reason.isEmpty() == job.hasWaiting()) {
-                broken.add(now + ": " + job.id() + " has " + job.waitingCount() + " tasks waiting for " + reason);
+                broken.add(now + ": " + job.id() + " has " + job.waitingCount() + " waiting tasks, reason " + reason);
             }
             if (!calm || reason.isEmpty() || reason.get().isLimitOrRoom()) {
                 continue;
--- a/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
@@ -33,11 +33,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Every wait has a name, and none is for nothing. */
+/** The reasons for which jobs wait, and waits that had no sufficient reason. */
 class WaitReasonTest {
     private static final Team GUARANTEED = new Team("guaranteed", 8, 0, 0, 0);
 
-    /** One machine of four cores in the east, three of them taken where {@code busy}, and a job that waits. */
+    /** A job waits beside one machine with four cores in zone east, of which other tasks use three or all. */
     @ParameterizedTest
     @CsvSource({
         "nothing, NEXT_HEARTBEAT",
@@ -111,7 +111,10 @@
         assertEquals(Optional.empty(), w.core.waitReason(job, at(2)));
     }
 
-    /** A team that used none of its guarantee and wanted nothing kept the others from the rest of every machine. */
+    /**
+     * Guards against a team that neither used nor needed its guarantee but kept other teams from the rest of every
+     * machine.
+     */
     @Test
     void aTeamThatWantsNothingKeepsNoRoom() {
         SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(0), GUARANTEED);
@@ -130,7 +133,7 @@
         return w.hear("a", at, tasks.toArray(TaskStatus[]::new));
     }
 
-    /** A machine at work stays with its share, and one that is put aside takes nothing, until a job has waited for a minute. */
+    /** A busy machine keeps to its queue, and a surplus machine takes no tasks, until a job has waited for a minute. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void nothingWaitsBesideRoomForLong(boolean spare) {
@@ -169,7 +172,10 @@
                 .build();
     }
 
-    /** Bound to a zone that the cheapest type is not in, or whose pools are empty: machines come for it, and for others. */
+    /**
+     * Machines are rented for a job bound to a zone that the cheapest type does not offer, or whose requests were
+     * rejected.
+     */
     @ParameterizedTest
     @CsvSource({"false, dear west", "true, quad east"})
     void aBoundJobIsRentedForWhereItMayBe(boolean refused, String expected) {
