--- a/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
@@ -221,9 +221,13 @@
         for (JobId id : records.keySet()) {
             int since = lostSince(id, lostSince);
             if (ends.get(id) == JobStatus.CANCELLED) {
-                assertTrue(since < NEVER || byUser.contains(id), () -> id + " is cancelled without a cancelled required job");
+                assertTrue(
+                        since < NEVER || byUser.contains(id),
+                        () -> id + " is cancelled without a cancelled required job");
             } else {
-                assertTrue(since == NEVER || step - since < CANCEL_STEPS, () -> id + " is not cancelled in time after a required job");
+                assertTrue(
+                        since == NEVER || step - since < CANCEL_STEPS,
+                        () -> id + " is not cancelled in time after a required job");
             }
         }
     }
--- a/src/test/java/io/indigoreach/core/scheduling/MinimumServiceTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/MinimumServiceTest.java
@@ -70,7 +70,9 @@
         assertTrue(s.served("usual", 180, begin) >= 0.5, "usual " + s.served("usual", 180, begin));
     }
 
-    /** During an endless overload, jobs without an objective start when they are aged. */
+    /**
+     * During an endless overload by urgent jobs, jobs without an objective start once they are about ten minutes old.
+     */
     @Test
     void ageHasABound() {
         CoreHarness s = new CoreHarness(
@@ -126,8 +128,8 @@
     }
 
     /**
-     * The top job can start at once and needs no machine, but a whole-machine task behind it waits past the limit of 45
-     * s.
+     * The top job can start at once and needs no machine, but a whole-machine task behind it waits longer than the
+     * limit of 45 s.
      */
     @ParameterizedTest
     @CsvSource({"40, 0", "50, 2"})
--- a/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
@@ -33,66 +33,66 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The reasons for which jobs wait, and waits that had no sufficient reason. */
+/** Every waiting job has a reason, and no job waits for long beside free capacity. */
 class WaitReasonTest {
     private static final Team GUARANTEED = new Team("guaranteed", 8, 0, 0, 0);
 
     /** A job waits beside one machine with four cores in zone east, of which other tasks use three or all. */
     @ParameterizedTest
     @CsvSource({
-        "nothing, NEXT_HEARTBEAT",
-        "limit, TEAM_LIMIT",
-        "wide, NO_MACHINE",
-        "west, NO_MACHINE",
-        "full, NO_ROOM",
-        "ordinary, NO_MACHINE",
-        "unbound, START_BOUND",
-        "booting, BOOTING",
-        "unrecorded, MACHINE_RECORD",
-        "inherited, FAILOVER",
-        "failed, FAILED_THERE",
-        "suspect, RETRY_PAUSE",
-        "reserved, RESERVATION",
-        "spare, SET_ASIDE",
-        "elsewhere, OTHER_ZONE"
+        "startable, NEXT_HEARTBEAT",
+        "team limit, TEAM_LIMIT",
+        "task too large, NO_MACHINE",
+        "zone without machines, NO_MACHINE",
+        "machine full, NO_ROOM",
+        "on-demand only, NO_MACHINE",
+        "no start bound, START_BOUND",
+        "booting machine, BOOTING",
+        "unrecorded machine, MACHINE_RECORD",
+        "inherited job, FAILOVER",
+        "failed on machine, FAILED_THERE",
+        "suspected faulty, RETRY_PAUSE",
+        "reservation, RESERVATION",
+        "surplus machine, SET_ASIDE",
+        "placed in another zone, OTHER_ZONE"
     })
     void eachWaitHasItsName(String why, WaitReason expected) {
-        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(why.equals("limit") ? 3 : 0));
-        if (why.equals("inherited")) {
+        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(why.equals("team limit") ? 3 : 0));
+        if (why.equals("inherited job")) {
             w.core.inheritMachine(new MachineId("old"), new MachinePool("quad", "east", true), at(0), at(0), at(0));
         }
         w.core.recordsLoaded();
-        if (why.equals("booting") || why.equals("unrecorded")) {
+        if (why.equals("booting machine") || why.equals("unrecorded machine")) {
             w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
         } else {
             w.up("a", "east", 0);
         }
-        if (!why.equals("booting")) {
+        if (!why.equals("booting machine")) {
             w.hear("a", 1);
         }
-        if (!Set.of("booting", "unrecorded", "inherited").contains(why)) {
-            w.submit(spec(1, why.equals("full") ? 4 : 3, 1, 100), 1);
+        if (!Set.of("booting machine", "unrecorded machine", "inherited job").contains(why)) {
+            w.submit(spec(1, why.equals("machine full") ? 4 : 3, 1, 100), 1);
             w.hear("a", 2);
         }
-        if (why.equals("reserved")) {
+        if (why.equals("reservation")) {
             w.submit(spec(2, 1, 4, 10), 2);
         }
-        JobSpec s = spec(9, 2, why.equals("wide") ? 5 : 1, 500);
-        String zone = why.equals("west") ? "west" : null;
-        s = with(s, Urgency.STANDARD, why.equals("elsewhere"), false, !why.equals("ordinary"), zone, 0);
-        Job job = why.equals("inherited") ? w.inherited(s) : w.submit(s, 2);
-        if (why.equals("unbound")) {
+        JobSpec s = spec(9, 2, why.equals("task too large") ? 5 : 1, 500);
+        String zone = why.equals("zone without machines") ? "west" : null;
+        s = with(s, Urgency.STANDARD, why.equals("placed in another zone"), false, !why.equals("on-demand only"), zone, 0);
+        Job job = why.equals("inherited job") ? w.inherited(s) : w.submit(s, 2);
+        if (why.equals("no start bound")) {
             job = new Job(s, 3, at(2), Revision.ABSENT, new BitSet(), 0, false);
             w.core.closeJob(job.id());
             w.core.addJob(job);
         }
         Machine a = w.core.machines().iterator().next();
-        a.surplus = why.equals("spare");
-        if (why.equals("failed") || why.equals("suspect")) {
+        a.surplus = why.equals("surplus machine");
+        if (why.equals("failed on machine") || why.equals("suspected faulty")) {
             job.failedMachines.add(a.id);
         }
-        job.retryNotBefore = why.equals("suspect") ? at(10) : job.retryNotBefore;
-        if (why.equals("elsewhere")) {
+        job.retryNotBefore = why.equals("suspected faulty") ? at(10) : job.retryNotBefore;
+        if (why.equals("placed in another zone")) {
             Machine far =
                     new Machine(new MachineId("b"), new MachinePool("quad", "west", true), SimulatedWorld.TYPE, at(0));
             job.addPlacement(
@@ -177,13 +177,13 @@
      * rejected.
      */
     @ParameterizedTest
-    @CsvSource({"false, dear west", "true, quad east"})
+    @CsvSource({"false, expensive west", "true, quad east"})
     void aBoundJobIsRentedForWhereItMayBe(boolean refused, String expected) {
         SimulatedWorld w = new SimulatedWorld();
         MachineType east =
                 new MachineType("quad", new Demand(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of("east"));
         MachineType dear = new MachineType(
-                "dear", new Demand(4, 0, 16), 40, 0.5, 0.4, 0.1, Span.seconds(20), List.of("west", "east"));
+                "expensive", new Demand(4, 0, 16), 40, 0.5, 0.4, 0.1, Span.seconds(20), List.of("west", "east"));
         w.core.setTypes(refused ? List.of(SimulatedWorld.TYPE) : List.of(east, dear));
         w.core.recordsLoaded();
         w.submit(with(spec(1, 4, 1, 100), Urgency.STANDARD, false, false, true, "west", 0), 0);
