--- a/src/main/java/io/indigoreach/core/scheduling/Job.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Job.java
@@ -50,7 +50,7 @@
 
     int failures;
     Moment retryNotBefore = Moment.NEVER;
-    /** Until this moment the job's tasks start only on machines that have their image. */
+    /** Until this moment tasks that were stopped to empty their machine start only on machines that have the image. */
     Moment imageLocalityUntil = Moment.NEVER;
     /** When a placement was last added or removed. The waiting tasks may have been waiting only since then. */
     Moment placementsChangedAt = Moment.NEVER;
