--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -151,10 +151,10 @@
         }
         Moment now = context.clock().now();
         switch (state) {
-            case DONE -> dependentJobs.done(id);
+            case DONE -> dependentJobs.jobDone(id);
             case CANCELLED -> {
                 LOG.info("cancellation cascaded job={}", id);
-                dependentJobs.cancelled(id);
+                dependentJobs.jobCancelled(id);
             }
             case OPEN -> nextLookupAt.put(id, now.plus(OPEN_RETRY));
             // Neither done nor cancelled may be assumed: its dependents wait until a record is found.
@@ -237,7 +237,7 @@
     }
 
     private void onCancelled(JobId id) {
-        dependentJobs.cancelled(id);
+        dependentJobs.jobCancelled(id);
         jobStore.onCancelled(id);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/BacklogEstimator.java
+++ b/src/main/java/io/indigoreach/core/scheduling/BacklogEstimator.java
@@ -36,7 +36,7 @@
             CapacityForecast onDemand = capacity(queue, type, false, now);
             backlogs.put(type.name(), new Backlog(spot, onDemand, arrivalLoad(queue, type, now)));
         }
-        for (Job job : order.jobs(queue, now)) {
+        for (Job job : order.sortedJobs(queue, now)) {
             Optional<MachineType> type = sizing.cheapestType(job);
             if (type.isPresent() && job.hasWaiting() && !job.isSuspectedFaulty() && !job.spec.isService()) {
                 add(job, type.get(), backlogs.get(type.get().name()), now);
--- a/src/main/java/io/indigoreach/core/scheduling/BestSize.java
+++ b/src/main/java/io/indigoreach/core/scheduling/BestSize.java
@@ -81,7 +81,7 @@
         QueueNeed need = new QueueNeed();
         Optional<Job> top = rules.reservations().topJob(queue, now);
         if (top.isPresent() && trigger.mustScaleOut(queue, top.get(), now)) {
-            for (Job job : rules.order().jobs(queue, now)) {
+            for (Job job : rules.order().sortedJobs(queue, now)) {
                 if (isCounted(job, now)) {
                     count(job, need, now);
                 }
@@ -106,7 +106,7 @@
     }
 
     private void count(Job job, QueueNeed queueNeed, Moment now) {
-        boolean isShort = estimates.run(job).compareTo(settings.shortJob()) < 0;
+        boolean isShort = estimates.runTime(job).compareTo(settings.shortJob()) < 0;
         int waiting = queueNeed.withinTeamLimit(job, cluster.teamUsage(job));
         MachineType type = sizing.cheapestType(job).orElse(null);
         if (type == null || waiting <= 0) {
--- a/src/main/java/io/indigoreach/core/scheduling/CapacityForecast.java
+++ b/src/main/java/io/indigoreach/core/scheduling/CapacityForecast.java
@@ -51,7 +51,7 @@
     }
 
     private static double secondsLeft(Placement placement, MachineType type, Estimates estimates, Moment now) {
-        return estimates.end(placement, now).since(now).seconds()
+        return estimates.expectedEnd(placement, now).since(now).seconds()
                 / Math.max(1, placement.demand().timesIn(type.capacity()));
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/Cluster.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Cluster.java
@@ -65,7 +65,7 @@
 
     private FairShareQueue queueOf(TeamUsage usage) {
         return queues.computeIfAbsent(
-                usage.hasGuarantee() ? usage.team.name() : FairShareQueue.COMMON,
+                usage.hasGuarantee() ? usage.team.name() : FairShareQueue.COMMON_QUEUE_NAME,
                 name -> new FairShareQueue(name, usage.hasGuarantee() ? usage : null));
     }
 
@@ -127,7 +127,11 @@
         if (!placement.machine.imageCache.contains(image)) {
             machinesByImage.merge(image, 1, Integer::sum);
         }
-        placement.machine.imageCache.use(image, placement.job.spec.imageGb()).forEach(this::imageRemoved);
+        placement
+                .machine
+                .imageCache
+                .markUsed(image, placement.job.spec.imageGb())
+                .forEach(this::imageRemoved);
         if (placement.isRunning()) {
             // Started by an earlier leader: the image was here then, and may have been evicted since.
             placement.machine.imageCache.markUncertain(image);
--- a/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
@@ -68,7 +68,7 @@
                 machine.cordonFor(queue);
             }
         }
-        queue.roomOutsideCordon(room(machines));
+        queue.freeOutsideCordon(room(machines));
     }
 
     /** What is free on machines at work. */
@@ -134,7 +134,7 @@
         }
         Span move = job.spec.checkpointTime().plus(safetyTimes.heartbeatPeriod().times(2));
         return now.since(placement.stateSince).compareTo(Preemption.MINIMUM_RUN) >= 0
-                && estimates.end(placement, now).since(now).compareTo(move.times(MIN_REMAINING_PER_MOVE)) >= 0;
+                && estimates.expectedEnd(placement, now).since(now).compareTo(move.times(MIN_REMAINING_PER_MOVE)) >= 0;
     }
 
     /** Finds a place for each task of the machine on a fuller machine that has its image; all or nothing. */
--- a/src/main/java/io/indigoreach/core/scheduling/CordonRules.java
+++ b/src/main/java/io/indigoreach/core/scheduling/CordonRules.java
@@ -20,7 +20,7 @@
 
     /** Whether the machine is cordoned, and no more waits by now than the other machines have room for. */
     boolean isCordoned(Machine machine, Moment now) {
-        return machine.cordonedFor != null && fitsIn(machine.cordonedFor, machine.cordonedFor.roomOutsideCordon(), now);
+        return machine.cordonedFor != null && fitsIn(machine.cordonedFor, machine.cordonedFor.freeOutsideCordon(), now);
     }
 
     /**
@@ -57,7 +57,7 @@
 
     /** It is urgent, a replica, may not use every machine, or has an objective on its starts that can still be met. */
     private boolean needsEveryPlace(Job job, Moment now) {
-        Moment due = objectives.latestStartForWait(job);
+        Moment due = objectives.latestStartForStartObjective(job);
         return job.urgency().isMoreUrgentThan(Urgency.STANDARD)
                 || job.spec.isService()
                 || isBoundToSomeMachines(job)
--- a/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
+++ b/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
@@ -16,52 +16,52 @@
  * durable. Its waiting time counts from then, but its deadline counts from the submission.
  */
 public final class DependentJobs {
-    private static final Span LOOK_AHEAD = Span.seconds(1);
+    private static final Span TARGET_INTERVAL = Span.seconds(1);
 
     private final Cluster cluster;
     private final Estimates estimates;
     private final DependencyGraph graph = new DependencyGraph();
     /** Waiting jobs submitted before this leadership term. An earlier leader may have released them. */
-    private final Set<Job> inherited = new HashSet<>();
+    private final Set<Job> inheritedWaitingJobs = new HashSet<>();
     /** Required jobs that currently have a target derived from their dependents. */
-    private Set<JobId> targeted = Set.of();
+    private Set<JobId> jobsWithTarget = Set.of();
 
-    private Moment lookedAhead = Moment.NEVER;
+    private Moment targetsDerivedAt = Moment.NEVER;
 
     DependentJobs(Cluster cluster, Estimates estimates) {
         this.cluster = cluster;
         this.estimates = estimates;
     }
 
-    void added(Job job) {
+    void jobAdded(Job job) {
         graph.opened(job.id());
         if (job.hasUnmetDependencies()) {
             graph.add(job.id(), job.spec.dependencies().requiredJobs(), cluster.jobs::containsKey);
             if (job.inherited) {
-                inherited.add(job);
+                inheritedWaitingJobs.add(job);
             }
         }
     }
 
     /** Removes a job that has ended or is no longer served. If others require it, its end is read from its record. */
-    void removed(Job job) {
-        inherited.remove(job);
+    void jobRemoved(Job job) {
+        inheritedWaitingJobs.remove(job);
         graph.ended(job.id());
     }
 
     void clear() {
         graph.clear();
-        inherited.clear();
-        targeted = Set.of();
+        inheritedWaitingJobs.clear();
+        jobsWithTarget = Set.of();
     }
 
     /** Notes that the state service has recorded the job as done. */
-    public void done(JobId id) {
+    public void jobDone(JobId id) {
         graph.done(id);
     }
 
     /** Notes that the state service has recorded the job as cancelled. */
-    public void cancelled(JobId id) {
+    public void jobCancelled(JobId id) {
         graph.cancelled(id);
     }
 
@@ -78,51 +78,51 @@
     /** Enqueues released jobs, and once a second derives the targets of required jobs from their dependents. */
     public void advance(Moment now, long timeOfDayMs) {
         graph.takeReleased().forEach(id -> release(id, now, timeOfDayMs));
-        if (now.since(lookedAhead).compareTo(LOOK_AHEAD) >= 0) {
-            lookedAhead = now;
+        if (now.since(targetsDerivedAt).compareTo(TARGET_INTERVAL) >= 0) {
+            targetsDerivedAt = now;
             // Only a leader that had released the job can have started a task of it. So the required jobs were done,
             // even if their ends were lost with data of the state service.
-            Set.copyOf(inherited).stream().filter(Job::hasBegun).forEach(job -> {
+            Set.copyOf(inheritedWaitingJobs).stream().filter(Job::hasStarted).forEach(job -> {
                 graph.removeWaiting(job.id());
                 release(job.id(), now, timeOfDayMs);
             });
-            lookAhead();
+            deriveTargets();
         }
     }
 
     private void release(JobId id, Moment now, long timeOfDayMs) {
         Job job = cluster.jobs.get(id);
         if (job != null && job.hasUnmetDependencies()) {
-            inherited.remove(job);
+            inheritedWaitingJobs.remove(job);
             job.releaseFromDependencies(now, timeOfDayMs);
             cluster.enqueue(job);
         }
     }
 
-    private void lookAhead() {
-        if (graph.isEmpty() && targeted.isEmpty()) {
+    private void deriveTargets() {
+        if (graph.isEmpty() && jobsWithTarget.isEmpty()) {
             return;
         }
         Map<JobId, JobTarget> targets =
                 Lookahead.of(graph, id -> cluster.jobs.get(id).ownTarget(), id -> runTime(cluster.jobs.get(id)));
-        for (JobId id : targeted) {
+        for (JobId id : jobsWithTarget) {
             if (!targets.containsKey(id)) {
-                target(id, null);
+                setDependentsTarget(id, null);
             }
         }
-        targets.forEach(this::target);
-        targeted = Set.copyOf(targets.keySet());
+        targets.forEach(this::setDependentsTarget);
+        jobsWithTarget = Set.copyOf(targets.keySet());
     }
 
     /** The expected run time; zero for a service, which meets its deadline when it starts. */
     private Span runTime(Job job) {
-        return job.spec.isService() ? Span.ZERO : estimates.run(job);
+        return job.spec.isService() ? Span.ZERO : estimates.runTime(job);
     }
 
-    private void target(JobId id, JobTarget target) {
+    private void setDependentsTarget(JobId id, JobTarget target) {
         Job job = cluster.jobs.get(id);
         if (job != null) {
-            job.dependentsAsk(target);
+            job.setDependentsTarget(target);
         }
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
@@ -17,17 +17,17 @@
  */
 final class Dispatcher {
     /** A job that has waited this long may use free capacity that is otherwise kept from it. */
-    private static final Span OVERDUE = Span.seconds(60);
+    private static final Span OVERDUE_AFTER = Span.seconds(60);
 
     /** Free cores up to this value are rounding errors and count as none. */
-    private static final double NO_CORES = 1e-6;
+    private static final double CORES_EPSILON = 1e-6;
 
     private final Cluster cluster;
     private final Estimates estimates;
     private final DispatchRules rules;
     private final Preemption preemption;
     private final TaskStarter starter;
-    private final HolderPlacement holders;
+    private final HolderPlacement holderPlacement;
 
     Dispatcher(
             Cluster cluster,
@@ -41,7 +41,7 @@
         this.rules = DispatchRules.of(cluster, objectives, estimates, failover, minimumPaidTime);
         this.preemption = new Preemption(cluster, objectives, estimates, rules);
         this.starter = new TaskStarter(cluster, token);
-        this.holders = new HolderPlacement(cluster, rules.placement(), starter);
+        this.holderPlacement = new HolderPlacement(cluster, rules.placement(), starter);
     }
 
     /** The rules by which tasks are started. */
@@ -57,13 +57,13 @@
     }
 
     /** Starts tasks on the machine; returns the commands for the response to its heartbeat {@code number}. */
-    List<WorkerCommand> startTasks(Machine machine, HeartbeatNumber number, Moment now) {
-        CommandBatch batch = new CommandBatch(machine, number, now);
+    List<WorkerCommand> startTasks(Machine machine, HeartbeatNumber heartbeatNumber, Moment now) {
+        CommandBatch batch = new CommandBatch(machine, heartbeatNumber, now);
         if (!machine.isUsable()) {
             return batch.commands();
         }
         if (takesOverdueJobsOnly(machine, now)) {
-            startOverdue(batch);
+            startOverdueJobs(batch);
             return batch.commands();
         }
         for (FairShareQueue queue : queuesFor(machine)) {
@@ -74,14 +74,14 @@
             }
             // The loop does not end after the first queue: a queue below its guarantee with nothing to start would keep
             // the machine's own queue from the rest of the machine.
-            if (isAtWorkOutsidePools(machine) && queue.name.equals(machine.queueName)) {
+            if (isBusyOutsidePools(machine) && queue.name.equals(machine.queueName)) {
                 break;
             }
         }
-        if (isAtWorkOutsidePools(machine)) {
-            startOverdue(batch);
+        if (isBusyOutsidePools(machine)) {
+            startOverdueJobs(batch);
         }
-        holders.reconcile(batch);
+        holderPlacement.reconcile(batch);
         return batch.commands();
     }
 
@@ -89,12 +89,12 @@
         return machine.surplus || rules.cordons().isCordoned(machine, now);
     }
 
-    private static boolean isAtWorkOutsidePools(Machine machine) {
+    private static boolean isBusyOutsidePools(Machine machine) {
         return !machine.isIdle() && machine.poolMembership == null;
     }
 
     private static boolean isFull(Machine machine) {
-        return machine.free().cores() <= NO_CORES;
+        return machine.free().cores() <= CORES_EPSILON;
     }
 
     /**
@@ -115,38 +115,40 @@
         if (isFull(machine)) {
             return;
         }
-        List<Job> jobs = rules.order().jobs(queue, now);
+        List<Job> jobs = rules.order().sortedJobs(queue, now);
         if (rules.reservations().isReservedForAged(machine, queue, jobs, now)) {
-            startAged(queue, batch);
+            startAgedJobs(queue, batch);
         }
-        Job top = null;
+        Job topJob = null;
         for (Job job : jobs) {
-            if (isFull(machine) || rules.placement().keepsRoomForReplica(job, machine)) {
+            if (isFull(machine) || rules.placement().keepsCapacityForReplica(job, machine)) {
                 return;
             }
             if (!job.hasStartable() || !rules.placement().mayStart(job, now) || job.isStarvationRelieved()) {
                 continue;
             }
-            start(queue, job, reservationOf(queue, top, now), batch);
-            if (top == null && holdsReservation(queue, job, now)) {
-                top = job;
+            start(queue, job, reservationOf(queue, topJob, now), batch);
+            if (topJob == null && holdsReservation(queue, job, now)) {
+                topJob = job;
             }
         }
     }
 
     /** Starts aged jobs without an objective on a machine that is reserved for them. */
-    private void startAged(FairShareQueue queue, CommandBatch batch) {
+    private void startAgedJobs(FairShareQueue queue, CommandBatch batch) {
         for (Job job : rules.reservations().agedJobs(queue)) {
             if (job.hasStartable()
                     && rules.placement().mayStart(job, batch.now())
-                    && batch.machine().free().cores() > NO_CORES) {
-                startBeforeAll(queue, job, batch);
+                    && batch.machine().free().cores() > CORES_EPSILON) {
+                startExemptFromBudget(queue, job, batch);
             }
         }
     }
 
-    private Optional<Reservation> reservationOf(FairShareQueue queue, Job top, Moment now) {
-        return top == null ? Optional.empty() : Optional.of(rules.reservations().of(queue, top, now));
+    private Optional<Reservation> reservationOf(FairShareQueue queue, Job topJob, Moment now) {
+        return topJob == null
+                ? Optional.empty()
+                : Optional.of(rules.reservations().reservationOf(queue, topJob, now));
     }
 
     /** Excludes a job that is held back in favour of jobs with an objective: its reservation would block those. */
@@ -154,34 +156,34 @@
         ObjectiveBudget budget = rules.objectiveBudget();
         return job.hasStartable()
                 && !job.isStarvationRelieved()
-                && (!budget.isUnboundedFiller(job) || budget.leavesRoomForObjectives(queue, job, now));
+                && (!budget.isUnboundedFiller(job) || budget.leavesCoresForObjectives(queue, job, now));
     }
 
     /**
      * Starts overdue jobs of any queue where the machine has free capacity, also on a surplus or cordoned machine, so
      * that no job waits for long beside free capacity. The top job of the machine's own queue is not delayed.
      */
-    private void startOverdue(CommandBatch batch) {
+    private void startOverdueJobs(CommandBatch batch) {
         Machine machine = batch.machine();
         Moment now = batch.now();
         boolean ownQueueTried = !takesOverdueJobsOnly(machine, now);
         FairShareQueue ownQueue = cluster.queueOf(machine);
-        Job top = ownQueue == null
+        Job topJob = ownQueue == null
                 ? null
                 : rules.reservations().topJob(ownQueue, now).orElse(null);
         for (FairShareQueue queue : queuesFor(machine)) {
             if (queue == ownQueue && ownQueueTried) {
                 continue;
             }
-            for (Job job : rules.order().jobs(queue, now)) {
-                if (isFull(machine) || rules.placement().keepsRoomForReplica(job, machine)) {
+            for (Job job : rules.order().sortedJobs(queue, now)) {
+                if (isFull(machine) || rules.placement().keepsCapacityForReplica(job, machine)) {
                     return;
                 }
                 if (isOverdue(job, now)
                         && job.hasStartable()
                         && rules.placement().mayStart(job, now)) {
                     boolean wasIdle = machine.isIdle();
-                    start(queue, job, reservationOf(ownQueue, top == job ? null : top, now), batch);
+                    start(queue, job, reservationOf(ownQueue, topJob == job ? null : topJob, now), batch);
                     if (wasIdle && !machine.isIdle()) {
                         machine.serve(queue);
                     }
@@ -193,11 +195,11 @@
     /** Excludes jobs whose placements changed recently: their tasks are starting or ending, or were just preempted. */
     private static boolean isOverdue(Job job, Moment now) {
         return !job.isStarvationRelieved()
-                && now.since(job.eligibleSince).compareTo(OVERDUE) >= 0
-                && !now.isBefore(job.placementsChangedAt.plus(OVERDUE));
+                && now.since(job.eligibleSince).compareTo(OVERDUE_AFTER) >= 0
+                && !now.isBefore(job.placementsChangedAt.plus(OVERDUE_AFTER));
     }
 
-    private void startBeforeAll(FairShareQueue queue, Job job, CommandBatch batch) {
+    private void startExemptFromBudget(FairShareQueue queue, Job job, CommandBatch batch) {
         start(queue, job, Optional.empty(), batch, true);
     }
 
@@ -216,12 +218,12 @@
         Moment now = batch.now();
         Demand demand = job.spec.demand();
         boolean mayContinue = rules.placement().isSuitable(job, machine, now);
-        Span runTime = estimates.onMachine(job, machine);
-        boolean filler =
+        Span runTime = estimates.timeOnMachine(job, machine);
+        boolean isFiller =
                 mayContinue && !exemptFromBudget && rules.objectiveBudget().isUnboundedFiller(job);
         while (mayContinue
                 && hasRoomFor(job, machine)
-                && (!filler || rules.objectiveBudget().leavesRoomForObjectives(queue, job, now))
+                && (!isFiller || rules.objectiveBudget().leavesCoresForObjectives(queue, job, now))
                 && (reservation.isEmpty() || reservation.get().allows(machine, demand, runTime, estimates, now))) {
             if (!job.isWithinStartBound()) {
                 // StartBounds raises bounds for the head of the queue only. The job may start here at the next
@@ -233,7 +235,7 @@
                 batch.stop(machine.holder());
             }
             starter.start(job, batch);
-            if (filler) {
+            if (isFiller) {
                 rules.objectiveBudget().fillerStarted(queue, demand);
             }
             job.taskStarted();
--- a/src/main/java/io/indigoreach/core/scheduling/Estimates.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Estimates.java
@@ -23,66 +23,67 @@
      * The logarithm of observed over estimated run time, by job class. Users choose class names, so the least recently
      * used ones are evicted.
      */
-    private final Map<String, Double> logFactor = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<String, Double> logCorrections = new LinkedHashMap<>(16, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
             return size() > MAXIMUM_CLASSES;
         }
     };
 
-    private BiConsumer<Job, Span> listener = (job, run) -> {};
+    private BiConsumer<Job, Span> runTimeListener = (job, run) -> {};
 
     /** Sets the listener for each task's observed run time, without the image fetch. */
-    void onRun(BiConsumer<Job, Span> runListener) {
-        listener = runListener;
+    void setRunTimeListener(BiConsumer<Job, Span> newListener) {
+        runTimeListener = newListener;
     }
 
     /** A task's expected run time, without the image fetch. */
-    Span run(Job job) {
+    Span runTime(Job job) {
         if (job.spec.isService()) {
             return UNTIL_CANCELLED;
         }
         if (job.runTimes.runs() >= SUFFICIENT_RUNS) {
             return job.runTimes.mean();
         }
-        double factor = Math.exp(logFactor.getOrDefault(job.spec.jobClass(), 0.0));
-        return job.spec.estimate().times(Math.min(3, Math.max(0.33, factor)));
+        double correction = Math.exp(logCorrections.getOrDefault(job.spec.jobClass(), 0.0));
+        return job.spec.estimate().times(Math.min(3, Math.max(0.33, correction)));
     }
 
     /** A task's expected time on the machine, including the image fetch if the machine lacks the image. */
-    Span onMachine(Job job, Machine machine) {
-        Span run = run(job);
-        return machine.imageCache.contains(job.spec.image()) ? run : run.plus(fetch(job, machine.type));
+    Span timeOnMachine(Job job, Machine machine) {
+        Span runTime = runTime(job);
+        return machine.imageCache.contains(job.spec.image()) ? runTime : runTime.plus(fetchTime(job, machine.type));
     }
 
-    static Span fetch(Job job, MachineType type) {
+    static Span fetchTime(Job job, MachineType type) {
         return Span.seconds(type.fetchGbPerS() > 0 ? job.spec.imageGb() / type.fetchGbPerS() : 0);
     }
 
     /** Whether a task of the job's class has ended, so that the estimate rests on more than the user's figure. */
-    boolean hasSeen(Job job) {
-        return logFactor.containsKey(job.spec.jobClass());
+    boolean hasObserved(Job job) {
+        return logCorrections.containsKey(job.spec.jobClass());
     }
 
-    void observe(Job job, Span run) {
-        job.runTimes.add(run);
-        listener.accept(job, run);
+    void observe(Job job, Span runTime) {
+        job.runTimes.add(runTime);
+        runTimeListener.accept(job, runTime);
         if (job.spec.estimate().ms() > 0) {
-            double ratio =
-                    Math.log(Math.max(0.05, run.seconds()) / job.spec.estimate().seconds());
-            logFactor.merge(
+            double logRatio = Math.log(
+                    Math.max(0.05, runTime.seconds()) / job.spec.estimate().seconds());
+            logCorrections.merge(
                     job.spec.jobClass(),
-                    ratio * OBSERVATION_WEIGHT,
+                    logRatio * OBSERVATION_WEIGHT,
                     (old, add) -> old * (1 - OBSERVATION_WEIGHT) + add);
         }
     }
 
     /** When the task is expected to end. An overdue task is expected to end after another tenth of its run time. */
-    Moment end(Placement placement, Moment now) {
-        Span run =
-                placement.state == TaskState.RUNNING ? run(placement.job) : onMachine(placement.job, placement.machine);
-        Moment end = placement.stateSince.plus(run);
-        Moment soonest = now.plus(run.times(0.1));
-        return end.isBefore(soonest) ? soonest : end;
+    Moment expectedEnd(Placement placement, Moment now) {
+        Span runTime = placement.state == TaskState.RUNNING
+                ? runTime(placement.job)
+                : timeOnMachine(placement.job, placement.machine);
+        Moment expectedEnd = placement.stateSince.plus(runTime);
+        Moment earliestEnd = now.plus(runTime.times(0.1));
+        return expectedEnd.isBefore(earliestEnd) ? earliestEnd : expectedEnd;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/FairShareQueue.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FairShareQueue.java
@@ -18,53 +18,54 @@
  */
 final class FairShareQueue {
     /** How long the sorted order is cached while no job is added or removed. */
-    private static final Span ORDER_LIFE = Span.seconds(1);
+    private static final Span ORDER_CACHE_TIME = Span.seconds(1);
 
     /** A job with its sort keys. */
-    private record RankedJob(Job job, int turn, Urgency urgency, Moment latestStart) {}
+    private record RankedJob(Job job, int precedence, Urgency urgency, Moment latestStart) {}
 
     /**
      * Orders jobs by urgency, where best-effort counts as standard, then by the latest start that still meets an
-     * objective, then by submission. While {@link ClassQuota} allows, services and under-served jobs go before these.
+     * objective, then by submission. While {@link MinimumClassService} allows, services and under-served jobs go before these.
      * Starved jobs go before all others, in the order in which they became eligible.
      */
-    private static final Comparator<RankedJob> ORDER = Comparator.<RankedJob, Integer>comparing(ranked -> ranked.turn)
+    private static final Comparator<RankedJob> ORDER = Comparator.<RankedJob, Integer>comparing(
+                    ranked -> ranked.precedence)
             .thenComparing(ranked -> ranked.urgency)
             .thenComparing(ranked -> ranked.latestStart)
             .thenComparingLong(ranked -> ranked.job.submittedMs)
             .thenComparing(ranked -> ranked.job.id());
 
     /** The name of the common queue for teams without a guarantee. A team name cannot be empty. */
-    static final String COMMON = "";
+    static final String COMMON_QUEUE_NAME = "";
 
     final String name;
     /** The usage of the queue's team; null for the common queue. */
-    final TeamUsage guaranteed;
+    final TeamUsage guaranteedTeamUsage;
 
     private final List<Job> jobs = new ArrayList<>();
     private final ArrivalRate arrivalRate = new ArrivalRate();
-    private final ClassQuota classQuota = new ClassQuota();
+    private final MinimumClassService minimumClassService = new MinimumClassService();
     private List<Job> cachedOrder = List.of();
-    private Moment orderedAt = Moment.NEVER;
-    private double cores;
+    private Moment sortedAt = Moment.NEVER;
+    private double coresInUse;
     /** The free capacity of each machine that is not cordoned. */
-    private List<Demand> roomOutsideCordon = List.of();
+    private List<Demand> freeOutsideCordon = List.of();
 
-    FairShareQueue(String name, TeamUsage guaranteed) {
+    FairShareQueue(String name, TeamUsage guaranteedTeamUsage) {
         this.name = name;
-        this.guaranteed = guaranteed;
+        this.guaranteedTeamUsage = guaranteedTeamUsage;
     }
 
     void add(Job job) {
         jobs.add(job);
         arrivalRate.add(job);
-        orderedAt = Moment.NEVER;
+        sortedAt = Moment.NEVER;
     }
 
     void remove(Job job) {
         jobs.remove(job);
-        classQuota.jobEnded(job);
-        orderedAt = Moment.NEVER;
+        minimumClassService.jobEnded(job);
+        sortedAt = Moment.NEVER;
     }
 
     List<Job> jobs() {
@@ -76,51 +77,55 @@
     }
 
     /** The jobs in the order in which they are served. */
-    List<Job> ordered(
-            Function<Job, Moment> latestStart, Function<Job, Moment> lastChance, Predicate<Job> aged, Moment now) {
-        if (!now.isBefore(orderedAt.plus(ORDER_LIFE))) {
-            classQuota.recount(jobs, cores, lastChance, aged, now);
+    List<Job> sortedJobs(
+            Function<Job, Moment> latestStart,
+            Function<Job, Moment> longestObjectiveStart,
+            Predicate<Job> isAged,
+            Moment now) {
+        if (!now.isBefore(sortedAt.plus(ORDER_CACHE_TIME))) {
+            minimumClassService.recount(jobs, coresInUse, longestObjectiveStart, isAged, now);
             List<RankedJob> ranked = new ArrayList<>(jobs.size());
             for (Job job : jobs) {
                 Urgency urgency = job.urgency() == Urgency.BEST_EFFORT ? Urgency.STANDARD : job.urgency();
                 // A service replica that is down takes precedence over any late job.
-                boolean first = classQuota.servesUnderServedFirst() && (job.underServed || job.spec.isService());
-                int turn = job.starved ? 0 : first ? 1 : 2;
+                boolean goesFirst =
+                        minimumClassService.servesUnderServedFirst() && (job.underServed || job.spec.isService());
+                int precedence = job.starved ? 0 : goesFirst ? 1 : 2;
                 ranked.add(
-                        turn == 0
-                                ? new RankedJob(job, turn, Urgency.PRODUCTION, job.eligibleSince)
-                                : new RankedJob(job, turn, urgency, latestStart.apply(job)));
+                        precedence == 0
+                                ? new RankedJob(job, precedence, Urgency.PRODUCTION, job.eligibleSince)
+                                : new RankedJob(job, precedence, urgency, latestStart.apply(job)));
             }
             ranked.sort(ORDER);
             cachedOrder = ranked.stream().map(RankedJob::job).toList();
-            orderedAt = now;
+            sortedAt = now;
         }
         return cachedOrder;
     }
 
     void addUsage(Demand demand, int sign) {
-        cores += sign * demand.cores();
+        coresInUse += sign * demand.cores();
     }
 
-    void roomOutsideCordon(List<Demand> free) {
-        roomOutsideCordon = free;
+    void freeOutsideCordon(List<Demand> free) {
+        freeOutsideCordon = free;
     }
 
-    List<Demand> roomOutsideCordon() {
-        return roomOutsideCordon;
+    List<Demand> freeOutsideCordon() {
+        return freeOutsideCordon;
     }
 
-    double cores() {
-        return cores;
+    double coresInUse() {
+        return coresInUse;
     }
 
-    /** Whether the queue's team has a guarantee and stays within it when it uses {@code more}. */
-    boolean isBelowGuarantee(Demand more) {
-        return guaranteed != null && guaranteed.isWithinGuarantee(more);
+    /** Whether the queue's team has a guarantee and stays within it when it uses {@code additional}. */
+    boolean isBelowGuarantee(Demand additional) {
+        return guaranteedTeamUsage != null && guaranteedTeamUsage.isWithinGuarantee(additional);
     }
 
     /** The cores in use beyond the guarantee; negative if the team uses less. */
     double coresBeyondGuarantee() {
-        return cores - (guaranteed == null ? 0 : guaranteed.team.cores());
+        return coresInUse - (guaranteedTeamUsage == null ? 0 : guaranteedTeamUsage.team.cores());
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/FaultAttribution.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FaultAttribution.java
@@ -17,7 +17,7 @@
     static void failed(Placement placement, Moment now) {
         Job job = placement.job;
         Machine machine = placement.machine;
-        job.failedOn(machine);
+        job.recordFailure(machine);
         if (job.isSuspectedFaulty()) {
             // Its failures say nothing about machines: take back what was held against them, and try rarely.
             Span pause = FIRST_PAUSE.times(Math.pow(2, Math.min(10, job.failures - 3)));
--- a/src/main/java/io/indigoreach/core/scheduling/GuaranteeEnforcement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/GuaranteeEnforcement.java
@@ -20,70 +20,70 @@
     }
 
     /** Stops tasks of teams beyond their guarantee on the machine, if another team waits for its guarantee. */
-    List<WorkerCommand> preemptBorrowedWork(Machine machine, Moment now) {
+    List<WorkerCommand> preemptBorrowedTasks(Machine machine, Moment now) {
         List<WorkerCommand> commands = new ArrayList<>();
         for (FairShareQueue queue : cluster.queues()) {
-            if (queue.guaranteed == null) {
+            if (queue.guaranteedTeamUsage == null) {
                 continue;
             }
-            Job top = rules.reservations().topJob(queue, now).orElse(null);
-            if (top == null) {
+            Job topJob = rules.reservations().topJob(queue, now).orElse(null);
+            if (topJob == null) {
                 continue;
             }
-            yieldPoolMachine(queue, top, machine, now);
-            if (!mayClaim(queue, top, machine, now) || shortages.hasEnoughComingPlaces(queue, top, now)) {
+            yieldPoolMachine(queue, topJob, machine, now);
+            if (!mayClaim(queue, topJob, machine, now) || shortages.hasEnoughComingPlaces(queue, topJob, now)) {
                 continue;
             }
-            if (makeRoom(queue, top, machine, commands)) {
-                shortages.guaranteedPlaceComes(queue, top);
+            if (freeCapacityFor(queue, topJob, machine, commands)) {
+                shortages.guaranteedPlaceComes(queue, topJob);
                 return commands;
             }
         }
         return commands;
     }
 
-    private boolean mayClaim(FairShareQueue queue, Job top, Machine machine, Moment now) {
+    private boolean mayClaim(FairShareQueue queue, Job topJob, Machine machine, Moment now) {
         return machine.isUsable()
-                && queue.isBelowGuarantee(top.spec.demand())
-                && machine.allows(top.spec)
-                && FaultAttribution.allows(top, machine, now)
-                && rules.placement().isPlaceable(top, machine);
+                && queue.isBelowGuarantee(topJob.spec.demand())
+                && machine.allows(topJob.spec)
+                && FaultAttribution.allows(topJob, machine, now)
+                && rules.placement().isPlaceable(topJob, machine);
     }
 
     /** Stops borrowed tasks until the top job fits; returns whether it fits. */
-    private boolean makeRoom(FairShareQueue queue, Job top, Machine machine, List<WorkerCommand> commands) {
-        Demand room = machine.free();
+    private boolean freeCapacityFor(FairShareQueue queue, Job topJob, Machine machine, List<WorkerCommand> commands) {
+        Demand freeCapacity = machine.free();
         for (Placement placement : machine.placementsCopy()) {
             FairShareQueue borrower = cluster.queueOf(placement.job);
-            if (!top.spec.demand().fitsIn(room)
+            if (!topJob.spec.demand().fitsIn(freeCapacity)
                     && borrower != queue
                     && !placement.stopping
                     && placement.state == TaskState.RUNNING
                     && !borrower.isBelowGuarantee(Demand.NOTHING)) {
-                room = room.plus(placement.demand());
+                freeCapacity = freeCapacity.plus(placement.demand());
                 commands.add(CommandBatch.stopWithCheckpoint(placement));
             }
         }
-        return top.spec.demand().fitsIn(room);
+        return topJob.spec.demand().fitsIn(freeCapacity);
     }
 
     /**
      * Gives an idle warm-pool machine to a team that waits for its guarantee, if the team that pays for the pool is
      * beyond its own guarantee. Tasks beyond that guarantee would be stopped in the same way.
      */
-    private void yieldPoolMachine(FairShareQueue queue, Job top, Machine machine, Moment now) {
+    private void yieldPoolMachine(FairShareQueue queue, Job topJob, Machine machine, Moment now) {
         Job holder = machine.poolMembership == null ? null : machine.poolMembership.holder();
         if (holder != null
                 && machine.isIdle()
                 && machine.isUsable()
                 && isPaidBeyondGuarantee(holder, queue)
-                && queue.isBelowGuarantee(top.spec.demand())
-                && machine.matchesPool(top.spec)
-                && !machine.allows(top.spec)
-                && top.spec.demand().fitsIn(machine.type.capacity())
-                && !shortages.hasEnoughComingPlaces(queue, top, now)) {
+                && queue.isBelowGuarantee(topJob.spec.demand())
+                && machine.matchesPool(topJob.spec)
+                && !machine.allows(topJob.spec)
+                && topJob.spec.demand().fitsIn(machine.type.capacity())
+                && !shortages.hasEnoughComingPlaces(queue, topJob, now)) {
             cluster.warmCapacity.yield(machine, now);
-            shortages.guaranteedPlaceComes(queue, top);
+            shortages.guaranteedPlaceComes(queue, topJob);
         }
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/HolderPlacement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/HolderPlacement.java
@@ -23,16 +23,18 @@
      */
     void reconcile(CommandBatch batch) {
         Machine machine = batch.machine();
-        Job due = machine.poolMembership == null ? null : machine.poolMembership.holder();
+        Job poolHolder = machine.poolMembership == null ? null : machine.poolMembership.holder();
         Placement running = machine.holder();
-        if (running != null && cluster.warmCapacity.isKnown() && isMisplaced(running, due)) {
+        if (running != null && cluster.warmCapacity.isKnown() && isMisplaced(running, poolHolder)) {
             // A restarted holder confirms or fetches the image, which becomes the most recently used one.
             batch.stop(running);
-        } else if (due != null && isNeeded(due, machine) && mayStartOn(due, machine, batch.now())) {
-            if (due.isWithinStartBound()) {
-                starter.start(due, batch);
+        } else if (poolHolder != null
+                && isNeeded(poolHolder, machine)
+                && mayStartOn(poolHolder, machine, batch.now())) {
+            if (poolHolder.isWithinStartBound()) {
+                starter.start(poolHolder, batch);
             } else {
-                due.requestStartBoundFor(HOLDERS_PER_START_BOUND);
+                poolHolder.requestStartBoundFor(HOLDERS_PER_START_BOUND);
             }
         }
     }
@@ -40,10 +42,11 @@
     /**
      * Whether the holder belongs to another pool, or the machine's cache has lost its image or is about to evict it.
      */
-    private static boolean isMisplaced(Placement running, Job due) {
+    private static boolean isMisplaced(Placement running, Job poolHolder) {
         ImageCache cache = running.machine.imageCache;
         String image = running.job.spec.image();
-        return running.job != due || (running.isRunning() && (!cache.isCached(image) || cache.isCrowded(image)));
+        return running.job != poolHolder
+                || (running.isRunning() && (!cache.isCached(image) || cache.isEvictionLikely(image)));
     }
 
     private static boolean isNeeded(Job holder, Machine machine) {
--- a/src/main/java/io/indigoreach/core/scheduling/ImageCache.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ImageCache.java
@@ -26,34 +26,34 @@
         UNCERTAIN
     }
 
-    private record Entry(double gb, State state) {}
+    private record Entry(double sizeGb, State state) {}
 
-    private final double capacity;
+    private final double capacityGb;
     /** Entries by image, the least recently used first. */
     private final Map<String, Entry> entries = new LinkedHashMap<>();
 
     /** With {@code capacity} 0 the size is unknown and images are evicted only by their number. */
-    public ImageCache(double capacity) {
-        this.capacity = capacity;
+    public ImageCache(double capacityGb) {
+        this.capacityGb = capacityGb;
     }
 
     /** Notes that a task that needs the image was started or reported; returns the images evicted for it. */
-    public List<String> use(String image, double gb) {
+    public List<String> markUsed(String image, double sizeGb) {
         Entry known = entries.remove(image);
-        entries.put(image, known == null ? new Entry(gb, State.FETCHING) : known);
+        entries.put(image, known == null ? new Entry(sizeGb, State.FETCHING) : known);
         return evict(image);
     }
 
     private List<String> evict(String kept) {
         List<String> evicted = new ArrayList<>();
-        double total = total();
+        double totalGb = totalGb();
         for (Iterator<Map.Entry<String, Entry>> oldestFirst = entries.entrySet().iterator(); oldestFirst.hasNext(); ) {
             Map.Entry<String, Entry> oldest = oldestFirst.next();
-            if (entries.size() <= MAX_IMAGES && (capacity <= 0 || total <= capacity)) {
+            if (entries.size() <= MAX_IMAGES && (capacityGb <= 0 || totalGb <= capacityGb)) {
                 break;
             }
             if (!oldest.getKey().equals(kept)) {
-                total -= oldest.getValue().gb;
+                totalGb -= oldest.getValue().sizeGb;
                 evicted.add(oldest.getKey());
                 oldestFirst.remove();
             }
@@ -61,23 +61,24 @@
         return evicted;
     }
 
-    private double total() {
-        double total = 0;
+    private double totalGb() {
+        double totalGb = 0;
         for (Entry entry : entries.values()) {
-            total += entry.gb;
+            totalGb += entry.sizeGb;
         }
-        return total;
+        return totalGb;
     }
 
     /** Notes that a task that needs the image runs or ran, so that the image is cached. */
     public void confirmCached(String image) {
-        entries.computeIfPresent(image, (name, entry) -> new Entry(entry.gb, State.CACHED));
+        entries.computeIfPresent(image, (name, entry) -> new Entry(entry.sizeGb, State.CACHED));
     }
 
     /** Notes that a task that needs the image was reported running, but its start was not observed. */
     public void markUncertain(String image) {
         entries.computeIfPresent(
-                image, (name, entry) -> entry.state == State.FETCHING ? new Entry(entry.gb, State.UNCERTAIN) : entry);
+                image,
+                (name, entry) -> entry.state == State.FETCHING ? new Entry(entry.sizeGb, State.UNCERTAIN) : entry);
     }
 
     /**
@@ -90,30 +91,31 @@
 
     /** Notes the end of the worker's incarnation, after which cached images are uncertain. */
     public void incarnationEnded() {
-        entries.replaceAll((name, entry) -> entry.state == State.CACHED ? new Entry(entry.gb, State.UNCERTAIN) : entry);
+        entries.replaceAll(
+                (name, entry) -> entry.state == State.CACHED ? new Entry(entry.sizeGb, State.UNCERTAIN) : entry);
     }
 
     /**
      * Restores an image that an earlier leader recorded as cached. Images that this leader has observed in use are
      * newer, so the restored one ranks as least recently used, and is dropped if it does not fit.
      *
-     * @param sure whether the record is of the worker's current incarnation
+     * @param sameIncarnation whether the record is of the worker's current incarnation
      * @return whether the image was restored
      */
-    public boolean restore(String image, double gb, boolean sure) {
+    public boolean restore(String image, double sizeGb, boolean sameIncarnation) {
         Entry known = entries.get(image);
         if (known != null) {
-            if (known.state == State.UNCERTAIN && sure) {
+            if (known.state == State.UNCERTAIN && sameIncarnation) {
                 confirmCached(image);
             }
             return false;
         }
-        if (capacity > 0 && total() + gb > capacity) {
+        if (capacityGb > 0 && totalGb() + sizeGb > capacityGb) {
             return false;
         }
         Map<String, Entry> newer = new LinkedHashMap<>(entries);
         entries.clear();
-        entries.put(image, new Entry(gb, sure ? State.CACHED : State.UNCERTAIN));
+        entries.put(image, new Entry(sizeGb, sameIncarnation ? State.CACHED : State.UNCERTAIN));
         entries.putAll(newer);
         return true;
     }
@@ -138,31 +140,31 @@
      * Whether {@code other} fits without evicting {@code keep}, for which all images used later than {@code keep} must
      * fit too.
      */
-    public boolean hasRoomBeside(String keep, String other, double gb) {
-        return capacity <= 0 || usedLaterThan(keep, other) + gb + size(keep) <= capacity;
+    public boolean hasRoomWithoutEvicting(String keep, String other, double sizeGb) {
+        return capacityGb <= 0 || gbUsedLaterThan(keep, other) + sizeGb + sizeGb(keep) <= capacityGb;
     }
 
     /**
      * Whether images used later than {@code keep} take more than half of the other capacity, so that it may soon be
      * evicted.
      */
-    public boolean isCrowded(String keep) {
-        return capacity > 0 && usedLaterThan(keep, keep) > (capacity - size(keep)) / 2;
+    public boolean isEvictionLikely(String keep) {
+        return capacityGb > 0 && gbUsedLaterThan(keep, keep) > (capacityGb - sizeGb(keep)) / 2;
     }
 
-    private double size(String image) {
+    private double sizeGb(String image) {
         Entry entry = entries.get(image);
-        return entry == null ? 0 : entry.gb;
+        return entry == null ? 0 : entry.sizeGb;
     }
 
-    private double usedLaterThan(String keep, String except) {
-        double later = 0;
-        boolean after = !entries.containsKey(keep);
+    private double gbUsedLaterThan(String keep, String except) {
+        double laterGb = 0;
+        boolean isLater = !entries.containsKey(keep);
         for (Map.Entry<String, Entry> cached : entries.entrySet()) {
-            later += after && !cached.getKey().equals(except) ? cached.getValue().gb : 0;
-            after |= cached.getKey().equals(keep);
+            laterGb += isLater && !cached.getKey().equals(except) ? cached.getValue().sizeGb : 0;
+            isLater |= cached.getKey().equals(keep);
         }
-        return later;
+        return laterGb;
     }
 
     public List<String> images() {
--- a/src/main/java/io/indigoreach/core/scheduling/Job.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Job.java
@@ -22,7 +22,7 @@
  */
 public final class Job {
     /** A job that has failed on this many machines without completing a task is suspected to be faulty. */
-    private static final int SUSPECTED_AFTER_MACHINES = 3;
+    private static final int FAILED_MACHINES_UNTIL_SUSPECTED = 3;
 
     /** The specification as submitted, plus the release time once all required jobs are done. */
     JobSpec spec;
@@ -63,7 +63,7 @@
     /** Whether the job has waited too long without any task running. One of its tasks goes before all other jobs. */
     boolean starved;
     /** Whether a task was started while the job was starved. */
-    boolean startedAsStarved;
+    boolean startedWhileStarved;
 
     final RunTimeMean runTimes = new RunTimeMean();
 
@@ -84,7 +84,7 @@
         this.submittedMs = submittedMs;
         this.targets =
                 new JobTargets(new JobTarget(spec.urgency(), spec.due() == null ? null : submitted.plus(spec.due())));
-        this.eligibleSince = submitted.plus(releasedAfter(spec, submittedMs));
+        this.eligibleSince = submitted.plus(timeToRelease(spec, submittedMs));
         this.revision = revision;
         this.inherited = inherited;
         this.hasRun = !done.isEmpty();
@@ -94,7 +94,7 @@
     }
 
     /** The time from submission to the recorded release. */
-    private static Span releasedAfter(JobSpec spec, long submittedMs) {
+    private static Span timeToRelease(JobSpec spec, long submittedMs) {
         // The two times come from the clocks of two nodes, whose skew may make the difference negative.
         return spec.dependencies().isReleased()
                 ? new Span(Math.max(0, spec.dependencies().releasedAtMs() - submittedMs))
@@ -123,7 +123,7 @@
 
     /** The earliest deadline derived from the job itself and from the jobs that depend on it; null if there is none. */
     Moment dueAt() {
-        return targets.due();
+        return targets.earliestDeadline();
     }
 
     /** The job's own deadline, which counts from its submission; null if it has none. */
@@ -158,12 +158,12 @@
 
     /** Gates exactly these tasks. Tasks that are on a machine stay there. */
     void gate(BitSet tasks) {
-        progress.gate(tasks, placements.indexes());
+        progress.gate(tasks, placements.taskIndexes());
     }
 
     /** Whether tasks that are neither done nor on a machine are gated. */
     boolean hasGatedTasks() {
-        return !cancelled && progress.hasGatedTasks(placements.indexes());
+        return !cancelled && progress.hasGatedTasks(placements.taskIndexes());
     }
 
     /** Makes inherited tasks startable, as every task that an earlier leader may have started is known. */
@@ -204,8 +204,8 @@
         return progress.isDone(index);
     }
 
-    boolean isDurable(int index) {
-        return progress.isDurable(index);
+    boolean isCompletionRecorded(int index) {
+        return progress.isCompletionRecorded(index);
     }
 
     /** Whether every task has completed; a service never does. */
@@ -248,7 +248,7 @@
         if (isComplete()) {
             return JobStatus.DONE;
         }
-        return placements.anyRunning() ? JobStatus.RUNNING : JobStatus.PENDING;
+        return placements.isAnyRunning() ? JobStatus.RUNNING : JobStatus.PENDING;
     }
 
     /** Whether no task of the job may start. */
@@ -296,7 +296,7 @@
     }
 
     /** Whether a task of the job runs, has run, or was sent to a machine. */
-    boolean hasBegun() {
+    boolean hasStarted() {
         return hasRun || !placements.isEmpty();
     }
 
@@ -305,17 +305,17 @@
      * sorted again.
      */
     boolean isStarvationRelieved() {
-        return starved && hasBegun();
+        return starved && hasStarted();
     }
 
     /** Notes that a task of the job was reported as running. */
-    void markRun() {
+    void markHasRun() {
         hasRun = true;
     }
 
     /** Notes that a start command for one of the job's tasks was issued. */
     void taskStarted() {
-        startedAsStarved |= starved;
+        startedWhileStarved |= starved;
     }
 
     /** Marks the job as cancelled by its user. No further task may start. */
@@ -324,9 +324,9 @@
     }
 
     /** Notes the revision at which the job's record was written or read. Older revisions are ignored. */
-    void revisionSeen(Revision seen) {
-        if (seen.isAfter(revision)) {
-            revision = seen;
+    void updateRevision(Revision observed) {
+        if (observed.isAfter(revision)) {
+            revision = observed;
         }
     }
 
@@ -336,12 +336,12 @@
     }
 
     /** Sets the urgency and deadline required by the jobs that depend on this one; null if there are none. */
-    void dependentsAsk(JobTarget target) {
-        targets.dependentsAsk(target);
+    void setDependentsTarget(JobTarget target) {
+        targets.setDependentsTarget(target);
     }
 
     /** Counts a task failure on the machine. */
-    void failedOn(Machine machine) {
+    void recordFailure(Machine machine) {
         failures++;
         failedMachines.add(machine.id);
     }
@@ -357,7 +357,7 @@
     }
 
     /** Sets whether the longest objective of the job's class can no longer be met. */
-    void objectivesMissed(boolean missed) {
+    void markMissedObjectives(boolean missed) {
         missedObjectives = missed;
     }
 
@@ -376,7 +376,7 @@
     }
 
     int placementsInZone(String zone) {
-        return placements.inZone(zone);
+        return placements.countInZone(zone);
     }
 
     /** The zone of the job's placements, to which a one-zone job is bound; null if it has no placements. */
@@ -386,12 +386,12 @@
 
     void addPlacement(Placement placement) {
         placements.add(placement);
-        progress.placed(placement.index);
+        progress.placementAdded(placement.index);
     }
 
     void removePlacement(Placement placement) {
         if (placements.remove(placement)) {
-            progress.removed(placement.index);
+            progress.placementRemoved(placement.index);
         }
     }
 
@@ -407,6 +407,6 @@
      * cause.
      */
     boolean isSuspectedFaulty() {
-        return progress.doneCount() == 0 && failedMachines.size() >= SUSPECTED_AFTER_MACHINES;
+        return progress.doneCount() == 0 && failedMachines.size() >= FAILED_MACHINES_UNTIL_SUSPECTED;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/JobPlacements.java
+++ b/src/main/java/io/indigoreach/core/scheduling/JobPlacements.java
@@ -39,7 +39,7 @@
         return new ArrayList<>(byIndex.values());
     }
 
-    Set<Integer> indexes() {
+    Set<Integer> taskIndexes() {
         return byIndex.keySet();
     }
 
@@ -55,7 +55,7 @@
         return count;
     }
 
-    boolean anyRunning() {
+    boolean isAnyRunning() {
         for (Placement placement : byIndex.values()) {
             if (placement.isRunning()) {
                 return true;
@@ -64,7 +64,7 @@
         return false;
     }
 
-    int inZone(String zone) {
+    int countInZone(String zone) {
         return countByZone.getOrDefault(zone, 0);
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/JobSizing.java
+++ b/src/main/java/io/indigoreach/core/scheduling/JobSizing.java
@@ -53,18 +53,18 @@
 
     /** A task's run time in seconds of a whole machine. */
     double machineSeconds(Job job, MachineType type) {
-        return estimates.run(job).seconds() / tasksPerMachine(job, type);
+        return estimates.runTime(job).seconds() / tasksPerMachine(job, type);
     }
 
     /** The same by what is sure: an estimate is often three times too long, and machines come for nothing then. */
     double confidentMachineSeconds(Job job, MachineType type) {
-        return machineSeconds(job, type) * (estimates.hasSeen(job) ? 1 : UNSEEN_ESTIMATE_FRACTION);
+        return machineSeconds(job, type) * (estimates.hasObserved(job) ? 1 : UNSEEN_ESTIMATE_FRACTION);
     }
 
     /** Machines for so many tasks; those shorter than the minimum paid time follow each other on a machine. */
     double machinesFor(Job job, MachineType type, int tasks) {
         int perMachine = tasksPerMachine(job, type);
-        double runSeconds = estimates.run(job).seconds();
+        double runSeconds = estimates.runTime(job).seconds();
         double fraction = job.spec.isService() ? 1 : Math.min(1, runSeconds / minimumPaidTime.seconds());
         return tasks * fraction / perMachine;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/JobTargets.java
+++ b/src/main/java/io/indigoreach/core/scheduling/JobTargets.java
@@ -8,7 +8,7 @@
 final class JobTargets {
     private final JobTarget own;
     /** The target derived from dependent jobs; null if no job depends on this one. */
-    private JobTarget ofDependents;
+    private JobTarget dependentsTarget;
 
     JobTargets(JobTarget own) {
         this.own = own;
@@ -18,18 +18,20 @@
         return own;
     }
 
-    void dependentsAsk(JobTarget target) {
-        ofDependents = target;
+    void setDependentsTarget(JobTarget target) {
+        dependentsTarget = target;
     }
 
     Urgency urgency() {
-        return ofDependents == null
+        return dependentsTarget == null
                 ? own.urgency()
-                : own.strictest(ofDependents).urgency();
+                : own.strictest(dependentsTarget).urgency();
     }
 
     /** The earlier of the two deadlines; null if there is none. */
-    Moment due() {
-        return ofDependents == null ? own.due() : own.strictest(ofDependents).due();
+    Moment earliestDeadline() {
+        return dependentsTarget == null
+                ? own.due()
+                : own.strictest(dependentsTarget).due();
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Machine.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Machine.java
@@ -341,7 +341,7 @@
     }
 
     boolean hasTaskWith(String image) {
-        return placements.hasTaskWith(image);
+        return placements.hasTaskWithImage(image);
     }
 
     /** Up, not about to be preempted, and reachable: counted on. */
--- a/src/main/java/io/indigoreach/core/scheduling/MachinePlacements.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachinePlacements.java
@@ -12,18 +12,18 @@
 /** The tasks that may be on one machine, and the resources that they use. */
 final class MachinePlacements {
     private final Map<TaskId, Placement> placements = new HashMap<>();
-    private int holders;
+    private int holderCount;
     private Demand used = Demand.NOTHING;
 
     void add(Placement placement) {
         placements.put(placement.task(), placement);
-        holders += placement.job.spec.isHolder() ? 1 : 0;
+        holderCount += placement.job.spec.isHolder() ? 1 : 0;
         used = used.plus(placement.demand());
     }
 
     void remove(Placement placement) {
         if (placements.remove(placement.task(), placement)) {
-            holders -= placement.job.spec.isHolder() ? 1 : 0;
+            holderCount -= placement.job.spec.isHolder() ? 1 : 0;
             used = placements.isEmpty() ? Demand.NOTHING : used.minus(placement.demand());
         }
     }
@@ -46,16 +46,16 @@
 
     /** Whether the machine has no tasks except holders. */
     boolean isIdle() {
-        return placements.size() == holders;
+        return placements.size() == holderCount;
     }
 
     boolean hasHolder() {
-        return holders > 0;
+        return holderCount > 0;
     }
 
     /** A holder that is not being stopped; empty if there is none. */
     Optional<Placement> holder() {
-        if (holders == 0) {
+        if (holderCount == 0) {
             return Optional.empty();
         }
         return placements.values().stream()
@@ -68,7 +68,7 @@
     }
 
     /** Whether the machine has a task with this image. */
-    boolean hasTaskWith(String image) {
+    boolean hasTaskWithImage(String image) {
         return placements.values().stream()
                 .anyMatch(placement -> placement.job.spec.image().equals(image));
     }
--- a/src/main/java/io/indigoreach/core/scheduling/ClassQuota.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MinimumClassService.java
@@ -17,7 +17,7 @@
  * cores that the queue uses, so that they cannot starve other classes in turn. The same applies to any aged job. This
  * is ageing as in multilevel feedback queues (Corbató et al., 1962), applied to classes instead of single jobs.
  */
-final class ClassQuota {
+final class MinimumClassService {
     /**
      * A class is under-served if a smaller fraction of its jobs can still meet the objective. The limit is above one
      * half because some of the jobs that are expected to meet it fail.
@@ -27,116 +27,121 @@
      * Past jobs are remembered up to this multiple of the open jobs. With a longer memory, months of good service would
      * hide a current shortage.
      */
-    private static final int REMEMBERED_PER_OPEN = 4;
+    private static final int PAST_JOBS_PER_OPEN_JOB = 4;
 
-    private static final int MINIMUM_REMEMBERED = 20;
+    private static final int MINIMUM_PAST_JOBS = 20;
     private static final int MAXIMUM_CLASSES = 1000;
     /**
      * A job that has waited for more than this fraction of its time no longer counts as likely to meet the objective,
      * because many jobs tend to miss it together.
      */
-    private static final double SAFE_FRACTION = 0.75;
+    private static final double ON_TRACK_FRACTION = 0.75;
     /** The fraction of the cores in use up to which under-served jobs go before others. */
     private static final double UNDER_SERVED_FRACTION = 0.5;
     /**
      * The fraction of the cores in use up to which starved jobs start one task each, so that a burst of single-task
      * jobs cannot take over.
      */
-    private static final double BEGINNING_FRACTION = 0.25;
+    private static final double STARVED_FRACTION = 0.25;
 
     /**
-     * Counts of the jobs of a class: completed in time, missed, open, and safe. A safe job is open and has enough time
-     * left. The counts of completed and missed jobs are fractional because they decay.
+     * Counts of the jobs of a class: completed in time, missed, open, and on track. A job on track is open and has enough
+     * time left. The counts of completed and missed jobs are fractional because they decay.
      */
-    private static final class Tally {
+    private static final class ClassCounts {
         double met;
         double missed;
-        int safe;
+        int onTrack;
         int open;
 
         boolean isUnderServed() {
-            return met + safe < MINIMUM_SERVED_FRACTION * (met + missed + open);
+            return met + onTrack < MINIMUM_SERVED_FRACTION * (met + missed + open);
         }
     }
 
-    private final Map<String, Tally> tallies = new HashMap<>();
+    private final Map<String, ClassCounts> countsByClass = new HashMap<>();
     private final Set<String> underServedClasses = new HashSet<>();
     private boolean underServedFirst;
 
     /** Counts a job that has left the queue because it is done or cancelled. */
     void jobEnded(Job job) {
         if (!job.missedObjectives && job.isComplete()) {
-            tally(job).met++;
+            countsOf(job).met++;
         }
     }
 
-    private Tally tally(Job job) {
-        return tallies.computeIfAbsent(job.spec.jobClass(), name -> new Tally());
+    private ClassCounts countsOf(Job job) {
+        return countsByClass.computeIfAbsent(job.spec.jobClass(), name -> new ClassCounts());
     }
 
     /**
      * Recounts the open jobs and marks those that go first on a part of the {@code cores} in use: {@link Job#starved},
      * {@link Job#underServed}.
      *
-     * @param lastChance the latest start with which a job still meets its longest objective
-     * @param aged whether a job has waited longer than any job should
+     * @param longestObjectiveStart the latest start with which a job still meets its longest objective
+     * @param isAged whether a job has waited longer than any job should
      */
-    void recount(List<Job> jobs, double cores, Function<Job, Moment> lastChance, Predicate<Job> aged, Moment now) {
-        forgetOldServices();
+    void recount(
+            List<Job> jobs,
+            double cores,
+            Function<Job, Moment> longestObjectiveStart,
+            Predicate<Job> isAged,
+            Moment now) {
+        decayPastJobs();
         for (Job job : jobs) {
             if (!job.missedObjectives && !job.spec.isService()) {
-                countOpen(job, lastChance, now);
+                countOpen(job, longestObjectiveStart, now);
             }
         }
         underServedClasses.clear();
-        tallies.forEach((name, tally) -> {
-            if (tally.isUnderServed()) {
+        countsByClass.forEach((name, counts) -> {
+            if (counts.isUnderServed()) {
                 underServedClasses.add(name);
             }
         });
-        markJobs(jobs, cores, aged, now);
+        markJobs(jobs, cores, isAged, now);
     }
 
     /** Scales down the counts of past jobs. Missed jobs decay with met ones, so that an under-served class recovers. */
-    private void forgetOldServices() {
-        if (tallies.size() > MAXIMUM_CLASSES) {
+    private void decayPastJobs() {
+        if (countsByClass.size() > MAXIMUM_CLASSES) {
             // Users choose class names, so their number is unbounded. A class without open jobs is not under-served.
-            tallies.values().removeIf(tally -> tally.open == 0);
+            countsByClass.values().removeIf(counts -> counts.open == 0);
         }
-        tallies.values().forEach(tally -> {
-            int remembered = Math.max(MINIMUM_REMEMBERED, REMEMBERED_PER_OPEN * tally.open);
-            double part = Math.min(1, remembered / Math.max(1, tally.met));
-            tally.met *= part;
-            tally.missed *= part;
-            tally.open = 0;
-            tally.safe = 0;
+        countsByClass.values().forEach(counts -> {
+            int pastJobLimit = Math.max(MINIMUM_PAST_JOBS, PAST_JOBS_PER_OPEN_JOB * counts.open);
+            double decayFactor = Math.min(1, pastJobLimit / Math.max(1, counts.met));
+            counts.met *= decayFactor;
+            counts.missed *= decayFactor;
+            counts.open = 0;
+            counts.onTrack = 0;
         });
     }
 
-    private void countOpen(Job job, Function<Job, Moment> lastChance, Moment now) {
-        Tally tally = tally(job);
-        Span whole = lastChance.apply(job).since(job.eligibleSince);
+    private void countOpen(Job job, Function<Job, Moment> longestObjectiveStart, Moment now) {
+        ClassCounts counts = countsOf(job);
+        Span timeLimit = longestObjectiveStart.apply(job).since(job.eligibleSince);
         Span waited = job.hasWaiting() ? now.since(job.eligibleSince) : Span.ZERO;
-        job.objectivesMissed(waited.compareTo(whole) > 0);
-        tally.missed += job.missedObjectives ? 1 : 0;
-        tally.open += job.missedObjectives ? 0 : 1;
-        tally.safe += waited.compareTo(whole.times(SAFE_FRACTION)) <= 0 ? 1 : 0;
+        job.markMissedObjectives(waited.compareTo(timeLimit) > 0);
+        counts.missed += job.missedObjectives ? 1 : 0;
+        counts.open += job.missedObjectives ? 0 : 1;
+        counts.onTrack += waited.compareTo(timeLimit.times(ON_TRACK_FRACTION)) <= 0 ? 1 : 0;
     }
 
-    private void markJobs(List<Job> jobs, double cores, Predicate<Job> aged, Moment now) {
+    private void markJobs(List<Job> jobs, double cores, Predicate<Job> isAged, Moment now) {
         double underServedCores = 0;
-        double begunCores = 0;
+        double starvedCores = 0;
         for (Job job : jobs) {
-            job.markUnderServed(!job.spec.isService() && (aged.test(job) || isOfUnderServedClass(job)));
-            job.markStarved(ServiceLevelObjectives.isStarved(job, now) && !job.hasBegun());
+            job.markUnderServed(!job.spec.isService() && (isAged.test(job) || isOfUnderServedClass(job)));
+            job.markStarved(ServiceLevelObjectives.isStarved(job, now) && !job.hasStarted());
             double coresPerTask = job.spec.demand().cores();
             underServedCores += job.underServed ? job.placements().size() * coresPerTask : 0;
-            begunCores += job.startedAsStarved && !job.placements().isEmpty() ? coresPerTask : 0;
+            starvedCores += job.startedWhileStarved && !job.placements().isEmpty() ? coresPerTask : 0;
         }
         underServedFirst = underServedCores < UNDER_SERVED_FRACTION * cores;
-        boolean mayBegin = begunCores < BEGINNING_FRACTION * cores;
+        boolean servesStarvedFirst = starvedCores < STARVED_FRACTION * cores;
         for (Job job : jobs) {
-            job.markStarved(job.starved && mayBegin);
+            job.markStarved(job.starved && servesStarvedFirst);
         }
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/ObjectiveBudget.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ObjectiveBudget.java
@@ -10,15 +10,15 @@
 /** Limits long tasks without an objective to the cores that jobs with an objective leave free. */
 final class ObjectiveBudget {
     /** How long a computed budget is cached. */
-    private static final Span BUDGET_LIFE = Span.seconds(1);
+    private static final Span BUDGET_CACHE_TIME = Span.seconds(1);
 
-    private record CoreBudget(double cores, Moment counted) {}
+    private record CoreBudget(double cores, Moment computedAt) {}
 
     private final Cluster cluster;
     private final ServiceLevelObjectives objectives;
     private final Estimates estimates;
     private final Span minimumPaidTime;
-    /** The cores that unbounded fillers of each queue may still take, recomputed once per {@link #BUDGET_LIFE}. */
+    /** The cores that unbounded fillers of each queue may still take, recomputed once per {@link #BUDGET_CACHE_TIME}. */
     private final Map<FairShareQueue, CoreBudget> budgets = new HashMap<>();
 
     ObjectiveBudget(Cluster cluster, ServiceLevelObjectives objectives, Estimates estimates, Span minimumPaidTime) {
@@ -38,17 +38,17 @@
                 && !job.starved
                 && !job.spec.isService()
                 && !job.urgency().isMoreUrgentThan(Urgency.STANDARD)
-                && estimates.run(job).compareTo(minimumPaidTime) >= 0;
+                && estimates.runTime(job).compareTo(minimumPaidTime) >= 0;
     }
 
     /**
      * Whether one more task of the job leaves enough cores for the jobs with an objective: those in the queue, or those
      * expected by their arrival rate if that is more.
      */
-    boolean leavesRoomForObjectives(FairShareQueue queue, Job job, Moment now) {
+    boolean leavesCoresForObjectives(FairShareQueue queue, Job job, Moment now) {
         CoreBudget budget = budgets.get(queue);
-        if (budget == null || !now.isBefore(budget.counted.plus(BUDGET_LIFE))) {
-            budget = count(queue, now);
+        if (budget == null || !now.isBefore(budget.computedAt.plus(BUDGET_CACHE_TIME))) {
+            budget = computeBudget(queue, now);
             budgets.put(queue, budget);
         }
         return budget.cores >= job.spec.demand().cores();
@@ -56,25 +56,27 @@
 
     /** Subtracts the cores of a started task of an unbounded filler from the budget. */
     void fillerStarted(FairShareQueue queue, Demand demand) {
-        budgets.computeIfPresent(queue, (key, budget) -> new CoreBudget(budget.cores - demand.cores(), budget.counted));
+        budgets.computeIfPresent(
+                queue, (key, budget) -> new CoreBudget(budget.cores - demand.cores(), budget.computedAt));
     }
 
-    private CoreBudget count(FairShareQueue queue, Moment now) {
-        double cores = 0;
+    private CoreBudget computeBudget(FairShareQueue queue, Moment now) {
+        double availableCores = 0;
         for (Machine machine : cluster.machinesServing(queue)) {
-            cores += machine.isUsable() ? machine.type.capacity().cores() : 0;
+            availableCores += machine.isUsable() ? machine.type.capacity().cores() : 0;
         }
-        double present = 0;
+        double presentCores = 0;
         for (Job job : queue.jobs()) {
             double coresPerTask = job.spec.demand().cores();
             if (isUnboundedFiller(job)) {
-                cores -= job.placements().size() * coresPerTask;
+                availableCores -= job.placements().size() * coresPerTask;
             } else if (!objectives.hasNoObjective(job)) {
-                present += (job.placements().size() + (job.missedObjectives ? 0 : job.startableCount())) * coresPerTask;
+                presentCores +=
+                        (job.placements().size() + (job.missedObjectives ? 0 : job.startableCount())) * coresPerTask;
             }
         }
-        double keptFree = Math.max(present, arrivingCores(queue, now));
-        return new CoreBudget(keptFree > 0 ? cores - keptFree : Double.MAX_VALUE, now);
+        double reservedCores = Math.max(presentCores, arrivingCores(queue, now));
+        return new CoreBudget(reservedCores > 0 ? availableCores - reservedCores : Double.MAX_VALUE, now);
     }
 
     /** The cores that jobs with an objective use on average, by their arrival rate. */
@@ -83,7 +85,7 @@
                 .perSecond(
                         job -> !objectives.hasNoObjective(job),
                         job -> job.spec.tasks()
-                                * estimates.run(job).seconds()
+                                * estimates.runTime(job).seconds()
                                 * job.spec.demand().cores(),
                         minimumPaidTime,
                         now);
--- a/src/main/java/io/indigoreach/core/scheduling/PlaceShortages.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PlaceShortages.java
@@ -69,7 +69,7 @@
 
     /** What is left until an objective on the job's starts is missed, if that is soon; else zero. */
     Span timeToStart(Job top, Moment now) {
-        Moment due = objectives.latestStartForWait(top);
+        Moment due = objectives.latestStartForStartObjective(top);
         Span left = due == null ? Span.ZERO : due.since(now);
         return left.ms() < 0 || left.compareTo(WAIT_FOR_FREE_PLACE) > 0 ? Span.ZERO : left;
     }
@@ -97,6 +97,6 @@
     private boolean endsWithin(Span soon, Placement placement, Moment now) {
         return placement.stopping
                 || placement.state == TaskState.SAVING
-                || estimates.end(placement, now).since(now).compareTo(soon) <= 0;
+                || estimates.expectedEnd(placement, now).since(now).compareTo(soon) <= 0;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/PlacementRules.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PlacementRules.java
@@ -62,10 +62,11 @@
         if (now.isBefore(job.imageLocalityUntil) && !machine.imageCache.contains(job.spec.image())) {
             return true;
         }
-        Moment due = machine.imageCache.contains(job.spec.image()) ? null : objectives.latestStartForWait(job);
-        return due != null
-                && now.plus(Estimates.fetch(job, machine.type)).isAfter(due)
-                && now.isBefore(due)
+        Moment latestStart =
+                machine.imageCache.contains(job.spec.image()) ? null : objectives.latestStartForStartObjective(job);
+        return latestStart != null
+                && now.plus(Estimates.fetchTime(job, machine.type)).isAfter(latestStart)
+                && now.isBefore(latestStart)
                 && cluster.isImageCached(job.spec.image());
     }
 
@@ -73,7 +74,7 @@
      * Whether the machine keeps capacity free for the service until the failover is complete. A replica may turn out to
      * run nowhere, and new tasks on the machine might not be preemptible for it.
      */
-    boolean keepsRoomForReplica(Job job, Machine machine) {
+    boolean keepsCapacityForReplica(Job job, Machine machine) {
         return !failover.isComplete()
                 && job.spec.isService()
                 && job.hasWaiting()
--- a/src/main/java/io/indigoreach/core/scheduling/PoolMembership.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PoolMembership.java
@@ -71,6 +71,6 @@
         }
         boolean leavesRoom = replica.fitsIn(free.minus(spec.demand()))
                 || (!spec.isService() && spec.estimate().times(2).compareTo(longestOtherTask) <= 0);
-        return leavesRoom && cache.isCached(image) && cache.hasRoomBeside(image, spec.image(), spec.imageGb());
+        return leavesRoom && cache.isCached(image) && cache.hasRoomWithoutEvicting(image, spec.image(), spec.imageGb());
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Preemption.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Preemption.java
@@ -41,7 +41,7 @@
      * objective on the top job's starts is about to be missed, tasks that have only just begun.
      */
     List<WorkerCommand> preempt(Machine machine, Moment now) {
-        List<WorkerCommand> commands = guarantees.preemptBorrowedWork(machine, now);
+        List<WorkerCommand> commands = guarantees.preemptBorrowedTasks(machine, now);
         if (!commands.isEmpty()) {
             return commands;
         }
@@ -104,14 +104,14 @@
     private boolean hasRunLongEnough(Placement placement, Moment now) {
         Span grace = placement.job.spec.checkpointTime().times(2);
         return now.since(placement.stateSince).compareTo(MINIMUM_RUN) >= 0
-                && estimates.end(placement, now).since(now).compareTo(grace) > 0;
+                && estimates.expectedEnd(placement, now).since(now).compareTo(grace) > 0;
     }
 
     /** One that loses its progress is stopped only if it has just begun and the top job's objective is about to be missed. */
     private boolean losesLittle(Placement placement, Job top, Moment now) {
         return shortages.timeToStart(top, now).ms() > 0
                 && now.since(placement.stateSince).compareTo(MAXIMUM_LOST_RUN) <= 0
-                && objectives.latestStartForWait(placement.job) == null
+                && objectives.latestStartForStartObjective(placement.job) == null
                 && !placement.job.spec.isService();
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/QueueNeed.java
+++ b/src/main/java/io/indigoreach/core/scheduling/QueueNeed.java
@@ -24,7 +24,8 @@
 
     /** How many of the job's tasks its team's limit allows beside those counted before; they are counted with them. */
     int withinTeamLimit(Job job, TeamUsage team) {
-        int tasks = Math.min(job.startableCount(), team.room(job.spec.demand(), plannedCores.getOrDefault(team, 0.0)));
+        int tasks = Math.min(
+                job.startableCount(), team.remainingTasks(job.spec.demand(), plannedCores.getOrDefault(team, 0.0)));
         plannedCores.merge(team, Math.max(0, tasks) * job.spec.demand().cores(), Double::sum);
         return tasks;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/QueueOrder.java
+++ b/src/main/java/io/indigoreach/core/scheduling/QueueOrder.java
@@ -12,7 +12,7 @@
 /** Computes the order in which the jobs of a queue are served, from their latest starts. */
 final class QueueOrder {
     /** How long the count of usable machines is cached. */
-    private static final Span MACHINE_COUNT_LIFE = Span.seconds(1);
+    private static final Span MACHINE_COUNT_CACHE_TIME = Span.seconds(1);
 
     /** An objective nearer than this many boot times plus half of the minimum paid time is no reason to scale out. */
     private static final double BOOT_TIMES_TO_OBJECTIVE = 1.2;
@@ -21,10 +21,10 @@
     private final ServiceLevelObjectives objectives;
     private final Estimates estimates;
     private final Span minimumPaidTime;
-    /** Usable machines of each pool, counted once per {@link #MACHINE_COUNT_LIFE}. */
-    private Map<MachinePool, Integer> usableMachines = Map.of();
+    /** Usable machines of each pool, counted once per {@link #MACHINE_COUNT_CACHE_TIME}. */
+    private Map<MachinePool, Integer> usableMachinesByPool = Map.of();
 
-    private Moment usableCountedAt = Moment.NEVER;
+    private Moment machinesCountedAt = Moment.NEVER;
 
     QueueOrder(Cluster cluster, ServiceLevelObjectives objectives, Estimates estimates, Span minimumPaidTime) {
         this.cluster = cluster;
@@ -34,47 +34,47 @@
     }
 
     /** The jobs of the queue in the order in which they are served. */
-    List<Job> jobs(FairShareQueue queue, Moment now) {
-        return queue.ordered(
+    List<Job> sortedJobs(FairShareQueue queue, Moment now) {
+        return queue.sortedJobs(
                 job -> objectives
-                        .latestStart(job, estimates.run(job), rounds(job, now), now)
-                        .minus(clearingTime(job)),
-                job -> objectives.lastChance(job, estimates.run(job)),
+                        .latestStart(job, estimates.runTime(job), roundCount(job, now), now)
+                        .minus(drainTime(job)),
+                job -> objectives.latestStartForLongestObjective(job, estimates.runTime(job)),
                 job -> objectives.isAged(job, now),
                 now);
     }
 
     /** The time to wait until a machine is empty, for tasks that take a whole machine; otherwise zero. */
-    private Span clearingTime(Job job) {
-        boolean wholeMachine = cluster.types.values().stream()
+    private Span drainTime(Job job) {
+        boolean needsWholeMachine = cluster.types.values().stream()
                 .allMatch(type -> job.spec.demand().timesIn(type.capacity()) <= 1);
-        return wholeMachine ? minimumPaidTime : Span.ZERO;
+        return needsWholeMachine ? minimumPaidTime : Span.ZERO;
     }
 
     /** The number of rounds that the job's waiting tasks would take with the whole cluster to themselves. */
-    private int rounds(Job job, Moment now) {
-        if (!now.isBefore(usableCountedAt.plus(MACHINE_COUNT_LIFE))) {
+    private int roundCount(Job job, Moment now) {
+        if (!now.isBefore(machinesCountedAt.plus(MACHINE_COUNT_CACHE_TIME))) {
             countUsableMachines(now);
         }
-        int places = 0;
-        for (Map.Entry<MachinePool, Integer> entry : usableMachines.entrySet()) {
+        int slots = 0;
+        for (Map.Entry<MachinePool, Integer> entry : usableMachinesByPool.entrySet()) {
             MachinePool pool = entry.getKey();
             if (allowsPool(job, pool)) {
-                places += entry.getValue()
+                slots += entry.getValue()
                         * job.spec
                                 .demand()
                                 .timesIn(cluster.types.get(pool.type()).capacity());
             }
         }
-        return places == 0 ? 1 : (job.waitingCount() + places - 1) / places;
+        return slots == 0 ? 1 : (job.waitingCount() + slots - 1) / slots;
     }
 
     private void countUsableMachines(Moment now) {
-        usableMachines = new HashMap<>();
-        usableCountedAt = now;
+        usableMachinesByPool = new HashMap<>();
+        machinesCountedAt = now;
         for (Machine machine : cluster.machines.values()) {
             if (machine.isUsable()) {
-                usableMachines.merge(machine.pool, 1, Integer::sum);
+                usableMachinesByPool.merge(machine.pool, 1, Integer::sum);
             }
         }
     }
@@ -93,7 +93,7 @@
 
     /** The latest start of the job's waiting tasks for its next objective that can still be met at {@code from}. */
     Moment latestStart(Job job, Moment from) {
-        return objectives.latestStart(job, estimates.run(job), 1, from);
+        return objectives.latestStart(job, estimates.runTime(job), 1, from);
     }
 
     /** The shortest objective that can be met by scaling out for waiting tasks. */
--- a/src/main/java/io/indigoreach/core/scheduling/Reconciler.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Reconciler.java
@@ -148,7 +148,7 @@
         if (job.complete(index)) {
             listener.taskCompleted(job);
         }
-        if (job.isDurable(index)) {
+        if (job.isCompletionRecorded(index)) {
             pass.commands.add(reap(status));
         }
     }
@@ -203,7 +203,7 @@
     private void stateChanged(Pass pass, Job job, Placement placement, TaskState state) {
         placement.stateReported(state, pass.now);
         if (state == TaskState.RUNNING) {
-            job.markRun();
+            job.markHasRun();
             pass.machine.imageCache.confirmCached(job.spec.image());
         }
         cluster.changed();
--- a/src/main/java/io/indigoreach/core/scheduling/Reservation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Reservation.java
@@ -15,16 +15,16 @@
  * jobs are backfilled on those machines only if they do not delay the top job.
  */
 final class Reservation {
-    /** From {@code at} on, the machine is reserved for {@code tasks} tasks of the top job. */
-    record Hold(Moment at, int tasks) {}
+    /** From {@code from} on, the machine is reserved for {@code taskCount} tasks of the top job. */
+    record ReservedSlots(Moment from, int taskCount) {}
 
-    private final Job top;
-    private final Map<MachineId, Hold> holds;
+    private final Job topJob;
+    private final Map<MachineId, ReservedSlots> slotsByMachine;
     private final Moment lastStart;
 
-    private Reservation(Job top, Map<MachineId, Hold> holds, Moment lastStart) {
-        this.top = top;
-        this.holds = holds;
+    private Reservation(Job topJob, Map<MachineId, ReservedSlots> slotsByMachine, Moment lastStart) {
+        this.topJob = topJob;
+        this.slotsByMachine = slotsByMachine;
         this.lastStart = lastStart;
     }
 
@@ -33,99 +33,102 @@
         return lastStart;
     }
 
-    Job top() {
-        return top;
+    Job topJob() {
+        return topJob;
     }
 
-    Hold hold(MachineId machine) {
-        return holds.get(machine);
+    ReservedSlots slotsOn(MachineId machine) {
+        return slotsByMachine.get(machine);
     }
 
-    /** From {@code at} on, {@code tasks} more tasks of the top job fit on the machine. */
-    private record Place(Machine machine, Moment at, int tasks) {}
+    /** From {@code from} on, {@code taskCount} more tasks of the top job fit on the machine. */
+    private record FreeSlots(Machine machine, Moment from, int taskCount) {}
 
-    /** Reserves the earliest available slots for the waiting tasks of {@code top}. */
-    static Reservation of(Job top, Iterable<Machine> machines, Estimates estimates, Moment now) {
-        List<Place> places = new ArrayList<>();
+    /** Reserves the earliest available slots for the waiting tasks of the top job. */
+    static Reservation of(Job topJob, Iterable<Machine> machines, Estimates estimates, Moment now) {
+        List<FreeSlots> freeSlots = new ArrayList<>();
         for (Machine machine : machines) {
             boolean booting = machine.phase == Machine.Phase.BOOTING;
             if ((booting || machine.isUsable())
-                    && machine.allows(top.spec)
-                    && !FaultAttribution.isExcluded(top, machine)) {
-                addPlaces(top, machine, estimates, now, places);
+                    && machine.allows(topJob.spec)
+                    && !FaultAttribution.isExcluded(topJob, machine)) {
+                addSlotsOfMachine(topJob, machine, estimates, now, freeSlots);
             }
         }
-        places.sort(Comparator.comparing(Place::at));
-        Map<MachineId, Hold> holds = new HashMap<>();
-        int left = top.startableCount();
-        Moment lastStart = places.isEmpty() ? null : now;
-        for (Place place : places) {
-            if (left <= 0) {
+        freeSlots.sort(Comparator.comparing(FreeSlots::from));
+        Map<MachineId, ReservedSlots> slotsByMachine = new HashMap<>();
+        int remaining = topJob.startableCount();
+        Moment lastStart = freeSlots.isEmpty() ? null : now;
+        for (FreeSlots slots : freeSlots) {
+            if (remaining <= 0) {
                 break;
             }
-            int tasks = Math.min(left, place.tasks);
-            left -= tasks;
-            lastStart = place.at;
-            holds.merge(
-                    place.machine.id,
-                    new Hold(place.at, tasks),
-                    (old, more) -> new Hold(old.at, old.tasks + more.tasks));
+            int taskCount = Math.min(remaining, slots.taskCount);
+            remaining -= taskCount;
+            lastStart = slots.from;
+            slotsByMachine.merge(
+                    slots.machine.id,
+                    new ReservedSlots(slots.from, taskCount),
+                    (old, more) -> new ReservedSlots(old.from, old.taskCount + more.taskCount));
         }
-        if (left > 0 && !places.isEmpty()) {
+        if (remaining > 0 && !freeSlots.isEmpty()) {
             // There are more tasks than slots: the remaining tasks start in further rounds.
-            int perRound = places.stream().mapToInt(Place::tasks).sum();
-            int rounds = (left + perRound - 1) / perRound;
-            lastStart = lastStart.plus(estimates.run(top).times(rounds));
+            int perRound = freeSlots.stream().mapToInt(FreeSlots::taskCount).sum();
+            int rounds = (remaining + perRound - 1) / perRound;
+            lastStart = lastStart.plus(estimates.runTime(topJob).times(rounds));
         }
-        return new Reservation(top, holds, lastStart);
+        return new Reservation(topJob, slotsByMachine, lastStart);
     }
 
     /** Adds the machine's slots for the top job: those free now, and those freed as running tasks end. */
-    private static void addPlaces(Job top, Machine machine, Estimates estimates, Moment now, List<Place> places) {
+    private static void addSlotsOfMachine(
+            Job topJob, Machine machine, Estimates estimates, Moment now, List<FreeSlots> freeSlots) {
         Moment start = now;
         if (machine.phase == Machine.Phase.BOOTING) {
-            Moment up = machine.rentedAt.plus(machine.type.boot());
-            start = up.isAfter(now) ? up : now;
+            Moment bootEnd = machine.rentedAt.plus(machine.type.boot());
+            start = bootEnd.isAfter(now) ? bootEnd : now;
         }
-        Demand room = machine.freeFor(top.spec);
-        int reserved = addPlace(top, machine, room, start, 0, places);
+        Demand free = machine.freeFor(topJob.spec);
+        int reserved = addFreeSlots(topJob, machine, free, start, 0, freeSlots);
         List<Placement> running = machine.placementsCopy();
         running.removeIf(placement -> placement.job.spec.isService());
         Map<Placement, Moment> ends = new HashMap<>();
         for (Placement placement : running) {
-            ends.put(placement, estimates.end(placement, now));
+            ends.put(placement, estimates.expectedEnd(placement, now));
         }
         running.sort(Comparator.comparing(ends::get));
         for (Placement placement : running) {
-            room = room.plus(placement.demand());
-            reserved += addPlace(top, machine, room, ends.get(placement), reserved, places);
+            free = free.plus(placement.demand());
+            reserved += addFreeSlots(topJob, machine, free, ends.get(placement), reserved, freeSlots);
         }
     }
 
     /** Adds a slot for the tasks that fit beyond the {@code reserved} ones; returns their number. */
-    private static int addPlace(Job top, Machine machine, Demand room, Moment start, int reserved, List<Place> places) {
-        int more = top.spec.demand().timesIn(room) - reserved;
-        if (more <= 0) {
+    private static int addFreeSlots(
+            Job topJob, Machine machine, Demand free, Moment start, int reserved, List<FreeSlots> freeSlots) {
+        int additional = topJob.spec.demand().timesIn(free) - reserved;
+        if (additional <= 0) {
             return 0;
         }
-        places.add(new Place(machine, start, more));
-        return more;
+        freeSlots.add(new FreeSlots(machine, start, additional));
+        return additional;
     }
 
     /**
-     * Whether a task that takes {@code demand} for {@code time} may start on the machine without delaying the top job.
+     * Whether a task that takes {@code demand} for {@code runTime} may start on the machine without delaying the top job.
      */
-    boolean allows(Machine machine, Demand demand, Span time, Estimates estimates, Moment now) {
-        Hold hold = holds.get(machine.id);
-        if (hold == null || !now.plus(time).isAfter(hold.at)) {
+    boolean allows(Machine machine, Demand demand, Span runTime, Estimates estimates, Moment now) {
+        ReservedSlots reserved = slotsByMachine.get(machine.id);
+        if (reserved == null || !now.plus(runTime).isAfter(reserved.from)) {
             return true;
         }
-        Demand room = machine.type.capacity().minus(demand);
+        Demand free = machine.type.capacity().minus(demand);
         for (Placement placement : machine.placements().values()) {
-            if (!placement.job.spec.isHolder() && estimates.end(placement, now).isAfter(hold.at)) {
-                room = room.minus(placement.demand());
+            if (!placement.job.spec.isHolder()
+                    && estimates.expectedEnd(placement, now).isAfter(reserved.from)) {
+                free = free.minus(placement.demand());
             }
         }
-        return top.spec.demand().timesIn(room) >= hold.tasks;
+        return topJob.spec.demand().timesIn(free) >= reserved.taskCount;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/ReservationTable.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ReservationTable.java
@@ -13,9 +13,9 @@
  */
 final class ReservationTable {
     /** How long a reservation is cached. */
-    private static final Span RESERVATION_LIFE = Span.seconds(1);
+    private static final Span RESERVATION_CACHE_TIME = Span.seconds(1);
 
-    private record CachedReservation(Reservation reservation, Moment made) {}
+    private record CachedReservation(Reservation reservation, Moment computedAt) {}
 
     private final Cluster cluster;
     private final QueueOrder order;
@@ -39,7 +39,7 @@
 
     /** The top job: the first in queue order that has startable tasks and may start. */
     Optional<Job> topJob(FairShareQueue queue, Moment now) {
-        for (Job job : order.jobs(queue, now)) {
+        for (Job job : order.sortedJobs(queue, now)) {
             if (job.hasStartable()
                     && rules.mayStart(job, now)
                     && !job.isSuspectedFaulty()
@@ -54,29 +54,29 @@
     boolean delaysTopJob(FairShareQueue queue, Job job, Machine machine, Moment now) {
         return topJob(queue, now)
                 .filter(top -> top != job)
-                .filter(top -> !of(queue, top, now)
-                        .allows(machine, job.spec.demand(), estimates.onMachine(job, machine), estimates, now))
+                .filter(top -> !reservationOf(queue, top, now)
+                        .allows(machine, job.spec.demand(), estimates.timeOnMachine(job, machine), estimates, now))
                 .isPresent();
     }
 
-    /** The reservation of the queue's top job, recomputed once per {@link #RESERVATION_LIFE}. */
-    Reservation of(FairShareQueue queue, Job top, Moment now) {
-        CachedReservation cached = reservations.get(top.id());
-        if (cached != null && cached.reservation.top() == top && !isOutdated(cached, now)) {
+    /** The reservation of the queue's top job, recomputed once per {@link #RESERVATION_CACHE_TIME}. */
+    Reservation reservationOf(FairShareQueue queue, Job topJob, Moment now) {
+        CachedReservation cached = reservations.get(topJob.id());
+        if (cached != null && cached.reservation.topJob() == topJob && !isOutdated(cached, now)) {
             return cached.reservation;
         }
         reservations.values().removeIf(reservation -> isOutdated(reservation, now));
         List<Machine> machines = cluster.machinesServing(queue);
-        if (!reservedCapacity.isEligible(top, now)) {
-            machines.removeIf(machine -> isReservedForAged(machine, queue, order.jobs(queue, now), now));
+        if (!reservedCapacity.isEligible(topJob, now)) {
+            machines.removeIf(machine -> isReservedForAged(machine, queue, order.sortedJobs(queue, now), now));
         }
-        Reservation made = Reservation.of(top, machines, estimates, now);
-        reservations.put(top.id(), new CachedReservation(made, now));
-        return made;
+        Reservation computed = Reservation.of(topJob, machines, estimates, now);
+        reservations.put(topJob.id(), new CachedReservation(computed, now));
+        return computed;
     }
 
     private static boolean isOutdated(CachedReservation cached, Moment now) {
-        return !now.isBefore(cached.made.plus(RESERVATION_LIFE));
+        return !now.isBefore(cached.computedAt.plus(RESERVATION_CACHE_TIME));
     }
 
     /** Whether the machine is reserved for aged jobs without an objective. */
--- a/src/main/java/io/indigoreach/core/scheduling/ReservedCapacity.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ReservedCapacity.java
@@ -65,7 +65,7 @@
     private double remainingWork(Job job) {
         return job.waitingCount()
                 * job.spec.demand().cores()
-                * estimates.run(job).seconds();
+                * estimates.runTime(job).seconds();
     }
 
     /** Those that do most such work already, so that they stay the same ones. */
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleOutTrigger.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleOutTrigger.java
@@ -22,7 +22,7 @@
 
     /** Whether the top job has no place or waits too long for one, or another job behind it does. */
     boolean mustScaleOut(FairShareQueue queue, Job top, Moment now) {
-        Moment start = rules.reservations().of(queue, top, now).lastStart();
+        Moment start = rules.reservations().reservationOf(queue, top, now).lastStart();
         return start == null
                 || start.since(top.eligibleSince).compareTo(settings.waitLimit()) > 0
                 || queue.jobs().stream().anyMatch(job -> waitsTooLong(job, now) || bootsTooLate(job, now));
@@ -54,8 +54,8 @@
     /** When a task would end on a machine that is requested after the wait limit. */
     private Moment endOnNewMachine(Job job, MachineType type, Moment now) {
         return now.plus(type.boot())
-                .plus(estimates.run(job))
-                .plus(Estimates.fetch(job, type))
+                .plus(estimates.runTime(job))
+                .plus(Estimates.fetchTime(job, type))
                 .plus(settings.waitLimit());
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
@@ -98,7 +98,7 @@
 
     /** Registers the observer of the run time of each task that completes. */
     public void onTaskCompleted(BiConsumer<Job, Span> observer) {
-        estimates.onRun(observer);
+        estimates.setRunTimeListener(observer);
     }
 
     public boolean areRecordsLoaded() {
@@ -109,7 +109,7 @@
     public void addJob(Job job) {
         if (!cluster.jobs.containsKey(job.id())) {
             cluster.add(job);
-            dependentJobs.added(job);
+            dependentJobs.jobAdded(job);
             inheritedTaskRelease.jobAdded(job);
         }
     }
@@ -133,7 +133,7 @@
         if (job != null) {
             job.cancel();
             cluster.remove(job);
-            dependentJobs.removed(job);
+            dependentJobs.jobRemoved(job);
         }
     }
 
@@ -142,8 +142,8 @@
         Job job = cluster.jobs.get(id);
         if (job != null) {
             cluster.remove(job);
-            dependentJobs.removed(job);
-            dependentJobs.done(id);
+            dependentJobs.jobRemoved(job);
+            dependentJobs.jobDone(id);
         }
     }
 
@@ -168,7 +168,7 @@
     }
 
     public void revisionSeen(Job job, Revision revision) {
-        job.revisionSeen(revision);
+        job.updateRevision(revision);
     }
 
     /** Processes a worker's heartbeat; the result has the commands for the answer. */
@@ -229,7 +229,7 @@
 
     /** Jobs whose start bounds are to be recorded now, as their tasks are about to be started. */
     public List<Job> startBoundsToRaise(Moment now) {
-        return areRecordsLoaded() ? startBounds.toRaise(now) : List.of();
+        return areRecordsLoaded() ? startBounds.raiseBounds(now) : List.of();
     }
 
     /** What to rent now; called once each check, so that the needs of several arrivals and completions are one request. */
--- a/src/main/java/io/indigoreach/core/scheduling/StartBounds.java
+++ b/src/main/java/io/indigoreach/core/scheduling/StartBounds.java
@@ -14,53 +14,54 @@
  */
 final class StartBounds {
     /** Bounds are raised when they cover less than this fraction of the cores that they should cover. */
-    private static final double LOW_FRACTION = 0.5;
+    private static final double REFILL_FRACTION = 0.5;
 
-    private static final Span COUNT_LIFE = Span.seconds(0.5);
+    private static final Span COUNT_CACHE_TIME = Span.seconds(0.5);
 
     private final Cluster cluster;
     private final QueueOrder order;
-    private final SchedulerSettings tuning;
-    private double places;
+    private final SchedulerSettings settings;
+    private double targetCores;
     private Moment countedAt = Moment.NEVER;
 
-    StartBounds(Cluster cluster, QueueOrder order, SchedulerSettings tuning) {
+    StartBounds(Cluster cluster, QueueOrder order, SchedulerSettings settings) {
         this.cluster = cluster;
         this.order = order;
-        this.tuning = tuning;
+        this.settings = settings;
     }
 
     /** Raises the start bounds that are too low; returns the jobs whose bounds must be recorded. */
-    List<Job> toRaise(Moment now) {
-        count(now);
-        List<Job> out = new ArrayList<>();
+    List<Job> raiseBounds(Moment now) {
+        countCores(now);
+        List<Job> raised = new ArrayList<>();
         for (FairShareQueue queue : cluster.queues()) {
-            double ahead = 0;
-            for (Job job : order.jobs(queue, now)) {
-                if (job.hasStartable() && !job.isSuspectedFaulty() && ahead < places) {
-                    double size = Math.max(1e-3, job.spec.demand().cores());
+            double coveredCores = 0;
+            for (Job job : order.sortedJobs(queue, now)) {
+                if (job.hasStartable() && !job.isSuspectedFaulty() && coveredCores < targetCores) {
+                    double coresPerTask = Math.max(1e-3, job.spec.demand().cores());
                     int startable = job.startableCount();
-                    if (ahead < places * LOW_FRACTION
-                            && !job.isWithinStartBound(within(places * LOW_FRACTION - ahead, size, startable))) {
-                        job.requestStartBoundFor(within(places - ahead, size, startable));
+                    if (coveredCores < targetCores * REFILL_FRACTION
+                            && !job.isWithinStartBound(tasksWithin(
+                                    targetCores * REFILL_FRACTION - coveredCores, coresPerTask, startable))) {
+                        job.requestStartBoundFor(tasksWithin(targetCores - coveredCores, coresPerTask, startable));
                     }
-                    ahead += startable * size;
+                    coveredCores += startable * coresPerTask;
                 }
                 if (job.needsHigherStartBound()) {
-                    out.add(job);
+                    raised.add(job);
                 }
             }
         }
         for (Job holder : cluster.holderJobs) {
             if (holder.needsHigherStartBound()) {
-                out.add(holder);
+                raised.add(holder);
             }
         }
-        return out;
+        return raised;
     }
 
-    private static int within(double cores, double size, int startable) {
-        return (int) Math.min(startable, Math.ceil(cores / size));
+    private static int tasksWithin(double cores, double coresPerTask, int startable) {
+        return (int) Math.min(startable, Math.ceil(cores / coresPerTask));
     }
 
     /**
@@ -68,15 +69,15 @@
      * an outage of the state service, while the leader starts tasks until its lease ends. With a quarter of the
      * capacity, a cluster of 976 machines ran out of startable tasks 10 s into an outage.
      */
-    private void count(Moment now) {
-        if (now.isBefore(countedAt.plus(COUNT_LIFE))) {
+    private void countCores(Moment now) {
+        if (now.isBefore(countedAt.plus(COUNT_CACHE_TIME))) {
             return;
         }
         countedAt = now;
-        places = 0;
+        targetCores = 0;
         for (Machine machine : cluster.machines.values()) {
-            if (machine.isBooting(now, tuning.bootPatience()) || machine.isHealthy()) {
-                places += Math.max(0, machine.free().cores())
+            if (machine.isBooting(now, settings.bootPatience()) || machine.isHealthy()) {
+                targetCores += Math.max(0, machine.free().cores())
                         + machine.type.capacity().cores();
             }
         }
--- a/src/main/java/io/indigoreach/core/scheduling/TaskProgress.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TaskProgress.java
@@ -9,9 +9,9 @@
  * may be started. Tasks start in index order.
  */
 final class TaskProgress {
-    private final int tasks;
+    private final int taskCount;
     private final BitSet done;
-    private final BitSet durable;
+    private final BitSet recordedDone;
     /** Tasks that must not be started: done, on a machine, or gated. */
     private final BitSet notStartable;
     /**
@@ -21,7 +21,7 @@
     private final BitSet gated = new BitSet();
 
     private int doneCount;
-    private int durableCount;
+    private int recordedCount;
     /** The recorded bound: no leader has ever started a task with this index or a higher one. */
     private int startBound;
     /** The bound to record next: tasks below this index are about to be started. */
@@ -36,22 +36,22 @@
      */
     static TaskProgress of(JobSpec spec, BitSet done, int startBound, boolean inherited) {
         // Zone constraints depend on where the other tasks are, so no task starts before all placements are known.
-        boolean together = spec.oneZone() || spec.spread();
-        int possiblyRunningBelow = !inherited ? 0 : together && startBound > 0 ? spec.tasks() : startBound;
+        boolean hasZoneConstraint = spec.oneZone() || spec.spread();
+        int possiblyRunningBelow = !inherited ? 0 : hasZoneConstraint && startBound > 0 ? spec.tasks() : startBound;
         return new TaskProgress(spec.tasks(), done, spec.isGuarded(), startBound, possiblyRunningBelow);
     }
 
-    private TaskProgress(int tasks, BitSet done, boolean isGated, int startBound, int possiblyRunningBelow) {
-        this.tasks = tasks;
+    private TaskProgress(int taskCount, BitSet done, boolean isGated, int startBound, int possiblyRunningBelow) {
+        this.taskCount = taskCount;
         this.done = (BitSet) done.clone();
-        this.durable = (BitSet) done.clone();
+        this.recordedDone = (BitSet) done.clone();
         this.notStartable = (BitSet) done.clone();
         if (isGated) {
-            gated.set(0, tasks);
+            gated.set(0, taskCount);
             notStartable.or(gated);
         }
         this.doneCount = done.cardinality();
-        this.durableCount = doneCount;
+        this.recordedCount = doneCount;
         this.startBound = startBound;
         this.requestedStartBound = startBound;
         this.possiblyRunningBelow = possiblyRunningBelow;
@@ -73,7 +73,7 @@
 
     /** Requests a start bound that covers {@code count} startable tasks. */
     void requestStartBoundFor(int count) {
-        requestedStartBound = Math.max(requestedStartBound, Math.min(tasks, nthStartable(count) + 1));
+        requestedStartBound = Math.max(requestedStartBound, Math.min(taskCount, nthStartable(count) + 1));
     }
 
     /** Whether the recorded or requested start bound covers {@code count} startable tasks. */
@@ -89,7 +89,7 @@
     /** The index of the {@code count}-th startable task; the number of tasks if there are fewer. */
     private int nthStartable(int count) {
         int index = possiblyRunningBelow - 1;
-        for (int left = count; left > 0 && index < tasks; left--) {
+        for (int remaining = count; remaining > 0 && index < taskCount; remaining--) {
             index = notStartable.nextClearBit(index + 1);
         }
         return index;
@@ -101,21 +101,21 @@
     }
 
     /** Gates exactly these tasks. Tasks that are on a machine stay there. */
-    void gate(BitSet gatedTasks, Set<Integer> placed) {
+    void gate(BitSet gatedTasks, Set<Integer> placedIndexes) {
         gated.clear();
         gated.or(gatedTasks);
         notStartable.clear();
         notStartable.or(done);
         notStartable.or(gated);
-        placed.forEach(notStartable::set);
+        placedIndexes.forEach(notStartable::set);
     }
 
     /** Whether tasks that are neither done nor on a machine are gated. */
-    boolean hasGatedTasks(Set<Integer> placed) {
-        BitSet left = (BitSet) gated.clone();
-        left.andNot(done);
-        placed.forEach(left::clear);
-        return !left.isEmpty();
+    boolean hasGatedTasks(Set<Integer> placedIndexes) {
+        BitSet waitingGated = (BitSet) gated.clone();
+        waitingGated.andNot(done);
+        placedIndexes.forEach(waitingGated::clear);
+        return !waitingGated.isEmpty();
     }
 
     int doneCount() {
@@ -126,21 +126,21 @@
         return done.get(index);
     }
 
-    boolean isDurable(int index) {
-        return durable.get(index);
+    boolean isCompletionRecorded(int index) {
+        return recordedDone.get(index);
     }
 
     boolean isComplete() {
-        return doneCount == tasks;
+        return doneCount == taskCount;
     }
 
     boolean hasUnrecordedCompletions() {
-        return doneCount > durableCount;
+        return doneCount > recordedCount;
     }
 
     BitSet unrecordedCompletions() {
         BitSet unrecorded = completedTasks();
-        unrecorded.andNot(durable);
+        unrecorded.andNot(recordedDone);
         return unrecorded;
     }
 
@@ -149,8 +149,8 @@
     }
 
     void completionsRecorded(BitSet recorded) {
-        durable.or(recorded);
-        durableCount = durable.cardinality();
+        recordedDone.or(recorded);
+        recordedCount = recordedDone.cardinality();
     }
 
     /** Marks the task as done; returns false if it was done already. */
@@ -164,36 +164,36 @@
         return true;
     }
 
-    void placed(int index) {
+    void placementAdded(int index) {
         notStartable.set(index);
     }
 
     /** Notes that the task is on no machine any more. It waits again unless it is done or gated. */
-    void removed(int index) {
+    void placementRemoved(int index) {
         if (!done.get(index)) {
             notStartable.set(index, gated.get(index));
         }
     }
 
     int waitingCount() {
-        return tasks - notStartable.cardinality();
+        return taskCount - notStartable.cardinality();
     }
 
     boolean hasWaiting() {
-        return notStartable.nextClearBit(0) < tasks;
+        return notStartable.nextClearBit(0) < taskCount;
     }
 
     /** The number of waiting tasks that are known to be on no machine. */
     int startableCount() {
-        int taken = possiblyRunningBelow == 0
+        int excluded = possiblyRunningBelow == 0
                 ? notStartable.cardinality()
                 : possiblyRunningBelow
-                        + notStartable.get(possiblyRunningBelow, tasks).cardinality();
-        return tasks - taken;
+                        + notStartable.get(possiblyRunningBelow, taskCount).cardinality();
+        return taskCount - excluded;
     }
 
     boolean hasStartable() {
-        return nextStartable() < tasks;
+        return nextStartable() < taskCount;
     }
 
     int nextStartable() {
--- a/src/main/java/io/indigoreach/core/scheduling/TaskStarter.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TaskStarter.java
@@ -7,7 +7,7 @@
 final class TaskStarter {
     private final Cluster cluster;
     private final FencingToken token;
-    private long attempts;
+    private long lastAttempt;
 
     TaskStarter(Cluster cluster, FencingToken token) {
         this.cluster = cluster;
@@ -21,7 +21,7 @@
                 job,
                 job.nextStartable(),
                 machine,
-                token.attempt(++attempts),
+                token.attempt(++lastAttempt),
                 TaskState.ORDERED,
                 batch.number(),
                 batch.now());
--- a/src/main/java/io/indigoreach/core/scheduling/TeamUsage.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TeamUsage.java
@@ -6,27 +6,27 @@
 /** The resources that one team's tasks use, compared with the team's guarantee and its hard limit. */
 final class TeamUsage {
     final Team team;
-    private double cores;
-    private double gpus;
+    private double coresInUse;
+    private double gpusInUse;
 
     TeamUsage(Team team) {
         this.team = team;
     }
 
     void addUsage(Demand demand, int sign) {
-        cores += sign * demand.cores();
-        gpus += sign * demand.gpus();
+        coresInUse += sign * demand.cores();
+        gpusInUse += sign * demand.gpus();
     }
 
     /** Whether one more task with this demand stays within the limit. */
     boolean hasRoomFor(Demand demand) {
-        return team.allows(cores + demand.cores(), gpus + demand.gpus());
+        return team.allows(coresInUse + demand.cores(), gpusInUse + demand.gpus());
     }
 
     /** The number of further tasks with this demand that the limit allows in addition to {@code plannedCores}. */
-    int room(Demand demand, double plannedCores) {
+    int remainingTasks(Demand demand, double plannedCores) {
         return team.coresMax() > 0 && demand.cores() > 0
-                ? (int) ((team.coresMax() - cores - plannedCores) / demand.cores())
+                ? (int) ((team.coresMax() - coresInUse - plannedCores) / demand.cores())
                 : Integer.MAX_VALUE;
     }
 
@@ -34,7 +34,7 @@
         return team.cores() > 0 || team.gpus() > 0;
     }
 
-    boolean isWithinGuarantee(Demand more) {
-        return team.isWithinGuarantee(cores + more.cores(), gpus + more.gpus());
+    boolean isWithinGuarantee(Demand additional) {
+        return team.isWithinGuarantee(coresInUse + additional.cores(), gpusInUse + additional.gpus());
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
@@ -17,28 +17,28 @@
     /** Why the job's next task waits; empty if none of its tasks waits. */
     Optional<WaitReason> reason(Job job, Moment now) {
         if (!job.hasWaiting()) {
-            return job.hasGatedTasks() ? Optional.of(WaitReason.RECORDS_WITHHELD) : Optional.empty();
+            return job.hasGatedTasks() ? Optional.of(WaitReason.RECORDS_NOT_OWNED) : Optional.empty();
         }
-        WaitReason own = ownReason(job, now);
-        return Optional.of(own != null ? own : machineReason(job, now));
+        WaitReason jobReason = jobReason(job, now);
+        return Optional.of(jobReason != null ? jobReason : machineReason(job, now));
     }
 
     /** The reason that applies on every machine alike; null if there is none. */
-    private WaitReason ownReason(Job job, Moment now) {
+    private WaitReason jobReason(Job job, Moment now) {
         if (!job.hasStartable()) {
             return WaitReason.FAILOVER;
         }
         if (now.isBefore(job.retryNotBefore)) {
-            return WaitReason.RETRY_PAUSE;
+            return WaitReason.RETRY_BACKOFF;
         }
         if (!rules.placement().mayStart(job, now)) {
-            return rules.placement().isFailoverComplete() ? WaitReason.TASKS_OF_ENDED_JOBS : WaitReason.FAILOVER;
+            return rules.placement().isFailoverComplete() ? WaitReason.ORPHAN_TASKS : WaitReason.FAILOVER;
         }
         if (job.isSuspectedFaulty() && !job.placements().isEmpty()) {
-            return WaitReason.TRIED_ALONE;
+            return WaitReason.SINGLE_TASK_RETRY;
         }
         if (job.isStarvationRelieved()) {
-            return WaitReason.HAD_ITS_TURN;
+            return WaitReason.STARVATION_RELIEVED;
         }
         if (!cluster.teamUsage(job).hasRoomFor(job.spec.demand())) {
             return WaitReason.TEAM_LIMIT;
@@ -48,58 +48,58 @@
 
     private WaitReason machineReason(Job job, Moment now) {
         FairShareQueue queue = cluster.queueOf(job);
-        List<Job> jobs = rules.order().jobs(queue, now);
+        List<Job> jobs = rules.order().sortedJobs(queue, now);
         List<Job> ahead = jobs.subList(0, Math.max(0, jobs.indexOf(job)));
         WaitReason furthest = WaitReason.NO_MACHINE;
         for (Machine machine : cluster.machines.values()) {
-            WaitReason here = reasonOn(machine, job, queue, ahead, now);
-            furthest = here.compareTo(furthest) > 0 ? here : furthest;
+            WaitReason reason = reasonOn(machine, job, queue, ahead, now);
+            furthest = reason.compareTo(furthest) > 0 ? reason : furthest;
         }
         return furthest;
     }
 
     private WaitReason reasonOn(Machine machine, Job job, FairShareQueue queue, List<Job> ahead, Moment now) {
-        boolean coming = machine.phase == Machine.Phase.BOOTING;
+        boolean booting = machine.phase == Machine.Phase.BOOTING;
         if (!machine.matchesPool(job.spec)
                 || !job.spec.demand().fitsIn(machine.type.capacity())
-                || (!coming && !machine.isHealthy())) {
+                || (!booting && !machine.isHealthy())) {
             return WaitReason.NO_MACHINE;
         }
         if (!rules.placement().isPlaceable(job, machine)) {
-            return WaitReason.OTHER_ZONE;
+            return WaitReason.ZONE_CONSTRAINT;
         }
-        if (coming || !machine.recorded) {
-            return coming ? WaitReason.BOOTING : WaitReason.MACHINE_RECORD;
+        if (booting || !machine.recorded) {
+            return booting ? WaitReason.BOOTING : WaitReason.MACHINE_NOT_RECORDED;
         }
         if (FaultAttribution.isExcluded(job, machine)) {
-            return WaitReason.FAILED_THERE;
+            return WaitReason.EXCLUDED_AFTER_FAILURE;
         }
         if (!job.spec.demand().fitsIn(machine.freeFor(job.spec))) {
-            return WaitReason.NO_ROOM;
+            return WaitReason.NO_FREE_CAPACITY;
         }
         if (!machine.allows(job.spec)) {
-            return WaitReason.KEPT_FOR_POOL;
+            return WaitReason.RESERVED_FOR_POOL;
         }
         if (machine.surplus || rules.cordons().isCordoned(machine, now)) {
-            return WaitReason.SET_ASIDE;
+            return WaitReason.SURPLUS_OR_CORDONED;
         }
         if (rules.placement().awaitsImageLocality(job, machine, now)) {
-            return WaitReason.LEFT_TO_CACHED_MACHINES;
+            return WaitReason.AWAITING_CACHED_IMAGE;
         }
         return reasonInQueue(machine, job, queue, ahead, now);
     }
 
     private WaitReason reasonInQueue(Machine machine, Job job, FairShareQueue queue, List<Job> ahead, Moment now) {
-        if (ahead.stream().anyMatch(other -> rules.placement().keepsRoomForReplica(other, machine))) {
-            return WaitReason.KEPT_FOR_REPLICAS;
+        if (ahead.stream().anyMatch(other -> rules.placement().keepsCapacityForReplica(other, machine))) {
+            return WaitReason.RESERVED_FOR_REPLICAS;
         }
         if (rules.reservations().delaysTopJob(queue, job, machine, now)) {
             return WaitReason.RESERVATION;
         }
         if (rules.objectiveBudget().isUnboundedFiller(job)
-                && !rules.objectiveBudget().leavesRoomForObjectives(queue, job, now)) {
-            return WaitReason.KEPT_FOR_OBJECTIVES;
+                && !rules.objectiveBudget().leavesCoresForObjectives(queue, job, now)) {
+            return WaitReason.RESERVED_FOR_OBJECTIVES;
         }
-        return job.isWithinStartBound() ? WaitReason.NEXT_HEARTBEAT : WaitReason.START_BOUND;
+        return job.isWithinStartBound() ? WaitReason.NEXT_HEARTBEAT : WaitReason.START_BOUND_NOT_RECORDED;
     }
 }
--- a/src/test/java/io/indigoreach/core/EffectListener.java
+++ b/src/test/java/io/indigoreach/core/EffectListener.java
@@ -119,27 +119,27 @@
 
     private static int codeOf(WaitReason reason) {
         return switch (reason) {
-            case RECORDS_WITHHELD -> 1;
+            case RECORDS_NOT_OWNED -> 1;
             case FAILOVER -> 2;
-            case TASKS_OF_ENDED_JOBS -> 3;
-            case RETRY_PAUSE -> 4;
-            case TRIED_ALONE -> 5;
-            case HAD_ITS_TURN -> 6;
+            case ORPHAN_TASKS -> 3;
+            case RETRY_BACKOFF -> 4;
+            case SINGLE_TASK_RETRY -> 5;
+            case STARVATION_RELIEVED -> 6;
             case TEAM_LIMIT -> 7;
             case NO_POOL_MEMBERSHIP -> 8;
             case NO_MACHINE -> 9;
-            case OTHER_ZONE -> 10;
+            case ZONE_CONSTRAINT -> 10;
             case BOOTING -> 11;
-            case MACHINE_RECORD -> 12;
-            case FAILED_THERE -> 13;
-            case NO_ROOM -> 14;
-            case KEPT_FOR_POOL -> 15;
-            case SET_ASIDE -> 16;
-            case LEFT_TO_CACHED_MACHINES -> 17;
-            case KEPT_FOR_REPLICAS -> 18;
+            case MACHINE_NOT_RECORDED -> 12;
+            case EXCLUDED_AFTER_FAILURE -> 13;
+            case NO_FREE_CAPACITY -> 14;
+            case RESERVED_FOR_POOL -> 15;
+            case SURPLUS_OR_CORDONED -> 16;
+            case AWAITING_CACHED_IMAGE -> 17;
+            case RESERVED_FOR_REPLICAS -> 18;
             case RESERVATION -> 19;
-            case KEPT_FOR_OBJECTIVES -> 20;
-            case START_BOUND -> 21;
+            case RESERVED_FOR_OBJECTIVES -> 20;
+            case START_BOUND_NOT_RECORDED -> 21;
             case NEXT_HEARTBEAT -> 22;
         };
     }
--- a/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
@@ -199,10 +199,10 @@
 
     private void answer(JobId id) {
         if (ends.get(id) == JobStatus.DONE) {
-            leader.dependentJobs().done(id);
+            leader.dependentJobs().jobDone(id);
             leader.closeJob(id);
         } else {
-            leader.dependentJobs().cancelled(id);
+            leader.dependentJobs().jobCancelled(id);
             leader.cancelJob(id);
         }
     }
--- a/src/test/java/io/indigoreach/core/scheduling/ImageCacheTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ImageCacheTest.java
@@ -17,7 +17,7 @@
     private final ImageCache cache = new ImageCache(100);
 
     private void held(String image, double gb) {
-        cache.use(image, gb);
+        cache.markUsed(image, gb);
         cache.confirmCached(image);
     }
 
@@ -26,13 +26,13 @@
         held("a", 40);
         held("b", 40);
         held("a", 40);
-        assertEquals(List.of("b"), cache.use("c", 30));
+        assertEquals(List.of("b"), cache.markUsed("c", 30));
         assertTrue(cache.isCached("a") && cache.contains("c") && !cache.isCached("c"));
     }
 
     @Test
     void aFetchGivenUpLeavesNothing() {
-        cache.use("a", 40);
+        cache.markUsed("a", 40);
         assertTrue(cache.abandonFetch("a"));
         assertFalse(cache.contains("a"));
         held("a", 40);
@@ -53,7 +53,7 @@
         held("b", 40);
         assertTrue(cache.restore("a", 60, true));
         assertTrue(cache.isCached("a"));
-        assertEquals(List.of("a"), cache.use("c", 10));
+        assertEquals(List.of("a"), cache.markUsed("c", 10));
         assertFalse(cache.restore("a", 60, true), "the image no longer fits");
         assertTrue(cache.restore("d", 40, false));
         assertFalse(cache.isCached("d"), "the record is of another incarnation");
@@ -62,13 +62,13 @@
     @Test
     void guestsHaveTheRoomThatIsLeftSinceTheWeightsWereUsed() {
         held("w", 70);
-        assertTrue(cache.hasRoomBeside("w", "g", 30));
-        assertFalse(cache.hasRoomBeside("w", "g", 31));
+        assertTrue(cache.hasRoomWithoutEvicting("w", "g", 30));
+        assertFalse(cache.hasRoomWithoutEvicting("w", "g", 31));
         held("g", 20);
-        assertFalse(cache.hasRoomBeside("w", "h", 20));
-        assertTrue(cache.isCrowded("w"));
+        assertFalse(cache.hasRoomWithoutEvicting("w", "h", 20));
+        assertTrue(cache.isEvictionLikely("w"));
         held("w", 70);
-        assertTrue(cache.hasRoomBeside("w", "h", 20) && !cache.isCrowded("w"));
+        assertTrue(cache.hasRoomWithoutEvicting("w", "h", 20) && !cache.isEvictionLikely("w"));
     }
 
     /** Compares with published quantiles of the Poisson distribution. */
--- a/src/test/java/io/indigoreach/core/scheduling/WaitCheck.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitCheck.java
@@ -30,7 +30,7 @@
             if (reason.isEmpty() == job.hasWaiting()) {
                 broken.add(now + ": " + job.id() + " has " + job.waitingCount() + " waiting tasks, reason " + reason);
             }
-            if (!calm || reason.isEmpty() || reason.get().isLimitOrRoom()) {
+            if (!calm || reason.isEmpty() || reason.get().isLimitOrCapacity()) {
                 continue;
             }
             Wait before = waits.get(job.id());
--- a/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
@@ -44,17 +44,17 @@
         "team limit, TEAM_LIMIT",
         "task too large, NO_MACHINE",
         "zone without machines, NO_MACHINE",
-        "machine full, NO_ROOM",
+        "machine full, NO_FREE_CAPACITY",
         "on-demand only, NO_MACHINE",
-        "no start bound, START_BOUND",
+        "no start bound, START_BOUND_NOT_RECORDED",
         "booting machine, BOOTING",
-        "unrecorded machine, MACHINE_RECORD",
+        "unrecorded machine, MACHINE_NOT_RECORDED",
         "inherited job, FAILOVER",
-        "failed on machine, FAILED_THERE",
-        "suspected faulty, RETRY_PAUSE",
+        "failed on machine, EXCLUDED_AFTER_FAILURE",
+        "suspected faulty, RETRY_BACKOFF",
         "reservation, RESERVATION",
-        "surplus machine, SET_ASIDE",
-        "placed in another zone, OTHER_ZONE"
+        "surplus machine, SURPLUS_OR_CORDONED",
+        "placed in another zone, ZONE_CONSTRAINT"
     })
     void eachWaitHasItsName(String why, WaitReason expected) {
         SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(why.equals("team limit") ? 3 : 0));
@@ -79,7 +79,14 @@
         }
         JobSpec s = spec(9, 2, why.equals("task too large") ? 5 : 1, 500);
         String zone = why.equals("zone without machines") ? "west" : null;
-        s = with(s, Urgency.STANDARD, why.equals("placed in another zone"), false, !why.equals("on-demand only"), zone, 0);
+        s = with(
+                s,
+                Urgency.STANDARD,
+                why.equals("placed in another zone"),
+                false,
+                !why.equals("on-demand only"),
+                zone,
+                0);
         Job job = why.equals("inherited job") ? w.inherited(s) : w.submit(s, 2);
         if (why.equals("no start bound")) {
             job = new Job(s, 3, at(2), Revision.ABSENT, new BitSet(), 0, false);
