--- a/src/test/java/io/indigoreach/core/BehaviourDigest.java
+++ b/src/test/java/io/indigoreach/core/BehaviourDigest.java
@@ -75,7 +75,7 @@
             new Runs("cancellations", 1000, BehaviourDigest::cancellations),
             new Runs("limits", 360, BehaviourDigest::limits),
             new Runs("chains", 300, (seed, effects) -> {
-                DependencySimulationTest.play(seed, effects);
+                DependencySimulationTest.simulate(seed, effects);
                 return true;
             }),
             new Runs("queues", 200, BehaviourDigest::queues),
@@ -177,23 +177,23 @@
 
     /** Each trouble with one change of leader, and with several that follow soon and late. */
     private static boolean limits(long seed, EffectListener effects) {
-        TeamLimitSimulation.Trouble[] troubles = {
-            TeamLimitSimulation.Trouble.NONE,
-            TeamLimitSimulation.Trouble.CUT,
-            TeamLimitSimulation.Trouble.DEAF,
-            TeamLimitSimulation.Trouble.HUNG,
-            TeamLimitSimulation.Trouble.HELD_UP,
-            TeamLimitSimulation.Trouble.AWAY,
-            TeamLimitSimulation.Trouble.ZONE
+        TeamLimitSimulation.Fault[] troubles = {
+            TeamLimitSimulation.Fault.NONE,
+            TeamLimitSimulation.Fault.PARTITIONED,
+            TeamLimitSimulation.Fault.RESPONSES_LOST,
+            TeamLimitSimulation.Fault.PAUSED,
+            TeamLimitSimulation.Fault.RESPONSES_DELAYED,
+            TeamLimitSimulation.Fault.CONTROLLERS_DOWN,
+            TeamLimitSimulation.Fault.ZONE_PARTITIONED
         };
         TeamLimitSimulation run = new TeamLimitSimulation(seed, troubles[(int) (seed % troubles.length)]);
-        run.site.effects = effects;
+        run.cluster.effects = effects;
         switch ((int) (seed / troubles.length % 3)) {
-            case 0 -> run.play(1, 0);
-            case 1 -> run.play(2, 7);
-            default -> run.play(10, 9);
+            case 0 -> run.simulate(1, 0);
+            case 1 -> run.simulate(2, 7);
+            default -> run.simulate(10, 9);
         }
-        return run.site.broken.isEmpty();
+        return run.cluster.broken.isEmpty();
     }
 
     /** Queues of up to four classes and a service, of three teams, for some of which there is an aim; one change of leader. */
--- a/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
@@ -30,116 +30,125 @@
  */
 public class DependencySimulationTest {
     private static final int STEPS = 2_000;
-    private static final int SUBMITTED_UNTIL = 1_500;
+    private static final int SUBMISSION_STEPS = 1_500;
     /** The 32 s within which a cancellation must reach dependents, in steps of a tenth of a second. */
     private static final int CANCEL_STEPS = 320;
 
-    private static final int SAME_MOMENT = 20;
+    private static final int MAX_LOOKUP_AGE_STEPS = 20;
     private static final int NEVER = Integer.MAX_VALUE;
-    private static final int LEADERSHIP = 100;
+    private static final int MIN_TERM_STEPS = 100;
 
     private Random random;
     private final Map<JobId, JobSpec> records = new LinkedHashMap<>();
     /** The ends recorded in the state service; an absent job is open. */
-    private final Map<JobId, JobStatus> ends = new HashMap<>();
+    private final Map<JobId, JobStatus> recordedEnds = new HashMap<>();
 
     private final Map<JobId, Integer> cancelledAt = new HashMap<>();
-    private final Set<JobId> byUser = new HashSet<>();
-    private final Set<JobId> bornCancelled = new HashSet<>();
+    private final Set<JobId> cancelledByUsers = new HashSet<>();
+    private final Set<JobId> cancelledAtSubmission = new HashSet<>();
     /** Notifications that the leader has not received yet. */
-    private final List<Runnable> unheard = new ArrayList<>();
+    private final List<Runnable> pendingNotifications = new ArrayList<>();
 
     private SchedulerCore leader;
     private long token;
     private int step;
-    private int until;
+    private int termEnd;
     private EffectListener effects = EffectListener.NONE;
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void nothingIsTooEarlyAndNothingOrphaned(long seed) {
-        play(seed);
+    void dependentJobsFollowTheEndsOfRequiredJobs(long seed) {
+        simulate(seed);
     }
 
     /** Runs the simulation with a listener for the leader's decisions. */
-    public static void play(long seed, EffectListener effects) {
-        DependencySimulationTest run = new DependencySimulationTest();
-        run.effects = effects;
-        run.play(seed);
+    public static void simulate(long seed, EffectListener effects) {
+        DependencySimulationTest simulation = new DependencySimulationTest();
+        simulation.effects = effects;
+        simulation.simulate(seed);
     }
 
-    private void play(long seed) {
+    private void simulate(long seed) {
         random = new Random(seed);
         for (step = 0; step < STEPS; step++) {
-            if (step < SUBMITTED_UNTIL) {
-                users();
+            if (step < SUBMISSION_STEPS) {
+                simulateUsers();
             }
-            if (step >= until) {
-                until = step + LEADERSHIP + random.nextInt(2 * LEADERSHIP);
-                lead();
+            if (step >= termEnd) {
+                termEnd = step + MIN_TERM_STEPS + random.nextInt(2 * MIN_TERM_STEPS);
+                electLeader();
             }
-            hear();
-            work();
-            check();
+            deliverNotifications();
+            runLeader();
+            checkInvariants();
         }
-        assertTrue(token > 3 && byUser.size() > 10, token + " leaders, " + byUser.size() + " jobs cancelled by users");
-        assertTrue(ends.size() > records.size() / 2, "ended jobs: " + ends.size() + " of " + records.size());
+        assertTrue(
+                token > 3 && cancelledByUsers.size() > 10,
+                token + " leaders, " + cancelledByUsers.size() + " jobs cancelled by users");
+        assertTrue(
+                recordedEnds.size() > records.size() / 2,
+                "ended jobs: " + recordedEnds.size() + " of " + records.size());
     }
 
-    private void users() {
+    private void simulateUsers() {
         if (random.nextDouble() < 0.3) {
             submit(new JobId("run-" + records.size()));
         }
         if (random.nextDouble() < 0.03) {
-            open().stream().skip(random.nextInt(open().size() + 1)).findFirst().ifPresent(id -> {
-                byUser.add(id);
-                end(id, JobStatus.CANCELLED);
-                SchedulerCore then = leader;
-                unheard.add(() -> then.cancelJob(id));
-            });
+            openJobs().stream()
+                    .skip(random.nextInt(openJobs().size() + 1))
+                    .findFirst()
+                    .ifPresent(id -> {
+                        cancelledByUsers.add(id);
+                        recordEnd(id, JobStatus.CANCELLED);
+                        SchedulerCore currentLeader = leader;
+                        pendingNotifications.add(() -> currentLeader.cancelJob(id));
+                    });
         }
     }
 
     private void submit(JobId id) {
-        List<JobId> before = new ArrayList<>(records.keySet());
-        Collections.shuffle(before, random);
-        List<JobId> needs = before.stream().limit(random.nextInt(4)).toList();
-        JobSpec spec = SimulatedWorld.spec(records.size(), 2, 1, 20).with(JobDependencies.of(needs));
+        List<JobId> earlierJobs = new ArrayList<>(records.keySet());
+        Collections.shuffle(earlierJobs, random);
+        List<JobId> requiredJobs = earlierJobs.stream().limit(random.nextInt(4)).toList();
+        JobSpec spec = SimulatedWorld.spec(records.size(), 2, 1, 20).with(JobDependencies.of(requiredJobs));
         records.put(id, spec);
         // A node may have looked up a required job before it was cancelled. The new job is then accepted as open.
-        if (needs.stream()
-                .anyMatch(n -> ends.get(n) == JobStatus.CANCELLED
+        if (requiredJobs.stream()
+                .anyMatch(requiredId -> recordedEnds.get(requiredId) == JobStatus.CANCELLED
                         && (random.nextDouble() < 0.5
-                                || bornCancelled.contains(n)
-                                || step - cancelledAt.get(n) > SAME_MOMENT))) {
-            end(id, JobStatus.CANCELLED);
-            bornCancelled.add(id);
+                                || cancelledAtSubmission.contains(requiredId)
+                                || step - cancelledAt.get(requiredId) > MAX_LOOKUP_AGE_STEPS))) {
+            recordEnd(id, JobStatus.CANCELLED);
+            cancelledAtSubmission.add(id);
             return;
         }
-        SchedulerCore then = leader;
-        unheard.add(() -> {
+        SchedulerCore currentLeader = leader;
+        pendingNotifications.add(() -> {
             // The watch delivers a job before its end.
-            if (!ends.containsKey(id)) {
-                then.addJob(job(id, false));
+            if (!recordedEnds.containsKey(id)) {
+                currentLeader.addJob(job(id, false));
             }
         });
     }
 
-    private void end(JobId id, JobStatus status) {
-        if (ends.putIfAbsent(id, status) == null && status == JobStatus.CANCELLED) {
+    private void recordEnd(JobId id, JobStatus status) {
+        if (recordedEnds.putIfAbsent(id, status) == null && status == JobStatus.CANCELLED) {
             cancelledAt.put(id, step);
         }
     }
 
-    private List<JobId> open() {
-        return records.keySet().stream().filter(id -> !ends.containsKey(id)).toList();
+    private List<JobId> openJobs() {
+        return records.keySet().stream()
+                .filter(id -> !recordedEnds.containsKey(id))
+                .toList();
     }
 
     private Job job(JobId id, boolean inherited) {
         return new Job(records.get(id), 1, SimulatedWorld.at(0), new Revision(1), new BitSet(), 0, inherited);
     }
 
-    private void lead() {
+    private void electLeader() {
         leader = new SchedulerCore(
                 new FencingToken(++token),
                 SimulatedWorld.RULES,
@@ -147,39 +156,41 @@
                 SimulatedWorld.NO_AIMS,
                 List.of(SimulatedWorld.team(0)),
                 new SimulatedWorld());
-        unheard.clear();
-        List<JobId> listed = new ArrayList<>(open());
+        pendingNotifications.clear();
+        List<JobId> listed = new ArrayList<>(openJobs());
         Collections.shuffle(listed, random);
         listed.forEach(id -> leader.addJob(job(id, true)));
         leader.recordsLoaded();
     }
 
-    private void hear() {
-        while (!unheard.isEmpty() && random.nextDouble() < 0.6) {
-            unheard.remove(random.nextInt(unheard.size())).run();
+    private void deliverNotifications() {
+        while (!pendingNotifications.isEmpty() && random.nextDouble() < 0.6) {
+            pendingNotifications
+                    .remove(random.nextInt(pendingNotifications.size()))
+                    .run();
         }
     }
 
-    private void work() {
+    private void runLeader() {
         leader.dependentJobs().advance(SimulatedWorld.at(step / 10.0), step * 100L);
         for (JobId id : List.copyOf(leader.dependentJobs().jobsToLookUp())) {
             effects.effect(EffectListener.END_LOOKED_UP, id.text());
-            if (random.nextDouble() < 0.5 && ends.containsKey(id)) {
-                answer(id);
+            if (random.nextDouble() < 0.5 && recordedEnds.containsKey(id)) {
+                deliverEnd(id);
             }
         }
         for (JobId id : List.copyOf(leader.dependentJobs().jobsToCancel())) {
             effects.effect(EffectListener.END_DOOMED, id.text());
             if (random.nextDouble() < 0.3) {
-                end(id, JobStatus.CANCELLED);
-                acknowledge(id);
+                recordEnd(id, JobStatus.CANCELLED);
+                respond(id);
             }
         }
         for (Job job : List.copyOf(leader.jobs())) {
             effects.effect(EffectListener.JOB_STARTABLE, job.id().text(), job.hasStartable(), job.isComplete());
             if (job.isComplete() && random.nextDouble() < 0.2) {
-                end(job.id(), JobStatus.DONE);
-                acknowledge(job.id());
+                recordEnd(job.id(), JobStatus.DONE);
+                respond(job.id());
             } else if (job.hasStartable() && random.nextDouble() < 0.05) {
                 // This leader knows that the tasks are done; a later leader may never learn it.
                 job.complete(0);
@@ -191,14 +202,14 @@
     }
 
     /** Delivers the response to a write unless it is lost. After a loss, the next attempt finds the recorded end. */
-    private void acknowledge(JobId id) {
+    private void respond(JobId id) {
         if (random.nextDouble() < 0.7) {
-            answer(id);
+            deliverEnd(id);
         }
     }
 
-    private void answer(JobId id) {
-        if (ends.get(id) == JobStatus.DONE) {
+    private void deliverEnd(JobId id) {
+        if (recordedEnds.get(id) == JobStatus.DONE) {
             leader.dependentJobs().jobDone(id);
             leader.closeJob(id);
         } else {
@@ -207,22 +218,24 @@
         }
     }
 
-    private void check() {
+    private void checkInvariants() {
         for (Job job : leader.jobs()) {
-            if (job.hasStartable() && !ends.containsKey(job.id())) {
+            if (job.hasStartable() && !recordedEnds.containsKey(job.id())) {
                 job.spec()
                         .dependencies()
                         .requiredJobs()
-                        .forEach(need -> assertEquals(
-                                JobStatus.DONE, ends.get(need), job.id() + " could start before " + need + " is done"));
+                        .forEach(requiredId -> assertEquals(
+                                JobStatus.DONE,
+                                recordedEnds.get(requiredId),
+                                job.id() + " could start before " + requiredId + " is done"));
             }
         }
-        Map<JobId, Integer> lostSince = new HashMap<>();
+        Map<JobId, Integer> cancelledSince = new HashMap<>();
         for (JobId id : records.keySet()) {
-            int since = lostSince(id, lostSince);
-            if (ends.get(id) == JobStatus.CANCELLED) {
+            int since = requirementCancelledSince(id, cancelledSince);
+            if (recordedEnds.get(id) == JobStatus.CANCELLED) {
                 assertTrue(
-                        since < NEVER || byUser.contains(id),
+                        since < NEVER || cancelledByUsers.contains(id),
                         () -> id + " is cancelled without a cancelled required job");
             } else {
                 assertTrue(
@@ -233,21 +246,21 @@
     }
 
     /** The first step at which a job that this one requires, directly or not, was cancelled by a user. */
-    private int lostSince(JobId id, Map<JobId, Integer> known) {
-        Integer before = known.get(id);
-        if (before != null) {
-            return before;
+    private int requirementCancelledSince(JobId id, Map<JobId, Integer> cancelledSince) {
+        Integer cached = cancelledSince.get(id);
+        if (cached != null) {
+            return cached;
         }
         int since = NEVER;
-        for (JobId need : records.get(id).dependencies().requiredJobs()) {
-            if (byUser.contains(need)) {
-                since = Math.min(since, cancelledAt.get(need));
+        for (JobId requiredId : records.get(id).dependencies().requiredJobs()) {
+            if (cancelledByUsers.contains(requiredId)) {
+                since = Math.min(since, cancelledAt.get(requiredId));
             }
-            if (ends.get(need) != JobStatus.DONE) {
-                since = Math.min(since, lostSince(need, known));
+            if (recordedEnds.get(requiredId) != JobStatus.DONE) {
+                since = Math.min(since, requirementCancelledSince(requiredId, cancelledSince));
             }
         }
-        known.put(id, since);
+        cancelledSince.put(id, since);
         return since;
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/DependentJobsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependentJobsTest.java
@@ -24,33 +24,33 @@
         world.core.recordsLoaded();
     }
 
-    private static JobSpec chained(int id, JobSpec... needs) {
+    private static JobSpec dependentSpec(int id, JobSpec... requiredJobs) {
         JobSpec spec = SimulatedWorld.spec(id, 2, 1, 20);
-        return spec.with(
-                JobDependencies.of(List.of(needs).stream().map(JobSpec::id).toList()));
+        return spec.with(JobDependencies.of(
+                List.of(requiredJobs).stream().map(JobSpec::id).toList()));
     }
 
-    private static JobSpec due(JobSpec s, Urgency urgency, double dueS) {
-        return JobSpec.builder(s.id())
-                .jobClass(s.jobClass())
-                .team(s.team())
-                .kind(s.kind())
+    private static JobSpec withDeadline(JobSpec spec, Urgency urgency, double dueS) {
+        return JobSpec.builder(spec.id())
+                .jobClass(spec.jobClass())
+                .team(spec.team())
+                .kind(spec.kind())
                 .urgency(urgency)
-                .tasks(s.tasks())
-                .demand(s.demand())
-                .image(s.image())
-                .imageGb(s.imageGb())
-                .types(s.types())
-                .zone(s.zone())
-                .oneZone(s.oneZone())
-                .spread(s.spread())
-                .spotAllowed(s.spotAllowed())
-                .estimate(s.estimate())
-                .checkpointEvery(s.checkpointEvery())
-                .checkpointTime(s.checkpointTime())
+                .tasks(spec.tasks())
+                .demand(spec.demand())
+                .image(spec.image())
+                .imageGb(spec.imageGb())
+                .types(spec.types())
+                .zone(spec.zone())
+                .oneZone(spec.oneZone())
+                .spread(spec.spread())
+                .spotAllowed(spec.spotAllowed())
+                .estimate(spec.estimate())
+                .checkpointEvery(spec.checkpointEvery())
+                .checkpointTime(spec.checkpointTime())
                 .due(Span.seconds(dueS))
-                .more(s.more())
-                .dependencies(s.dependencies())
+                .more(spec.more())
+                .dependencies(spec.dependencies())
                 .build();
     }
 
@@ -60,10 +60,10 @@
 
     /** A job stays blocked when all tasks of the required job are done, until that end is recorded. */
     @Test
-    void itHoldsNothingUntilTheEndIsDurable() {
-        JobSpec need = SimulatedWorld.spec(1, 2, 1, 20);
-        Job first = world.submit(need, 0);
-        Job waiting = world.submit(due(chained(2, need), Urgency.HIGH, 300), 0);
+    void blockedJobHoldsNothingUntilTheRequiredEndIsRecorded() {
+        JobSpec required = SimulatedWorld.spec(1, 2, 1, 20);
+        Job first = world.submit(required, 0);
+        Job waiting = world.submit(withDeadline(dependentSpec(2, required), Urgency.HIGH, 300), 0);
         world.up("vm-1", "east", 0);
         advance(1);
         List<WorkerCommand> started = world.hear("vm-1", 1);
@@ -79,7 +79,7 @@
         assertFalse(waiting.isWithinStartBound() || waiting.hasWaiting());
         assertEquals(List.of(), world.core.scaleOutRequests(SimulatedWorld.at(31)));
         assertTrue(world.core.startBoundsToRaise(SimulatedWorld.at(31)).stream().noneMatch(waiting::equals));
-        world.core.closeJob(need.id());
+        world.core.closeJob(required.id());
         advance(40);
         assertEquals(List.of("run-2/0", "run-2/1"), SimulatedWorld.starts(world.hear("vm-1", 41)));
         assertEquals(SimulatedWorld.at(40), waiting.eligibleSince);
@@ -92,39 +92,42 @@
      * required jobs.
      */
     @Test
-    void aLaterLeaderKnowsWhatWasReleased() {
-        JobSpec need = SimulatedWorld.spec(1, 2, 1, 20);
-        BitSet one = new BitSet();
-        one.set(0);
-        Job marked = new Job(
-                chained(2, need).with(chained(2, need).dependencies().released(25_000)),
+    void laterLeaderRecognizesReleasedJobs() {
+        JobSpec required = SimulatedWorld.spec(1, 2, 1, 20);
+        BitSet firstTaskDone = new BitSet();
+        firstTaskDone.set(0);
+        Job releasedInRecord = new Job(
+                dependentSpec(2, required)
+                        .with(dependentSpec(2, required).dependencies().released(25_000)),
                 5_000,
                 SimulatedWorld.at(5),
                 new Revision(1),
                 new BitSet(),
                 2,
                 true);
-        Job begun = new Job(chained(3, need), 5_000, SimulatedWorld.at(5), new Revision(1), one, 2, true);
-        Job seen = new Job(chained(4, need), 5_000, SimulatedWorld.at(5), new Revision(1), new BitSet(), 2, true);
-        List.of(marked, begun).forEach(world.core::addJob);
-        assertEquals(SimulatedWorld.at(25), marked.eligibleSince);
-        assertTrue(marked.hasWaiting() && begun.hasWaiting());
+        Job partlyDone = new Job(
+                dependentSpec(3, required), 5_000, SimulatedWorld.at(5), new Revision(1), firstTaskDone, 2, true);
+        Job reported = new Job(
+                dependentSpec(4, required), 5_000, SimulatedWorld.at(5), new Revision(1), new BitSet(), 2, true);
+        List.of(releasedInRecord, partlyDone).forEach(world.core::addJob);
+        assertEquals(SimulatedWorld.at(25), releasedInRecord.eligibleSince);
+        assertTrue(releasedInRecord.hasWaiting() && partlyDone.hasWaiting());
         assertTrue(world.core.dependentJobs().jobsToLookUp().isEmpty());
-        world.core.addJob(seen);
+        world.core.addJob(reported);
         assertEquals(1, world.core.dependentJobs().jobsToLookUp().size());
         world.up("vm-1", "east", 0);
         world.hear("vm-1", 30, SimulatedWorld.foreign("run-4/0", 9));
         advance(31);
-        assertTrue(
-                seen.hasWaiting() && world.core.dependentJobs().jobsToLookUp().isEmpty());
+        assertTrue(reported.hasWaiting()
+                && world.core.dependentJobs().jobsToLookUp().isEmpty());
     }
 
     /** Loading the records again does not make a job that is no longer loaded count as done. */
     @Test
-    void whatIsReadAnewIsNotDone() {
-        JobSpec need = SimulatedWorld.spec(1, 2, 1, 20);
-        world.submit(need, 0);
-        Job waiting = world.submit(chained(2, need), 0);
+    void reloadedRecordsDoNotMakeRequiredJobsDone() {
+        JobSpec required = SimulatedWorld.spec(1, 2, 1, 20);
+        world.submit(required, 0);
+        Job waiting = world.submit(dependentSpec(2, required), 0);
         world.core.forgetJobs();
         world.core.addJob(waiting);
         advance(1);
@@ -133,12 +136,12 @@
     }
 
     @Test
-    void theJobsBeforeAnUrgentDeadlineAreTreatedAlike() {
-        JobSpec need = SimulatedWorld.spec(1, 2, 1, 20);
-        Job first = world.submit(need, 0);
-        JobSpec second = chained(2, need);
+    void requiredJobsInheritUrgencyAndDeadline() {
+        JobSpec required = SimulatedWorld.spec(1, 2, 1, 20);
+        Job first = world.submit(required, 0);
+        JobSpec second = dependentSpec(2, required);
         world.submit(second, 0);
-        JobSpec last = due(chained(3, second), Urgency.HIGH, 100);
+        JobSpec last = withDeadline(dependentSpec(3, second), Urgency.HIGH, 100);
         world.submit(last, 10);
         advance(11);
         assertEquals(Urgency.HIGH, first.urgency());
--- a/src/test/java/io/indigoreach/core/scheduling/GatedTasksTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/GatedTasksTest.java
@@ -38,28 +38,28 @@
     }
 
     @Test
-    void areNotThereForWhoeverStartsReservesOrRents() {
+    void gatedTasksAreNeitherWaitingNorStartable() {
         Job job = job(PLAIN.with(JobSpec.RECORDS, Map.of("ids", List.of("a/1"))));
         assertFalse(job.hasWaiting(), "the owned records are not known yet");
         assertEquals(0, job.startableCount());
-        BitSet held = new BitSet();
-        held.set(0, 2);
-        held.set(4);
-        job.gate(held);
+        BitSet gated = new BitSet();
+        gated.set(0, 2);
+        gated.set(4);
+        job.gate(gated);
         assertEquals(List.of(3, 3, 2), List.of(job.waitingCount(), job.startableCount(), job.nextStartable()));
         assertEquals(JobStatus.PENDING, job.status());
         job.complete(2);
         job.gate(new BitSet());
         assertEquals(List.of(5, 0), List.of(job.waitingCount(), job.nextStartable()));
         assertTrue(job.hasWaiting());
-        held.set(0, 6);
-        job.gate(held);
+        gated.set(0, 6);
+        job.gate(gated);
         assertFalse(job.isComplete(), "gated tasks are not done");
         assertFalse(job.hasWaiting());
     }
 
     @Test
-    void otherJobsHaveNone() {
+    void jobsWithoutOwnedRecordsHaveNoGatedTasks() {
         assertEquals(6, job(PLAIN).startableCount());
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/ImageCacheTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ImageCacheTest.java
@@ -16,32 +16,32 @@
 class ImageCacheTest {
     private final ImageCache cache = new ImageCache(100);
 
-    private void held(String image, double gb) {
+    private void cacheImage(String image, double gb) {
         cache.markUsed(image, gb);
         cache.confirmCached(image);
     }
 
     @Test
-    void theLeastRecentlyUsedGoes() {
-        held("a", 40);
-        held("b", 40);
-        held("a", 40);
+    void leastRecentlyUsedImageIsEvicted() {
+        cacheImage("a", 40);
+        cacheImage("b", 40);
+        cacheImage("a", 40);
         assertEquals(List.of("b"), cache.markUsed("c", 30));
         assertTrue(cache.isCached("a") && cache.contains("c") && !cache.isCached("c"));
     }
 
     @Test
-    void aFetchGivenUpLeavesNothing() {
+    void abandonedFetchLeavesNoEntry() {
         cache.markUsed("a", 40);
         assertTrue(cache.abandonFetch("a"));
         assertFalse(cache.contains("a"));
-        held("a", 40);
+        cacheImage("a", 40);
         assertFalse(cache.abandonFetch("a"));
     }
 
     @Test
-    void aSessionsEndIsADoubtUntilAStart() {
-        held("a", 40);
+    void imagesAreUncertainAfterIncarnationEnd() {
+        cacheImage("a", 40);
         cache.incarnationEnded();
         assertTrue(cache.contains("a") && !cache.isCached("a"));
         cache.confirmCached("a");
@@ -49,8 +49,8 @@
     }
 
     @Test
-    void whatAnEarlierLeaderRecordedStandsBehindWhatWasSeenSince() {
-        held("b", 40);
+    void restoredImagesRankAsLeastRecentlyUsed() {
+        cacheImage("b", 40);
         assertTrue(cache.restore("a", 60, true));
         assertTrue(cache.isCached("a"));
         assertEquals(List.of("a"), cache.markUsed("c", 10));
@@ -60,26 +60,26 @@
     }
 
     @Test
-    void guestsHaveTheRoomThatIsLeftSinceTheWeightsWereUsed() {
-        held("w", 70);
+    void otherImagesFitOnlyInCapacityLeftSinceLastUse() {
+        cacheImage("w", 70);
         assertTrue(cache.hasRoomWithoutEvicting("w", "g", 30));
         assertFalse(cache.hasRoomWithoutEvicting("w", "g", 31));
-        held("g", 20);
+        cacheImage("g", 20);
         assertFalse(cache.hasRoomWithoutEvicting("w", "h", 20));
         assertTrue(cache.isEvictionLikely("w"));
-        held("w", 70);
+        cacheImage("w", 70);
         assertTrue(cache.hasRoomWithoutEvicting("w", "h", 20) && !cache.isEvictionLikely("w"));
     }
 
     /** Compares with published quantiles of the Poisson distribution. */
     @ParameterizedTest
     @CsvSource({"0, 0.95, 0", "1, 0.95, 3", "12, 0.95, 18", "12, 0.5, 12", "100, 0.99, 124", "10000, 0.95, 10165"})
-    void theNewsvendorsQuantile(double mean, double ratio, int expected) {
+    void poissonQuantileMatchesPublishedTables(double mean, double ratio, int expected) {
         assertEquals(expected, PoolSizing.poisson(mean, ratio));
     }
 
     @Test
-    void lossesAreHeldBeside() {
+    void sparesCoverExpectedLosses() {
         assertEquals(10, PoolSizing.withLosses(10, 0, io.indigoreach.core.model.Span.seconds(120)));
         assertEquals(11, PoolSizing.withLosses(10, 1, io.indigoreach.core.model.Span.seconds(120)));
         assertEquals(
@@ -89,19 +89,19 @@
     }
 
     @Test
-    void burstsAreLearnedByTheTimeOfDay() {
-        DemandHistory seen = new DemandHistory();
+    void demandIsLearnedByTimeOfDay() {
+        DemandHistory history = new DemandHistory();
         long day = 24 * 3_600_000L;
-        for (int d = 0; d < 5; d++) {
+        for (int dayIndex = 0; dayIndex < 5; dayIndex++) {
             for (long at = 0; at < day; at += 600_000) {
-                seen.observe(d * day + at, at / 3_600_000 == 9 ? 10 + d : 1);
+                history.observe(dayIndex * day + at, at / 3_600_000 == 9 ? 10 + dayIndex : 1);
             }
         }
-        DemandHistory recorded = DemandHistory.of(seen.recorded());
-        long nine = 5 * day + 9 * 3_600_000L;
-        assertEquals(14, recorded.expected(nine - 60_000, io.indigoreach.core.model.Span.seconds(120), 0.95));
-        assertEquals(12, recorded.expected(nine, io.indigoreach.core.model.Span.seconds(120), 0.5));
-        assertEquals(1, recorded.expected(nine - 7_200_000, io.indigoreach.core.model.Span.seconds(120), 0.95));
+        DemandHistory recorded = DemandHistory.of(history.recorded());
+        long nineOClock = 5 * day + 9 * 3_600_000L;
+        assertEquals(14, recorded.expected(nineOClock - 60_000, io.indigoreach.core.model.Span.seconds(120), 0.95));
+        assertEquals(12, recorded.expected(nineOClock, io.indigoreach.core.model.Span.seconds(120), 0.5));
+        assertEquals(1, recorded.expected(nineOClock - 7_200_000, io.indigoreach.core.model.Span.seconds(120), 0.95));
     }
 
     @ParameterizedTest
@@ -113,7 +113,7 @@
         "1380, 60, 60, 1320",
         "5, 5, 900, 0"
     })
-    void windowsGoOverMidnight(int from, int to, int atMinute, int minutes) {
+    void burstWindowsMayCrossMidnight(int from, int to, int atMinute, int minutes) {
         assertEquals(
                 minutes * 60_000L,
                 new BurstWindow(from, to, 1).untilOpen(atMinute * 60_000L).ms());
--- a/src/test/java/io/indigoreach/core/scheduling/MinimumServiceTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/MinimumServiceTest.java
@@ -14,15 +14,15 @@
 
 /** Every job class and team gets a minimum of service during bursts and shortages, simulated in steps of a second. */
 class MinimumServiceTest {
-    private static final ServiceLevelObjectives AIMS =
-            new ServiceLevelObjectives(List.of(aim("urgent", 150), aim("usual", 180), aim("slow", 300)));
+    private static final ServiceLevelObjectives OBJECTIVES = new ServiceLevelObjectives(
+            List.of(objective("urgent", 150), objective("usual", 180), objective("slow", 300)));
 
-    private static ServiceLevelObjectives.Objective aim(String jobClass, double within) {
+    private static ServiceLevelObjectives.Objective objective(String jobClass, double within) {
         return new ServiceLevelObjectives.Objective(jobClass, false, Span.seconds(within));
     }
 
     /** A load of 1,100 of 1,200 cores until 380 s, with {@code times} the rate of urgent jobs from 80 s to 230 s. */
-    private static CoreHarness flood(int times, ServiceLevelObjectives aims) {
+    private static CoreHarness overload(int times, ServiceLevelObjectives objectives) {
         return new CoreHarness(
                 List.of(
                         Kind.of("urgent", Urgency.HIGH, 0.4, 10, 35, 25, 1).between(0, 380),
@@ -34,7 +34,7 @@
                                 .saving()),
                 240,
                 60,
-                aims);
+                objectives);
     }
 
     /**
@@ -42,22 +42,25 @@
      */
     @ParameterizedTest
     @CsvSource({"1, 1.0, 1.0, 1.0", "3, 0.95, 0.6, 0.6", "6, 0.6, 0.5, 0.5"})
-    void noClassFallsUnderHalfWithinItsLongestAim(int times, double urgent, double usual, double slow) {
-        CoreHarness s = flood(times, AIMS).run(130);
-        s.newLeader();
-        s.run(870);
-        String served = s.served("urgent", 150) + " " + s.served("usual", 180) + " " + s.served("slow", 300);
+    void burstLeavesOtherClassesMinimumService(int times, double urgent, double usual, double slow) {
+        CoreHarness harness = overload(times, OBJECTIVES).run(130);
+        harness.newLeader();
+        harness.run(870);
+        String served =
+                harness.served("urgent", 150) + " " + harness.served("usual", 180) + " " + harness.served("slow", 300);
         assertTrue(
-                s.served("urgent", 150) >= urgent && s.served("usual", 180) >= usual && s.served("slow", 300) >= slow,
+                harness.served("urgent", 150) >= urgent
+                        && harness.served("usual", 180) >= usual
+                        && harness.served("slow", 300) >= slow,
                 served);
-        assertEquals(1, s.served("usual", 800), "all jobs are served in the end");
+        assertEquals(1, harness.served("usual", 800), "all jobs are served in the end");
     }
 
     /** Guards against good service in the last hour that hides the starvation of a class by a current burst. */
     @Test
-    void anHourOfGoodServiceDoesNotHideAFlood() {
+    void pastServiceDoesNotHideCurrentStarvation() {
         int begin = 3600;
-        CoreHarness s = new CoreHarness(
+        CoreHarness harness = new CoreHarness(
                 List.of(
                         Kind.of("urgent", Urgency.HIGH, 0.4, 0, 35, 25, 1).between(begin, begin + 300),
                         Kind.of("urgent", Urgency.HIGH, 2, 0, 35, 25, 1).between(begin + 50, begin + 200),
@@ -65,26 +68,26 @@
                         Kind.of("usual", Urgency.STANDARD, 0.35, 0, 80, 18, 1).between(begin, begin + 300)),
                 240,
                 60,
-                AIMS);
-        s.run(begin + 800);
-        assertTrue(s.served("usual", 180, begin) >= 0.5, "usual " + s.served("usual", 180, begin));
+                OBJECTIVES);
+        harness.run(begin + 800);
+        assertTrue(harness.served("usual", 180, begin) >= 0.5, "usual " + harness.served("usual", 180, begin));
     }
 
     /**
      * During an endless overload by urgent jobs, jobs without an objective start once they are about ten minutes old.
      */
     @Test
-    void ageHasABound() {
-        CoreHarness s = new CoreHarness(
+    void jobsWithoutObjectiveStartWhenAged() {
+        CoreHarness harness = new CoreHarness(
                 List.of(
                         Kind.of("urgent", Urgency.HIGH, 2, 10, 35, 25, 1),
                         Kind.of("slow", Urgency.BEST_EFFORT, 0.01, 3, 10, 70, 4).saving()),
                 240,
                 60,
                 SimulatedWorld.NO_AIMS);
-        s.run(1500);
-        assertTrue(s.longestWait("slow", 0) <= 750, "waits " + s.longestWait("slow", 0));
-        assertTrue(s.served("urgent", 800) >= 0.5, "urgent " + s.served("urgent", 800));
+        harness.run(1500);
+        assertTrue(harness.longestWait("slow", 0) <= 750, "waits " + harness.longestWait("slow", 0));
+        assertTrue(harness.served("urgent", 800) >= 0.5, "urgent " + harness.served("urgent", 800));
     }
 
     /**
@@ -93,16 +96,19 @@
      */
     @ParameterizedTest
     @CsvSource({"0, 20", "3, 20", "0, 2"})
-    void whereTheCheaperPoolIsEmptyWaitsAreBoundedAllTheSame(int spot, int ordinary) {
-        CoreHarness s = new CoreHarness(
+    void waitsAreBoundedWithoutSpotMachines(int spot, int ordinary) {
+        CoreHarness harness = new CoreHarness(
                 List.of(Kind.of("c", Urgency.STANDARD, 0, 1, 94, 20, 1)), spot, ordinary, SimulatedWorld.NO_AIMS);
-        s.run(400);
-        int boots = 2 * 20;
-        int atOnce = Math.min(9, spot + ordinary) * 4;
-        int bound = boots + (94 + atOnce - 1) / atOnce * 24;
-        assertTrue(s.longestWait("c", 0) <= bound, "longest wait " + s.longestWait("c", 0) + ", limit " + bound);
-        long asked = s.asked.stream().filter(request -> request.pool().spot()).count();
-        assertTrue(asked <= 42, asked + " requests for spot machines");
+        harness.run(400);
+        int bootTime = 2 * 20;
+        int concurrentTasks = Math.min(9, spot + ordinary) * 4;
+        int bound = bootTime + (94 + concurrentTasks - 1) / concurrentTasks * 24;
+        assertTrue(
+                harness.longestWait("c", 0) <= bound,
+                "longest wait " + harness.longestWait("c", 0) + ", limit " + bound);
+        long spotRequests =
+                harness.asked.stream().filter(request -> request.pool().spot()).count();
+        assertTrue(spotRequests <= 42, spotRequests + " requests for spot machines");
     }
 
     /**
@@ -110,8 +116,8 @@
      * once.
      */
     @Test
-    void waitsFallUnderTheThresholdAfterAChangeOfLeader() {
-        CoreHarness s = new CoreHarness(
+    void waitsFallBelowLimitAfterFailover() {
+        CoreHarness harness = new CoreHarness(
                 List.of(
                         Kind.of("short", Urgency.STANDARD, 1.2, 30, 20, 6, 1),
                         Kind.of("long", Urgency.BEST_EFFORT, 0.2, 10, 8, 40, 1),
@@ -119,12 +125,12 @@
                 160,
                 80,
                 SimulatedWorld.NO_AIMS);
-        s.run(10);
-        s.newLeader();
-        s.run(350);
+        harness.run(10);
+        harness.newLeader();
+        harness.run(350);
         assertTrue(
-                s.longestWait("short", 60) <= 45 && s.longestWait("long", 60) <= 45,
-                "waits " + s.longestWait("short", 60) + " and " + s.longestWait("long", 60));
+                harness.longestWait("short", 60) <= 45 && harness.longestWait("long", 60) <= 45,
+                "waits " + harness.longestWait("short", 60) + " and " + harness.longestWait("long", 60));
     }
 
     /**
@@ -133,17 +139,18 @@
      */
     @ParameterizedTest
     @CsvSource({"40, 0", "50, 2"})
-    void whoWaitsBehindATopJobThatStartsAtOnceIsRentedFor(double at, int machines) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.submit(SimulatedWorld.spec(1, 1, 1, 900), 0);
-        w.hear("a", 1);
-        w.submit(SimulatedWorld.spec(2, 1, 4, 900), 2);
-        w.submit(SimulatedWorld.with(SimulatedWorld.spec(3, 1, 1, 20), Urgency.HIGH, false, false, true, null, 0), at);
+    void scalesOutForJobBehindStartableTopJob(double at, int machines) {
+        SimulatedWorld world = new SimulatedWorld();
+        world.core.recordsLoaded();
+        world.up("a", "east", 0);
+        world.submit(SimulatedWorld.spec(1, 1, 1, 900), 0);
+        world.hear("a", 1);
+        world.submit(SimulatedWorld.spec(2, 1, 4, 900), 2);
+        world.submit(
+                SimulatedWorld.with(SimulatedWorld.spec(3, 1, 1, 20), Urgency.HIGH, false, false, true, null, 0), at);
         assertEquals(
                 machines,
-                w.core.scaleOutRequests(SimulatedWorld.at(at)).stream()
+                world.core.scaleOutRequests(SimulatedWorld.at(at)).stream()
                         .mapToInt(ScaleOutRequest::count)
                         .sum());
     }
@@ -161,8 +168,8 @@
         "1, 100000, 1, 10, 0",
         "20, 1, 0.25, 150, 2"
     })
-    void theLargestBeginWithinFourMinutes(int jobs, int tasks, double cores, int run, double perStep) {
-        CoreHarness s = new CoreHarness(
+    void jobsWithoutObjectiveBeginDuringOverload(int jobs, int tasks, double cores, int run, double perStep) {
+        CoreHarness harness = new CoreHarness(
                 List.of(
                         Kind.of("urgent", Urgency.HIGH, 0.5, 10, 35, 25, 1),
                         Kind.of("urgent", Urgency.HIGH, 1.5, 0, 35, 25, 1).between(40, 160),
@@ -172,30 +179,30 @@
                                 .between(0, 120)),
                 240,
                 60,
-                AIMS);
-        s.run(150);
-        s.newLeader();
-        s.run(310);
-        assertTrue(s.latestBegin("guest") <= 240, "guest " + s.latestBegin("guest"));
-        assertTrue(s.latestBegin("slow") <= 240, "slow " + s.latestBegin("slow"));
+                OBJECTIVES);
+        harness.run(150);
+        harness.newLeader();
+        harness.run(310);
+        assertTrue(harness.latestBegin("guest") <= 240, "guest " + harness.latestBegin("guest"));
+        assertTrue(harness.latestBegin("slow") <= 240, "slow " + harness.latestBegin("slow"));
     }
 
     /**
      * Jobs without an objective go first on an eighth of the machines only, so whole-machine tasks can use the others.
      */
     @Test
-    void whatNobodySaidATimeForDoesNotTakeEveryMachineFromTasksOfAWholeOne() {
-        CoreHarness s = new CoreHarness(
+    void jobsWithoutObjectiveLeaveMachinesForWholeMachineTasks() {
+        CoreHarness harness = new CoreHarness(
                 List.of(
                         Kind.of("usual", Urgency.STANDARD, 0.4, 10, 80, 18, 1),
                         Kind.of("slow", Urgency.BEST_EFFORT, 0.07, 3, 25, 70, 4).saving(),
                         Kind.of("guest", Urgency.BEST_EFFORT, 0, 5, 2000, 90, 1)),
                 240,
                 60,
-                AIMS);
-        s.run(700);
-        assertTrue(s.served("slow", 300) >= 0.5, "slow " + s.served("slow", 300));
-        assertTrue(s.latestBegin("guest") <= 240, "guest " + s.latestBegin("guest"));
+                OBJECTIVES);
+        harness.run(700);
+        assertTrue(harness.served("slow", 300) >= 0.5, "slow " + harness.served("slow", 300));
+        assertTrue(harness.latestBegin("guest") <= 240, "guest " + harness.latestBegin("guest"));
     }
 
     /** On a thousand machines, three teams are served: one submits a burst, one has a guarantee, one has a limit. */
@@ -204,7 +211,7 @@
         Team[] teams = {
             new Team("floods", 0, 0, 0, 0), new Team("guaranteed", 1200, 0, 0, 0), new Team("limited", 0, 600, 0, 0)
         };
-        CoreHarness s = new CoreHarness(
+        CoreHarness harness = new CoreHarness(
                 List.of(
                         Kind.of("urgent", Urgency.HIGH, 6, 20, 40, 25, 1)
                                 .between(0, 200)
@@ -218,11 +225,15 @@
                                 .team("limited")),
                 800,
                 200,
-                new ServiceLevelObjectives(List.of(aim("urgent", 250), aim("usual", 180), aim("slow", 400))),
+                new ServiceLevelObjectives(
+                        List.of(objective("urgent", 250), objective("usual", 180), objective("slow", 400))),
                 teams);
-        s.run(700);
+        harness.run(700);
         assertTrue(
-                s.served("floods", 250) >= 0.5 && s.served("guaranteed", 180) >= 0.5 && s.served("limited", 400) >= 0.5,
-                s.served("floods", 250) + " " + s.served("guaranteed", 180) + " " + s.served("limited", 400));
+                harness.served("floods", 250) >= 0.5
+                        && harness.served("guaranteed", 180) >= 0.5
+                        && harness.served("limited", 400) >= 0.5,
+                harness.served("floods", 250) + " " + harness.served("guaranteed", 180) + " "
+                        + harness.served("limited", 400));
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/NearObjectiveTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/NearObjectiveTest.java
@@ -32,14 +32,14 @@
         "5 15 25 35 45 55 56 57 58,    0.1",
         "'',                           0"
     })
-    void aBurstIsNoFlow(String arrivals, double perSecond) {
-        ArrivalRate inflow = new ArrivalRate();
-        inflow.perSecond(job -> true, job -> 1, Span.seconds(60), at(0));
+    void burstDoesNotCountAsSteadyArrival(String arrivals, double perSecond) {
+        ArrivalRate arrivalRate = new ArrivalRate();
+        arrivalRate.perSecond(job -> true, job -> 1, Span.seconds(60), at(0));
         int id = 0;
         for (String second : arrivals.isEmpty() ? new String[0] : arrivals.split(" ")) {
-            inflow.add(job(++id, Double.parseDouble(second)));
+            arrivalRate.add(job(++id, Double.parseDouble(second)));
         }
-        assertEquals(perSecond, inflow.perSecond(job -> true, job -> 1, Span.seconds(60), at(60)), 1e-9);
+        assertEquals(perSecond, arrivalRate.perSecond(job -> true, job -> 1, Span.seconds(60), at(60)), 1e-9);
     }
 
     /**
@@ -47,12 +47,12 @@
      * rented.
      */
     @Test
-    void littleTimeTellsLittle() {
-        ArrivalRate inflow = new ArrivalRate();
-        inflow.perSecond(job -> true, job -> 100, Span.seconds(60), at(0));
-        inflow.add(job(1, 1));
-        inflow.add(job(2, 3));
-        assertEquals(true, inflow.perSecond(job -> true, job -> 100, Span.seconds(60), at(5)) <= 3);
+    void rateIsNotExtrapolatedFromShortObservation() {
+        ArrivalRate arrivalRate = new ArrivalRate();
+        arrivalRate.perSecond(job -> true, job -> 100, Span.seconds(60), at(0));
+        arrivalRate.add(job(1, 1));
+        arrivalRate.add(job(2, 3));
+        assertEquals(true, arrivalRate.perSecond(job -> true, job -> 100, Span.seconds(60), at(5)) <= 3);
     }
 
     /**
@@ -61,26 +61,26 @@
      */
     @ParameterizedTest
     @CsvSource({"60, STANDARD, 2", "60, BEST_EFFORT, 0", "300, STANDARD, 0"})
-    void lowTasksMakeRoomForNearAims(double within, Urgency urgency, int stopped) {
-        SimulatedWorld w = new SimulatedWorld(
+    void bestEffortTasksArePreemptedForNearObjectives(double within, Urgency urgency, int stopped) {
+        SimulatedWorld world = new SimulatedWorld(
                 SimulatedWorld.TUNING,
                 new ServiceLevelObjectives(
                         List.of(new ServiceLevelObjectives.Objective("c", false, Span.seconds(within)))));
-        w.core.recordsLoaded();
-        JobSpec low = spec(1, 2, 2, 300);
-        w.submit(
+        world.core.recordsLoaded();
+        JobSpec bestEffort = spec(1, 2, 2, 300);
+        world.submit(
                 with(
-                        JobSpec.builder(low.id())
+                        JobSpec.builder(bestEffort.id())
                                 .jobClass("low")
                                 .team("t")
-                                .kind(low.kind())
-                                .urgency(low.urgency())
+                                .kind(bestEffort.kind())
+                                .urgency(bestEffort.urgency())
                                 .tasks(2)
-                                .demand(low.demand())
+                                .demand(bestEffort.demand())
                                 .image("img")
                                 .imageGb(0)
                                 .spotAllowed()
-                                .estimate(low.estimate())
+                                .estimate(bestEffort.estimate())
                                 .build(),
                         Urgency.BEST_EFFORT,
                         false,
@@ -89,12 +89,13 @@
                         null,
                         5),
                 0);
-        w.up("a", "east", 0);
-        List<WorkerCommand> orders = w.hear("a", 1);
-        w.hear("a", 2, running(orders));
-        w.submit(with(spec(2, 4, 1, 20), urgency, false, false, true, null, 0), 40);
+        world.up("a", "east", 0);
+        List<WorkerCommand> commands = world.hear("a", 1);
+        world.hear("a", 2, running(commands));
+        world.submit(with(spec(2, 4, 1, 20), urgency, false, false, true, null, 0), 40);
         assertEquals(
-                stopped, SimulatedWorld.stops(w.hear("a", 41, running(orders))).size());
+                stopped,
+                SimulatedWorld.stops(world.hear("a", 41, running(commands))).size());
     }
 
     /**
@@ -104,17 +105,18 @@
      */
     @ParameterizedTest
     @CsvSource({"1, 1, 1", "10, 1, 0", "1, 3, 0"})
-    void tasksThatHaveHardlyBegunMakeRoomForAStartThatIsDue(double begun, double waited, int stopped) {
-        SimulatedWorld w = new SimulatedWorld(
+    void justStartedTasksArePreemptedForStartObjectives(double runningFor, double waitedFor, int stopped) {
+        SimulatedWorld world = new SimulatedWorld(
                 SimulatedWorld.TUNING,
                 new ServiceLevelObjectives(List.of(new ServiceLevelObjectives.Objective("s", true, Span.seconds(2)))));
-        w.core.recordsLoaded();
-        w.submit(spec(1, 4, 1, 60), 0);
-        TaskStatus[] tasks = running(w.ordinary("a", 20));
-        w.hearOrdinary("a", 20, tasks);
-        w.submit(SimulatedWorld.service(2, 1), 20 + begun - waited);
+        world.core.recordsLoaded();
+        world.submit(spec(1, 4, 1, 60), 0);
+        TaskStatus[] tasks = running(world.ordinary("a", 20));
+        world.hearOrdinary("a", 20, tasks);
+        world.submit(SimulatedWorld.service(2, 1), 20 + runningFor - waitedFor);
         assertEquals(
                 stopped,
-                SimulatedWorld.stops(w.hearOrdinary("a", 20 + begun, tasks)).size());
+                SimulatedWorld.stops(world.hearOrdinary("a", 20 + runningFor, tasks))
+                        .size());
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/PlacementTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/PlacementTest.java
@@ -37,21 +37,24 @@
         "a zone,   false, false, true,  west, 0, 4",
         "ordinary, false, false, false, ,     0, 0"
     })
-    void placementRules(String name, boolean oneZone, boolean spread, boolean spot, String zone, int east, int west) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.up("e", "east", 0);
-        w.up("w", "west", 0);
-        w.submit(with(spec(1, 6, 1, 50), Urgency.STANDARD, oneZone, spread, spot, zone, 0), 0);
+    void zoneAndPoolConstraintsLimitStarts(
+            String name, boolean oneZone, boolean spread, boolean spot, String zone, int east, int west) {
+        SimulatedWorld world = new SimulatedWorld();
+        world.core.recordsLoaded();
+        world.up("e", "east", 0);
+        world.up("w", "west", 0);
+        world.submit(with(spec(1, 6, 1, 50), Urgency.STANDARD, oneZone, spread, spot, zone, 0), 0);
         assertEquals(
                 east,
-                starts(w.core.onHeartbeat(w.report("e", "east", 1, SimulatedWorld.TOKEN), at(1))
+                starts(world.core
+                                .onHeartbeat(world.report("e", "east", 1, SimulatedWorld.TOKEN), at(1))
                                 .commands())
                         .size(),
                 name);
         assertEquals(
                 west,
-                starts(w.core.onHeartbeat(w.report("w", "west", 1, SimulatedWorld.TOKEN), at(1))
+                starts(world.core
+                                .onHeartbeat(world.report("w", "west", 1, SimulatedWorld.TOKEN), at(1))
                                 .commands())
                         .size(),
                 name);
@@ -59,12 +62,12 @@
 
     @ParameterizedTest
     @CsvSource({"0, 4", "3, 3", "2.5, 2", "0.5, 0"})
-    void aTeamsLimitHolds(double coresMax, int started) {
-        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(coresMax));
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.submit(spec(1, 9, 1, 50), 0);
-        assertEquals(started, starts(w.hear("a", 1)).size());
+    void teamLimitCapsStarts(double coresMax, int started) {
+        SimulatedWorld world = new SimulatedWorld(SimulatedWorld.team(coresMax));
+        world.core.recordsLoaded();
+        world.up("a", "east", 0);
+        world.submit(spec(1, 9, 1, 50), 0);
+        assertEquals(started, starts(world.hear("a", 1)).size());
     }
 
     /**
@@ -73,11 +76,11 @@
      */
     @Test
     void teamsWithoutAGuaranteeShareOneQueue() {
-        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(0), new Team("guest", 0, 2, 0, 0));
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
+        SimulatedWorld world = new SimulatedWorld(SimulatedWorld.team(0), new Team("guest", 0, 2, 0, 0));
+        world.core.recordsLoaded();
+        world.up("a", "east", 0);
         JobSpec batch = spec(1, 8, 1, 300);
-        w.submit(
+        world.submit(
                 JobSpec.builder(batch.id())
                         .jobClass("g")
                         .team("guest")
@@ -91,24 +94,24 @@
                         .estimate(batch.estimate())
                         .build(),
                 0);
-        List<WorkerCommand> guests = w.hear("a", 1);
+        List<WorkerCommand> guests = world.hear("a", 1);
         assertEquals(List.of("run-1/0", "run-1/1"), starts(guests), "the team's limit still holds");
-        w.submit(with(spec(2, 8, 1, 20), Urgency.HIGH, false, false, true, null, 0), 2);
+        world.submit(with(spec(2, 8, 1, 20), Urgency.HIGH, false, false, true, null, 0), 2);
         assertEquals(
                 List.of("run-2/0", "run-2/1"),
-                starts(w.hear("a", 3, SimulatedWorld.running(guests))),
+                starts(world.hear("a", 3, SimulatedWorld.running(guests))),
                 "another team uses the rest of the machine");
     }
 
     @Test
-    void urgentJobsComeFirstThenTheOrderOfArrival() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.submit(spec(3, 1, 1, 50), 0);
-        w.submit(spec(1, 1, 1, 50), 1);
-        w.submit(with(spec(2, 1, 1, 50), Urgency.HIGH, false, false, true, null, 0), 2);
-        w.up("a", "east", 0);
-        assertEquals(List.of("run-2/0", "run-3/0", "run-1/0"), starts(w.hear("a", 3)));
+    void urgentJobsStartFirstThenByArrival() {
+        SimulatedWorld world = new SimulatedWorld();
+        world.core.recordsLoaded();
+        world.submit(spec(3, 1, 1, 50), 0);
+        world.submit(spec(1, 1, 1, 50), 1);
+        world.submit(with(spec(2, 1, 1, 50), Urgency.HIGH, false, false, true, null, 0), 2);
+        world.up("a", "east", 0);
+        assertEquals(List.of("run-2/0", "run-3/0", "run-1/0"), starts(world.hear("a", 3)));
     }
 
     /**
@@ -116,30 +119,30 @@
      * reservation kept those jobs waiting.
      */
     @Test
-    void whatLeavesRoomHoldsNoReservation() {
-        SimulatedWorld w = new SimulatedWorld(
+    void heldBackJobHoldsNoReservation() {
+        SimulatedWorld world = new SimulatedWorld(
                 SimulatedWorld.TUNING,
                 new ServiceLevelObjectives(
                         List.of(new ServiceLevelObjectives.Objective("c", true, Span.seconds(1000)))));
-        w.core.recordsLoaded();
-        JobSpec s = spec(1, 1, 4, 300);
-        w.submit(
-                JobSpec.builder(s.id())
+        world.core.recordsLoaded();
+        JobSpec spec = spec(1, 1, 4, 300);
+        world.submit(
+                JobSpec.builder(spec.id())
                         .jobClass("g")
-                        .team(s.team())
-                        .kind(s.kind())
+                        .team(spec.team())
+                        .kind(spec.kind())
                         .urgency(Urgency.BEST_EFFORT)
                         .tasks(1)
-                        .demand(s.demand())
+                        .demand(spec.demand())
                         .image("img")
                         .imageGb(0)
                         .spotAllowed()
-                        .estimate(s.estimate())
+                        .estimate(spec.estimate())
                         .build(),
                 0);
-        w.submit(spec(2, 1, 1, 50), 100);
-        w.up("a", "east", 100);
-        assertEquals(List.of("run-2/0"), starts(w.hear("a", 101)));
+        world.submit(spec(2, 1, 1, 50), 100);
+        world.up("a", "east", 100);
+        assertEquals(List.of("run-2/0"), starts(world.hear("a", 101)));
     }
 
     /**
@@ -152,149 +155,155 @@
         "c, 300, 1, has an objective itself",
         "g, 50, 1, ends soon"
     })
-    void longTasksWithoutAnAimLeaveRoomForThoseWithOne(String jobClass, double estimate, int started, String why) {
-        SimulatedWorld w = new SimulatedWorld(
+    void longTasksWithoutObjectiveLeaveCapacityForThoseWithOne(
+            String jobClass, double estimate, int started, String reason) {
+        SimulatedWorld world = new SimulatedWorld(
                 SimulatedWorld.TUNING,
                 new ServiceLevelObjectives(
                         List.of(new ServiceLevelObjectives.Objective("c", true, Span.seconds(200)))));
-        w.core.recordsLoaded();
-        w.submit(spec(1, 2, 3, 20), 0);
-        w.up("a", "east", 0);
-        w.up("b", "east", 0);
-        List<WorkerCommand> a = w.hear("a", 1);
-        List<WorkerCommand> b = w.hear("b", 1);
-        w.submit(spec(2, 1, 4, 50), 2);
-        w.submit(spec(3, 1, 4, 50), 2);
-        JobSpec s = spec(4, 2, 1, estimate);
-        w.submit(
-                JobSpec.builder(s.id())
+        world.core.recordsLoaded();
+        world.submit(spec(1, 2, 3, 20), 0);
+        world.up("a", "east", 0);
+        world.up("b", "east", 0);
+        List<WorkerCommand> startsOnA = world.hear("a", 1);
+        List<WorkerCommand> startsOnB = world.hear("b", 1);
+        world.submit(spec(2, 1, 4, 50), 2);
+        world.submit(spec(3, 1, 4, 50), 2);
+        JobSpec spec = spec(4, 2, 1, estimate);
+        world.submit(
+                JobSpec.builder(spec.id())
                         .jobClass(jobClass)
-                        .team(s.team())
-                        .kind(s.kind())
+                        .team(spec.team())
+                        .kind(spec.kind())
                         .urgency(Urgency.BEST_EFFORT)
                         .tasks(2)
-                        .demand(s.demand())
+                        .demand(spec.demand())
                         .image("img")
                         .imageGb(0)
                         .spotAllowed()
-                        .estimate(s.estimate())
+                        .estimate(spec.estimate())
                         .build(),
                 3);
         assertEquals(
                 started,
-                starts(w.hear("a", 3, SimulatedWorld.running(a))).size()
-                        + starts(w.hear("b", 3, SimulatedWorld.running(b))).size(),
-                why);
+                starts(world.hear("a", 3, SimulatedWorld.running(startsOnA))).size()
+                        + starts(world.hear("b", 3, SimulatedWorld.running(startsOnB)))
+                                .size(),
+                reason);
     }
 
     /** A machine runs one two-core task that ends at 60 s; the top job needs all four cores. */
     @ParameterizedTest
     @CsvSource({"20, 1, short enough to end before the top job's start", "200, 0, would delay the top job"})
-    void backfillDoesNotDelayTheReservedTopJob(double estimate, int started, String why) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.submit(spec(1, 1, 2, 60), 0);
-        WorkerCommand first = w.hear("a", 1).get(0);
-        w.submit(spec(2, 1, 4, 50), 2);
-        w.submit(spec(3, 1, 1, estimate), 3);
-        assertEquals(started, starts(w.hear("a", 4, running(first))).size(), why);
+    void backfillDoesNotDelayTheReservedTopJob(double estimate, int started, String reason) {
+        SimulatedWorld world = new SimulatedWorld();
+        world.core.recordsLoaded();
+        world.up("a", "east", 0);
+        world.submit(spec(1, 1, 2, 60), 0);
+        WorkerCommand first = world.hear("a", 1).get(0);
+        world.submit(spec(2, 1, 4, 50), 2);
+        world.submit(spec(3, 1, 1, estimate), 3);
+        assertEquals(started, starts(world.hear("a", 4, running(first))).size(), reason);
     }
 
     @Test
-    void roomIsMadeForUrgentJobsByTasksThatKeepTheirProgressOnly() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.up("b", "east", 0);
-        w.submit(with(spec(1, 1, 4, 500), Urgency.BEST_EFFORT, false, false, true, null, 30), 0);
-        w.submit(with(spec(2, 1, 4, 500), Urgency.BEST_EFFORT, false, false, true, null, 0), 0);
-        WorkerCommand saving = w.hear("a", 1).get(0);
-        WorkerCommand losing = w.hear("b", 1).get(0);
-        w.hear("a", 2, running(saving));
-        w.hear("b", 2, running(losing));
-        w.submit(with(spec(3, 2, 1, 30), Urgency.HIGH, false, false, true, null, 0), 40);
-        assertEquals(List.of(), stops(w.hear("b", 41, running(losing))));
-        assertEquals(List.of("run-1/0"), stops(w.hear("a", 41, running(saving))));
-        assertEquals(List.of("run-1/0"), stops(w.hear("a", 42, running(saving))), "the first stop was lost");
+    void onlyTasksWithCheckpointsArePreemptedForUrgentJobs() {
+        SimulatedWorld world = new SimulatedWorld();
+        world.core.recordsLoaded();
+        world.up("a", "east", 0);
+        world.up("b", "east", 0);
+        world.submit(with(spec(1, 1, 4, 500), Urgency.BEST_EFFORT, false, false, true, null, 30), 0);
+        world.submit(with(spec(2, 1, 4, 500), Urgency.BEST_EFFORT, false, false, true, null, 0), 0);
+        WorkerCommand saving = world.hear("a", 1).get(0);
+        WorkerCommand losing = world.hear("b", 1).get(0);
+        world.hear("a", 2, running(saving));
+        world.hear("b", 2, running(losing));
+        world.submit(with(spec(3, 2, 1, 30), Urgency.HIGH, false, false, true, null, 0), 40);
+        assertEquals(List.of(), stops(world.hear("b", 41, running(losing))));
+        assertEquals(List.of("run-1/0"), stops(world.hear("a", 41, running(saving))));
+        assertEquals(List.of("run-1/0"), stops(world.hear("a", 42, running(saving))), "the first stop was lost");
         assertEquals(
                 List.of(),
-                stops(w.hear("a", 43, new TaskStatus(saving.task(), saving.attempt(), TaskState.SAVING, null, false))));
+                stops(world.hear(
+                        "a", 43, new TaskStatus(saving.task(), saving.attempt(), TaskState.SAVING, null, false))));
     }
 
     @ParameterizedTest
     @CsvSource({"4, 1, the borrower is beyond its guarantee of none", "0, 0, nothing is guaranteed"})
-    void borrowedMachinesGoBackToATeamWithinItsGuarantee(double guarantee, int stopped, String why) {
-        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(0), new Team("owner", guarantee, 0, 0, 0));
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.submit(spec(1, 1, 4, 500), 0);
-        WorkerCommand borrowed = w.hear("a", 1).get(0);
-        w.hear("a", 2, running(borrowed));
-        JobSpec s = spec(2, 1, 4, 50);
-        w.submit(
-                JobSpec.builder(s.id())
+    void borrowedMachinesAreReclaimedForGuarantees(double guarantee, int stopped, String reason) {
+        SimulatedWorld world = new SimulatedWorld(SimulatedWorld.team(0), new Team("owner", guarantee, 0, 0, 0));
+        world.core.recordsLoaded();
+        world.up("a", "east", 0);
+        world.submit(spec(1, 1, 4, 500), 0);
+        WorkerCommand borrowed = world.hear("a", 1).get(0);
+        world.hear("a", 2, running(borrowed));
+        JobSpec spec = spec(2, 1, 4, 50);
+        world.submit(
+                JobSpec.builder(spec.id())
                         .jobClass("c")
                         .team("owner")
-                        .kind(s.kind())
-                        .urgency(s.urgency())
+                        .kind(spec.kind())
+                        .urgency(spec.urgency())
                         .tasks(1)
-                        .demand(s.demand())
+                        .demand(spec.demand())
                         .image("i")
                         .imageGb(0)
                         .spotAllowed()
-                        .estimate(s.estimate())
+                        .estimate(spec.estimate())
                         .build(),
                 3);
-        assertEquals(stopped, stops(w.hear("a", 4, running(borrowed))).size(), why);
+        assertEquals(stopped, stops(world.hear("a", 4, running(borrowed))).size(), reason);
         if (stopped > 0) {
-            assertEquals(List.of("run-2/0"), starts(w.hear("a", 5, exited(borrowed, ExitCause.STOPPED))));
+            assertEquals(List.of("run-2/0"), starts(world.hear("a", 5, exited(borrowed, ExitCause.STOPPED))));
         }
     }
 
     @Test
-    void aMachineThatFailsWhateverItGetsIsGivenUp() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.submit(spec(1, 1, 2, 50), 0);
-        w.submit(spec(2, 1, 2, 50), 0);
+    void machineOnWhichAllTasksFailIsReturned() {
+        SimulatedWorld world = new SimulatedWorld();
+        world.core.recordsLoaded();
+        world.up("a", "east", 0);
+        world.submit(spec(1, 1, 2, 50), 0);
+        world.submit(spec(2, 1, 2, 50), 0);
         List<TaskStatus> failed = new ArrayList<>();
-        w.hear("a", 1).forEach(command -> failed.add(exited(command, ExitCause.ERROR)));
-        assertEquals(List.of(), starts(w.hear("a", 2, failed.toArray(TaskStatus[]::new))));
-        w.core.planScaleIn(at(3));
-        assertEquals(List.of(new MachineId("a")), w.core.machinesToReturn(9));
+        world.hear("a", 1).forEach(command -> failed.add(exited(command, ExitCause.ERROR)));
+        assertEquals(List.of(), starts(world.hear("a", 2, failed.toArray(TaskStatus[]::new))));
+        world.core.planScaleIn(at(3));
+        assertEquals(List.of(new MachineId("a")), world.core.machinesToReturn(9));
     }
 
     /** A faulty job fails on every machine: the machines are kept, and the job is retried with growing pauses. */
     @Test
-    void aJobThatFailsEverywhereCondemnsNoMachine() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.submit(spec(1, 9, 4, 50), 0);
-        int tries = 0;
+    void jobThatFailsEverywhereLeavesMachinesInUse() {
+        SimulatedWorld world = new SimulatedWorld();
+        world.core.recordsLoaded();
+        world.submit(spec(1, 9, 4, 50), 0);
+        int attempts = 0;
         List<List<TaskStatus>> pending = new ArrayList<>(List.of(List.of(), List.of(), List.of(), List.of()));
-        for (int m = 0; m < 4; m++) {
-            w.up("m" + m, "east", 0);
+        for (int machine = 0; machine < 4; machine++) {
+            world.up("m" + machine, "east", 0);
         }
-        for (double t = 1; t < 100; t += 1) {
-            for (int m = 0; m < 4; m++) {
-                List<WorkerCommand> orders = w.hear("m" + m, t, pending.get(m).toArray(TaskStatus[]::new));
-                List<TaskStatus> next = new ArrayList<>();
-                for (WorkerCommand command : orders) {
+        for (double second = 1; second < 100; second += 1) {
+            for (int machine = 0; machine < 4; machine++) {
+                List<WorkerCommand> commands =
+                        world.hear("m" + machine, second, pending.get(machine).toArray(TaskStatus[]::new));
+                List<TaskStatus> exitedTasks = new ArrayList<>();
+                for (WorkerCommand command : commands) {
                     if (command instanceof WorkerCommand.Start) {
-                        tries++;
-                        next.add(exited(command, ExitCause.ERROR));
+                        attempts++;
+                        exitedTasks.add(exited(command, ExitCause.ERROR));
                     }
                 }
-                pending.set(m, next);
+                pending.set(machine, exitedTasks);
             }
         }
-        assertTrue(tries >= 5 && tries < 20, "attempts: " + tries);
-        w.submit(spec(2, 4, 4, 50), 100);
+        assertTrue(attempts >= 5 && attempts < 20, "attempts: " + attempts);
+        world.submit(spec(2, 4, 4, 50), 100);
         long started = 0;
-        for (int m = 0; m < 4; m++) {
-            started += starts(w.hear("m" + m, 101, pending.get(m).toArray(TaskStatus[]::new))).stream()
+        for (int machine = 0; machine < 4; machine++) {
+            started += starts(
+                            world.hear("m" + machine, 101, pending.get(machine).toArray(TaskStatus[]::new)))
+                    .stream()
                     .filter(s -> s.startsWith("run-2"))
                     .count();
         }
@@ -302,15 +311,16 @@
     }
 
     @Test
-    void aSpotNoticeEndsNewStartsAndSavesWhatCanBeSaved() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.submit(with(spec(1, 1, 1, 500), Urgency.STANDARD, false, false, true, null, 30), 0);
-        WorkerCommand start = w.hear("a", 1).get(0);
-        w.submit(spec(2, 1, 1, 50), 2);
-        Heartbeat heartbeat = w.report("a", "east", 1, SimulatedWorld.TOKEN, running(start));
-        List<WorkerCommand> orders = w.core.onHeartbeat(
+    void spotNoticePreventsStartsAndTriggersCheckpoints() {
+        SimulatedWorld world = new SimulatedWorld();
+        world.core.recordsLoaded();
+        world.up("a", "east", 0);
+        world.submit(with(spec(1, 1, 1, 500), Urgency.STANDARD, false, false, true, null, 30), 0);
+        WorkerCommand start = world.hear("a", 1).get(0);
+        world.submit(spec(2, 1, 1, 50), 2);
+        Heartbeat heartbeat = world.report("a", "east", 1, SimulatedWorld.TOKEN, running(start));
+        List<WorkerCommand> commands = world.core
+                .onHeartbeat(
                         new Heartbeat(
                                 heartbeat.machine(),
                                 heartbeat.address(),
@@ -321,7 +331,7 @@
                                 heartbeat.tasks()),
                         at(40))
                 .commands();
-        assertEquals(List.of(), starts(orders));
-        assertEquals(List.of("run-1/0"), stops(orders));
+        assertEquals(List.of(), starts(commands));
+        assertEquals(List.of("run-1/0"), stops(commands));
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/RandomJobs.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomJobs.java
@@ -13,10 +13,10 @@
     private RandomJobs() {}
 
     static JobSpec next(Random random, int id) {
-        JobSpec s = SimulatedWorld.spec(id, 1 + random.nextInt(12), 1 + random.nextInt(4), 3 + random.nextInt(20));
+        JobSpec spec = SimulatedWorld.spec(id, 1 + random.nextInt(12), 1 + random.nextInt(4), 3 + random.nextInt(20));
         boolean oneZone = random.nextInt(4) == 0;
-        s = SimulatedWorld.with(
-                s,
+        spec = SimulatedWorld.with(
+                spec,
                 Urgency.values()[random.nextInt(4)],
                 oneZone,
                 !oneZone && random.nextInt(4) == 0,
@@ -24,18 +24,18 @@
                 random.nextInt(6) == 0 ? "east" : null,
                 random.nextInt(2) * 5);
         if (id % 4 != 0) {
-            return s;
+            return spec;
         }
-        return JobSpec.builder(s.id())
-                .jobClass(s.jobClass())
-                .team(s.team())
+        return JobSpec.builder(spec.id())
+                .jobClass(spec.jobClass())
+                .team(spec.team())
                 .kind(JobKind.SERVICE)
-                .urgency(s.urgency())
+                .urgency(spec.urgency())
                 .tasks(1 + random.nextInt(3))
                 .demand(new Demand(1, 0, 1))
-                .image(s.image())
+                .image(spec.image())
                 .imageGb(0)
-                .zone(s.zone())
+                .zone(spec.zone())
                 .oneZone(oneZone)
                 .spotAllowed()
                 .build();
--- a/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
@@ -99,7 +99,7 @@
     private final Map<String, RandomWorker> workers = new TreeMap<>();
     private final RandomRecords records;
     private final List<String> broken = new ArrayList<>();
-    private final WaitCheck waits = new WaitCheck();
+    private final WaitInvariant waits = new WaitInvariant();
     private final List<Runnable> late = new ArrayList<>();
     private double now;
     private long token;
--- a/src/test/java/io/indigoreach/core/scheduling/ServiceLevelObjectivesTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ServiceLevelObjectivesTest.java
@@ -22,11 +22,11 @@
         "0,   20, 600, neither objective can be met",
         "240, 1,  600, both objectives are missed"
     })
-    void aimsOutOfReachGiveNoPrecedence(double now, int rounds, double latest, String why) {
-        ServiceLevelObjectives aims = new ServiceLevelObjectives(List.of(
+    void unreachableObjectivesGiveNoPrecedence(double now, int rounds, double latest, String reason) {
+        ServiceLevelObjectives objectives = new ServiceLevelObjectives(List.of(
                 new ServiceLevelObjectives.Objective("c", false, Span.seconds(250)),
                 new ServiceLevelObjectives.Objective("c", false, Span.seconds(150))));
         Job job = new Job(spec(1, 9, 1, 20), 1, at(0), Revision.ABSENT, new BitSet(), 99, false);
-        assertEquals(at(latest), aims.latestStart(job, Span.seconds(20), rounds, at(now)), why);
+        assertEquals(at(latest), objectives.latestStart(job, Span.seconds(20), rounds, at(now)), reason);
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/ShortQueueTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ShortQueueTest.java
@@ -22,18 +22,18 @@
      */
     @ParameterizedTest
     @CsvSource({"1, 1", "20, 3", "200, 33", "1000, 167"})
-    void theQueueCountsNotOnlyItsTop(int jobs, int machines) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.submit(spec(1, 4, 1, 100), 0);
-        w.hear("a", 1);
+    void scaleOutCountsTheWholeQueue(int jobs, int machines) {
+        SimulatedWorld world = new SimulatedWorld();
+        world.core.recordsLoaded();
+        world.up("a", "east", 0);
+        world.submit(spec(1, 4, 1, 100), 0);
+        world.hear("a", 1);
         for (int id = 2; id < jobs + 2; id++) {
-            w.submit(spec(id, 20, 1, 6), 0);
+            world.submit(spec(id, 20, 1, 6), 0);
         }
         assertEquals(
                 machines,
-                w.core.scaleOutRequests(at(100)).stream()
+                world.core.scaleOutRequests(at(100)).stream()
                         .mapToInt(ScaleOutRequest::count)
                         .sum());
     }
@@ -41,8 +41,8 @@
     /** A job of 20 tasks of 5 s per second keeps 25 machines busy; 120 jobs are waiting at the start. */
     @ParameterizedTest
     @CsvSource({"1, 75", "3, 75", "0.4, 90"})
-    void waitsFallUnderTheLimitAndNoMoreIsRentedThanNeeded(double estimates, int mostMachines) {
-        CoreHarness run = new CoreHarness(
+    void waitsFallBelowLimitWithoutExcessMachines(double estimates, int maxMachines) {
+        CoreHarness harness = new CoreHarness(
                         SimulatedWorld.TUNING,
                         List.of(CoreHarness.Kind.of("short", Urgency.STANDARD, 1, 120, 20, 5, 1)
                                 .estimated(estimates)),
@@ -51,9 +51,9 @@
                         SimulatedWorld.NO_AIMS)
                 .run(400);
         assertTrue(
-                run.longestWait("short", 200)
+                harness.longestWait("short", 200)
                         < SimulatedWorld.TUNING.waitLimit().seconds(),
-                "longest wait " + run.longestWait("short", 200));
-        assertTrue(run.mostUp <= mostMachines && run.mostUp >= 25, "machines " + run.mostUp);
+                "longest wait " + harness.longestWait("short", 200));
+        assertTrue(harness.mostUp <= maxMachines && harness.mostUp >= 25, "machines " + harness.mostUp);
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulation.java
@@ -35,90 +35,95 @@
             2 * SimulatedWorld.RULES.leaseBound().seconds() + 6;
 
     /** Longer than a lease. */
-    private static final double AWAY_S = 20;
+    private static final double OUTAGE_S = 20;
     /** The time from the partition of a leader until another node may lead. */
-    private static final double LEADS_ON_S = 4;
+    private static final double PARTITIONED_LEADER_S = 4;
 
     private static final Team PLAIN = new Team("t", 0, CORES_MAX, 0, 0);
     private static final Team GUARANTEED = new Team("u", 4, CORES_MAX, 0, 0);
 
     /** The fault of machines in the last second of a leader. */
-    public enum Trouble {
+    public enum Fault {
         NONE,
         /** Neither heartbeats nor responses arrive, for longer than a lease. */
-        CUT,
+        PARTITIONED,
         /** Heartbeats arrive, responses do not. */
-        DEAF,
+        RESPONSES_LOST,
         /** The worker pauses within its lease and then continues its tasks. */
-        HUNG,
+        PAUSED,
         /** The old leader's last response arrives just before the worker's timeout. */
-        HELD_UP,
+        RESPONSES_DELAYED,
         /** All controllers are unavailable for longer than a lease. */
-        AWAY,
+        CONTROLLERS_DOWN,
         /**
          * A partition leaves half of the machines with the old leader, until another node may lead. Then no controller
          * reaches these machines for longer than a lease.
          */
-        ZONE
+        ZONE_PARTITIONED
     }
 
-    private static final Set<Trouble> UNANSWERED = EnumSet.of(Trouble.CUT, Trouble.AWAY, Trouble.ZONE);
+    private static final Set<Fault> FAULTS_WITHOUT_RESPONSES =
+            EnumSet.of(Fault.PARTITIONED, Fault.CONTROLLERS_DOWN, Fault.ZONE_PARTITIONED);
 
-    private record Late(SimulatedCluster.Box box, SimulatedCluster.Answer answer, double sent, double arrives) {}
+    private record DelayedResponse(
+            SimulatedCluster.Box box, SimulatedCluster.Answer answer, double sentAt, double arrivesAt) {}
 
-    private record Word(JobId job, double heard) {}
+    private record CancelNotification(JobId job, double deliveredAt) {}
 
     private final Random random;
-    private final Trouble trouble;
-    public final SimulatedCluster site = new SimulatedCluster(PLAIN, GUARANTEED);
-    private final Map<SimulatedCluster.Box, Double> nextReport = new HashMap<>();
-    private final Map<SimulatedCluster.Box, Double> troubledUntil = new HashMap<>();
-    private final List<Late> late = new ArrayList<>();
-    private final List<Word> words = new ArrayList<>();
+    private final Fault fault;
+    public final SimulatedCluster cluster = new SimulatedCluster(PLAIN, GUARANTEED);
+    private final Map<SimulatedCluster.Box, Double> nextHeartbeat = new HashMap<>();
+    private final Map<SimulatedCluster.Box, Double> faultyUntil = new HashMap<>();
+    private final List<DelayedResponse> delayedResponses = new ArrayList<>();
+    private final List<CancelNotification> cancelNotifications = new ArrayList<>();
     private final Set<JobId> cancelled = new HashSet<>();
-    private int jobs;
-    private double loads = Double.MAX_VALUE;
+    private int submittedJobs;
+    private double recordsLoadAt = Double.MAX_VALUE;
     /** The number of steps and machines with a fault in which a cancelled task was on the machine. */
-    int outOfReach;
+    int cancelledTasksOnFaultyMachines;
 
-    public TeamLimitSimulation(long seed, Trouble trouble) {
+    public TeamLimitSimulation(long seed, Fault fault) {
         this.random = new Random(seed);
-        this.trouble = trouble;
+        this.fault = fault;
     }
 
-    public void play(int changes, double everyS) {
+    public void simulate(int leaderChanges, double intervalS) {
         for (int i = 0; i < MACHINES; i++) {
-            nextReport.put(site.box("m" + i, 0), random.nextDouble() * 2);
+            nextHeartbeat.put(cluster.box("m" + i, 0), random.nextDouble() * 2);
         }
-        site.lead(0);
+        cluster.lead(0);
         submitAll(0);
         double now = run(0, 10);
-        assertEquals(CORES_MAX, site.used(PLAIN, now));
-        assertEquals(CORES_MAX, site.used(GUARANTEED, now));
-        for (int i = 0; i < changes; i++) {
-            double begins = now + (trouble == Trouble.AWAY ? AWAY_S : trouble == Trouble.ZONE ? LEADS_ON_S : 1);
-            befall(now, begins);
-            boolean before = random.nextBoolean();
-            if (before) {
-                cancelAll(now, trouble == Trouble.ZONE ? begins : now);
+        assertEquals(CORES_MAX, cluster.used(PLAIN, now));
+        assertEquals(CORES_MAX, cluster.used(GUARANTEED, now));
+        for (int i = 0; i < leaderChanges; i++) {
+            double termStart = now
+                    + (fault == Fault.CONTROLLERS_DOWN
+                            ? OUTAGE_S
+                            : fault == Fault.ZONE_PARTITIONED ? PARTITIONED_LEADER_S : 1);
+            startFaults(now, termStart);
+            boolean cancelsBeforeChange = random.nextBoolean();
+            if (cancelsBeforeChange) {
+                cancelAll(now, fault == Fault.ZONE_PARTITIONED ? termStart : now);
             }
-            now = run(now, begins);
-            site.begin(now);
-            for (SimulatedCluster.Box box : site.boxes()) {
-                if (trouble == Trouble.ZONE && isInZone(box)) {
-                    troubledUntil.put(box, now + AWAY_S);
+            now = run(now, termStart);
+            cluster.begin(now);
+            for (SimulatedCluster.Box box : cluster.boxes()) {
+                if (fault == Fault.ZONE_PARTITIONED && isInZone(box)) {
+                    faultyUntil.put(box, now + OUTAGE_S);
                 }
             }
-            loads = now + random.nextDouble() * 2;
-            if (!before) {
+            recordsLoadAt = now + random.nextDouble() * 2;
+            if (!cancelsBeforeChange) {
                 now = run(now, now + random.nextInt(8) * STEP_S);
                 cancelAll(now, now);
             }
-            now = run(now, now + everyS);
+            now = run(now, now + intervalS);
         }
         now = run(now, now + SETTLED_S);
-        assertEquals(CORES_MAX, site.used(PLAIN, now), "waiting tasks have started");
-        assertEquals(CORES_MAX, site.used(GUARANTEED, now), "waiting tasks have started");
+        assertEquals(CORES_MAX, cluster.used(PLAIN, now), "waiting tasks have started");
+        assertEquals(CORES_MAX, cluster.used(GUARANTEED, now), "waiting tasks have started");
     }
 
     /** Submits services, one-zone arrays and other arrays of both teams, more than their limits allow. */
@@ -130,21 +135,21 @@
         }
     }
 
-    private void submit(Team team, JobKind shape, int tasks, boolean oneZone, double now) {
-        JobSpec s = SimulatedWorld.spec(++jobs, tasks, 1, shape == JobKind.SERVICE ? 0 : 500);
-        site.submit(
-                JobSpec.builder(s.id())
-                        .jobClass(s.jobClass())
+    private void submit(Team team, JobKind kind, int tasks, boolean oneZone, double now) {
+        JobSpec spec = SimulatedWorld.spec(++submittedJobs, tasks, 1, kind == JobKind.SERVICE ? 0 : 500);
+        cluster.submit(
+                JobSpec.builder(spec.id())
+                        .jobClass(spec.jobClass())
                         .team(team.name())
-                        .kind(shape)
-                        .urgency(s.urgency())
+                        .kind(kind)
+                        .urgency(spec.urgency())
                         .tasks(tasks)
-                        .demand(s.demand())
-                        .image(s.image())
+                        .demand(spec.demand())
+                        .image(spec.image())
                         .imageGb(0)
                         .oneZone(oneZone)
                         .spotAllowed()
-                        .estimate(s.estimate())
+                        .estimate(spec.estimate())
                         .build(),
                 now);
     }
@@ -156,30 +161,29 @@
     /**
      * Starts the fault on about half of the machines, each for a random time; a hung worker resumes within its lease.
      */
-    private void befall(double now, double begins) {
-        for (SimulatedCluster.Box box : site.boxes()) {
-            if (trouble == Trouble.AWAY || trouble == Trouble.ZONE) {
-                troubledUntil.put(box, trouble == Trouble.ZONE && isInZone(box) ? now : begins);
+    private void startFaults(double now, double termStart) {
+        for (SimulatedCluster.Box box : cluster.boxes()) {
+            if (fault == Fault.CONTROLLERS_DOWN || fault == Fault.ZONE_PARTITIONED) {
+                faultyUntil.put(box, fault == Fault.ZONE_PARTITIONED && isInZone(box) ? now : termStart);
             } else if (random.nextBoolean()) {
-                troubledUntil.put(
-                        box, now + (trouble == Trouble.HUNG ? 4 + random.nextInt(8) : 3 + random.nextInt(20)));
+                faultyUntil.put(box, now + (fault == Fault.PAUSED ? 4 + random.nextInt(8) : 3 + random.nextInt(20)));
             }
         }
     }
 
     /** Cancels all jobs with a running task and submits new ones; the leader is notified within two seconds. */
-    private void cancelAll(double now, double heardFrom) {
-        for (JobId job : site.running(now).stream().map(TaskId::job).collect(Collectors.toSet())) {
+    private void cancelAll(double now, double notifiedFrom) {
+        for (JobId job : cluster.running(now).stream().map(TaskId::job).collect(Collectors.toSet())) {
             if (cancelled.add(job)) {
-                site.cancel(job, now);
-                words.add(new Word(job, heardFrom + random.nextInt(8) * STEP_S));
+                cluster.cancel(job, now);
+                cancelNotifications.add(new CancelNotification(job, notifiedFrom + random.nextInt(8) * STEP_S));
             }
         }
         submitAll(now);
     }
 
-    private boolean isTroubled(SimulatedCluster.Box box, double now) {
-        return now < troubledUntil.getOrDefault(box, 0.0);
+    private boolean isFaulty(SimulatedCluster.Box box, double now) {
+        return now < faultyUntil.getOrDefault(box, 0.0);
     }
 
     private double run(double from, double until) {
@@ -191,43 +195,45 @@
     }
 
     private void step(double now) {
-        if (now >= loads) {
-            loads = Double.MAX_VALUE;
-            site.load();
+        if (now >= recordsLoadAt) {
+            recordsLoadAt = Double.MAX_VALUE;
+            cluster.load();
         }
-        for (Word word : List.copyOf(words)) {
-            if (now >= word.heard) {
-                site.core.cancelJob(word.job);
-                words.remove(word);
+        for (CancelNotification notification : List.copyOf(cancelNotifications)) {
+            if (now >= notification.deliveredAt) {
+                cluster.core.cancelJob(notification.job);
+                cancelNotifications.remove(notification);
             }
         }
-        for (Late l : List.copyOf(late)) {
-            if (now >= l.arrives) {
-                l.box.take(l.answer, l.sent, now);
-                late.remove(l);
+        for (DelayedResponse delayed : List.copyOf(delayedResponses)) {
+            if (now >= delayed.arrivesAt) {
+                delayed.box.take(delayed.answer, delayed.sentAt, now);
+                delayedResponses.remove(delayed);
             }
         }
-        for (SimulatedCluster.Box box : site.boxes()) {
-            boolean troubled = isTroubled(box, now);
-            if (now >= nextReport.get(box) && !(troubled && trouble == Trouble.HUNG)) {
-                nextReport.put(box, now + 1.5 + random.nextDouble());
-                report(box, troubled ? trouble : Trouble.NONE, now);
+        for (SimulatedCluster.Box box : cluster.boxes()) {
+            boolean isFaulty = isFaulty(box, now);
+            if (now >= nextHeartbeat.get(box) && !(isFaulty && fault == Fault.PAUSED)) {
+                nextHeartbeat.put(box, now + 1.5 + random.nextDouble());
+                report(box, isFaulty ? fault : Fault.NONE, now);
             }
-            outOfReach += troubled && box.tasks.keySet().stream().anyMatch(t -> cancelled.contains(t.job())) ? 1 : 0;
+            cancelledTasksOnFaultyMachines +=
+                    isFaulty && box.tasks.keySet().stream().anyMatch(t -> cancelled.contains(t.job())) ? 1 : 0;
         }
-        site.core.expireLeases(at(now));
-        site.used(PLAIN, now);
-        site.used(GUARANTEED, now);
+        cluster.core.expireLeases(at(now));
+        cluster.used(PLAIN, now);
+        cluster.used(GUARANTEED, now);
     }
 
-    private void report(SimulatedCluster.Box box, Trouble meets, double now) {
+    private void report(SimulatedCluster.Box box, Fault activeFault, double now) {
         box.live(now);
         Heartbeat heartbeat = box.write();
-        SimulatedCluster.Answer answer = UNANSWERED.contains(meets) ? null : site.answer(heartbeat, now);
-        if (answer != null && meets == Trouble.HELD_UP) {
-            late.add(new Late(box, answer, now, now + SimulatedCluster.PATIENCE_S - STEP_S));
-            nextReport.put(box, now + SimulatedCluster.PATIENCE_S);
-        } else if (answer != null && meets != Trouble.DEAF) {
+        SimulatedCluster.Answer answer =
+                FAULTS_WITHOUT_RESPONSES.contains(activeFault) ? null : cluster.answer(heartbeat, now);
+        if (answer != null && activeFault == Fault.RESPONSES_DELAYED) {
+            delayedResponses.add(new DelayedResponse(box, answer, now, now + SimulatedCluster.PATIENCE_S - STEP_S));
+            nextHeartbeat.put(box, now + SimulatedCluster.PATIENCE_S);
+        } else if (answer != null && activeFault != Fault.RESPONSES_LOST) {
             box.take(answer, now, now);
         }
     }
--- a/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulationTest.java
@@ -11,38 +11,38 @@
 class TeamLimitSimulationTest {
     private static final int SEEDS = 12;
 
-    /** {@code everyS} is the time from one leader change to the next. */
+    /** {@code intervalS} is the time from one leader change to the next. */
     @ParameterizedTest
     @CsvSource({
         "NONE, 1, 0",
-        "CUT, 1, 0",
-        "DEAF, 1, 0",
-        "HUNG, 1, 0",
-        "HELD_UP, 1, 0",
-        "CUT, 2, 7",
-        "DEAF, 2, 7",
-        "HUNG, 2, 5",
-        "HELD_UP, 2, 3",
-        "CUT, 10, 9",
-        "DEAF, 10, 9",
-        "HUNG, 10, 9",
-        "HELD_UP, 10, 9",
-        "CUT, 10, 3",
-        "AWAY, 1, 0",
-        "AWAY, 3, 10",
-        "ZONE, 1, 0",
-        "ZONE, 2, 6"
+        "PARTITIONED, 1, 0",
+        "RESPONSES_LOST, 1, 0",
+        "PAUSED, 1, 0",
+        "RESPONSES_DELAYED, 1, 0",
+        "PARTITIONED, 2, 7",
+        "RESPONSES_LOST, 2, 7",
+        "PAUSED, 2, 5",
+        "RESPONSES_DELAYED, 2, 3",
+        "PARTITIONED, 10, 9",
+        "RESPONSES_LOST, 10, 9",
+        "PAUSED, 10, 9",
+        "RESPONSES_DELAYED, 10, 9",
+        "PARTITIONED, 10, 3",
+        "CONTROLLERS_DOWN, 1, 0",
+        "CONTROLLERS_DOWN, 3, 10",
+        "ZONE_PARTITIONED, 1, 0",
+        "ZONE_PARTITIONED, 2, 6"
     })
-    void noTeamExceedsItsLimit(TeamLimitSimulation.Trouble trouble, int changes, double everyS) {
-        int outOfReach = 0;
+    void noTeamExceedsItsLimit(TeamLimitSimulation.Fault fault, int leaderChanges, double intervalS) {
+        int cancelledTasksOnFaultyMachines = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
-            TeamLimitSimulation run = new TeamLimitSimulation(seed, trouble);
-            run.play(changes, everyS);
-            assertEquals(List.of(), run.site.broken, "seed " + seed);
-            outOfReach += run.outOfReach;
+            TeamLimitSimulation simulation = new TeamLimitSimulation(seed, fault);
+            simulation.simulate(leaderChanges, intervalS);
+            assertEquals(List.of(), simulation.cluster.broken, "seed " + seed);
+            cancelledTasksOnFaultyMachines += simulation.cancelledTasksOnFaultyMachines;
         }
         assertTrue(
-                trouble == TeamLimitSimulation.Trouble.NONE || outOfReach > 0,
+                fault == TeamLimitSimulation.Fault.NONE || cancelledTasksOnFaultyMachines > 0,
                 "no cancelled task was on a machine with a fault");
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/WaitCheck.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitInvariant.java
@@ -12,8 +12,8 @@
  * Checks that every waiting job has a {@link WaitReason}, and that after the faults no job waits for 90 s without a
  * started task, except for its team's limit or capacity.
  */
-final class WaitCheck {
-    private static final double LONGEST_S = 90;
+final class WaitInvariant {
+    private static final double MAX_WAIT_S = 90;
 
     /** A wait for a reason other than a limit or capacity: its start, and the number of waiting tasks. */
     private record Wait(double since, int tasks, WaitReason reason) {}
@@ -21,27 +21,28 @@
     private final Map<JobId, Wait> waits = new HashMap<>();
     EffectListener effects = EffectListener.NONE;
 
-    List<String> check(SchedulerCore core, boolean calm, double now) {
-        List<String> broken = new ArrayList<>();
-        Map<JobId, Wait> next = new HashMap<>();
+    List<String> check(SchedulerCore core, boolean faultsOver, double now) {
+        List<String> violations = new ArrayList<>();
+        Map<JobId, Wait> currentWaits = new HashMap<>();
         for (Job job : core.jobs()) {
             Optional<WaitReason> reason = core.waitReason(job, SimulatedWorld.at(now));
             effects.waits(job, reason.orElse(null));
             if (reason.isEmpty() == job.hasWaiting()) {
-                broken.add(now + ": " + job.id() + " has " + job.waitingCount() + " waiting tasks, reason " + reason);
+                violations.add(
+                        now + ": " + job.id() + " has " + job.waitingCount() + " waiting tasks, reason " + reason);
             }
-            if (!calm || reason.isEmpty() || reason.get().isLimitOrCapacity()) {
+            if (!faultsOver || reason.isEmpty() || reason.get().isLimitOrCapacity()) {
                 continue;
             }
-            Wait before = waits.get(job.id());
-            boolean goesOn = before != null && job.waitingCount() >= before.tasks;
-            next.put(job.id(), new Wait(goesOn ? before.since : now, job.waitingCount(), reason.get()));
-            if (goesOn && now - before.since > LONGEST_S) {
-                broken.add(now + ": " + job.id() + " waits since " + before.since + " for " + reason.get());
+            Wait previous = waits.get(job.id());
+            boolean continues = previous != null && job.waitingCount() >= previous.tasks;
+            currentWaits.put(job.id(), new Wait(continues ? previous.since : now, job.waitingCount(), reason.get()));
+            if (continues && now - previous.since > MAX_WAIT_S) {
+                violations.add(now + ": " + job.id() + " waits since " + previous.since + " for " + reason.get());
             }
         }
         waits.clear();
-        waits.putAll(next);
-        return broken;
+        waits.putAll(currentWaits);
+        return violations;
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
@@ -56,66 +56,66 @@
         "surplus machine, SURPLUS_OR_CORDONED",
         "placed in another zone, ZONE_CONSTRAINT"
     })
-    void eachWaitHasItsName(String why, WaitReason expected) {
-        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(why.equals("team limit") ? 3 : 0));
-        if (why.equals("inherited job")) {
-            w.core.inheritMachine(new MachineId("old"), new MachinePool("quad", "east", true), at(0), at(0), at(0));
+    void eachWaitHasItsReason(String situation, WaitReason expected) {
+        SimulatedWorld world = new SimulatedWorld(SimulatedWorld.team(situation.equals("team limit") ? 3 : 0));
+        if (situation.equals("inherited job")) {
+            world.core.inheritMachine(new MachineId("old"), new MachinePool("quad", "east", true), at(0), at(0), at(0));
         }
-        w.core.recordsLoaded();
-        if (why.equals("booting machine") || why.equals("unrecorded machine")) {
-            w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
+        world.core.recordsLoaded();
+        if (situation.equals("booting machine") || situation.equals("unrecorded machine")) {
+            world.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
         } else {
-            w.up("a", "east", 0);
+            world.up("a", "east", 0);
         }
-        if (!why.equals("booting machine")) {
-            w.hear("a", 1);
+        if (!situation.equals("booting machine")) {
+            world.hear("a", 1);
         }
-        if (!Set.of("booting machine", "unrecorded machine", "inherited job").contains(why)) {
-            w.submit(spec(1, why.equals("machine full") ? 4 : 3, 1, 100), 1);
-            w.hear("a", 2);
+        if (!Set.of("booting machine", "unrecorded machine", "inherited job").contains(situation)) {
+            world.submit(spec(1, situation.equals("machine full") ? 4 : 3, 1, 100), 1);
+            world.hear("a", 2);
         }
-        if (why.equals("reservation")) {
-            w.submit(spec(2, 1, 4, 10), 2);
+        if (situation.equals("reservation")) {
+            world.submit(spec(2, 1, 4, 10), 2);
         }
-        JobSpec s = spec(9, 2, why.equals("task too large") ? 5 : 1, 500);
-        String zone = why.equals("zone without machines") ? "west" : null;
-        s = with(
-                s,
+        JobSpec spec = spec(9, 2, situation.equals("task too large") ? 5 : 1, 500);
+        String zone = situation.equals("zone without machines") ? "west" : null;
+        spec = with(
+                spec,
                 Urgency.STANDARD,
-                why.equals("placed in another zone"),
+                situation.equals("placed in another zone"),
                 false,
-                !why.equals("on-demand only"),
+                !situation.equals("on-demand only"),
                 zone,
                 0);
-        Job job = why.equals("inherited job") ? w.inherited(s) : w.submit(s, 2);
-        if (why.equals("no start bound")) {
-            job = new Job(s, 3, at(2), Revision.ABSENT, new BitSet(), 0, false);
-            w.core.closeJob(job.id());
-            w.core.addJob(job);
+        Job job = situation.equals("inherited job") ? world.inherited(spec) : world.submit(spec, 2);
+        if (situation.equals("no start bound")) {
+            job = new Job(spec, 3, at(2), Revision.ABSENT, new BitSet(), 0, false);
+            world.core.closeJob(job.id());
+            world.core.addJob(job);
         }
-        Machine a = w.core.machines().iterator().next();
-        a.surplus = why.equals("surplus machine");
-        if (why.equals("failed on machine") || why.equals("suspected faulty")) {
-            job.failedMachines.add(a.id);
+        Machine machine = world.core.machines().iterator().next();
+        machine.surplus = situation.equals("surplus machine");
+        if (situation.equals("failed on machine") || situation.equals("suspected faulty")) {
+            job.failedMachines.add(machine.id);
         }
-        job.retryNotBefore = why.equals("suspected faulty") ? at(10) : job.retryNotBefore;
-        if (why.equals("placed in another zone")) {
-            Machine far =
+        job.retryNotBefore = situation.equals("suspected faulty") ? at(10) : job.retryNotBefore;
+        if (situation.equals("placed in another zone")) {
+            Machine otherZone =
                     new Machine(new MachineId("b"), new MachinePool("quad", "west", true), SimulatedWorld.TYPE, at(0));
             job.addPlacement(
-                    new Placement(job, 0, far, new Attempt(1), TaskState.RUNNING, HeartbeatNumber.NONE, at(2)));
+                    new Placement(job, 0, otherZone, new Attempt(1), TaskState.RUNNING, HeartbeatNumber.NONE, at(2)));
         }
-        assertEquals(Optional.of(expected), w.core.waitReason(job, at(3)));
+        assertEquals(Optional.of(expected), world.core.waitReason(job, at(3)));
     }
 
     @Test
-    void whatDoesNotWaitHasNoReason() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        Job job = w.submit(spec(1, 1, 1, 100), 0);
-        w.hear("a", 1);
-        assertEquals(Optional.empty(), w.core.waitReason(job, at(2)));
+    void jobWithoutWaitingTasksHasNoReason() {
+        SimulatedWorld world = new SimulatedWorld();
+        world.core.recordsLoaded();
+        world.up("a", "east", 0);
+        Job job = world.submit(spec(1, 1, 1, 100), 0);
+        world.hear("a", 1);
+        assertEquals(Optional.empty(), world.core.waitReason(job, at(2)));
     }
 
     /**
@@ -123,59 +123,63 @@
      * machine.
      */
     @Test
-    void aTeamThatWantsNothingKeepsNoRoom() {
-        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(0), GUARANTEED);
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.submit(spec(1, 6, 1, 100), 0);
-        List<WorkerCommand> first = w.hear("a", 1);
+    void idleTeamWithGuaranteeBlocksNoCapacity() {
+        SimulatedWorld world = new SimulatedWorld(SimulatedWorld.team(0), GUARANTEED);
+        world.core.recordsLoaded();
+        world.up("a", "east", 0);
+        world.submit(spec(1, 6, 1, 100), 0);
+        List<WorkerCommand> first = world.hear("a", 1);
         assertEquals(4, SimulatedWorld.starts(first).size());
-        assertEquals(1, SimulatedWorld.starts(oneEnds(w, first, 10)).size());
+        assertEquals(
+                1,
+                SimulatedWorld.starts(heartbeatWithFirstTaskDone(world, first, 10))
+                        .size());
     }
 
-    private static List<WorkerCommand> oneEnds(SimulatedWorld w, List<WorkerCommand> starts, double at) {
+    private static List<WorkerCommand> heartbeatWithFirstTaskDone(
+            SimulatedWorld world, List<WorkerCommand> starts, double at) {
         List<TaskStatus> tasks = new ArrayList<>();
         tasks.add(exited(starts.get(0), ExitCause.DONE));
         starts.subList(1, starts.size()).forEach(command -> tasks.add(running(command)));
-        return w.hear("a", at, tasks.toArray(TaskStatus[]::new));
+        return world.hear("a", at, tasks.toArray(TaskStatus[]::new));
     }
 
     /** A busy machine keeps to its queue, and a surplus machine takes no tasks, until a job has waited for a minute. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void nothingWaitsBesideRoomForLong(boolean spare) {
-        SimulatedWorld w = spare
+    void overdueJobsUseFreeCapacity(boolean surplus) {
+        SimulatedWorld world = surplus
                 ? new SimulatedWorld()
                 : new SimulatedWorld(SimulatedWorld.team(0), GUARANTEED, new Team("other", 8, 0, 0, 0));
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        Job own = w.submit(of(spec(1, 4, 1, 500), spare ? "t" : "guaranteed"), 0);
-        List<WorkerCommand> first = w.hear("a", 1);
+        world.core.recordsLoaded();
+        world.up("a", "east", 0);
+        Job firstJob = world.submit(withTeam(spec(1, 4, 1, 500), surplus ? "t" : "guaranteed"), 0);
+        List<WorkerCommand> first = world.hear("a", 1);
         assertEquals(4, SimulatedWorld.starts(first).size());
-        w.core.machines().iterator().next().surplus = spare;
-        w.submit(spec(2, 1, 1, 500), 2);
-        assertEquals(List.of(), SimulatedWorld.starts(oneEnds(w, first, 61)));
-        assertEquals(List.of("run-2/0"), SimulatedWorld.starts(w.hear("a", 62.5, tasks(own))));
+        world.core.machines().iterator().next().surplus = surplus;
+        world.submit(spec(2, 1, 1, 500), 2);
+        assertEquals(List.of(), SimulatedWorld.starts(heartbeatWithFirstTaskDone(world, first, 61)));
+        assertEquals(List.of("run-2/0"), SimulatedWorld.starts(world.hear("a", 62.5, runningTasks(firstJob))));
     }
 
-    private static TaskStatus[] tasks(Job job) {
+    private static TaskStatus[] runningTasks(Job job) {
         return job.placements().stream()
                 .map(placement -> new TaskStatus(placement.task(), placement.attempt, TaskState.RUNNING, null, false))
                 .toArray(TaskStatus[]::new);
     }
 
-    private static JobSpec of(JobSpec s, String team) {
-        return JobSpec.builder(s.id())
-                .jobClass(s.jobClass())
+    private static JobSpec withTeam(JobSpec spec, String team) {
+        return JobSpec.builder(spec.id())
+                .jobClass(spec.jobClass())
                 .team(team)
-                .kind(s.kind())
-                .urgency(s.urgency())
-                .tasks(s.tasks())
-                .demand(s.demand())
-                .image(s.image())
-                .imageGb(s.imageGb())
+                .kind(spec.kind())
+                .urgency(spec.urgency())
+                .tasks(spec.tasks())
+                .demand(spec.demand())
+                .image(spec.image())
+                .imageGb(spec.imageGb())
                 .spotAllowed()
-                .estimate(s.estimate())
+                .estimate(spec.estimate())
                 .build();
     }
 
@@ -185,23 +189,23 @@
      */
     @ParameterizedTest
     @CsvSource({"false, expensive west", "true, quad east"})
-    void aBoundJobIsRentedForWhereItMayBe(boolean refused, String expected) {
-        SimulatedWorld w = new SimulatedWorld();
+    void scalesOutInAllowedZone(boolean refused, String expected) {
+        SimulatedWorld world = new SimulatedWorld();
         MachineType east =
                 new MachineType("quad", new Demand(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of("east"));
-        MachineType dear = new MachineType(
+        MachineType expensive = new MachineType(
                 "expensive", new Demand(4, 0, 16), 40, 0.5, 0.4, 0.1, Span.seconds(20), List.of("west", "east"));
-        w.core.setTypes(refused ? List.of(SimulatedWorld.TYPE) : List.of(east, dear));
-        w.core.recordsLoaded();
-        w.submit(with(spec(1, 4, 1, 100), Urgency.STANDARD, false, false, true, "west", 0), 0);
+        world.core.setTypes(refused ? List.of(SimulatedWorld.TYPE) : List.of(east, expensive));
+        world.core.recordsLoaded();
+        world.submit(with(spec(1, 4, 1, 100), Urgency.STANDARD, false, false, true, "west", 0), 0);
         if (refused) {
-            w.submit(spec(2, 4, 1, 100), 1);
-            w.core.scaleOutRejected(new MachinePool("quad", "west", true), at(19));
-            w.core.scaleOutRejected(new MachinePool("quad", "west", false), at(19));
+            world.submit(spec(2, 4, 1, 100), 1);
+            world.core.scaleOutRejected(new MachinePool("quad", "west", true), at(19));
+            world.core.scaleOutRejected(new MachinePool("quad", "west", false), at(19));
         }
         assertEquals(
                 Set.of(expected),
-                w.core.scaleOutRequests(at(20)).stream()
+                world.core.scaleOutRequests(at(20)).stream()
                         .map(r -> r.pool().type() + " " + r.pool().zone())
                         .collect(Collectors.toSet()));
     }
