--- a/src/main/java/io/indigoreach/core/scheduling/Job.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Job.java
@@ -30,10 +30,7 @@
     Moment eligibleSince;
     /** Submission in epoch milliseconds. It decides the order in the queue and is the same for every leader. */
     final long submittedMs;
-    /**
-     * Whether the job was submitted before this leadership term. Its tasks below the start bound may be on machines
-     * that have not sent a heartbeat to this leader yet.
-     */
+    /** Whether the job was submitted before this term, so that tasks below its start bound may be on machines. */
     final boolean inherited;
 
     private final TaskProgress progress;
@@ -106,10 +103,7 @@
         return hasUnmetDependencies;
     }
 
-    /**
-     * Releases the job once all required jobs are done: its waiting time counts from now, and its next record has the
-     * release.
-     */
+    /** Releases the job: its waiting time counts from now, and its next record has the release time. */
     void releaseFromDependencies(Moment now, long timeOfDayMs) {
         hasUnmetDependencies = false;
         eligibleSince = now;
@@ -300,10 +294,7 @@
         return hasRun || !placements.isEmpty();
     }
 
-    /**
-     * Whether the job is starved and its one prioritised task has started. The other tasks wait until the queue is
-     * sorted again.
-     */
+    /** Whether the prioritised task of a starved job has started; the others wait until the queue is sorted again. */
     boolean isStarvationRelieved() {
         return starved && hasStarted();
     }
@@ -402,10 +393,7 @@
         return isNew;
     }
 
-    /**
-     * Whether the job failed on several machines and never completed a task, so that the job itself is the likely
-     * cause.
-     */
+    /** Whether the job failed on several machines without completing a task, so that the job is the likely cause. */
     boolean isSuspectedFaulty() {
         return progress.doneCount() == 0 && failedMachines.size() >= FAILED_MACHINES_UNTIL_SUSPECTED;
     }
