--- a/src/main/java/io/indigoreach/core/scheduling/ImageCache.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ImageCache.java
@@ -32,7 +32,7 @@
     /** Entries by image, the least recently used first. */
     private final Map<String, Entry> entries = new LinkedHashMap<>();
 
-    /** With {@code capacity} 0 the size is unknown and images are evicted only by their number. */
+    /** With {@code capacityGb} 0 the size is unknown and images are evicted only by their number. */
     public ImageCache(double capacityGb) {
         this.capacityGb = capacityGb;
     }
