--- a/src/main/java/io/indigoreach/core/scheduling/FairShareQueue.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FairShareQueue.java
@@ -11,22 +11,22 @@
 import java.util.function.Predicate;
 
 /**
- * A queue of open jobs: that of one team with a guarantee, or that of all teams without one. These have no claim against
- * each other, so the queue's order alone says whose turn it is: with a queue and machines for each, a guest's batch work
- * got as many cores as the plans of the next morning, and kept its machines half used. Machines name the queue that they
- * serve; the leader moves idle ones.
+ * A queue of open jobs: one per team with a guarantee, and one common queue for all teams without a guarantee. Teams
+ * without a guarantee have no claim against each other, so only the queue order ranks their jobs. With one queue per
+ * team, the batch jobs of one team got as many cores as the urgent jobs of another and left their machines half used.
+ * Each machine serves one queue; the leader reassigns idle machines.
  */
 final class FairShareQueue {
-    /** How long an order of the queue is kept while no job comes or goes. */
+    /** How long the sorted order is cached while no job is added or removed. */
     private static final Span ORDER_CACHE_TIME = Span.seconds(1);
 
-    /** A job with what its place in the queue depends on. */
+    /** A job with its sort keys. */
     private record RankedJob(Job job, int precedence, Urgency urgency, Moment latestStart) {}
 
     /**
-     * The paper's priority queue, its priority from urgency and time: urgent jobs first, the others mixed, each by the
-     * latest start that still meets an objective; then the order of arrival. Before them under-served classes ({@link ClassQuota}), and
-     * before that one task of each job of which nothing has run for too long, in the order of arrival.
+     * Orders jobs by urgency, where best-effort counts as standard, then by the latest start that still meets an
+     * objective, then by submission. While {@link MinimumClassService} allows, services and under-served jobs go before these.
+     * Starved jobs go before all others, in the order in which they became eligible.
      */
     private static final Comparator<RankedJob> ORDER = Comparator.<RankedJob, Integer>comparing(
                     ranked -> ranked.precedence)
@@ -35,11 +35,11 @@
             .thenComparingLong(ranked -> ranked.job.submittedMs)
             .thenComparing(ranked -> ranked.job.id());
 
-    /** The name of the queue of all teams without a guarantee; no team can have it. */
+    /** The name of the common queue for teams without a guarantee. A team name cannot be empty. */
     static final String COMMON_QUEUE_NAME = "";
 
     final String name;
-    /** Its team, if it has a guarantee; else null. */
+    /** The usage of the queue's team; null for the common queue. */
     final TeamUsage guaranteedTeamUsage;
 
     private final List<Job> jobs = new ArrayList<>();
@@ -48,7 +48,7 @@
     private List<Job> cachedOrder = List.of();
     private Moment sortedAt = Moment.NEVER;
     private double coresInUse;
-    /** What is free on the machines that are not cordoned. */
+    /** The free capacity of each machine that is not cordoned. */
     private List<Resources> freeOutsideCordon = List.of();
 
     FairShareQueue(String name, TeamUsage guaranteedTeamUsage) {
@@ -76,7 +76,7 @@
         return arrivalRate;
     }
 
-    /** The queue in the order in which it is served. */
+    /** The jobs in the order in which they are served. */
     List<Job> sortedJobs(
             Function<Job, Moment> latestStart,
             Function<Job, Moment> longestObjectiveStart,
@@ -87,7 +87,7 @@
             List<RankedJob> ranked = new ArrayList<>(jobs.size());
             for (Job job : jobs) {
                 Urgency urgency = job.urgency() == Urgency.BEST_EFFORT ? Urgency.STANDARD : job.urgency();
-                // A replica that is down is worth more than any job that is late.
+                // A service replica that is down takes precedence over any late job.
                 boolean goesFirst =
                         minimumClassService.servesUnderServedFirst() && (job.underServed || job.spec.isService());
                 int precedence = job.starved ? 0 : goesFirst ? 1 : 2;
@@ -119,12 +119,12 @@
         return coresInUse;
     }
 
-    /** Its team has a guarantee and uses less than that, with {@code more}. */
+    /** Whether the queue's team has a guarantee and stays within it when it uses {@code additional}. */
     boolean isBelowGuarantee(Resources additional) {
         return guaranteedTeamUsage != null && guaranteedTeamUsage.isWithinGuarantee(additional);
     }
 
-    /** Cores in use beyond the guarantee. */
+    /** The cores in use beyond the guarantee; negative if the team uses less. */
     double coresBeyondGuarantee() {
         return coresInUse - (guaranteedTeamUsage == null ? 0 : guaranteedTeamUsage.team.guaranteedCores());
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Reservation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Reservation.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 
 /**
- * The reservation that the top job of a queue holds: on which machines its waiting tasks are expected to start, and
- * when. Other jobs may use those machines only if they do not delay it.
+ * The reservation of a queue's top job: the machines on which its waiting tasks are expected to start, and when. Other
+ * jobs are backfilled on those machines only if they do not delay the top job.
  */
 final class Reservation {
-    /** From {@code at} on, {@code tasks} of the top job have a place on this machine. */
+    /** From {@code from} on, the machine is reserved for {@code taskCount} tasks of the top job. */
     record ReservedSlots(Moment from, int taskCount) {}
 
     private final Job topJob;
@@ -28,7 +28,7 @@
         this.lastStart = lastStart;
     }
 
-    /** When the last waiting task of the top job is expected to start; null if no machine can ever take it. */
+    /** When the last waiting task of the top job is expected to start; null if no current machine can run it. */
     Moment lastStart() {
         return lastStart;
     }
@@ -41,10 +41,10 @@
         return slotsByMachine.get(machine);
     }
 
-    /** From {@code at} on, {@code tasks} more of the top job fit on the machine. */
+    /** From {@code from} on, {@code taskCount} more tasks of the top job fit on the machine. */
     private record FreeSlots(Machine machine, Moment from, int taskCount) {}
 
-    /** Reserves the earliest places for the waiting tasks of {@code top}. */
+    /** Reserves the earliest available slots for the waiting tasks of the top job. */
     static Reservation of(Job topJob, Iterable<Machine> machines, Estimates estimates, Moment now) {
         List<FreeSlots> freeSlots = new ArrayList<>();
         for (Machine machine : machines) {
@@ -72,7 +72,7 @@
                     (old, more) -> new ReservedSlots(old.from, old.taskCount + more.taskCount));
         }
         if (remaining > 0 && !freeSlots.isEmpty()) {
-            // More tasks than places: the rest starts in further rounds.
+            // There are more tasks than slots: the remaining tasks start in further rounds.
             int perRound = freeSlots.stream().mapToInt(FreeSlots::taskCount).sum();
             int rounds = (remaining + perRound - 1) / perRound;
             lastStart = lastStart.plus(estimates.runTime(topJob).times(rounds));
@@ -80,7 +80,7 @@
         return new Reservation(topJob, slotsByMachine, lastStart);
     }
 
-    /** Adds the machine's places for the top job: those free now, and those that come free as its tasks end. */
+    /** Adds the machine's slots for the top job: those free now, and those freed as running tasks end. */
     private static void addSlotsOfMachine(
             Job topJob, Machine machine, Estimates estimates, Moment now, List<FreeSlots> freeSlots) {
         Moment start = now;
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Adds what fits beyond the tasks that have places there already; returns for how many tasks. */
+    /** Adds a slot for the tasks that fit beyond the {@code reserved} ones; returns their number. */
     private static int addFreeSlots(
             Job topJob, Machine machine, Resources free, Moment start, int reserved, List<FreeSlots> freeSlots) {
         int additional = topJob.spec.demand().countFittingIn(free) - reserved;
@@ -114,7 +114,9 @@
         return additional;
     }
 
-    /** Whether a task that takes {@code demand} for {@code time} may start on the machine without delaying the top job. */
+    /**
+     * Whether a task that takes {@code demand} for {@code runTime} may start on the machine without delaying the top job.
+     */
     boolean allows(Machine machine, Resources demand, Span runTime, Estimates estimates, Moment now) {
         ReservedSlots reserved = slotsByMachine.get(machine.id);
         if (reserved == null || !now.plus(runTime).isAfter(reserved.from)) {
--- a/src/main/java/io/indigoreach/core/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ServiceLevelObjectives.java
@@ -7,16 +7,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the users expect of each class of jobs: tasks started, or jobs finished, within a time. */
+/** The service level objectives of each job class: tasks started, or jobs finished, within a given time. */
 public final class ServiceLevelObjectives {
-    /** One expectation; {@code start}: of each task's start, else of the whole job's end. */
+    /** One objective; {@code forStart} selects the start of each task, otherwise the end of the whole job is meant. */
     public record Objective(String jobClass, boolean forStart, Span within) {}
 
-    /** A job past all its objectives counts as expected this long after its arrival. */
+    /** A job past all its objectives is due this long after it became eligible. */
     private static final Span AGE_LIMIT_WITH_OBJECTIVE = Span.seconds(600);
-    /** One without any is served by then: with 600 s less than half of such a class was over at the end of a full day. */
+    /**
+     * A job without an objective is due this long after it became eligible. With 600 s, less than half of such jobs had
+     * finished at the end of a busy day.
+     */
     private static final Span AGE_LIMIT_WITHOUT_OBJECTIVE = Span.seconds(400);
-    /** A job of which nothing has run after this part of that goes first with one task. */
+    /** A job without a running task is starved after this fraction of {@link #AGE_LIMIT_WITHOUT_OBJECTIVE}. */
     private static final double STARVED_FRACTION = 0.3;
 
     private final Map<String, List<Objective>> objectivesByClass = new HashMap<>();
@@ -31,10 +34,10 @@
     }
 
     /**
-     * The next moment by which the job's waiting tasks should have started, for an objective that can still be met.
+     * The latest start of the job's waiting tasks for its next objective that can still be met.
      *
-     * @param rounds how many rounds its waiting tasks would take with every place there is: an objective that is out of
-     *     reach even so is no reason to go before others
+     * @param rounds the number of rounds that the waiting tasks would take with the whole cluster to themselves. An
+     *     objective that cannot be met even so gives the job no precedence.
      */
     Moment latestStart(Job job, Span runTime, int rounds, Moment now) {
         Moment nextLatestStart = job.eligibleSince.plus(AGE_LIMIT_WITH_OBJECTIVE);
@@ -53,8 +56,8 @@
     }
 
     /**
-     * The last moment at which its waiting tasks may start for the longest objective of its class, or its deadline; without
-     * either there is only the age that nothing should reach.
+     * The latest start of the job's waiting tasks for the longest objective of its class or for its deadline. Without
+     * either it is the age limit for jobs without an objective.
      */
     Moment latestStartForLongestObjective(Job job, Span runTime) {
         Moment latestOfAll = null;
@@ -65,8 +68,8 @@
                             : objective.within().minus(runTime));
             latestOfAll = latestOfAll == null || latest.isAfter(latestOfAll) ? latest : latestOfAll;
         }
-        // A deadline of a job after it makes it more urgent; it is no reason to be late for the objectives of its own
-        // class.
+        // A deadline inherited from a dependent job makes this job more urgent, but does not extend the objectives of
+        // its own class.
         Moment deadline = latestOfAll == null ? job.dueAt() : job.ownDueAt();
         if (deadline != null) {
             Moment latest = deadline.minus(runTime);
@@ -75,13 +78,13 @@
         return latestOfAll == null ? job.eligibleSince.plus(AGE_LIMIT_WITHOUT_OBJECTIVE) : latestOfAll;
     }
 
-    /** Waiting for longer than anything should: whatever its class and urgency, it is served now. */
+    /** Whether the job has waited longer than any job should, so that it takes precedence over class and urgency. */
     boolean isAged(Job job, Moment now) {
         return now.isAfter(
                 job.eligibleSince.plus(hasNoObjective(job) ? AGE_LIMIT_WITHOUT_OBJECTIVE : AGE_LIMIT_WITH_OBJECTIVE));
     }
 
-    /** It has waited for so long that something of it should run, whatever its class and urgency. */
+    /** Whether the job has waited so long that one of its tasks should run, regardless of class and urgency. */
     static boolean isStarved(Job job, Moment now) {
         return now.isAfter(job.eligibleSince.plus(AGE_LIMIT_WITHOUT_OBJECTIVE.times(STARVED_FRACTION)));
     }
@@ -94,7 +97,7 @@
                         .isEmpty();
     }
 
-    /** The moment by which the job's tasks should have started for its nearest objective on starts, or null. */
+    /** The latest start of the job's tasks for its nearest start objective; null if it has none. */
     Moment latestStartForStartObjective(Job job) {
         return objectivesByClass.getOrDefault(job.spec.jobClass(), List.of()).stream()
                 .filter(Objective::forStart)
--- a/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Replicas have no end of their own: what that means for every decision that rests on when tasks end. */
+/** Service replicas, which run until cancelled, in every decision that depends on when tasks end. */
 class ServiceTest {
     private static SchedulerFixture newWorld() {
         SchedulerFixture world = new SchedulerFixture();
@@ -30,7 +30,7 @@
         return world;
     }
 
-    /** An array of twelve short one-core tasks, three rounds of one machine, beside a machine that holds so many replicas. */
+    /** Twelve one-core tasks need three rounds of a machine, which may be partly or fully taken by replicas. */
     @ParameterizedTest
     @CsvSource({"0, 0", "2, 1", "4, 1"})
     void replicasDoNotCountAsFutureCapacity(int replicas, int rented) {
@@ -47,7 +47,7 @@
                         .sum());
     }
 
-    /** Each end of a replica but its job's cancellation is followed by another start of it; the job is never done. */
+    /** A replica is restarted whenever it ends, unless its job was cancelled; the job is never done. */
     @ParameterizedTest
     @CsvSource({"DONE, 1", "STOPPED, 0", "FULL, 1", "OTHER, 0"})
     void endedReplicaIsRestarted(ExitCause cause, double after) {
@@ -65,7 +65,7 @@
         assertEquals(0, job.doneCount());
     }
 
-    /** With a service first in the queue, 150 spot machines' work was given to ordinary ones (water kiosks, steady). */
+    /** Guards against a service at the head of the queue that moved the work of 150 spot machines to on-demand ones. */
     @Test
     void scaleOutRequestsSpotAndOnDemandMachines() {
         SchedulerFixture world = newWorld();
@@ -86,7 +86,7 @@
                         .sum());
     }
 
-    /** A machine that holds a replica is paid for in any case, so it is not kept empty beside it. */
+    /** A machine with a replica must be paid for in any case, so other tasks use the rest of it. */
     @Test
     void machineWithReplicaIsNotSurplus() {
         SchedulerFixture world = newWorld();
@@ -103,8 +103,8 @@
     }
 
     /**
-     * An image of 1 GB takes 2 s; replicas are to start within 3 s. A machine without the image is passed over only
-     * while the aim would be missed there and can be met on one that has it.
+     * An image of 1 GB takes 2 s to fetch, and replicas have a start objective of 3 s. The dispatcher skips a machine
+     * without the image only while the objective would be missed there and can be met on a machine that has it.
      */
     @ParameterizedTest
     @CsvSource({"0.5, true, 1", "1.5, true, 0", "1.5, false, 1", "3.1, true, 1"})
@@ -138,9 +138,9 @@
                 tasksToStart(world.addOnDemandMachine("b", 100 + waited)).size());
     }
 
-    /** How a machine with a replica was lost, and from when on (seconds) the replica may start on another one. */
+    /** How a machine with a replica was lost, and from which second on the replica may start on another machine. */
     @ParameterizedTest
-    @CsvSource({"listed as failed, 3", "lease run out, 14", "gone from two lists, 22"})
+    @CsvSource({"listed as failed, 3", "lease expired, 14", "missing from two listings, 22"})
     void lostReplicaRestartsOnlyOnceItsLossIsConfirmed(String loss, double from) {
         SchedulerFixture world = newWorld();
         world.submit(service(1, 1), 0);
@@ -153,7 +153,10 @@
         assertEquals(1, tasksToStart(world.heartbeatOnDemand("b", from + 0.1)).size());
     }
 
-    /** What the leader's duties see at {@code now}: the machine fails at 2.5 s, or is never heard or listed again. */
+    /**
+     * Reports the loss at {@code now}: the machine fails at 2.5 s, or sends no heartbeats, or is missing from the
+     * listing.
+     */
     private static void simulateLoss(SchedulerFixture world, String loss, double now) {
         ListedMachine machineB = listed("b", ListedMachine.Status.RUNNING);
         switch (loss) {
@@ -164,7 +167,7 @@
                                 machineB),
                         atSeconds(now),
                         atSeconds(now));
-            case "lease run out" -> world.core.expireLeases(atSeconds(now));
+            case "lease expired" -> world.core.expireLeases(atSeconds(now));
             default -> world.core.onMachineListing(List.of(machineB), atSeconds(now), atSeconds(now));
         }
     }
@@ -173,7 +176,7 @@
         return new ListedMachine(new MachineId(name), new MachinePool("quad", "east", false), status, Span.seconds(1));
     }
 
-    /** A new leader starts no replica that a machine may still hold, and takes on those that are reported. */
+    /** A new leader starts no replica that a machine may still run, and adopts those that heartbeats report. */
     @ParameterizedTest
     @CsvSource({"true, 2, 1", "false, 2, 0", "false, 13, 2"})
     void failoverAdoptsReplicasOrWaitsForThem(boolean reported, double at, int started) {
@@ -195,7 +198,10 @@
         assertEquals(started, tasksToStart(world.heartbeatOnDemand("b", at)).size());
     }
 
-    /** A start ordered just before the user cancelled is answered with a stop as soon as it shows, and not repeated. */
+    /**
+     * A replica whose start was sent just before the cancellation is stopped when it is reported, and not started
+     * again.
+     */
     @Test
     void replicaStartedBeforeCancellationIsStopped() {
         SchedulerFixture world = newWorld();
--- a/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulationTest.java
@@ -7,31 +7,31 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Limits, cancellations and changes of leader, each one on the others. */
+/** Team limits hold during cancellations, leader changes and machine faults. */
 class TeamLimitSimulationTest {
     private static final int SEEDS = 12;
 
-    /** {@code everyS}: from one change of leader to the next. */
+    /** {@code intervalS} is the time from one leader change to the next. */
     @ParameterizedTest
     @CsvSource({
         "NONE, 1, 0",
-        "CUT, 1, 0",
-        "DEAF, 1, 0",
-        "HUNG, 1, 0",
-        "HELD_UP, 1, 0",
-        "CUT, 2, 7",
-        "DEAF, 2, 7",
-        "HUNG, 2, 5",
-        "HELD_UP, 2, 3",
-        "CUT, 10, 9",
-        "DEAF, 10, 9",
-        "HUNG, 10, 9",
-        "HELD_UP, 10, 9",
-        "CUT, 10, 3",
-        "AWAY, 1, 0",
-        "AWAY, 3, 10",
-        "ZONE, 1, 0",
-        "ZONE, 2, 6"
+        "PARTITIONED, 1, 0",
+        "RESPONSES_LOST, 1, 0",
+        "PAUSED, 1, 0",
+        "RESPONSES_DELAYED, 1, 0",
+        "PARTITIONED, 2, 7",
+        "RESPONSES_LOST, 2, 7",
+        "PAUSED, 2, 5",
+        "RESPONSES_DELAYED, 2, 3",
+        "PARTITIONED, 10, 9",
+        "RESPONSES_LOST, 10, 9",
+        "PAUSED, 10, 9",
+        "RESPONSES_DELAYED, 10, 9",
+        "PARTITIONED, 10, 3",
+        "CONTROLLERS_DOWN, 1, 0",
+        "CONTROLLERS_DOWN, 3, 10",
+        "ZONE_PARTITIONED, 1, 0",
+        "ZONE_PARTITIONED, 2, 6"
     })
     void noTeamExceedsItsLimit(TeamLimitSimulation.Fault fault, int leaderChanges, double intervalS) {
         int cancelledTasksOnFaultyMachines = 0;
@@ -43,6 +43,6 @@
         }
         assertTrue(
                 fault == TeamLimitSimulation.Fault.NONE || cancelledTasksOnFaultyMachines > 0,
-                "cancelled tasks ran on where nobody heard of them");
+                "no cancelled task was on a machine with a fault");
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/WaitInvariant.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitInvariant.java
@@ -9,13 +9,13 @@
 import java.util.Optional;
 
 /**
- * Every job that waits has a reason by name, and once the troubles are over none waits 90 s on end, with no task of it started,
- * for anything but its team's limit or room.
+ * Checks that every waiting job has a {@link WaitReason}, and that after the faults no job waits for 90 s without a
+ * started task, except for its team's limit or capacity.
  */
 final class WaitInvariant {
     private static final double MAX_WAIT_S = 90;
 
-    /** A job waits for no limit and no room since then, with so many tasks waiting. */
+    /** A wait for a reason other than a limit or capacity: its start, and the number of waiting tasks. */
     private record Wait(double since, int tasks, WaitReason reason) {}
 
     private final Map<JobId, Wait> waits = new HashMap<>();
@@ -28,7 +28,8 @@
             Optional<WaitReason> reason = core.waitReason(job, SchedulerFixture.atSeconds(now));
             effects.onWaitReason(job, reason.orElse(null));
             if (reason.isEmpty() == job.hasWaiting()) {
-                violations.add(now + ": " + job.id() + " has " + job.waitingCount() + " tasks waiting for " + reason);
+                violations.add(
+                        now + ": " + job.id() + " has " + job.waitingCount() + " waiting tasks, reason " + reason);
             }
             if (!faultsOver || reason.isEmpty() || reason.get().isLimitOrCapacity()) {
                 continue;
--- a/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
@@ -33,33 +33,33 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Every wait has a name, and none is for nothing. */
+/** Every waiting job has a reason, and no job waits for long beside free capacity. */
 class WaitReasonTest {
     private static final Team GUARANTEED = new Team("guaranteed", 8, 0, 0, 0);
 
-    /** One machine of four cores in the east, three of them taken where {@code busy}, and a job that waits. */
+    /** A job waits beside one machine with four cores in zone east, of which other tasks use three or all. */
     @ParameterizedTest
     @CsvSource({
-        "nothing, NEXT_HEARTBEAT",
-        "limit, TEAM_LIMIT",
-        "wide, NO_MACHINE",
-        "west, NO_MACHINE",
-        "full, NO_ROOM",
-        "ordinary, NO_MACHINE",
-        "unbound, START_BOUND",
-        "booting, BOOTING",
-        "unrecorded, MACHINE_RECORD",
-        "inherited, FAILOVER",
-        "failed, FAILED_THERE",
-        "suspect, RETRY_PAUSE",
-        "reserved, RESERVATION",
-        "spare, SET_ASIDE",
-        "elsewhere, OTHER_ZONE"
+        "startable, NEXT_HEARTBEAT",
+        "team limit, TEAM_LIMIT",
+        "task too large, NO_MACHINE",
+        "zone without machines, NO_MACHINE",
+        "machine full, NO_FREE_CAPACITY",
+        "on-demand only, NO_MACHINE",
+        "no start bound, START_BOUND_NOT_RECORDED",
+        "booting machine, BOOTING",
+        "unrecorded machine, MACHINE_NOT_RECORDED",
+        "inherited job, FAILOVER",
+        "failed on machine, EXCLUDED_AFTER_FAILURE",
+        "suspected faulty, RETRY_BACKOFF",
+        "reservation, RESERVATION",
+        "surplus machine, SURPLUS_OR_CORDONED",
+        "placed in another zone, ZONE_CONSTRAINT"
     })
     void eachWaitHasItsReason(String situation, WaitReason expected) {
         SchedulerFixture world =
-                new SchedulerFixture(SchedulerFixture.teamWithCoreLimit(situation.equals("limit") ? 3 : 0));
-        if (situation.equals("inherited")) {
+                new SchedulerFixture(SchedulerFixture.teamWithCoreLimit(situation.equals("team limit") ? 3 : 0));
+        if (situation.equals("inherited job")) {
             world.core.inheritMachine(
                     new MachineId("old"),
                     new MachinePool("quad", "east", true),
@@ -68,39 +68,45 @@
                     atSeconds(0));
         }
         world.core.onRecordsLoaded();
-        if (situation.equals("booting") || situation.equals("unrecorded")) {
+        if (situation.equals("booting machine") || situation.equals("unrecorded machine")) {
             world.core.onMachinesRented(
                     new MachinePool("quad", "east", true), List.of(new MachineId("a")), atSeconds(0), atSeconds(0));
         } else {
             world.addSpotMachine("a", "east", 0);
         }
-        if (!situation.equals("booting")) {
+        if (!situation.equals("booting machine")) {
             world.heartbeat("a", 1);
         }
-        if (!Set.of("booting", "unrecorded", "inherited").contains(situation)) {
-            world.submit(spec(1, situation.equals("full") ? 4 : 3, 1, 100), 1);
+        if (!Set.of("booting machine", "unrecorded machine", "inherited job").contains(situation)) {
+            world.submit(spec(1, situation.equals("machine full") ? 4 : 3, 1, 100), 1);
             world.heartbeat("a", 2);
         }
-        if (situation.equals("reserved")) {
+        if (situation.equals("reservation")) {
             world.submit(spec(2, 1, 4, 10), 2);
         }
-        JobSpec spec = spec(9, 2, situation.equals("wide") ? 5 : 1, 500);
-        String zone = situation.equals("west") ? "west" : null;
+        JobSpec spec = spec(9, 2, situation.equals("task too large") ? 5 : 1, 500);
+        String zone = situation.equals("zone without machines") ? "west" : null;
         spec = withOptions(
-                spec, Urgency.STANDARD, situation.equals("elsewhere"), false, !situation.equals("ordinary"), zone, 0);
-        Job job = situation.equals("inherited") ? world.addInheritedJob(spec) : world.submit(spec, 2);
-        if (situation.equals("unbound")) {
+                spec,
+                Urgency.STANDARD,
+                situation.equals("placed in another zone"),
+                false,
+                !situation.equals("on-demand only"),
+                zone,
+                0);
+        Job job = situation.equals("inherited job") ? world.addInheritedJob(spec) : world.submit(spec, 2);
+        if (situation.equals("no start bound")) {
             job = new Job(spec, 3, atSeconds(2), Revision.ABSENT, new BitSet(), 0, false);
             world.core.closeJob(job.id());
             world.core.addJob(job);
         }
         Machine machine = world.core.machines().iterator().next();
-        machine.surplus = situation.equals("spare");
-        if (situation.equals("failed") || situation.equals("suspect")) {
+        machine.surplus = situation.equals("surplus machine");
+        if (situation.equals("failed on machine") || situation.equals("suspected faulty")) {
             job.failedMachines.add(machine.id);
         }
-        job.retryNotBefore = situation.equals("suspect") ? atSeconds(10) : job.retryNotBefore;
-        if (situation.equals("elsewhere")) {
+        job.retryNotBefore = situation.equals("suspected faulty") ? atSeconds(10) : job.retryNotBefore;
+        if (situation.equals("placed in another zone")) {
             Machine otherZone = new Machine(
                     new MachineId("b"),
                     new MachinePool("quad", "west", true),
@@ -122,7 +128,10 @@
         assertEquals(Optional.empty(), world.core.waitReason(job, atSeconds(2)));
     }
 
-    /** A team that used none of its guarantee and wanted nothing kept the others from the rest of every machine. */
+    /**
+     * Guards against a team that neither used nor needed its guarantee but kept other teams from the rest of every
+     * machine.
+     */
     @Test
     void idleTeamWithGuaranteeBlocksNoCapacity() {
         SchedulerFixture world = new SchedulerFixture(SchedulerFixture.teamWithCoreLimit(0), GUARANTEED);
@@ -145,7 +154,7 @@
         return world.heartbeat("a", at, tasks.toArray(TaskStatus[]::new));
     }
 
-    /** A machine at work stays with its share, and one that is put aside takes nothing, until a job has waited for a minute. */
+    /** A busy machine keeps to its queue, and a surplus machine takes no tasks, until a job has waited for a minute. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void overdueJobsUseFreeCapacity(boolean surplus) {
@@ -186,15 +195,18 @@
                 .build();
     }
 
-    /** Bound to a zone that the cheapest type is not in, or whose pools are empty: machines come for it, and for others. */
+    /**
+     * Machines are rented for a job bound to a zone that the cheapest type does not offer, or whose requests were
+     * rejected.
+     */
     @ParameterizedTest
-    @CsvSource({"false, dear west", "true, quad east"})
+    @CsvSource({"false, expensive west", "true, quad east"})
     void scalesOutInAllowedZone(boolean refused, String expected) {
         SchedulerFixture world = new SchedulerFixture();
         MachineType east =
                 new MachineType("quad", new Resources(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of("east"));
         MachineType expensive = new MachineType(
-                "dear", new Resources(4, 0, 16), 40, 0.5, 0.4, 0.1, Span.seconds(20), List.of("west", "east"));
+                "expensive", new Resources(4, 0, 16), 40, 0.5, 0.4, 0.1, Span.seconds(20), List.of("west", "east"));
         world.core.addMachineTypes(refused ? List.of(SchedulerFixture.MACHINE_TYPE) : List.of(east, expensive));
         world.core.onRecordsLoaded();
         world.submit(withOptions(spec(1, 4, 1, 100), Urgency.STANDARD, false, false, true, "west", 0), 0);
