--- a/src/main/java/io/indigoreach/core/scheduling/AsymmetricPartition.java
+++ b/src/main/java/io/indigoreach/core/scheduling/AsymmetricPartition.java
@@ -12,22 +12,23 @@
 import java.util.Optional;
 
 /**
- * Whether a machine receives the answers to its heartbeats. Its heartbeats may arrive while answers do not reach it: then it
- * starts nothing that it is given, and its tasks end with its lease, however many heartbeats arrive. A heartbeat shows what
- * became of the answer before it, as a worker has one heartbeat in flight and drops answers to those that it has abandoned:
- * what was started is in it in some state, refused included, what was reaped is not, what was stopped does not run, and the
- * token is this leader's.
+ * Detects a network partition in one direction: a machine's heartbeats arrive, but the answers do not reach it. Such a machine
+ * executes no command, and its tasks end with its lease, however many heartbeats arrive. A heartbeat shows whether the
+ * previous answer was received, because a worker has one heartbeat in flight and drops answers to heartbeats that it has
+ * abandoned. After a received answer, the task list contains each started task in some state, including refused; it does not
+ * contain reaped tasks; no stopped task is running; and the heartbeat carries this leader's token.
  *
- * <p>A lost answer or two are usual. A partition is confirmed by {@value #MISSED_TO_CONFIRM} answers missed in a row over half
- * a lease; for a machine that has shown nothing to this leader yet, as it may start slowly or be slow to find a new leader, by
- * twice as many over twice as long. Heartbeats every 2 s confirm it with the third after the first answer, at 6 s; those of
- * a worker that waits 4 s for each answer and is sent back at once, at 16.5 s; by the token alone at 12 s and 33 s. All that
- * is kept is one command, a count and three times.
+ * <p>One or two lost answers are normal. A partition is confirmed by {@value #MISSED_TO_CONFIRM} consecutive missed answers over
+ * at least half a lease. A machine that has not yet shown that it received any answer of this leader needs twice as many over
+ * twice as long, because it may start slowly or take a while to find a new leader. With heartbeats every 2 s, the third
+ * heartbeat after the first answer confirms the partition, at 6 s; with a worker that waits 4 s for each answer and is then
+ * redirected at once, it is confirmed at 16.5 s. If the token is the only evidence, it takes 12 s and 33 s. The state per machine
+ * is one command, a count and three times.
  */
 final class AsymmetricPartition {
     private static final int MISSED_TO_CONFIRM = 3;
     private static final double CONFIRMING_LEASE_FRACTION = 0.5;
-    /** How much more evidence is needed of a machine that has not received any answer of this leader yet. */
+    /** Multiplies the required evidence for a machine that has not received any answer of this leader yet. */
     private static final int UNPROVED_FACTOR = 2;
 
     private enum Evidence {
@@ -36,25 +37,26 @@
         NONE
     }
 
-    /** A command of the last answer, by which the next heartbeat shows whether it was received; or null. */
+    /** A command of the last answer, used to check whether the next heartbeat reflects that answer; or null. */
     private WorkerCommand probe;
-    /** When the previous heartbeat was answered; null if it was not, or too late. */
+    /** When the previous heartbeat was answered; null if it was not answered, or was answered too late. */
     private Moment answerSentAt;
 
+    /** Number of consecutive missed answers. */
     private int missed;
-    /** When the first of the missed answers was given. */
+    /** When the first of the missed answers was sent. */
     private Moment missedSince;
-    /** When the last missed answer was noticed. */
+    /** When the last missed answer was detected. */
     private Moment lastMissedAt;
-    /** It has received an answer of this leader. */
+    /** Whether the machine has received any answer of this leader. */
     private boolean everReceived;
 
     private boolean confirmed;
 
     /**
-     * Takes the evidence of a heartbeat newer than {@code previous}.
+     * Evaluates a heartbeat that is newer than {@code previous}.
      *
-     * @param awakeSince until then the leader's event loop stood still, and it may have answered late
+     * @param awakeSince when the leader's event loop last resumed after a pause; answers before it may have been sent late
      */
     void observe(
             Heartbeat heartbeat,
@@ -66,7 +68,7 @@
         Evidence evidence = evidence(heartbeat, previous, token);
         boolean outlastsLease = missed > 0 && now.since(lastMissedAt).compareTo(safetyTimes.leaseBound()) > 0;
         if (evidence == Evidence.RECEIVED || (evidence == Evidence.NONE && outlastsLease)) {
-            // An incarnation that outlasts a lease was answered meanwhile, whatever else is known.
+            // An incarnation that outlives a lease must have received an answer in the meantime.
             missed = 0;
             confirmed = false;
             everReceived |= evidence == Evidence.RECEIVED;
@@ -119,7 +121,10 @@
         return status.state() == TaskState.RUNNING || status.state() == TaskState.FETCHING;
     }
 
-    /** These commands are in the answer that is sent now: a start is the best evidence, a stop the weakest. */
+    /**
+     * Records the commands of an answer that is sent now. One of them becomes the probe: a start is the strongest evidence, a
+     * stop the weakest.
+     */
     void answerSent(List<WorkerCommand> commands, Moment now) {
         answerSentAt = now;
         for (WorkerCommand command : commands) {
@@ -129,22 +134,22 @@
         }
     }
 
-    /** It has missed the last answer. */
+    /** Whether the machine missed the last answer. */
     boolean isSuspected() {
         return missed > 0;
     }
 
-    /** Answers do not reach it: nothing more is to be given to it. */
+    /** Whether it is established that answers do not reach the machine, so that it gets no new work. */
     boolean isConfirmed() {
         return confirmed;
     }
 
-    /** When the first of the missed answers was given. */
+    /** When the first of the missed answers was sent. */
     Moment missedSince() {
         return missedSince;
     }
 
-    /** How many answers it has missed in a row. */
+    /** Number of consecutive missed answers. */
     int missed() {
         return missed;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Cluster.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Cluster.java
@@ -13,24 +13,24 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The state of the scheduler: jobs, machines and placements. Every placement is added and removed here. */
+/** The scheduler's state: jobs, machines and placements. Placements are added and removed only through this class. */
 final class Cluster {
     final Map<JobId, Job> jobs = new HashMap<>();
     final TreeMap<MachineId, Machine> machines = new TreeMap<>();
     final Map<String, MachineType> types = new LinkedHashMap<>();
     private final Map<String, TeamUsage> teams = new HashMap<>();
     private final Map<String, FairShareQueue> queues = new LinkedHashMap<>();
-    /** On how many machines each image is. */
+    /** Number of machines that have each image cached. */
     private final Map<String, Integer> machinesByImage = new HashMap<>();
-    /** Jobs whose tasks only hold images: in no queue. */
+    /** Jobs whose tasks only keep images cached; they are in no queue. */
     final List<Job> holderJobs = new ArrayList<>();
 
     WarmCapacity warmCapacity = WarmCapacity.NONE;
     private int orphanTasks;
     private long machineVisits;
-    /** Since when the event loop has run without a pause: heartbeats missing before then may wait to be read. */
+    /** When the event loop last resumed after a pause; heartbeats from before may still be unread. */
     Moment awakeSince = Moment.NEVER;
-    /** Rises with every change that can alter a reservation. */
+    /** Increases with every change that can affect a reservation. */
     long version;
 
     Cluster(Collection<Team> teams) {
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Something has changed that can alter a reservation. */
+    /** Records a change that can affect a reservation. */
     void changed() {
         version++;
     }
@@ -58,7 +58,7 @@
         return queues.values();
     }
 
-    /** What the job's team uses; one that the settings no longer name keeps its jobs, without guarantee or limit. */
+    /** Usage of the job's team. A team that the settings no longer name keeps its jobs, without guarantee or limit. */
     TeamUsage teamUsage(Job job) {
         return teams.computeIfAbsent(job.spec.team(), name -> new TeamUsage(new Team(name, 0, 0, 0, 0)));
     }
@@ -73,7 +73,7 @@
         return queueOf(teamUsage(job));
     }
 
-    /** The queue that the machine serves; null if it serves none yet. */
+    /** The queue that the machine serves, or null if it serves none yet. */
     FairShareQueue queueOf(Machine machine) {
         return machine.queueName == null ? null : queues.get(machine.queueName);
     }
@@ -86,7 +86,7 @@
         version++;
     }
 
-    /** From now on the job is served in its turn. */
+    /** Adds a job without unmet dependencies to its team's queue, or a holder job to the list of holder jobs. */
     void enqueue(Job job) {
         if (job.spec.isHolder()) {
             holderJobs.add(job);
@@ -96,7 +96,7 @@
         version++;
     }
 
-    /** Tasks of jobs that are over, on any machine. */
+    /** Whether any machine runs tasks of ended jobs. */
     boolean hasOrphanTasks() {
         return orphanTasks > 0;
     }
@@ -106,12 +106,12 @@
         machine.countOrphanTasks(count);
     }
 
-    /** How many machines were visited by iterations over a queue's machines: what decisions cost. */
+    /** Number of machines visited by iterations, a measure of the cost of scheduling decisions. */
     long machineVisits() {
         return machineVisits;
     }
 
-    /** Removes a job from its queue; its placements stay until their tasks surely are gone. */
+    /** Removes a job from its queue; its placements stay until their tasks are known to have ended. */
     void remove(Job job) {
         jobs.remove(job.id(), job);
         holderJobs.remove(job);
@@ -129,7 +129,7 @@
         }
         placement.machine.imageCache.use(image, placement.job.spec.imageGb()).forEach(this::imageRemoved);
         if (placement.isRunning()) {
-            // Started by an earlier leader: the image was here then, and may have been evicted since.
+            // An earlier leader started this task when the image was cached; the image may have been evicted since.
             placement.machine.imageCache.markUncertain(image);
         }
         queueOf(placement.job).addUsage(placement.demand(), 1);
@@ -137,7 +137,7 @@
         version++;
     }
 
-    /** The task is surely not on its machine any more. */
+    /** Removes the placement of a task that is known not to be on its machine any more. */
     void removePlacement(Placement placement, Moment now) {
         placement.job.removePlacement(placement);
         placement.job.placementsChanged(now);
@@ -163,7 +163,7 @@
         setOrphanTasks(machine, 0);
     }
 
-    /** The machine is gone for good, and everything on it. */
+    /** Removes a machine that no longer exists, with all its placements and cached images. */
     void removeMachine(Machine machine, Moment now) {
         removeAllPlacements(machine, now);
         machines.remove(machine.id);
@@ -171,7 +171,7 @@
         version++;
     }
 
-    /** Everything that earlier leaders have started is known: each waiting task may be started. */
+    /** Allows inherited tasks to start, once every task that earlier leaders started is known. */
     void releaseInheritedTasks() {
         jobs.values().forEach(Job::releaseInheritedTasks);
         version++;
@@ -185,7 +185,7 @@
         return machinesByImage.containsKey(image);
     }
 
-    /** Every machine; an iteration over them counts like one over a queue's. */
+    /** All machines. An iteration over them counts towards {@link #machineVisits}. */
     Collection<Machine> allMachines() {
         machineVisits += machines.size();
         return machines.values();
--- a/src/main/java/io/indigoreach/core/scheduling/CommandBatch.java
+++ b/src/main/java/io/indigoreach/core/scheduling/CommandBatch.java
@@ -13,18 +13,18 @@
         this(machine, number, now, new ArrayList<>());
     }
 
-    /** Adds the start of a task that was placed on the machine. */
+    /** Adds a start command for a task that was placed on the machine. */
     void start(Placement placement) {
         commands.add(new WorkerCommand.Start(placement.task(), placement.attempt));
     }
 
-    /** Adds a stop without time to save. */
+    /** Adds a stop command that gives the task no time to save its progress. */
     void stop(Placement placement) {
         placement.stopRequested();
         commands.add(new WorkerCommand.Stop(placement.task(), placement.attempt, Span.ZERO));
     }
 
-    /** A stop with twice the time that the task takes to save its progress. */
+    /** Creates a stop command with a grace period of twice the time that the task takes to save its progress. */
     static WorkerCommand stopWithCheckpoint(Placement placement) {
         placement.stopRequested();
         return new WorkerCommand.Stop(
--- a/src/main/java/io/indigoreach/core/scheduling/EarlyHeartbeats.java
+++ b/src/main/java/io/indigoreach/core/scheduling/EarlyHeartbeats.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The newest heartbeat of each machine that was answered before the records had been loaded, whether it was known or not. */
+/** The newest heartbeat of each machine, known or unknown, that was answered before the records were loaded. */
 final class EarlyHeartbeats {
     private record Answered(HeartbeatNumber number, Moment at) {
         Answered newer(Answered other) {
@@ -17,14 +17,15 @@
 
     private final Map<MachineId, Answered> newest = new HashMap<>();
 
-    /** Answered all the same, which renews the machine's lease; a copy of an older heartbeat renews nothing. */
+    /** Records an answered heartbeat. The answer renews the machine's lease; a copy of an older heartbeat renews nothing. */
     void answered(Heartbeat heartbeat, Moment now) {
         newest.merge(heartbeat.machine(), new Answered(heartbeat.number(), now), Answered::newer);
     }
 
     /**
-     * Hands over what was answered, now that the recorded machines are known. Guards against a lease that counts as expired
-     * although the answer renewed it, and against a copy of the heartbeat that arrives later.
+     * Passes the answered heartbeats to their machines, or to {@code adoption} if a machine is unknown, once the records are
+     * loaded. Otherwise a lease would count as expired although an answer renewed it, or a late copy of the heartbeat would be
+     * taken for a new one.
      */
     void handOver(Cluster cluster, MachineAdoption adoption) {
         newest.forEach((id, answered) -> {
--- a/src/main/java/io/indigoreach/core/scheduling/Failover.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Failover.java
@@ -7,11 +7,11 @@
 
 /**
  * The machines that a new leader has not reconciled yet. Tasks that an earlier leader started may be on any machine that it
- * could command, and these are all recorded in the state service. Until each of them has sent a heartbeat under the new
- * token, or is gone, or its lease has surely expired, no inherited task may be started.
+ * could command, and all of these are recorded in the state service. No inherited task may start until each of them has sent a
+ * heartbeat with the new token, no longer exists, or cannot hold a valid lease any more.
  */
 final class Failover {
-    /** Of each, since when no earlier leader has answered it. */
+    /** Maps each unreconciled machine to the moment since which no earlier leader has answered its heartbeats. */
     private final Map<MachineId, Moment> unreconciled = new HashMap<>();
 
     void expect(MachineId machine, Moment since) {
@@ -19,18 +19,19 @@
     }
 
     /**
-     * Whether a newer heartbeat under an older token shows that nothing of an earlier leader is left on the machine: any
-     * answer of this leader would have shown it the token, and one to an earlier heartbeat can arrive no more, as a worker has
-     * one heartbeat in flight. So none has renewed its lease, and the last one before the failover has expired if it is
-     * older than {@code leaseEnds}. Guards against a failover that waits for as long as a machine sends heartbeats and
-     * receives no answers: each heartbeat could be answered, and so each postpones when its lease counts as expired.
+     * Whether a newer heartbeat with an older token shows that no task of an earlier leader is left on the machine. Any answer of
+     * this leader would have given the machine the new token, and an answer to an earlier heartbeat can no longer arrive,
+     * because a worker has one heartbeat in flight. So no answer of this leader has renewed the lease, and the lease that an
+     * earlier leader renewed has expired if that leader's last answer is older than {@code leaseEnds}. Without this check a
+     * failover would wait for as long as a machine sends heartbeats but receives no answers, because each answered heartbeat
+     * postpones the moment when its lease counts as expired.
      */
     boolean isInheritedLeaseExpired(MachineId machine, Moment leaseEnds) {
         Moment since = unreconciled.get(machine);
         return since != null && since.isBefore(leaseEnds);
     }
 
-    /** Nothing unknown is on this machine any more. */
+    /** Marks a machine as reconciled: it has no unknown tasks any more. */
     void reconciled(MachineId machine) {
         unreconciled.remove(machine);
     }
--- a/src/main/java/io/indigoreach/core/scheduling/FailureDetector.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FailureDetector.java
@@ -6,17 +6,18 @@
 import java.util.Map;
 
 /**
- * Tells failed machines from a partition of the network. One that hangs or is dead is silent alone; where many of a zone are,
- * the fault is more likely in the network: they work on behind it, and come back when it ends.
+ * Distinguishes failed machines from a network partition. A machine that hangs or is dead is usually the only silent one. If many
+ * machines of a zone are silent, the network is more likely at fault: the machines keep working and become reachable again when
+ * the partition ends.
  */
 final class FailureDetector {
-    /** Part of a zone's machines whose heartbeats may be overdue together by their own fault. */
+    /** Up to this fraction of a zone's machines, overdue heartbeats are attributed to the machines and not to the network. */
     private static final double ZONE_FAILURE_FRACTION = 0.25;
 
     private static final double NEARLY_NONE = 0.1;
     private static final double NEARLY_ALL = 0.9;
 
-    /** How many of a zone's machines are in which condition. */
+    /** Counts of a zone's machines by condition. */
     private static final class ZoneCount {
         private int mayHoldTasks;
         private int overdue;
@@ -36,11 +37,11 @@
 
     private final Cluster cluster;
     private final SafetyTimes safetyTimes;
-    /** Part of each zone's machines whose heartbeats are overdue, of those that may hold tasks. */
+    /** Fraction of each zone's machines with overdue heartbeats, among those that may hold tasks. */
     private final Map<String, Double> overdueFraction = new HashMap<>();
-    /** The same of all that were ever up: those whose leases have expired are silent too. */
+    /** Fraction of each zone's machines that are silent, including those whose leases have expired. */
     private final Map<String, Double> silentFraction = new HashMap<>();
-    /** The same with those whose heartbeats show that answers do not reach them. */
+    /** Fraction of each zone's machines that are silent or whose heartbeats show that answers do not reach them. */
     private final Map<String, Double> unreachedFraction = new HashMap<>();
 
     FailureDetector(Cluster cluster, SafetyTimes safetyTimes) {
@@ -48,7 +49,7 @@
         this.safetyTimes = safetyTimes;
     }
 
-    /** Counts again; a single machine's silence is never attributed to the network, however few there are in its zone. */
+    /** Recounts all zones. A single silent machine is never attributed to the network, however few machines its zone has. */
     void recount(Moment now) {
         Map<String, ZoneCount> counts = new HashMap<>();
         for (Machine machine : cluster.machines.values()) {
@@ -79,15 +80,15 @@
         return late == 1 ? Math.min(ZONE_FAILURE_FRACTION, 1.0 / all) : (double) late / all;
     }
 
-    /** Up, or recorded by an earlier leader and without a heartbeat to this one yet. */
+    /** Whether the machine is up, or was recorded by an earlier leader and has not sent this leader a heartbeat yet. */
     static boolean mayHoldTasks(Machine machine) {
         return machine.phase == Machine.Phase.UP || (machine.phase == Machine.Phase.BOOTING && machine.recorded);
     }
 
     /**
-     * A machine that hangs or is dead holds its tasks until its lease has expired, unless the cloud has taken it back
-     * before: once the return is confirmed, everything on it is gone. One that has not sent a heartbeat to this leader yet is
-     * given more time to find it, unless nearly all others of its zone have.
+     * Whether the machine is presumed to hang or to be dead, so that it should be returned to the cloud. Its tasks are blocked until
+     * its lease expires or the cloud confirms the return, which ends everything on it. A machine that has not yet sent this
+     * leader a heartbeat gets more time to find it, unless nearly all other machines of its zone have done so.
      */
     boolean isMachineFailure(Machine machine, Moment now) {
         if (!mayHoldTasks(machine)) {
@@ -108,17 +109,17 @@
                 : Span.longer(safetyTimes.suspicionTimeout(), safetyTimes.leaderDiscovery());
     }
 
-    /** So many of the zone's machines are silent that the network is at fault. */
+    /** Whether so many of the zone's machines are silent that the network is presumed to be at fault. */
     boolean isZoneUnreachable(String zone) {
         return silentFraction.getOrDefault(zone, 0.0) > ZONE_FAILURE_FRACTION;
     }
 
-    /** So many of the zone's machines are silent or receive no answers that the machines are not at fault. */
+    /** Whether so many of the zone's machines are silent or receive no answers that the network is presumed to be at fault. */
     boolean isZonePartitioned(String zone) {
         return unreachedFraction.getOrDefault(zone, 0.0) > ZONE_FAILURE_FRACTION;
     }
 
-    /** Nearly none of the zone's machines can be reached: what is rented there now could not be reached either. */
+    /** Whether hardly any of the zone's machines can be reached, so that newly rented ones could not be reached either. */
     boolean isZoneCutOff(String zone) {
         return unreachedFraction.getOrDefault(zone, 0.0) >= NEARLY_ALL;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/FaultAttribution.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FaultAttribution.java
@@ -4,8 +4,8 @@
 import io.indigoreach.core.model.Span;
 
 /**
- * Decides from failed tasks whether the machine or the job is at fault. A faulty machine fails the tasks of whichever
- * job it is given; a job submitted with a mistake fails on every machine.
+ * Decides from failed tasks whether the machine or the job is at fault. On a faulty machine the tasks of all jobs
+ * fail; a job that was submitted with a mistake fails on every machine.
  */
 final class FaultAttribution {
     private static final Span FIRST_PAUSE = Span.seconds(2);
@@ -13,13 +13,13 @@
 
     private FaultAttribution() {}
 
-    /** A task has failed: the failure counts against the machine, or against a job that is suspected to be faulty. */
+    /** Records a failed task against its machine, or against its job if the job is suspected to be faulty. */
     static void failed(Placement placement, Moment now) {
         Job job = placement.job;
         Machine machine = placement.machine;
         job.failedOn(machine);
         if (job.isSuspectedFaulty()) {
-            // Its failures say nothing about machines: take back what was held against them, and try rarely.
+            // The job's failures say nothing about the machine, so clear its entry and retry the job rarely.
             Span pause = FIRST_PAUSE.times(Math.pow(2, Math.min(10, job.failures - 3)));
             job.retryNotBefore(now.plus(pause.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause));
             machine.failedJobs.remove(job.id());
@@ -31,13 +31,13 @@
         }
     }
 
-    /** A task has completed: neither the machine nor, there, its job is to blame. */
+    /** Records a completed task, which clears the machine's failures and the job's failure on this machine. */
     static void completed(Placement placement) {
         placement.machine.failedJobs.clear();
         placement.job.failedMachines.remove(placement.machine.id);
     }
 
-    /** Whether the job may be tried on the machine: not where it has failed, unless it fails everywhere anyway. */
+    /** Whether the job may run on the machine: not if it has failed there, unless it fails on all machines. */
     static boolean allows(Job job, Machine machine, Moment now) {
         if (now.isBefore(job.retryNotBefore)) {
             return false;
@@ -45,7 +45,7 @@
         return job.isSuspectedFaulty() ? job.placements().isEmpty() : !isExcluded(job, machine);
     }
 
-    /** Whether the machine is no place for the job, however long it waits: it has failed there, and not everywhere. */
+    /** Whether the job must never use the machine because it failed there but does not fail on all machines. */
     static boolean isExcluded(Job job, Machine machine) {
         return !job.isSuspectedFaulty() && job.failedMachines.contains(machine.id);
     }
--- a/src/main/java/io/indigoreach/core/scheduling/HeartbeatHandler.java
+++ b/src/main/java/io/indigoreach/core/scheduling/HeartbeatHandler.java
@@ -10,11 +10,11 @@
 import java.util.Optional;
 
 /**
- * Processes heartbeats: checks their order, renews the machine's lease, notices partitions and new incarnations, reconciles
+ * Processes heartbeats: checks their order, renews the machine's lease, detects partitions and new incarnations, reconciles
  * the task list and answers with commands.
  */
 final class HeartbeatHandler {
-    /** Commands that follow a heartbeat after more than this part of the worker's timeout may not be received any more. */
+    /** An answer sent later than this fraction of the worker's response timeout may not reach the worker in time. */
     private static final double TIMELY_FRACTION = 0.5;
 
     private final FencingToken token;
@@ -52,7 +52,7 @@
         this.listener = listener;
     }
 
-    /** Every record has been read: the machines learn which of their heartbeats were answered before. */
+    /** Called once the records are loaded; applies the heartbeats that were answered before. */
     void recordsLoaded() {
         earlyHeartbeats.handOver(cluster, registry.adoption());
     }
@@ -65,15 +65,14 @@
             earlyHeartbeats.answered(heartbeat, now);
             return new HeartbeatResult.Commands(List.of());
         }
-        // Every answer renews the machine's lease, so every answer stops what must not go on, whatever else is known of
-        // the machine:
-        // this leader may not live to answer its next heartbeat.
+        // Every answer renews the machine's lease, so every answer stops the tasks of ended jobs, whether or not the machine is
+        // known: this leader may end before it can answer the next heartbeat.
         List<WorkerCommand> commands = reconciler.stopEndedJobs(heartbeat);
         sender(heartbeat, now).ifPresent(machine -> process(machine, heartbeat, commands, now));
         return new HeartbeatResult.Commands(commands);
     }
 
-    /** The machine that sent the heartbeat; empty if the heartbeat is to be ignored. */
+    /** The machine that sent the heartbeat, or empty if the heartbeat must be ignored. */
     private Optional<Machine> sender(Heartbeat heartbeat, Moment now) {
         if (registry.isReturnedOrInProgress(heartbeat.machine())) {
             return Optional.empty();
@@ -84,15 +83,16 @@
     }
 
     /**
-     * Not newer than the last heartbeat, or of an incarnation that is over: without an answered heartbeat for the lease bound
-     * the machine has killed its tasks and begun another incarnation, so what comes then under the old one was sent before.
+     * Whether the heartbeat is not newer than the last one, or belongs to an ended incarnation. A machine without an answered
+     * heartbeat for the lease bound has killed its tasks and begun another incarnation, so a heartbeat that still carries the
+     * old incarnation was sent before that.
      */
     private static boolean isOutdated(Machine machine, HeartbeatNumber number) {
         return number.compareTo(machine.lastHeartbeat) <= 0
                 || (number.incarnation() == machine.lastHeartbeat.incarnation() && machine.leaseExpired);
     }
 
-    /** Adds the commands that follow from what is known of the machine. */
+    /** Updates the machine from its heartbeat and adds the resulting commands. */
     private void process(Machine machine, Heartbeat heartbeat, List<WorkerCommand> commands, Moment now) {
         HeartbeatNumber previous = machine.lastHeartbeat;
         machine.heartbeatReceived(heartbeat.number());
@@ -126,8 +126,8 @@
     }
 
     /**
-     * The worker learns this leader's token by the answer; until its next heartbeat its task list proves nothing. That is, it may lack a
-     * task, so that nothing may be started or forgotten by it; what it does have may be stopped.
+     * Answers a heartbeat with an older token. The answer gives the worker this leader's token; until its next heartbeat, its task
+     * list may be incomplete. So no task may be started or removed because of this list, but a task in it may be stopped.
      */
     private void answerOlderToken(Machine machine, List<WorkerCommand> commands, Moment now) {
         if (failover.isInheritedLeaseExpired(machine.id, now.minus(safetyTimes.leaseBound()))) {
@@ -165,7 +165,7 @@
         }
     }
 
-    /** Starts for a machine that was recorded after its heartbeat arrived, if that is still its newest. */
+    /** Starts tasks on a machine that was recorded after its heartbeat arrived, if that heartbeat is still its newest. */
     List<WorkerCommand> startTasks(MachineId id, HeartbeatNumber number, Moment now) {
         Machine machine = cluster.machines.get(id);
         if (machine == null || !machine.lastHeartbeat.equals(number)) {
--- a/src/main/java/io/indigoreach/core/scheduling/HeartbeatResult.java
+++ b/src/main/java/io/indigoreach/core/scheduling/HeartbeatResult.java
@@ -3,12 +3,12 @@
 import io.indigoreach.core.model.WorkerCommand;
 import java.util.List;
 
-/** What the scheduler core makes of a heartbeat. */
+/** The scheduler core's response to a heartbeat. */
 public sealed interface HeartbeatResult {
-    /** The heartbeat is answered with these commands, which may be none. */
+    /** The heartbeat is answered with these commands; the list may be empty. */
     record Commands(List<WorkerCommand> commands) implements HeartbeatResult {}
 
-    /** The heartbeat bears a higher fencing token than this leader's: a newer leader exists, and nothing may be commanded. */
+    /** The heartbeat carries a higher fencing token than this leader's: a newer leader exists, and no command may be sent. */
     record Superseded() implements HeartbeatResult {
         @Override
         public List<WorkerCommand> commands() {
@@ -16,7 +16,7 @@
         }
     }
 
-    /** The commands for the worker; none if a newer leader exists. */
+    /** The commands for the worker; empty if a newer leader exists. */
     List<WorkerCommand> commands();
 
     /** Whether the heartbeat shows that a newer leader exists. */
--- a/src/main/java/io/indigoreach/core/scheduling/InheritedTaskRelease.java
+++ b/src/main/java/io/indigoreach/core/scheduling/InheritedTaskRelease.java
@@ -3,14 +3,14 @@
 import io.indigoreach.core.model.MachineId;
 
 /**
- * Releases the waiting tasks of inherited jobs once nothing that an earlier leader may have started is unknown: the records
+ * Releases the waiting tasks of inherited jobs once every task that an earlier leader may have started is known: the records
  * are loaded and every machine of the failover is reconciled.
  */
 final class InheritedTaskRelease {
     private final Cluster cluster;
     private final Failover failover;
     private boolean recordsLoaded;
-    /** Inherited jobs that were added after the records had been loaded are not released yet. */
+    /** Whether inherited jobs that were added after the records were loaded still wait to be released. */
     private boolean lateJobsHeld;
 
     InheritedTaskRelease(Cluster cluster, Failover failover) {
@@ -18,7 +18,7 @@
         this.failover = failover;
     }
 
-    /** Every record has been read. */
+    /** Called once all records have been read. */
     void markRecordsLoaded() {
         recordsLoaded = true;
     }
@@ -27,14 +27,14 @@
         return recordsLoaded;
     }
 
-    /** Releases all inherited tasks if no machine is left to be reconciled. */
+    /** Releases all inherited tasks if every machine of the failover is reconciled. */
     void releaseIfFailoverComplete() {
         if (failover.isComplete()) {
             cluster.releaseInheritedTasks();
         }
     }
 
-    /** Nothing unknown is on this machine any more; after the last one, every job's tasks may be started. */
+    /** Marks a machine as reconciled; after the last one, all inherited tasks are released. */
     void machineReconciled(MachineId id) {
         if (!failover.isComplete()) {
             failover.reconciled(id);
@@ -45,15 +45,15 @@
     }
 
     /**
-     * An inherited job that is added after the records were loaded, as its record could not be read before, waits until no
-     * heartbeat shows a task of an unknown job: what it had on machines is then gone, or counted as its own.
+     * Handles a job that was added. An inherited job whose record could only be read after the other records were loaded waits
+     * until no heartbeat shows a task of an unknown job: by then its tasks on machines have ended or are counted as its own.
      */
     void jobAdded(Job job) {
         lateJobsHeld |= recordsLoaded && job.isInherited();
         releaseLateJobs();
     }
 
-    /** Releases the jobs that were added late, if nothing of them can be on a machine unnoticed. */
+    /** Releases the jobs that were added late, once none of their tasks can be on a machine undetected. */
     void releaseLateJobs() {
         if (lateJobsHeld && failover.isComplete() && !cluster.hasOrphanTasks()) {
             lateJobsHeld = false;
--- a/src/main/java/io/indigoreach/core/scheduling/LeaseExpiry.java
+++ b/src/main/java/io/indigoreach/core/scheduling/LeaseExpiry.java
@@ -3,7 +3,7 @@
 import io.indigoreach.core.model.Moment;
 import io.indigoreach.core.model.Span;
 
-/** Machines whose leases have expired, and whether the silence of all of them is this node's own isolation. */
+/** Expires the leases of silent machines, and detects whether this node is cut off from all of them. */
 final class LeaseExpiry {
     private static final int MIN_SILENT_MACHINES = 3;
 
@@ -19,7 +19,7 @@
         this.listener = listener;
     }
 
-    /** Frees the tasks of machines whose lease has expired. */
+    /** Removes the placements of machines whose lease has expired, so that their tasks can start elsewhere. */
     void expireLeases(Moment now) {
         for (Machine machine : cluster.machines.values()) {
             if (now.since(machine.lastHeardAt).compareTo(safetyTimes.leaseBound()) > 0) {
@@ -42,10 +42,11 @@
     }
 
     /**
-     * No heartbeat came from any of several machines for as long as makes a single one suspect: more likely this node is cut
-     * off from them than that all have failed at once. Half a lease was too long: workers that had abandoned this node
-     * were sent back to it by the others, and their leases expired. Those of an earlier leader need their time to find this
-     * one: a leader that stepped down 4.7 s after a failover, as all 447 were still with one that stood still, cost 557 tasks.
+     * Whether no heartbeat has come from any of several machines for the suspicion timeout of a single one. It is then more likely
+     * that this node is cut off than that all of them failed at once. Waiting for half a lease was too long: other nodes
+     * redirected workers that had abandoned this node back to it, and their leases expired. Machines inherited from an earlier
+     * leader need time to find this one: a leader that stepped down 4.7 s after a failover, while all 447 workers were still
+     * connected to a paused node, cost 557 tasks.
      */
     boolean isCutOffFromWorkers(Moment now) {
         Moment suspectedSince = now.minus(safetyTimes.suspicionTimeout());
--- a/src/main/java/io/indigoreach/core/scheduling/Machine.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Machine.java
@@ -14,9 +14,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A rented machine as the leader knows it. Its state is changed only by its own transitions. */
+/** The leader's state of a rented machine. The state changes only through the methods of this class. */
 public final class Machine {
-    /** BOOTING: no heartbeat yet. LOST: its lease expired without a heartbeat. RETURNING: being returned, never used again. */
+    /**
+     * BOOTING: no heartbeat yet. UP: sends heartbeats. LOST: its lease expired without a heartbeat. RETURNING: being returned to
+     * the cloud, never used again.
+     */
     public enum Phase {
         BOOTING,
         UP,
@@ -28,41 +31,44 @@
     final MachinePool pool;
     final MachineType type;
     Phase phase = Phase.BOOTING;
-    /** When it was requested: its paid terms count from here. */
+    /** When it was requested; its paid terms count from this moment. */
     Moment rentedAt;
-    /** Recorded in the state service; only then may it get tasks, so that a later leader knows to wait for its heartbeat. */
+    /** Whether it is recorded in the state service. Only then may it get tasks, as a later leader then waits for its heartbeat. */
     boolean recorded;
 
     HeartbeatNumber lastHeartbeat = HeartbeatNumber.NONE;
-    /** When its last answered heartbeat arrived; its lease cannot outlast this by more than the lease bound. */
+    /** When its last answered heartbeat arrived; its lease ends at most the lease bound later. */
     Moment lastHeardAt;
-    /** Its lease has surely expired since: what it ran is over, and if it lives it continues under a new incarnation. */
+    /** Whether its lease has expired since: its tasks have ended, and if it is alive it continues with a new incarnation. */
     boolean leaseExpired;
-    /** Its task list has been taken from a heartbeat under the present token. */
+    /** Whether its task list was reconciled with a heartbeat that carries the current token. */
     boolean reconciled;
-    /** When the cloud is to take it away, or null. */
+    /** When the cloud will preempt it, or null if no preemption is announced. */
     Moment preemptionAt;
 
     Moment idleSince;
     String queueName;
     final ImageCache imageCache;
-    /** Its membership of a warm pool, or null. */
+    /** Its membership in a warm pool, or null. */
     PoolMembership poolMembership;
 
     final Set<JobId> failedJobs = new HashSet<>();
     boolean quarantined;
     final AsymmetricPartition partition = new AsymmetricPartition();
-    /** More than is needed at its price: it gets no new tasks for now. */
+    /** Whether it exceeds the demand at its price; it gets no new tasks for now. */
     boolean surplus;
-    /** It takes no new tasks while the other machines of this queue have room for all that waits; or null. */
+    /**
+     * The queue for which it is cordoned, or null: it gets no new tasks while the other machines of this queue have room for all
+     * waiting tasks.
+     */
     FairShareQueue cordonedFor;
-    /** Its tasks are to be moved to others. */
+    /** Whether its tasks are being moved to other machines. */
     boolean draining;
-    /** Tasks on it of jobs that are over, about which nothing else is known: they still count against their teams. */
+    /** Number of its tasks that belong to ended jobs and have no placement; they still count against their teams. */
     int orphanTasks;
-    /** It surely existed at this moment: a listing that describes a later one and lacks it shows that it is gone. */
+    /** A moment at which it is known to have existed. If a listing of a later moment lacks it, it no longer exists. */
     Moment knownToExistAt;
-    /** In how many listings in a row it was missing. */
+    /** Number of consecutive listings in which it was missing. */
     int missedListings;
 
     Moment returningSince;
@@ -117,37 +123,37 @@
         throw new IllegalStateException("machine " + id + " cannot become " + to + " while it is " + phase);
     }
 
-    /** Its first heartbeat, or the first after its lease had expired. */
+    /** Handles its first heartbeat, or the first one after its lease expired. */
     void becameUp(Moment now) {
         transition(Phase.UP, Phase.BOOTING, Phase.LOST);
         idleSince = now;
     }
 
-    /** Its lease has expired without a heartbeat. */
+    /** Marks it as lost, as its lease expired without a heartbeat. */
     void lose() {
         transition(Phase.LOST, Phase.BOOTING, Phase.UP);
     }
 
-    /** It is to be returned to the cloud and never used again. */
+    /** Starts its return to the cloud; it is never used again. */
     void beginReturn(Moment now) {
         transition(Phase.RETURNING, Phase.BOOTING, Phase.UP, Phase.LOST);
         returningSince = now;
     }
 
-    /** A machine that an earlier leader recorded; no earlier leader leads since {@code now}. */
+    /** Marks it as recorded by an earlier leader. No earlier leader has led since {@code now}. */
     void inheritedFromRecord(Moment existed, Moment now) {
         recorded = true;
         lastHeardAt = now;
         knownToExistAt = existed;
     }
 
-    /** A heartbeat of it was answered, which renewed its lease, before the records had been read. */
+    /** Applies a heartbeat that was answered, which renewed the lease, before the records were loaded. */
     void answeredBeforeLoading(HeartbeatNumber number, Moment answeredAt) {
         lastHeardAt = answeredAt;
         lastHeartbeat = number;
     }
 
-    /** The machine stands in the state service. */
+    /** Marks it as recorded in the state service. */
     void markRecorded() {
         recorded = true;
     }
@@ -156,39 +162,39 @@
         lastHeartbeat = number;
     }
 
-    /** A heartbeat of it is answered now. */
+    /** Renews its lease, as one of its heartbeats is answered now. */
     void renewLease(Moment now) {
         lastHeardAt = now;
         leaseExpired = false;
     }
 
-    /** Its lease has surely expired. */
+    /** Marks its lease as expired. */
     void expireLease() {
         leaseExpired = true;
     }
 
-    /** It was found in the cloud's listing: its lease may have been renewed up to now. */
+    /** Handles its adoption from the cloud's listing: its lease may have been renewed up to now. */
     void adoptedAt(Moment now) {
         lastHeardAt = now;
     }
 
-    /** Its task list was taken from a heartbeat under the present fencing token. */
+    /** Marks its task list as reconciled with a heartbeat that carries the current fencing token. */
     void markReconciled() {
         reconciled = true;
     }
 
-    /** When the cloud takes it away, as its last heartbeat says; null if it does not. */
+    /** Sets when the cloud will preempt it, according to its last heartbeat; null if no preemption is announced. */
     void preemptionAnnounced(Moment at) {
         preemptionAt = at;
     }
 
-    /** The same machine under its real pool: what was learned of it stays. */
+    /** Copies what is known about the same machine under a wrong pool. */
     void copyHistoryOf(Machine other) {
         lastHeardAt = other.lastHeardAt;
         knownToExistAt = other.knownToExistAt;
     }
 
-    /** The cloud has confirmed the rental that was requested at {@code requestedAt}. */
+    /** Handles the cloud's confirmation of the rental that was requested at {@code requestedAt}. */
     void rentalConfirmed(Moment requestedAt) {
         rentedAt = requestedAt;
     }
@@ -197,12 +203,12 @@
         knownToExistAt = moment;
     }
 
-    /** The cloud's listing has it. */
+    /** Handles a listing that contains it. */
     void listed() {
         missedListings = 0;
     }
 
-    /** A listing that should have it lacks it. */
+    /** Handles a listing that should contain it but does not. */
     void missingFromListing() {
         missedListings++;
     }
@@ -215,22 +221,22 @@
         orphanTasks = count;
     }
 
-    /** It fails what it is given: no new tasks, and it is returned once it is idle. */
+    /** Quarantines it because tasks fail on it: it gets no new tasks and is returned once it is idle. */
     void quarantine() {
         quarantined = true;
     }
 
-    /** From now on it serves this queue. */
+    /** Assigns it to a queue. */
     void serve(FairShareQueue queue) {
         queueName = queue.name;
     }
 
-    /** Whether it is more than is needed at its price. */
+    /** Sets whether it exceeds the demand at its price. */
     void markSurplus(boolean isSurplus) {
         surplus = isSurplus;
     }
 
-    /** It takes no new tasks while the queue's other machines have room for all that waits. */
+    /** Cordons it: it gets no new tasks while the queue's other machines have room for all waiting tasks. */
     void cordonFor(FairShareQueue queue) {
         cordonedFor = queue;
     }
@@ -239,12 +245,12 @@
         cordonedFor = null;
     }
 
-    /** Its tasks are to be moved to other machines. */
+    /** Starts moving its tasks to other machines. */
     void startDraining() {
         draining = true;
     }
 
-    /** Draining lasts until the tasks that are being stopped have exited. */
+    /** Ends draining once no task is being stopped any more. */
     void endDrainingIfStopped() {
         draining &= placements.isAnyStopping();
     }
@@ -254,9 +260,9 @@
     }
 
     /**
-     * The resources available to a job. A holder yields to a task that needs its image: stopped and started by one answer, in
-     * this order, so that the worker never has both. One that still waits for the image stays: without it the fetch would be
-     * abandoned, and no replica could run before it is done.
+     * The resources available to a job. A holder gives up its resources to a task that needs its image: one answer stops the holder
+     * and then starts the task, so that the worker never runs both. A holder that still waits for the image stays, because the
+     * fetch would be abandoned without it, and no replica can run before the fetch is done.
      */
     Demand freeFor(JobSpec spec) {
         Placement holder = poolMembership == null || !poolMembership.image().equals(spec.image()) ? null : holder();
@@ -283,7 +289,7 @@
         placements.remove(placement);
     }
 
-    /** No task runs on it except holders. */
+    /** Whether no task except holders is placed on it. */
     public boolean isIdle() {
         return placements.isIdle();
     }
@@ -300,18 +306,18 @@
         return poolMembership;
     }
 
-    /** Makes it a member of a warm pool, or with null ends its membership. */
+    /** Sets its membership in a warm pool; null ends the membership. */
     public void poolMembership(PoolMembership membership) {
         poolMembership = membership;
         surplus &= membership == null;
     }
 
-    /** The incarnation of its last heartbeat; 0 before the first to this leader. */
+    /** The incarnation of its last heartbeat; 0 before its first heartbeat to this leader. */
     public long incarnation() {
         return lastHeartbeat.incarnation();
     }
 
-    /** Rented and to be kept: booting, up, or silent for less than its lease. */
+    /** Whether it is booting or up, and not about to be preempted, quarantined or partitioned. */
     public boolean isExpectedToServe() {
         return (phase == Phase.BOOTING || phase == Phase.UP)
                 && preemptionAt == null
@@ -319,22 +325,22 @@
                 && !partition.isConfirmed();
     }
 
-    /** Whether a task runs on it only to keep an image. */
+    /** Whether a holder, a task that only keeps an image cached, is placed on it. */
     public boolean hasHolder() {
         return placements.hasHolder();
     }
 
-    /** Cores that each team's tasks use; holders use next to none. */
+    /** Cores used by each team's tasks; holders use almost none. */
     public Map<String, Double> coresByTeam() {
         return placements.coresByTeam();
     }
 
-    /** The holder on it that is not being stopped; or null. */
+    /** The holder on it that is not being stopped, or null. */
     Placement holder() {
         return placements.holder().orElse(null);
     }
 
-    /** The job of the holder on it; or null. */
+    /** The job of the holder on it, or null. */
     public Job holderJob() {
         Placement holder = holder();
         return holder == null ? null : holder.job;
@@ -344,32 +350,32 @@
         return placements.hasTaskWith(image);
     }
 
-    /** Up, not about to be preempted, and reachable: counted on. */
+    /** Whether it is up, and not about to be preempted, quarantined or partitioned. */
     boolean isHealthy() {
         return phase == Phase.UP && preemptionAt == null && !quarantined && !partition.isConfirmed();
     }
 
-    /** Must be recorded before it can get tasks: it is up, and a later leader would not know of it. */
+    /** Whether it must be recorded before it can get tasks: it is up, but a later leader would not know it. */
     boolean needsRecord() {
         return !recorded && phase == Phase.UP;
     }
 
-    /** Takes new tasks, as later leaders know of it. */
+    /** Whether it can get new tasks: it is healthy, and a later leader will know it. */
     public boolean isUsable() {
         return recorded && isHealthy();
     }
 
-    /** Being returned as answers do not reach it: no answer may renew its lease, so that its work is not counted for longer. */
+    /** Whether it is being returned because answers do not reach it. No answer may renew its lease, so that its tasks end with it. */
     boolean isReturnedAsUnreachable() {
         return phase == Phase.RETURNING && partition.isConfirmed();
     }
 
-    /** Requested and not up yet, but not overdue by so many of its type's boot times either. */
+    /** Whether it is booting, and was requested less than {@code bootTimes} of its type's boot times ago. */
     boolean isBooting(Moment now, double bootTimes) {
         return phase == Phase.BOOTING && now.isBefore(rentedAt.plus(type.boot().times(bootTimes)));
     }
 
-    /** Whether the job may use it, its pool membership included. */
+    /** Whether the job may use it, considering its type, zone, price kind and warm pool membership. */
     boolean allows(JobSpec spec) {
         return matchesPool(spec) && (poolMembership == null || poolMembership.admits(spec, imageCache, free()));
     }
--- a/src/main/java/io/indigoreach/core/scheduling/MachineAdoption.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachineAdoption.java
@@ -11,16 +11,19 @@
 import java.util.Map;
 
 /**
- * Decides which unknown machines are adopted for their heartbeats. A heartbeat by itself proves nothing: it may be a copy that
- * arrives minutes late, of a machine that is long gone. One that bears this leader's token, after an older one from the same
- * machine, does: only this leader's answer to that one can have shown the token. What really runs without
- * showing that is adopted from the cloud's listing.
+ * Decides which unknown machines are adopted because of their heartbeats. A single heartbeat proves nothing: it may be a copy that
+ * arrives minutes late from a machine that no longer exists. A heartbeat with this leader's token that follows an earlier
+ * heartbeat of the same machine is proof, because the machine can have the token only from this leader's answer to the earlier
+ * one. A running machine that never proves itself in this way is adopted from the cloud's listing.
  */
 final class MachineAdoption {
     private static final int MAX_ANSWERED = 1000;
 
     private final SafetyTimes safetyTimes;
-    /** A heartbeat of each whose answer shows our token: the first with an older one, or the last before the records were loaded. */
+    /**
+     * For each unknown machine, a heartbeat whose answer gave it this leader's token: the first one with an older token, or the
+     * last one before the records were loaded.
+     */
     private final Map<MachineId, HeartbeatNumber> answeredHeartbeats = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<MachineId, HeartbeatNumber> eldest) {
@@ -30,9 +33,9 @@
     /** The newest machine of an earlier listing. */
     private MachineId newestListed;
 
-    /** When the newest listed machine surely existed. */
+    /** A moment at which the newest listed machine is known to have existed. */
     private Moment newestListedAt;
-    /** Machines up to this one were all in a complete listing that is new enough: an unknown one of them is gone. */
+    /** Machines up to this one were covered by a recent complete listing, so an unknown one among them no longer exists. */
     private MachineId completeUpTo;
 
     MachineAdoption(SafetyTimes safetyTimes) {
@@ -40,14 +43,14 @@
     }
 
     /**
-     * A heartbeat was answered before the records were loaded. Guards against a copy of it, and one of the next, being taken
-     * for the first that this leader sees and the proof after it.
+     * Records a heartbeat that was answered before the records were loaded. Otherwise a late copy of it and a late copy of the next
+     * one would be taken for the machine's first heartbeat and the proof that follows it.
      */
     void answered(MachineId id, HeartbeatNumber number) {
         answeredHeartbeats.put(id, number);
     }
 
-    /** Whether the heartbeat of an unknown machine proves that the machine exists under this leader's token. */
+    /** Whether the heartbeat of an unknown machine proves that the machine has received an answer of this leader. */
     boolean provesExistence(Heartbeat heartbeat, FencingToken token) {
         MachineId id = heartbeat.machine();
         if (completeUpTo != null && id.compareTo(completeUpTo) <= 0) {
@@ -66,8 +69,8 @@
     }
 
     /**
-     * A complete listing, of which every machine is known by now. Names are in the order of creation: what was created before a
-     * machine of an earlier listing, and is not in a listing that describes a later moment, is gone for good.
+     * Handles a complete listing, all of whose machines are known by now. Names are in the order of creation: a machine that was
+     * created before a machine of an earlier listing, and is missing from a listing of a later moment, no longer exists.
      */
     void listed(Collection<MachineId> listing, Moment requestedAt, Moment now) {
         if (newestListed != null && !newestListedAt.isAfter(requestedAt.minus(safetyTimes.oldestListing()))) {
--- a/src/main/java/io/indigoreach/core/scheduling/MachineRegistry.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachineRegistry.java
@@ -16,11 +16,11 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Which machines exist: inherited, rented, adopted from heartbeats and listings, listed, returned or lost. */
+/** Keeps track of the existing machines as they are inherited, rented, adopted, listed, returned or found missing. */
 final class MachineRegistry {
     private static final int RETURNED_MACHINES_KEPT = 1000;
     private static final int RETURNED_KEPT_PER_MACHINE = 8;
-    /** One listing would suffice by the cloud's specification; a second one costs little. */
+    /** By the cloud's specification one listing would suffice; a second one costs little. */
     private static final int LISTINGS_TO_PRESUME_GONE = 2;
 
     private final SafetyTimes safetyTimes;
@@ -29,14 +29,14 @@
     private final InheritedTaskRelease release;
     private final MachineAdoption adoption;
     private final SchedulerListener listener;
-    /** Returned machines still appear in listings and late heartbeats for a while; they are not adopted again. */
+    /** Machines that were returned. They appear in listings and late heartbeats for a while, and must not be adopted again. */
     private final Map<MachineId, Boolean> returnedMachines = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<MachineId, Boolean> eldest) {
             return size() > Math.max(RETURNED_MACHINES_KEPT, RETURNED_KEPT_PER_MACHINE * cluster.machines.size());
         }
     };
-    /** Machines that an earlier leader was about to return: the request may still be executed, so they are not used. */
+    /** Machines whose return an earlier leader recorded. The request may still be executed, so they are not used. */
     private final Set<MachineId> returnsInProgress = new HashSet<>();
 
     MachineRegistry(
@@ -61,7 +61,10 @@
         return returnedMachines.containsKey(id) || returnsInProgress.contains(id);
     }
 
-    /** A machine that an earlier leader recorded: it may hold any inherited task. No earlier leader leads since {@code now}. */
+    /**
+     * Adds a machine that an earlier leader recorded. It may run any inherited task. No earlier leader has led since
+     * {@code now}.
+     */
     void inherit(MachineId id, MachinePool pool, Moment rentedAt, Moment existedAt, Moment now) {
         MachineType type = cluster.types.get(pool.type());
         if (type == null) {
@@ -73,7 +76,7 @@
         failover.expect(id, now);
     }
 
-    /** The machine that sent the heartbeat, adopted if the heartbeat proves that it exists; empty if it is not known. */
+    /** The machine that sent the heartbeat, adopted if it is unknown and proved to exist; empty if it remains unknown. */
     Optional<Machine> findOrAdopt(Heartbeat heartbeat, FencingToken token, Moment now) {
         Machine known = cluster.machines.get(heartbeat.machine());
         if (known != null) {
@@ -94,8 +97,8 @@
     }
 
     /**
-     * The machine under the pool that its heartbeat names. The answer to a rental request can be that to an older one of the
-     * same name, of another leader: an on-demand machine was taken for a spot one then, and could have got tasks that may
+     * Returns the machine with the pool that its heartbeat names. The answer to a rental request can belong to an earlier leader's
+     * request of the same name. In that case an on-demand machine was taken for a spot machine, and it could get tasks that must
      * not run there.
      */
     Machine correctPool(Machine machine, MachinePool reportedPool, Moment now) {
@@ -111,7 +114,7 @@
         return corrected;
     }
 
-    /** Machines that the cloud has just rented to this leader. */
+    /** Adds machines that the cloud has just rented to this leader. */
     void rented(MachinePool pool, List<MachineId> ids, Moment requestedAt, Moment now) {
         for (MachineId id : ids) {
             if (!isReturnedOrInProgress(id)) {
@@ -136,9 +139,9 @@
     }
 
     /**
-     * A whole listing from the cloud, requested at {@code requestedAt}. Listings lag, so absence shows nothing by itself. But
-     * once listed, a machine stays listed until it is gone, and the lag is bounded: a machine that surely existed before
-     * the oldest moment this listing can describe, and is not in it, is gone with everything on it.
+     * Processes a complete listing from the cloud that was requested at {@code requestedAt}. Listings lag, so absence alone proves
+     * nothing. But a listed machine stays listed for as long as it exists, and the lag is bounded: a machine that is known to
+     * have existed before the oldest moment that this listing can describe, and is missing from it, no longer exists.
      */
     void onListing(List<ListedMachine> listing, Moment requestedAt, Moment now) {
         Set<MachineId> present = new HashSet<>();
@@ -209,7 +212,7 @@
         }
     }
 
-    /** An earlier leader has recorded that it returns these: nothing is started there, and the return is finished. */
+    /** Takes over returns that an earlier leader recorded: no task starts on these machines, and their return is completed. */
     void inheritReturns(Collection<MachineId> ids, Moment now) {
         for (MachineId id : ids) {
             Machine machine = cluster.machines.get(id);
@@ -221,7 +224,7 @@
         }
     }
 
-    /** At most {@code limit} machines to be returned to the cloud, until it has confirmed that they are gone. */
+    /** At most {@code limit} machines whose return the cloud has not confirmed yet. */
     List<MachineId> machinesToReturn(int limit) {
         List<MachineId> ids =
                 new ArrayList<>(returnsInProgress.stream().limit(limit).toList());
@@ -233,7 +236,7 @@
         return ids;
     }
 
-    /** The cloud has confirmed that these machines are gone. */
+    /** Removes machines whose return the cloud has confirmed. */
     void returned(List<MachineId> ids, Moment now) {
         for (MachineId id : ids) {
             Machine machine = cluster.machines.get(id);
--- a/src/main/java/io/indigoreach/core/scheduling/Reconciler.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Reconciler.java
@@ -13,9 +13,9 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Reconciles the scheduler's state of one machine with its newest heartbeat, and answers with the commands that follow. */
+/** Reconciles the scheduler's state of a machine with its newest heartbeat, and returns the resulting commands. */
 final class Reconciler {
-    /** Delay before a job's task is tried again that was refused, or a replica that ended by itself. */
+    /** Delay before a refused task, or a replica that exited by itself, is started again. */
     private static final Span RETRY_DELAY = Span.seconds(1);
 
     private final Cluster cluster;
@@ -28,13 +28,13 @@
         this.listener = listener;
     }
 
-    /** One heartbeat that is being reconciled. */
+    /** State of the reconciliation of one heartbeat. {@code confirmed} contains the placements that the heartbeat shows. */
     private record Pass(
             Machine machine, Heartbeat heartbeat, Moment now, List<WorkerCommand> commands, Set<Placement> confirmed) {}
 
     /**
-     * Stops the tasks in the heartbeat whose jobs are cancelled or over. Needs no more than the heartbeat, neither that its list is
-     * complete nor that it is the newest: no copy of such a task may go on.
+     * Stops the tasks in the heartbeat whose jobs are cancelled or done. The heartbeat need not be the newest one, nor its task list
+     * complete, because no copy of such a task may continue.
      */
     List<WorkerCommand> stopEndedJobs(Heartbeat heartbeat) {
         List<WorkerCommand> commands = new ArrayList<>();
@@ -46,13 +46,13 @@
         return commands;
     }
 
-    /** The open job that the task belongs to; null if its job is cancelled or over, or never had such a task. */
+    /** The open job that the task belongs to; null if its job is cancelled, done or unknown, or has no task of this index. */
     private Job openJobOf(TaskStatus status) {
         Job job = cluster.jobs.get(status.task().job());
         return job != null && status.task().index() < job.spec.tasks() ? job : null;
     }
 
-    /** Takes over what the heartbeat shows; the commands come on top of those of {@link #stopEndedJobs}. */
+    /** Applies the heartbeat's task list. Returns the commands to send in addition to those of {@link #stopEndedJobs}. */
     List<WorkerCommand> reconcile(Machine machine, Heartbeat heartbeat, Moment now) {
         Pass pass = new Pass(machine, heartbeat, now, new ArrayList<>(), new HashSet<>());
         int orphanTasks = 0;
@@ -71,7 +71,7 @@
         return pass.commands;
     }
 
-    /** What is missing from a newer heartbeat was refused, lost with an answer, or killed with its incarnation. */
+    /** Removes placements missing from the heartbeat: refused, lost with an answer, or killed with their incarnation. */
     private void removeMissing(Pass pass) {
         for (Placement placement : pass.machine.placementsCopy()) {
             if (!pass.confirmed.contains(placement)) {
@@ -81,10 +81,10 @@
     }
 
     /**
-     * A task of a job that is cancelled or over: it is stopped by {@link #stopEndedJobs}, and counts against machine and team until a
-     * heartbeat shows it gone.
+     * Handles a task whose job is cancelled or done. {@link #stopEndedJobs} stops it; it counts against its machine and its team until
+     * a heartbeat no longer shows it.
      *
-     * @return whether it is an orphan, alive without a placement
+     * @return whether the task is an orphan: alive without a placement
      */
     private boolean reconcileEndedJob(Pass pass, TaskStatus status) {
         boolean alive = status.state() != TaskState.EXITED;
@@ -118,7 +118,7 @@
                     completed(pass, job, status, placement);
                     return;
                 }
-                // A replica runs until its job is cancelled: one that ended is started again, after a delay.
+                // Replicas run until their job is cancelled, so a replica that exited is started again after a delay.
                 placement.ifPresent(ended -> retryLater(pass, job, ended));
             }
             case ERROR -> {
@@ -135,7 +135,7 @@
         pass.commands.add(reap(status));
     }
 
-    /** The task's result may be reaped only once its completion is durable. */
+    /** Records the completion of a task. The worker may reap the task only once its completion is durable. */
     private void completed(Pass pass, Job job, TaskStatus status, Optional<Placement> placement) {
         int index = status.task().index();
         placement.ifPresent(ended -> {
@@ -167,7 +167,7 @@
     private void reconcileAlive(Pass pass, Job job, TaskStatus status) {
         Placement known = job.placements(status.task().index());
         if (known != null && known.machine != pass.machine) {
-            // Possibly in two places: never let the second one continue.
+            // The task may be running on two machines: stop it on the second one.
             listener.duplicateTask(status.task(), pass.machine, known.machine);
             pass.commands.add(stop(status, Span.ZERO));
             return;
@@ -175,7 +175,7 @@
         boolean sameAttempt = known != null && known.attempt.equals(status.attempt());
         Placement placement = sameAttempt ? known : adopt(pass, job, status, known);
         pass.confirmed.add(placement);
-        // A newer heartbeat that still shows it running: the stop was lost with its answer.
+        // A newer heartbeat that still shows the task running means that the stop was lost with its answer.
         placement.stopLostIfRunning(status.state());
         if (placement.state != status.state()) {
             stateChanged(pass, job, placement, status.state());
@@ -183,7 +183,7 @@
         stopIfUnwanted(pass, job, placement, status);
     }
 
-    /** Started by an earlier leader, or kept by a machine that was presumed lost: it counts from now on. */
+    /** Adds a placement for a task started by an earlier leader, or kept by a machine that was presumed lost. */
     private Placement adopt(Pass pass, Job job, TaskStatus status, Placement replaced) {
         if (replaced != null) {
             cluster.removePlacement(replaced, pass.now);
--- a/src/main/java/io/indigoreach/core/scheduling/RememberedStateView.java
+++ b/src/main/java/io/indigoreach/core/scheduling/RememberedStateView.java
@@ -3,7 +3,7 @@
 import io.indigoreach.core.loss.RememberedState;
 import io.indigoreach.core.model.JobStatus;
 
-/** What a leader knows of jobs and machines, in the form in which lost records are rebuilt from it. */
+/** Converts a leader's state of jobs and machines to the form from which lost records are rebuilt. */
 final class RememberedStateView {
     private RememberedStateView() {}
 
--- a/src/main/java/io/indigoreach/core/scheduling/SafetyTimes.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SafetyTimes.java
@@ -3,53 +3,56 @@
 import io.indigoreach.core.model.Span;
 
 /**
- * Times of the platform that safety rests on.
+ * Periods and timeouts on which the safety of the protocol depends.
  *
- * @param workerLease a worker without an answer for this long has killed its tasks
+ * @param workerLease a worker kills its tasks after this long without an answer
  * @param heartbeatPeriod period of the workers' heartbeats
- * @param cancellationTime a cancelled job's tasks must be gone after this long
- * @param listingLag by how much the cloud's listing of machines lags, sometimes up to twice that
+ * @param cancellationTime time within which all tasks of a cancelled job must have ended
+ * @param listingLag usual lag of the cloud's listing of machines; the lag can reach twice this value
  */
 public record SafetyTimes(Span workerLease, Span heartbeatPeriod, Span cancellationTime, Span listingLag) {
     private static final Span MARGIN = Span.seconds(0.3);
 
-    /** After this long without an answered heartbeat, nothing runs on a machine: its lease, drift and a margin. */
+    /** Time without an answered heartbeat after which no task runs on a machine: its lease plus clock drift and a margin. */
     public Span leaseBound() {
         return workerLease.withDrift().plus(MARGIN);
     }
 
     /**
-     * The longest that a leader may go on without reading cancellations: then its workers' leases, and a margin, still end
-     * before a cancelled job's time is over.
+     * How long a leader may continue to renew leases without reading cancellations. The workers' leases, plus a margin, then still
+     * end within the cancellation time.
      */
     public Span maxCancellationAge() {
         return cancellationTime.minus(leaseBound()).minus(Span.seconds(4));
     }
 
-    /** A worker without an answer tries the next node after this long. */
+    /** Time after which a worker without an answer tries the next node. */
     public Span responseTimeout() {
         return Span.seconds(4);
     }
 
-    /** A worker whose node has failed finds the leader within its timeout, a second to the next node, half to move, and latency. */
+    /**
+     * Time within which a worker whose node has failed finds the leader: its response timeout, one second to try the next node,
+     * half a second to move to the leader, and latency.
+     */
     public Span leaderDiscovery() {
         return responseTimeout().plus(Span.seconds(2.5));
     }
 
-    /** A heartbeat that has not arrived this long after the previous one is overdue: its longest interval, and latency. */
+    /** Time after the previous heartbeat at which the next one is overdue: the longest interval plus latency. */
     public Span heartbeatOverdue() {
         return heartbeatPeriod.times(1.25).withDrift().plus(Span.seconds(1));
     }
 
     /**
-     * After this long without a heartbeat a machine is most likely hanging or dead: a heartbeat at its longest interval, half
-     * a usual one more, and a second of latency.
+     * Time without a heartbeat after which a machine is presumed to hang or to be dead: the longest interval, half a regular
+     * interval, and a second of latency.
      */
     public Span suspicionTimeout() {
         return heartbeatPeriod.times(1.25 + 0.5).withDrift().plus(Span.seconds(1));
     }
 
-    /** A listing requested now describes a moment that is at most this long ago. */
+    /** Maximum age of the state that a listing requested now describes. */
     public Span oldestListing() {
         return listingLag.times(2).withDrift().plus(Span.seconds(1));
     }
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
@@ -22,8 +22,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * The scheduling decisions of one leadership term: events go in; worker commands, scale-out requests and returns come out.
- * It does no input or output and has no clock; every call states the time.
+ * Makes the scheduling decisions of one leadership term. Its inputs are events; its outputs are worker commands, scale-out
+ * requests and machine returns. It performs no I/O and has no clock: callers pass the current time.
  */
 public final class SchedulerCore {
     private final Cluster cluster;
@@ -41,7 +41,7 @@
     private final WaitExplainer waitExplainer;
     private final SchedulerListener listener;
 
-    /** The core of one leadership term, without any job, machine or machine type yet. */
+    /** Creates the core of one leadership term, without jobs, machines or machine types. */
     public SchedulerCore(
             FencingToken token,
             SafetyTimes safetyTimes,
@@ -77,19 +77,22 @@
                 listener);
     }
 
-    /** Makes machine types known, beside those that are. */
+    /** Adds machine types to the known ones. */
     public void setTypes(Collection<MachineType> types) {
         for (MachineType type : types) {
             cluster.types.put(type.name(), type);
         }
     }
 
-    /** A machine that an earlier leader recorded: it may hold any inherited task. No earlier leader leads since {@code now}. */
+    /**
+     * Adds a machine that an earlier leader recorded. It may run any inherited task. No earlier leader has led since
+     * {@code now}.
+     */
     public void inheritMachine(MachineId id, MachinePool pool, Moment rentedAt, Moment existedAt, Moment now) {
         registry.inherit(id, pool, rentedAt, existedAt, now);
     }
 
-    /** Every record has been read: from now on task lists are reconciled and commands given. */
+    /** Called once all records are read; from then on task lists are reconciled and commands are sent. */
     public void recordsLoaded() {
         inheritedTaskRelease.markRecordsLoaded();
         heartbeatHandler.recordsLoaded();
@@ -105,7 +108,10 @@
         return inheritedTaskRelease.areRecordsLoaded();
     }
 
-    /** Adds an open job, unless it is known; an inherited one that is added late is held until nothing of it can be unknown. */
+    /**
+     * Adds an open job unless it is known. The tasks of an inherited job that is added late are held back until all of its tasks on
+     * machines are known.
+     */
     public void addJob(Job job) {
         if (!cluster.jobs.containsKey(job.id())) {
             cluster.add(job);
@@ -122,12 +128,12 @@
         return cluster.jobs.values();
     }
 
-    /** What the open job's next task waits for; empty if none of its tasks waits. */
+    /** Why the open job's next task is waiting; empty if none of its tasks is waiting. */
     public Optional<WaitReason> waitReason(Job job, Moment now) {
         return waitExplainer.reason(job, now);
     }
 
-    /** The job's user has cancelled it: nothing of it may start, and what is on machines is stopped. */
+    /** Cancels a job: none of its tasks start any more, and those on machines are stopped. */
     public void cancelJob(JobId id) {
         Job job = cluster.jobs.get(id);
         if (job != null) {
@@ -137,7 +143,7 @@
         }
     }
 
-    /** The job's end as done is in the state service: its workers may forget its tasks. */
+    /** Removes a job whose completion is recorded in the state service; workers may now reap its tasks. */
     public void closeJob(JobId id) {
         Job job = cluster.jobs.get(id);
         if (job != null) {
@@ -147,18 +153,18 @@
         }
     }
 
-    /** Before the open jobs are read anew: that a job is not known any more says nothing of its end. */
+    /** Forgets all jobs before the open jobs are read again. This does not mean that any of them has ended. */
     public void forgetJobs() {
         new ArrayList<>(cluster.jobs.values()).forEach(cluster::remove);
         dependentJobs.clear();
     }
 
-    /** The jobs that wait for others. */
+    /** The jobs that wait for other jobs. */
     public DependentJobs dependentJobs() {
         return dependentJobs;
     }
 
-    /** Only these tasks of an open job wait for something else than machines. */
+    /** Sets which tasks of an open job wait for something other than machines. */
     public void gateTasks(JobId id, BitSet tasks) {
         Job job = cluster.jobs.get(id);
         if (job != null) {
@@ -171,45 +177,45 @@
         job.revisionSeen(revision);
     }
 
-    /** Processes a worker's heartbeat; the result has the commands for the answer. */
+    /** Processes a worker's heartbeat. The result contains the commands for the answer. */
     public HeartbeatResult onHeartbeat(Heartbeat heartbeat, Moment now) {
         return heartbeatHandler.handle(heartbeat, now);
     }
 
     /**
-     * Whether this machine's heartbeat may be answered: not while it is returned because answers do not reach it. Its lease, if
-     * they do, runs from the last heartbeat that was answered.
+     * Whether this machine's heartbeats may be answered. They must not be answered while it is being returned because answers do
+     * not reach it: an answer that did arrive would renew its lease.
      */
     public boolean mayAnswer(MachineId id) {
         Machine machine = cluster.machines.get(id);
         return machine == null || !machine.isReturnedAsUnreachable();
     }
 
-    /** Machines that the cloud has just rented to this leader. */
+    /** Adds machines that the cloud has just rented to this leader. */
     public void rented(MachinePool pool, List<MachineId> ids, Moment requestedAt, Moment now) {
         registry.rented(pool, ids, requestedAt, now);
     }
 
-    /** The cloud has no capacity in this pool. */
+    /** Handles the cloud's rejection of a scale-out request because the pool has no capacity. */
     public void scaleOutRejected(MachinePool pool, Moment now) {
         bestSize.refused(pool, now);
         cluster.warmCapacity.scaleOutRejected(pool);
     }
 
     /**
-     * The machine, if it must be recorded before it can get tasks. One that never sent a heartbeat can hold no task, so a
+     * The machine, if it must be recorded before it can get tasks. A machine that has never sent a heartbeat cannot run tasks, so a
      * later leader need not wait for it and it needs no record.
      */
     public Optional<Machine> unrecorded(MachineId id) {
         return Optional.ofNullable(cluster.machines.get(id)).filter(Machine::needsRecord);
     }
 
-    /** Starts for a machine that was recorded after its heartbeat arrived, if that is still its newest. */
+    /** Starts tasks on a machine that was recorded after its heartbeat arrived, if that heartbeat is still its newest. */
     public List<WorkerCommand> startTasks(MachineId id, HeartbeatNumber number, Moment now) {
         return heartbeatHandler.startTasks(id, number, now);
     }
 
-    /** The machine's record is in the state service. */
+    /** Marks a machine as recorded in the state service. */
     public void recorded(MachineId id) {
         Machine machine = cluster.machines.get(id);
         if (machine != null) {
@@ -217,22 +223,22 @@
         }
     }
 
-    /** A whole listing of machines from the cloud, requested at {@code requestedAt}. */
+    /** Processes a complete listing of machines from the cloud, requested at {@code requestedAt}. */
     public void onMachineListing(List<ListedMachine> listing, Moment requestedAt, Moment now) {
         registry.onListing(listing, requestedAt, now);
     }
 
-    /** Frees the tasks of machines whose lease has expired. */
+    /** Removes the placements of machines whose lease has expired, so that their tasks can start elsewhere. */
     public void expireLeases(Moment now) {
         leaseExpiry.expireLeases(now);
     }
 
-    /** Jobs whose start bounds are to be recorded now, as their tasks are about to be started. */
+    /** Jobs whose start bounds must be recorded now because their tasks are about to start. */
     public List<Job> startBoundsToRaise(Moment now) {
         return areRecordsLoaded() ? startBounds.toRaise(now) : List.of();
     }
 
-    /** What to rent now; called once each check, so that the needs of several arrivals and completions are one request. */
+    /** The machines to rent now. Called once per check, so that one request covers several arrivals and completions. */
     public List<ScaleOutRequest> scaleOutRequests(Moment now) {
         if (!areRecordsLoaded()) {
             return List.of();
@@ -248,12 +254,12 @@
         return requests;
     }
 
-    /** Since when this node's event loop has run without a pause: missing heartbeats before that may be its own fault. */
+    /** Sets when this node's event loop last resumed after a pause; it may not have read heartbeats from before. */
     public void setAwakeSince(Moment since) {
         cluster.setAwakeSince(since);
     }
 
-    /** Chooses the machines to return, which get no more tasks. */
+    /** Selects the machines to return; they get no more tasks. */
     public void planScaleIn(Moment now) {
         if (areRecordsLoaded()) {
             consolidation.plan(now);
@@ -268,27 +274,27 @@
         }
     }
 
-    /** An earlier leader has recorded that it returns these: nothing is started there, and the return is finished. */
+    /** Takes over returns that an earlier leader recorded: no task starts on these machines, and their return is completed. */
     public void inheritReturns(Collection<MachineId> ids, Moment now) {
         registry.inheritReturns(ids, now);
     }
 
-    /** At most {@code limit} machines to be returned to the cloud, until it has confirmed that they are gone. */
+    /** At most {@code limit} machines whose return the cloud has not confirmed yet. */
     public List<MachineId> machinesToReturn(int limit) {
         return registry.machinesToReturn(limit);
     }
 
-    /** The cloud has confirmed that these machines are gone. */
+    /** Removes machines whose return the cloud has confirmed. */
     public void returned(List<MachineId> ids, Moment now) {
         registry.returned(ids, now);
     }
 
-    /** How many machines decisions have looked at so far. */
+    /** Number of machines visited by scheduling decisions so far. */
     long machineVisits() {
         return cluster.machineVisits();
     }
 
-    /** Whether the machine's lease counts as over: nothing may run there. */
+    /** Whether the machine's lease counts as expired, so that no task may be running on it. */
     boolean isLeaseExpired(MachineId id) {
         Machine machine = cluster.machines.get(id);
         return machine != null && machine.leaseExpired;
@@ -298,12 +304,12 @@
         return cluster.machines.containsKey(id);
     }
 
-    /** No heartbeat reaches this node: it is more likely cut off from the workers than that all of them have failed. */
+    /** Whether heartbeats are missing from all machines, so that this node is more likely cut off than all of them failed. */
     public boolean isCutOffFromWorkers(Moment now) {
         return leaseExpiry.isCutOffFromWorkers(now);
     }
 
-    /** From now on this decides which machines are kept warm. */
+    /** Sets the policy that decides which machines are kept warm. */
     public void useWarmCapacity(WarmCapacity warmCapacity) {
         cluster.useWarmCapacity(warmCapacity);
     }
@@ -316,22 +322,22 @@
         return cluster.machines.size();
     }
 
-    /** Every task that an earlier leader may have started is known. */
+    /** Whether every task that an earlier leader may have started is known. */
     public boolean isFailoverComplete() {
         return failover.isComplete();
     }
 
-    /** What this leader knows of jobs and machines, should the records of them be lost. */
+    /** This leader's state of jobs and machines, from which lost records can be rebuilt. */
     public RememberedState rememberedState() {
         return RememberedStateView.of(cluster);
     }
 
-    /** What is known of one open job, whose end may be on its way into the records. */
+    /** The remembered state of one open job, whose completion may not be recorded yet. */
     public static RememberedState rememberedState(Job job) {
         return RememberedStateView.of(job);
     }
 
-    /** One line for the log: what there is and what waits. */
+    /** A log line with the numbers of jobs, tasks and machines. */
     public String summary() {
         return SchedulerSummary.of(cluster, failover);
     }
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerListener.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerListener.java
@@ -3,27 +3,27 @@
 import io.indigoreach.core.model.ExitCause;
 import io.indigoreach.core.model.TaskId;
 
-/** Receives what the scheduler core reports while it decides: records to write and lines for the log. */
+/** Receives the scheduler core's notifications: records to write and log lines. */
 public interface SchedulerListener {
-    /** A task of the job completed: its record is to be written. */
+    /** Called when a task of the job has completed, so that its completion can be recorded. */
     void taskCompleted(Job job);
 
-    /** Something worth a line in the operators' log. */
+    /** Writes a line to the operators' log. */
     void log(String line);
 
-    /** A task failed by its own error, and its machine or its job may be at fault. */
+    /** Called when a task failed with an error, for which its machine or its job may be at fault. */
     default void taskFailed(Placement placement) {
         log("task failed task=" + placement.task() + " machine=" + placement.machine.id + " job_failures="
                 + placement.job.failures + " quarantined=" + placement.machine.quarantined + " suspect="
                 + placement.job.isSuspectedFaulty());
     }
 
-    /** The worker refused to start a task. */
+    /** Called when a worker refused to start a task. */
     default void startRefused(Placement placement, ExitCause cause) {
         log("task start refused task=" + placement.task() + " machine=" + placement.machine.id + " cause=" + cause);
     }
 
-    /** A machine reports a task that may be on another one; it is stopped on the reporting machine. */
+    /** Called when a machine reports a task that may be running on another one; the reporting machine stops it. */
     default void duplicateTask(TaskId task, Machine reporting, Machine other) {
         log("duplicate task stopped task=" + task + " machine=" + reporting.id + " other=" + other.id);
     }
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerSummary.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerSummary.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.scheduling;
 
-/** The state of the scheduler in one line for the log. */
+/** Formats the state of the scheduler as one log line. */
 final class SchedulerSummary {
     private SchedulerSummary() {}
 
