--- a/src/test/java/io/indigoreach/core/scheduling/AsymmetricPartitionTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/AsymmetricPartitionTest.java
@@ -26,20 +26,26 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Machines whose reports arrive and that answers do not reach: told within a few reports, and never by a lost answer. */
+/**
+ * A partition in one direction, where heartbeats arrive but answers do not, is confirmed within a few heartbeats. Single lost answers
+ * and other faults never confirm it.
+ */
 class AsymmetricPartitionTest {
     private static final FencingToken OLDER = new FencingToken(4);
 
-    /** Reports come every {@code every} s: how many starts it was given, by when it is given none, and is to be returned. */
+    /**
+     * Each row has the evidence in the heartbeats, the seconds between heartbeats, the number of starts that are sent in vain, and the
+     * time at which the partition is confirmed and the machine's return is planned.
+     */
     @ParameterizedTest
     @CsvSource({
-        "takes no start, 2, 12, 6",
-        "takes no start, 5.5, 12, 16.5",
-        "keeps what is reaped, 2, 0, 6",
-        "goes on with what is stopped, 2, 0, 6",
-        "never follows the token, 2, 0, 12",
-        "never follows the token, 5.5, 0, 33",
-        "its sessions end, 15, 12, 45"
+        "ignores starts, 2, 12, 6",
+        "ignores starts, 5.5, 12, 16.5",
+        "keeps reaped task, 2, 0, 6",
+        "runs stopped task, 2, 0, 6",
+        "keeps older token, 2, 0, 12",
+        "keeps older token, 5.5, 0, 33",
+        "new incarnation in each heartbeat, 15, 12, 45"
     })
     void isToldWithinAFewReports(String sign, double every, int started, double told) {
         SimulatedWorld w = new SimulatedWorld();
@@ -51,9 +57,9 @@
         double last = -1;
         for (int i = 0; last < 0 && i < 150; i++) {
             double now = i * every;
-            TaskStatus[] tasks = sign.startsWith("keeps")
+            TaskStatus[] tasks = sign.equals("keeps reaped task")
                     ? new TaskStatus[] {exited(foreign, ExitCause.DONE)}
-                    : sign.startsWith("goes") ? new TaskStatus[] {running(foreign)} : new TaskStatus[0];
+                    : sign.equals("runs stopped task") ? new TaskStatus[] {running(foreign)} : new TaskStatus[0];
             boolean mute = tasks.length > 0;
             if (mute && i == 0) {
                 w.core.cancelJob(new JobId("run-1"));
@@ -63,8 +69,8 @@
                                     w.report(
                                             "a",
                                             "east",
-                                            sign.startsWith("its") ? 1 + i : 1,
-                                            sign.startsWith("never") ? OLDER : TOKEN,
+                                            sign.equals("new incarnation in each heartbeat") ? 1 + i : 1,
+                                            sign.equals("keeps older token") ? OLDER : TOKEN,
                                             tasks),
                                     at(now))
                             .commands())
@@ -77,7 +83,10 @@
         assertEquals(0, w.core.job(new JobId("run-1")) == null ? 0 : w.core.job(new JobId("run-1")).failures);
     }
 
-    /** Of eight machines in the zone, so many take nothing: more than a quarter are the way's fault, up to what another costs. */
+    /**
+     * Some of the zone's eight machines receive no answers. If they are more than a quarter, the network is presumed to be at fault and
+     * they are kept, until keeping them has cost as much as replacing them.
+     */
     @ParameterizedTest
     @CsvSource({"1, 8, 1", "2, 8, 2", "3, 8, 0", "8, 8, 0", "8, 90, 0", "8, 94, 8"})
     void aZoneOfThemIsTheWaysFault(int deaf, double seconds, int returned) {
@@ -105,24 +114,24 @@
             w.core.planScaleIn(at(now));
         }
         assertEquals(returned, w.core.machinesToReturn(9).size());
-        assertEquals(0, late, "no start once it is told");
+        assertEquals(0, late, "no start once the partition is confirmed");
     }
 
-    /** What must not be taken for it; each for three minutes, with the fault again and again. */
+    /** Faults that must not be mistaken for a partition. Each one recurs for three minutes. */
     @ParameterizedTest
     @CsvSource({
         "every third answer is lost",
         "two answers in a row of three are lost",
         "every start is refused",
-        "two reports with the older token",
-        "its record takes a minute",
-        "hangs beyond its lease",
-        "the leader stands still"
+        "two heartbeats with the older token",
+        "recording the machine takes a minute",
+        "machine hangs beyond its lease",
+        "leader is paused"
     })
     void otherTroublesAreNotTakenForIt(String trouble) {
         SimulatedWorld w = new SimulatedWorld();
         w.core.inheritMachine(new MachineId("a"), new MachinePool("quad", "east", true), at(0), at(0), at(0));
-        if (trouble.startsWith("its record")) {
+        if (trouble.equals("recording the machine takes a minute")) {
             w = new SimulatedWorld();
             w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
         }
@@ -132,31 +141,31 @@
         List<TaskStatus> held = new ArrayList<>();
         for (double now = 1; now < 180; now += 2, round++) {
             w.submit(spec(round + 1, 1, 0.25, 500), now);
-            if (trouble.startsWith("hangs") && round % 6 == 5) {
+            if (trouble.equals("machine hangs beyond its lease") && round % 6 == 5) {
                 now += 14;
                 w.core.expireLeases(at(now));
                 held.clear();
                 session++;
             }
-            if (trouble.startsWith("the leader")) {
+            if (trouble.equals("leader is paused")) {
                 w.core.setAwakeSince(at(now - 0.1));
             }
-            FencingToken token = trouble.startsWith("two reports") && round < 2 ? OLDER : TOKEN;
+            FencingToken token = trouble.equals("two heartbeats with the older token") && round < 2 ? OLDER : TOKEN;
             List<WorkerCommand> orders = w.core.onHeartbeat(
                             w.report("a", "east", session, token, held.toArray(new TaskStatus[0])), at(now))
                     .commands();
-            if (trouble.startsWith("its record") && now > 60) {
+            if (trouble.equals("recording the machine takes a minute") && now > 60) {
                 w.core.recorded(new MachineId("a"));
             }
             boolean lost = switch (trouble) {
                 case "every third answer is lost" -> round % 3 == 0;
                 case "two answers in a row of three are lost" -> round % 3 != 2;
-                case "its record takes a minute" -> now < 60;
-                case "the leader stands still" -> true;
+                case "recording the machine takes a minute" -> now < 60;
+                case "leader is paused" -> true;
                 default -> false;
             };
             if (!lost) {
-                boolean refused = trouble.startsWith("every start");
+                boolean refused = trouble.equals("every start is refused");
                 for (WorkerCommand command : orders) {
                     held.removeIf(status -> status.attempt().equals(command.attempt()));
                     if (command instanceof WorkerCommand.Start) {
@@ -169,7 +178,10 @@
         }
     }
 
-    /** It runs two tasks, takes no third one, and the cloud answers at once, or does not answer. */
+    /**
+     * The machine runs two tasks and misses the start of a third one, so it is returned. Its tasks start elsewhere once the cloud
+     * confirms the return, or once its lease expires if the cloud does not answer.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void itsWorkIsCountedUntilTheReturnIsAnsweredOrItsLeaseIsOver(boolean answered) {
@@ -190,7 +202,7 @@
             assertEquals(
                     !leaving,
                     w.core.mayAnswer(new MachineId("a")),
-                    "no answer renews its lease once it is being returned");
+                    "no answer may renew its lease once it is being returned");
             if (leaving && answered) {
                 w.core.returned(w.core.machinesToReturn(9), at(now));
             }
@@ -202,10 +214,13 @@
         assertEquals(answered ? 10 : 10 + RULES.leaseBound().seconds(), elsewhere, 0.15);
         assertEquals(0, job.failures, "its job is not at fault");
         w.core.onHeartbeat(w.report("a", "east", 2, TOKEN), at(elsewhere + 20));
-        assertEquals(answered, w.core.mayAnswer(new MachineId("a")), "nor later, while the cloud has not answered");
+        assertEquals(answered, w.core.mayAnswer(new MachineId("a")), "no answer either while the cloud has not confirmed the return");
     }
 
-    /** Told while many of its zone were, so not returned: by a start taken, by the token, or by a session that goes on. */
+    /**
+     * Machines that were partitioned together with most of their zone are not returned. They get tasks again once their incarnation
+     * outlives a lease, which shows that answers arrive.
+     */
     @Test
     void oneThatHearsAgainIsUsedAgain() {
         SimulatedWorld w = new SimulatedWorld();
@@ -218,7 +233,7 @@
         double again = -1;
         for (double now = 0; again < 0 && now < 60; now += 2) {
             for (int i = 0; i < 4; i++) {
-                // What is lost until 20 s; then the session goes on, as answers arrive.
+                // The incarnations show that answers are lost until 20 s; the one that begins at 24 s continues.
                 boolean given = !starts(w.core.onHeartbeat(
                                         w.report("m" + i, "east", now < 12 ? 1 : now < 24 ? 2 : 3, TOKEN), at(now))
                                 .commands())
@@ -229,8 +244,8 @@
             w.core.planScaleIn(at(now));
             assertTrue(w.core.machinesToReturn(9).isEmpty());
         }
-        assertEquals(12, before, "three answers to each");
-        assertEquals(38, again, "a lease after the last session began");
-        assertFalse(w.said.isEmpty(), "it is said");
+        assertEquals(12, before, "three answers with a start for each machine");
+        assertEquals(38, again, "a lease after the last incarnation began");
+        assertFalse(w.said.isEmpty(), "the change is logged");
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
@@ -17,25 +17,25 @@
 import java.util.Set;
 
 /**
- * Controllers, workers and users round one state service, in simulated time: the state service refuses single controllers or
- * everybody, users are told of cancellations by any controller that is served, controllers end and start again, lead one after the
- * other, and ask each other. What a leader may count on is decided by the classes that serve; that a leader is valid is
- * taken for granted, as pledges may carry one through any outage. Checked where the users look: from the first word to a user
- * that a job is cancelled until its last task is gone from a worker.
+ * Simulates controllers, workers and users around one state service. The state service refuses requests of single controllers or of
+ * all of them; any controller that it serves confirms cancellations to users; controllers restart, succeed each other as
+ * leader, and query each other. The production classes decide which cancellations a leader has to know. The leadership itself
+ * is always valid, because pledges can extend it through any outage. The checked property is the one that users observe: the
+ * time from the first confirmation that a job is cancelled until its last task on a worker has ended.
  */
 public final class CancellationSimulation {
-    /** A guard that a run can do without, to see that the rule then breaks. */
+    /** A guard that a run can disable, to show that the rule is then violated. */
     public enum Without {
         NOTHING,
-        /** Workers are answered however long ago cancellations were heard of. */
+        /** Without it, a leader answers workers regardless of the age of its knowledge of cancellations. */
         BACKSTOP,
-        /** What the others tell counts as heard, but the jobs that they name run on. */
+        /** Without it, answers of peers count as received, but the cancelled jobs that they name are not stopped. */
         NAMES,
-        /** A process that has just started answers for its predecessor. */
+        /** Without it, a restarted process answers as if it knew what its predecessor confirmed. */
         BIRTH,
-        /** A job that is gone counts as dealt with before it is known why. */
+        /** Without it, a missing job counts as resolved before the reason for its absence is known. */
         UNSETTLED,
-        /** A leader that has not read the records counts as informed since it took over. */
+        /** Without it, a leader that has not read the records counts as up to date since the start of its leadership. */
         RECORDS
     }
 
@@ -68,7 +68,7 @@
         }
     }
 
-    /** What a leader knows; another one when another node leads. */
+    /** A leader's state during one leadership. */
     private final class Reign {
         final Node node;
         final CancellationHorizon horizon = new CancellationHorizon();
@@ -98,9 +98,9 @@
     private int count;
     private Reign reign;
     EffectListener effects = EffectListener.NONE;
-    /** Tasks of jobs that nobody cancelled, killed as a lease ended. */
+    /** Tasks of jobs that were not cancelled, killed because a lease expired. */
     int lost;
-    /** Cancelled jobs' tasks that a leader stopped while the state service did not answer it. */
+    /** How often a leader stopped cancelled jobs because of peers' answers while the state service did not serve it. */
     int stoppedByWord;
 
     CancellationSimulation(SafetyTimes rules, int nodes, int jobs, long seed, Without without) {
@@ -156,13 +156,13 @@
                 double limit = told.getOrDefault(job, Double.MAX_VALUE)
                         + rules.cancellationTime().seconds();
                 if (now > limit) {
-                    broken.add(job + " runs at " + now + ", told at " + told.get(job));
+                    broken.add(job + " runs at " + now + ", cancellation confirmed at " + told.get(job));
                 }
             }
         }
     }
 
-    // ---- troubles and users
+    // ---- faults and users
 
     void refuse(double when, int node, double span) {
         at(when, () -> nodes.get(node).refusedUntil = now + span);
@@ -172,7 +172,7 @@
         at(when, () -> outageUntil = Math.max(outageUntil, now + span));
     }
 
-    /** The process ends and is back after {@code span}. */
+    /** Ends the node's process and starts it again after {@code span}. */
     void restart(double when, int node, double span) {
         at(when, () -> {
             Node n = nodes.get(node);
@@ -200,7 +200,7 @@
         });
     }
 
-    /** A user cancels a job at a node, which knows of it {@code way} later and tells {@code later} after that. */
+    /** A user cancels a job at a node, which learns the result {@code way} later and confirms it {@code later} after that. */
     void cancel(double when, int node, JobId job, double way, double later) {
         at(when, () -> {
             Node n = nodes.get(node);
@@ -216,7 +216,7 @@
         });
     }
 
-    /** A user asks a node how a job is. */
+    /** A user queries the status of a job at a node. */
     void poll(double when, int node, JobId job) {
         at(when, () -> {
             Node n = nodes.get(node);
@@ -269,7 +269,7 @@
         answer(mine, known, sent, now + Math.min(2, rules.maxCancellationAge().seconds() / 4));
     }
 
-    /** An open watch brings a change at once, or ends; while this node is not served it waits. */
+    /** Waits for the watch to report a change or to end; it makes no progress while the state service refuses this node. */
     private void answer(Reign mine, Set<JobId> known, Moment sent, double ends) {
         if (reign != mine) {
             return;
@@ -285,7 +285,7 @@
             if (without == Without.UNSETTLED) {
                 mine.horizon.resolved(job);
             }
-            // The state service may answer slowly, so that the refusal comes first.
+            // The state service may answer so slowly that it starts to refuse this node first.
             after(random.nextDouble() * (random.nextInt(4) == 0 ? 6 : 0.3), () -> why(mine, job));
         });
         mine.horizon.advanceTo(sent);
--- a/src/test/java/io/indigoreach/core/scheduling/CancellationSimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancellationSimulationTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The state service refuses the leader alone, another controller tells users that jobs are cancelled, and then it answers nobody for
- * longer than {@code cancel_s}: those jobs' tasks are gone in time all the same, and as long as all controllers answer each other
- * nothing else is lost.
+ * The state service refuses only the leader while another controller confirms cancellations to users, and then serves no node for
+ * longer than {@code cancel_s}. The cancelled jobs' tasks must end in time nevertheless, and no other tasks are lost while all
+ * controllers answer each other.
  */
 public class CancellationSimulationTest {
     private static final int JOBS = 8;
@@ -29,23 +29,26 @@
         return new SafetyTimes(Span.seconds(lease), Span.seconds(report), Span.seconds(cancel), Span.seconds(3));
     }
 
-    /** {@code lost}: whether the work of all must go for it, as nobody is left who can say what was told. */
+    /**
+     * {@code lost}: whether all workers lose their tasks, because no reachable controller knows which cancellations were confirmed.
+     */
     @ParameterizedTest
     @CsvSource({
-        // lease, report, cancel, told at, by, way, later, poll at, restart of, restarts at, silent, lost, what
-        "22, 5, 42, 30.5, 1, 0.1, 0,   0,  -1, 0,  -1, false, told by another while the leader is refused",
+        // lease, heartbeat period, cancellation time, cancelled at, by node, delay, later, poll at, restarted node, restarts at,
+        // silent node, lost, case
+        "22, 5, 42, 30.5, 1, 0.1, 0,   0,  -1, 0,  -1, false, confirmed by another node while the leader is refused",
         "12, 2, 32, 30.5, 1, 0.1, 0,   0,  -1, 0,  -1, false, the same with short leases",
-        "22, 4, 27.5, 30.5, 1, 0.1, 0, 0,  -1, 0,  -1, false, where the difference hardly suffices",
-        "22, 5, 42, 31.9, 1, 0.3, 0,   0,  -1, 0,  -1, false, the outage begins before the answer is there",
-        "22, 5, 42, 30.5, 1, 0.1, 3,   0,  -1, 0,  -1, false, the node that knows stands still before it tells",
-        "22, 5, 42, 29.9, 1, 0.1, 0,   0,  -1, 0,  -1, false, heard of by the last watch but not readable any more",
-        "22, 5, 42, 30.5, 1, 0.1, 0,   40, -1, 0,  -1, false, told again by a node that remembers",
-        "22, 5, 42, 30.5, 1, 0.1, 0,   0,  1,  31, -1, true, who told has ended and started since",
-        "22, 5, 42, 30.5, 1, 0.1, 0,   0,  1,  45, -1, true, who told ends after its word: none answers for its last half second",
-        "22, 5, 42, 30.5, 1, 0.1, 0,   0,  2,  31, -1, true, another started: it might have told of some",
-        "22, 5, 42, 30.5, 1, 0.1, 0,   0,  -1, 0,  1, true, who told does not answer",
-        "22, 5, 42, 30.5, 1, 0.1, 0,   0,  0,  31, -1, true, the leader ends: the next one has no records",
-        "22, 5, 42, 29,   0, 0.1, 0,   0,  -1, 0,  -1, false, told by the leader's own node just before",
+        "22, 4, 27.5, 30.5, 1, 0.1, 0, 0,  -1, 0,  -1, false, cancellation time barely longer than the lease",
+        "22, 5, 42, 31.9, 1, 0.3, 0,   0,  -1, 0,  -1, false, the outage begins before the answer arrives",
+        "22, 5, 42, 30.5, 1, 0.1, 3,   0,  -1, 0,  -1, false, the node that knows pauses before it confirms",
+        "22, 5, 42, 29.9, 1, 0.1, 0,   0,  -1, 0,  -1, false, seen by the last watch but the reason is no longer readable",
+        "22, 5, 42, 30.5, 1, 0.1, 0,   40, -1, 0,  -1, false, confirmed again by a node that still knows",
+        "22, 5, 42, 30.5, 1, 0.1, 0,   0,  1,  31, -1, true, the confirming node has restarted since",
+        "22, 5, 42, 30.5, 1, 0.1, 0,   0,  1,  45, -1, true, the confirming node restarts after its answer: no node covers its last half second",
+        "22, 5, 42, 30.5, 1, 0.1, 0,   0,  2,  31, -1, true, a third node restarted: it might have confirmed others",
+        "22, 5, 42, 30.5, 1, 0.1, 0,   0,  -1, 0,  1, true, the confirming node does not answer",
+        "22, 5, 42, 30.5, 1, 0.1, 0,   0,  0,  31, -1, true, the leader ends: the next one cannot read the records",
+        "22, 5, 42, 29,   0, 0.1, 0,   0,  -1, 0,  -1, false, confirmed by the leader's own node just before",
     })
     void tasksAreGoneInTime(
             double lease,
@@ -81,8 +84,8 @@
     }
 
     /**
-     * Cancelled at the very moment at which the leader alone is refused, and the service is out a second later; the same twice more
-     * before the first one's time is over, also just as the service returns to the others.
+     * Jobs are cancelled at the moment when the state service starts to refuse the leader, and a full outage follows one second later.
+     * This repeats twice before the first cancellation time has passed, also just as the service recovers for the other nodes.
      */
     @ParameterizedTest
     @CsvSource({
@@ -107,11 +110,11 @@
             }
             run.until(30 + 3 * (2 + outage) + 60);
             assertEquals(List.of(), run.broken, "at " + offset);
-            assertEquals(0, run.lost, "all controllers answer, at " + offset);
+            assertEquals(0, run.lost, "tasks lost although all controllers answer, at " + offset);
         }
     }
 
-    /** How the old leader ends at 30 s. */
+    /** The condition of the old leader when its leadership ends at 30 s. */
     private enum Ending {
         ANSWERING,
         REFUSED,
@@ -120,8 +123,8 @@
     }
 
     /**
-     * Cancelled in the seconds in which another leads, by any node, which ends in the same second or not; the service is whole,
-     * or out before the next leader has read the records, or just after.
+     * Jobs are cancelled at any node around a change of leader; that node restarts within the same second or does not. The state
+     * service works, or has an outage that begins before or just after the next leader has read the records.
      */
     private static List<String> handover(Ending ending, Without without) {
         List<String> broken = new ArrayList<>();
@@ -157,7 +160,7 @@
         }
     }
 
-    /** Troubles of all kinds, one on the other; each guard that is left out is missed in some run. */
+    /** A run with overlapping random faults. */
     private static CancellationSimulation random(long seed, Without without) {
         return random(seed, without, EffectListener.NONE);
     }
@@ -205,7 +208,7 @@
             assertEquals(List.of(), run.broken, "seed " + seed);
             stopped += run.stoppedByWord;
         }
-        assertTrue(stopped > 100, "the word of other controllers was hardly ever needed: " + stopped);
+        assertTrue(stopped > 100, "peers' answers were hardly ever needed: " + stopped);
     }
 
     @ParameterizedTest
@@ -216,6 +219,6 @@
                 return;
             }
         }
-        throw new AssertionError("no seed misses " + without);
+        throw new AssertionError("no seed violates the rule without " + without);
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/CancelledTaskRenewalTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancelledTaskRenewalTest.java
@@ -14,15 +14,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Seen: a replica of a cancelled job was on its machine longer than it may. Its user was told a second before all controllers ended.
+ * Guards against a task of a cancelled job that outlives the cancellation time because leaders renew its machine's lease without
+ * stopping it.
  *
- * <p>How it came about: three leaders answered one heartbeat each of the machine, and ended within two seconds of it. Each knew that the
- * job was cancelled. But the heartbeat had an older leader's token, so the answer had no commands; it renewed the machine's
- * lease all the same, and by the next heartbeat that leader was gone.
- *
- * <p>Cause: an effect on every path and its guard on one. Every answer renews the lease; only an answer to a heartbeat with the leader's
- * own token, whose task list it reconciles, stopped tasks. Proof: the machine accepted all three answers, so no stop was lost; the first
- * leader's log has the cancellation before its answer, and the other two read their records after it.
+ * <p>Every answer to a heartbeat renews the lease, but only an answer to a heartbeat with the leader's own token, whose task list is
+ * reconciled, used to stop tasks. Three leaders that knew of the cancellation each answered one heartbeat that carried an older token,
+ * and each ended within two seconds of its answer. The answers contained no commands, and a replica ran on.
  */
 class CancelledTaskRenewalTest {
     private static final String MACHINE = "a";
@@ -34,15 +31,15 @@
 
     private final SimulatedCluster cluster = new SimulatedCluster(TEAM);
 
-    /** What a leader knows of the machine besides its heartbeats. */
+    /** What a leader knows of the machine from the records. */
     private enum Known {
         /** An earlier leader recorded the machine. */
         RECORDED,
-        /** No record names it. */
+        /** No record mentions the machine. */
         UNKNOWN,
-        /** An earlier leader recorded the machine, and that it is being returned; the cloud does not answer. */
+        /** An earlier leader recorded the machine and its return; the cloud does not answer. */
         RECORDED_AND_RETURNED,
-        /** An earlier leader recorded that it is being returned, nothing else; the cloud does not answer. */
+        /** An earlier leader recorded only the machine's return; the cloud does not answer. */
         RETURNED
     }
 
@@ -65,7 +62,7 @@
         }
     }
 
-    /** Leaders that know of the cancellation follow each other; each answers one heartbeat of the machine in its time, or more. */
+    /** Leaders that know of the cancellation succeed each other; each answers one or more heartbeats of the machine. */
     private List<String> brokenRules(Known known, double leadershipS, double heartbeatPeriodS) {
         cluster.cancel(JOB, CANCELLED_AT);
         double leaderUntil = CANCELLED_AT;
@@ -80,10 +77,10 @@
         return cluster.broken;
     }
 
-    /** Each leader ends before the machine's next heartbeat; or one stays, and the cloud does not answer its returns. */
+    /** Each leader ends before the machine's next heartbeat, or one leader stays and the cloud does not answer its returns. */
     @ParameterizedTest
     @CsvSource({
-        // what each leader knows, how long it leads, time between heartbeats that are answered
+        // known from records, length of a leadership in seconds, seconds between answered heartbeats
         "RECORDED, 9, 9",
         "UNKNOWN, 9, 9",
         "RECORDED_AND_RETURNED, 9, 9",
--- a/src/test/java/io/indigoreach/core/scheduling/DelayedHeartbeats.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DelayedHeartbeats.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import java.util.function.Consumer;
 
-/** Copies of reports in a {@link RandomSimulation} that are kept until another leader begins, some of them for the one after it too. */
+/** Copies of heartbeats in a {@link RandomSimulation} that are delayed until a later leader begins. */
 final class DelayedHeartbeats {
     private static final int MOST = 40;
 
@@ -19,7 +19,7 @@
         this.random = random;
     }
 
-    /** Sent while the leader with this token led. */
+    /** Keeps a copy of a heartbeat that was sent while the leader with this token led. */
     void keep(Heartbeat heartbeat, long token) {
         if (kept.size() == MOST) {
             kept.remove(random.nextInt(MOST));
@@ -27,7 +27,7 @@
         kept.add(new Kept(heartbeat, token));
     }
 
-    /** Hands some of the earlier leaders' to the one with this token, in any order; half of those go to a later one as well. */
+    /** Delivers some copies from earlier leaderships to the leader with this token; half of these stay for a later leader. */
     void arrive(long token, Consumer<Heartbeat> leader) {
         for (Kept copy : List.copyOf(kept)) {
             if (copy.token < token && random.nextInt(3) > 0) {
--- a/src/test/java/io/indigoreach/core/scheduling/FailureDetectorTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FailureDetectorTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Machines that hang or are dead are returned before their lease ends; a cut must not look like that. */
+/** Machines that hang or are dead are returned before their lease expires; partitioned machines are kept. */
 class FailureDetectorTest {
-    /** Of eight machines with a replica each, so many fall silent for so long; reports come every 2 s. */
+    /** Some of eight machines with one replica each are silent for the given time; the heartbeat period is 2 s. */
     @ParameterizedTest
     @CsvSource({"1, 4, 0", "1, 5, 1", "2, 5, 2", "3, 5, 0", "8, 5, 0"})
     void silentMachinesAreReturnedUnlessManyAre(int silent, double seconds, int returned) {
@@ -44,8 +44,8 @@
     }
 
     /**
-     * A leader that stood still for 5 s reads what waits one after the other: when most have been read, the rest would look
-     * silent alone, and deaf is a leader that has had no time to listen.
+     * A leader that was paused for 5 s reads the queued heartbeats one after the other. Once it has read most of them, the remaining
+     * machines look like single silent ones, and before it reads the first, the leader looks cut off from the workers.
      */
     @ParameterizedTest
     @CsvSource({"14.9, 0", "10, 2"})
@@ -54,7 +54,7 @@
         w.core.recordsLoaded();
         List<TaskStatus[]> tasks = fleet(w);
         w.core.setAwakeSince(at(awake));
-        assertEquals(returned > 0, w.core.isCutOffFromWorkers(at(16.1)), "nothing heard since 10 s");
+        assertEquals(returned > 0, w.core.isCutOffFromWorkers(at(16.1)), "no heartbeat since 10 s");
         for (int i = 2; i < 8; i++) {
             w.hearOrdinary("m" + i, 15, tasks.get(i));
         }
@@ -62,7 +62,7 @@
         assertEquals(returned, w.core.machinesToReturn(9).size());
     }
 
-    /** What was on it starts elsewhere once the return is answered, not before: it may still be running. */
+    /** A replica of a silent machine may still be running until the cloud confirms the return, so it starts elsewhere only then. */
     @Test
     void aReplicaStartsElsewhereOnlyOnceTheReturnIsAnswered() {
         SimulatedWorld w = new SimulatedWorld();
@@ -78,8 +78,8 @@
     }
 
     /**
-     * The whole of the west cut off from a new leader, which took over as the cut began: its machines are kept as long as
-     * others would take to be of use, 12.3 s of lease and 80 s of boot and paid minute (the zone days of both fleets).
+     * The west zone is partitioned from a new leader, whose leadership began with the partition. Its machines are kept for as long as
+     * replacing them would take: 12.3 s of lease and 80 s of boot time and minimum paid time.
      */
     @ParameterizedTest
     @CsvSource({"8, 30, 0", "8, 92, 0", "8, 93, 8", "1, 30, 1"})
@@ -108,7 +108,7 @@
                         w.core.scaleOutRequests(at(t)).stream()
                                 .map(r -> r.pool().zone())
                                 .collect(Collectors.toSet()),
-                        "what is rented behind the cut cannot be reached");
+                        "machines rented in the partitioned zone could not be reached");
             }
         }
         assertEquals(
@@ -118,7 +118,7 @@
                         .count());
     }
 
-    /** Machines dead before a take-over held back every inherited job until their lease had surely run out. */
+    /** Machines that died before a failover must not hold back all inherited jobs until their leases expire. */
     @ParameterizedTest
     @CsvSource({"8, 1, 8, 0", "8, 1, 9, 1", "8, 4, 9, 0", "40, 2, 6, 0", "40, 2, 7, 2", "40, 6, 7, 0", "40, 6, 9, 6"})
     void machinesSilentSinceATakeOverAreReturned(int machines, int dead, double seconds, int returned) {
--- a/src/test/java/io/indigoreach/core/scheduling/InheritedRequestsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/InheritedRequestsTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What earlier leaders asked of the cloud, and what its answers were taken for. */
+/** Rental and return requests of earlier leaders, and the cloud's answers to them. */
 class InheritedRequestsTest {
-    /** A name used twice brought an ordinary machine as the answer to a request for spot ones, and the reverse. */
+    /** A request name that was used twice returned an on-demand machine for a spot request, and the reverse. */
     @Test
     void aMachineIsOfThePoolThatItReports() {
         SimulatedWorld w = new SimulatedWorld();
@@ -27,14 +27,14 @@
         w.core.rented(new MachinePool("quad", "east", false), List.of(new MachineId("a")), at(0), at(0));
         w.core.recorded(new MachineId("a"));
         w.submit(with(spec(1, 4, 1, 50), Urgency.STANDARD, false, false, false, null, 0), 1);
-        assertEquals(List.of(), w.hear("a", 20), "it says that it is a spot machine");
+        assertEquals(List.of(), w.hear("a", 20), "its heartbeat reports the spot pool");
         w.core.recorded(new MachineId("a"));
-        assertEquals(List.of(), starts(w.hear("a", 22)), "the job may not use one");
+        assertEquals(List.of(), starts(w.hear("a", 22)), "the job may not use spot machines");
         w.submit(spec(2, 1, 1, 50), 23);
         assertEquals(List.of("run-2/0"), starts(w.hear("a", 24)));
     }
 
-    /** Its return may still be executed: what is started there would be lost with it. */
+    /** The recorded return may still be executed, and a task started on the machine would be lost with it. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aMachineThatWasToBeReturnedIsNeverUsedAgain(boolean recorded) {
@@ -54,9 +54,9 @@
                 at(3));
         w.core.rented(new MachinePool("quad", "east", true), List.of(id), at(0), at(3));
         assertEquals(List.of(), starts(w.hear("a", 4)));
-        assertEquals(List.of(id), w.core.machinesToReturn(9), "its return is finished");
+        assertEquals(List.of(id), w.core.machinesToReturn(9), "the return is still pending");
         w.core.returned(List.of(id), at(5));
         assertTrue(w.core.machinesToReturn(9).isEmpty() && w.core.isFailoverComplete());
-        assertEquals(List.of(), starts(w.hear("a", 6)), "a late report");
+        assertEquals(List.of(), starts(w.hear("a", 6)), "a late heartbeat of a returned machine");
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/LaggingWrites.java
+++ b/src/test/java/io/indigoreach/core/scheduling/LaggingWrites.java
@@ -5,8 +5,8 @@
 import java.util.Random;
 
 /**
- * The leader's writes in a {@link RandomSimulation}. While the state service lags they are carried out 2 s to 12 s later, in any order,
- * some without an answer; a write whose leader's key is gone by then is not carried out, as it is conditional on that key.
+ * The leader's writes in a {@link RandomSimulation}. While the state service lags, they are applied 2 s to 12 s later, in any order,
+ * and some are never answered. A write is conditional on its leader's key, so it is not applied if another leader has begun.
  */
 final class LaggingWrites {
     private static final double LEAST_LAG_S = 2;
@@ -30,7 +30,7 @@
         return now < lagsUntil;
     }
 
-    /** {@code answered}: what the leader does once it is told; it is not told of one in three that come late. */
+    /** Applies a write now, or later while the service lags. {@code answered} runs on its answer, which one in three late writes lack. */
     void write(double now, long token, Runnable effect, Runnable answered) {
         if (!lags(now)) {
             effect.run();
@@ -41,7 +41,7 @@
         open.add(new Write(due, token, effect, random.nextInt(3) == 0 ? () -> {} : answered));
     }
 
-    /** Carries out what is due, if its leader still leads under {@code token}. */
+    /** Applies due writes whose leader still leads with {@code token}, and drops the other due ones. */
     void advance(double now, long token) {
         List<Write> due = open.stream().filter(w -> w.due <= now).toList();
         open.removeAll(due);
--- a/src/test/java/io/indigoreach/core/scheduling/LateCommands.java
+++ b/src/test/java/io/indigoreach/core/scheduling/LateCommands.java
@@ -6,14 +6,14 @@
 import java.util.Random;
 
 /**
- * Orders that a leader sends by direct command in a {@link RandomSimulation}, which the product never does: each is carried out once, 2 s
- * to 16 s later and unanswered, if the worker's token is not higher and its session the same.
+ * Commands that a leader sends outside heartbeat answers in a {@link RandomSimulation}, which the product never does. Each is executed
+ * once, 2 s to 16 s later, without an answer, unless the worker has a higher token or another incarnation by then.
  */
 final class LateCommands {
     private static final double LEAST_DELAY_S = 2;
     private static final double DELAY_RANGE_S = 14;
 
-    /** A command on its way to a worker. */
+    /** Commands in transit to a worker. */
     record Command(String machine, long session, long token, List<WorkerCommand> orders, double due) {}
 
     private final Random random;
@@ -28,7 +28,7 @@
         onTheWay.add(new Command(machine, session, token, orders, due));
     }
 
-    /** What reaches this machine now. */
+    /** Removes and returns the commands that reach this machine now. */
     List<Command> arriving(String machine, double now) {
         List<Command> here = onTheWay.stream()
                 .filter(c -> c.due <= now && c.machine.equals(machine))
