--- a/src/test/java/io/indigoreach/core/scheduling/AsymmetricPartitionTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/AsymmetricPartitionTest.java
@@ -85,7 +85,7 @@
 
     /**
      * Some of the zone's eight machines receive no answers. If they are more than a quarter, the network is presumed to be at fault and
-     * they are kept, until keeping them has cost as much as replacing them.
+     * they are kept for as long as replacing them would take.
      */
     @ParameterizedTest
     @CsvSource({"1, 8, 1", "2, 8, 2", "3, 8, 0", "8, 8, 0", "8, 90, 0", "8, 94, 8"})
--- a/src/test/java/io/indigoreach/core/scheduling/ConcurrentFaultsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ConcurrentFaultsTest.java
@@ -22,35 +22,38 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Two troubles at once: a change of leader, or a machine that goes on, beside what is late, lost, or not recorded yet. */
+/**
+ * Two faults at once: a change of leader, or a machine that resumes, combined with messages that are late or lost, or with state that is
+ * not recorded yet.
+ */
 class ConcurrentFaultsTest {
     private final SimulatedCluster site = new SimulatedCluster();
 
     /**
-     * The first task ends long before the others, and the leader ends before that was reported, recorded or reaped; then one
-     * more ends at once. The machine that ran it is reached, or is lost with what it has not told.
+     * The first task ends long before the others, and the leader ends before the result was reported, recorded or reaped. In some rows
+     * the next leader ends at once as well. The machine that ran the task is reachable, or is lost with its unreported result.
      */
     @ParameterizedTest
     @CsvSource({
         "2, 1, running, 1, true",
         "2, 1, ended, 1, true",
-        "2, 1, seen, 1, true",
+        "2, 1, reported, 1, true",
         "2, 1, recorded, 1, true",
         "2, 1, reaped, 1, true",
         "2, 4, ended, 1, true",
-        "2, 4, seen, 1, true",
+        "2, 4, reported, 1, true",
         "2, 4, recorded, 1, true",
         "2, 4, reaped, 1, true",
-        "3, 4, seen, 2, true",
+        "3, 4, reported, 2, true",
         "3, 4, recorded, 2, true",
         "3, 4, reaped, 2, true",
-        "3, 1, seen, 2, true",
+        "3, 1, reported, 2, true",
         "3, 1, reaped, 2, true",
         "2, 4, ended, 1, false",
-        "2, 4, seen, 1, false",
+        "2, 4, reported, 1, false",
         "2, 4, recorded, 1, false",
         "2, 4, reaped, 1, false",
-        "3, 4, seen, 2, false",
+        "3, 4, reported, 2, false",
         "3, 4, reaped, 2, false"
     })
     void tasksThatEndFarApart(int tasks, double cores, String point, int changes, boolean reached) {
@@ -67,7 +70,7 @@
         if (!point.equals("running")) {
             ran.end(first, ExitCause.DONE);
         }
-        if (point.equals("seen") || point.equals("recorded") || point.equals("reaped")) {
+        if (point.equals("reported") || point.equals("recorded") || point.equals("reaped")) {
             site.report(ran.name, 5);
         }
         if (point.equals("recorded") || point.equals("reaped")) {
@@ -103,32 +106,32 @@
             site.record();
             assertEquals(site.ended(new JobId("run-1")) == tasks, site.isClosed(new JobId("run-1")), "at " + now);
         }
-        boolean lost = !reached && (point.equals("ended") || point.equals("seen"));
+        boolean lost = !reached && (point.equals("ended") || point.equals("reported"));
         assertEquals(
                 lost ? 2 : 1,
                 site.starts(first),
-                "a result that nobody recorded and whose machine is lost is made anew");
+                "a task runs again only if its result was not recorded and its machine is lost");
         assertTrue(!lost || again >= 7 + changes + RULES.leaseBound().seconds(), "started again at " + again);
         assertTrue(site.isClosed(new JobId("run-1")));
         assertEquals(List.of(), site.broken);
     }
 
     /**
-     * A leader ends while a machine with a long task is cut off, or reports and hears nothing, alone or with its whole zone;
-     * another machine is idle. The inherited task starts there by the time, and never before the worker has killed it.
+     * A leader ends while machines with a long task each are unreachable, or send heartbeats but receive no answers. Another machine
+     * is idle. The inherited task starts there at the expected time, and never before the worker has killed it.
      */
     @ParameterizedTest
     @CsvSource({
-        "hears, 1, 2, 1, -1",
-        "cut, 1, 2, 1, 14",
-        "deaf, 1, 2, 1, 14",
-        "deaf, 1, 3.5, 1, 14",
-        "deaf, 1, 5.5, 1, 18",
-        "deaf, 6, 2, 1, 14",
-        "cut, 6, 2, 1, 14",
-        "deaf, 1, 2, 2, 20",
-        "deaf, 6, 3.5, 2, 22",
-        "cut, 6, 2, 2, 20"
+        "reachable, 1, 2, 1, -1",
+        "unreachable, 1, 2, 1, 14",
+        "answers lost, 1, 2, 1, 14",
+        "answers lost, 1, 3.5, 1, 14",
+        "answers lost, 1, 5.5, 1, 18",
+        "answers lost, 6, 2, 1, 14",
+        "unreachable, 6, 2, 1, 14",
+        "answers lost, 1, 2, 2, 20",
+        "answers lost, 6, 3.5, 2, 22",
+        "unreachable, 6, 2, 2, 20"
     })
     void aTakeOverWaitsForALeaseAndNoLonger(String trouble, int machines, double every, int changes, double started) {
         for (int i = 0; i < machines; i++) {
@@ -140,9 +143,9 @@
         for (int i = 0; i < machines; i++) {
             site.become("m" + i, -4);
             assertEquals(1, site.box("m" + i).tasks.size());
-            site.box("m" + i).deaf = trouble.equals("deaf");
+            site.box("m" + i).deaf = trouble.equals("answers lost");
         }
-        // Nobody has ordered any task of it.
+        // No leader has started any task of this job.
         site.submit(spec(2, 1, 4, 50), -0.4);
         site.lead(0);
         double inherited = -1;
@@ -153,7 +156,7 @@
                 second = true;
             }
             for (int i = 0; i < machines; i++) {
-                if (now % every == 0 && !trouble.equals("cut")) {
+                if (now % every == 0 && !trouble.equals("unreachable")) {
                     site.report("m" + i, now);
                 }
             }
@@ -164,7 +167,7 @@
                 inherited = inherited < 0 && site.startsOf(new JobId("run-1")) > before ? now : inherited;
                 TaskId other = TaskId.parse("run-2/0");
                 if (site.runs(other) != null) {
-                    assertTrue(now <= 6, "what nobody ordered goes first and at once");
+                    assertTrue(now <= 6, "a task that no leader has started may start at once");
                     site.runs(other).end(other, ExitCause.DONE);
                 }
             }
@@ -174,8 +177,8 @@
     }
 
     /**
-     * The new leader answers from 0 s on and has read the records at 6 s; the machine hears it, or not, and is cut off. Copies of
-     * earlier reports come until then.
+     * A new leader answers from 0 s on and has read the records at 6 s. The machine receives the answer to one heartbeat or does not,
+     * and is unreachable afterwards. In some rows copies of earlier heartbeats arrive before 6 s.
      */
     @ParameterizedTest
     @CsvSource({
@@ -214,13 +217,13 @@
         assertEquals(1, site.core.job(new JobId("run-1")).placements().size());
         assertTrue(
                 site.said.stream().noneMatch(line -> line.startsWith("duplicate task stopped")),
-                "a report from before its lease ended");
+                "a heartbeat from before its lease expired");
         assertEquals(List.of(), site.broken);
     }
 
     /**
-     * Reports come once more, so many seconds after they were sent, while the machine runs another attempt, has begun
-     * another session or is silent; under the same leader or the next. Everything goes as without the copies.
+     * Each heartbeat arrives a second time after the given delay, while the machine runs another attempt, has begun another
+     * incarnation or is silent, under the same leader or the next one. The copies must not change the run.
      */
     @ParameterizedTest
     @CsvSource({
@@ -233,10 +236,10 @@
         "new attempt, 2, false",
         "new attempt, 13, false",
         "new attempt, 30, true",
-        "new session, 2, false",
-        "new session, 13, false",
-        "new session, 2, true",
-        "new session, 30, true",
+        "new incarnation, 2, false",
+        "new incarnation, 13, false",
+        "new incarnation, 2, true",
+        "new incarnation, 30, true",
         "silent, 2, false",
         "silent, 13, false",
         "silent, 30, false"
@@ -264,7 +267,7 @@
             if (what.equals("new attempt") && now == 11 && s.runs(first) != null) {
                 s.runs(first).end(first, ExitCause.ERROR);
             }
-            if (what.equals("new session") && now == 11) {
+            if (what.equals("new incarnation") && now == 11) {
                 s.box("a").newSession(now);
             }
             for (String name : List.of("a", "b")) {
@@ -275,21 +278,24 @@
                 }
             }
             for (int i = 0; i < sent.size(); i++) {
-                // Both machines have shown themselves to a new leader by then.
+                // By then both machines have sent a heartbeat to the new leader.
                 if (due.get(i) <= now && (now < 21 || now > 22)) {
                     s.core.onHeartbeat(sent.get(i), at(now + 0.5));
                     due.set(i, Double.MAX_VALUE);
                 }
             }
             s.core.expireLeases(at(now + 0.6));
-            trace.add(s.core.summary() + " over " + s.core.isLeaseExpired(new MachineId("a")));
+            trace.add(s.core.summary() + " expired " + s.core.isLeaseExpired(new MachineId("a")));
             s.record();
         }
         assertEquals(List.of(), s.broken);
         return trace;
     }
 
-    /** Nobody recorded or rented it, and the new leader answers it before it has read that; then it ends, and copies come. */
+    /**
+     * A machine in no record and no rental is answered before the leader has read the records. Copies of its heartbeats must not make
+     * the leader adopt it; its next heartbeat, which shows the answer, does.
+     */
     @ParameterizedTest
     @CsvSource({"1, false", "2, false", "1, true", "2, true"})
     void copiesRaiseNoMachineThatWasAnsweredTooEarly(int answered, boolean lives) {
@@ -306,11 +312,14 @@
         assertEquals(0, w.core.machineCount());
         if (lives) {
             w.core.onHeartbeat(w.report("x", "east", 1, SimulatedWorld.TOKEN), at(15));
-            assertEquals(1, w.core.machineCount(), "its next report shows the answer");
+            assertEquals(1, w.core.machineCount(), "its next heartbeat shows the answer");
         }
     }
 
-    /** A dead machine, whose copies come to the next leader one after the other with ever higher numbers and its older token. */
+    /**
+     * Copies of a dead machine's heartbeats, with increasing numbers and an older token, keep arriving at the next leader. They delay
+     * its failover by one lease at most.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {1, 3, 7})
     void copiesPutATakeOverOffByALeaseAtMost(double every) {
@@ -340,21 +349,22 @@
     }
 
     /**
-     * A machine stands still with a report or an answer under way, and goes on within its lease or after it; a start comes when
-     * its session is over or under an older leader's token; an order is for an earlier attempt. So often it is ordered.
+     * A machine hangs while a heartbeat or an answer is in transit, and resumes before or after its lease expires; or a start command
+     * arrives in a later incarnation or with an older leader's token; or a command is for an earlier attempt. Each row ends with
+     * how often the task's start is sent.
      */
     @ParameterizedTest
     @CsvSource({
         "lease, 11.9, false, 1",
         "lease, 12.1, false, 2",
-        "report, 3.9, false, 1",
-        "report, 7, false, 1",
-        "report, 12.2, false, 2",
+        "heartbeat, 3.9, false, 1",
+        "heartbeat, 7, false, 1",
+        "heartbeat, 12.2, false, 2",
         "answer, 3.9, false, 1",
         "answer, 4.1, false, 2",
         "token, 3.9, true, 1",
         "token, 4.1, true, 2",
-        "session, 3, false, 2",
+        "incarnation, 3, false, 2",
         "attempt, 3, false, 2"
     })
     void whatIsHeldUp(String what, double held, boolean change, int orders) {
@@ -363,7 +373,7 @@
         site.lead(-10);
         site.submit(spec(1, 1, 4, 500), -10);
         TaskId task = TaskId.parse("run-1/0");
-        boolean ordered = what.equals("answer") || what.equals("token") || what.equals("session");
+        boolean ordered = what.equals("answer") || what.equals("token") || what.equals("incarnation");
         if (ordered) {
             site.report("a", -4);
             site.report("a", -2);
@@ -372,12 +382,12 @@
         }
         assertEquals(ordered ? 0 : 1, a.tasks.size());
         if (what.equals("attempt")) {
-            // It fails at once and is given again; the answer that stops or reaps the first attempt comes late.
+            // The task fails at once and is started again; the answer that stops or reaps the first attempt is late.
             a.end(task, ExitCause.ERROR);
         }
         Heartbeat heartbeat = a.write();
         SimulatedCluster.Answer answer =
-                what.equals("report") || what.equals("lease") ? null : site.answer(heartbeat, 0);
+                what.equals("heartbeat") || what.equals("lease") ? null : site.answer(heartbeat, 0);
         if (what.equals("lease")) {
             site.report("a", 0);
         }
@@ -386,13 +396,13 @@
             if (change && now == 2) {
                 site.lead(2);
             }
-            if (what.equals("session") && now == 1) {
+            if (what.equals("incarnation") && now == 1) {
                 a.newSession(now);
             }
             if (!done && now >= held) {
                 done = true;
                 a.live(now);
-                SimulatedCluster.Answer late = what.equals("report") ? site.answer(heartbeat, now) : answer;
+                SimulatedCluster.Answer late = what.equals("heartbeat") ? site.answer(heartbeat, now) : answer;
                 if (late != null && held <= SimulatedCluster.PATIENCE_S) {
                     a.take(late, 0, now);
                 }
@@ -406,10 +416,10 @@
         }
         assertEquals(List.of(), site.broken);
         assertEquals(orders, site.ordered(task));
-        assertNotNull(site.runs(task), "it runs");
+        assertNotNull(site.runs(task), "the task runs");
     }
 
-    /** Two exits of earlier attempts in one list, in any order, beside the attempt that runs. */
+    /** A task list contains the exit of an earlier attempt, of any cause but success, beside the running attempt. */
     @Test
     void earlierAttemptsEndNothing() {
         SimulatedWorld w = new SimulatedWorld();
--- a/src/test/java/io/indigoreach/core/scheduling/FailoverTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FailoverTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a leader may believe and order, and when: each case is a way in which a task could come to run twice. */
+/** What a leader may conclude from heartbeats and listings, and when it may start tasks, so that no task runs twice. */
 class FailoverTest {
     private final SimulatedWorld w = new SimulatedWorld();
 
@@ -46,7 +46,7 @@
                 List.of(),
                 starts(w.core.onHeartbeat(w.report("b", "east", 1, new FencingToken(4)), at(2))
                         .commands()),
-                "a list from before the token was seen can be overtaken by a late order of the old leader");
+                "a late command of the old leader can still change a task list that was sent with an older token");
         assertEquals(List.of("run-1/1"), starts(w.hear("b", 3, foreign("run-1/0", 7))));
     }
 
@@ -63,7 +63,10 @@
         assertEquals(List.of("run-1/0"), starts(w.hear("a", 12.6)));
     }
 
-    /** Its record could not be read until now: what it has on machines was reported as a stranger's. */
+    /**
+     * A job's record could only be read after the others, so heartbeats showed its tasks as those of an unknown job. It waits until no
+     * heartbeat shows a task of an unknown job.
+     */
     @ParameterizedTest
     @CsvSource({"true, run-1/1", "false, run-1/0"})
     void aJobThatIsReadAfterTheTakeOverWaitsForStrangersToGo(boolean stays, String first) {
@@ -77,7 +80,7 @@
         List<WorkerCommand> orders = stays ? w.hear("b", 3, foreign("run-1/0", 7)) : w.hear("b", 3);
         assertEquals(first, starts(orders).get(0));
         w.inherited(spec(2, 1, 1, 50));
-        assertEquals(List.of("run-2/0"), starts(w.hear("a", 4)), "no report shows a stranger");
+        assertEquals(List.of("run-2/0"), starts(w.hear("a", 4)), "no heartbeat shows a task of an unknown job");
     }
 
     @Test
@@ -99,7 +102,7 @@
         assertEquals(List.of(), starts(limited.hear("a", 2)));
     }
 
-    /** Tasks of a job that was cancelled before the take-over still use their team's limit until they are gone. */
+    /** Tasks of a job that was cancelled before the failover count against their team's limit until they have ended. */
     @Test
     void underALimitNothingStartsBesideTasksOfUnknownJobs() {
         SimulatedWorld limited = new SimulatedWorld(SimulatedWorld.team(4));
@@ -122,12 +125,12 @@
         w.core.recordsLoaded();
         w.submit(spec(1, 1, 1, 50), 0);
         w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("x")), at(0), at(0));
-        assertEquals(List.of(), starts(w.hear("x", 1)), "a later leader would not wait for its report");
+        assertEquals(List.of(), starts(w.hear("x", 1)), "a later leader would not wait for its heartbeat");
         w.core.recorded(new MachineId("x"));
         assertEquals(List.of("run-1/0"), starts(w.hear("x", 2)));
     }
 
-    /** Two machines that never came up held a whole queue back for 24 s (incident inc-e504): they need no record. */
+    /** Machines that never came up need no record: two recorded ones held back a whole queue for 24 s (incident inc-e504). */
     @Test
     void onlyAMachineThatHasReportedIsToBeRecorded() {
         w.core.recordsLoaded();
@@ -163,7 +166,7 @@
         Heartbeat stale = w.report("a", "east", 1, SimulatedWorld.TOKEN);
         List<WorkerCommand> first = w.hear("a", 1);
         assertEquals(List.of("run-1/0"), starts(first));
-        assertEquals(List.of(), w.core.onHeartbeat(stale, at(1.5)).commands(), "an older report shows nothing");
+        assertEquals(List.of(), w.core.onHeartbeat(stale, at(1.5)).commands(), "an older heartbeat shows nothing");
         assertEquals(List.of(), starts(w.hear("b", 2)));
         List<WorkerCommand> second = w.hear("a", 3);
         assertEquals(List.of("run-1/0"), starts(second));
@@ -248,13 +251,15 @@
                 Span.seconds(100)));
         w.core.onMachineListing(list, at(2), at(2));
         w.core.onMachineListing(list, at(6), at(6));
-        assertEquals(List.of(), starts(w.hear("a", 6.5)), "these lists may describe a time before b was rented");
+        assertEquals(List.of(), starts(w.hear("a", 6.5)), "these listings may describe a time before b was rented");
         w.core.onMachineListing(list, at(7.5), at(7.5));
         w.core.onMachineListing(list, at(9), at(9));
         assertEquals(List.of("run-1/0"), starts(w.hear("a", 9.5)));
     }
 
-    /** A leader that only the workers cannot reach keeps its lease: it has to notice by itself, and hand over. */
+    /**
+     * A leader that only the workers cannot reach keeps its leadership, so it has to detect by itself that it is cut off, and hand over.
+     */
     @Test
     void aLeaderThatHearsNoneOfSeveralMachinesIsDeaf() {
         w.core.recordsLoaded();
@@ -266,12 +271,12 @@
         assertEquals(
                 true,
                 w.core.isCutOffFromWorkers(at(25)),
-                "as soon as one would be called silent: workers' leases run meanwhile");
+                "after the suspicion timeout of a single machine, as the workers' leases run meanwhile");
         w.hear("b", 24.5);
         assertEquals(false, w.core.isCutOffFromWorkers(at(25)));
     }
 
-    /** A new leader gave up before workers that were with one that stood still could have come to it. */
+    /** Guards against a new leader that steps down before workers connected to a paused node had time to find it. */
     @ParameterizedTest
     @CsvSource({"6.4, false", "6.6, true"})
     void aNewLeaderIsDeafOnlyWhenMachinesCouldHaveFoundIt(double seconds, boolean deaf) {
@@ -300,7 +305,7 @@
         assertEquals(0, w.core.machineCount());
     }
 
-    /** Of a job of four an earlier leader may have ordered the first two: the rest is on no machine, heard or not. */
+    /** Tasks at or above the recorded start bound were never started, so they need not wait for unreconciled machines. */
     @ParameterizedTest
     @CsvSource({
         "2, false, run-1/2 run-1/3",
@@ -316,12 +321,12 @@
                 SimulatedWorld.with(spec(1, 4, 1, 50), Urgency.STANDARD, oneZone, false, true, null, 0), bound);
         w.core.recordsLoaded();
         job.startBoundRecorded(4);
-        assertEquals(started, String.join(" ", starts(w.hear("a", 1))), "b may hold those below the bound");
+        assertEquals(started, String.join(" ", starts(w.hear("a", 1))), "b may run tasks below the bound");
         w.hear("b", 2);
         assertEquals(4, starts(w.hear("b", 3)).size() + (started.isEmpty() ? 0 : started.split(" ").length));
     }
 
-    /** A start goes out only under a bound that is recorded; what was asked for and not answered does not count. */
+    /** A task starts only below the recorded start bound; a write of a higher bound that is not answered yet does not count. */
     @Test
     void nothingIsOrderedBeyondTheRecordedBound() {
         w.core.recordsLoaded();
@@ -334,10 +339,13 @@
         assertEquals(List.of(), starts(w.hear("a", 2)), "its write has no answer yet");
         job.startBoundRecorded(asked);
         assertEquals(4, starts(w.hear("a", 3)).size());
-        assertEquals(8, asked, "what the machine takes now, and once more");
+        assertEquals(8, asked, "the tasks that fit on the machine now, and as many again");
     }
 
-    /** 2,000 machines, half of them behind a cut that ends during the take-over: half the untouched work starts at once. */
+    /**
+     * Half of 2,000 machines are unreachable until late in the failover. On the other half, tasks that no leader has started start at
+     * once.
+     */
     @Test
     void halfAFleetBehindACutDoesNotHoldUpTheOther() {
         for (int i = 0; i < 2000; i++) {
@@ -355,7 +363,7 @@
         for (int i = 0; i < 2000; i += 2) {
             starts += starts(w.hear("m" + i, 1 + i / 2000.0)).size();
         }
-        assertEquals(4000, starts, "of the job that nobody had begun");
+        assertEquals(4000, starts, "tasks of the job that no leader had started");
         w.core.planScaleIn(at(9));
         assertEquals(0, w.core.machinesToReturn(9).size());
         for (int i = 1; i < 2000; i += 2) {
@@ -363,12 +371,12 @@
                             .commands())
                     .size();
         }
-        assertEquals(4004, starts, "the last report settles the take-over, and what it asked for can be started");
+        assertEquals(4004, starts, "the last heartbeat completes the failover, and its machine can start inherited tasks");
     }
 
     /**
-     * Of 2,000 machines 500 are returned and 500 rented in the last seconds; then comes a list from before either, as the
-     * protocol allows: nobody is declared gone for it, and nobody is taken on again.
+     * 500 of 2,000 machines have just been returned and 500 others rented. A listing from before both, which the protocol allows, must
+     * not remove the rented machines or adopt the returned ones again.
      */
     @Test
     void aListOlderThanTheOneBeforeChangesNothing() {
@@ -395,10 +403,13 @@
         assertTrue(ids.subList(500, 2000).stream().allMatch(w.core::knows));
         w.core.onMachineListing(List.of(), at(108), at(108));
         w.core.onMachineListing(List.of(), at(109), at(109));
-        assertEquals(0, w.core.machineCount(), "absence of more than twice the lag, twice, is proof");
+        assertEquals(0, w.core.machineCount(), "machines missing from two listings, beyond twice the lag, no longer exist");
     }
 
-    /** The water kiosks' replicas were down longer: what nobody had ordered took their places before all was known. */
+    /**
+     * Guards against tasks that no leader has started taking the room of inherited replicas that may run nowhere. That kept replicas of
+     * a service down for longer during a failover.
+     */
     @Test
     void untouchedWorkLeavesRoomForReplicasThatMayBeNowhere() {
         w.core.inheritMachine(new MachineId("o"), new MachinePool("quad", "east", false), at(-100), at(0), at(0));
@@ -407,8 +418,8 @@
         w.inherited(SimulatedWorld.service(1, 2), 2);
         w.inherited(spec(2, 9, 1, 50), 0).startBoundRecorded(9);
         w.core.recordsLoaded();
-        assertEquals(List.of(), starts(w.hearOrdinary("o", 1)), "the replicas may go nowhere else");
-        assertEquals(4, starts(w.hear("a", 1)).size(), "here they may not run");
+        assertEquals(List.of(), starts(w.hearOrdinary("o", 1)), "the replicas can run only on this machine");
+        assertEquals(4, starts(w.hear("a", 1)).size(), "the replicas may not run on this machine");
         w.hear("b", 2);
         assertEquals(
                 List.of("run-1/0", "run-1/1"), starts(w.hearOrdinary("o", 3)).subList(0, 2));
--- a/src/test/java/io/indigoreach/core/scheduling/LateHeartbeatCopyTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/LateHeartbeatCopyTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Copies of reports that come late, up to minutes: they show nothing about now. */
+/** Copies of heartbeats that arrive up to minutes late prove nothing about the current state of a machine. */
 class LateHeartbeatCopyTest {
     private static final MachineId A = new MachineId("vm-000001");
     private static final MachinePool EAST = new MachinePool("quad", "east", true);
@@ -33,16 +33,19 @@
         return new ListedMachine(new MachineId(name), EAST, ListedMachine.Status.RUNNING, Span.seconds(30));
     }
 
-    /** Its task ran, and the machine is dead since 4 s; the report of 3 s comes at 30 s, once more or for the first time. */
+    /**
+     * A machine that ran a task has been dead since 4 s. Its heartbeat of 3 s arrives at 30 s, again or for the first time. It must
+     * neither make the leader adopt the machine nor block the task.
+     */
     @ParameterizedTest
     @CsvSource({
         "after the task was reaped, true",
-        "first time after its lease, true",
+        "delivered first after its lease expired, true",
         "after it was returned, false",
-        "its name forgotten, false",
+        "after its return was forgotten, false",
         "under a new leader, false",
         "two in the wrong order, true",
-        "its session ended, true"
+        "after its incarnation ended, true"
     })
     void raiseNoDeadMachine(String when, boolean known) {
         SimulatedWorld w = new SimulatedWorld();
@@ -53,24 +56,24 @@
         Heartbeat earlier = w.report(A.text(), "east", 1, TOKEN, running(orders.get(0)));
         Heartbeat copy = w.report(A.text(), "east", 1, TOKEN, running(orders.get(0)));
         w.core.onHeartbeat(earlier, at(2));
-        if (!when.startsWith("first time")) {
+        if (!when.equals("delivered first after its lease expired")) {
             w.core.onHeartbeat(copy, at(3));
         }
-        if (when.startsWith("its session")) {
+        if (when.equals("after its incarnation ended")) {
             w.core.onHeartbeat(w.report(A.text(), "east", 2, TOKEN), at(4));
         }
-        if (when.startsWith("after it was") || when.startsWith("its name")) {
+        if (when.equals("after it was returned") || when.equals("after its return was forgotten")) {
             w.core.returned(List.of(A), at(4));
         }
-        if (when.startsWith("its name")) {
+        if (when.equals("after its return was forgotten")) {
             w.core.onMachineListing(List.of(listed("vm-009999")), at(5), at(5));
             w.core.onMachineListing(List.of(listed("vm-009999")), at(15), at(15));
             for (int i = 0; i < 2000; i++) {
                 w.core.returned(List.of(new MachineId("vm-0" + (20_000 + i))), at(16));
             }
         }
-        if (when.startsWith("under a new")) {
-            // Rented and returned under the leader before: nothing is recorded of it.
+        if (when.equals("under a new leader")) {
+            // It was rented and returned under the previous leader, so no record mentions it.
             w = new SimulatedWorld();
             w.core.recordsLoaded();
             job = new Job(spec(1, 1, 1, 500), 1, at(0), new Revision(1), new BitSet(), 1, false);
@@ -83,13 +86,13 @@
         w.core.onHeartbeat(copy, at(30));
         w.core.onHeartbeat(earlier, at(31));
         w.core.onHeartbeat(copy, at(31.5));
-        assertEquals(machines, w.core.machineCount(), "taken on");
+        assertEquals(machines, w.core.machineCount(), "a machine was adopted");
         assertEquals(known, w.core.knows(A));
         assertTrue(job.placements().isEmpty(), "a task placed on a dead machine");
         assertEquals(List.of(), starts(w.core.onHeartbeat(copy, at(32)).commands()));
-        // What it ran goes to a machine that lives, at once.
+        // Its task can start on a live machine at once.
         w.up("vm-010001", "east", 32);
-        assertEquals(1, starts(w.hear("vm-010001", 33)).size(), "held by a copy");
+        assertEquals(1, starts(w.hear("vm-010001", 33)).size(), "the task is blocked by a copy");
     }
 
     private static Heartbeat withToken(Heartbeat heartbeat, FencingToken token) {
@@ -103,7 +106,10 @@
                 heartbeat.tasks());
     }
 
-    /** Nobody rented or listed it: one report or a copy of it is no proof, one that shows our answer is. */
+    /**
+     * A machine that was not rented or listed is unknown. One heartbeat, or a copy of it, does not prove that it exists; a heartbeat that
+     * shows this leader's answer does.
+     */
     @ParameterizedTest
     @CsvSource({
         "once, 0",
@@ -133,7 +139,7 @@
             default -> {}
         }
         assertEquals(machines, w.core.machineCount());
-        // It counts as none on order: what waits is rented for all the same.
+        // The unknown machine does not count as capacity, so machines are rented for the waiting tasks as without it.
         if (machines == 0) {
             SimulatedWorld fresh = new SimulatedWorld();
             fresh.core.recordsLoaded();
@@ -143,7 +149,10 @@
         }
     }
 
-    /** Inherited and dead: copies with the older token settle no take-over and put it off once, not with each copy. */
+    /**
+     * Copies of one heartbeat of a dead inherited machine, with an older token, do not complete the failover, and they postpone it only
+     * once.
+     */
     @Test
     void copiesOfOneReportPutATakeOverOffOnce() {
         SimulatedWorld w = new SimulatedWorld();
@@ -161,7 +170,7 @@
         assertEquals(14, settled.get(0), "1 s and the lease bound");
     }
 
-    /** While the records are read, machines are answered: their leases count from then, not from when they were read. */
+    /** Machines are answered while the records are loaded, so their leases count from the answer and not from the loading. */
     @Test
     void whatIsAnsweredBeforeTheRecordsAreReadIsCounted() {
         SimulatedWorld w = new SimulatedWorld();
--- a/src/test/java/io/indigoreach/core/scheduling/MuteMachineTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/MuteMachineTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A machine that reaches no controller from the answer to its report of -1 s on, while direct commands would reach it. None is
- * sent, so its lease alone ends what it runs. A whole zone of them is {@code FailureDetectorTest.machinesBehindACutAreKept}.
+ * A machine's heartbeats reach no controller after -1 s, while commands sent outside heartbeat answers would reach it. No such
+ * commands are sent, so only the expiry of its lease ends its tasks. {@link FailureDetectorTest} covers a whole zone of such machines.
  */
 class MuteMachineTest {
     private static final JobId JOB = new JobId("run-1");
@@ -30,7 +30,7 @@
         assertEquals(1, site.box("mute").tasks.size());
     }
 
-    /** The mute machine reports again from {@code muteUntil} on; it is told what time it is all along. */
+    /** The unreachable machine sends heartbeats again from {@code muteUntil} on; its clock advances throughout. */
     private void step(double now, double muteUntil, double change) {
         if (now == change) {
             site.lead(now);
@@ -58,7 +58,7 @@
         assertEquals(List.of(), site.broken);
     }
 
-    /** Its job is cancelled while it is mute, under the same leader or across a change. */
+    /** The job is cancelled while the machine is unreachable, with the same leader or with a change of leader. */
     @ParameterizedTest
     @CsvSource({"0, -1", "6, -1", "6, 3", "6, 8", "10.5, 12"})
     void itsCancelledTaskIsGoneInTime(double cancelled, double change) {
@@ -71,7 +71,7 @@
             step(now, 90, change);
             gone = gone < 0 && site.runs(TASK) == null ? now : gone;
         }
-        assertTrue(gone >= 0 && gone <= cancelled + RULES.workerLease().seconds() + 0.5, "gone at " + gone);
+        assertTrue(gone >= 0 && gone <= cancelled + RULES.workerLease().seconds() + 0.5, "ended at " + gone);
         assertEquals(1, site.starts(TASK), "started again after it was cancelled");
         assertEquals(List.of(), site.broken);
     }
--- a/src/test/java/io/indigoreach/core/scheduling/RandomRecords.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomRecords.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** What the state service holds in a {@link RandomSimulation}: jobs and machines, and the leader's writes of them. */
+/** The state service of a {@link RandomSimulation}: its records of jobs and machines, and the leader's writes to them. */
 final class RandomRecords {
     static final class Stored {
         final JobSpec spec;
@@ -33,7 +33,7 @@
     }
 
     final Map<JobId, Stored> jobs = new TreeMap<>();
-    /** The machines of which a next leader knows that they may hold tasks. */
+    /** The recorded machines; the next leader knows that these may run tasks. */
     final Set<String> machines = new LinkedHashSet<>();
 
     final LaggingWrites writes;
@@ -41,7 +41,7 @@
     private final RandomSimulation.Without without;
     private final Consumer<Stored> closed;
 
-    /** {@code closed} is told of each job that is recorded as done. */
+    /** {@code closed} is called with each job that is recorded as done. */
     RandomRecords(Random random, RandomSimulation.Without without, Consumer<Stored> closed) {
         this.writes = new LaggingWrites(random);
         this.without = without;
--- a/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
@@ -29,30 +29,31 @@
 import java.util.TreeMap;
 
 /**
- * A seeded random run of the core among stand-ins for workers, cloud and state service: answers are lost or held up, reports
- * come late, once more or both, machines die, hang, hear nothing or can't be reached, above all while a leader ends, the cloud
- * answers nobody, leaders end at any moment and new ones answer before they have read the records.
- * After every step the protocol's rules are checked, that no copy of a report raises a machine, and that no take-over takes
- * longer than two leases. In the end all troubles are over, and every job that nobody cancelled has to be done.
+ * A seeded random run of the core with simulated workers, cloud and state service. Answers are lost or delayed; heartbeats are late,
+ * duplicated or both; machines die, hang, receive no answers or are unreachable, especially around a change of leader; the cloud
+ * does not answer; leaders end at any moment, and new ones answer before they have read the records.
+ *
+ * <p>After every step the run checks the protocol's rules, that no copy of a heartbeat makes a leader adopt a machine, and that no
+ * failover takes longer than two leases. At the end all faults cease, and every job that was not cancelled has to complete.
  */
 public final class RandomSimulation {
     private static final double LEASE_S = SimulatedWorld.RULES.workerLease().seconds();
     private static final double CORES_MAX = 24;
     private static final int TROUBLES = 4000;
     private static final int MOST_STEPS = 24_000;
-    /** A worker drops an answer after this long. */
+    /** Time after which a worker abandons a heartbeat and drops its answer. */
     private static final double PATIENCE_S = 4;
-    /** Steps between two heartbeats in the mean. */
+    /** Mean number of steps between two heartbeats of a worker. */
     private static final int HEARTBEAT_STEPS = 15;
-    /** The same where hardly any leader is to hear of a machine twice. */
+    /** Mean number of steps between heartbeats while leaderships are so short that few leaders get two from one machine. */
     private static final int RARE_HEARTBEAT_STEPS = 50;
-    /** How many jobs are cancelled as short leaderships begin. */
+    /** Number of jobs that are cancelled when a series of short leaderships begins. */
     private static final int CANCELLED_TOGETHER = 8;
-    /** A machine that answered within the first lease of a take-over may be silent for one more. */
+    /** A machine that sent a heartbeat within the first lease of a failover may be silent for one more lease. */
     private static final double LONGEST_TAKE_OVER_S =
             2 * SimulatedWorld.RULES.leaseBound().seconds() + 0.2;
 
-    /** A guard that a run can do without, to see that the rules then break. */
+    /** A guard that a run can disable, to show that a rule is then violated. */
     public enum Without {
         NOTHING,
         TAKE_OVER,
@@ -63,37 +64,40 @@
         REPORT_NUMBER,
         EARLY_ANSWER,
         RECORD_BEFORE_REAP,
-        /** Lists are believed only under the leader's own token. */
+        /** Task lists are trusted only in heartbeats with the leader's own token. */
         OWN_TOKEN,
         /** A machine gets tasks only once it is recorded. */
         MACHINE_RECORD,
-        /** Orders go out in answers to reports and by no direct command. */
+        /** Commands are sent only in answers to heartbeats. */
         ORDERS_IN_ANSWERS,
-        /** Cancelled jobs' tasks are stopped by every answer, also to a heartbeat with an older leader's token. */
+        /** Every answer stops the tasks of cancelled jobs, even the answer to a heartbeat with an older token. */
         STOPS_BEFORE_RECONCILIATION
     }
 
-    /** Troubles that a run has only if it is told so; they draw random numbers of their own. */
+    /** Optional faults of a run; they use a random generator of their own. */
     public enum Trouble {
-        /** Copies of reports reach the next leader as it begins. */
+        /** Copies of heartbeats reach the next leader when it begins. */
         KEPT_REPORTS,
-        /** Machines, alone, by the third or by the zone, reach no controller for a while. */
+        /** Single machines, a third of them, or a whole zone reach no controller for a while. */
         MUTE_MACHINES,
-        /** The leader's writes come late or have no answer, while machines are up at once and leaders end often. */
+        /** The leader's writes are late or unanswered, while machines are rented and leaders change often. */
         LAGGING_WRITES,
-        /** Leaders follow each other that live for about as long as a heartbeat's period, while jobs are cancelled. */
+        /** Leaderships last for about one heartbeat period, while jobs are cancelled. */
         SHORT_LEADERSHIPS
     }
 
     private final Random random;
     private final Without without;
     private final EnumSet<Trouble> troubles;
-    /** Decides about the further troubles, so that a run without them is the same with and without this code. */
+    /** Random generator of the optional faults, so that a run without them draws the same numbers as if they did not exist. */
     private final Random further;
 
     private final DelayedHeartbeats kept;
     private final LateCommands commands;
-    /** Under a limit a new leader starts nothing before it has heard all; without one, what nobody ever ordered. */
+    /**
+     * Whether the team has a limit. With one, a new leader starts no task before its failover is complete; without one, it may start
+     * tasks that no leader has started.
+     */
     private final boolean limited;
 
     private final Map<String, RandomWorker> workers = new TreeMap<>();
@@ -105,15 +109,16 @@
     private long token;
     private SchedulerCore leader;
     private double ledSince;
-    /** Until then the leader reads the records. */
+    /** When the leader has read the records. */
     private double loadedAt;
 
     private boolean loaded;
-    /** No new troubles, and no new jobs. */
+    /** Whether the final phase has begun, without new faults and new jobs. */
     private boolean calm;
-    /** Tasks of arrays that have completed, and those of them that a worker was told to forget. */
+    /** Tasks of array jobs that have completed. */
     private final Set<TaskId> completed = new HashSet<>();
 
+    /** Completed tasks of array jobs that a worker has reaped. */
     private final Set<TaskId> reaped = new HashSet<>();
     private int machines;
     private int jobs;
@@ -122,9 +127,9 @@
     private EffectListener effects = EffectListener.NONE;
     private final LeaseRenewals renewals =
             new LeaseRenewals(SimulatedWorld.RULES.workerLease(), SimulatedWorld.RULES.cancellationTime());
-    /** Until then no leader lives for long. */
+    /** When the current series of short leaderships ends. */
     private double shortLeadershipsUntil;
-    /** When the last of those leaders was followed by another because of that, or is to be. */
+    /** When the next leader of that series begins. */
     private double nextShortLeadership;
 
     RandomSimulation(long seed, Without without) {
@@ -142,7 +147,7 @@
         this.limited = seed % 2 == 1;
     }
 
-    /** From now on the listener hears what the leaders decide. */
+    /** Sets the listener of the leaders' decisions. */
     public RandomSimulation tell(EffectListener listener) {
         effects = listener;
         records.effects = listener;
@@ -210,10 +215,10 @@
         }
         records.jobs.values().stream()
                 .filter(RandomRecords.Stored::isOpen)
-                .forEach(s -> broken.add("lost " + s.spec.id() + " with " + s.done + " of " + s.spec.tasks()));
+                .forEach(s -> broken.add("incomplete " + s.spec.id() + " with " + s.done + " of " + s.spec.tasks()));
     }
 
-    /** The further troubles begin. */
+    /** Begins optional faults at random. */
     private void disturb() {
         if (troubles.contains(Trouble.MUTE_MACHINES) && further.nextInt(150) == 0) {
             int fate = further.nextInt(4);
@@ -234,7 +239,7 @@
                 }
             } else if (records.writes.lags(now) && further.nextInt(60) == 0) {
                 takeOver();
-                // What stands in no record yet is often out of reach just then.
+                // Machines that are not recorded yet are often unreachable at that moment.
                 for (RandomWorker w : workers.values()) {
                     if (!records.machines.contains(w.name) && further.nextBoolean()) {
                         w.cutUntil = Math.max(w.cutUntil, now + 5 + further.nextInt(20));
@@ -247,7 +252,9 @@
         }
     }
 
-    /** For a minute or so leaders that read the records at once and end soon; jobs are cancelled as that begins. */
+    /**
+     * For about a minute, leaders read the records at once and end soon. A series of jobs is cancelled when this begins.
+     */
     private void shortLeaderships() {
         if (now >= shortLeadershipsUntil && further.nextInt(600) == 0) {
             shortLeadershipsUntil = now + 40 + further.nextInt(40);
@@ -266,7 +273,7 @@
         return records.jobs.values().stream().anyMatch(RandomRecords.Stored::isOpen);
     }
 
-    /** Services end by their users alone, and hold places. */
+    /** Begins the final phase. Services are cancelled, because they never end by themselves and use capacity. */
     private void calmDown() {
         calm = true;
         records.jobs.values().stream()
@@ -275,8 +282,8 @@
     }
 
     /**
-     * A new leader, which answers at once; the old one is simply gone, whatever it was doing. Often machines, or all of a zone, can't be
-     * reached or hear nothing while it ends.
+     * Replaces the leader at any moment by a new one, which answers heartbeats at once. Often some machines, or a whole zone, are
+     * unreachable or receive no answers around the change.
      */
     private void takeOver() {
         newLeader();
@@ -293,7 +300,7 @@
         kept.arrive(token, this::copy);
     }
 
-    /** A leader that has not read the records. */
+    /** Creates a leader that has not read the records yet. */
     private void newLeader() {
         Team team = new Team("t", 0, limited && without != Without.TEAM_LIMIT ? CORES_MAX : 0, 0, 0);
         SafetyTimes rules = without == Without.LEASE_BOUND
@@ -323,7 +330,10 @@
         ledSince = now;
     }
 
-    /** It has read the records; what is of jobs that came meanwhile is in them. Machines that it answered until now are cut off. */
+    /**
+     * Completes the loading of the records, which contain the jobs that were submitted meanwhile. Some machines that were answered
+     * during the loading become unreachable.
+     */
     private void load() {
         loaded = true;
         for (RandomWorker w : workers.values()) {
@@ -384,13 +394,13 @@
         leader.cancelJob(s.spec.id());
     }
 
-    /** What the leader's duties do: leases, records, ends of jobs. */
+    /** Runs the leader's periodic duties: lease expiry, writes of records, returns and completions of jobs. */
     private void tend() {
         leader.expireLeases(at());
         List<Job> toRaise = leader.startBoundsToRaise(at());
         effects.boundsToRaise(toRaise);
         for (Job job : toRaise) {
-            // Written now or later; whether this leader hears of it is another matter.
+            // The write happens in this step or a later one, and may remain unanswered.
             if (random.nextInt(3) == 0) {
                 records.writeBound(now, token, job, random.nextInt(4) > 0);
             }
@@ -405,13 +415,13 @@
         }
         if (random.nextInt(5) == 0) {
             for (Job job : new ArrayList<>(leader.jobs())) {
-                // A write without an answer: what it changed is recorded, and its leader does not know.
+                // The write may remain unanswered: its change is recorded, but the leader does not know.
                 records.writeProgress(now, leader, token, job, random.nextInt(4) > 0);
             }
         }
     }
 
-    /** Silent and idle machines are returned; a request without an answer is executed, now or later, or never. */
+    /** Returns silent and idle machines. An unanswered return request is executed later or never. */
     private void giveBack() {
         if (random.nextInt(20) != 0) {
             return;
@@ -497,8 +507,8 @@
     }
 
     /**
-     * A report may be lost, come late, or its answer be lost; a late one is answered to nobody. Either may be held up for seconds,
-     * and the worker sends none meanwhile.
+     * Sends a heartbeat. It may be lost or late, or its answer may be lost; the answer to a late heartbeat reaches no worker. Heartbeat
+     * and answer may be delayed for seconds, during which the worker sends no other heartbeat.
      */
     private void report(RandomWorker w) {
         Heartbeat heartbeat = new Heartbeat(
@@ -538,14 +548,14 @@
         }
     }
 
-    /** The orders of the leader of this moment; null if the report shows a newer one. */
+    /** The current leader's result for a heartbeat. */
     private HeartbeatResult hear(Heartbeat heartbeat) {
         HeartbeatResult result = leader.onHeartbeat(heartbeat, at());
         effects.answer(heartbeat.machine(), result, leader.mayAnswer(heartbeat.machine()));
         return result;
     }
 
-    /** The leader of this moment reads the report and answers it, or does not. */
+    /** Delivers a heartbeat to the current leader, which answers it or does not. */
     private void arrive(RandomWorker w, RandomWorker.Flight f) {
         boolean early = !loaded && without == Without.EARLY_ANSWER;
         HeartbeatResult result = early ? new HeartbeatResult.Commands(List.of()) : hear(f.report);
@@ -568,8 +578,8 @@
     }
 
     /**
-     * Every answer to a worker that waits for it, whether it arrives or not. Those before the records are read are not judged: no
-     * controller gives them, and they are here to make what follows harder.
+     * Checks an answer that renews a lease, whether or not it reaches the worker. Answers given before the records are read are not
+     * checked: no real controller sends them; the simulation does so to make the following steps harder.
      */
     private void checkRenewal(RandomWorker.Flight f) {
         Event.LeaseRenewed renewal = new Event.LeaseRenewed(
@@ -589,7 +599,9 @@
         }
     }
 
-    /** The same report once more, up to minutes later and under any leader; answered to nobody. */
+    /**
+     * Delivers a copy of a heartbeat, up to minutes later and to any leader. The answer reaches no worker.
+     */
     private void copy(Heartbeat heartbeat) {
         RandomWorker w = workers.get(heartbeat.machine().toString());
         boolean known = leader.knows(heartbeat.machine());
@@ -599,7 +611,7 @@
         hear(new Heartbeat(
                 heartbeat.machine(), heartbeat.address(), heartbeat.pool(), number, shown, null, heartbeat.tasks()));
         if (!known && leader.knows(heartbeat.machine())) {
-            broken.add(now + ": raised " + heartbeat.machine());
+            broken.add(now + ": adopted from a copy " + heartbeat.machine());
         }
     }
 
@@ -630,7 +642,7 @@
         }
     }
 
-    /** On its machine: until it exits, is killed with its session, or the machine is gone. */
+    /** Whether the task is on the machine: it has not exited, was not killed with its incarnation, and the machine is not dead. */
     private boolean isOn(RandomWorker w, TaskId task) {
         TaskStatus status = w.tasks.get(task);
         boolean killed = now - w.answered > LEASE_S;
@@ -651,7 +663,7 @@
             broken.add(now + ": started after its result was reaped " + task);
         }
         if (!records.machines.contains(here.name)) {
-            broken.add(now + ": started on a machine in no record " + task);
+            broken.add(now + ": started on an unrecorded machine " + task);
         }
         int inZone = 1;
         Set<String> zones = new HashSet<>(Set.of(here.zone));
@@ -675,7 +687,7 @@
         broken.addAll(waits.check(leader, calm, now));
         effects.leader(leader, at());
         if (loaded && !leader.isFailoverComplete() && now - ledSince > LONGEST_TAKE_OVER_S) {
-            broken.add(now + ": the take-over of " + ledSince + " waits");
+            broken.add(now + ": failover incomplete since " + ledSince);
         }
         double cores = 0;
         for (RandomWorker w : workers.values()) {
@@ -683,7 +695,7 @@
                 if (isOn(w, task)) {
                     RandomRecords.Stored s = records.jobs.get(task.job());
                     if (leader.isLeaseExpired(new MachineId(w.name))) {
-                        broken.add(now + ": counted as over " + task + " on " + w.name);
+                        broken.add(now + ": lease counted as expired " + task + " on " + w.name);
                     }
                     cores += s.spec.demand().cores();
                     if (s.cancelledAt >= 0
--- a/src/test/java/io/indigoreach/core/scheduling/RandomSimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulationTest.java
@@ -11,9 +11,12 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The rules hold in random runs; that the check can fail is shown by runs with one guard taken out. */
+/** The protocol's rules hold in random runs. Runs with one guard disabled show that the checks detect violations. */
 class RandomSimulationTest {
-    /** The last three found copies that raised machines which were answered before the records were read. */
+    /**
+     * The last three seeds found copies of heartbeats that made a leader adopt machines which were answered before the records were
+     * read.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 50, 82, 100})
     void noRuleIsBroken(long seed) {
@@ -38,7 +41,7 @@
         }));
     }
 
-    /** The same with the troubles that reach from one leader to the next, all together; leaderships are long enough for work to be done. */
+    /** Runs with all optional faults that span a change of leader. Leaderships are long enough for tasks to complete. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void noRuleIsBrokenWhereTroublesReachTheNextLeader(long seed) {
@@ -53,8 +56,8 @@
     }
 
     /**
-     * Leaders that live for less than a heartbeat's period, while jobs are cancelled. Each answer is judged by itself, as such a leader
-     * has no second one to make up for it.
+     * Leaderships are shorter than a heartbeat period, while jobs are cancelled. Each answer is checked by itself, because such a
+     * leader does not get to answer a machine a second time.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
@@ -66,14 +69,14 @@
         assertTrue(run.starts() > 50, "too little happened: " + run.starts());
     }
 
-    /** Each of them alone, and late direct commands, find the guard that is left out. */
+    /** Each optional fault alone, and late commands outside heartbeat answers, lead to a violation if the guard is disabled. */
     @ParameterizedTest
     @CsvSource({
         "KEPT_REPORTS, OWN_TOKEN, ran_twice",
-        "KEPT_REPORTS, REPORT_NUMBER, raised",
+        "KEPT_REPORTS, REPORT_NUMBER, adopted from a copy",
         "MUTE_MACHINES, LEASE_BOUND, ran_twice",
         "MUTE_MACHINES, ANSWERED_RETURN, ran_twice",
-        "LAGGING_WRITES, MACHINE_RECORD, started on a machine in no record",
+        "LAGGING_WRITES, MACHINE_RECORD, started on an unrecorded machine",
         "LAGGING_WRITES, START_BOUND, ran_twice",
         "LAGGING_WRITES, RECORD_BEFORE_REAP, started after its result was reaped",
         "SHORT_LEADERSHIPS, STOPS_BEFORE_RECONCILIATION, renewed_cancelled",
--- a/src/test/java/io/indigoreach/core/scheduling/RandomWorker.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomWorker.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The worker of a machine in a {@link RandomSimulation}, and the troubles that it has. */
+/** The worker of a machine in a {@link RandomSimulation}, with its current faults. */
 final class RandomWorker {
     final String name;
     final String zone;
@@ -19,11 +19,11 @@
     double answered;
     boolean dead;
     double hangsUntil;
-    /** Its reports arrive, answers don't. */
+    /** Until then its heartbeats arrive but answers do not reach it. */
     double deafUntil;
-    /** Neither its reports arrive nor answers. */
+    /** Until then neither its heartbeats nor answers arrive. */
     double cutUntil;
-    /** Its report under way; or null. */
+    /** Its heartbeat in flight, or null. */
     Flight flight;
 
     final Map<TaskId, TaskStatus> tasks = new LinkedHashMap<>();
@@ -35,7 +35,7 @@
         this.answered = now;
     }
 
-    /** A report on its way, and its answer; without a leader's token there is none yet. */
+    /** A heartbeat in flight and its answer. The token is 0 until a leader has answered. */
     static final class Flight {
         final Heartbeat report;
         final double sent;
--- a/src/test/java/io/indigoreach/core/scheduling/StaleHeartbeatTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/StaleHeartbeatTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A copy of an old report is kept and reaches a leader just as it begins. */
+/** A delayed copy of an old heartbeat reaches a leader just when it begins. */
 class StaleHeartbeatTest {
     private enum Arrives {
         NEVER,
@@ -23,22 +23,22 @@
         AFTER_THE_RECORDS_ARE_READ
     }
 
-    /** Everything goes as without it, whether its machine lives on or is dead. */
+    /** The copy must not change the run, whether its machine is alive or dead. */
     @ParameterizedTest
     @CsvSource({
-        "its list is old, true",
-        "its list is old, false",
-        "its session is over, true",
-        "its session is over, false",
-        "it bears the new token, true",
-        "it bears the new token, false",
+        "its task list is old, true",
+        "its task list is old, false",
+        "its incarnation has ended, true",
+        "its incarnation has ended, false",
+        "it carries the new token, true",
+        "it carries the new token, false",
         "its machine was returned, false",
-        "its machine was rented by the leader that ended, false"
+        "its machine was rented by the previous leader, false"
     })
     void changesNothing(String what, boolean lives) {
         List<String> without = trace(what, lives, Arrives.NEVER);
         assertTrue(without.stream().anyMatch(line -> line.contains("Start")), "nothing happened");
-        if (!what.equals("it bears the new token")) {
+        if (!what.equals("it carries the new token")) {
             assertEquals(without, trace(what, lives, Arrives.BEFORE_THE_RECORDS_ARE_READ));
         }
         assertEquals(without, trace(what, lives, Arrives.AFTER_THE_RECORDS_ARE_READ));
@@ -59,7 +59,7 @@
             site.become("a", -19);
             assertEquals(1, a.tasks.size());
         }
-        if (what.contains("session")) {
+        if (what.contains("incarnation")) {
             old = a.sent;
             a.newSession(-8);
         } else if (what.contains("returned")) {
@@ -67,7 +67,7 @@
             site.core.returned(List.of(new MachineId("a")), at(-8));
         }
         if (what.contains("returned") || what.contains("rented")) {
-            // Nobody has recorded it, or no longer.
+            // The machine has no record, or not any more.
             site.boxes().remove(a);
         } else {
             site.report("a", -7);
