--- a/src/main/java/io/indigoreach/core/scheduling/AsymmetricPartition.java
+++ b/src/main/java/io/indigoreach/core/scheduling/AsymmetricPartition.java
@@ -12,18 +12,19 @@
 import java.util.Optional;
 
 /**
- * Detects a network partition in one direction: a machine's heartbeats arrive, but the answers do not reach it. Such a machine
- * executes no command, and its tasks end with its lease, however many heartbeats arrive. A heartbeat shows whether the
- * previous answer was received, because a worker has one heartbeat in flight and drops answers to heartbeats that it has
- * abandoned. After a received answer, the task list contains each started task in some state, including refused; it does not
- * contain reaped tasks; no stopped task is running; and the heartbeat carries this leader's token.
+ * Detects a network partition in one direction: a machine's heartbeats arrive, but the answers do not reach it. Such a
+ * machine executes no command, and its tasks end with its lease, however many heartbeats arrive. A heartbeat shows
+ * whether the previous answer was received, because a worker has one heartbeat in flight and drops answers to
+ * heartbeats that it has abandoned. After a received answer, the task list contains each started task in some state,
+ * including refused; it does not contain reaped tasks; no stopped task is running; and the heartbeat carries this
+ * leader's token.
  *
- * <p>One or two lost answers are normal. A partition is confirmed by {@value #MISSED_TO_CONFIRM} consecutive missed answers over
- * at least half a lease. A machine that has not yet shown that it received any answer of this leader needs twice as many over
- * twice as long, because it may start slowly or take a while to find a new leader. With heartbeats every 2 s, the third
- * heartbeat after the first answer confirms the partition, at 6 s; with a worker that waits 4 s for each answer and is then
- * redirected at once, it is confirmed at 16.5 s. If the token is the only evidence, it takes 12 s and 33 s. The state per machine
- * is one command, a count and three times.
+ * <p>One or two lost answers are normal. A partition is confirmed by {@value #MISSED_TO_CONFIRM} consecutive missed
+ * answers over at least half a lease. A machine that has not yet shown that it received any answer of this leader needs
+ * twice as many over twice as long, because it may start slowly or take a while to find a new leader. With heartbeats
+ * every 2 s, the third heartbeat after the first answer confirms the partition, at 6 s; with a worker that waits 4 s
+ * for each answer and is then redirected at once, it is confirmed at 16.5 s. If the token is the only evidence, it
+ * takes 12 s and 33 s. The state per machine is one command, a count and three times.
  */
 final class AsymmetricPartition {
     private static final int MISSED_TO_CONFIRM = 3;
@@ -56,7 +57,8 @@
     /**
      * Evaluates a heartbeat that is newer than {@code previous}.
      *
-     * @param awakeSince when the leader's event loop last resumed after a pause; answers before it may have been sent late
+     * @param awakeSince when the leader's event loop last resumed after a pause; answers before it may have been sent
+     *     late
      */
     void observe(
             Heartbeat heartbeat,
@@ -122,8 +124,8 @@
     }
 
     /**
-     * Records the commands of an answer that is sent now. One of them becomes the probe: a start is the strongest evidence, a
-     * stop the weakest.
+     * Records the commands of an answer that is sent now. One of them becomes the probe: a start is the strongest
+     * evidence, a stop the weakest.
      */
     void answerSent(List<WorkerCommand> commands, Moment now) {
         answerSentAt = now;
--- a/src/main/java/io/indigoreach/core/scheduling/EarlyHeartbeats.java
+++ b/src/main/java/io/indigoreach/core/scheduling/EarlyHeartbeats.java
@@ -17,15 +17,18 @@
 
     private final Map<MachineId, Answered> newest = new HashMap<>();
 
-    /** Records an answered heartbeat. The answer renews the machine's lease; a copy of an older heartbeat renews nothing. */
+    /**
+     * Records an answered heartbeat. The answer renews the machine's lease; a copy of an older heartbeat renews
+     * nothing.
+     */
     void answered(Heartbeat heartbeat, Moment now) {
         newest.merge(heartbeat.machine(), new Answered(heartbeat.number(), now), Answered::newer);
     }
 
     /**
-     * Passes the answered heartbeats to their machines, or to {@code adoption} if a machine is unknown, once the records are
-     * loaded. Otherwise a lease would count as expired although an answer renewed it, or a late copy of the heartbeat would be
-     * taken for a new one.
+     * Passes the answered heartbeats to their machines, or to {@code adoption} if a machine is unknown, once the
+     * records are loaded. Otherwise a lease would count as expired although an answer renewed it, or a late copy of the
+     * heartbeat would be taken for a new one.
      */
     void handOver(Cluster cluster, MachineAdoption adoption) {
         newest.forEach((id, answered) -> {
--- a/src/main/java/io/indigoreach/core/scheduling/FailureDetector.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FailureDetector.java
@@ -6,12 +6,15 @@
 import java.util.Map;
 
 /**
- * Distinguishes failed machines from a network partition. A machine that hangs or is dead is usually the only silent one. If many
- * machines of a zone are silent, the network is more likely at fault: the machines keep working and become reachable again when
- * the partition ends.
+ * Distinguishes failed machines from a network partition. A machine that hangs or is dead is usually the only silent
+ * one. If many machines of a zone are silent, the network is more likely at fault: the machines keep working and become
+ * reachable again when the partition ends.
  */
 final class FailureDetector {
-    /** Up to this fraction of a zone's machines, overdue heartbeats are attributed to the machines and not to the network. */
+    /**
+     * Up to this fraction of a zone's machines, overdue heartbeats are attributed to the machines and not to the
+     * network.
+     */
     private static final double ZONE_FAILURE_FRACTION = 0.25;
 
     private static final double NEARLY_NONE = 0.1;
@@ -49,7 +52,10 @@
         this.safetyTimes = safetyTimes;
     }
 
-    /** Recounts all zones. A single silent machine is never attributed to the network, however few machines its zone has. */
+    /**
+     * Recounts all zones. A single silent machine is never attributed to the network, however few machines its zone
+     * has.
+     */
     void recount(Moment now) {
         Map<String, ZoneCount> counts = new HashMap<>();
         for (Machine machine : cluster.machines.values()) {
@@ -86,9 +92,10 @@
     }
 
     /**
-     * Whether the machine is presumed to hang or to be dead, so that it should be returned to the cloud. Its tasks are blocked until
-     * its lease expires or the cloud confirms the return, which ends everything on it. A machine that has not yet sent this
-     * leader a heartbeat gets more time to find it, unless nearly all other machines of its zone have done so.
+     * Whether the machine is presumed to hang or to be dead, so that it should be returned to the cloud. Its tasks are
+     * blocked until its lease expires or the cloud confirms the return, which ends everything on it. A machine that has
+     * not yet sent this leader a heartbeat gets more time to find it, unless nearly all other machines of its zone have
+     * done so.
      */
     boolean isMachineFailure(Machine machine, Moment now) {
         if (!mayHoldTasks(machine)) {
@@ -114,12 +121,17 @@
         return silentFraction.getOrDefault(zone, 0.0) > ZONE_FAILURE_FRACTION;
     }
 
-    /** Whether so many of the zone's machines are silent or receive no answers that the network is presumed to be at fault. */
+    /**
+     * Whether so many of the zone's machines are silent or receive no answers that the network is presumed to be at
+     * fault.
+     */
     boolean isZonePartitioned(String zone) {
         return unreachedFraction.getOrDefault(zone, 0.0) > ZONE_FAILURE_FRACTION;
     }
 
-    /** Whether hardly any of the zone's machines can be reached, so that newly rented ones could not be reached either. */
+    /**
+     * Whether hardly any of the zone's machines can be reached, so that newly rented ones could not be reached either.
+     */
     boolean isZoneCutOff(String zone) {
         return unreachedFraction.getOrDefault(zone, 0.0) >= NEARLY_ALL;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/HeartbeatHandler.java
+++ b/src/main/java/io/indigoreach/core/scheduling/HeartbeatHandler.java
@@ -10,8 +10,8 @@
 import java.util.Optional;
 
 /**
- * Processes heartbeats: checks their order, renews the machine's lease, detects partitions and new incarnations, reconciles
- * the task list and answers with commands.
+ * Processes heartbeats: checks their order, renews the machine's lease, detects partitions and new incarnations,
+ * reconciles the task list and answers with commands.
  */
 final class HeartbeatHandler {
     /** An answer sent later than this fraction of the worker's response timeout may not reach the worker in time. */
@@ -65,7 +65,8 @@
             earlyHeartbeats.answered(heartbeat, now);
             return new HeartbeatResult.Commands(List.of());
         }
-        // Every answer renews the machine's lease, so every answer stops the tasks of ended jobs, whether or not the machine is
+        // Every answer renews the machine's lease, so every answer stops the tasks of ended jobs, whether or not the
+        // machine is
         // known: this leader may end before it can answer the next heartbeat.
         List<WorkerCommand> commands = reconciler.stopEndedJobs(heartbeat);
         sender(heartbeat, now).ifPresent(machine -> process(machine, heartbeat, commands, now));
@@ -83,9 +84,9 @@
     }
 
     /**
-     * Whether the heartbeat is not newer than the last one, or belongs to an ended incarnation. A machine without an answered
-     * heartbeat for the lease bound has killed its tasks and begun another incarnation, so a heartbeat that still carries the
-     * old incarnation was sent before that.
+     * Whether the heartbeat is not newer than the last one, or belongs to an ended incarnation. A machine without an
+     * answered heartbeat for the lease bound has killed its tasks and begun another incarnation, so a heartbeat that
+     * still carries the old incarnation was sent before that.
      */
     private static boolean isOutdated(Machine machine, HeartbeatNumber number) {
         return number.compareTo(machine.lastHeartbeat) <= 0
@@ -126,8 +127,9 @@
     }
 
     /**
-     * Answers a heartbeat with an older token. The answer gives the worker this leader's token; until its next heartbeat, its task
-     * list may be incomplete. So no task may be started or removed because of this list, but a task in it may be stopped.
+     * Answers a heartbeat with an older token. The answer gives the worker this leader's token; until its next
+     * heartbeat, its task list may be incomplete. So no task may be started or removed because of this list, but a task
+     * in it may be stopped.
      */
     private void answerOlderToken(Machine machine, List<WorkerCommand> commands, Moment now) {
         if (failover.isInheritedLeaseExpired(machine.id, now.minus(safetyTimes.leaseBound()))) {
@@ -165,7 +167,9 @@
         }
     }
 
-    /** Starts tasks on a machine that was recorded after its heartbeat arrived, if that heartbeat is still its newest. */
+    /**
+     * Starts tasks on a machine that was recorded after its heartbeat arrived, if that heartbeat is still its newest.
+     */
     List<WorkerCommand> startTasks(MachineId id, HeartbeatNumber number, Moment now) {
         Machine machine = cluster.machines.get(id);
         if (machine == null || !machine.lastHeartbeat.equals(number)) {
--- a/src/main/java/io/indigoreach/core/scheduling/HeartbeatResult.java
+++ b/src/main/java/io/indigoreach/core/scheduling/HeartbeatResult.java
@@ -8,7 +8,10 @@
     /** The heartbeat is answered with these commands; the list may be empty. */
     record Commands(List<WorkerCommand> commands) implements HeartbeatResult {}
 
-    /** The heartbeat carries a higher fencing token than this leader's: a newer leader exists, and no command may be sent. */
+    /**
+     * The heartbeat carries a higher fencing token than this leader's: a newer leader exists, and no command may be
+     * sent.
+     */
     record Superseded() implements HeartbeatResult {
         @Override
         public List<WorkerCommand> commands() {
--- a/src/main/java/io/indigoreach/core/scheduling/InheritedTaskRelease.java
+++ b/src/main/java/io/indigoreach/core/scheduling/InheritedTaskRelease.java
@@ -3,8 +3,8 @@
 import io.indigoreach.core.model.MachineId;
 
 /**
- * Releases the waiting tasks of inherited jobs once every task that an earlier leader may have started is known: the records
- * are loaded and every machine of the failover is reconciled.
+ * Releases the waiting tasks of inherited jobs once every task that an earlier leader may have started is known: the
+ * records are loaded and every machine of the failover is reconciled.
  */
 final class InheritedTaskRelease {
     private final Cluster cluster;
@@ -45,8 +45,9 @@
     }
 
     /**
-     * Handles a job that was added. An inherited job whose record could only be read after the other records were loaded waits
-     * until no heartbeat shows a task of an unknown job: by then its tasks on machines have ended or are counted as its own.
+     * Handles a job that was added. An inherited job whose record could only be read after the other records were
+     * loaded waits until no heartbeat shows a task of an unknown job: by then its tasks on machines have ended or are
+     * counted as its own.
      */
     void jobAdded(Job job) {
         lateJobsHeld |= recordsLoaded && job.isInherited();
--- a/src/main/java/io/indigoreach/core/scheduling/LeaseExpiry.java
+++ b/src/main/java/io/indigoreach/core/scheduling/LeaseExpiry.java
@@ -42,11 +42,11 @@
     }
 
     /**
-     * Whether no heartbeat has come from any of several machines for the suspicion timeout of a single one. It is then more likely
-     * that this node is cut off than that all of them failed at once. Waiting for half a lease was too long: other nodes
-     * redirected workers that had abandoned this node back to it, and their leases expired. Machines inherited from an earlier
-     * leader need time to find this one: a leader that stepped down 4.7 s after a failover, while all 447 workers were still
-     * connected to a paused node, cost 557 tasks.
+     * Whether no heartbeat has come from any of several machines for the suspicion timeout of a single one. It is then
+     * more likely that this node is cut off than that all of them failed at once. Waiting for half a lease was too
+     * long: other nodes redirected workers that had abandoned this node back to it, and their leases expired. Machines
+     * inherited from an earlier leader need time to find this one: a leader that stepped down 4.7 s after a failover,
+     * while all 447 workers were still connected to a paused node, cost 557 tasks.
      */
     boolean isCutOffFromWorkers(Moment now) {
         Moment suspectedSince = now.minus(safetyTimes.suspicionTimeout());
--- a/src/main/java/io/indigoreach/core/scheduling/Machine.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Machine.java
@@ -17,8 +17,8 @@
 /** The leader's state of a rented machine. The state changes only through the methods of this class. */
 public final class Machine {
     /**
-     * BOOTING: no heartbeat yet. UP: sends heartbeats. LOST: its lease expired without a heartbeat. RETURNING: being returned to
-     * the cloud, never used again.
+     * BOOTING: no heartbeat yet. UP: sends heartbeats. LOST: its lease expired without a heartbeat. RETURNING: being
+     * returned to the cloud, never used again.
      */
     public enum Phase {
         BOOTING,
@@ -33,13 +33,19 @@
     Phase phase = Phase.BOOTING;
     /** When it was requested; its paid terms count from this moment. */
     Moment rentedAt;
-    /** Whether it is recorded in the state service. Only then may it get tasks, as a later leader then waits for its heartbeat. */
+    /**
+     * Whether it is recorded in the state service. Only then may it get tasks, as a later leader then waits for its
+     * heartbeat.
+     */
     boolean recorded;
 
     HeartbeatNumber lastHeartbeat = HeartbeatNumber.NONE;
     /** When its last answered heartbeat arrived; its lease ends at most the lease bound later. */
     Moment lastHeardAt;
-    /** Whether its lease has expired since: its tasks have ended, and if it is alive it continues with a new incarnation. */
+    /**
+     * Whether its lease has expired since: its tasks have ended, and if it is alive it continues with a new
+     * incarnation.
+     */
     boolean leaseExpired;
     /** Whether its task list was reconciled with a heartbeat that carries the current token. */
     boolean reconciled;
@@ -58,8 +64,8 @@
     /** Whether it exceeds the demand at its price; it gets no new tasks for now. */
     boolean surplus;
     /**
-     * The queue for which it is cordoned, or null: it gets no new tasks while the other machines of this queue have room for all
-     * waiting tasks.
+     * The queue for which it is cordoned, or null: it gets no new tasks while the other machines of this queue have
+     * room for all waiting tasks.
      */
     FairShareQueue cordonedFor;
     /** Whether its tasks are being moved to other machines. */
@@ -260,9 +266,9 @@
     }
 
     /**
-     * The resources available to a job. A holder gives up its resources to a task that needs its image: one answer stops the holder
-     * and then starts the task, so that the worker never runs both. A holder that still waits for the image stays, because the
-     * fetch would be abandoned without it, and no replica can run before the fetch is done.
+     * The resources available to a job. A holder gives up its resources to a task that needs its image: one answer
+     * stops the holder and then starts the task, so that the worker never runs both. A holder that still waits for the
+     * image stays, because the fetch would be abandoned without it, and no replica can run before the fetch is done.
      */
     Demand freeFor(JobSpec spec) {
         Placement holder = poolMembership == null || !poolMembership.image().equals(spec.image()) ? null : holder();
@@ -365,7 +371,10 @@
         return recorded && isHealthy();
     }
 
-    /** Whether it is being returned because answers do not reach it. No answer may renew its lease, so that its tasks end with it. */
+    /**
+     * Whether it is being returned because answers do not reach it. No answer may renew its lease, so that its tasks
+     * end with it.
+     */
     boolean isReturnedAsUnreachable() {
         return phase == Phase.RETURNING && partition.isConfirmed();
     }
--- a/src/main/java/io/indigoreach/core/scheduling/MachineAdoption.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachineAdoption.java
@@ -11,18 +11,19 @@
 import java.util.Map;
 
 /**
- * Decides which unknown machines are adopted because of their heartbeats. A single heartbeat proves nothing: it may be a copy that
- * arrives minutes late from a machine that no longer exists. A heartbeat with this leader's token that follows an earlier
- * heartbeat of the same machine is proof, because the machine can have the token only from this leader's answer to the earlier
- * one. A running machine that never proves itself in this way is adopted from the cloud's listing.
+ * Decides which unknown machines are adopted because of their heartbeats. A single heartbeat proves nothing: it may be
+ * a copy that arrives minutes late from a machine that no longer exists. A heartbeat with this leader's token that
+ * follows an earlier heartbeat of the same machine is proof, because the machine can have the token only from this
+ * leader's answer to the earlier one. A running machine that never proves itself in this way is adopted from the
+ * cloud's listing.
  */
 final class MachineAdoption {
     private static final int MAX_ANSWERED = 1000;
 
     private final SafetyTimes safetyTimes;
     /**
-     * For each unknown machine, a heartbeat whose answer gave it this leader's token: the first one with an older token, or the
-     * last one before the records were loaded.
+     * For each unknown machine, a heartbeat whose answer gave it this leader's token: the first one with an older
+     * token, or the last one before the records were loaded.
      */
     private final Map<MachineId, HeartbeatNumber> answeredHeartbeats = new LinkedHashMap<>() {
         @Override
@@ -35,7 +36,9 @@
 
     /** A moment at which the newest listed machine is known to have existed. */
     private Moment newestListedAt;
-    /** Machines up to this one were covered by a recent complete listing, so an unknown one among them no longer exists. */
+    /**
+     * Machines up to this one were covered by a recent complete listing, so an unknown one among them no longer exists.
+     */
     private MachineId completeUpTo;
 
     MachineAdoption(SafetyTimes safetyTimes) {
@@ -43,8 +46,8 @@
     }
 
     /**
-     * Records a heartbeat that was answered before the records were loaded. Otherwise a late copy of it and a late copy of the next
-     * one would be taken for the machine's first heartbeat and the proof that follows it.
+     * Records a heartbeat that was answered before the records were loaded. Otherwise a late copy of it and a late copy
+     * of the next one would be taken for the machine's first heartbeat and the proof that follows it.
      */
     void answered(MachineId id, HeartbeatNumber number) {
         answeredHeartbeats.put(id, number);
@@ -69,8 +72,9 @@
     }
 
     /**
-     * Handles a complete listing, all of whose machines are known by now. Names are in the order of creation: a machine that was
-     * created before a machine of an earlier listing, and is missing from a listing of a later moment, no longer exists.
+     * Handles a complete listing, all of whose machines are known by now. Names are in the order of creation: a machine
+     * that was created before a machine of an earlier listing, and is missing from a listing of a later moment, no
+     * longer exists.
      */
     void listed(Collection<MachineId> listing, Moment requestedAt, Moment now) {
         if (newestListed != null && !newestListedAt.isAfter(requestedAt.minus(safetyTimes.oldestListing()))) {
--- a/src/main/java/io/indigoreach/core/scheduling/MachineRegistry.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachineRegistry.java
@@ -29,7 +29,10 @@
     private final InheritedTaskRelease release;
     private final MachineAdoption adoption;
     private final SchedulerListener listener;
-    /** Machines that were returned. They appear in listings and late heartbeats for a while, and must not be adopted again. */
+    /**
+     * Machines that were returned. They appear in listings and late heartbeats for a while, and must not be adopted
+     * again.
+     */
     private final Map<MachineId, Boolean> returnedMachines = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<MachineId, Boolean> eldest) {
@@ -76,7 +79,9 @@
         failover.expect(id, now);
     }
 
-    /** The machine that sent the heartbeat, adopted if it is unknown and proved to exist; empty if it remains unknown. */
+    /**
+     * The machine that sent the heartbeat, adopted if it is unknown and proved to exist; empty if it remains unknown.
+     */
     Optional<Machine> findOrAdopt(Heartbeat heartbeat, FencingToken token, Moment now) {
         Machine known = cluster.machines.get(heartbeat.machine());
         if (known != null) {
@@ -97,9 +102,9 @@
     }
 
     /**
-     * Returns the machine with the pool that its heartbeat names. The answer to a rental request can belong to an earlier leader's
-     * request of the same name. In that case an on-demand machine was taken for a spot machine, and it could get tasks that must
-     * not run there.
+     * Returns the machine with the pool that its heartbeat names. The answer to a rental request can belong to an
+     * earlier leader's request of the same name. In that case an on-demand machine was taken for a spot machine, and it
+     * could get tasks that must not run there.
      */
     Machine correctPool(Machine machine, MachinePool reportedPool, Moment now) {
         if (machine.pool.equals(reportedPool) || !cluster.types.containsKey(reportedPool.type())) {
@@ -139,9 +144,10 @@
     }
 
     /**
-     * Processes a complete listing from the cloud that was requested at {@code requestedAt}. Listings lag, so absence alone proves
-     * nothing. But a listed machine stays listed for as long as it exists, and the lag is bounded: a machine that is known to
-     * have existed before the oldest moment that this listing can describe, and is missing from it, no longer exists.
+     * Processes a complete listing from the cloud that was requested at {@code requestedAt}. Listings lag, so absence
+     * alone proves nothing. But a listed machine stays listed for as long as it exists, and the lag is bounded: a
+     * machine that is known to have existed before the oldest moment that this listing can describe, and is missing
+     * from it, no longer exists.
      */
     void onListing(List<ListedMachine> listing, Moment requestedAt, Moment now) {
         Set<MachineId> present = new HashSet<>();
@@ -212,7 +218,10 @@
         }
     }
 
-    /** Takes over returns that an earlier leader recorded: no task starts on these machines, and their return is completed. */
+    /**
+     * Takes over returns that an earlier leader recorded: no task starts on these machines, and their return is
+     * completed.
+     */
     void inheritReturns(Collection<MachineId> ids, Moment now) {
         for (MachineId id : ids) {
             Machine machine = cluster.machines.get(id);
--- a/src/main/java/io/indigoreach/core/scheduling/Reconciler.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Reconciler.java
@@ -28,13 +28,15 @@
         this.listener = listener;
     }
 
-    /** State of the reconciliation of one heartbeat. {@code confirmed} contains the placements that the heartbeat shows. */
+    /**
+     * State of the reconciliation of one heartbeat. {@code confirmed} contains the placements that the heartbeat shows.
+     */
     private record Pass(
             Machine machine, Heartbeat heartbeat, Moment now, List<WorkerCommand> commands, Set<Placement> confirmed) {}
 
     /**
-     * Stops the tasks in the heartbeat whose jobs are cancelled or done. The heartbeat need not be the newest one, nor its task list
-     * complete, because no copy of such a task may continue.
+     * Stops the tasks in the heartbeat whose jobs are cancelled or done. The heartbeat need not be the newest one, nor
+     * its task list complete, because no copy of such a task may continue.
      */
     List<WorkerCommand> stopEndedJobs(Heartbeat heartbeat) {
         List<WorkerCommand> commands = new ArrayList<>();
@@ -46,13 +48,18 @@
         return commands;
     }
 
-    /** The open job that the task belongs to; null if its job is cancelled, done or unknown, or has no task of this index. */
+    /**
+     * The open job that the task belongs to; null if its job is cancelled, done or unknown, or has no task of this
+     * index.
+     */
     private Job openJobOf(TaskStatus status) {
         Job job = cluster.jobs.get(status.task().job());
         return job != null && status.task().index() < job.spec.tasks() ? job : null;
     }
 
-    /** Applies the heartbeat's task list. Returns the commands to send in addition to those of {@link #stopEndedJobs}. */
+    /**
+     * Applies the heartbeat's task list. Returns the commands to send in addition to those of {@link #stopEndedJobs}.
+     */
     List<WorkerCommand> reconcile(Machine machine, Heartbeat heartbeat, Moment now) {
         Pass pass = new Pass(machine, heartbeat, now, new ArrayList<>(), new HashSet<>());
         int orphanTasks = 0;
@@ -71,7 +78,9 @@
         return pass.commands;
     }
 
-    /** Removes placements missing from the heartbeat: refused, lost with an answer, or killed with their incarnation. */
+    /**
+     * Removes placements missing from the heartbeat: refused, lost with an answer, or killed with their incarnation.
+     */
     private void removeMissing(Pass pass) {
         for (Placement placement : pass.machine.placementsCopy()) {
             if (!pass.confirmed.contains(placement)) {
@@ -81,8 +90,8 @@
     }
 
     /**
-     * Handles a task whose job is cancelled or done. {@link #stopEndedJobs} stops it; it counts against its machine and its team until
-     * a heartbeat no longer shows it.
+     * Handles a task whose job is cancelled or done. {@link #stopEndedJobs} stops it; it counts against its machine and
+     * its team until a heartbeat no longer shows it.
      *
      * @return whether the task is an orphan: alive without a placement
      */
--- a/src/main/java/io/indigoreach/core/scheduling/SafetyTimes.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SafetyTimes.java
@@ -13,14 +13,17 @@
 public record SafetyTimes(Span workerLease, Span heartbeatPeriod, Span cancellationTime, Span listingLag) {
     private static final Span MARGIN = Span.seconds(0.3);
 
-    /** Time without an answered heartbeat after which no task runs on a machine: its lease plus clock drift and a margin. */
+    /**
+     * Time without an answered heartbeat after which no task runs on a machine: its lease plus clock drift and a
+     * margin.
+     */
     public Span leaseBound() {
         return workerLease.withDrift().plus(MARGIN);
     }
 
     /**
-     * How long a leader may continue to renew leases without reading cancellations. The workers' leases, plus a margin, then still
-     * end within the cancellation time.
+     * How long a leader may continue to renew leases without reading cancellations. The workers' leases, plus a margin,
+     * then still end within the cancellation time.
      */
     public Span maxCancellationAge() {
         return cancellationTime.minus(leaseBound()).minus(Span.seconds(4));
@@ -32,8 +35,8 @@
     }
 
     /**
-     * Time within which a worker whose node has failed finds the leader: its response timeout, one second to try the next node,
-     * half a second to move to the leader, and latency.
+     * Time within which a worker whose node has failed finds the leader: its response timeout, one second to try the
+     * next node, half a second to move to the leader, and latency.
      */
     public Span leaderDiscovery() {
         return responseTimeout().plus(Span.seconds(2.5));
@@ -45,8 +48,8 @@
     }
 
     /**
-     * Time without a heartbeat after which a machine is presumed to hang or to be dead: the longest interval, half a regular
-     * interval, and a second of latency.
+     * Time without a heartbeat after which a machine is presumed to hang or to be dead: the longest interval, half a
+     * regular interval, and a second of latency.
      */
     public Span suspicionTimeout() {
         return heartbeatPeriod.times(1.25 + 0.5).withDrift().plus(Span.seconds(1));
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
@@ -22,8 +22,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * Makes the scheduling decisions of one leadership term. Its inputs are events; its outputs are worker commands, scale-out
- * requests and machine returns. It performs no I/O and has no clock: callers pass the current time.
+ * Makes the scheduling decisions of one leadership term. Its inputs are events; its outputs are worker commands,
+ * scale-out requests and machine returns. It performs no I/O and has no clock: callers pass the current time.
  */
 public final class SchedulerCore {
     private final Cluster cluster;
@@ -109,8 +109,8 @@
     }
 
     /**
-     * Adds an open job unless it is known. The tasks of an inherited job that is added late are held back until all of its tasks on
-     * machines are known.
+     * Adds an open job unless it is known. The tasks of an inherited job that is added late are held back until all of
+     * its tasks on machines are known.
      */
     public void addJob(Job job) {
         if (!cluster.jobs.containsKey(job.id())) {
@@ -183,8 +183,8 @@
     }
 
     /**
-     * Whether this machine's heartbeats may be answered. They must not be answered while it is being returned because answers do
-     * not reach it: an answer that did arrive would renew its lease.
+     * Whether this machine's heartbeats may be answered. They must not be answered while it is being returned because
+     * answers do not reach it: an answer that did arrive would renew its lease.
      */
     public boolean mayAnswer(MachineId id) {
         Machine machine = cluster.machines.get(id);
@@ -203,14 +203,16 @@
     }
 
     /**
-     * The machine, if it must be recorded before it can get tasks. A machine that has never sent a heartbeat cannot run tasks, so a
-     * later leader need not wait for it and it needs no record.
+     * The machine, if it must be recorded before it can get tasks. A machine that has never sent a heartbeat cannot run
+     * tasks, so a later leader need not wait for it and it needs no record.
      */
     public Optional<Machine> unrecorded(MachineId id) {
         return Optional.ofNullable(cluster.machines.get(id)).filter(Machine::needsRecord);
     }
 
-    /** Starts tasks on a machine that was recorded after its heartbeat arrived, if that heartbeat is still its newest. */
+    /**
+     * Starts tasks on a machine that was recorded after its heartbeat arrived, if that heartbeat is still its newest.
+     */
     public List<WorkerCommand> startTasks(MachineId id, HeartbeatNumber number, Moment now) {
         return heartbeatHandler.startTasks(id, number, now);
     }
@@ -274,7 +276,10 @@
         }
     }
 
-    /** Takes over returns that an earlier leader recorded: no task starts on these machines, and their return is completed. */
+    /**
+     * Takes over returns that an earlier leader recorded: no task starts on these machines, and their return is
+     * completed.
+     */
     public void inheritReturns(Collection<MachineId> ids, Moment now) {
         registry.inheritReturns(ids, now);
     }
@@ -304,7 +309,10 @@
         return cluster.machines.containsKey(id);
     }
 
-    /** Whether heartbeats are missing from all machines, so that this node is more likely cut off than all of them failed. */
+    /**
+     * Whether heartbeats are missing from all machines, so that this node is more likely cut off than all of them
+     * failed.
+     */
     public boolean isCutOffFromWorkers(Moment now) {
         return leaseExpiry.isCutOffFromWorkers(now);
     }
--- a/src/test/java/io/indigoreach/core/scheduling/AsymmetricPartitionTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/AsymmetricPartitionTest.java
@@ -27,15 +27,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A partition in one direction, where heartbeats arrive but answers do not, is confirmed within a few heartbeats. Single lost answers
- * and other faults never confirm it.
+ * A partition in one direction, where heartbeats arrive but answers do not, is confirmed within a few heartbeats.
+ * Single lost answers and other faults never confirm it.
  */
 class AsymmetricPartitionTest {
     private static final FencingToken OLDER = new FencingToken(4);
 
     /**
-     * Each row has the evidence in the heartbeats, the seconds between heartbeats, the number of starts that are sent in vain, and the
-     * time at which the partition is confirmed and the machine's return is planned.
+     * Each row has the evidence in the heartbeats, the seconds between heartbeats, the number of starts that are sent
+     * in vain, and the time at which the partition is confirmed and the machine's return is planned.
      */
     @ParameterizedTest
     @CsvSource({
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Some of the zone's eight machines receive no answers. If they are more than a quarter, the network is presumed to be at fault and
-     * they are kept for as long as replacing them would take.
+     * Some of the zone's eight machines receive no answers. If they are more than a quarter, the network is presumed to
+     * be at fault and they are kept for as long as replacing them would take.
      */
     @ParameterizedTest
     @CsvSource({"1, 8, 1", "2, 8, 2", "3, 8, 0", "8, 8, 0", "8, 90, 0", "8, 94, 8"})
@@ -179,8 +179,8 @@
     }
 
     /**
-     * The machine runs two tasks and misses the start of a third one, so it is returned. Its tasks start elsewhere once the cloud
-     * confirms the return, or once its lease expires if the cloud does not answer.
+     * The machine runs two tasks and misses the start of a third one, so it is returned. Its tasks start elsewhere once
+     * the cloud confirms the return, or once its lease expires if the cloud does not answer.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -218,8 +218,8 @@
     }
 
     /**
-     * Machines that were partitioned together with most of their zone are not returned. They get tasks again once their incarnation
-     * outlives a lease, which shows that answers arrive.
+     * Machines that were partitioned together with most of their zone are not returned. They get tasks again once their
+     * incarnation outlives a lease, which shows that answers arrive.
      */
     @Test
     void oneThatHearsAgainIsUsedAgain() {
--- a/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
@@ -17,11 +17,12 @@
 import java.util.Set;
 
 /**
- * Simulates controllers, workers and users around one state service. The state service refuses requests of single controllers or of
- * all of them; any controller that it serves confirms cancellations to users; controllers restart, succeed each other as
- * leader, and query each other. The production classes decide which cancellations a leader has to know. The leadership itself
- * is always valid, because pledges can extend it through any outage. The checked property is the one that users observe: the
- * time from the first confirmation that a job is cancelled until its last task on a worker has ended.
+ * Simulates controllers, workers and users around one state service. The state service refuses requests of single
+ * controllers or of all of them; any controller that it serves confirms cancellations to users; controllers restart,
+ * succeed each other as leader, and query each other. The production classes decide which cancellations a leader has to
+ * know. The leadership itself is always valid, because pledges can extend it through any outage. The checked property
+ * is the one that users observe: the time from the first confirmation that a job is cancelled until its last task on a
+ * worker has ended.
  */
 public final class CancellationSimulation {
     /** A guard that a run can disable, to show that the rule is then violated. */
@@ -35,7 +36,9 @@
         BIRTH,
         /** Without it, a missing job counts as resolved before the reason for its absence is known. */
         UNSETTLED,
-        /** Without it, a leader that has not read the records counts as up to date since the start of its leadership. */
+        /**
+         * Without it, a leader that has not read the records counts as up to date since the start of its leadership.
+         */
         RECORDS
     }
 
@@ -200,7 +203,10 @@
         });
     }
 
-    /** A user cancels a job at a node, which learns the result {@code way} later and confirms it {@code later} after that. */
+    /**
+     * A user cancels a job at a node, which learns the result {@code way} later and confirms it {@code later} after
+     * that.
+     */
     void cancel(double when, int node, JobId job, double way, double later) {
         at(when, () -> {
             Node n = nodes.get(node);
@@ -269,7 +275,9 @@
         answer(mine, known, sent, now + Math.min(2, rules.maxCancellationAge().seconds() / 4));
     }
 
-    /** Waits for the watch to report a change or to end; it makes no progress while the state service refuses this node. */
+    /**
+     * Waits for the watch to report a change or to end; it makes no progress while the state service refuses this node.
+     */
     private void answer(Reign mine, Set<JobId> known, Moment sent, double ends) {
         if (reign != mine) {
             return;
--- a/src/test/java/io/indigoreach/core/scheduling/CancellationSimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancellationSimulationTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The state service refuses only the leader while another controller confirms cancellations to users, and then serves no node for
- * longer than {@code cancel_s}. The cancelled jobs' tasks must end in time nevertheless, and no other tasks are lost while all
- * controllers answer each other.
+ * The state service refuses only the leader while another controller confirms cancellations to users, and then serves
+ * no node for longer than {@code cancel_s}. The cancelled jobs' tasks must end in time nevertheless, and no other tasks
+ * are lost while all controllers answer each other.
  */
 public class CancellationSimulationTest {
     private static final int JOBS = 8;
@@ -30,11 +30,13 @@
     }
 
     /**
-     * {@code lost}: whether all workers lose their tasks, because no reachable controller knows which cancellations were confirmed.
+     * {@code lost}: whether all workers lose their tasks, because no reachable controller knows which cancellations
+     * were confirmed.
      */
     @ParameterizedTest
     @CsvSource({
-        // lease, heartbeat period, cancellation time, cancelled at, by node, delay, later, poll at, restarted node, restarts at,
+        // lease, heartbeat period, cancellation time, cancelled at, by node, delay, later, poll at, restarted node,
+        // restarts at,
         // silent node, lost, case
         "22, 5, 42, 30.5, 1, 0.1, 0,   0,  -1, 0,  -1, false, confirmed by another node while the leader is refused",
         "12, 2, 32, 30.5, 1, 0.1, 0,   0,  -1, 0,  -1, false, the same with short leases",
@@ -84,8 +86,9 @@
     }
 
     /**
-     * Jobs are cancelled at the moment when the state service starts to refuse the leader, and a full outage follows one second later.
-     * This repeats twice before the first cancellation time has passed, also just as the service recovers for the other nodes.
+     * Jobs are cancelled at the moment when the state service starts to refuse the leader, and a full outage follows
+     * one second later. This repeats twice before the first cancellation time has passed, also just as the service
+     * recovers for the other nodes.
      */
     @ParameterizedTest
     @CsvSource({
@@ -123,8 +126,8 @@
     }
 
     /**
-     * Jobs are cancelled at any node around a change of leader; that node restarts within the same second or does not. The state
-     * service works, or has an outage that begins before or just after the next leader has read the records.
+     * Jobs are cancelled at any node around a change of leader; that node restarts within the same second or does not.
+     * The state service works, or has an outage that begins before or just after the next leader has read the records.
      */
     private static List<String> handover(Ending ending, Without without) {
         List<String> broken = new ArrayList<>();
--- a/src/test/java/io/indigoreach/core/scheduling/CancelledTaskRenewalTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancelledTaskRenewalTest.java
@@ -14,12 +14,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Guards against a task of a cancelled job that outlives the cancellation time because leaders renew its machine's lease without
- * stopping it.
+ * Guards against a task of a cancelled job that outlives the cancellation time because leaders renew its machine's
+ * lease without stopping it.
  *
- * <p>Every answer to a heartbeat renews the lease, but only an answer to a heartbeat with the leader's own token, whose task list is
- * reconciled, used to stop tasks. Three leaders that knew of the cancellation each answered one heartbeat that carried an older token,
- * and each ended within two seconds of its answer. The answers contained no commands, and a replica ran on.
+ * <p>Every answer to a heartbeat renews the lease, but only an answer to a heartbeat with the leader's own token, whose
+ * task list is reconciled, used to stop tasks. Three leaders that knew of the cancellation each answered one heartbeat
+ * that carried an older token, and each ended within two seconds of its answer. The answers contained no commands, and
+ * a replica ran on.
  */
 class CancelledTaskRenewalTest {
     private static final String MACHINE = "a";
@@ -77,7 +78,10 @@
         return cluster.broken;
     }
 
-    /** Each leader ends before the machine's next heartbeat, or one leader stays and the cloud does not answer its returns. */
+    /**
+     * Each leader ends before the machine's next heartbeat, or one leader stays and the cloud does not answer its
+     * returns.
+     */
     @ParameterizedTest
     @CsvSource({
         // known from records, length of a leadership in seconds, seconds between answered heartbeats
--- a/src/test/java/io/indigoreach/core/scheduling/ConcurrentFaultsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ConcurrentFaultsTest.java
@@ -23,15 +23,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Two faults at once: a change of leader, or a machine that resumes, combined with messages that are late or lost, or with state that is
- * not recorded yet.
+ * Two faults at once: a change of leader, or a machine that resumes, combined with messages that are late or lost, or
+ * with state that is not recorded yet.
  */
 class ConcurrentFaultsTest {
     private final SimulatedCluster site = new SimulatedCluster();
 
     /**
-     * The first task ends long before the others, and the leader ends before the result was reported, recorded or reaped. In some rows
-     * the next leader ends at once as well. The machine that ran the task is reachable, or is lost with its unreported result.
+     * The first task ends long before the others, and the leader ends before the result was reported, recorded or
+     * reaped. In some rows the next leader ends at once as well. The machine that ran the task is reachable, or is lost
+     * with its unreported result.
      */
     @ParameterizedTest
     @CsvSource({
@@ -117,8 +118,9 @@
     }
 
     /**
-     * A leader ends while machines with a long task each are unreachable, or send heartbeats but receive no answers. Another machine
-     * is idle. The inherited task starts there at the expected time, and never before the worker has killed it.
+     * A leader ends while machines with a long task each are unreachable, or send heartbeats but receive no answers.
+     * Another machine is idle. The inherited task starts there at the expected time, and never before the worker has
+     * killed it.
      */
     @ParameterizedTest
     @CsvSource({
@@ -177,8 +179,9 @@
     }
 
     /**
-     * A new leader answers from 0 s on and has read the records at 6 s. The machine receives the answer to one heartbeat or does not,
-     * and is unreachable afterwards. In some rows copies of earlier heartbeats arrive before 6 s.
+     * A new leader answers from 0 s on and has read the records at 6 s. The machine receives the answer to one
+     * heartbeat or does not, and is unreachable afterwards. In some rows copies of earlier heartbeats arrive before 6
+     * s.
      */
     @ParameterizedTest
     @CsvSource({
@@ -222,8 +225,8 @@
     }
 
     /**
-     * Each heartbeat arrives a second time after the given delay, while the machine runs another attempt, has begun another
-     * incarnation or is silent, under the same leader or the next one. The copies must not change the run.
+     * Each heartbeat arrives a second time after the given delay, while the machine runs another attempt, has begun
+     * another incarnation or is silent, under the same leader or the next one. The copies must not change the run.
      */
     @ParameterizedTest
     @CsvSource({
@@ -293,8 +296,8 @@
     }
 
     /**
-     * A machine in no record and no rental is answered before the leader has read the records. Copies of its heartbeats must not make
-     * the leader adopt it; its next heartbeat, which shows the answer, does.
+     * A machine in no record and no rental is answered before the leader has read the records. Copies of its heartbeats
+     * must not make the leader adopt it; its next heartbeat, which shows the answer, does.
      */
     @ParameterizedTest
     @CsvSource({"1, false", "2, false", "1, true", "2, true"})
@@ -317,8 +320,8 @@
     }
 
     /**
-     * Copies of a dead machine's heartbeats, with increasing numbers and an older token, keep arriving at the next leader. They delay
-     * its failover by one lease at most.
+     * Copies of a dead machine's heartbeats, with increasing numbers and an older token, keep arriving at the next
+     * leader. They delay its failover by one lease at most.
      */
     @ParameterizedTest
     @ValueSource(doubles = {1, 3, 7})
@@ -349,9 +352,9 @@
     }
 
     /**
-     * A machine hangs while a heartbeat or an answer is in transit, and resumes before or after its lease expires; or a start command
-     * arrives in a later incarnation or with an older leader's token; or a command is for an earlier attempt. Each row ends with
-     * how often the task's start is sent.
+     * A machine hangs while a heartbeat or an answer is in transit, and resumes before or after its lease expires; or a
+     * start command arrives in a later incarnation or with an older leader's token; or a command is for an earlier
+     * attempt. Each row ends with how often the task's start is sent.
      */
     @ParameterizedTest
     @CsvSource({
--- a/src/test/java/io/indigoreach/core/scheduling/DelayedHeartbeats.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DelayedHeartbeats.java
@@ -27,7 +27,10 @@
         kept.add(new Kept(heartbeat, token));
     }
 
-    /** Delivers some copies from earlier leaderships to the leader with this token; half of these stay for a later leader. */
+    /**
+     * Delivers some copies from earlier leaderships to the leader with this token; half of these stay for a later
+     * leader.
+     */
     void arrive(long token, Consumer<Heartbeat> leader) {
         for (Kept copy : List.copyOf(kept)) {
             if (copy.token < token && random.nextInt(3) > 0) {
--- a/src/test/java/io/indigoreach/core/scheduling/FailoverTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FailoverTest.java
@@ -64,8 +64,8 @@
     }
 
     /**
-     * A job's record could only be read after the others, so heartbeats showed its tasks as those of an unknown job. It waits until no
-     * heartbeat shows a task of an unknown job.
+     * A job's record could only be read after the others, so heartbeats showed its tasks as those of an unknown job. It
+     * waits until no heartbeat shows a task of an unknown job.
      */
     @ParameterizedTest
     @CsvSource({"true, run-1/1", "false, run-1/0"})
@@ -130,7 +130,10 @@
         assertEquals(List.of("run-1/0"), starts(w.hear("x", 2)));
     }
 
-    /** Machines that never came up need no record: two recorded ones held back a whole queue for 24 s (incident inc-e504). */
+    /**
+     * Machines that never came up need no record: two recorded ones held back a whole queue for 24 s (incident
+     * inc-e504).
+     */
     @Test
     void onlyAMachineThatHasReportedIsToBeRecorded() {
         w.core.recordsLoaded();
@@ -258,7 +261,8 @@
     }
 
     /**
-     * A leader that only the workers cannot reach keeps its leadership, so it has to detect by itself that it is cut off, and hand over.
+     * A leader that only the workers cannot reach keeps its leadership, so it has to detect by itself that it is cut
+     * off, and hand over.
      */
     @Test
     void aLeaderThatHearsNoneOfSeveralMachinesIsDeaf() {
@@ -305,7 +309,9 @@
         assertEquals(0, w.core.machineCount());
     }
 
-    /** Tasks at or above the recorded start bound were never started, so they need not wait for unreconciled machines. */
+    /**
+     * Tasks at or above the recorded start bound were never started, so they need not wait for unreconciled machines.
+     */
     @ParameterizedTest
     @CsvSource({
         "2, false, run-1/2 run-1/3",
@@ -326,7 +332,10 @@
         assertEquals(4, starts(w.hear("b", 3)).size() + (started.isEmpty() ? 0 : started.split(" ").length));
     }
 
-    /** A task starts only below the recorded start bound; a write of a higher bound that is not answered yet does not count. */
+    /**
+     * A task starts only below the recorded start bound; a write of a higher bound that is not answered yet does not
+     * count.
+     */
     @Test
     void nothingIsOrderedBeyondTheRecordedBound() {
         w.core.recordsLoaded();
@@ -343,8 +352,8 @@
     }
 
     /**
-     * Half of 2,000 machines are unreachable until late in the failover. On the other half, tasks that no leader has started start at
-     * once.
+     * Half of 2,000 machines are unreachable until late in the failover. On the other half, tasks that no leader has
+     * started start at once.
      */
     @Test
     void halfAFleetBehindACutDoesNotHoldUpTheOther() {
@@ -375,8 +384,8 @@
     }
 
     /**
-     * 500 of 2,000 machines have just been returned and 500 others rented. A listing from before both, which the protocol allows, must
-     * not remove the rented machines or adopt the returned ones again.
+     * 500 of 2,000 machines have just been returned and 500 others rented. A listing from before both, which the
+     * protocol allows, must not remove the rented machines or adopt the returned ones again.
      */
     @Test
     void aListOlderThanTheOneBeforeChangesNothing() {
@@ -407,8 +416,8 @@
     }
 
     /**
-     * Guards against tasks that no leader has started taking the room of inherited replicas that may run nowhere. That kept replicas of
-     * a service down for longer during a failover.
+     * Guards against tasks that no leader has started taking the room of inherited replicas that may run nowhere. That
+     * kept replicas of a service down for longer during a failover.
      */
     @Test
     void untouchedWorkLeavesRoomForReplicasThatMayBeNowhere() {
--- a/src/test/java/io/indigoreach/core/scheduling/FailureDetectorTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FailureDetectorTest.java
@@ -44,8 +44,9 @@
     }
 
     /**
-     * A leader that was paused for 5 s reads the queued heartbeats one after the other. Once it has read most of them, the remaining
-     * machines look like single silent ones, and before it reads the first, the leader looks cut off from the workers.
+     * A leader that was paused for 5 s reads the queued heartbeats one after the other. Once it has read most of them,
+     * the remaining machines look like single silent ones, and before it reads the first, the leader looks cut off from
+     * the workers.
      */
     @ParameterizedTest
     @CsvSource({"14.9, 0", "10, 2"})
@@ -62,7 +63,10 @@
         assertEquals(returned, w.core.machinesToReturn(9).size());
     }
 
-    /** A replica of a silent machine may still be running until the cloud confirms the return, so it starts elsewhere only then. */
+    /**
+     * A replica of a silent machine may still be running until the cloud confirms the return, so it starts elsewhere
+     * only then.
+     */
     @Test
     void aReplicaStartsElsewhereOnlyOnceTheReturnIsAnswered() {
         SimulatedWorld w = new SimulatedWorld();
@@ -78,8 +82,8 @@
     }
 
     /**
-     * The west zone is partitioned from a new leader, whose leadership began with the partition. Its machines are kept for as long as
-     * replacing them would take: 12.3 s of lease and 80 s of boot time and minimum paid time.
+     * The west zone is partitioned from a new leader, whose leadership began with the partition. Its machines are kept
+     * for as long as replacing them would take: 12.3 s of lease and 80 s of boot time and minimum paid time.
      */
     @ParameterizedTest
     @CsvSource({"8, 30, 0", "8, 92, 0", "8, 93, 8", "1, 30, 1"})
--- a/src/test/java/io/indigoreach/core/scheduling/LaggingWrites.java
+++ b/src/test/java/io/indigoreach/core/scheduling/LaggingWrites.java
@@ -5,8 +5,9 @@
 import java.util.Random;
 
 /**
- * The leader's writes in a {@link RandomSimulation}. While the state service lags, they are applied 2 s to 12 s later, in any order,
- * and some are never answered. A write is conditional on its leader's key, so it is not applied if another leader has begun.
+ * The leader's writes in a {@link RandomSimulation}. While the state service lags, they are applied 2 s to 12 s later,
+ * in any order, and some are never answered. A write is conditional on its leader's key, so it is not applied if
+ * another leader has begun.
  */
 final class LaggingWrites {
     private static final double LEAST_LAG_S = 2;
@@ -30,7 +31,10 @@
         return now < lagsUntil;
     }
 
-    /** Applies a write now, or later while the service lags. {@code answered} runs on its answer, which one in three late writes lack. */
+    /**
+     * Applies a write now, or later while the service lags. {@code answered} runs on its answer, which one in three
+     * late writes lack.
+     */
     void write(double now, long token, Runnable effect, Runnable answered) {
         if (!lags(now)) {
             effect.run();
--- a/src/test/java/io/indigoreach/core/scheduling/LateCommands.java
+++ b/src/test/java/io/indigoreach/core/scheduling/LateCommands.java
@@ -6,8 +6,9 @@
 import java.util.Random;
 
 /**
- * Commands that a leader sends outside heartbeat answers in a {@link RandomSimulation}, which the product never does. Each is executed
- * once, 2 s to 16 s later, without an answer, unless the worker has a higher token or another incarnation by then.
+ * Commands that a leader sends outside heartbeat answers in a {@link RandomSimulation}, which the product never does.
+ * Each is executed once, 2 s to 16 s later, without an answer, unless the worker has a higher token or another
+ * incarnation by then.
  */
 final class LateCommands {
     private static final double LEAST_DELAY_S = 2;
--- a/src/test/java/io/indigoreach/core/scheduling/LateHeartbeatCopyTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/LateHeartbeatCopyTest.java
@@ -34,8 +34,8 @@
     }
 
     /**
-     * A machine that ran a task has been dead since 4 s. Its heartbeat of 3 s arrives at 30 s, again or for the first time. It must
-     * neither make the leader adopt the machine nor block the task.
+     * A machine that ran a task has been dead since 4 s. Its heartbeat of 3 s arrives at 30 s, again or for the first
+     * time. It must neither make the leader adopt the machine nor block the task.
      */
     @ParameterizedTest
     @CsvSource({
@@ -107,8 +107,8 @@
     }
 
     /**
-     * A machine that was not rented or listed is unknown. One heartbeat, or a copy of it, does not prove that it exists; a heartbeat that
-     * shows this leader's answer does.
+     * A machine that was not rented or listed is unknown. One heartbeat, or a copy of it, does not prove that it
+     * exists; a heartbeat that shows this leader's answer does.
      */
     @ParameterizedTest
     @CsvSource({
@@ -150,8 +150,8 @@
     }
 
     /**
-     * Copies of one heartbeat of a dead inherited machine, with an older token, do not complete the failover, and they postpone it only
-     * once.
+     * Copies of one heartbeat of a dead inherited machine, with an older token, do not complete the failover, and they
+     * postpone it only once.
      */
     @Test
     void copiesOfOneReportPutATakeOverOffOnce() {
@@ -170,7 +170,10 @@
         assertEquals(14, settled.get(0), "1 s and the lease bound");
     }
 
-    /** Machines are answered while the records are loaded, so their leases count from the answer and not from the loading. */
+    /**
+     * Machines are answered while the records are loaded, so their leases count from the answer and not from the
+     * loading.
+     */
     @Test
     void whatIsAnsweredBeforeTheRecordsAreReadIsCounted() {
         SimulatedWorld w = new SimulatedWorld();
--- a/src/test/java/io/indigoreach/core/scheduling/MuteMachineTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/MuteMachineTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A machine's heartbeats reach no controller after -1 s, while commands sent outside heartbeat answers would reach it. No such
- * commands are sent, so only the expiry of its lease ends its tasks. {@link FailureDetectorTest} covers a whole zone of such machines.
+ * A machine's heartbeats reach no controller after -1 s, while commands sent outside heartbeat answers would reach it.
+ * No such commands are sent, so only the expiry of its lease ends its tasks. {@link FailureDetectorTest} covers a whole
+ * zone of such machines.
  */
 class MuteMachineTest {
     private static final JobId JOB = new JobId("run-1");
@@ -22,12 +23,12 @@
     private final SimulatedCluster site = new SimulatedCluster();
 
     private void begin() {
-        site.box("mute", -10);
+        site.box("isolated", -10);
         site.box("other", -10);
         site.lead(-10);
         site.submit(spec(1, 1, 4, 500), -10);
-        site.become("mute", -4);
-        assertEquals(1, site.box("mute").tasks.size());
+        site.become("isolated", -4);
+        assertEquals(1, site.box("isolated").tasks.size());
     }
 
     /** The unreachable machine sends heartbeats again from {@code muteUntil} on; its clock advances throughout. */
@@ -35,15 +36,18 @@
         if (now == change) {
             site.lead(now);
         }
-        site.box("mute").live(now);
+        site.box("isolated").live(now);
         if (now >= muteUntil) {
-            site.report("mute", now);
+            site.report("isolated", now);
         }
         site.core.expireLeases(at(now));
         site.report("other", now);
     }
 
-    /** {@code change}: when another leader begins, or -1; {@code elsewhere}: when the task starts on the other machine, or -1. */
+    /**
+     * {@code change}: when another leader begins, or -1; {@code elsewhere}: when the task starts on the other machine,
+     * or -1.
+     */
     @ParameterizedTest
     @CsvSource({"8, -1, -1", "10.5, -1, -1", "10.5, 5, -1", "20, -1, 11.5", "90, -1, 11.5", "90, 5, 17.5", "11.5, 5, 12"
     })
--- a/src/test/java/io/indigoreach/core/scheduling/RandomRecords.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomRecords.java
@@ -12,7 +12,9 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** The state service of a {@link RandomSimulation}: its records of jobs and machines, and the leader's writes to them. */
+/**
+ * The state service of a {@link RandomSimulation}: its records of jobs and machines, and the leader's writes to them.
+ */
 final class RandomRecords {
     static final class Stored {
         final JobSpec spec;
--- a/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
@@ -29,12 +29,14 @@
 import java.util.TreeMap;
 
 /**
- * A seeded random run of the core with simulated workers, cloud and state service. Answers are lost or delayed; heartbeats are late,
- * duplicated or both; machines die, hang, receive no answers or are unreachable, especially around a change of leader; the cloud
- * does not answer; leaders end at any moment, and new ones answer before they have read the records.
+ * A seeded random run of the core with simulated workers, cloud and state service. Answers are lost or delayed;
+ * heartbeats are late, duplicated or both; machines die, hang, receive no answers or are unreachable, especially around
+ * a change of leader; the cloud does not answer; leaders end at any moment, and new ones answer before they have read
+ * the records.
  *
- * <p>After every step the run checks the protocol's rules, that no copy of a heartbeat makes a leader adopt a machine, and that no
- * failover takes longer than two leases. At the end all faults cease, and every job that was not cancelled has to complete.
+ * <p>After every step the run checks the protocol's rules, that no copy of a heartbeat makes a leader adopt a machine,
+ * and that no failover takes longer than two leases. At the end all faults cease, and every job that was not cancelled
+ * has to complete.
  */
 public final class RandomSimulation {
     private static final double LEASE_S = SimulatedWorld.RULES.workerLease().seconds();
@@ -45,7 +47,9 @@
     private static final double PATIENCE_S = 4;
     /** Mean number of steps between two heartbeats of a worker. */
     private static final int HEARTBEAT_STEPS = 15;
-    /** Mean number of steps between heartbeats while leaderships are so short that few leaders get two from one machine. */
+    /**
+     * Mean number of steps between heartbeats while leaderships are so short that few leaders get two from one machine.
+     */
     private static final int RARE_HEARTBEAT_STEPS = 50;
     /** Number of jobs that are cancelled when a series of short leaderships begins. */
     private static final int CANCELLED_TOGETHER = 8;
@@ -89,14 +93,17 @@
     private final Random random;
     private final Without without;
     private final EnumSet<Trouble> troubles;
-    /** Random generator of the optional faults, so that a run without them draws the same numbers as if they did not exist. */
+    /**
+     * Random generator of the optional faults, so that a run without them draws the same numbers as if they did not
+     * exist.
+     */
     private final Random further;
 
     private final DelayedHeartbeats kept;
     private final LateCommands commands;
     /**
-     * Whether the team has a limit. With one, a new leader starts no task before its failover is complete; without one, it may start
-     * tasks that no leader has started.
+     * Whether the team has a limit. With one, a new leader starts no task before its failover is complete; without one,
+     * it may start tasks that no leader has started.
      */
     private final boolean limited;
 
@@ -253,7 +260,8 @@
     }
 
     /**
-     * For about a minute, leaders read the records at once and end soon. A series of jobs is cancelled when this begins.
+     * For about a minute, leaders read the records at once and end soon. A series of jobs is cancelled when this
+     * begins.
      */
     private void shortLeaderships() {
         if (now >= shortLeadershipsUntil && further.nextInt(600) == 0) {
@@ -282,8 +290,8 @@
     }
 
     /**
-     * Replaces the leader at any moment by a new one, which answers heartbeats at once. Often some machines, or a whole zone, are
-     * unreachable or receive no answers around the change.
+     * Replaces the leader at any moment by a new one, which answers heartbeats at once. Often some machines, or a whole
+     * zone, are unreachable or receive no answers around the change.
      */
     private void takeOver() {
         newLeader();
@@ -331,8 +339,8 @@
     }
 
     /**
-     * Completes the loading of the records, which contain the jobs that were submitted meanwhile. Some machines that were answered
-     * during the loading become unreachable.
+     * Completes the loading of the records, which contain the jobs that were submitted meanwhile. Some machines that
+     * were answered during the loading become unreachable.
      */
     private void load() {
         loaded = true;
@@ -507,8 +515,8 @@
     }
 
     /**
-     * Sends a heartbeat. It may be lost or late, or its answer may be lost; the answer to a late heartbeat reaches no worker. Heartbeat
-     * and answer may be delayed for seconds, during which the worker sends no other heartbeat.
+     * Sends a heartbeat. It may be lost or late, or its answer may be lost; the answer to a late heartbeat reaches no
+     * worker. Heartbeat and answer may be delayed for seconds, during which the worker sends no other heartbeat.
      */
     private void report(RandomWorker w) {
         Heartbeat heartbeat = new Heartbeat(
@@ -578,8 +586,8 @@
     }
 
     /**
-     * Checks an answer that renews a lease, whether or not it reaches the worker. Answers given before the records are read are not
-     * checked: no real controller sends them; the simulation does so to make the following steps harder.
+     * Checks an answer that renews a lease, whether or not it reaches the worker. Answers given before the records are
+     * read are not checked: no real controller sends them; the simulation does so to make the following steps harder.
      */
     private void checkRenewal(RandomWorker.Flight f) {
         Event.LeaseRenewed renewal = new Event.LeaseRenewed(
@@ -642,7 +650,10 @@
         }
     }
 
-    /** Whether the task is on the machine: it has not exited, was not killed with its incarnation, and the machine is not dead. */
+    /**
+     * Whether the task is on the machine: it has not exited, was not killed with its incarnation, and the machine is
+     * not dead.
+     */
     private boolean isOn(RandomWorker w, TaskId task) {
         TaskStatus status = w.tasks.get(task);
         boolean killed = now - w.answered > LEASE_S;
--- a/src/test/java/io/indigoreach/core/scheduling/RandomSimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulationTest.java
@@ -14,8 +14,8 @@
 /** The protocol's rules hold in random runs. Runs with one guard disabled show that the checks detect violations. */
 class RandomSimulationTest {
     /**
-     * The last three seeds found copies of heartbeats that made a leader adopt machines which were answered before the records were
-     * read.
+     * The last three seeds found copies of heartbeats that made a leader adopt machines which were answered before the
+     * records were read.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 50, 82, 100})
@@ -41,7 +41,9 @@
         }));
     }
 
-    /** Runs with all optional faults that span a change of leader. Leaderships are long enough for tasks to complete. */
+    /**
+     * Runs with all optional faults that span a change of leader. Leaderships are long enough for tasks to complete.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void noRuleIsBrokenWhereTroublesReachTheNextLeader(long seed) {
@@ -56,8 +58,8 @@
     }
 
     /**
-     * Leaderships are shorter than a heartbeat period, while jobs are cancelled. Each answer is checked by itself, because such a
-     * leader does not get to answer a machine a second time.
+     * Leaderships are shorter than a heartbeat period, while jobs are cancelled. Each answer is checked by itself,
+     * because such a leader does not get to answer a machine a second time.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
@@ -69,7 +71,10 @@
         assertTrue(run.starts() > 50, "too little happened: " + run.starts());
     }
 
-    /** Each optional fault alone, and late commands outside heartbeat answers, lead to a violation if the guard is disabled. */
+    /**
+     * Each optional fault alone, and late commands outside heartbeat answers, lead to a violation if the guard is
+     * disabled.
+     */
     @ParameterizedTest
     @CsvSource({
         "KEPT_REPORTS, OWN_TOKEN, ran_twice",
