--- a/src/main/java/io/indigoreach/core/scheduling/FaultAttribution.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FaultAttribution.java
@@ -10,6 +10,8 @@
 final class FaultAttribution {
     private static final Span FIRST_PAUSE = Span.seconds(2);
     private static final Span LONGEST_PAUSE = Span.seconds(30);
+    /** Number of jobs that have to fail on a machine before it is quarantined. */
+    private static final int FAILED_JOBS_TO_QUARANTINE = 2;
 
     private FaultAttribution() {}
 
@@ -26,7 +28,7 @@
             return;
         }
         machine.failedJobs.add(job.id());
-        if (machine.failedJobs.size() >= 2) {
+        if (machine.failedJobs.size() >= FAILED_JOBS_TO_QUARANTINE) {
             machine.quarantine();
         }
     }
--- a/src/main/java/io/indigoreach/core/scheduling/SafetyTimes.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SafetyTimes.java
@@ -12,6 +12,10 @@
  */
 public record SafetyTimes(Span workerLease, Span heartbeatPeriod, Span cancellationTime, Span listingLag) {
     private static final Span MARGIN = Span.seconds(0.3);
+    /** The longest interval between two heartbeats, as a multiple of their period. */
+    private static final double LONGEST_INTERVAL_FACTOR = 1.25;
+    /** Allowance of the suspicion timeout beyond the longest interval, as a multiple of the heartbeat period. */
+    private static final double SUSPICION_ALLOWANCE_FACTOR = 0.5;
 
     /**
      * Time without an answered heartbeat after which no task runs on a machine: its lease plus clock drift and a
@@ -44,7 +48,7 @@
 
     /** Time after the previous heartbeat at which the next one is overdue: the longest interval plus latency. */
     public Span heartbeatOverdue() {
-        return heartbeatPeriod.times(1.25).withDrift().plus(Span.seconds(1));
+        return heartbeatPeriod.times(LONGEST_INTERVAL_FACTOR).withDrift().plus(Span.seconds(1));
     }
 
     /**
@@ -52,7 +56,10 @@
      * regular interval, and a second of latency.
      */
     public Span suspicionTimeout() {
-        return heartbeatPeriod.times(1.25 + 0.5).withDrift().plus(Span.seconds(1));
+        return heartbeatPeriod
+                .times(LONGEST_INTERVAL_FACTOR + SUSPICION_ALLOWANCE_FACTOR)
+                .withDrift()
+                .plus(Span.seconds(1));
     }
 
     /** Maximum age of the state that a listing requested now describes. */
--- a/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
@@ -60,13 +60,21 @@
     /** A guard that a run can disable, to show that a rule is then violated. */
     public enum Without {
         NOTHING,
+        /** A new leader waits for the machines that earlier leaders recorded. */
         TAKE_OVER,
+        /** A lease counts as expired only after the lease bound. */
         LEASE_BOUND,
+        /** The cores of a team's running tasks stay within the team's limit. */
         TEAM_LIMIT,
+        /** A machine counts as returned only once the cloud has executed the return. */
         ANSWERED_RETURN,
+        /** Start bounds are recorded before tasks start. */
         START_BOUND,
+        /** Copies of heartbeats are recognized by their numbers. */
         REPORT_NUMBER,
+        /** Heartbeats that are answered before the records are loaded are registered. */
         EARLY_ANSWER,
+        /** Completions are recorded before their tasks are reaped. */
         RECORD_BEFORE_REAP,
         /** Task lists are trusted only in heartbeats with the leader's own token. */
         OWN_TOKEN,
