--- a/src/main/java/io/indigoreach/calendar/PlanScheduler.java
+++ b/src/main/java/io/indigoreach/calendar/PlanScheduler.java
@@ -104,7 +104,7 @@
         this.clock = clock;
         this.time = time;
         this.duty = new PeriodicTask(vertx, "calendar", STEP, this::step);
-        core.onTaskCompleted(this::ran);
+        core.addRunTimeObserver(this::ran);
     }
 
     PlanScheduler start() {
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -220,7 +220,7 @@
             if (open == null) {
                 return readFinalRecord(job.id());
             }
-            core.revisionSeen(job, open.revision());
+            core.onRevisionSeen(job, open.revision());
             return Future.succeededFuture();
         });
     }
--- a/src/main/java/io/indigoreach/cluster/FleetManager.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -216,7 +216,7 @@
         if (rental.noCapacity() || rental.machines().size() < request.count()) {
             onPoolExhausted(request.pool(), rental.noCapacity());
         }
-        core.rented(
+        core.onMachinesRented(
                 request.pool(),
                 rental.machines(),
                 request.requestedAt,
@@ -226,7 +226,7 @@
 
     /** Drops the requests to that pool that were never sent: they would be rejected as well. */
     private void onPoolExhausted(MachinePool pool, boolean noCapacity) {
-        core.scaleOutRejected(pool, context.clock().now());
+        core.onScaleOutRejected(pool, context.clock().now());
         List<Request> futile = openRequests.stream()
                 .filter(open -> open.tries == 0 && open.pool().equals(pool) && !inheritedRequests.contains(open.name))
                 .toList();
@@ -254,7 +254,7 @@
         if (!mayAct.getAsBoolean()) {
             return Future.succeededFuture(PAUSE);
         }
-        core.setAwakeSince(context.loopMonitor().runningSince());
+        core.setEventLoopRunningSince(context.loopMonitor().runningSince());
         core.planScaleIn(context.clock().now());
         List<MachineId> leaving =
                 intentLog.intents().addReturns(core.machinesToReturn(CloudClient.maxMachinesPerReturn()));
@@ -271,7 +271,7 @@
         return context.cloud().returnMachines(machines).map(answered -> {
             if (!scaleInTask.isCancelled()) {
                 intentLog.intents().returned(machines);
-                core.returned(machines, context.clock().now());
+                core.onMachinesReturned(machines, context.clock().now());
                 LOG.info("scale-in completed machines={}", machines);
             }
             return context.settings().tuning().checkPeriod();
--- a/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
+++ b/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
@@ -312,7 +312,7 @@
 
     private void onProgressWritten(SentWrite sent, Revision revision) {
         Job job = sent.job();
-        core.revisionSeen(job, revision);
+        core.onRevisionSeen(job, revision);
         job.completionsRecorded(completionBlocks.written(job, sent.completedTasks()));
         job.startBoundRecorded(sent.startBound());
         // A job that was cancelled before this response must not be remembered, as nothing would remove it again.
@@ -332,7 +332,7 @@
                     if (open == null) {
                         return readFinalRecord(job);
                     }
-                    core.revisionSeen(job, open.revision());
+                    core.onRevisionSeen(job, open.revision());
                     return Future.succeededFuture();
                 })
                 .onComplete(result -> writesInFlight.remove(job.id()));
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -194,7 +194,7 @@
                 token(),
                 heartbeat.token(),
                 result.commands());
-        Optional<Machine> unrecorded = core.unrecorded(heartbeat.machine());
+        Optional<Machine> unrecorded = core.machineToRecord(heartbeat.machine());
         if (unrecorded.isEmpty()) {
             return Future.succeededFuture(result);
         }
@@ -220,7 +220,7 @@
         if (!context.catalogue().isKnown()) {
             return Future.succeededFuture(CATALOGUE_RETRY);
         }
-        core.setTypes(context.catalogue().types());
+        core.addMachineTypes(context.catalogue().types());
         return rebuildIfLost()
                 .compose(rebuilt -> jobStore.load())
                 .compose(revision -> fleetManager.load().map(revision))
@@ -230,7 +230,7 @@
     }
 
     private Span onLoaded(long revision) {
-        core.recordsLoaded();
+        core.onRecordsLoaded();
         servingSince = context.clock().now();
         LOG.info(
                 "records loaded jobs={} machines={} token={} revision={}",
@@ -303,9 +303,9 @@
     private Future<Span> tick() {
         Moment now = context.clock().now();
         Moment awakeSince = context.loopMonitor().runningSince();
-        core.setAwakeSince(awakeSince.isAfter(servingSince) ? awakeSince : servingSince);
+        core.setEventLoopRunningSince(awakeSince.isAfter(servingSince) ? awakeSince : servingSince);
         core.expireLeases(now);
-        if (election.isValid() && !context.config().peers().isEmpty() && core.isCutOffFromWorkers(now)) {
+        if (election.isValid() && !context.config().peers().isEmpty() && core.isPartitionedFromWorkers(now)) {
             election.abdicate("no-heartbeats");
             return Future.succeededFuture(TICK_PERIOD);
         }
@@ -332,7 +332,7 @@
     }
 
     @Override
-    public void taskCompleted(Job job) {
+    public void onTaskCompleted(Job job) {
         jobStore.markDirty(job);
     }
 
--- a/src/main/java/io/indigoreach/cluster/MachinePage.java
+++ b/src/main/java/io/indigoreach/cluster/MachinePage.java
@@ -75,17 +75,17 @@
     }
 
     boolean hasReturnedMachines(SchedulerCore core) {
-        return !machines.keySet().stream().allMatch(core::knows);
+        return !machines.keySet().stream().allMatch(core::isKnownMachine);
     }
 
     void removeReturnedMachines(SchedulerCore core) {
-        machines.keySet().removeIf(id -> !core.knows(id));
+        machines.keySet().removeIf(id -> !core.isKnownMachine(id));
     }
 
     /** Bytes that are free, or become free at the next write, which removes returned machines. */
     int freeBytes(SchedulerCore core, int capacity) {
         int used = machines.values().stream()
-                .filter(machine -> core.knows(machine.id()))
+                .filter(machine -> core.isKnownMachine(machine.id()))
                 .mapToInt(MachineRecordCodec::bytes)
                 .sum();
         return capacity - used;
--- a/src/main/java/io/indigoreach/cluster/MachineStore.java
+++ b/src/main/java/io/indigoreach/cluster/MachineStore.java
@@ -136,7 +136,7 @@
     /** Machines that were returned meanwhile are not recorded, but their heartbeats are answered all the same. */
     private void removeReturnedFromPending() {
         pending.entrySet().removeIf(entry -> {
-            if (core.unrecorded(entry.getKey()).isPresent()) {
+            if (core.machineToRecord(entry.getKey()).isPresent()) {
                 return false;
             }
             entry.getValue().recorded().tryComplete(false);
@@ -151,7 +151,7 @@
         long wallClockMs = context.clock().timeOfDay();
         int maxPages = Math.min(MAX_PAGES_PER_WRITE, context.limits().txnOps());
         for (MachineId id : pending.keySet()) {
-            MachineRecord machine = toRecord(core.unrecorded(id).orElseThrow(), wallClockMs, now);
+            MachineRecord machine = toRecord(core.machineToRecord(id).orElseThrow(), wallClockMs, now);
             int bytes = MachineRecordCodec.bytes(machine);
             MachinePage page = pageWithRoom(bytes, freeBytes);
             if (additions.size() >= maxPages && !additions.containsKey(page)) {
@@ -211,7 +211,7 @@
     }
 
     private void onRecorded(MachineId id) {
-        core.recorded(id);
+        core.onMachineRecorded(id);
         PendingRecord entry = pending.remove(id);
         if (entry != null) {
             entry.recorded().tryComplete(true);
--- a/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
+++ b/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
@@ -43,7 +43,7 @@
     void onWritten(JobId id, Fields value, Revision revision) {
         Job job = core.job(id);
         if (job != null) {
-            core.revisionSeen(job, revision);
+            core.onRevisionSeen(job, revision);
             if (!RecordListing.readOrLog(RecordKeys.openKey(id), () -> JobRecordCodec.readJob(id, value, revision))) {
                 writer.markDirty(job);
             }
--- a/src/main/java/io/indigoreach/cluster/WarmUp.java
+++ b/src/main/java/io/indigoreach/cluster/WarmUp.java
@@ -109,7 +109,7 @@
     private SchedulerCore newCore() {
         SchedulerListener silent = new SchedulerListener() {
             @Override
-            public void taskCompleted(Job job) {}
+            public void onTaskCompleted(Job job) {}
 
             @Override
             public void log(String line) {}
@@ -127,13 +127,13 @@
     private void addMachines() {
         MachineType type =
                 new MachineType(POOL.type(), MACHINE_CAPACITY, 40, 0.3, 1, 0.2, Span.seconds(20), List.of(POOL.zone()));
-        core.setTypes(List.of(type));
-        core.recordsLoaded();
+        core.addMachineTypes(List.of(type));
+        core.onRecordsLoaded();
         Moment now = context.clock().now();
         List<MachineId> ids =
                 IntStream.range(0, MACHINES).mapToObj(WarmUp::machine).toList();
-        core.rented(POOL, ids, now, now);
-        ids.forEach(core::recorded);
+        core.onMachinesRented(POOL, ids, now, now);
+        ids.forEach(core::onMachineRecorded);
     }
 
     private void addJobs() {
--- a/src/main/java/io/indigoreach/core/scheduling/AsymmetricPartition.java
+++ b/src/main/java/io/indigoreach/core/scheduling/AsymmetricPartitionDetector.java
@@ -19,23 +19,23 @@
  * including refused; it does not contain reaped tasks; no stopped task is running; and the heartbeat carries this
  * leader's token.
  *
- * <p>One or two lost answers are normal. A partition is confirmed by {@value #MISSED_TO_CONFIRM} consecutive missed
+ * <p>One or two lost answers are normal. A partition is confirmed by {@value #MISSED_ANSWERS_TO_CONFIRM} consecutive missed
  * answers over at least half a lease. A machine that has not yet shown that it received any answer of this leader needs
  * twice as many over twice as long, because it may start slowly or take a while to find a new leader. With heartbeats
  * every 2 s, the third heartbeat after the first answer confirms the partition, at 6 s; with a worker that waits 4 s
  * for each answer and is then redirected at once, it is confirmed at 16.5 s. If the token is the only evidence, it
  * takes 12 s and 33 s. The state per machine is one command, a count and three times.
  */
-final class AsymmetricPartition {
-    private static final int MISSED_TO_CONFIRM = 3;
-    private static final double CONFIRMING_LEASE_FRACTION = 0.5;
+final class AsymmetricPartitionDetector {
+    private static final int MISSED_ANSWERS_TO_CONFIRM = 3;
+    private static final double CONFIRMATION_LEASE_FRACTION = 0.5;
     /** Multiplies the required evidence for a machine that has not received any answer of this leader yet. */
-    private static final int UNPROVED_FACTOR = 2;
+    private static final int UNPROVEN_FACTOR = 2;
 
     private enum Evidence {
         RECEIVED,
         MISSED,
-        NONE
+        INCONCLUSIVE
     }
 
     /** A command of the last answer, used to check whether the next heartbeat reflects that answer; or null. */
@@ -44,11 +44,11 @@
     private Moment answerSentAt;
 
     /** Number of consecutive missed answers. */
-    private int missed;
+    private int missedAnswers;
     /** When the first of the missed answers was sent. */
-    private Moment missedSince;
+    private Moment firstMissedSentAt;
     /** When the last missed answer was detected. */
-    private Moment lastMissedAt;
+    private Moment lastMissedDetectedAt;
     /** Whether the machine has received any answer of this leader. */
     private boolean everReceived;
 
@@ -57,46 +57,47 @@
     /**
      * Evaluates a heartbeat that is newer than {@code previous}.
      *
-     * @param awakeSince when the leader's event loop last resumed after a pause; answers before it may have been sent
+     * @param eventLoopRunningSince when the leader's event loop last resumed after a pause; answers before it may have been sent
      *     late
      */
-    void observe(
+    void recordHeartbeat(
             Heartbeat heartbeat,
             HeartbeatNumber previous,
             FencingToken token,
-            Moment awakeSince,
+            Moment eventLoopRunningSince,
             SafetyTimes safetyTimes,
             Moment now) {
-        Evidence evidence = evidence(heartbeat, previous, token);
-        boolean outlastsLease = missed > 0 && now.since(lastMissedAt).compareTo(safetyTimes.leaseBound()) > 0;
-        if (evidence == Evidence.RECEIVED || (evidence == Evidence.NONE && outlastsLease)) {
+        Evidence evidence = evaluateHeartbeat(heartbeat, previous, token);
+        boolean outlivesLease =
+                missedAnswers > 0 && now.since(lastMissedDetectedAt).compareTo(safetyTimes.leaseBound()) > 0;
+        if (evidence == Evidence.RECEIVED || (evidence == Evidence.INCONCLUSIVE && outlivesLease)) {
             // An incarnation that outlives a lease must have received an answer in the meantime.
-            missed = 0;
+            missedAnswers = 0;
             confirmed = false;
             everReceived |= evidence == Evidence.RECEIVED;
-        } else if (evidence == Evidence.MISSED && !awakeSince.isAfter(answerSentAt)) {
-            answerMissed(safetyTimes, now);
+        } else if (evidence == Evidence.MISSED && !eventLoopRunningSince.isAfter(answerSentAt)) {
+            recordMissedAnswer(safetyTimes, now);
         }
         answerSentAt = null;
         probe = null;
     }
 
-    private void answerMissed(SafetyTimes safetyTimes, Moment now) {
-        missedSince = missed == 0 ? answerSentAt : missedSince;
-        lastMissedAt = now;
-        missed++;
-        int factor = everReceived ? 1 : UNPROVED_FACTOR;
-        Span confirmingTime = safetyTimes.workerLease().times(CONFIRMING_LEASE_FRACTION * factor);
-        confirmed =
-                missed >= MISSED_TO_CONFIRM * factor && now.since(missedSince).compareTo(confirmingTime) >= 0;
+    private void recordMissedAnswer(SafetyTimes safetyTimes, Moment now) {
+        firstMissedSentAt = missedAnswers == 0 ? answerSentAt : firstMissedSentAt;
+        lastMissedDetectedAt = now;
+        missedAnswers++;
+        int factor = everReceived ? 1 : UNPROVEN_FACTOR;
+        Span confirmationTime = safetyTimes.workerLease().times(CONFIRMATION_LEASE_FRACTION * factor);
+        confirmed = missedAnswers >= MISSED_ANSWERS_TO_CONFIRM * factor
+                && now.since(firstMissedSentAt).compareTo(confirmationTime) >= 0;
     }
 
-    private Evidence evidence(Heartbeat heartbeat, HeartbeatNumber previous, FencingToken token) {
+    private Evidence evaluateHeartbeat(Heartbeat heartbeat, HeartbeatNumber previous, FencingToken token) {
         if (!everReceived && heartbeat.token().equals(token)) {
             return Evidence.RECEIVED;
         }
         if (answerSentAt == null) {
-            return Evidence.NONE;
+            return Evidence.INCONCLUSIVE;
         }
         if (heartbeat.number().incarnation() > previous.incarnation()) {
             return Evidence.MISSED;
@@ -104,16 +105,18 @@
         if (heartbeat.token().value() < token.value()) {
             return Evidence.MISSED;
         }
-        return probe == null ? Evidence.NONE : evidenceOf(heartbeat.tasks());
+        return probe == null ? Evidence.INCONCLUSIVE : evaluateTasks(heartbeat.tasks());
     }
 
-    private Evidence evidenceOf(List<TaskStatus> tasks) {
+    private Evidence evaluateTasks(List<TaskStatus> tasks) {
         Optional<TaskStatus> reported = tasks.stream()
                 .filter(status ->
                         status.task().equals(probe.task()) && status.attempt().equals(probe.attempt()))
                 .findFirst();
         if (probe instanceof WorkerCommand.Stop) {
-            return reported.filter(AsymmetricPartition::isStillRunning).isPresent() ? Evidence.MISSED : Evidence.NONE;
+            return reported.filter(AsymmetricPartitionDetector::isStillRunning).isPresent()
+                    ? Evidence.MISSED
+                    : Evidence.INCONCLUSIVE;
         }
         boolean expected = probe instanceof WorkerCommand.Start;
         return reported.isPresent() == expected ? Evidence.RECEIVED : Evidence.MISSED;
@@ -127,7 +130,7 @@
      * Records the commands of an answer that is sent now. One of them becomes the probe: a start is the strongest
      * evidence, a stop the weakest.
      */
-    void answerSent(List<WorkerCommand> commands, Moment now) {
+    void recordAnswer(List<WorkerCommand> commands, Moment now) {
         answerSentAt = now;
         for (WorkerCommand command : commands) {
             if (probe == null || command instanceof WorkerCommand.Start || probe instanceof WorkerCommand.Stop) {
@@ -138,7 +141,7 @@
 
     /** Whether the machine missed the last answer. */
     boolean isSuspected() {
-        return missed > 0;
+        return missedAnswers > 0;
     }
 
     /** Whether it is established that answers do not reach the machine, so that it gets no new work. */
@@ -147,12 +150,12 @@
     }
 
     /** When the first of the missed answers was sent. */
-    Moment missedSince() {
-        return missedSince;
+    Moment firstMissedSentAt() {
+        return firstMissedSentAt;
     }
 
     /** Number of consecutive missed answers. */
-    int missed() {
-        return missed;
+    int missedAnswers() {
+        return missedAnswers;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/AvailableMachines.java
+++ b/src/main/java/io/indigoreach/core/scheduling/AvailableMachines.java
@@ -41,8 +41,7 @@
     private static boolean isUsableByQueue(FairShareQueue queue, Machine machine) {
         return machine.failedJobs.isEmpty()
                 || queue.jobs().stream()
-                        .anyMatch(job -> job.hasWaiting()
-                                && !job.isSuspectedFaulty()
-                                && !FaultAttribution.isExcluded(job, machine));
+                        .anyMatch(job ->
+                                job.hasWaiting() && !job.isSuspectedFaulty() && !FaultTracker.isExcluded(job, machine));
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/BacklogEstimator.java
+++ b/src/main/java/io/indigoreach/core/scheduling/BacklogEstimator.java
@@ -31,7 +31,7 @@
     /** The backlog of each machine type, by its name. */
     Map<String, Backlog> backlogs(FairShareQueue queue, Moment now) {
         Map<String, Backlog> backlogs = new HashMap<>();
-        for (MachineType type : cluster.types.values()) {
+        for (MachineType type : cluster.machineTypes.values()) {
             CapacityForecast spot = capacity(queue, type, true, now);
             CapacityForecast onDemand = capacity(queue, type, false, now);
             backlogs.put(type.name(), new Backlog(spot, onDemand, arrivalLoad(queue, type, now)));
@@ -52,7 +52,7 @@
         backlog.add(job.waitingCount() * sizing.machineSeconds(job, type));
         Moment latestStart = order.latestStart(job, now.plus(order.shortestRentableObjective(type)));
         backlog.mustStartWithin(
-                latestStart.since(now).seconds() * settings.objectiveShare(),
+                latestStart.since(now).seconds() * settings.objectiveFraction(),
                 type.boot().seconds(),
                 settings.minimumPaidTime().seconds(),
                 order.isObjectiveTooNearToRent(job, type) ? 0 : backlog.arrivalLoad);
--- a/src/main/java/io/indigoreach/core/scheduling/BestSize.java
+++ b/src/main/java/io/indigoreach/core/scheduling/BestSize.java
@@ -89,7 +89,7 @@
         }
         surplusRetention.markSurplus(queue, backlogs, need.byType(), now);
         need.byType().forEach((name, typeNeed) -> {
-            MachineType type = cluster.types.get(name);
+            MachineType type = cluster.machineTypes.get(name);
             Backlog backlog = backlogs.get(name);
             addShortBacklog(typeNeed, need.shortWork(name), backlog);
             request(queue, type, typeNeed, backlog, now, wanted);
--- a/src/main/java/io/indigoreach/core/scheduling/Cluster.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Cluster.java
@@ -17,11 +17,11 @@
 final class Cluster {
     final Map<JobId, Job> jobs = new HashMap<>();
     final TreeMap<MachineId, Machine> machines = new TreeMap<>();
-    final Map<String, MachineType> types = new LinkedHashMap<>();
-    private final Map<String, TeamUsage> teams = new HashMap<>();
+    final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
+    private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
     private final Map<String, FairShareQueue> queues = new LinkedHashMap<>();
     /** Number of machines that have each image cached. */
-    private final Map<String, Integer> machinesByImage = new HashMap<>();
+    private final Map<String, Integer> machineCountByImage = new HashMap<>();
     /** Jobs whose tasks only keep images cached; they are in no queue. */
     final List<Job> holderJobs = new ArrayList<>();
 
@@ -29,28 +29,28 @@
     private int orphanTasks;
     private long machineVisits;
     /** When the event loop last resumed after a pause; heartbeats from before may still be unread. */
-    Moment awakeSince = Moment.NEVER;
+    Moment eventLoopRunningSince = Moment.NEVER;
     /** Increases with every change that can affect a reservation. */
-    long version;
+    long changeCount;
 
     Cluster(Collection<Team> teams) {
         for (Team team : teams) {
             TeamUsage usage = new TeamUsage(team);
-            this.teams.put(team.name(), usage);
+            this.usageByTeam.put(team.name(), usage);
             queueOf(usage);
         }
     }
 
     /** Records a change that can affect a reservation. */
-    void changed() {
-        version++;
+    void recordChange() {
+        changeCount++;
     }
 
-    void setAwakeSince(Moment since) {
-        awakeSince = since;
+    void setEventLoopRunningSince(Moment since) {
+        eventLoopRunningSince = since;
     }
 
-    void useWarmCapacity(WarmCapacity capacity) {
+    void setWarmCapacity(WarmCapacity capacity) {
         warmCapacity = capacity;
     }
 
@@ -60,7 +60,7 @@
 
     /** Usage of the job's team. A team that the settings no longer name keeps its jobs, without guarantee or limit. */
     TeamUsage teamUsage(Job job) {
-        return teams.computeIfAbsent(job.spec.team(), name -> new TeamUsage(new Team(name, 0, 0, 0, 0)));
+        return usageByTeam.computeIfAbsent(job.spec.team(), name -> new TeamUsage(new Team(name, 0, 0, 0, 0)));
     }
 
     private FairShareQueue queueOf(TeamUsage usage) {
@@ -78,12 +78,12 @@
         return machine.queueName == null ? null : queues.get(machine.queueName);
     }
 
-    void add(Job job) {
+    void addJob(Job job) {
         jobs.put(job.id(), job);
         if (!job.hasUnmetDependencies()) {
             enqueue(job);
         }
-        version++;
+        changeCount++;
     }
 
     /** Adds a job without unmet dependencies to its team's queue, or a holder job to the list of holder jobs. */
@@ -93,7 +93,7 @@
         } else {
             queueOf(job).add(job);
         }
-        version++;
+        changeCount++;
     }
 
     /** Whether any machine runs tasks of ended jobs. */
@@ -103,7 +103,7 @@
 
     void setOrphanTasks(Machine machine, int count) {
         orphanTasks += count - machine.orphanTasks;
-        machine.countOrphanTasks(count);
+        machine.setOrphanTasks(count);
     }
 
     /** Number of machines visited by iterations, a measure of the cost of scheduling decisions. */
@@ -112,11 +112,11 @@
     }
 
     /** Removes a job from its queue; its placements stay until their tasks are known to have ended. */
-    void remove(Job job) {
+    void removeJob(Job job) {
         jobs.remove(job.id(), job);
         holderJobs.remove(job);
         queueOf(job).remove(job);
-        version++;
+        changeCount++;
     }
 
     void addPlacement(Placement placement) {
@@ -125,16 +125,16 @@
         placement.machine.addPlacement(placement);
         String image = placement.job.spec.image();
         if (!placement.machine.imageCache.contains(image)) {
-            machinesByImage.merge(image, 1, Integer::sum);
+            machineCountByImage.merge(image, 1, Integer::sum);
         }
-        placement.machine.imageCache.use(image, placement.job.spec.imageGb()).forEach(this::imageRemoved);
+        placement.machine.imageCache.use(image, placement.job.spec.imageGb()).forEach(this::decrementImageCount);
         if (placement.isRunning()) {
             // An earlier leader started this task when the image was cached; the image may have been evicted since.
             placement.machine.imageCache.markUncertain(image);
         }
         queueOf(placement.job).addUsage(placement.demand(), 1);
         teamUsage(placement.job).addUsage(placement.demand(), 1);
-        version++;
+        changeCount++;
     }
 
     /** Removes the placement of a task that is known not to be on its machine any more. */
@@ -146,14 +146,14 @@
         teamUsage(placement.job).addUsage(placement.demand(), -1);
         String image = placement.job.spec.image();
         if (placement.machine.imageCache.isFetching(image)
-                && !placement.machine.hasTaskWith(image)
+                && !placement.machine.hasTaskWithImage(image)
                 && placement.machine.imageCache.abandonFetch(image)) {
-            imageRemoved(image);
+            decrementImageCount(image);
         }
         if (placement.machine.isIdle()) {
-            placement.machine.becameIdle(now);
+            placement.machine.markIdle(now);
         }
-        version++;
+        changeCount++;
     }
 
     void removeAllPlacements(Machine machine, Moment now) {
@@ -167,22 +167,22 @@
     void removeMachine(Machine machine, Moment now) {
         removeAllPlacements(machine, now);
         machines.remove(machine.id);
-        machine.imageCache.images().forEach(this::imageRemoved);
-        version++;
+        machine.imageCache.images().forEach(this::decrementImageCount);
+        changeCount++;
     }
 
     /** Allows inherited tasks to start, once every task that earlier leaders started is known. */
     void releaseInheritedTasks() {
         jobs.values().forEach(Job::releaseInheritedTasks);
-        version++;
+        changeCount++;
     }
 
-    private void imageRemoved(String image) {
-        machinesByImage.computeIfPresent(image, (key, count) -> count > 1 ? count - 1 : null);
+    private void decrementImageCount(String image) {
+        machineCountByImage.computeIfPresent(image, (key, count) -> count > 1 ? count - 1 : null);
     }
 
     boolean isImageCached(String image) {
-        return machinesByImage.containsKey(image);
+        return machineCountByImage.containsKey(image);
     }
 
     /** All machines. An iteration over them counts towards {@link #machineVisits}. */
--- a/src/main/java/io/indigoreach/core/scheduling/CommandBatch.java
+++ b/src/main/java/io/indigoreach/core/scheduling/CommandBatch.java
@@ -14,12 +14,12 @@
     }
 
     /** Adds a start command for a task that was placed on the machine. */
-    void start(Placement placement) {
+    void addStart(Placement placement) {
         commands.add(new WorkerCommand.Start(placement.task(), placement.attempt));
     }
 
     /** Adds a stop command that gives the task no time to save its progress. */
-    void stop(Placement placement) {
+    void addStop(Placement placement) {
         placement.stopRequested();
         commands.add(new WorkerCommand.Stop(placement.task(), placement.attempt, Span.ZERO));
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
@@ -47,7 +47,7 @@
         List<Machine> machines = new ArrayList<>();
         for (Machine machine : cluster.machinesServing(queue)) {
             // Until the tasks that were stopped have left it.
-            machine.endDrainingIfStopped();
+            machine.endDrainingIfNoneStopping();
             machine.uncordon();
             if (machine.isUsable()
                     && machine.reconciled
@@ -61,7 +61,7 @@
         }
         machines.sort(Comparator.comparing((Machine machine) -> machine.surplus ? 1 : 0)
                 .thenComparing(machine -> machine.pool.spot() ? 0 : 1)
-                .thenComparing(machine -> -machine.used().shareOf(machine.type.capacity())));
+                .thenComparing(machine -> -machine.usedResources().shareOf(machine.type.capacity())));
         chooseMachinesToDrain(queue, machines, now);
         for (Machine machine : machines) {
             if (machine.isIdle() || machine.draining) {
@@ -75,7 +75,7 @@
     private static List<Demand> room(List<Machine> machines) {
         return machines.stream()
                 .filter(machine -> roomOn(machine) > 0)
-                .map(Machine::free)
+                .map(Machine::freeResources)
                 .toList();
     }
 
@@ -93,7 +93,7 @@
         for (int i = machines.size() - 1; i > 0 && left > 0; i--) {
             Machine machine = machines.get(i);
             // Its tasks take room elsewhere, and its own is no room any more.
-            double cost = machine.used().cores() + roomOn(machine);
+            double cost = machine.usedResources().cores() + roomOn(machine);
             if (machine.isIdle()
                     || machine.draining
                     || free.containsKey(machine)
@@ -102,7 +102,7 @@
                     || !reserveTargets(machine, machines.subList(0, i), free)) {
                 continue;
             }
-            machine.startDraining();
+            machine.beginDraining();
             unclaimedCores -= cost;
             left--;
         }
@@ -111,7 +111,7 @@
     private static double roomOn(Machine machine) {
         return machine.isIdle() || machine.draining || machine.surplus
                 ? 0
-                : machine.free().cores();
+                : machine.freeResources().cores();
     }
 
     /** Not what has hardly run, so that none is moved again and again, nor where a place depends on the job's other tasks. */
@@ -144,7 +144,7 @@
             Machine target = null;
             for (Machine candidate : fuller) {
                 if (isTarget(candidate, placement.job)
-                        && placement.demand().fitsIn(after.getOrDefault(candidate, candidate.free()))) {
+                        && placement.demand().fitsIn(after.getOrDefault(candidate, candidate.freeResources()))) {
                     target = candidate;
                     break;
                 }
@@ -152,7 +152,7 @@
             if (target == null) {
                 return false;
             }
-            after.put(target, after.getOrDefault(target, target.free()).minus(placement.demand()));
+            after.put(target, after.getOrDefault(target, target.freeResources()).minus(placement.demand()));
         }
         free.putAll(after);
         return true;
@@ -163,7 +163,7 @@
         return keepsTasks
                 && machine.imageCache.contains(job.spec.image())
                 && machine.allows(job.spec)
-                && !FaultAttribution.isExcluded(job, machine);
+                && !FaultTracker.isExcluded(job, machine);
     }
 
     /** Stops for a machine that is to be emptied; what is stopped waits for a machine that has its image. */
--- a/src/main/java/io/indigoreach/core/scheduling/CordonRules.java
+++ b/src/main/java/io/indigoreach/core/scheduling/CordonRules.java
@@ -90,7 +90,7 @@
         return job.hasWaiting()
                 && !job.isSuspectedFaulty()
                 && machine.allows(job.spec)
-                && job.spec.demand().fitsIn(machine.freeFor(job.spec))
+                && job.spec.demand().fitsIn(machine.freeResourcesFor(job.spec))
                 && !job.failedMachines.contains(machine.id)
                 && rules.isPlaceable(job, machine);
     }
--- a/src/main/java/io/indigoreach/core/scheduling/DispatchRules.java
+++ b/src/main/java/io/indigoreach/core/scheduling/DispatchRules.java
@@ -14,7 +14,7 @@
             Cluster cluster,
             ServiceLevelObjectives objectives,
             Estimates estimates,
-            Failover failover,
+            FailoverTracker failover,
             Span minimumPaidTime) {
         QueueOrder order = new QueueOrder(cluster, objectives, estimates, minimumPaidTime);
         PlacementRules placement = new PlacementRules(cluster, objectives, failover);
--- a/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
@@ -33,7 +33,7 @@
             Cluster cluster,
             ServiceLevelObjectives objectives,
             Estimates estimates,
-            Failover failover,
+            FailoverTracker failover,
             FencingToken token,
             Span minimumPaidTime) {
         this.cluster = cluster;
@@ -68,7 +68,7 @@
             int commandsBefore = batch.commands().size();
             startFromQueue(queue, batch);
             if (batch.commands().size() > commandsBefore) {
-                machine.serve(queue);
+                machine.assignTo(queue);
             }
             // Not after the first queue: one that is below its guarantee and has nothing to start kept the machine's
             // own
@@ -93,7 +93,7 @@
     }
 
     private static boolean isFull(Machine machine) {
-        return machine.free().cores() <= NO_CORES;
+        return machine.freeResources().cores() <= NO_CORES;
     }
 
     /** The machine's own queue; an idle machine may pass to the queue that is furthest below its guarantee. */
@@ -135,7 +135,7 @@
         for (Job job : rules.reservations().agedJobs(queue)) {
             if (job.hasStartable()
                     && rules.placement().mayStart(job, batch.now())
-                    && batch.machine().free().cores() > NO_CORES) {
+                    && batch.machine().freeResources().cores() > NO_CORES) {
                 startBeforeAll(queue, job, batch);
             }
         }
@@ -180,7 +180,7 @@
                     boolean wasIdle = machine.isIdle();
                     start(queue, job, reservationOf(ownQueue, top == job ? null : top, now), batch);
                     if (wasIdle && !machine.isIdle()) {
-                        machine.serve(queue);
+                        machine.assignTo(queue);
                     }
                 }
             }
@@ -222,11 +222,11 @@
                 && (reservation.isEmpty() || reservation.get().allows(machine, demand, runTime, estimates, now))) {
             if (!job.isWithinStartBound()) {
                 // Further down the queue than the start bounds were raised: it may start here at the next heartbeat.
-                job.requestStartBoundFor(demand.timesIn(machine.free()));
+                job.requestStartBoundFor(demand.timesIn(machine.freeResources()));
                 return;
             }
-            if (!demand.fitsIn(machine.free())) {
-                batch.stop(machine.holder());
+            if (!demand.fitsIn(machine.freeResources())) {
+                batch.addStop(machine.holder());
             }
             starter.start(job, batch);
             if (filler) {
@@ -239,7 +239,7 @@
 
     private boolean hasRoomFor(Job job, Machine machine) {
         return job.hasStartable()
-                && job.spec.demand().fitsIn(machine.freeFor(job.spec))
+                && job.spec.demand().fitsIn(machine.freeResourcesFor(job.spec))
                 && rules.placement().isPlaceable(job, machine);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/EarlyHeartbeats.java
+++ b/src/main/java/io/indigoreach/core/scheduling/EarlyHeartbeats.java
@@ -9,20 +9,21 @@
 
 /** The newest heartbeat of each machine, known or unknown, that was answered before the records were loaded. */
 final class EarlyHeartbeats {
-    private record Answered(HeartbeatNumber number, Moment at) {
-        Answered newer(Answered other) {
+    private record AnsweredHeartbeat(HeartbeatNumber number, Moment answeredAt) {
+        AnsweredHeartbeat newest(AnsweredHeartbeat other) {
             return other.number.compareTo(number) > 0 ? other : this;
         }
     }
 
-    private final Map<MachineId, Answered> newest = new HashMap<>();
+    private final Map<MachineId, AnsweredHeartbeat> newestByMachine = new HashMap<>();
 
     /**
      * Records an answered heartbeat. The answer renews the machine's lease; a copy of an older heartbeat renews
      * nothing.
      */
-    void answered(Heartbeat heartbeat, Moment now) {
-        newest.merge(heartbeat.machine(), new Answered(heartbeat.number(), now), Answered::newer);
+    void recordAnswered(Heartbeat heartbeat, Moment now) {
+        newestByMachine.merge(
+                heartbeat.machine(), new AnsweredHeartbeat(heartbeat.number(), now), AnsweredHeartbeat::newest);
     }
 
     /**
@@ -30,15 +31,15 @@
      * records are loaded. Otherwise a lease would count as expired although an answer renewed it, or a late copy of the
      * heartbeat would be taken for a new one.
      */
-    void handOver(Cluster cluster, MachineAdoption adoption) {
-        newest.forEach((id, answered) -> {
+    void applyTo(Cluster cluster, MachineAdoptionPolicy adoption) {
+        newestByMachine.forEach((id, answered) -> {
             Machine machine = cluster.machines.get(id);
             if (machine != null) {
-                machine.answeredBeforeLoading(answered.number, answered.at);
+                machine.applyAnswerBeforeLoading(answered.number, answered.answeredAt);
             } else {
-                adoption.answered(id, answered.number);
+                adoption.recordAnswered(id, answered.number);
             }
         });
-        newest.clear();
+        newestByMachine.clear();
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Failover.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FailoverTracker.java
@@ -10,12 +10,12 @@
  * that it could command, and all of these are recorded in the state service. No inherited task may start until each of
  * them has sent a heartbeat with the new token, no longer exists, or cannot hold a valid lease any more.
  */
-final class Failover {
+final class FailoverTracker {
     /** Maps each unreconciled machine to the moment since which no earlier leader has answered its heartbeats. */
-    private final Map<MachineId, Moment> unreconciled = new HashMap<>();
+    private final Map<MachineId, Moment> unansweredSince = new HashMap<>();
 
-    void expect(MachineId machine, Moment since) {
-        unreconciled.put(machine, since);
+    void addUnreconciled(MachineId machine, Moment since) {
+        unansweredSince.put(machine, since);
     }
 
     /**
@@ -23,24 +23,24 @@
      * answer of this leader would have given the machine the new token, and an answer to an earlier heartbeat can no
      * longer arrive, because a worker has one heartbeat in flight. So no answer of this leader has renewed the lease,
      * and the lease that an earlier leader renewed has expired if that leader's last answer is older than
-     * {@code leaseEnds}. Without this check a failover would wait for as long as a machine sends heartbeats but
+     * {@code expiredBefore}. Without this check a failover would wait for as long as a machine sends heartbeats but
      * receives no answers, because each answered heartbeat postpones the moment when its lease counts as expired.
      */
-    boolean isInheritedLeaseExpired(MachineId machine, Moment leaseEnds) {
-        Moment since = unreconciled.get(machine);
-        return since != null && since.isBefore(leaseEnds);
+    boolean isInheritedLeaseExpired(MachineId machine, Moment expiredBefore) {
+        Moment since = unansweredSince.get(machine);
+        return since != null && since.isBefore(expiredBefore);
     }
 
     /** Marks a machine as reconciled: it has no unknown tasks any more. */
-    void reconciled(MachineId machine) {
-        unreconciled.remove(machine);
+    void markReconciled(MachineId machine) {
+        unansweredSince.remove(machine);
     }
 
     int unreconciledCount() {
-        return unreconciled.size();
+        return unansweredSince.size();
     }
 
     boolean isComplete() {
-        return unreconciled.isEmpty();
+        return unansweredSince.isEmpty();
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/FailureDetector.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FailureDetector.java
@@ -17,24 +17,24 @@
      */
     private static final double ZONE_FAILURE_FRACTION = 0.25;
 
-    private static final double NEARLY_NONE = 0.1;
-    private static final double NEARLY_ALL = 0.9;
+    private static final double LOW_OVERDUE_FRACTION = 0.1;
+    private static final double FULL_PARTITION_FRACTION = 0.9;
 
     /** Counts of a zone's machines by condition. */
-    private static final class ZoneCount {
+    private static final class ZoneCounts {
         private int mayHoldTasks;
         private int overdue;
         private int lost;
-        private int unreached;
+        private int notReceivingAnswers;
 
-        private void add(boolean isLost, boolean isOverdue, boolean isUnreached) {
+        private void add(boolean isLost, boolean isOverdue, boolean isNotReceivingAnswers) {
             if (isLost) {
                 lost++;
                 return;
             }
             mayHoldTasks++;
             overdue += isOverdue ? 1 : 0;
-            unreached += isUnreached && !isOverdue ? 1 : 0;
+            notReceivingAnswers += isNotReceivingAnswers && !isOverdue ? 1 : 0;
         }
     }
 
@@ -45,7 +45,7 @@
     /** Fraction of each zone's machines that are silent, including those whose leases have expired. */
     private final Map<String, Double> silentFraction = new HashMap<>();
     /** Fraction of each zone's machines that are silent or whose heartbeats show that answers do not reach them. */
-    private final Map<String, Double> unreachedFraction = new HashMap<>();
+    private final Map<String, Double> partitionedFraction = new HashMap<>();
 
     FailureDetector(Cluster cluster, SafetyTimes safetyTimes) {
         this.cluster = cluster;
@@ -56,34 +56,35 @@
      * Recounts all zones. A single silent machine is never attributed to the network, however few machines its zone
      * has.
      */
-    void recount(Moment now) {
-        Map<String, ZoneCount> counts = new HashMap<>();
+    void countZones(Moment now) {
+        Map<String, ZoneCounts> counts = new HashMap<>();
         for (Machine machine : cluster.machines.values()) {
             boolean lost = machine.phase == Machine.Phase.LOST;
-            boolean unreached = machine.partition.isSuspected() && machine.phase != Machine.Phase.RETURNING;
-            if (mayHoldTasks(machine) || lost || unreached) {
-                boolean overdue = now.since(machine.lastHeardAt).compareTo(safetyTimes.heartbeatOverdue()) > 0;
-                counts.computeIfAbsent(machine.pool.zone(), zone -> new ZoneCount())
-                        .add(lost, overdue, unreached);
+            boolean notReceivingAnswers =
+                    machine.partitionDetector.isSuspected() && machine.phase != Machine.Phase.RETURNING;
+            if (mayHoldTasks(machine) || lost || notReceivingAnswers) {
+                boolean overdue = now.since(machine.lastAnsweredAt).compareTo(safetyTimes.heartbeatOverdue()) > 0;
+                counts.computeIfAbsent(machine.pool.zone(), zone -> new ZoneCounts())
+                        .add(lost, overdue, notReceivingAnswers);
             }
         }
         overdueFraction.clear();
         silentFraction.clear();
-        unreachedFraction.clear();
+        partitionedFraction.clear();
         counts.forEach((zone, count) -> {
-            int all = count.mayHoldTasks + count.lost;
+            int total = count.mayHoldTasks + count.lost;
             int silent = count.overdue + count.lost;
             overdueFraction.put(zone, fraction(count.overdue, count.mayHoldTasks));
-            silentFraction.put(zone, fraction(silent, all));
-            unreachedFraction.put(zone, fraction(silent + count.unreached, all));
+            silentFraction.put(zone, fraction(silent, total));
+            partitionedFraction.put(zone, fraction(silent + count.notReceivingAnswers, total));
         });
     }
 
-    private static double fraction(int late, int all) {
-        if (all == 0) {
+    private static double fraction(int count, int total) {
+        if (total == 0) {
             return 0;
         }
-        return late == 1 ? Math.min(ZONE_FAILURE_FRACTION, 1.0 / all) : (double) late / all;
+        return count == 1 ? Math.min(ZONE_FAILURE_FRACTION, 1.0 / total) : (double) count / total;
     }
 
     /** Whether the machine is up, or was recorded by an earlier leader and has not sent this leader a heartbeat yet. */
@@ -103,15 +104,15 @@
         }
         double overdue = overdueFraction.getOrDefault(machine.pool.zone(), 0.0);
         return overdue <= ZONE_FAILURE_FRACTION
-                && now.since(machine.lastHeardAt).compareTo(patience(machine, overdue)) > 0
-                && now.since(cluster.awakeSince).compareTo(safetyTimes.suspicionTimeout()) > 0;
+                && now.since(machine.lastAnsweredAt).compareTo(silenceTimeout(machine, overdue)) > 0
+                && now.since(cluster.eventLoopRunningSince).compareTo(safetyTimes.suspicionTimeout()) > 0;
     }
 
-    private Span patience(Machine machine, double overdueInZone) {
+    private Span silenceTimeout(Machine machine, double overdueInZone) {
         if (machine.reconciled) {
             return safetyTimes.suspicionTimeout();
         }
-        return overdueInZone > NEARLY_NONE
+        return overdueInZone > LOW_OVERDUE_FRACTION
                 ? safetyTimes.suspicionTimeout().plus(safetyTimes.responseTimeout())
                 : Span.longer(safetyTimes.suspicionTimeout(), safetyTimes.leaderDiscovery());
     }
@@ -126,13 +127,13 @@
      * fault.
      */
     boolean isZonePartitioned(String zone) {
-        return unreachedFraction.getOrDefault(zone, 0.0) > ZONE_FAILURE_FRACTION;
+        return partitionedFraction.getOrDefault(zone, 0.0) > ZONE_FAILURE_FRACTION;
     }
 
     /**
      * Whether hardly any of the zone's machines can be reached, so that newly rented ones could not be reached either.
      */
-    boolean isZoneCutOff(String zone) {
-        return unreachedFraction.getOrDefault(zone, 0.0) >= NEARLY_ALL;
+    boolean isZoneFullyPartitioned(String zone) {
+        return partitionedFraction.getOrDefault(zone, 0.0) >= FULL_PARTITION_FRACTION;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/GuaranteeEnforcement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/GuaranteeEnforcement.java
@@ -46,13 +46,13 @@
         return machine.isUsable()
                 && queue.isBelowGuarantee(top.spec.demand())
                 && machine.allows(top.spec)
-                && FaultAttribution.allows(top, machine, now)
+                && FaultTracker.isAllowed(top, machine, now)
                 && rules.placement().isPlaceable(top, machine);
     }
 
     /** Stops borrowed work until the top job fits; returns whether it does. */
     private boolean makeRoom(FairShareQueue queue, Job top, Machine machine, List<WorkerCommand> commands) {
-        Demand room = machine.free();
+        Demand room = machine.freeResources();
         for (Placement placement : machine.placementsCopy()) {
             FairShareQueue borrower = cluster.queueOf(placement.job);
             if (!top.spec.demand().fitsIn(room)
--- a/src/main/java/io/indigoreach/core/scheduling/HeartbeatHandler.java
+++ b/src/main/java/io/indigoreach/core/scheduling/HeartbeatHandler.java
@@ -15,14 +15,14 @@
  */
 final class HeartbeatHandler {
     /** An answer sent later than this fraction of the worker's response timeout may not reach the worker in time. */
-    private static final double TIMELY_FRACTION = 0.5;
+    private static final double MAX_ANSWER_DELAY_FRACTION = 0.5;
 
     private final FencingToken token;
     private final SafetyTimes safetyTimes;
     private final Cluster cluster;
     private final MachineRegistry registry;
-    private final Failover failover;
-    private final InheritedTaskRelease release;
+    private final FailoverTracker failover;
+    private final InheritedTaskReleaser inheritedTaskReleaser;
     private final EarlyHeartbeats earlyHeartbeats = new EarlyHeartbeats();
     private final Reconciler reconciler;
     private final Dispatcher dispatcher;
@@ -34,8 +34,8 @@
             SafetyTimes safetyTimes,
             Cluster cluster,
             MachineRegistry registry,
-            Failover failover,
-            InheritedTaskRelease release,
+            FailoverTracker failover,
+            InheritedTaskReleaser inheritedTaskReleaser,
             Reconciler reconciler,
             Dispatcher dispatcher,
             Consolidation consolidation,
@@ -45,7 +45,7 @@
         this.cluster = cluster;
         this.registry = registry;
         this.failover = failover;
-        this.release = release;
+        this.inheritedTaskReleaser = inheritedTaskReleaser;
         this.reconciler = reconciler;
         this.dispatcher = dispatcher;
         this.consolidation = consolidation;
@@ -53,28 +53,28 @@
     }
 
     /** Called once the records are loaded; applies the heartbeats that were answered before. */
-    void recordsLoaded() {
-        earlyHeartbeats.handOver(cluster, registry.adoption());
+    void onRecordsLoaded() {
+        earlyHeartbeats.applyTo(cluster, registry.adoption());
     }
 
     HeartbeatResult handle(Heartbeat heartbeat, Moment now) {
         if (heartbeat.token().value() > token.value()) {
             return new HeartbeatResult.Superseded();
         }
-        if (!release.areRecordsLoaded()) {
-            earlyHeartbeats.answered(heartbeat, now);
+        if (!inheritedTaskReleaser.areRecordsLoaded()) {
+            earlyHeartbeats.recordAnswered(heartbeat, now);
             return new HeartbeatResult.Commands(List.of());
         }
         // Every answer renews the machine's lease, so every answer stops the tasks of ended jobs, whether or not the
         // machine is
         // known: this leader may end before it can answer the next heartbeat.
         List<WorkerCommand> commands = reconciler.stopEndedJobs(heartbeat);
-        sender(heartbeat, now).ifPresent(machine -> process(machine, heartbeat, commands, now));
+        findSender(heartbeat, now).ifPresent(machine -> process(machine, heartbeat, commands, now));
         return new HeartbeatResult.Commands(commands);
     }
 
     /** The machine that sent the heartbeat, or empty if the heartbeat must be ignored. */
-    private Optional<Machine> sender(Heartbeat heartbeat, Moment now) {
+    private Optional<Machine> findSender(Heartbeat heartbeat, Moment now) {
         if (registry.isReturnedOrInProgress(heartbeat.machine())) {
             return Optional.empty();
         }
@@ -96,33 +96,33 @@
     /** Updates the machine from its heartbeat and adds the resulting commands. */
     private void process(Machine machine, Heartbeat heartbeat, List<WorkerCommand> commands, Moment now) {
         HeartbeatNumber previous = machine.lastHeartbeat;
-        machine.heartbeatReceived(heartbeat.number());
+        machine.setLastHeartbeat(heartbeat.number());
         if (!machine.isReturnedAsUnreachable()) {
             machine.renewLease(now);
             observePartition(machine, heartbeat, previous, now);
         }
         if (heartbeat.token().value() < token.value()) {
-            answerOlderToken(machine, commands, now);
+            handleOlderToken(machine, commands, now);
             return;
         }
-        noticeNewIncarnation(machine, previous, now);
-        noticeUp(machine, now);
-        machine.preemptionAnnounced(
-                heartbeat.preemptionNotice() == null ? null : now.plus(heartbeat.preemptionNotice()));
+        handleNewIncarnation(machine, previous, now);
+        markUp(machine, now);
+        machine.setPreemptionAt(heartbeat.preemptionNotice() == null ? null : now.plus(heartbeat.preemptionNotice()));
         reconcile(machine, heartbeat, commands, now);
-        addNewWork(machine, heartbeat.number(), commands, now);
+        addNewCommands(machine, heartbeat.number(), commands, now);
         if (!machine.needsRecord() && !machine.isReturnedAsUnreachable()) {
-            machine.partition.answerSent(commands, now);
+            machine.partitionDetector.recordAnswer(commands, now);
         }
     }
 
     private void observePartition(Machine machine, Heartbeat heartbeat, HeartbeatNumber previous, Moment now) {
-        boolean wasConfirmed = machine.partition.isConfirmed();
-        machine.partition.observe(heartbeat, previous, token, cluster.awakeSince, safetyTimes, now);
-        if (machine.partition.isConfirmed() != wasConfirmed) {
+        boolean wasConfirmed = machine.partitionDetector.isConfirmed();
+        machine.partitionDetector.recordHeartbeat(
+                heartbeat, previous, token, cluster.eventLoopRunningSince, safetyTimes, now);
+        if (machine.partitionDetector.isConfirmed() != wasConfirmed) {
             listener.log((wasConfirmed ? "machine answers delivered again" : "machine answers lost") + " machine="
                     + machine.id);
-            cluster.changed();
+            cluster.recordChange();
         }
     }
 
@@ -131,36 +131,36 @@
      * heartbeat, its task list may be incomplete. So no task may be started or removed because of this list, but a task
      * in it may be stopped.
      */
-    private void answerOlderToken(Machine machine, List<WorkerCommand> commands, Moment now) {
+    private void handleOlderToken(Machine machine, List<WorkerCommand> commands, Moment now) {
         if (failover.isInheritedLeaseExpired(machine.id, now.minus(safetyTimes.leaseBound()))) {
-            release.machineReconciled(machine.id);
+            inheritedTaskReleaser.markReconciled(machine.id);
         }
-        machine.partition.answerSent(commands, now);
+        machine.partitionDetector.recordAnswer(commands, now);
     }
 
-    private void noticeNewIncarnation(Machine machine, HeartbeatNumber previous, Moment now) {
+    private void handleNewIncarnation(Machine machine, HeartbeatNumber previous, Moment now) {
         if (previous.incarnation() != 0 && machine.lastHeartbeat.incarnation() > previous.incarnation()) {
             cluster.removeAllPlacements(machine, now);
             machine.imageCache.incarnationEnded();
         }
     }
 
-    private void noticeUp(Machine machine, Moment now) {
+    private void markUp(Machine machine, Moment now) {
         if (machine.phase == Machine.Phase.BOOTING || machine.phase == Machine.Phase.LOST) {
-            machine.becameUp(now);
-            cluster.changed();
+            machine.markUp(now);
+            cluster.recordChange();
         }
     }
 
     private void reconcile(Machine machine, Heartbeat heartbeat, List<WorkerCommand> commands, Moment now) {
         machine.markReconciled();
         commands.addAll(reconciler.reconcile(machine, heartbeat, now));
-        release.machineReconciled(machine.id);
-        release.releaseLateJobs();
+        inheritedTaskReleaser.markReconciled(machine.id);
+        inheritedTaskReleaser.releaseLateJobs();
     }
 
-    private void addNewWork(Machine machine, HeartbeatNumber number, List<WorkerCommand> commands, Moment now) {
-        if (machine.phase == Machine.Phase.UP && !machine.partition.isConfirmed()) {
+    private void addNewCommands(Machine machine, HeartbeatNumber number, List<WorkerCommand> commands, Moment now) {
+        if (machine.phase == Machine.Phase.UP && !machine.partitionDetector.isConfirmed()) {
             commands.addAll(dispatcher.startTasks(machine, number, now));
             commands.addAll(dispatcher.preempt(machine, now));
             commands.addAll(consolidation.drainCommands(machine, now));
@@ -176,10 +176,10 @@
             return List.of();
         }
         List<WorkerCommand> commands = dispatcher.startTasks(machine, number, now);
-        if (now.since(machine.lastHeardAt)
-                        .compareTo(safetyTimes.responseTimeout().times(TIMELY_FRACTION))
+        if (now.since(machine.lastAnsweredAt)
+                        .compareTo(safetyTimes.responseTimeout().times(MAX_ANSWER_DELAY_FRACTION))
                 < 0) {
-            machine.partition.answerSent(commands, now);
+            machine.partitionDetector.recordAnswer(commands, now);
         }
         return commands;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/HolderPlacement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/HolderPlacement.java
@@ -24,7 +24,7 @@
         Placement running = machine.holder();
         if (running != null && cluster.warmCapacity.isKnown() && isMisplaced(running, due)) {
             // Started anew, it shows that its image is here, or fetches it, and the image counts as used last.
-            batch.stop(running);
+            batch.addStop(running);
         } else if (due != null && isNeeded(due, machine) && mayStartOn(due, machine, batch.now())) {
             if (due.isWithinStartBound()) {
                 starter.start(due, batch);
@@ -42,15 +42,17 @@
     }
 
     private static boolean isNeeded(Job holder, Machine machine) {
-        return !holder.isCancelled() && !machine.hasTaskWith(machine.poolMembership.image()) && holder.hasStartable();
+        return !holder.isCancelled()
+                && !machine.hasTaskWithImage(machine.poolMembership.image())
+                && holder.hasStartable();
     }
 
     private boolean mayStartOn(Job holder, Machine machine, Moment now) {
         return rules.mayStart(holder, now)
                 && !holder.isSuspectedFaulty()
-                && FaultAttribution.allows(holder, machine, now)
+                && FaultTracker.isAllowed(holder, machine, now)
                 && machine.allows(holder.spec)
-                && holder.spec.demand().fitsIn(machine.free())
+                && holder.spec.demand().fitsIn(machine.freeResources())
                 && rules.isPlaceable(holder, machine);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/InheritedTaskRelease.java
+++ b/src/main/java/io/indigoreach/core/scheduling/InheritedTaskReleaser.java
@@ -6,14 +6,14 @@
  * Releases the waiting tasks of inherited jobs once every task that an earlier leader may have started is known: the
  * records are loaded and every machine of the failover is reconciled.
  */
-final class InheritedTaskRelease {
+final class InheritedTaskReleaser {
     private final Cluster cluster;
-    private final Failover failover;
+    private final FailoverTracker failover;
     private boolean recordsLoaded;
     /** Whether inherited jobs that were added after the records were loaded still wait to be released. */
-    private boolean lateJobsHeld;
+    private boolean hasUnreleasedLateJobs;
 
-    InheritedTaskRelease(Cluster cluster, Failover failover) {
+    InheritedTaskReleaser(Cluster cluster, FailoverTracker failover) {
         this.cluster = cluster;
         this.failover = failover;
     }
@@ -35,9 +35,9 @@
     }
 
     /** Marks a machine as reconciled; after the last one, all inherited tasks are released. */
-    void machineReconciled(MachineId id) {
+    void markReconciled(MachineId id) {
         if (!failover.isComplete()) {
-            failover.reconciled(id);
+            failover.markReconciled(id);
             if (recordsLoaded) {
                 releaseIfFailoverComplete();
             }
@@ -49,15 +49,15 @@
      * loaded waits until no heartbeat shows a task of an unknown job: by then its tasks on machines have ended or are
      * counted as its own.
      */
-    void jobAdded(Job job) {
-        lateJobsHeld |= recordsLoaded && job.isInherited();
+    void onJobAdded(Job job) {
+        hasUnreleasedLateJobs |= recordsLoaded && job.isInherited();
         releaseLateJobs();
     }
 
     /** Releases the jobs that were added late, once none of their tasks can be on a machine undetected. */
     void releaseLateJobs() {
-        if (lateJobsHeld && failover.isComplete() && !cluster.hasOrphanTasks()) {
-            lateJobsHeld = false;
+        if (hasUnreleasedLateJobs && failover.isComplete() && !cluster.hasOrphanTasks()) {
+            hasUnreleasedLateJobs = false;
             cluster.releaseInheritedTasks();
         }
     }
--- a/src/main/java/io/indigoreach/core/scheduling/JobSizing.java
+++ b/src/main/java/io/indigoreach/core/scheduling/JobSizing.java
@@ -28,7 +28,7 @@
         JobSpec spec = job.spec;
         MachineType best = null;
         double bestPrice = Double.MAX_VALUE;
-        for (MachineType type : cluster.types.values()) {
+        for (MachineType type : cluster.machineTypes.values()) {
             int tasksPerMachine = spec.demand().timesIn(type.capacity());
             if (tasksPerMachine == 0
                     || !spec.allowsType(type.name())
--- a/src/main/java/io/indigoreach/core/scheduling/LeaseExpiry.java
+++ b/src/main/java/io/indigoreach/core/scheduling/LeaseMonitor.java
@@ -4,40 +4,44 @@
 import io.indigoreach.core.model.Span;
 
 /** Expires the leases of silent machines, and detects whether this node is cut off from all of them. */
-final class LeaseExpiry {
+final class LeaseMonitor {
     private static final int MIN_SILENT_MACHINES = 3;
 
     private final SafetyTimes safetyTimes;
     private final Cluster cluster;
-    private final InheritedTaskRelease release;
+    private final InheritedTaskReleaser inheritedTaskReleaser;
     private final SchedulerListener listener;
 
-    LeaseExpiry(SafetyTimes safetyTimes, Cluster cluster, InheritedTaskRelease release, SchedulerListener listener) {
+    LeaseMonitor(
+            SafetyTimes safetyTimes,
+            Cluster cluster,
+            InheritedTaskReleaser inheritedTaskReleaser,
+            SchedulerListener listener) {
         this.safetyTimes = safetyTimes;
         this.cluster = cluster;
-        this.release = release;
+        this.inheritedTaskReleaser = inheritedTaskReleaser;
         this.listener = listener;
     }
 
     /** Removes the placements of machines whose lease has expired, so that their tasks can start elsewhere. */
     void expireLeases(Moment now) {
         for (Machine machine : cluster.machines.values()) {
-            if (now.since(machine.lastHeardAt).compareTo(safetyTimes.leaseBound()) > 0) {
+            if (now.since(machine.lastAnsweredAt).compareTo(safetyTimes.leaseBound()) > 0) {
                 expireLease(machine, now);
             }
         }
     }
 
     private void expireLease(Machine machine, Moment now) {
-        release.machineReconciled(machine.id);
+        inheritedTaskReleaser.markReconciled(machine.id);
         machine.expireLease();
         if (machine.phase == Machine.Phase.UP || (machine.phase == Machine.Phase.RETURNING && !machine.isIdle())) {
             listener.log("machine lost its lease machine=" + machine.id + " tasks=" + machine.taskCount());
             cluster.removeAllPlacements(machine, now);
         }
         if (FailureDetector.mayHoldTasks(machine)) {
-            machine.lose();
-            cluster.changed();
+            machine.markLost();
+            cluster.recordChange();
         }
     }
 
@@ -48,22 +52,22 @@
      * inherited from an earlier leader need time to find this one: a leader that stepped down 4.7 s after a failover,
      * while all 447 workers were still connected to a paused node, cost 557 tasks.
      */
-    boolean isCutOffFromWorkers(Moment now) {
+    boolean isPartitionedFromWorkers(Moment now) {
         Moment suspectedSince = now.minus(safetyTimes.suspicionTimeout());
-        if (cluster.awakeSince.isAfter(suspectedSince)) {
+        if (cluster.eventLoopRunningSince.isAfter(suspectedSince)) {
             return false;
         }
         Moment undiscoveredSince =
                 now.minus(Span.longer(safetyTimes.suspicionTimeout(), safetyTimes.leaderDiscovery()));
-        int silent = 0;
+        int silentMachines = 0;
         for (Machine machine : cluster.machines.values()) {
             if (machine.recorded && machine.phase != Machine.Phase.RETURNING) {
-                if (machine.lastHeardAt.isAfter(machine.reconciled ? suspectedSince : undiscoveredSince)) {
+                if (machine.lastAnsweredAt.isAfter(machine.reconciled ? suspectedSince : undiscoveredSince)) {
                     return false;
                 }
-                silent++;
+                silentMachines++;
             }
         }
-        return silent >= MIN_SILENT_MACHINES;
+        return silentMachines >= MIN_SILENT_MACHINES;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Machine.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Machine.java
@@ -41,7 +41,7 @@
 
     HeartbeatNumber lastHeartbeat = HeartbeatNumber.NONE;
     /** When its last answered heartbeat arrived; its lease ends at most the lease bound later. */
-    Moment lastHeardAt;
+    Moment lastAnsweredAt;
     /**
      * Whether its lease has expired since: its tasks have ended, and if it is alive it continues with a new
      * incarnation.
@@ -60,7 +60,7 @@
 
     final Set<JobId> failedJobs = new HashSet<>();
     boolean quarantined;
-    final AsymmetricPartition partition = new AsymmetricPartition();
+    final AsymmetricPartitionDetector partitionDetector = new AsymmetricPartitionDetector();
     /** Whether it exceeds the demand at its price; it gets no new tasks for now. */
     boolean surplus;
     /**
@@ -85,7 +85,7 @@
         this.pool = pool;
         this.type = type;
         this.rentedAt = knownToExistAt;
-        this.lastHeardAt = knownToExistAt;
+        this.lastAnsweredAt = knownToExistAt;
         this.idleSince = knownToExistAt;
         this.knownToExistAt = knownToExistAt;
         this.imageCache = new ImageCache(type.cacheGb());
@@ -119,24 +119,24 @@
         return placements.count();
     }
 
-    private void transition(Phase to, Phase... allowedFrom) {
+    private void transition(Phase newPhase, Phase... allowedFrom) {
         for (Phase from : allowedFrom) {
             if (phase == from) {
-                phase = to;
+                phase = newPhase;
                 return;
             }
         }
-        throw new IllegalStateException("machine " + id + " cannot become " + to + " while it is " + phase);
+        throw new IllegalStateException("machine " + id + " cannot become " + newPhase + " while it is " + phase);
     }
 
     /** Handles its first heartbeat, or the first one after its lease expired. */
-    void becameUp(Moment now) {
+    void markUp(Moment now) {
         transition(Phase.UP, Phase.BOOTING, Phase.LOST);
         idleSince = now;
     }
 
     /** Marks it as lost, as its lease expired without a heartbeat. */
-    void lose() {
+    void markLost() {
         transition(Phase.LOST, Phase.BOOTING, Phase.UP);
     }
 
@@ -147,15 +147,15 @@
     }
 
     /** Marks it as recorded by an earlier leader. No earlier leader has led since {@code now}. */
-    void inheritedFromRecord(Moment existed, Moment now) {
+    void markInherited(Moment existedAt, Moment now) {
         recorded = true;
-        lastHeardAt = now;
-        knownToExistAt = existed;
+        lastAnsweredAt = now;
+        knownToExistAt = existedAt;
     }
 
     /** Applies a heartbeat that was answered, which renewed the lease, before the records were loaded. */
-    void answeredBeforeLoading(HeartbeatNumber number, Moment answeredAt) {
-        lastHeardAt = answeredAt;
+    void applyAnswerBeforeLoading(HeartbeatNumber number, Moment answeredAt) {
+        lastAnsweredAt = answeredAt;
         lastHeartbeat = number;
     }
 
@@ -164,13 +164,13 @@
         recorded = true;
     }
 
-    void heartbeatReceived(HeartbeatNumber number) {
+    void setLastHeartbeat(HeartbeatNumber number) {
         lastHeartbeat = number;
     }
 
     /** Renews its lease, as one of its heartbeats is answered now. */
     void renewLease(Moment now) {
-        lastHeardAt = now;
+        lastAnsweredAt = now;
         leaseExpired = false;
     }
 
@@ -180,8 +180,8 @@
     }
 
     /** Handles its adoption from the cloud's listing: its lease may have been renewed up to now. */
-    void adoptedAt(Moment now) {
-        lastHeardAt = now;
+    void markAdopted(Moment now) {
+        lastAnsweredAt = now;
     }
 
     /** Marks its task list as reconciled with a heartbeat that carries the current fencing token. */
@@ -190,40 +190,40 @@
     }
 
     /** Sets when the cloud will preempt it, according to its last heartbeat; null if no preemption is announced. */
-    void preemptionAnnounced(Moment at) {
+    void setPreemptionAt(Moment at) {
         preemptionAt = at;
     }
 
     /** Copies what is known about the same machine under a wrong pool. */
-    void copyHistoryOf(Machine other) {
-        lastHeardAt = other.lastHeardAt;
+    void copyHistoryFrom(Machine other) {
+        lastAnsweredAt = other.lastAnsweredAt;
         knownToExistAt = other.knownToExistAt;
     }
 
     /** Handles the cloud's confirmation of the rental that was requested at {@code requestedAt}. */
-    void rentalConfirmed(Moment requestedAt) {
+    void confirmRental(Moment requestedAt) {
         rentedAt = requestedAt;
     }
 
-    void existsAt(Moment moment) {
+    void setKnownToExistAt(Moment moment) {
         knownToExistAt = moment;
     }
 
     /** Handles a listing that contains it. */
-    void listed() {
+    void resetMissedListings() {
         missedListings = 0;
     }
 
     /** Handles a listing that should contain it but does not. */
-    void missingFromListing() {
+    void countMissedListing() {
         missedListings++;
     }
 
-    void becameIdle(Moment now) {
+    void markIdle(Moment now) {
         idleSince = now;
     }
 
-    void countOrphanTasks(int count) {
+    void setOrphanTasks(int count) {
         orphanTasks = count;
     }
 
@@ -233,12 +233,12 @@
     }
 
     /** Assigns it to a queue. */
-    void serve(FairShareQueue queue) {
+    void assignTo(FairShareQueue queue) {
         queueName = queue.name;
     }
 
     /** Sets whether it exceeds the demand at its price. */
-    void markSurplus(boolean isSurplus) {
+    void setSurplus(boolean isSurplus) {
         surplus = isSurplus;
     }
 
@@ -252,16 +252,16 @@
     }
 
     /** Starts moving its tasks to other machines. */
-    void startDraining() {
+    void beginDraining() {
         draining = true;
     }
 
     /** Ends draining once no task is being stopped any more. */
-    void endDrainingIfStopped() {
+    void endDrainingIfNoneStopping() {
         draining &= placements.isAnyStopping();
     }
 
-    Demand free() {
+    Demand freeResources() {
         return type.capacity().minus(placements.used());
     }
 
@@ -270,12 +270,14 @@
      * stops the holder and then starts the task, so that the worker never runs both. A holder that still waits for the
      * image stays, because the fetch would be abandoned without it, and no replica can run before the fetch is done.
      */
-    Demand freeFor(JobSpec spec) {
+    Demand freeResourcesFor(JobSpec spec) {
         Placement holder = poolMembership == null || !poolMembership.image().equals(spec.image()) ? null : holder();
-        return holder == null || !holder.isRunning() ? free() : free().plus(holder.demand());
+        return holder == null || !holder.isRunning()
+                ? freeResources()
+                : freeResources().plus(holder.demand());
     }
 
-    Demand used() {
+    Demand usedResources() {
         return placements.used();
     }
 
@@ -328,7 +330,7 @@
         return (phase == Phase.BOOTING || phase == Phase.UP)
                 && preemptionAt == null
                 && !quarantined
-                && !partition.isConfirmed();
+                && !partitionDetector.isConfirmed();
     }
 
     /** Whether a holder, a task that only keeps an image cached, is placed on it. */
@@ -352,13 +354,13 @@
         return holder == null ? null : holder.job;
     }
 
-    boolean hasTaskWith(String image) {
+    boolean hasTaskWithImage(String image) {
         return placements.hasTaskWith(image);
     }
 
     /** Whether it is up, and not about to be preempted, quarantined or partitioned. */
     boolean isHealthy() {
-        return phase == Phase.UP && preemptionAt == null && !quarantined && !partition.isConfirmed();
+        return phase == Phase.UP && preemptionAt == null && !quarantined && !partitionDetector.isConfirmed();
     }
 
     /** Whether it must be recorded before it can get tasks: it is up, but a later leader would not know it. */
@@ -376,7 +378,7 @@
      * end with it.
      */
     boolean isReturnedAsUnreachable() {
-        return phase == Phase.RETURNING && partition.isConfirmed();
+        return phase == Phase.RETURNING && partitionDetector.isConfirmed();
     }
 
     /** Whether it is booting, and was requested less than {@code bootTimes} of its type's boot times ago. */
@@ -386,7 +388,8 @@
 
     /** Whether the job may use it, considering its type, zone, price kind and warm pool membership. */
     boolean allows(JobSpec spec) {
-        return matchesPool(spec) && (poolMembership == null || poolMembership.admits(spec, imageCache, free()));
+        return matchesPool(spec)
+                && (poolMembership == null || poolMembership.admits(spec, imageCache, freeResources()));
     }
 
     /** Whether the job may use its type, zone and price kind. */
--- a/src/main/java/io/indigoreach/core/scheduling/MachineAdoption.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachineAdoptionPolicy.java
@@ -17,7 +17,7 @@
  * leader's answer to the earlier one. A running machine that never proves itself in this way is adopted from the
  * cloud's listing.
  */
-final class MachineAdoption {
+final class MachineAdoptionPolicy {
     private static final int MAX_ANSWERED = 1000;
 
     private final SafetyTimes safetyTimes;
@@ -41,7 +41,7 @@
      */
     private MachineId completeUpTo;
 
-    MachineAdoption(SafetyTimes safetyTimes) {
+    MachineAdoptionPolicy(SafetyTimes safetyTimes) {
         this.safetyTimes = safetyTimes;
     }
 
@@ -49,7 +49,7 @@
      * Records a heartbeat that was answered before the records were loaded. Otherwise a late copy of it and a late copy
      * of the next one would be taken for the machine's first heartbeat and the proof that follows it.
      */
-    void answered(MachineId id, HeartbeatNumber number) {
+    void recordAnswered(MachineId id, HeartbeatNumber number) {
         answeredHeartbeats.put(id, number);
     }
 
@@ -63,8 +63,8 @@
             answeredHeartbeats.putIfAbsent(id, heartbeat.number());
             return false;
         }
-        HeartbeatNumber first = answeredHeartbeats.get(id);
-        boolean proven = first != null && heartbeat.number().compareTo(first) > 0;
+        HeartbeatNumber answered = answeredHeartbeats.get(id);
+        boolean proven = answered != null && heartbeat.number().compareTo(answered) > 0;
         if (proven) {
             answeredHeartbeats.remove(id);
         }
@@ -76,7 +76,7 @@
      * that was created before a machine of an earlier listing, and is missing from a listing of a later moment, no
      * longer exists.
      */
-    void listed(Collection<MachineId> listing, Moment requestedAt, Moment now) {
+    void onListing(Collection<MachineId> listing, Moment requestedAt, Moment now) {
         if (newestListed != null && !newestListedAt.isAfter(requestedAt.minus(safetyTimes.oldestListing()))) {
             completeUpTo = newestListed;
             newestListed = null;
--- a/src/main/java/io/indigoreach/core/scheduling/MachineRegistry.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachineRegistry.java
@@ -18,16 +18,16 @@
 
 /** Keeps track of the existing machines as they are inherited, rented, adopted, listed, returned or found missing. */
 final class MachineRegistry {
-    private static final int RETURNED_MACHINES_KEPT = 1000;
+    private static final int MIN_RETURNED_MACHINES_KEPT = 1000;
     private static final int RETURNED_KEPT_PER_MACHINE = 8;
     /** By the cloud's specification one listing would suffice; a second one costs little. */
-    private static final int LISTINGS_TO_PRESUME_GONE = 2;
+    private static final int MISSED_LISTINGS_TO_REMOVE = 2;
 
     private final SafetyTimes safetyTimes;
     private final Cluster cluster;
-    private final Failover failover;
-    private final InheritedTaskRelease release;
-    private final MachineAdoption adoption;
+    private final FailoverTracker failover;
+    private final InheritedTaskReleaser inheritedTaskReleaser;
+    private final MachineAdoptionPolicy adoption;
     private final SchedulerListener listener;
     /**
      * Machines that were returned. They appear in listings and late heartbeats for a while, and must not be adopted
@@ -36,7 +36,7 @@
     private final Map<MachineId, Boolean> returnedMachines = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<MachineId, Boolean> eldest) {
-            return size() > Math.max(RETURNED_MACHINES_KEPT, RETURNED_KEPT_PER_MACHINE * cluster.machines.size());
+            return size() > Math.max(MIN_RETURNED_MACHINES_KEPT, RETURNED_KEPT_PER_MACHINE * cluster.machines.size());
         }
     };
     /** Machines whose return an earlier leader recorded. The request may still be executed, so they are not used. */
@@ -45,18 +45,18 @@
     MachineRegistry(
             SafetyTimes safetyTimes,
             Cluster cluster,
-            Failover failover,
-            InheritedTaskRelease release,
+            FailoverTracker failover,
+            InheritedTaskReleaser inheritedTaskReleaser,
             SchedulerListener listener) {
         this.safetyTimes = safetyTimes;
         this.cluster = cluster;
         this.failover = failover;
-        this.release = release;
-        this.adoption = new MachineAdoption(safetyTimes);
+        this.inheritedTaskReleaser = inheritedTaskReleaser;
+        this.adoption = new MachineAdoptionPolicy(safetyTimes);
         this.listener = listener;
     }
 
-    MachineAdoption adoption() {
+    MachineAdoptionPolicy adoption() {
         return adoption;
     }
 
@@ -69,14 +69,14 @@
      * {@code now}.
      */
     void inherit(MachineId id, MachinePool pool, Moment rentedAt, Moment existedAt, Moment now) {
-        MachineType type = cluster.types.get(pool.type());
+        MachineType type = cluster.machineTypes.get(pool.type());
         if (type == null) {
             return;
         }
         Machine machine = new Machine(id, pool, type, rentedAt);
-        machine.inheritedFromRecord(existedAt, now);
+        machine.markInherited(existedAt, now);
         cluster.machines.put(id, machine);
-        failover.expect(id, now);
+        failover.addUnreconciled(id, now);
     }
 
     /**
@@ -91,7 +91,7 @@
     }
 
     private Optional<Machine> adopt(Heartbeat heartbeat, Moment now) {
-        MachineType type = cluster.types.get(heartbeat.pool().type());
+        MachineType type = cluster.machineTypes.get(heartbeat.pool().type());
         if (type == null) {
             return Optional.empty();
         }
@@ -107,38 +107,38 @@
      * could get tasks that must not run there.
      */
     Machine correctPool(Machine machine, MachinePool reportedPool, Moment now) {
-        if (machine.pool.equals(reportedPool) || !cluster.types.containsKey(reportedPool.type())) {
+        if (machine.pool.equals(reportedPool) || !cluster.machineTypes.containsKey(reportedPool.type())) {
             return machine;
         }
         listener.log("machine pool corrected machine=" + machine.id + " pool=" + reportedPool + " was=" + machine.pool);
         Machine corrected =
-                new Machine(machine.id, reportedPool, cluster.types.get(reportedPool.type()), machine.rentedAt);
-        corrected.copyHistoryOf(machine);
+                new Machine(machine.id, reportedPool, cluster.machineTypes.get(reportedPool.type()), machine.rentedAt);
+        corrected.copyHistoryFrom(machine);
         cluster.removeMachine(machine, now);
         cluster.machines.put(corrected.id, corrected);
         return corrected;
     }
 
     /** Adds machines that the cloud has just rented to this leader. */
-    void rented(MachinePool pool, List<MachineId> ids, Moment requestedAt, Moment now) {
+    void onRented(MachinePool pool, List<MachineId> ids, Moment requestedAt, Moment now) {
         for (MachineId id : ids) {
             if (!isReturnedOrInProgress(id)) {
-                rented(pool, id, requestedAt, now);
+                onRented(pool, id, requestedAt, now);
             }
         }
-        cluster.changed();
+        cluster.recordChange();
     }
 
-    private void rented(MachinePool pool, MachineId id, Moment requestedAt, Moment now) {
+    private void onRented(MachinePool pool, MachineId id, Moment requestedAt, Moment now) {
         Machine known = cluster.machines.get(id);
         if (known != null) {
-            known.rentalConfirmed(requestedAt);
+            known.confirmRental(requestedAt);
             return;
         }
-        MachineType type = cluster.types.get(pool.type());
+        MachineType type = cluster.machineTypes.get(pool.type());
         if (type != null) {
             Machine machine = new Machine(id, pool, type, requestedAt);
-            machine.existsAt(now);
+            machine.setKnownToExistAt(now);
             cluster.machines.put(id, machine);
         }
     }
@@ -150,16 +150,16 @@
      * from it, no longer exists.
      */
     void onListing(List<ListedMachine> listing, Moment requestedAt, Moment now) {
-        Set<MachineId> present = new HashSet<>();
+        Set<MachineId> listedIds = new HashSet<>();
         for (ListedMachine listed : listing) {
             if (!isReturnedOrInProgress(listed.id())) {
-                present.add(listed.id());
+                listedIds.add(listed.id());
                 onListed(listed, now);
             }
         }
-        adoption.listed(present, requestedAt, now);
+        adoption.onListing(listedIds, requestedAt, now);
         for (Machine machine : new ArrayList<>(cluster.machines.values())) {
-            if (!present.contains(machine.id)) {
+            if (!listedIds.contains(machine.id)) {
                 onMissing(machine, requestedAt, now);
             }
         }
@@ -173,19 +173,19 @@
             }
             return;
         }
-        if (machine == null && cluster.types.containsKey(listed.pool().type())) {
+        if (machine == null && cluster.machineTypes.containsKey(listed.pool().type())) {
             machine = adopt(listed, now);
         }
         if (machine != null) {
-            machine.listed();
+            machine.resetMissedListings();
         }
     }
 
     private Machine adopt(ListedMachine listed, Moment now) {
         listener.log("machine adopted by listing machine=" + listed.id());
-        MachineType type = cluster.types.get(listed.pool().type());
+        MachineType type = cluster.machineTypes.get(listed.pool().type());
         Machine machine = new Machine(listed.id(), listed.pool(), type, now.minus(listed.sinceRequested()));
-        machine.adoptedAt(now);
+        machine.markAdopted(now);
         cluster.machines.put(machine.id, machine);
         return machine;
     }
@@ -193,7 +193,7 @@
     private void onFailed(Machine known, ListedMachine listed, Moment now) {
         Machine machine = known;
         if (machine == null) {
-            MachineType type = cluster.types.get(listed.pool().type());
+            MachineType type = cluster.machineTypes.get(listed.pool().type());
             if (type == null) {
                 return;
             }
@@ -202,18 +202,18 @@
         }
         listener.log("machine stopped machine=" + machine.id + " tasks=" + machine.taskCount());
         cluster.removeAllPlacements(machine, now);
-        release.machineReconciled(machine.id);
+        inheritedTaskReleaser.markReconciled(machine.id);
         machine.beginReturn(now);
     }
 
     private void onMissing(Machine machine, Moment requestedAt, Moment now) {
         if (machine.knownToExistAt.isBefore(requestedAt.minus(safetyTimes.oldestListing()))) {
-            machine.missingFromListing();
+            machine.countMissedListing();
         }
-        if (machine.missedListings >= LISTINGS_TO_PRESUME_GONE) {
+        if (machine.missedListings >= MISSED_LISTINGS_TO_REMOVE) {
             listener.log("machine lost its listing machine=" + machine.id + " tasks=" + machine.taskCount());
             cluster.removeMachine(machine, now);
-            release.machineReconciled(machine.id);
+            inheritedTaskReleaser.markReconciled(machine.id);
             returnedMachines.put(machine.id, true);
         }
     }
@@ -246,13 +246,13 @@
     }
 
     /** Removes machines whose return the cloud has confirmed. */
-    void returned(List<MachineId> ids, Moment now) {
+    void onReturned(List<MachineId> ids, Moment now) {
         for (MachineId id : ids) {
             Machine machine = cluster.machines.get(id);
             if (machine != null) {
                 cluster.removeMachine(machine, now);
             }
-            release.machineReconciled(id);
+            inheritedTaskReleaser.markReconciled(id);
             returnsInProgress.remove(id);
             returnedMachines.put(id, true);
         }
--- a/src/main/java/io/indigoreach/core/scheduling/PlaceShortages.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PlaceShortages.java
@@ -83,7 +83,7 @@
             if (!machine.isUsable() || !machine.allows(top.spec) || rules.awaitsImageLocality(top, machine, now)) {
                 continue;
             }
-            Demand room = machine.freeFor(top.spec);
+            Demand room = machine.freeResourcesFor(top.spec);
             for (Placement placement : machine.placements().values()) {
                 if (endsWithin(soon, placement, now)) {
                     room = room.plus(placement.demand());
--- a/src/main/java/io/indigoreach/core/scheduling/PlacementRules.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PlacementRules.java
@@ -6,9 +6,9 @@
 final class PlacementRules {
     private final Cluster cluster;
     private final ServiceLevelObjectives objectives;
-    private final Failover failover;
+    private final FailoverTracker failover;
 
-    PlacementRules(Cluster cluster, ServiceLevelObjectives objectives, Failover failover) {
+    PlacementRules(Cluster cluster, ServiceLevelObjectives objectives, FailoverTracker failover) {
         this.cluster = cluster;
         this.objectives = objectives;
         this.failover = failover;
@@ -47,7 +47,7 @@
     /** Whether the machine is suitable for the job: by its pool, its failures and its image, not by its free capacity. */
     boolean isSuitable(Job job, Machine machine, Moment now) {
         return machine.allows(job.spec)
-                && FaultAttribution.allows(job, machine, now)
+                && FaultTracker.isAllowed(job, machine, now)
                 && !awaitsImageLocality(job, machine, now);
     }
 
@@ -77,6 +77,6 @@
                 && job.hasWaiting()
                 && !job.hasStartable()
                 && machine.allows(job.spec)
-                && job.spec.demand().fitsIn(machine.freeFor(job.spec));
+                && job.spec.demand().fitsIn(machine.freeResourcesFor(job.spec));
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Preemption.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Preemption.java
@@ -58,7 +58,7 @@
     private boolean mayPreemptOn(Machine machine, Job top, Moment now) {
         return mayPreempt(top, machine.type)
                 && machine.allows(top.spec)
-                && FaultAttribution.allows(top, machine, now)
+                && FaultTracker.isAllowed(top, machine, now)
                 && rules.placement().isPlaceable(top, machine)
                 && !rules.placement().awaitsImageLocality(top, machine, now);
     }
@@ -77,7 +77,7 @@
         int missing = shortages.missingPlaces(queue, top, now);
         victims.sort(Comparator.comparing((Placement placement) -> placement.job.urgency())
                 .reversed());
-        Demand room = machine.free();
+        Demand room = machine.freeResources();
         for (Placement placement : victims) {
             int placesBefore = top.spec.demand().timesIn(room);
             room = room.plus(placement.demand());
--- a/src/main/java/io/indigoreach/core/scheduling/QueueOrder.java
+++ b/src/main/java/io/indigoreach/core/scheduling/QueueOrder.java
@@ -46,7 +46,7 @@
 
     /** A task that takes a whole machine starts only when everything else on one has ended. */
     private Span clearingTime(Job job) {
-        boolean wholeMachine = cluster.types.values().stream()
+        boolean wholeMachine = cluster.machineTypes.values().stream()
                 .allMatch(type -> job.spec.demand().timesIn(type.capacity()) <= 1);
         return wholeMachine ? minimumPaidTime : Span.ZERO;
     }
@@ -63,7 +63,7 @@
                 places += entry.getValue()
                         * job.spec
                                 .demand()
-                                .timesIn(cluster.types.get(pool.type()).capacity());
+                                .timesIn(cluster.machineTypes.get(pool.type()).capacity());
             }
         }
         return places == 0 ? 1 : (job.waitingCount() + places - 1) / places;
--- a/src/main/java/io/indigoreach/core/scheduling/Reconciler.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Reconciler.java
@@ -31,7 +31,7 @@
     /**
      * State of the reconciliation of one heartbeat. {@code confirmed} contains the placements that the heartbeat shows.
      */
-    private record Pass(
+    private record Reconciliation(
             Machine machine, Heartbeat heartbeat, Moment now, List<WorkerCommand> commands, Set<Placement> confirmed) {}
 
     /**
@@ -42,7 +42,7 @@
         List<WorkerCommand> commands = new ArrayList<>();
         for (TaskStatus status : heartbeat.tasks()) {
             if (status.state() != TaskState.EXITED && openJobOf(status) == null) {
-                commands.add(stop(status, Span.ZERO));
+                commands.add(stopCommand(status, Span.ZERO));
             }
         }
         return commands;
@@ -61,30 +61,30 @@
      * Applies the heartbeat's task list. Returns the commands to send in addition to those of {@link #stopEndedJobs}.
      */
     List<WorkerCommand> reconcile(Machine machine, Heartbeat heartbeat, Moment now) {
-        Pass pass = new Pass(machine, heartbeat, now, new ArrayList<>(), new HashSet<>());
+        Reconciliation reconciliation = new Reconciliation(machine, heartbeat, now, new ArrayList<>(), new HashSet<>());
         int orphanTasks = 0;
         for (TaskStatus status : heartbeat.tasks()) {
             Job job = openJobOf(status);
             if (job == null) {
-                orphanTasks += reconcileEndedJob(pass, status) ? 1 : 0;
+                orphanTasks += reconcileEndedJob(reconciliation, status) ? 1 : 0;
             } else if (status.state() == TaskState.EXITED) {
-                reconcileExited(pass, job, status);
+                reconcileExited(reconciliation, job, status);
             } else {
-                reconcileAlive(pass, job, status);
+                reconcileAlive(reconciliation, job, status);
             }
         }
         cluster.setOrphanTasks(machine, orphanTasks);
-        removeMissing(pass);
-        return pass.commands;
+        removeMissing(reconciliation);
+        return reconciliation.commands;
     }
 
     /**
      * Removes placements missing from the heartbeat: refused, lost with an answer, or killed with their incarnation.
      */
-    private void removeMissing(Pass pass) {
-        for (Placement placement : pass.machine.placementsCopy()) {
-            if (!pass.confirmed.contains(placement)) {
-                cluster.removePlacement(placement, pass.now);
+    private void removeMissing(Reconciliation reconciliation) {
+        for (Placement placement : reconciliation.machine.placementsCopy()) {
+            if (!reconciliation.confirmed.contains(placement)) {
+                cluster.removePlacement(placement, reconciliation.now);
             }
         }
     }
@@ -95,141 +95,144 @@
      *
      * @return whether the task is an orphan: alive without a placement
      */
-    private boolean reconcileEndedJob(Pass pass, TaskStatus status) {
+    private boolean reconcileEndedJob(Reconciliation reconciliation, TaskStatus status) {
         boolean alive = status.state() != TaskState.EXITED;
-        Placement placement = pass.machine.placements().get(status.task());
+        Placement placement = reconciliation.machine.placements().get(status.task());
         boolean placed = placement != null && placement.attempt.equals(status.attempt());
         if (placed && alive) {
-            pass.confirmed.add(placement);
+            reconciliation.confirmed.add(placement);
         }
         if (!alive) {
-            pass.commands.add(reap(status));
+            reconciliation.commands.add(reapCommand(status));
         }
         return alive && !placed;
     }
 
-    private static WorkerCommand stop(TaskStatus status, Span grace) {
+    private static WorkerCommand stopCommand(TaskStatus status, Span grace) {
         return new WorkerCommand.Stop(status.task(), status.attempt(), grace);
     }
 
-    private static WorkerCommand reap(TaskStatus status) {
+    private static WorkerCommand reapCommand(TaskStatus status) {
         return new WorkerCommand.Reap(status.task(), status.attempt());
     }
 
-    private void reconcileExited(Pass pass, Job job, TaskStatus status) {
+    private void reconcileExited(Reconciliation reconciliation, Job job, TaskStatus status) {
         Placement current = job.placements(status.task().index());
         Optional<Placement> placement = Optional.ofNullable(current)
-                .filter(candidate -> candidate.machine == pass.machine && candidate.attempt.equals(status.attempt()));
+                .filter(candidate ->
+                        candidate.machine == reconciliation.machine && candidate.attempt.equals(status.attempt()));
         switch (status.cause()) {
             case DONE -> {
-                pass.machine.imageCache.confirmCached(job.spec.image());
+                reconciliation.machine.imageCache.confirmCached(job.spec.image());
                 if (!job.spec.isService()) {
-                    completed(pass, job, status, placement);
+                    recordCompletion(reconciliation, job, status, placement);
                     return;
                 }
                 // Replicas run until their job is cancelled, so a replica that exited is started again after a delay.
-                placement.ifPresent(ended -> retryLater(pass, job, ended));
+                placement.ifPresent(endedPlacement -> retryLater(reconciliation, job, endedPlacement));
             }
             case ERROR -> {
-                pass.machine.imageCache.confirmCached(job.spec.image());
-                placement.ifPresent(failed -> failed(pass, failed));
+                reconciliation.machine.imageCache.confirmCached(job.spec.image());
+                placement.ifPresent(failedPlacement -> recordFailure(reconciliation, failedPlacement));
             }
             case FULL, IN_USE, UNKNOWN ->
-                placement.ifPresent(refused -> {
-                    listener.startRefused(refused, status.cause());
-                    retryLater(pass, job, refused);
+                placement.ifPresent(refusedPlacement -> {
+                    listener.onStartRefused(refusedPlacement, status.cause());
+                    retryLater(reconciliation, job, refusedPlacement);
                 });
-            default -> placement.ifPresent(ended -> cluster.removePlacement(ended, pass.now));
+            default ->
+                placement.ifPresent(endedPlacement -> cluster.removePlacement(endedPlacement, reconciliation.now));
         }
-        pass.commands.add(reap(status));
+        reconciliation.commands.add(reapCommand(status));
     }
 
     /** Records the completion of a task. The worker may reap the task only once its completion is durable. */
-    private void completed(Pass pass, Job job, TaskStatus status, Optional<Placement> placement) {
+    private void recordCompletion(
+            Reconciliation reconciliation, Job job, TaskStatus status, Optional<Placement> placement) {
         int index = status.task().index();
-        placement.ifPresent(ended -> {
-            if (ended.state == TaskState.RUNNING) {
-                estimates.observe(job, pass.now.since(ended.stateSince));
+        placement.ifPresent(endedPlacement -> {
+            if (endedPlacement.state == TaskState.RUNNING) {
+                estimates.observe(job, reconciliation.now.since(endedPlacement.stateSince));
             }
-            FaultAttribution.completed(ended);
-            cluster.removePlacement(ended, pass.now);
+            FaultTracker.recordCompletion(endedPlacement);
+            cluster.removePlacement(endedPlacement, reconciliation.now);
         });
         if (job.complete(index)) {
-            listener.taskCompleted(job);
+            listener.onTaskCompleted(job);
         }
         if (job.isDurable(index)) {
-            pass.commands.add(reap(status));
+            reconciliation.commands.add(reapCommand(status));
         }
     }
 
-    private void failed(Pass pass, Placement placement) {
-        FaultAttribution.failed(placement, pass.now);
-        listener.taskFailed(placement);
-        cluster.removePlacement(placement, pass.now);
+    private void recordFailure(Reconciliation reconciliation, Placement placement) {
+        FaultTracker.recordFailure(placement, reconciliation.now);
+        listener.onTaskFailed(placement);
+        cluster.removePlacement(placement, reconciliation.now);
     }
 
-    private void retryLater(Pass pass, Job job, Placement placement) {
-        job.retryNotBefore(pass.now.plus(RETRY_DELAY));
-        cluster.removePlacement(placement, pass.now);
+    private void retryLater(Reconciliation reconciliation, Job job, Placement placement) {
+        job.retryNotBefore(reconciliation.now.plus(RETRY_DELAY));
+        cluster.removePlacement(placement, reconciliation.now);
     }
 
-    private void reconcileAlive(Pass pass, Job job, TaskStatus status) {
+    private void reconcileAlive(Reconciliation reconciliation, Job job, TaskStatus status) {
         Placement known = job.placements(status.task().index());
-        if (known != null && known.machine != pass.machine) {
+        if (known != null && known.machine != reconciliation.machine) {
             // The task may be running on two machines: stop it on the second one.
-            listener.duplicateTask(status.task(), pass.machine, known.machine);
-            pass.commands.add(stop(status, Span.ZERO));
+            listener.onDuplicateTask(status.task(), reconciliation.machine, known.machine);
+            reconciliation.commands.add(stopCommand(status, Span.ZERO));
             return;
         }
         boolean sameAttempt = known != null && known.attempt.equals(status.attempt());
-        Placement placement = sameAttempt ? known : adopt(pass, job, status, known);
-        pass.confirmed.add(placement);
+        Placement placement = sameAttempt ? known : adopt(reconciliation, job, status, known);
+        reconciliation.confirmed.add(placement);
         // A newer heartbeat that still shows the task running means that the stop was lost with its answer.
         placement.stopLostIfRunning(status.state());
         if (placement.state != status.state()) {
-            stateChanged(pass, job, placement, status.state());
+            updateState(reconciliation, job, placement, status.state());
         }
-        stopIfUnwanted(pass, job, placement, status);
+        stopIfUnwanted(reconciliation, job, placement, status);
     }
 
     /** Adds a placement for a task started by an earlier leader, or kept by a machine that was presumed lost. */
-    private Placement adopt(Pass pass, Job job, TaskStatus status, Placement replaced) {
+    private Placement adopt(Reconciliation reconciliation, Job job, TaskStatus status, Placement replaced) {
         if (replaced != null) {
-            cluster.removePlacement(replaced, pass.now);
+            cluster.removePlacement(replaced, reconciliation.now);
         }
         Placement placement = new Placement(
                 job,
                 status.task().index(),
-                pass.machine,
+                reconciliation.machine,
                 status.attempt(),
                 status.state(),
                 HeartbeatNumber.NONE,
-                pass.now);
+                reconciliation.now);
         cluster.addPlacement(placement);
         return placement;
     }
 
-    private void stateChanged(Pass pass, Job job, Placement placement, TaskState state) {
-        placement.stateReported(state, pass.now);
+    private void updateState(Reconciliation reconciliation, Job job, Placement placement, TaskState state) {
+        placement.stateReported(state, reconciliation.now);
         if (state == TaskState.RUNNING) {
             job.markRun();
-            pass.machine.imageCache.confirmCached(job.spec.image());
+            reconciliation.machine.imageCache.confirmCached(job.spec.image());
         }
-        cluster.changed();
+        cluster.recordChange();
     }
 
-    private static void stopIfUnwanted(Pass pass, Job job, Placement placement, TaskStatus status) {
-        Machine machine = pass.machine;
+    private static void stopIfUnwanted(Reconciliation reconciliation, Job job, Placement placement, TaskStatus status) {
+        Machine machine = reconciliation.machine;
         if (job.cancelled || job.isDone(status.task().index())) {
-            pass.commands.add(stop(status, Span.ZERO));
+            reconciliation.commands.add(stopCommand(status, Span.ZERO));
         } else if (machine.quarantined) {
-            pass.commands.add(stop(status, job.spec.checkpointTime()));
-        } else if (isToBeSavedBeforePreemption(machine, placement)) {
-            pass.commands.add(stop(status, machine.preemptionAt.since(pass.now)));
+            reconciliation.commands.add(stopCommand(status, job.spec.checkpointTime()));
+        } else if (mustSaveBeforePreemption(machine, placement)) {
+            reconciliation.commands.add(stopCommand(status, machine.preemptionAt.since(reconciliation.now)));
         }
     }
 
-    private static boolean isToBeSavedBeforePreemption(Machine machine, Placement placement) {
+    private static boolean mustSaveBeforePreemption(Machine machine, Placement placement) {
         return machine.preemptionAt != null
                 && placement.job.spec.savesProgress()
                 && placement.state == TaskState.RUNNING;
--- a/src/main/java/io/indigoreach/core/scheduling/RememberedStateView.java
+++ b/src/main/java/io/indigoreach/core/scheduling/RememberedStateBuilder.java
@@ -4,8 +4,8 @@
 import io.indigoreach.core.model.JobStatus;
 
 /** Converts a leader's state of jobs and machines to the form from which lost records are rebuilt. */
-final class RememberedStateView {
-    private RememberedStateView() {}
+final class RememberedStateBuilder {
+    private RememberedStateBuilder() {}
 
     static RememberedState of(Cluster cluster) {
         RememberedState rememberedState = new RememberedState();
--- a/src/main/java/io/indigoreach/core/scheduling/Reservation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Reservation.java
@@ -49,9 +49,7 @@
         List<Place> places = new ArrayList<>();
         for (Machine machine : machines) {
             boolean booting = machine.phase == Machine.Phase.BOOTING;
-            if ((booting || machine.isUsable())
-                    && machine.allows(top.spec)
-                    && !FaultAttribution.isExcluded(top, machine)) {
+            if ((booting || machine.isUsable()) && machine.allows(top.spec) && !FaultTracker.isExcluded(top, machine)) {
                 addPlaces(top, machine, estimates, now, places);
             }
         }
@@ -87,7 +85,7 @@
             Moment up = machine.rentedAt.plus(machine.type.boot());
             start = up.isAfter(now) ? up : now;
         }
-        Demand room = machine.freeFor(top.spec);
+        Demand room = machine.freeResourcesFor(top.spec);
         int reserved = addPlace(top, machine, room, start, 0, places);
         List<Placement> running = machine.placementsCopy();
         running.removeIf(placement -> placement.job.spec.isService());
--- a/src/main/java/io/indigoreach/core/scheduling/SafetyTimes.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SafetyTimes.java
@@ -11,7 +11,7 @@
  * @param listingLag usual lag of the cloud's listing of machines; the lag can reach twice this value
  */
 public record SafetyTimes(Span workerLease, Span heartbeatPeriod, Span cancellationTime, Span listingLag) {
-    private static final Span MARGIN = Span.seconds(0.3);
+    private static final Span LEASE_MARGIN = Span.seconds(0.3);
     /** The longest interval between two heartbeats, as a multiple of their period. */
     private static final double LONGEST_INTERVAL_FACTOR = 1.25;
     /** Allowance of the suspicion timeout beyond the longest interval, as a multiple of the heartbeat period. */
@@ -22,7 +22,7 @@
      * margin.
      */
     public Span leaseBound() {
-        return workerLease.withDrift().plus(MARGIN);
+        return workerLease.withDrift().plus(LEASE_MARGIN);
     }
 
     /**
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
@@ -43,13 +43,13 @@
             lost += machine.phase == Machine.Phase.LOST ? 1 : 0;
         }
         boolean mostAreLost = lost > up;
-        failureDetector.recount(now);
+        failureDetector.countZones(now);
         for (Machine machine : cluster.machines.values()) {
             String reason =
                     machine.phase == Machine.Phase.RETURNING ? null : reason(machine, now, settled, mostAreLost);
             if (reason != null) {
                 machine.beginReturn(now);
-                cluster.changed();
+                cluster.recordChange();
                 planned.add(new PlannedReturn(machine.id, reason));
             }
         }
@@ -59,7 +59,7 @@
     /** Why the machine is to be returned now; null if it is not. */
     private String reason(Machine machine, Moment now, boolean settled, boolean mostAreLost) {
         if (isUnreachable(machine, now)) {
-            return "no-heartbeat-answers missed=" + machine.partition.missed();
+            return "no-heartbeat-answers missed=" + machine.partitionDetector.missedAnswers();
         }
         return switch (machine.phase) {
             case BOOTING -> reasonWhileBooting(machine, now);
@@ -70,15 +70,17 @@
 
     /** Answers do not reach it, by its own fault or for longer than waiting for the network is worth. */
     private boolean isUnreachable(Machine machine, Moment now) {
-        return machine.partition.isConfirmed()
+        return machine.partitionDetector.isConfirmed()
                 && (!failureDetector.isZonePartitioned(machine.pool.zone())
-                        || now.since(machine.partition.missedSince()).compareTo(partitionPatience(machine)) > 0);
+                        || now.since(machine.partitionDetector.firstMissedSentAt())
+                                        .compareTo(partitionPatience(machine))
+                                > 0);
     }
 
     private String reasonWhileBooting(Machine machine, Moment now) {
         Span bootTimeout = machine.type.boot().times(settings.bootTimeout());
         if (now.since(machine.rentedAt).compareTo(bootTimeout) > 0
-                && now.since(machine.lastHeardAt).compareTo(safetyTimes.leaseBound()) > 0) {
+                && now.since(machine.lastAnsweredAt).compareTo(safetyTimes.leaseBound()) > 0) {
             return "never-up";
         }
         return failureDetector.isMachineFailure(machine, now) ? "silent-since-failover" : null;
@@ -86,7 +88,7 @@
 
     /** When most are silent the fault is likely between them and this leader: then they are kept. */
     private String reasonWhileLost(Machine machine, Moment now, boolean mostAreLost) {
-        return !mostAreLost && now.since(machine.lastHeardAt).compareTo(patience(machine)) > 0
+        return !mostAreLost && now.since(machine.lastAnsweredAt).compareTo(patience(machine)) > 0
                 ? "silent-since-lease-expiry"
                 : null;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
@@ -28,11 +28,11 @@
 public final class SchedulerCore {
     private final Cluster cluster;
     private final Estimates estimates = new Estimates();
-    private final Failover failover;
-    private final InheritedTaskRelease inheritedTaskRelease;
+    private final FailoverTracker failover;
+    private final InheritedTaskReleaser inheritedTaskReleaser;
     private final MachineRegistry registry;
     private final HeartbeatHandler heartbeatHandler;
-    private final LeaseExpiry leaseExpiry;
+    private final LeaseMonitor leaseMonitor;
     private final DependentJobs dependentJobs;
     private final BestSize bestSize;
     private final StartBounds startBounds;
@@ -51,10 +51,10 @@
             SchedulerListener listener) {
         this.listener = listener;
         this.cluster = new Cluster(teams);
-        this.failover = new Failover();
-        this.inheritedTaskRelease = new InheritedTaskRelease(cluster, failover);
-        this.registry = new MachineRegistry(safetyTimes, cluster, failover, inheritedTaskRelease, listener);
-        this.leaseExpiry = new LeaseExpiry(safetyTimes, cluster, inheritedTaskRelease, listener);
+        this.failover = new FailoverTracker();
+        this.inheritedTaskReleaser = new InheritedTaskReleaser(cluster, failover);
+        this.registry = new MachineRegistry(safetyTimes, cluster, failover, inheritedTaskReleaser, listener);
+        this.leaseMonitor = new LeaseMonitor(safetyTimes, cluster, inheritedTaskReleaser, listener);
         this.dependentJobs = new DependentJobs(cluster, estimates);
         Dispatcher dispatcher =
                 new Dispatcher(cluster, objectives, estimates, failover, token, settings.minimumPaidTime());
@@ -70,7 +70,7 @@
                 cluster,
                 registry,
                 failover,
-                inheritedTaskRelease,
+                inheritedTaskReleaser,
                 new Reconciler(cluster, estimates, listener),
                 dispatcher,
                 consolidation,
@@ -78,9 +78,9 @@
     }
 
     /** Adds machine types to the known ones. */
-    public void setTypes(Collection<MachineType> types) {
+    public void addMachineTypes(Collection<MachineType> types) {
         for (MachineType type : types) {
-            cluster.types.put(type.name(), type);
+            cluster.machineTypes.put(type.name(), type);
         }
     }
 
@@ -93,19 +93,19 @@
     }
 
     /** Called once all records are read; from then on task lists are reconciled and commands are sent. */
-    public void recordsLoaded() {
-        inheritedTaskRelease.markRecordsLoaded();
-        heartbeatHandler.recordsLoaded();
-        inheritedTaskRelease.releaseIfFailoverComplete();
+    public void onRecordsLoaded() {
+        inheritedTaskReleaser.markRecordsLoaded();
+        heartbeatHandler.onRecordsLoaded();
+        inheritedTaskReleaser.releaseIfFailoverComplete();
     }
 
     /** Registers the observer of the run time of each task that completes. */
-    public void onTaskCompleted(BiConsumer<Job, Span> observer) {
+    public void addRunTimeObserver(BiConsumer<Job, Span> observer) {
         estimates.onRun(observer);
     }
 
     public boolean areRecordsLoaded() {
-        return inheritedTaskRelease.areRecordsLoaded();
+        return inheritedTaskReleaser.areRecordsLoaded();
     }
 
     /**
@@ -114,9 +114,9 @@
      */
     public void addJob(Job job) {
         if (!cluster.jobs.containsKey(job.id())) {
-            cluster.add(job);
+            cluster.addJob(job);
             dependentJobs.added(job);
-            inheritedTaskRelease.jobAdded(job);
+            inheritedTaskReleaser.onJobAdded(job);
         }
     }
 
@@ -138,7 +138,7 @@
         Job job = cluster.jobs.get(id);
         if (job != null) {
             job.cancel();
-            cluster.remove(job);
+            cluster.removeJob(job);
             dependentJobs.removed(job);
         }
     }
@@ -147,7 +147,7 @@
     public void closeJob(JobId id) {
         Job job = cluster.jobs.get(id);
         if (job != null) {
-            cluster.remove(job);
+            cluster.removeJob(job);
             dependentJobs.removed(job);
             dependentJobs.done(id);
         }
@@ -155,7 +155,7 @@
 
     /** Forgets all jobs before the open jobs are read again. This does not mean that any of them has ended. */
     public void forgetJobs() {
-        new ArrayList<>(cluster.jobs.values()).forEach(cluster::remove);
+        new ArrayList<>(cluster.jobs.values()).forEach(cluster::removeJob);
         dependentJobs.clear();
     }
 
@@ -165,15 +165,15 @@
     }
 
     /** Sets which tasks of an open job wait for something other than machines. */
-    public void gateTasks(JobId id, BitSet tasks) {
+    public void setGatedTasks(JobId id, BitSet tasks) {
         Job job = cluster.jobs.get(id);
         if (job != null) {
             job.gate(tasks);
-            cluster.changed();
+            cluster.recordChange();
         }
     }
 
-    public void revisionSeen(Job job, Revision revision) {
+    public void onRevisionSeen(Job job, Revision revision) {
         job.revisionSeen(revision);
     }
 
@@ -192,12 +192,12 @@
     }
 
     /** Adds machines that the cloud has just rented to this leader. */
-    public void rented(MachinePool pool, List<MachineId> ids, Moment requestedAt, Moment now) {
-        registry.rented(pool, ids, requestedAt, now);
+    public void onMachinesRented(MachinePool pool, List<MachineId> ids, Moment requestedAt, Moment now) {
+        registry.onRented(pool, ids, requestedAt, now);
     }
 
     /** Handles the cloud's rejection of a scale-out request because the pool has no capacity. */
-    public void scaleOutRejected(MachinePool pool, Moment now) {
+    public void onScaleOutRejected(MachinePool pool, Moment now) {
         bestSize.refused(pool, now);
         cluster.warmCapacity.scaleOutRejected(pool);
     }
@@ -206,7 +206,7 @@
      * The machine, if it must be recorded before it can get tasks. A machine that has never sent a heartbeat cannot run
      * tasks, so a later leader need not wait for it and it needs no record.
      */
-    public Optional<Machine> unrecorded(MachineId id) {
+    public Optional<Machine> machineToRecord(MachineId id) {
         return Optional.ofNullable(cluster.machines.get(id)).filter(Machine::needsRecord);
     }
 
@@ -218,7 +218,7 @@
     }
 
     /** Marks a machine as recorded in the state service. */
-    public void recorded(MachineId id) {
+    public void onMachineRecorded(MachineId id) {
         Machine machine = cluster.machines.get(id);
         if (machine != null) {
             machine.markRecorded();
@@ -232,7 +232,7 @@
 
     /** Removes the placements of machines whose lease has expired, so that their tasks can start elsewhere. */
     public void expireLeases(Moment now) {
-        leaseExpiry.expireLeases(now);
+        leaseMonitor.expireLeases(now);
     }
 
     /** Jobs whose start bounds must be recorded now because their tasks are about to start. */
@@ -257,8 +257,8 @@
     }
 
     /** Sets when this node's event loop last resumed after a pause; it may not have read heartbeats from before. */
-    public void setAwakeSince(Moment since) {
-        cluster.setAwakeSince(since);
+    public void setEventLoopRunningSince(Moment since) {
+        cluster.setEventLoopRunningSince(since);
     }
 
     /** Selects the machines to return; they get no more tasks. */
@@ -270,8 +270,9 @@
                     cluster.jobs.values(),
                     machine -> scaleInPolicy.termEnds(machine, now),
                     now);
-            for (ScaleInPolicy.PlannedReturn planned : scaleInPolicy.selectMachines(now, failover.isComplete())) {
-                listener.log("machine return planned machine=" + planned.machine() + " reason=" + planned.reason());
+            for (ScaleInPolicy.PlannedReturn plannedReturn : scaleInPolicy.selectMachines(now, failover.isComplete())) {
+                listener.log("machine return planned machine=" + plannedReturn.machine() + " reason="
+                        + plannedReturn.reason());
             }
         }
     }
@@ -290,8 +291,8 @@
     }
 
     /** Removes machines whose return the cloud has confirmed. */
-    public void returned(List<MachineId> ids, Moment now) {
-        registry.returned(ids, now);
+    public void onMachinesReturned(List<MachineId> ids, Moment now) {
+        registry.onReturned(ids, now);
     }
 
     /** Number of machines visited by scheduling decisions so far. */
@@ -305,7 +306,7 @@
         return machine != null && machine.leaseExpired;
     }
 
-    public boolean knows(MachineId id) {
+    public boolean isKnownMachine(MachineId id) {
         return cluster.machines.containsKey(id);
     }
 
@@ -313,13 +314,13 @@
      * Whether heartbeats are missing from all machines, so that this node is more likely cut off than all of them
      * failed.
      */
-    public boolean isCutOffFromWorkers(Moment now) {
-        return leaseExpiry.isCutOffFromWorkers(now);
+    public boolean isPartitionedFromWorkers(Moment now) {
+        return leaseMonitor.isPartitionedFromWorkers(now);
     }
 
     /** Sets the policy that decides which machines are kept warm. */
-    public void useWarmCapacity(WarmCapacity warmCapacity) {
-        cluster.useWarmCapacity(warmCapacity);
+    public void setWarmCapacity(WarmCapacity warmCapacity) {
+        cluster.setWarmCapacity(warmCapacity);
     }
 
     public Collection<Machine> machines() {
@@ -337,16 +338,16 @@
 
     /** This leader's state of jobs and machines, from which lost records can be rebuilt. */
     public RememberedState rememberedState() {
-        return RememberedStateView.of(cluster);
+        return RememberedStateBuilder.of(cluster);
     }
 
     /** The remembered state of one open job, whose completion may not be recorded yet. */
     public static RememberedState rememberedState(Job job) {
-        return RememberedStateView.of(job);
+        return RememberedStateBuilder.of(job);
     }
 
     /** A log line with the numbers of jobs, tasks and machines. */
     public String summary() {
-        return SchedulerSummary.of(cluster, failover);
+        return SummaryFormatter.of(cluster, failover);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerSettings.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerSettings.java
@@ -15,7 +15,7 @@
  * @param spotPatience how long a job waits for spot capacity before on-demand machines are rented
  * @param urgentSpotPatience the same for jobs of high urgency
  * @param backlogLimit on-demand machines are rented when the queue would take longer than this to drain
- * @param objectiveShare on-demand machines are rented when the queue needs more than this fraction of the time left to
+ * @param objectiveFraction on-demand machines are rented when the queue needs more than this fraction of the time left to
  *     an objective
  * @param refusalBackoff how long no machine is requested from a pool that had no capacity
  */
@@ -30,5 +30,5 @@
         Span spotPatience,
         Span urgentSpotPatience,
         Span backlogLimit,
-        double objectiveShare,
+        double objectiveFraction,
         Span refusalBackoff) {}
--- a/src/main/java/io/indigoreach/core/scheduling/StartBounds.java
+++ b/src/main/java/io/indigoreach/core/scheduling/StartBounds.java
@@ -74,7 +74,7 @@
         places = 0;
         for (Machine machine : cluster.machines.values()) {
             if (machine.isBooting(now, tuning.bootPatience()) || machine.isHealthy()) {
-                places += Math.max(0, machine.free().cores())
+                places += Math.max(0, machine.freeResources().cores())
                         + machine.type.capacity().cores();
             }
         }
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerSummary.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SummaryFormatter.java
@@ -1,10 +1,10 @@
 package io.indigoreach.core.scheduling;
 
 /** Formats the state of the scheduler as one log line. */
-final class SchedulerSummary {
-    private SchedulerSummary() {}
+final class SummaryFormatter {
+    private SummaryFormatter() {}
 
-    static String of(Cluster cluster, Failover failover) {
+    static String of(Cluster cluster, FailoverTracker failover) {
         int up = 0;
         int idle = 0;
         int booting = 0;
--- a/src/main/java/io/indigoreach/core/scheduling/SurplusRetention.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SurplusRetention.java
@@ -33,7 +33,7 @@
                     .mapToDouble(machine -> 1 - CapacityForecast.heldByReplicas(machine))
                     .sum();
             double keep = retained(queue.name + " " + type, needed, present, now);
-            if (someNeedOnDemand || cluster.types.get(type).spotPrice() <= 0) {
+            if (someNeedOnDemand || cluster.machineTypes.get(type).spotPrice() <= 0) {
                 keep = present;
             }
             markSurplus(machines, present - Math.round(keep));
@@ -56,7 +56,7 @@
         double left = surplus;
         for (Machine machine : machines) {
             // One that holds replicas is paid for in any case, so the rest of it is used.
-            machine.markSurplus(CapacityForecast.heldByReplicas(machine) == 0 && left >= 1);
+            machine.setSurplus(CapacityForecast.heldByReplicas(machine) == 0 && left >= 1);
             left -= machine.surplus ? 1 : 0;
         }
     }
--- a/src/main/java/io/indigoreach/core/scheduling/TaskStarter.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TaskStarter.java
@@ -27,7 +27,7 @@
                 batch.now());
         cluster.warmCapacity.taskStarting(job, machine);
         cluster.addPlacement(placement);
-        batch.start(placement);
+        batch.addStart(placement);
         return placement;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
@@ -71,10 +71,10 @@
         if (coming || !machine.recorded) {
             return coming ? WaitReason.BOOTING : WaitReason.MACHINE_RECORD;
         }
-        if (FaultAttribution.isExcluded(job, machine)) {
+        if (FaultTracker.isExcluded(job, machine)) {
             return WaitReason.FAILED_THERE;
         }
-        if (!job.spec.demand().fitsIn(machine.freeFor(job.spec))) {
+        if (!job.spec.demand().fitsIn(machine.freeResourcesFor(job.spec))) {
             return WaitReason.NO_ROOM;
         }
         if (!machine.allows(job.spec)) {
--- a/src/main/java/io/indigoreach/core/scheduling/ZoneSpreading.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ZoneSpreading.java
@@ -31,7 +31,7 @@
 
     /** Whether requesting machines of the pool is of use now. */
     boolean mayRequest(MachinePool pool, Moment now) {
-        return !isRefused(pool, now) && !failureDetector.isZoneCutOff(pool.zone());
+        return !isRefused(pool, now) && !failureDetector.isZoneFullyPartitioned(pool.zone());
     }
 
     private boolean isRefused(MachinePool pool, Moment now) {
@@ -59,8 +59,8 @@
                 present.put(pool, 0);
             }
         }
-        if (present.keySet().stream().anyMatch(pool -> !failureDetector.isZoneCutOff(pool.zone()))) {
-            present.keySet().removeIf(pool -> failureDetector.isZoneCutOff(pool.zone()));
+        if (present.keySet().stream().anyMatch(pool -> !failureDetector.isZoneFullyPartitioned(pool.zone()))) {
+            present.keySet().removeIf(pool -> failureDetector.isZoneFullyPartitioned(pool.zone()));
         }
         if (present.isEmpty()) {
             return false;
--- a/src/main/java/io/indigoreach/ownership/OwnershipGate.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipGate.java
@@ -93,7 +93,7 @@
         return records.run(new Grant(registry, most, id.text(), wants, next.completedTasks(), false))
                 .map(given -> {
                     if (!duty.isCancelled()) {
-                        core.gateTasks(id, given.held());
+                        core.setGatedTasks(id, given.held());
                         if (given.held().isEmpty()) {
                             whole.add(id);
                         } else {
--- a/src/main/java/io/indigoreach/warm/WarmPoolTerm.java
+++ b/src/main/java/io/indigoreach/warm/WarmPoolTerm.java
@@ -73,7 +73,7 @@
                 LOG::info);
         this.meter = new Meter(ground.settings().tuning().minimumPaidTime().ms());
         this.duty = new PeriodicTask(ground.vertx(), "pools", PERIOD, this::step);
-        core.useWarmCapacity(plan);
+        core.setWarmCapacity(plan);
     }
 
     WarmPoolTerm start() {
--- a/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
@@ -60,7 +60,7 @@
             Promise<Void> started = Promise.promise();
             vertx.runOnContext(v -> jobStore.load()
                     .onSuccess(revision -> {
-                        core.recordsLoaded();
+                        core.onRecordsLoaded();
                         jobStore.start();
                         dependencyTask.start();
                     })
--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -105,7 +105,8 @@
         }
         Job waiting = job(COMPLETIONS, 40_000, 0, 0);
         core.addJob(waiting);
-        core.rented(new MachinePool("quad", "a", true), List.of(new MachineId("vm-1")), clock.now(), clock.now());
+        core.onMachinesRented(
+                new MachinePool("quad", "a", true), List.of(new MachineId("vm-1")), clock.now(), clock.now());
         int before = state.changed;
         vertx.runOnContext(v -> jobStore.start());
         Map<JobId, JobRecord> now = openRecords();
--- a/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
@@ -212,7 +212,7 @@
         });
         CASES.put("a start bound, after a newer one", test -> {
             JobStore jobStore = test.leading();
-            test.core.rented(POOL, List.of(new MachineId("vm-1")), test.clock.now(), test.clock.now());
+            test.core.onMachinesRented(POOL, List.of(new MachineId("vm-1")), test.clock.now(), test.clock.now());
             test.loseOne(OPEN);
             Job job = test.job(JOB.text(), 4, 0, 0);
             test.begin(jobStore, job);
@@ -221,7 +221,7 @@
         });
         CASES.put("a start bound, after a change of leader: what that one orders by stands", test -> {
             JobStore jobStore = test.leading();
-            test.core.rented(POOL, List.of(new MachineId("vm-1")), test.clock.now(), test.clock.now());
+            test.core.onMachinesRented(POOL, List.of(new MachineId("vm-1")), test.clock.now(), test.clock.now());
             test.loseAll(OPEN);
             Job job = test.job(JOB.text(), 4, 0, 0);
             test.begin(jobStore, job);
--- a/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
@@ -28,15 +28,15 @@
     private Future<Boolean> recordMachine(MachineStore machineStore, int n) {
         MachineId id = new MachineId("vm-" + n);
         Moment now = clock.now();
-        core.rented(POOL, List.of(id), now, now);
+        core.onMachinesRented(POOL, List.of(id), now, now);
         core.onHeartbeat(
                 new Heartbeat(id, "10.0.0.1:1", POOL, new HeartbeatNumber(1, 1), new FencingToken(3), null, List.of()),
                 now);
-        return machineStore.record(core.unrecorded(id).orElseThrow());
+        return machineStore.record(core.machineToRecord(id).orElseThrow());
     }
 
     private void returnMachine(int n) {
-        core.returned(List.of(new MachineId("vm-" + n)), clock.now());
+        core.onMachinesReturned(List.of(new MachineId("vm-" + n)), clock.now());
     }
 
     private MachineStore newMachineStore(Revision leadershipRevision) {
--- a/src/test/java/io/indigoreach/cluster/LeaderHarness.java
+++ b/src/test/java/io/indigoreach/cluster/LeaderHarness.java
@@ -34,7 +34,7 @@
     /** A listener to whom nothing matters. */
     private static final SchedulerListener SILENT = new SchedulerListener() {
         @Override
-        public void taskCompleted(Job job) {}
+        public void onTaskCompleted(Job job) {}
 
         @Override
         public void log(String line) {}
@@ -101,8 +101,8 @@
     /** A scheduler core that has loaded its records: none. */
     static SchedulerCore loadedCore(NodeContext context, long token, MachineType type) {
         SchedulerCore core = core(context, token, List.of(TEAM));
-        core.setTypes(List.of(type));
-        core.recordsLoaded();
+        core.addMachineTypes(List.of(type));
+        core.onRecordsLoaded();
         return core;
     }
 
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -73,8 +73,8 @@
                 .catalogue(new Catalogue(vertx, client, cloud))
                 .build();
         core = LeaderHarness.core(context, 3, context.config().teams());
-        core.setTypes(List.of(machineType(POOL.zone())));
-        core.recordsLoaded();
+        core.addMachineTypes(List.of(machineType(POOL.zone())));
+        core.onRecordsLoaded();
         machineStore = new MachineStore(LeaderHarness.writes(context, 3, NO_LEADER, 12), core);
         onLoop(() -> {
             machineStore.start();
@@ -98,11 +98,11 @@
     private Future<Boolean> recordMachine(int number) {
         MachineId id = new MachineId(String.format("vm-%06d", number));
         Moment now = clock.now();
-        core.rented(POOL, List.of(id), now, now);
+        core.onMachinesRented(POOL, List.of(id), now, now);
         core.onHeartbeat(
                 new Heartbeat(id, "10.0.0.1:1", POOL, new HeartbeatNumber(1, 1), new FencingToken(3), null, List.of()),
                 now);
-        return machineStore.record(core.unrecorded(id).orElseThrow());
+        return machineStore.record(core.machineToRecord(id).orElseThrow());
     }
 
     private List<MachineRecord> recorded() {
@@ -232,7 +232,7 @@
                                         new MachineId("vm-000900"), POOL, clock.timeOfDay(), clock.timeOfDay()))))))
                 .revision();
         SchedulerCore fresh = LeaderHarness.core(context, 3, context.config().teams());
-        fresh.setTypes(List.of(machineType("z")));
+        fresh.addMachineTypes(List.of(machineType("z")));
         JobStore jobStore = new JobStore(
                 LeaderHarness.writes(context, 3, new Revision(revision), 12),
                 fresh,
@@ -244,7 +244,7 @@
             Thread.onSpinWait();
         }
         onLoop(jobStore::load);
-        fresh.recordsLoaded();
+        fresh.onRecordsLoaded();
         Span bound = context.config().rules().leaseBound();
         fresh.expireLeases(before.plus(bound));
         assertFalse(fresh.isFailoverComplete(), "an earlier leader answered until then");
--- a/src/test/java/io/indigoreach/core/BehaviourDigest.java
+++ b/src/test/java/io/indigoreach/core/BehaviourDigest.java
@@ -60,18 +60,16 @@
             new Runs(
                     "random",
                     100,
-                    (seed, effects) -> random(seed, effects, EnumSet.noneOf(RandomSimulation.Trouble.class))),
+                    (seed, effects) -> random(seed, effects, EnumSet.noneOf(RandomSimulation.Fault.class))),
             new Runs(
                     "random-with-troubles",
                     100,
                     (seed, effects) -> random(
-                            seed,
-                            effects,
-                            EnumSet.complementOf(EnumSet.of(RandomSimulation.Trouble.SHORT_LEADERSHIPS)))),
+                            seed, effects, EnumSet.complementOf(EnumSet.of(RandomSimulation.Fault.SHORT_LEADERSHIPS)))),
             new Runs(
                     "random-with-short-leaderships",
                     100,
-                    (seed, effects) -> random(seed, effects, EnumSet.of(RandomSimulation.Trouble.SHORT_LEADERSHIPS))),
+                    (seed, effects) -> random(seed, effects, EnumSet.of(RandomSimulation.Fault.SHORT_LEADERSHIPS))),
             new Runs("cancellations", 1000, BehaviourDigest::cancellations),
             new Runs("limits", 360, BehaviourDigest::limits),
             new Runs("chains", 300, (seed, effects) -> {
@@ -163,15 +161,16 @@
         return false;
     }
 
-    private static boolean random(long seed, EffectListener effects, EnumSet<RandomSimulation.Trouble> troubles) {
-        RandomSimulation run = new RandomSimulation(seed, RandomSimulation.Without.NOTHING, troubles).tell(effects);
-        run.play();
-        return run.broken().isEmpty();
+    private static boolean random(long seed, EffectListener effects, EnumSet<RandomSimulation.Fault> troubles) {
+        RandomSimulation run =
+                new RandomSimulation(seed, RandomSimulation.DisabledGuard.NONE, troubles).withListener(effects);
+        run.run();
+        return run.violations().isEmpty();
     }
 
     private static boolean cancellations(long seed, EffectListener effects) {
-        return CancellationSimulationTest.random(seed, CancellationSimulation.Without.NOTHING, effects)
-                .broken
+        return CancellationSimulationTest.randomRun(seed, CancellationSimulation.DisabledGuard.NONE, effects)
+                .violations
                 .isEmpty();
     }
 
--- a/src/test/java/io/indigoreach/core/EffectListener.java
+++ b/src/test/java/io/indigoreach/core/EffectListener.java
@@ -150,7 +150,7 @@
                 LEADER,
                 core.areRecordsLoaded(),
                 core.isFailoverComplete(),
-                core.isCutOffFromWorkers(now),
+                core.isPartitionedFromWorkers(now),
                 core.machineCount());
     }
 
--- a/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
@@ -26,140 +26,143 @@
  */
 public final class CancellationSimulation {
     /** A guard that a run can disable, to show that the rule is then violated. */
-    public enum Without {
-        NOTHING,
+    public enum DisabledGuard {
+        NONE,
         /** Without it, a leader answers workers regardless of the age of its knowledge of cancellations. */
-        BACKSTOP,
+        MAX_CANCELLATION_AGE,
         /** Without it, answers of peers count as received, but the cancelled jobs that they name are not stopped. */
-        NAMES,
+        CANCELLED_JOB_IDS,
         /** Without it, a restarted process answers as if it knew what its predecessor confirmed. */
-        BIRTH,
+        PROCESS_START,
         /** Without it, a missing job counts as resolved before the reason for its absence is known. */
-        UNSETTLED,
+        UNRESOLVED_JOBS,
         /**
          * Without it, a leader that has not read the records counts as up to date since the start of its leadership.
          */
-        RECORDS
+        LOADED_RECORDS
     }
 
     private static final class Node {
-        final double rate;
-        ConfirmedCancellations told;
-        Set<JobId> knows = new HashSet<>();
+        final double clockRate;
+        ConfirmedCancellations confirmedCancellations;
+        Set<JobId> knownCancellations = new HashSet<>();
         double refusedUntil;
         double silentUntil;
         double downUntil;
 
         Node(double rate) {
-            this.rate = rate;
+            this.clockRate = rate;
         }
 
-        Moment at(double now) {
-            return new Moment(Math.round(now * 1000 * rate));
+        Moment localTime(double now) {
+            return new Moment(Math.round(now * 1000 * clockRate));
         }
     }
 
     private static final class Worker {
-        double answered;
-        final Set<JobId> tasks = new HashSet<>();
+        double lastAnsweredAt;
+        final Set<JobId> runningJobs = new HashSet<>();
     }
 
-    private record Event(double at, int order, Runnable what) implements Comparable<Event> {
+    private record Event(double time, int sequenceNumber, Runnable action) implements Comparable<Event> {
         @Override
-        public int compareTo(Event o) {
-            return at != o.at ? Double.compare(at, o.at) : Integer.compare(order, o.order);
+        public int compareTo(Event other) {
+            return time != other.time
+                    ? Double.compare(time, other.time)
+                    : Integer.compare(sequenceNumber, other.sequenceNumber);
         }
     }
 
     /** A leader's state during one leadership. */
-    private final class Reign {
+    private final class Leadership {
         final Node node;
         final CancellationHorizon horizon = new CancellationHorizon();
-        final Set<JobId> stopped = new HashSet<>();
-        boolean loaded;
+        final Set<JobId> stoppedJobs = new HashSet<>();
+        boolean recordsLoaded;
         double unservedSince = -1;
 
-        Reign(Node node) {
+        Leadership(Node node) {
             this.node = node;
-            if (without == Without.RECORDS) {
-                horizon.advanceTo(node.at(now));
+            if (disabledGuard == DisabledGuard.LOADED_RECORDS) {
+                horizon.advanceTo(node.localTime(now));
             }
         }
     }
 
-    private final SafetyTimes rules;
+    private final SafetyTimes safetyTimes;
     private final Random random;
-    private final Without without;
+    private final DisabledGuard disabledGuard;
     final List<Node> nodes = new ArrayList<>();
     final List<Worker> workers = new ArrayList<>();
-    public final List<String> broken = new ArrayList<>();
+    public final List<String> violations = new ArrayList<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final Map<JobId, Double> cancelled = new HashMap<>();
-    private final Map<JobId, Double> told = new HashMap<>();
+    private final Map<JobId, Double> cancelledAt = new HashMap<>();
+    private final Map<JobId, Double> confirmedAt = new HashMap<>();
     private double outageUntil;
     private double now;
-    private int count;
-    private Reign reign;
+    private int eventCount;
+    private Leadership leadership;
     EffectListener effects = EffectListener.NONE;
     /** Tasks of jobs that were not cancelled, killed because a lease expired. */
-    int lost;
+    int lostTasks;
     /** How often a leader stopped cancelled jobs because of peers' answers while the state service did not serve it. */
-    int stoppedByWord;
+    int stopsByPeerAnswers;
 
-    CancellationSimulation(SafetyTimes rules, int nodes, int jobs, long seed, Without without) {
-        this.rules = rules;
+    CancellationSimulation(SafetyTimes safetyTimes, int nodes, int jobs, long seed, DisabledGuard disabledGuard) {
+        this.safetyTimes = safetyTimes;
         this.random = new Random(seed);
-        this.without = without;
-        for (int n = 0; n < nodes; n++) {
+        this.disabledGuard = disabledGuard;
+        for (int index = 0; index < nodes; index++) {
             Node node = new Node(random.nextBoolean() ? 1 : 1.0005);
-            node.told = new ConfirmedCancellations(node.at(0));
+            node.confirmedCancellations = new ConfirmedCancellations(node.localTime(0));
             this.nodes.add(node);
         }
-        for (int w = 0; w < 4; w++) {
+        for (int workerIndex = 0; workerIndex < 4; workerIndex++) {
             Worker worker = new Worker();
-            for (int j = 0; j < jobs; j++) {
-                worker.tasks.add(job(j));
+            for (int jobIndex = 0; jobIndex < jobs; jobIndex++) {
+                worker.runningJobs.add(job(jobIndex));
             }
             workers.add(worker);
-            at(random.nextDouble() * rules.heartbeatPeriod().seconds(), () -> report(worker));
+            schedule(random.nextDouble() * safetyTimes.heartbeatPeriod().seconds(), () -> sendHeartbeat(worker));
         }
-        lead(0, 0);
+        changeLeader(0, 0);
     }
 
-    static JobId job(int n) {
-        return new JobId("run-" + n);
+    static JobId job(int index) {
+        return new JobId("run-" + index);
     }
 
-    void at(double when, Runnable what) {
-        events.add(new Event(when, count++, what));
+    void schedule(double time, Runnable action) {
+        events.add(new Event(time, eventCount++, action));
     }
 
-    private void after(double span, Runnable what) {
-        at(now + span, what);
+    private void scheduleAfter(double delay, Runnable action) {
+        schedule(now + delay, action);
     }
 
-    CancellationSimulation until(double end) {
-        while (!events.isEmpty() && events.peek().at <= end) {
-            Event e = events.poll();
-            now = e.at;
-            e.what.run();
-            check();
+    CancellationSimulation runUntil(double end) {
+        while (!events.isEmpty() && events.peek().time <= end) {
+            Event event = events.poll();
+            now = event.time;
+            event.action.run();
+            checkRules();
         }
         return this;
     }
 
-    private void check() {
-        for (Worker w : workers) {
-            if (now - w.answered > rules.workerLease().seconds()) {
-                lost += (int)
-                        w.tasks.stream().filter(j -> !cancelled.containsKey(j)).count();
-                w.tasks.clear();
+    private void checkRules() {
+        for (Worker worker : workers) {
+            if (now - worker.lastAnsweredAt > safetyTimes.workerLease().seconds()) {
+                lostTasks += (int) worker.runningJobs.stream()
+                        .filter(j -> !cancelledAt.containsKey(j))
+                        .count();
+                worker.runningJobs.clear();
             }
-            for (JobId job : w.tasks) {
-                double limit = told.getOrDefault(job, Double.MAX_VALUE)
-                        + rules.cancellationTime().seconds();
+            for (JobId job : worker.runningJobs) {
+                double limit = confirmedAt.getOrDefault(job, Double.MAX_VALUE)
+                        + safetyTimes.cancellationTime().seconds();
                 if (now > limit) {
-                    broken.add(job + " runs at " + now + ", cancellation confirmed at " + told.get(job));
+                    violations.add(job + " runs at " + now + ", cancellation confirmed at " + confirmedAt.get(job));
                 }
             }
         }
@@ -167,55 +170,56 @@
 
     // ---- faults and users
 
-    void refuse(double when, int node, double span) {
-        at(when, () -> nodes.get(node).refusedUntil = now + span);
+    void refuseNode(double time, int node, double duration) {
+        schedule(time, () -> nodes.get(node).refusedUntil = now + duration);
     }
 
-    void outage(double when, double span) {
-        at(when, () -> outageUntil = Math.max(outageUntil, now + span));
+    void beginOutage(double time, double duration) {
+        schedule(time, () -> outageUntil = Math.max(outageUntil, now + duration));
     }
 
-    /** Ends the node's process and starts it again after {@code span}. */
-    void restart(double when, int node, double span) {
-        at(when, () -> {
-            Node n = nodes.get(node);
-            n.downUntil = now + span;
-            after(span, () -> {
-                n.told = new ConfirmedCancellations(without == Without.BIRTH ? Moment.NEVER : n.at(now));
-                n.knows = new HashSet<>();
+    /** Ends the node's process and starts it again after {@code duration}. */
+    void restartNode(double time, int node, double duration) {
+        schedule(time, () -> {
+            Node restarted = nodes.get(node);
+            restarted.downUntil = now + duration;
+            scheduleAfter(duration, () -> {
+                restarted.confirmedCancellations = new ConfirmedCancellations(
+                        disabledGuard == DisabledGuard.PROCESS_START ? Moment.NEVER : restarted.localTime(now));
+                restarted.knownCancellations = new HashSet<>();
             });
-            if (reign.node == n) {
-                lead(now + 0.1, (node + 1) % nodes.size());
+            if (leadership.node == restarted) {
+                changeLeader(now + 0.1, (node + 1) % nodes.size());
             }
         });
     }
 
-    void silence(double when, int node, double span) {
-        at(when, () -> nodes.get(node).silentUntil = now + span);
+    void silenceNode(double time, int node, double duration) {
+        schedule(time, () -> nodes.get(node).silentUntil = now + duration);
     }
 
-    void lead(double when, int node) {
-        at(when, () -> {
-            reign = new Reign(nodes.get(node));
-            Reign mine = reign;
-            load(mine);
-            ask(mine);
+    void changeLeader(double time, int node) {
+        schedule(time, () -> {
+            leadership = new Leadership(nodes.get(node));
+            Leadership current = leadership;
+            readRecords(current);
+            queryPeers(current);
         });
     }
 
     /**
-     * A user cancels a job at a node, which learns the result {@code way} later and confirms it {@code later} after
+     * A user cancels a job at a node, which learns the result {@code responseDelay} later and confirms it {@code confirmationDelay} after
      * that.
      */
-    void cancel(double when, int node, JobId job, double way, double later) {
-        at(when, () -> {
-            Node n = nodes.get(node);
-            if (served(n) && now >= n.downUntil) {
-                cancelled.putIfAbsent(job, now);
-                ConfirmedCancellations process = n.told;
-                after(way, () -> {
-                    if (n.told == process && now >= n.downUntil) {
-                        learns(n, job, later);
+    void cancel(double time, int node, JobId job, double responseDelay, double confirmationDelay) {
+        schedule(time, () -> {
+            Node confirming = nodes.get(node);
+            if (isServed(confirming) && now >= confirming.downUntil) {
+                cancelledAt.putIfAbsent(job, now);
+                ConfirmedCancellations process = confirming.confirmedCancellations;
+                scheduleAfter(responseDelay, () -> {
+                    if (confirming.confirmedCancellations == process && now >= confirming.downUntil) {
+                        learnCancellation(confirming, job, confirmationDelay);
                     }
                 });
             }
@@ -223,163 +227,174 @@
     }
 
     /** A user queries the status of a job at a node. */
-    void poll(double when, int node, JobId job) {
-        at(when, () -> {
-            Node n = nodes.get(node);
-            if (now >= n.downUntil && cancelled.containsKey(job) && (n.knows.contains(job) || served(n))) {
-                learns(n, job, 0);
+    void queryStatus(double time, int node, JobId job) {
+        schedule(time, () -> {
+            Node queried = nodes.get(node);
+            if (now >= queried.downUntil
+                    && cancelledAt.containsKey(job)
+                    && (queried.knownCancellations.contains(job) || isServed(queried))) {
+                learnCancellation(queried, job, 0);
             }
         });
     }
 
-    private void learns(Node n, JobId job, double later) {
-        if (n.knows.add(job)) {
-            n.told.add(job, n.at(now));
+    private void learnCancellation(Node node, JobId job, double confirmationDelay) {
+        if (node.knownCancellations.add(job)) {
+            node.confirmedCancellations.add(job, node.localTime(now));
         }
-        after(later, () -> told.putIfAbsent(job, now));
+        scheduleAfter(confirmationDelay, () -> confirmedAt.putIfAbsent(job, now));
     }
 
-    private boolean served(Node node) {
+    private boolean isServed(Node node) {
         return now >= outageUntil && now >= node.refusedUntil;
     }
 
     // ---- the leader
 
-    private void load(Reign mine) {
-        if (reign != mine) {
+    private void readRecords(Leadership current) {
+        if (leadership != current) {
             return;
         }
-        if (!served(mine.node)) {
-            after(0.3, () -> load(mine));
+        if (!isServed(current.node)) {
+            scheduleAfter(0.3, () -> readRecords(current));
             return;
         }
-        Moment asked = mine.node.at(now);
-        Set<JobId> gone = new HashSet<>(cancelled.keySet());
-        after(0.2, () -> {
-            mine.stopped.addAll(gone);
-            mine.horizon.advanceTo(asked);
-            mine.loaded = true;
-            watch(mine, gone);
+        Moment requestedAt = current.node.localTime(now);
+        Set<JobId> cancelledJobs = new HashSet<>(cancelledAt.keySet());
+        scheduleAfter(0.2, () -> {
+            current.stoppedJobs.addAll(cancelledJobs);
+            current.horizon.advanceTo(requestedAt);
+            current.recordsLoaded = true;
+            openWatch(current, cancelledJobs);
         });
     }
 
-    private void watch(Reign mine, Set<JobId> known) {
-        if (reign != mine) {
+    private void openWatch(Leadership current, Set<JobId> knownCancelled) {
+        if (leadership != current) {
             return;
         }
-        if (!served(mine.node)) {
-            after(0.3, () -> watch(mine, known));
+        if (!isServed(current.node)) {
+            scheduleAfter(0.3, () -> openWatch(current, knownCancelled));
             return;
         }
-        Moment sent = mine.node.at(now);
-        answer(mine, known, sent, now + Math.min(2, rules.maxCancellationAge().seconds() / 4));
+        Moment sentAt = current.node.localTime(now);
+        awaitChange(
+                current,
+                knownCancelled,
+                sentAt,
+                now + Math.min(2, safetyTimes.maxCancellationAge().seconds() / 4));
     }
 
     /**
      * Waits for the watch to report a change or to end; it makes no progress while the state service refuses this node.
      */
-    private void answer(Reign mine, Set<JobId> known, Moment sent, double ends) {
-        if (reign != mine) {
+    private void awaitChange(Leadership current, Set<JobId> knownCancelled, Moment sentAt, double endsAt) {
+        if (leadership != current) {
             return;
         }
-        Set<JobId> news = new HashSet<>(cancelled.keySet());
-        news.removeAll(known);
-        if (!served(mine.node) || (news.isEmpty() && now < ends)) {
-            after(0.05, () -> answer(mine, known, sent, ends));
+        Set<JobId> newlyCancelled = new HashSet<>(cancelledAt.keySet());
+        newlyCancelled.removeAll(knownCancelled);
+        if (!isServed(current.node) || (newlyCancelled.isEmpty() && now < endsAt)) {
+            scheduleAfter(0.05, () -> awaitChange(current, knownCancelled, sentAt, endsAt));
             return;
         }
-        news.forEach(job -> {
-            mine.horizon.recordGone(job);
-            if (without == Without.UNSETTLED) {
-                mine.horizon.resolved(job);
+        newlyCancelled.forEach(job -> {
+            current.horizon.recordGone(job);
+            if (disabledGuard == DisabledGuard.UNRESOLVED_JOBS) {
+                current.horizon.resolved(job);
             }
             // The state service may answer so slowly that it starts to refuse this node first.
-            after(random.nextDouble() * (random.nextInt(4) == 0 ? 6 : 0.3), () -> why(mine, job));
+            scheduleAfter(random.nextDouble() * (random.nextInt(4) == 0 ? 6 : 0.3), () -> resolveJob(current, job));
         });
-        mine.horizon.advanceTo(sent);
-        known.addAll(news);
-        watch(mine, known);
+        current.horizon.advanceTo(sentAt);
+        knownCancelled.addAll(newlyCancelled);
+        openWatch(current, knownCancelled);
     }
 
-    private void why(Reign mine, JobId job) {
-        if (reign == mine && !mine.stopped.contains(job) && !served(mine.node)) {
-            after(0.5, () -> why(mine, job));
+    private void resolveJob(Leadership current, JobId job) {
+        if (leadership == current && !current.stoppedJobs.contains(job) && !isServed(current.node)) {
+            scheduleAfter(0.5, () -> resolveJob(current, job));
             return;
         }
-        mine.stopped.add(job);
-        mine.horizon.resolved(job);
+        current.stoppedJobs.add(job);
+        current.horizon.resolved(job);
     }
 
-    private void ask(Reign mine) {
-        if (reign != mine) {
+    private void queryPeers(Leadership current) {
+        if (leadership != current) {
             return;
         }
-        after(0.5, () -> ask(mine));
-        mine.unservedSince = served(mine.node) ? -1 : mine.unservedSince < 0 ? now : mine.unservedSince;
-        if (mine.unservedSince < 0 || now - mine.unservedSince < 1.5) {
+        scheduleAfter(0.5, () -> queryPeers(current));
+        current.unservedSince = isServed(current.node) ? -1 : current.unservedSince < 0 ? now : current.unservedSince;
+        if (current.unservedSince < 0 || now - current.unservedSince < 1.5) {
             return;
         }
-        Moment sent = mine.node.at(now);
-        Span back = mine.horizon.lookBack(sent, Span.seconds(3));
-        List<CancellationSummary> words = new ArrayList<>();
+        Moment sentAt = current.node.localTime(now);
+        Span lookBack = current.horizon.lookBack(sentAt, Span.seconds(3));
+        List<CancellationSummary> answers = new ArrayList<>();
         for (Node other : nodes) {
-            if (other != mine.node) {
-                after(
+            if (other != current.node) {
+                scheduleAfter(
                         random.nextDouble() * 0.4,
-                        () -> words.add(
+                        () -> answers.add(
                                 now < other.downUntil || now < other.silentUntil
                                         ? CancellationSummary.NONE
-                                        : other.told.summary(back, other.at(now))));
+                                        : other.confirmedCancellations.summary(lookBack, other.localTime(now))));
             }
         }
-        after(0.4 + random.nextDouble() * 0.6, () -> {
-            if (reign != mine || !mine.loaded) {
+        scheduleAfter(0.4 + random.nextDouble() * 0.6, () -> {
+            if (leadership != current || !current.recordsLoaded) {
                 return;
             }
-            Moment heard = mine.node.at(now);
-            CancellationSummary all = mine.node.told.summary(back, heard);
-            for (CancellationSummary word : words) {
-                all = all.and(word);
+            Moment receivedAt = current.node.localTime(now);
+            CancellationSummary combined = current.node.confirmedCancellations.summary(lookBack, receivedAt);
+            for (CancellationSummary answer : answers) {
+                combined = combined.and(answer);
             }
-            if (without != Without.NAMES && mine.stopped.addAll(all.cancelled())) {
-                stoppedByWord++;
+            if (disabledGuard != DisabledGuard.CANCELLED_JOB_IDS && current.stoppedJobs.addAll(combined.cancelled())) {
+                stopsByPeerAnswers++;
             }
-            mine.horizon.peersAnswered(all.covered(), sent, heard);
+            current.horizon.peersAnswered(combined.covered(), sentAt, receivedAt);
             effects.effect(
                     EffectListener.CANCELLATIONS_TOLD,
-                    back.ms(),
-                    all.covered().ms(),
-                    texts(all.cancelled()),
-                    mine.horizon.completeUntil().ms());
+                    lookBack.ms(),
+                    combined.covered().ms(),
+                    sortedIds(combined.cancelled()),
+                    current.horizon.completeUntil().ms());
         });
     }
 
-    private void report(Worker w) {
-        double sent = now;
-        double way = random.nextDouble() * 0.1;
-        after(way, () -> {
-            Reign mine = reign;
-            if (now < mine.node.downUntil || now < mine.node.silentUntil || !mayAnswer(mine)) {
+    private void sendHeartbeat(Worker worker) {
+        double sentAt = now;
+        double latency = random.nextDouble() * 0.1;
+        scheduleAfter(latency, () -> {
+            Leadership current = leadership;
+            if (now < current.node.downUntil || now < current.node.silentUntil || !mayAnswer(current)) {
                 return;
             }
-            Set<JobId> stops = new HashSet<>(mine.loaded ? mine.stopped : Set.of());
-            effects.effect(EffectListener.WORKER_ANSWERED, workers.indexOf(w), texts(stops));
-            after(way, () -> {
-                w.answered = Math.max(w.answered, sent);
-                w.tasks.removeAll(stops);
+            Set<JobId> stoppedJobs = new HashSet<>(current.recordsLoaded ? current.stoppedJobs : Set.of());
+            effects.effect(EffectListener.WORKER_ANSWERED, workers.indexOf(worker), sortedIds(stoppedJobs));
+            scheduleAfter(latency, () -> {
+                worker.lastAnsweredAt = Math.max(worker.lastAnsweredAt, sentAt);
+                worker.runningJobs.removeAll(stoppedJobs);
             });
         });
-        after(rules.heartbeatPeriod().seconds() * (0.75 + random.nextDouble() / 2), () -> report(w));
+        scheduleAfter(
+                safetyTimes.heartbeatPeriod().seconds() * (0.75 + random.nextDouble() / 2),
+                () -> sendHeartbeat(worker));
     }
 
-    private static List<String> texts(Set<JobId> jobs) {
+    private static List<String> sortedIds(Set<JobId> jobs) {
         return jobs.stream().map(JobId::text).sorted().toList();
     }
 
-    private boolean mayAnswer(Reign mine) {
-        return without == Without.BACKSTOP
-                || ((mine.loaded || without == Without.RECORDS)
-                        && mine.node.at(now).since(mine.horizon.completeUntil()).compareTo(rules.maxCancellationAge())
+    private boolean mayAnswer(Leadership current) {
+        return disabledGuard == DisabledGuard.MAX_CANCELLATION_AGE
+                || ((current.recordsLoaded || disabledGuard == DisabledGuard.LOADED_RECORDS)
+                        && current.node
+                                        .localTime(now)
+                                        .since(current.horizon.completeUntil())
+                                        .compareTo(safetyTimes.maxCancellationAge())
                                 < 0);
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/CancellationSimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancellationSimulationTest.java
@@ -7,7 +7,7 @@
 import io.indigoreach.core.EffectListener;
 import io.indigoreach.core.model.JobId;
 import io.indigoreach.core.model.Span;
-import io.indigoreach.core.scheduling.CancellationSimulation.Without;
+import io.indigoreach.core.scheduling.CancellationSimulation.DisabledGuard;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -25,12 +25,13 @@
     private static final int JOBS = 8;
     private static final int SEEDS = 1000;
 
-    private static SafetyTimes rules(double lease, double report, double cancel) {
-        return new SafetyTimes(Span.seconds(lease), Span.seconds(report), Span.seconds(cancel), Span.seconds(3));
+    private static SafetyTimes safetyTimes(double leaseS, double heartbeatPeriodS, double cancellationTimeS) {
+        return new SafetyTimes(
+                Span.seconds(leaseS), Span.seconds(heartbeatPeriodS), Span.seconds(cancellationTimeS), Span.seconds(3));
     }
 
     /**
-     * {@code lost}: whether all workers lose their tasks, because no reachable controller knows which cancellations
+     * {@code losesTasks}: whether all workers lose their tasks, because no reachable controller knows which cancellations
      * were confirmed.
      */
     @ParameterizedTest
@@ -52,37 +53,37 @@
         "22, 5, 42, 30.5, 1, 0.1, 0,   0,  0,  31, -1, true, the leader ends: the next one cannot read the records",
         "22, 5, 42, 29,   0, 0.1, 0,   0,  -1, 0,  -1, false, confirmed by the leader's own node just before",
     })
-    void tasksAreGoneInTime(
-            double lease,
-            double report,
-            double cancel,
-            double toldAt,
-            int by,
-            double way,
-            double later,
-            double poll,
-            int restarted,
+    void tasksOfConfirmedCancellationsEndInTime(
+            double leaseS,
+            double heartbeatPeriodS,
+            double cancellationTimeS,
+            double cancelledAt,
+            int node,
+            double responseDelay,
+            double confirmationDelay,
+            double queriedAt,
+            int restartedNode,
             double restartsAt,
-            int silent,
-            boolean lost,
-            String what) {
-        CancellationSimulation run =
-                new CancellationSimulation(rules(lease, report, cancel), 3, JOBS, 7, Without.NOTHING);
-        run.refuse(30, 0, 14);
-        run.outage(32, 60);
-        run.cancel(toldAt, by, CancellationSimulation.job(1), way, later);
-        if (poll > 0) {
-            run.poll(poll, by, CancellationSimulation.job(1));
+            int silentNode,
+            boolean losesTasks,
+            String description) {
+        CancellationSimulation run = new CancellationSimulation(
+                safetyTimes(leaseS, heartbeatPeriodS, cancellationTimeS), 3, JOBS, 7, DisabledGuard.NONE);
+        run.refuseNode(30, 0, 14);
+        run.beginOutage(32, 60);
+        run.cancel(cancelledAt, node, CancellationSimulation.job(1), responseDelay, confirmationDelay);
+        if (queriedAt > 0) {
+            run.queryStatus(queriedAt, node, CancellationSimulation.job(1));
         }
-        if (restarted >= 0) {
-            run.restart(restartsAt, restarted, 0.2);
+        if (restartedNode >= 0) {
+            run.restartNode(restartsAt, restartedNode, 0.2);
         }
-        if (silent >= 0) {
-            run.silence(31, silent, 60);
+        if (silentNode >= 0) {
+            run.silenceNode(31, silentNode, 60);
         }
-        run.until(100);
-        assertEquals(List.of(), run.broken, what);
-        assertEquals(lost, run.lost > 0, what);
+        run.runUntil(100);
+        assertEquals(List.of(), run.violations, description);
+        assertEquals(losesTasks, run.lostTasks > 0, description);
     }
 
     /**
@@ -99,26 +100,26 @@
         "22, 4, 29, 6, 0.5",
         "22, 5, 42, 60, 0"
     })
-    void theVeryMomentAndAgainBeforeItHasEnded(
-            double lease, double report, double cancel, double outage, double pause) {
+    void repeatedOutagesAtTheMomentOfCancellation(
+            double leaseS, double heartbeatPeriodS, double cancellationTimeS, double outageS, double pauseS) {
         for (double offset = -0.2; offset < 1; offset += 0.05) {
-            CancellationSimulation run =
-                    new CancellationSimulation(rules(lease, report, cancel), 3, JOBS, 7, Without.NOTHING);
+            CancellationSimulation run = new CancellationSimulation(
+                    safetyTimes(leaseS, heartbeatPeriodS, cancellationTimeS), 3, JOBS, 7, DisabledGuard.NONE);
             for (int round = 0; round < 3; round++) {
-                double at = 30 + round * (1 + outage + pause);
-                run.refuse(at, 0, 3);
-                run.outage(at + 1, outage);
-                run.cancel(at + offset, 1, CancellationSimulation.job(2 * round), 0.01, 0);
-                run.cancel(at + offset, 2, CancellationSimulation.job(2 * round + 1), 0.4, 0.5);
+                double refusedAt = 30 + round * (1 + outageS + pauseS);
+                run.refuseNode(refusedAt, 0, 3);
+                run.beginOutage(refusedAt + 1, outageS);
+                run.cancel(refusedAt + offset, 1, CancellationSimulation.job(2 * round), 0.01, 0);
+                run.cancel(refusedAt + offset, 2, CancellationSimulation.job(2 * round + 1), 0.4, 0.5);
             }
-            run.until(30 + 3 * (2 + outage) + 60);
-            assertEquals(List.of(), run.broken, "at " + offset);
-            assertEquals(0, run.lost, "tasks lost although all controllers answer, at " + offset);
+            run.runUntil(30 + 3 * (2 + outageS) + 60);
+            assertEquals(List.of(), run.violations, "at " + offset);
+            assertEquals(0, run.lostTasks, "tasks lost although all controllers answer, at " + offset);
         }
     }
 
     /** The condition of the old leader when its leadership ends at 30 s. */
-    private enum Ending {
+    private enum LeaderCondition {
         ANSWERING,
         REFUSED,
         PLEDGED,
@@ -129,99 +130,110 @@
      * Jobs are cancelled at any node around a change of leader; that node restarts within the same second or does not.
      * The state service works, or has an outage that begins before or just after the next leader has read the records.
      */
-    private static List<String> handover(Ending ending, Without without) {
-        List<String> broken = new ArrayList<>();
+    private static List<String> violationsAcrossHandover(LeaderCondition condition, DisabledGuard disabledGuard) {
+        List<String> violations = new ArrayList<>();
         for (double outageAt : new double[] {200, 29.99, 30.25, 31}) {
-            for (int told = 0; told < 120; told++) {
-                double at = 28.5 + told * 0.025;
-                CancellationSimulation run = new CancellationSimulation(rules(12, 2, 32), 3, JOBS, told, without);
-                switch (ending) {
-                    case REFUSED -> run.refuse(27, 0, 20);
-                    case PLEDGED -> run.outage(22, 7.9);
-                    case SILENT -> run.silence(29, 0, 20);
+            for (int variant = 0; variant < 120; variant++) {
+                double cancelledAt = 28.5 + variant * 0.025;
+                CancellationSimulation run =
+                        new CancellationSimulation(safetyTimes(12, 2, 32), 3, JOBS, variant, disabledGuard);
+                switch (condition) {
+                    case REFUSED -> run.refuseNode(27, 0, 20);
+                    case PLEDGED -> run.beginOutage(22, 7.9);
+                    case SILENT -> run.silenceNode(29, 0, 20);
                     default -> {}
                 }
-                run.lead(30, 1);
-                run.outage(outageAt, 60);
-                run.cancel(at, told % 3, CancellationSimulation.job(1), 0.05, 0);
-                run.cancel(at, 2, CancellationSimulation.job(2), 0.05, 0.2);
-                if (told / 3 % 2 == 0) {
-                    run.restart(at + 0.06 + (told % 5) * 0.2, 2, 0.3);
+                run.changeLeader(30, 1);
+                run.beginOutage(outageAt, 60);
+                run.cancel(cancelledAt, variant % 3, CancellationSimulation.job(1), 0.05, 0);
+                run.cancel(cancelledAt, 2, CancellationSimulation.job(2), 0.05, 0.2);
+                if (variant / 3 % 2 == 0) {
+                    run.restartNode(cancelledAt + 0.06 + (variant % 5) * 0.2, 2, 0.3);
                 }
-                broken.addAll(run.until(140).broken);
+                violations.addAll(run.runUntil(140).violations);
             }
         }
-        return broken;
+        return violations;
     }
 
     @ParameterizedTest
-    @EnumSource(Ending.class)
-    void cancelledAsTheLeadershipChangesHands(Ending ending) {
-        assertEquals(List.of(), handover(ending, Without.NOTHING));
-        for (Without guard : List.of(Without.BACKSTOP, Without.NAMES)) {
-            assertFalse(handover(ending, guard).isEmpty(), "without " + guard);
+    @EnumSource(LeaderCondition.class)
+    void cancellationsDuringAChangeOfLeader(LeaderCondition condition) {
+        assertEquals(List.of(), violationsAcrossHandover(condition, DisabledGuard.NONE));
+        for (DisabledGuard guard : List.of(DisabledGuard.MAX_CANCELLATION_AGE, DisabledGuard.CANCELLED_JOB_IDS)) {
+            assertFalse(violationsAcrossHandover(condition, guard).isEmpty(), "without " + guard);
         }
     }
 
     /** A run with overlapping random faults. */
-    private static CancellationSimulation random(long seed, Without without) {
-        return random(seed, without, EffectListener.NONE);
+    private static CancellationSimulation randomRun(long seed, DisabledGuard disabledGuard) {
+        return randomRun(seed, disabledGuard, EffectListener.NONE);
     }
 
-    public static CancellationSimulation random(long seed, Without without, EffectListener effects) {
-        Random r = new Random(seed);
+    public static CancellationSimulation randomRun(long seed, DisabledGuard disabledGuard, EffectListener effects) {
+        Random random = new Random(seed);
         double[][] times = {{22, 5, 42}, {12, 2, 32}, {22, 4, 47}, {22, 4, 29}};
-        double[] t = times[r.nextInt(times.length)];
-        int nodes = r.nextBoolean() ? 3 : 5;
-        CancellationSimulation run = new CancellationSimulation(rules(t[0], t[1], t[2]), nodes, JOBS, seed, without);
+        double[] chosenTimes = times[random.nextInt(times.length)];
+        int nodes = random.nextBoolean() ? 3 : 5;
+        CancellationSimulation run = new CancellationSimulation(
+                safetyTimes(chosenTimes[0], chosenTimes[1], chosenTimes[2]), nodes, JOBS, seed, disabledGuard);
         run.effects = effects;
         int leader = 0;
-        double at = 5;
-        for (int n = 0; n < 4; n++) {
-            at += r.nextDouble() * 40;
-            if (r.nextInt(3) == 0) {
-                leader = r.nextInt(nodes);
-                run.lead(at - r.nextDouble() * 8, leader);
+        double faultTime = 5;
+        for (int round = 0; round < 4; round++) {
+            faultTime += random.nextDouble() * 40;
+            if (random.nextInt(3) == 0) {
+                leader = random.nextInt(nodes);
+                run.changeLeader(faultTime - random.nextDouble() * 8, leader);
             }
-            run.refuse(at, r.nextBoolean() ? leader : r.nextInt(nodes), 3 + r.nextDouble() * 30);
-            run.outage(at + r.nextDouble() * 8, 5 + r.nextDouble() * 80);
-            if (r.nextInt(4) == 0) {
-                run.silence(at + r.nextDouble() * 8, r.nextInt(nodes), r.nextDouble() * 40);
+            run.refuseNode(
+                    faultTime, random.nextBoolean() ? leader : random.nextInt(nodes), 3 + random.nextDouble() * 30);
+            run.beginOutage(faultTime + random.nextDouble() * 8, 5 + random.nextDouble() * 80);
+            if (random.nextInt(4) == 0) {
+                run.silenceNode(faultTime + random.nextDouble() * 8, random.nextInt(nodes), random.nextDouble() * 40);
             }
-            boolean burst = r.nextBoolean();
-            for (int j = 0; j < (burst ? 4 : 2); j++) {
-                JobId job = CancellationSimulation.job(r.nextInt(JOBS));
-                int by = r.nextInt(nodes);
-                double when = at - (burst ? 4 : 0.5) + r.nextDouble() * (burst ? 4 : 8);
-                run.cancel(when, by, job, r.nextDouble() * 0.5, r.nextInt(4) == 0 ? r.nextDouble() * 5 : 0);
-                run.poll(when + r.nextDouble() * 20, r.nextInt(nodes), job);
-                if (r.nextInt(3) == 0) {
-                    run.restart(when + r.nextDouble() * 3, r.nextBoolean() ? by : r.nextInt(nodes), r.nextDouble());
+            boolean burst = random.nextBoolean();
+            for (int cancellation = 0; cancellation < (burst ? 4 : 2); cancellation++) {
+                JobId job = CancellationSimulation.job(random.nextInt(JOBS));
+                int node = random.nextInt(nodes);
+                double cancelledAt = faultTime - (burst ? 4 : 0.5) + random.nextDouble() * (burst ? 4 : 8);
+                run.cancel(
+                        cancelledAt,
+                        node,
+                        job,
+                        random.nextDouble() * 0.5,
+                        random.nextInt(4) == 0 ? random.nextDouble() * 5 : 0);
+                run.queryStatus(cancelledAt + random.nextDouble() * 20, random.nextInt(nodes), job);
+                if (random.nextInt(3) == 0) {
+                    run.restartNode(
+                            cancelledAt + random.nextDouble() * 3,
+                            random.nextBoolean() ? node : random.nextInt(nodes),
+                            random.nextDouble());
                 }
             }
         }
-        return run.until(300);
+        return run.runUntil(300);
     }
 
     @Test
-    void noSeedBreaksTheRule() {
-        int stopped = 0;
+    void randomRunsEndTasksInTime() {
+        int stopsByPeerAnswers = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
-            CancellationSimulation run = random(seed, Without.NOTHING);
-            assertEquals(List.of(), run.broken, "seed " + seed);
-            stopped += run.stoppedByWord;
+            CancellationSimulation run = randomRun(seed, DisabledGuard.NONE);
+            assertEquals(List.of(), run.violations, "seed " + seed);
+            stopsByPeerAnswers += run.stopsByPeerAnswers;
         }
-        assertTrue(stopped > 100, "peers' answers were hardly ever needed: " + stopped);
+        assertTrue(stopsByPeerAnswers > 100, "peers' answers were hardly ever needed: " + stopsByPeerAnswers);
     }
 
     @ParameterizedTest
-    @EnumSource(value = Without.class, mode = EnumSource.Mode.EXCLUDE, names = "NOTHING")
-    void withoutAnyOfItsGuardsItIsBroken(Without without) {
+    @EnumSource(value = DisabledGuard.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
+    void eachDisabledGuardViolatesTheRule(DisabledGuard disabledGuard) {
         for (long seed = 0; seed < SEEDS; seed++) {
-            if (!random(seed, without).broken.isEmpty()) {
+            if (!randomRun(seed, disabledGuard).violations.isEmpty()) {
                 return;
             }
         }
-        throw new AssertionError("no seed violates the rule without " + without);
+        throw new AssertionError("no seed violates the rule without " + disabledGuard);
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/CancelledTaskRenewalTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancelledTaskRenewalTest.java
@@ -33,7 +33,7 @@
     private final SimulatedCluster cluster = new SimulatedCluster(TEAM);
 
     /** What a leader knows of the machine from the records. */
-    private enum Known {
+    private enum RecordedState {
         /** An earlier leader recorded the machine. */
         RECORDED,
         /** No record mentions the machine. */
@@ -45,7 +45,7 @@
     }
 
     @BeforeEach
-    void twoTasksRun() {
+    void startTwoTasks() {
         cluster.box(MACHINE, 0);
         cluster.lead(0);
         cluster.become(MACHINE, 1);
@@ -54,22 +54,23 @@
         assertEquals(2, cluster.running(6).size());
     }
 
-    private void nextLeader(Known known, double now) {
+    private void nextLeader(RecordedState recordedState, double now) {
         cluster.begin(now);
-        boolean recorded = known == Known.RECORDED || known == Known.RECORDED_AND_RETURNED;
+        boolean recorded =
+                recordedState == RecordedState.RECORDED || recordedState == RecordedState.RECORDED_AND_RETURNED;
         cluster.load(recorded ? Set.of(MACHINE) : Set.of());
-        if (known == Known.RETURNED || known == Known.RECORDED_AND_RETURNED) {
+        if (recordedState == RecordedState.RETURNED || recordedState == RecordedState.RECORDED_AND_RETURNED) {
             cluster.core.inheritReturns(List.of(new MachineId(MACHINE)), at(now));
         }
     }
 
     /** Leaders that know of the cancellation succeed each other; each answers one or more heartbeats of the machine. */
-    private List<String> brokenRules(Known known, double leadershipS, double heartbeatPeriodS) {
+    private List<String> violations(RecordedState recordedState, double leadershipS, double heartbeatPeriodS) {
         cluster.cancel(JOB, CANCELLED_AT);
         double leaderUntil = CANCELLED_AT;
         for (double now = CANCELLED_AT; now < LAST_STEP; now += heartbeatPeriodS) {
             if (now >= leaderUntil) {
-                nextLeader(known, now);
+                nextLeader(recordedState, now);
                 leaderUntil = now + leadershipS;
             }
             cluster.report(MACHINE, now + 1);
@@ -91,13 +92,13 @@
         "RETURNED, 9, 9",
         "RETURNED, 1000, 2"
     })
-    void tasksEndInTimeThoughNoLeaderReconciles(Known known, double leadershipS, double heartbeatPeriodS) {
-        assertEquals(List.of(), brokenRules(known, leadershipS, heartbeatPeriodS));
+    void tasksEndInTimeWithoutReconciliation(RecordedState recordedState, double leadershipS, double heartbeatPeriodS) {
+        assertEquals(List.of(), violations(recordedState, leadershipS, heartbeatPeriodS));
     }
 
     @ParameterizedTest
     @CsvSource({"RECORDED, 1000, 2", "UNKNOWN, 1000, 2", "RECORDED_AND_RETURNED, 1000, 2"})
-    void tasksEndInTimeUnderALeaderThatReconciles(Known known, double leadershipS, double heartbeatPeriodS) {
-        assertEquals(List.of(), brokenRules(known, leadershipS, heartbeatPeriodS));
+    void tasksEndInTimeWithReconciliation(RecordedState recordedState, double leadershipS, double heartbeatPeriodS) {
+        assertEquals(List.of(), violations(recordedState, leadershipS, heartbeatPeriodS));
     }
 }
