--- a/src/test/java/io/indigoreach/core/scheduling/ConcurrentFaultsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ConcurrentFaultsTest.java
@@ -27,7 +27,7 @@
  * with state that is not recorded yet.
  */
 class ConcurrentFaultsTest {
-    private final SimulatedCluster site = new SimulatedCluster();
+    private final SimulatedCluster cluster = new SimulatedCluster();
 
     /**
      * The first task ends long before the others, and the leader ends before the result was reported, recorded or
@@ -57,64 +57,66 @@
         "3, 4, reported, 2, false",
         "3, 4, reaped, 2, false"
     })
-    void tasksThatEndFarApart(int tasks, double cores, String point, int changes, boolean reached) {
+    void resultsSurviveLeaderChanges(int tasks, double cores, String progress, int leaderChanges, boolean reached) {
         for (String name : List.of("a", "b", "c", "d")) {
-            site.box(name, 0);
+            cluster.box(name, 0);
         }
-        site.lead(0);
-        site.submit(spec(1, tasks, cores, 50), 1);
-        site.all(1.5);
-        site.all(2.5);
-        site.all(4);
+        cluster.lead(0);
+        cluster.submit(spec(1, tasks, cores, 50), 1);
+        cluster.all(1.5);
+        cluster.all(2.5);
+        cluster.all(4);
         TaskId first = TaskId.parse("run-1/0");
-        SimulatedCluster.Box ran = site.runs(first);
-        if (!point.equals("running")) {
-            ran.end(first, ExitCause.DONE);
+        SimulatedCluster.Box worker = cluster.runs(first);
+        if (!progress.equals("running")) {
+            worker.end(first, ExitCause.DONE);
         }
-        if (point.equals("reported") || point.equals("recorded") || point.equals("reaped")) {
-            site.report(ran.name, 5);
+        if (progress.equals("reported") || progress.equals("recorded") || progress.equals("reaped")) {
+            cluster.report(worker.name, 5);
         }
-        if (point.equals("recorded") || point.equals("reaped")) {
-            site.record();
+        if (progress.equals("recorded") || progress.equals("reaped")) {
+            cluster.record();
         }
-        if (point.equals("reaped")) {
-            site.report(ran.name, 6);
-            assertFalse(ran.tasks.containsKey(first));
+        if (progress.equals("reaped")) {
+            cluster.report(worker.name, 6);
+            assertFalse(worker.tasks.containsKey(first));
         }
-        for (int i = 0; i < changes; i++) {
-            site.lead(8 + i);
-            site.report("d", 8.5 + i);
+        for (int i = 0; i < leaderChanges; i++) {
+            cluster.lead(8 + i);
+            cluster.report("d", 8.5 + i);
         }
-        double again = -1;
+        double restartedAt = -1;
         for (double now = 10; now < 90; now += 2) {
-            if (point.equals("running") && now == 30) {
-                ran.end(first, ExitCause.DONE);
+            if (progress.equals("running") && now == 30) {
+                worker.end(first, ExitCause.DONE);
             }
             for (int i = 1; i < tasks; i++) {
                 TaskId other = TaskId.parse("run-1/" + i);
-                if (now == 50 + 10 * i && site.runs(other) != null) {
-                    site.runs(other).end(other, ExitCause.DONE);
+                if (now == 50 + 10 * i && cluster.runs(other) != null) {
+                    cluster.runs(other).end(other, ExitCause.DONE);
                 }
             }
-            boolean cut = !reached && now < 40;
-            for (SimulatedCluster.Box box : site.boxes()) {
-                if (!cut || box != ran) {
-                    site.report(box.name, now);
+            boolean isWorkerUnreachable = !reached && now < 40;
+            for (SimulatedCluster.Box box : cluster.boxes()) {
+                if (!isWorkerUnreachable || box != worker) {
+                    cluster.report(box.name, now);
                 }
             }
-            again = again < 0 && site.starts(first) > 1 ? now : again;
-            site.core.expireLeases(at(now));
-            site.record();
-            assertEquals(site.ended(new JobId("run-1")) == tasks, site.isClosed(new JobId("run-1")), "at " + now);
+            restartedAt = restartedAt < 0 && cluster.starts(first) > 1 ? now : restartedAt;
+            cluster.core.expireLeases(at(now));
+            cluster.record();
+            assertEquals(cluster.ended(new JobId("run-1")) == tasks, cluster.isClosed(new JobId("run-1")), "at " + now);
         }
-        boolean lost = !reached && (point.equals("ended") || point.equals("reported"));
+        boolean lost = !reached && (progress.equals("ended") || progress.equals("reported"));
         assertEquals(
                 lost ? 2 : 1,
-                site.starts(first),
+                cluster.starts(first),
                 "a task runs again only if its result was not recorded and its machine is lost");
-        assertTrue(!lost || again >= 7 + changes + RULES.leaseBound().seconds(), "started again at " + again);
-        assertTrue(site.isClosed(new JobId("run-1")));
-        assertEquals(List.of(), site.broken);
+        assertTrue(
+                !lost || restartedAt >= 7 + leaderChanges + RULES.leaseBound().seconds(),
+                "started again at " + restartedAt);
+        assertTrue(cluster.isClosed(new JobId("run-1")));
+        assertEquals(List.of(), cluster.broken);
     }
 
     /**
@@ -135,47 +137,48 @@
         "answers lost, 6, 3.5, 2, 22",
         "unreachable, 6, 2, 2, 20"
     })
-    void aTakeOverWaitsForALeaseAndNoLonger(String trouble, int machines, double every, int changes, double started) {
+    void failoverWaitsForOneLeaseAtMost(
+            String fault, int machines, double periodS, int leaderChanges, double expectedStartS) {
         for (int i = 0; i < machines; i++) {
-            site.box("m" + i, 0);
+            cluster.box("m" + i, 0);
         }
-        site.box("n", 0);
-        site.lead(-10);
-        site.submit(spec(1, machines, 4, 50), -10);
+        cluster.box("n", 0);
+        cluster.lead(-10);
+        cluster.submit(spec(1, machines, 4, 50), -10);
         for (int i = 0; i < machines; i++) {
-            site.become("m" + i, -4);
-            assertEquals(1, site.box("m" + i).tasks.size());
-            site.box("m" + i).deaf = trouble.equals("answers lost");
+            cluster.become("m" + i, -4);
+            assertEquals(1, cluster.box("m" + i).tasks.size());
+            cluster.box("m" + i).deaf = fault.equals("answers lost");
         }
         // No leader has started any task of this job.
-        site.submit(spec(2, 1, 4, 50), -0.4);
-        site.lead(0);
-        double inherited = -1;
-        boolean second = changes == 1;
+        cluster.submit(spec(2, 1, 4, 50), -0.4);
+        cluster.lead(0);
+        double startedAt = -1;
+        boolean hasSecondLeader = leaderChanges == 1;
         for (double now = 0.5; now < 60; now += 0.5) {
-            if (!second && now > 7) {
-                site.lead(7);
-                second = true;
+            if (!hasSecondLeader && now > 7) {
+                cluster.lead(7);
+                hasSecondLeader = true;
             }
             for (int i = 0; i < machines; i++) {
-                if (now % every == 0 && !trouble.equals("unreachable")) {
-                    site.report("m" + i, now);
+                if (now % periodS == 0 && !fault.equals("unreachable")) {
+                    cluster.report("m" + i, now);
                 }
             }
-            site.core.expireLeases(at(now));
+            cluster.core.expireLeases(at(now));
             if (now % 2 == 0) {
-                int before = site.startsOf(new JobId("run-1"));
-                site.report("n", now);
-                inherited = inherited < 0 && site.startsOf(new JobId("run-1")) > before ? now : inherited;
+                int before = cluster.startsOf(new JobId("run-1"));
+                cluster.report("n", now);
+                startedAt = startedAt < 0 && cluster.startsOf(new JobId("run-1")) > before ? now : startedAt;
                 TaskId other = TaskId.parse("run-2/0");
-                if (site.runs(other) != null) {
+                if (cluster.runs(other) != null) {
                     assertTrue(now <= 6, "a task that no leader has started may start at once");
-                    site.runs(other).end(other, ExitCause.DONE);
+                    cluster.runs(other).end(other, ExitCause.DONE);
                 }
             }
         }
-        assertEquals(started, inherited);
-        assertEquals(List.of(), site.broken);
+        assertEquals(expectedStartS, startedAt);
+        assertEquals(List.of(), cluster.broken);
     }
 
     /**
@@ -192,36 +195,37 @@
         "0.5, true, true, 14",
         "3, false, true, 16"
     })
-    void whatIsAnsweredWhileTheRecordsAreReadRenewsLeases(double heard, boolean taken, boolean copied, double started) {
-        site.box("m", 0);
-        site.box("n", 0);
-        site.lead(-10);
-        site.submit(spec(1, 1, 4, 50), -10);
-        site.become("m", -4);
-        assertEquals(1, site.box("m").tasks.size());
-        site.begin(0);
-        site.box("m").deaf = !taken;
-        Heartbeat before = site.box("m").sent;
-        site.report("m", heard);
-        if (copied) {
-            site.core.onHeartbeat(before, at(5));
-            site.core.onHeartbeat(site.box("m").sent, at(5.5));
+    void answersDuringLoadingRenewLeases(
+            double heartbeatAt, boolean answerReceived, boolean hasCopies, double expectedStartS) {
+        cluster.box("m", 0);
+        cluster.box("n", 0);
+        cluster.lead(-10);
+        cluster.submit(spec(1, 1, 4, 50), -10);
+        cluster.become("m", -4);
+        assertEquals(1, cluster.box("m").tasks.size());
+        cluster.begin(0);
+        cluster.box("m").deaf = !answerReceived;
+        Heartbeat earlier = cluster.box("m").sent;
+        cluster.report("m", heartbeatAt);
+        if (hasCopies) {
+            cluster.core.onHeartbeat(earlier, at(5));
+            cluster.core.onHeartbeat(cluster.box("m").sent, at(5.5));
         }
-        Heartbeat late = site.box("m").write();
-        site.load();
-        double inherited = -1;
-        for (double now = 6; inherited < 0 && now < 40; now += 2) {
-            site.core.expireLeases(at(now));
-            site.report("n", now);
-            inherited = site.startsOf(new JobId("run-1")) > 1 ? now : inherited;
+        Heartbeat late = cluster.box("m").write();
+        cluster.load();
+        double startedAt = -1;
+        for (double now = 6; startedAt < 0 && now < 40; now += 2) {
+            cluster.core.expireLeases(at(now));
+            cluster.report("n", now);
+            startedAt = cluster.startsOf(new JobId("run-1")) > 1 ? now : startedAt;
         }
-        assertEquals(started, inherited);
-        site.core.onHeartbeat(late, at(40));
-        assertEquals(1, site.core.job(new JobId("run-1")).placements().size());
+        assertEquals(expectedStartS, startedAt);
+        cluster.core.onHeartbeat(late, at(40));
+        assertEquals(1, cluster.core.job(new JobId("run-1")).placements().size());
         assertTrue(
-                site.said.stream().noneMatch(line -> line.startsWith("duplicate task stopped")),
+                cluster.said.stream().noneMatch(line -> line.startsWith("duplicate task stopped")),
                 "a heartbeat from before its lease expired");
-        assertEquals(List.of(), site.broken);
+        assertEquals(List.of(), cluster.broken);
     }
 
     /**
@@ -247,51 +251,51 @@
         "silent, 13, false",
         "silent, 30, false"
     })
-    void copiesOfReportsChangeNothing(String what, double delay, boolean change) {
-        List<String> without = copies(what, Double.MAX_VALUE, change);
-        assertEquals(without, copies(what, delay, change));
-        assertTrue(without.stream().anyMatch(line -> line.contains("Start")), "nothing happened");
+    void heartbeatCopiesChangeNothing(String scenario, double delay, boolean changesLeader) {
+        List<String> expected = traceWithCopies(scenario, Double.MAX_VALUE, changesLeader);
+        assertEquals(expected, traceWithCopies(scenario, delay, changesLeader));
+        assertTrue(expected.stream().anyMatch(line -> line.contains("Start")), "nothing happened");
     }
 
-    private static List<String> copies(String what, double delay, boolean change) {
-        SimulatedCluster s = new SimulatedCluster();
-        s.box("a", 0);
-        s.box("b", 0);
-        s.lead(0);
-        s.submit(spec(1, 3, 4, 50), 1);
+    private static List<String> traceWithCopies(String scenario, double delay, boolean changesLeader) {
+        SimulatedCluster cluster = new SimulatedCluster();
+        cluster.box("a", 0);
+        cluster.box("b", 0);
+        cluster.lead(0);
+        cluster.submit(spec(1, 3, 4, 50), 1);
         TaskId first = TaskId.parse("run-1/0");
         List<String> trace = new ArrayList<>();
         List<Heartbeat> sent = new ArrayList<>();
-        List<Double> due = new ArrayList<>();
+        List<Double> dueTimes = new ArrayList<>();
         for (double now = 2; now < 70; now += 1) {
-            if (change && now == 21) {
-                s.lead(now);
+            if (changesLeader && now == 21) {
+                cluster.lead(now);
             }
-            if (what.equals("new attempt") && now == 11 && s.runs(first) != null) {
-                s.runs(first).end(first, ExitCause.ERROR);
+            if (scenario.equals("new attempt") && now == 11 && cluster.runs(first) != null) {
+                cluster.runs(first).end(first, ExitCause.ERROR);
             }
-            if (what.equals("new incarnation") && now == 11) {
-                s.box("a").newSession(now);
+            if (scenario.equals("new incarnation") && now == 11) {
+                cluster.box("a").newSession(now);
             }
             for (String name : List.of("a", "b")) {
-                if (!(what.equals("silent") && name.equals("a") && now > 10)) {
-                    trace.add(now + " " + name + " " + s.report(name, now));
-                    sent.add(s.box(name).sent);
-                    due.add(now + delay);
+                if (!(scenario.equals("silent") && name.equals("a") && now > 10)) {
+                    trace.add(now + " " + name + " " + cluster.report(name, now));
+                    sent.add(cluster.box(name).sent);
+                    dueTimes.add(now + delay);
                 }
             }
             for (int i = 0; i < sent.size(); i++) {
                 // By then both machines have sent a heartbeat to the new leader.
-                if (due.get(i) <= now && (now < 21 || now > 22)) {
-                    s.core.onHeartbeat(sent.get(i), at(now + 0.5));
-                    due.set(i, Double.MAX_VALUE);
+                if (dueTimes.get(i) <= now && (now < 21 || now > 22)) {
+                    cluster.core.onHeartbeat(sent.get(i), at(now + 0.5));
+                    dueTimes.set(i, Double.MAX_VALUE);
                 }
             }
-            s.core.expireLeases(at(now + 0.6));
-            trace.add(s.core.summary() + " expired " + s.core.isLeaseExpired(new MachineId("a")));
-            s.record();
+            cluster.core.expireLeases(at(now + 0.6));
+            trace.add(cluster.core.summary() + " expired " + cluster.core.isLeaseExpired(new MachineId("a")));
+            cluster.record();
         }
-        assertEquals(List.of(), s.broken);
+        assertEquals(List.of(), cluster.broken);
         return trace;
     }
 
@@ -301,21 +305,21 @@
      */
     @ParameterizedTest
     @CsvSource({"1, false", "2, false", "1, true", "2, true"})
-    void copiesRaiseNoMachineThatWasAnsweredTooEarly(int answered, boolean lives) {
-        SimulatedWorld w = new SimulatedWorld();
+    void copiesDoNotAdoptMachinesAnsweredDuringLoading(int answered, boolean isAlive) {
+        SimulatedWorld world = new SimulatedWorld();
         List<Heartbeat> sent = new ArrayList<>();
         for (int i = 0; i < answered; i++) {
-            sent.add(w.report("x", "east", 1, i == 0 ? new FencingToken(4) : SimulatedWorld.TOKEN));
-            w.core.onHeartbeat(sent.get(i), at(i));
+            sent.add(world.report("x", "east", 1, i == 0 ? new FencingToken(4) : SimulatedWorld.TOKEN));
+            world.core.onHeartbeat(sent.get(i), at(i));
         }
-        w.core.recordsLoaded();
+        world.core.onRecordsLoaded();
         for (int i = 0; i < 2 * answered; i++) {
-            w.core.onHeartbeat(sent.get(i % answered), at(10 + i));
+            world.core.onHeartbeat(sent.get(i % answered), at(10 + i));
         }
-        assertEquals(0, w.core.machineCount());
-        if (lives) {
-            w.core.onHeartbeat(w.report("x", "east", 1, SimulatedWorld.TOKEN), at(15));
-            assertEquals(1, w.core.machineCount(), "its next heartbeat shows the answer");
+        assertEquals(0, world.core.machineCount());
+        if (isAlive) {
+            world.core.onHeartbeat(world.report("x", "east", 1, SimulatedWorld.TOKEN), at(15));
+            assertEquals(1, world.core.machineCount(), "its next heartbeat shows the answer");
         }
     }
 
@@ -325,30 +329,31 @@
      */
     @ParameterizedTest
     @ValueSource(doubles = {1, 3, 7})
-    void copiesPutATakeOverOffByALeaseAtMost(double every) {
-        site.box("a", 0);
-        site.box("n", 0);
-        site.lead(-40);
-        site.submit(spec(1, 1, 4, 50), -40);
+    void copiesDelayFailoverByOneLeaseAtMost(double periodS) {
+        cluster.box("a", 0);
+        cluster.box("n", 0);
+        cluster.lead(-40);
+        cluster.submit(spec(1, 1, 4, 50), -40);
         List<Heartbeat> copies = new ArrayList<>();
         for (double now = -30; now < 0; now++) {
-            site.report("a", now);
-            copies.add(site.box("a").sent);
+            cluster.report("a", now);
+            copies.add(cluster.box("a").sent);
         }
-        site.lead(0);
-        double settled = -1;
-        for (double now = 0; settled < 0; now += every) {
+        cluster.lead(0);
+        double completedAt = -1;
+        for (double now = 0; completedAt < 0; now += periodS) {
             assertEquals(
-                    List.of(), site.core.onHeartbeat(copies.remove(0), at(now)).commands());
-            site.core.expireLeases(at(now));
-            site.report("n", now);
-            settled = site.core.isFailoverComplete() ? now : -1;
-            assertEquals(settled >= 0, site.startsOf(new JobId("run-1")) > 1);
+                    List.of(),
+                    cluster.core.onHeartbeat(copies.remove(0), at(now)).commands());
+            cluster.core.expireLeases(at(now));
+            cluster.report("n", now);
+            completedAt = cluster.core.isFailoverComplete() ? now : -1;
+            assertEquals(completedAt >= 0, cluster.startsOf(new JobId("run-1")) > 1);
         }
         assertTrue(
-                settled > RULES.leaseBound().seconds()
-                        && settled <= RULES.leaseBound().seconds() + every,
-                "" + settled);
+                completedAt > RULES.leaseBound().seconds()
+                        && completedAt <= RULES.leaseBound().seconds() + periodS,
+                "" + completedAt);
     }
 
     /**
@@ -370,75 +375,77 @@
         "incarnation, 3, false, 2",
         "attempt, 3, false, 2"
     })
-    void whatIsHeldUp(String what, double held, boolean change, int orders) {
-        SimulatedCluster.Box a = site.box("a", 0);
-        site.box("n", 0);
-        site.lead(-10);
-        site.submit(spec(1, 1, 4, 500), -10);
+    void delayedMessagesStartTasksOnce(String scenario, double delay, boolean changesLeader, int expectedStarts) {
+        SimulatedCluster.Box worker = cluster.box("a", 0);
+        cluster.box("n", 0);
+        cluster.lead(-10);
+        cluster.submit(spec(1, 1, 4, 500), -10);
         TaskId task = TaskId.parse("run-1/0");
-        boolean ordered = what.equals("answer") || what.equals("token") || what.equals("incarnation");
-        if (ordered) {
-            site.report("a", -4);
-            site.report("a", -2);
+        boolean isStartInTransit =
+                scenario.equals("answer") || scenario.equals("token") || scenario.equals("incarnation");
+        if (isStartInTransit) {
+            cluster.report("a", -4);
+            cluster.report("a", -2);
         } else {
-            site.become("a", -4);
+            cluster.become("a", -4);
         }
-        assertEquals(ordered ? 0 : 1, a.tasks.size());
-        if (what.equals("attempt")) {
+        assertEquals(isStartInTransit ? 0 : 1, worker.tasks.size());
+        if (scenario.equals("attempt")) {
             // The task fails at once and is started again; the answer that stops or reaps the first attempt is late.
-            a.end(task, ExitCause.ERROR);
+            worker.end(task, ExitCause.ERROR);
         }
-        Heartbeat heartbeat = a.write();
+        Heartbeat heartbeat = worker.write();
         SimulatedCluster.Answer answer =
-                what.equals("heartbeat") || what.equals("lease") ? null : site.answer(heartbeat, 0);
-        if (what.equals("lease")) {
-            site.report("a", 0);
+                scenario.equals("heartbeat") || scenario.equals("lease") ? null : cluster.answer(heartbeat, 0);
+        if (scenario.equals("lease")) {
+            cluster.report("a", 0);
         }
-        boolean done = false;
+        boolean resumed = false;
         for (double now = 0.1; now < 40; now = Math.round(10 * now + 1) / 10.0) {
-            if (change && now == 2) {
-                site.lead(2);
+            if (changesLeader && now == 2) {
+                cluster.lead(2);
             }
-            if (what.equals("incarnation") && now == 1) {
-                a.newSession(now);
+            if (scenario.equals("incarnation") && now == 1) {
+                worker.newSession(now);
             }
-            if (!done && now >= held) {
-                done = true;
-                a.live(now);
-                SimulatedCluster.Answer late = what.equals("heartbeat") ? site.answer(heartbeat, now) : answer;
-                if (late != null && held <= SimulatedCluster.PATIENCE_S) {
-                    a.take(late, 0, now);
+            if (!resumed && now >= delay) {
+                resumed = true;
+                worker.live(now);
+                SimulatedCluster.Answer lateAnswer =
+                        scenario.equals("heartbeat") ? cluster.answer(heartbeat, now) : answer;
+                if (lateAnswer != null && delay <= SimulatedCluster.PATIENCE_S) {
+                    worker.take(lateAnswer, 0, now);
                 }
-            } else if (done && Math.round(now * 10) % 20 == 0) {
-                site.report("a", now);
+            } else if (resumed && Math.round(now * 10) % 20 == 0) {
+                cluster.report("a", now);
             }
             if (Math.round(now * 10) % 20 == 5) {
-                site.report("n", now);
+                cluster.report("n", now);
             }
-            site.core.expireLeases(at(now));
+            cluster.core.expireLeases(at(now));
         }
-        assertEquals(List.of(), site.broken);
-        assertEquals(orders, site.ordered(task));
-        assertNotNull(site.runs(task), "the task runs");
+        assertEquals(List.of(), cluster.broken);
+        assertEquals(expectedStarts, cluster.ordered(task));
+        assertNotNull(cluster.runs(task), "the task runs");
     }
 
     /** A task list contains the exit of an earlier attempt, of any cause but success, beside the running attempt. */
     @Test
-    void earlierAttemptsEndNothing() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.up("a", "east", 0);
-        w.core.recordsLoaded();
-        Job job = w.submit(spec(1, 1, 4, 500), 0);
-        WorkerCommand first = w.hear("a", 1).get(0);
+    void exitsOfEarlierAttemptsDoNotEndTheTask() {
+        SimulatedWorld world = new SimulatedWorld();
+        world.up("a", "east", 0);
+        world.core.onRecordsLoaded();
+        Job job = world.submit(spec(1, 1, 4, 500), 0);
+        WorkerCommand first = world.hear("a", 1).get(0);
         WorkerCommand second = null;
-        for (WorkerCommand command : w.hear("a", 2, SimulatedWorld.exited(first, ExitCause.STOPPED))) {
+        for (WorkerCommand command : world.hear("a", 2, SimulatedWorld.exited(first, ExitCause.STOPPED))) {
             second = command instanceof WorkerCommand.Start ? command : second;
         }
         for (ExitCause cause : ExitCause.values()) {
             if (cause != ExitCause.DONE) {
-                List<WorkerCommand> orders = w.hear(
+                List<WorkerCommand> commands = world.hear(
                         "a", 3 + cause.ordinal(), SimulatedWorld.running(second), SimulatedWorld.exited(first, cause));
-                assertEquals(List.of(new WorkerCommand.Reap(first.task(), first.attempt())), orders);
+                assertEquals(List.of(new WorkerCommand.Reap(first.task(), first.attempt())), commands);
                 assertEquals(second.attempt(), job.placements(0).attempt);
             }
         }
--- a/src/test/java/io/indigoreach/core/scheduling/ConsolidationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ConsolidationTest.java
@@ -28,7 +28,7 @@
 
     /** Three or so tasks on machine a, one on b, each of one of four cores. */
     private void place(int tasksOnA, double estimate, double saveEvery, boolean oneZone) {
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("a", "east", 0);
         w.submit(with(spec(1, tasksOnA, 1, 300), Urgency.STANDARD, false, false, true, null, saveEvery), 0);
         onA = running(w.hear("a", 1));
--- a/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
@@ -187,7 +187,7 @@
     public void newLeader() {
         core = new SchedulerCore(new FencingToken(++token), SimulatedWorld.RULES, tuning, aims, teams, this);
         MachineType type = SimulatedWorld.TYPE;
-        core.setTypes(List.of(new MachineType(
+        core.addMachineTypes(List.of(new MachineType(
                 type.name(),
                 type.capacity(),
                 type.cacheGb(),
@@ -207,7 +207,7 @@
                 job.startBoundToWrite(),
                 true));
         open.values().forEach(core::addJob);
-        core.recordsLoaded();
+        core.onRecordsLoaded();
     }
 
     private static Moment at(int step) {
@@ -330,20 +330,20 @@
                                     .filter(b -> b.pool.equals(request.pool()))
                                     .count());
             if (got < request.count()) {
-                core.scaleOutRejected(request.pool(), at(now));
+                core.onScaleOutRejected(request.pool(), at(now));
             }
             List<MachineId> ids = new ArrayList<>();
             for (int i = 0; i < got; i++) {
                 ids.add(new MachineId(String.format("m%05d", ++names)));
                 boxes.put(ids.get(i).toString(), new Box(request.pool(), now + BOOT));
             }
-            core.rented(request.pool(), ids, at(now), at(now));
+            core.onMachinesRented(request.pool(), ids, at(now), at(now));
         }
         core.planScaleIn(at(now));
         List<MachineId> leaving = core.machinesToReturn(100);
         effects.returns(leaving);
         leaving.forEach(id -> boxes.remove(id.toString()));
-        core.returned(leaving, at(now));
+        core.onMachinesReturned(leaving, at(now));
         mostUp = Math.max(mostUp, boxes.size());
     }
 
@@ -378,8 +378,8 @@
                 list);
         List<WorkerCommand> orders =
                 new ArrayList<>(core.onHeartbeat(heartbeat, at(now)).commands());
-        if (core.unrecorded(new MachineId(name)).isPresent()) {
-            core.recorded(new MachineId(name));
+        if (core.machineToRecord(new MachineId(name)).isPresent()) {
+            core.onMachineRecorded(new MachineId(name));
             orders.addAll(core.startTasks(new MachineId(name), heartbeat.number(), at(now)));
         }
         effects.answer(heartbeat.machine(), new HeartbeatResult.Commands(orders), core.mayAnswer(heartbeat.machine()));
@@ -397,7 +397,7 @@
     }
 
     @Override
-    public void taskCompleted(Job job) {}
+    public void onTaskCompleted(Job job) {}
 
     @Override
     public void log(String line) {}
--- a/src/test/java/io/indigoreach/core/scheduling/DelayedHeartbeats.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DelayedHeartbeats.java
@@ -8,12 +8,12 @@
 
 /** Copies of heartbeats in a {@link RandomSimulation} that are delayed until a later leader begins. */
 final class DelayedHeartbeats {
-    private static final int MOST = 40;
+    private static final int MAX_COPIES = 40;
 
-    private record Kept(Heartbeat report, long token) {}
+    private record Copy(Heartbeat heartbeat, long token) {}
 
     private final Random random;
-    private final List<Kept> kept = new ArrayList<>();
+    private final List<Copy> copies = new ArrayList<>();
 
     DelayedHeartbeats(Random random) {
         this.random = random;
@@ -21,22 +21,22 @@
 
     /** Keeps a copy of a heartbeat that was sent while the leader with this token led. */
     void keep(Heartbeat heartbeat, long token) {
-        if (kept.size() == MOST) {
-            kept.remove(random.nextInt(MOST));
+        if (copies.size() == MAX_COPIES) {
+            copies.remove(random.nextInt(MAX_COPIES));
         }
-        kept.add(new Kept(heartbeat, token));
+        copies.add(new Copy(heartbeat, token));
     }
 
     /**
      * Delivers some copies from earlier leaderships to the leader with this token; half of these stay for a later
      * leader.
      */
-    void arrive(long token, Consumer<Heartbeat> leader) {
-        for (Kept copy : List.copyOf(kept)) {
+    void deliver(long token, Consumer<Heartbeat> receiver) {
+        for (Copy copy : List.copyOf(copies)) {
             if (copy.token < token && random.nextInt(3) > 0) {
-                leader.accept(copy.report);
+                receiver.accept(copy.heartbeat);
                 if (random.nextBoolean()) {
-                    kept.remove(copy);
+                    copies.remove(copy);
                 }
             }
         }
--- a/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
@@ -151,7 +151,7 @@
         List<JobId> listed = new ArrayList<>(open());
         Collections.shuffle(listed, random);
         listed.forEach(id -> leader.addJob(job(id, true)));
-        leader.recordsLoaded();
+        leader.onRecordsLoaded();
     }
 
     private void hear() {
--- a/src/test/java/io/indigoreach/core/scheduling/DependentJobsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependentJobsTest.java
@@ -21,7 +21,7 @@
     private final SimulatedWorld world = new SimulatedWorld(SimulatedWorld.team(4));
 
     DependentJobsTest() {
-        world.core.recordsLoaded();
+        world.core.onRecordsLoaded();
     }
 
     private static JobSpec chained(int id, JobSpec... needs) {
--- a/src/test/java/io/indigoreach/core/scheduling/FailoverTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FailoverTest.java
@@ -29,38 +29,39 @@
 
 /** What a leader may conclude from heartbeats and listings, and when it may start tasks, so that no task runs twice. */
 class FailoverTest {
-    private final SimulatedWorld w = new SimulatedWorld();
+    private final SimulatedWorld world = new SimulatedWorld();
 
     private void inheritMachine(String name) {
-        w.core.inheritMachine(new MachineId(name), new MachinePool("quad", "east", true), at(-100), at(0), at(0));
+        world.core.inheritMachine(new MachineId(name), new MachinePool("quad", "east", true), at(-100), at(0), at(0));
     }
 
     @Test
-    void nothingInheritedStartsBeforeEveryRecordedMachineHasReported() {
+    void inheritedTasksWaitForHeartbeatsOfAllRecordedMachines() {
         inheritMachine("a");
         inheritMachine("b");
-        w.inherited(spec(1, 2, 1, 50));
-        w.core.recordsLoaded();
-        assertEquals(List.of(), starts(w.hear("a", 1)), "b may hold both tasks");
+        world.inherited(spec(1, 2, 1, 50));
+        world.core.onRecordsLoaded();
+        assertEquals(List.of(), starts(world.hear("a", 1)), "b may hold both tasks");
         assertEquals(
                 List.of(),
-                starts(w.core.onHeartbeat(w.report("b", "east", 1, new FencingToken(4)), at(2))
+                starts(world.core
+                        .onHeartbeat(world.report("b", "east", 1, new FencingToken(4)), at(2))
                         .commands()),
                 "a late command of the old leader can still change a task list that was sent with an older token");
-        assertEquals(List.of("run-1/1"), starts(w.hear("b", 3, foreign("run-1/0", 7))));
+        assertEquals(List.of("run-1/1"), starts(world.hear("b", 3, foreign("run-1/0", 7))));
     }
 
     @Test
-    void aSilentMachineHoldsTasksUntilItsLeaseHasSurelyRunOut() {
+    void aSilentMachineBlocksTasksUntilItsLeaseExpires() {
         inheritMachine("a");
         inheritMachine("b");
-        w.inherited(spec(1, 1, 1, 50));
-        w.core.recordsLoaded();
-        w.hear("a", 1);
-        w.core.expireLeases(at(12.1));
-        assertEquals(List.of(), starts(w.hear("a", 12.1)));
-        w.core.expireLeases(at(12.5));
-        assertEquals(List.of("run-1/0"), starts(w.hear("a", 12.6)));
+        world.inherited(spec(1, 1, 1, 50));
+        world.core.onRecordsLoaded();
+        world.hear("a", 1);
+        world.core.expireLeases(at(12.1));
+        assertEquals(List.of(), starts(world.hear("a", 12.1)));
+        world.core.expireLeases(at(12.5));
+        assertEquals(List.of("run-1/0"), starts(world.hear("a", 12.6)));
     }
 
     /**
@@ -69,44 +70,44 @@
      */
     @ParameterizedTest
     @CsvSource({"true, run-1/1", "false, run-1/0"})
-    void aJobThatIsReadAfterTheTakeOverWaitsForStrangersToGo(boolean stays, String first) {
+    void aLateInheritedJobWaitsForTasksOfUnknownJobsToEnd(boolean isStillRunning, String expectedStart) {
         inheritMachine("a");
         inheritMachine("b");
-        w.core.recordsLoaded();
-        w.hear("a", 1);
-        assertEquals(1, stops(w.hear("b", 1, foreign("run-1/0", 7))).size());
-        w.inherited(spec(1, 2, 1, 50));
-        assertEquals(List.of(), starts(w.hear("a", 2)), "b has one of its tasks");
-        List<WorkerCommand> orders = stays ? w.hear("b", 3, foreign("run-1/0", 7)) : w.hear("b", 3);
-        assertEquals(first, starts(orders).get(0));
-        w.inherited(spec(2, 1, 1, 50));
-        assertEquals(List.of("run-2/0"), starts(w.hear("a", 4)), "no heartbeat shows a task of an unknown job");
+        world.core.onRecordsLoaded();
+        world.hear("a", 1);
+        assertEquals(1, stops(world.hear("b", 1, foreign("run-1/0", 7))).size());
+        world.inherited(spec(1, 2, 1, 50));
+        assertEquals(List.of(), starts(world.hear("a", 2)), "b has one of its tasks");
+        List<WorkerCommand> commands = isStillRunning ? world.hear("b", 3, foreign("run-1/0", 7)) : world.hear("b", 3);
+        assertEquals(expectedStart, starts(commands).get(0));
+        world.inherited(spec(2, 1, 1, 50));
+        assertEquals(List.of("run-2/0"), starts(world.hear("a", 4)), "no heartbeat shows a task of an unknown job");
     }
 
     @Test
-    void aJobAcceptedAfterTheTakeOverNeedNotWait() {
+    void aNewJobNeedNotWaitForTheFailover() {
         inheritMachine("a");
         inheritMachine("b");
-        w.core.recordsLoaded();
-        w.submit(spec(1, 1, 1, 50), 1);
-        assertEquals(List.of("run-1/0"), starts(w.hear("a", 2)));
+        world.core.onRecordsLoaded();
+        world.submit(spec(1, 1, 1, 50), 1);
+        assertEquals(List.of("run-1/0"), starts(world.hear("a", 2)));
     }
 
     @Test
-    void underALimitEvenNewJobsWaitForTheWholePicture() {
+    void underATeamLimitNewJobsWaitForTheFailover() {
         SimulatedWorld limited = new SimulatedWorld(SimulatedWorld.team(4));
         limited.core.inheritMachine(new MachineId("a"), new MachinePool("quad", "east", true), at(-100), at(0), at(0));
         limited.core.inheritMachine(new MachineId("b"), new MachinePool("quad", "east", true), at(-100), at(0), at(0));
-        limited.core.recordsLoaded();
+        limited.core.onRecordsLoaded();
         limited.submit(spec(1, 1, 1, 50), 1);
         assertEquals(List.of(), starts(limited.hear("a", 2)));
     }
 
     /** Tasks of a job that was cancelled before the failover count against their team's limit until they have ended. */
     @Test
-    void underALimitNothingStartsBesideTasksOfUnknownJobs() {
+    void underATeamLimitNoTaskStartsBesideTasksOfUnknownJobs() {
         SimulatedWorld limited = new SimulatedWorld(SimulatedWorld.team(4));
-        limited.core.recordsLoaded();
+        limited.core.onRecordsLoaded();
         limited.up("a", "east", 0);
         limited.submit(spec(1, 1, 1, 50), 1);
         assertEquals(List.of(), starts(limited.hear("a", 2, foreign("run-9/0", 7))));
@@ -114,20 +115,20 @@
     }
 
     @Test
-    void noOrdersBeforeTheRecordsAreRead() {
+    void noCommandsBeforeTheRecordsAreLoaded() {
         inheritMachine("a");
-        w.submit(spec(1, 1, 1, 50), 0);
-        assertEquals(List.of(), w.hear("a", 1));
+        world.submit(spec(1, 1, 1, 50), 0);
+        assertEquals(List.of(), world.hear("a", 1));
     }
 
     @Test
-    void aMachineThatIsNotRecordedGetsNoTasks() {
-        w.core.recordsLoaded();
-        w.submit(spec(1, 1, 1, 50), 0);
-        w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("x")), at(0), at(0));
-        assertEquals(List.of(), starts(w.hear("x", 1)), "a later leader would not wait for its heartbeat");
-        w.core.recorded(new MachineId("x"));
-        assertEquals(List.of("run-1/0"), starts(w.hear("x", 2)));
+    void anUnrecordedMachineGetsNoTasks() {
+        world.core.onRecordsLoaded();
+        world.submit(spec(1, 1, 1, 50), 0);
+        world.core.onMachinesRented(new MachinePool("quad", "east", true), List.of(new MachineId("x")), at(0), at(0));
+        assertEquals(List.of(), starts(world.hear("x", 1)), "a later leader would not wait for its heartbeat");
+        world.core.onMachineRecorded(new MachineId("x"));
+        assertEquals(List.of("run-1/0"), starts(world.hear("x", 2)));
     }
 
     /**
@@ -135,129 +136,131 @@
      * inc-e504).
      */
     @Test
-    void onlyAMachineThatHasReportedIsToBeRecorded() {
-        w.core.recordsLoaded();
-        w.core.rented(
+    void onlyMachinesWithAHeartbeatAreRecorded() {
+        world.core.onRecordsLoaded();
+        world.core.onMachinesRented(
                 new MachinePool("quad", "east", true), List.of(new MachineId("a"), new MachineId("b")), at(0), at(0));
-        w.submit(spec(1, 1, 1, 50), 0);
-        assertEquals(Optional.empty(), w.core.unrecorded(new MachineId("a")));
-        Heartbeat first = w.report("a", "east", 1, SimulatedWorld.TOKEN);
-        assertEquals(List.of(), starts(w.core.onHeartbeat(first, at(20)).commands()));
-        assertTrue(w.core.unrecorded(new MachineId("a")).isPresent());
-        assertEquals(Optional.empty(), w.core.unrecorded(new MachineId("b")));
-        w.core.recorded(new MachineId("a"));
-        assertEquals(List.of("run-1/0"), starts(w.core.startTasks(new MachineId("a"), first.number(), at(20))));
+        world.submit(spec(1, 1, 1, 50), 0);
+        assertEquals(Optional.empty(), world.core.machineToRecord(new MachineId("a")));
+        Heartbeat first = world.report("a", "east", 1, SimulatedWorld.TOKEN);
+        assertEquals(List.of(), starts(world.core.onHeartbeat(first, at(20)).commands()));
+        assertTrue(world.core.machineToRecord(new MachineId("a")).isPresent());
+        assertEquals(Optional.empty(), world.core.machineToRecord(new MachineId("b")));
+        world.core.onMachineRecorded(new MachineId("a"));
+        assertEquals(List.of("run-1/0"), starts(world.core.startTasks(new MachineId("a"), first.number(), at(20))));
     }
 
     @Test
-    void aRecordThatCameTooLateGivesNoOrdersToAnOldReport() {
-        w.core.recordsLoaded();
-        w.submit(spec(1, 1, 1, 50), 0);
-        Heartbeat first = w.report("a", "east", 1, SimulatedWorld.TOKEN);
-        w.core.onHeartbeat(first, at(20));
-        w.hear("a", 22);
-        w.core.recorded(new MachineId("a"));
-        assertEquals(List.of(), w.core.startTasks(new MachineId("a"), first.number(), at(23)));
+    void aLateRecordSendsNoCommandsForAnOlderHeartbeat() {
+        world.core.onRecordsLoaded();
+        world.submit(spec(1, 1, 1, 50), 0);
+        Heartbeat first = world.report("a", "east", 1, SimulatedWorld.TOKEN);
+        world.core.onHeartbeat(first, at(20));
+        world.hear("a", 22);
+        world.core.onMachineRecorded(new MachineId("a"));
+        assertEquals(List.of(), world.core.startTasks(new MachineId("a"), first.number(), at(23)));
     }
 
     @Test
-    void aStartWhoseAnswerWasLostIsGivenAgainOnlyAfterANewerReport() {
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.up("b", "east", 0);
-        w.submit(spec(1, 1, 4, 50), 0);
-        Heartbeat stale = w.report("a", "east", 1, SimulatedWorld.TOKEN);
-        List<WorkerCommand> first = w.hear("a", 1);
+    void aLostStartIsRepeatedOnlyAfterANewerHeartbeat() {
+        world.core.onRecordsLoaded();
+        world.up("a", "east", 0);
+        world.up("b", "east", 0);
+        world.submit(spec(1, 1, 4, 50), 0);
+        Heartbeat stale = world.report("a", "east", 1, SimulatedWorld.TOKEN);
+        List<WorkerCommand> first = world.hear("a", 1);
         assertEquals(List.of("run-1/0"), starts(first));
-        assertEquals(List.of(), w.core.onHeartbeat(stale, at(1.5)).commands(), "an older heartbeat shows nothing");
-        assertEquals(List.of(), starts(w.hear("b", 2)));
-        List<WorkerCommand> second = w.hear("a", 3);
+        assertEquals(List.of(), world.core.onHeartbeat(stale, at(1.5)).commands(), "an older heartbeat shows nothing");
+        assertEquals(List.of(), starts(world.hear("b", 2)));
+        List<WorkerCommand> second = world.hear("a", 3);
         assertEquals(List.of("run-1/0"), starts(second));
         assertTrue(second.get(0).attempt().value() != first.get(0).attempt().value(), "an attempt is used once");
     }
 
     @Test
-    void aNewSessionHasNoneOfTheOldTasks() {
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.up("b", "east", 0);
-        w.submit(spec(1, 1, 4, 50), 0);
-        WorkerCommand start = w.hear("a", 1).get(0);
-        w.hear("a", 2, running(start));
+    void aNewIncarnationHasNoneOfTheOldTasks() {
+        world.core.onRecordsLoaded();
+        world.up("a", "east", 0);
+        world.up("b", "east", 0);
+        world.submit(spec(1, 1, 4, 50), 0);
+        WorkerCommand start = world.hear("a", 1).get(0);
+        world.hear("a", 2, running(start));
         assertEquals(
                 List.of("run-1/0"),
-                starts(w.core.onHeartbeat(w.report("a", "east", 2, SimulatedWorld.TOKEN), at(9))
+                starts(world.core
+                        .onHeartbeat(world.report("a", "east", 2, SimulatedWorld.TOKEN), at(9))
                         .commands()));
     }
 
     @Test
-    void aNewerLeadersTokenEndsThisLeadership() {
-        w.core.recordsLoaded();
+    void aNewerTokenSupersedesThisLeader() {
+        world.core.onRecordsLoaded();
         assertEquals(
                 new HeartbeatResult.Superseded(),
-                w.core.onHeartbeat(w.report("a", "east", 1, new FencingToken(6)), at(1)));
+                world.core.onHeartbeat(world.report("a", "east", 1, new FencingToken(6)), at(1)));
     }
 
     @Test
-    void aResultIsForgottenByTheWorkerOnlyOnceRecorded() {
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        Job job = w.submit(spec(1, 2, 1, 50), 0);
-        List<WorkerCommand> orders = w.hear("a", 1);
-        List<WorkerCommand> before = w.hear("a", 2, exited(orders.get(0), ExitCause.DONE), running(orders.get(1)));
-        assertEquals(List.of(), before);
-        assertEquals(List.of(job), w.progressed);
+    void aTaskIsReapedOnlyOnceItsCompletionIsRecorded() {
+        world.core.onRecordsLoaded();
+        world.up("a", "east", 0);
+        Job job = world.submit(spec(1, 2, 1, 50), 0);
+        List<WorkerCommand> commands = world.hear("a", 1);
+        List<WorkerCommand> beforeRecording =
+                world.hear("a", 2, exited(commands.get(0), ExitCause.DONE), running(commands.get(1)));
+        assertEquals(List.of(), beforeRecording);
+        assertEquals(List.of(job), world.progressed);
         job.completionsRecorded(job.completedTasks());
         assertTrue(
-                w.hear("a", 3, exited(orders.get(0), ExitCause.DONE), running(orders.get(1)))
+                world.hear("a", 3, exited(commands.get(0), ExitCause.DONE), running(commands.get(1)))
                                 .get(0)
                         instanceof WorkerCommand.Reap);
     }
 
     @Test
-    void aTaskReportedFromTwoMachinesIsStoppedOnTheSecond() {
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.up("b", "east", 0);
-        w.submit(spec(1, 1, 4, 50), 0);
-        WorkerCommand start = w.hear("a", 1).get(0);
-        w.hear("a", 2, running(start));
-        assertEquals(List.of("run-1/0"), stops(w.hear("b", 3, foreign("run-1/0", 9))));
+    void aTaskReportedByTwoMachinesIsStoppedOnTheSecond() {
+        world.core.onRecordsLoaded();
+        world.up("a", "east", 0);
+        world.up("b", "east", 0);
+        world.submit(spec(1, 1, 4, 50), 0);
+        WorkerCommand start = world.hear("a", 1).get(0);
+        world.hear("a", 2, running(start));
+        assertEquals(List.of("run-1/0"), stops(world.hear("b", 3, foreign("run-1/0", 9))));
     }
 
     @Test
-    void tasksOfACancelledJobAreStoppedAndCountUntilTheyAreGone() {
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        Job job = w.submit(spec(1, 1, 4, 50), 0);
-        WorkerCommand start = w.hear("a", 1).get(0);
-        w.hear("a", 2, running(start));
-        w.core.cancelJob(job.id());
-        w.submit(spec(2, 1, 4, 50), 2);
-        List<WorkerCommand> orders = w.hear("a", 3, running(start));
-        assertEquals(List.of("run-1/0"), stops(orders));
-        assertEquals(List.of(), starts(orders));
-        assertEquals(List.of("run-2/0"), starts(w.hear("a", 4, exited(start, ExitCause.STOPPED))));
+    void tasksOfACancelledJobAreStoppedAndCountUntilTheyExit() {
+        world.core.onRecordsLoaded();
+        world.up("a", "east", 0);
+        Job job = world.submit(spec(1, 1, 4, 50), 0);
+        WorkerCommand start = world.hear("a", 1).get(0);
+        world.hear("a", 2, running(start));
+        world.core.cancelJob(job.id());
+        world.submit(spec(2, 1, 4, 50), 2);
+        List<WorkerCommand> commands = world.hear("a", 3, running(start));
+        assertEquals(List.of("run-1/0"), stops(commands));
+        assertEquals(List.of(), starts(commands));
+        assertEquals(List.of("run-2/0"), starts(world.hear("a", 4, exited(start, ExitCause.STOPPED))));
     }
 
     @Test
-    void absenceFromListsShowsAMachineGoneOnlyBeyondTheirLag() {
+    void aMachineMissingFromListingsIsRemovedOnlyBeyondTheirLag() {
         inheritMachine("a");
         inheritMachine("b");
-        w.inherited(spec(1, 1, 1, 50));
-        w.core.recordsLoaded();
-        w.hear("a", 1);
-        List<ListedMachine> list = List.of(new ListedMachine(
+        world.inherited(spec(1, 1, 1, 50));
+        world.core.onRecordsLoaded();
+        world.hear("a", 1);
+        List<ListedMachine> listing = List.of(new ListedMachine(
                 new MachineId("a"),
                 new MachinePool("quad", "east", true),
                 ListedMachine.Status.RUNNING,
                 Span.seconds(100)));
-        w.core.onMachineListing(list, at(2), at(2));
-        w.core.onMachineListing(list, at(6), at(6));
-        assertEquals(List.of(), starts(w.hear("a", 6.5)), "these listings may describe a time before b was rented");
-        w.core.onMachineListing(list, at(7.5), at(7.5));
-        w.core.onMachineListing(list, at(9), at(9));
-        assertEquals(List.of("run-1/0"), starts(w.hear("a", 9.5)));
+        world.core.onMachineListing(listing, at(2), at(2));
+        world.core.onMachineListing(listing, at(6), at(6));
+        assertEquals(List.of(), starts(world.hear("a", 6.5)), "these listings may describe a time before b was rented");
+        world.core.onMachineListing(listing, at(7.5), at(7.5));
+        world.core.onMachineListing(listing, at(9), at(9));
+        assertEquals(List.of("run-1/0"), starts(world.hear("a", 9.5)));
     }
 
     /**
@@ -265,40 +268,41 @@
      * off, and hand over.
      */
     @Test
-    void aLeaderThatHearsNoneOfSeveralMachinesIsDeaf() {
-        w.core.recordsLoaded();
+    void aLeaderWithoutHeartbeatsOfSeveralMachinesIsCutOff() {
+        world.core.onRecordsLoaded();
         for (String name : List.of("a", "b", "c")) {
-            w.up(name, "east", 0);
-            w.hear(name, 20);
+            world.up(name, "east", 0);
+            world.hear(name, 20);
         }
-        assertEquals(false, w.core.isCutOffFromWorkers(at(24)));
+        assertEquals(false, world.core.isPartitionedFromWorkers(at(24)));
         assertEquals(
                 true,
-                w.core.isCutOffFromWorkers(at(25)),
+                world.core.isPartitionedFromWorkers(at(25)),
                 "after the suspicion timeout of a single machine, as the workers' leases run meanwhile");
-        w.hear("b", 24.5);
-        assertEquals(false, w.core.isCutOffFromWorkers(at(25)));
+        world.hear("b", 24.5);
+        assertEquals(false, world.core.isPartitionedFromWorkers(at(25)));
     }
 
     /** Guards against a new leader that steps down before workers connected to a paused node had time to find it. */
     @ParameterizedTest
     @CsvSource({"6.4, false", "6.6, true"})
-    void aNewLeaderIsDeafOnlyWhenMachinesCouldHaveFoundIt(double seconds, boolean deaf) {
+    void aNewLeaderIsCutOffOnlyAfterTheDiscoveryTime(double seconds, boolean isCutOff) {
         for (String name : List.of("a", "b", "c")) {
-            w.core.inheritMachine(new MachineId(name), new MachinePool("quad", "east", true), at(-90), at(-90), at(0));
+            world.core.inheritMachine(
+                    new MachineId(name), new MachinePool("quad", "east", true), at(-90), at(-90), at(0));
         }
-        w.core.recordsLoaded();
-        assertEquals(deaf, w.core.isCutOffFromWorkers(at(seconds)));
+        world.core.onRecordsLoaded();
+        assertEquals(isCutOff, world.core.isPartitionedFromWorkers(at(seconds)));
     }
 
     @Test
-    void aReturnedMachineIsNotTakenOnAgainFromALateReportOrList() {
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.hear("a", 1);
-        w.core.returned(List.of(new MachineId("a")), at(2));
-        w.hear("a", 3);
-        w.core.onMachineListing(
+    void aReturnedMachineIsNotAdoptedFromALateHeartbeatOrListing() {
+        world.core.onRecordsLoaded();
+        world.up("a", "east", 0);
+        world.hear("a", 1);
+        world.core.onMachinesReturned(List.of(new MachineId("a")), at(2));
+        world.hear("a", 3);
+        world.core.onMachineListing(
                 List.of(new ListedMachine(
                         new MachineId("a"),
                         new MachinePool("quad", "east", true),
@@ -306,7 +310,7 @@
                         Span.seconds(3))),
                 at(3),
                 at(3));
-        assertEquals(0, w.core.machineCount());
+        assertEquals(0, world.core.machineCount());
     }
 
     /**
@@ -320,16 +324,18 @@
         "2, true, ''",
         "0, true, run-1/0 run-1/1 run-1/2 run-1/3"
     })
-    void whatNobodyOrderedIsStartedBeforeAllMachinesAreHeard(int bound, boolean oneZone, String started) {
+    void neverStartedTasksDoNotWaitForAllMachines(int startBound, boolean oneZone, String expectedStarts) {
         inheritMachine("a");
         inheritMachine("b");
-        Job job = w.inherited(
-                SimulatedWorld.with(spec(1, 4, 1, 50), Urgency.STANDARD, oneZone, false, true, null, 0), bound);
-        w.core.recordsLoaded();
+        Job job = world.inherited(
+                SimulatedWorld.with(spec(1, 4, 1, 50), Urgency.STANDARD, oneZone, false, true, null, 0), startBound);
+        world.core.onRecordsLoaded();
         job.startBoundRecorded(4);
-        assertEquals(started, String.join(" ", starts(w.hear("a", 1))), "b may run tasks below the bound");
-        w.hear("b", 2);
-        assertEquals(4, starts(w.hear("b", 3)).size() + (started.isEmpty() ? 0 : started.split(" ").length));
+        assertEquals(expectedStarts, String.join(" ", starts(world.hear("a", 1))), "b may run tasks below the bound");
+        world.hear("b", 2);
+        assertEquals(
+                4,
+                starts(world.hear("b", 3)).size() + (expectedStarts.isEmpty() ? 0 : expectedStarts.split(" ").length));
     }
 
     /**
@@ -337,18 +343,18 @@
      * count.
      */
     @Test
-    void nothingIsOrderedBeyondTheRecordedBound() {
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
+    void noTaskStartsBeyondTheRecordedStartBound() {
+        world.core.onRecordsLoaded();
+        world.up("a", "east", 0);
         Job job = new Job(spec(1, 9, 1, 50), 1, at(0), new Revision(1), new java.util.BitSet(), 0, false);
-        w.core.addJob(job);
-        assertEquals(List.of(job), w.core.startBoundsToRaise(at(1)));
-        assertEquals(List.of(), starts(w.hear("a", 1)));
-        int asked = job.startBoundToWrite();
-        assertEquals(List.of(), starts(w.hear("a", 2)), "its write has no answer yet");
-        job.startBoundRecorded(asked);
-        assertEquals(4, starts(w.hear("a", 3)).size());
-        assertEquals(8, asked, "the tasks that fit on the machine now, and as many again");
+        world.core.addJob(job);
+        assertEquals(List.of(job), world.core.startBoundsToRaise(at(1)));
+        assertEquals(List.of(), starts(world.hear("a", 1)));
+        int requestedBound = job.startBoundToWrite();
+        assertEquals(List.of(), starts(world.hear("a", 2)), "its write has no answer yet");
+        job.startBoundRecorded(requestedBound);
+        assertEquals(4, starts(world.hear("a", 3)).size());
+        assertEquals(8, requestedBound, "the tasks that fit on the machine now, and as many again");
     }
 
     /**
@@ -356,31 +362,33 @@
      * started start at once.
      */
     @Test
-    void halfAFleetBehindACutDoesNotHoldUpTheOther() {
+    void unreachableMachinesDoNotDelayNeverStartedTasks() {
         for (int i = 0; i < 2000; i++) {
-            w.core.inheritMachine(
+            world.core.inheritMachine(
                     new MachineId("m" + i),
                     new MachinePool("quad", i % 2 == 0 ? "east" : "west", true),
                     at(-100),
                     at(-90),
                     at(0));
         }
-        w.inherited(spec(1, 4000, 1, 50), 4000);
-        w.inherited(spec(2, 4000, 1, 50), 0).startBoundRecorded(4000);
-        w.core.recordsLoaded();
+        world.inherited(spec(1, 4000, 1, 50), 4000);
+        world.inherited(spec(2, 4000, 1, 50), 0).startBoundRecorded(4000);
+        world.core.onRecordsLoaded();
         int starts = 0;
         for (int i = 0; i < 2000; i += 2) {
-            starts += starts(w.hear("m" + i, 1 + i / 2000.0)).size();
+            starts += starts(world.hear("m" + i, 1 + i / 2000.0)).size();
         }
         assertEquals(4000, starts, "tasks of the job that no leader had started");
-        w.core.planScaleIn(at(9));
-        assertEquals(0, w.core.machinesToReturn(9).size());
+        world.core.planScaleIn(at(9));
+        assertEquals(0, world.core.machinesToReturn(9).size());
         for (int i = 1; i < 2000; i += 2) {
-            starts += starts(w.core.onHeartbeat(w.report("m" + i, "west", 1, SimulatedWorld.TOKEN), at(10 + i / 2000.0))
+            starts += starts(world.core
+                            .onHeartbeat(world.report("m" + i, "west", 1, SimulatedWorld.TOKEN), at(10 + i / 2000.0))
                             .commands())
                     .size();
         }
-        assertEquals(4004, starts, "the last heartbeat completes the failover, and its machine can start inherited tasks");
+        assertEquals(
+                4004, starts, "the last heartbeat completes the failover, and its machine can start inherited tasks");
     }
 
     /**
@@ -388,16 +396,16 @@
      * protocol allows, must not remove the rented machines or adopt the returned ones again.
      */
     @Test
-    void aListOlderThanTheOneBeforeChangesNothing() {
-        w.core.recordsLoaded();
+    void anOutdatedListingChangesNothing() {
+        world.core.onRecordsLoaded();
         List<MachineId> ids = IntStream.range(0, 2000)
                 .mapToObj(i -> new MachineId("m" + (10_000 + i)))
                 .toList();
-        w.core.rented(new MachinePool("quad", "east", true), ids.subList(0, 1500), at(0), at(0));
-        w.core.returned(ids.subList(0, 500), at(100));
-        w.core.rented(new MachinePool("quad", "east", true), ids.subList(1500, 2000), at(100), at(100));
-        for (double asked : new double[] {101, 102, 103}) {
-            w.core.onMachineListing(
+        world.core.onMachinesRented(new MachinePool("quad", "east", true), ids.subList(0, 1500), at(0), at(0));
+        world.core.onMachinesReturned(ids.subList(0, 500), at(100));
+        world.core.onMachinesRented(new MachinePool("quad", "east", true), ids.subList(1500, 2000), at(100), at(100));
+        for (double requestedAt : new double[] {101, 102, 103}) {
+            world.core.onMachineListing(
                     ids.subList(0, 1500).stream()
                             .map(id -> new ListedMachine(
                                     id,
@@ -405,14 +413,17 @@
                                     ListedMachine.Status.RUNNING,
                                     Span.seconds(99)))
                             .toList(),
-                    at(asked),
-                    at(asked + 0.1));
+                    at(requestedAt),
+                    at(requestedAt + 0.1));
         }
-        assertEquals(1500, w.core.machineCount());
-        assertTrue(ids.subList(500, 2000).stream().allMatch(w.core::knows));
-        w.core.onMachineListing(List.of(), at(108), at(108));
-        w.core.onMachineListing(List.of(), at(109), at(109));
-        assertEquals(0, w.core.machineCount(), "machines missing from two listings, beyond twice the lag, no longer exist");
+        assertEquals(1500, world.core.machineCount());
+        assertTrue(ids.subList(500, 2000).stream().allMatch(world.core::isKnownMachine));
+        world.core.onMachineListing(List.of(), at(108), at(108));
+        world.core.onMachineListing(List.of(), at(109), at(109));
+        assertEquals(
+                0,
+                world.core.machineCount(),
+                "machines missing from two listings, beyond twice the lag, no longer exist");
     }
 
     /**
@@ -420,17 +431,18 @@
      * kept replicas of a service down for longer during a failover.
      */
     @Test
-    void untouchedWorkLeavesRoomForReplicasThatMayBeNowhere() {
-        w.core.inheritMachine(new MachineId("o"), new MachinePool("quad", "east", false), at(-100), at(0), at(0));
+    void neverStartedTasksLeaveRoomForInheritedReplicas() {
+        world.core.inheritMachine(new MachineId("o"), new MachinePool("quad", "east", false), at(-100), at(0), at(0));
         inheritMachine("a");
         inheritMachine("b");
-        w.inherited(SimulatedWorld.service(1, 2), 2);
-        w.inherited(spec(2, 9, 1, 50), 0).startBoundRecorded(9);
-        w.core.recordsLoaded();
-        assertEquals(List.of(), starts(w.hearOrdinary("o", 1)), "the replicas can run only on this machine");
-        assertEquals(4, starts(w.hear("a", 1)).size(), "the replicas may not run on this machine");
-        w.hear("b", 2);
+        world.inherited(SimulatedWorld.service(1, 2), 2);
+        world.inherited(spec(2, 9, 1, 50), 0).startBoundRecorded(9);
+        world.core.onRecordsLoaded();
+        assertEquals(List.of(), starts(world.hearOrdinary("o", 1)), "the replicas can run only on this machine");
+        assertEquals(4, starts(world.hear("a", 1)).size(), "the replicas may not run on this machine");
+        world.hear("b", 2);
         assertEquals(
-                List.of("run-1/0", "run-1/1"), starts(w.hearOrdinary("o", 3)).subList(0, 2));
+                List.of("run-1/0", "run-1/1"),
+                starts(world.hearOrdinary("o", 3)).subList(0, 2));
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/FailureDetectorTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FailureDetectorTest.java
@@ -22,23 +22,23 @@
     /** Some of eight machines with one replica each are silent for the given time; the heartbeat period is 2 s. */
     @ParameterizedTest
     @CsvSource({"1, 4, 0", "1, 5, 1", "2, 5, 2", "3, 5, 0", "8, 5, 0"})
-    void silentMachinesAreReturnedUnlessManyAre(int silent, double seconds, int returned) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        List<TaskStatus[]> tasks = fleet(w);
+    void silentMachinesAreReturnedUnlessTheyAreMany(int silent, double seconds, int returned) {
+        SimulatedWorld world = new SimulatedWorld();
+        world.core.onRecordsLoaded();
+        List<TaskStatus[]> tasks = startReplicas(world);
         for (int i = silent; i < 8; i++) {
-            w.hearOrdinary("m" + i, 10 + seconds, tasks.get(i));
+            world.hearOrdinary("m" + i, 10 + seconds, tasks.get(i));
         }
-        w.core.planScaleIn(at(10 + seconds));
-        assertEquals(returned, w.core.machinesToReturn(9).size());
+        world.core.planScaleIn(at(10 + seconds));
+        assertEquals(returned, world.core.machinesToReturn(9).size());
     }
 
-    private static List<TaskStatus[]> fleet(SimulatedWorld w) {
+    private static List<TaskStatus[]> startReplicas(SimulatedWorld world) {
         List<TaskStatus[]> tasks = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            w.submit(service(i, 1), 0);
-            tasks.add(running(w.ordinary("m" + i, 1)));
-            w.hearOrdinary("m" + i, 10, tasks.get(i));
+            world.submit(service(i, 1), 0);
+            tasks.add(running(world.ordinary("m" + i, 1)));
+            world.hearOrdinary("m" + i, 10, tasks.get(i));
         }
         return tasks;
     }
@@ -50,17 +50,17 @@
      */
     @ParameterizedTest
     @CsvSource({"14.9, 0", "10, 2"})
-    void aLeaderThatStoodStillDoubtsItselfFirst(double awake, int returned) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        List<TaskStatus[]> tasks = fleet(w);
-        w.core.setAwakeSince(at(awake));
-        assertEquals(returned > 0, w.core.isCutOffFromWorkers(at(16.1)), "no heartbeat since 10 s");
+    void aPausedLeaderReturnsNoMachines(double runningSince, int returned) {
+        SimulatedWorld world = new SimulatedWorld();
+        world.core.onRecordsLoaded();
+        List<TaskStatus[]> tasks = startReplicas(world);
+        world.core.setEventLoopRunningSince(at(runningSince));
+        assertEquals(returned > 0, world.core.isPartitionedFromWorkers(at(16.1)), "no heartbeat since 10 s");
         for (int i = 2; i < 8; i++) {
-            w.hearOrdinary("m" + i, 15, tasks.get(i));
+            world.hearOrdinary("m" + i, 15, tasks.get(i));
         }
-        w.core.planScaleIn(at(15));
-        assertEquals(returned, w.core.machinesToReturn(9).size());
+        world.core.planScaleIn(at(15));
+        assertEquals(returned, world.core.machinesToReturn(9).size());
     }
 
     /**
@@ -68,17 +68,17 @@
      * only then.
      */
     @Test
-    void aReplicaStartsElsewhereOnlyOnceTheReturnIsAnswered() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        List<TaskStatus[]> tasks = fleet(w);
+    void aReplicaStartsElsewhereOnlyOnceTheReturnIsConfirmed() {
+        SimulatedWorld world = new SimulatedWorld();
+        world.core.onRecordsLoaded();
+        List<TaskStatus[]> tasks = startReplicas(world);
         for (int i = 1; i < 8; i++) {
-            w.hearOrdinary("m" + i, 15, tasks.get(i));
+            world.hearOrdinary("m" + i, 15, tasks.get(i));
         }
-        w.core.planScaleIn(at(15));
-        assertEquals(0, starts(w.hearOrdinary("m1", 15.5, tasks.get(1))).size());
-        w.core.returned(w.core.machinesToReturn(9), at(16));
-        assertEquals(List.of("run-0/0"), starts(w.hearOrdinary("m1", 16.5, tasks.get(1))));
+        world.core.planScaleIn(at(15));
+        assertEquals(0, starts(world.hearOrdinary("m1", 15.5, tasks.get(1))).size());
+        world.core.onMachinesReturned(world.core.machinesToReturn(9), at(16));
+        assertEquals(List.of("run-0/0"), starts(world.hearOrdinary("m1", 16.5, tasks.get(1))));
     }
 
     /**
@@ -87,37 +87,37 @@
      */
     @ParameterizedTest
     @CsvSource({"8, 30, 0", "8, 92, 0", "8, 93, 8", "1, 30, 1"})
-    void machinesBehindACutAreKept(int cut, double seconds, int returned) {
-        SimulatedWorld w = new SimulatedWorld();
+    void partitionedMachinesAreKeptForTheReplacementTime(int partitioned, double seconds, int returned) {
+        SimulatedWorld world = new SimulatedWorld();
         for (int i = 0; i < 8; i++) {
-            w.core.inheritMachine(
+            world.core.inheritMachine(
                     new MachineId("e" + i), new MachinePool("quad", "east", true), at(-90), at(-90), at(0));
-            w.core.inheritMachine(
+            world.core.inheritMachine(
                     new MachineId("w" + i), new MachinePool("quad", "west", true), at(-90), at(-90), at(0));
         }
-        w.core.recordsLoaded();
-        w.submit(SimulatedWorld.spec(1, 400, 1, 500), 0);
-        for (double t = 1; t <= seconds; t++) {
+        world.core.onRecordsLoaded();
+        world.submit(SimulatedWorld.spec(1, 400, 1, 500), 0);
+        for (double now = 1; now <= seconds; now++) {
             for (int i = 0; i < 8; i++) {
-                w.hear("e" + i, t);
-                if (i >= cut) {
-                    w.core.onHeartbeat(w.report("w" + i, "west", 1, SimulatedWorld.TOKEN), at(t));
+                world.hear("e" + i, now);
+                if (i >= partitioned) {
+                    world.core.onHeartbeat(world.report("w" + i, "west", 1, SimulatedWorld.TOKEN), at(now));
                 }
             }
-            w.core.expireLeases(at(t));
-            w.core.planScaleIn(at(t));
-            if (t == 20 && cut == 8) {
+            world.core.expireLeases(at(now));
+            world.core.planScaleIn(at(now));
+            if (now == 20 && partitioned == 8) {
                 assertEquals(
                         Set.of("east"),
-                        w.core.scaleOutRequests(at(t)).stream()
-                                .map(r -> r.pool().zone())
+                        world.core.scaleOutRequests(at(now)).stream()
+                                .map(request -> request.pool().zone())
                                 .collect(Collectors.toSet()),
                         "machines rented in the partitioned zone could not be reached");
             }
         }
         assertEquals(
                 returned,
-                w.core.machinesToReturn(99).stream()
+                world.core.machinesToReturn(99).stream()
                         .filter(id -> id.toString().startsWith("w"))
                         .count());
     }
@@ -125,16 +125,17 @@
     /** Machines that died before a failover must not hold back all inherited jobs until their leases expire. */
     @ParameterizedTest
     @CsvSource({"8, 1, 8, 0", "8, 1, 9, 1", "8, 4, 9, 0", "40, 2, 6, 0", "40, 2, 7, 2", "40, 6, 7, 0", "40, 6, 9, 6"})
-    void machinesSilentSinceATakeOverAreReturned(int machines, int dead, double seconds, int returned) {
-        SimulatedWorld w = new SimulatedWorld();
+    void machinesSilentSinceAFailoverAreReturned(int machines, int dead, double seconds, int returned) {
+        SimulatedWorld world = new SimulatedWorld();
         for (int i = 0; i < machines; i++) {
-            w.core.inheritMachine(new MachineId("m" + i), new MachinePool("quad", "east", true), at(0), at(0), at(0));
+            world.core.inheritMachine(
+                    new MachineId("m" + i), new MachinePool("quad", "east", true), at(0), at(0), at(0));
         }
-        w.core.recordsLoaded();
+        world.core.onRecordsLoaded();
         for (int i = dead; i < machines; i++) {
-            w.hear("m" + i, seconds);
+            world.hear("m" + i, seconds);
         }
-        w.core.planScaleIn(at(seconds));
-        assertEquals(returned, w.core.machinesToReturn(9).size());
+        world.core.planScaleIn(at(seconds));
+        assertEquals(returned, world.core.machinesToReturn(9).size());
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/FleetCostTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FleetCostTest.java
@@ -79,7 +79,7 @@
     /** The fleet runs tasks that keep their progress, and urgent work waits that could take their place. */
     private static Map<String, TaskStatus[]> busy(SimulatedWorld w, int machines) {
         Map<String, TaskStatus[]> all = new HashMap<>();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.submit(with(spec(1, 2 * machines, 2, 100), Urgency.BEST_EFFORT, false, false, true, null, 5), 0);
         for (int i = 0; i < machines; i++) {
             w.up("m" + i, "east", 0);
@@ -100,7 +100,7 @@
             w.core.inheritMachine(new MachineId("m" + i), new MachinePool("quad", "east", true), at(0), at(0), at(0));
         }
         w.inherited(spec(1, 3000, 1, 20));
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         for (int i = 0; i < 499; i++) {
             assertEquals(0, SimulatedWorld.starts(w.hear("m" + i, 1)).size());
         }
--- a/src/test/java/io/indigoreach/core/scheduling/FloodMemoryTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FloodMemoryTest.java
@@ -35,7 +35,7 @@
 
     @Test
     void anHourOfSingleTasksLeavesNothingBehind() throws Exception {
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         for (int m = 0; m < MACHINES; m++) {
             machines.add(new HashMap<>());
             w.up("m" + m, "east", 0);
--- a/src/test/java/io/indigoreach/core/scheduling/InheritedRequestsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/InheritedRequestsTest.java
@@ -21,42 +21,42 @@
 class InheritedRequestsTest {
     /** A request name that was used twice returned an on-demand machine for a spot request, and the reverse. */
     @Test
-    void aMachineIsOfThePoolThatItReports() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.core.rented(new MachinePool("quad", "east", false), List.of(new MachineId("a")), at(0), at(0));
-        w.core.recorded(new MachineId("a"));
-        w.submit(with(spec(1, 4, 1, 50), Urgency.STANDARD, false, false, false, null, 0), 1);
-        assertEquals(List.of(), w.hear("a", 20), "its heartbeat reports the spot pool");
-        w.core.recorded(new MachineId("a"));
-        assertEquals(List.of(), starts(w.hear("a", 22)), "the job may not use spot machines");
-        w.submit(spec(2, 1, 1, 50), 23);
-        assertEquals(List.of("run-2/0"), starts(w.hear("a", 24)));
+    void aMachineBelongsToTheReportedPool() {
+        SimulatedWorld world = new SimulatedWorld();
+        world.core.onRecordsLoaded();
+        world.core.onMachinesRented(new MachinePool("quad", "east", false), List.of(new MachineId("a")), at(0), at(0));
+        world.core.onMachineRecorded(new MachineId("a"));
+        world.submit(with(spec(1, 4, 1, 50), Urgency.STANDARD, false, false, false, null, 0), 1);
+        assertEquals(List.of(), world.hear("a", 20), "its heartbeat reports the spot pool");
+        world.core.onMachineRecorded(new MachineId("a"));
+        assertEquals(List.of(), starts(world.hear("a", 22)), "the job may not use spot machines");
+        world.submit(spec(2, 1, 1, 50), 23);
+        assertEquals(List.of("run-2/0"), starts(world.hear("a", 24)));
     }
 
     /** The recorded return may still be executed, and a task started on the machine would be lost with it. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aMachineThatWasToBeReturnedIsNeverUsedAgain(boolean recorded) {
-        SimulatedWorld w = new SimulatedWorld();
+    void aMachineWithARecordedReturnIsNeverUsed(boolean recorded) {
+        SimulatedWorld world = new SimulatedWorld();
         MachineId id = new MachineId("a");
         if (recorded) {
-            w.core.inheritMachine(id, new MachinePool("quad", "east", true), at(0), at(0), at(0));
+            world.core.inheritMachine(id, new MachinePool("quad", "east", true), at(0), at(0), at(0));
         }
-        w.core.inheritReturns(List.of(id), at(0));
-        w.core.recordsLoaded();
-        w.submit(spec(1, 4, 1, 50), 1);
-        assertEquals(List.of(), starts(w.hear("a", 2)));
-        w.core.onMachineListing(
+        world.core.inheritReturns(List.of(id), at(0));
+        world.core.onRecordsLoaded();
+        world.submit(spec(1, 4, 1, 50), 1);
+        assertEquals(List.of(), starts(world.hear("a", 2)));
+        world.core.onMachineListing(
                 List.of(new ListedMachine(
                         id, new MachinePool("quad", "east", true), ListedMachine.Status.RUNNING, Span.seconds(9))),
                 at(2),
                 at(3));
-        w.core.rented(new MachinePool("quad", "east", true), List.of(id), at(0), at(3));
-        assertEquals(List.of(), starts(w.hear("a", 4)));
-        assertEquals(List.of(id), w.core.machinesToReturn(9), "the return is still pending");
-        w.core.returned(List.of(id), at(5));
-        assertTrue(w.core.machinesToReturn(9).isEmpty() && w.core.isFailoverComplete());
-        assertEquals(List.of(), starts(w.hear("a", 6)), "a late heartbeat of a returned machine");
+        world.core.onMachinesRented(new MachinePool("quad", "east", true), List.of(id), at(0), at(3));
+        assertEquals(List.of(), starts(world.hear("a", 4)));
+        assertEquals(List.of(id), world.core.machinesToReturn(9), "the return is still pending");
+        world.core.onMachinesReturned(List.of(id), at(5));
+        assertTrue(world.core.machinesToReturn(9).isEmpty() && world.core.isFailoverComplete());
+        assertEquals(List.of(), starts(world.hear("a", 6)), "a late heartbeat of a returned machine");
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/LateCommands.java
+++ b/src/test/java/io/indigoreach/core/scheduling/LateCommands.java
@@ -11,30 +11,31 @@
  * incarnation by then.
  */
 final class LateCommands {
-    private static final double LEAST_DELAY_S = 2;
+    private static final double MIN_DELAY_S = 2;
     private static final double DELAY_RANGE_S = 14;
 
     /** Commands in transit to a worker. */
-    record Command(String machine, long session, long token, List<WorkerCommand> orders, double due) {}
+    record CommandsInTransit(
+            String machine, long incarnation, long token, List<WorkerCommand> commands, double dueAt) {}
 
     private final Random random;
-    private final List<Command> onTheWay = new ArrayList<>();
+    private final List<CommandsInTransit> inTransit = new ArrayList<>();
 
     LateCommands(Random random) {
         this.random = random;
     }
 
-    void send(String machine, long session, long token, List<WorkerCommand> orders, double now) {
-        double due = now + LEAST_DELAY_S + DELAY_RANGE_S * random.nextDouble();
-        onTheWay.add(new Command(machine, session, token, orders, due));
+    void send(String machine, long incarnation, long token, List<WorkerCommand> commands, double now) {
+        double dueAt = now + MIN_DELAY_S + DELAY_RANGE_S * random.nextDouble();
+        inTransit.add(new CommandsInTransit(machine, incarnation, token, commands, dueAt));
     }
 
     /** Removes and returns the commands that reach this machine now. */
-    List<Command> arriving(String machine, double now) {
-        List<Command> here = onTheWay.stream()
-                .filter(c -> c.due <= now && c.machine.equals(machine))
+    List<CommandsInTransit> takeArriving(String machine, double now) {
+        List<CommandsInTransit> arriving = inTransit.stream()
+                .filter(candidate -> candidate.dueAt <= now && candidate.machine.equals(machine))
                 .toList();
-        onTheWay.removeAll(here);
-        return here;
+        inTransit.removeAll(arriving);
+        return arriving;
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/LateHeartbeatCopyTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/LateHeartbeatCopyTest.java
@@ -26,11 +26,11 @@
 
 /** Copies of heartbeats that arrive up to minutes late prove nothing about the current state of a machine. */
 class LateHeartbeatCopyTest {
-    private static final MachineId A = new MachineId("vm-000001");
-    private static final MachinePool EAST = new MachinePool("quad", "east", true);
+    private static final MachineId MACHINE = new MachineId("vm-000001");
+    private static final MachinePool POOL = new MachinePool("quad", "east", true);
 
     private static ListedMachine listed(String name) {
-        return new ListedMachine(new MachineId(name), EAST, ListedMachine.Status.RUNNING, Span.seconds(30));
+        return new ListedMachine(new MachineId(name), POOL, ListedMachine.Status.RUNNING, Span.seconds(30));
     }
 
     /**
@@ -47,52 +47,52 @@
         "two in the wrong order, true",
         "after its incarnation ended, true"
     })
-    void raiseNoDeadMachine(String when, boolean known) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.up(A.text(), "east", 0);
-        w.core.recordsLoaded();
-        Job job = w.submit(spec(1, 1, 1, 500), 0);
-        List<WorkerCommand> orders = w.hear(A.text(), 1);
-        Heartbeat earlier = w.report(A.text(), "east", 1, TOKEN, running(orders.get(0)));
-        Heartbeat copy = w.report(A.text(), "east", 1, TOKEN, running(orders.get(0)));
-        w.core.onHeartbeat(earlier, at(2));
-        if (!when.equals("delivered first after its lease expired")) {
-            w.core.onHeartbeat(copy, at(3));
+    void lateCopiesDoNotAdoptDeadMachines(String scenario, boolean staysKnown) {
+        SimulatedWorld world = new SimulatedWorld();
+        world.up(MACHINE.text(), "east", 0);
+        world.core.onRecordsLoaded();
+        Job job = world.submit(spec(1, 1, 1, 500), 0);
+        List<WorkerCommand> commands = world.hear(MACHINE.text(), 1);
+        Heartbeat earlier = world.report(MACHINE.text(), "east", 1, TOKEN, running(commands.get(0)));
+        Heartbeat copy = world.report(MACHINE.text(), "east", 1, TOKEN, running(commands.get(0)));
+        world.core.onHeartbeat(earlier, at(2));
+        if (!scenario.equals("delivered first after its lease expired")) {
+            world.core.onHeartbeat(copy, at(3));
         }
-        if (when.equals("after its incarnation ended")) {
-            w.core.onHeartbeat(w.report(A.text(), "east", 2, TOKEN), at(4));
+        if (scenario.equals("after its incarnation ended")) {
+            world.core.onHeartbeat(world.report(MACHINE.text(), "east", 2, TOKEN), at(4));
         }
-        if (when.equals("after it was returned") || when.equals("after its return was forgotten")) {
-            w.core.returned(List.of(A), at(4));
+        if (scenario.equals("after it was returned") || scenario.equals("after its return was forgotten")) {
+            world.core.onMachinesReturned(List.of(MACHINE), at(4));
         }
-        if (when.equals("after its return was forgotten")) {
-            w.core.onMachineListing(List.of(listed("vm-009999")), at(5), at(5));
-            w.core.onMachineListing(List.of(listed("vm-009999")), at(15), at(15));
+        if (scenario.equals("after its return was forgotten")) {
+            world.core.onMachineListing(List.of(listed("vm-009999")), at(5), at(5));
+            world.core.onMachineListing(List.of(listed("vm-009999")), at(15), at(15));
             for (int i = 0; i < 2000; i++) {
-                w.core.returned(List.of(new MachineId("vm-0" + (20_000 + i))), at(16));
+                world.core.onMachinesReturned(List.of(new MachineId("vm-0" + (20_000 + i))), at(16));
             }
         }
-        if (when.equals("under a new leader")) {
+        if (scenario.equals("under a new leader")) {
             // It was rented and returned under the previous leader, so no record mentions it.
-            w = new SimulatedWorld();
-            w.core.recordsLoaded();
+            world = new SimulatedWorld();
+            world.core.onRecordsLoaded();
             job = new Job(spec(1, 1, 1, 500), 1, at(0), new Revision(1), new BitSet(), 1, false);
-            w.core.addJob(job);
+            world.core.addJob(job);
             copy = withToken(copy, new FencingToken(4));
             earlier = withToken(earlier, new FencingToken(4));
         }
-        w.core.expireLeases(at(20));
-        int machines = w.core.machineCount();
-        w.core.onHeartbeat(copy, at(30));
-        w.core.onHeartbeat(earlier, at(31));
-        w.core.onHeartbeat(copy, at(31.5));
-        assertEquals(machines, w.core.machineCount(), "a machine was adopted");
-        assertEquals(known, w.core.knows(A));
+        world.core.expireLeases(at(20));
+        int machines = world.core.machineCount();
+        world.core.onHeartbeat(copy, at(30));
+        world.core.onHeartbeat(earlier, at(31));
+        world.core.onHeartbeat(copy, at(31.5));
+        assertEquals(machines, world.core.machineCount(), "a machine was adopted");
+        assertEquals(staysKnown, world.core.isKnownMachine(MACHINE));
         assertTrue(job.placements().isEmpty(), "a task placed on a dead machine");
-        assertEquals(List.of(), starts(w.core.onHeartbeat(copy, at(32)).commands()));
+        assertEquals(List.of(), starts(world.core.onHeartbeat(copy, at(32)).commands()));
         // Its task can start on a live machine at once.
-        w.up("vm-010001", "east", 32);
-        assertEquals(1, starts(w.hear("vm-010001", 33)).size(), "the task is blocked by a copy");
+        world.up("vm-010001", "east", 32);
+        assertEquals(1, starts(world.hear("vm-010001", 33)).size(), "the task is blocked by a copy");
     }
 
     private static Heartbeat withToken(Heartbeat heartbeat, FencingToken token) {
@@ -120,32 +120,32 @@
         "then listed, 1",
         "then rented, 1"
     })
-    void anUnknownMachineMustShowOurAnswer(String what, int machines) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.submit(spec(1, 4, 1, 500), 0);
-        Heartbeat first = w.report("x", "east", 1, new FencingToken(4));
-        Heartbeat older = w.report("x", "east", 1, new FencingToken(4));
-        Heartbeat second = w.report("x", "east", 1, TOKEN);
-        w.core.onHeartbeat(what.startsWith("wrong") ? second : first, at(1));
-        assertEquals(0, w.core.machineCount());
-        switch (what) {
-            case "twice the same" -> w.core.onHeartbeat(first, at(2));
-            case "two with the older token" -> w.core.onHeartbeat(older, at(2));
-            case "wrong order" -> w.core.onHeartbeat(first, at(2));
-            case "shows the answer" -> w.core.onHeartbeat(second, at(2));
-            case "then listed" -> w.core.onMachineListing(List.of(listed("x")), at(2), at(2));
-            case "then rented" -> w.core.rented(EAST, List.of(new MachineId("x")), at(1), at(2));
+    void anUnknownMachineMustShowThisLeadersAnswer(String scenario, int expectedMachines) {
+        SimulatedWorld world = new SimulatedWorld();
+        world.core.onRecordsLoaded();
+        world.submit(spec(1, 4, 1, 500), 0);
+        Heartbeat first = world.report("x", "east", 1, new FencingToken(4));
+        Heartbeat older = world.report("x", "east", 1, new FencingToken(4));
+        Heartbeat second = world.report("x", "east", 1, TOKEN);
+        world.core.onHeartbeat(scenario.startsWith("wrong") ? second : first, at(1));
+        assertEquals(0, world.core.machineCount());
+        switch (scenario) {
+            case "twice the same" -> world.core.onHeartbeat(first, at(2));
+            case "two with the older token" -> world.core.onHeartbeat(older, at(2));
+            case "wrong order" -> world.core.onHeartbeat(first, at(2));
+            case "shows the answer" -> world.core.onHeartbeat(second, at(2));
+            case "then listed" -> world.core.onMachineListing(List.of(listed("x")), at(2), at(2));
+            case "then rented" -> world.core.onMachinesRented(POOL, List.of(new MachineId("x")), at(1), at(2));
             default -> {}
         }
-        assertEquals(machines, w.core.machineCount());
+        assertEquals(expectedMachines, world.core.machineCount());
         // The unknown machine does not count as capacity, so machines are rented for the waiting tasks as without it.
-        if (machines == 0) {
+        if (expectedMachines == 0) {
             SimulatedWorld fresh = new SimulatedWorld();
-            fresh.core.recordsLoaded();
+            fresh.core.onRecordsLoaded();
             fresh.submit(spec(1, 4, 1, 500), 0);
-            assertEquals(fresh.core.scaleOutRequests(at(20)), w.core.scaleOutRequests(at(20)));
-            assertFalse(w.core.scaleOutRequests(at(20)).isEmpty());
+            assertEquals(fresh.core.scaleOutRequests(at(20)), world.core.scaleOutRequests(at(20)));
+            assertFalse(world.core.scaleOutRequests(at(20)).isEmpty());
         }
     }
 
@@ -154,20 +154,20 @@
      * postpone it only once.
      */
     @Test
-    void copiesOfOneReportPutATakeOverOffOnce() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.inheritMachine(A, EAST, at(-50), at(-50), at(0));
-        w.core.recordsLoaded();
-        Heartbeat copy = w.report(A.text(), "east", 1, new FencingToken(4));
-        List<Double> settled = new ArrayList<>();
+    void copiesOfOneHeartbeatDelayFailoverOnce() {
+        SimulatedWorld world = new SimulatedWorld();
+        world.core.inheritMachine(MACHINE, POOL, at(-50), at(-50), at(0));
+        world.core.onRecordsLoaded();
+        Heartbeat copy = world.report(MACHINE.text(), "east", 1, new FencingToken(4));
+        List<Double> completeAt = new ArrayList<>();
         for (double now = 1; now < 60; now++) {
-            w.core.onHeartbeat(copy, at(now));
-            w.core.expireLeases(at(now));
-            if (w.core.isFailoverComplete()) {
-                settled.add(now);
+            world.core.onHeartbeat(copy, at(now));
+            world.core.expireLeases(at(now));
+            if (world.core.isFailoverComplete()) {
+                completeAt.add(now);
             }
         }
-        assertEquals(14, settled.get(0), "1 s and the lease bound");
+        assertEquals(14, completeAt.get(0), "1 s and the lease bound");
     }
 
     /**
@@ -175,14 +175,14 @@
      * loading.
      */
     @Test
-    void whatIsAnsweredBeforeTheRecordsAreReadIsCounted() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.inheritMachine(A, EAST, at(-50), at(-50), at(0));
-        w.core.onHeartbeat(w.report(A.text(), "east", 1, new FencingToken(4)), at(6));
-        w.core.recordsLoaded();
-        w.core.expireLeases(at(17));
-        assertFalse(w.core.isFailoverComplete(), "its lease may run until 18 s");
-        w.core.expireLeases(at(18.6));
-        assertTrue(w.core.isFailoverComplete());
+    void answersBeforeTheRecordsAreLoadedRenewLeases() {
+        SimulatedWorld world = new SimulatedWorld();
+        world.core.inheritMachine(MACHINE, POOL, at(-50), at(-50), at(0));
+        world.core.onHeartbeat(world.report(MACHINE.text(), "east", 1, new FencingToken(4)), at(6));
+        world.core.onRecordsLoaded();
+        world.core.expireLeases(at(17));
+        assertFalse(world.core.isFailoverComplete(), "its lease may run until 18 s");
+        world.core.expireLeases(at(18.6));
+        assertTrue(world.core.isFailoverComplete());
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/MinimumServiceTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/MinimumServiceTest.java
@@ -125,7 +125,7 @@
     @CsvSource({"40, 0", "50, 2"})
     void whoWaitsBehindATopJobThatStartsAtOnceIsRentedFor(double at, int machines) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("a", "east", 0);
         w.submit(SimulatedWorld.spec(1, 1, 1, 900), 0);
         w.hear("a", 1);
--- a/src/test/java/io/indigoreach/core/scheduling/NearObjectiveTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/NearObjectiveTest.java
@@ -60,7 +60,7 @@
                 SimulatedWorld.TUNING,
                 new ServiceLevelObjectives(
                         List.of(new ServiceLevelObjectives.Objective("c", false, Span.seconds(within)))));
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         JobSpec low = spec(1, 2, 2, 300);
         w.submit(
                 with(
@@ -101,7 +101,7 @@
         SimulatedWorld w = new SimulatedWorld(
                 SimulatedWorld.TUNING,
                 new ServiceLevelObjectives(List.of(new ServiceLevelObjectives.Objective("s", true, Span.seconds(2)))));
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.submit(spec(1, 4, 1, 60), 0);
         TaskStatus[] tasks = running(w.ordinary("a", 20));
         w.hearOrdinary("a", 20, tasks);
--- a/src/test/java/io/indigoreach/core/scheduling/PlacementTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/PlacementTest.java
@@ -39,7 +39,7 @@
     })
     void placementRules(String name, boolean oneZone, boolean spread, boolean spot, String zone, int east, int west) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("e", "east", 0);
         w.up("w", "west", 0);
         w.submit(with(spec(1, 6, 1, 50), Urgency.STANDARD, oneZone, spread, spot, zone, 0), 0);
@@ -61,7 +61,7 @@
     @CsvSource({"0, 4", "3, 3", "2.5, 2", "0.5, 0"})
     void aTeamsLimitHolds(double coresMax, int started) {
         SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(coresMax));
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 9, 1, 50), 0);
         assertEquals(started, starts(w.hear("a", 1)).size());
@@ -71,7 +71,7 @@
     @Test
     void teamsWithoutAGuaranteeShareOneQueue() {
         SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(0), new Team("guest", 0, 2, 0, 0));
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("a", "east", 0);
         JobSpec batch = spec(1, 8, 1, 300);
         w.submit(
@@ -100,7 +100,7 @@
     @Test
     void urgentJobsComeFirstThenTheOrderOfArrival() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.submit(spec(3, 1, 1, 50), 0);
         w.submit(spec(1, 1, 1, 50), 1);
         w.submit(with(spec(2, 1, 1, 50), Urgency.HIGH, false, false, true, null, 0), 2);
@@ -116,7 +116,7 @@
                 SimulatedWorld.TUNING,
                 new ServiceLevelObjectives(
                         List.of(new ServiceLevelObjectives.Objective("c", true, Span.seconds(1000)))));
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         JobSpec s = spec(1, 1, 4, 300);
         w.submit(
                 JobSpec.builder(s.id())
@@ -152,7 +152,7 @@
                 SimulatedWorld.TUNING,
                 new ServiceLevelObjectives(
                         List.of(new ServiceLevelObjectives.Objective("c", true, Span.seconds(200)))));
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.submit(spec(1, 2, 3, 20), 0);
         w.up("a", "east", 0);
         w.up("b", "east", 0);
@@ -186,7 +186,7 @@
     @CsvSource({"20, 1, short enough to end before the top job's start", "200, 0, would delay the top job"})
     void backfillDoesNotDelayTheReservedTopJob(double estimate, int started, String why) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 1, 2, 60), 0);
         WorkerCommand first = w.hear("a", 1).get(0);
@@ -198,7 +198,7 @@
     @Test
     void roomIsMadeForUrgentJobsByTasksThatKeepTheirProgressOnly() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("a", "east", 0);
         w.up("b", "east", 0);
         w.submit(with(spec(1, 1, 4, 500), Urgency.BEST_EFFORT, false, false, true, null, 30), 0);
@@ -220,7 +220,7 @@
     @CsvSource({"4, 1, the borrower is beyond its guarantee of none", "0, 0, nothing is guaranteed"})
     void borrowedMachinesGoBackToATeamWithinItsGuarantee(double guarantee, int stopped, String why) {
         SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(0), new Team("owner", guarantee, 0, 0, 0));
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 1, 4, 500), 0);
         WorkerCommand borrowed = w.hear("a", 1).get(0);
@@ -249,7 +249,7 @@
     @Test
     void aMachineThatFailsWhateverItGetsIsGivenUp() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 1, 2, 50), 0);
         w.submit(spec(2, 1, 2, 50), 0);
@@ -264,7 +264,7 @@
     @Test
     void aJobThatFailsEverywhereCondemnsNoMachine() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.submit(spec(1, 9, 4, 50), 0);
         int tries = 0;
         List<List<TaskStatus>> pending = new ArrayList<>(List.of(List.of(), List.of(), List.of(), List.of()));
@@ -298,7 +298,7 @@
     @Test
     void aSpotNoticeEndsNewStartsAndSavesWhatCanBeSaved() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("a", "east", 0);
         w.submit(with(spec(1, 1, 1, 500), Urgency.STANDARD, false, false, true, null, 30), 0);
         WorkerCommand start = w.hear("a", 1).get(0);
--- a/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
@@ -40,40 +40,40 @@
  */
 public final class RandomSimulation {
     private static final double LEASE_S = SimulatedWorld.RULES.workerLease().seconds();
-    private static final double CORES_MAX = 24;
-    private static final int TROUBLES = 4000;
-    private static final int MOST_STEPS = 24_000;
+    private static final double MAX_CORES = 24;
+    private static final int FAULT_STEPS = 4000;
+    private static final int MAX_STEPS = 24_000;
     /** Time after which a worker abandons a heartbeat and drops its answer. */
-    private static final double PATIENCE_S = 4;
+    private static final double RESPONSE_TIMEOUT_S = 4;
     /** Mean number of steps between two heartbeats of a worker. */
     private static final int HEARTBEAT_STEPS = 15;
     /**
      * Mean number of steps between heartbeats while leaderships are so short that few leaders get two from one machine.
      */
-    private static final int RARE_HEARTBEAT_STEPS = 50;
+    private static final int SPARSE_HEARTBEAT_STEPS = 50;
     /** Number of jobs that are cancelled when a series of short leaderships begins. */
-    private static final int CANCELLED_TOGETHER = 8;
+    private static final int CANCELLATIONS_PER_SERIES = 8;
     /** A machine that sent a heartbeat within the first lease of a failover may be silent for one more lease. */
-    private static final double LONGEST_TAKE_OVER_S =
+    private static final double MAX_FAILOVER_S =
             2 * SimulatedWorld.RULES.leaseBound().seconds() + 0.2;
 
     /** A guard that a run can disable, to show that a rule is then violated. */
-    public enum Without {
-        NOTHING,
+    public enum DisabledGuard {
+        NONE,
         /** A new leader waits for the machines that earlier leaders recorded. */
-        TAKE_OVER,
+        INHERITED_MACHINES,
         /** A lease counts as expired only after the lease bound. */
         LEASE_BOUND,
         /** The cores of a team's running tasks stay within the team's limit. */
         TEAM_LIMIT,
         /** A machine counts as returned only once the cloud has executed the return. */
-        ANSWERED_RETURN,
+        CONFIRMED_RETURN,
         /** Start bounds are recorded before tasks start. */
         START_BOUND,
         /** Copies of heartbeats are recognized by their numbers. */
-        REPORT_NUMBER,
+        HEARTBEAT_NUMBER,
         /** Heartbeats that are answered before the records are loaded are registered. */
-        EARLY_ANSWER,
+        EARLY_HEARTBEATS,
         /** Completions are recorded before their tasks are reaped. */
         RECORD_BEFORE_REAP,
         /** Task lists are trusted only in heartbeats with the leader's own token. */
@@ -81,17 +81,17 @@
         /** A machine gets tasks only once it is recorded. */
         MACHINE_RECORD,
         /** Commands are sent only in answers to heartbeats. */
-        ORDERS_IN_ANSWERS,
+        COMMANDS_IN_ANSWERS,
         /** Every answer stops the tasks of cancelled jobs, even the answer to a heartbeat with an older token. */
         STOPS_BEFORE_RECONCILIATION
     }
 
     /** Optional faults of a run; they use a random generator of their own. */
-    public enum Trouble {
+    public enum Fault {
         /** Copies of heartbeats reach the next leader when it begins. */
-        KEPT_REPORTS,
+        DELAYED_HEARTBEATS,
         /** Single machines, a third of them, or a whole zone reach no controller for a while. */
-        MUTE_MACHINES,
+        UNREACHABLE_MACHINES,
         /** The leader's writes are late or unanswered, while machines are rented and leaders change often. */
         LAGGING_WRITES,
         /** Leaderships last for about one heartbeat period, while jobs are cancelled. */
@@ -99,171 +99,175 @@
     }
 
     private final Random random;
-    private final Without without;
-    private final EnumSet<Trouble> troubles;
+    private final DisabledGuard disabledGuard;
+    private final EnumSet<Fault> optionalFaults;
     /**
      * Random generator of the optional faults, so that a run without them draws the same numbers as if they did not
      * exist.
      */
-    private final Random further;
+    private final Random faultRandom;
 
-    private final DelayedHeartbeats kept;
-    private final LateCommands commands;
+    private final DelayedHeartbeats delayedHeartbeats;
+    private final LateCommands lateCommands;
     /**
      * Whether the team has a limit. With one, a new leader starts no task before its failover is complete; without one,
      * it may start tasks that no leader has started.
      */
-    private final boolean limited;
+    private final boolean hasTeamLimit;
 
     private final Map<String, RandomWorker> workers = new TreeMap<>();
-    private final RandomRecords records;
-    private final List<String> broken = new ArrayList<>();
-    private final WaitCheck waits = new WaitCheck();
-    private final List<Runnable> late = new ArrayList<>();
+    private final SimulatedRecords records;
+    private final List<String> violations = new ArrayList<>();
+    private final WaitCheck waitCheck = new WaitCheck();
+    private final List<Runnable> lateActions = new ArrayList<>();
     private double now;
     private long token;
     private SchedulerCore leader;
-    private double ledSince;
+    private double leaderSince;
     /** When the leader has read the records. */
     private double loadedAt;
 
     private boolean loaded;
     /** Whether the final phase has begun, without new faults and new jobs. */
-    private boolean calm;
+    private boolean finalPhase;
     /** Tasks of array jobs that have completed. */
     private final Set<TaskId> completed = new HashSet<>();
 
     /** Completed tasks of array jobs that a worker has reaped. */
     private final Set<TaskId> reaped = new HashSet<>();
-    private int machines;
-    private int jobs;
-    private int starts;
-    private int replicaStarts;
+
+    private int machineCount;
+    private int jobCount;
+    private int startCount;
+    private int replicaStartCount;
     private EffectListener effects = EffectListener.NONE;
-    private final LeaseRenewals renewals =
+    private final LeaseRenewals leaseRenewals =
             new LeaseRenewals(SimulatedWorld.RULES.workerLease(), SimulatedWorld.RULES.cancellationTime());
     /** When the current series of short leaderships ends. */
     private double shortLeadershipsUntil;
     /** When the next leader of that series begins. */
     private double nextShortLeadership;
 
-    RandomSimulation(long seed, Without without) {
-        this(seed, without, EnumSet.noneOf(Trouble.class));
+    RandomSimulation(long seed, DisabledGuard disabledGuard) {
+        this(seed, disabledGuard, EnumSet.noneOf(Fault.class));
     }
 
-    public RandomSimulation(long seed, Without without, EnumSet<Trouble> troubles) {
+    public RandomSimulation(long seed, DisabledGuard disabledGuard, EnumSet<Fault> optionalFaults) {
         this.random = new Random(seed);
-        this.without = without;
-        this.troubles = troubles;
-        this.further = new Random(~seed);
-        this.records = new RandomRecords(further, without, this::checkDone);
-        this.kept = new DelayedHeartbeats(further);
-        this.commands = new LateCommands(further);
-        this.limited = seed % 2 == 1;
+        this.disabledGuard = disabledGuard;
+        this.optionalFaults = optionalFaults;
+        this.faultRandom = new Random(~seed);
+        this.records = new SimulatedRecords(faultRandom, disabledGuard, this::checkDone);
+        this.delayedHeartbeats = new DelayedHeartbeats(faultRandom);
+        this.lateCommands = new LateCommands(faultRandom);
+        this.hasTeamLimit = seed % 2 == 1;
     }
 
     /** Sets the listener of the leaders' decisions. */
-    public RandomSimulation tell(EffectListener listener) {
+    public RandomSimulation withListener(EffectListener listener) {
         effects = listener;
         records.effects = listener;
-        waits.effects = listener;
+        waitCheck.effects = listener;
         return this;
     }
 
-    public List<String> broken() {
-        return broken;
+    public List<String> violations() {
+        return violations;
     }
 
-    int starts() {
-        return starts;
+    int startCount() {
+        return startCount;
     }
 
-    int replicaStarts() {
-        return replicaStarts;
+    int replicaStartCount() {
+        return replicaStartCount;
     }
 
     long completedJobs() {
-        return records.jobs.values().stream().filter(s -> s.closed).count();
+        return records.jobs.values().stream().filter(job -> job.closed).count();
     }
 
-    private Moment at() {
+    private Moment moment() {
         return SimulatedWorld.at(now);
     }
 
-    public void play() {
-        takeOver();
-        for (int step = 0; step < TROUBLES || (step < MOST_STEPS && hasOpen()); step++) {
+    public void run() {
+        replaceLeader();
+        for (int step = 0; step < FAULT_STEPS || (step < MAX_STEPS && hasOpenJobs()); step++) {
             now += 0.1;
-            if (step == TROUBLES) {
-                calmDown();
+            if (step == FAULT_STEPS) {
+                beginFinalPhase();
             }
-            if (!calm && random.nextInt(60) == 0) {
+            if (!finalPhase && random.nextInt(60) == 0) {
                 submit();
             }
-            if (!calm && random.nextInt(200) == 0) {
+            if (!finalPhase && random.nextInt(200) == 0) {
                 cancel();
             }
-            if (!calm && random.nextInt(250) == 0) {
-                takeOver();
+            if (!finalPhase && random.nextInt(250) == 0) {
+                replaceLeader();
             }
-            if (!calm) {
-                disturb();
+            if (!finalPhase) {
+                beginOptionalFaults();
             }
-            records.writes.advance(now, token);
+            records.writes.applyDue(now, token);
             if (!loaded && now >= loadedAt) {
-                load();
+                finishLoading();
             }
-            boolean few = calm ? workers.values().stream().filter(w -> !w.dead).count() < 16 : machines < 8 + now / 20;
-            if (loaded && few && random.nextInt(20) == 0) {
+            boolean needsMachines = finalPhase
+                    ? workers.values().stream().filter(worker -> !worker.dead).count() < 16
+                    : machineCount < 8 + now / 20;
+            if (loaded && needsMachines && random.nextInt(20) == 0) {
                 rent();
             }
-            for (RandomWorker w : new ArrayList<>(workers.values())) {
-                live(w);
+            for (RandomWorker worker : new ArrayList<>(workers.values())) {
+                stepWorker(worker);
             }
-            if (!late.isEmpty() && random.nextInt(5) == 0) {
-                late.remove(random.nextInt(late.size())).run();
+            if (!lateActions.isEmpty() && random.nextInt(5) == 0) {
+                lateActions.remove(random.nextInt(lateActions.size())).run();
             }
             if (loaded) {
-                tend();
+                runDuties();
             }
             checkRules();
         }
         records.jobs.values().stream()
-                .filter(RandomRecords.Stored::isOpen)
-                .forEach(s -> broken.add("incomplete " + s.spec.id() + " with " + s.done + " of " + s.spec.tasks()));
+                .filter(SimulatedRecords.StoredJob::isOpen)
+                .forEach(job -> violations.add(
+                        "incomplete " + job.spec.id() + " with " + job.completedTasks + " of " + job.spec.tasks()));
     }
 
     /** Begins optional faults at random. */
-    private void disturb() {
-        if (troubles.contains(Trouble.MUTE_MACHINES) && further.nextInt(150) == 0) {
-            int fate = further.nextInt(4);
-            String zone = further.nextBoolean() ? "east" : "west";
-            for (RandomWorker w : workers.values()) {
-                if (fate == 0 ? w.zone.equals(zone) : further.nextInt(fate == 1 ? 3 : 10) == 0) {
-                    w.cutUntil = Math.max(w.cutUntil, now + 3 + further.nextInt(30));
+    private void beginOptionalFaults() {
+        if (optionalFaults.contains(Fault.UNREACHABLE_MACHINES) && faultRandom.nextInt(150) == 0) {
+            int fate = faultRandom.nextInt(4);
+            String zone = faultRandom.nextBoolean() ? "east" : "west";
+            for (RandomWorker worker : workers.values()) {
+                if (fate == 0 ? worker.zone.equals(zone) : faultRandom.nextInt(fate == 1 ? 3 : 10) == 0) {
+                    worker.unreachableUntil = Math.max(worker.unreachableUntil, now + 3 + faultRandom.nextInt(30));
                 }
             }
         }
-        if (troubles.contains(Trouble.LAGGING_WRITES)) {
-            if (!records.writes.lags(now) && further.nextInt(300) == 0) {
-                records.writes.lagUntil(now + 5 + further.nextInt(20));
+        if (optionalFaults.contains(Fault.LAGGING_WRITES)) {
+            if (!records.writes.isLagging(now) && faultRandom.nextInt(300) == 0) {
+                records.writes.setLaggingUntil(now + 5 + faultRandom.nextInt(20));
                 if (loaded) {
-                    for (int i = 0; i < 4; i++) {
+                    for (int count = 0; count < 4; count++) {
                         rent();
                     }
                 }
-            } else if (records.writes.lags(now) && further.nextInt(60) == 0) {
-                takeOver();
+            } else if (records.writes.isLagging(now) && faultRandom.nextInt(60) == 0) {
+                replaceLeader();
                 // Machines that are not recorded yet are often unreachable at that moment.
-                for (RandomWorker w : workers.values()) {
-                    if (!records.machines.contains(w.name) && further.nextBoolean()) {
-                        w.cutUntil = Math.max(w.cutUntil, now + 5 + further.nextInt(20));
+                for (RandomWorker worker : workers.values()) {
+                    if (!records.machineNames.contains(worker.name) && faultRandom.nextBoolean()) {
+                        worker.unreachableUntil = Math.max(worker.unreachableUntil, now + 5 + faultRandom.nextInt(20));
                     }
                 }
             }
         }
-        if (troubles.contains(Trouble.SHORT_LEADERSHIPS)) {
-            shortLeaderships();
+        if (optionalFaults.contains(Fault.SHORT_LEADERSHIPS)) {
+            advanceShortLeaderships();
         }
     }
 
@@ -271,27 +275,27 @@
      * For about a minute, leaders read the records at once and end soon. A series of jobs is cancelled when this
      * begins.
      */
-    private void shortLeaderships() {
-        if (now >= shortLeadershipsUntil && further.nextInt(600) == 0) {
-            shortLeadershipsUntil = now + 40 + further.nextInt(40);
-            for (int n = 0; n < CANCELLED_TOGETHER; n++) {
+    private void advanceShortLeaderships() {
+        if (now >= shortLeadershipsUntil && faultRandom.nextInt(600) == 0) {
+            shortLeadershipsUntil = now + 40 + faultRandom.nextInt(40);
+            for (int count = 0; count < CANCELLATIONS_PER_SERIES; count++) {
                 cancel();
             }
         }
         if (now < shortLeadershipsUntil && now >= nextShortLeadership) {
-            newLeader();
+            createLeader();
             loadedAt = now;
-            nextShortLeadership = now + 0.2 + further.nextInt(10) / 10.0;
+            nextShortLeadership = now + 0.2 + faultRandom.nextInt(10) / 10.0;
         }
     }
 
-    private boolean hasOpen() {
-        return records.jobs.values().stream().anyMatch(RandomRecords.Stored::isOpen);
+    private boolean hasOpenJobs() {
+        return records.jobs.values().stream().anyMatch(SimulatedRecords.StoredJob::isOpen);
     }
 
     /** Begins the final phase. Services are cancelled, because they never end by themselves and use capacity. */
-    private void calmDown() {
-        calm = true;
+    private void beginFinalPhase() {
+        finalPhase = true;
         records.jobs.values().stream()
                 .filter(s -> s.spec.isService() && s.cancelledAt < 0)
                 .forEach(this::cancel);
@@ -301,25 +305,25 @@
      * Replaces the leader at any moment by a new one, which answers heartbeats at once. Often some machines, or a whole
      * zone, are unreachable or receive no answers around the change.
      */
-    private void takeOver() {
-        newLeader();
+    private void replaceLeader() {
+        createLeader();
         loadedAt = now + (random.nextBoolean() ? 0 : random.nextInt(50) / 10.0);
         if (random.nextInt(3) == 0) {
             String zone = random.nextInt(4) > 0 ? "" : random.nextBoolean() ? "east" : "west";
-            int all = random.nextInt(2);
-            for (RandomWorker w : workers.values()) {
-                int fate = w.zone.equals(zone) ? all : random.nextInt(6);
-                w.deafUntil = fate == 0 ? now + 8 + random.nextInt(52) : w.deafUntil;
-                w.cutUntil = fate == 1 ? now - 2 + random.nextInt(30) : w.cutUntil;
+            int zoneFate = random.nextInt(2);
+            for (RandomWorker worker : workers.values()) {
+                int fate = worker.zone.equals(zone) ? zoneFate : random.nextInt(6);
+                worker.answersLostUntil = fate == 0 ? now + 8 + random.nextInt(52) : worker.answersLostUntil;
+                worker.unreachableUntil = fate == 1 ? now - 2 + random.nextInt(30) : worker.unreachableUntil;
             }
         }
-        kept.arrive(token, this::copy);
+        delayedHeartbeats.deliver(token, this::deliverCopy);
     }
 
     /** Creates a leader that has not read the records yet. */
-    private void newLeader() {
-        Team team = new Team("t", 0, limited && without != Without.TEAM_LIMIT ? CORES_MAX : 0, 0, 0);
-        SafetyTimes rules = without == Without.LEASE_BOUND
+    private void createLeader() {
+        Team team = new Team("t", 0, hasTeamLimit && disabledGuard != DisabledGuard.TEAM_LIMIT ? MAX_CORES : 0, 0, 0);
+        SafetyTimes safetyTimes = disabledGuard == DisabledGuard.LEASE_BOUND
                 ? new SafetyTimes(
                         Span.seconds(3),
                         SimulatedWorld.RULES.heartbeatPeriod(),
@@ -328,50 +332,59 @@
                 : SimulatedWorld.RULES;
         leader = new SchedulerCore(
                 new FencingToken(++token),
-                rules,
+                safetyTimes,
                 SimulatedWorld.TUNING,
                 SimulatedWorld.NO_AIMS,
                 List.of(team),
                 new SchedulerListener() {
                     @Override
-                    public void taskCompleted(Job job) {
+                    public void onTaskCompleted(Job job) {
                         effects.effect(EffectListener.TASK_COMPLETED, job.id().text());
                     }
 
                     @Override
                     public void log(String line) {}
                 });
-        leader.setTypes(List.of(SimulatedWorld.TYPE));
+        leader.addMachineTypes(List.of(SimulatedWorld.TYPE));
         loaded = false;
-        ledSince = now;
+        leaderSince = now;
     }
 
     /**
      * Completes the loading of the records, which contain the jobs that were submitted meanwhile. Some machines that
      * were answered during the loading become unreachable.
      */
-    private void load() {
+    private void finishLoading() {
         loaded = true;
-        for (RandomWorker w : workers.values()) {
-            w.cutUntil = now > ledSince && random.nextInt(6) == 0 ? now + 10 + random.nextInt(20) : w.cutUntil;
+        for (RandomWorker worker : workers.values()) {
+            worker.unreachableUntil = now > leaderSince && random.nextInt(6) == 0
+                    ? now + 10 + random.nextInt(20)
+                    : worker.unreachableUntil;
         }
-        for (String name : records.machines) {
-            if (without != Without.TAKE_OVER) {
+        for (String name : records.machineNames) {
+            if (disabledGuard != DisabledGuard.INHERITED_MACHINES) {
                 leader.inheritMachine(
                         new MachineId(name),
                         pool(name),
                         SimulatedWorld.at(0),
-                        SimulatedWorld.at(ledSince),
-                        SimulatedWorld.at(ledSince));
+                        SimulatedWorld.at(leaderSince),
+                        SimulatedWorld.at(leaderSince));
             }
         }
-        for (RandomRecords.Stored s : records.jobs.values()) {
-            if (s.isOpen()) {
-                leader.addJob(new Job(s.spec, s.at, at(), Revision.ABSENT, s.done, s.bound, true));
+        for (SimulatedRecords.StoredJob job : records.jobs.values()) {
+            if (job.isOpen()) {
+                leader.addJob(new Job(
+                        job.spec,
+                        job.submittedMs,
+                        moment(),
+                        Revision.ABSENT,
+                        job.completedTasks,
+                        job.startBound,
+                        true));
             }
         }
-        leader.recordsLoaded();
-        kept.arrive(token, this::copy);
+        leader.onRecordsLoaded();
+        delayedHeartbeats.deliver(token, this::deliverCopy);
     }
 
     private static MachinePool pool(String name) {
@@ -379,52 +392,52 @@
     }
 
     private void rent() {
-        String name = "m" + ++machines;
+        String name = "m" + ++machineCount;
         workers.put(name, new RandomWorker(name, pool(name).zone(), now));
         if (random.nextInt(4) > 0) {
-            leader.rented(pool(name), List.of(new MachineId(name)), at(), at());
+            leader.onMachinesRented(pool(name), List.of(new MachineId(name)), moment(), moment());
         }
     }
 
     private void submit() {
-        JobSpec s = RandomJobs.next(random, ++jobs);
-        records.jobs.put(s.id(), new RandomRecords.Stored(s, jobs));
+        JobSpec spec = RandomJobs.next(random, ++jobCount);
+        records.jobs.put(spec.id(), new SimulatedRecords.StoredJob(spec, jobCount));
         if (!loaded) {
             return;
         }
-        leader.addJob(new Job(s, jobs, at(), Revision.ABSENT, new BitSet(), 0, false));
+        leader.addJob(new Job(spec, jobCount, moment(), Revision.ABSENT, new BitSet(), 0, false));
     }
 
     private void cancel() {
-        List<RandomRecords.Stored> open = records.jobs.values().stream()
-                .filter(RandomRecords.Stored::isOpen)
+        List<SimulatedRecords.StoredJob> open = records.jobs.values().stream()
+                .filter(SimulatedRecords.StoredJob::isOpen)
                 .toList();
         if (!open.isEmpty()) {
             cancel(open.get(random.nextInt(open.size())));
         }
     }
 
-    private void cancel(RandomRecords.Stored s) {
-        s.cancelledAt = now;
-        renewals.cancelled(s.spec.id(), at());
-        leader.cancelJob(s.spec.id());
+    private void cancel(SimulatedRecords.StoredJob job) {
+        job.cancelledAt = now;
+        leaseRenewals.cancelled(job.spec.id(), moment());
+        leader.cancelJob(job.spec.id());
     }
 
     /** Runs the leader's periodic duties: lease expiry, writes of records, returns and completions of jobs. */
-    private void tend() {
-        leader.expireLeases(at());
-        List<Job> toRaise = leader.startBoundsToRaise(at());
+    private void runDuties() {
+        leader.expireLeases(moment());
+        List<Job> toRaise = leader.startBoundsToRaise(moment());
         effects.boundsToRaise(toRaise);
         for (Job job : toRaise) {
             // The write happens in this step or a later one, and may remain unanswered.
             if (random.nextInt(3) == 0) {
-                records.writeBound(now, token, job, random.nextInt(4) > 0);
+                records.writeStartBound(now, token, job, random.nextInt(4) > 0);
             }
         }
-        giveBack();
+        returnMachines();
         if (random.nextInt(3) == 0) {
             for (String name : workers.keySet()) {
-                if (leader.unrecorded(new MachineId(name)).isPresent()) {
+                if (leader.machineToRecord(new MachineId(name)).isPresent()) {
                     records.writeMachine(now, leader, token, name);
                 }
             }
@@ -438,84 +451,88 @@
     }
 
     /** Returns silent and idle machines. An unanswered return request is executed later or never. */
-    private void giveBack() {
+    private void returnMachines() {
         if (random.nextInt(20) != 0) {
             return;
         }
-        leader.planScaleIn(at());
-        List<MachineId> leaving = leader.machinesToReturn(100);
-        effects.returns(leaving);
+        leader.planScaleIn(moment());
+        List<MachineId> returning = leader.machinesToReturn(100);
+        effects.returns(returning);
         int fate = now % 120 < 20 ? 1 : random.nextInt(6);
         if (fate == 0) {
-            late.add(() -> leaving.forEach(this::destroy));
+            lateActions.add(() -> returning.forEach(this::killMachine));
         } else if (fate > 1) {
-            if (without != Without.ANSWERED_RETURN) {
-                leaving.forEach(this::destroy);
+            if (disabledGuard != DisabledGuard.CONFIRMED_RETURN) {
+                returning.forEach(this::killMachine);
             }
-            leader.returned(leaving, at());
+            leader.onMachinesReturned(returning, moment());
         }
     }
 
-    private void destroy(MachineId id) {
-        RandomWorker w = workers.get(id.toString());
-        if (w != null) {
-            w.dead = true;
-            w.tasks.clear();
+    private void killMachine(MachineId id) {
+        RandomWorker worker = workers.get(id.toString());
+        if (worker != null) {
+            worker.dead = true;
+            worker.tasks.clear();
         }
     }
 
-    private void live(RandomWorker w) {
-        if (w.flight != null && w.flight.token == 0 && now >= w.flight.arrives) {
-            arrive(w, w.flight);
+    private void stepWorker(RandomWorker worker) {
+        if (worker.inFlight != null && worker.inFlight.token == 0 && now >= worker.inFlight.arrivesAt) {
+            deliverAndAnswer(worker, worker.inFlight);
         }
-        if (w.dead || now < w.hangsUntil) {
+        if (worker.dead || now < worker.hangingUntil) {
             return;
         }
-        if (now - w.answered > LEASE_S) {
-            w.tasks.clear();
-            w.ends.clear();
-            w.session++;
-            w.answered = now;
-            w.flight = null;
+        if (now - worker.lastAnsweredAt > LEASE_S) {
+            worker.tasks.clear();
+            worker.endTimes.clear();
+            worker.incarnation++;
+            worker.lastAnsweredAt = now;
+            worker.inFlight = null;
         }
-        for (LateCommands.Command c : commands.arriving(w.name, now)) {
-            if (c.session() == w.session && c.token() >= w.token) {
-                w.token = c.token();
-                c.orders().forEach(command -> execute(w, command));
+        for (LateCommands.CommandsInTransit lateCommand : lateCommands.takeArriving(worker.name, now)) {
+            if (lateCommand.incarnation() == worker.incarnation && lateCommand.token() >= worker.token) {
+                worker.token = lateCommand.token();
+                lateCommand.commands().forEach(command -> execute(worker, command));
             }
         }
-        int fate = calm ? 4000 : random.nextInt(4000);
+        int fate = finalPhase ? 4000 : random.nextInt(4000);
         if (fate == 0) {
-            w.dead = true;
-            w.tasks.clear();
+            worker.dead = true;
+            worker.tasks.clear();
             return;
         } else if (fate < 4) {
-            w.hangsUntil = now + random.nextInt(20);
+            worker.hangingUntil = now + random.nextInt(20);
             return;
         } else if (fate < 6) {
-            w.deafUntil = now + 8 + random.nextInt(16);
+            worker.answersLostUntil = now + 8 + random.nextInt(16);
         }
-        for (Map.Entry<TaskId, Double> end : new ArrayList<>(w.ends.entrySet())) {
-            TaskStatus status = w.tasks.get(end.getKey());
+        for (Map.Entry<TaskId, Double> end : new ArrayList<>(worker.endTimes.entrySet())) {
+            TaskStatus status = worker.tasks.get(end.getKey());
             if (now >= end.getValue() && status.state() != TaskState.EXITED) {
-                exit(w, status, !calm && random.nextInt(30) == 0 ? ExitCause.ERROR : ExitCause.DONE);
+                exit(worker, status, !finalPhase && random.nextInt(30) == 0 ? ExitCause.ERROR : ExitCause.DONE);
             }
         }
-        if (w.flight != null) {
-            if (now - w.flight.sent > PATIENCE_S) {
-                w.flight = null;
-            } else if (w.flight.token > 0 && now >= w.flight.back && now >= w.deafUntil && now >= w.cutUntil) {
-                take(w, w.flight);
-                w.flight = null;
+        if (worker.inFlight != null) {
+            if (now - worker.inFlight.sentAt > RESPONSE_TIMEOUT_S) {
+                worker.inFlight = null;
+            } else if (worker.inFlight.token > 0
+                    && now >= worker.inFlight.answerArrivesAt
+                    && now >= worker.answersLostUntil
+                    && now >= worker.unreachableUntil) {
+                executeAnswer(worker, worker.inFlight);
+                worker.inFlight = null;
             }
-        } else if (random.nextInt(now < shortLeadershipsUntil ? RARE_HEARTBEAT_STEPS : HEARTBEAT_STEPS) == 0) {
-            report(w);
+        } else if (random.nextInt(now < shortLeadershipsUntil ? SPARSE_HEARTBEAT_STEPS : HEARTBEAT_STEPS) == 0) {
+            sendHeartbeat(worker);
         }
     }
 
-    private void exit(RandomWorker w, TaskStatus status, ExitCause cause) {
-        w.tasks.put(status.task(), new TaskStatus(status.task(), status.attempt(), TaskState.EXITED, cause, false));
-        w.ends.remove(status.task());
+    private void exit(RandomWorker worker, TaskStatus status, ExitCause cause) {
+        worker.tasks.put(
+                status.task(), new TaskStatus(status.task(), status.attempt(), TaskState.EXITED, cause, false));
+        worker.endTimes.remove(status.task());
         if (cause == ExitCause.DONE
                 && !records.jobs.get(status.task().job()).spec.isService()) {
             completed.add(status.task());
@@ -526,70 +543,71 @@
      * Sends a heartbeat. It may be lost or late, or its answer may be lost; the answer to a late heartbeat reaches no
      * worker. Heartbeat and answer may be delayed for seconds, during which the worker sends no other heartbeat.
      */
-    private void report(RandomWorker w) {
+    private void sendHeartbeat(RandomWorker worker) {
         Heartbeat heartbeat = new Heartbeat(
-                new MachineId(w.name),
+                new MachineId(worker.name),
                 "x:1",
-                pool(w.name),
-                new HeartbeatNumber(w.session, ++w.serial),
-                new FencingToken(w.token),
+                pool(worker.name),
+                new HeartbeatNumber(worker.incarnation, ++worker.heartbeatSerial),
+                new FencingToken(worker.token),
                 null,
-                new ArrayList<>(w.tasks.values()));
-        int fate = calm ? 12 : random.nextInt(12);
-        if (now < w.cutUntil) {
+                new ArrayList<>(worker.tasks.values()));
+        int fate = finalPhase ? 12 : random.nextInt(12);
+        if (now < worker.unreachableUntil) {
             return;
         }
-        if (troubles.contains(Trouble.KEPT_REPORTS) && further.nextBoolean()) {
-            kept.keep(heartbeat, token);
+        if (optionalFaults.contains(Fault.DELAYED_HEARTBEATS) && faultRandom.nextBoolean()) {
+            delayedHeartbeats.keep(heartbeat, token);
         }
         if (fate == 0) {
-            late.add(() -> hear(heartbeat));
+            lateActions.add(() -> deliver(heartbeat));
             return;
         }
         if (fate < 4) {
-            late.add(() -> copy(heartbeat));
+            lateActions.add(() -> deliverCopy(heartbeat));
         }
-        double arrives = now + (fate == 4 ? random.nextInt(60) / 10.0 : 0);
-        RandomWorker.Flight f = new RandomWorker.Flight(
-                heartbeat, now, arrives, arrives + (fate == 4 || fate == 5 ? random.nextInt(60) / 10.0 : 0));
-        w.flight = f;
-        if (arrives <= now) {
-            arrive(w, f);
+        double arrivesAt = now + (fate == 4 ? random.nextInt(60) / 10.0 : 0);
+        RandomWorker.HeartbeatInFlight inFlight = new RandomWorker.HeartbeatInFlight(
+                heartbeat, now, arrivesAt, arrivesAt + (fate == 4 || fate == 5 ? random.nextInt(60) / 10.0 : 0));
+        worker.inFlight = inFlight;
+        if (arrivesAt <= now) {
+            deliverAndAnswer(worker, inFlight);
         }
-        if (f.token > 0 && f.back <= now) {
-            if (fate != 1 && now >= w.deafUntil) {
-                take(w, f);
+        if (inFlight.token > 0 && inFlight.answerArrivesAt <= now) {
+            if (fate != 1 && now >= worker.answersLostUntil) {
+                executeAnswer(worker, inFlight);
             }
-            w.flight = null;
+            worker.inFlight = null;
         }
     }
 
     /** The current leader's result for a heartbeat. */
-    private HeartbeatResult hear(Heartbeat heartbeat) {
-        HeartbeatResult result = leader.onHeartbeat(heartbeat, at());
+    private HeartbeatResult deliver(Heartbeat heartbeat) {
+        HeartbeatResult result = leader.onHeartbeat(heartbeat, moment());
         effects.answer(heartbeat.machine(), result, leader.mayAnswer(heartbeat.machine()));
         return result;
     }
 
     /** Delivers a heartbeat to the current leader, which answers it or does not. */
-    private void arrive(RandomWorker w, RandomWorker.Flight f) {
-        boolean early = !loaded && without == Without.EARLY_ANSWER;
-        HeartbeatResult result = early ? new HeartbeatResult.Commands(List.of()) : hear(f.report);
-        if (!result.isSuperseded() && leader.mayAnswer(f.report.machine())) {
-            f.token = token;
-            f.orders = result.commands();
-            if (without == Without.STOPS_BEFORE_RECONCILIATION
-                    && f.report.token().value() < token) {
-                f.orders = List.of();
+    private void deliverAndAnswer(RandomWorker worker, RandomWorker.HeartbeatInFlight inFlight) {
+        boolean ignored = !loaded && disabledGuard == DisabledGuard.EARLY_HEARTBEATS;
+        HeartbeatResult result = ignored ? new HeartbeatResult.Commands(List.of()) : deliver(inFlight.heartbeat);
+        if (!result.isSuperseded() && leader.mayAnswer(inFlight.heartbeat.machine())) {
+            inFlight.token = token;
+            inFlight.commands = result.commands();
+            if (disabledGuard == DisabledGuard.STOPS_BEFORE_RECONCILIATION
+                    && inFlight.heartbeat.token().value() < token) {
+                inFlight.commands = List.of();
             }
             if (loaded) {
-                checkRenewal(f);
+                checkRenewal(inFlight);
             }
-            if (without == Without.ORDERS_IN_ANSWERS) {
-                commands.send(w.name, f.report.number().incarnation(), token, f.orders, now);
+            if (disabledGuard == DisabledGuard.COMMANDS_IN_ANSWERS) {
+                lateCommands.send(
+                        worker.name, inFlight.heartbeat.number().incarnation(), token, inFlight.commands, now);
             }
         } else {
-            w.flight = null;
+            worker.inFlight = null;
         }
     }
 
@@ -597,60 +615,68 @@
      * Checks an answer that renews a lease, whether or not it reaches the worker. Answers given before the records are
      * read are not checked: no real controller sends them; the simulation does so to make the following steps harder.
      */
-    private void checkRenewal(RandomWorker.Flight f) {
+    private void checkRenewal(RandomWorker.HeartbeatInFlight inFlight) {
         Event.LeaseRenewed renewal = new Event.LeaseRenewed(
-                at(),
-                f.report.machine(),
-                SimulatedWorld.at(f.sent),
-                f.report.token().value() == token,
-                LeaseRenewals.notStopped(f.report, f.orders));
-        renewals.check(renewal).forEach(finding -> broken.add(now + ": renewed_cancelled " + finding));
+                moment(),
+                inFlight.heartbeat.machine(),
+                SimulatedWorld.at(inFlight.sentAt),
+                inFlight.heartbeat.token().value() == token,
+                LeaseRenewals.notStopped(inFlight.heartbeat, inFlight.commands));
+        leaseRenewals.check(renewal).forEach(finding -> violations.add(now + ": renewed_cancelled " + finding));
     }
 
-    private void take(RandomWorker w, RandomWorker.Flight f) {
-        if (f.report.number().incarnation() == w.session && f.token >= w.token) {
-            w.token = f.token;
-            w.answered = Math.max(w.answered, f.sent);
-            f.orders.forEach(command -> execute(w, command));
+    private void executeAnswer(RandomWorker worker, RandomWorker.HeartbeatInFlight inFlight) {
+        if (inFlight.heartbeat.number().incarnation() == worker.incarnation && inFlight.token >= worker.token) {
+            worker.token = inFlight.token;
+            worker.lastAnsweredAt = Math.max(worker.lastAnsweredAt, inFlight.sentAt);
+            inFlight.commands.forEach(command -> execute(worker, command));
         }
     }
 
     /**
      * Delivers a copy of a heartbeat, up to minutes later and to any leader. The answer reaches no worker.
      */
-    private void copy(Heartbeat heartbeat) {
-        RandomWorker w = workers.get(heartbeat.machine().toString());
-        boolean known = leader.knows(heartbeat.machine());
-        HeartbeatNumber number =
-                without == Without.REPORT_NUMBER ? new HeartbeatNumber(w.session, w.serial + 1) : heartbeat.number();
-        FencingToken shown = without == Without.OWN_TOKEN ? new FencingToken(token) : heartbeat.token();
-        hear(new Heartbeat(
-                heartbeat.machine(), heartbeat.address(), heartbeat.pool(), number, shown, null, heartbeat.tasks()));
-        if (!known && leader.knows(heartbeat.machine())) {
-            broken.add(now + ": adopted from a copy " + heartbeat.machine());
+    private void deliverCopy(Heartbeat heartbeat) {
+        RandomWorker worker = workers.get(heartbeat.machine().toString());
+        boolean wasKnown = leader.isKnownMachine(heartbeat.machine());
+        HeartbeatNumber number = disabledGuard == DisabledGuard.HEARTBEAT_NUMBER
+                ? new HeartbeatNumber(worker.incarnation, worker.heartbeatSerial + 1)
+                : heartbeat.number();
+        FencingToken copiedToken =
+                disabledGuard == DisabledGuard.OWN_TOKEN ? new FencingToken(token) : heartbeat.token();
+        deliver(new Heartbeat(
+                heartbeat.machine(),
+                heartbeat.address(),
+                heartbeat.pool(),
+                number,
+                copiedToken,
+                null,
+                heartbeat.tasks()));
+        if (!wasKnown && leader.isKnownMachine(heartbeat.machine())) {
+            violations.add(now + ": adopted from a copy " + heartbeat.machine());
         }
     }
 
-    private void execute(RandomWorker w, WorkerCommand command) {
-        TaskStatus status = w.tasks.get(command.task());
+    private void execute(RandomWorker worker, WorkerCommand command) {
+        TaskStatus status = worker.tasks.get(command.task());
         if (command instanceof WorkerCommand.Start) {
             if (status != null
                     && (status.state() != TaskState.EXITED || status.attempt().equals(command.attempt()))) {
                 return;
             }
-            starts++;
-            replicaStarts += records.jobs.get(command.task().job()).spec.isService() ? 1 : 0;
-            checkStart(w, command.task());
-            w.tasks.put(
+            startCount++;
+            replicaStartCount += records.jobs.get(command.task().job()).spec.isService() ? 1 : 0;
+            checkStart(worker, command.task());
+            worker.tasks.put(
                     command.task(), new TaskStatus(command.task(), command.attempt(), TaskState.RUNNING, null, false));
-            boolean replica = records.jobs.get(command.task().job()).spec.isService();
-            int run = 1 + random.nextInt(replica ? 300 : random.nextInt(3) == 0 ? 80 : 20);
-            w.ends.put(command.task(), completed.contains(command.task()) ? now : now + run);
+            boolean isReplica = records.jobs.get(command.task().job()).spec.isService();
+            int runTime = 1 + random.nextInt(isReplica ? 300 : random.nextInt(3) == 0 ? 80 : 20);
+            worker.endTimes.put(command.task(), completed.contains(command.task()) ? now : now + runTime);
         } else if (status != null && status.attempt().equals(command.attempt())) {
             if (command instanceof WorkerCommand.Stop && status.state() != TaskState.EXITED) {
-                exit(w, status, ExitCause.STOPPED);
+                exit(worker, status, ExitCause.STOPPED);
             } else if (command instanceof WorkerCommand.Reap && status.state() == TaskState.EXITED) {
-                w.tasks.remove(command.task());
+                worker.tasks.remove(command.task());
                 if (completed.contains(command.task()) && status.cause() == ExitCause.DONE) {
                     reaped.add(command.task());
                 }
@@ -662,71 +688,73 @@
      * Whether the task is on the machine: it has not exited, was not killed with its incarnation, and the machine is
      * not dead.
      */
-    private boolean isOn(RandomWorker w, TaskId task) {
-        TaskStatus status = w.tasks.get(task);
-        boolean killed = now - w.answered > LEASE_S;
-        return !w.dead && !killed && status != null && status.state() != TaskState.EXITED;
+    private boolean isOn(RandomWorker worker, TaskId task) {
+        TaskStatus status = worker.tasks.get(task);
+        boolean killed = now - worker.lastAnsweredAt > LEASE_S;
+        return !worker.dead && !killed && status != null && status.state() != TaskState.EXITED;
     }
 
-    private void checkDone(RandomRecords.Stored s) {
-        for (int i = 0; i < s.spec.tasks(); i++) {
-            if (!completed.contains(new TaskId(s.spec.id(), i))) {
-                broken.add(now + ": not_done " + s.spec.id());
+    private void checkDone(SimulatedRecords.StoredJob job) {
+        for (int i = 0; i < job.spec.tasks(); i++) {
+            if (!completed.contains(new TaskId(job.spec.id(), i))) {
+                violations.add(now + ": not_done " + job.spec.id());
             }
         }
     }
 
-    private void checkStart(RandomWorker here, TaskId task) {
-        RandomRecords.Stored s = records.jobs.get(task.job());
+    private void checkStart(RandomWorker target, TaskId task) {
+        SimulatedRecords.StoredJob job = records.jobs.get(task.job());
         if (reaped.contains(task)) {
-            broken.add(now + ": started after its result was reaped " + task);
+            violations.add(now + ": started after its result was reaped " + task);
         }
-        if (!records.machines.contains(here.name)) {
-            broken.add(now + ": started on an unrecorded machine " + task);
+        if (!records.machineNames.contains(target.name)) {
+            violations.add(now + ": started on an unrecorded machine " + task);
         }
         int inZone = 1;
-        Set<String> zones = new HashSet<>(Set.of(here.zone));
-        for (RandomWorker w : workers.values()) {
-            if (isOn(w, task)) {
-                broken.add(now + ": ran_twice " + task + " on " + here.name + " and " + w.name);
-            }
-            for (TaskId other : w.tasks.keySet()) {
-                if (other.job().equals(task.job()) && isOn(w, other)) {
-                    zones.add(w.zone);
-                    inZone += w.zone.equals(here.zone) ? 1 : 0;
+        Set<String> zones = new HashSet<>(Set.of(target.zone));
+        for (RandomWorker worker : workers.values()) {
+            if (isOn(worker, task)) {
+                violations.add(now + ": ran_twice " + task + " on " + target.name + " and " + worker.name);
+            }
+            for (TaskId other : worker.tasks.keySet()) {
+                if (other.job().equals(task.job()) && isOn(worker, other)) {
+                    zones.add(worker.zone);
+                    inZone += worker.zone.equals(target.zone) ? 1 : 0;
                 }
             }
         }
-        if ((s.spec.oneZone() && zones.size() > 1) || inZone > s.spec.zoneLimit() || !s.spec.allowsZone(here.zone)) {
-            broken.add(now + ": wrong_place " + task);
+        if ((job.spec.oneZone() && zones.size() > 1)
+                || inZone > job.spec.zoneLimit()
+                || !job.spec.allowsZone(target.zone)) {
+            violations.add(now + ": wrong_place " + task);
         }
     }
 
     private void checkRules() {
-        broken.addAll(waits.check(leader, calm, now));
-        effects.leader(leader, at());
-        if (loaded && !leader.isFailoverComplete() && now - ledSince > LONGEST_TAKE_OVER_S) {
-            broken.add(now + ": failover incomplete since " + ledSince);
+        violations.addAll(waitCheck.check(leader, finalPhase, now));
+        effects.leader(leader, moment());
+        if (loaded && !leader.isFailoverComplete() && now - leaderSince > MAX_FAILOVER_S) {
+            violations.add(now + ": failover incomplete since " + leaderSince);
         }
         double cores = 0;
-        for (RandomWorker w : workers.values()) {
-            for (TaskId task : w.tasks.keySet()) {
-                if (isOn(w, task)) {
-                    RandomRecords.Stored s = records.jobs.get(task.job());
-                    if (leader.isLeaseExpired(new MachineId(w.name))) {
-                        broken.add(now + ": lease counted as expired " + task + " on " + w.name);
+        for (RandomWorker worker : workers.values()) {
+            for (TaskId task : worker.tasks.keySet()) {
+                if (isOn(worker, task)) {
+                    SimulatedRecords.StoredJob job = records.jobs.get(task.job());
+                    if (leader.isLeaseExpired(new MachineId(worker.name))) {
+                        violations.add(now + ": lease counted as expired " + task + " on " + worker.name);
                     }
-                    cores += s.spec.demand().cores();
-                    if (s.cancelledAt >= 0
-                            && now - s.cancelledAt
+                    cores += job.spec.demand().cores();
+                    if (job.cancelledAt >= 0
+                            && now - job.cancelledAt
                                     > SimulatedWorld.RULES.cancellationTime().seconds()) {
-                        broken.add(now + ": ran_cancelled " + task);
+                        violations.add(now + ": ran_cancelled " + task);
                     }
                 }
             }
         }
-        if (limited && cores > CORES_MAX + 1e-6) {
-            broken.add(now + ": quota " + cores);
+        if (hasTeamLimit && cores > MAX_CORES + 1e-6) {
+            violations.add(now + ": quota " + cores);
         }
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/RandomSimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulationTest.java
@@ -19,25 +19,25 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 50, 82, 100})
-    void noRuleIsBroken(long seed) {
-        RandomSimulation run = new RandomSimulation(seed, RandomSimulation.Without.NOTHING);
-        run.play();
-        assertEquals(List.of(), run.broken());
-        assertTrue(run.starts() > 100, "too little happened: " + run.starts());
-        assertTrue(run.replicaStarts() > 5, "too few replicas: " + run.replicaStarts());
+    void rulesHoldInRandomRuns(long seed) {
+        RandomSimulation run = new RandomSimulation(seed, RandomSimulation.DisabledGuard.NONE);
+        run.run();
+        assertEquals(List.of(), run.violations());
+        assertTrue(run.startCount() > 100, "too little happened: " + run.startCount());
+        assertTrue(run.replicaStartCount() > 5, "too few replicas: " + run.replicaStartCount());
         assertTrue(run.completedJobs() > 0, "no job was completed");
     }
 
     @ParameterizedTest
     @EnumSource(
-            value = RandomSimulation.Without.class,
+            value = RandomSimulation.DisabledGuard.class,
             mode = EnumSource.Mode.EXCLUDE,
-            names = {"NOTHING", "OWN_TOKEN", "MACHINE_RECORD", "ORDERS_IN_ANSWERS", "STOPS_BEFORE_RECONCILIATION"})
-    void theRulesBreakWithoutTheirGuards(RandomSimulation.Without guard) {
+            names = {"NONE", "OWN_TOKEN", "MACHINE_RECORD", "COMMANDS_IN_ANSWERS", "STOPS_BEFORE_RECONCILIATION"})
+    void eachDisabledGuardViolatesARule(RandomSimulation.DisabledGuard guard) {
         assertTrue(LongStream.rangeClosed(1, 12).anyMatch(seed -> {
             RandomSimulation run = new RandomSimulation(seed, guard);
-            run.play();
-            return !run.broken().isEmpty();
+            run.run();
+            return !run.violations().isEmpty();
         }));
     }
 
@@ -46,14 +46,14 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void noRuleIsBrokenWhereTroublesReachTheNextLeader(long seed) {
+    void rulesHoldWithFaultsAcrossLeaders(long seed) {
         RandomSimulation run = new RandomSimulation(
                 seed,
-                RandomSimulation.Without.NOTHING,
-                EnumSet.complementOf(EnumSet.of(RandomSimulation.Trouble.SHORT_LEADERSHIPS)));
-        run.play();
-        assertEquals(List.of(), run.broken());
-        assertTrue(run.starts() > 100, "too little happened: " + run.starts());
+                RandomSimulation.DisabledGuard.NONE,
+                EnumSet.complementOf(EnumSet.of(RandomSimulation.Fault.SHORT_LEADERSHIPS)));
+        run.run();
+        assertEquals(List.of(), run.violations());
+        assertTrue(run.startCount() > 100, "too little happened: " + run.startCount());
         assertTrue(run.completedJobs() > 0, "no job was completed");
     }
 
@@ -63,12 +63,12 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void noRuleIsBrokenUnderShortLeaderships(long seed) {
+    void rulesHoldUnderShortLeaderships(long seed) {
         RandomSimulation run = new RandomSimulation(
-                seed, RandomSimulation.Without.NOTHING, EnumSet.of(RandomSimulation.Trouble.SHORT_LEADERSHIPS));
-        run.play();
-        assertEquals(List.of(), run.broken());
-        assertTrue(run.starts() > 50, "too little happened: " + run.starts());
+                seed, RandomSimulation.DisabledGuard.NONE, EnumSet.of(RandomSimulation.Fault.SHORT_LEADERSHIPS));
+        run.run();
+        assertEquals(List.of(), run.violations());
+        assertTrue(run.startCount() > 50, "too little happened: " + run.startCount());
     }
 
     /**
@@ -77,24 +77,24 @@
      */
     @ParameterizedTest
     @CsvSource({
-        "KEPT_REPORTS, OWN_TOKEN, ran_twice",
-        "KEPT_REPORTS, REPORT_NUMBER, adopted from a copy",
-        "MUTE_MACHINES, LEASE_BOUND, ran_twice",
-        "MUTE_MACHINES, ANSWERED_RETURN, ran_twice",
+        "DELAYED_HEARTBEATS, OWN_TOKEN, ran_twice",
+        "DELAYED_HEARTBEATS, HEARTBEAT_NUMBER, adopted from a copy",
+        "UNREACHABLE_MACHINES, LEASE_BOUND, ran_twice",
+        "UNREACHABLE_MACHINES, CONFIRMED_RETURN, ran_twice",
         "LAGGING_WRITES, MACHINE_RECORD, started on an unrecorded machine",
         "LAGGING_WRITES, START_BOUND, ran_twice",
         "LAGGING_WRITES, RECORD_BEFORE_REAP, started after its result was reaped",
         "SHORT_LEADERSHIPS, STOPS_BEFORE_RECONCILIATION, renewed_cancelled",
         "SHORT_LEADERSHIPS, STOPS_BEFORE_RECONCILIATION, ran_cancelled",
-        "MUTE_MACHINES, ORDERS_IN_ANSWERS, ran_twice",
-        "MUTE_MACHINES, ORDERS_IN_ANSWERS, started after its result was reaped"
+        "UNREACHABLE_MACHINES, COMMANDS_IN_ANSWERS, ran_twice",
+        "UNREACHABLE_MACHINES, COMMANDS_IN_ANSWERS, started after its result was reaped"
     })
-    void eachTroubleFindsTheGuardThatIsLeftOut(
-            RandomSimulation.Trouble trouble, RandomSimulation.Without guard, String rule) {
+    void eachFaultDetectsItsDisabledGuard(
+            RandomSimulation.Fault fault, RandomSimulation.DisabledGuard guard, String violation) {
         assertTrue(LongStream.rangeClosed(1, 12).anyMatch(seed -> {
-            RandomSimulation run = new RandomSimulation(seed, guard, EnumSet.of(trouble));
-            run.play();
-            return run.broken().stream().anyMatch(line -> line.contains(rule));
+            RandomSimulation run = new RandomSimulation(seed, guard, EnumSet.of(fault));
+            run.run();
+            return run.violations().stream().anyMatch(line -> line.contains(violation));
         }));
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/RandomWorker.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomWorker.java
@@ -13,42 +13,42 @@
 final class RandomWorker {
     final String name;
     final String zone;
-    long session = 1;
-    long serial;
+    long incarnation = 1;
+    long heartbeatSerial;
     long token;
-    double answered;
+    double lastAnsweredAt;
     boolean dead;
-    double hangsUntil;
+    double hangingUntil;
     /** Until then its heartbeats arrive but answers do not reach it. */
-    double deafUntil;
+    double answersLostUntil;
     /** Until then neither its heartbeats nor answers arrive. */
-    double cutUntil;
+    double unreachableUntil;
     /** Its heartbeat in flight, or null. */
-    Flight flight;
+    HeartbeatInFlight inFlight;
 
     final Map<TaskId, TaskStatus> tasks = new LinkedHashMap<>();
-    final Map<TaskId, Double> ends = new HashMap<>();
+    final Map<TaskId, Double> endTimes = new HashMap<>();
 
     RandomWorker(String name, String zone, double now) {
         this.name = name;
         this.zone = zone;
-        this.answered = now;
+        this.lastAnsweredAt = now;
     }
 
     /** A heartbeat in flight and its answer. The token is 0 until a leader has answered. */
-    static final class Flight {
-        final Heartbeat report;
-        final double sent;
-        final double arrives;
-        final double back;
+    static final class HeartbeatInFlight {
+        final Heartbeat heartbeat;
+        final double sentAt;
+        final double arrivesAt;
+        final double answerArrivesAt;
         long token;
-        List<WorkerCommand> orders = List.of();
+        List<WorkerCommand> commands = List.of();
 
-        Flight(Heartbeat heartbeat, double sent, double arrives, double back) {
-            this.report = heartbeat;
-            this.sent = sent;
-            this.arrives = arrives;
-            this.back = back;
+        HeartbeatInFlight(Heartbeat heartbeat, double sentAt, double arrivesAt, double answerArrivesAt) {
+            this.heartbeat = heartbeat;
+            this.sentAt = sentAt;
+            this.arrivesAt = arrivesAt;
+            this.answerArrivesAt = answerArrivesAt;
         }
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/ScaleOutTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ScaleOutTest.java
@@ -35,7 +35,7 @@
     })
     void bestSize(String jobs, int machines) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         int id = 0;
         for (String job : jobs.split(" ")) {
             String[] parts = job.split("x");
@@ -51,9 +51,9 @@
     @Test
     void machinesOnOrderAreNotAskedForAgainUntilOverdue() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.submit(spec(1, 8, 1, 100), 0);
-        w.core.rented(
+        w.core.onMachinesRented(
                 new MachinePool("quad", "east", true), List.of(new MachineId("a"), new MachineId("b")), at(1), at(1));
         assertEquals(List.of(), w.core.scaleOutRequests(at(30)));
         assertEquals(2, w.core.scaleOutRequests(at(60)).get(0).count());
@@ -66,7 +66,7 @@
     @Test
     void anIdleMachineWhereTheJobHasFailedIsNoPlaceForIt() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 1, 1, 20), 0);
         WorkerCommand start = w.hear("a", 1).get(0);
@@ -78,14 +78,14 @@
                 w.core.scaleOutRequests(at(5)).stream()
                         .mapToInt(ScaleOutRequest::count)
                         .sum());
-        w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("b")), at(5), at(5));
+        w.core.onMachinesRented(new MachinePool("quad", "east", true), List.of(new MachineId("b")), at(5), at(5));
         assertEquals(List.of(), w.core.scaleOutRequests(at(7)), "one is enough");
     }
 
     @Test
     void nothingIsRentedWhileTheTopJobIsPredictedToStartSoon() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 4, 1, 20), 0);
         List<TaskStatus> tasks = new ArrayList<>();
@@ -103,7 +103,7 @@
     @CsvSource({"true, 60, 1", "true, 1000, 0", "false, 60, 0"})
     void plannedWorkRentsWhileItsBootStillFits(boolean planned, double dueS, int machines) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 4, 1, 20), 0);
         List<TaskStatus> tasks = new ArrayList<>();
@@ -140,16 +140,16 @@
     @Test
     void spotFirstThenTheOtherZoneThenOrdinaryOnceThePatienceIsOver() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.submit(spec(1, 4, 1, 100), 0);
         MachinePool first = w.core.scaleOutRequests(at(1)).get(0).pool();
-        w.core.scaleOutRejected(first, at(1));
+        w.core.onScaleOutRejected(first, at(1));
         MachinePool second = w.core.scaleOutRequests(at(2)).get(0).pool();
-        w.core.scaleOutRejected(second, at(2));
+        w.core.onScaleOutRejected(second, at(2));
         assertEquals(List.of(true, true), List.of(first.spot(), second.spot()));
         assertEquals(List.of(), w.core.scaleOutRequests(at(3)));
-        w.core.scaleOutRejected(first, at(61));
-        w.core.scaleOutRejected(second, at(61));
+        w.core.onScaleOutRejected(first, at(61));
+        w.core.onScaleOutRejected(second, at(61));
         assertEquals(false, w.core.scaleOutRequests(at(62)).get(0).pool().spot());
     }
 
@@ -158,11 +158,11 @@
     @CsvSource({"24, 0", "48, 2", "80, 4"})
     void aLongBacklogTakesOrdinaryMachines(int tasks, int ordinary) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, tasks, 1, 75), 0);
-        w.core.scaleOutRejected(new MachinePool("quad", "east", true), at(1));
-        w.core.scaleOutRejected(new MachinePool("quad", "west", true), at(1));
+        w.core.onScaleOutRejected(new MachinePool("quad", "east", true), at(1));
+        w.core.onScaleOutRejected(new MachinePool("quad", "west", true), at(1));
         assertEquals(
                 ordinary,
                 w.core.scaleOutRequests(at(2)).stream()
@@ -175,7 +175,7 @@
     @CsvSource({"30, false, 0", "54, false, 0", "56, false, 1", "90, false, 0", "116, false, 1", "56, true, 0"})
     void idleMachinesGoAtTheEndOfTheirTermUnlessAWaitingJobCanUseThem(double at, boolean waiting, int returned) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("a", "east", 0);
         w.hear("a", 20);
         if (waiting) {
@@ -188,8 +188,8 @@
     @Test
     void aMachineThatNeverComesUpIsReturned() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
+        w.core.onRecordsLoaded();
+        w.core.onMachinesRented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
         w.core.planScaleIn(at(79));
         assertEquals(0, w.core.machinesToReturn(9).size());
         w.core.planScaleIn(at(81));
@@ -199,7 +199,7 @@
     @Test
     void aJobKnownToFailRentsNothing() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         Job job = w.submit(spec(1, 8, 1, 100), 0);
         for (int i = 0; i < 3; i++) {
             job.failedMachines.add(new MachineId("m" + i));
@@ -215,7 +215,7 @@
     @CsvSource({"0, 2", "45, 1", "90, 1", "400, 0"})
     void ordinaryMachinesAreLetGoSlowly(double later, int filled) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("s", "east", 0);
         w.hear("s", 1);
         for (String name : List.of("a", "b")) {
--- a/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
@@ -26,7 +26,7 @@
 class ServiceTest {
     private static SimulatedWorld loaded() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         return w;
     }
 
@@ -108,7 +108,7 @@
         ServiceLevelObjectives aims =
                 new ServiceLevelObjectives(List.of(new ServiceLevelObjectives.Objective("s", true, Span.seconds(3))));
         SimulatedWorld w = new SimulatedWorld(SimulatedWorld.TUNING, aims);
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         if (held) {
             w.submit(service(1, 4), 0);
             w.ordinary("a", 1);
@@ -174,7 +174,7 @@
         for (String name : List.of("a", "b")) {
             w.core.inheritMachine(new MachineId(name), new MachinePool("quad", "east", false), at(0), at(0), at(0));
         }
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         if (reported) {
             w.hearOrdinary("a", 1, SimulatedWorld.foreign("run-1/0", 7));
         }
--- a/src/test/java/io/indigoreach/core/scheduling/ShortQueueTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ShortQueueTest.java
@@ -23,7 +23,7 @@
     @CsvSource({"1, 1", "20, 3", "200, 33", "1000, 167"})
     void theQueueCountsNotOnlyItsTop(int jobs, int machines) {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 4, 1, 100), 0);
         w.hear("a", 1);
--- a/src/test/java/io/indigoreach/core/scheduling/SimulatedCluster.java
+++ b/src/test/java/io/indigoreach/core/scheduling/SimulatedCluster.java
@@ -188,7 +188,7 @@
                 SimulatedWorld.NO_AIMS,
                 teams,
                 this);
-        core.setTypes(List.of(SimulatedWorld.TYPE));
+        core.addMachineTypes(List.of(SimulatedWorld.TYPE));
         begun = now;
     }
 
@@ -205,7 +205,7 @@
                 .filter(r -> !r.closed)
                 .forEach(r -> core.addJob(
                         new Job(r.spec, 1, SimulatedWorld.at(begun), Revision.ABSENT, r.done, r.bound, true)));
-        core.recordsLoaded();
+        core.onRecordsLoaded();
     }
 
     void lead(double now) {
@@ -345,7 +345,7 @@
     }
 
     @Override
-    public void taskCompleted(Job job) {
+    public void onTaskCompleted(Job job) {
         effects.effect(EffectListener.TASK_COMPLETED, job.id().text());
     }
 
--- a/src/test/java/io/indigoreach/core/scheduling/SimulatedWorld.java
+++ b/src/test/java/io/indigoreach/core/scheduling/SimulatedWorld.java
@@ -64,7 +64,7 @@
     SimulatedWorld(SchedulerSettings tuning, ServiceLevelObjectives aims, Team... teams) {
         core = new SchedulerCore(
                 TOKEN, RULES, tuning, aims, teams.length == 0 ? List.of(team(0)) : List.of(teams), this);
-        core.setTypes(List.of(TYPE));
+        core.addMachineTypes(List.of(TYPE));
     }
 
     static Team team(double coresMax) {
@@ -153,8 +153,8 @@
 
     /** A machine that is rented, recorded, and has made its first report. */
     void up(String name, String zone, double at) {
-        core.rented(new MachinePool("quad", zone, true), List.of(new MachineId(name)), at(at), at(at));
-        core.recorded(new MachineId(name));
+        core.onMachinesRented(new MachinePool("quad", zone, true), List.of(new MachineId(name)), at(at), at(at));
+        core.onMachineRecorded(new MachineId(name));
     }
 
     Heartbeat report(String name, String zone, long session, FencingToken token, TaskStatus... tasks) {
@@ -170,8 +170,8 @@
 
     /** An ordinary machine that is rented, recorded, and has made its first report. */
     List<WorkerCommand> ordinary(String name, double at) {
-        core.rented(new MachinePool("quad", "east", false), List.of(new MachineId(name)), at(at), at(at));
-        core.recorded(new MachineId(name));
+        core.onMachinesRented(new MachinePool("quad", "east", false), List.of(new MachineId(name)), at(at), at(at));
+        core.onMachineRecorded(new MachineId(name));
         return hearOrdinary(name, at);
     }
 
@@ -228,7 +228,7 @@
     }
 
     @Override
-    public void taskCompleted(Job job) {
+    public void onTaskCompleted(Job job) {
         progressed.add(job);
     }
 
--- a/src/test/java/io/indigoreach/core/scheduling/StaleHeartbeatTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/StaleHeartbeatTest.java
@@ -17,10 +17,10 @@
 
 /** A delayed copy of an old heartbeat reaches a leader just when it begins. */
 class StaleHeartbeatTest {
-    private enum Arrives {
+    private enum CopyArrival {
         NEVER,
-        BEFORE_THE_RECORDS_ARE_READ,
-        AFTER_THE_RECORDS_ARE_READ
+        BEFORE_LOADING,
+        AFTER_LOADING
     }
 
     /** The copy must not change the run, whether its machine is alive or dead. */
@@ -35,69 +35,70 @@
         "its machine was returned, false",
         "its machine was rented by the previous leader, false"
     })
-    void changesNothing(String what, boolean lives) {
-        List<String> without = trace(what, lives, Arrives.NEVER);
-        assertTrue(without.stream().anyMatch(line -> line.contains("Start")), "nothing happened");
-        if (!what.equals("it carries the new token")) {
-            assertEquals(without, trace(what, lives, Arrives.BEFORE_THE_RECORDS_ARE_READ));
+    void aDelayedCopyChangesNothing(String scenario, boolean isAlive) {
+        List<String> expected = trace(scenario, isAlive, CopyArrival.NEVER);
+        assertTrue(expected.stream().anyMatch(line -> line.contains("Start")), "nothing happened");
+        if (!scenario.equals("it carries the new token")) {
+            assertEquals(expected, trace(scenario, isAlive, CopyArrival.BEFORE_LOADING));
         }
-        assertEquals(without, trace(what, lives, Arrives.AFTER_THE_RECORDS_ARE_READ));
+        assertEquals(expected, trace(scenario, isAlive, CopyArrival.AFTER_LOADING));
     }
 
-    private static List<String> trace(String what, boolean lives, Arrives when) {
-        SimulatedCluster site = new SimulatedCluster();
-        SimulatedCluster.Box a = site.box("a", 0);
-        site.box("n", 0);
-        site.lead(-30);
-        if (what.contains("rented")) {
-            site.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(-30), at(-30));
+    private static List<String> trace(String scenario, boolean isAlive, CopyArrival arrival) {
+        SimulatedCluster cluster = new SimulatedCluster();
+        SimulatedCluster.Box worker = cluster.box("a", 0);
+        cluster.box("n", 0);
+        cluster.lead(-30);
+        if (scenario.contains("rented")) {
+            cluster.core.onMachinesRented(
+                    new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(-30), at(-30));
         }
-        site.report("a", -21);
-        Heartbeat old = a.sent;
-        site.submit(spec(1, 2, 4, 500), -20);
-        if (!what.contains("rented")) {
-            site.become("a", -19);
-            assertEquals(1, a.tasks.size());
+        cluster.report("a", -21);
+        Heartbeat copy = worker.sent;
+        cluster.submit(spec(1, 2, 4, 500), -20);
+        if (!scenario.contains("rented")) {
+            cluster.become("a", -19);
+            assertEquals(1, worker.tasks.size());
         }
-        if (what.contains("incarnation")) {
-            old = a.sent;
-            a.newSession(-8);
-        } else if (what.contains("returned")) {
-            old = a.sent;
-            site.core.returned(List.of(new MachineId("a")), at(-8));
+        if (scenario.contains("incarnation")) {
+            copy = worker.sent;
+            worker.newSession(-8);
+        } else if (scenario.contains("returned")) {
+            copy = worker.sent;
+            cluster.core.onMachinesReturned(List.of(new MachineId("a")), at(-8));
         }
-        if (what.contains("returned") || what.contains("rented")) {
+        if (scenario.contains("returned") || scenario.contains("rented")) {
             // The machine has no record, or not any more.
-            site.boxes().remove(a);
+            cluster.boxes().remove(worker);
         } else {
-            site.report("a", -7);
+            cluster.report("a", -7);
         }
-        site.begin(0);
-        if (what.contains("new token")) {
-            site.report("a", 0.1);
-            site.report("a", 0.2);
-            old = a.sent;
-            a.end(TaskId.parse("run-1/0"), ExitCause.DONE);
-            site.report("a", 0.3);
+        cluster.begin(0);
+        if (scenario.contains("new token")) {
+            cluster.report("a", 0.1);
+            cluster.report("a", 0.2);
+            copy = worker.sent;
+            worker.end(TaskId.parse("run-1/0"), ExitCause.DONE);
+            cluster.report("a", 0.3);
         }
-        if (when == Arrives.BEFORE_THE_RECORDS_ARE_READ) {
-            site.core.onHeartbeat(old, at(0.4));
+        if (arrival == CopyArrival.BEFORE_LOADING) {
+            cluster.core.onHeartbeat(copy, at(0.4));
         }
-        site.load();
-        if (when == Arrives.AFTER_THE_RECORDS_ARE_READ) {
-            assertEquals(List.of(), site.core.onHeartbeat(old, at(0.4)).commands());
+        cluster.load();
+        if (arrival == CopyArrival.AFTER_LOADING) {
+            assertEquals(List.of(), cluster.core.onHeartbeat(copy, at(0.4)).commands());
         }
-        List<String> trace = new ArrayList<>(List.of(site.core.summary()));
+        List<String> trace = new ArrayList<>(List.of(cluster.core.summary()));
         for (double now = 1; now < 40; now++) {
-            for (SimulatedCluster.Box box : List.copyOf(site.boxes())) {
-                if (box != a || lives) {
-                    trace.add(now + " " + box.name + " " + site.report(box.name, now));
+            for (SimulatedCluster.Box box : List.copyOf(cluster.boxes())) {
+                if (box != worker || isAlive) {
+                    trace.add(now + " " + box.name + " " + cluster.report(box.name, now));
                 }
             }
-            site.core.expireLeases(at(now));
-            trace.add(site.core.summary() + " knows " + site.core.knows(new MachineId("a")));
+            cluster.core.expireLeases(at(now));
+            trace.add(cluster.core.summary() + " knows " + cluster.core.isKnownMachine(new MachineId("a")));
         }
-        assertEquals(List.of(), site.broken);
+        assertEquals(List.of(), cluster.broken);
         return trace;
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitReasonTest.java
@@ -61,9 +61,9 @@
         if (why.equals("inherited")) {
             w.core.inheritMachine(new MachineId("old"), new MachinePool("quad", "east", true), at(0), at(0), at(0));
         }
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         if (why.equals("booting") || why.equals("unrecorded")) {
-            w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
+            w.core.onMachinesRented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
         } else {
             w.up("a", "east", 0);
         }
@@ -104,7 +104,7 @@
     @Test
     void whatDoesNotWaitHasNoReason() {
         SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("a", "east", 0);
         Job job = w.submit(spec(1, 1, 1, 100), 0);
         w.hear("a", 1);
@@ -115,7 +115,7 @@
     @Test
     void aTeamThatWantsNothingKeepsNoRoom() {
         SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(0), GUARANTEED);
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("a", "east", 0);
         w.submit(spec(1, 6, 1, 100), 0);
         List<WorkerCommand> first = w.hear("a", 1);
@@ -137,7 +137,7 @@
         SimulatedWorld w = spare
                 ? new SimulatedWorld()
                 : new SimulatedWorld(SimulatedWorld.team(0), GUARANTEED, new Team("other", 8, 0, 0, 0));
-        w.core.recordsLoaded();
+        w.core.onRecordsLoaded();
         w.up("a", "east", 0);
         Job own = w.submit(of(spec(1, 4, 1, 500), spare ? "t" : "guaranteed"), 0);
         List<WorkerCommand> first = w.hear("a", 1);
@@ -178,13 +178,13 @@
                 new MachineType("quad", new Demand(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of("east"));
         MachineType dear = new MachineType(
                 "dear", new Demand(4, 0, 16), 40, 0.5, 0.4, 0.1, Span.seconds(20), List.of("west", "east"));
-        w.core.setTypes(refused ? List.of(SimulatedWorld.TYPE) : List.of(east, dear));
-        w.core.recordsLoaded();
+        w.core.addMachineTypes(refused ? List.of(SimulatedWorld.TYPE) : List.of(east, dear));
+        w.core.onRecordsLoaded();
         w.submit(with(spec(1, 4, 1, 100), Urgency.STANDARD, false, false, true, "west", 0), 0);
         if (refused) {
             w.submit(spec(2, 4, 1, 100), 1);
-            w.core.scaleOutRejected(new MachinePool("quad", "west", true), at(19));
-            w.core.scaleOutRejected(new MachinePool("quad", "west", false), at(19));
+            w.core.onScaleOutRejected(new MachinePool("quad", "west", true), at(19));
+            w.core.onScaleOutRejected(new MachinePool("quad", "west", false), at(19));
         }
         assertEquals(
                 Set.of(expected),
--- a/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
@@ -246,7 +246,7 @@
                 SimulatedWorld.NO_AIMS,
                 teams,
                 this);
-        core.setTypes(List.of(type));
+        core.addMachineTypes(List.of(type));
         boxes.forEach((name, box) -> {
             if (box.up <= now) {
                 core.inheritMachine(new MachineId(name), box.pool, at(box.rented), at(box.rented), at(now));
@@ -261,10 +261,10 @@
                 job.startBoundToWrite(),
                 true));
         open.values().forEach(core::addJob);
-        core.recordsLoaded();
+        core.onRecordsLoaded();
         plan = new PoolPlanner(teams, () -> List.of(type), CoreHarness.STANDARD.term(), Moment::ms, said::add);
         meter = new Meter(CoreHarness.STANDARD.minimumPaidTime().ms());
-        core.useWarmCapacity(plan);
+        core.setWarmCapacity(plan);
         plan.pools(pools.values(), n -> new DemandHistory());
         sheets.forEach((n, sheet) -> meter.recall(n, sheet, this::price));
         plan.recall(meter.lines(), at(now));
@@ -343,7 +343,7 @@
                                     .filter(b -> b.pool.equals(request.pool()))
                                     .count());
             if (got < request.count()) {
-                core.scaleOutRejected(request.pool(), at(now));
+                core.onScaleOutRejected(request.pool(), at(now));
             }
             List<MachineId> ids = new ArrayList<>();
             for (int i = 0; i < got; i++) {
@@ -353,13 +353,13 @@
                         new Box(request.pool(), now, now + (int) type.boot().seconds()));
                 rents++;
             }
-            core.rented(request.pool(), ids, at(now), at(now));
+            core.onMachinesRented(request.pool(), ids, at(now), at(now));
         }
         core.planScaleIn(at(now));
         List<MachineId> leaving = core.machinesToReturn(100);
         effects.returns(leaving);
         leaving.forEach(id -> end(id.toString()));
-        core.returned(leaving, at(now));
+        core.onMachinesReturned(leaving, at(now));
     }
 
     /** The machine is gone. */
@@ -445,8 +445,8 @@
                 list);
         List<WorkerCommand> orders =
                 new ArrayList<>(core.onHeartbeat(heartbeat, at(now)).commands());
-        if (core.unrecorded(new MachineId(name)).isPresent()) {
-            core.recorded(new MachineId(name));
+        if (core.machineToRecord(new MachineId(name)).isPresent()) {
+            core.onMachineRecorded(new MachineId(name));
             orders.addAll(core.startTasks(new MachineId(name), heartbeat.number(), at(now)));
         }
         effects.answer(heartbeat.machine(), new HeartbeatResult.Commands(orders), core.mayAnswer(heartbeat.machine()));
@@ -561,7 +561,7 @@
     }
 
     @Override
-    public void taskCompleted(Job job) {}
+    public void onTaskCompleted(Job job) {}
 
     @Override
     public void log(String line) {}
