--- a/src/test/java/io/indigoreach/core/scheduling/AsymmetricPartitionDetectorTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/AsymmetricPartitionDetectorTest.java
@@ -26,20 +26,26 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Machines whose reports arrive and that answers do not reach: told within a few reports, and never by a lost answer. */
+/**
+ * A partition in one direction, where heartbeats arrive but answers do not, is confirmed within a few heartbeats.
+ * Single lost answers and other faults never confirm it.
+ */
 class AsymmetricPartitionDetectorTest {
     private static final FencingToken OLDER_TOKEN = new FencingToken(4);
 
-    /** Reports come every {@code every} s: how many starts it was given, by when it is given none, and is to be returned. */
+    /**
+     * Each row has the evidence in the heartbeats, the seconds between heartbeats, the number of starts that are sent
+     * in vain, and the time at which the partition is confirmed and the machine's return is planned.
+     */
     @ParameterizedTest
     @CsvSource({
-        "takes no start, 2, 12, 6",
-        "takes no start, 5.5, 12, 16.5",
-        "keeps what is reaped, 2, 0, 6",
-        "goes on with what is stopped, 2, 0, 6",
-        "never follows the token, 2, 0, 12",
-        "never follows the token, 5.5, 0, 33",
-        "its sessions end, 15, 12, 45"
+        "ignores starts, 2, 12, 6",
+        "ignores starts, 5.5, 12, 16.5",
+        "keeps reaped task, 2, 0, 6",
+        "runs stopped task, 2, 0, 6",
+        "keeps older token, 2, 0, 12",
+        "keeps older token, 5.5, 0, 33",
+        "new incarnation in each heartbeat, 15, 12, 45"
     })
     void partitionIsConfirmedWithinAFewHeartbeats(
             String evidence, double periodS, int expectedStarts, double expectedReturnS) {
@@ -52,9 +58,11 @@
         double returnPlannedAt = -1;
         for (int round = 0; returnPlannedAt < 0 && round < 150; round++) {
             double now = round * periodS;
-            TaskStatus[] tasks = evidence.startsWith("keeps")
+            TaskStatus[] tasks = evidence.equals("keeps reaped task")
                     ? new TaskStatus[] {exitedStatus(foreign, ExitCause.DONE)}
-                    : evidence.startsWith("goes") ? new TaskStatus[] {runningStatus(foreign)} : new TaskStatus[0];
+                    : evidence.equals("runs stopped task")
+                            ? new TaskStatus[] {runningStatus(foreign)}
+                            : new TaskStatus[0];
             boolean hasForeignTask = tasks.length > 0;
             if (hasForeignTask && round == 0) {
                 world.core.cancelJob(new JobId("run-1"));
@@ -65,8 +73,8 @@
                                     world.newHeartbeat(
                                             "a",
                                             "east",
-                                            evidence.startsWith("its") ? 1 + round : 1,
-                                            evidence.startsWith("never") ? OLDER_TOKEN : TOKEN,
+                                            evidence.equals("new incarnation in each heartbeat") ? 1 + round : 1,
+                                            evidence.equals("keeps older token") ? OLDER_TOKEN : TOKEN,
                                             tasks),
                                     atSeconds(now))
                             .commands())
@@ -79,7 +87,10 @@
         assertEquals(0, world.core.job(new JobId("run-1")) == null ? 0 : world.core.job(new JobId("run-1")).failures);
     }
 
-    /** Of eight machines in the zone, so many take nothing: more than a quarter are the way's fault, up to what another costs. */
+    /**
+     * Some of the zone's eight machines receive no answers. If they are more than a quarter, the network is presumed to
+     * be at fault and they are kept for as long as replacing them would take.
+     */
     @ParameterizedTest
     @CsvSource({"1, 8, 1", "2, 8, 2", "3, 8, 0", "8, 8, 0", "8, 90, 0", "8, 94, 8"})
     void aPartitionedZoneIsAttributedToTheNetwork(int partitioned, double seconds, int returned) {
@@ -108,25 +119,25 @@
             world.core.planScaleIn(atSeconds(now));
         }
         assertEquals(returned, world.core.machinesToReturn(9).size());
-        assertEquals(0, startsAfterConfirmation, "no start once it is told");
+        assertEquals(0, startsAfterConfirmation, "no start once the partition is confirmed");
     }
 
-    /** What must not be taken for it; each for three minutes, with the fault again and again. */
+    /** Faults that must not be mistaken for a partition. Each one recurs for three minutes. */
     @ParameterizedTest
     @CsvSource({
         "every third answer is lost",
         "two answers in a row of three are lost",
         "every start is refused",
-        "two reports with the older token",
-        "its record takes a minute",
-        "hangs beyond its lease",
-        "the leader stands still"
+        "two heartbeats with the older token",
+        "recording the machine takes a minute",
+        "machine hangs beyond its lease",
+        "leader is paused"
     })
     void otherFaultsAreNotMistakenForAPartition(String fault) {
         SchedulerFixture world = new SchedulerFixture();
         world.core.inheritMachine(
                 new MachineId("a"), new MachinePool("quad", "east", true), atSeconds(0), atSeconds(0), atSeconds(0));
-        if (fault.startsWith("its record")) {
+        if (fault.equals("recording the machine takes a minute")) {
             world = new SchedulerFixture();
             world.core.onMachinesRented(
                     new MachinePool("quad", "east", true), List.of(new MachineId("a")), atSeconds(0), atSeconds(0));
@@ -137,33 +148,33 @@
         List<TaskStatus> tasks = new ArrayList<>();
         for (double now = 1; now < 180; now += 2, round++) {
             world.submit(spec(round + 1, 1, 0.25, 500), now);
-            if (fault.startsWith("hangs") && round % 6 == 5) {
+            if (fault.equals("machine hangs beyond its lease") && round % 6 == 5) {
                 now += 14;
                 world.core.expireLeases(atSeconds(now));
                 tasks.clear();
                 incarnation++;
             }
-            if (fault.startsWith("the leader")) {
+            if (fault.equals("leader is paused")) {
                 world.core.setEventLoopRunningSince(atSeconds(now - 0.1));
             }
-            FencingToken token = fault.startsWith("two reports") && round < 2 ? OLDER_TOKEN : TOKEN;
+            FencingToken token = fault.equals("two heartbeats with the older token") && round < 2 ? OLDER_TOKEN : TOKEN;
             List<WorkerCommand> commands = world.core
                     .onHeartbeat(
                             world.newHeartbeat("a", "east", incarnation, token, tasks.toArray(new TaskStatus[0])),
                             atSeconds(now))
                     .commands();
-            if (fault.startsWith("its record") && now > 60) {
+            if (fault.equals("recording the machine takes a minute") && now > 60) {
                 world.core.onMachineRecorded(new MachineId("a"));
             }
             boolean lost = switch (fault) {
                 case "every third answer is lost" -> round % 3 == 0;
                 case "two answers in a row of three are lost" -> round % 3 != 2;
-                case "its record takes a minute" -> now < 60;
-                case "the leader stands still" -> true;
+                case "recording the machine takes a minute" -> now < 60;
+                case "leader is paused" -> true;
                 default -> false;
             };
             if (!lost) {
-                boolean refused = fault.startsWith("every start");
+                boolean refused = fault.equals("every start is refused");
                 for (WorkerCommand command : commands) {
                     tasks.removeIf(status -> status.attempt().equals(command.attempt()));
                     if (command instanceof WorkerCommand.Start) {
@@ -176,7 +187,10 @@
         }
     }
 
-    /** It runs two tasks, takes no third one, and the cloud answers at once, or does not answer. */
+    /**
+     * The machine runs two tasks and misses the start of a third one, so it is returned. Its tasks start elsewhere once
+     * the cloud confirms the return, or once its lease expires if the cloud does not answer.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void tasksStayPlacedUntilReturnIsConfirmedOrLeaseExpires(boolean returnConfirmed) {
@@ -197,7 +211,7 @@
             assertEquals(
                     !returning,
                     world.core.mayAnswer(new MachineId("a")),
-                    "no answer renews its lease once it is being returned");
+                    "no answer may renew its lease once it is being returned");
             if (returning && returnConfirmed) {
                 world.core.onMachinesReturned(world.core.machinesToReturn(9), atSeconds(now));
             }
@@ -212,10 +226,13 @@
         assertEquals(
                 returnConfirmed,
                 world.core.mayAnswer(new MachineId("a")),
-                "nor later, while the cloud has not answered");
+                "no answer either while the cloud has not confirmed the return");
     }
 
-    /** Told while many of its zone were, so not returned: by a start taken, by the token, or by a session that goes on. */
+    /**
+     * Machines that were partitioned together with most of their zone are not returned. They get tasks again once their
+     * incarnation outlives a lease, which shows that answers arrive.
+     */
     @Test
     void machineIsUsedAgainOnceAnswersArrive() {
         SchedulerFixture world = new SchedulerFixture();
@@ -228,7 +245,7 @@
         double usedAgainAt = -1;
         for (double now = 0; usedAgainAt < 0 && now < 60; now += 2) {
             for (int i = 0; i < 4; i++) {
-                // What is lost until 20 s; then the session goes on, as answers arrive.
+                // The incarnations show that answers are lost until 20 s; the one that begins at 24 s continues.
                 boolean hasStart = !tasksToStart(world.core
                                 .onHeartbeat(
                                         world.newHeartbeat("m" + i, "east", now < 12 ? 1 : now < 24 ? 2 : 3, TOKEN),
@@ -241,8 +258,8 @@
             world.core.planScaleIn(atSeconds(now));
             assertTrue(world.core.machinesToReturn(9).isEmpty());
         }
-        assertEquals(12, startsBefore, "three answers to each");
-        assertEquals(38, usedAgainAt, "a lease after the last session began");
-        assertFalse(world.logLines.isEmpty(), "it is said");
+        assertEquals(12, startsBefore, "three answers with a start for each machine");
+        assertEquals(38, usedAgainAt, "a lease after the last incarnation began");
+        assertFalse(world.logLines.isEmpty(), "the change is logged");
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
@@ -17,25 +17,28 @@
 import java.util.Set;
 
 /**
- * Controllers, workers and users round one state service, in simulated time: the state service refuses single controllers or
- * everybody, users are told of cancellations by any controller that is served, controllers end and start again, lead one after the
- * other, and ask each other. What a leader may count on is decided by the classes that serve; that a leader is valid is
- * taken for granted, as pledges may carry one through any outage. Checked where the users look: from the first word to a user
- * that a job is cancelled until its last task is gone from a worker.
+ * Simulates controllers, workers and users around one state service. The state service refuses requests of single
+ * controllers or of all of them; any controller that it serves confirms cancellations to users; controllers restart,
+ * succeed each other as leader, and query each other. The production classes decide which cancellations a leader has to
+ * know. The leadership itself is always valid, because pledges can extend it through any outage. The checked property
+ * is the one that users observe: the time from the first confirmation that a job is cancelled until its last task on a
+ * worker has ended.
  */
 public final class CancellationSimulation {
-    /** A guard that a run can do without, to see that the rule then breaks. */
+    /** A guard that a run can disable, to show that the rule is then violated. */
     public enum DisabledGuard {
         NONE,
-        /** Workers are answered however long ago cancellations were heard of. */
+        /** Without it, a leader answers workers regardless of the age of its knowledge of cancellations. */
         MAX_CANCELLATION_AGE,
-        /** What the others tell counts as heard, but the jobs that they name run on. */
+        /** Without it, answers of peers count as received, but the cancelled jobs that they name are not stopped. */
         CANCELLED_JOB_IDS,
-        /** A process that has just started answers for its predecessor. */
+        /** Without it, a restarted process answers as if it knew what its predecessor confirmed. */
         PROCESS_START,
-        /** A job that is gone counts as dealt with before it is known why. */
+        /** Without it, a missing job counts as resolved before the reason for its absence is known. */
         UNRESOLVED_JOBS,
-        /** A leader that has not read the records counts as informed since it took over. */
+        /**
+         * Without it, a leader that has not read the records counts as up to date since the start of its leadership.
+         */
         LOADED_RECORDS
     }
 
@@ -70,7 +73,7 @@
         }
     }
 
-    /** What a leader knows; another one when another node leads. */
+    /** A leader's state during one leadership. */
     private final class Leadership {
         final Node node;
         final CancellationHorizon horizon = new CancellationHorizon();
@@ -100,9 +103,9 @@
     private int eventCount;
     private Leadership leadership;
     EffectListener effects = EffectListener.NONE;
-    /** Tasks of jobs that nobody cancelled, killed as a lease ended. */
+    /** Tasks of jobs that were not cancelled, killed because a lease expired. */
     int lostTasks;
-    /** Cancelled jobs' tasks that a leader stopped while the state service did not answer it. */
+    /** How often a leader stopped cancelled jobs because of peers' answers while the state service did not serve it. */
     int stopsByPeerAnswers;
 
     CancellationSimulation(SafetyTimes safetyTimes, int nodes, int jobs, long seed, DisabledGuard disabledGuard) {
@@ -159,13 +162,13 @@
                 double limit = confirmedAt.getOrDefault(job, Double.MAX_VALUE)
                         + safetyTimes.cancellationTime().seconds();
                 if (now > limit) {
-                    violations.add(job + " runs at " + now + ", told at " + confirmedAt.get(job));
+                    violations.add(job + " runs at " + now + ", cancellation confirmed at " + confirmedAt.get(job));
                 }
             }
         }
     }
 
-    // ---- troubles and users
+    // ---- faults and users
 
     void refuseNode(double time, int node, double duration) {
         schedule(time, () -> nodes.get(node).refusedUntil = now + duration);
@@ -175,7 +178,7 @@
         schedule(time, () -> outageUntil = Math.max(outageUntil, now + duration));
     }
 
-    /** The process ends and is back after {@code span}. */
+    /** Ends the node's process and starts it again after {@code duration}. */
     void restartNode(double time, int node, double duration) {
         schedule(time, () -> {
             Node restarted = nodes.get(node);
@@ -204,7 +207,10 @@
         });
     }
 
-    /** A user cancels a job at a node, which knows of it {@code way} later and tells {@code later} after that. */
+    /**
+     * A user cancels a job at a node, which learns the result {@code responseDelay} later and confirms it {@code confirmationDelay} after
+     * that.
+     */
     void cancel(double time, int node, JobId job, double responseDelay, double confirmationDelay) {
         schedule(time, () -> {
             Node confirming = nodes.get(node);
@@ -220,7 +226,7 @@
         });
     }
 
-    /** A user asks a node how a job is. */
+    /** A user queries the status of a job at a node. */
     void queryStatus(double time, int node, JobId job) {
         schedule(time, () -> {
             Node queried = nodes.get(node);
@@ -279,7 +285,9 @@
                 now + Math.min(2, safetyTimes.maxCancellationAge().seconds() / 4));
     }
 
-    /** An open watch brings a change at once, or ends; while this node is not served it waits. */
+    /**
+     * Waits for the watch to report a change or to end; it makes no progress while the state service refuses this node.
+     */
     private void awaitChange(Leadership current, Set<JobId> knownCancelled, Moment sentAt, double endsAt) {
         if (leadership != current) {
             return;
@@ -295,7 +303,7 @@
             if (disabledGuard == DisabledGuard.UNRESOLVED_JOBS) {
                 current.horizon.onMissingRecordResolved(job);
             }
-            // The state service may answer slowly, so that the refusal comes first.
+            // The state service may answer so slowly that it starts to refuse this node first.
             scheduleAfter(random.nextDouble() * (random.nextInt(4) == 0 ? 6 : 0.3), () -> resolveJob(current, job));
         });
         current.horizon.advanceTo(sentAt);
--- a/src/test/java/io/indigoreach/core/scheduling/ConcurrentFaultsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ConcurrentFaultsTest.java
@@ -22,35 +22,39 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Two troubles at once: a change of leader, or a machine that goes on, beside what is late, lost, or not recorded yet. */
+/**
+ * Two faults at once: a change of leader, or a machine that resumes, combined with messages that are late or lost, or
+ * with state that is not recorded yet.
+ */
 class ConcurrentFaultsTest {
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     /**
-     * The first task ends long before the others, and the leader ends before that was reported, recorded or reaped; then one
-     * more ends at once. The machine that ran it is reached, or is lost with what it has not told.
+     * The first task ends long before the others, and the leader ends before the result was reported, recorded or
+     * reaped. In some rows the next leader ends at once as well. The machine that ran the task is reachable, or is lost
+     * with its unreported result.
      */
     @ParameterizedTest
     @CsvSource({
         "2, 1, running, 1, true",
         "2, 1, ended, 1, true",
-        "2, 1, seen, 1, true",
+        "2, 1, reported, 1, true",
         "2, 1, recorded, 1, true",
         "2, 1, reaped, 1, true",
         "2, 4, ended, 1, true",
-        "2, 4, seen, 1, true",
+        "2, 4, reported, 1, true",
         "2, 4, recorded, 1, true",
         "2, 4, reaped, 1, true",
-        "3, 4, seen, 2, true",
+        "3, 4, reported, 2, true",
         "3, 4, recorded, 2, true",
         "3, 4, reaped, 2, true",
-        "3, 1, seen, 2, true",
+        "3, 1, reported, 2, true",
         "3, 1, reaped, 2, true",
         "2, 4, ended, 1, false",
-        "2, 4, seen, 1, false",
+        "2, 4, reported, 1, false",
         "2, 4, recorded, 1, false",
         "2, 4, reaped, 1, false",
-        "3, 4, seen, 2, false",
+        "3, 4, reported, 2, false",
         "3, 4, reaped, 2, false"
     })
     void resultsSurviveLeaderChanges(int tasks, double cores, String progress, int leaderChanges, boolean reached) {
@@ -67,7 +71,7 @@
         if (!progress.equals("running")) {
             worker.exit(first, ExitCause.DONE);
         }
-        if (progress.equals("seen") || progress.equals("recorded") || progress.equals("reaped")) {
+        if (progress.equals("reported") || progress.equals("recorded") || progress.equals("reaped")) {
             cluster.sendHeartbeat(worker.name, 5);
         }
         if (progress.equals("recorded") || progress.equals("reaped")) {
@@ -104,11 +108,11 @@
             assertEquals(
                     cluster.completed(new JobId("run-1")) == tasks, cluster.isClosed(new JobId("run-1")), "at " + now);
         }
-        boolean lost = !reached && (progress.equals("ended") || progress.equals("seen"));
+        boolean lost = !reached && (progress.equals("ended") || progress.equals("reported"));
         assertEquals(
                 lost ? 2 : 1,
                 cluster.startCount(first),
-                "a result that nobody recorded and whose machine is lost is made anew");
+                "a task runs again only if its result was not recorded and its machine is lost");
         assertTrue(
                 !lost
                         || restartedAt
@@ -119,21 +123,22 @@
     }
 
     /**
-     * A leader ends while a machine with a long task is cut off, or reports and hears nothing, alone or with its whole zone;
-     * another machine is idle. The inherited task starts there by the time, and never before the worker has killed it.
+     * A leader ends while machines with a long task each are unreachable, or send heartbeats but receive no answers.
+     * Another machine is idle. The inherited task starts there at the expected time, and never before the worker has
+     * killed it.
      */
     @ParameterizedTest
     @CsvSource({
-        "hears, 1, 2, 1, -1",
-        "cut, 1, 2, 1, 14",
-        "deaf, 1, 2, 1, 14",
-        "deaf, 1, 3.5, 1, 14",
-        "deaf, 1, 5.5, 1, 18",
-        "deaf, 6, 2, 1, 14",
-        "cut, 6, 2, 1, 14",
-        "deaf, 1, 2, 2, 20",
-        "deaf, 6, 3.5, 2, 22",
-        "cut, 6, 2, 2, 20"
+        "reachable, 1, 2, 1, -1",
+        "unreachable, 1, 2, 1, 14",
+        "answers lost, 1, 2, 1, 14",
+        "answers lost, 1, 3.5, 1, 14",
+        "answers lost, 1, 5.5, 1, 18",
+        "answers lost, 6, 2, 1, 14",
+        "unreachable, 6, 2, 1, 14",
+        "answers lost, 1, 2, 2, 20",
+        "answers lost, 6, 3.5, 2, 22",
+        "unreachable, 6, 2, 2, 20"
     })
     void failoverWaitsForOneLeaseAtMost(
             String fault, int machines, double periodS, int leaderChanges, double expectedStartS) {
@@ -146,9 +151,9 @@
         for (int i = 0; i < machines; i++) {
             cluster.joinLeader("m" + i, -4);
             assertEquals(1, cluster.worker("m" + i).tasks.size());
-            cluster.worker("m" + i).losesAnswers = fault.equals("deaf");
+            cluster.worker("m" + i).losesAnswers = fault.equals("answers lost");
         }
-        // Nobody has ordered any task of it.
+        // No leader has started any task of this job.
         cluster.submit(spec(2, 1, 4, 50), -0.4);
         cluster.startLeaderWithRecords(0);
         double startedAt = -1;
@@ -159,7 +164,7 @@
                 hasSecondLeader = true;
             }
             for (int i = 0; i < machines; i++) {
-                if (now % periodS == 0 && !fault.equals("cut")) {
+                if (now % periodS == 0 && !fault.equals("unreachable")) {
                     cluster.sendHeartbeat("m" + i, now);
                 }
             }
@@ -170,7 +175,7 @@
                 startedAt = startedAt < 0 && cluster.startCountOfJob(new JobId("run-1")) > before ? now : startedAt;
                 TaskId other = TaskId.parse("run-2/0");
                 if (cluster.workerRunning(other) != null) {
-                    assertTrue(now <= 6, "what nobody ordered goes first and at once");
+                    assertTrue(now <= 6, "a task that no leader has started may start at once");
                     cluster.workerRunning(other).exit(other, ExitCause.DONE);
                 }
             }
@@ -180,8 +185,9 @@
     }
 
     /**
-     * The new leader answers from 0 s on and has read the records at 6 s; the machine hears it, or not, and is cut off. Copies of
-     * earlier reports come until then.
+     * A new leader answers from 0 s on and has read the records at 6 s. The machine receives the answer to one
+     * heartbeat or does not, and is unreachable afterwards. In some rows copies of earlier heartbeats arrive before 6
+     * s.
      */
     @ParameterizedTest
     @CsvSource({
@@ -221,13 +227,13 @@
         assertEquals(1, cluster.core.job(new JobId("run-1")).placements().size());
         assertTrue(
                 cluster.logLines.stream().noneMatch(line -> line.startsWith("duplicate task stopped")),
-                "a report from before its lease ended");
+                "a heartbeat from before its lease expired");
         assertEquals(List.of(), cluster.violations);
     }
 
     /**
-     * Reports come once more, so many seconds after they were sent, while the machine runs another attempt, has begun
-     * another session or is silent; under the same leader or the next. Everything goes as without the copies.
+     * Each heartbeat arrives a second time after the given delay, while the machine runs another attempt, has begun
+     * another incarnation or is silent, under the same leader or the next one. The copies must not change the run.
      */
     @ParameterizedTest
     @CsvSource({
@@ -240,10 +246,10 @@
         "new attempt, 2, false",
         "new attempt, 13, false",
         "new attempt, 30, true",
-        "new session, 2, false",
-        "new session, 13, false",
-        "new session, 2, true",
-        "new session, 30, true",
+        "new incarnation, 2, false",
+        "new incarnation, 13, false",
+        "new incarnation, 2, true",
+        "new incarnation, 30, true",
         "silent, 2, false",
         "silent, 13, false",
         "silent, 30, false"
@@ -271,7 +277,7 @@
             if (scenario.equals("new attempt") && now == 11 && cluster.workerRunning(first) != null) {
                 cluster.workerRunning(first).exit(first, ExitCause.ERROR);
             }
-            if (scenario.equals("new session") && now == 11) {
+            if (scenario.equals("new incarnation") && now == 11) {
                 cluster.worker("a").newSession(now);
             }
             for (String name : List.of("a", "b")) {
@@ -282,21 +288,24 @@
                 }
             }
             for (int i = 0; i < sent.size(); i++) {
-                // Both machines have shown themselves to a new leader by then.
+                // By then both machines have sent a heartbeat to the new leader.
                 if (dueTimes.get(i) <= now && (now < 21 || now > 22)) {
                     cluster.core.onHeartbeat(sent.get(i), atSeconds(now + 0.5));
                     dueTimes.set(i, Double.MAX_VALUE);
                 }
             }
             cluster.core.expireLeases(atSeconds(now + 0.6));
-            trace.add(cluster.core.summary() + " over " + cluster.core.isLeaseExpired(new MachineId("a")));
+            trace.add(cluster.core.summary() + " expired " + cluster.core.isLeaseExpired(new MachineId("a")));
             cluster.recordResults();
         }
         assertEquals(List.of(), cluster.violations);
         return trace;
     }
 
-    /** Nobody recorded or rented it, and the new leader answers it before it has read that; then it ends, and copies come. */
+    /**
+     * A machine in no record and no rental is answered before the leader has read the records. Copies of its heartbeats
+     * must not make the leader adopt it; its next heartbeat, which shows the answer, does.
+     */
     @ParameterizedTest
     @CsvSource({"1, false", "2, false", "1, true", "2, true"})
     void copiesDoNotAdoptMachinesAnsweredDuringLoading(int answered, boolean isAlive) {
@@ -313,11 +322,14 @@
         assertEquals(0, world.core.machineCount());
         if (isAlive) {
             world.core.onHeartbeat(world.newHeartbeat("x", "east", 1, SchedulerFixture.TOKEN), atSeconds(15));
-            assertEquals(1, world.core.machineCount(), "its next report shows the answer");
+            assertEquals(1, world.core.machineCount(), "its next heartbeat shows the answer");
         }
     }
 
-    /** A dead machine, whose copies come to the next leader one after the other with ever higher numbers and its older token. */
+    /**
+     * Copies of a dead machine's heartbeats, with increasing numbers and an older token, keep arriving at the next
+     * leader. They delay its failover by one lease at most.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {1, 3, 7})
     void copiesDelayFailoverByOneLeaseAtMost(double periodS) {
@@ -348,21 +360,22 @@
     }
 
     /**
-     * A machine stands still with a report or an answer under way, and goes on within its lease or after it; a start comes when
-     * its session is over or under an older leader's token; an order is for an earlier attempt. So often it is ordered.
+     * A machine hangs while a heartbeat or an answer is in transit, and resumes before or after its lease expires; or a
+     * start command arrives in a later incarnation or with an older leader's token; or a command is for an earlier
+     * attempt. Each row ends with how often the task's start is sent.
      */
     @ParameterizedTest
     @CsvSource({
         "lease, 11.9, false, 1",
         "lease, 12.1, false, 2",
-        "report, 3.9, false, 1",
-        "report, 7, false, 1",
-        "report, 12.2, false, 2",
+        "heartbeat, 3.9, false, 1",
+        "heartbeat, 7, false, 1",
+        "heartbeat, 12.2, false, 2",
         "answer, 3.9, false, 1",
         "answer, 4.1, false, 2",
         "token, 3.9, true, 1",
         "token, 4.1, true, 2",
-        "session, 3, false, 2",
+        "incarnation, 3, false, 2",
         "attempt, 3, false, 2"
     })
     void delayedMessagesStartTasksOnce(String scenario, double delay, boolean changesLeader, int expectedStarts) {
@@ -371,7 +384,8 @@
         cluster.startLeaderWithRecords(-10);
         cluster.submit(spec(1, 1, 4, 500), -10);
         TaskId task = TaskId.parse("run-1/0");
-        boolean isStartInTransit = scenario.equals("answer") || scenario.equals("token") || scenario.equals("session");
+        boolean isStartInTransit =
+                scenario.equals("answer") || scenario.equals("token") || scenario.equals("incarnation");
         if (isStartInTransit) {
             cluster.sendHeartbeat("a", -4);
             cluster.sendHeartbeat("a", -2);
@@ -380,12 +394,12 @@
         }
         assertEquals(isStartInTransit ? 0 : 1, worker.tasks.size());
         if (scenario.equals("attempt")) {
-            // It fails at once and is given again; the answer that stops or reaps the first attempt comes late.
+            // The task fails at once and is started again; the answer that stops or reaps the first attempt is late.
             worker.exit(task, ExitCause.ERROR);
         }
         Heartbeat heartbeat = worker.nextHeartbeat();
         SimulatedCluster.Answer answer =
-                scenario.equals("report") || scenario.equals("lease") ? null : cluster.answerHeartbeat(heartbeat, 0);
+                scenario.equals("heartbeat") || scenario.equals("lease") ? null : cluster.answerHeartbeat(heartbeat, 0);
         if (scenario.equals("lease")) {
             cluster.sendHeartbeat("a", 0);
         }
@@ -394,14 +408,14 @@
             if (changesLeader && now == 2) {
                 cluster.startLeaderWithRecords(2);
             }
-            if (scenario.equals("session") && now == 1) {
+            if (scenario.equals("incarnation") && now == 1) {
                 worker.newSession(now);
             }
             if (!resumed && now >= delay) {
                 resumed = true;
                 worker.expireLease(now);
                 SimulatedCluster.Answer lateAnswer =
-                        scenario.equals("report") ? cluster.answerHeartbeat(heartbeat, now) : answer;
+                        scenario.equals("heartbeat") ? cluster.answerHeartbeat(heartbeat, now) : answer;
                 if (lateAnswer != null && delay <= SimulatedCluster.ANSWER_TIMEOUT_S) {
                     worker.receive(lateAnswer, 0, now);
                 }
@@ -415,10 +429,10 @@
         }
         assertEquals(List.of(), cluster.violations);
         assertEquals(expectedStarts, cluster.startCommandCount(task));
-        assertNotNull(cluster.workerRunning(task), "it runs");
+        assertNotNull(cluster.workerRunning(task), "the task runs");
     }
 
-    /** Two exits of earlier attempts in one list, in any order, beside the attempt that runs. */
+    /** A task list contains the exit of an earlier attempt, of any cause but success, beside the running attempt. */
     @Test
     void exitsOfEarlierAttemptsDoNotEndTheTask() {
         SchedulerFixture world = new SchedulerFixture();
--- a/src/test/java/io/indigoreach/core/scheduling/DelayedHeartbeats.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DelayedHeartbeats.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import java.util.function.Consumer;
 
-/** Copies of reports in a {@link RandomSimulation} that are kept until another leader begins, some of them for the one after it too. */
+/** Copies of heartbeats in a {@link RandomSimulation} that are delayed until a later leader begins. */
 final class DelayedHeartbeats {
     private static final int MAX_COPIES = 40;
 
@@ -19,7 +19,7 @@
         this.random = random;
     }
 
-    /** Sent while the leader with this token led. */
+    /** Keeps a copy of a heartbeat that was sent while the leader with this token led. */
     void keep(Heartbeat heartbeat, long token) {
         if (copies.size() == MAX_COPIES) {
             copies.remove(random.nextInt(MAX_COPIES));
@@ -27,7 +27,10 @@
         copies.add(new Copy(heartbeat, token));
     }
 
-    /** Hands some of the earlier leaders' to the one with this token, in any order; half of those go to a later one as well. */
+    /**
+     * Delivers some copies from earlier leaderships to the leader with this token; half of these stay for a later
+     * leader.
+     */
     void deliver(long token, Consumer<Heartbeat> receiver) {
         for (Copy copy : List.copyOf(copies)) {
             if (copy.token < token && random.nextInt(3) > 0) {
--- a/src/test/java/io/indigoreach/core/scheduling/FailoverTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FailoverTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a leader may believe and order, and when: each case is a way in which a task could come to run twice. */
+/** What a leader may conclude from heartbeats and listings, and when it may start tasks, so that no task runs twice. */
 class FailoverTest {
     private final SchedulerFixture world = new SchedulerFixture();
 
@@ -52,7 +52,7 @@
                 tasksToStart(world.core
                         .onHeartbeat(world.newHeartbeat("b", "east", 1, new FencingToken(4)), atSeconds(2))
                         .commands()),
-                "a list from before the token was seen can be overtaken by a late order of the old leader");
+                "a late command of the old leader can still change a task list that was sent with an older token");
         assertEquals(List.of("run-1/1"), tasksToStart(world.heartbeat("b", 3, statusOfUnknownTask("run-1/0", 7))));
     }
 
@@ -69,7 +69,10 @@
         assertEquals(List.of("run-1/0"), tasksToStart(world.heartbeat("a", 12.6)));
     }
 
-    /** Its record could not be read until now: what it has on machines was reported as a stranger's. */
+    /**
+     * A job's record could only be read after the others, so heartbeats showed its tasks as those of an unknown job. It
+     * waits until no heartbeat shows a task of an unknown job.
+     */
     @ParameterizedTest
     @CsvSource({"true, run-1/1", "false, run-1/0"})
     void aLateInheritedJobWaitsForTasksOfUnknownJobsToEnd(boolean isStillRunning, String expectedStart) {
@@ -87,7 +90,10 @@
                 isStillRunning ? world.heartbeat("b", 3, statusOfUnknownTask("run-1/0", 7)) : world.heartbeat("b", 3);
         assertEquals(expectedStart, tasksToStart(commands).get(0));
         world.addInheritedJob(spec(2, 1, 1, 50));
-        assertEquals(List.of("run-2/0"), tasksToStart(world.heartbeat("a", 4)), "no report shows a stranger");
+        assertEquals(
+                List.of("run-2/0"),
+                tasksToStart(world.heartbeat("a", 4)),
+                "no heartbeat shows a task of an unknown job");
     }
 
     @Test
@@ -111,7 +117,7 @@
         assertEquals(List.of(), tasksToStart(limited.heartbeat("a", 2)));
     }
 
-    /** Tasks of a job that was cancelled before the take-over still use their team's limit until they are gone. */
+    /** Tasks of a job that was cancelled before the failover count against their team's limit until they have ended. */
     @Test
     void underATeamLimitNoTaskStartsBesideTasksOfUnknownJobs() {
         SchedulerFixture limited = new SchedulerFixture(SchedulerFixture.teamWithCoreLimit(4));
@@ -135,12 +141,16 @@
         world.submit(spec(1, 1, 1, 50), 0);
         world.core.onMachinesRented(
                 new MachinePool("quad", "east", true), List.of(new MachineId("x")), atSeconds(0), atSeconds(0));
-        assertEquals(List.of(), tasksToStart(world.heartbeat("x", 1)), "a later leader would not wait for its report");
+        assertEquals(
+                List.of(), tasksToStart(world.heartbeat("x", 1)), "a later leader would not wait for its heartbeat");
         world.core.onMachineRecorded(new MachineId("x"));
         assertEquals(List.of("run-1/0"), tasksToStart(world.heartbeat("x", 2)));
     }
 
-    /** Two machines that never came up held a whole queue back for 24 s (incident inc-e504): they need no record. */
+    /**
+     * Machines that never came up need no record: two recorded ones held back a whole queue for 24 s (incident
+     * inc-e504).
+     */
     @Test
     void onlyMachinesWithAHeartbeatAreRecorded() {
         world.core.onRecordsLoaded();
@@ -184,7 +194,9 @@
         List<WorkerCommand> first = world.heartbeat("a", 1);
         assertEquals(List.of("run-1/0"), tasksToStart(first));
         assertEquals(
-                List.of(), world.core.onHeartbeat(stale, atSeconds(1.5)).commands(), "an older report shows nothing");
+                List.of(),
+                world.core.onHeartbeat(stale, atSeconds(1.5)).commands(),
+                "an older heartbeat shows nothing");
         assertEquals(List.of(), tasksToStart(world.heartbeat("b", 2)));
         List<WorkerCommand> second = world.heartbeat("a", 3);
         assertEquals(List.of("run-1/0"), tasksToStart(second));
@@ -274,13 +286,16 @@
         assertEquals(
                 List.of(),
                 tasksToStart(world.heartbeat("a", 6.5)),
-                "these lists may describe a time before b was rented");
+                "these listings may describe a time before b was rented");
         world.core.onMachineListing(listing, atSeconds(7.5), atSeconds(7.5));
         world.core.onMachineListing(listing, atSeconds(9), atSeconds(9));
         assertEquals(List.of("run-1/0"), tasksToStart(world.heartbeat("a", 9.5)));
     }
 
-    /** A leader that only the workers cannot reach keeps its lease: it has to notice by itself, and hand over. */
+    /**
+     * A leader that only the workers cannot reach keeps its leadership, so it has to detect by itself that it is cut
+     * off, and hand over.
+     */
     @Test
     void aLeaderWithoutHeartbeatsOfSeveralMachinesIsCutOff() {
         world.core.onRecordsLoaded();
@@ -292,12 +307,12 @@
         assertEquals(
                 true,
                 world.core.isPartitionedFromWorkers(atSeconds(25)),
-                "as soon as one would be called silent: workers' leases run meanwhile");
+                "after the suspicion timeout of a single machine, as the workers' leases run meanwhile");
         world.heartbeat("b", 24.5);
         assertEquals(false, world.core.isPartitionedFromWorkers(atSeconds(25)));
     }
 
-    /** A new leader gave up before workers that were with one that stood still could have come to it. */
+    /** Guards against a new leader that steps down before workers connected to a paused node had time to find it. */
     @ParameterizedTest
     @CsvSource({"6.4, false", "6.6, true"})
     void aNewLeaderIsCutOffOnlyAfterTheDiscoveryTime(double seconds, boolean isCutOff) {
@@ -331,7 +346,9 @@
         assertEquals(0, world.core.machineCount());
     }
 
-    /** Of a job of four an earlier leader may have ordered the first two: the rest is on no machine, heard or not. */
+    /**
+     * Tasks at or above the recorded start bound were never started, so they need not wait for unreconciled machines.
+     */
     @ParameterizedTest
     @CsvSource({
         "2, false, run-1/2 run-1/3",
@@ -351,7 +368,7 @@
         assertEquals(
                 expectedStarts,
                 String.join(" ", tasksToStart(world.heartbeat("a", 1))),
-                "b may hold those below the bound");
+                "b may run tasks below the bound");
         world.heartbeat("b", 2);
         assertEquals(
                 4,
@@ -359,7 +376,10 @@
                         + (expectedStarts.isEmpty() ? 0 : expectedStarts.split(" ").length));
     }
 
-    /** A start goes out only under a bound that is recorded; what was asked for and not answered does not count. */
+    /**
+     * A task starts only below the recorded start bound; a write of a higher bound that is not answered yet does not
+     * count.
+     */
     @Test
     void noTaskStartsBeyondTheRecordedStartBound() {
         world.core.onRecordsLoaded();
@@ -372,10 +392,13 @@
         assertEquals(List.of(), tasksToStart(world.heartbeat("a", 2)), "its write has no answer yet");
         job.startBoundRecorded(requestedBound);
         assertEquals(4, tasksToStart(world.heartbeat("a", 3)).size());
-        assertEquals(8, requestedBound, "what the machine takes now, and once more");
+        assertEquals(8, requestedBound, "the tasks that fit on the machine now, and as many again");
     }
 
-    /** 2,000 machines, half of them behind a cut that ends during the take-over: half the untouched work starts at once. */
+    /**
+     * Half of 2,000 machines are unreachable until late in the failover. On the other half, tasks that no leader has
+     * started start at once.
+     */
     @Test
     void unreachableMachinesDoNotDelayNeverStartedTasks() {
         for (int i = 0; i < 2000; i++) {
@@ -393,7 +416,7 @@
         for (int i = 0; i < 2000; i += 2) {
             starts += tasksToStart(world.heartbeat("m" + i, 1 + i / 2000.0)).size();
         }
-        assertEquals(4000, starts, "of the job that nobody had begun");
+        assertEquals(4000, starts, "tasks of the job that no leader had started");
         world.core.planScaleIn(atSeconds(9));
         assertEquals(0, world.core.machinesToReturn(9).size());
         for (int i = 1; i < 2000; i += 2) {
@@ -404,12 +427,13 @@
                             .commands())
                     .size();
         }
-        assertEquals(4004, starts, "the last report settles the take-over, and what it asked for can be started");
+        assertEquals(
+                4004, starts, "the last heartbeat completes the failover, and its machine can start inherited tasks");
     }
 
     /**
-     * Of 2,000 machines 500 are returned and 500 rented in the last seconds; then comes a list from before either, as the
-     * protocol allows: nobody is declared gone for it, and nobody is taken on again.
+     * 500 of 2,000 machines have just been returned and 500 others rented. A listing from before both, which the
+     * protocol allows, must not remove the rented machines or adopt the returned ones again.
      */
     @Test
     void anOutdatedListingChangesNothing() {
@@ -438,10 +462,16 @@
         assertTrue(ids.subList(500, 2000).stream().allMatch(world.core::isKnownMachine));
         world.core.onMachineListing(List.of(), atSeconds(108), atSeconds(108));
         world.core.onMachineListing(List.of(), atSeconds(109), atSeconds(109));
-        assertEquals(0, world.core.machineCount(), "absence of more than twice the lag, twice, is proof");
+        assertEquals(
+                0,
+                world.core.machineCount(),
+                "machines missing from two listings, beyond twice the lag, no longer exist");
     }
 
-    /** The water kiosks' replicas were down longer: what nobody had ordered took their places before all was known. */
+    /**
+     * Guards against tasks that no leader has started taking the room of inherited replicas that may run nowhere. That
+     * kept replicas of a service down for longer during a failover.
+     */
     @Test
     void neverStartedTasksLeaveRoomForInheritedReplicas() {
         world.core.inheritMachine(
@@ -455,8 +485,9 @@
         world.addInheritedJob(SchedulerFixture.service(1, 2), 2);
         world.addInheritedJob(spec(2, 9, 1, 50), 0).startBoundRecorded(9);
         world.core.onRecordsLoaded();
-        assertEquals(List.of(), tasksToStart(world.heartbeatOnDemand("o", 1)), "the replicas may go nowhere else");
-        assertEquals(4, tasksToStart(world.heartbeat("a", 1)).size(), "here they may not run");
+        assertEquals(
+                List.of(), tasksToStart(world.heartbeatOnDemand("o", 1)), "the replicas can run only on this machine");
+        assertEquals(4, tasksToStart(world.heartbeat("a", 1)).size(), "the replicas may not run on this machine");
         world.heartbeat("b", 2);
         assertEquals(
                 List.of("run-1/0", "run-1/1"),
--- a/src/test/java/io/indigoreach/core/scheduling/InheritedRequestsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/InheritedRequestsTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What earlier leaders asked of the cloud, and what its answers were taken for. */
+/** Rental and return requests of earlier leaders, and the cloud's answers to them. */
 class InheritedRequestsTest {
-    /** A name used twice brought an ordinary machine as the answer to a request for spot ones, and the reverse. */
+    /** A request name that was used twice returned an on-demand machine for a spot request, and the reverse. */
     @Test
     void aMachineBelongsToTheReportedPool() {
         SchedulerFixture world = new SchedulerFixture();
@@ -28,14 +28,14 @@
                 new MachinePool("quad", "east", false), List.of(new MachineId("a")), atSeconds(0), atSeconds(0));
         world.core.onMachineRecorded(new MachineId("a"));
         world.submit(withOptions(spec(1, 4, 1, 50), Urgency.STANDARD, false, false, false, null, 0), 1);
-        assertEquals(List.of(), world.heartbeat("a", 20), "it says that it is a spot machine");
+        assertEquals(List.of(), world.heartbeat("a", 20), "its heartbeat reports the spot pool");
         world.core.onMachineRecorded(new MachineId("a"));
-        assertEquals(List.of(), tasksToStart(world.heartbeat("a", 22)), "the job may not use one");
+        assertEquals(List.of(), tasksToStart(world.heartbeat("a", 22)), "the job may not use spot machines");
         world.submit(spec(2, 1, 1, 50), 23);
         assertEquals(List.of("run-2/0"), tasksToStart(world.heartbeat("a", 24)));
     }
 
-    /** Its return may still be executed: what is started there would be lost with it. */
+    /** The recorded return may still be executed, and a task started on the machine would be lost with it. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aMachineWithARecordedReturnIsNeverUsed(boolean recorded) {
@@ -56,9 +56,9 @@
                 atSeconds(3));
         world.core.onMachinesRented(new MachinePool("quad", "east", true), List.of(id), atSeconds(0), atSeconds(3));
         assertEquals(List.of(), tasksToStart(world.heartbeat("a", 4)));
-        assertEquals(List.of(id), world.core.machinesToReturn(9), "its return is finished");
+        assertEquals(List.of(id), world.core.machinesToReturn(9), "the return is still pending");
         world.core.onMachinesReturned(List.of(id), atSeconds(5));
         assertTrue(world.core.machinesToReturn(9).isEmpty() && world.core.isFailoverComplete());
-        assertEquals(List.of(), tasksToStart(world.heartbeat("a", 6)), "a late report");
+        assertEquals(List.of(), tasksToStart(world.heartbeat("a", 6)), "a late heartbeat of a returned machine");
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/LateCommands.java
+++ b/src/test/java/io/indigoreach/core/scheduling/LateCommands.java
@@ -6,14 +6,15 @@
 import java.util.Random;
 
 /**
- * Orders that a leader sends by direct command in a {@link RandomSimulation}, which the product never does: each is carried out once, 2 s
- * to 16 s later and unanswered, if the worker's token is not higher and its session the same.
+ * Commands that a leader sends outside heartbeat answers in a {@link RandomSimulation}, which the product never does.
+ * Each is executed once, 2 s to 16 s later, without an answer, unless the worker has a higher token or another
+ * incarnation by then.
  */
 final class LateCommands {
     private static final double MIN_DELAY_S = 2;
     private static final double DELAY_RANGE_S = 14;
 
-    /** A command on its way to a worker. */
+    /** Commands in transit to a worker. */
     record CommandsInTransit(
             String machine, long incarnation, long token, List<WorkerCommand> commands, double dueAt) {}
 
@@ -29,7 +30,7 @@
         inTransit.add(new CommandsInTransit(machine, incarnation, token, commands, dueAt));
     }
 
-    /** What reaches this machine now. */
+    /** Removes and returns the commands that reach this machine now. */
     List<CommandsInTransit> takeArriving(String machine, double now) {
         List<CommandsInTransit> arriving = inTransit.stream()
                 .filter(candidate -> candidate.dueAt <= now && candidate.machine.equals(machine))
--- a/src/test/java/io/indigoreach/core/scheduling/LateHeartbeatCopyTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/LateHeartbeatCopyTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Copies of reports that come late, up to minutes: they show nothing about now. */
+/** Copies of heartbeats that arrive up to minutes late prove nothing about the current state of a machine. */
 class LateHeartbeatCopyTest {
     private static final MachineId MACHINE = new MachineId("vm-000001");
     private static final MachinePool POOL = new MachinePool("quad", "east", true);
@@ -33,16 +33,19 @@
         return new ListedMachine(new MachineId(name), POOL, ListedMachine.Status.RUNNING, Span.seconds(30));
     }
 
-    /** Its task ran, and the machine is dead since 4 s; the report of 3 s comes at 30 s, once more or for the first time. */
+    /**
+     * A machine that ran a task has been dead since 4 s. Its heartbeat of 3 s arrives at 30 s, again or for the first
+     * time. It must neither make the leader adopt the machine nor block the task.
+     */
     @ParameterizedTest
     @CsvSource({
         "after the task was reaped, true",
-        "first time after its lease, true",
+        "delivered first after its lease expired, true",
         "after it was returned, false",
-        "its name forgotten, false",
+        "after its return was forgotten, false",
         "under a new leader, false",
         "two in the wrong order, true",
-        "its session ended, true"
+        "after its incarnation ended, true"
     })
     void lateCopiesDoNotAdoptDeadMachines(String scenario, boolean staysKnown) {
         SchedulerFixture world = new SchedulerFixture();
@@ -53,24 +56,24 @@
         Heartbeat earlier = world.newHeartbeat(MACHINE.text(), "east", 1, TOKEN, runningStatus(commands.get(0)));
         Heartbeat copy = world.newHeartbeat(MACHINE.text(), "east", 1, TOKEN, runningStatus(commands.get(0)));
         world.core.onHeartbeat(earlier, atSeconds(2));
-        if (!scenario.startsWith("first time")) {
+        if (!scenario.equals("delivered first after its lease expired")) {
             world.core.onHeartbeat(copy, atSeconds(3));
         }
-        if (scenario.startsWith("its session")) {
+        if (scenario.equals("after its incarnation ended")) {
             world.core.onHeartbeat(world.newHeartbeat(MACHINE.text(), "east", 2, TOKEN), atSeconds(4));
         }
-        if (scenario.startsWith("after it was") || scenario.startsWith("its name")) {
+        if (scenario.equals("after it was returned") || scenario.equals("after its return was forgotten")) {
             world.core.onMachinesReturned(List.of(MACHINE), atSeconds(4));
         }
-        if (scenario.startsWith("its name")) {
+        if (scenario.equals("after its return was forgotten")) {
             world.core.onMachineListing(List.of(listed("vm-009999")), atSeconds(5), atSeconds(5));
             world.core.onMachineListing(List.of(listed("vm-009999")), atSeconds(15), atSeconds(15));
             for (int i = 0; i < 2000; i++) {
                 world.core.onMachinesReturned(List.of(new MachineId("vm-0" + (20_000 + i))), atSeconds(16));
             }
         }
-        if (scenario.startsWith("under a new")) {
-            // Rented and returned under the leader before: nothing is recorded of it.
+        if (scenario.equals("under a new leader")) {
+            // It was rented and returned under the previous leader, so no record mentions it.
             world = new SchedulerFixture();
             world.core.onRecordsLoaded();
             job = new Job(spec(1, 1, 1, 500), 1, atSeconds(0), new Revision(1), new BitSet(), 1, false);
@@ -83,15 +86,15 @@
         world.core.onHeartbeat(copy, atSeconds(30));
         world.core.onHeartbeat(earlier, atSeconds(31));
         world.core.onHeartbeat(copy, atSeconds(31.5));
-        assertEquals(machines, world.core.machineCount(), "taken on");
+        assertEquals(machines, world.core.machineCount(), "a machine was adopted");
         assertEquals(staysKnown, world.core.isKnownMachine(MACHINE));
         assertTrue(job.placements().isEmpty(), "a task placed on a dead machine");
         assertEquals(
                 List.of(),
                 tasksToStart(world.core.onHeartbeat(copy, atSeconds(32)).commands()));
-        // What it ran goes to a machine that lives, at once.
+        // Its task can start on a live machine at once.
         world.addSpotMachine("vm-010001", "east", 32);
-        assertEquals(1, tasksToStart(world.heartbeat("vm-010001", 33)).size(), "held by a copy");
+        assertEquals(1, tasksToStart(world.heartbeat("vm-010001", 33)).size(), "the task is blocked by a copy");
     }
 
     private static Heartbeat withToken(Heartbeat heartbeat, FencingToken token) {
@@ -105,7 +108,10 @@
                 heartbeat.tasks());
     }
 
-    /** Nobody rented or listed it: one report or a copy of it is no proof, one that shows our answer is. */
+    /**
+     * A machine that was not rented or listed is unknown. One heartbeat, or a copy of it, does not prove that it
+     * exists; a heartbeat that shows this leader's answer does.
+     */
     @ParameterizedTest
     @CsvSource({
         "once, 0",
@@ -136,7 +142,7 @@
             default -> {}
         }
         assertEquals(expectedMachines, world.core.machineCount());
-        // It counts as none on order: what waits is rented for all the same.
+        // The unknown machine does not count as capacity, so machines are rented for the waiting tasks as without it.
         if (expectedMachines == 0) {
             SchedulerFixture fresh = new SchedulerFixture();
             fresh.core.onRecordsLoaded();
@@ -146,7 +152,10 @@
         }
     }
 
-    /** Inherited and dead: copies with the older token settle no take-over and put it off once, not with each copy. */
+    /**
+     * Copies of one heartbeat of a dead inherited machine, with an older token, do not complete the failover, and they
+     * postpone it only once.
+     */
     @Test
     void copiesOfOneHeartbeatDelayFailoverOnce() {
         SchedulerFixture world = new SchedulerFixture();
@@ -164,7 +173,10 @@
         assertEquals(14, completeAt.get(0), "1 s and the lease bound");
     }
 
-    /** While the records are read, machines are answered: their leases count from then, not from when they were read. */
+    /**
+     * Machines are answered while the records are loaded, so their leases count from the answer and not from the
+     * loading.
+     */
     @Test
     void answersBeforeTheRecordsAreLoadedRenewLeases() {
         SchedulerFixture world = new SchedulerFixture();
--- a/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
@@ -29,11 +29,14 @@
 import java.util.TreeMap;
 
 /**
- * A seeded random run of the core among stand-ins for workers, cloud and state service: answers are lost or held up, reports
- * come late, once more or both, machines die, hang, hear nothing or can't be reached, above all while a leader ends, the cloud
- * answers nobody, leaders end at any moment and new ones answer before they have read the records.
- * After every step the protocol's rules are checked, that no copy of a report raises a machine, and that no take-over takes
- * longer than two leases. In the end all troubles are over, and every job that nobody cancelled has to be done.
+ * A seeded random run of the core with simulated workers, cloud and state service. Answers are lost or delayed;
+ * heartbeats are late, duplicated or both; machines die, hang, receive no answers or are unreachable, especially around
+ * a change of leader; the cloud does not answer; leaders end at any moment, and new ones answer before they have read
+ * the records.
+ *
+ * <p>After every step the run checks the protocol's rules, that no copy of a heartbeat makes a leader adopt a machine,
+ * and that no failover takes longer than two leases. At the end all faults cease, and every job that was not cancelled
+ * has to complete.
  */
 public final class RandomSimulation {
     private static final double LEASE_S =
@@ -41,60 +44,76 @@
     private static final double MAX_CORES = 24;
     private static final int FAULT_STEPS = 4000;
     private static final int MAX_STEPS = 24_000;
-    /** A worker drops an answer after this long. */
+    /** Time after which a worker abandons a heartbeat and drops its answer. */
     private static final double RESPONSE_TIMEOUT_S = 4;
-    /** Steps between two heartbeats in the mean. */
+    /** Mean number of steps between two heartbeats of a worker. */
     private static final int HEARTBEAT_STEPS = 15;
-    /** The same where hardly any leader is to hear of a machine twice. */
+    /**
+     * Mean number of steps between heartbeats while leaderships are so short that few leaders get two from one machine.
+     */
     private static final int SPARSE_HEARTBEAT_STEPS = 50;
-    /** How many jobs are cancelled as short leaderships begin. */
+    /** Number of jobs that are cancelled when a series of short leaderships begins. */
     private static final int CANCELLATIONS_PER_SERIES = 8;
-    /** A machine that answered within the first lease of a take-over may be silent for one more. */
+    /** A machine that sent a heartbeat within the first lease of a failover may be silent for one more lease. */
     private static final double MAX_FAILOVER_S =
             2 * SchedulerFixture.SAFETY_TIMES.leaseBound().seconds() + 0.2;
 
-    /** A guard that a run can do without, to see that the rules then break. */
+    /** A guard that a run can disable, to show that a rule is then violated. */
     public enum DisabledGuard {
         NONE,
+        /** A new leader waits for the machines that earlier leaders recorded. */
         INHERITED_MACHINES,
+        /** A lease counts as expired only after the lease bound. */
         LEASE_BOUND,
+        /** The cores of a team's running tasks stay within the team's limit. */
         TEAM_LIMIT,
+        /** A machine counts as returned only once the cloud has executed the return. */
         CONFIRMED_RETURN,
+        /** Start bounds are recorded before tasks start. */
         START_BOUND,
+        /** Copies of heartbeats are recognized by their numbers. */
         HEARTBEAT_NUMBER,
+        /** Heartbeats that are answered before the records are loaded are registered. */
         EARLY_HEARTBEATS,
+        /** Completions are recorded before their tasks are reaped. */
         RECORD_BEFORE_REAP,
-        /** Lists are believed only under the leader's own token. */
+        /** Task lists are trusted only in heartbeats with the leader's own token. */
         OWN_TOKEN,
         /** A machine gets tasks only once it is recorded. */
         MACHINE_RECORD,
-        /** Orders go out in answers to reports and by no direct command. */
+        /** Commands are sent only in answers to heartbeats. */
         COMMANDS_IN_ANSWERS,
-        /** Cancelled jobs' tasks are stopped by every answer, also to a heartbeat with an older leader's token. */
+        /** Every answer stops the tasks of cancelled jobs, even the answer to a heartbeat with an older token. */
         STOPS_BEFORE_RECONCILIATION
     }
 
-    /** Troubles that a run has only if it is told so; they draw random numbers of their own. */
+    /** Optional faults of a run; they use a random generator of their own. */
     public enum Fault {
-        /** Copies of reports reach the next leader as it begins. */
+        /** Copies of heartbeats reach the next leader when it begins. */
         DELAYED_HEARTBEATS,
-        /** Machines, alone, by the third or by the zone, reach no controller for a while. */
+        /** Single machines, a third of them, or a whole zone reach no controller for a while. */
         UNREACHABLE_MACHINES,
-        /** The leader's writes come late or have no answer, while machines are up at once and leaders end often. */
+        /** The leader's writes are late or unanswered, while machines are rented and leaders change often. */
         LAGGING_WRITES,
-        /** Leaders follow each other that live for about as long as a heartbeat's period, while jobs are cancelled. */
+        /** Leaderships last for about one heartbeat period, while jobs are cancelled. */
         SHORT_LEADERSHIPS
     }
 
     private final Random random;
     private final DisabledGuard disabledGuard;
     private final EnumSet<Fault> optionalFaults;
-    /** Decides about the further troubles, so that a run without them is the same with and without this code. */
+    /**
+     * Random generator of the optional faults, so that a run without them draws the same numbers as if they did not
+     * exist.
+     */
     private final Random faultRandom;
 
     private final DelayedHeartbeats delayedHeartbeats;
     private final LateCommands lateCommands;
-    /** Under a limit a new leader starts nothing before it has heard all; without one, what nobody ever ordered. */
+    /**
+     * Whether the team has a limit. With one, a new leader starts no task before its failover is complete; without one,
+     * it may start tasks that no leader has started.
+     */
     private final boolean hasTeamLimit;
 
     private final Map<String, RandomWorker> workers = new TreeMap<>();
@@ -106,16 +125,18 @@
     private long token;
     private SchedulerCore leader;
     private double leaderSince;
-    /** Until then the leader reads the records. */
+    /** When the leader has read the records. */
     private double loadedAt;
 
     private boolean loaded;
-    /** No new troubles, and no new jobs. */
+    /** Whether the final phase has begun, without new faults and new jobs. */
     private boolean finalPhase;
-    /** Tasks of arrays that have completed, and those of them that a worker was told to forget. */
+    /** Tasks of array jobs that have completed. */
     private final Set<TaskId> completed = new HashSet<>();
 
+    /** Completed tasks of array jobs that a worker has reaped. */
     private final Set<TaskId> reaped = new HashSet<>();
+
     private int machineCount;
     private int jobCount;
     private int startCount;
@@ -123,9 +144,9 @@
     private EffectListener effects = EffectListener.NONE;
     private final LeaseRenewals leaseRenewals = new LeaseRenewals(
             SchedulerFixture.SAFETY_TIMES.workerLease(), SchedulerFixture.SAFETY_TIMES.cancellationTime());
-    /** Until then no leader lives for long. */
+    /** When the current series of short leaderships ends. */
     private double shortLeadershipsUntil;
-    /** When the last of those leaders was followed by another because of that, or is to be. */
+    /** When the next leader of that series begins. */
     private double nextShortLeadership;
 
     RandomSimulation(long seed, DisabledGuard disabledGuard) {
@@ -143,7 +164,7 @@
         this.hasTeamLimit = seed % 2 == 1;
     }
 
-    /** From now on the listener hears what the leaders decide. */
+    /** Sets the listener of the leaders' decisions. */
     public RandomSimulation withListener(EffectListener listener) {
         effects = listener;
         records.effects = listener;
@@ -214,10 +235,10 @@
         records.jobs.values().stream()
                 .filter(SimulatedRecords.StoredJob::isOpen)
                 .forEach(job -> violations.add(
-                        "lost " + job.spec.id() + " with " + job.completedTasks + " of " + job.spec.taskCount()));
+                        "incomplete " + job.spec.id() + " with " + job.completedTasks + " of " + job.spec.taskCount()));
     }
 
-    /** The further troubles begin. */
+    /** Begins optional faults at random. */
     private void beginOptionalFaults() {
         if (optionalFaults.contains(Fault.UNREACHABLE_MACHINES) && faultRandom.nextInt(150) == 0) {
             int fate = faultRandom.nextInt(4);
@@ -238,7 +259,7 @@
                 }
             } else if (records.writes.isLagging(now) && faultRandom.nextInt(60) == 0) {
                 replaceLeader();
-                // What stands in no record yet is often out of reach just then.
+                // Machines that are not recorded yet are often unreachable at that moment.
                 for (RandomWorker worker : workers.values()) {
                     if (!records.machineNames.contains(worker.name) && faultRandom.nextBoolean()) {
                         worker.unreachableUntil = Math.max(worker.unreachableUntil, now + 5 + faultRandom.nextInt(20));
@@ -251,7 +272,10 @@
         }
     }
 
-    /** For a minute or so leaders that read the records at once and end soon; jobs are cancelled as that begins. */
+    /**
+     * For about a minute, leaders read the records at once and end soon. A series of jobs is cancelled when this
+     * begins.
+     */
     private void advanceShortLeaderships() {
         if (now >= shortLeadershipsUntil && faultRandom.nextInt(600) == 0) {
             shortLeadershipsUntil = now + 40 + faultRandom.nextInt(40);
@@ -270,7 +294,7 @@
         return records.jobs.values().stream().anyMatch(SimulatedRecords.StoredJob::isOpen);
     }
 
-    /** Services end by their users alone, and hold places. */
+    /** Begins the final phase. Services are cancelled, because they never end by themselves and use capacity. */
     private void beginFinalPhase() {
         finalPhase = true;
         records.jobs.values().stream()
@@ -279,8 +303,8 @@
     }
 
     /**
-     * A new leader, which answers at once; the old one is simply gone, whatever it was doing. Often machines, or all of a zone, can't be
-     * reached or hear nothing while it ends.
+     * Replaces the leader at any moment by a new one, which answers heartbeats at once. Often some machines, or a whole
+     * zone, are unreachable or receive no answers around the change.
      */
     private void replaceLeader() {
         createLeader();
@@ -297,7 +321,7 @@
         delayedHeartbeats.deliver(token, this::deliverCopy);
     }
 
-    /** A leader that has not read the records. */
+    /** Creates a leader that has not read the records yet. */
     private void createLeader() {
         Team team = new Team("t", 0, hasTeamLimit && disabledGuard != DisabledGuard.TEAM_LIMIT ? MAX_CORES : 0, 0, 0);
         SafetyTimes safetyTimes = disabledGuard == DisabledGuard.LEASE_BOUND
@@ -327,7 +351,10 @@
         leaderSince = now;
     }
 
-    /** It has read the records; what is of jobs that came meanwhile is in them. Machines that it answered until now are cut off. */
+    /**
+     * Completes the loading of the records, which contain the jobs that were submitted meanwhile. Some machines that
+     * were answered during the loading become unreachable.
+     */
     private void finishLoading() {
         loaded = true;
         for (RandomWorker worker : workers.values()) {
@@ -397,13 +424,13 @@
         leader.cancelJob(job.spec.id());
     }
 
-    /** What the leader's duties do: leases, records, ends of jobs. */
+    /** Runs the leader's periodic duties: lease expiry, writes of records, returns and completions of jobs. */
     private void runDuties() {
         leader.expireLeases(moment());
         List<Job> toRaise = leader.startBoundsToRaise(moment());
         effects.onStartBoundsToRaise(toRaise);
         for (Job job : toRaise) {
-            // Written now or later; whether this leader hears of it is another matter.
+            // The write happens in this step or a later one, and may remain unanswered.
             if (random.nextInt(3) == 0) {
                 records.writeStartBound(now, token, job, random.nextInt(4) > 0);
             }
@@ -418,13 +445,13 @@
         }
         if (random.nextInt(5) == 0) {
             for (Job job : new ArrayList<>(leader.jobs())) {
-                // A write without an answer: what it changed is recorded, and its leader does not know.
+                // The write may remain unanswered: its change is recorded, but the leader does not know.
                 records.writeProgress(now, leader, token, job, random.nextInt(4) > 0);
             }
         }
     }
 
-    /** Silent and idle machines are returned; a request without an answer is executed, now or later, or never. */
+    /** Returns silent and idle machines. An unanswered return request is executed later or never. */
     private void returnMachines() {
         if (random.nextInt(20) != 0) {
             return;
@@ -514,8 +541,8 @@
     }
 
     /**
-     * A report may be lost, come late, or its answer be lost; a late one is answered to nobody. Either may be held up for seconds,
-     * and the worker sends none meanwhile.
+     * Sends a heartbeat. It may be lost or late, or its answer may be lost; the answer to a late heartbeat reaches no
+     * worker. Heartbeat and answer may be delayed for seconds, during which the worker sends no other heartbeat.
      */
     private void sendHeartbeat(RandomWorker worker) {
         Heartbeat heartbeat = new Heartbeat(
@@ -555,14 +582,14 @@
         }
     }
 
-    /** The orders of the leader of this moment; null if the report shows a newer one. */
+    /** The current leader's result for a heartbeat. */
     private HeartbeatResult deliver(Heartbeat heartbeat) {
         HeartbeatResult result = leader.onHeartbeat(heartbeat, moment());
         effects.onHeartbeatResponse(heartbeat.machine(), result, leader.mayAnswer(heartbeat.machine()));
         return result;
     }
 
-    /** The leader of this moment reads the report and answers it, or does not. */
+    /** Delivers a heartbeat to the current leader, which answers it or does not. */
     private void deliverAndAnswer(RandomWorker worker, RandomWorker.HeartbeatInFlight inFlight) {
         boolean ignored = !loaded && disabledGuard == DisabledGuard.EARLY_HEARTBEATS;
         HeartbeatResult result = ignored ? new HeartbeatResult.Commands(List.of()) : deliver(inFlight.heartbeat);
@@ -586,8 +613,8 @@
     }
 
     /**
-     * Every answer to a worker that waits for it, whether it arrives or not. Those before the records are read are not judged: no
-     * controller gives them, and they are here to make what follows harder.
+     * Checks an answer that renews a lease, whether or not it reaches the worker. Answers given before the records are
+     * read are not checked: no real controller sends them; the simulation does so to make the following steps harder.
      */
     private void checkRenewal(RandomWorker.HeartbeatInFlight inFlight) {
         Event.LeaseRenewed renewal = new Event.LeaseRenewed(
@@ -607,7 +634,9 @@
         }
     }
 
-    /** The same report once more, up to minutes later and under any leader; answered to nobody. */
+    /**
+     * Delivers a copy of a heartbeat, up to minutes later and to any leader. The answer reaches no worker.
+     */
     private void deliverCopy(Heartbeat heartbeat) {
         RandomWorker worker = workers.get(heartbeat.machine().toString());
         boolean wasKnown = leader.isKnownMachine(heartbeat.machine());
@@ -625,7 +654,7 @@
                 null,
                 heartbeat.tasks()));
         if (!wasKnown && leader.isKnownMachine(heartbeat.machine())) {
-            violations.add(now + ": raised " + heartbeat.machine());
+            violations.add(now + ": adopted from a copy " + heartbeat.machine());
         }
     }
 
@@ -656,7 +685,10 @@
         }
     }
 
-    /** On its machine: until it exits, is killed with its session, or the machine is gone. */
+    /**
+     * Whether the task is on the machine: it has not exited, was not killed with its incarnation, and the machine is
+     * not dead.
+     */
     private boolean isOn(RandomWorker worker, TaskId task) {
         TaskStatus status = worker.tasks.get(task);
         boolean killed = now - worker.lastAnsweredAt > LEASE_S;
@@ -677,7 +709,7 @@
             violations.add(now + ": started after its result was reaped " + task);
         }
         if (!records.machineNames.contains(target.name)) {
-            violations.add(now + ": started on a machine in no record " + task);
+            violations.add(now + ": started on an unrecorded machine " + task);
         }
         int inZone = 1;
         Set<String> zones = new HashSet<>(Set.of(target.zone));
@@ -703,7 +735,7 @@
         violations.addAll(waitCheck.check(leader, finalPhase, now));
         effects.onLeaderState(leader, moment());
         if (loaded && !leader.isFailoverComplete() && now - leaderSince > MAX_FAILOVER_S) {
-            violations.add(now + ": the take-over of " + leaderSince + " waits");
+            violations.add(now + ": failover incomplete since " + leaderSince);
         }
         double cores = 0;
         for (RandomWorker worker : workers.values()) {
@@ -711,7 +743,7 @@
                 if (isOn(worker, task)) {
                     SimulatedRecords.StoredJob job = records.jobs.get(task.job());
                     if (leader.isLeaseExpired(new MachineId(worker.name))) {
-                        violations.add(now + ": counted as over " + task + " on " + worker.name);
+                        violations.add(now + ": lease counted as expired " + task + " on " + worker.name);
                     }
                     cores += job.spec.demand().cores();
                     if (job.cancelledAt >= 0
--- a/src/test/java/io/indigoreach/core/scheduling/RandomSimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulationTest.java
@@ -11,9 +11,12 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The rules hold in random runs; that the check can fail is shown by runs with one guard taken out. */
+/** The protocol's rules hold in random runs. Runs with one guard disabled show that the checks detect violations. */
 class RandomSimulationTest {
-    /** The last three found copies that raised machines which were answered before the records were read. */
+    /**
+     * The last three seeds found copies of heartbeats that made a leader adopt machines which were answered before the
+     * records were read.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 50, 82, 100})
     void rulesHoldInRandomRuns(long seed) {
@@ -29,7 +32,7 @@
     @EnumSource(
             value = RandomSimulation.DisabledGuard.class,
             mode = EnumSource.Mode.EXCLUDE,
-            names = {"NOTHING", "OWN_TOKEN", "MACHINE_RECORD", "ORDERS_IN_ANSWERS", "STOPS_BEFORE_RECONCILIATION"})
+            names = {"NONE", "OWN_TOKEN", "MACHINE_RECORD", "COMMANDS_IN_ANSWERS", "STOPS_BEFORE_RECONCILIATION"})
     void eachDisabledGuardViolatesARule(RandomSimulation.DisabledGuard guard) {
         assertTrue(LongStream.rangeClosed(1, 12).anyMatch(seed -> {
             RandomSimulation run = new RandomSimulation(seed, guard);
@@ -38,7 +41,9 @@
         }));
     }
 
-    /** The same with the troubles that reach from one leader to the next, all together; leaderships are long enough for work to be done. */
+    /**
+     * Runs with all optional faults that span a change of leader. Leaderships are long enough for tasks to complete.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void rulesHoldWithFaultsAcrossLeaders(long seed) {
@@ -53,8 +58,8 @@
     }
 
     /**
-     * Leaders that live for less than a heartbeat's period, while jobs are cancelled. Each answer is judged by itself, as such a leader
-     * has no second one to make up for it.
+     * Leaderships are shorter than a heartbeat period, while jobs are cancelled. Each answer is checked by itself,
+     * because such a leader does not get to answer a machine a second time.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
@@ -66,20 +71,23 @@
         assertTrue(run.startCount() > 50, "too little happened: " + run.startCount());
     }
 
-    /** Each of them alone, and late direct commands, find the guard that is left out. */
+    /**
+     * Each optional fault alone, and late commands outside heartbeat answers, lead to a violation if the guard is
+     * disabled.
+     */
     @ParameterizedTest
     @CsvSource({
-        "KEPT_REPORTS, OWN_TOKEN, ran_twice",
-        "KEPT_REPORTS, REPORT_NUMBER, raised",
-        "MUTE_MACHINES, LEASE_BOUND, ran_twice",
-        "MUTE_MACHINES, ANSWERED_RETURN, ran_twice",
-        "LAGGING_WRITES, MACHINE_RECORD, started on a machine in no record",
+        "DELAYED_HEARTBEATS, OWN_TOKEN, ran_twice",
+        "DELAYED_HEARTBEATS, HEARTBEAT_NUMBER, adopted from a copy",
+        "UNREACHABLE_MACHINES, LEASE_BOUND, ran_twice",
+        "UNREACHABLE_MACHINES, CONFIRMED_RETURN, ran_twice",
+        "LAGGING_WRITES, MACHINE_RECORD, started on an unrecorded machine",
         "LAGGING_WRITES, START_BOUND, ran_twice",
         "LAGGING_WRITES, RECORD_BEFORE_REAP, started after its result was reaped",
         "SHORT_LEADERSHIPS, STOPS_BEFORE_RECONCILIATION, renewed_cancelled",
         "SHORT_LEADERSHIPS, STOPS_BEFORE_RECONCILIATION, ran_cancelled",
-        "MUTE_MACHINES, ORDERS_IN_ANSWERS, ran_twice",
-        "MUTE_MACHINES, ORDERS_IN_ANSWERS, started after its result was reaped"
+        "UNREACHABLE_MACHINES, COMMANDS_IN_ANSWERS, ran_twice",
+        "UNREACHABLE_MACHINES, COMMANDS_IN_ANSWERS, started after its result was reaped"
     })
     void eachFaultDetectsItsDisabledGuard(
             RandomSimulation.Fault fault, RandomSimulation.DisabledGuard guard, String violation) {
--- a/src/test/java/io/indigoreach/core/scheduling/RandomWorker.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomWorker.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The worker of a machine in a {@link RandomSimulation}, and the troubles that it has. */
+/** The worker of a machine in a {@link RandomSimulation}, with its current faults. */
 final class RandomWorker {
     final String name;
     final String zone;
@@ -19,11 +19,11 @@
     double lastAnsweredAt;
     boolean dead;
     double hangingUntil;
-    /** Its reports arrive, answers don't. */
+    /** Until then its heartbeats arrive but answers do not reach it. */
     double answersLostUntil;
-    /** Neither its reports arrive nor answers. */
+    /** Until then neither its heartbeats nor answers arrive. */
     double unreachableUntil;
-    /** Its report under way; or null. */
+    /** Its heartbeat in flight, or null. */
     HeartbeatInFlight inFlight;
 
     final Map<TaskId, TaskStatus> tasks = new LinkedHashMap<>();
@@ -35,7 +35,7 @@
         this.lastAnsweredAt = now;
     }
 
-    /** A report on its way, and its answer; without a leader's token there is none yet. */
+    /** A heartbeat in flight and its answer. The token is 0 until a leader has answered. */
     static final class HeartbeatInFlight {
         final Heartbeat heartbeat;
         final double sentAt;
--- a/src/test/java/io/indigoreach/core/scheduling/SimulatedRecords.java
+++ b/src/test/java/io/indigoreach/core/scheduling/SimulatedRecords.java
@@ -12,7 +12,9 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** What the state service holds in a {@link RandomSimulation}: jobs and machines, and the leader's writes of them. */
+/**
+ * The state service of a {@link RandomSimulation}: its records of jobs and machines, and the leader's writes to them.
+ */
 final class SimulatedRecords {
     static final class StoredJob {
         final JobSpec spec;
@@ -33,7 +35,7 @@
     }
 
     final Map<JobId, StoredJob> jobs = new TreeMap<>();
-    /** The machines of which a next leader knows that they may hold tasks. */
+    /** The recorded machines; the next leader knows that these may run tasks. */
     final Set<String> machineNames = new LinkedHashSet<>();
 
     final DelayedWrites writes;
@@ -41,7 +43,7 @@
     private final RandomSimulation.DisabledGuard disabledGuard;
     private final Consumer<StoredJob> onJobClosed;
 
-    /** {@code closed} is told of each job that is recorded as done. */
+    /** {@code onJobClosed} is called with each job that is recorded as done. */
     SimulatedRecords(Random random, RandomSimulation.DisabledGuard disabledGuard, Consumer<StoredJob> onJobClosed) {
         this.writes = new DelayedWrites(random);
         this.disabledGuard = disabledGuard;
--- a/src/test/java/io/indigoreach/core/scheduling/StaleHeartbeatTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/StaleHeartbeatTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A copy of an old report is kept and reaches a leader just as it begins. */
+/** A delayed copy of an old heartbeat reaches a leader just when it begins. */
 class StaleHeartbeatTest {
     private enum CopyArrival {
         NEVER,
@@ -23,22 +23,22 @@
         AFTER_LOADING
     }
 
-    /** Everything goes as without it, whether its machine lives on or is dead. */
+    /** The copy must not change the run, whether its machine is alive or dead. */
     @ParameterizedTest
     @CsvSource({
-        "its list is old, true",
-        "its list is old, false",
-        "its session is over, true",
-        "its session is over, false",
-        "it bears the new token, true",
-        "it bears the new token, false",
+        "its task list is old, true",
+        "its task list is old, false",
+        "its incarnation has ended, true",
+        "its incarnation has ended, false",
+        "it carries the new token, true",
+        "it carries the new token, false",
         "its machine was returned, false",
-        "its machine was rented by the leader that ended, false"
+        "its machine was rented by the previous leader, false"
     })
     void aDelayedCopyChangesNothing(String scenario, boolean isAlive) {
         List<String> expected = trace(scenario, isAlive, CopyArrival.NEVER);
         assertTrue(expected.stream().anyMatch(line -> line.contains("Start")), "nothing happened");
-        if (!scenario.equals("it bears the new token")) {
+        if (!scenario.equals("it carries the new token")) {
             assertEquals(expected, trace(scenario, isAlive, CopyArrival.BEFORE_LOADING));
         }
         assertEquals(expected, trace(scenario, isAlive, CopyArrival.AFTER_LOADING));
@@ -60,7 +60,7 @@
             cluster.joinLeader("a", -19);
             assertEquals(1, worker.tasks.size());
         }
-        if (scenario.contains("session")) {
+        if (scenario.contains("incarnation")) {
             copy = worker.lastHeartbeat;
             worker.newSession(-8);
         } else if (scenario.contains("returned")) {
@@ -68,7 +68,7 @@
             cluster.core.onMachinesReturned(List.of(new MachineId("a")), atSeconds(-8));
         }
         if (scenario.contains("returned") || scenario.contains("rented")) {
-            // Nobody has recorded it, or no longer.
+            // The machine has no record, or not any more.
             cluster.workers().remove(worker);
         } else {
             cluster.sendHeartbeat("a", -7);
--- a/src/test/java/io/indigoreach/core/scheduling/UnreachableMachineTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/UnreachableMachineTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A machine that reaches no controller from the answer to its report of -1 s on, while direct commands would reach it. None is
- * sent, so its lease alone ends what it runs. A whole zone of them is {@code FailureDetectorTest.machinesBehindACutAreKept}.
+ * A machine's heartbeats reach no controller after -1 s, while commands sent outside heartbeat answers would reach it.
+ * No such commands are sent, so only the expiry of its lease ends its tasks. {@link FailureDetectorTest} covers a whole
+ * zone of such machines.
  */
 class UnreachableMachineTest {
     private static final JobId JOB = new JobId("run-1");
@@ -22,28 +23,31 @@
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     private void startTask() {
-        cluster.worker("mute", -10);
+        cluster.worker("isolated", -10);
         cluster.worker("other", -10);
         cluster.startLeaderWithRecords(-10);
         cluster.submit(spec(1, 1, 4, 500), -10);
-        cluster.joinLeader("mute", -4);
-        assertEquals(1, cluster.worker("mute").tasks.size());
+        cluster.joinLeader("isolated", -4);
+        assertEquals(1, cluster.worker("isolated").tasks.size());
     }
 
-    /** The mute machine reports again from {@code muteUntil} on; it is told what time it is all along. */
+    /** The unreachable machine sends heartbeats again from {@code unreachableUntil} on; its clock advances throughout. */
     private void step(double now, double unreachableUntil, double leaderChangeAt) {
         if (now == leaderChangeAt) {
             cluster.startLeaderWithRecords(now);
         }
-        cluster.worker("mute").expireLease(now);
+        cluster.worker("isolated").expireLease(now);
         if (now >= unreachableUntil) {
-            cluster.sendHeartbeat("mute", now);
+            cluster.sendHeartbeat("isolated", now);
         }
         cluster.core.expireLeases(atSeconds(now));
         cluster.sendHeartbeat("other", now);
     }
 
-    /** {@code change}: when another leader begins, or -1; {@code elsewhere}: when the task starts on the other machine, or -1. */
+    /**
+     * {@code leaderChangeAt}: when another leader begins, or -1; {@code expectedStartS}: when the task starts on the other machine,
+     * or -1.
+     */
     @ParameterizedTest
     @CsvSource({"8, -1, -1", "10.5, -1, -1", "10.5, 5, -1", "20, -1, 11.5", "90, -1, 11.5", "90, 5, 17.5", "11.5, 5, 12"
     })
@@ -58,7 +62,7 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** Its job is cancelled while it is mute, under the same leader or across a change. */
+    /** The job is cancelled while the machine is unreachable, with the same leader or with a change of leader. */
     @ParameterizedTest
     @CsvSource({"0, -1", "6, -1", "6, 3", "6, 8", "10.5, 12"})
     void cancelledTaskEndsInTime(double cancelledAt, double leaderChangeAt) {
@@ -74,7 +78,7 @@
         assertTrue(
                 endedAt >= 0
                         && endedAt <= cancelledAt + SAFETY_TIMES.workerLease().seconds() + 0.5,
-                "gone at " + endedAt);
+                "ended at " + endedAt);
         assertEquals(1, cluster.startCount(TASK), "started again after it was cancelled");
         assertEquals(List.of(), cluster.violations);
     }
