--- a/src/main/java/io/indigoreach/core/scheduling/ArrivalRate.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ArrivalRate.java
@@ -9,14 +9,14 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The jobs that came lately. A job whose objective is nearer than a boot is late if machines are rented for it as it waits;
- * only machines that are there for the flow of such jobs serve it in time.
+ * Estimates the rate at which work arrives from the jobs of the last minutes. A job whose objective falls due before a
+ * rented machine would be up can only be served in time by machines that are kept for the arrival rate of such jobs.
  */
 final class ArrivalRate {
     private static final int WINDOW_PARTS = 6;
-    /** Of the time looked at: what came in less counts as if it had come in that much. */
+    /** Minimum length of the observed window as a fraction of the maximum; arrivals in less time count for this much. */
     private static final double MINIMUM_WINDOW_FRACTION = 0.67;
-    /** How many times that long jobs are remembered for their usual size: sizes differ far more than numbers do. */
+    /** Windows over which the mean job size is taken: it needs more samples than the rate, as job sizes vary far more. */
     private static final double REMEMBERED_WINDOWS = 5;
 
     private Moment began;
@@ -27,9 +27,9 @@
     }
 
     /**
-     * What comes in a second of jobs that count: how many came in the last {@code most}, times their usual size. The
-     * part of that time in which most came is left out: jobs that come all at once are no flow. Of those that came
-     * before the first question not all are known, as some are over, so time counts from then.
+     * Returns the work that arrives per second: the arrivals of matching jobs in the window times their mean size. The
+     * part of the window with the most arrivals is left out, as a burst of jobs is not a steady rate. The window begins
+     * at the first call at the earliest, because jobs that came earlier may have ended and are then unknown.
      */
     double perSecond(Predicate<Job> counts, ToDoubleFunction<Job> size, Span most, Moment now) {
         began = began == null ? now : began;
--- a/src/main/java/io/indigoreach/core/scheduling/AvailableMachines.java
+++ b/src/main/java/io/indigoreach/core/scheduling/AvailableMachines.java
@@ -2,7 +2,7 @@
 
 import io.indigoreach.core.model.Moment;
 
-/** Counts the machines that a queue has at hand before it scales out. */
+/** Counts the machines that a queue can use before it needs to scale out. */
 final class AvailableMachines {
     private final Cluster cluster;
     private final double bootPatience;
@@ -12,7 +12,7 @@
         this.bootPatience = bootPatience;
     }
 
-    /** Machines of the type that are idle or booting; one whose boot is long overdue is not counted on. */
+    /** Counts the idle and booting machines of the type, without machines whose boot is overdue. */
     int count(FairShareQueue queue, String type, boolean onDemandOnly, Moment now) {
         int count = 0;
         for (Machine machine : cluster.machinesServing(queue)) {
@@ -29,7 +29,7 @@
         return count;
     }
 
-    /** A machine of a warm pool is at hand for jobs that wait for the image that it holds. */
+    /** Returns whether a job that waits for the image of the machine's warm pool may run on it. */
     private static boolean isWarmFor(FairShareQueue queue, Machine machine) {
         return queue.jobs().stream()
                 .anyMatch(job -> job.hasWaiting()
@@ -37,7 +37,7 @@
                         && machine.allows(job.spec));
     }
 
-    /** Not if every job that waits has failed on it. */
+    /** Returns whether a waiting job may use the machine: false if all of them have failed on it. */
     private static boolean isUsableByQueue(FairShareQueue queue, Machine machine) {
         return machine.failedJobs.isEmpty()
                 || queue.jobs().stream()
--- a/src/main/java/io/indigoreach/core/scheduling/Backlog.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Backlog.java
@@ -1,10 +1,10 @@
 package io.indigoreach.core.scheduling;
 
-/** The work of one machine type's queue, added up in the order of the queue, in seconds of a whole machine. */
+/** Sums the waiting work for one machine type in queue order, in machine seconds, and the on-demand machines it needs. */
 final class Backlog {
     final CapacityForecast spot;
     final CapacityForecast onDemand;
-    /** Machines busy all the time with jobs whose objectives are too near to scale out for them. */
+    /** Machines kept busy by arriving jobs whose objectives fall due before a rented machine would be up. */
     final double arrivalLoad;
 
     private double work;
@@ -16,7 +16,7 @@
         this.arrivalLoad = arrivalLoad;
     }
 
-    /** On-demand machines that are needed so that everything added so far starts in time for its objectives. */
+    /** Returns how many on-demand machines are needed so that all work added so far starts in time for its objectives. */
     double onDemandNeeded() {
         return onDemandNeeded;
     }
@@ -26,12 +26,12 @@
     }
 
     /**
-     * Raises the need to what starts the work added so far in time.
+     * Raises the need so that the work added so far starts in time.
      *
-     * @param secondsLeft seconds until that work should have started
+     * @param secondsLeft seconds until the latest start of that work
      * @param bootSeconds seconds that a machine takes to boot
-     * @param minimumPaidSeconds seconds that a machine is paid for in any case
-     * @param laterMachines machines kept busy by work that comes later and goes before it
+     * @param minimumPaidSeconds minimum time that a rented machine is paid for
+     * @param laterMachines machines kept busy by work that arrives later and goes first
      */
     void mustStartWithin(double secondsLeft, double bootSeconds, double minimumPaidSeconds, double laterMachines) {
         double usefulSeconds = secondsLeft - bootSeconds;
@@ -40,21 +40,21 @@
             return;
         }
         double present = onDemand.until(secondsLeft);
-        // A machine is worth renting if it finds work for the time that is paid in any case.
+        // A machine is worth renting only if there is work for its minimum paid time.
         double more = Math.max(0, missing - present) / Math.max(usefulSeconds, minimumPaidSeconds);
         double used = onDemand.machines() * (present > 0 ? Math.min(1, missing / present) : 1);
         onDemandNeeded = Math.max(onDemandNeeded, more + used);
     }
 
-    /** Raises the need to what serves the whole queue within {@code limitSeconds}, and the arriving near objectives. */
+    /** Raises the need so that the whole queue is served within {@code limitSeconds}, and the arrival load at any time. */
     void mustBeServedWithin(double limitSeconds) {
         double whole = Math.floor(work / limitSeconds) - spot.machines();
         onDemandNeeded = Math.max(onDemandNeeded, Math.max(whole, arrivalLoad - spot.machines()));
     }
 
     /**
-     * Machines for short jobs' work, in seconds of a whole machine, that the busy ones do not come to within the wait
-     * limit. What is idle or booting is left out here, as it is taken off the whole need.
+     * Returns the machines for short work, given in machine seconds, that the busy machines cannot begin within the wait
+     * limit. Idle and booting machines do not count here, because they are subtracted from the total need.
      */
     double machinesForShortWork(double shortWork, double waitLimitSeconds, double minimumPaidSeconds) {
         double served = spot.busyUntil(waitLimitSeconds) + onDemand.busyUntil(waitLimitSeconds);
--- a/src/main/java/io/indigoreach/core/scheduling/BacklogEstimator.java
+++ b/src/main/java/io/indigoreach/core/scheduling/BacklogEstimator.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 
 /**
- * On-demand machines for a queue that the spot machines which can be had do not serve in time: for each job, the work
- * before and including it must fit into what the machines that serve can do until the job's latest start that still
- * meets an objective, and all of it into the time that the settings allow for any queue. Those that are more than that
- * get no new tasks, and so come to be idle at the end of a term.
+ * Estimates how many on-demand machines a queue needs because the available spot machines do not serve it in time. For
+ * each job, the work up to and including the job must fit into the capacity until the latest start that still meets the
+ * job's objective, and the work of the whole queue must fit into the backlog limit. On-demand machines beyond this need
+ * get no new tasks, so that they are idle at the end of a paid term.
  */
 final class BacklogEstimator {
     private final Cluster cluster;
@@ -28,7 +28,7 @@
         this.sizing = sizing;
     }
 
-    /** The backlog of each machine type, by its name. */
+    /** Returns the backlog of each machine type, keyed by type name. */
     Map<String, Backlog> backlogs(FairShareQueue queue, Moment now) {
         Map<String, Backlog> backlogs = new HashMap<>();
         for (MachineType type : cluster.types.values()) {
@@ -62,7 +62,7 @@
         return CapacityForecast.of(cluster, queue, type, spot, estimates, settings.bootPatience(), now);
     }
 
-    /** Machines kept busy by arriving jobs whose objectives are too near to scale out for them. */
+    /** Returns how many machines arriving jobs keep busy whose objectives fall due before a rented machine would be up. */
     private double arrivalLoad(FairShareQueue queue, MachineType type, Moment now) {
         return queue.arrivalRate()
                 .perSecond(
--- a/src/main/java/io/indigoreach/core/scheduling/BestSize.java
+++ b/src/main/java/io/indigoreach/core/scheduling/BestSize.java
@@ -10,16 +10,18 @@
 import java.util.Optional;
 
 /**
- * How many machines to rent: the paper's BestSize, per machine type. When the top job exceeds the capacity, or its wait
- * is predicted to pass the limit, the size is that of all waiting long jobs plus the top short one, less the machines
- * idle or on order. Tasks much shorter than the paid term follow each other on a machine within that term.
+ * Computes how many machines of each type to rent, by the BestSize rule of the paper that the scheduler follows. If the
+ * top job does not fit the present capacity, or its predicted wait exceeds the wait limit, the size covers all waiting
+ * long jobs and the first short one, minus the machines that are idle or booting. Tasks shorter than the minimum paid
+ * time run one after another on a machine within that time.
  *
- * <p>One exception: a queue of many short jobs, each of which would be served soon by itself. Counting the top one only
- * rents a machine or two per boot, however many wait behind it. Of the short jobs' work, what the machines that are up
- * cannot begin within the wait limit is counted too, by the paid term that it fills.
+ * <p>The rule is extended for a queue of many short jobs, each of which would start soon on its own. Counting only the
+ * first short job rents a machine or two per boot time, however many jobs wait behind it. The part of the short jobs'
+ * work that the busy machines cannot begin within the wait limit is therefore counted too, in units of the minimum paid
+ * time.
  */
 final class BestSize {
-    /** Subtracted before rounding up, so that rounding errors of sums add no machine. */
+    /** Subtracted before rounding up, so that floating-point errors in sums do not add a machine. */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final Cluster cluster;
@@ -51,17 +53,17 @@
         this.zones = new ZoneSpreading(cluster, failureDetector, settings.refusalBackoff());
     }
 
-    /** The cloud had no machine of the pool. */
+    /** Records that the cloud refused a request because the pool had no capacity. */
     void refused(MachinePool pool, Moment now) {
         zones.refused(pool, now);
     }
 
-    /** Whether requesting machines of the pool is of use now. */
+    /** Returns whether a request to the pool may succeed now. */
     boolean mayAsk(MachinePool pool, Moment now) {
         return zones.mayRequest(pool, now);
     }
 
-    /** The machines to rent now. */
+    /** Returns the requests to send to the cloud now, each within the maximum request size. */
     List<ScaleOutRequest> scaleOutRequests(Moment now) {
         Map<MachinePool, Integer> wanted = new HashMap<>();
         for (FairShareQueue queue : cluster.queues()) {
@@ -97,7 +99,8 @@
     }
 
     private boolean isCounted(Job job, Moment now) {
-        // The previous leader has scaled out for its own; what is there for them is not known before all have reported.
+        // The previous leader scaled out for inherited jobs. Until all machines have reported, it is unknown which of
+        // them serve these jobs.
         boolean servedByPreviousLeader = job.inherited && !rules.placement().isFailoverComplete();
         return job.startableCount() > 0
                 && !servedByPreviousLeader
@@ -122,8 +125,8 @@
         TypeNeed need = queueNeed.ofType(type.name());
         boolean mayUseOnDemand = trigger.mayUseOnDemand(job, now);
         if (!zones.canBeRented(job, type, now)) {
-            // Not as the first, whose zones the others' machines are requested in: bound to an empty zone, it stopped
-            // all.
+            // The job must not become the first of its type: machines for the whole queue are requested in the zones of
+            // the first job, so a first job that is bound to an exhausted zone would block all requests.
             need.addRefused(more, mayUseOnDemand);
             return;
         }
@@ -141,7 +144,10 @@
         need.addShortBacklog(Math.max(0, machines - need.topShort));
     }
 
-    /** On-demand machines for jobs that may use no others; then spot machines, and on-demand ones where none are to be had. */
+    /**
+     * Requests on-demand machines for jobs that cannot use spot machines, then spot machines for the rest, or on-demand
+     * machines where no spot pool accepts requests.
+     */
     private void request(
             FairShareQueue queue,
             MachineType type,
--- a/src/main/java/io/indigoreach/core/scheduling/CapacityForecast.java
+++ b/src/main/java/io/indigoreach/core/scheduling/CapacityForecast.java
@@ -4,14 +4,15 @@
 import io.indigoreach.core.model.Moment;
 
 /**
- * What the machines of one type and price kind can do for a queue: those that are up, less what runs on them, and those
- * that are booting. A machine counts less the part that replicas hold.
+ * Forecasts the work that the spot or on-demand machines of one type can do for a queue: the running machines minus the
+ * work of their present tasks, and the booting machines. The share of a machine that service replicas hold does not
+ * count as capacity.
  *
- * @param up machines that are up
- * @param idle those of them that have no tasks
- * @param busySeconds work left on those that are up, in seconds of a whole machine
+ * @param up running machines, without the shares that replicas hold
+ * @param idle running machines that have no tasks
+ * @param busySeconds remaining work on the running machines, in machine seconds
  * @param booting machines that are booting
- * @param bootSeconds what is left of their boot times, in all
+ * @param bootSeconds sum of the remaining boot times
  */
 record CapacityForecast(double up, double idle, double busySeconds, int booting, double bootSeconds) {
     static CapacityForecast of(
@@ -55,7 +56,7 @@
                 / Math.max(1, placement.demand().timesIn(type.capacity()));
     }
 
-    /** The part of a machine that replicas hold: it does not come free by itself. */
+    /** Returns the share of a machine that service replicas hold, which does not come free by itself. */
     static double heldByReplicas(Machine machine) {
         double held = 0;
         for (Placement placement : machine.placements().values()) {
@@ -68,13 +69,13 @@
         return up + booting;
     }
 
-    /** Seconds of a whole machine that all can work until so many seconds from now. */
+    /** Returns the machine seconds of new work that all machines can do within {@code seconds} from now. */
     double until(double seconds) {
         return Math.max(0, up * seconds - busySeconds)
                 + (booting == 0 ? 0 : booting * Math.max(0, seconds - bootSeconds / booting));
     }
 
-    /** The same of the machines that have tasks only. */
+    /** Returns the machine seconds of new work that the machines with tasks can do within {@code seconds} from now. */
     double busyUntil(double seconds) {
         return Math.max(0, (up - idle) * seconds - busySeconds);
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
@@ -12,16 +12,17 @@
 import java.util.Map;
 
 /**
- * Moves tasks together when little waits. As a queue runs dry, tasks end here and there, and what is left keeps machines
- * half used for minutes: a sixth to a fifth of what two fleets paid for was idle then. Tasks that keep their progress are
- * stopped on the emptiest machines, those kept for no need and the dearest first, where fuller ones have room for them
- * and their image; the machines so emptied take no new tasks and are returned at the end of their term, as any idle one.
- * The protocol allows stopping a task to drain a machine.
+ * Moves tasks onto fewer machines while few tasks wait. When a queue empties, tasks end at different times, and the
+ * remaining ones keep many machines partly used for minutes: in two deployments a sixth to a fifth of the paid capacity
+ * was idle at such times. Consolidation stops tasks that save their progress on the least used machines, surplus and
+ * on-demand machines first, if fuller machines have room for the tasks and have their images cached. Drained machines
+ * get no new tasks and are returned at the end of their paid term like any idle machine. The worker protocol allows
+ * stopping a task to drain its machine.
  */
 final class Consolidation {
-    /** Part of the machines that may be emptied between two checks: what was moved is seen to run before more is. */
+    /** Fraction of the machines that may start draining per check, so that moved tasks run again before others are moved. */
     private static final double MAX_DRAINING_FRACTION = 0.02;
-    /** A task is moved only if it has this many times longer to run than its move takes. */
+    /** A task is moved only if its remaining run time is at least this multiple of the time that the move takes. */
     private static final double MIN_REMAINING_PER_MOVE = 3;
 
     private final Cluster cluster;
@@ -36,7 +37,7 @@
         this.safetyTimes = safetyTimes;
     }
 
-    /** Marks the machines that are to take no new tasks, and those of them that are to be emptied. */
+    /** Cordons the machines that need no new tasks, and chooses which of them to drain. */
     void plan(Moment now) {
         for (FairShareQueue queue : cluster.queues()) {
             plan(queue, now);
@@ -46,7 +47,7 @@
     private void plan(FairShareQueue queue, Moment now) {
         List<Machine> machines = new ArrayList<>();
         for (Machine machine : cluster.machinesServing(queue)) {
-            // Until the tasks that were stopped have left it.
+            // A machine drains until its stopped tasks have left it.
             machine.endDrainingIfStopped();
             machine.uncordon();
             if (machine.isUsable()
@@ -71,7 +72,7 @@
         queue.roomOutsideCordon(room(machines));
     }
 
-    /** What is free on machines at work. */
+    /** Returns the free resources of each machine that runs tasks and takes new ones. */
     private static List<Demand> room(List<Machine> machines) {
         return machines.stream()
                 .filter(machine -> roomOn(machine) > 0)
@@ -79,7 +80,7 @@
                 .toList();
     }
 
-    /** Chooses the machines to empty, from the end of the list. */
+    /** Chooses the machines to drain, starting at the end of the list. */
     private void chooseMachinesToDrain(FairShareQueue queue, List<Machine> machines, Moment now) {
         Map<Machine, Demand> free = new HashMap<>();
         double unclaimedCores = 0;
@@ -92,7 +93,7 @@
         int left = (int) Math.ceil(machines.size() * MAX_DRAINING_FRACTION);
         for (int i = machines.size() - 1; i > 0 && left > 0; i--) {
             Machine machine = machines.get(i);
-            // Its tasks take room elsewhere, and its own is no room any more.
+            // Draining uses cores on other machines and makes the machine's own free cores unavailable.
             double cost = machine.used().cores() + roomOn(machine);
             if (machine.isIdle()
                     || machine.draining
@@ -114,7 +115,10 @@
                 : machine.free().cores();
     }
 
-    /** Not what has hardly run, so that none is moved again and again, nor where a place depends on the job's other tasks. */
+    /**
+     * Returns whether all tasks of the machine can be moved. A task that started recently is not moved, so that no task
+     * is moved repeatedly, nor is one whose placement depends on the other tasks of its job.
+     */
     private boolean isMovable(Machine machine, Moment now) {
         for (Placement placement : machine.placements().values()) {
             if (!isMovable(placement, now)) {
@@ -137,7 +141,10 @@
                 && estimates.end(placement, now).since(now).compareTo(move.times(MIN_REMAINING_PER_MOVE)) >= 0;
     }
 
-    /** Finds a place for each task of the machine on a fuller machine that has its image; all or nothing. */
+    /**
+     * Reserves room for each task of the machine on a fuller machine that has its image cached. Reserves nothing and
+     * returns false if one of the tasks finds no room.
+     */
     private static boolean reserveTargets(Machine machine, List<Machine> fuller, Map<Machine, Demand> free) {
         Map<Machine, Demand> after = new HashMap<>(free);
         for (Placement placement : machine.placements().values()) {
@@ -166,7 +173,7 @@
                 && !FaultAttribution.isExcluded(job, machine);
     }
 
-    /** Stops for a machine that is to be emptied; what is stopped waits for a machine that has its image. */
+    /** Returns the commands that stop the tasks of a draining machine. Their jobs then wait for a machine with their image. */
     List<WorkerCommand> drainCommands(Machine machine, Moment now) {
         List<WorkerCommand> commands = new ArrayList<>();
         if (machine.draining && isMovable(machine, now) && rules.cordons().isCordoned(machine, now)) {
--- a/src/main/java/io/indigoreach/core/scheduling/CordonRules.java
+++ b/src/main/java/io/indigoreach/core/scheduling/CordonRules.java
@@ -6,7 +6,7 @@
 import java.util.Collection;
 import java.util.Iterator;
 
-/** Whether waiting jobs need a machine, or have room on the others so that it may stay cordoned or be returned. */
+/** Decides whether waiting jobs need a machine, or fit on the others so that it may stay cordoned or be returned. */
 final class CordonRules {
     private final Cluster cluster;
     private final ServiceLevelObjectives objectives;
@@ -18,14 +18,14 @@
         this.rules = rules;
     }
 
-    /** Whether the machine is cordoned, and no more waits by now than the other machines have room for. */
+    /** Returns whether the machine is cordoned and all jobs that wait now still fit on the other machines. */
     boolean isCordoned(Machine machine, Moment now) {
         return machine.cordonedFor != null && fitsIn(machine.cordonedFor, machine.cordonedFor.roomOutsideCordon(), now);
     }
 
     /**
-     * Whether all that waits in a queue has places in what is free on some machines, each job by itself and all
-     * together. Never where a job waits that should not be kept from any place.
+     * Returns whether the waiting jobs of a queue fit into the free resources of some machines, each job by itself and
+     * all jobs by their sum of cores. Returns false if a waiting job should be able to use every machine.
      */
     boolean fitsIn(FairShareQueue queue, Collection<Demand> free, Moment now) {
         double cores = 0;
@@ -55,7 +55,10 @@
         return lacking <= 0;
     }
 
-    /** It is urgent, a replica, may not use every machine, or has an objective on its starts that can still be met. */
+    /**
+     * Returns whether no machine should be cordoned while the job waits: it is urgent, a service, restricted to some
+     * machines, or can still meet an objective on its start.
+     */
     private boolean needsEveryPlace(Job job, Moment now) {
         Moment due = objectives.latestStartForWait(job);
         return job.urgency().isMoreUrgentThan(Urgency.STANDARD)
@@ -68,7 +71,7 @@
         return !job.spec.spotAllowed() || job.spec.zone() != null || job.spec.types() != null;
     }
 
-    /** Whether an idle machine can be used by a job that waits in a queue which the machine serves. */
+    /** Returns whether a job that waits in a queue which the machine serves can use the idle machine. */
     boolean isUsableByWaitingJob(Machine machine, Moment now) {
         if (machine.surplus || isCordoned(machine, now)) {
             return false;
--- a/src/main/java/io/indigoreach/core/scheduling/JobSizing.java
+++ b/src/main/java/io/indigoreach/core/scheduling/JobSizing.java
@@ -5,9 +5,9 @@
 import io.indigoreach.core.model.Span;
 import java.util.Optional;
 
-/** How much of which machine type a job needs. */
+/** Chooses the machine type for a job and computes how many machines its tasks need. */
 final class JobSizing {
-    /** Part of an estimate that counts for a queue of short jobs while no task of their class was seen to end. */
+    /** Fraction of the owner's estimate that counts for short jobs until a task of their class has been observed to end. */
     private static final double UNSEEN_ESTIMATE_FRACTION = 1.0 / 3;
 
     private final Cluster cluster;
@@ -21,8 +21,8 @@
     }
 
     /**
-     * The type on which a task costs least, of those that are offered where the job may run: a cheaper one elsewhere was
-     * requested in vain for ever. Empty if no type fits.
+     * Returns the type on which a task costs least, or empty if no type fits. Only types that are offered in the job's
+     * zones count: requests for a cheaper type in other zones would never start the job.
      */
     Optional<MachineType> cheapestType(Job job) {
         JobSpec spec = job.spec;
@@ -45,23 +45,26 @@
         return Optional.ofNullable(best);
     }
 
-    /** Whether the job may run in the zone, by its specification and by the zone of its other tasks. */
+    /** Returns whether the job's specification and the zone of its other tasks allow the zone. */
     static boolean mayRunIn(Job job, String zone) {
         String boundZone = job.spec.oneZone() ? job.boundZone() : null;
         return job.spec.allowsZone(zone) && (boundZone == null || boundZone.equals(zone));
     }
 
-    /** A task's run time in seconds of a whole machine. */
+    /** Returns the expected run time of a task in machine seconds. */
     double machineSeconds(Job job, MachineType type) {
         return estimates.run(job).seconds() / tasksPerMachine(job, type);
     }
 
-    /** The same by what is sure: an estimate is often three times too long, and machines come for nothing then. */
+    /**
+     * Returns the run time of a task in machine seconds, reduced while only the owner's estimate is known. Estimates are
+     * often three times too long and would then rent machines that find no work.
+     */
     double confidentMachineSeconds(Job job, MachineType type) {
         return machineSeconds(job, type) * (estimates.hasSeen(job) ? 1 : UNSEEN_ESTIMATE_FRACTION);
     }
 
-    /** Machines for so many tasks; those shorter than the minimum paid time follow each other on a machine. */
+    /** Returns the machines for {@code tasks}; tasks shorter than the minimum paid time run one after another on a machine. */
     double machinesFor(Job job, MachineType type, int tasks) {
         int perMachine = tasksPerMachine(job, type);
         double runSeconds = estimates.run(job).seconds();
--- a/src/main/java/io/indigoreach/core/scheduling/PlaceShortages.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PlaceShortages.java
@@ -7,23 +7,23 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How many places top jobs lack beyond those that come free soon, so that no more tasks are stopped than needed. */
+/** Counts the places that top jobs lack beyond those that come free soon, so that only as many tasks are stopped. */
 final class PlaceShortages {
-    /** A place that comes free within this time is waited for. */
+    /** No task is stopped for a place that comes free by itself within this time. */
     private static final Span WAIT_FOR_FREE_PLACE = Span.seconds(6);
-    /** How long a shortage is kept: it is counted over all machines, and not for every heartbeat. */
+    /** How long a counted shortage is reused: the count visits all machines, which is too slow for every heartbeat. */
     private static final Span SHORTAGE_LIFE = Span.seconds(0.5);
 
-    /** Places that the top job lacks, less those for which room is being made since they were counted. */
+    /** Places that the top job lacked at the count, minus those for which tasks have been stopped since. */
     private record Shortage(Job top, Moment counted, int places) {}
 
     private final Cluster cluster;
     private final ServiceLevelObjectives objectives;
     private final Estimates estimates;
     private final PlacementRules rules;
-    /** Of the top job that preempts less urgent work. */
+    /** The shortage of the top job that preempts less urgent work. */
     private Shortage shortage;
-    /** Of the top jobs that claim their teams' guarantees. */
+    /** Per queue, the shortage of the top job that claims its team's guarantee. */
     private final Map<FairShareQueue, Shortage> guaranteeShortages = new HashMap<>();
 
     PlaceShortages(Cluster cluster, ServiceLevelObjectives objectives, Estimates estimates, PlacementRules rules) {
@@ -33,7 +33,7 @@
         this.rules = rules;
     }
 
-    /** How many places the top job lacks on the machines that serve its queue. */
+    /** Returns how many places the top job lacks on the machines that serve its queue. */
     int missingPlaces(FairShareQueue queue, Job top, Moment now) {
         if (shortage == null || isOutdated(shortage, top, now)) {
             shortage = new Shortage(
@@ -42,12 +42,12 @@
         return shortage.places;
     }
 
-    /** Room is being made for the top job: it lacks {@code places} from now on. */
+    /** Sets how many places the top job still lacks after tasks have been stopped for it. */
     void setMissingPlaces(Job top, int places) {
         shortage = new Shortage(top, shortage.counted, places);
     }
 
-    /** Whether places for a job within its team's guarantee come free without stopping more. */
+    /** Returns whether enough places for a job within its team's guarantee come free without stopping more tasks. */
     boolean hasEnoughComingPlaces(FairShareQueue queue, Job top, Moment now) {
         Shortage counted = guaranteeShortages.get(queue);
         if (counted == null || isOutdated(counted, top, now)) {
@@ -57,7 +57,7 @@
         return counted.places <= 0;
     }
 
-    /** Room for one task of the queue's top job is being made. */
+    /** Records that a task has been stopped to make room for one task of the queue's top job. */
     void guaranteedPlaceComes(FairShareQueue queue, Job top) {
         guaranteeShortages.computeIfPresent(
                 queue, (key, counted) -> new Shortage(top, counted.counted, counted.places - 1));
@@ -67,14 +67,14 @@
         return shortage.top != top || !now.isBefore(shortage.counted.plus(SHORTAGE_LIFE));
     }
 
-    /** What is left until an objective on the job's starts is missed, if that is soon; else zero. */
+    /** Returns the time until the job misses an objective on its start, or zero if that is not soon or has passed. */
     Span timeToStart(Job top, Moment now) {
         Moment due = objectives.latestStartForWait(top);
         Span left = due == null ? Span.ZERO : due.since(now);
         return left.ms() < 0 || left.compareTo(WAIT_FOR_FREE_PLACE) > 0 ? Span.ZERO : left;
     }
 
-    /** Places for the top job that come free soon by themselves, or because room is being made already. */
+    /** Counts the places for the top job that are free, or come free soon because tasks end or are being stopped. */
     private int comingPlaces(Iterable<Machine> machines, Job top, Moment now) {
         int places = 0;
         Span left = timeToStart(top, now);
--- a/src/main/java/io/indigoreach/core/scheduling/PoolMembership.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PoolMembership.java
@@ -5,9 +5,9 @@
 import io.indigoreach.core.model.Span;
 
 /**
- * A machine's membership of a warm pool: it is paid for by that pool alone, holds that pool's image, and admits other tasks only
- * if they neither evict the image nor delay a replica's start. A machine has one membership at most, so no two pools pay
- * for it, and two images that do not fit one cache are never required together.
+ * A machine's membership in a warm pool. The pool alone pays for the machine, the machine caches the pool's image, and
+ * other tasks are admitted only if they neither evict the image nor delay the start of a replica. A machine has at most
+ * one membership, so that no two pools pay for it, and that it never has to cache two images that do not fit together.
  */
 public final class PoolMembership {
     private final String pool;
@@ -18,7 +18,7 @@
     private Span longestOtherTask = Span.ZERO;
     private boolean ended;
 
-    /** Membership in a pool that holds an image of {@code gb} gigabytes ahead of replicas which take {@code replica} each. */
+    /** Creates a membership in a pool that caches an image of {@code gb} gigabytes for replicas of the given demand. */
     public PoolMembership(String pool, String image, double gb, Demand replica) {
         this.pool = pool;
         this.image = image;
@@ -38,7 +38,7 @@
         return imageGb;
     }
 
-    /** The job whose task may hold the image here now; null if none may. */
+    /** Returns the job whose task may hold the image on this machine now, or null if no job may. */
     public Job holder() {
         return ended ? null : holder;
     }
@@ -51,7 +51,10 @@
         longestOtherTask = span;
     }
 
-    /** The pool no longer pays. The image stays protected until that is recorded, as a later leader would claim it by the record. */
+    /**
+     * Ends the membership: the pool stops paying. The image stays protected until the end is recorded, because a new
+     * leader would assume from the old record that the machine still has it.
+     */
     public void end() {
         ended = true;
     }
@@ -61,9 +64,9 @@
     }
 
     /**
-     * Whether a task may start on the machine: the model's replicas in any case; others once the image is here (a second
-     * fetch would share its rate), where theirs fits beside it, and where they leave room for a replica or, by twice the
-     * owner's estimate, are gone before one is expected.
+     * Returns whether a task may start on the machine. Tasks with the pool's image always may. Other tasks may start only
+     * after the image is cached, because a second fetch would slow it down, if their own image fits beside it, and if
+     * they leave room for a replica or end within twice their estimate before a replica is expected.
      */
     public boolean admits(JobSpec spec, ImageCache cache, Demand free) {
         if (spec.image().equals(image)) {
--- a/src/main/java/io/indigoreach/core/scheduling/Preemption.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Preemption.java
@@ -11,12 +11,12 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Stops tasks that make room for more urgent work, and for teams that wait for their guarantee. */
+/** Stops tasks to make room for more urgent jobs and for teams that have less than their guaranteed cores. */
 final class Preemption {
-    /** A task that has run for less is not stopped for a more urgent one: its start would have been for nothing. */
+    /** A task that has run for less than this is not preempted, as the cost of its start would be wasted. */
     static final Span MINIMUM_RUN = Span.seconds(32);
 
-    /** A task that has run for no longer loses little when it is stopped without saving. */
+    /** A task that does not save its progress may be preempted only if it has run for at most this long. */
     private static final Span MAXIMUM_LOST_RUN = Span.seconds(6);
 
     private final Cluster cluster;
@@ -36,9 +36,9 @@
     }
 
     /**
-     * Stops for the machine that make room for the top job where it is more urgent than what runs there, when the top
-     * job would otherwise wait for longer than that takes. Stopped are tasks that keep their progress and, where an
-     * objective on the top job's starts is about to be missed, tasks that have only just begun.
+     * Returns the commands that stop tasks on the machine to make room for a more urgent top job, if too few places come
+     * free soon without them. Candidates are tasks that save their progress and, if the top job is about to miss an
+     * objective on its start, tasks that have just begun.
      */
     List<WorkerCommand> preempt(Machine machine, Moment now) {
         List<WorkerCommand> commands = guarantees.preemptBorrowedWork(machine, now);
@@ -63,7 +63,7 @@
                 && !rules.placement().awaitsImageLocality(top, machine, now);
     }
 
-    /** Urgent jobs, and those whose objective is too near to scale out for them. */
+    /** Urgent jobs may preempt others, and so may jobs whose objective falls due before a rented machine would be up. */
     private boolean mayPreempt(Job top, MachineType type) {
         return top.urgency().isMoreUrgentThan(Urgency.STANDARD) || rules.order().isObjectiveTooNearToRent(top, type);
     }
@@ -100,14 +100,14 @@
         return placement.job.spec.savesProgress() ? hasRunLongEnough(placement, now) : losesLittle(placement, top, now);
     }
 
-    /** A task that keeps its progress is stopped if it has not just begun, and does not end as soon by itself. */
+    /** A task that saves its progress is stopped unless it has just begun or ends soon by itself. */
     private boolean hasRunLongEnough(Placement placement, Moment now) {
         Span grace = placement.job.spec.checkpointTime().times(2);
         return now.since(placement.stateSince).compareTo(MINIMUM_RUN) >= 0
                 && estimates.end(placement, now).since(now).compareTo(grace) > 0;
     }
 
-    /** One that loses its progress is stopped only if it has just begun and the top job's objective is about to be missed. */
+    /** A task that loses its progress is stopped only if it has just begun and the top job is about to miss its objective. */
     private boolean losesLittle(Placement placement, Job top, Moment now) {
         return shortages.timeToStart(top, now).ms() > 0
                 && now.since(placement.stateSince).compareTo(MAXIMUM_LOST_RUN) <= 0
--- a/src/main/java/io/indigoreach/core/scheduling/QueueNeed.java
+++ b/src/main/java/io/indigoreach/core/scheduling/QueueNeed.java
@@ -3,17 +3,17 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What the waiting jobs of one queue need, counted in the order of the queue. */
+/** Sums the machines that the waiting jobs of one queue need, in queue order. */
 final class QueueNeed {
     private final Map<String, TypeNeed> byType = new HashMap<>();
-    /** Work of the short jobs per machine type, in seconds of a whole machine. */
+    /** Work of the short jobs per machine type, in machine seconds. */
     private final Map<String, Double> shortWork = new HashMap<>();
-    /** Cores counted so far for each team, against its limit. */
+    /** Cores counted so far for each team, compared with its limit. */
     private final Map<TeamUsage, Double> plannedCores = new HashMap<>();
 
     private boolean topShortCounted;
 
-    /** The need per machine type, by its name. */
+    /** Returns the need of each machine type, keyed by type name. */
     Map<String, TypeNeed> byType() {
         return byType;
     }
@@ -22,7 +22,7 @@
         return byType.computeIfAbsent(type, name -> new TypeNeed());
     }
 
-    /** How many of the job's tasks its team's limit allows beside those counted before; they are counted with them. */
+    /** Returns how many of the job's tasks the team's limit allows after those counted before, and counts them. */
     int withinTeamLimit(Job job, TeamUsage team) {
         int tasks = Math.min(job.startableCount(), team.room(job.spec.demand(), plannedCores.getOrDefault(team, 0.0)));
         plannedCores.merge(team, Math.max(0, tasks) * job.spec.demand().cores(), Double::sum);
@@ -37,7 +37,7 @@
         return shortWork.getOrDefault(type, 0.0);
     }
 
-    /** Returns true for the first short job, which is counted whole, and false for those behind it. */
+    /** Returns true for the first short job, whose tasks are all counted, and false for the short jobs behind it. */
     boolean countTopShort() {
         boolean first = !topShortCounted;
         topShortCounted = true;
--- a/src/main/java/io/indigoreach/core/scheduling/ReservedCapacity.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ReservedCapacity.java
@@ -12,16 +12,17 @@
 import java.util.Set;
 
 /**
- * The part of a queue's machines on which jobs without an objective go first once they have waited. Behind a day's work
- * with objectives they began when that was over, 338 to 472 s after they came, and less than half of a class was served. Whole
- * machines, as a few such tasks on each machine would leave none empty for tasks that take a whole one: with as many cores
- * spread over all machines, such a class met its objective for 0.38 of its jobs in place of 0.91.
+ * Reserves a fraction of a queue's machines on which starved jobs without an objective go first. Without it such jobs
+ * waited until the work with objectives was done: they began 338 to 472 s after their submission, and less than half of a
+ * class was served. Whole machines are reserved, because a few such tasks on every machine leave none empty for tasks
+ * that take a whole machine: with the same number of cores spread over all machines, a class of such tasks met its
+ * objective for 0.38 of its jobs instead of 0.91.
  */
 final class ReservedCapacity {
     private static final double RESERVED_FRACTION = 0.125;
     private static final Span SELECTION_LIFE = Span.seconds(1);
 
-    /** Counted at a moment; empty where no such job waits. The jobs are those with the least work left first. */
+    /** The reserved machines and eligible jobs, least remaining work first; no machines while no eligible job waits. */
     private record Selection(Set<MachineId> machines, List<Job> jobs, Moment at) {}
 
     private final Cluster cluster;
@@ -35,12 +36,12 @@
         this.estimates = estimates;
     }
 
-    /** Whether it has no objective, and has waited for so long that one task of any job should run. */
+    /** Returns whether the job has no objective and has waited so long that it counts as starved. */
     boolean isEligible(Job job, Moment now) {
         return objectives.hasNoObjective(job) && !job.spec.isService() && ServiceLevelObjectives.isStarved(job, now);
     }
 
-    /** Whether such jobs go first on the machine; selects machines and jobs anew once per {@link #SELECTION_LIFE}. */
+    /** Returns whether eligible jobs go first on the machine. The selection is renewed once per {@link #SELECTION_LIFE}. */
     boolean isReserved(Machine machine, FairShareQueue queue, List<Job> jobs, Moment now) {
         Selection selection = byQueue.get(queue);
         if (selection == null || !now.isBefore(selection.at.plus(SELECTION_LIFE))) {
@@ -55,8 +56,8 @@
     }
 
     /**
-     * The jobs that go first there, those with the least work left before others: most of a class are over before one large
-     * array is. That one goes on as soon as it is aged, or wherever there is room.
+     * Returns the jobs that go first on the reserved machines, least remaining work first, so that most jobs of a class
+     * end before one large array does. The large array runs once it is aged, or wherever else there is room.
      */
     List<Job> jobs(FairShareQueue queue) {
         return byQueue.get(queue).jobs;
@@ -68,7 +69,7 @@
                 * estimates.run(job).seconds();
     }
 
-    /** Those that do most such work already, so that they stay the same ones. */
+    /** Chooses the machines that already run the most eligible work, so that the choice changes little over time. */
     private Set<MachineId> choose(FairShareQueue queue, Moment now) {
         Map<Machine, Double> work = new HashMap<>();
         List<Machine> usable = new ArrayList<>();
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
@@ -7,11 +7,11 @@
 import java.util.List;
 
 /**
- * Which machines to return. The design's part: an idle machine whose paid term ends before the next check, unless a
- * waiting job of its queue can use it. Added to it: machines that will never be of use.
+ * Selects the machines to return to the cloud: idle machines whose paid term ends before the next check, unless a waiting
+ * job of their queue can use them, and machines that have failed or never came up.
  */
 final class ScaleInPolicy {
-    /** A machine that is to be returned, and why, as the log says it. */
+    /** A machine to return, and the reason that is logged. */
     record PlannedReturn(MachineId machine, String reason) {}
 
     private final Cluster cluster;
@@ -33,7 +33,7 @@
         this.failureDetector = failureDetector;
     }
 
-    /** The machines to return, each with the reason; they are RETURNING from now on. */
+    /** Selects the machines to return, each with its reason, and moves them to the RETURNING phase. */
     List<PlannedReturn> selectMachines(Moment now, boolean settled) {
         List<PlannedReturn> planned = new ArrayList<>();
         int up = 0;
@@ -56,7 +56,7 @@
         return planned;
     }
 
-    /** Why the machine is to be returned now; null if it is not. */
+    /** Returns why the machine has to be returned now, or null if it is kept. */
     private String reason(Machine machine, Moment now, boolean settled, boolean mostAreLost) {
         if (isUnreachable(machine, now)) {
             return "no-heartbeat-answers missed=" + machine.partition.missed();
@@ -68,7 +68,10 @@
         };
     }
 
-    /** Answers do not reach it, by its own fault or for longer than waiting for the network is worth. */
+    /**
+     * Returns whether the machine does not receive heartbeat answers and should be returned: either its zone is not
+     * partitioned, so the machine itself is at fault, or the partition has lasted longer than the timeout.
+     */
     private boolean isUnreachable(Machine machine, Moment now) {
         return machine.partition.isConfirmed()
                 && (!failureDetector.isZonePartitioned(machine.pool.zone())
@@ -84,7 +87,7 @@
         return failureDetector.isMachineFailure(machine, now) ? "silent-since-failover" : null;
     }
 
-    /** When most are silent the fault is likely between them and this leader: then they are kept. */
+    /** Keeps lost machines while most machines are lost, as the fault is then probably between them and this leader. */
     private String reasonWhileLost(Machine machine, Moment now, boolean mostAreLost) {
         return !mostAreLost && now.since(machine.lastHeardAt).compareTo(patience(machine)) > 0
                 ? "silent-since-lease-expiry"
@@ -111,10 +114,10 @@
     }
 
     /**
-     * How long a machine without a lease is paid for in the hope that it comes back. Where the network is at fault, that is
-     * until it has cost as much as another one would before it is of any use: its boot and the minimum paid time (ski-rental
-     * rule). Two fleets returned 400 machines seconds before a partition of 47 s ended, and waited half a minute for others
-     * to boot.
+     * Returns how long a lost machine is kept before it is returned. Behind a network partition it is kept until it has
+     * cost as much as a replacement does, which is the boot time and the minimum paid time (ski-rental rule). With a
+     * shorter timeout, two deployments returned 400 machines seconds before a partition of 47 s ended, and then waited
+     * half a minute for replacements to boot.
      */
     private Span patience(Machine machine) {
         Span alone = safetyTimes.leaseBound().times(1.5);
@@ -128,12 +131,12 @@
         return safetyTimes.leaseBound().plus(machine.type.boot()).plus(settings.minimumPaidTime());
     }
 
-    /** Whether the paid term ends before the next check. */
+    /** Returns whether the machine's paid term ends before the next check. */
     boolean termEnds(Machine machine, Moment now) {
         return remainingTerm(machine, now).compareTo(settings.checkPeriod()) <= 0;
     }
 
-    /** What is left of the paid term. */
+    /** Returns the time until the current paid term ends. */
     private Span remainingTerm(Machine machine, Moment now) {
         long beyond =
                 now.since(machine.rentedAt).ms() - settings.minimumPaidTime().ms();
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleOutRequest.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleOutRequest.java
@@ -2,5 +2,5 @@
 
 import io.indigoreach.core.model.MachinePool;
 
-/** A request for {@code count} more machines of a pool. */
+/** A request to rent {@code count} more machines from a pool. */
 public record ScaleOutRequest(MachinePool pool, int count) {}
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleOutTrigger.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleOutTrigger.java
@@ -6,7 +6,7 @@
 import io.indigoreach.core.model.Urgency;
 import java.util.Optional;
 
-/** When a queue scales out, and when a job no longer waits for spot machines. */
+/** Decides when a queue scales out, and when a job stops waiting for spot machines. */
 final class ScaleOutTrigger {
     private final DispatchRules rules;
     private final Estimates estimates;
@@ -20,7 +20,7 @@
         this.sizing = sizing;
     }
 
-    /** Whether the top job has no place or waits too long for one, or another job behind it does. */
+    /** Returns whether the top job has no place or waits too long for one, or a job behind it waits too long. */
     boolean mustScaleOut(FairShareQueue queue, Job top, Moment now) {
         Moment start = rules.reservations().of(queue, top, now).lastStart();
         return start == null
@@ -28,7 +28,10 @@
                 || queue.jobs().stream().anyMatch(job -> waitsTooLong(job, now) || bootsTooLate(job, now));
     }
 
-    /** Behind an urgent job that is served at once others may wait for ever: their wait is past the limit, not predicted. */
+    /**
+     * Compares the actual wait of a job with the limit, because jobs behind an urgent job that is served at once could
+     * otherwise wait for ever.
+     */
     private boolean waitsTooLong(Job job, Moment now) {
         return job.hasStartable()
                 && !job.isSuspectedFaulty()
@@ -37,9 +40,9 @@
     }
 
     /**
-     * Another exception (the paper's section 3 rents when the top job's predicted wait passes the limit): planned work is
-     * submitted as late as its prediction allows, a boot included. Behind a top job that is served soon the trigger would
-     * come only when that boot no longer fits before the departure.
+     * Extends the rule of section 3 of the paper, which rents machines when the predicted wait of the top job exceeds the
+     * limit. Planned work is submitted as late as its prediction allows, which includes a boot. Behind a top job that is
+     * served soon, that rule would scale out only when the boot no longer fits before the deadline.
      */
     private boolean bootsTooLate(Job job, Moment now) {
         if (!job.spec.isPlanned() || !job.hasStartable() || job.isSuspectedFaulty()) {
@@ -51,7 +54,7 @@
                 && rules.placement().mayStart(job, now);
     }
 
-    /** When a task would end on a machine that is requested after the wait limit. */
+    /** Returns when a task would end on a machine that is requested after the wait limit. */
     private Moment endOnNewMachine(Job job, MachineType type, Moment now) {
         return now.plus(type.boot())
                 .plus(estimates.run(job))
@@ -60,9 +63,9 @@
     }
 
     /**
-     * Spot machines are requested first in any case. Where none are to be had, an objective says how long the job may
-     * wait for one; without an objective that is the wait limit, or the design's rule would not hold: of 94 tasks all went
-     * one after the other over a single on-demand machine.
+     * Returns whether the job may use on-demand machines. Spot machines are always requested first; if there are none, the
+     * job waits for one as long as its objective allows. A job without a reachable objective waits for the wait limit at
+     * most: with a longer wait, 94 tasks ran one after another on a single on-demand machine.
      */
     boolean mayUseOnDemand(Job job, Moment now) {
         Span patience = job.urgency().isMoreUrgentThan(Urgency.STANDARD)
--- a/src/main/java/io/indigoreach/core/scheduling/SurplusRetention.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SurplusRetention.java
@@ -7,22 +7,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** Marks on-demand machines that are not needed as surplus, fewer at a time than the need goes down. */
+/** Marks on-demand machines that are no longer needed as surplus, more slowly than the need falls. */
 final class SurplusRetention {
-    /** Seconds in which the number of on-demand machines kept goes down by half. */
+    /** Time in which the number of retained on-demand machines halves, in seconds. */
     private static final double RETENTION_HALF_LIFE_S = 60;
 
     private record Kept(double machines, Moment at) {}
 
     private final Cluster cluster;
-    /** On-demand machines kept, per queue and type: the number follows the need up at once, and down over some time. */
+    /** On-demand machines retained per queue and type. The number rises with the need at once and decays slowly. */
     private final Map<String, Kept> retained = new HashMap<>();
 
     SurplusRetention(Cluster cluster) {
         this.cluster = cluster;
     }
 
-    /** On-demand machines beyond those needed take no new tasks, those with the fewest tasks first. */
+    /** Marks on-demand machines beyond the retained number as surplus, those with the fewest tasks first. */
     void markSurplus(FairShareQueue queue, Map<String, Backlog> backlogs, Map<String, TypeNeed> needs, Moment now) {
         Map<String, List<Machine>> onDemand = onDemandMachines(queue);
         boolean someNeedOnDemand = queue.jobs().stream().anyMatch(job -> job.hasWaiting() && !job.spec.spotAllowed());
@@ -55,16 +55,16 @@
         machines.sort(Comparator.comparingInt(Machine::taskCount));
         double left = surplus;
         for (Machine machine : machines) {
-            // One that holds replicas is paid for in any case, so the rest of it is used.
+            // A machine with service replicas is paid for anyway, so its free part stays in use.
             machine.markSurplus(CapacityForecast.heldByReplicas(machine) == 0 && left >= 1);
             left -= machine.surplus ? 1 : 0;
         }
     }
 
     /**
-     * How many to keep for a need. One returned and rented again costs a boot and the minimum paid time, so the number
-     * goes down by no more than half in that time. A new leader does not know what the machines that are there have been
-     * kept for, and begins with all of them.
+     * Returns how many machines to retain for a need. Returning a machine and renting another costs a boot and the minimum
+     * paid time, so the number falls by no more than half in that time. A new leader does not know the previous need, and
+     * begins with all present machines.
      */
     private double retained(String queueAndType, double needed, double present, Moment now) {
         Kept previous = retained.getOrDefault(queueAndType, new Kept(present, now));
--- a/src/main/java/io/indigoreach/core/scheduling/TypeNeed.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TypeNeed.java
@@ -1,19 +1,20 @@
 package io.indigoreach.core.scheduling;
 
-/** How many machines of one type a queue needs, by what its jobs accept. */
+/** Machines of one type that a queue needs, divided by the kinds of machines that its jobs accept. */
 final class TypeNeed {
-    /** The first job in the queue that may use spot machines, and the first that may not; null if there is none. */
+    /** The first job in the queue that may use spot machines, or null. */
     Job firstSpot;
-
+    /** The first job in the queue that may use only on-demand machines, or null. */
     Job firstOnDemand;
+    /** Machines of any kind that are needed. */
     double machines;
-    /** Of the machines, those for jobs that do not wait for spot capacity. */
+    /** The part of {@link #machines} for jobs that do not wait for spot capacity. */
     double onDemand;
-    /** Of these, those for jobs that may not use spot machines. */
+    /** The part of {@link #onDemand} for jobs that may not use spot machines. */
     double onDemandOnly;
-    /** Of the machines, those for the top short job. */
+    /** The part of {@link #machines} for the top short job. */
     double topShort;
-    /** The top short job does not wait for spot capacity, nor then do those behind it. */
+    /** Whether the top short job does not wait for spot capacity; the short jobs behind it then do not wait either. */
     boolean shortOnDemand;
 
     void add(Job job, double more, boolean mayUseOnDemand) {
@@ -32,12 +33,12 @@
         shortOnDemand |= mayUseOnDemand;
     }
 
-    /** The need of a job whose pools have all just refused: it does not say in which zones machines are requested. */
+    /** Adds the need of a job whose pools have all refused requests; it does not determine the zones of the requests. */
     void addRefused(double more, boolean mayUseOnDemand) {
         onDemand += mayUseOnDemand ? more : 0;
     }
 
-    /** Machines for the short jobs behind the top one. */
+    /** Adds machines for the short jobs behind the top short job. */
     void addShortBacklog(double more) {
         machines += more;
         onDemand += shortOnDemand ? more : 0;
--- a/src/main/java/io/indigoreach/core/scheduling/WarmCapacity.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WarmCapacity.java
@@ -6,33 +6,39 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Decides which machines are kept ahead of the work that will need them. Without pools it is {@link #NONE}, which keeps none. */
+/** Decides which machines are kept ready for expected work. {@link #NONE}, used without warm pools, keeps no machines. */
 public interface WarmCapacity {
     WarmCapacity NONE = new WarmCapacity() {};
 
-    /** Once a check, before idle machines are returned: {@code termEnds} tells those whose paid term ends before the next. */
+    /**
+     * Plans the pools once per check, before idle machines are returned. {@code termEnds} matches machines whose paid term
+     * ends before the next check.
+     */
     default void plan(Collection<Machine> machines, Collection<Job> jobs, Predicate<Machine> termEnds, Moment now) {}
 
-    /** It is paid for ahead of its work, and stays though nothing that waits can use it. */
+    /** Returns whether a machine is kept for expected work even if no waiting job can use it. */
     default boolean isRetained(Machine machine) {
         return false;
     }
 
-    /** What to rent beside what the queue needs; at most one request to a pool of machines. */
+    /** Returns the machines to rent beyond the need of the queue, with at most one request per machine pool. */
     default List<ScaleOutRequest> scaleOutRequests(Moment now) {
         return List.of();
     }
 
-    /** A team waits for its guarantee, and this machine can serve it. */
+    /** Gives up the machine to a team that waits for its guaranteed cores and can use it. */
     default void yield(Machine machine, Moment now) {}
 
-    /** The cloud has no capacity in this pool. */
+    /** Records that the cloud has no capacity in the machine pool. */
     default void scaleOutRejected(MachinePool pool) {}
 
-    /** A task is commanded to start there. */
+    /** Records that a task of the job has been commanded to start on the machine. */
     default void taskStarting(Job job, Machine machine) {}
 
-    /** Whether it is known which machines are kept: before that the tasks that hold images on them are not stopped. */
+    /**
+     * Returns whether it is known which machines are kept. Before that, tasks that hold images on machines are not
+     * stopped.
+     */
     default boolean isKnown() {
         return false;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/ZoneSpreading.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ZoneSpreading.java
@@ -8,9 +8,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** In which zones machines are requested, given the pools that have refused a request lately. */
+/** Distributes machine requests over the zones, without pools that have recently refused a request. */
 final class ZoneSpreading {
-    /** Machines per request. */
+    /** Maximum number of machines per request. */
     static final int MACHINES_PER_REQUEST = 50;
 
     private final Cluster cluster;
@@ -24,12 +24,12 @@
         this.refusalBackoff = refusalBackoff;
     }
 
-    /** The cloud had no machine of the pool: it is not asked again for some time. */
+    /** Records that the pool had no capacity. No request is sent to it until the refusal backoff has passed. */
     void refused(MachinePool pool, Moment now) {
         refusedUntil.put(pool, now.plus(refusalBackoff));
     }
 
-    /** Whether requesting machines of the pool is of use now. */
+    /** Returns whether a request to the pool may succeed now. */
     boolean mayRequest(MachinePool pool, Moment now) {
         return !isRefused(pool, now) && !failureDetector.isZoneCutOff(pool.zone());
     }
@@ -39,7 +39,7 @@
         return until != null && now.isBefore(until);
     }
 
-    /** Whether a pool that the job may use has not just refused. */
+    /** Returns whether at least one pool that the job may use has not recently refused a request. */
     boolean canBeRented(Job job, MachineType type, Moment now) {
         return type.zones().stream()
                 .filter(zone -> JobSizing.mayRunIn(job, zone))
@@ -48,8 +48,9 @@
     }
 
     /**
-     * Distributes {@code count} machines over the zones, a request at a time, the zone with the fewest machines first;
-     * pools that just refused are left out. Adds them to {@code wanted}; returns false if no pool can be asked.
+     * Distributes {@code count} machines over the zones, one request at a time, the zone with the fewest machines first.
+     * Pools that recently refused a request are left out. Adds the machines to {@code wanted}, and returns false if no
+     * pool accepts requests.
      */
     boolean spread(Job job, MachineType type, boolean spot, int count, Moment now, Map<MachinePool, Integer> wanted) {
         Map<MachinePool, Integer> present = new LinkedHashMap<>();
