--- a/src/main/java/io/indigoreach/core/scheduling/ArrivalRate.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ArrivalRate.java
@@ -14,9 +14,13 @@
  */
 final class ArrivalRate {
     private static final int WINDOW_PARTS = 6;
-    /** Minimum length of the observed window as a fraction of the maximum; arrivals in less time count for this much. */
+    /**
+     * Minimum length of the observed window as a fraction of the maximum; arrivals in less time count for this much.
+     */
     private static final double MINIMUM_WINDOW_FRACTION = 0.67;
-    /** Windows over which the mean job size is taken: it needs more samples than the rate, as job sizes vary far more. */
+    /**
+     * Windows over which the mean job size is taken: it needs more samples than the rate, as job sizes vary far more.
+     */
     private static final double REMEMBERED_WINDOWS = 5;
 
     private Moment began;
--- a/src/main/java/io/indigoreach/core/scheduling/Backlog.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Backlog.java
@@ -1,6 +1,8 @@
 package io.indigoreach.core.scheduling;
 
-/** Sums the waiting work for one machine type in queue order, in machine seconds, and the on-demand machines it needs. */
+/**
+ * Sums the waiting work for one machine type in queue order, in machine seconds, and the on-demand machines it needs.
+ */
 final class Backlog {
     final CapacityForecast spot;
     final CapacityForecast onDemand;
@@ -16,7 +18,9 @@
         this.arrivalLoad = arrivalLoad;
     }
 
-    /** Returns how many on-demand machines are needed so that all work added so far starts in time for its objectives. */
+    /**
+     * Returns how many on-demand machines are needed so that all work added so far starts in time for its objectives.
+     */
     double onDemandNeeded() {
         return onDemandNeeded;
     }
@@ -46,15 +50,17 @@
         onDemandNeeded = Math.max(onDemandNeeded, more + used);
     }
 
-    /** Raises the need so that the whole queue is served within {@code limitSeconds}, and the arrival load at any time. */
+    /**
+     * Raises the need so that the whole queue is served within {@code limitSeconds}, and the arrival load at any time.
+     */
     void mustBeServedWithin(double limitSeconds) {
         double whole = Math.floor(work / limitSeconds) - spot.machines();
         onDemandNeeded = Math.max(onDemandNeeded, Math.max(whole, arrivalLoad - spot.machines()));
     }
 
     /**
-     * Returns the machines for short work, given in machine seconds, that the busy machines cannot begin within the wait
-     * limit. Idle and booting machines do not count here, because they are subtracted from the total need.
+     * Returns the machines for short work, given in machine seconds, that the busy machines cannot begin within the
+     * wait limit. Idle and booting machines do not count here, because they are subtracted from the total need.
      */
     double machinesForShortWork(double shortWork, double waitLimitSeconds, double minimumPaidSeconds) {
         double served = spot.busyUntil(waitLimitSeconds) + onDemand.busyUntil(waitLimitSeconds);
--- a/src/main/java/io/indigoreach/core/scheduling/BacklogEstimator.java
+++ b/src/main/java/io/indigoreach/core/scheduling/BacklogEstimator.java
@@ -62,7 +62,9 @@
         return CapacityForecast.of(cluster, queue, type, spot, estimates, settings.bootPatience(), now);
     }
 
-    /** Returns how many machines arriving jobs keep busy whose objectives fall due before a rented machine would be up. */
+    /**
+     * Returns how many machines arriving jobs keep busy whose objectives fall due before a rented machine would be up.
+     */
     private double arrivalLoad(FairShareQueue queue, MachineType type, Moment now) {
         return queue.arrivalRate()
                 .perSecond(
--- a/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
@@ -20,7 +20,10 @@
  * stopping a task to drain its machine.
  */
 final class Consolidation {
-    /** Fraction of the machines that may start draining per check, so that moved tasks run again before others are moved. */
+    /**
+     * Fraction of the machines that may start draining per check, so that moved tasks run again before others are
+     * moved.
+     */
     private static final double MAX_DRAINING_FRACTION = 0.02;
     /** A task is moved only if its remaining run time is at least this multiple of the time that the move takes. */
     private static final double MIN_REMAINING_PER_MOVE = 3;
@@ -117,7 +120,8 @@
 
     /**
      * Returns whether all tasks of the machine can be moved. A task that started recently is not moved, so that no task
-     * is moved repeatedly, nor is one whose placement depends on the other tasks of its job.
+     * is moved repeatedly. Tasks that would lose their progress, that end soon, or whose placement depends on the other
+     * tasks of their job are not moved either.
      */
     private boolean isMovable(Machine machine, Moment now) {
         for (Placement placement : machine.placements().values()) {
@@ -173,7 +177,10 @@
                 && !FaultAttribution.isExcluded(job, machine);
     }
 
-    /** Returns the commands that stop the tasks of a draining machine. Their jobs then wait for a machine with their image. */
+    /**
+     * Returns the commands that stop the tasks of a draining machine. Their jobs then wait for a machine with their
+     * image.
+     */
     List<WorkerCommand> drainCommands(Machine machine, Moment now) {
         List<WorkerCommand> commands = new ArrayList<>();
         if (machine.draining && isMovable(machine, now) && rules.cordons().isCordoned(machine, now)) {
--- a/src/main/java/io/indigoreach/core/scheduling/JobSizing.java
+++ b/src/main/java/io/indigoreach/core/scheduling/JobSizing.java
@@ -7,7 +7,9 @@
 
 /** Chooses the machine type for a job and computes how many machines its tasks need. */
 final class JobSizing {
-    /** Fraction of the owner's estimate that counts for short jobs until a task of their class has been observed to end. */
+    /**
+     * Fraction of the owner's estimate that counts for short jobs until a task of their class has been observed to end.
+     */
     private static final double UNSEEN_ESTIMATE_FRACTION = 1.0 / 3;
 
     private final Cluster cluster;
@@ -57,14 +59,17 @@
     }
 
     /**
-     * Returns the run time of a task in machine seconds, reduced while only the owner's estimate is known. Estimates are
-     * often three times too long and would then rent machines that find no work.
+     * Returns the run time of a task in machine seconds, reduced while only the owner's estimate is known. Estimates
+     * are often three times too long and would then rent machines that find no work.
      */
     double confidentMachineSeconds(Job job, MachineType type) {
         return machineSeconds(job, type) * (estimates.hasSeen(job) ? 1 : UNSEEN_ESTIMATE_FRACTION);
     }
 
-    /** Returns the machines for {@code tasks}; tasks shorter than the minimum paid time run one after another on a machine. */
+    /**
+     * Returns the machines for {@code tasks}; tasks shorter than the minimum paid time run one after another on a
+     * machine.
+     */
     double machinesFor(Job job, MachineType type, int tasks) {
         int perMachine = tasksPerMachine(job, type);
         double runSeconds = estimates.run(job).seconds();
--- a/src/main/java/io/indigoreach/core/scheduling/PoolMembership.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PoolMembership.java
@@ -64,9 +64,9 @@
     }
 
     /**
-     * Returns whether a task may start on the machine. Tasks with the pool's image always may. Other tasks may start only
-     * after the image is cached, because a second fetch would slow it down, if their own image fits beside it, and if
-     * they leave room for a replica or end within twice their estimate before a replica is expected.
+     * Returns whether a task may start on the machine. Tasks with the pool's image always may. Other tasks may start
+     * only after the image is cached, because a second fetch would slow it down, if their own image fits beside it, and
+     * if they leave room for a replica or end within twice their estimate before a replica is expected.
      */
     public boolean admits(JobSpec spec, ImageCache cache, Demand free) {
         if (spec.image().equals(image)) {
--- a/src/main/java/io/indigoreach/core/scheduling/Preemption.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Preemption.java
@@ -36,9 +36,9 @@
     }
 
     /**
-     * Returns the commands that stop tasks on the machine to make room for a more urgent top job, if too few places come
-     * free soon without them. Candidates are tasks that save their progress and, if the top job is about to miss an
-     * objective on its start, tasks that have just begun.
+     * Returns the commands that stop tasks on the machine to make room for a more urgent top job, if too few places
+     * come free soon without them. Candidates are tasks that save their progress and, if the top job is about to miss
+     * an objective on its start, tasks that have just begun.
      */
     List<WorkerCommand> preempt(Machine machine, Moment now) {
         List<WorkerCommand> commands = guarantees.preemptBorrowedWork(machine, now);
@@ -63,7 +63,9 @@
                 && !rules.placement().awaitsImageLocality(top, machine, now);
     }
 
-    /** Urgent jobs may preempt others, and so may jobs whose objective falls due before a rented machine would be up. */
+    /**
+     * Urgent jobs may preempt others, and so may jobs whose objective falls due before a rented machine would be up.
+     */
     private boolean mayPreempt(Job top, MachineType type) {
         return top.urgency().isMoreUrgentThan(Urgency.STANDARD) || rules.order().isObjectiveTooNearToRent(top, type);
     }
@@ -107,7 +109,10 @@
                 && estimates.end(placement, now).since(now).compareTo(grace) > 0;
     }
 
-    /** A task that loses its progress is stopped only if it has just begun and the top job is about to miss its objective. */
+    /**
+     * A task that loses its progress is stopped only if it has just begun and the top job is about to miss its
+     * objective.
+     */
     private boolean losesLittle(Placement placement, Job top, Moment now) {
         return shortages.timeToStart(top, now).ms() > 0
                 && now.since(placement.stateSince).compareTo(MAXIMUM_LOST_RUN) <= 0
--- a/src/main/java/io/indigoreach/core/scheduling/ReservedCapacity.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ReservedCapacity.java
@@ -13,8 +13,8 @@
 
 /**
  * Reserves a fraction of a queue's machines on which starved jobs without an objective go first. Without it such jobs
- * waited until the work with objectives was done: they began 338 to 472 s after their submission, and less than half of a
- * class was served. Whole machines are reserved, because a few such tasks on every machine leave none empty for tasks
+ * waited until the work with objectives was done: they began 338 to 472 s after their submission, and less than half of
+ * a class was served. Whole machines are reserved, because a few such tasks on every machine leave none empty for tasks
  * that take a whole machine: with the same number of cores spread over all machines, a class of such tasks met its
  * objective for 0.38 of its jobs instead of 0.91.
  */
@@ -41,7 +41,9 @@
         return objectives.hasNoObjective(job) && !job.spec.isService() && ServiceLevelObjectives.isStarved(job, now);
     }
 
-    /** Returns whether eligible jobs go first on the machine. The selection is renewed once per {@link #SELECTION_LIFE}. */
+    /**
+     * Returns whether eligible jobs go first on the machine. The selection is renewed once per {@link #SELECTION_LIFE}.
+     */
     boolean isReserved(Machine machine, FairShareQueue queue, List<Job> jobs, Moment now) {
         Selection selection = byQueue.get(queue);
         if (selection == null || !now.isBefore(selection.at.plus(SELECTION_LIFE))) {
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Selects the machines to return to the cloud: idle machines whose paid term ends before the next check, unless a waiting
- * job of their queue can use them, and machines that have failed or never came up.
+ * Selects the machines to return to the cloud: idle machines whose paid term ends before the next check, unless a
+ * waiting job of their queue can use them, and machines that were lost, never came up or make tasks fail.
  */
 final class ScaleInPolicy {
     /** A machine to return, and the reason that is logged. */
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleOutTrigger.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleOutTrigger.java
@@ -40,9 +40,9 @@
     }
 
     /**
-     * Extends the rule of section 3 of the paper, which rents machines when the predicted wait of the top job exceeds the
-     * limit. Planned work is submitted as late as its prediction allows, which includes a boot. Behind a top job that is
-     * served soon, that rule would scale out only when the boot no longer fits before the deadline.
+     * Extends the rule of section 3 of the paper, which rents machines when the predicted wait of the top job exceeds
+     * the limit. Planned work is submitted as late as its prediction allows, which includes a boot. Behind a top job
+     * that is served soon, that rule would scale out only when the boot no longer fits before the deadline.
      */
     private boolean bootsTooLate(Job job, Moment now) {
         if (!job.spec.isPlanned() || !job.hasStartable() || job.isSuspectedFaulty()) {
@@ -63,9 +63,9 @@
     }
 
     /**
-     * Returns whether the job may use on-demand machines. Spot machines are always requested first; if there are none, the
-     * job waits for one as long as its objective allows. A job without a reachable objective waits for the wait limit at
-     * most: with a longer wait, 94 tasks ran one after another on a single on-demand machine.
+     * Returns whether the job may use on-demand machines. Spot machines are always requested first; if there are none,
+     * the job waits for the spot patience of its urgency. A job without a reachable objective waits for the wait limit
+     * at most: with a longer wait, 94 tasks ran one after another on a single on-demand machine.
      */
     boolean mayUseOnDemand(Job job, Moment now) {
         Span patience = job.urgency().isMoreUrgentThan(Urgency.STANDARD)
--- a/src/main/java/io/indigoreach/core/scheduling/SurplusRetention.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SurplusRetention.java
@@ -62,9 +62,9 @@
     }
 
     /**
-     * Returns how many machines to retain for a need. Returning a machine and renting another costs a boot and the minimum
-     * paid time, so the number falls by no more than half in that time. A new leader does not know the previous need, and
-     * begins with all present machines.
+     * Returns how many machines to retain for a need. Returning a machine and renting another costs a boot and the
+     * minimum paid time, so the number falls by no more than half in that time. A new leader does not know the previous
+     * need, and begins with all present machines.
      */
     private double retained(String queueAndType, double needed, double present, Moment now) {
         Kept previous = retained.getOrDefault(queueAndType, new Kept(present, now));
--- a/src/main/java/io/indigoreach/core/scheduling/TypeNeed.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TypeNeed.java
@@ -33,7 +33,9 @@
         shortOnDemand |= mayUseOnDemand;
     }
 
-    /** Adds the need of a job whose pools have all refused requests; it does not determine the zones of the requests. */
+    /**
+     * Adds the need of a job whose pools have all refused requests; it does not determine the zones of the requests.
+     */
     void addRefused(double more, boolean mayUseOnDemand) {
         onDemand += mayUseOnDemand ? more : 0;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/WarmCapacity.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WarmCapacity.java
@@ -6,13 +6,15 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Decides which machines are kept ready for expected work. {@link #NONE}, used without warm pools, keeps no machines. */
+/**
+ * Decides which machines are kept ready for expected work. {@link #NONE}, used without warm pools, keeps no machines.
+ */
 public interface WarmCapacity {
     WarmCapacity NONE = new WarmCapacity() {};
 
     /**
-     * Plans the pools once per check, before idle machines are returned. {@code termEnds} matches machines whose paid term
-     * ends before the next check.
+     * Plans the pools once per check, before idle machines are returned. {@code termEnds} matches machines whose paid
+     * term ends before the next check.
      */
     default void plan(Collection<Machine> machines, Collection<Job> jobs, Predicate<Machine> termEnds, Moment now) {}
 
--- a/src/main/java/io/indigoreach/core/scheduling/ZoneSpreading.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ZoneSpreading.java
@@ -48,9 +48,9 @@
     }
 
     /**
-     * Distributes {@code count} machines over the zones, one request at a time, the zone with the fewest machines first.
-     * Pools that recently refused a request are left out. Adds the machines to {@code wanted}, and returns false if no
-     * pool accepts requests.
+     * Distributes {@code count} machines over the zones, one request at a time, the zone with the fewest machines
+     * first. Pools that recently refused a request are left out. Adds the machines to {@code wanted}, and returns false
+     * if no pool accepts requests.
      */
     boolean spread(Job job, MachineType type, boolean spot, int count, Moment now, Map<MachinePool, Integer> wanted) {
         Map<MachinePool, Integer> present = new LinkedHashMap<>();
--- a/src/test/java/io/indigoreach/core/scheduling/ConsolidationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ConsolidationTest.java
@@ -20,13 +20,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tasks are moved together when little waits: on two fleets a fifth of what was paid was idle, a task on each machine. */
+/**
+ * Tests that tasks are moved onto fewer machines while few tasks wait. Without this, two deployments paid for machines
+ * with one task each, and a fifth of the paid capacity was idle.
+ */
 class ConsolidationTest {
     private final SimulatedWorld w = new SimulatedWorld();
     private TaskStatus[] onA;
     private TaskStatus[] onB;
 
-    /** Three or so tasks on machine a, one on b, each of one of four cores. */
+    /**
+     * Starts {@code tasksOnA} tasks on machine a and one task on machine b, each using one of the machine's four cores.
+     */
     private void place(int tasksOnA, double estimate, double saveEvery, boolean oneZone) {
         w.core.recordsLoaded();
         w.up("a", "east", 0);
@@ -45,13 +50,13 @@
 
     @ParameterizedTest
     @CsvSource({
-        "3, 300, 10, false, 40, 0, true,  it is moved to a",
+        "3, 300, 10, false, 40, 0, true,  the task is moved to a",
         "4, 300, 10, false, 40, 0, false, a is full",
-        "3, 300, 0,  false, 40, 0, false, it would lose its work",
-        "3, 300, 10, false, 20, 0, false, it has hardly run",
-        "3, 55,  10, false, 40, 0, false, it ends soon",
-        "3, 300, 10, true,  40, 0, false, its place depends on others",
-        "3, 300, 10, false, 40, 2, false, what waits needs the room"
+        "3, 300, 0,  false, 40, 0, false, the task would lose its progress",
+        "3, 300, 10, false, 20, 0, false, the task started recently",
+        "3, 55,  10, false, 40, 0, false, the task ends soon",
+        "3, 300, 10, true,  40, 0, false, the placement depends on other tasks",
+        "3, 300, 10, false, 40, 2, false, waiting tasks need the free cores"
     })
     void isMovedWhereThatIsWorthIt(
             int tasksOnA,
@@ -72,25 +77,25 @@
         assertEquals(List.of(), stops(w.hear("a", when, onA)), why);
     }
 
-    /** It starts on the fuller machine, not where it came from; and is not started before it has surely stopped. */
+    /** A moved task starts on the fuller machine and not on its previous one, and only after its stop is confirmed. */
     @Test
     void startsWhereItWasMovedTo() {
         place(3, 300, 10, false);
         hearBoth(39);
         w.core.planScaleIn(at(40));
         WorkerCommand stop = w.hear("b", 40, onB).get(0);
-        assertEquals(List.of(), starts(w.hear("a", 41, onA)), "it is still saving");
+        assertEquals(List.of(), starts(w.hear("a", 41, onA)), "the task is still saving its progress");
         w.core.planScaleIn(at(42));
-        assertEquals(List.of(), starts(w.hear("b", 42, exited(stop, ExitCause.STOPPED))), "b is being emptied");
+        assertEquals(List.of(), starts(w.hear("b", 42, exited(stop, ExitCause.STOPPED))), "b is being drained");
         assertEquals(List.of("run-2/0"), starts(w.hear("a", 43, onA)));
         w.core.planScaleIn(at(58));
         assertEquals(
                 List.of("b"),
                 w.core.machinesToReturn(9).stream().map(MachineId::toString).toList(),
-                "returned with its term");
+                "b is returned at the end of its paid term");
     }
 
-    /** One task of four cores fits b only; five of one core are more than the three places on a that are left beside. */
+    /** A task of four cores fits only on b, and five tasks of one core exceed the three free cores of a. */
     @ParameterizedTest
     @CsvSource({"1, 1, 0", "2, 1, 0", "5, 1, 4", "1, 4, 1"})
     void anIdleMachineIsLeftAsideWhileOthersHaveRoom(int tasks, double cores, int started) {
@@ -103,7 +108,10 @@
         assertEquals(Math.min(3, tasks - started), starts(w.hear("a", 7, onA)).size());
     }
 
-    /** The replicas of the water kiosks were down longer: they could not use the room that they were left to. */
+    /**
+     * Guards against cordoning an idle machine while a service replica waits. Replicas were down longer when the
+     * machine was kept cordoned because other machines had free cores, which the replicas were not able to use.
+     */
     @Test
     void aReplicaIsNotKeptFromAnIdleMachine() {
         place(1, 300, 10, false);
@@ -113,7 +121,7 @@
         assertEquals(List.of("run-3/0"), starts(w.hearOrdinary("c", 6)));
     }
 
-    /** The machine that is given up without need goes first: an ordinary one costs four times as much. */
+    /** A surplus on-demand machine is drained before a spot machine, as it costs four times as much. */
     @Test
     void theDearestMachineIsEmptiedFirst() {
         place(2, 300, 10, false);
@@ -124,6 +132,6 @@
         w.hearOrdinary("c", 39, onC);
         w.core.planScaleIn(at(40));
         assertEquals(List.of("run-4/0"), stops(w.hearOrdinary("c", 40, onC)));
-        assertEquals(List.of(), stops(w.hear("b", 40, onB)), "one at a time of so few");
+        assertEquals(List.of(), stops(w.hear("b", 40, onB)), "with so few machines, one is drained at a time");
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
@@ -30,8 +30,9 @@
 import java.util.TreeMap;
 
 /**
- * A deployment in simulated steps of a second round the real core: jobs come, machines of four cores boot for 20 steps and
- * report every second one, pools run out. Nothing is random: the same classes give the same run.
+ * Simulates a deployment around the real scheduler core in steps of one second. Jobs arrive, machines of four cores
+ * boot for 20 steps and report every second step, and machine pools have limited capacity. The simulation uses no
+ * random numbers, so the same workloads give the same run.
  */
 public final class CoreHarness implements SchedulerListener {
     static final SchedulerSettings STANDARD = new SchedulerSettings(
@@ -48,10 +49,13 @@
             1.4,
             Span.seconds(10));
     private static final int BOOT = 20;
-    /** Of the clock: the first step is not at its beginning, where nothing could have come before. */
+    /** Clock value of the first step, in seconds. It is not zero, so that events may lie before the first step. */
     private static final int BEGIN = 1000;
 
-    /** Jobs of a class: {@code atStart} in the first step, {@code perStep} a step from {@code from} to {@code until}. */
+    /**
+     * The jobs of one class: {@code atStart} jobs arrive in the first step, and {@code perStep} jobs in each step from
+     * {@code from} until {@code until}.
+     */
     public record Kind(
             String name,
             String team,
@@ -94,7 +98,7 @@
                     name, team, urgency, perStep, atStart, begin, end, tasks, run, cores, saves, shape, estimate);
         }
 
-        /** Its owners' estimates are so many times what tasks take. */
+        /** Returns the same workload with estimates of {@code times} the actual run time. */
         public Kind estimated(double times) {
             return new Kind(name, team, urgency, perStep, atStart, from, until, tasks, run, cores, saves, shape, times);
         }
@@ -110,7 +114,7 @@
         }
     }
 
-    /** A job: when it came, how many of its tasks have started, when the last one did, and when it was over. */
+    /** The history of a job: its arrival, the start of each task, and its end. */
     static final class Fate {
         final JobSpec spec;
         final int came;
@@ -135,7 +139,7 @@
         final MachinePool pool;
         final int up;
         final Map<WorkerCommand, Integer> tasks = new LinkedHashMap<>();
-        /** Tasks that were told to stop. */
+        /** Tasks that were commanded to stop and have not reported it. */
         final List<TaskId> stopping = new ArrayList<>();
 
         Box(MachinePool pool, int up) {
@@ -183,7 +187,7 @@
         newLeader();
     }
 
-    /** The leader ends and another begins with the records; every machine will report to it. */
+    /** Replaces the leader with a new one that has read all records and waits for the machines' heartbeats. */
     public void newLeader() {
         core = new SchedulerCore(new FencingToken(++token), SimulatedWorld.RULES, tuning, aims, teams, this);
         MachineType type = SimulatedWorld.TYPE;
@@ -221,12 +225,15 @@
         return this;
     }
 
-    /** Part of a class's jobs (or a team's) that were over within so many steps; those that came later do not count. */
+    /**
+     * Returns the fraction of a class's or team's jobs that ended in time, of those that arrived at least that long
+     * ago.
+     */
     double served(String name, int within) {
         return served(name, within, 0);
     }
 
-    /** The same of those that came from a step on. */
+    /** Returns the same fraction for jobs that arrived at step {@code from} or later. */
     double served(String name, int within, int from) {
         List<Fate> all = fates.values().stream()
                 .filter(f -> f.spec.kind() == JobKind.ARRAY
@@ -240,7 +247,7 @@
                 / (double) all.size();
     }
 
-    /** The longest that a job which came from this step on has waited until its last task started. */
+    /** Returns the longest wait until the last task started, of the jobs that arrived at step {@code from} or later. */
     int longestWait(String name, int from) {
         return fates.values().stream()
                 .filter(f -> f.came >= from && f.spec.jobClass().equals(name))
@@ -249,7 +256,7 @@
                 .orElse(0);
     }
 
-    /** The longest that a job of a class has waited until its first task started. */
+    /** Returns the longest wait of the class's jobs until the first task started. */
     int latestBegin(String name) {
         return fates.values().stream()
                 .filter(f -> f.spec.jobClass().equals(name))
--- a/src/test/java/io/indigoreach/core/scheduling/FleetCostTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FleetCostTest.java
@@ -22,8 +22,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What a second of reports costs, counted in machines looked at. Guards against decisions that walk the whole fleet
- * for each report: at 450 machines and a tenth of a core that is all the processor there is.
+ * Measures the cost of one second of heartbeats in machines visited. Guards against decisions that iterate over the
+ * whole fleet for each heartbeat, which with 450 machines uses all of the processor time when the scheduler has a tenth
+ * of a core.
  */
 class FleetCostTest {
     @ParameterizedTest
@@ -37,13 +38,16 @@
             stops += SimulatedWorld.stops(w.hear("m" + i, 40 + 0.9 * i / machines, tasks.get("m" + i)))
                     .size();
         }
-        assertTrue(stops > machines / 2, stops + " tasks make room");
+        assertTrue(stops > machines / 2, stops + " tasks were stopped");
         assertTrue(
                 w.core.machineVisits() - before <= 10L * machines,
                 (w.core.machineVisits() - before) + " machines looked at");
     }
 
-    /** The same where another team waits for its guarantee: each report walked all machines to see what comes free. */
+    /**
+     * Guards against a visit of all machines per heartbeat to count places that come free, while another team waits for
+     * its guaranteed cores.
+     */
     @ParameterizedTest
     @ValueSource(ints = {50, 500})
     void guaranteesDoNotWalkTheFleet(int machines) {
@@ -70,13 +74,13 @@
             stops += SimulatedWorld.stops(w.hear("m" + i, 5 + 0.9 * i / machines, tasks.get("m" + i)))
                     .size();
         }
-        assertTrue(stops >= machines, stops + " tasks make room");
+        assertTrue(stops >= machines, stops + " tasks were stopped");
         assertTrue(
                 w.core.machineVisits() - before <= 10L * machines,
                 (w.core.machineVisits() - before) + " machines looked at");
     }
 
-    /** The fleet runs tasks that keep their progress, and urgent work waits that could take their place. */
+    /** Fills the fleet with tasks that save their progress, and submits an urgent job that may preempt them. */
     private static Map<String, TaskStatus[]> busy(SimulatedWorld w, int machines) {
         Map<String, TaskStatus[]> all = new HashMap<>();
         w.core.recordsLoaded();
@@ -92,7 +96,10 @@
         return all;
     }
 
-    /** A new leader starts nothing inherited before the last of 500 machines has reported, and everything after it. */
+    /**
+     * A new leader starts no inherited task until the last of 500 machines has reported, and starts them all after
+     * that.
+     */
     @Test
     void aTakeOverOfAWholeFleetSettlesWithItsLastReport() {
         SimulatedWorld w = new SimulatedWorld();
--- a/src/test/java/io/indigoreach/core/scheduling/ScaleOutTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ScaleOutTest.java
@@ -21,9 +21,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The design's two decisions about money: how much to rent, and what to return. */
+/** Tests how many machines are rented, of which kind, and which machines are returned. */
 class ScaleOutTest {
-    /** Jobs as "tasks x estimate", one core each, four to a machine: BestSize with a short cut of 60 s. */
+    /** Jobs are written as tasks x estimate. A machine runs four tasks, and jobs below 60 s count as short. */
     @ParameterizedTest
     @CsvSource({
         "8x100,               2",
@@ -60,8 +60,9 @@
     }
 
     /**
-     * A job that failed on the only machine there is needs another one, though that machine is idle: it waited until the
-     * machine's paid minute was over (found by the emulator's fault "spoil").
+     * An idle machine on which the only waiting job has failed does not count as available. Otherwise the job waits
+     * until that machine's minimum paid time is over before another one is rented. The emulator's fault "spoil"
+     * triggers this.
      */
     @Test
     void anIdleMachineWhereTheJobHasFailedIsNoPlaceForIt() {
@@ -79,7 +80,7 @@
                         .mapToInt(ScaleOutRequest::count)
                         .sum());
         w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("b")), at(5), at(5));
-        assertEquals(List.of(), w.core.scaleOutRequests(at(7)), "one is enough");
+        assertEquals(List.of(), w.core.scaleOutRequests(at(7)), "the booting machine is enough");
     }
 
     @Test
@@ -95,10 +96,13 @@
         assertEquals(List.of(), w.core.scaleOutRequests(at(4)));
         w.submit(with(spec(3, 4, 1, 200), Urgency.HIGH, true, false, true, "west", 0), 5);
         assertEquals(
-                "west", w.core.scaleOutRequests(at(6)).get(0).pool().zone(), "no machine can ever take the top job");
+                "west", w.core.scaleOutRequests(at(6)).get(0).pool().zone(), "no present machine can ever run the top job");
     }
 
-    /** Planned work comes as late as its prediction allows: the trigger would come when a boot no longer fits before its deadline. */
+    /**
+     * Planned work is submitted as late as its prediction allows. Waiting for the wait limit before scaling out would
+     * leave no time for a boot before its deadline.
+     */
     @ParameterizedTest
     @CsvSource({"true, 60, 1", "true, 1000, 0", "false, 60, 0"})
     void plannedWorkRentsWhileItsBootStillFits(boolean planned, double dueS, int machines) {
@@ -153,7 +157,7 @@
         assertEquals(false, w.core.scaleOutRequests(at(62)).get(0).pool().spot());
     }
 
-    /** A queue that spot machines cannot drain in 300 s gets ordinary ones at once (incident inc-5d96). */
+    /** A queue that spot machines do not serve within 300 s gets on-demand machines at once (incident inc-5d96). */
     @ParameterizedTest
     @CsvSource({"24, 0", "48, 2", "80, 4"})
     void aLongBacklogTakesOrdinaryMachines(int tasks, int ordinary) {
@@ -170,7 +174,7 @@
                         .sum());
     }
 
-    /** A machine rented at 0 with terms of 60 s, checked every 5 s. */
+    /** The machine is rented at 0 s with paid terms of 60 s, and checked every 5 s. */
     @ParameterizedTest
     @CsvSource({"30, false, 0", "54, false, 0", "56, false, 1", "90, false, 0", "116, false, 1", "56, true, 0"})
     void idleMachinesGoAtTheEndOfTheirTermUnlessAWaitingJobCanUseThem(double at, boolean waiting, int returned) {
@@ -208,8 +212,8 @@
     }
 
     /**
-     * An ordinary machine beyond the need gets no new tasks, but not at once (incident inc-bdad): after a need of two
-     * that is over, seconds later, one is still filled.
+     * An on-demand machine beyond the need gets no new tasks, but only after some time (incident inc-bdad): one of two
+     * machines still gets tasks for a minute or two after the need for them ended.
      */
     @ParameterizedTest
     @CsvSource({"0, 2", "45, 1", "90, 1", "400, 0"})
--- a/src/test/java/io/indigoreach/core/scheduling/SimulatedCluster.java
+++ b/src/test/java/io/indigoreach/core/scheduling/SimulatedCluster.java
@@ -26,12 +26,12 @@
 import java.util.Set;
 
 /**
- * Leaders that follow each other, the records that they leave, and machines of four cores with workers that keep to the
- * protocol: sessions, tokens, leases, results that are kept. Tests say when what happens; what breaks a rule on the workers'
- * side is noted.
+ * Simulates successive leaders, their records, and machines of four cores with workers that follow the worker protocol:
+ * sessions, fencing tokens, leases, and results that are kept until the leader reaps them. The test controls the order
+ * and time of all events. Violations of safety rules on the workers are collected.
  */
 public final class SimulatedCluster implements SchedulerListener {
-    /** A worker drops an answer after this long. */
+    /** Seconds after which a worker drops a late answer. */
     static final double PATIENCE_S = 4;
 
     private static final double LEASE_S = SimulatedWorld.RULES.workerLease().seconds();
@@ -43,11 +43,11 @@
         final Map<TaskId, TaskStatus> tasks = new LinkedHashMap<>();
         long session = 1;
         long token;
-        /** When its last answered report was sent. */
+        /** When the last heartbeat that got an answer was sent. */
         double answered;
-        /** Its reports arrive, answers don't. */
+        /** Whether answers to this machine are lost, while its heartbeats arrive. */
         boolean deaf;
-        /** The last report that it sent. */
+        /** The last heartbeat that the worker sent. */
         Heartbeat sent;
 
         private long serial;
@@ -139,7 +139,7 @@
         final BitSet done = new BitSet();
         int bound;
         boolean closed;
-        /** When its user was told that it is cancelled. */
+        /** When the cancellation was confirmed to the user. */
         double cancelled = Double.MAX_VALUE;
 
         Recorded(JobSpec spec) {
@@ -179,7 +179,7 @@
         return boxes.values();
     }
 
-    /** A new leader has taken the key and answers, and has not read the records yet. */
+    /** Starts a new leader that answers heartbeats and has not read the records yet. */
     void begin(double now) {
         core = new SchedulerCore(
                 new FencingToken(++token),
@@ -192,12 +192,12 @@
         begun = now;
     }
 
-    /** It has read them: every machine, every open job. */
+    /** Loads the records of every machine and every open job into the leader. */
     void load() {
         load(boxes.keySet());
     }
 
-    /** It has read them: these machines, every open job. */
+    /** Loads the records of the given machines and every open job into the leader. */
     void load(Collection<String> recordedMachines) {
         recordedMachines.forEach(name -> core.inheritMachine(
                 new MachineId(name), POOL, SimulatedWorld.at(-100), SimulatedWorld.at(-100), SimulatedWorld.at(begun)));
@@ -218,13 +218,16 @@
         core.addJob(new Job(spec, 1, SimulatedWorld.at(now), Revision.ABSENT, new BitSet(), 0, false));
     }
 
-    /** Its user is told that it is cancelled, and the leader has heard of it. */
+    /** Cancels a job: records it as closed and informs the leader. */
     void cancel(JobId id) {
         records.get(id).closed = true;
         core.cancelJob(id);
     }
 
-    /** The leader's answer to a report; null if there is none. Bounds are recorded before any order goes out. */
+    /**
+     * Returns the leader's answer to a heartbeat, or null if the leader does not answer it. Start bounds are recorded
+     * before any command is sent.
+     */
     Answer answer(Heartbeat heartbeat, double now) {
         List<Job> toRaise = core.startBoundsToRaise(SimulatedWorld.at(now));
         effects.boundsToRaise(toRaise);
@@ -245,7 +248,7 @@
                 : new Answer(token, heartbeat.number(), result.commands());
     }
 
-    /** A machine reports, and takes the answer if it hears. */
+    /** Sends the machine's heartbeat to the leader, and delivers the answer unless answers are lost. */
     List<WorkerCommand> report(String name, double now) {
         Box box = boxes.get(name);
         box.live(now);
@@ -256,7 +259,7 @@
         return answer == null ? null : answer.orders;
     }
 
-    /** It shows the token, and what it can take is recorded and given to it; the last report is three seconds later. */
+    /** Sends four heartbeats, one per second, after which the machine has the leader's token and its tasks. */
     void become(String name, double now) {
         for (int i = 0; i < 4; i++) {
             report(name, now + i);
@@ -267,7 +270,7 @@
         boxes.keySet().forEach(name -> report(name, now));
     }
 
-    /** Results are recorded, and jobs of which all tasks are done. */
+    /** Records the completed tasks, and closes the jobs whose tasks are all completed. */
     void record() {
         for (Job job : new ArrayList<>(core.jobs())) {
             Recorded r = records.get(job.id());
@@ -280,13 +283,18 @@
         }
     }
 
-    /** Its user is told that it is cancelled, whoever leads; the leader hears of it by {@link SchedulerCore#cancelJob}. */
+    /**
+     * Confirms a cancellation to the user, without informing the leader. {@link SchedulerCore#cancelJob} informs it.
+     */
     void cancel(JobId id, double now) {
         records.get(id).closed = true;
         records.get(id).cancelled = now;
     }
 
-    /** Cores that a team's tasks use on the workers, and notes what uses too much or should be gone. */
+    /**
+     * Returns the cores that a team's tasks use on the workers. Records violations: tasks that run after their
+     * cancellation time, and use beyond the team's limit.
+     */
     double used(Team team, double now) {
         double cores = 0;
         for (TaskId task : running(now)) {
@@ -304,7 +312,7 @@
         return cores;
     }
 
-    /** Every task that is on a machine. */
+    /** Returns every task that runs on a machine with a valid lease. */
     List<TaskId> running(double now) {
         return boxes.values().stream()
                 .flatMap(b -> b.tasks.keySet().stream().filter(t -> b.isOn(t, now)))
@@ -315,7 +323,7 @@
         return records.get(id).closed;
     }
 
-    /** How many of its tasks have completed on workers. */
+    /** Returns how many of the job's tasks have completed on workers. */
     int ended(JobId id) {
         return (int) ended.stream().filter(t -> t.job().equals(id)).count();
     }
@@ -324,7 +332,7 @@
         return starts.getOrDefault(task, 0);
     }
 
-    /** How often leaders ordered it, executed or not. */
+    /** Returns how many start commands leaders sent for the task, executed or not. */
     int ordered(TaskId task) {
         return ordered.getOrDefault(task, 0);
     }
@@ -336,7 +344,7 @@
                 .sum();
     }
 
-    /** Where a task is and has not ended; or null. */
+    /** Returns the machine where the task has not exited, or null. */
     Box runs(TaskId task) {
         return boxes.values().stream()
                 .filter(b -> b.tasks.containsKey(task) && b.tasks.get(task).state() != TaskState.EXITED)
--- a/src/test/java/io/indigoreach/core/scheduling/SimulatedWorld.java
+++ b/src/test/java/io/indigoreach/core/scheduling/SimulatedWorld.java
@@ -25,7 +25,9 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** A small setting for tests of the core: one machine type in two zones, a leader under token 5, jobs and reports. */
+/**
+ * A fixture for tests of the scheduler core: one machine type in two zones, a leader with token 5, jobs and heartbeats.
+ */
 public final class SimulatedWorld implements SchedulerListener {
     static final MachineType TYPE = new MachineType(
             "quad", new Demand(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of("east", "west"));
@@ -113,7 +115,7 @@
                 .build();
     }
 
-    /** A service: replicas of one core on ordinary machines, until it is cancelled. */
+    /** Returns a service with replicas of one core that may use only on-demand machines. */
     static JobSpec service(int id, int replicas) {
         return JobSpec.builder(new JobId("run-" + id))
                 .jobClass("s")
@@ -144,14 +146,14 @@
         return inherited(spec, spec.tasks());
     }
 
-    /** One of whose tasks an earlier leader may have started those below {@code bound}. */
+    /** Adds an inherited job; the previous leader may have started the tasks below {@code bound}. */
     Job inherited(JobSpec spec, int bound) {
         Job job = new Job(spec, ++jobs, at(0), new Revision(jobs), new BitSet(), bound, true);
         core.addJob(job);
         return job;
     }
 
-    /** A machine that is rented, recorded, and has made its first report. */
+    /** Adds a spot machine that is rented and recorded. */
     void up(String name, String zone, double at) {
         core.rented(new MachinePool("quad", zone, true), List.of(new MachineId(name)), at(at), at(at));
         core.recorded(new MachineId(name));
@@ -168,7 +170,7 @@
                 List.of(tasks));
     }
 
-    /** An ordinary machine that is rented, recorded, and has made its first report. */
+    /** Adds an on-demand machine that is rented and recorded, and sends its first heartbeat. */
     List<WorkerCommand> ordinary(String name, double at) {
         core.rented(new MachinePool("quad", "east", false), List.of(new MachineId(name)), at(at), at(at));
         core.recorded(new MachineId(name));
--- a/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
@@ -38,12 +38,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Pools on simulated machines with real caches, in steps of a second round the real core, plan and meter. */
+/** Simulates warm pools around the real scheduler core, pool planner and meter in steps of one second. */
 final class WarmPoolHarness implements SchedulerListener {
     static final String MODEL = "weights-1";
     private static final int BEGIN = 1000;
 
-    /** A task on a machine. */
+    /** A task on a simulated machine. */
     private static final class Task {
         final WorkerCommand.Start start;
         final JobSpec spec;
@@ -56,7 +56,7 @@
         }
     }
 
-    /** A machine; its cache is what it really has, the least recently used image first. */
+    /** A simulated machine with its actual cache, the least recently used image first. */
     static final class Box {
         final MachinePool pool;
         final int rented;
@@ -81,7 +81,7 @@
     final Map<JobId, Job> open = new TreeMap<>();
     final Map<JobId, List<Integer>> began = new TreeMap<>();
     final List<String> said = new ArrayList<>();
-    /** The state service. */
+    /** The accounts' pages that are stored in the state service. */
     final Map<Integer, Sheet> sheets = new TreeMap<>();
 
     List<Team> teams = List.of(new Team("t", 0, 0, 0, 0), new Team("g", 0, 0, 0, 0));
@@ -91,9 +91,9 @@
     double bill;
     int rents;
     int now;
-    /** Steps between writes of the accounts' pages. */
+    /** Steps between writes of the accounts' pages to the state service. */
     int writesEvery = 1;
-    /** A zone that is cut off. */
+    /** The zone whose machines do not report, or null. */
     String silent;
 
     EffectListener effects = EffectListener.NONE;
@@ -171,7 +171,7 @@
                 p.spot());
     }
 
-    /** A pool and its holder, with a task for each machine. */
+    /** Adds a pool and submits its holder job with one task for each machine. */
     Job keep(PoolSpec p) {
         pools.put(p.name(), p);
         plan.pools(pools.values(), n -> new DemandHistory());
@@ -189,7 +189,7 @@
                 .with(JobSpec.WARM, p.name()));
     }
 
-    /** Replicas of a model that take whole machines. */
+    /** Submits a service whose replicas take whole machines. */
     Job serve(String image, double gb, int replicas) {
         return submit(JobSpec.builder(new JobId("run-" + ++jobs))
                 .jobClass("serve")
@@ -204,7 +204,7 @@
                 .build());
     }
 
-    /** A guest's array. */
+    /** Submits an array job of another team. */
     Job array(String image, double gb, int tasks, double cores, int run) {
         return submit(JobSpec.builder(new JobId("run-" + ++jobs))
                 .jobClass("guest")
@@ -237,7 +237,7 @@
         return new Moment((BEGIN + step) * 1000L);
     }
 
-    /** The leader ends; the next has the jobs, the machines that were recorded, and the sheets. */
+    /** Replaces the leader with a new one that knows the jobs, the recorded machines, and the accounts' pages. */
     void newLeader() {
         core = new SchedulerCore(
                 new FencingToken(++token),
@@ -268,7 +268,7 @@
         plan.pools(pools.values(), n -> new DemandHistory());
         sheets.forEach((n, sheet) -> meter.recall(n, sheet, this::price));
         plan.recall(meter.lines(), at(now));
-        // The list of the cloud, which also names machines that are booting.
+        // The machine listing of the cloud also contains booting machines.
         core.onMachineListing(listed(), at(now), at(now));
     }
 
@@ -290,7 +290,7 @@
         return run(steps, () -> {});
     }
 
-    /** With a check of the test's after each step. */
+    /** Runs {@code check} after each step. */
     WarmPoolHarness run(int steps, Runnable check) {
         for (int i = 0; i < steps; i++) {
             step();
@@ -362,7 +362,7 @@
         core.returned(leaving, at(now));
     }
 
-    /** The machine is gone. */
+    /** Removes a machine and adds its cost to the bill. */
     void end(String name) {
         Box box = boxes.remove(name);
         if (box != null) {
@@ -370,7 +370,7 @@
         }
     }
 
-    /** What the cloud has charged by now. */
+    /** Returns what the cloud has charged until now. */
     double charged() {
         return bill
                 + boxes.values().stream()
@@ -378,7 +378,7 @@
                         .sum();
     }
 
-    /** Spot machines of a pool are taken without notice: every second one. */
+    /** Preempts every second spot machine without notice. */
     void wave() {
         int n = 0;
         for (String name : new ArrayList<>(boxes.keySet())) {
@@ -458,7 +458,7 @@
                         .mapToDouble(t -> t.spec.demand().cores())
                         .sum();
                 if (used + job.spec().demand().cores() > type.capacity().cores() + 1e-6) {
-                    throw new AssertionError("no room on " + name + " for " + command.task());
+                    throw new AssertionError("started " + command.task() + " without free cores on " + name);
                 }
                 Task task = new Task(s, job.spec());
                 box.tasks.put(command.task(), task);
@@ -524,7 +524,9 @@
                         t.lost()));
     }
 
-    /** What the leader claims of caches is so, and no machine is paid for by two. */
+    /**
+     * Asserts that every image which the leader believes to be cached by a pool's machine is in the machine's cache.
+     */
     void truthful() {
         for (Machine machine : core.machines()) {
             Box box = boxes.get(machine.id().toString());
@@ -532,8 +534,8 @@
                     && machine.poolMembership() != null
                     && machine.imageCache().isCached(machine.poolMembership().image())
                     && !box.cache.containsKey(machine.poolMembership().image())) {
-                throw new AssertionError("at " + now + " " + machine.id() + " is said to hold "
-                        + machine.poolMembership().image() + " and has " + box.cache.keySet());
+                throw new AssertionError("at " + now + " " + machine.id() + " should have cached "
+                        + machine.poolMembership().image() + " but has " + box.cache.keySet());
             }
         }
     }
@@ -546,12 +548,14 @@
                 .count();
     }
 
-    /** Machines that really have an image. */
+    /** Returns how many machines actually have the image cached. */
     long holding(String image) {
         return boxes.values().stream().filter(b -> b.cache.containsKey(image)).count();
     }
 
-    /** Seconds from {@code from} until each task began; those that never did are left out. */
+    /**
+     * Returns the sorted seconds from {@code from} until each task of the job began, without tasks that never began.
+     */
     List<Integer> waits(Job job, int from) {
         return began.get(job.id()).stream().map(t -> t - from).sorted().toList();
     }
--- a/src/test/java/io/indigoreach/core/scheduling/WarmPoolMeasurement.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolMeasurement.java
@@ -9,11 +9,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 
-/** Not a test: what pools bring and cost, on simulated machines. {@code mvn test -Dtest=WarmPoolMeasurement -Dwarm.measure=1} */
+/**
+ * Measures the start times and the cost of warm pools on simulated machines. It is not a test and runs only with
+ * {@code mvn test -Dtest=WarmPoolMeasurement -Dwarm.measure=1}.
+ */
 @EnabledIfSystemProperty(named = "warm.measure", matches = "1")
 class WarmPoolMeasurement {
     private static final int HOUR = 3600;
-    /** The simulated day begins at 00:16:40; the burst comes a minute after its window opens. */
+    /** Step in which the burst comes. The simulation begins at 00:16:40, and the window opens one minute earlier. */
     private static final int BURST = 800 + 60;
 
     private static final int LASTS = 600;
@@ -29,7 +32,7 @@
         }
     }
 
-    /** An hour in which a burst of about half the machines comes once, between jobs of a guest. */
+    /** Simulates an hour with one burst of replicas for about 40 % of the machines, beside another team's jobs. */
     private static void one(int machines, double gb, String way) {
         double mean = machines * 0.4;
         int replicas = poisson(new SplittableRandom(machines + (long) gb), mean);
@@ -82,7 +85,7 @@
                                                 + w.plan.told().get(0).misses()));
         System.out.printf(
                 Locale.ROOT,
-                "%s; money %.2f of %.2f charged: pool's %.2f, its team's on others %.2f, guest's %.2f, idle %.2f%n",
+                "%s; metered cost %.2f of %.2f charged: pool %.2f, its team on other machines %.2f, other team %.2f, idle %.2f%n",
                 hits,
                 sums.values().stream().mapToDouble(d -> d).sum(),
                 w.charged(),
--- a/src/test/java/io/indigoreach/core/scheduling/WarmPoolTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolTest.java
@@ -14,10 +14,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The hard cases of warm pools, on machines whose caches are simulated: what is claimed is compared with them. */
+/**
+ * Tests warm pools under failures and contention, and compares the leader's view of caches with the simulated caches.
+ */
 public class WarmPoolTest {
     private static final String MODEL = WarmPoolHarness.MODEL;
-    /** Boot, fetch of 40 GB at 1 GB/s, reports, and checks. */
+    /** Steps until a machine is warm: boot, fetch of 40 GB at 1 GB/s, heartbeats and checks. */
     private static final int WARM = 20 + 40 + 12;
 
     @Test
@@ -35,9 +37,9 @@
         assertEquals(10, waits.size());
         assertTrue(
                 waits.get(9) <= 5,
-                "whole machines, so each holder gives way in the answer that starts a replica: " + waits);
+                "each holder is stopped in the same answer that starts a replica on its machine: " + waits);
         assertEquals(10, w.plan.told().get(0).hits());
-        assertEquals(10, w.rents, "nothing is rented for replicas that a warm machine takes");
+        assertEquals(10, w.rents, "no machine is rented for replicas that start on warm machines");
     }
 
     @Test
@@ -61,8 +63,8 @@
         w.run(WARM + 20, w::truthful);
         List<Integer> waits = w.waits(burst, from);
         assertEquals(20, waits.size());
-        assertTrue(waits.get(9) <= 5, "the half that is left serves at once: " + waits);
-        assertTrue(w.machines("p") >= 20, "back at its number: " + w.machines("p"));
+        assertTrue(waits.get(9) <= 5, "the remaining half of the machines serves at once: " + waits);
+        assertTrue(w.machines("p") >= 20, "the pool has its size again: " + w.machines("p"));
     }
 
     @Test
@@ -88,8 +90,8 @@
         w.teams = List.of(new Team("t", 0, 0.05, 0, 0), new Team("g", 0, 0, 0, 0));
         w.newLeader();
         w.run(120, w::truthful);
-        assertEquals(5, w.machines("p"), "five holders of 0.01 cores are what is allowed");
-        assertEquals(5, w.boxes.size(), "the others are returned");
+        assertEquals(5, w.machines("p"), "the team's limit allows five holders of 0.01 cores");
+        assertEquals(5, w.boxes.size(), "the other machines are returned");
         assertTrue(w.plan.told().get(0).why().contains("limit of team t"));
     }
 
@@ -104,7 +106,7 @@
         w.run(WARM + 60, w::truthful);
         assertEquals(200, w.machines("p"));
         assertEquals(200, w.holding(MODEL));
-        assertEquals(200, w.rents, "none is rented twice");
+        assertEquals(200, w.rents, "no machine is rented twice");
         assertTrue(w.asked().stream().allMatch(r -> r.count() <= 50));
     }
 
@@ -117,8 +119,8 @@
         w.run(6);
         w.cancel(holder);
         w.run(90, w::truthful);
-        assertEquals(5, w.waits(burst, 0).size(), "replicas run on");
-        assertEquals(5, w.boxes.size(), "nobody pays for the other machines: they go");
+        assertEquals(5, w.waits(burst, 0).size(), "the replicas keep running");
+        assertEquals(5, w.boxes.size(), "machines that no pool pays for are returned");
         assertEquals(0, w.machines("p"));
     }
 
@@ -133,7 +135,7 @@
         assertTrue(Math.abs(w.machines("a") - w.machines("b")) == 1);
         long a = w.machines("a");
         w.run(120);
-        assertEquals(a, w.machines("a"), "it stays with whom it went to");
+        assertEquals(a, w.machines("a"), "the last machine stays in its pool");
     }
 
     @Test
@@ -155,10 +157,10 @@
                     .count();
             fewest[0] = (int) Math.min(fewest[0], ready);
         });
-        assertTrue(fewest[0] >= 10, "fewest " + fewest[0]);
+        assertTrue(fewest[0] >= 10, "fewest ready machines: " + fewest[0]);
         assertTrue(
                 w.holding("weights-2") >= 8,
-                "those with replicas of the old version keep it: " + w.holding("weights-2"));
+                "machines with replicas of the old version keep its image: " + w.holding("weights-2"));
         w.cancel(old);
         w.run(200, w::truthful);
         assertTrue(w.machines("p") <= 12);
@@ -181,10 +183,10 @@
                                         && machine.imageCache().isCached(MODEL))
                                 .count()
                         >= 10,
-                "the other zone has the number");
+                "the other zone has the whole pool");
         w.silent = null;
         w.run(200, w::truthful);
-        assertEquals(10, w.machines("p"), "and what is too much goes when it comes back");
+        assertEquals(10, w.machines("p"), "surplus machines leave the pool when the zone is reachable again");
     }
 
     private static io.indigoreach.core.warm.PoolSpec wide(WarmPoolHarness w) {
@@ -217,7 +219,7 @@
         w.run(1);
         assertEquals(0, w.plan.told().stream().mapToInt(t -> t.ready()).sum());
         w.run(30, w::truthful);
-        assertEquals(8, w.plan.told().get(0).ready(), "a start without a fetch each");
+        assertEquals(8, w.plan.told().get(0).ready(), "each holder starts without a fetch");
         assertEquals(8, w.rents);
     }
 
@@ -239,11 +241,11 @@
                 .filter(b ->
                         b.cache.containsKey(MODEL) && b.cache.keySet().stream().anyMatch(i -> i.startsWith("guest")))
                 .count();
-        assertEquals(gb < 60, onWarm > 0, "idle cores serve guests whose image fits beside the weights, and no others");
+        assertEquals(gb < 60, onWarm > 0, "only jobs whose image fits beside the weights use idle cores");
         w.run(900);
         assertTrue(
                 w.open.values().stream().noneMatch(job -> job.spec().jobClass().equals("guest")),
-                "all guests are served");
+                "all jobs of the other team have ended");
     }
 
     @Test
@@ -258,10 +260,10 @@
         Job due = w.array("other", 170, 2, 8, 60);
         w.run(250, w::truthful);
         assertTrue(
-                w.began.get(due.id()).size() >= 1, "nothing is to be rented, so an idle machine of the pool is given");
+                w.began.get(due.id()).size() >= 1, "no machine can be rented, so the pool gives up an idle one");
         w.run(400, w::truthful);
         assertEquals(2, w.began.get(due.id()).size());
-        assertEquals(8, w.machines("p"), "and comes back");
+        assertEquals(8, w.machines("p"), "the pool has its size again");
     }
 
     @Test
@@ -274,7 +276,7 @@
                 .filter(e -> e.getKey().pool().equals("p"))
                 .mapToDouble(e -> e.getValue())
                 .sum();
-        // Four machines for a term and a check more, at 3.6 an hour.
+        // The budget may be exceeded by four machines at 3.6 per hour for a term and a check.
         assertTrue(spent >= 1 && spent <= 1 + 4 * 3.6 * 20 / 3600, "spent " + spent);
         assertTrue(w.said.stream().anyMatch(s -> s.contains("budget is over")));
     }
@@ -282,7 +284,7 @@
     @Test
     void aPoolGrowsBeforeItsWindowOpensAndShrinksAfterIt() {
         WarmPoolHarness w = new WarmPoolHarness(200, 40);
-        // The first step is at 1,000 s of the day: the window opens at 00:20, 200 s later, and closes at 00:25.
+        // The first step is 1,000 s after midnight, so the window opens at 00:20, 200 s later, and closes at 00:25.
         w.keep(WarmPoolHarness.pool("p", MODEL, 40, 2, 40, new BurstWindow(20, 25, 12)));
         w.run(80);
         assertEquals(2, w.machines("p"));
@@ -293,7 +295,10 @@
         assertEquals(2, w.boxes.size());
     }
 
-    /** A later leader believes the record: a machine's guard stays until the record does not name it. */
+    /**
+     * A machine that left a pool keeps its image until the record shows that it left, because a new leader would assume
+     * from the old record that the machine still has the image.
+     */
     @Test
     void whatAPoolLetsGoIsGuardedUntilTheRecordSaysSo() {
         WarmPoolHarness w = new WarmPoolHarness(60, 8);
@@ -311,14 +316,14 @@
                     .findFirst()
                     .orElse(null);
         }
-        assertTrue(dropped != null, "the new version is held by one more, so one with the old is let go");
+        assertTrue(dropped != null, "a machine with the old version leaves the pool when one with the new version is ready");
         assertTrue(dropped.matchesPool(other) && !dropped.allows(other));
         w.writesEvery = 1;
         w.run(1);
         assertTrue(dropped.allows(other));
     }
 
-    /** Seeded runs with leaders that end, guests, waves, sessions that end and sheets that are lost. */
+    /** Seeded random runs with leader changes, jobs of another team, services that come and go, and worker restarts. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void whateverHappensNothingIsClaimedThatIsNotSoAndAllMoneyIsPutDown(long seed) {
@@ -370,7 +375,7 @@
             w.run(5 + random.nextInt(20), w::truthful);
         }
         double put = w.meter.sums().values().stream().mapToDouble(d -> d).sum();
-        // A look's period and a check's at each machine's end, and the same for every change of leader.
+        // Metering may miss one step and one check period per rented machine, and 5 s per change of leader.
         double bound = (w.rents * 3 + ends * 5) * 3.6 / 3600;
         assertEquals(w.charged(), put, bound);
         assertTrue(w.machines("a") >= 4, "a: " + w.machines("a"));
