--- a/src/test/java/io/indigoreach/core/scheduling/ScaleOutTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ScaleOutTest.java
@@ -96,7 +96,9 @@
         assertEquals(List.of(), w.core.scaleOutRequests(at(4)));
         w.submit(with(spec(3, 4, 1, 200), Urgency.HIGH, true, false, true, "west", 0), 5);
         assertEquals(
-                "west", w.core.scaleOutRequests(at(6)).get(0).pool().zone(), "no present machine can ever run the top job");
+                "west",
+                w.core.scaleOutRequests(at(6)).get(0).pool().zone(),
+                "no present machine can ever run the top job");
     }
 
     /**
--- a/src/test/java/io/indigoreach/core/scheduling/WarmPoolTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolTest.java
@@ -259,8 +259,7 @@
         assertEquals(8, w.machines("p"));
         Job due = w.array("other", 170, 2, 8, 60);
         w.run(250, w::truthful);
-        assertTrue(
-                w.began.get(due.id()).size() >= 1, "no machine can be rented, so the pool gives up an idle one");
+        assertTrue(w.began.get(due.id()).size() >= 1, "no machine can be rented, so the pool gives up an idle one");
         w.run(400, w::truthful);
         assertEquals(2, w.began.get(due.id()).size());
         assertEquals(8, w.machines("p"), "the pool has its size again");
@@ -316,7 +315,9 @@
                     .findFirst()
                     .orElse(null);
         }
-        assertTrue(dropped != null, "a machine with the old version leaves the pool when one with the new version is ready");
+        assertTrue(
+                dropped != null,
+                "a machine with the old version leaves the pool when one with the new version is ready");
         assertTrue(dropped.matchesPool(other) && !dropped.allows(other));
         w.writesEvery = 1;
         w.run(1);
