--- a/src/main/java/io/indigoreach/core/scheduling/ArrivalRate.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ArrivalRate.java
@@ -23,7 +23,7 @@
      */
     private static final double REMEMBERED_WINDOWS = 5;
 
-    private Moment began;
+    private Moment firstQueryAt;
     private final Deque<Job> jobs = new ArrayDeque<>();
 
     void add(Job job) {
@@ -35,27 +35,31 @@
      * part of the window with the most arrivals is left out, as a burst of jobs is not a steady rate. The window begins
      * at the first call at the earliest, because jobs that came earlier may have ended and are then unknown.
      */
-    double perSecond(Predicate<Job> counts, ToDoubleFunction<Job> size, Span most, Moment now) {
-        began = began == null ? now : began;
-        Span since = now.since(began).compareTo(most) < 0 ? now.since(began) : most;
-        Span window =
-                since.compareTo(most.times(MINIMUM_WINDOW_FRACTION)) < 0 ? most.times(MINIMUM_WINDOW_FRACTION) : since;
-        Moment from = now.minus(since);
-        jobs.removeIf(job -> job.eligibleSince.isBefore(now.minus(most.times(REMEMBERED_WINDOWS))));
-        int[] parts = new int[WINDOW_PARTS];
-        int known = 0;
-        double sizes = 0;
+    double workPerSecond(Predicate<Job> filter, ToDoubleFunction<Job> size, Span maximumWindow, Moment now) {
+        firstQueryAt = firstQueryAt == null ? now : firstQueryAt;
+        Span observed = now.since(firstQueryAt).compareTo(maximumWindow) < 0 ? now.since(firstQueryAt) : maximumWindow;
+        Span window = observed.compareTo(maximumWindow.times(MINIMUM_WINDOW_FRACTION)) < 0
+                ? maximumWindow.times(MINIMUM_WINDOW_FRACTION)
+                : observed;
+        Moment windowStart = now.minus(observed);
+        jobs.removeIf(job -> job.eligibleSince.isBefore(now.minus(maximumWindow.times(REMEMBERED_WINDOWS))));
+        int[] arrivalsByPart = new int[WINDOW_PARTS];
+        int matchingJobs = 0;
+        double totalSize = 0;
         for (Job job : jobs) {
-            if (!counts.test(job)) {
+            if (!filter.test(job)) {
                 continue;
             }
-            known++;
-            sizes += size.applyAsDouble(job);
-            if (job.eligibleSince.isAfter(from)) {
-                parts[(int) (Math.max(0, now.since(job.eligibleSince).ms()) * WINDOW_PARTS / window.ms())]++;
+            matchingJobs++;
+            totalSize += size.applyAsDouble(job);
+            if (job.eligibleSince.isAfter(windowStart)) {
+                arrivalsByPart[(int) (Math.max(0, now.since(job.eligibleSince).ms()) * WINDOW_PARTS / window.ms())]++;
             }
         }
-        double came = Arrays.stream(parts).sum() - Arrays.stream(parts).max().orElse(0);
-        return known == 0 ? 0 : came * sizes / known / (window.seconds() * (WINDOW_PARTS - 1) / WINDOW_PARTS);
+        double arrivals = Arrays.stream(arrivalsByPart).sum()
+                - Arrays.stream(arrivalsByPart).max().orElse(0);
+        return matchingJobs == 0
+                ? 0
+                : arrivals * totalSize / matchingJobs / (window.seconds() * (WINDOW_PARTS - 1) / WINDOW_PARTS);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/AvailableMachines.java
+++ b/src/main/java/io/indigoreach/core/scheduling/AvailableMachineCounter.java
@@ -3,11 +3,11 @@
 import io.indigoreach.core.model.Moment;
 
 /** Counts the machines that a queue can use before it needs to scale out. */
-final class AvailableMachines {
+final class AvailableMachineCounter {
     private final Cluster cluster;
     private final double bootPatience;
 
-    AvailableMachines(Cluster cluster, double bootPatience) {
+    AvailableMachineCounter(Cluster cluster, double bootPatience) {
         this.cluster = cluster;
         this.bootPatience = bootPatience;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Backlog.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Backlog.java
@@ -4,17 +4,17 @@
  * Sums the waiting work for one machine type in queue order, in machine seconds, and the on-demand machines it needs.
  */
 final class Backlog {
-    final CapacityForecast spot;
-    final CapacityForecast onDemand;
+    final CapacityForecast spotCapacity;
+    final CapacityForecast onDemandCapacity;
     /** Machines kept busy by arriving jobs whose objectives fall due before a rented machine would be up. */
     final double arrivalLoad;
 
-    private double work;
+    private double waitingWork;
     private double onDemandNeeded;
 
-    Backlog(CapacityForecast spot, CapacityForecast onDemand, double arrivalLoad) {
-        this.spot = spot;
-        this.onDemand = onDemand;
+    Backlog(CapacityForecast spotCapacity, CapacityForecast onDemandCapacity, double arrivalLoad) {
+        this.spotCapacity = spotCapacity;
+        this.onDemandCapacity = onDemandCapacity;
         this.arrivalLoad = arrivalLoad;
     }
 
@@ -25,8 +25,8 @@
         return onDemandNeeded;
     }
 
-    void add(double machineSeconds) {
-        work += machineSeconds;
+    void addWork(double machineSeconds) {
+        waitingWork += machineSeconds;
     }
 
     /**
@@ -37,25 +37,26 @@
      * @param minimumPaidSeconds minimum time that a rented machine is paid for
      * @param laterMachines machines kept busy by work that arrives later and goes first
      */
-    void mustStartWithin(double secondsLeft, double bootSeconds, double minimumPaidSeconds, double laterMachines) {
+    void requireStartWithin(double secondsLeft, double bootSeconds, double minimumPaidSeconds, double laterMachines) {
         double usefulSeconds = secondsLeft - bootSeconds;
-        double missing = work + laterMachines * secondsLeft - spot.until(secondsLeft);
-        if (usefulSeconds <= 0 || missing <= 0) {
+        double missingWork = waitingWork + laterMachines * secondsLeft - spotCapacity.machineSecondsWithin(secondsLeft);
+        if (usefulSeconds <= 0 || missingWork <= 0) {
             return;
         }
-        double present = onDemand.until(secondsLeft);
+        double onDemandWork = onDemandCapacity.machineSecondsWithin(secondsLeft);
         // A machine is worth renting only if there is work for its minimum paid time.
-        double more = Math.max(0, missing - present) / Math.max(usefulSeconds, minimumPaidSeconds);
-        double used = onDemand.machines() * (present > 0 ? Math.min(1, missing / present) : 1);
-        onDemandNeeded = Math.max(onDemandNeeded, more + used);
+        double newMachines = Math.max(0, missingWork - onDemandWork) / Math.max(usefulSeconds, minimumPaidSeconds);
+        double usedMachines =
+                onDemandCapacity.machines() * (onDemandWork > 0 ? Math.min(1, missingWork / onDemandWork) : 1);
+        onDemandNeeded = Math.max(onDemandNeeded, newMachines + usedMachines);
     }
 
     /**
      * Raises the need so that the whole queue is served within {@code limitSeconds}, and the arrival load at any time.
      */
-    void mustBeServedWithin(double limitSeconds) {
-        double whole = Math.floor(work / limitSeconds) - spot.machines();
-        onDemandNeeded = Math.max(onDemandNeeded, Math.max(whole, arrivalLoad - spot.machines()));
+    void requireServedWithin(double limitSeconds) {
+        double machinesForQueue = Math.floor(waitingWork / limitSeconds) - spotCapacity.machines();
+        onDemandNeeded = Math.max(onDemandNeeded, Math.max(machinesForQueue, arrivalLoad - spotCapacity.machines()));
     }
 
     /**
@@ -63,7 +64,8 @@
      * wait limit. Idle and booting machines do not count here, because they are subtracted from the total need.
      */
     double machinesForShortWork(double shortWork, double waitLimitSeconds, double minimumPaidSeconds) {
-        double served = spot.busyUntil(waitLimitSeconds) + onDemand.busyUntil(waitLimitSeconds);
-        return Math.max(0, shortWork - served) / minimumPaidSeconds;
+        double servedWork = spotCapacity.busyMachineSecondsWithin(waitLimitSeconds)
+                + onDemandCapacity.busyMachineSecondsWithin(waitLimitSeconds);
+        return Math.max(0, shortWork - servedWork) / minimumPaidSeconds;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/BacklogEstimator.java
+++ b/src/main/java/io/indigoreach/core/scheduling/BacklogEstimator.java
@@ -14,51 +14,55 @@
  */
 final class BacklogEstimator {
     private final Cluster cluster;
-    private final QueueOrder order;
+    private final QueueOrder queueOrder;
     private final Estimates estimates;
     private final SchedulerSettings settings;
-    private final JobSizing sizing;
+    private final JobSizer jobSizer;
 
     BacklogEstimator(
-            Cluster cluster, QueueOrder order, Estimates estimates, SchedulerSettings settings, JobSizing sizing) {
+            Cluster cluster,
+            QueueOrder queueOrder,
+            Estimates estimates,
+            SchedulerSettings settings,
+            JobSizer jobSizer) {
         this.cluster = cluster;
-        this.order = order;
+        this.queueOrder = queueOrder;
         this.estimates = estimates;
         this.settings = settings;
-        this.sizing = sizing;
+        this.jobSizer = jobSizer;
     }
 
     /** Returns the backlog of each machine type, keyed by type name. */
     Map<String, Backlog> backlogs(FairShareQueue queue, Moment now) {
         Map<String, Backlog> backlogs = new HashMap<>();
         for (MachineType type : cluster.types.values()) {
-            CapacityForecast spot = capacity(queue, type, true, now);
-            CapacityForecast onDemand = capacity(queue, type, false, now);
+            CapacityForecast spot = capacityForecast(queue, type, true, now);
+            CapacityForecast onDemand = capacityForecast(queue, type, false, now);
             backlogs.put(type.name(), new Backlog(spot, onDemand, arrivalLoad(queue, type, now)));
         }
-        for (Job job : order.jobs(queue, now)) {
-            Optional<MachineType> type = sizing.cheapestType(job);
+        for (Job job : queueOrder.jobs(queue, now)) {
+            Optional<MachineType> type = jobSizer.cheapestType(job);
             if (type.isPresent() && job.hasWaiting() && !job.isSuspectedFaulty() && !job.spec.isService()) {
-                add(job, type.get(), backlogs.get(type.get().name()), now);
+                addJob(job, type.get(), backlogs.get(type.get().name()), now);
             }
         }
         for (Backlog backlog : backlogs.values()) {
-            backlog.mustBeServedWithin(settings.backlogLimit().seconds());
+            backlog.requireServedWithin(settings.backlogLimit().seconds());
         }
         return backlogs;
     }
 
-    private void add(Job job, MachineType type, Backlog backlog, Moment now) {
-        backlog.add(job.waitingCount() * sizing.machineSeconds(job, type));
-        Moment latestStart = order.latestStart(job, now.plus(order.shortestRentableObjective(type)));
-        backlog.mustStartWithin(
+    private void addJob(Job job, MachineType type, Backlog backlog, Moment now) {
+        backlog.addWork(job.waitingCount() * jobSizer.machineSeconds(job, type));
+        Moment latestStart = queueOrder.latestStart(job, now.plus(queueOrder.shortestRentableObjective(type)));
+        backlog.requireStartWithin(
                 latestStart.since(now).seconds() * settings.objectiveShare(),
                 type.boot().seconds(),
                 settings.minimumPaidTime().seconds(),
-                order.isObjectiveTooNearToRent(job, type) ? 0 : backlog.arrivalLoad);
+                queueOrder.isObjectiveTooNearToRent(job, type) ? 0 : backlog.arrivalLoad);
     }
 
-    private CapacityForecast capacity(FairShareQueue queue, MachineType type, boolean spot, Moment now) {
+    private CapacityForecast capacityForecast(FairShareQueue queue, MachineType type, boolean spot, Moment now) {
         return CapacityForecast.of(cluster, queue, type, spot, estimates, settings.bootPatience(), now);
     }
 
@@ -67,10 +71,10 @@
      */
     private double arrivalLoad(FairShareQueue queue, MachineType type, Moment now) {
         return queue.arrivalRate()
-                .perSecond(
-                        job -> sizing.cheapestType(job).filter(type::equals).isPresent()
-                                && order.isObjectiveTooNearToRent(job, type),
-                        job -> job.spec.tasks() * sizing.machineSeconds(job, type),
+                .workPerSecond(
+                        job -> jobSizer.cheapestType(job).filter(type::equals).isPresent()
+                                && queueOrder.isObjectiveTooNearToRent(job, type),
+                        job -> job.spec.tasks() * jobSizer.machineSeconds(job, type),
                         settings.minimumPaidTime(),
                         now);
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Consolidation.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ConsolidationPolicy.java
@@ -19,7 +19,7 @@
  * get no new tasks and are returned at the end of their paid term like any idle machine. The worker protocol allows
  * stopping a task to drain its machine.
  */
-final class Consolidation {
+final class ConsolidationPolicy {
     /**
      * Fraction of the machines that may start draining per check, so that moved tasks run again before others are
      * moved.
@@ -33,7 +33,7 @@
     private final Estimates estimates;
     private final SafetyTimes safetyTimes;
 
-    Consolidation(Cluster cluster, DispatchRules rules, Estimates estimates, SafetyTimes safetyTimes) {
+    ConsolidationPolicy(Cluster cluster, DispatchRules rules, Estimates estimates, SafetyTimes safetyTimes) {
         this.cluster = cluster;
         this.rules = rules;
         this.estimates = estimates;
@@ -41,13 +41,13 @@
     }
 
     /** Cordons the machines that need no new tasks, and chooses which of them to drain. */
-    void plan(Moment now) {
+    void planDraining(Moment now) {
         for (FairShareQueue queue : cluster.queues()) {
-            plan(queue, now);
+            planDraining(queue, now);
         }
     }
 
-    private void plan(FairShareQueue queue, Moment now) {
+    private void planDraining(FairShareQueue queue, Moment now) {
         List<Machine> machines = new ArrayList<>();
         for (Machine machine : cluster.machinesServing(queue)) {
             // A machine drains until its stopped tasks have left it.
@@ -60,7 +60,7 @@
                 machines.add(machine);
             }
         }
-        if (!rules.placement().isFailoverComplete() || !rules.cordons().fitsIn(queue, room(machines), now)) {
+        if (!rules.placement().isFailoverComplete() || !rules.cordons().fitsIn(queue, freeResources(machines), now)) {
             return;
         }
         machines.sort(Comparator.comparing((Machine machine) -> machine.surplus ? 1 : 0)
@@ -72,47 +72,47 @@
                 machine.cordonFor(queue);
             }
         }
-        queue.roomOutsideCordon(room(machines));
+        queue.roomOutsideCordon(freeResources(machines));
     }
 
     /** Returns the free resources of each machine that runs tasks and takes new ones. */
-    private static List<Demand> room(List<Machine> machines) {
+    private static List<Demand> freeResources(List<Machine> machines) {
         return machines.stream()
-                .filter(machine -> roomOn(machine) > 0)
+                .filter(machine -> freeCores(machine) > 0)
                 .map(Machine::free)
                 .toList();
     }
 
     /** Chooses the machines to drain, starting at the end of the list. */
     private void chooseMachinesToDrain(FairShareQueue queue, List<Machine> machines, Moment now) {
-        Map<Machine, Demand> free = new HashMap<>();
+        Map<Machine, Demand> freeAfterMoves = new HashMap<>();
         double unclaimedCores = 0;
         for (Machine machine : machines) {
-            unclaimedCores += roomOn(machine);
+            unclaimedCores += freeCores(machine);
         }
         for (Job job : queue.jobs()) {
             unclaimedCores -= job.startableCount() * job.spec.demand().cores();
         }
-        int left = (int) Math.ceil(machines.size() * MAX_DRAINING_FRACTION);
-        for (int i = machines.size() - 1; i > 0 && left > 0; i--) {
+        int remaining = (int) Math.ceil(machines.size() * MAX_DRAINING_FRACTION);
+        for (int i = machines.size() - 1; i > 0 && remaining > 0; i--) {
             Machine machine = machines.get(i);
             // Draining uses cores on other machines and makes the machine's own free cores unavailable.
-            double cost = machine.used().cores() + roomOn(machine);
+            double requiredCores = machine.used().cores() + freeCores(machine);
             if (machine.isIdle()
                     || machine.draining
-                    || free.containsKey(machine)
-                    || unclaimedCores < cost
+                    || freeAfterMoves.containsKey(machine)
+                    || unclaimedCores < requiredCores
                     || !isMovable(machine, now)
-                    || !reserveTargets(machine, machines.subList(0, i), free)) {
+                    || !reserveTargets(machine, machines.subList(0, i), freeAfterMoves)) {
                 continue;
             }
             machine.startDraining();
-            unclaimedCores -= cost;
-            left--;
+            unclaimedCores -= requiredCores;
+            remaining--;
         }
     }
 
-    private static double roomOn(Machine machine) {
+    private static double freeCores(Machine machine) {
         return machine.isIdle() || machine.draining || machine.surplus
                 ? 0
                 : machine.free().cores();
@@ -140,22 +140,24 @@
         if (!job.spec.savesProgress() || job.spec.oneZone() || job.spec.spread()) {
             return false;
         }
-        Span move = job.spec.checkpointTime().plus(safetyTimes.heartbeatPeriod().times(2));
-        return now.since(placement.stateSince).compareTo(Preemption.MINIMUM_RUN) >= 0
-                && estimates.end(placement, now).since(now).compareTo(move.times(MIN_REMAINING_PER_MOVE)) >= 0;
+        Span moveTime =
+                job.spec.checkpointTime().plus(safetyTimes.heartbeatPeriod().times(2));
+        return now.since(placement.stateSince).compareTo(PreemptionPolicy.MINIMUM_RUN) >= 0
+                && estimates.end(placement, now).since(now).compareTo(moveTime.times(MIN_REMAINING_PER_MOVE)) >= 0;
     }
 
     /**
      * Reserves room for each task of the machine on a fuller machine that has its image cached. Reserves nothing and
      * returns false if one of the tasks finds no room.
      */
-    private static boolean reserveTargets(Machine machine, List<Machine> fuller, Map<Machine, Demand> free) {
-        Map<Machine, Demand> after = new HashMap<>(free);
+    private static boolean reserveTargets(
+            Machine machine, List<Machine> fullerMachines, Map<Machine, Demand> freeAfterMoves) {
+        Map<Machine, Demand> reserved = new HashMap<>(freeAfterMoves);
         for (Placement placement : machine.placements().values()) {
             Machine target = null;
-            for (Machine candidate : fuller) {
+            for (Machine candidate : fullerMachines) {
                 if (isTarget(candidate, placement.job)
-                        && placement.demand().fitsIn(after.getOrDefault(candidate, candidate.free()))) {
+                        && placement.demand().fitsIn(reserved.getOrDefault(candidate, candidate.free()))) {
                     target = candidate;
                     break;
                 }
@@ -163,9 +165,9 @@
             if (target == null) {
                 return false;
             }
-            after.put(target, after.getOrDefault(target, target.free()).minus(placement.demand()));
+            reserved.put(target, reserved.getOrDefault(target, target.free()).minus(placement.demand()));
         }
-        free.putAll(after);
+        freeAfterMoves.putAll(reserved);
         return true;
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/CordonRules.java
+++ b/src/main/java/io/indigoreach/core/scheduling/CordonRules.java
@@ -10,12 +10,12 @@
 final class CordonRules {
     private final Cluster cluster;
     private final ServiceLevelObjectives objectives;
-    private final PlacementRules rules;
+    private final PlacementRules placementRules;
 
-    CordonRules(Cluster cluster, ServiceLevelObjectives objectives, PlacementRules rules) {
+    CordonRules(Cluster cluster, ServiceLevelObjectives objectives, PlacementRules placementRules) {
         this.cluster = cluster;
         this.objectives = objectives;
-        this.rules = rules;
+        this.placementRules = placementRules;
     }
 
     /** Returns whether the machine is cordoned and all jobs that wait now still fit on the other machines. */
@@ -29,14 +29,14 @@
      */
     boolean fitsIn(FairShareQueue queue, Collection<Demand> free, Moment now) {
         double cores = 0;
-        for (Demand room : free) {
-            cores += room.cores();
+        for (Demand machineFree : free) {
+            cores += machineFree.cores();
         }
         for (Job job : queue.jobs()) {
-            if (!job.hasStartable() || job.isSuspectedFaulty() || !rules.mayStart(job, now)) {
+            if (!job.hasStartable() || job.isSuspectedFaulty() || !placementRules.mayStart(job, now)) {
                 continue;
             }
-            if (needsEveryPlace(job, now)) {
+            if (needsEveryMachine(job, now)) {
                 return false;
             }
             cores -= job.startableCount() * job.spec.demand().cores();
@@ -48,26 +48,26 @@
     }
 
     private static boolean fitsIn(Job job, Collection<Demand> free) {
-        int lacking = job.startableCount();
-        for (Iterator<Demand> rooms = free.iterator(); lacking > 0 && rooms.hasNext(); ) {
-            lacking -= job.spec.demand().timesIn(rooms.next());
+        int missing = job.startableCount();
+        for (Iterator<Demand> freeIterator = free.iterator(); missing > 0 && freeIterator.hasNext(); ) {
+            missing -= job.spec.demand().timesIn(freeIterator.next());
         }
-        return lacking <= 0;
+        return missing <= 0;
     }
 
     /**
      * Returns whether no machine should be cordoned while the job waits: it is urgent, a service, restricted to some
      * machines, or can still meet an objective on its start.
      */
-    private boolean needsEveryPlace(Job job, Moment now) {
-        Moment due = objectives.latestStartForWait(job);
+    private boolean needsEveryMachine(Job job, Moment now) {
+        Moment latestStart = objectives.latestStartForWait(job);
         return job.urgency().isMoreUrgentThan(Urgency.STANDARD)
                 || job.spec.isService()
-                || isBoundToSomeMachines(job)
-                || (due != null && now.isBefore(due));
+                || isRestrictedToSomeMachines(job)
+                || (latestStart != null && now.isBefore(latestStart));
     }
 
-    private static boolean isBoundToSomeMachines(Job job) {
+    private static boolean isRestrictedToSomeMachines(Job job) {
         return !job.spec.spotAllowed() || job.spec.zone() != null || job.spec.types() != null;
     }
 
@@ -95,6 +95,6 @@
                 && machine.allows(job.spec)
                 && job.spec.demand().fitsIn(machine.freeFor(job.spec))
                 && !job.failedMachines.contains(machine.id)
-                && rules.isPlaceable(job, machine);
+                && placementRules.isPlaceable(job, machine);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
@@ -25,7 +25,7 @@
     private final Cluster cluster;
     private final Estimates estimates;
     private final DispatchRules rules;
-    private final Preemption preemption;
+    private final PreemptionPolicy preemption;
     private final TaskStarter starter;
     private final HolderPlacement holders;
 
@@ -39,7 +39,7 @@
         this.cluster = cluster;
         this.estimates = estimates;
         this.rules = DispatchRules.of(cluster, objectives, estimates, failover, minimumPaidTime);
-        this.preemption = new Preemption(cluster, objectives, estimates, rules);
+        this.preemption = new PreemptionPolicy(cluster, objectives, estimates, rules);
         this.starter = new TaskStarter(cluster, token);
         this.holders = new HolderPlacement(cluster, rules.placement(), starter);
     }
--- a/src/main/java/io/indigoreach/core/scheduling/GuaranteeEnforcement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/GuaranteeEnforcement.java
@@ -11,9 +11,9 @@
 final class GuaranteeEnforcement {
     private final Cluster cluster;
     private final DispatchRules rules;
-    private final PlaceShortages shortages;
+    private final PlaceShortageTracker shortages;
 
-    GuaranteeEnforcement(Cluster cluster, DispatchRules rules, PlaceShortages shortages) {
+    GuaranteeEnforcement(Cluster cluster, DispatchRules rules, PlaceShortageTracker shortages) {
         this.cluster = cluster;
         this.rules = rules;
         this.shortages = shortages;
@@ -31,11 +31,11 @@
                 continue;
             }
             yieldPoolMachine(queue, top, machine, now);
-            if (!mayClaim(queue, top, machine, now) || shortages.hasEnoughComingPlaces(queue, top, now)) {
+            if (!mayClaim(queue, top, machine, now) || shortages.hasEnoughPlacesSoon(queue, top, now)) {
                 continue;
             }
             if (makeRoom(queue, top, machine, commands)) {
-                shortages.guaranteedPlaceComes(queue, top);
+                shortages.recordGuaranteedPlace(queue, top);
                 return commands;
             }
         }
@@ -81,9 +81,9 @@
                 && machine.matchesPool(top.spec)
                 && !machine.allows(top.spec)
                 && top.spec.demand().fitsIn(machine.type.capacity())
-                && !shortages.hasEnoughComingPlaces(queue, top, now)) {
-            cluster.warmCapacity.yield(machine, now);
-            shortages.guaranteedPlaceComes(queue, top);
+                && !shortages.hasEnoughPlacesSoon(queue, top, now)) {
+            cluster.warmCapacity.releaseForGuarantee(machine, now);
+            shortages.recordGuaranteedPlace(queue, top);
         }
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/HeartbeatHandler.java
+++ b/src/main/java/io/indigoreach/core/scheduling/HeartbeatHandler.java
@@ -26,7 +26,7 @@
     private final EarlyHeartbeats earlyHeartbeats = new EarlyHeartbeats();
     private final Reconciler reconciler;
     private final Dispatcher dispatcher;
-    private final Consolidation consolidation;
+    private final ConsolidationPolicy consolidation;
     private final SchedulerListener listener;
 
     HeartbeatHandler(
@@ -38,7 +38,7 @@
             InheritedTaskRelease release,
             Reconciler reconciler,
             Dispatcher dispatcher,
-            Consolidation consolidation,
+            ConsolidationPolicy consolidation,
             SchedulerListener listener) {
         this.token = token;
         this.safetyTimes = safetyTimes;
--- a/src/main/java/io/indigoreach/core/scheduling/HolderPlacement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/HolderPlacement.java
@@ -22,7 +22,7 @@
         Machine machine = batch.machine();
         Job due = machine.poolMembership == null ? null : machine.poolMembership.holder();
         Placement running = machine.holder();
-        if (running != null && cluster.warmCapacity.isKnown() && isMisplaced(running, due)) {
+        if (running != null && cluster.warmCapacity.isMembershipKnown() && isMisplaced(running, due)) {
             // Started anew, it shows that its image is here, or fetches it, and the image counts as used last.
             batch.stop(running);
         } else if (due != null && isNeeded(due, machine) && mayStartOn(due, machine, batch.now())) {
--- a/src/main/java/io/indigoreach/core/scheduling/JobSizing.java
+++ b/src/main/java/io/indigoreach/core/scheduling/JobSizer.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 /** Chooses the machine type for a job and computes how many machines its tasks need. */
-final class JobSizing {
+final class JobSizer {
     /**
      * Fraction of the owner's estimate that counts for short jobs until a task of their class has been observed to end.
      */
@@ -16,7 +16,7 @@
     private final Estimates estimates;
     private final Span minimumPaidTime;
 
-    JobSizing(Cluster cluster, Estimates estimates, Span minimumPaidTime) {
+    JobSizer(Cluster cluster, Estimates estimates, Span minimumPaidTime) {
         this.cluster = cluster;
         this.estimates = estimates;
         this.minimumPaidTime = minimumPaidTime;
@@ -28,27 +28,27 @@
      */
     Optional<MachineType> cheapestType(Job job) {
         JobSpec spec = job.spec;
-        MachineType best = null;
-        double bestPrice = Double.MAX_VALUE;
+        MachineType cheapest = null;
+        double lowestPrice = Double.MAX_VALUE;
         for (MachineType type : cluster.types.values()) {
             int tasksPerMachine = spec.demand().timesIn(type.capacity());
             if (tasksPerMachine == 0
                     || !spec.allowsType(type.name())
-                    || type.zones().stream().noneMatch(zone -> mayRunIn(job, zone))) {
+                    || type.zones().stream().noneMatch(zone -> mayRunInZone(job, zone))) {
                 continue;
             }
             boolean onSpot = spec.spotAllowed() && type.spotPrice() > 0;
             double price = (onSpot ? type.spotPrice() : type.price()) / tasksPerMachine;
-            if (price < bestPrice) {
-                best = type;
-                bestPrice = price;
+            if (price < lowestPrice) {
+                cheapest = type;
+                lowestPrice = price;
             }
         }
-        return Optional.ofNullable(best);
+        return Optional.ofNullable(cheapest);
     }
 
     /** Returns whether the job's specification and the zone of its other tasks allow the zone. */
-    static boolean mayRunIn(Job job, String zone) {
+    static boolean mayRunInZone(Job job, String zone) {
         String boundZone = job.spec.oneZone() ? job.boundZone() : null;
         return job.spec.allowsZone(zone) && (boundZone == null || boundZone.equals(zone));
     }
@@ -62,7 +62,7 @@
      * Returns the run time of a task in machine seconds, reduced while only the owner's estimate is known. Estimates
      * are often three times too long and would then rent machines that find no work.
      */
-    double confidentMachineSeconds(Job job, MachineType type) {
+    double conservativeMachineSeconds(Job job, MachineType type) {
         return machineSeconds(job, type) * (estimates.hasSeen(job) ? 1 : UNSEEN_ESTIMATE_FRACTION);
     }
 
@@ -71,10 +71,10 @@
      * machine.
      */
     double machinesFor(Job job, MachineType type, int tasks) {
-        int perMachine = tasksPerMachine(job, type);
+        int tasksPerMachine = tasksPerMachine(job, type);
         double runSeconds = estimates.run(job).seconds();
-        double fraction = job.spec.isService() ? 1 : Math.min(1, runSeconds / minimumPaidTime.seconds());
-        return tasks * fraction / perMachine;
+        double machineFraction = job.spec.isService() ? 1 : Math.min(1, runSeconds / minimumPaidTime.seconds());
+        return tasks * machineFraction / tasksPerMachine;
     }
 
     private static int tasksPerMachine(Job job, MachineType type) {
--- a/src/main/java/io/indigoreach/core/scheduling/ObjectiveBudget.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ObjectiveBudget.java
@@ -80,7 +80,7 @@
     /** Cores that the jobs with an objective use on average, by the rate at which they arrive. */
     private double arrivingCores(FairShareQueue queue, Moment now) {
         return queue.arrivalRate()
-                .perSecond(
+                .workPerSecond(
                         job -> !objectives.hasNoObjective(job),
                         job -> job.spec.tasks()
                                 * estimates.run(job).seconds()
--- a/src/main/java/io/indigoreach/core/scheduling/PoolMembership.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PoolMembership.java
@@ -13,17 +13,17 @@
     private final String pool;
     private final String image;
     private final double imageGb;
-    private final Demand replica;
+    private final Demand replicaDemand;
     private Job holder;
-    private Span longestOtherTask = Span.ZERO;
+    private Span maximumOtherTaskTime = Span.ZERO;
     private boolean ended;
 
-    /** Creates a membership in a pool that caches an image of {@code gb} gigabytes for replicas of the given demand. */
-    public PoolMembership(String pool, String image, double gb, Demand replica) {
+    /** Creates a membership in a pool that caches an image of {@code imageGb} gigabytes for replicas of the given demand. */
+    public PoolMembership(String pool, String image, double imageGb, Demand replicaDemand) {
         this.pool = pool;
         this.image = image;
-        this.imageGb = gb;
-        this.replica = replica;
+        this.imageGb = imageGb;
+        this.replicaDemand = replicaDemand;
     }
 
     public String pool() {
@@ -47,8 +47,8 @@
         holder = job;
     }
 
-    public void longestOtherTask(Span span) {
-        longestOtherTask = span;
+    public void maximumOtherTaskTime(Span time) {
+        maximumOtherTaskTime = time;
     }
 
     /**
@@ -72,8 +72,8 @@
         if (spec.image().equals(image)) {
             return true;
         }
-        boolean leavesRoom = replica.fitsIn(free.minus(spec.demand()))
-                || (!spec.isService() && spec.estimate().times(2).compareTo(longestOtherTask) <= 0);
+        boolean leavesRoom = replicaDemand.fitsIn(free.minus(spec.demand()))
+                || (!spec.isService() && spec.estimate().times(2).compareTo(maximumOtherTaskTime) <= 0);
         return leavesRoom && cache.isCached(image) && cache.hasRoomBeside(image, spec.image(), spec.imageGb());
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/Preemption.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PreemptionPolicy.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 
 /** Stops tasks to make room for more urgent jobs and for teams that have less than their guaranteed cores. */
-final class Preemption {
+final class PreemptionPolicy {
     /** A task that has run for less than this is not preempted, as the cost of its start would be wasted. */
     static final Span MINIMUM_RUN = Span.seconds(32);
 
@@ -23,16 +23,16 @@
     private final ServiceLevelObjectives objectives;
     private final Estimates estimates;
     private final DispatchRules rules;
-    private final PlaceShortages shortages;
+    private final PlaceShortageTracker placeShortages;
     private final GuaranteeEnforcement guarantees;
 
-    Preemption(Cluster cluster, ServiceLevelObjectives objectives, Estimates estimates, DispatchRules rules) {
+    PreemptionPolicy(Cluster cluster, ServiceLevelObjectives objectives, Estimates estimates, DispatchRules rules) {
         this.cluster = cluster;
         this.objectives = objectives;
         this.estimates = estimates;
         this.rules = rules;
-        this.shortages = new PlaceShortages(cluster, objectives, estimates, rules.placement());
-        this.guarantees = new GuaranteeEnforcement(cluster, rules, shortages);
+        this.placeShortages = new PlaceShortageTracker(cluster, objectives, estimates, rules.placement());
+        this.guarantees = new GuaranteeEnforcement(cluster, rules, placeShortages);
     }
 
     /**
@@ -47,74 +47,78 @@
         }
         FairShareQueue queue = cluster.queueOf(machine);
         if (queue != null && machine.isUsable()) {
-            Optional<Job> top = rules.reservations().topJob(queue, now);
-            if (top.isPresent() && mayPreemptOn(machine, top.get(), now)) {
-                preemptFor(queue, top.get(), machine, now, commands);
+            Optional<Job> topJob = rules.reservations().topJob(queue, now);
+            if (topJob.isPresent() && mayPreemptOn(machine, topJob.get(), now)) {
+                preemptFor(queue, topJob.get(), machine, now, commands);
             }
         }
         return commands;
     }
 
-    private boolean mayPreemptOn(Machine machine, Job top, Moment now) {
-        return mayPreempt(top, machine.type)
-                && machine.allows(top.spec)
-                && FaultAttribution.allows(top, machine, now)
-                && rules.placement().isPlaceable(top, machine)
-                && !rules.placement().awaitsImageLocality(top, machine, now);
+    private boolean mayPreemptOn(Machine machine, Job topJob, Moment now) {
+        return mayPreempt(topJob, machine.type)
+                && machine.allows(topJob.spec)
+                && FaultAttribution.allows(topJob, machine, now)
+                && rules.placement().isPlaceable(topJob, machine)
+                && !rules.placement().awaitsImageLocality(topJob, machine, now);
     }
 
     /**
      * Urgent jobs may preempt others, and so may jobs whose objective falls due before a rented machine would be up.
      */
-    private boolean mayPreempt(Job top, MachineType type) {
-        return top.urgency().isMoreUrgentThan(Urgency.STANDARD) || rules.order().isObjectiveTooNearToRent(top, type);
+    private boolean mayPreempt(Job topJob, MachineType type) {
+        return topJob.urgency().isMoreUrgentThan(Urgency.STANDARD)
+                || rules.order().isObjectiveTooNearToRent(topJob, type);
     }
 
-    private void preemptFor(FairShareQueue queue, Job top, Machine machine, Moment now, List<WorkerCommand> commands) {
+    private void preemptFor(
+            FairShareQueue queue, Job topJob, Machine machine, Moment now, List<WorkerCommand> commands) {
         List<Placement> victims = machine.placementsCopy();
-        victims.removeIf(placement -> !isPreemptible(placement, top, now));
+        victims.removeIf(placement -> !isPreemptible(placement, topJob, now));
         if (victims.isEmpty()) {
             return;
         }
-        int missing = shortages.missingPlaces(queue, top, now);
+        int missingPlaces = placeShortages.missingPlaces(queue, topJob, now);
         victims.sort(Comparator.comparing((Placement placement) -> placement.job.urgency())
                 .reversed());
-        Demand room = machine.free();
+        Demand free = machine.free();
         for (Placement placement : victims) {
-            int placesBefore = top.spec.demand().timesIn(room);
-            room = room.plus(placement.demand());
-            if (missing <= 0) {
+            int placesBefore = topJob.spec.demand().timesIn(free);
+            free = free.plus(placement.demand());
+            if (missingPlaces <= 0) {
                 break;
             }
             commands.add(CommandBatch.stopWithCheckpoint(placement));
-            missing -= top.spec.demand().timesIn(room) - placesBefore;
+            missingPlaces -= topJob.spec.demand().timesIn(free) - placesBefore;
         }
-        shortages.setMissingPlaces(top, missing);
+        placeShortages.setMissingPlaces(topJob, missingPlaces);
     }
 
-    private boolean isPreemptible(Placement placement, Job top, Moment now) {
+    private boolean isPreemptible(Placement placement, Job topJob, Moment now) {
         if (placement.state != TaskState.RUNNING
                 || placement.stopping
                 || placement.job.underServed
-                || !top.urgency().isMoreUrgentThan(placement.job.urgency())) {
+                || !topJob.urgency().isMoreUrgentThan(placement.job.urgency())) {
             return false;
         }
-        return placement.job.spec.savesProgress() ? hasRunLongEnough(placement, now) : losesLittle(placement, top, now);
+        return placement.job.spec.savesProgress()
+                ? hasRunLongEnough(placement, now)
+                : losesLittleProgress(placement, topJob, now);
     }
 
     /** A task that saves its progress is stopped unless it has just begun or ends soon by itself. */
     private boolean hasRunLongEnough(Placement placement, Moment now) {
-        Span grace = placement.job.spec.checkpointTime().times(2);
+        Span minimumRemaining = placement.job.spec.checkpointTime().times(2);
         return now.since(placement.stateSince).compareTo(MINIMUM_RUN) >= 0
-                && estimates.end(placement, now).since(now).compareTo(grace) > 0;
+                && estimates.end(placement, now).since(now).compareTo(minimumRemaining) > 0;
     }
 
     /**
      * A task that loses its progress is stopped only if it has just begun and the top job is about to miss its
      * objective.
      */
-    private boolean losesLittle(Placement placement, Job top, Moment now) {
-        return shortages.timeToStart(top, now).ms() > 0
+    private boolean losesLittleProgress(Placement placement, Job topJob, Moment now) {
+        return placeShortages.timeToObjective(topJob, now).ms() > 0
                 && now.since(placement.stateSince).compareTo(MAXIMUM_LOST_RUN) <= 0
                 && objectives.latestStartForWait(placement.job) == null
                 && !placement.job.spec.isService();
--- a/src/main/java/io/indigoreach/core/scheduling/QueueNeed.java
+++ b/src/main/java/io/indigoreach/core/scheduling/QueueNeed.java
@@ -5,25 +5,25 @@
 
 /** Sums the machines that the waiting jobs of one queue need, in queue order. */
 final class QueueNeed {
-    private final Map<String, TypeNeed> byType = new HashMap<>();
+    private final Map<String, MachineTypeNeed> byType = new HashMap<>();
     /** Work of the short jobs per machine type, in machine seconds. */
     private final Map<String, Double> shortWork = new HashMap<>();
     /** Cores counted so far for each team, compared with its limit. */
     private final Map<TeamUsage, Double> plannedCores = new HashMap<>();
 
-    private boolean topShortCounted;
+    private boolean hasShortJob;
 
     /** Returns the need of each machine type, keyed by type name. */
-    Map<String, TypeNeed> byType() {
+    Map<String, MachineTypeNeed> byType() {
         return byType;
     }
 
-    TypeNeed ofType(String type) {
-        return byType.computeIfAbsent(type, name -> new TypeNeed());
+    MachineTypeNeed forType(String type) {
+        return byType.computeIfAbsent(type, name -> new MachineTypeNeed());
     }
 
     /** Returns how many of the job's tasks the team's limit allows after those counted before, and counts them. */
-    int withinTeamLimit(Job job, TeamUsage team) {
+    int countWithinTeamLimit(Job job, TeamUsage team) {
         int tasks = Math.min(job.startableCount(), team.room(job.spec.demand(), plannedCores.getOrDefault(team, 0.0)));
         plannedCores.merge(team, Math.max(0, tasks) * job.spec.demand().cores(), Double::sum);
         return tasks;
@@ -38,9 +38,9 @@
     }
 
     /** Returns true for the first short job, whose tasks are all counted, and false for the short jobs behind it. */
-    boolean countTopShort() {
-        boolean first = !topShortCounted;
-        topShortCounted = true;
+    boolean registerShortJob() {
+        boolean first = !hasShortJob;
+        hasShortJob = true;
         return first;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/ReservationTable.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ReservationTable.java
@@ -84,6 +84,6 @@
 
     /** The jobs that go first on the machines reserved for them, as counted by {@link #isReservedForAged}. */
     List<Job> agedJobs(FairShareQueue queue) {
-        return reservedCapacity.jobs(queue);
+        return reservedCapacity.eligibleJobs(queue);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/ReservedCapacity.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ReservedCapacity.java
@@ -23,12 +23,12 @@
     private static final Span SELECTION_LIFE = Span.seconds(1);
 
     /** The reserved machines and eligible jobs, least remaining work first; no machines while no eligible job waits. */
-    private record Selection(Set<MachineId> machines, List<Job> jobs, Moment at) {}
+    private record Selection(Set<MachineId> machines, List<Job> eligibleJobs, Moment selectedAt) {}
 
     private final Cluster cluster;
     private final ServiceLevelObjectives objectives;
     private final Estimates estimates;
-    private final Map<FairShareQueue, Selection> byQueue = new HashMap<>();
+    private final Map<FairShareQueue, Selection> selectionByQueue = new HashMap<>();
 
     ReservedCapacity(Cluster cluster, ServiceLevelObjectives objectives, Estimates estimates) {
         this.cluster = cluster;
@@ -45,14 +45,14 @@
      * Returns whether eligible jobs go first on the machine. The selection is renewed once per {@link #SELECTION_LIFE}.
      */
     boolean isReserved(Machine machine, FairShareQueue queue, List<Job> jobs, Moment now) {
-        Selection selection = byQueue.get(queue);
-        if (selection == null || !now.isBefore(selection.at.plus(SELECTION_LIFE))) {
+        Selection selection = selectionByQueue.get(queue);
+        if (selection == null || !now.isBefore(selection.selectedAt.plus(SELECTION_LIFE))) {
             List<Job> waiting = jobs.stream()
                     .filter(job -> isEligible(job, now) && job.hasStartable())
                     .sorted(Comparator.comparingDouble(this::remainingWork))
                     .toList();
-            selection = new Selection(waiting.isEmpty() ? Set.of() : choose(queue, now), waiting, now);
-            byQueue.put(queue, selection);
+            selection = new Selection(waiting.isEmpty() ? Set.of() : chooseMachines(queue, now), waiting, now);
+            selectionByQueue.put(queue, selection);
         }
         return selection.machines.contains(machine.id);
     }
@@ -61,8 +61,8 @@
      * Returns the jobs that go first on the reserved machines, least remaining work first, so that most jobs of a class
      * end before one large array does. The large array runs once it is aged, or wherever else there is room.
      */
-    List<Job> jobs(FairShareQueue queue) {
-        return byQueue.get(queue).jobs;
+    List<Job> eligibleJobs(FairShareQueue queue) {
+        return selectionByQueue.get(queue).eligibleJobs;
     }
 
     private double remainingWork(Job job) {
@@ -72,13 +72,13 @@
     }
 
     /** Chooses the machines that already run the most eligible work, so that the choice changes little over time. */
-    private Set<MachineId> choose(FairShareQueue queue, Moment now) {
-        Map<Machine, Double> work = new HashMap<>();
+    private Set<MachineId> chooseMachines(FairShareQueue queue, Moment now) {
+        Map<Machine, Double> eligibleCores = new HashMap<>();
         List<Machine> usable = new ArrayList<>();
         for (Machine machine : cluster.machinesServing(queue)) {
             if (machine.isUsable()) {
                 usable.add(machine);
-                work.put(
+                eligibleCores.put(
                         machine,
                         machine.placements().values().stream()
                                 .filter(placement -> isEligible(placement.job, now))
@@ -86,7 +86,7 @@
                                 .sum());
             }
         }
-        usable.sort(Comparator.<Machine>comparingDouble(machine -> -work.get(machine))
+        usable.sort(Comparator.<Machine>comparingDouble(machine -> -eligibleCores.get(machine))
                 .thenComparing(machine -> machine.id));
         Set<MachineId> chosen = new HashSet<>();
         usable.subList(0, (int) (usable.size() * RESERVED_FRACTION)).forEach(machine -> chosen.add(machine.id));
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
@@ -34,19 +34,20 @@
     }
 
     /** Selects the machines to return, each with its reason, and moves them to the RETURNING phase. */
-    List<PlannedReturn> selectMachines(Moment now, boolean settled) {
+    List<PlannedReturn> selectMachines(Moment now, boolean failoverComplete) {
         List<PlannedReturn> planned = new ArrayList<>();
-        int up = 0;
-        int lost = 0;
+        int upMachines = 0;
+        int lostMachines = 0;
         for (Machine machine : cluster.machines.values()) {
-            up += machine.phase == Machine.Phase.UP ? 1 : 0;
-            lost += machine.phase == Machine.Phase.LOST ? 1 : 0;
+            upMachines += machine.phase == Machine.Phase.UP ? 1 : 0;
+            lostMachines += machine.phase == Machine.Phase.LOST ? 1 : 0;
         }
-        boolean mostAreLost = lost > up;
+        boolean mostMachinesLost = lostMachines > upMachines;
         failureDetector.recount(now);
         for (Machine machine : cluster.machines.values()) {
-            String reason =
-                    machine.phase == Machine.Phase.RETURNING ? null : reason(machine, now, settled, mostAreLost);
+            String reason = machine.phase == Machine.Phase.RETURNING
+                    ? null
+                    : returnReason(machine, now, failoverComplete, mostMachinesLost);
             if (reason != null) {
                 machine.beginReturn(now);
                 cluster.changed();
@@ -57,14 +58,14 @@
     }
 
     /** Returns why the machine has to be returned now, or null if it is kept. */
-    private String reason(Machine machine, Moment now, boolean settled, boolean mostAreLost) {
+    private String returnReason(Machine machine, Moment now, boolean failoverComplete, boolean mostMachinesLost) {
         if (isUnreachable(machine, now)) {
             return "no-heartbeat-answers missed=" + machine.partition.missed();
         }
         return switch (machine.phase) {
             case BOOTING -> reasonWhileBooting(machine, now);
-            case LOST -> reasonWhileLost(machine, now, mostAreLost);
-            default -> reasonWhileUp(machine, now, settled);
+            case LOST -> reasonWhileLost(machine, now, mostMachinesLost);
+            default -> reasonWhileUp(machine, now, failoverComplete);
         };
     }
 
@@ -75,7 +76,7 @@
     private boolean isUnreachable(Machine machine, Moment now) {
         return machine.partition.isConfirmed()
                 && (!failureDetector.isZonePartitioned(machine.pool.zone())
-                        || now.since(machine.partition.missedSince()).compareTo(partitionPatience(machine)) > 0);
+                        || now.since(machine.partition.missedSince()).compareTo(partitionTimeout(machine)) > 0);
     }
 
     private String reasonWhileBooting(Machine machine, Moment now) {
@@ -88,13 +89,13 @@
     }
 
     /** Keeps lost machines while most machines are lost, as the fault is then probably between them and this leader. */
-    private String reasonWhileLost(Machine machine, Moment now, boolean mostAreLost) {
-        return !mostAreLost && now.since(machine.lastHeardAt).compareTo(patience(machine)) > 0
+    private String reasonWhileLost(Machine machine, Moment now, boolean mostMachinesLost) {
+        return !mostMachinesLost && now.since(machine.lastHeardAt).compareTo(lostTimeout(machine)) > 0
                 ? "silent-since-lease-expiry"
                 : null;
     }
 
-    private String reasonWhileUp(Machine machine, Moment now, boolean settled) {
+    private String reasonWhileUp(Machine machine, Moment now, boolean failoverComplete) {
         if (failureDetector.isMachineFailure(machine, now) && !machine.isIdle()) {
             return "silent tasks=" + machine.taskCount();
         }
@@ -104,11 +105,11 @@
         if (machine.quarantined) {
             return "fails-tasks";
         }
-        return settled && isIdleAtTermEnd(machine, now) ? "idle" : null;
+        return failoverComplete && isIdleAtTermEnd(machine, now) ? "idle" : null;
     }
 
     private boolean isIdleAtTermEnd(Machine machine, Moment now) {
-        return termEnds(machine, now)
+        return termEndsBeforeNextCheck(machine, now)
                 && !cluster.warmCapacity.isRetained(machine)
                 && !dispatcher.rules().cordons().isUsableByWaitingJob(machine, now);
     }
@@ -119,28 +120,29 @@
      * shorter timeout, two deployments returned 400 machines seconds before a partition of 47 s ended, and then waited
      * half a minute for replacements to boot.
      */
-    private Span patience(Machine machine) {
-        Span alone = safetyTimes.leaseBound().times(1.5);
-        Span behindPartition = partitionPatience(machine);
-        return failureDetector.isZoneUnreachable(machine.pool.zone()) && behindPartition.compareTo(alone) > 0
-                ? behindPartition
-                : alone;
+    private Span lostTimeout(Machine machine) {
+        Span singleMachineTimeout = safetyTimes.leaseBound().times(1.5);
+        Span partitionTimeout = partitionTimeout(machine);
+        return failureDetector.isZoneUnreachable(machine.pool.zone())
+                        && partitionTimeout.compareTo(singleMachineTimeout) > 0
+                ? partitionTimeout
+                : singleMachineTimeout;
     }
 
-    private Span partitionPatience(Machine machine) {
+    private Span partitionTimeout(Machine machine) {
         return safetyTimes.leaseBound().plus(machine.type.boot()).plus(settings.minimumPaidTime());
     }
 
     /** Returns whether the machine's paid term ends before the next check. */
-    boolean termEnds(Machine machine, Moment now) {
+    boolean termEndsBeforeNextCheck(Machine machine, Moment now) {
         return remainingTerm(machine, now).compareTo(settings.checkPeriod()) <= 0;
     }
 
     /** Returns the time until the current paid term ends. */
     private Span remainingTerm(Machine machine, Moment now) {
-        long beyond =
+        long msBeyondMinimum =
                 now.since(machine.rentedAt).ms() - settings.minimumPaidTime().ms();
-        long term = Math.max(1, settings.term().ms());
-        return new Span(beyond < 0 ? -beyond : term - beyond % term);
+        long termMs = Math.max(1, settings.term().ms());
+        return new Span(msBeyondMinimum < 0 ? -msBeyondMinimum : termMs - msBeyondMinimum % termMs);
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/BestSize.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleOutPolicy.java
@@ -20,7 +20,7 @@
  * work that the busy machines cannot begin within the wait limit is therefore counted too, in units of the minimum paid
  * time.
  */
-final class BestSize {
+final class ScaleOutPolicy {
     /** Subtracted before rounding up, so that floating-point errors in sums do not add a machine. */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
@@ -28,14 +28,14 @@
     private final DispatchRules rules;
     private final Estimates estimates;
     private final SchedulerSettings settings;
-    private final JobSizing sizing;
-    private final ScaleOutTrigger trigger;
+    private final JobSizer jobSizer;
+    private final ScaleOutTrigger scaleOutTrigger;
     private final BacklogEstimator backlogEstimator;
-    private final SurplusRetention surplusRetention;
-    private final AvailableMachines availableMachines;
-    private final ZoneSpreading zones;
+    private final SurplusMarker surplusMarker;
+    private final AvailableMachineCounter availableMachineCounter;
+    private final ZoneBalancer zoneBalancer;
 
-    BestSize(
+    ScaleOutPolicy(
             Cluster cluster,
             DispatchRules rules,
             Estimates estimates,
@@ -45,60 +45,60 @@
         this.rules = rules;
         this.estimates = estimates;
         this.settings = settings;
-        this.sizing = new JobSizing(cluster, estimates, settings.minimumPaidTime());
-        this.trigger = new ScaleOutTrigger(rules, estimates, settings, sizing);
-        this.backlogEstimator = new BacklogEstimator(cluster, rules.order(), estimates, settings, sizing);
-        this.surplusRetention = new SurplusRetention(cluster);
-        this.availableMachines = new AvailableMachines(cluster, settings.bootPatience());
-        this.zones = new ZoneSpreading(cluster, failureDetector, settings.refusalBackoff());
+        this.jobSizer = new JobSizer(cluster, estimates, settings.minimumPaidTime());
+        this.scaleOutTrigger = new ScaleOutTrigger(rules, estimates, settings, jobSizer);
+        this.backlogEstimator = new BacklogEstimator(cluster, rules.order(), estimates, settings, jobSizer);
+        this.surplusMarker = new SurplusMarker(cluster);
+        this.availableMachineCounter = new AvailableMachineCounter(cluster, settings.bootPatience());
+        this.zoneBalancer = new ZoneBalancer(cluster, failureDetector, settings.refusalBackoff());
     }
 
     /** Records that the cloud refused a request because the pool had no capacity. */
-    void refused(MachinePool pool, Moment now) {
-        zones.refused(pool, now);
+    void recordRefusal(MachinePool pool, Moment now) {
+        zoneBalancer.recordRefusal(pool, now);
     }
 
     /** Returns whether a request to the pool may succeed now. */
-    boolean mayAsk(MachinePool pool, Moment now) {
-        return zones.mayRequest(pool, now);
+    boolean mayRequest(MachinePool pool, Moment now) {
+        return zoneBalancer.mayRequest(pool, now);
     }
 
     /** Returns the requests to send to the cloud now, each within the maximum request size. */
     List<ScaleOutRequest> scaleOutRequests(Moment now) {
-        Map<MachinePool, Integer> wanted = new HashMap<>();
+        Map<MachinePool, Integer> machinesByPool = new HashMap<>();
         for (FairShareQueue queue : cluster.queues()) {
-            sizeQueue(queue, now, wanted);
+            sizeQueue(queue, now, machinesByPool);
         }
         List<ScaleOutRequest> requests = new ArrayList<>();
-        wanted.forEach((pool, count) -> {
-            for (int left = count; left > 0; left -= ZoneSpreading.MACHINES_PER_REQUEST) {
-                requests.add(new ScaleOutRequest(pool, Math.min(left, ZoneSpreading.MACHINES_PER_REQUEST)));
+        machinesByPool.forEach((pool, count) -> {
+            for (int remaining = count; remaining > 0; remaining -= ZoneBalancer.MAXIMUM_REQUEST_SIZE) {
+                requests.add(new ScaleOutRequest(pool, Math.min(remaining, ZoneBalancer.MAXIMUM_REQUEST_SIZE)));
             }
         });
         return requests;
     }
 
-    private void sizeQueue(FairShareQueue queue, Moment now, Map<MachinePool, Integer> wanted) {
+    private void sizeQueue(FairShareQueue queue, Moment now, Map<MachinePool, Integer> machinesByPool) {
         Map<String, Backlog> backlogs = backlogEstimator.backlogs(queue, now);
         QueueNeed need = new QueueNeed();
-        Optional<Job> top = rules.reservations().topJob(queue, now);
-        if (top.isPresent() && trigger.mustScaleOut(queue, top.get(), now)) {
+        Optional<Job> topJob = rules.reservations().topJob(queue, now);
+        if (topJob.isPresent() && scaleOutTrigger.mustScaleOut(queue, topJob.get(), now)) {
             for (Job job : rules.order().jobs(queue, now)) {
-                if (isCounted(job, now)) {
-                    count(job, need, now);
+                if (needsMachines(job, now)) {
+                    addNeed(job, need, now);
                 }
             }
         }
-        surplusRetention.markSurplus(queue, backlogs, need.byType(), now);
+        surplusMarker.markSurplus(queue, backlogs, need.byType(), now);
         need.byType().forEach((name, typeNeed) -> {
             MachineType type = cluster.types.get(name);
             Backlog backlog = backlogs.get(name);
             addShortBacklog(typeNeed, need.shortWork(name), backlog);
-            request(queue, type, typeNeed, backlog, now, wanted);
+            requestMachines(queue, type, typeNeed, backlog, now, machinesByPool);
         });
     }
 
-    private boolean isCounted(Job job, Moment now) {
+    private boolean needsMachines(Job job, Moment now) {
         // The previous leader scaled out for inherited jobs. Until all machines have reported, it is unknown which of
         // them serve these jobs.
         boolean servedByPreviousLeader = job.inherited && !rules.placement().isFailoverComplete();
@@ -108,72 +108,79 @@
                 && rules.placement().mayStart(job, now);
     }
 
-    private void count(Job job, QueueNeed queueNeed, Moment now) {
+    private void addNeed(Job job, QueueNeed queueNeed, Moment now) {
         boolean isShort = estimates.run(job).compareTo(settings.shortJob()) < 0;
-        int waiting = queueNeed.withinTeamLimit(job, cluster.teamUsage(job));
-        MachineType type = sizing.cheapestType(job).orElse(null);
-        if (type == null || waiting <= 0) {
+        int waitingTasks = queueNeed.countWithinTeamLimit(job, cluster.teamUsage(job));
+        MachineType type = jobSizer.cheapestType(job).orElse(null);
+        if (type == null || waitingTasks <= 0) {
             return;
         }
         if (isShort) {
-            queueNeed.addShortWork(type.name(), waiting * sizing.confidentMachineSeconds(job, type));
-            if (!queueNeed.countTopShort()) {
+            queueNeed.addShortWork(type.name(), waitingTasks * jobSizer.conservativeMachineSeconds(job, type));
+            if (!queueNeed.registerShortJob()) {
                 return;
             }
         }
-        double more = sizing.machinesFor(job, type, waiting);
-        TypeNeed need = queueNeed.ofType(type.name());
-        boolean mayUseOnDemand = trigger.mayUseOnDemand(job, now);
-        if (!zones.canBeRented(job, type, now)) {
+        double machines = jobSizer.machinesFor(job, type, waitingTasks);
+        MachineTypeNeed need = queueNeed.forType(type.name());
+        boolean mayUseOnDemand = scaleOutTrigger.mayUseOnDemand(job, now);
+        if (!zoneBalancer.canRentFor(job, type, now)) {
             // The job must not become the first of its type: machines for the whole queue are requested in the zones of
             // the first job, so a first job that is bound to an exhausted zone would block all requests.
-            need.addRefused(more, mayUseOnDemand);
+            need.addRefused(machines, mayUseOnDemand);
             return;
         }
-        need.add(job, more, mayUseOnDemand);
+        need.add(job, machines, mayUseOnDemand);
         if (isShort) {
-            need.addShort(more, mayUseOnDemand);
+            need.addShort(machines, mayUseOnDemand);
         }
     }
 
-    private void addShortBacklog(TypeNeed need, double shortWork, Backlog backlog) {
-        double machines = backlog.machinesForShortWork(
+    private void addShortBacklog(MachineTypeNeed need, double shortWork, Backlog backlog) {
+        double shortJobMachines = backlog.machinesForShortWork(
                 shortWork,
                 settings.waitLimit().seconds(),
                 settings.minimumPaidTime().seconds());
-        need.addShortBacklog(Math.max(0, machines - need.topShort));
+        need.addShortBacklog(Math.max(0, shortJobMachines - need.topShortMachines));
     }
 
     /**
      * Requests on-demand machines for jobs that cannot use spot machines, then spot machines for the rest, or on-demand
      * machines where no spot pool accepts requests.
      */
-    private void request(
+    private void requestMachines(
             FairShareQueue queue,
             MachineType type,
-            TypeNeed need,
+            MachineTypeNeed need,
             Backlog backlog,
             Moment now,
-            Map<MachinePool, Integer> wanted) {
-        int available = availableMachines.count(queue, type.name(), false, now);
-        int onDemandOnly = onDemandOnly(queue, type, need, now);
-        if (onDemandOnly > 0) {
-            zones.spread(need.firstOnDemand, type, false, onDemandOnly, now, wanted);
+            Map<MachinePool, Integer> machinesByPool) {
+        int available = availableMachineCounter.count(queue, type.name(), false, now);
+        int missingOnDemandOnly = missingOnDemandOnly(queue, type, need, now);
+        if (missingOnDemandOnly > 0) {
+            zoneBalancer.distribute(need.firstOnDemandOnlyJob, type, false, missingOnDemandOnly, now, machinesByPool);
         }
-        int rest = roundUp(need.machines) - available - onDemandOnly;
-        Job job = need.firstSpot;
-        if (rest <= 0 || job == null || (type.spotPrice() > 0 && zones.spread(job, type, true, rest, now, wanted))) {
+        int missing = roundUp(need.machines) - available - missingOnDemandOnly;
+        Job firstSpotJob = need.firstSpotJob;
+        if (missing <= 0
+                || firstSpotJob == null
+                || (type.spotPrice() > 0
+                        && zoneBalancer.distribute(firstSpotJob, type, true, missing, now, machinesByPool))) {
             return;
         }
-        int forObjectives = (int) Math.floor(backlog.onDemandNeeded() - backlog.onDemand.machines());
-        int onDemand = Math.max(forObjectives, roundUp(need.onDemand) - available) - onDemandOnly;
-        zones.spread(job, type, false, Math.min(rest, onDemand), now, wanted);
+        int onDemandForObjectives = (int) Math.floor(backlog.onDemandNeeded() - backlog.onDemandCapacity.machines());
+        int missingOnDemand =
+                Math.max(onDemandForObjectives, roundUp(need.onDemandMachines) - available) - missingOnDemandOnly;
+        zoneBalancer.distribute(firstSpotJob, type, false, Math.min(missing, missingOnDemand), now, machinesByPool);
     }
 
-    private int onDemandOnly(FairShareQueue queue, MachineType type, TypeNeed need, Moment now) {
-        return need.firstOnDemand == null
+    private int missingOnDemandOnly(FairShareQueue queue, MachineType type, MachineTypeNeed need, Moment now) {
+        return need.firstOnDemandOnlyJob == null
                 ? 0
-                : Math.max(0, roundUp(need.onDemandOnly) - availableMachines.count(queue, type.name(), true, now));
+                : Math.max(
+                        0,
+                        roundUp(need.onDemandOnlyMachines)
+                                - availableMachineCounter.count(queue, type.name(), true, now));
     }
 
     private static int roundUp(double machines) {
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleOutTrigger.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleOutTrigger.java
@@ -11,28 +11,28 @@
     private final DispatchRules rules;
     private final Estimates estimates;
     private final SchedulerSettings settings;
-    private final JobSizing sizing;
+    private final JobSizer jobSizer;
 
-    ScaleOutTrigger(DispatchRules rules, Estimates estimates, SchedulerSettings settings, JobSizing sizing) {
+    ScaleOutTrigger(DispatchRules rules, Estimates estimates, SchedulerSettings settings, JobSizer jobSizer) {
         this.rules = rules;
         this.estimates = estimates;
         this.settings = settings;
-        this.sizing = sizing;
+        this.jobSizer = jobSizer;
     }
 
     /** Returns whether the top job has no place or waits too long for one, or a job behind it waits too long. */
-    boolean mustScaleOut(FairShareQueue queue, Job top, Moment now) {
-        Moment start = rules.reservations().of(queue, top, now).lastStart();
-        return start == null
-                || start.since(top.eligibleSince).compareTo(settings.waitLimit()) > 0
-                || queue.jobs().stream().anyMatch(job -> waitsTooLong(job, now) || bootsTooLate(job, now));
+    boolean mustScaleOut(FairShareQueue queue, Job topJob, Moment now) {
+        Moment predictedStart = rules.reservations().of(queue, topJob, now).lastStart();
+        return predictedStart == null
+                || predictedStart.since(topJob.eligibleSince).compareTo(settings.waitLimit()) > 0
+                || queue.jobs().stream().anyMatch(job -> hasWaitedTooLong(job, now) || wouldBootTooLate(job, now));
     }
 
     /**
      * Compares the actual wait of a job with the limit, because jobs behind an urgent job that is served at once could
      * otherwise wait for ever.
      */
-    private boolean waitsTooLong(Job job, Moment now) {
+    private boolean hasWaitedTooLong(Job job, Moment now) {
         return job.hasStartable()
                 && !job.isSuspectedFaulty()
                 && now.since(job.eligibleSince).compareTo(settings.waitLimit()) > 0
@@ -44,11 +44,11 @@
      * the limit. Planned work is submitted as late as its prediction allows, which includes a boot. Behind a top job
      * that is served soon, that rule would scale out only when the boot no longer fits before the deadline.
      */
-    private boolean bootsTooLate(Job job, Moment now) {
+    private boolean wouldBootTooLate(Job job, Moment now) {
         if (!job.spec.isPlanned() || !job.hasStartable() || job.isSuspectedFaulty()) {
             return false;
         }
-        Optional<MachineType> type = sizing.cheapestType(job);
+        Optional<MachineType> type = jobSizer.cheapestType(job);
         return type.isPresent()
                 && !endOnNewMachine(job, type.get(), now).isBefore(job.dueAt())
                 && rules.placement().mayStart(job, now);
@@ -68,13 +68,13 @@
      * at most: with a longer wait, 94 tasks ran one after another on a single on-demand machine.
      */
     boolean mayUseOnDemand(Job job, Moment now) {
-        Span patience = job.urgency().isMoreUrgentThan(Urgency.STANDARD)
+        Span spotPatience = job.urgency().isMoreUrgentThan(Urgency.STANDARD)
                 ? settings.urgentSpotPatience()
                 : settings.spotPatience();
         if ((rules.order().hasNoReachableObjective(job, now) || job.spec.isPlanned())
-                && settings.waitLimit().compareTo(patience) < 0) {
-            patience = settings.waitLimit();
+                && settings.waitLimit().compareTo(spotPatience) < 0) {
+            spotPatience = settings.waitLimit();
         }
-        return !job.spec.spotAllowed() || now.since(job.eligibleSince).compareTo(patience) >= 0;
+        return !job.spec.spotAllowed() || now.since(job.eligibleSince).compareTo(spotPatience) >= 0;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
@@ -34,9 +34,9 @@
     private final HeartbeatHandler heartbeatHandler;
     private final LeaseExpiry leaseExpiry;
     private final DependentJobs dependentJobs;
-    private final BestSize bestSize;
+    private final ScaleOutPolicy bestSize;
     private final StartBounds startBounds;
-    private final Consolidation consolidation;
+    private final ConsolidationPolicy consolidation;
     private final ScaleInPolicy scaleInPolicy;
     private final WaitExplainer waitExplainer;
     private final SchedulerListener listener;
@@ -59,9 +59,9 @@
         Dispatcher dispatcher =
                 new Dispatcher(cluster, objectives, estimates, failover, token, settings.minimumPaidTime());
         this.waitExplainer = new WaitExplainer(cluster, dispatcher.rules());
-        this.consolidation = new Consolidation(cluster, dispatcher.rules(), estimates, safetyTimes);
+        this.consolidation = new ConsolidationPolicy(cluster, dispatcher.rules(), estimates, safetyTimes);
         FailureDetector failureDetector = new FailureDetector(cluster, safetyTimes);
-        this.bestSize = new BestSize(cluster, dispatcher.rules(), estimates, settings, failureDetector);
+        this.bestSize = new ScaleOutPolicy(cluster, dispatcher.rules(), estimates, settings, failureDetector);
         this.startBounds = new StartBounds(cluster, dispatcher.rules().order(), settings);
         this.scaleInPolicy = new ScaleInPolicy(cluster, dispatcher, safetyTimes, settings, failureDetector);
         this.heartbeatHandler = new HeartbeatHandler(
@@ -192,7 +192,7 @@
 
     /** The cloud has no capacity in this pool. */
     public void scaleOutRejected(MachinePool pool, Moment now) {
-        bestSize.refused(pool, now);
+        bestSize.recordRefusal(pool, now);
         cluster.warmCapacity.scaleOutRejected(pool);
     }
 
@@ -239,7 +239,7 @@
         }
         List<ScaleOutRequest> requests = new ArrayList<>(bestSize.scaleOutRequests(now));
         for (ScaleOutRequest request : cluster.warmCapacity.scaleOutRequests(now)) {
-            if (bestSize.mayAsk(request.pool(), now)) {
+            if (bestSize.mayRequest(request.pool(), now)) {
                 requests.add(request);
             } else {
                 cluster.warmCapacity.scaleOutRejected(request.pool());
@@ -256,11 +256,11 @@
     /** Chooses the machines to return, which get no more tasks. */
     public void planScaleIn(Moment now) {
         if (areRecordsLoaded()) {
-            consolidation.plan(now);
+            consolidation.planDraining(now);
             cluster.warmCapacity.plan(
                     cluster.machines.values(),
                     cluster.jobs.values(),
-                    machine -> scaleInPolicy.termEnds(machine, now),
+                    machine -> scaleInPolicy.termEndsBeforeNextCheck(machine, now),
                     now);
             for (ScaleInPolicy.PlannedReturn planned : scaleInPolicy.selectMachines(now, failover.isComplete())) {
                 listener.log("machine return planned machine=" + planned.machine() + " reason=" + planned.reason());
--- a/src/main/java/io/indigoreach/core/scheduling/SurplusRetention.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SurplusMarker.java
@@ -8,35 +8,36 @@
 import java.util.Map;
 
 /** Marks on-demand machines that are no longer needed as surplus, more slowly than the need falls. */
-final class SurplusRetention {
+final class SurplusMarker {
     /** Time in which the number of retained on-demand machines halves, in seconds. */
     private static final double RETENTION_HALF_LIFE_S = 60;
 
-    private record Kept(double machines, Moment at) {}
+    private record Retained(double machines, Moment recordedAt) {}
 
     private final Cluster cluster;
     /** On-demand machines retained per queue and type. The number rises with the need at once and decays slowly. */
-    private final Map<String, Kept> retained = new HashMap<>();
+    private final Map<String, Retained> updateRetained = new HashMap<>();
 
-    SurplusRetention(Cluster cluster) {
+    SurplusMarker(Cluster cluster) {
         this.cluster = cluster;
     }
 
     /** Marks on-demand machines beyond the retained number as surplus, those with the fewest tasks first. */
-    void markSurplus(FairShareQueue queue, Map<String, Backlog> backlogs, Map<String, TypeNeed> needs, Moment now) {
+    void markSurplus(
+            FairShareQueue queue, Map<String, Backlog> backlogs, Map<String, MachineTypeNeed> needs, Moment now) {
         Map<String, List<Machine>> onDemand = onDemandMachines(queue);
         boolean someNeedOnDemand = queue.jobs().stream().anyMatch(job -> job.hasWaiting() && !job.spec.spotAllowed());
         onDemand.forEach((type, machines) -> {
-            TypeNeed need = needs.get(type);
-            double needed = backlogs.get(type).onDemandNeeded() + (need == null ? 0 : need.onDemand);
-            double present = machines.stream()
-                    .mapToDouble(machine -> 1 - CapacityForecast.heldByReplicas(machine))
+            MachineTypeNeed need = needs.get(type);
+            double neededMachines = backlogs.get(type).onDemandNeeded() + (need == null ? 0 : need.onDemandMachines);
+            double presentMachines = machines.stream()
+                    .mapToDouble(machine -> 1 - CapacityForecast.shareHeldByReplicas(machine))
                     .sum();
-            double keep = retained(queue.name + " " + type, needed, present, now);
+            double retainedMachines = updateRetained(queue.name + " " + type, neededMachines, presentMachines, now);
             if (someNeedOnDemand || cluster.types.get(type).spotPrice() <= 0) {
-                keep = present;
+                retainedMachines = presentMachines;
             }
-            markSurplus(machines, present - Math.round(keep));
+            markSurplus(machines, presentMachines - Math.round(retainedMachines));
         });
     }
 
@@ -53,11 +54,11 @@
 
     private static void markSurplus(List<Machine> machines, double surplus) {
         machines.sort(Comparator.comparingInt(Machine::taskCount));
-        double left = surplus;
+        double remaining = surplus;
         for (Machine machine : machines) {
             // A machine with service replicas is paid for anyway, so its free part stays in use.
-            machine.markSurplus(CapacityForecast.heldByReplicas(machine) == 0 && left >= 1);
-            left -= machine.surplus ? 1 : 0;
+            machine.markSurplus(CapacityForecast.shareHeldByReplicas(machine) == 0 && remaining >= 1);
+            remaining -= machine.surplus ? 1 : 0;
         }
     }
 
@@ -66,11 +67,11 @@
      * minimum paid time, so the number falls by no more than half in that time. A new leader does not know the previous
      * need, and begins with all present machines.
      */
-    private double retained(String queueAndType, double needed, double present, Moment now) {
-        Kept previous = retained.getOrDefault(queueAndType, new Kept(present, now));
-        double halvings = now.since(previous.at).seconds() / RETENTION_HALF_LIFE_S;
-        double keep = Math.max(needed, previous.machines * Math.pow(0.5, halvings));
-        retained.put(queueAndType, new Kept(keep, now));
-        return keep;
+    private double updateRetained(String queueAndType, double neededMachines, double presentMachines, Moment now) {
+        Retained previous = updateRetained.getOrDefault(queueAndType, new Retained(presentMachines, now));
+        double halvings = now.since(previous.recordedAt).seconds() / RETENTION_HALF_LIFE_S;
+        double retainedMachines = Math.max(neededMachines, previous.machines * Math.pow(0.5, halvings));
+        updateRetained.put(queueAndType, new Retained(retainedMachines, now));
+        return retainedMachines;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/WarmCapacity.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WarmCapacity.java
@@ -29,7 +29,7 @@
     }
 
     /** Gives up the machine to a team that waits for its guaranteed cores and can use it. */
-    default void yield(Machine machine, Moment now) {}
+    default void releaseForGuarantee(Machine machine, Moment now) {}
 
     /** Records that the cloud has no capacity in the machine pool. */
     default void scaleOutRejected(MachinePool pool) {}
@@ -41,7 +41,7 @@
      * Returns whether it is known which machines are kept. Before that, tasks that hold images on machines are not
      * stopped.
      */
-    default boolean isKnown() {
+    default boolean isMembershipKnown() {
         return false;
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/ZoneSpreading.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ZoneBalancer.java
@@ -9,23 +9,23 @@
 import java.util.Map;
 
 /** Distributes machine requests over the zones, without pools that have recently refused a request. */
-final class ZoneSpreading {
+final class ZoneBalancer {
     /** Maximum number of machines per request. */
-    static final int MACHINES_PER_REQUEST = 50;
+    static final int MAXIMUM_REQUEST_SIZE = 50;
 
     private final Cluster cluster;
     private final FailureDetector failureDetector;
     private final Span refusalBackoff;
     private final Map<MachinePool, Moment> refusedUntil = new HashMap<>();
 
-    ZoneSpreading(Cluster cluster, FailureDetector failureDetector, Span refusalBackoff) {
+    ZoneBalancer(Cluster cluster, FailureDetector failureDetector, Span refusalBackoff) {
         this.cluster = cluster;
         this.failureDetector = failureDetector;
         this.refusalBackoff = refusalBackoff;
     }
 
     /** Records that the pool had no capacity. No request is sent to it until the refusal backoff has passed. */
-    void refused(MachinePool pool, Moment now) {
+    void recordRefusal(MachinePool pool, Moment now) {
         refusedUntil.put(pool, now.plus(refusalBackoff));
     }
 
@@ -40,43 +40,44 @@
     }
 
     /** Returns whether at least one pool that the job may use has not recently refused a request. */
-    boolean canBeRented(Job job, MachineType type, Moment now) {
+    boolean canRentFor(Job job, MachineType type, Moment now) {
         return type.zones().stream()
-                .filter(zone -> JobSizing.mayRunIn(job, zone))
+                .filter(zone -> JobSizer.mayRunInZone(job, zone))
                 .anyMatch(zone -> (job.spec.spotAllowed() && !isRefused(new MachinePool(type.name(), zone, true), now))
                         || !isRefused(new MachinePool(type.name(), zone, false), now));
     }
 
     /**
      * Distributes {@code count} machines over the zones, one request at a time, the zone with the fewest machines
-     * first. Pools that recently refused a request are left out. Adds the machines to {@code wanted}, and returns false
+     * first. Pools that recently refused a request are left out. Adds the machines to {@code requested}, and returns false
      * if no pool accepts requests.
      */
-    boolean spread(Job job, MachineType type, boolean spot, int count, Moment now, Map<MachinePool, Integer> wanted) {
-        Map<MachinePool, Integer> present = new LinkedHashMap<>();
+    boolean distribute(
+            Job job, MachineType type, boolean spot, int count, Moment now, Map<MachinePool, Integer> requested) {
+        Map<MachinePool, Integer> machinesByPool = new LinkedHashMap<>();
         for (String zone : type.zones()) {
             MachinePool pool = new MachinePool(type.name(), zone, spot);
-            if (JobSizing.mayRunIn(job, zone) && !isRefused(pool, now)) {
-                present.put(pool, 0);
+            if (JobSizer.mayRunInZone(job, zone) && !isRefused(pool, now)) {
+                machinesByPool.put(pool, 0);
             }
         }
-        if (present.keySet().stream().anyMatch(pool -> !failureDetector.isZoneCutOff(pool.zone()))) {
-            present.keySet().removeIf(pool -> failureDetector.isZoneCutOff(pool.zone()));
+        if (machinesByPool.keySet().stream().anyMatch(pool -> !failureDetector.isZoneCutOff(pool.zone()))) {
+            machinesByPool.keySet().removeIf(pool -> failureDetector.isZoneCutOff(pool.zone()));
         }
-        if (present.isEmpty()) {
+        if (machinesByPool.isEmpty()) {
             return false;
         }
         for (Machine machine : cluster.machines.values()) {
-            present.computeIfPresent(machine.pool, (pool, number) -> number + 1);
+            machinesByPool.computeIfPresent(machine.pool, (pool, machines) -> machines + 1);
         }
-        for (int left = count; left > 0; left -= MACHINES_PER_REQUEST) {
-            int number = Math.min(left, MACHINES_PER_REQUEST);
-            MachinePool fewest = present.entrySet().stream()
+        for (int remaining = count; remaining > 0; remaining -= MAXIMUM_REQUEST_SIZE) {
+            int machines = Math.min(remaining, MAXIMUM_REQUEST_SIZE);
+            MachinePool smallestPool = machinesByPool.entrySet().stream()
                     .min(Map.Entry.comparingByValue())
                     .orElseThrow()
                     .getKey();
-            wanted.merge(fewest, number, Integer::sum);
-            present.merge(fewest, number, Integer::sum);
+            requested.merge(smallestPool, machines, Integer::sum);
+            machinesByPool.merge(smallestPool, machines, Integer::sum);
         }
         return true;
     }
--- a/src/main/java/io/indigoreach/core/warm/PoolPlanner.java
+++ b/src/main/java/io/indigoreach/core/warm/PoolPlanner.java
@@ -95,13 +95,13 @@
     }
 
     @Override
-    public boolean isKnown() {
+    public boolean isMembershipKnown() {
         return knownSince != null;
     }
 
     @Override
     public boolean isRetained(Machine machine) {
-        return isKnown()
+        return isMembershipKnown()
                 ? machine.poolMembership() != null && !machine.poolMembership().isEnded()
                 : machine.hasHolder();
     }
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public void yield(Machine machine, Moment now) {
+    public void releaseForGuarantee(Machine machine, Moment now) {
         PoolState s = states.get(machine.poolMembership().pool());
         machine.poolMembership().end();
         s.leave(machine);
@@ -155,7 +155,7 @@
 
     @Override
     public void plan(Collection<Machine> machines, Collection<Job> jobs, Predicate<Machine> termEnds, Moment now) {
-        if (!isKnown() || states.isEmpty()) {
+        if (!isMembershipKnown() || states.isEmpty()) {
             return;
         }
         machines.forEach(machine -> recall.restore(machine, states));
@@ -226,7 +226,7 @@
         int offered = 0;
         for (Machine machine : s.live) {
             PoolMembership seat = machine.poolMembership();
-            seat.longestOtherTask(guest);
+            seat.maximumOtherTaskTime(guest);
             boolean begins = !machine.hasHolder() && !machine.imageCache().contains(seat.image());
             if (begins && offered >= PoolRental.AT_ONCE) {
                 seat.holder(null);
--- a/src/test/java/io/indigoreach/core/BehaviourDigest.java
+++ b/src/test/java/io/indigoreach/core/BehaviourDigest.java
@@ -10,7 +10,7 @@
 import io.indigoreach.core.scheduling.CancellationSimulation;
 import io.indigoreach.core.scheduling.CancellationSimulationTest;
 import io.indigoreach.core.scheduling.CoreHarness;
-import io.indigoreach.core.scheduling.CoreHarness.Kind;
+import io.indigoreach.core.scheduling.CoreHarness.Workload;
 import io.indigoreach.core.scheduling.DependencySimulationTest;
 import io.indigoreach.core.scheduling.RandomSimulation;
 import io.indigoreach.core.scheduling.ServiceLevelObjectives;
@@ -80,7 +80,7 @@
             }),
             new Runs("queues", 200, BehaviourDigest::queues),
             new Runs("warm-pools", 200, (seed, effects) -> {
-                WarmPoolTest.play(seed, effects);
+                WarmPoolTest.runRandomEvents(seed, effects);
                 return true;
             }),
             new Runs("ownership", 200, (seed, effects) -> ownership(seed, effects, false)),
@@ -193,7 +193,7 @@
             case 1 -> run.play(2, 7);
             default -> run.play(10, 9);
         }
-        return run.site.broken.isEmpty();
+        return run.site.violations.isEmpty();
     }
 
     /** Queues of up to four classes and a service, of three teams, for some of which there is an aim; one change of leader. */
@@ -202,12 +202,12 @@
         Urgency[] urgencies = {Urgency.HIGH, Urgency.STANDARD, Urgency.BEST_EFFORT, Urgency.PRODUCTION};
         String[] teams = {"free", "guaranteed", "limited"};
         double[] cores = {0.5, 1, 2, 4};
-        List<Kind> kinds = new ArrayList<>();
+        List<Workload> kinds = new ArrayList<>();
         List<ServiceLevelObjectives.Objective> aims = new ArrayList<>();
         for (int i = 0; i < 2 + random.nextInt(3); i++) {
             String name = "class-" + i;
             int from = random.nextInt(60);
-            Kind kind = Kind.of(
+            Workload kind = Workload.of(
                             name,
                             urgencies[random.nextInt(urgencies.length)],
                             random.nextDouble() * 0.4,
@@ -215,18 +215,18 @@
                             1 + random.nextInt(40),
                             5 + random.nextInt(60),
                             cores[random.nextInt(cores.length)])
-                    .between(from, from + 60 + random.nextInt(150))
+                    .activeBetween(from, from + 60 + random.nextInt(150))
                     .team(teams[random.nextInt(teams.length)])
-                    .estimated(0.5 + random.nextDouble() * 2);
-            kinds.add(random.nextInt(3) == 0 ? kind.saving() : kind);
+                    .withEstimateFactor(0.5 + random.nextDouble() * 2);
+            kinds.add(random.nextInt(3) == 0 ? kind.savingProgress() : kind);
             if (random.nextBoolean()) {
                 aims.add(new ServiceLevelObjectives.Objective(
                         name, random.nextInt(3) == 0, Span.seconds(60 + random.nextInt(240))));
             }
         }
-        kinds.add(Kind.of("replicas", Urgency.PRODUCTION, 0, random.nextInt(3), 1 + random.nextInt(8), 0, 1)
+        kinds.add(Workload.of("replicas", Urgency.PRODUCTION, 0, random.nextInt(3), 1 + random.nextInt(8), 0, 1)
                 .team("free")
-                .service());
+                .asService());
         CoreHarness steps = new CoreHarness(
                 kinds,
                 random.nextInt(80),
@@ -237,7 +237,7 @@
                 new Team("limited", 0, 30, 0, 0));
         steps.effects = effects;
         steps.run(100 + random.nextInt(100));
-        steps.newLeader();
+        steps.startNewLeader();
         steps.run(200);
         return true;
     }
--- a/src/test/java/io/indigoreach/core/leadership/ConfirmedCancellationsTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/ConfirmedCancellationsTest.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.leadership;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.core.model.JobId;
@@ -26,29 +26,30 @@
         "0, 0, ''"
     })
     void coversTheRequestedTimeSinceTheProcessBegan(double requested, double covered, String jobs) {
-        ConfirmedCancellations confirmed = new ConfirmedCancellations(at(100));
-        confirmed.add(new JobId("run-1"), at(110));
-        confirmed.add(new JobId("run-2"), at(120));
-        CancellationSummary summary = confirmed.summary(Span.seconds(requested), at(130));
+        ConfirmedCancellations confirmed = new ConfirmedCancellations(atSeconds(100));
+        confirmed.add(new JobId("run-1"), atSeconds(110));
+        confirmed.add(new JobId("run-2"), atSeconds(120));
+        CancellationSummary summary = confirmed.summary(Span.seconds(requested), atSeconds(130));
         assertEquals(Span.seconds(covered), summary.covered());
         assertEquals(
                 Set.of(jobs.split(" ")),
                 summary.cancelled().isEmpty()
                         ? Set.of("")
                         : summary.cancelled().stream().map(JobId::text).collect(Collectors.toSet()));
-        assertEquals(Span.seconds(10), confirmed.timeSinceLast(at(130)));
+        assertEquals(Span.seconds(10), confirmed.timeSinceLast(atSeconds(130)));
     }
 
     /** Guards against a summary that lacks the earliest ones and claims to be complete. */
     @Test
     void forgottenCancellationsAreNotCovered() {
-        ConfirmedCancellations confirmed = new ConfirmedCancellations(at(0));
+        ConfirmedCancellations confirmed = new ConfirmedCancellations(atSeconds(0));
         for (int n = 0; n < ConfirmedCancellations.MAX_REMEMBERED + 10; n++) {
-            confirmed.add(new JobId("run-" + n), at(10 + n));
+            confirmed.add(new JobId("run-" + n), atSeconds(10 + n));
         }
-        Moment now = at(10 + ConfirmedCancellations.MAX_REMEMBERED + 9);
+        Moment now = atSeconds(10 + ConfirmedCancellations.MAX_REMEMBERED + 9);
         CancellationSummary summary = confirmed.summary(Span.seconds(5000), now);
         assertEquals(ConfirmedCancellations.MAX_REMEMBERED, summary.cancelled().size());
-        assertEquals(now.since(at(19)), summary.covered(), "up to the last that was forgotten, confirmed at 19 s");
+        assertEquals(
+                now.since(atSeconds(19)), summary.covered(), "up to the last that was forgotten, confirmed at 19 s");
     }
 }
--- a/src/test/java/io/indigoreach/core/leadership/IsolationCheckTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/IsolationCheckTest.java
@@ -4,7 +4,7 @@
 
 import io.indigoreach.core.model.Moment;
 import io.indigoreach.core.model.Span;
-import io.indigoreach.core.scheduling.SimulatedWorld;
+import io.indigoreach.core.scheduling.SchedulerFixture;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -41,7 +41,7 @@
     })
     void verdicts(String seconds, IsolationCheck.Verdict last, int removals) {
         IsolationCheck node = new IsolationCheck();
-        Moment now = SimulatedWorld.at(100);
+        Moment now = SchedulerFixture.atSeconds(100);
         int removed = 0;
         String[] words = seconds.split(" ");
         for (int i = 0; i < words.length; i += 2) {
--- a/src/test/java/io/indigoreach/core/scheduling/AsymmetricPartitionTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/AsymmetricPartitionTest.java
@@ -1,12 +1,12 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.RULES;
-import static io.indigoreach.core.scheduling.SimulatedWorld.TOKEN;
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
-import static io.indigoreach.core.scheduling.SimulatedWorld.exited;
-import static io.indigoreach.core.scheduling.SimulatedWorld.running;
-import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
-import static io.indigoreach.core.scheduling.SimulatedWorld.starts;
+import static io.indigoreach.core.scheduling.SchedulerFixture.SAFETY_TIMES;
+import static io.indigoreach.core.scheduling.SchedulerFixture.TOKEN;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
+import static io.indigoreach.core.scheduling.SchedulerFixture.exitedStatus;
+import static io.indigoreach.core.scheduling.SchedulerFixture.runningStatus;
+import static io.indigoreach.core.scheduling.SchedulerFixture.spec;
+import static io.indigoreach.core.scheduling.SchedulerFixture.tasksToStart;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -42,8 +42,8 @@
         "its sessions end, 15, 12, 45"
     })
     void isToldWithinAFewReports(String sign, double every, int started, double told) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.up("a", "east", 0);
+        SchedulerFixture w = new SchedulerFixture();
+        w.addSpotMachine("a", "east", 0);
         w.core.recordsLoaded();
         w.submit(spec(1, 4, 1, 500), 0);
         WorkerCommand foreign = new WorkerCommand.Start(TaskId.parse("run-9/0"), TOKEN.attempt(9));
@@ -52,24 +52,24 @@
         for (int i = 0; last < 0 && i < 150; i++) {
             double now = i * every;
             TaskStatus[] tasks = sign.startsWith("keeps")
-                    ? new TaskStatus[] {exited(foreign, ExitCause.DONE)}
-                    : sign.startsWith("goes") ? new TaskStatus[] {running(foreign)} : new TaskStatus[0];
+                    ? new TaskStatus[] {exitedStatus(foreign, ExitCause.DONE)}
+                    : sign.startsWith("goes") ? new TaskStatus[] {runningStatus(foreign)} : new TaskStatus[0];
             boolean mute = tasks.length > 0;
             if (mute && i == 0) {
                 w.core.cancelJob(new JobId("run-1"));
             }
-            w.core.expireLeases(at(now));
-            given += starts(w.core.onHeartbeat(
-                                    w.report(
+            w.core.expireLeases(atSeconds(now));
+            given += tasksToStart(w.core.onHeartbeat(
+                                    w.newHeartbeat(
                                             "a",
                                             "east",
                                             sign.startsWith("its") ? 1 + i : 1,
                                             sign.startsWith("never") ? OLDER : TOKEN,
                                             tasks),
-                                    at(now))
+                                    atSeconds(now))
                             .commands())
                     .size();
-            w.core.planScaleIn(at(now));
+            w.core.planScaleIn(atSeconds(now));
             last = w.core.machinesToReturn(9).isEmpty() ? -1 : now;
         }
         assertEquals(told, last, 0.01);
@@ -81,11 +81,11 @@
     @ParameterizedTest
     @CsvSource({"1, 8, 1", "2, 8, 2", "3, 8, 0", "8, 8, 0", "8, 90, 0", "8, 94, 8"})
     void aZoneOfThemIsTheWaysFault(int deaf, double seconds, int returned) {
-        SimulatedWorld w = new SimulatedWorld();
+        SchedulerFixture w = new SchedulerFixture();
         w.core.recordsLoaded();
         List<TaskStatus[]> held = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            w.up("m" + i, "east", 0);
+            w.addSpotMachine("m" + i, "east", 0);
             held.add(new TaskStatus[0]);
         }
         w.submit(spec(1, 400, 1, 500), 0);
@@ -94,15 +94,15 @@
             for (int i = 0; i < 8; i++) {
                 long session = i < deaf ? 1 + (long) now / 13 : 1;
                 List<WorkerCommand> orders = w.core.onHeartbeat(
-                                w.report("m" + i, "east", session, TOKEN, held.get(i)), at(now))
+                                w.newHeartbeat("m" + i, "east", session, TOKEN, held.get(i)), atSeconds(now))
                         .commands();
                 if (i >= deaf && held.get(i).length == 0) {
-                    held.set(i, running(orders));
+                    held.set(i, runningStatus(orders));
                 } else if (i < deaf && now > 6) {
-                    late += starts(orders).size();
+                    late += tasksToStart(orders).size();
                 }
             }
-            w.core.planScaleIn(at(now));
+            w.core.planScaleIn(atSeconds(now));
         }
         assertEquals(returned, w.core.machinesToReturn(9).size());
         assertEquals(0, late, "no start once it is told");
@@ -120,11 +120,13 @@
         "the leader stands still"
     })
     void otherTroublesAreNotTakenForIt(String trouble) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.inheritMachine(new MachineId("a"), new MachinePool("quad", "east", true), at(0), at(0), at(0));
+        SchedulerFixture w = new SchedulerFixture();
+        w.core.inheritMachine(
+                new MachineId("a"), new MachinePool("quad", "east", true), atSeconds(0), atSeconds(0), atSeconds(0));
         if (trouble.startsWith("its record")) {
-            w = new SimulatedWorld();
-            w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
+            w = new SchedulerFixture();
+            w.core.rented(
+                    new MachinePool("quad", "east", true), List.of(new MachineId("a")), atSeconds(0), atSeconds(0));
         }
         w.core.recordsLoaded();
         long session = 1;
@@ -134,16 +136,17 @@
             w.submit(spec(round + 1, 1, 0.25, 500), now);
             if (trouble.startsWith("hangs") && round % 6 == 5) {
                 now += 14;
-                w.core.expireLeases(at(now));
+                w.core.expireLeases(atSeconds(now));
                 held.clear();
                 session++;
             }
             if (trouble.startsWith("the leader")) {
-                w.core.setAwakeSince(at(now - 0.1));
+                w.core.setAwakeSince(atSeconds(now - 0.1));
             }
             FencingToken token = trouble.startsWith("two reports") && round < 2 ? OLDER : TOKEN;
             List<WorkerCommand> orders = w.core.onHeartbeat(
-                            w.report("a", "east", session, token, held.toArray(new TaskStatus[0])), at(now))
+                            w.newHeartbeat("a", "east", session, token, held.toArray(new TaskStatus[0])),
+                            atSeconds(now))
                     .commands();
             if (trouble.startsWith("its record") && now > 60) {
                 w.core.recorded(new MachineId("a"));
@@ -160,11 +163,11 @@
                 for (WorkerCommand command : orders) {
                     held.removeIf(status -> status.attempt().equals(command.attempt()));
                     if (command instanceof WorkerCommand.Start) {
-                        held.add(refused ? exited(command, ExitCause.FULL) : running(command));
+                        held.add(refused ? exitedStatus(command, ExitCause.FULL) : runningStatus(command));
                     }
                 }
             }
-            w.core.planScaleIn(at(now));
+            w.core.planScaleIn(atSeconds(now));
             assertEquals(List.of(), w.core.machinesToReturn(9), "at " + now);
         }
     }
@@ -173,18 +176,18 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void itsWorkIsCountedUntilTheReturnIsAnsweredOrItsLeaseIsOver(boolean answered) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.up("a", "east", 0);
+        SchedulerFixture w = new SchedulerFixture();
+        w.addSpotMachine("a", "east", 0);
         w.core.recordsLoaded();
         Job job = w.submit(spec(1, 2, 1, 500), 0);
-        TaskStatus[] held = running(w.hear("a", 0));
-        w.hear("a", 2, held);
+        TaskStatus[] held = runningStatus(w.heartbeat("a", 0));
+        w.heartbeat("a", 2, held);
         w.submit(spec(2, 1, 1, 500), 0);
         double elsewhere = -1;
         for (double now = 4; elsewhere < 0 && now < 60; now += 0.1) {
             if (Math.abs(now % 2) < 0.05 || Math.abs(now % 2) > 1.95) {
-                w.hear("a", now, held);
-                w.core.planScaleIn(at(now));
+                w.heartbeat("a", now, held);
+                w.core.planScaleIn(atSeconds(now));
             }
             boolean leaving = !w.core.machinesToReturn(9).isEmpty();
             assertEquals(
@@ -192,26 +195,26 @@
                     w.core.mayAnswer(new MachineId("a")),
                     "no answer renews its lease once it is being returned");
             if (leaving && answered) {
-                w.core.returned(w.core.machinesToReturn(9), at(now));
+                w.core.returned(w.core.machinesToReturn(9), atSeconds(now));
             }
-            w.core.expireLeases(at(now));
+            w.core.expireLeases(atSeconds(now));
             if (leaving && job.placements().isEmpty()) {
                 elsewhere = now;
             }
         }
-        assertEquals(answered ? 10 : 10 + RULES.leaseBound().seconds(), elsewhere, 0.15);
+        assertEquals(answered ? 10 : 10 + SAFETY_TIMES.leaseBound().seconds(), elsewhere, 0.15);
         assertEquals(0, job.failures, "its job is not at fault");
-        w.core.onHeartbeat(w.report("a", "east", 2, TOKEN), at(elsewhere + 20));
+        w.core.onHeartbeat(w.newHeartbeat("a", "east", 2, TOKEN), atSeconds(elsewhere + 20));
         assertEquals(answered, w.core.mayAnswer(new MachineId("a")), "nor later, while the cloud has not answered");
     }
 
     /** Told while many of its zone were, so not returned: by a start taken, by the token, or by a session that goes on. */
     @Test
     void oneThatHearsAgainIsUsedAgain() {
-        SimulatedWorld w = new SimulatedWorld();
+        SchedulerFixture w = new SchedulerFixture();
         w.core.recordsLoaded();
         for (int i = 0; i < 4; i++) {
-            w.up("m" + i, "east", 0);
+            w.addSpotMachine("m" + i, "east", 0);
         }
         w.submit(spec(1, 16, 1, 500), 0);
         int before = 0;
@@ -219,18 +222,19 @@
         for (double now = 0; again < 0 && now < 60; now += 2) {
             for (int i = 0; i < 4; i++) {
                 // What is lost until 20 s; then the session goes on, as answers arrive.
-                boolean given = !starts(w.core.onHeartbeat(
-                                        w.report("m" + i, "east", now < 12 ? 1 : now < 24 ? 2 : 3, TOKEN), at(now))
+                boolean given = !tasksToStart(w.core.onHeartbeat(
+                                        w.newHeartbeat("m" + i, "east", now < 12 ? 1 : now < 24 ? 2 : 3, TOKEN),
+                                        atSeconds(now))
                                 .commands())
                         .isEmpty();
                 before += given && now < 20 ? 1 : 0;
                 again = given && now > 20 ? now : again;
             }
-            w.core.planScaleIn(at(now));
+            w.core.planScaleIn(atSeconds(now));
             assertTrue(w.core.machinesToReturn(9).isEmpty());
         }
         assertEquals(12, before, "three answers to each");
         assertEquals(38, again, "a lease after the last session began");
-        assertFalse(w.said.isEmpty(), "it is said");
+        assertFalse(w.logLines.isEmpty(), "it is said");
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/CancelledTaskRenewalTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancelledTaskRenewalTest.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
-import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
+import static io.indigoreach.core.scheduling.SchedulerFixture.spec;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.core.model.JobId;
@@ -27,10 +27,10 @@
 class CancelledTaskRenewalTest {
     private static final String MACHINE = "a";
     private static final JobId JOB = new JobId("run-1");
-    private static final Team TEAM = SimulatedWorld.team(0);
+    private static final Team TEAM = SchedulerFixture.teamWithCoreLimit(0);
     private static final double CANCELLED_AT = 10;
     private static final double LAST_STEP =
-            CANCELLED_AT + 3 * SimulatedWorld.RULES.cancellationTime().seconds();
+            CANCELLED_AT + 3 * SchedulerFixture.SAFETY_TIMES.cancellationTime().seconds();
 
     private final SimulatedCluster cluster = new SimulatedCluster(TEAM);
 
@@ -48,20 +48,20 @@
 
     @BeforeEach
     void twoTasksRun() {
-        cluster.box(MACHINE, 0);
-        cluster.lead(0);
-        cluster.become(MACHINE, 1);
+        cluster.worker(MACHINE, 0);
+        cluster.startLeaderWithRecords(0);
+        cluster.joinLeader(MACHINE, 1);
         cluster.submit(spec(1, 2, 1, 1000), 5);
-        cluster.report(MACHINE, 6);
-        assertEquals(2, cluster.running(6).size());
+        cluster.sendHeartbeat(MACHINE, 6);
+        assertEquals(2, cluster.runningTasks(6).size());
     }
 
     private void nextLeader(Known known, double now) {
-        cluster.begin(now);
+        cluster.startLeader(now);
         boolean recorded = known == Known.RECORDED || known == Known.RECORDED_AND_RETURNED;
-        cluster.load(recorded ? Set.of(MACHINE) : Set.of());
+        cluster.loadRecords(recorded ? Set.of(MACHINE) : Set.of());
         if (known == Known.RETURNED || known == Known.RECORDED_AND_RETURNED) {
-            cluster.core.inheritReturns(List.of(new MachineId(MACHINE)), at(now));
+            cluster.core.inheritReturns(List.of(new MachineId(MACHINE)), atSeconds(now));
         }
     }
 
@@ -74,10 +74,10 @@
                 nextLeader(known, now);
                 leaderUntil = now + leadershipS;
             }
-            cluster.report(MACHINE, now + 1);
-            cluster.used(TEAM, now + 1);
+            cluster.sendHeartbeat(MACHINE, now + 1);
+            cluster.usedCores(TEAM, now + 1);
         }
-        return cluster.broken;
+        return cluster.violations;
     }
 
     /** Each leader ends before the machine's next heartbeat; or one stays, and the cloud does not answer its returns. */
--- a/src/test/java/io/indigoreach/core/scheduling/ConcurrentFaultsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ConcurrentFaultsTest.java
@@ -1,8 +1,8 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.RULES;
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
-import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SchedulerFixture.SAFETY_TIMES;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
+import static io.indigoreach.core.scheduling.SchedulerFixture.spec;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -55,62 +55,62 @@
     })
     void tasksThatEndFarApart(int tasks, double cores, String point, int changes, boolean reached) {
         for (String name : List.of("a", "b", "c", "d")) {
-            site.box(name, 0);
+            site.worker(name, 0);
         }
-        site.lead(0);
+        site.startLeaderWithRecords(0);
         site.submit(spec(1, tasks, cores, 50), 1);
-        site.all(1.5);
-        site.all(2.5);
-        site.all(4);
+        site.sendAllHeartbeats(1.5);
+        site.sendAllHeartbeats(2.5);
+        site.sendAllHeartbeats(4);
         TaskId first = TaskId.parse("run-1/0");
-        SimulatedCluster.Box ran = site.runs(first);
+        SimulatedCluster.Worker ran = site.workerRunning(first);
         if (!point.equals("running")) {
-            ran.end(first, ExitCause.DONE);
+            ran.exit(first, ExitCause.DONE);
         }
         if (point.equals("seen") || point.equals("recorded") || point.equals("reaped")) {
-            site.report(ran.name, 5);
+            site.sendHeartbeat(ran.name, 5);
         }
         if (point.equals("recorded") || point.equals("reaped")) {
-            site.record();
+            site.recordResults();
         }
         if (point.equals("reaped")) {
-            site.report(ran.name, 6);
+            site.sendHeartbeat(ran.name, 6);
             assertFalse(ran.tasks.containsKey(first));
         }
         for (int i = 0; i < changes; i++) {
-            site.lead(8 + i);
-            site.report("d", 8.5 + i);
+            site.startLeaderWithRecords(8 + i);
+            site.sendHeartbeat("d", 8.5 + i);
         }
         double again = -1;
         for (double now = 10; now < 90; now += 2) {
             if (point.equals("running") && now == 30) {
-                ran.end(first, ExitCause.DONE);
+                ran.exit(first, ExitCause.DONE);
             }
             for (int i = 1; i < tasks; i++) {
                 TaskId other = TaskId.parse("run-1/" + i);
-                if (now == 50 + 10 * i && site.runs(other) != null) {
-                    site.runs(other).end(other, ExitCause.DONE);
+                if (now == 50 + 10 * i && site.workerRunning(other) != null) {
+                    site.workerRunning(other).exit(other, ExitCause.DONE);
                 }
             }
             boolean cut = !reached && now < 40;
-            for (SimulatedCluster.Box box : site.boxes()) {
+            for (SimulatedCluster.Worker box : site.workers()) {
                 if (!cut || box != ran) {
-                    site.report(box.name, now);
+                    site.sendHeartbeat(box.name, now);
                 }
             }
-            again = again < 0 && site.starts(first) > 1 ? now : again;
-            site.core.expireLeases(at(now));
-            site.record();
-            assertEquals(site.ended(new JobId("run-1")) == tasks, site.isClosed(new JobId("run-1")), "at " + now);
+            again = again < 0 && site.startCount(first) > 1 ? now : again;
+            site.core.expireLeases(atSeconds(now));
+            site.recordResults();
+            assertEquals(site.completed(new JobId("run-1")) == tasks, site.isClosed(new JobId("run-1")), "at " + now);
         }
         boolean lost = !reached && (point.equals("ended") || point.equals("seen"));
         assertEquals(
                 lost ? 2 : 1,
-                site.starts(first),
+                site.startCount(first),
                 "a result that nobody recorded and whose machine is lost is made anew");
-        assertTrue(!lost || again >= 7 + changes + RULES.leaseBound().seconds(), "started again at " + again);
+        assertTrue(!lost || again >= 7 + changes + SAFETY_TIMES.leaseBound().seconds(), "started again at " + again);
         assertTrue(site.isClosed(new JobId("run-1")));
-        assertEquals(List.of(), site.broken);
+        assertEquals(List.of(), site.violations);
     }
 
     /**
@@ -132,45 +132,45 @@
     })
     void aTakeOverWaitsForALeaseAndNoLonger(String trouble, int machines, double every, int changes, double started) {
         for (int i = 0; i < machines; i++) {
-            site.box("m" + i, 0);
+            site.worker("m" + i, 0);
         }
-        site.box("n", 0);
-        site.lead(-10);
+        site.worker("n", 0);
+        site.startLeaderWithRecords(-10);
         site.submit(spec(1, machines, 4, 50), -10);
         for (int i = 0; i < machines; i++) {
-            site.become("m" + i, -4);
-            assertEquals(1, site.box("m" + i).tasks.size());
-            site.box("m" + i).deaf = trouble.equals("deaf");
+            site.joinLeader("m" + i, -4);
+            assertEquals(1, site.worker("m" + i).tasks.size());
+            site.worker("m" + i).losesAnswers = trouble.equals("deaf");
         }
         // Nobody has ordered any task of it.
         site.submit(spec(2, 1, 4, 50), -0.4);
-        site.lead(0);
+        site.startLeaderWithRecords(0);
         double inherited = -1;
         boolean second = changes == 1;
         for (double now = 0.5; now < 60; now += 0.5) {
             if (!second && now > 7) {
-                site.lead(7);
+                site.startLeaderWithRecords(7);
                 second = true;
             }
             for (int i = 0; i < machines; i++) {
                 if (now % every == 0 && !trouble.equals("cut")) {
-                    site.report("m" + i, now);
+                    site.sendHeartbeat("m" + i, now);
                 }
             }
-            site.core.expireLeases(at(now));
+            site.core.expireLeases(atSeconds(now));
             if (now % 2 == 0) {
-                int before = site.startsOf(new JobId("run-1"));
-                site.report("n", now);
-                inherited = inherited < 0 && site.startsOf(new JobId("run-1")) > before ? now : inherited;
+                int before = site.startCountOfJob(new JobId("run-1"));
+                site.sendHeartbeat("n", now);
+                inherited = inherited < 0 && site.startCountOfJob(new JobId("run-1")) > before ? now : inherited;
                 TaskId other = TaskId.parse("run-2/0");
-                if (site.runs(other) != null) {
+                if (site.workerRunning(other) != null) {
                     assertTrue(now <= 6, "what nobody ordered goes first and at once");
-                    site.runs(other).end(other, ExitCause.DONE);
+                    site.workerRunning(other).exit(other, ExitCause.DONE);
                 }
             }
         }
         assertEquals(started, inherited);
-        assertEquals(List.of(), site.broken);
+        assertEquals(List.of(), site.violations);
     }
 
     /**
@@ -187,35 +187,35 @@
         "3, false, true, 16"
     })
     void whatIsAnsweredWhileTheRecordsAreReadRenewsLeases(double heard, boolean taken, boolean copied, double started) {
-        site.box("m", 0);
-        site.box("n", 0);
-        site.lead(-10);
+        site.worker("m", 0);
+        site.worker("n", 0);
+        site.startLeaderWithRecords(-10);
         site.submit(spec(1, 1, 4, 50), -10);
-        site.become("m", -4);
-        assertEquals(1, site.box("m").tasks.size());
-        site.begin(0);
-        site.box("m").deaf = !taken;
-        Heartbeat before = site.box("m").sent;
-        site.report("m", heard);
+        site.joinLeader("m", -4);
+        assertEquals(1, site.worker("m").tasks.size());
+        site.startLeader(0);
+        site.worker("m").losesAnswers = !taken;
+        Heartbeat before = site.worker("m").lastHeartbeat;
+        site.sendHeartbeat("m", heard);
         if (copied) {
-            site.core.onHeartbeat(before, at(5));
-            site.core.onHeartbeat(site.box("m").sent, at(5.5));
+            site.core.onHeartbeat(before, atSeconds(5));
+            site.core.onHeartbeat(site.worker("m").lastHeartbeat, atSeconds(5.5));
         }
-        Heartbeat late = site.box("m").write();
-        site.load();
+        Heartbeat late = site.worker("m").nextHeartbeat();
+        site.loadRecords();
         double inherited = -1;
         for (double now = 6; inherited < 0 && now < 40; now += 2) {
-            site.core.expireLeases(at(now));
-            site.report("n", now);
-            inherited = site.startsOf(new JobId("run-1")) > 1 ? now : inherited;
+            site.core.expireLeases(atSeconds(now));
+            site.sendHeartbeat("n", now);
+            inherited = site.startCountOfJob(new JobId("run-1")) > 1 ? now : inherited;
         }
         assertEquals(started, inherited);
-        site.core.onHeartbeat(late, at(40));
+        site.core.onHeartbeat(late, atSeconds(40));
         assertEquals(1, site.core.job(new JobId("run-1")).placements().size());
         assertTrue(
-                site.said.stream().noneMatch(line -> line.startsWith("duplicate task stopped")),
+                site.logLines.stream().noneMatch(line -> line.startsWith("duplicate task stopped")),
                 "a report from before its lease ended");
-        assertEquals(List.of(), site.broken);
+        assertEquals(List.of(), site.violations);
     }
 
     /**
@@ -249,9 +249,9 @@
 
     private static List<String> copies(String what, double delay, boolean change) {
         SimulatedCluster s = new SimulatedCluster();
-        s.box("a", 0);
-        s.box("b", 0);
-        s.lead(0);
+        s.worker("a", 0);
+        s.worker("b", 0);
+        s.startLeaderWithRecords(0);
         s.submit(spec(1, 3, 4, 50), 1);
         TaskId first = TaskId.parse("run-1/0");
         List<String> trace = new ArrayList<>();
@@ -259,33 +259,33 @@
         List<Double> due = new ArrayList<>();
         for (double now = 2; now < 70; now += 1) {
             if (change && now == 21) {
-                s.lead(now);
+                s.startLeaderWithRecords(now);
             }
-            if (what.equals("new attempt") && now == 11 && s.runs(first) != null) {
-                s.runs(first).end(first, ExitCause.ERROR);
+            if (what.equals("new attempt") && now == 11 && s.workerRunning(first) != null) {
+                s.workerRunning(first).exit(first, ExitCause.ERROR);
             }
             if (what.equals("new session") && now == 11) {
-                s.box("a").newSession(now);
+                s.worker("a").newSession(now);
             }
             for (String name : List.of("a", "b")) {
                 if (!(what.equals("silent") && name.equals("a") && now > 10)) {
-                    trace.add(now + " " + name + " " + s.report(name, now));
-                    sent.add(s.box(name).sent);
+                    trace.add(now + " " + name + " " + s.sendHeartbeat(name, now));
+                    sent.add(s.worker(name).lastHeartbeat);
                     due.add(now + delay);
                 }
             }
             for (int i = 0; i < sent.size(); i++) {
                 // Both machines have shown themselves to a new leader by then.
                 if (due.get(i) <= now && (now < 21 || now > 22)) {
-                    s.core.onHeartbeat(sent.get(i), at(now + 0.5));
+                    s.core.onHeartbeat(sent.get(i), atSeconds(now + 0.5));
                     due.set(i, Double.MAX_VALUE);
                 }
             }
-            s.core.expireLeases(at(now + 0.6));
+            s.core.expireLeases(atSeconds(now + 0.6));
             trace.add(s.core.summary() + " over " + s.core.isLeaseExpired(new MachineId("a")));
-            s.record();
+            s.recordResults();
         }
-        assertEquals(List.of(), s.broken);
+        assertEquals(List.of(), s.violations);
         return trace;
     }
 
@@ -293,19 +293,19 @@
     @ParameterizedTest
     @CsvSource({"1, false", "2, false", "1, true", "2, true"})
     void copiesRaiseNoMachineThatWasAnsweredTooEarly(int answered, boolean lives) {
-        SimulatedWorld w = new SimulatedWorld();
+        SchedulerFixture w = new SchedulerFixture();
         List<Heartbeat> sent = new ArrayList<>();
         for (int i = 0; i < answered; i++) {
-            sent.add(w.report("x", "east", 1, i == 0 ? new FencingToken(4) : SimulatedWorld.TOKEN));
-            w.core.onHeartbeat(sent.get(i), at(i));
+            sent.add(w.newHeartbeat("x", "east", 1, i == 0 ? new FencingToken(4) : SchedulerFixture.TOKEN));
+            w.core.onHeartbeat(sent.get(i), atSeconds(i));
         }
         w.core.recordsLoaded();
         for (int i = 0; i < 2 * answered; i++) {
-            w.core.onHeartbeat(sent.get(i % answered), at(10 + i));
+            w.core.onHeartbeat(sent.get(i % answered), atSeconds(10 + i));
         }
         assertEquals(0, w.core.machineCount());
         if (lives) {
-            w.core.onHeartbeat(w.report("x", "east", 1, SimulatedWorld.TOKEN), at(15));
+            w.core.onHeartbeat(w.newHeartbeat("x", "east", 1, SchedulerFixture.TOKEN), atSeconds(15));
             assertEquals(1, w.core.machineCount(), "its next report shows the answer");
         }
     }
@@ -314,28 +314,29 @@
     @ParameterizedTest
     @ValueSource(doubles = {1, 3, 7})
     void copiesPutATakeOverOffByALeaseAtMost(double every) {
-        site.box("a", 0);
-        site.box("n", 0);
-        site.lead(-40);
+        site.worker("a", 0);
+        site.worker("n", 0);
+        site.startLeaderWithRecords(-40);
         site.submit(spec(1, 1, 4, 50), -40);
         List<Heartbeat> copies = new ArrayList<>();
         for (double now = -30; now < 0; now++) {
-            site.report("a", now);
-            copies.add(site.box("a").sent);
+            site.sendHeartbeat("a", now);
+            copies.add(site.worker("a").lastHeartbeat);
         }
-        site.lead(0);
+        site.startLeaderWithRecords(0);
         double settled = -1;
         for (double now = 0; settled < 0; now += every) {
             assertEquals(
-                    List.of(), site.core.onHeartbeat(copies.remove(0), at(now)).commands());
-            site.core.expireLeases(at(now));
-            site.report("n", now);
+                    List.of(),
+                    site.core.onHeartbeat(copies.remove(0), atSeconds(now)).commands());
+            site.core.expireLeases(atSeconds(now));
+            site.sendHeartbeat("n", now);
             settled = site.core.isFailoverComplete() ? now : -1;
-            assertEquals(settled >= 0, site.startsOf(new JobId("run-1")) > 1);
+            assertEquals(settled >= 0, site.startCountOfJob(new JobId("run-1")) > 1);
         }
         assertTrue(
-                settled > RULES.leaseBound().seconds()
-                        && settled <= RULES.leaseBound().seconds() + every,
+                settled > SAFETY_TIMES.leaseBound().seconds()
+                        && settled <= SAFETY_TIMES.leaseBound().seconds() + every,
                 "" + settled);
     }
 
@@ -358,73 +359,76 @@
         "attempt, 3, false, 2"
     })
     void whatIsHeldUp(String what, double held, boolean change, int orders) {
-        SimulatedCluster.Box a = site.box("a", 0);
-        site.box("n", 0);
-        site.lead(-10);
+        SimulatedCluster.Worker a = site.worker("a", 0);
+        site.worker("n", 0);
+        site.startLeaderWithRecords(-10);
         site.submit(spec(1, 1, 4, 500), -10);
         TaskId task = TaskId.parse("run-1/0");
         boolean ordered = what.equals("answer") || what.equals("token") || what.equals("session");
         if (ordered) {
-            site.report("a", -4);
-            site.report("a", -2);
+            site.sendHeartbeat("a", -4);
+            site.sendHeartbeat("a", -2);
         } else {
-            site.become("a", -4);
+            site.joinLeader("a", -4);
         }
         assertEquals(ordered ? 0 : 1, a.tasks.size());
         if (what.equals("attempt")) {
             // It fails at once and is given again; the answer that stops or reaps the first attempt comes late.
-            a.end(task, ExitCause.ERROR);
+            a.exit(task, ExitCause.ERROR);
         }
-        Heartbeat heartbeat = a.write();
+        Heartbeat heartbeat = a.nextHeartbeat();
         SimulatedCluster.Answer answer =
-                what.equals("report") || what.equals("lease") ? null : site.answer(heartbeat, 0);
+                what.equals("report") || what.equals("lease") ? null : site.answerHeartbeat(heartbeat, 0);
         if (what.equals("lease")) {
-            site.report("a", 0);
+            site.sendHeartbeat("a", 0);
         }
         boolean done = false;
         for (double now = 0.1; now < 40; now = Math.round(10 * now + 1) / 10.0) {
             if (change && now == 2) {
-                site.lead(2);
+                site.startLeaderWithRecords(2);
             }
             if (what.equals("session") && now == 1) {
                 a.newSession(now);
             }
             if (!done && now >= held) {
                 done = true;
-                a.live(now);
-                SimulatedCluster.Answer late = what.equals("report") ? site.answer(heartbeat, now) : answer;
-                if (late != null && held <= SimulatedCluster.PATIENCE_S) {
-                    a.take(late, 0, now);
+                a.expireLease(now);
+                SimulatedCluster.Answer late = what.equals("report") ? site.answerHeartbeat(heartbeat, now) : answer;
+                if (late != null && held <= SimulatedCluster.ANSWER_TIMEOUT_S) {
+                    a.receive(late, 0, now);
                 }
             } else if (done && Math.round(now * 10) % 20 == 0) {
-                site.report("a", now);
+                site.sendHeartbeat("a", now);
             }
             if (Math.round(now * 10) % 20 == 5) {
-                site.report("n", now);
+                site.sendHeartbeat("n", now);
             }
-            site.core.expireLeases(at(now));
+            site.core.expireLeases(atSeconds(now));
         }
-        assertEquals(List.of(), site.broken);
-        assertEquals(orders, site.ordered(task));
-        assertNotNull(site.runs(task), "it runs");
+        assertEquals(List.of(), site.violations);
+        assertEquals(orders, site.startCommandCount(task));
+        assertNotNull(site.workerRunning(task), "it runs");
     }
 
     /** Two exits of earlier attempts in one list, in any order, beside the attempt that runs. */
     @Test
     void earlierAttemptsEndNothing() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.up("a", "east", 0);
+        SchedulerFixture w = new SchedulerFixture();
+        w.addSpotMachine("a", "east", 0);
         w.core.recordsLoaded();
         Job job = w.submit(spec(1, 1, 4, 500), 0);
-        WorkerCommand first = w.hear("a", 1).get(0);
+        WorkerCommand first = w.heartbeat("a", 1).get(0);
         WorkerCommand second = null;
-        for (WorkerCommand command : w.hear("a", 2, SimulatedWorld.exited(first, ExitCause.STOPPED))) {
+        for (WorkerCommand command : w.heartbeat("a", 2, SchedulerFixture.exitedStatus(first, ExitCause.STOPPED))) {
             second = command instanceof WorkerCommand.Start ? command : second;
         }
         for (ExitCause cause : ExitCause.values()) {
             if (cause != ExitCause.DONE) {
-                List<WorkerCommand> orders = w.hear(
-                        "a", 3 + cause.ordinal(), SimulatedWorld.running(second), SimulatedWorld.exited(first, cause));
+                List<WorkerCommand> orders = w.heartbeat(
+                        "a",
+                        3 + cause.ordinal(),
+                        SchedulerFixture.runningStatus(second),
+                        SchedulerFixture.exitedStatus(first, cause));
                 assertEquals(List.of(new WorkerCommand.Reap(first.task(), first.attempt())), orders);
                 assertEquals(second.attempt(), job.placements(0).attempt);
             }
--- a/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
@@ -35,7 +35,7 @@
  * random numbers, so the same workloads give the same run.
  */
 public final class CoreHarness implements SchedulerListener {
-    static final SchedulerSettings STANDARD = new SchedulerSettings(
+    static final SchedulerSettings SETTINGS = new SchedulerSettings(
             Span.seconds(10),
             Span.seconds(15),
             Span.seconds(60),
@@ -48,149 +48,225 @@
             Span.seconds(350),
             1.4,
             Span.seconds(10));
-    private static final int BOOT = 20;
+    private static final int BOOT_STEPS = 20;
     /** Clock value of the first step, in seconds. It is not zero, so that events may lie before the first step. */
-    private static final int BEGIN = 1000;
+    private static final int FIRST_STEP_S = 1000;
 
     /**
-     * The jobs of one class: {@code atStart} jobs arrive in the first step, and {@code perStep} jobs in each step from
-     * {@code from} until {@code until}.
+     * The jobs of one class: {@code jobsAtStart} jobs arrive in the first step, and {@code jobsPerStep} jobs in each step from
+     * {@code fromStep} until {@code untilStep}.
      */
-    public record Kind(
-            String name,
+    public record Workload(
+            String jobClass,
             String team,
             Urgency urgency,
-            double perStep,
-            int atStart,
-            int from,
-            int until,
+            double jobsPerStep,
+            int jobsAtStart,
+            int fromStep,
+            int untilStep,
             int tasks,
-            int run,
+            int runSteps,
             double cores,
-            boolean saves,
-            JobKind shape,
-            double estimate) {
-        public static Kind of(
-                String name, Urgency urgency, double perStep, int atStart, int tasks, int run, double cores) {
-            return new Kind(
-                    name,
+            boolean savesProgress,
+            JobKind kind,
+            double estimateFactor) {
+        public static Workload of(
+                String jobClass,
+                Urgency urgency,
+                double jobsPerStep,
+                int jobsAtStart,
+                int tasks,
+                int runSteps,
+                double cores) {
+            return new Workload(
+                    jobClass,
                     "t",
                     urgency,
-                    perStep,
-                    atStart,
+                    jobsPerStep,
+                    jobsAtStart,
                     0,
                     Integer.MAX_VALUE,
                     tasks,
-                    run,
+                    runSteps,
                     cores,
                     false,
                     JobKind.ARRAY,
                     1);
         }
 
-        public Kind team(String other) {
-            return new Kind(
-                    name, other, urgency, perStep, atStart, from, until, tasks, run, cores, saves, shape, estimate);
+        public Workload team(String other) {
+            return new Workload(
+                    jobClass,
+                    other,
+                    urgency,
+                    jobsPerStep,
+                    jobsAtStart,
+                    fromStep,
+                    untilStep,
+                    tasks,
+                    runSteps,
+                    cores,
+                    savesProgress,
+                    kind,
+                    estimateFactor);
         }
 
-        public Kind between(int begin, int end) {
-            return new Kind(
-                    name, team, urgency, perStep, atStart, begin, end, tasks, run, cores, saves, shape, estimate);
+        public Workload activeBetween(int fromStep, int untilStep) {
+            return new Workload(
+                    jobClass,
+                    team,
+                    urgency,
+                    jobsPerStep,
+                    jobsAtStart,
+                    fromStep,
+                    untilStep,
+                    tasks,
+                    runSteps,
+                    cores,
+                    savesProgress,
+                    kind,
+                    estimateFactor);
         }
 
         /** Returns the same workload with estimates of {@code times} the actual run time. */
-        public Kind estimated(double times) {
-            return new Kind(name, team, urgency, perStep, atStart, from, until, tasks, run, cores, saves, shape, times);
+        public Workload withEstimateFactor(double times) {
+            return new Workload(
+                    jobClass,
+                    team,
+                    urgency,
+                    jobsPerStep,
+                    jobsAtStart,
+                    fromStep,
+                    untilStep,
+                    tasks,
+                    runSteps,
+                    cores,
+                    savesProgress,
+                    kind,
+                    times);
         }
 
-        public Kind saving() {
-            return new Kind(
-                    name, team, urgency, perStep, atStart, from, until, tasks, run, cores, true, shape, estimate);
+        public Workload savingProgress() {
+            return new Workload(
+                    jobClass,
+                    team,
+                    urgency,
+                    jobsPerStep,
+                    jobsAtStart,
+                    fromStep,
+                    untilStep,
+                    tasks,
+                    runSteps,
+                    cores,
+                    true,
+                    kind,
+                    estimateFactor);
         }
 
-        public Kind service() {
-            return new Kind(
-                    name, team, urgency, 0, atStart, from, until, tasks, run, cores, saves, JobKind.SERVICE, estimate);
+        public Workload asService() {
+            return new Workload(
+                    jobClass,
+                    team,
+                    urgency,
+                    0,
+                    jobsAtStart,
+                    fromStep,
+                    untilStep,
+                    tasks,
+                    runSteps,
+                    cores,
+                    savesProgress,
+                    JobKind.SERVICE,
+                    estimateFactor);
         }
     }
 
     /** The history of a job: its arrival, the start of each task, and its end. */
-    static final class Fate {
+    static final class JobHistory {
         final JobSpec spec;
-        final int came;
-        final int run;
-        final Map<TaskId, Integer> started = new HashMap<>();
-        int over = -1;
+        final int arrivedAt;
+        final int runSteps;
+        final Map<TaskId, Integer> startedAt = new HashMap<>();
+        int endedAt = -1;
 
-        Fate(JobSpec spec, int came, int run) {
-            this.run = run;
+        JobHistory(JobSpec spec, int arrivedAt, int runSteps) {
+            this.runSteps = runSteps;
             this.spec = spec;
-            this.came = came;
+            this.arrivedAt = arrivedAt;
         }
 
         int lastStart(int now) {
-            return started.size() < spec.tasks()
+            return startedAt.size() < spec.tasks()
                     ? now
-                    : started.values().stream().mapToInt(i -> i).max().orElse(now);
+                    : startedAt.values().stream().mapToInt(step -> step).max().orElse(now);
         }
     }
 
-    private static final class Box {
+    private static final class SimulatedMachine {
         final MachinePool pool;
-        final int up;
-        final Map<WorkerCommand, Integer> tasks = new LinkedHashMap<>();
+        final int upAt;
+        final Map<WorkerCommand, Integer> taskEnds = new LinkedHashMap<>();
         /** Tasks that were commanded to stop and have not reported it. */
         final List<TaskId> stopping = new ArrayList<>();
 
-        Box(MachinePool pool, int up) {
+        SimulatedMachine(MachinePool pool, int upAt) {
             this.pool = pool;
-            this.up = up;
+            this.upAt = upAt;
         }
     }
 
-    final Map<JobId, Fate> fates = new TreeMap<>();
-    final List<ScaleOutRequest> asked = new ArrayList<>();
-    private final SchedulerSettings tuning;
-    private final List<Kind> kinds;
+    final Map<JobId, JobHistory> histories = new TreeMap<>();
+    final List<ScaleOutRequest> requests = new ArrayList<>();
+    private final SchedulerSettings settings;
+    private final List<Workload> workloads;
     private final Map<MachinePool, Integer> capacity;
     private final List<Team> teams;
-    private final ServiceLevelObjectives aims;
-    private final Map<String, Box> boxes = new TreeMap<>();
-    private final Map<JobId, Job> open = new TreeMap<>();
-    private final Map<Kind, Double> owed = new HashMap<>();
-    private final Map<TaskId, Integer> left = new HashMap<>();
+    private final ServiceLevelObjectives objectives;
+    private final Map<String, SimulatedMachine> machines = new TreeMap<>();
+    private final Map<JobId, Job> openJobs = new TreeMap<>();
+    private final Map<Workload, Double> pendingArrivals = new HashMap<>();
+    private final Map<TaskId, Integer> remainingSteps = new HashMap<>();
     private SchedulerCore core;
     private long token;
-    private long serial;
-    private int names;
+    private long heartbeatCount;
+    private int machineCount;
     private int now;
-    int mostUp;
+    int peakMachines;
     public EffectListener effects = EffectListener.NONE;
 
-    public CoreHarness(List<Kind> kinds, int spot, int ordinary, ServiceLevelObjectives aims, Team... teams) {
-        this(STANDARD, kinds, spot, ordinary, aims, teams);
+    public CoreHarness(
+            List<Workload> workloads,
+            int spotCapacity,
+            int onDemandCapacity,
+            ServiceLevelObjectives objectives,
+            Team... teams) {
+        this(SETTINGS, workloads, spotCapacity, onDemandCapacity, objectives, teams);
     }
 
     CoreHarness(
-            SchedulerSettings tuning,
-            List<Kind> kinds,
-            int spot,
-            int ordinary,
-            ServiceLevelObjectives aims,
+            SchedulerSettings settings,
+            List<Workload> workloads,
+            int spotCapacity,
+            int onDemandCapacity,
+            ServiceLevelObjectives objectives,
             Team... teams) {
-        this.tuning = tuning;
-        this.kinds = kinds;
-        this.aims = aims;
-        this.teams = teams.length == 0 ? List.of(SimulatedWorld.team(0)) : List.of(teams);
-        this.capacity = new HashMap<>(
-                Map.of(new MachinePool("quad", "east", true), spot, new MachinePool("quad", "east", false), ordinary));
-        newLeader();
+        this.settings = settings;
+        this.workloads = workloads;
+        this.objectives = objectives;
+        this.teams = teams.length == 0 ? List.of(SchedulerFixture.teamWithCoreLimit(0)) : List.of(teams);
+        this.capacity = new HashMap<>(Map.of(
+                new MachinePool("quad", "east", true),
+                spotCapacity,
+                new MachinePool("quad", "east", false),
+                onDemandCapacity));
+        startNewLeader();
     }
 
     /** Replaces the leader with a new one that has read all records and waits for the machines' heartbeats. */
-    public void newLeader() {
-        core = new SchedulerCore(new FencingToken(++token), SimulatedWorld.RULES, tuning, aims, teams, this);
-        MachineType type = SimulatedWorld.TYPE;
+    public void startNewLeader() {
+        core = new SchedulerCore(
+                new FencingToken(++token), SchedulerFixture.SAFETY_TIMES, settings, objectives, teams, this);
+        MachineType type = SchedulerFixture.MACHINE_TYPE;
         core.setTypes(List.of(new MachineType(
                 type.name(),
                 type.capacity(),
@@ -200,9 +276,13 @@
                 type.spotPrice(),
                 type.boot(),
                 List.of("east"))));
-        boxes.forEach((name, box) ->
-                core.inheritMachine(new MachineId(name), box.pool, at(box.up - BOOT), at(box.up), at(now)));
-        open.replaceAll((id, job) -> new Job(
+        machines.forEach((name, machine) -> core.inheritMachine(
+                new MachineId(name),
+                machine.pool,
+                atStep(machine.upAt - BOOT_STEPS),
+                atStep(machine.upAt),
+                atStep(now)));
+        openJobs.replaceAll((id, job) -> new Job(
                 job.spec(),
                 job.submittedMs(),
                 job.eligibleSince,
@@ -210,12 +290,12 @@
                 job.completedTasks(),
                 job.startBoundToWrite(),
                 true));
-        open.values().forEach(core::addJob);
+        openJobs.values().forEach(core::addJob);
         core.recordsLoaded();
     }
 
-    private static Moment at(int step) {
-        return new Moment((BEGIN + step) * 1000L);
+    private static Moment atStep(int step) {
+        return new Moment((FIRST_STEP_S + step) * 1000L);
     }
 
     public CoreHarness run(int steps) {
@@ -229,176 +309,182 @@
      * Returns the fraction of a class's or team's jobs that ended in time, of those that arrived at least that long
      * ago.
      */
-    double served(String name, int within) {
-        return served(name, within, 0);
+    double servedFraction(String name, int withinSteps) {
+        return servedFraction(name, withinSteps, 0);
     }
 
-    /** Returns the same fraction for jobs that arrived at step {@code from} or later. */
-    double served(String name, int within, int from) {
-        List<Fate> all = fates.values().stream()
+    /** Returns the same fraction for jobs that arrived at step {@code fromStep} or later. */
+    double servedFraction(String name, int withinSteps, int fromStep) {
+        List<JobHistory> arrived = histories.values().stream()
                 .filter(f -> f.spec.kind() == JobKind.ARRAY
-                        && now - f.came >= within
-                        && f.came >= from
+                        && now - f.arrivedAt >= withinSteps
+                        && f.arrivedAt >= fromStep
                         && (f.spec.jobClass().equals(name) || f.spec.team().equals(name)))
                 .toList();
-        return all.stream()
-                        .filter(f -> f.over >= 0 && f.over - f.came <= within)
+        return arrived.stream()
+                        .filter(f -> f.endedAt >= 0 && f.endedAt - f.arrivedAt <= withinSteps)
                         .count()
-                / (double) all.size();
+                / (double) arrived.size();
     }
 
-    /** Returns the longest wait until the last task started, of the jobs that arrived at step {@code from} or later. */
-    int longestWait(String name, int from) {
-        return fates.values().stream()
-                .filter(f -> f.came >= from && f.spec.jobClass().equals(name))
-                .mapToInt(f -> f.lastStart(now) - f.came)
+    /** Returns the longest wait until the last task started, of the jobs that arrived at step {@code fromStep} or later. */
+    int longestWaitForLastStart(String name, int fromStep) {
+        return histories.values().stream()
+                .filter(f -> f.arrivedAt >= fromStep && f.spec.jobClass().equals(name))
+                .mapToInt(f -> f.lastStart(now) - f.arrivedAt)
                 .max()
                 .orElse(0);
     }
 
     /** Returns the longest wait of the class's jobs until the first task started. */
-    int latestBegin(String name) {
-        return fates.values().stream()
+    int longestWaitForFirstStart(String name) {
+        return histories.values().stream()
                 .filter(f -> f.spec.jobClass().equals(name))
-                .mapToInt(
-                        f -> f.started.values().stream().mapToInt(i -> i).min().orElse(now) - f.came)
+                .mapToInt(f ->
+                        f.startedAt.values().stream().mapToInt(i -> i).min().orElse(now) - f.arrivedAt)
                 .max()
                 .orElse(0);
     }
 
     private void step() {
-        for (Kind kind : kinds) {
-            double due = owed.getOrDefault(kind, 0.0)
-                    + (now == 0 ? kind.atStart : 0)
-                    + (now >= kind.from && now < kind.until ? kind.perStep : 0);
-            for (; due >= 1; due--) {
-                come(kind);
+        for (Workload workload : workloads) {
+            double arrivals = pendingArrivals.getOrDefault(workload, 0.0)
+                    + (now == 0 ? workload.jobsAtStart : 0)
+                    + (now >= workload.fromStep && now < workload.untilStep ? workload.jobsPerStep : 0);
+            for (; arrivals >= 1; arrivals--) {
+                submitJob(workload);
             }
-            owed.put(kind, due);
+            pendingArrivals.put(workload, arrivals);
         }
-        core.expireLeases(at(now));
+        core.expireLeases(atStep(now));
         if (now % 2 == 0) {
-            tend();
+            planCapacity();
         }
-        List<Job> toRaise = core.startBoundsToRaise(at(now));
+        List<Job> toRaise = core.startBoundsToRaise(atStep(now));
         effects.boundsToRaise(toRaise);
         for (Job job : toRaise) {
             job.startBoundRecorded(job.startBoundToWrite());
         }
-        int n = 0;
-        for (Map.Entry<String, Box> e : boxes.entrySet()) {
-            if (e.getValue().up <= now && n++ % 2 == now % 2) {
-                report(e.getKey(), e.getValue());
+        int reporting = 0;
+        for (Map.Entry<String, SimulatedMachine> entry : machines.entrySet()) {
+            if (entry.getValue().upAt <= now && reporting++ % 2 == now % 2) {
+                sendHeartbeat(entry.getKey(), entry.getValue());
             }
         }
-        for (Iterator<Job> i = open.values().iterator(); i.hasNext(); ) {
-            Job job = i.next();
+        for (Iterator<Job> jobIterator = openJobs.values().iterator(); jobIterator.hasNext(); ) {
+            Job job = jobIterator.next();
             job.completionsRecorded(job.completedTasks());
             if (job.isComplete()) {
                 effects.effect(EffectListener.JOB_ENDED, job.id().text());
-                fates.get(job.id()).over = now;
+                histories.get(job.id()).endedAt = now;
                 core.closeJob(job.id());
-                i.remove();
+                jobIterator.remove();
             }
         }
         now++;
     }
 
-    private void come(Kind kind) {
-        JobSpec spec = JobSpec.builder(new JobId("run-" + (fates.size() + 1)))
-                .jobClass(kind.name)
-                .team(kind.team)
-                .kind(kind.shape)
-                .urgency(kind.urgency)
-                .tasks(kind.tasks)
-                .demand(new Demand(kind.cores, 0, kind.cores * 4))
-                .image("img-" + kind.name)
+    private void submitJob(Workload workload) {
+        JobSpec spec = JobSpec.builder(new JobId("run-" + (histories.size() + 1)))
+                .jobClass(workload.jobClass)
+                .team(workload.team)
+                .kind(workload.kind)
+                .urgency(workload.urgency)
+                .tasks(workload.tasks)
+                .demand(new Demand(workload.cores, 0, workload.cores * 4))
+                .image("img-" + workload.jobClass)
                 .imageGb(0.2)
-                .spotAllowed(kind.shape == JobKind.ARRAY)
-                .estimate(Span.seconds(kind.run * kind.estimate))
-                .checkpointEvery(Span.seconds(kind.saves ? 10 : 0))
-                .checkpointTime(Span.seconds(kind.saves ? 2 : 0))
+                .spotAllowed(workload.kind == JobKind.ARRAY)
+                .estimate(Span.seconds(workload.runSteps * workload.estimateFactor))
+                .checkpointEvery(Span.seconds(workload.savesProgress ? 10 : 0))
+                .checkpointTime(Span.seconds(workload.savesProgress ? 2 : 0))
                 .build();
-        Job job = new Job(spec, at(now).ms(), at(now), new Revision(fates.size() + 1), new BitSet(), 0, false);
-        fates.put(job.id(), new Fate(spec, now, kind.run));
-        open.put(job.id(), job);
+        Job job = new Job(
+                spec, atStep(now).ms(), atStep(now), new Revision(histories.size() + 1), new BitSet(), 0, false);
+        histories.put(job.id(), new JobHistory(spec, now, workload.runSteps));
+        openJobs.put(job.id(), job);
         core.addJob(job);
     }
 
-    private void tend() {
-        List<ScaleOutRequest> wishes = core.scaleOutRequests(at(now));
-        effects.rents(wishes);
-        for (ScaleOutRequest request : wishes) {
-            asked.add(request);
-            int got = (int) Math.min(
+    private void planCapacity() {
+        List<ScaleOutRequest> newRequests = core.scaleOutRequests(atStep(now));
+        effects.rents(newRequests);
+        for (ScaleOutRequest request : newRequests) {
+            requests.add(request);
+            int granted = (int) Math.min(
                     request.count(),
                     capacity.get(request.pool())
-                            - boxes.values().stream()
+                            - machines.values().stream()
                                     .filter(b -> b.pool.equals(request.pool()))
                                     .count());
-            if (got < request.count()) {
-                core.scaleOutRejected(request.pool(), at(now));
+            if (granted < request.count()) {
+                core.scaleOutRejected(request.pool(), atStep(now));
             }
             List<MachineId> ids = new ArrayList<>();
-            for (int i = 0; i < got; i++) {
-                ids.add(new MachineId(String.format("m%05d", ++names)));
-                boxes.put(ids.get(i).toString(), new Box(request.pool(), now + BOOT));
+            for (int i = 0; i < granted; i++) {
+                ids.add(new MachineId(String.format("m%05d", ++machineCount)));
+                machines.put(ids.get(i).toString(), new SimulatedMachine(request.pool(), now + BOOT_STEPS));
             }
-            core.rented(request.pool(), ids, at(now), at(now));
+            core.rented(request.pool(), ids, atStep(now), atStep(now));
         }
-        core.planScaleIn(at(now));
-        List<MachineId> leaving = core.machinesToReturn(100);
-        effects.returns(leaving);
-        leaving.forEach(id -> boxes.remove(id.toString()));
-        core.returned(leaving, at(now));
-        mostUp = Math.max(mostUp, boxes.size());
+        core.planScaleIn(atStep(now));
+        List<MachineId> returned = core.machinesToReturn(100);
+        effects.returns(returned);
+        returned.forEach(id -> machines.remove(id.toString()));
+        core.returned(returned, atStep(now));
+        peakMachines = Math.max(peakMachines, machines.size());
     }
 
-    private void report(String name, Box box) {
-        List<TaskStatus> list = new ArrayList<>();
-        for (Iterator<Map.Entry<WorkerCommand, Integer>> i =
-                        box.tasks.entrySet().iterator();
-                i.hasNext(); ) {
-            Map.Entry<WorkerCommand, Integer> e = i.next();
-            boolean stopped = box.stopping.remove(e.getKey().task());
-            boolean over = now >= e.getValue();
-            if (stopped && !over) {
-                left.put(e.getKey().task(), e.getValue() - now);
+    private void sendHeartbeat(String name, SimulatedMachine machine) {
+        List<TaskStatus> statuses = new ArrayList<>();
+        for (Iterator<Map.Entry<WorkerCommand, Integer>> taskIterator =
+                        machine.taskEnds.entrySet().iterator();
+                taskIterator.hasNext(); ) {
+            Map.Entry<WorkerCommand, Integer> entry = taskIterator.next();
+            boolean stopped = machine.stopping.remove(entry.getKey().task());
+            boolean ended = now >= entry.getValue();
+            if (stopped && !ended) {
+                remainingSteps.put(entry.getKey().task(), entry.getValue() - now);
             }
-            list.add(
-                    stopped && !over
-                            ? SimulatedWorld.exited(e.getKey(), ExitCause.STOPPED)
-                            : over
-                                    ? SimulatedWorld.exited(e.getKey(), ExitCause.DONE)
-                                    : SimulatedWorld.running(e.getKey()));
-            if (stopped || over) {
-                i.remove();
+            statuses.add(
+                    stopped && !ended
+                            ? SchedulerFixture.exitedStatus(entry.getKey(), ExitCause.STOPPED)
+                            : ended
+                                    ? SchedulerFixture.exitedStatus(entry.getKey(), ExitCause.DONE)
+                                    : SchedulerFixture.runningStatus(entry.getKey()));
+            if (stopped || ended) {
+                taskIterator.remove();
             }
         }
         Heartbeat heartbeat = new Heartbeat(
                 new MachineId(name),
                 "10.0.0.1:1",
-                box.pool,
-                new HeartbeatNumber(1, ++serial),
+                machine.pool,
+                new HeartbeatNumber(1, ++heartbeatCount),
                 new FencingToken(token),
                 null,
-                list);
-        List<WorkerCommand> orders =
-                new ArrayList<>(core.onHeartbeat(heartbeat, at(now)).commands());
+                statuses);
+        List<WorkerCommand> commands =
+                new ArrayList<>(core.onHeartbeat(heartbeat, atStep(now)).commands());
         if (core.unrecorded(new MachineId(name)).isPresent()) {
             core.recorded(new MachineId(name));
-            orders.addAll(core.startTasks(new MachineId(name), heartbeat.number(), at(now)));
+            commands.addAll(core.startTasks(new MachineId(name), heartbeat.number(), atStep(now)));
         }
-        effects.answer(heartbeat.machine(), new HeartbeatResult.Commands(orders), core.mayAnswer(heartbeat.machine()));
-        for (WorkerCommand command : orders) {
-            Fate fate = fates.get(command.task().job());
+        effects.answer(
+                heartbeat.machine(), new HeartbeatResult.Commands(commands), core.mayAnswer(heartbeat.machine()));
+        for (WorkerCommand command : commands) {
+            JobHistory history = histories.get(command.task().job());
             if (command instanceof WorkerCommand.Start) {
-                int run = fate.spec.kind() == JobKind.SERVICE ? 1_000_000 : fate.run;
-                box.tasks.put(
-                        command, now + (fate.spec.savesProgress() ? left.getOrDefault(command.task(), run) : run));
-                fate.started.putIfAbsent(command.task(), now);
+                int runSteps = history.spec.kind() == JobKind.SERVICE ? 1_000_000 : history.runSteps;
+                machine.taskEnds.put(
+                        command,
+                        now
+                                + (history.spec.savesProgress()
+                                        ? remainingSteps.getOrDefault(command.task(), runSteps)
+                                        : runSteps));
+                history.startedAt.putIfAbsent(command.task(), now);
             } else if (command instanceof WorkerCommand.Stop) {
-                box.stopping.add(command.task());
+                machine.stopping.add(command.task());
             }
         }
     }
--- a/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
@@ -104,7 +104,7 @@
         List<JobId> before = new ArrayList<>(records.keySet());
         Collections.shuffle(before, random);
         List<JobId> needs = before.stream().limit(random.nextInt(4)).toList();
-        JobSpec spec = SimulatedWorld.spec(records.size(), 2, 1, 20).with(JobDependencies.of(needs));
+        JobSpec spec = SchedulerFixture.spec(records.size(), 2, 1, 20).with(JobDependencies.of(needs));
         records.put(id, spec);
         // A node's look-up may be older than the end of a job that was open: then the new one is accepted as open.
         if (needs.stream()
@@ -136,17 +136,17 @@
     }
 
     private Job job(JobId id, boolean inherited) {
-        return new Job(records.get(id), 1, SimulatedWorld.at(0), new Revision(1), new BitSet(), 0, inherited);
+        return new Job(records.get(id), 1, SchedulerFixture.atSeconds(0), new Revision(1), new BitSet(), 0, inherited);
     }
 
     private void lead() {
         leader = new SchedulerCore(
                 new FencingToken(++token),
-                SimulatedWorld.RULES,
-                SimulatedWorld.TUNING,
-                SimulatedWorld.NO_AIMS,
-                List.of(SimulatedWorld.team(0)),
-                new SimulatedWorld());
+                SchedulerFixture.SAFETY_TIMES,
+                SchedulerFixture.SETTINGS,
+                SchedulerFixture.NO_OBJECTIVES,
+                List.of(SchedulerFixture.teamWithCoreLimit(0)),
+                new SchedulerFixture());
         unheard.clear();
         List<JobId> listed = new ArrayList<>(open());
         Collections.shuffle(listed, random);
@@ -161,7 +161,7 @@
     }
 
     private void work() {
-        leader.dependentJobs().advance(SimulatedWorld.at(step / 10.0), step * 100L);
+        leader.dependentJobs().advance(SchedulerFixture.atSeconds(step / 10.0), step * 100L);
         for (JobId id : List.copyOf(leader.dependentJobs().jobsToLookUp())) {
             effects.effect(EffectListener.END_LOOKED_UP, id.text());
             if (random.nextDouble() < 0.5 && ends.containsKey(id)) {
--- a/src/test/java/io/indigoreach/core/scheduling/DependentJobsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependentJobsTest.java
@@ -18,14 +18,14 @@
 
 /** Chained jobs among the others of a leader: what they hold while they wait, and what counts from the release. */
 class DependentJobsTest {
-    private final SimulatedWorld world = new SimulatedWorld(SimulatedWorld.team(4));
+    private final SchedulerFixture world = new SchedulerFixture(SchedulerFixture.teamWithCoreLimit(4));
 
     DependentJobsTest() {
         world.core.recordsLoaded();
     }
 
     private static JobSpec chained(int id, JobSpec... needs) {
-        JobSpec spec = SimulatedWorld.spec(id, 2, 1, 20);
+        JobSpec spec = SchedulerFixture.spec(id, 2, 1, 20);
         return spec.with(
                 JobDependencies.of(List.of(needs).stream().map(JobSpec::id).toList()));
     }
@@ -55,62 +55,64 @@
     }
 
     private void advance(double at) {
-        world.core.dependentJobs().advance(SimulatedWorld.at(at), Math.round(at * 1000));
+        world.core.dependentJobs().advance(SchedulerFixture.atSeconds(at), Math.round(at * 1000));
     }
 
     /** Its need's tasks are all done, and the leader knows it: not before that end is recorded does anything of it move. */
     @Test
     void itHoldsNothingUntilTheEndIsDurable() {
-        JobSpec need = SimulatedWorld.spec(1, 2, 1, 20);
+        JobSpec need = SchedulerFixture.spec(1, 2, 1, 20);
         Job first = world.submit(need, 0);
         Job waiting = world.submit(due(chained(2, need), Urgency.HIGH, 300), 0);
-        world.up("vm-1", "east", 0);
+        world.addSpotMachine("vm-1", "east", 0);
         advance(1);
-        List<WorkerCommand> started = world.hear("vm-1", 1);
-        assertEquals(List.of("run-1/0", "run-1/1"), SimulatedWorld.starts(started));
+        List<WorkerCommand> started = world.heartbeat("vm-1", 1);
+        assertEquals(List.of("run-1/0", "run-1/1"), SchedulerFixture.tasksToStart(started));
         advance(30);
         TaskStatus[] ended = started.stream()
-                .map(command -> SimulatedWorld.exited(command, ExitCause.DONE))
+                .map(command -> SchedulerFixture.exitedStatus(command, ExitCause.DONE))
                 .toArray(TaskStatus[]::new);
-        assertEquals(List.of(), SimulatedWorld.starts(world.hear("vm-1", 30, ended)));
+        assertEquals(List.of(), SchedulerFixture.tasksToStart(world.heartbeat("vm-1", 30, ended)));
         assertTrue(first.isComplete());
         advance(31);
         assertEquals(0, waiting.waitingCount() + waiting.startableCount());
         assertFalse(waiting.isWithinStartBound() || waiting.hasWaiting());
-        assertEquals(List.of(), world.core.scaleOutRequests(SimulatedWorld.at(31)));
-        assertTrue(world.core.startBoundsToRaise(SimulatedWorld.at(31)).stream().noneMatch(waiting::equals));
+        assertEquals(List.of(), world.core.scaleOutRequests(SchedulerFixture.atSeconds(31)));
+        assertTrue(world.core.startBoundsToRaise(SchedulerFixture.atSeconds(31)).stream()
+                .noneMatch(waiting::equals));
         world.core.closeJob(need.id());
         advance(40);
-        assertEquals(List.of("run-2/0", "run-2/1"), SimulatedWorld.starts(world.hear("vm-1", 41)));
-        assertEquals(SimulatedWorld.at(40), waiting.eligibleSince);
-        assertEquals(SimulatedWorld.at(300), waiting.dueAt());
+        assertEquals(List.of("run-2/0", "run-2/1"), SchedulerFixture.tasksToStart(world.heartbeat("vm-1", 41)));
+        assertEquals(SchedulerFixture.atSeconds(40), waiting.eligibleSince);
+        assertEquals(SchedulerFixture.atSeconds(300), waiting.dueAt());
         assertEquals(40_000, waiting.spec().dependencies().releasedAtMs(), "its next record tells a later leader");
     }
 
     /** Its record says when it was released; or a task of it is done, or seen on a machine. Else its needs are looked up. */
     @Test
     void aLaterLeaderKnowsWhatWasReleased() {
-        JobSpec need = SimulatedWorld.spec(1, 2, 1, 20);
+        JobSpec need = SchedulerFixture.spec(1, 2, 1, 20);
         BitSet one = new BitSet();
         one.set(0);
         Job marked = new Job(
                 chained(2, need).with(chained(2, need).dependencies().released(25_000)),
                 5_000,
-                SimulatedWorld.at(5),
+                SchedulerFixture.atSeconds(5),
                 new Revision(1),
                 new BitSet(),
                 2,
                 true);
-        Job begun = new Job(chained(3, need), 5_000, SimulatedWorld.at(5), new Revision(1), one, 2, true);
-        Job seen = new Job(chained(4, need), 5_000, SimulatedWorld.at(5), new Revision(1), new BitSet(), 2, true);
+        Job begun = new Job(chained(3, need), 5_000, SchedulerFixture.atSeconds(5), new Revision(1), one, 2, true);
+        Job seen =
+                new Job(chained(4, need), 5_000, SchedulerFixture.atSeconds(5), new Revision(1), new BitSet(), 2, true);
         List.of(marked, begun).forEach(world.core::addJob);
-        assertEquals(SimulatedWorld.at(25), marked.eligibleSince);
+        assertEquals(SchedulerFixture.atSeconds(25), marked.eligibleSince);
         assertTrue(marked.hasWaiting() && begun.hasWaiting());
         assertTrue(world.core.dependentJobs().jobsToLookUp().isEmpty());
         world.core.addJob(seen);
         assertEquals(1, world.core.dependentJobs().jobsToLookUp().size());
-        world.up("vm-1", "east", 0);
-        world.hear("vm-1", 30, SimulatedWorld.foreign("run-4/0", 9));
+        world.addSpotMachine("vm-1", "east", 0);
+        world.heartbeat("vm-1", 30, SchedulerFixture.statusOfUnknownTask("run-4/0", 9));
         advance(31);
         assertTrue(
                 seen.hasWaiting() && world.core.dependentJobs().jobsToLookUp().isEmpty());
@@ -119,7 +121,7 @@
     /** A reading of the records that is repeated says nothing of how any job ended. */
     @Test
     void whatIsReadAnewIsNotDone() {
-        JobSpec need = SimulatedWorld.spec(1, 2, 1, 20);
+        JobSpec need = SchedulerFixture.spec(1, 2, 1, 20);
         world.submit(need, 0);
         Job waiting = world.submit(chained(2, need), 0);
         world.core.forgetJobs();
@@ -131,7 +133,7 @@
 
     @Test
     void theJobsBeforeAnUrgentDeadlineAreTreatedAlike() {
-        JobSpec need = SimulatedWorld.spec(1, 2, 1, 20);
+        JobSpec need = SchedulerFixture.spec(1, 2, 1, 20);
         Job first = world.submit(need, 0);
         JobSpec second = chained(2, need);
         world.submit(second, 0);
@@ -139,7 +141,7 @@
         world.submit(last, 10);
         advance(11);
         assertEquals(Urgency.HIGH, first.urgency());
-        assertEquals(SimulatedWorld.at(110 - 40), first.dueAt());
+        assertEquals(SchedulerFixture.atSeconds(110 - 40), first.dueAt());
         world.core.cancelJob(last.id());
         advance(13);
         assertEquals(Urgency.STANDARD, first.urgency());
--- a/src/test/java/io/indigoreach/core/scheduling/FailureDetectorTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FailureDetectorTest.java
@@ -1,9 +1,9 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
-import static io.indigoreach.core.scheduling.SimulatedWorld.running;
-import static io.indigoreach.core.scheduling.SimulatedWorld.service;
-import static io.indigoreach.core.scheduling.SimulatedWorld.starts;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
+import static io.indigoreach.core.scheduling.SchedulerFixture.runningStatus;
+import static io.indigoreach.core.scheduling.SchedulerFixture.service;
+import static io.indigoreach.core.scheduling.SchedulerFixture.tasksToStart;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.core.model.MachineId;
@@ -23,22 +23,22 @@
     @ParameterizedTest
     @CsvSource({"1, 4, 0", "1, 5, 1", "2, 5, 2", "3, 5, 0", "8, 5, 0"})
     void silentMachinesAreReturnedUnlessManyAre(int silent, double seconds, int returned) {
-        SimulatedWorld w = new SimulatedWorld();
+        SchedulerFixture w = new SchedulerFixture();
         w.core.recordsLoaded();
         List<TaskStatus[]> tasks = fleet(w);
         for (int i = silent; i < 8; i++) {
-            w.hearOrdinary("m" + i, 10 + seconds, tasks.get(i));
+            w.heartbeatOnDemand("m" + i, 10 + seconds, tasks.get(i));
         }
-        w.core.planScaleIn(at(10 + seconds));
+        w.core.planScaleIn(atSeconds(10 + seconds));
         assertEquals(returned, w.core.machinesToReturn(9).size());
     }
 
-    private static List<TaskStatus[]> fleet(SimulatedWorld w) {
+    private static List<TaskStatus[]> fleet(SchedulerFixture w) {
         List<TaskStatus[]> tasks = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             w.submit(service(i, 1), 0);
-            tasks.add(running(w.ordinary("m" + i, 1)));
-            w.hearOrdinary("m" + i, 10, tasks.get(i));
+            tasks.add(runningStatus(w.addOnDemandMachine("m" + i, 1)));
+            w.heartbeatOnDemand("m" + i, 10, tasks.get(i));
         }
         return tasks;
     }
@@ -50,31 +50,32 @@
     @ParameterizedTest
     @CsvSource({"14.9, 0", "10, 2"})
     void aLeaderThatStoodStillDoubtsItselfFirst(double awake, int returned) {
-        SimulatedWorld w = new SimulatedWorld();
+        SchedulerFixture w = new SchedulerFixture();
         w.core.recordsLoaded();
         List<TaskStatus[]> tasks = fleet(w);
-        w.core.setAwakeSince(at(awake));
-        assertEquals(returned > 0, w.core.isCutOffFromWorkers(at(16.1)), "nothing heard since 10 s");
+        w.core.setAwakeSince(atSeconds(awake));
+        assertEquals(returned > 0, w.core.isCutOffFromWorkers(atSeconds(16.1)), "nothing heard since 10 s");
         for (int i = 2; i < 8; i++) {
-            w.hearOrdinary("m" + i, 15, tasks.get(i));
+            w.heartbeatOnDemand("m" + i, 15, tasks.get(i));
         }
-        w.core.planScaleIn(at(15));
+        w.core.planScaleIn(atSeconds(15));
         assertEquals(returned, w.core.machinesToReturn(9).size());
     }
 
     /** What was on it starts elsewhere once the return is answered, not before: it may still be running. */
     @Test
     void aReplicaStartsElsewhereOnlyOnceTheReturnIsAnswered() {
-        SimulatedWorld w = new SimulatedWorld();
+        SchedulerFixture w = new SchedulerFixture();
         w.core.recordsLoaded();
         List<TaskStatus[]> tasks = fleet(w);
         for (int i = 1; i < 8; i++) {
-            w.hearOrdinary("m" + i, 15, tasks.get(i));
+            w.heartbeatOnDemand("m" + i, 15, tasks.get(i));
         }
-        w.core.planScaleIn(at(15));
-        assertEquals(0, starts(w.hearOrdinary("m1", 15.5, tasks.get(1))).size());
-        w.core.returned(w.core.machinesToReturn(9), at(16));
-        assertEquals(List.of("run-0/0"), starts(w.hearOrdinary("m1", 16.5, tasks.get(1))));
+        w.core.planScaleIn(atSeconds(15));
+        assertEquals(
+                0, tasksToStart(w.heartbeatOnDemand("m1", 15.5, tasks.get(1))).size());
+        w.core.returned(w.core.machinesToReturn(9), atSeconds(16));
+        assertEquals(List.of("run-0/0"), tasksToStart(w.heartbeatOnDemand("m1", 16.5, tasks.get(1))));
     }
 
     /**
@@ -84,28 +85,36 @@
     @ParameterizedTest
     @CsvSource({"8, 30, 0", "8, 92, 0", "8, 93, 8", "1, 30, 1"})
     void machinesBehindACutAreKept(int cut, double seconds, int returned) {
-        SimulatedWorld w = new SimulatedWorld();
+        SchedulerFixture w = new SchedulerFixture();
         for (int i = 0; i < 8; i++) {
             w.core.inheritMachine(
-                    new MachineId("e" + i), new MachinePool("quad", "east", true), at(-90), at(-90), at(0));
+                    new MachineId("e" + i),
+                    new MachinePool("quad", "east", true),
+                    atSeconds(-90),
+                    atSeconds(-90),
+                    atSeconds(0));
             w.core.inheritMachine(
-                    new MachineId("w" + i), new MachinePool("quad", "west", true), at(-90), at(-90), at(0));
+                    new MachineId("w" + i),
+                    new MachinePool("quad", "west", true),
+                    atSeconds(-90),
+                    atSeconds(-90),
+                    atSeconds(0));
         }
         w.core.recordsLoaded();
-        w.submit(SimulatedWorld.spec(1, 400, 1, 500), 0);
+        w.submit(SchedulerFixture.spec(1, 400, 1, 500), 0);
         for (double t = 1; t <= seconds; t++) {
             for (int i = 0; i < 8; i++) {
-                w.hear("e" + i, t);
+                w.heartbeat("e" + i, t);
                 if (i >= cut) {
-                    w.core.onHeartbeat(w.report("w" + i, "west", 1, SimulatedWorld.TOKEN), at(t));
+                    w.core.onHeartbeat(w.newHeartbeat("w" + i, "west", 1, SchedulerFixture.TOKEN), atSeconds(t));
                 }
             }
-            w.core.expireLeases(at(t));
-            w.core.planScaleIn(at(t));
+            w.core.expireLeases(atSeconds(t));
+            w.core.planScaleIn(atSeconds(t));
             if (t == 20 && cut == 8) {
                 assertEquals(
                         Set.of("east"),
-                        w.core.scaleOutRequests(at(t)).stream()
+                        w.core.scaleOutRequests(atSeconds(t)).stream()
                                 .map(r -> r.pool().zone())
                                 .collect(Collectors.toSet()),
                         "what is rented behind the cut cannot be reached");
@@ -122,15 +131,20 @@
     @ParameterizedTest
     @CsvSource({"8, 1, 8, 0", "8, 1, 9, 1", "8, 4, 9, 0", "40, 2, 6, 0", "40, 2, 7, 2", "40, 6, 7, 0", "40, 6, 9, 6"})
     void machinesSilentSinceATakeOverAreReturned(int machines, int dead, double seconds, int returned) {
-        SimulatedWorld w = new SimulatedWorld();
+        SchedulerFixture w = new SchedulerFixture();
         for (int i = 0; i < machines; i++) {
-            w.core.inheritMachine(new MachineId("m" + i), new MachinePool("quad", "east", true), at(0), at(0), at(0));
+            w.core.inheritMachine(
+                    new MachineId("m" + i),
+                    new MachinePool("quad", "east", true),
+                    atSeconds(0),
+                    atSeconds(0),
+                    atSeconds(0));
         }
         w.core.recordsLoaded();
         for (int i = dead; i < machines; i++) {
-            w.hear("m" + i, seconds);
+            w.heartbeat("m" + i, seconds);
         }
-        w.core.planScaleIn(at(seconds));
+        w.core.planScaleIn(atSeconds(seconds));
         assertEquals(returned, w.core.machinesToReturn(9).size());
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/FleetCostTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FleetCostTest.java
@@ -1,9 +1,9 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
-import static io.indigoreach.core.scheduling.SimulatedWorld.running;
-import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
-import static io.indigoreach.core.scheduling.SimulatedWorld.with;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
+import static io.indigoreach.core.scheduling.SchedulerFixture.runningStatus;
+import static io.indigoreach.core.scheduling.SchedulerFixture.spec;
+import static io.indigoreach.core.scheduling.SchedulerFixture.withOptions;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -29,19 +29,20 @@
 class FleetCostTest {
     @ParameterizedTest
     @ValueSource(ints = {50, 500})
-    void reportsDoNotWalkTheFleet(int machines) {
-        SimulatedWorld w = new SimulatedWorld();
-        Map<String, TaskStatus[]> tasks = busy(w, machines);
-        long before = w.core.machineVisits();
+    void heartbeatsDoNotVisitWholeFleet(int machines) {
+        SchedulerFixture fixture = new SchedulerFixture();
+        Map<String, TaskStatus[]> tasks = fillFleetAndSubmitUrgentJob(fixture, machines);
+        long visitsBefore = fixture.core.machineVisits();
         int stops = 0;
         for (int i = 0; i < machines; i++) {
-            stops += SimulatedWorld.stops(w.hear("m" + i, 40 + 0.9 * i / machines, tasks.get("m" + i)))
+            stops += SchedulerFixture.tasksToStop(
+                            fixture.heartbeat("m" + i, 40 + 0.9 * i / machines, tasks.get("m" + i)))
                     .size();
         }
         assertTrue(stops > machines / 2, stops + " tasks were stopped");
         assertTrue(
-                w.core.machineVisits() - before <= 10L * machines,
-                (w.core.machineVisits() - before) + " machines looked at");
+                fixture.core.machineVisits() - visitsBefore <= 10L * machines,
+                (fixture.core.machineVisits() - visitsBefore) + " machines looked at");
     }
 
     /**
@@ -50,50 +51,52 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {50, 500})
-    void guaranteesDoNotWalkTheFleet(int machines) {
-        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(0), new Team("due", 4 * machines, 0, 0, 0));
-        Map<String, TaskStatus[]> tasks = busy(w, machines);
-        JobSpec s = spec(3, 4 * machines, 1, 20);
-        w.submit(
-                JobSpec.builder(s.id())
-                        .jobClass(s.jobClass())
+    void guaranteesDoNotVisitWholeFleet(int machines) {
+        SchedulerFixture fixture =
+                new SchedulerFixture(SchedulerFixture.teamWithCoreLimit(0), new Team("due", 4 * machines, 0, 0, 0));
+        Map<String, TaskStatus[]> tasks = fillFleetAndSubmitUrgentJob(fixture, machines);
+        JobSpec base = spec(3, 4 * machines, 1, 20);
+        fixture.submit(
+                JobSpec.builder(base.id())
+                        .jobClass(base.jobClass())
                         .team("due")
-                        .kind(s.kind())
-                        .urgency(s.urgency())
-                        .tasks(s.tasks())
-                        .demand(s.demand())
-                        .image(s.image())
-                        .imageGb(s.imageGb())
+                        .kind(base.kind())
+                        .urgency(base.urgency())
+                        .tasks(base.tasks())
+                        .demand(base.demand())
+                        .image(base.image())
+                        .imageGb(base.imageGb())
                         .spotAllowed()
-                        .estimate(s.estimate())
+                        .estimate(base.estimate())
                         .build(),
                 3);
-        long before = w.core.machineVisits();
+        long visitsBefore = fixture.core.machineVisits();
         int stops = 0;
         for (int i = 0; i < machines; i++) {
-            stops += SimulatedWorld.stops(w.hear("m" + i, 5 + 0.9 * i / machines, tasks.get("m" + i)))
+            stops += SchedulerFixture.tasksToStop(
+                            fixture.heartbeat("m" + i, 5 + 0.9 * i / machines, tasks.get("m" + i)))
                     .size();
         }
         assertTrue(stops >= machines, stops + " tasks were stopped");
         assertTrue(
-                w.core.machineVisits() - before <= 10L * machines,
-                (w.core.machineVisits() - before) + " machines looked at");
+                fixture.core.machineVisits() - visitsBefore <= 10L * machines,
+                (fixture.core.machineVisits() - visitsBefore) + " machines looked at");
     }
 
     /** Fills the fleet with tasks that save their progress, and submits an urgent job that may preempt them. */
-    private static Map<String, TaskStatus[]> busy(SimulatedWorld w, int machines) {
-        Map<String, TaskStatus[]> all = new HashMap<>();
-        w.core.recordsLoaded();
-        w.submit(with(spec(1, 2 * machines, 2, 100), Urgency.BEST_EFFORT, false, false, true, null, 5), 0);
+    private static Map<String, TaskStatus[]> fillFleetAndSubmitUrgentJob(SchedulerFixture fixture, int machines) {
+        Map<String, TaskStatus[]> tasksByMachine = new HashMap<>();
+        fixture.core.recordsLoaded();
+        fixture.submit(withOptions(spec(1, 2 * machines, 2, 100), Urgency.BEST_EFFORT, false, false, true, null, 5), 0);
         for (int i = 0; i < machines; i++) {
-            w.up("m" + i, "east", 0);
+            fixture.addSpotMachine("m" + i, "east", 0);
             List<TaskStatus> tasks = new ArrayList<>();
-            w.hear("m" + i, 1).forEach(command -> tasks.add(running(command)));
-            all.put("m" + i, tasks.toArray(TaskStatus[]::new));
-            w.hear("m" + i, 2, all.get("m" + i));
+            fixture.heartbeat("m" + i, 1).forEach(command -> tasks.add(runningStatus(command)));
+            tasksByMachine.put("m" + i, tasks.toArray(TaskStatus[]::new));
+            fixture.heartbeat("m" + i, 2, tasksByMachine.get("m" + i));
         }
-        w.submit(with(spec(2, 4 * machines, 1, 20), Urgency.HIGH, false, false, true, null, 0), 3);
-        return all;
+        fixture.submit(withOptions(spec(2, 4 * machines, 1, 20), Urgency.HIGH, false, false, true, null, 0), 3);
+        return tasksByMachine;
     }
 
     /**
@@ -101,17 +104,26 @@
      * that.
      */
     @Test
-    void aTakeOverOfAWholeFleetSettlesWithItsLastReport() {
-        SimulatedWorld w = new SimulatedWorld();
+    void newLeaderStartsInheritedTasksAfterLastReport() {
+        SchedulerFixture fixture = new SchedulerFixture();
         for (int i = 0; i < 500; i++) {
-            w.core.inheritMachine(new MachineId("m" + i), new MachinePool("quad", "east", true), at(0), at(0), at(0));
+            fixture.core.inheritMachine(
+                    new MachineId("m" + i),
+                    new MachinePool("quad", "east", true),
+                    atSeconds(0),
+                    atSeconds(0),
+                    atSeconds(0));
         }
-        w.inherited(spec(1, 3000, 1, 20));
-        w.core.recordsLoaded();
+        fixture.addInheritedJob(spec(1, 3000, 1, 20));
+        fixture.core.recordsLoaded();
         for (int i = 0; i < 499; i++) {
-            assertEquals(0, SimulatedWorld.starts(w.hear("m" + i, 1)).size());
+            assertEquals(
+                    0,
+                    SchedulerFixture.tasksToStart(fixture.heartbeat("m" + i, 1)).size());
         }
-        assertEquals(4, SimulatedWorld.starts(w.hear("m499", 2)).size());
-        assertEquals(4, SimulatedWorld.starts(w.hear("m0", 2.5)).size());
+        assertEquals(
+                4, SchedulerFixture.tasksToStart(fixture.heartbeat("m499", 2)).size());
+        assertEquals(
+                4, SchedulerFixture.tasksToStart(fixture.heartbeat("m0", 2.5)).size());
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/FloodMemoryTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FloodMemoryTest.java
@@ -28,7 +28,7 @@
     private static final int MACHINES = 30;
     private static final double RUN_S = 15;
 
-    private final SimulatedWorld w = new SimulatedWorld();
+    private final SchedulerFixture w = new SchedulerFixture();
     private final List<Map<TaskId, TaskStatus>> machines = new ArrayList<>();
     private final Map<TaskId, Double> ends = new HashMap<>();
     private int finished;
@@ -38,7 +38,7 @@
         w.core.recordsLoaded();
         for (int m = 0; m < MACHINES; m++) {
             machines.add(new HashMap<>());
-            w.up("m" + m, "east", 0);
+            w.addSpotMachine("m" + m, "east", 0);
         }
         int afterAThird = 0;
         for (int step = 0; step < 14_400; step++) {
@@ -52,9 +52,9 @@
             }
             closeDone();
             if (step % 20 == 0) {
-                w.core.expireLeases(SimulatedWorld.at(now));
-                w.core.scaleOutRequests(SimulatedWorld.at(now));
-                w.core.planScaleIn(SimulatedWorld.at(now));
+                w.core.expireLeases(SchedulerFixture.atSeconds(now));
+                w.core.scaleOutRequests(SchedulerFixture.atSeconds(now));
+                w.core.planScaleIn(SchedulerFixture.atSeconds(now));
             }
             afterAThird = step == 4800 ? reachable(w.core) : afterAThird;
         }
@@ -64,7 +64,7 @@
     }
 
     private static JobSpec single(int id) {
-        JobSpec s = SimulatedWorld.spec(id, 1, 1, RUN_S);
+        JobSpec s = SchedulerFixture.spec(id, 1, 1, RUN_S);
         return JobSpec.builder(s.id())
                 .jobClass("class-" + id)
                 .team(s.team())
@@ -84,12 +84,12 @@
         tasks.replaceAll((id, status) -> status.state() != TaskState.EXITED && now >= ends.get(id)
                 ? new TaskStatus(id, status.attempt(), TaskState.EXITED, ExitCause.DONE, false)
                 : status);
-        for (WorkerCommand command : w.hear("m" + m, now, tasks.values().toArray(TaskStatus[]::new))) {
+        for (WorkerCommand command : w.heartbeat("m" + m, now, tasks.values().toArray(TaskStatus[]::new))) {
             if (command instanceof WorkerCommand.Start) {
-                tasks.put(command.task(), SimulatedWorld.running(command));
+                tasks.put(command.task(), SchedulerFixture.runningStatus(command));
                 ends.put(command.task(), now + RUN_S);
             } else if (command instanceof WorkerCommand.Stop) {
-                tasks.put(command.task(), SimulatedWorld.exited(command, ExitCause.STOPPED));
+                tasks.put(command.task(), SchedulerFixture.exitedStatus(command, ExitCause.STOPPED));
             } else {
                 tasks.remove(command.task());
             }
--- a/src/test/java/io/indigoreach/core/scheduling/LateHeartbeatCopyTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/LateHeartbeatCopyTest.java
@@ -1,10 +1,10 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.TOKEN;
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
-import static io.indigoreach.core.scheduling.SimulatedWorld.running;
-import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
-import static io.indigoreach.core.scheduling.SimulatedWorld.starts;
+import static io.indigoreach.core.scheduling.SchedulerFixture.TOKEN;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
+import static io.indigoreach.core.scheduling.SchedulerFixture.runningStatus;
+import static io.indigoreach.core.scheduling.SchedulerFixture.spec;
+import static io.indigoreach.core.scheduling.SchedulerFixture.tasksToStart;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -45,51 +45,52 @@
         "its session ended, true"
     })
     void raiseNoDeadMachine(String when, boolean known) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.up(A.text(), "east", 0);
+        SchedulerFixture w = new SchedulerFixture();
+        w.addSpotMachine(A.text(), "east", 0);
         w.core.recordsLoaded();
         Job job = w.submit(spec(1, 1, 1, 500), 0);
-        List<WorkerCommand> orders = w.hear(A.text(), 1);
-        Heartbeat earlier = w.report(A.text(), "east", 1, TOKEN, running(orders.get(0)));
-        Heartbeat copy = w.report(A.text(), "east", 1, TOKEN, running(orders.get(0)));
-        w.core.onHeartbeat(earlier, at(2));
+        List<WorkerCommand> orders = w.heartbeat(A.text(), 1);
+        Heartbeat earlier = w.newHeartbeat(A.text(), "east", 1, TOKEN, runningStatus(orders.get(0)));
+        Heartbeat copy = w.newHeartbeat(A.text(), "east", 1, TOKEN, runningStatus(orders.get(0)));
+        w.core.onHeartbeat(earlier, atSeconds(2));
         if (!when.startsWith("first time")) {
-            w.core.onHeartbeat(copy, at(3));
+            w.core.onHeartbeat(copy, atSeconds(3));
         }
         if (when.startsWith("its session")) {
-            w.core.onHeartbeat(w.report(A.text(), "east", 2, TOKEN), at(4));
+            w.core.onHeartbeat(w.newHeartbeat(A.text(), "east", 2, TOKEN), atSeconds(4));
         }
         if (when.startsWith("after it was") || when.startsWith("its name")) {
-            w.core.returned(List.of(A), at(4));
+            w.core.returned(List.of(A), atSeconds(4));
         }
         if (when.startsWith("its name")) {
-            w.core.onMachineListing(List.of(listed("vm-009999")), at(5), at(5));
-            w.core.onMachineListing(List.of(listed("vm-009999")), at(15), at(15));
+            w.core.onMachineListing(List.of(listed("vm-009999")), atSeconds(5), atSeconds(5));
+            w.core.onMachineListing(List.of(listed("vm-009999")), atSeconds(15), atSeconds(15));
             for (int i = 0; i < 2000; i++) {
-                w.core.returned(List.of(new MachineId("vm-0" + (20_000 + i))), at(16));
+                w.core.returned(List.of(new MachineId("vm-0" + (20_000 + i))), atSeconds(16));
             }
         }
         if (when.startsWith("under a new")) {
             // Rented and returned under the leader before: nothing is recorded of it.
-            w = new SimulatedWorld();
+            w = new SchedulerFixture();
             w.core.recordsLoaded();
-            job = new Job(spec(1, 1, 1, 500), 1, at(0), new Revision(1), new BitSet(), 1, false);
+            job = new Job(spec(1, 1, 1, 500), 1, atSeconds(0), new Revision(1), new BitSet(), 1, false);
             w.core.addJob(job);
             copy = withToken(copy, new FencingToken(4));
             earlier = withToken(earlier, new FencingToken(4));
         }
-        w.core.expireLeases(at(20));
+        w.core.expireLeases(atSeconds(20));
         int machines = w.core.machineCount();
-        w.core.onHeartbeat(copy, at(30));
-        w.core.onHeartbeat(earlier, at(31));
-        w.core.onHeartbeat(copy, at(31.5));
+        w.core.onHeartbeat(copy, atSeconds(30));
+        w.core.onHeartbeat(earlier, atSeconds(31));
+        w.core.onHeartbeat(copy, atSeconds(31.5));
         assertEquals(machines, w.core.machineCount(), "taken on");
         assertEquals(known, w.core.knows(A));
         assertTrue(job.placements().isEmpty(), "a task placed on a dead machine");
-        assertEquals(List.of(), starts(w.core.onHeartbeat(copy, at(32)).commands()));
+        assertEquals(
+                List.of(), tasksToStart(w.core.onHeartbeat(copy, atSeconds(32)).commands()));
         // What it ran goes to a machine that lives, at once.
-        w.up("vm-010001", "east", 32);
-        assertEquals(1, starts(w.hear("vm-010001", 33)).size(), "held by a copy");
+        w.addSpotMachine("vm-010001", "east", 32);
+        assertEquals(1, tasksToStart(w.heartbeat("vm-010001", 33)).size(), "held by a copy");
     }
 
     private static Heartbeat withToken(Heartbeat heartbeat, FencingToken token) {
@@ -115,45 +116,45 @@
         "then rented, 1"
     })
     void anUnknownMachineMustShowOurAnswer(String what, int machines) {
-        SimulatedWorld w = new SimulatedWorld();
+        SchedulerFixture w = new SchedulerFixture();
         w.core.recordsLoaded();
         w.submit(spec(1, 4, 1, 500), 0);
-        Heartbeat first = w.report("x", "east", 1, new FencingToken(4));
-        Heartbeat older = w.report("x", "east", 1, new FencingToken(4));
-        Heartbeat second = w.report("x", "east", 1, TOKEN);
-        w.core.onHeartbeat(what.startsWith("wrong") ? second : first, at(1));
+        Heartbeat first = w.newHeartbeat("x", "east", 1, new FencingToken(4));
+        Heartbeat older = w.newHeartbeat("x", "east", 1, new FencingToken(4));
+        Heartbeat second = w.newHeartbeat("x", "east", 1, TOKEN);
+        w.core.onHeartbeat(what.startsWith("wrong") ? second : first, atSeconds(1));
         assertEquals(0, w.core.machineCount());
         switch (what) {
-            case "twice the same" -> w.core.onHeartbeat(first, at(2));
-            case "two with the older token" -> w.core.onHeartbeat(older, at(2));
-            case "wrong order" -> w.core.onHeartbeat(first, at(2));
-            case "shows the answer" -> w.core.onHeartbeat(second, at(2));
-            case "then listed" -> w.core.onMachineListing(List.of(listed("x")), at(2), at(2));
-            case "then rented" -> w.core.rented(EAST, List.of(new MachineId("x")), at(1), at(2));
+            case "twice the same" -> w.core.onHeartbeat(first, atSeconds(2));
+            case "two with the older token" -> w.core.onHeartbeat(older, atSeconds(2));
+            case "wrong order" -> w.core.onHeartbeat(first, atSeconds(2));
+            case "shows the answer" -> w.core.onHeartbeat(second, atSeconds(2));
+            case "then listed" -> w.core.onMachineListing(List.of(listed("x")), atSeconds(2), atSeconds(2));
+            case "then rented" -> w.core.rented(EAST, List.of(new MachineId("x")), atSeconds(1), atSeconds(2));
             default -> {}
         }
         assertEquals(machines, w.core.machineCount());
         // It counts as none on order: what waits is rented for all the same.
         if (machines == 0) {
-            SimulatedWorld fresh = new SimulatedWorld();
+            SchedulerFixture fresh = new SchedulerFixture();
             fresh.core.recordsLoaded();
             fresh.submit(spec(1, 4, 1, 500), 0);
-            assertEquals(fresh.core.scaleOutRequests(at(20)), w.core.scaleOutRequests(at(20)));
-            assertFalse(w.core.scaleOutRequests(at(20)).isEmpty());
+            assertEquals(fresh.core.scaleOutRequests(atSeconds(20)), w.core.scaleOutRequests(atSeconds(20)));
+            assertFalse(w.core.scaleOutRequests(atSeconds(20)).isEmpty());
         }
     }
 
     /** Inherited and dead: copies with the older token settle no take-over and put it off once, not with each copy. */
     @Test
     void copiesOfOneReportPutATakeOverOffOnce() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.inheritMachine(A, EAST, at(-50), at(-50), at(0));
+        SchedulerFixture w = new SchedulerFixture();
+        w.core.inheritMachine(A, EAST, atSeconds(-50), atSeconds(-50), atSeconds(0));
         w.core.recordsLoaded();
-        Heartbeat copy = w.report(A.text(), "east", 1, new FencingToken(4));
+        Heartbeat copy = w.newHeartbeat(A.text(), "east", 1, new FencingToken(4));
         List<Double> settled = new ArrayList<>();
         for (double now = 1; now < 60; now++) {
-            w.core.onHeartbeat(copy, at(now));
-            w.core.expireLeases(at(now));
+            w.core.onHeartbeat(copy, atSeconds(now));
+            w.core.expireLeases(atSeconds(now));
             if (w.core.isFailoverComplete()) {
                 settled.add(now);
             }
@@ -164,13 +165,13 @@
     /** While the records are read, machines are answered: their leases count from then, not from when they were read. */
     @Test
     void whatIsAnsweredBeforeTheRecordsAreReadIsCounted() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.inheritMachine(A, EAST, at(-50), at(-50), at(0));
-        w.core.onHeartbeat(w.report(A.text(), "east", 1, new FencingToken(4)), at(6));
+        SchedulerFixture w = new SchedulerFixture();
+        w.core.inheritMachine(A, EAST, atSeconds(-50), atSeconds(-50), atSeconds(0));
+        w.core.onHeartbeat(w.newHeartbeat(A.text(), "east", 1, new FencingToken(4)), atSeconds(6));
         w.core.recordsLoaded();
-        w.core.expireLeases(at(17));
+        w.core.expireLeases(atSeconds(17));
         assertFalse(w.core.isFailoverComplete(), "its lease may run until 18 s");
-        w.core.expireLeases(at(18.6));
+        w.core.expireLeases(atSeconds(18.6));
         assertTrue(w.core.isFailoverComplete());
     }
 }
