--- a/src/test/java/io/indigoreach/core/scheduling/MinimumServiceTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/MinimumServiceTest.java
@@ -6,7 +6,7 @@
 import io.indigoreach.core.model.Span;
 import io.indigoreach.core.model.Team;
 import io.indigoreach.core.model.Urgency;
-import io.indigoreach.core.scheduling.CoreHarness.Kind;
+import io.indigoreach.core.scheduling.CoreHarness.Workload;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -25,13 +25,14 @@
     private static CoreHarness flood(int times, ServiceLevelObjectives aims) {
         return new CoreHarness(
                 List.of(
-                        Kind.of("urgent", Urgency.HIGH, 0.4, 10, 35, 25, 1).between(0, 380),
-                        Kind.of("urgent", Urgency.HIGH, 0.4 * (times - 1), 0, 35, 25, 1)
-                                .between(80, 230),
-                        Kind.of("usual", Urgency.STANDARD, 0.35, 10, 80, 18, 1).between(0, 380),
-                        Kind.of("slow", Urgency.BEST_EFFORT, 0.04, 3, 25, 70, 4)
-                                .between(0, 380)
-                                .saving()),
+                        Workload.of("urgent", Urgency.HIGH, 0.4, 10, 35, 25, 1).activeBetween(0, 380),
+                        Workload.of("urgent", Urgency.HIGH, 0.4 * (times - 1), 0, 35, 25, 1)
+                                .activeBetween(80, 230),
+                        Workload.of("usual", Urgency.STANDARD, 0.35, 10, 80, 18, 1)
+                                .activeBetween(0, 380),
+                        Workload.of("slow", Urgency.BEST_EFFORT, 0.04, 3, 25, 70, 4)
+                                .activeBetween(0, 380)
+                                .savingProgress()),
                 240,
                 60,
                 aims);
@@ -42,13 +43,16 @@
     @CsvSource({"1, 1.0, 1.0, 1.0", "3, 0.95, 0.6, 0.6", "6, 0.6, 0.5, 0.5"})
     void noClassFallsUnderHalfWithinItsLongestAim(int times, double urgent, double usual, double slow) {
         CoreHarness s = flood(times, AIMS).run(130);
-        s.newLeader();
+        s.startNewLeader();
         s.run(870);
-        String served = s.served("urgent", 150) + " " + s.served("usual", 180) + " " + s.served("slow", 300);
+        String served = s.servedFraction("urgent", 150) + " " + s.servedFraction("usual", 180) + " "
+                + s.servedFraction("slow", 300);
         assertTrue(
-                s.served("urgent", 150) >= urgent && s.served("usual", 180) >= usual && s.served("slow", 300) >= slow,
+                s.servedFraction("urgent", 150) >= urgent
+                        && s.servedFraction("usual", 180) >= usual
+                        && s.servedFraction("slow", 300) >= slow,
                 served);
-        assertEquals(1, s.served("usual", 800), "all are served in the end");
+        assertEquals(1, s.servedFraction("usual", 800), "all are served in the end");
     }
 
     /** Good service for an hour is no reason to leave a class with nothing in a flood of today. */
@@ -57,15 +61,17 @@
         int begin = 3600;
         CoreHarness s = new CoreHarness(
                 List.of(
-                        Kind.of("urgent", Urgency.HIGH, 0.4, 0, 35, 25, 1).between(begin, begin + 300),
-                        Kind.of("urgent", Urgency.HIGH, 2, 0, 35, 25, 1).between(begin + 50, begin + 200),
-                        Kind.of("usual", Urgency.STANDARD, 0.35, 0, 20, 18, 1).between(0, begin),
-                        Kind.of("usual", Urgency.STANDARD, 0.35, 0, 80, 18, 1).between(begin, begin + 300)),
+                        Workload.of("urgent", Urgency.HIGH, 0.4, 0, 35, 25, 1).activeBetween(begin, begin + 300),
+                        Workload.of("urgent", Urgency.HIGH, 2, 0, 35, 25, 1).activeBetween(begin + 50, begin + 200),
+                        Workload.of("usual", Urgency.STANDARD, 0.35, 0, 20, 18, 1)
+                                .activeBetween(0, begin),
+                        Workload.of("usual", Urgency.STANDARD, 0.35, 0, 80, 18, 1)
+                                .activeBetween(begin, begin + 300)),
                 240,
                 60,
                 AIMS);
         s.run(begin + 800);
-        assertTrue(s.served("usual", 180, begin) >= 0.5, "usual " + s.served("usual", 180, begin));
+        assertTrue(s.servedFraction("usual", 180, begin) >= 0.5, "usual " + s.servedFraction("usual", 180, begin));
     }
 
     /** An endless flood that takes all there is: what nobody has an aim for starts when it is ten minutes old all the same. */
@@ -73,14 +79,15 @@
     void ageHasABound() {
         CoreHarness s = new CoreHarness(
                 List.of(
-                        Kind.of("urgent", Urgency.HIGH, 2, 10, 35, 25, 1),
-                        Kind.of("slow", Urgency.BEST_EFFORT, 0.01, 3, 10, 70, 4).saving()),
+                        Workload.of("urgent", Urgency.HIGH, 2, 10, 35, 25, 1),
+                        Workload.of("slow", Urgency.BEST_EFFORT, 0.01, 3, 10, 70, 4)
+                                .savingProgress()),
                 240,
                 60,
-                SimulatedWorld.NO_AIMS);
+                SchedulerFixture.NO_OBJECTIVES);
         s.run(1500);
-        assertTrue(s.longestWait("slow", 0) <= 750, "waits " + s.longestWait("slow", 0));
-        assertTrue(s.served("urgent", 800) >= 0.5, "urgent " + s.served("urgent", 800));
+        assertTrue(s.longestWaitForLastStart("slow", 0) <= 750, "waits " + s.longestWaitForLastStart("slow", 0));
+        assertTrue(s.servedFraction("urgent", 800) >= 0.5, "urgent " + s.servedFraction("urgent", 800));
     }
 
     /**
@@ -91,13 +98,19 @@
     @CsvSource({"0, 20", "3, 20", "0, 2"})
     void whereTheCheaperPoolIsEmptyWaitsAreBoundedAllTheSame(int spot, int ordinary) {
         CoreHarness s = new CoreHarness(
-                List.of(Kind.of("c", Urgency.STANDARD, 0, 1, 94, 20, 1)), spot, ordinary, SimulatedWorld.NO_AIMS);
+                List.of(Workload.of("c", Urgency.STANDARD, 0, 1, 94, 20, 1)),
+                spot,
+                ordinary,
+                SchedulerFixture.NO_OBJECTIVES);
         s.run(400);
         int boots = 2 * 20;
         int atOnce = Math.min(9, spot + ordinary) * 4;
         int bound = boots + (94 + atOnce - 1) / atOnce * 24;
-        assertTrue(s.longestWait("c", 0) <= bound, "waits " + s.longestWait("c", 0) + " of " + bound);
-        long asked = s.asked.stream().filter(request -> request.pool().spot()).count();
+        assertTrue(
+                s.longestWaitForLastStart("c", 0) <= bound,
+                "waits " + s.longestWaitForLastStart("c", 0) + " of " + bound);
+        long asked =
+                s.requests.stream().filter(request -> request.pool().spot()).count();
         assertTrue(asked <= 42, "spot machines asked for " + asked + " times");
     }
 
@@ -106,34 +119,38 @@
     void waitsFallUnderTheThresholdAfterAChangeOfLeader() {
         CoreHarness s = new CoreHarness(
                 List.of(
-                        Kind.of("short", Urgency.STANDARD, 1.2, 30, 20, 6, 1),
-                        Kind.of("long", Urgency.BEST_EFFORT, 0.2, 10, 8, 40, 1),
-                        Kind.of("replicas", Urgency.PRODUCTION, 0, 1, 8, 0, 1).service()),
+                        Workload.of("short", Urgency.STANDARD, 1.2, 30, 20, 6, 1),
+                        Workload.of("long", Urgency.BEST_EFFORT, 0.2, 10, 8, 40, 1),
+                        Workload.of("replicas", Urgency.PRODUCTION, 0, 1, 8, 0, 1)
+                                .asService()),
                 160,
                 80,
-                SimulatedWorld.NO_AIMS);
+                SchedulerFixture.NO_OBJECTIVES);
         s.run(10);
-        s.newLeader();
+        s.startNewLeader();
         s.run(350);
         assertTrue(
-                s.longestWait("short", 60) <= 45 && s.longestWait("long", 60) <= 45,
-                "waits " + s.longestWait("short", 60) + " and " + s.longestWait("long", 60));
+                s.longestWaitForLastStart("short", 60) <= 45 && s.longestWaitForLastStart("long", 60) <= 45,
+                "waits " + s.longestWaitForLastStart("short", 60) + " and " + s.longestWaitForLastStart("long", 60));
     }
 
     /** The top job has a place at once, so it rents nothing; a whole-machine task behind it waits past the limit of 45 s. */
     @ParameterizedTest
     @CsvSource({"40, 0", "50, 2"})
     void whoWaitsBehindATopJobThatStartsAtOnceIsRentedFor(double at, int machines) {
-        SimulatedWorld w = new SimulatedWorld();
+        SchedulerFixture w = new SchedulerFixture();
         w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.submit(SimulatedWorld.spec(1, 1, 1, 900), 0);
-        w.hear("a", 1);
-        w.submit(SimulatedWorld.spec(2, 1, 4, 900), 2);
-        w.submit(SimulatedWorld.with(SimulatedWorld.spec(3, 1, 1, 20), Urgency.HIGH, false, false, true, null, 0), at);
+        w.addSpotMachine("a", "east", 0);
+        w.submit(SchedulerFixture.spec(1, 1, 1, 900), 0);
+        w.heartbeat("a", 1);
+        w.submit(SchedulerFixture.spec(2, 1, 4, 900), 2);
+        w.submit(
+                SchedulerFixture.withOptions(
+                        SchedulerFixture.spec(3, 1, 1, 20), Urgency.HIGH, false, false, true, null, 0),
+                at);
         assertEquals(
                 machines,
-                w.core.scaleOutRequests(SimulatedWorld.at(at)).stream()
+                w.core.scaleOutRequests(SchedulerFixture.atSeconds(at)).stream()
                         .mapToInt(ScaleOutRequest::count)
                         .sum());
     }
@@ -153,20 +170,21 @@
     void theLargestBeginWithinFourMinutes(int jobs, int tasks, double cores, int run, double perStep) {
         CoreHarness s = new CoreHarness(
                 List.of(
-                        Kind.of("urgent", Urgency.HIGH, 0.5, 10, 35, 25, 1),
-                        Kind.of("urgent", Urgency.HIGH, 1.5, 0, 35, 25, 1).between(40, 160),
-                        Kind.of("usual", Urgency.STANDARD, 0.4, 10, 80, 18, 1),
-                        Kind.of("slow", Urgency.BEST_EFFORT, 0.04, 3, 25, 70, 4).saving(),
-                        Kind.of("guest", Urgency.BEST_EFFORT, perStep, jobs, tasks, run, cores)
-                                .between(0, 120)),
+                        Workload.of("urgent", Urgency.HIGH, 0.5, 10, 35, 25, 1),
+                        Workload.of("urgent", Urgency.HIGH, 1.5, 0, 35, 25, 1).activeBetween(40, 160),
+                        Workload.of("usual", Urgency.STANDARD, 0.4, 10, 80, 18, 1),
+                        Workload.of("slow", Urgency.BEST_EFFORT, 0.04, 3, 25, 70, 4)
+                                .savingProgress(),
+                        Workload.of("guest", Urgency.BEST_EFFORT, perStep, jobs, tasks, run, cores)
+                                .activeBetween(0, 120)),
                 240,
                 60,
                 AIMS);
         s.run(150);
-        s.newLeader();
+        s.startNewLeader();
         s.run(310);
-        assertTrue(s.latestBegin("guest") <= 240, "guest " + s.latestBegin("guest"));
-        assertTrue(s.latestBegin("slow") <= 240, "slow " + s.latestBegin("slow"));
+        assertTrue(s.longestWaitForFirstStart("guest") <= 240, "guest " + s.longestWaitForFirstStart("guest"));
+        assertTrue(s.longestWaitForFirstStart("slow") <= 240, "slow " + s.longestWaitForFirstStart("slow"));
     }
 
     /** Jobs without an aim go first on an eighth of the machines, whole ones: tasks of a whole machine find the others. */
@@ -174,15 +192,16 @@
     void whatNobodySaidATimeForDoesNotTakeEveryMachineFromTasksOfAWholeOne() {
         CoreHarness s = new CoreHarness(
                 List.of(
-                        Kind.of("usual", Urgency.STANDARD, 0.4, 10, 80, 18, 1),
-                        Kind.of("slow", Urgency.BEST_EFFORT, 0.07, 3, 25, 70, 4).saving(),
-                        Kind.of("guest", Urgency.BEST_EFFORT, 0, 5, 2000, 90, 1)),
+                        Workload.of("usual", Urgency.STANDARD, 0.4, 10, 80, 18, 1),
+                        Workload.of("slow", Urgency.BEST_EFFORT, 0.07, 3, 25, 70, 4)
+                                .savingProgress(),
+                        Workload.of("guest", Urgency.BEST_EFFORT, 0, 5, 2000, 90, 1)),
                 240,
                 60,
                 AIMS);
         s.run(700);
-        assertTrue(s.served("slow", 300) >= 0.5, "slow " + s.served("slow", 300));
-        assertTrue(s.latestBegin("guest") <= 240, "guest " + s.latestBegin("guest"));
+        assertTrue(s.servedFraction("slow", 300) >= 0.5, "slow " + s.servedFraction("slow", 300));
+        assertTrue(s.longestWaitForFirstStart("guest") <= 240, "guest " + s.longestWaitForFirstStart("guest"));
     }
 
     /** A thousand machines, three teams: one floods, one has a guarantee, one a limit; each is served. */
@@ -193,15 +212,15 @@
         };
         CoreHarness s = new CoreHarness(
                 List.of(
-                        Kind.of("urgent", Urgency.HIGH, 6, 20, 40, 25, 1)
-                                .between(0, 200)
+                        Workload.of("urgent", Urgency.HIGH, 6, 20, 40, 25, 1)
+                                .activeBetween(0, 200)
                                 .team("floods"),
-                        Kind.of("usual", Urgency.STANDARD, 0.5, 10, 80, 18, 1)
-                                .between(0, 300)
+                        Workload.of("usual", Urgency.STANDARD, 0.5, 10, 80, 18, 1)
+                                .activeBetween(0, 300)
                                 .team("guaranteed"),
-                        Kind.of("slow", Urgency.BEST_EFFORT, 0.05, 3, 25, 70, 4)
-                                .between(0, 300)
-                                .saving()
+                        Workload.of("slow", Urgency.BEST_EFFORT, 0.05, 3, 25, 70, 4)
+                                .activeBetween(0, 300)
+                                .savingProgress()
                                 .team("limited")),
                 800,
                 200,
@@ -209,7 +228,10 @@
                 teams);
         s.run(700);
         assertTrue(
-                s.served("floods", 250) >= 0.5 && s.served("guaranteed", 180) >= 0.5 && s.served("limited", 400) >= 0.5,
-                s.served("floods", 250) + " " + s.served("guaranteed", 180) + " " + s.served("limited", 400));
+                s.servedFraction("floods", 250) >= 0.5
+                        && s.servedFraction("guaranteed", 180) >= 0.5
+                        && s.servedFraction("limited", 400) >= 0.5,
+                s.servedFraction("floods", 250) + " " + s.servedFraction("guaranteed", 180) + " "
+                        + s.servedFraction("limited", 400));
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/MuteMachineTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/MuteMachineTest.java
@@ -1,8 +1,8 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.RULES;
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
-import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SchedulerFixture.SAFETY_TIMES;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
+import static io.indigoreach.core.scheduling.SchedulerFixture.spec;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -22,25 +22,25 @@
     private final SimulatedCluster site = new SimulatedCluster();
 
     private void begin() {
-        site.box("mute", -10);
-        site.box("other", -10);
-        site.lead(-10);
+        site.worker("mute", -10);
+        site.worker("other", -10);
+        site.startLeaderWithRecords(-10);
         site.submit(spec(1, 1, 4, 500), -10);
-        site.become("mute", -4);
-        assertEquals(1, site.box("mute").tasks.size());
+        site.joinLeader("mute", -4);
+        assertEquals(1, site.worker("mute").tasks.size());
     }
 
     /** The mute machine reports again from {@code muteUntil} on; it is told what time it is all along. */
     private void step(double now, double muteUntil, double change) {
         if (now == change) {
-            site.lead(now);
+            site.startLeaderWithRecords(now);
         }
-        site.box("mute").live(now);
+        site.worker("mute").expireLease(now);
         if (now >= muteUntil) {
-            site.report("mute", now);
+            site.sendHeartbeat("mute", now);
         }
-        site.core.expireLeases(at(now));
-        site.report("other", now);
+        site.core.expireLeases(atSeconds(now));
+        site.sendHeartbeat("other", now);
     }
 
     /** {@code change}: when another leader begins, or -1; {@code elsewhere}: when the task starts on the other machine, or -1. */
@@ -52,10 +52,10 @@
         double started = -1;
         for (double now = 0; now < 60; now += 0.5) {
             step(now, muteUntil, change);
-            started = started < 0 && site.starts(TASK) > 1 ? now : started;
+            started = started < 0 && site.startCount(TASK) > 1 ? now : started;
         }
         assertEquals(elsewhere, started);
-        assertEquals(List.of(), site.broken);
+        assertEquals(List.of(), site.violations);
     }
 
     /** Its job is cancelled while it is mute, under the same leader or across a change. */
@@ -64,15 +64,15 @@
     void itsCancelledTaskIsGoneInTime(double cancelled, double change) {
         begin();
         double gone = -1;
-        for (double now = 0; now < cancelled + RULES.cancellationTime().seconds(); now += 0.5) {
+        for (double now = 0; now < cancelled + SAFETY_TIMES.cancellationTime().seconds(); now += 0.5) {
             if (now == cancelled) {
                 site.cancel(JOB);
             }
             step(now, 90, change);
-            gone = gone < 0 && site.runs(TASK) == null ? now : gone;
+            gone = gone < 0 && site.workerRunning(TASK) == null ? now : gone;
         }
-        assertTrue(gone >= 0 && gone <= cancelled + RULES.workerLease().seconds() + 0.5, "gone at " + gone);
-        assertEquals(1, site.starts(TASK), "started again after it was cancelled");
-        assertEquals(List.of(), site.broken);
+        assertTrue(gone >= 0 && gone <= cancelled + SAFETY_TIMES.workerLease().seconds() + 0.5, "gone at " + gone);
+        assertEquals(1, site.startCount(TASK), "started again after it was cancelled");
+        assertEquals(List.of(), site.violations);
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/NearObjectiveTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/NearObjectiveTest.java
@@ -1,9 +1,9 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
-import static io.indigoreach.core.scheduling.SimulatedWorld.running;
-import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
-import static io.indigoreach.core.scheduling.SimulatedWorld.with;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
+import static io.indigoreach.core.scheduling.SchedulerFixture.runningStatus;
+import static io.indigoreach.core.scheduling.SchedulerFixture.spec;
+import static io.indigoreach.core.scheduling.SchedulerFixture.withOptions;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.core.model.JobSpec;
@@ -21,7 +21,7 @@
 /** Jobs whose aim is nearer than a boot: machines for their flow, room made for them, and room kept for bulky ones. */
 class NearObjectiveTest {
     private static Job job(int id, double arrived) {
-        return new Job(spec(id, 1, 1, 10), id, at(arrived), Revision.ABSENT, new BitSet(), 99, false);
+        return new Job(spec(id, 1, 1, 10), id, atSeconds(arrived), Revision.ABSENT, new BitSet(), 99, false);
     }
 
     /** Jobs that arrive at these seconds, one unit each, asked about at 60 (a minute after the first question). */
@@ -34,36 +34,36 @@
     })
     void aBurstIsNoFlow(String arrivals, double perSecond) {
         ArrivalRate inflow = new ArrivalRate();
-        inflow.perSecond(job -> true, job -> 1, Span.seconds(60), at(0));
+        inflow.workPerSecond(job -> true, job -> 1, Span.seconds(60), atSeconds(0));
         int id = 0;
         for (String second : arrivals.isEmpty() ? new String[0] : arrivals.split(" ")) {
             inflow.add(job(++id, Double.parseDouble(second)));
         }
-        assertEquals(perSecond, inflow.perSecond(job -> true, job -> 1, Span.seconds(60), at(60)), 1e-9);
+        assertEquals(perSecond, inflow.workPerSecond(job -> true, job -> 1, Span.seconds(60), atSeconds(60)), 1e-9);
     }
 
     /** Five seconds after a take-over one large job is no proof of a flow (334 machines were rented for such). */
     @Test
     void littleTimeTellsLittle() {
         ArrivalRate inflow = new ArrivalRate();
-        inflow.perSecond(job -> true, job -> 100, Span.seconds(60), at(0));
+        inflow.workPerSecond(job -> true, job -> 100, Span.seconds(60), atSeconds(0));
         inflow.add(job(1, 1));
         inflow.add(job(2, 3));
-        assertEquals(true, inflow.perSecond(job -> true, job -> 100, Span.seconds(60), at(5)) <= 3);
+        assertEquals(true, inflow.workPerSecond(job -> true, job -> 100, Span.seconds(60), atSeconds(5)) <= 3);
     }
 
     /** A job due in {@code within} seconds that runs 20: low tasks that save are stopped for it only if it is near. */
     @ParameterizedTest
     @CsvSource({"60, STANDARD, 2", "60, BEST_EFFORT, 0", "300, STANDARD, 0"})
     void lowTasksMakeRoomForNearAims(double within, Urgency urgency, int stopped) {
-        SimulatedWorld w = new SimulatedWorld(
-                SimulatedWorld.TUNING,
+        SchedulerFixture w = new SchedulerFixture(
+                SchedulerFixture.SETTINGS,
                 new ServiceLevelObjectives(
                         List.of(new ServiceLevelObjectives.Objective("c", false, Span.seconds(within)))));
         w.core.recordsLoaded();
         JobSpec low = spec(1, 2, 2, 300);
         w.submit(
-                with(
+                withOptions(
                         JobSpec.builder(low.id())
                                 .jobClass("low")
                                 .team("t")
@@ -83,12 +83,14 @@
                         null,
                         5),
                 0);
-        w.up("a", "east", 0);
-        List<WorkerCommand> orders = w.hear("a", 1);
-        w.hear("a", 2, running(orders));
-        w.submit(with(spec(2, 4, 1, 20), urgency, false, false, true, null, 0), 40);
+        w.addSpotMachine("a", "east", 0);
+        List<WorkerCommand> orders = w.heartbeat("a", 1);
+        w.heartbeat("a", 2, runningStatus(orders));
+        w.submit(withOptions(spec(2, 4, 1, 20), urgency, false, false, true, null, 0), 40);
         assertEquals(
-                stopped, SimulatedWorld.stops(w.hear("a", 41, running(orders))).size());
+                stopped,
+                SchedulerFixture.tasksToStop(w.heartbeat("a", 41, runningStatus(orders)))
+                        .size());
     }
 
     /**
@@ -98,16 +100,17 @@
     @ParameterizedTest
     @CsvSource({"1, 1, 1", "10, 1, 0", "1, 3, 0"})
     void tasksThatHaveHardlyBegunMakeRoomForAStartThatIsDue(double begun, double waited, int stopped) {
-        SimulatedWorld w = new SimulatedWorld(
-                SimulatedWorld.TUNING,
+        SchedulerFixture w = new SchedulerFixture(
+                SchedulerFixture.SETTINGS,
                 new ServiceLevelObjectives(List.of(new ServiceLevelObjectives.Objective("s", true, Span.seconds(2)))));
         w.core.recordsLoaded();
         w.submit(spec(1, 4, 1, 60), 0);
-        TaskStatus[] tasks = running(w.ordinary("a", 20));
-        w.hearOrdinary("a", 20, tasks);
-        w.submit(SimulatedWorld.service(2, 1), 20 + begun - waited);
+        TaskStatus[] tasks = runningStatus(w.addOnDemandMachine("a", 20));
+        w.heartbeatOnDemand("a", 20, tasks);
+        w.submit(SchedulerFixture.service(2, 1), 20 + begun - waited);
         assertEquals(
                 stopped,
-                SimulatedWorld.stops(w.hearOrdinary("a", 20 + begun, tasks)).size());
+                SchedulerFixture.tasksToStop(w.heartbeatOnDemand("a", 20 + begun, tasks))
+                        .size());
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/PlacementTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/PlacementTest.java
@@ -1,12 +1,12 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
-import static io.indigoreach.core.scheduling.SimulatedWorld.exited;
-import static io.indigoreach.core.scheduling.SimulatedWorld.running;
-import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
-import static io.indigoreach.core.scheduling.SimulatedWorld.starts;
-import static io.indigoreach.core.scheduling.SimulatedWorld.stops;
-import static io.indigoreach.core.scheduling.SimulatedWorld.with;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
+import static io.indigoreach.core.scheduling.SchedulerFixture.exitedStatus;
+import static io.indigoreach.core.scheduling.SchedulerFixture.runningStatus;
+import static io.indigoreach.core.scheduling.SchedulerFixture.spec;
+import static io.indigoreach.core.scheduling.SchedulerFixture.tasksToStart;
+import static io.indigoreach.core.scheduling.SchedulerFixture.tasksToStop;
+import static io.indigoreach.core.scheduling.SchedulerFixture.withOptions;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -38,20 +38,20 @@
         "ordinary, false, false, false, ,     0, 0"
     })
     void placementRules(String name, boolean oneZone, boolean spread, boolean spot, String zone, int east, int west) {
-        SimulatedWorld w = new SimulatedWorld();
+        SchedulerFixture w = new SchedulerFixture();
         w.core.recordsLoaded();
-        w.up("e", "east", 0);
-        w.up("w", "west", 0);
-        w.submit(with(spec(1, 6, 1, 50), Urgency.STANDARD, oneZone, spread, spot, zone, 0), 0);
+        w.addSpotMachine("e", "east", 0);
+        w.addSpotMachine("w", "west", 0);
+        w.submit(withOptions(spec(1, 6, 1, 50), Urgency.STANDARD, oneZone, spread, spot, zone, 0), 0);
         assertEquals(
                 east,
-                starts(w.core.onHeartbeat(w.report("e", "east", 1, SimulatedWorld.TOKEN), at(1))
+                tasksToStart(w.core.onHeartbeat(w.newHeartbeat("e", "east", 1, SchedulerFixture.TOKEN), atSeconds(1))
                                 .commands())
                         .size(),
                 name);
         assertEquals(
                 west,
-                starts(w.core.onHeartbeat(w.report("w", "west", 1, SimulatedWorld.TOKEN), at(1))
+                tasksToStart(w.core.onHeartbeat(w.newHeartbeat("w", "west", 1, SchedulerFixture.TOKEN), atSeconds(1))
                                 .commands())
                         .size(),
                 name);
@@ -60,19 +60,19 @@
     @ParameterizedTest
     @CsvSource({"0, 4", "3, 3", "2.5, 2", "0.5, 0"})
     void aTeamsLimitHolds(double coresMax, int started) {
-        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(coresMax));
+        SchedulerFixture w = new SchedulerFixture(SchedulerFixture.teamWithCoreLimit(coresMax));
         w.core.recordsLoaded();
-        w.up("a", "east", 0);
+        w.addSpotMachine("a", "east", 0);
         w.submit(spec(1, 9, 1, 50), 0);
-        assertEquals(started, starts(w.hear("a", 1)).size());
+        assertEquals(started, tasksToStart(w.heartbeat("a", 1)).size());
     }
 
     /** A guest's batch work had as many cores as another team's urgent jobs, and kept the machines it once had. */
     @Test
     void teamsWithoutAGuaranteeShareOneQueue() {
-        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(0), new Team("guest", 0, 2, 0, 0));
+        SchedulerFixture w = new SchedulerFixture(SchedulerFixture.teamWithCoreLimit(0), new Team("guest", 0, 2, 0, 0));
         w.core.recordsLoaded();
-        w.up("a", "east", 0);
+        w.addSpotMachine("a", "east", 0);
         JobSpec batch = spec(1, 8, 1, 300);
         w.submit(
                 JobSpec.builder(batch.id())
@@ -88,32 +88,32 @@
                         .estimate(batch.estimate())
                         .build(),
                 0);
-        List<WorkerCommand> guests = w.hear("a", 1);
-        assertEquals(List.of("run-1/0", "run-1/1"), starts(guests), "its limit still holds");
-        w.submit(with(spec(2, 8, 1, 20), Urgency.HIGH, false, false, true, null, 0), 2);
+        List<WorkerCommand> guests = w.heartbeat("a", 1);
+        assertEquals(List.of("run-1/0", "run-1/1"), tasksToStart(guests), "its limit still holds");
+        w.submit(withOptions(spec(2, 8, 1, 20), Urgency.HIGH, false, false, true, null, 0), 2);
         assertEquals(
                 List.of("run-2/0", "run-2/1"),
-                starts(w.hear("a", 3, SimulatedWorld.running(guests))),
+                tasksToStart(w.heartbeat("a", 3, SchedulerFixture.runningStatus(guests))),
                 "the rest of a machine that a guest was given first is not left empty");
     }
 
     @Test
     void urgentJobsComeFirstThenTheOrderOfArrival() {
-        SimulatedWorld w = new SimulatedWorld();
+        SchedulerFixture w = new SchedulerFixture();
         w.core.recordsLoaded();
         w.submit(spec(3, 1, 1, 50), 0);
         w.submit(spec(1, 1, 1, 50), 1);
-        w.submit(with(spec(2, 1, 1, 50), Urgency.HIGH, false, false, true, null, 0), 2);
-        w.up("a", "east", 0);
-        assertEquals(List.of("run-2/0", "run-3/0", "run-1/0"), starts(w.hear("a", 3)));
+        w.submit(withOptions(spec(2, 1, 1, 50), Urgency.HIGH, false, false, true, null, 0), 2);
+        w.addSpotMachine("a", "east", 0);
+        assertEquals(List.of("run-2/0", "run-3/0", "run-1/0"), tasksToStart(w.heartbeat("a", 3)));
     }
 
     /** A machine with one two-core task that ends at 60 s; the top job needs all four cores. */
     /** A long task that waits for a job with an aim came before it in the queue, and its reservation kept that job waiting. */
     @Test
     void whatLeavesRoomHoldsNoReservation() {
-        SimulatedWorld w = new SimulatedWorld(
-                SimulatedWorld.TUNING,
+        SchedulerFixture w = new SchedulerFixture(
+                SchedulerFixture.SETTINGS,
                 new ServiceLevelObjectives(
                         List.of(new ServiceLevelObjectives.Objective("c", true, Span.seconds(1000)))));
         w.core.recordsLoaded();
@@ -133,8 +133,8 @@
                         .build(),
                 0);
         w.submit(spec(2, 1, 1, 50), 100);
-        w.up("a", "east", 100);
-        assertEquals(List.of("run-2/0"), starts(w.hear("a", 101)));
+        w.addSpotMachine("a", "east", 100);
+        assertEquals(List.of("run-2/0"), tasksToStart(w.heartbeat("a", 101)));
     }
 
     /**
@@ -148,16 +148,16 @@
         "g, 50, 1, soon over"
     })
     void longTasksWithoutAnAimLeaveRoomForThoseWithOne(String jobClass, double estimate, int started, String why) {
-        SimulatedWorld w = new SimulatedWorld(
-                SimulatedWorld.TUNING,
+        SchedulerFixture w = new SchedulerFixture(
+                SchedulerFixture.SETTINGS,
                 new ServiceLevelObjectives(
                         List.of(new ServiceLevelObjectives.Objective("c", true, Span.seconds(200)))));
         w.core.recordsLoaded();
         w.submit(spec(1, 2, 3, 20), 0);
-        w.up("a", "east", 0);
-        w.up("b", "east", 0);
-        List<WorkerCommand> a = w.hear("a", 1);
-        List<WorkerCommand> b = w.hear("b", 1);
+        w.addSpotMachine("a", "east", 0);
+        w.addSpotMachine("b", "east", 0);
+        List<WorkerCommand> a = w.heartbeat("a", 1);
+        List<WorkerCommand> b = w.heartbeat("b", 1);
         w.submit(spec(2, 1, 4, 50), 2);
         w.submit(spec(3, 1, 4, 50), 2);
         JobSpec s = spec(4, 2, 1, estimate);
@@ -177,54 +177,62 @@
                 3);
         assertEquals(
                 started,
-                starts(w.hear("a", 3, SimulatedWorld.running(a))).size()
-                        + starts(w.hear("b", 3, SimulatedWorld.running(b))).size(),
+                tasksToStart(w.heartbeat("a", 3, SchedulerFixture.runningStatus(a)))
+                                .size()
+                        + tasksToStart(w.heartbeat("b", 3, SchedulerFixture.runningStatus(b)))
+                                .size(),
                 why);
     }
 
     @ParameterizedTest
     @CsvSource({"20, 1, short enough to end before the top job's start", "200, 0, would delay the top job"})
     void backfillDoesNotDelayTheReservedTopJob(double estimate, int started, String why) {
-        SimulatedWorld w = new SimulatedWorld();
+        SchedulerFixture w = new SchedulerFixture();
         w.core.recordsLoaded();
-        w.up("a", "east", 0);
+        w.addSpotMachine("a", "east", 0);
         w.submit(spec(1, 1, 2, 60), 0);
-        WorkerCommand first = w.hear("a", 1).get(0);
+        WorkerCommand first = w.heartbeat("a", 1).get(0);
         w.submit(spec(2, 1, 4, 50), 2);
         w.submit(spec(3, 1, 1, estimate), 3);
-        assertEquals(started, starts(w.hear("a", 4, running(first))).size(), why);
+        assertEquals(
+                started, tasksToStart(w.heartbeat("a", 4, runningStatus(first))).size(), why);
     }
 
     @Test
     void roomIsMadeForUrgentJobsByTasksThatKeepTheirProgressOnly() {
-        SimulatedWorld w = new SimulatedWorld();
+        SchedulerFixture w = new SchedulerFixture();
         w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.up("b", "east", 0);
-        w.submit(with(spec(1, 1, 4, 500), Urgency.BEST_EFFORT, false, false, true, null, 30), 0);
-        w.submit(with(spec(2, 1, 4, 500), Urgency.BEST_EFFORT, false, false, true, null, 0), 0);
-        WorkerCommand saving = w.hear("a", 1).get(0);
-        WorkerCommand losing = w.hear("b", 1).get(0);
-        w.hear("a", 2, running(saving));
-        w.hear("b", 2, running(losing));
-        w.submit(with(spec(3, 2, 1, 30), Urgency.HIGH, false, false, true, null, 0), 40);
-        assertEquals(List.of(), stops(w.hear("b", 41, running(losing))));
-        assertEquals(List.of("run-1/0"), stops(w.hear("a", 41, running(saving))));
-        assertEquals(List.of("run-1/0"), stops(w.hear("a", 42, running(saving))), "the first stop was lost");
+        w.addSpotMachine("a", "east", 0);
+        w.addSpotMachine("b", "east", 0);
+        w.submit(withOptions(spec(1, 1, 4, 500), Urgency.BEST_EFFORT, false, false, true, null, 30), 0);
+        w.submit(withOptions(spec(2, 1, 4, 500), Urgency.BEST_EFFORT, false, false, true, null, 0), 0);
+        WorkerCommand saving = w.heartbeat("a", 1).get(0);
+        WorkerCommand losing = w.heartbeat("b", 1).get(0);
+        w.heartbeat("a", 2, runningStatus(saving));
+        w.heartbeat("b", 2, runningStatus(losing));
+        w.submit(withOptions(spec(3, 2, 1, 30), Urgency.HIGH, false, false, true, null, 0), 40);
+        assertEquals(List.of(), tasksToStop(w.heartbeat("b", 41, runningStatus(losing))));
+        assertEquals(List.of("run-1/0"), tasksToStop(w.heartbeat("a", 41, runningStatus(saving))));
+        assertEquals(
+                List.of("run-1/0"),
+                tasksToStop(w.heartbeat("a", 42, runningStatus(saving))),
+                "the first stop was lost");
         assertEquals(
                 List.of(),
-                stops(w.hear("a", 43, new TaskStatus(saving.task(), saving.attempt(), TaskState.SAVING, null, false))));
+                tasksToStop(w.heartbeat(
+                        "a", 43, new TaskStatus(saving.task(), saving.attempt(), TaskState.SAVING, null, false))));
     }
 
     @ParameterizedTest
     @CsvSource({"4, 1, the borrower is beyond its guarantee of none", "0, 0, nothing is guaranteed"})
     void borrowedMachinesGoBackToATeamWithinItsGuarantee(double guarantee, int stopped, String why) {
-        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.team(0), new Team("owner", guarantee, 0, 0, 0));
+        SchedulerFixture w =
+                new SchedulerFixture(SchedulerFixture.teamWithCoreLimit(0), new Team("owner", guarantee, 0, 0, 0));
         w.core.recordsLoaded();
-        w.up("a", "east", 0);
+        w.addSpotMachine("a", "east", 0);
         w.submit(spec(1, 1, 4, 500), 0);
-        WorkerCommand borrowed = w.hear("a", 1).get(0);
-        w.hear("a", 2, running(borrowed));
+        WorkerCommand borrowed = w.heartbeat("a", 1).get(0);
+        w.heartbeat("a", 2, runningStatus(borrowed));
         JobSpec s = spec(2, 1, 4, 50);
         w.submit(
                 JobSpec.builder(s.id())
@@ -240,45 +248,50 @@
                         .estimate(s.estimate())
                         .build(),
                 3);
-        assertEquals(stopped, stops(w.hear("a", 4, running(borrowed))).size(), why);
+        assertEquals(
+                stopped,
+                tasksToStop(w.heartbeat("a", 4, runningStatus(borrowed))).size(),
+                why);
         if (stopped > 0) {
-            assertEquals(List.of("run-2/0"), starts(w.hear("a", 5, exited(borrowed, ExitCause.STOPPED))));
+            assertEquals(
+                    List.of("run-2/0"), tasksToStart(w.heartbeat("a", 5, exitedStatus(borrowed, ExitCause.STOPPED))));
         }
     }
 
     @Test
     void aMachineThatFailsWhateverItGetsIsGivenUp() {
-        SimulatedWorld w = new SimulatedWorld();
+        SchedulerFixture w = new SchedulerFixture();
         w.core.recordsLoaded();
-        w.up("a", "east", 0);
+        w.addSpotMachine("a", "east", 0);
         w.submit(spec(1, 1, 2, 50), 0);
         w.submit(spec(2, 1, 2, 50), 0);
         List<TaskStatus> failed = new ArrayList<>();
-        w.hear("a", 1).forEach(command -> failed.add(exited(command, ExitCause.ERROR)));
-        assertEquals(List.of(), starts(w.hear("a", 2, failed.toArray(TaskStatus[]::new))));
-        w.core.planScaleIn(at(3));
+        w.heartbeat("a", 1).forEach(command -> failed.add(exitedStatus(command, ExitCause.ERROR)));
+        assertEquals(List.of(), tasksToStart(w.heartbeat("a", 2, failed.toArray(TaskStatus[]::new))));
+        w.core.planScaleIn(atSeconds(3));
         assertEquals(List.of(new MachineId("a")), w.core.machinesToReturn(9));
     }
 
     /** A job with a mistake fails everywhere: good machines are kept, and it is tried ever more rarely. */
     @Test
     void aJobThatFailsEverywhereCondemnsNoMachine() {
-        SimulatedWorld w = new SimulatedWorld();
+        SchedulerFixture w = new SchedulerFixture();
         w.core.recordsLoaded();
         w.submit(spec(1, 9, 4, 50), 0);
         int tries = 0;
         List<List<TaskStatus>> pending = new ArrayList<>(List.of(List.of(), List.of(), List.of(), List.of()));
         for (int m = 0; m < 4; m++) {
-            w.up("m" + m, "east", 0);
+            w.addSpotMachine("m" + m, "east", 0);
         }
         for (double t = 1; t < 100; t += 1) {
             for (int m = 0; m < 4; m++) {
-                List<WorkerCommand> orders = w.hear("m" + m, t, pending.get(m).toArray(TaskStatus[]::new));
+                List<WorkerCommand> orders =
+                        w.heartbeat("m" + m, t, pending.get(m).toArray(TaskStatus[]::new));
                 List<TaskStatus> next = new ArrayList<>();
                 for (WorkerCommand command : orders) {
                     if (command instanceof WorkerCommand.Start) {
                         tries++;
-                        next.add(exited(command, ExitCause.ERROR));
+                        next.add(exitedStatus(command, ExitCause.ERROR));
                     }
                 }
                 pending.set(m, next);
@@ -288,7 +301,7 @@
         w.submit(spec(2, 4, 4, 50), 100);
         long started = 0;
         for (int m = 0; m < 4; m++) {
-            started += starts(w.hear("m" + m, 101, pending.get(m).toArray(TaskStatus[]::new))).stream()
+            started += tasksToStart(w.heartbeat("m" + m, 101, pending.get(m).toArray(TaskStatus[]::new))).stream()
                     .filter(s -> s.startsWith("run-2"))
                     .count();
         }
@@ -297,13 +310,13 @@
 
     @Test
     void aSpotNoticeEndsNewStartsAndSavesWhatCanBeSaved() {
-        SimulatedWorld w = new SimulatedWorld();
+        SchedulerFixture w = new SchedulerFixture();
         w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.submit(with(spec(1, 1, 1, 500), Urgency.STANDARD, false, false, true, null, 30), 0);
-        WorkerCommand start = w.hear("a", 1).get(0);
+        w.addSpotMachine("a", "east", 0);
+        w.submit(withOptions(spec(1, 1, 1, 500), Urgency.STANDARD, false, false, true, null, 30), 0);
+        WorkerCommand start = w.heartbeat("a", 1).get(0);
         w.submit(spec(2, 1, 1, 50), 2);
-        Heartbeat heartbeat = w.report("a", "east", 1, SimulatedWorld.TOKEN, running(start));
+        Heartbeat heartbeat = w.newHeartbeat("a", "east", 1, SchedulerFixture.TOKEN, runningStatus(start));
         List<WorkerCommand> orders = w.core.onHeartbeat(
                         new Heartbeat(
                                 heartbeat.machine(),
@@ -313,9 +326,9 @@
                                 heartbeat.token(),
                                 Span.seconds(12),
                                 heartbeat.tasks()),
-                        at(40))
+                        atSeconds(40))
                 .commands();
-        assertEquals(List.of(), starts(orders));
-        assertEquals(List.of("run-1/0"), stops(orders));
+        assertEquals(List.of(), tasksToStart(orders));
+        assertEquals(List.of("run-1/0"), tasksToStop(orders));
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/RandomJobs.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomJobs.java
@@ -11,9 +11,9 @@
     private RandomJobs() {}
 
     static JobSpec next(Random random, int id) {
-        JobSpec s = SimulatedWorld.spec(id, 1 + random.nextInt(12), 1 + random.nextInt(4), 3 + random.nextInt(20));
+        JobSpec s = SchedulerFixture.spec(id, 1 + random.nextInt(12), 1 + random.nextInt(4), 3 + random.nextInt(20));
         boolean oneZone = random.nextInt(4) == 0;
-        s = SimulatedWorld.with(
+        s = SchedulerFixture.withOptions(
                 s,
                 Urgency.values()[random.nextInt(4)],
                 oneZone,
--- a/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
@@ -36,7 +36,8 @@
  * longer than two leases. In the end all troubles are over, and every job that nobody cancelled has to be done.
  */
 public final class RandomSimulation {
-    private static final double LEASE_S = SimulatedWorld.RULES.workerLease().seconds();
+    private static final double LEASE_S =
+            SchedulerFixture.SAFETY_TIMES.workerLease().seconds();
     private static final double CORES_MAX = 24;
     private static final int TROUBLES = 4000;
     private static final int MOST_STEPS = 24_000;
@@ -50,7 +51,7 @@
     private static final int CANCELLED_TOGETHER = 8;
     /** A machine that answered within the first lease of a take-over may be silent for one more. */
     private static final double LONGEST_TAKE_OVER_S =
-            2 * SimulatedWorld.RULES.leaseBound().seconds() + 0.2;
+            2 * SchedulerFixture.SAFETY_TIMES.leaseBound().seconds() + 0.2;
 
     /** A guard that a run can do without, to see that the rules then break. */
     public enum Without {
@@ -120,8 +121,8 @@
     private int starts;
     private int replicaStarts;
     private EffectListener effects = EffectListener.NONE;
-    private final LeaseRenewals renewals =
-            new LeaseRenewals(SimulatedWorld.RULES.workerLease(), SimulatedWorld.RULES.cancellationTime());
+    private final LeaseRenewals renewals = new LeaseRenewals(
+            SchedulerFixture.SAFETY_TIMES.workerLease(), SchedulerFixture.SAFETY_TIMES.cancellationTime());
     /** Until then no leader lives for long. */
     private double shortLeadershipsUntil;
     /** When the last of those leaders was followed by another because of that, or is to be. */
@@ -167,7 +168,7 @@
     }
 
     private Moment at() {
-        return SimulatedWorld.at(now);
+        return SchedulerFixture.atSeconds(now);
     }
 
     public void play() {
@@ -299,15 +300,15 @@
         SafetyTimes rules = without == Without.LEASE_BOUND
                 ? new SafetyTimes(
                         Span.seconds(3),
-                        SimulatedWorld.RULES.heartbeatPeriod(),
-                        SimulatedWorld.RULES.cancellationTime(),
-                        SimulatedWorld.RULES.listingLag())
-                : SimulatedWorld.RULES;
+                        SchedulerFixture.SAFETY_TIMES.heartbeatPeriod(),
+                        SchedulerFixture.SAFETY_TIMES.cancellationTime(),
+                        SchedulerFixture.SAFETY_TIMES.listingLag())
+                : SchedulerFixture.SAFETY_TIMES;
         leader = new SchedulerCore(
                 new FencingToken(++token),
                 rules,
-                SimulatedWorld.TUNING,
-                SimulatedWorld.NO_AIMS,
+                SchedulerFixture.SETTINGS,
+                SchedulerFixture.NO_OBJECTIVES,
                 List.of(team),
                 new SchedulerListener() {
                     @Override
@@ -318,7 +319,7 @@
                     @Override
                     public void log(String line) {}
                 });
-        leader.setTypes(List.of(SimulatedWorld.TYPE));
+        leader.setTypes(List.of(SchedulerFixture.MACHINE_TYPE));
         loaded = false;
         ledSince = now;
     }
@@ -334,9 +335,9 @@
                 leader.inheritMachine(
                         new MachineId(name),
                         pool(name),
-                        SimulatedWorld.at(0),
-                        SimulatedWorld.at(ledSince),
-                        SimulatedWorld.at(ledSince));
+                        SchedulerFixture.atSeconds(0),
+                        SchedulerFixture.atSeconds(ledSince),
+                        SchedulerFixture.atSeconds(ledSince));
             }
         }
         for (RandomRecords.Stored s : records.jobs.values()) {
@@ -575,7 +576,7 @@
         Event.LeaseRenewed renewal = new Event.LeaseRenewed(
                 at(),
                 f.report.machine(),
-                SimulatedWorld.at(f.sent),
+                SchedulerFixture.atSeconds(f.sent),
                 f.report.token().value() == token,
                 LeaseRenewals.notStopped(f.report, f.orders));
         renewals.check(renewal).forEach(finding -> broken.add(now + ": renewed_cancelled " + finding));
@@ -688,7 +689,9 @@
                     cores += s.spec.demand().cores();
                     if (s.cancelledAt >= 0
                             && now - s.cancelledAt
-                                    > SimulatedWorld.RULES.cancellationTime().seconds()) {
+                                    > SchedulerFixture.SAFETY_TIMES
+                                            .cancellationTime()
+                                            .seconds()) {
                         broken.add(now + ": ran_cancelled " + task);
                     }
                 }
--- a/src/test/java/io/indigoreach/core/scheduling/ScaleOutTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ScaleOutTest.java
@@ -1,9 +1,9 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
-import static io.indigoreach.core.scheduling.SimulatedWorld.running;
-import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
-import static io.indigoreach.core.scheduling.SimulatedWorld.with;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
+import static io.indigoreach.core.scheduling.SchedulerFixture.runningStatus;
+import static io.indigoreach.core.scheduling.SchedulerFixture.spec;
+import static io.indigoreach.core.scheduling.SchedulerFixture.withOptions;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.core.model.ExitCause;
@@ -33,30 +33,33 @@
         "8x30 8x30 8x100,     3",
         "1x100,               1"
     })
-    void bestSize(String jobs, int machines) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
+    void rentsForLongJobsAndFirstShortJob(String jobs, int machines) {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.core.recordsLoaded();
         int id = 0;
         for (String job : jobs.split(" ")) {
             String[] parts = job.split("x");
-            w.submit(spec(++id, Integer.parseInt(parts[0]), 1, Double.parseDouble(parts[1])), 0);
+            fixture.submit(spec(++id, Integer.parseInt(parts[0]), 1, Double.parseDouble(parts[1])), 0);
         }
         assertEquals(
                 machines,
-                w.core.scaleOutRequests(at(1)).stream()
+                fixture.core.scaleOutRequests(atSeconds(1)).stream()
                         .mapToInt(ScaleOutRequest::count)
                         .sum());
     }
 
     @Test
-    void machinesOnOrderAreNotAskedForAgainUntilOverdue() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.submit(spec(1, 8, 1, 100), 0);
-        w.core.rented(
-                new MachinePool("quad", "east", true), List.of(new MachineId("a"), new MachineId("b")), at(1), at(1));
-        assertEquals(List.of(), w.core.scaleOutRequests(at(30)));
-        assertEquals(2, w.core.scaleOutRequests(at(60)).get(0).count());
+    void bootingMachinesAreNotRequestedAgainUntilOverdue() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.core.recordsLoaded();
+        fixture.submit(spec(1, 8, 1, 100), 0);
+        fixture.core.rented(
+                new MachinePool("quad", "east", true),
+                List.of(new MachineId("a"), new MachineId("b")),
+                atSeconds(1),
+                atSeconds(1));
+        assertEquals(List.of(), fixture.core.scaleOutRequests(atSeconds(30)));
+        assertEquals(2, fixture.core.scaleOutRequests(atSeconds(60)).get(0).count());
     }
 
     /**
@@ -65,39 +68,40 @@
      * triggers this.
      */
     @Test
-    void anIdleMachineWhereTheJobHasFailedIsNoPlaceForIt() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.submit(spec(1, 1, 1, 20), 0);
-        WorkerCommand start = w.hear("a", 1).get(0);
-        w.hear("a", 2, running(start));
-        w.hear("a", 3, SimulatedWorld.exited(start, ExitCause.ERROR));
-        assertEquals(List.of(), SimulatedWorld.starts(w.hear("a", 4)));
+    void machineIsRentedIfJobFailedOnTheOnlyIdleOne() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.core.recordsLoaded();
+        fixture.addSpotMachine("a", "east", 0);
+        fixture.submit(spec(1, 1, 1, 20), 0);
+        WorkerCommand start = fixture.heartbeat("a", 1).get(0);
+        fixture.heartbeat("a", 2, runningStatus(start));
+        fixture.heartbeat("a", 3, SchedulerFixture.exitedStatus(start, ExitCause.ERROR));
+        assertEquals(List.of(), SchedulerFixture.tasksToStart(fixture.heartbeat("a", 4)));
         assertEquals(
                 1,
-                w.core.scaleOutRequests(at(5)).stream()
+                fixture.core.scaleOutRequests(atSeconds(5)).stream()
                         .mapToInt(ScaleOutRequest::count)
                         .sum());
-        w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("b")), at(5), at(5));
-        assertEquals(List.of(), w.core.scaleOutRequests(at(7)), "the booting machine is enough");
+        fixture.core.rented(
+                new MachinePool("quad", "east", true), List.of(new MachineId("b")), atSeconds(5), atSeconds(5));
+        assertEquals(List.of(), fixture.core.scaleOutRequests(atSeconds(7)), "the booting machine is enough");
     }
 
     @Test
     void nothingIsRentedWhileTheTopJobIsPredictedToStartSoon() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.submit(spec(1, 4, 1, 20), 0);
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.core.recordsLoaded();
+        fixture.addSpotMachine("a", "east", 0);
+        fixture.submit(spec(1, 4, 1, 20), 0);
         List<TaskStatus> tasks = new ArrayList<>();
-        w.hear("a", 1).forEach(command -> tasks.add(running(command)));
-        w.hear("a", 2, tasks.toArray(TaskStatus[]::new));
-        w.submit(spec(2, 4, 1, 20), 3);
-        assertEquals(List.of(), w.core.scaleOutRequests(at(4)));
-        w.submit(with(spec(3, 4, 1, 200), Urgency.HIGH, true, false, true, "west", 0), 5);
+        fixture.heartbeat("a", 1).forEach(command -> tasks.add(runningStatus(command)));
+        fixture.heartbeat("a", 2, tasks.toArray(TaskStatus[]::new));
+        fixture.submit(spec(2, 4, 1, 20), 3);
+        assertEquals(List.of(), fixture.core.scaleOutRequests(atSeconds(4)));
+        fixture.submit(withOptions(spec(3, 4, 1, 200), Urgency.HIGH, true, false, true, "west", 0), 5);
         assertEquals(
                 "west",
-                w.core.scaleOutRequests(at(6)).get(0).pool().zone(),
+                fixture.core.scaleOutRequests(atSeconds(6)).get(0).pool().zone(),
                 "no present machine can ever run the top job");
     }
 
@@ -107,71 +111,74 @@
      */
     @ParameterizedTest
     @CsvSource({"true, 60, 1", "true, 1000, 0", "false, 60, 0"})
-    void plannedWorkRentsWhileItsBootStillFits(boolean planned, double dueS, int machines) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.submit(spec(1, 4, 1, 20), 0);
+    void plannedJobRentsWhileBootFitsBeforeDeadline(boolean planned, double dueSeconds, int machines) {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.core.recordsLoaded();
+        fixture.addSpotMachine("a", "east", 0);
+        fixture.submit(spec(1, 4, 1, 20), 0);
         List<TaskStatus> tasks = new ArrayList<>();
-        w.hear("a", 1).forEach(command -> tasks.add(running(command)));
-        w.hear("a", 2, tasks.toArray(TaskStatus[]::new));
-        JobSpec s = spec(2, 4, 1, 20);
-        JobSpec due = JobSpec.builder(s.id())
-                .jobClass(s.jobClass())
-                .team(s.team())
-                .kind(s.kind())
-                .urgency(s.urgency())
-                .tasks(s.tasks())
-                .demand(s.demand())
-                .image(s.image())
-                .imageGb(s.imageGb())
-                .types(s.types())
-                .zone(s.zone())
-                .oneZone(s.oneZone())
-                .spread(s.spread())
-                .spotAllowed(s.spotAllowed())
-                .estimate(s.estimate())
-                .checkpointEvery(s.checkpointEvery())
-                .checkpointTime(s.checkpointTime())
-                .due(Span.seconds(dueS))
+        fixture.heartbeat("a", 1).forEach(command -> tasks.add(runningStatus(command)));
+        fixture.heartbeat("a", 2, tasks.toArray(TaskStatus[]::new));
+        JobSpec base = spec(2, 4, 1, 20);
+        JobSpec jobWithDeadline = JobSpec.builder(base.id())
+                .jobClass(base.jobClass())
+                .team(base.team())
+                .kind(base.kind())
+                .urgency(base.urgency())
+                .tasks(base.tasks())
+                .demand(base.demand())
+                .image(base.image())
+                .imageGb(base.imageGb())
+                .types(base.types())
+                .zone(base.zone())
+                .oneZone(base.oneZone())
+                .spread(base.spread())
+                .spotAllowed(base.spotAllowed())
+                .estimate(base.estimate())
+                .checkpointEvery(base.checkpointEvery())
+                .checkpointTime(base.checkpointTime())
+                .due(Span.seconds(dueSeconds))
                 .build();
-        w.submit(planned ? due.with("plan", Map.of("name", "p", "day", "2027-03-01")) : due, 3);
+        fixture.submit(
+                planned ? jobWithDeadline.with("plan", Map.of("name", "p", "day", "2027-03-01")) : jobWithDeadline, 3);
         assertEquals(
                 machines,
-                w.core.scaleOutRequests(at(4)).stream()
+                fixture.core.scaleOutRequests(atSeconds(4)).stream()
                         .mapToInt(ScaleOutRequest::count)
                         .sum());
     }
 
     @Test
-    void spotFirstThenTheOtherZoneThenOrdinaryOnceThePatienceIsOver() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.submit(spec(1, 4, 1, 100), 0);
-        MachinePool first = w.core.scaleOutRequests(at(1)).get(0).pool();
-        w.core.scaleOutRejected(first, at(1));
-        MachinePool second = w.core.scaleOutRequests(at(2)).get(0).pool();
-        w.core.scaleOutRejected(second, at(2));
+    void onDemandIsRequestedAfterAllSpotZonesAndSpotPatience() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.core.recordsLoaded();
+        fixture.submit(spec(1, 4, 1, 100), 0);
+        MachinePool first = fixture.core.scaleOutRequests(atSeconds(1)).get(0).pool();
+        fixture.core.scaleOutRejected(first, atSeconds(1));
+        MachinePool second = fixture.core.scaleOutRequests(atSeconds(2)).get(0).pool();
+        fixture.core.scaleOutRejected(second, atSeconds(2));
         assertEquals(List.of(true, true), List.of(first.spot(), second.spot()));
-        assertEquals(List.of(), w.core.scaleOutRequests(at(3)));
-        w.core.scaleOutRejected(first, at(61));
-        w.core.scaleOutRejected(second, at(61));
-        assertEquals(false, w.core.scaleOutRequests(at(62)).get(0).pool().spot());
+        assertEquals(List.of(), fixture.core.scaleOutRequests(atSeconds(3)));
+        fixture.core.scaleOutRejected(first, atSeconds(61));
+        fixture.core.scaleOutRejected(second, atSeconds(61));
+        assertEquals(
+                false,
+                fixture.core.scaleOutRequests(atSeconds(62)).get(0).pool().spot());
     }
 
     /** A queue that spot machines do not serve within 300 s gets on-demand machines at once (incident inc-5d96). */
     @ParameterizedTest
     @CsvSource({"24, 0", "48, 2", "80, 4"})
-    void aLongBacklogTakesOrdinaryMachines(int tasks, int ordinary) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.submit(spec(1, tasks, 1, 75), 0);
-        w.core.scaleOutRejected(new MachinePool("quad", "east", true), at(1));
-        w.core.scaleOutRejected(new MachinePool("quad", "west", true), at(1));
+    void longBacklogRentsOnDemandMachines(int tasks, int onDemandMachines) {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.core.recordsLoaded();
+        fixture.addSpotMachine("a", "east", 0);
+        fixture.submit(spec(1, tasks, 1, 75), 0);
+        fixture.core.scaleOutRejected(new MachinePool("quad", "east", true), atSeconds(1));
+        fixture.core.scaleOutRejected(new MachinePool("quad", "west", true), atSeconds(1));
         assertEquals(
-                ordinary,
-                w.core.scaleOutRequests(at(2)).stream()
+                onDemandMachines,
+                fixture.core.scaleOutRequests(atSeconds(2)).stream()
                         .mapToInt(ScaleOutRequest::count)
                         .sum());
     }
@@ -179,38 +186,39 @@
     /** The machine is rented at 0 s with paid terms of 60 s, and checked every 5 s. */
     @ParameterizedTest
     @CsvSource({"30, false, 0", "54, false, 0", "56, false, 1", "90, false, 0", "116, false, 1", "56, true, 0"})
-    void idleMachinesGoAtTheEndOfTheirTermUnlessAWaitingJobCanUseThem(double at, boolean waiting, int returned) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.up("a", "east", 0);
-        w.hear("a", 20);
+    void idleMachineIsReturnedAtTermEndUnlessWaitingJobCanUseIt(double seconds, boolean waiting, int returned) {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.core.recordsLoaded();
+        fixture.addSpotMachine("a", "east", 0);
+        fixture.heartbeat("a", 20);
         if (waiting) {
-            w.submit(spec(1, 1, 1, 50), at);
+            fixture.submit(spec(1, 1, 1, 50), seconds);
         }
-        w.core.planScaleIn(at(at));
-        assertEquals(returned, w.core.machinesToReturn(9).size());
+        fixture.core.planScaleIn(atSeconds(seconds));
+        assertEquals(returned, fixture.core.machinesToReturn(9).size());
     }
 
     @Test
-    void aMachineThatNeverComesUpIsReturned() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(0), at(0));
-        w.core.planScaleIn(at(79));
-        assertEquals(0, w.core.machinesToReturn(9).size());
-        w.core.planScaleIn(at(81));
-        assertEquals(1, w.core.machinesToReturn(9).size());
+    void machineThatNeverComesUpIsReturned() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.core.recordsLoaded();
+        fixture.core.rented(
+                new MachinePool("quad", "east", true), List.of(new MachineId("a")), atSeconds(0), atSeconds(0));
+        fixture.core.planScaleIn(atSeconds(79));
+        assertEquals(0, fixture.core.machinesToReturn(9).size());
+        fixture.core.planScaleIn(atSeconds(81));
+        assertEquals(1, fixture.core.machinesToReturn(9).size());
     }
 
     @Test
-    void aJobKnownToFailRentsNothing() {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        Job job = w.submit(spec(1, 8, 1, 100), 0);
+    void suspectedFaultyJobRentsNothing() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.core.recordsLoaded();
+        Job job = fixture.submit(spec(1, 8, 1, 100), 0);
         for (int i = 0; i < 3; i++) {
             job.failedMachines.add(new MachineId("m" + i));
         }
-        assertEquals(List.of(), w.core.scaleOutRequests(at(100)));
+        assertEquals(List.of(), fixture.core.scaleOutRequests(atSeconds(100)));
     }
 
     /**
@@ -219,23 +227,24 @@
      */
     @ParameterizedTest
     @CsvSource({"0, 2", "45, 1", "90, 1", "400, 0"})
-    void ordinaryMachinesAreLetGoSlowly(double later, int filled) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.core.recordsLoaded();
-        w.up("s", "east", 0);
-        w.hear("s", 1);
+    void surplusOnDemandMachinesAreReleasedSlowly(double laterSeconds, int machinesWithStarts) {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.core.recordsLoaded();
+        fixture.addSpotMachine("s", "east", 0);
+        fixture.heartbeat("s", 1);
         for (String name : List.of("a", "b")) {
-            w.ordinary(name, 0);
+            fixture.addOnDemandMachine(name, 0);
         }
-        Job large = w.submit(spec(1, 48, 1, 75), 2);
-        w.core.scaleOutRequests(at(3));
-        w.core.cancelJob(large.id());
-        w.submit(spec(2, 8, 1, 20), 3 + later);
-        w.core.scaleOutRequests(at(3 + later));
+        Job large = fixture.submit(spec(1, 48, 1, 75), 2);
+        fixture.core.scaleOutRequests(atSeconds(3));
+        fixture.core.cancelJob(large.id());
+        fixture.submit(spec(2, 8, 1, 20), 3 + laterSeconds);
+        fixture.core.scaleOutRequests(atSeconds(3 + laterSeconds));
         assertEquals(
-                filled,
+                machinesWithStarts,
                 List.of("a", "b").stream()
-                        .filter(name -> !SimulatedWorld.starts(w.hearOrdinary(name, 3 + later))
+                        .filter(name -> !SchedulerFixture.tasksToStart(
+                                        fixture.heartbeatOnDemand(name, 3 + laterSeconds))
                                 .isEmpty())
                         .count());
     }
--- a/src/test/java/io/indigoreach/core/scheduling/SimulatedWorld.java
+++ b/src/test/java/io/indigoreach/core/scheduling/SchedulerFixture.java
@@ -28,12 +28,12 @@
 /**
  * A fixture for tests of the scheduler core: one machine type in two zones, a leader with token 5, jobs and heartbeats.
  */
-public final class SimulatedWorld implements SchedulerListener {
-    static final MachineType TYPE = new MachineType(
+public final class SchedulerFixture implements SchedulerListener {
+    static final MachineType MACHINE_TYPE = new MachineType(
             "quad", new Demand(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of("east", "west"));
-    public static final SafetyTimes RULES =
+    public static final SafetyTimes SAFETY_TIMES =
             new SafetyTimes(Span.seconds(12), Span.seconds(2), Span.seconds(32), Span.seconds(3));
-    static final SchedulerSettings TUNING = new SchedulerSettings(
+    static final SchedulerSettings SETTINGS = new SchedulerSettings(
             Span.seconds(45),
             Span.seconds(60),
             Span.seconds(60),
@@ -46,34 +46,39 @@
             Span.seconds(300),
             1,
             Span.seconds(10));
-    static final ServiceLevelObjectives NO_AIMS = new ServiceLevelObjectives(List.of());
+    static final ServiceLevelObjectives NO_OBJECTIVES = new ServiceLevelObjectives(List.of());
     static final FencingToken TOKEN = new FencingToken(5);
 
-    final List<String> said = new ArrayList<>();
-    final List<Job> progressed = new ArrayList<>();
+    final List<String> logLines = new ArrayList<>();
+    final List<Job> progressedJobs = new ArrayList<>();
     final SchedulerCore core;
-    private int jobs;
-    private long serial;
+    private int jobCount;
+    private long heartbeatCount;
 
-    SimulatedWorld(Team... teams) {
-        this(TUNING, teams);
+    SchedulerFixture(Team... teams) {
+        this(SETTINGS, teams);
     }
 
-    SimulatedWorld(SchedulerSettings tuning, Team... teams) {
-        this(tuning, NO_AIMS, teams);
+    SchedulerFixture(SchedulerSettings settings, Team... teams) {
+        this(settings, NO_OBJECTIVES, teams);
     }
 
-    SimulatedWorld(SchedulerSettings tuning, ServiceLevelObjectives aims, Team... teams) {
+    SchedulerFixture(SchedulerSettings settings, ServiceLevelObjectives objectives, Team... teams) {
         core = new SchedulerCore(
-                TOKEN, RULES, tuning, aims, teams.length == 0 ? List.of(team(0)) : List.of(teams), this);
-        core.setTypes(List.of(TYPE));
+                TOKEN,
+                SAFETY_TIMES,
+                settings,
+                objectives,
+                teams.length == 0 ? List.of(teamWithCoreLimit(0)) : List.of(teams),
+                this);
+        core.setTypes(List.of(MACHINE_TYPE));
     }
 
-    static Team team(double coresMax) {
-        return new Team("t", 0, coresMax, 0, 0);
+    static Team teamWithCoreLimit(double maximumCores) {
+        return new Team("t", 0, maximumCores, 0, 0);
     }
 
-    public static Moment at(double seconds) {
+    public static Moment atSeconds(double seconds) {
         return new Moment(Math.round(seconds * 1000));
     }
 
@@ -92,26 +97,32 @@
                 .build();
     }
 
-    static JobSpec with(
-            JobSpec s, Urgency urgency, boolean oneZone, boolean spread, boolean spot, String zone, double saveEvery) {
-        return JobSpec.builder(s.id())
-                .jobClass(s.jobClass())
-                .team(s.team())
-                .kind(s.kind())
+    static JobSpec withOptions(
+            JobSpec base,
+            Urgency urgency,
+            boolean oneZone,
+            boolean spread,
+            boolean spotAllowed,
+            String zone,
+            double checkpointEvery) {
+        return JobSpec.builder(base.id())
+                .jobClass(base.jobClass())
+                .team(base.team())
+                .kind(base.kind())
                 .urgency(urgency)
-                .tasks(s.tasks())
-                .demand(s.demand())
-                .image(s.image())
-                .imageGb(s.imageGb())
-                .types(s.types())
+                .tasks(base.tasks())
+                .demand(base.demand())
+                .image(base.image())
+                .imageGb(base.imageGb())
+                .types(base.types())
                 .zone(zone)
                 .oneZone(oneZone)
                 .spread(spread)
-                .spotAllowed(spot)
-                .estimate(s.estimate())
-                .checkpointEvery(Span.seconds(saveEvery))
-                .checkpointTime(Span.seconds(saveEvery > 0 ? 2 : 0))
-                .due(s.due())
+                .spotAllowed(spotAllowed)
+                .estimate(base.estimate())
+                .checkpointEvery(Span.seconds(checkpointEvery))
+                .checkpointTime(Span.seconds(checkpointEvery > 0 ? 2 : 0))
+                .due(base.due())
                 .build();
     }
 
@@ -129,12 +140,12 @@
                 .build();
     }
 
-    Job submit(JobSpec spec, double at) {
+    Job submit(JobSpec spec, double seconds) {
         Job job = new Job(
                 spec,
-                Math.round(at * 1000) + ++jobs,
-                at(at),
-                new Revision(100 + jobs),
+                Math.round(seconds * 1000) + ++jobCount,
+                atSeconds(seconds),
+                new Revision(100 + jobCount),
                 new BitSet(),
                 spec.tasks(),
                 false);
@@ -142,43 +153,51 @@
         return job;
     }
 
-    Job inherited(JobSpec spec) {
-        return inherited(spec, spec.tasks());
+    Job addInheritedJob(JobSpec spec) {
+        return addInheritedJob(spec, spec.tasks());
     }
 
-    /** Adds an inherited job; the previous leader may have started the tasks below {@code bound}. */
-    Job inherited(JobSpec spec, int bound) {
-        Job job = new Job(spec, ++jobs, at(0), new Revision(jobs), new BitSet(), bound, true);
+    /** Adds an inherited job; the previous leader may have started the tasks below {@code startBound}. */
+    Job addInheritedJob(JobSpec spec, int startBound) {
+        Job job = new Job(spec, ++jobCount, atSeconds(0), new Revision(jobCount), new BitSet(), startBound, true);
         core.addJob(job);
         return job;
     }
 
     /** Adds a spot machine that is rented and recorded. */
-    void up(String name, String zone, double at) {
-        core.rented(new MachinePool("quad", zone, true), List.of(new MachineId(name)), at(at), at(at));
+    void addSpotMachine(String name, String zone, double seconds) {
+        core.rented(
+                new MachinePool("quad", zone, true),
+                List.of(new MachineId(name)),
+                atSeconds(seconds),
+                atSeconds(seconds));
         core.recorded(new MachineId(name));
     }
 
-    Heartbeat report(String name, String zone, long session, FencingToken token, TaskStatus... tasks) {
+    Heartbeat newHeartbeat(String name, String zone, long session, FencingToken token, TaskStatus... tasks) {
         return new Heartbeat(
                 new MachineId(name),
                 "10.0.0.1:1",
                 new MachinePool("quad", zone, true),
-                new HeartbeatNumber(session, ++serial),
+                new HeartbeatNumber(session, ++heartbeatCount),
                 token,
                 null,
                 List.of(tasks));
     }
 
     /** Adds an on-demand machine that is rented and recorded, and sends its first heartbeat. */
-    List<WorkerCommand> ordinary(String name, double at) {
-        core.rented(new MachinePool("quad", "east", false), List.of(new MachineId(name)), at(at), at(at));
+    List<WorkerCommand> addOnDemandMachine(String name, double seconds) {
+        core.rented(
+                new MachinePool("quad", "east", false),
+                List.of(new MachineId(name)),
+                atSeconds(seconds),
+                atSeconds(seconds));
         core.recorded(new MachineId(name));
-        return hearOrdinary(name, at);
+        return heartbeatOnDemand(name, seconds);
     }
 
-    List<WorkerCommand> hearOrdinary(String name, double at, TaskStatus... tasks) {
-        Heartbeat heartbeat = report(name, "east", 1, TOKEN, tasks);
+    List<WorkerCommand> heartbeatOnDemand(String name, double seconds, TaskStatus... tasks) {
+        Heartbeat heartbeat = newHeartbeat(name, "east", 1, TOKEN, tasks);
         return core.onHeartbeat(
                         new Heartbeat(
                                 heartbeat.machine(),
@@ -188,42 +207,43 @@
                                 heartbeat.token(),
                                 null,
                                 heartbeat.tasks()),
-                        at(at))
+                        atSeconds(seconds))
                 .commands();
     }
 
-    static TaskStatus[] running(List<WorkerCommand> orders) {
-        return orders.stream()
+    static TaskStatus[] runningStatus(List<WorkerCommand> commands) {
+        return commands.stream()
                 .filter(command -> command instanceof WorkerCommand.Start)
-                .map(SimulatedWorld::running)
+                .map(SchedulerFixture::runningStatus)
                 .toArray(TaskStatus[]::new);
     }
 
-    List<WorkerCommand> hear(String name, double at, TaskStatus... tasks) {
-        return core.onHeartbeat(report(name, "east", 1, TOKEN, tasks), at(at)).commands();
+    List<WorkerCommand> heartbeat(String name, double seconds, TaskStatus... tasks) {
+        return core.onHeartbeat(newHeartbeat(name, "east", 1, TOKEN, tasks), atSeconds(seconds))
+                .commands();
     }
 
-    static TaskStatus running(WorkerCommand command) {
+    static TaskStatus runningStatus(WorkerCommand command) {
         return new TaskStatus(command.task(), command.attempt(), TaskState.RUNNING, null, false);
     }
 
-    static TaskStatus exited(WorkerCommand command, ExitCause cause) {
+    static TaskStatus exitedStatus(WorkerCommand command, ExitCause cause) {
         return new TaskStatus(command.task(), command.attempt(), TaskState.EXITED, cause, false);
     }
 
-    static TaskStatus foreign(String task, long attempt) {
+    static TaskStatus statusOfUnknownTask(String task, long attempt) {
         return new TaskStatus(TaskId.parse(task), new Attempt(attempt), TaskState.RUNNING, null, false);
     }
 
-    static List<String> starts(List<WorkerCommand> orders) {
-        return orders.stream()
+    static List<String> tasksToStart(List<WorkerCommand> commands) {
+        return commands.stream()
                 .filter(command -> command instanceof WorkerCommand.Start)
                 .map(command -> command.task().toString())
                 .toList();
     }
 
-    static List<String> stops(List<WorkerCommand> orders) {
-        return orders.stream()
+    static List<String> tasksToStop(List<WorkerCommand> commands) {
+        return commands.stream()
                 .filter(command -> command instanceof WorkerCommand.Stop)
                 .map(command -> command.task().toString())
                 .toList();
@@ -231,11 +251,11 @@
 
     @Override
     public void taskCompleted(Job job) {
-        progressed.add(job);
+        progressedJobs.add(job);
     }
 
     @Override
     public void log(String line) {
-        said.add(line);
+        logLines.add(line);
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/ServiceLevelObjectivesTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ServiceLevelObjectivesTest.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
-import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
+import static io.indigoreach.core.scheduling.SchedulerFixture.spec;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.core.model.Revision;
@@ -26,7 +26,7 @@
         ServiceLevelObjectives aims = new ServiceLevelObjectives(List.of(
                 new ServiceLevelObjectives.Objective("c", false, Span.seconds(250)),
                 new ServiceLevelObjectives.Objective("c", false, Span.seconds(150))));
-        Job job = new Job(spec(1, 9, 1, 20), 1, at(0), Revision.ABSENT, new BitSet(), 99, false);
-        assertEquals(at(latest), aims.latestStart(job, Span.seconds(20), rounds, at(now)), why);
+        Job job = new Job(spec(1, 9, 1, 20), 1, atSeconds(0), Revision.ABSENT, new BitSet(), 99, false);
+        assertEquals(atSeconds(latest), aims.latestStart(job, Span.seconds(20), rounds, atSeconds(now)), why);
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
@@ -1,11 +1,11 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
-import static io.indigoreach.core.scheduling.SimulatedWorld.exited;
-import static io.indigoreach.core.scheduling.SimulatedWorld.running;
-import static io.indigoreach.core.scheduling.SimulatedWorld.service;
-import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
-import static io.indigoreach.core.scheduling.SimulatedWorld.starts;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
+import static io.indigoreach.core.scheduling.SchedulerFixture.exitedStatus;
+import static io.indigoreach.core.scheduling.SchedulerFixture.runningStatus;
+import static io.indigoreach.core.scheduling.SchedulerFixture.service;
+import static io.indigoreach.core.scheduling.SchedulerFixture.spec;
+import static io.indigoreach.core.scheduling.SchedulerFixture.tasksToStart;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
@@ -24,8 +24,8 @@
 
 /** Replicas have no end of their own: what that means for every decision that rests on when tasks end. */
 class ServiceTest {
-    private static SimulatedWorld loaded() {
-        SimulatedWorld w = new SimulatedWorld();
+    private static SchedulerFixture loaded() {
+        SchedulerFixture w = new SchedulerFixture();
         w.core.recordsLoaded();
         return w;
     }
@@ -34,15 +34,15 @@
     @ParameterizedTest
     @CsvSource({"0, 0", "2, 1", "4, 1"})
     void aPlaceThatAReplicaHoldsIsNoPlaceForWhatWaits(int replicas, int rented) {
-        SimulatedWorld w = loaded();
+        SchedulerFixture w = loaded();
         if (replicas > 0) {
             w.submit(service(1, replicas), 0);
         }
-        w.hearOrdinary("a", 2, running(w.ordinary("a", 1)));
+        w.heartbeatOnDemand("a", 2, runningStatus(w.addOnDemandMachine("a", 1)));
         w.submit(spec(2, 12, 1, 15), 3);
         assertEquals(
                 rented,
-                w.core.scaleOutRequests(at(4)).stream()
+                w.core.scaleOutRequests(atSeconds(4)).stream()
                         .mapToInt(ScaleOutRequest::count)
                         .sum());
     }
@@ -51,14 +51,14 @@
     @ParameterizedTest
     @CsvSource({"DONE, 1", "STOPPED, 0", "FULL, 1", "OTHER, 0"})
     void aReplicaThatEndedIsStartedAgain(ExitCause cause, double after) {
-        SimulatedWorld w = loaded();
+        SchedulerFixture w = loaded();
         Job job = w.submit(service(1, 1), 0);
-        WorkerCommand start = w.ordinary("a", 1).get(0);
-        w.hearOrdinary("a", 2, running(start));
-        List<WorkerCommand> orders = w.hearOrdinary("a", 3, exited(start, cause));
-        assertEquals(after > 0 ? 0 : 1, starts(orders).size());
+        WorkerCommand start = w.addOnDemandMachine("a", 1).get(0);
+        w.heartbeatOnDemand("a", 2, runningStatus(start));
+        List<WorkerCommand> orders = w.heartbeatOnDemand("a", 3, exitedStatus(start, cause));
+        assertEquals(after > 0 ? 0 : 1, tasksToStart(orders).size());
         if (after > 0) {
-            assertEquals(1, starts(w.hearOrdinary("a", 3 + after)).size());
+            assertEquals(1, tasksToStart(w.heartbeatOnDemand("a", 3 + after)).size());
         }
         assertFalse(job.isComplete());
         assertEquals(0, job.doneCount());
@@ -67,10 +67,10 @@
     /** With a service first in the queue, 150 spot machines' work was given to ordinary ones (water kiosks, steady). */
     @Test
     void spotMachinesAreAskedForBesideOrdinaryOnes() {
-        SimulatedWorld w = loaded();
+        SchedulerFixture w = loaded();
         w.submit(service(1, 8), 0);
         w.submit(spec(2, 16, 1, 100), 0);
-        List<ScaleOutRequest> wishes = w.core.scaleOutRequests(at(20));
+        List<ScaleOutRequest> wishes = w.core.scaleOutRequests(atSeconds(20));
         assertEquals(
                 2,
                 wishes.stream()
@@ -88,14 +88,17 @@
     /** A machine that holds a replica is paid for in any case, so it is not kept empty beside it. */
     @Test
     void aMachineWithAReplicaIsNeverSpare() {
-        SimulatedWorld w = loaded();
-        w.up("s", "east", 0);
+        SchedulerFixture w = loaded();
+        w.addSpotMachine("s", "east", 0);
         w.submit(service(1, 1), 0);
-        List<WorkerCommand> replica = w.ordinary("a", 1);
-        w.core.scaleOutRequests(at(2));
+        List<WorkerCommand> replica = w.addOnDemandMachine("a", 1);
+        w.core.scaleOutRequests(atSeconds(2));
         w.submit(spec(2, 2, 1, 20), 600);
-        w.core.scaleOutRequests(at(601));
-        assertEquals(2, starts(w.hearOrdinary("a", 602, running(replica))).size());
+        w.core.scaleOutRequests(atSeconds(601));
+        assertEquals(
+                2,
+                tasksToStart(w.heartbeatOnDemand("a", 602, runningStatus(replica)))
+                        .size());
     }
 
     /**
@@ -107,11 +110,11 @@
     void aStartThatWouldMissItsAimIsLeftToMachinesThatHaveTheImage(double waited, boolean held, int started) {
         ServiceLevelObjectives aims =
                 new ServiceLevelObjectives(List.of(new ServiceLevelObjectives.Objective("s", true, Span.seconds(3))));
-        SimulatedWorld w = new SimulatedWorld(SimulatedWorld.TUNING, aims);
+        SchedulerFixture w = new SchedulerFixture(SchedulerFixture.SETTINGS, aims);
         w.core.recordsLoaded();
         if (held) {
             w.submit(service(1, 4), 0);
-            w.ordinary("a", 1);
+            w.addOnDemandMachine("a", 1);
         }
         JobSpec s = service(2, 1);
         w.submit(
@@ -129,35 +132,36 @@
                         .checkpointTime(s.checkpointTime())
                         .build(),
                 100);
-        assertEquals(started, starts(w.ordinary("b", 100 + waited)).size());
+        assertEquals(
+                started, tasksToStart(w.addOnDemandMachine("b", 100 + waited)).size());
     }
 
     /** How a machine with a replica was lost, and from when on (seconds) the replica may start on another one. */
     @ParameterizedTest
     @CsvSource({"listed as failed, 3", "lease run out, 14", "gone from two lists, 22"})
     void aLostReplicaStartsElsewhereOnceItSurelyIsGone(String loss, double from) {
-        SimulatedWorld w = loaded();
+        SchedulerFixture w = loaded();
         w.submit(service(1, 1), 0);
-        TaskStatus[] replica = running(w.ordinary("a", 1));
-        w.hearOrdinary("a", 1.5, replica);
-        w.ordinary("b", 1.5);
+        TaskStatus[] replica = runningStatus(w.addOnDemandMachine("a", 1));
+        w.heartbeatOnDemand("a", 1.5, replica);
+        w.addOnDemandMachine("b", 1.5);
         lose(w, loss, from - 1);
-        assertEquals(0, starts(w.hearOrdinary("b", from - 0.5)).size());
+        assertEquals(0, tasksToStart(w.heartbeatOnDemand("b", from - 0.5)).size());
         lose(w, loss, from);
-        assertEquals(1, starts(w.hearOrdinary("b", from + 0.1)).size());
+        assertEquals(1, tasksToStart(w.heartbeatOnDemand("b", from + 0.1)).size());
     }
 
     /** What the leader's duties see at {@code now}: the machine fails at 2.5 s, or is never heard or listed again. */
-    private static void lose(SimulatedWorld w, String loss, double now) {
+    private static void lose(SchedulerFixture w, String loss, double now) {
         ListedMachine b = listed("b", ListedMachine.Status.RUNNING);
         switch (loss) {
             case "listed as failed" ->
                 w.core.onMachineListing(
                         List.of(listed("a", now < 2.5 ? ListedMachine.Status.RUNNING : ListedMachine.Status.FAILED), b),
-                        at(now),
-                        at(now));
-            case "lease run out" -> w.core.expireLeases(at(now));
-            default -> w.core.onMachineListing(List.of(b), at(now), at(now));
+                        atSeconds(now),
+                        atSeconds(now));
+            case "lease run out" -> w.core.expireLeases(atSeconds(now));
+            default -> w.core.onMachineListing(List.of(b), atSeconds(now), atSeconds(now));
         }
     }
 
@@ -169,29 +173,34 @@
     @ParameterizedTest
     @CsvSource({"true, 2, 1", "false, 2, 0", "false, 13, 2"})
     void afterAChangeOfLeaderReplicasAreTakenOnOrWaitedFor(boolean reported, double at, int started) {
-        SimulatedWorld w = new SimulatedWorld();
-        w.inherited(service(1, 2));
+        SchedulerFixture w = new SchedulerFixture();
+        w.addInheritedJob(service(1, 2));
         for (String name : List.of("a", "b")) {
-            w.core.inheritMachine(new MachineId(name), new MachinePool("quad", "east", false), at(0), at(0), at(0));
+            w.core.inheritMachine(
+                    new MachineId(name),
+                    new MachinePool("quad", "east", false),
+                    atSeconds(0),
+                    atSeconds(0),
+                    atSeconds(0));
         }
         w.core.recordsLoaded();
         if (reported) {
-            w.hearOrdinary("a", 1, SimulatedWorld.foreign("run-1/0", 7));
+            w.heartbeatOnDemand("a", 1, SchedulerFixture.statusOfUnknownTask("run-1/0", 7));
         }
-        w.core.expireLeases(at(at));
-        assertEquals(started, starts(w.hearOrdinary("b", at)).size());
+        w.core.expireLeases(atSeconds(at));
+        assertEquals(started, tasksToStart(w.heartbeatOnDemand("b", at)).size());
     }
 
     /** A start ordered just before the user cancelled is answered with a stop as soon as it shows, and not repeated. */
     @Test
     void aReplicaOrderedBeforeTheCancellationIsStopped() {
-        SimulatedWorld w = loaded();
+        SchedulerFixture w = loaded();
         Job job = w.submit(service(1, 1), 0);
-        List<WorkerCommand> late = w.ordinary("a", 1);
+        List<WorkerCommand> late = w.addOnDemandMachine("a", 1);
         w.core.cancelJob(job.id());
-        assertEquals(0, starts(w.ordinary("b", 2)).size());
-        List<WorkerCommand> answer = w.hearOrdinary("a", 3, running(late));
-        assertEquals(List.of("run-1/0"), SimulatedWorld.stops(answer));
-        assertEquals(0, starts(w.hearOrdinary("a", 4)).size());
+        assertEquals(0, tasksToStart(w.addOnDemandMachine("b", 2)).size());
+        List<WorkerCommand> answer = w.heartbeatOnDemand("a", 3, runningStatus(late));
+        assertEquals(List.of("run-1/0"), SchedulerFixture.tasksToStop(answer));
+        assertEquals(0, tasksToStart(w.heartbeatOnDemand("a", 4)).size());
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/ShortQueueTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ShortQueueTest.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
-import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
+import static io.indigoreach.core.scheduling.SchedulerFixture.spec;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -22,17 +22,17 @@
     @ParameterizedTest
     @CsvSource({"1, 1", "20, 3", "200, 33", "1000, 167"})
     void theQueueCountsNotOnlyItsTop(int jobs, int machines) {
-        SimulatedWorld w = new SimulatedWorld();
+        SchedulerFixture w = new SchedulerFixture();
         w.core.recordsLoaded();
-        w.up("a", "east", 0);
+        w.addSpotMachine("a", "east", 0);
         w.submit(spec(1, 4, 1, 100), 0);
-        w.hear("a", 1);
+        w.heartbeat("a", 1);
         for (int id = 2; id < jobs + 2; id++) {
             w.submit(spec(id, 20, 1, 6), 0);
         }
         assertEquals(
                 machines,
-                w.core.scaleOutRequests(at(100)).stream()
+                w.core.scaleOutRequests(atSeconds(100)).stream()
                         .mapToInt(ScaleOutRequest::count)
                         .sum());
     }
@@ -42,17 +42,17 @@
     @CsvSource({"1, 75", "3, 75", "0.4, 90"})
     void waitsFallUnderTheLimitAndNoMoreIsRentedThanNeeded(double estimates, int mostMachines) {
         CoreHarness run = new CoreHarness(
-                        SimulatedWorld.TUNING,
-                        List.of(CoreHarness.Kind.of("short", Urgency.STANDARD, 1, 120, 20, 5, 1)
-                                .estimated(estimates)),
+                        SchedulerFixture.SETTINGS,
+                        List.of(CoreHarness.Workload.of("short", Urgency.STANDARD, 1, 120, 20, 5, 1)
+                                .withEstimateFactor(estimates)),
                         500,
                         0,
-                        SimulatedWorld.NO_AIMS)
+                        SchedulerFixture.NO_OBJECTIVES)
                 .run(400);
         assertTrue(
-                run.longestWait("short", 200)
-                        < SimulatedWorld.TUNING.waitLimit().seconds(),
-                "waits " + run.longestWait("short", 200));
-        assertTrue(run.mostUp <= mostMachines && run.mostUp >= 25, "machines " + run.mostUp);
+                run.longestWaitForLastStart("short", 200)
+                        < SchedulerFixture.SETTINGS.waitLimit().seconds(),
+                "waits " + run.longestWaitForLastStart("short", 200));
+        assertTrue(run.peakMachines <= mostMachines && run.peakMachines >= 25, "machines " + run.peakMachines);
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/SimulatedCluster.java
+++ b/src/test/java/io/indigoreach/core/scheduling/SimulatedCluster.java
@@ -32,45 +32,46 @@
  */
 public final class SimulatedCluster implements SchedulerListener {
     /** Seconds after which a worker drops a late answer. */
-    static final double PATIENCE_S = 4;
+    static final double ANSWER_TIMEOUT_S = 4;
 
-    private static final double LEASE_S = SimulatedWorld.RULES.workerLease().seconds();
+    private static final double LEASE_S =
+            SchedulerFixture.SAFETY_TIMES.workerLease().seconds();
 
-    record Answer(long token, HeartbeatNumber number, List<WorkerCommand> orders) {}
+    record Answer(long token, HeartbeatNumber number, List<WorkerCommand> commands) {}
 
-    final class Box {
+    final class Worker {
         final String name;
         final Map<TaskId, TaskStatus> tasks = new LinkedHashMap<>();
         long session = 1;
         long token;
         /** When the last heartbeat that got an answer was sent. */
-        double answered;
+        double lastAnsweredAt;
         /** Whether answers to this machine are lost, while its heartbeats arrive. */
-        boolean deaf;
+        boolean losesAnswers;
         /** The last heartbeat that the worker sent. */
-        Heartbeat sent;
+        Heartbeat lastHeartbeat;
 
-        private long serial;
+        private long heartbeatCount;
 
-        Box(String name, double now) {
+        Worker(String name, double now) {
             this.name = name;
-            this.answered = now;
+            this.lastAnsweredAt = now;
         }
 
-        Heartbeat write() {
-            sent = new Heartbeat(
+        Heartbeat nextHeartbeat() {
+            lastHeartbeat = new Heartbeat(
                     new MachineId(name),
                     "x:1",
                     POOL,
-                    new HeartbeatNumber(session, ++serial),
+                    new HeartbeatNumber(session, ++heartbeatCount),
                     new FencingToken(token),
                     null,
                     new ArrayList<>(tasks.values()));
-            return sent;
+            return lastHeartbeat;
         }
 
-        void live(double now) {
-            if (now - answered > LEASE_S) {
+        void expireLease(double now) {
+            if (now - lastAnsweredAt > LEASE_S) {
                 newSession(now);
             }
         }
@@ -78,24 +79,24 @@
         void newSession(double now) {
             tasks.clear();
             session++;
-            answered = now;
+            lastAnsweredAt = now;
         }
 
-        void end(TaskId task, ExitCause cause) {
+        void exit(TaskId task, ExitCause cause) {
             tasks.computeIfPresent(
                     task, (id, status) -> new TaskStatus(id, status.attempt(), TaskState.EXITED, cause, false));
             if (cause == ExitCause.DONE) {
-                ended.add(task);
+                completed.add(task);
             }
         }
 
-        void take(Answer answer, double sentAt, double now) {
+        void receive(Answer answer, double sentAt, double now) {
             if (answer.token < token || answer.number.incarnation() != session) {
                 return;
             }
             token = answer.token;
-            answered = Math.max(answered, sentAt);
-            answer.orders.forEach(command -> execute(command, now));
+            lastAnsweredAt = Math.max(lastAnsweredAt, sentAt);
+            answer.commands.forEach(command -> execute(command, now));
         }
 
         private void execute(WorkerCommand command, double now) {
@@ -104,21 +105,21 @@
                     && (status == null
                             || (status.state() == TaskState.EXITED
                                     && !status.attempt().equals(command.attempt())))) {
-                boxes.values().stream()
-                        .filter(b -> b.isOn(command.task(), now))
-                        .forEach(b ->
-                                broken.add(now + ": ran_twice " + command.task() + " on " + name + " and " + b.name));
+                workers.values().stream()
+                        .filter(b -> b.isRunning(command.task(), now))
+                        .forEach(b -> violations.add(
+                                now + ": ran_twice " + command.task() + " on " + name + " and " + b.name));
                 if (reaped.contains(command.task())) {
-                    broken.add(now + ": started after its result was reaped " + command.task());
+                    violations.add(now + ": started after its result was reaped " + command.task());
                 }
-                starts.merge(command.task(), 1, Integer::sum);
-                tasks.put(command.task(), SimulatedWorld.running(command));
-                if (ended.contains(command.task())) {
-                    end(command.task(), ExitCause.DONE);
+                startCount.merge(command.task(), 1, Integer::sum);
+                tasks.put(command.task(), SchedulerFixture.runningStatus(command));
+                if (completed.contains(command.task())) {
+                    exit(command.task(), ExitCause.DONE);
                 }
             } else if (status != null && status.attempt().equals(command.attempt())) {
                 if (command instanceof WorkerCommand.Stop && status.state() != TaskState.EXITED) {
-                    end(command.task(), ExitCause.STOPPED);
+                    exit(command.task(), ExitCause.STOPPED);
                 } else if (command instanceof WorkerCommand.Reap && status.state() == TaskState.EXITED) {
                     tasks.remove(command.task());
                     if (status.cause() == ExitCause.DONE) {
@@ -128,94 +129,104 @@
             }
         }
 
-        private boolean isOn(TaskId task, double now) {
+        private boolean isRunning(TaskId task, double now) {
             TaskStatus status = tasks.get(task);
-            return status != null && status.state() != TaskState.EXITED && now - answered <= LEASE_S;
+            return status != null && status.state() != TaskState.EXITED && now - lastAnsweredAt <= LEASE_S;
         }
     }
 
-    private static final class Recorded {
+    private static final class JobRecord {
         final JobSpec spec;
-        final BitSet done = new BitSet();
-        int bound;
+        final BitSet completed = new BitSet();
+        int startBound;
         boolean closed;
         /** When the cancellation was confirmed to the user. */
-        double cancelled = Double.MAX_VALUE;
+        double cancellationConfirmedAt = Double.MAX_VALUE;
 
-        Recorded(JobSpec spec) {
+        JobRecord(JobSpec spec) {
             this.spec = spec;
         }
     }
 
     private static final MachinePool POOL = new MachinePool("quad", "east", true);
 
-    public final List<String> broken = new ArrayList<>();
-    final List<String> said = new ArrayList<>();
+    public final List<String> violations = new ArrayList<>();
+    final List<String> logLines = new ArrayList<>();
     public EffectListener effects = EffectListener.NONE;
-    private final Map<String, Box> boxes = new LinkedHashMap<>();
-    private final Map<JobId, Recorded> records = new HashMap<>();
-    private final Map<TaskId, Integer> starts = new HashMap<>();
-    private final Map<TaskId, Integer> ordered = new HashMap<>();
-    private final Set<TaskId> ended = new HashSet<>();
+    private final Map<String, Worker> workers = new LinkedHashMap<>();
+    private final Map<JobId, JobRecord> records = new HashMap<>();
+    private final Map<TaskId, Integer> startCount = new HashMap<>();
+    private final Map<TaskId, Integer> startCommandCount = new HashMap<>();
+    private final Set<TaskId> completed = new HashSet<>();
     private final Set<TaskId> reaped = new HashSet<>();
     SchedulerCore core;
     private final List<Team> teams;
     private long token;
-    private double begun;
+    private double leaderSince;
 
     SimulatedCluster(Team... teams) {
-        this.teams = teams.length == 0 ? List.of(SimulatedWorld.team(0)) : List.of(teams);
+        this.teams = teams.length == 0 ? List.of(SchedulerFixture.teamWithCoreLimit(0)) : List.of(teams);
     }
 
-    Box box(String name, double now) {
-        return boxes.computeIfAbsent(name, n -> new Box(n, now));
+    Worker worker(String name, double now) {
+        return workers.computeIfAbsent(name, n -> new Worker(n, now));
     }
 
-    Box box(String name) {
-        return boxes.get(name);
+    Worker worker(String name) {
+        return workers.get(name);
     }
 
-    Collection<Box> boxes() {
-        return boxes.values();
+    Collection<Worker> workers() {
+        return workers.values();
     }
 
     /** Starts a new leader that answers heartbeats and has not read the records yet. */
-    void begin(double now) {
+    void startLeader(double now) {
         core = new SchedulerCore(
                 new FencingToken(++token),
-                SimulatedWorld.RULES,
-                SimulatedWorld.TUNING,
-                SimulatedWorld.NO_AIMS,
+                SchedulerFixture.SAFETY_TIMES,
+                SchedulerFixture.SETTINGS,
+                SchedulerFixture.NO_OBJECTIVES,
                 teams,
                 this);
-        core.setTypes(List.of(SimulatedWorld.TYPE));
-        begun = now;
+        core.setTypes(List.of(SchedulerFixture.MACHINE_TYPE));
+        leaderSince = now;
     }
 
     /** Loads the records of every machine and every open job into the leader. */
-    void load() {
-        load(boxes.keySet());
+    void loadRecords() {
+        loadRecords(workers.keySet());
     }
 
     /** Loads the records of the given machines and every open job into the leader. */
-    void load(Collection<String> recordedMachines) {
+    void loadRecords(Collection<String> recordedMachines) {
         recordedMachines.forEach(name -> core.inheritMachine(
-                new MachineId(name), POOL, SimulatedWorld.at(-100), SimulatedWorld.at(-100), SimulatedWorld.at(begun)));
+                new MachineId(name),
+                POOL,
+                SchedulerFixture.atSeconds(-100),
+                SchedulerFixture.atSeconds(-100),
+                SchedulerFixture.atSeconds(leaderSince)));
         records.values().stream()
                 .filter(r -> !r.closed)
-                .forEach(r -> core.addJob(
-                        new Job(r.spec, 1, SimulatedWorld.at(begun), Revision.ABSENT, r.done, r.bound, true)));
+                .forEach(r -> core.addJob(new Job(
+                        r.spec,
+                        1,
+                        SchedulerFixture.atSeconds(leaderSince),
+                        Revision.ABSENT,
+                        r.completed,
+                        r.startBound,
+                        true)));
         core.recordsLoaded();
     }
 
-    void lead(double now) {
-        begin(now);
-        load();
+    void startLeaderWithRecords(double now) {
+        startLeader(now);
+        loadRecords();
     }
 
     void submit(JobSpec spec, double now) {
-        records.put(spec.id(), new Recorded(spec));
-        core.addJob(new Job(spec, 1, SimulatedWorld.at(now), Revision.ABSENT, new BitSet(), 0, false));
+        records.put(spec.id(), new JobRecord(spec));
+        core.addJob(new Job(spec, 1, SchedulerFixture.atSeconds(now), Revision.ABSENT, new BitSet(), 0, false));
     }
 
     /** Cancels a job: records it as closed and informs the leader. */
@@ -228,19 +239,19 @@
      * Returns the leader's answer to a heartbeat, or null if the leader does not answer it. Start bounds are recorded
      * before any command is sent.
      */
-    Answer answer(Heartbeat heartbeat, double now) {
-        List<Job> toRaise = core.startBoundsToRaise(SimulatedWorld.at(now));
+    Answer answerHeartbeat(Heartbeat heartbeat, double now) {
+        List<Job> toRaise = core.startBoundsToRaise(SchedulerFixture.atSeconds(now));
         effects.boundsToRaise(toRaise);
         for (Job job : toRaise) {
-            records.get(job.id()).bound = job.startBoundToWrite();
+            records.get(job.id()).startBound = job.startBoundToWrite();
             job.startBoundRecorded(job.startBoundToWrite());
         }
-        HeartbeatResult result = core.onHeartbeat(heartbeat, SimulatedWorld.at(now));
+        HeartbeatResult result = core.onHeartbeat(heartbeat, SchedulerFixture.atSeconds(now));
         effects.answer(heartbeat.machine(), result, core.mayAnswer(heartbeat.machine()));
-        effects.leader(core, SimulatedWorld.at(now));
+        effects.leader(core, SchedulerFixture.atSeconds(now));
         for (WorkerCommand command : result.commands()) {
             if (command instanceof WorkerCommand.Start) {
-                ordered.merge(command.task(), 1, Integer::sum);
+                startCommandCount.merge(command.task(), 1, Integer::sum);
             }
         }
         return result.isSuperseded() || !core.mayAnswer(heartbeat.machine())
@@ -249,35 +260,35 @@
     }
 
     /** Sends the machine's heartbeat to the leader, and delivers the answer unless answers are lost. */
-    List<WorkerCommand> report(String name, double now) {
-        Box box = boxes.get(name);
-        box.live(now);
-        Answer answer = answer(box.write(), now);
-        if (answer != null && !box.deaf) {
-            box.take(answer, now, now);
+    List<WorkerCommand> sendHeartbeat(String name, double now) {
+        Worker worker = workers.get(name);
+        worker.expireLease(now);
+        Answer answer = answerHeartbeat(worker.nextHeartbeat(), now);
+        if (answer != null && !worker.losesAnswers) {
+            worker.receive(answer, now, now);
         }
-        return answer == null ? null : answer.orders;
+        return answer == null ? null : answer.commands;
     }
 
     /** Sends four heartbeats, one per second, after which the machine has the leader's token and its tasks. */
-    void become(String name, double now) {
+    void joinLeader(String name, double now) {
         for (int i = 0; i < 4; i++) {
-            report(name, now + i);
+            sendHeartbeat(name, now + i);
         }
     }
 
-    void all(double now) {
-        boxes.keySet().forEach(name -> report(name, now));
+    void sendAllHeartbeats(double now) {
+        workers.keySet().forEach(name -> sendHeartbeat(name, now));
     }
 
     /** Records the completed tasks, and closes the jobs whose tasks are all completed. */
-    void record() {
+    void recordResults() {
         for (Job job : new ArrayList<>(core.jobs())) {
-            Recorded r = records.get(job.id());
-            r.done.or(job.completedTasks());
+            JobRecord jobRecord = records.get(job.id());
+            jobRecord.completed.or(job.completedTasks());
             job.completionsRecorded(job.completedTasks());
             if (job.isComplete()) {
-                r.closed = true;
+                jobRecord.closed = true;
                 core.closeJob(job.id());
             }
         }
@@ -288,34 +299,38 @@
      */
     void cancel(JobId id, double now) {
         records.get(id).closed = true;
-        records.get(id).cancelled = now;
+        records.get(id).cancellationConfirmedAt = now;
     }
 
     /**
      * Returns the cores that a team's tasks use on the workers. Records violations: tasks that run after their
      * cancellation time, and use beyond the team's limit.
      */
-    double used(Team team, double now) {
+    double usedCores(Team team, double now) {
         double cores = 0;
-        for (TaskId task : running(now)) {
-            Recorded r = records.get(task.job());
-            if (r.spec.team().equals(team.name())) {
-                cores += r.spec.demand().cores();
-                if (now > r.cancelled + SimulatedWorld.RULES.cancellationTime().seconds()) {
-                    broken.add(now + ": ran_cancelled " + task);
+        for (TaskId task : runningTasks(now)) {
+            JobRecord jobRecord = records.get(task.job());
+            if (jobRecord.spec.team().equals(team.name())) {
+                cores += jobRecord.spec.demand().cores();
+                if (now
+                        > jobRecord.cancellationConfirmedAt
+                                + SchedulerFixture.SAFETY_TIMES
+                                        .cancellationTime()
+                                        .seconds()) {
+                    violations.add(now + ": ran_cancelled " + task);
                 }
             }
         }
         if (!team.allows(cores, 0)) {
-            broken.add(now + ": quota of " + team.name() + " " + cores);
+            violations.add(now + ": quota of " + team.name() + " " + cores);
         }
         return cores;
     }
 
     /** Returns every task that runs on a machine with a valid lease. */
-    List<TaskId> running(double now) {
-        return boxes.values().stream()
-                .flatMap(b -> b.tasks.keySet().stream().filter(t -> b.isOn(t, now)))
+    List<TaskId> runningTasks(double now) {
+        return workers.values().stream()
+                .flatMap(b -> b.tasks.keySet().stream().filter(t -> b.isRunning(t, now)))
                 .toList();
     }
 
@@ -324,29 +339,29 @@
     }
 
     /** Returns how many of the job's tasks have completed on workers. */
-    int ended(JobId id) {
-        return (int) ended.stream().filter(t -> t.job().equals(id)).count();
+    int completed(JobId id) {
+        return (int) completed.stream().filter(t -> t.job().equals(id)).count();
     }
 
-    int starts(TaskId task) {
-        return starts.getOrDefault(task, 0);
+    int startCount(TaskId task) {
+        return startCount.getOrDefault(task, 0);
     }
 
     /** Returns how many start commands leaders sent for the task, executed or not. */
-    int ordered(TaskId task) {
-        return ordered.getOrDefault(task, 0);
+    int startCommandCount(TaskId task) {
+        return startCommandCount.getOrDefault(task, 0);
     }
 
-    int startsOf(JobId id) {
-        return starts.entrySet().stream()
+    int startCountOfJob(JobId id) {
+        return startCount.entrySet().stream()
                 .filter(e -> e.getKey().job().equals(id))
                 .mapToInt(Map.Entry::getValue)
                 .sum();
     }
 
     /** Returns the machine where the task has not exited, or null. */
-    Box runs(TaskId task) {
-        return boxes.values().stream()
+    Worker workerRunning(TaskId task) {
+        return workers.values().stream()
                 .filter(b -> b.tasks.containsKey(task) && b.tasks.get(task).state() != TaskState.EXITED)
                 .findFirst()
                 .orElse(null);
@@ -359,6 +374,6 @@
 
     @Override
     public void log(String line) {
-        said.add(line);
+        logLines.add(line);
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/StaleHeartbeatTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/StaleHeartbeatTest.java
@@ -1,7 +1,7 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
-import static io.indigoreach.core.scheduling.SimulatedWorld.spec;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
+import static io.indigoreach.core.scheduling.SchedulerFixture.spec;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -46,58 +46,59 @@
 
     private static List<String> trace(String what, boolean lives, Arrives when) {
         SimulatedCluster site = new SimulatedCluster();
-        SimulatedCluster.Box a = site.box("a", 0);
-        site.box("n", 0);
-        site.lead(-30);
+        SimulatedCluster.Worker a = site.worker("a", 0);
+        site.worker("n", 0);
+        site.startLeaderWithRecords(-30);
         if (what.contains("rented")) {
-            site.core.rented(new MachinePool("quad", "east", true), List.of(new MachineId("a")), at(-30), at(-30));
+            site.core.rented(
+                    new MachinePool("quad", "east", true), List.of(new MachineId("a")), atSeconds(-30), atSeconds(-30));
         }
-        site.report("a", -21);
-        Heartbeat old = a.sent;
+        site.sendHeartbeat("a", -21);
+        Heartbeat old = a.lastHeartbeat;
         site.submit(spec(1, 2, 4, 500), -20);
         if (!what.contains("rented")) {
-            site.become("a", -19);
+            site.joinLeader("a", -19);
             assertEquals(1, a.tasks.size());
         }
         if (what.contains("session")) {
-            old = a.sent;
+            old = a.lastHeartbeat;
             a.newSession(-8);
         } else if (what.contains("returned")) {
-            old = a.sent;
-            site.core.returned(List.of(new MachineId("a")), at(-8));
+            old = a.lastHeartbeat;
+            site.core.returned(List.of(new MachineId("a")), atSeconds(-8));
         }
         if (what.contains("returned") || what.contains("rented")) {
             // Nobody has recorded it, or no longer.
-            site.boxes().remove(a);
+            site.workers().remove(a);
         } else {
-            site.report("a", -7);
+            site.sendHeartbeat("a", -7);
         }
-        site.begin(0);
+        site.startLeader(0);
         if (what.contains("new token")) {
-            site.report("a", 0.1);
-            site.report("a", 0.2);
-            old = a.sent;
-            a.end(TaskId.parse("run-1/0"), ExitCause.DONE);
-            site.report("a", 0.3);
+            site.sendHeartbeat("a", 0.1);
+            site.sendHeartbeat("a", 0.2);
+            old = a.lastHeartbeat;
+            a.exit(TaskId.parse("run-1/0"), ExitCause.DONE);
+            site.sendHeartbeat("a", 0.3);
         }
         if (when == Arrives.BEFORE_THE_RECORDS_ARE_READ) {
-            site.core.onHeartbeat(old, at(0.4));
+            site.core.onHeartbeat(old, atSeconds(0.4));
         }
-        site.load();
+        site.loadRecords();
         if (when == Arrives.AFTER_THE_RECORDS_ARE_READ) {
-            assertEquals(List.of(), site.core.onHeartbeat(old, at(0.4)).commands());
+            assertEquals(List.of(), site.core.onHeartbeat(old, atSeconds(0.4)).commands());
         }
         List<String> trace = new ArrayList<>(List.of(site.core.summary()));
         for (double now = 1; now < 40; now++) {
-            for (SimulatedCluster.Box box : List.copyOf(site.boxes())) {
+            for (SimulatedCluster.Worker box : List.copyOf(site.workers())) {
                 if (box != a || lives) {
-                    trace.add(now + " " + box.name + " " + site.report(box.name, now));
+                    trace.add(now + " " + box.name + " " + site.sendHeartbeat(box.name, now));
                 }
             }
-            site.core.expireLeases(at(now));
+            site.core.expireLeases(atSeconds(now));
             trace.add(site.core.summary() + " knows " + site.core.knows(new MachineId("a")));
         }
-        assertEquals(List.of(), site.broken);
+        assertEquals(List.of(), site.violations);
         return trace;
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulation.java
@@ -1,6 +1,6 @@
 package io.indigoreach.core.scheduling;
 
-import static io.indigoreach.core.scheduling.SimulatedWorld.at;
+import static io.indigoreach.core.scheduling.SchedulerFixture.atSeconds;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.core.model.Heartbeat;
@@ -29,7 +29,7 @@
     private static final double CORES_MAX = 8;
     /** By then whoever leads has heard each machine and seen strangers go, or its lease is over. */
     private static final double SETTLED_S =
-            2 * SimulatedWorld.RULES.leaseBound().seconds() + 6;
+            2 * SchedulerFixture.SAFETY_TIMES.leaseBound().seconds() + 6;
 
     /** Longer than a lease. */
     private static final double AWAY_S = 20;
@@ -61,15 +61,15 @@
 
     private static final Set<Trouble> UNANSWERED = EnumSet.of(Trouble.CUT, Trouble.AWAY, Trouble.ZONE);
 
-    private record Late(SimulatedCluster.Box box, SimulatedCluster.Answer answer, double sent, double arrives) {}
+    private record Late(SimulatedCluster.Worker box, SimulatedCluster.Answer answer, double sent, double arrives) {}
 
     private record Word(JobId job, double heard) {}
 
     private final Random random;
     private final Trouble trouble;
     public final SimulatedCluster site = new SimulatedCluster(PLAIN, GUARANTEED);
-    private final Map<SimulatedCluster.Box, Double> nextReport = new HashMap<>();
-    private final Map<SimulatedCluster.Box, Double> troubledUntil = new HashMap<>();
+    private final Map<SimulatedCluster.Worker, Double> nextReport = new HashMap<>();
+    private final Map<SimulatedCluster.Worker, Double> troubledUntil = new HashMap<>();
     private final List<Late> late = new ArrayList<>();
     private final List<Word> words = new ArrayList<>();
     private final Set<JobId> cancelled = new HashSet<>();
@@ -85,13 +85,13 @@
 
     public void play(int changes, double everyS) {
         for (int i = 0; i < MACHINES; i++) {
-            nextReport.put(site.box("m" + i, 0), random.nextDouble() * 2);
+            nextReport.put(site.worker("m" + i, 0), random.nextDouble() * 2);
         }
-        site.lead(0);
+        site.startLeaderWithRecords(0);
         submitAll(0);
         double now = run(0, 10);
-        assertEquals(CORES_MAX, site.used(PLAIN, now));
-        assertEquals(CORES_MAX, site.used(GUARANTEED, now));
+        assertEquals(CORES_MAX, site.usedCores(PLAIN, now));
+        assertEquals(CORES_MAX, site.usedCores(GUARANTEED, now));
         for (int i = 0; i < changes; i++) {
             double begins = now + (trouble == Trouble.AWAY ? AWAY_S : trouble == Trouble.ZONE ? LEADS_ON_S : 1);
             befall(now, begins);
@@ -100,8 +100,8 @@
                 cancelAll(now, trouble == Trouble.ZONE ? begins : now);
             }
             now = run(now, begins);
-            site.begin(now);
-            for (SimulatedCluster.Box box : site.boxes()) {
+            site.startLeader(now);
+            for (SimulatedCluster.Worker box : site.workers()) {
                 if (trouble == Trouble.ZONE && isInZone(box)) {
                     troubledUntil.put(box, now + AWAY_S);
                 }
@@ -114,8 +114,8 @@
             now = run(now, now + everyS);
         }
         now = run(now, now + SETTLED_S);
-        assertEquals(CORES_MAX, site.used(PLAIN, now), "what waits has begun");
-        assertEquals(CORES_MAX, site.used(GUARANTEED, now), "what waits has begun");
+        assertEquals(CORES_MAX, site.usedCores(PLAIN, now), "what waits has begun");
+        assertEquals(CORES_MAX, site.usedCores(GUARANTEED, now), "what waits has begun");
     }
 
     /** Arrays, gangs and services of both teams, and more than their limits allow. */
@@ -128,7 +128,7 @@
     }
 
     private void submit(Team team, JobKind shape, int tasks, boolean oneZone, double now) {
-        JobSpec s = SimulatedWorld.spec(++jobs, tasks, 1, shape == JobKind.SERVICE ? 0 : 500);
+        JobSpec s = SchedulerFixture.spec(++jobs, tasks, 1, shape == JobKind.SERVICE ? 0 : 500);
         site.submit(
                 JobSpec.builder(s.id())
                         .jobClass(s.jobClass())
@@ -146,13 +146,13 @@
                 now);
     }
 
-    private boolean isInZone(SimulatedCluster.Box box) {
+    private boolean isInZone(SimulatedCluster.Worker box) {
         return box.name.compareTo("m" + MACHINES / 2) < 0;
     }
 
     /** Half of the machines, each for its own time; one that hangs goes on within its lease. */
     private void befall(double now, double begins) {
-        for (SimulatedCluster.Box box : site.boxes()) {
+        for (SimulatedCluster.Worker box : site.workers()) {
             if (trouble == Trouble.AWAY || trouble == Trouble.ZONE) {
                 troubledUntil.put(box, trouble == Trouble.ZONE && isInZone(box) ? now : begins);
             } else if (random.nextBoolean()) {
@@ -164,7 +164,7 @@
 
     /** All jobs of which something runs; whoever leads hears of it within two seconds. New ones come instead. */
     private void cancelAll(double now, double heardFrom) {
-        for (JobId job : site.running(now).stream().map(TaskId::job).collect(Collectors.toSet())) {
+        for (JobId job : site.runningTasks(now).stream().map(TaskId::job).collect(Collectors.toSet())) {
             if (cancelled.add(job)) {
                 site.cancel(job, now);
                 words.add(new Word(job, heardFrom + random.nextInt(8) * STEP_S));
@@ -173,7 +173,7 @@
         submitAll(now);
     }
 
-    private boolean isTroubled(SimulatedCluster.Box box, double now) {
+    private boolean isTroubled(SimulatedCluster.Worker box, double now) {
         return now < troubledUntil.getOrDefault(box, 0.0);
     }
 
@@ -188,7 +188,7 @@
     private void step(double now) {
         if (now >= loads) {
             loads = Double.MAX_VALUE;
-            site.load();
+            site.loadRecords();
         }
         for (Word word : List.copyOf(words)) {
             if (now >= word.heard) {
@@ -198,11 +198,11 @@
         }
         for (Late l : List.copyOf(late)) {
             if (now >= l.arrives) {
-                l.box.take(l.answer, l.sent, now);
+                l.box.receive(l.answer, l.sent, now);
                 late.remove(l);
             }
         }
-        for (SimulatedCluster.Box box : site.boxes()) {
+        for (SimulatedCluster.Worker box : site.workers()) {
             boolean troubled = isTroubled(box, now);
             if (now >= nextReport.get(box) && !(troubled && trouble == Trouble.HUNG)) {
                 nextReport.put(box, now + 1.5 + random.nextDouble());
@@ -210,20 +210,20 @@
             }
             outOfReach += troubled && box.tasks.keySet().stream().anyMatch(t -> cancelled.contains(t.job())) ? 1 : 0;
         }
-        site.core.expireLeases(at(now));
-        site.used(PLAIN, now);
-        site.used(GUARANTEED, now);
+        site.core.expireLeases(atSeconds(now));
+        site.usedCores(PLAIN, now);
+        site.usedCores(GUARANTEED, now);
     }
 
-    private void report(SimulatedCluster.Box box, Trouble meets, double now) {
-        box.live(now);
-        Heartbeat heartbeat = box.write();
-        SimulatedCluster.Answer answer = UNANSWERED.contains(meets) ? null : site.answer(heartbeat, now);
+    private void report(SimulatedCluster.Worker box, Trouble meets, double now) {
+        box.expireLease(now);
+        Heartbeat heartbeat = box.nextHeartbeat();
+        SimulatedCluster.Answer answer = UNANSWERED.contains(meets) ? null : site.answerHeartbeat(heartbeat, now);
         if (answer != null && meets == Trouble.HELD_UP) {
-            late.add(new Late(box, answer, now, now + SimulatedCluster.PATIENCE_S - STEP_S));
-            nextReport.put(box, now + SimulatedCluster.PATIENCE_S);
+            late.add(new Late(box, answer, now, now + SimulatedCluster.ANSWER_TIMEOUT_S - STEP_S));
+            nextReport.put(box, now + SimulatedCluster.ANSWER_TIMEOUT_S);
         } else if (answer != null && meets != Trouble.DEAF) {
-            box.take(answer, now, now);
+            box.receive(answer, now, now);
         }
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulationTest.java
@@ -38,7 +38,7 @@
         for (long seed = 0; seed < SEEDS; seed++) {
             TeamLimitSimulation run = new TeamLimitSimulation(seed, trouble);
             run.play(changes, everyS);
-            assertEquals(List.of(), run.site.broken, "seed " + seed);
+            assertEquals(List.of(), run.site.violations, "seed " + seed);
             outOfReach += run.outOfReach;
         }
         assertTrue(
--- a/src/test/java/io/indigoreach/core/scheduling/WaitCheck.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WaitCheck.java
@@ -25,7 +25,7 @@
         List<String> broken = new ArrayList<>();
         Map<JobId, Wait> next = new HashMap<>();
         for (Job job : core.jobs()) {
-            Optional<WaitReason> reason = core.waitReason(job, SimulatedWorld.at(now));
+            Optional<WaitReason> reason = core.waitReason(job, SchedulerFixture.atSeconds(now));
             effects.waits(job, reason.orElse(null));
             if (reason.isEmpty() == job.hasWaiting()) {
                 broken.add(now + ": " + job.id() + " has " + job.waitingCount() + " tasks waiting for " + reason);
--- a/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
@@ -40,81 +40,81 @@
 
 /** Simulates warm pools around the real scheduler core, pool planner and meter in steps of one second. */
 final class WarmPoolHarness implements SchedulerListener {
-    static final String MODEL = "weights-1";
-    private static final int BEGIN = 1000;
+    static final String MODEL_IMAGE = "weights-1";
+    private static final int FIRST_STEP_S = 1000;
 
     /** A task on a simulated machine. */
-    private static final class Task {
+    private static final class SimulatedTask {
         final WorkerCommand.Start start;
         final JobSpec spec;
         TaskState state = TaskState.FETCHING;
-        int ends = Integer.MAX_VALUE;
+        int endsAt = Integer.MAX_VALUE;
 
-        Task(WorkerCommand.Start start, JobSpec spec) {
+        SimulatedTask(WorkerCommand.Start start, JobSpec spec) {
             this.start = start;
             this.spec = spec;
         }
     }
 
     /** A simulated machine with its actual cache, the least recently used image first. */
-    static final class Box {
+    static final class SimulatedMachine {
         final MachinePool pool;
-        final int rented;
-        final int up;
-        long session = 1;
+        final int rentedAt;
+        final int upAt;
+        long incarnation = 1;
         final Map<String, Double> cache = new LinkedHashMap<>();
-        final Map<TaskId, Task> tasks = new LinkedHashMap<>();
-        String fetching;
-        int fetched;
+        final Map<TaskId, SimulatedTask> tasks = new LinkedHashMap<>();
+        String fetchingImage;
+        int fetchedAt;
 
-        Box(MachinePool pool, int rented, int up) {
+        SimulatedMachine(MachinePool pool, int rentedAt, int upAt) {
             this.pool = pool;
-            this.rented = rented;
-            this.up = up;
+            this.rentedAt = rentedAt;
+            this.upAt = upAt;
         }
     }
 
     final MachineType type;
-    final Map<String, Box> boxes = new TreeMap<>();
+    final Map<String, SimulatedMachine> machines = new TreeMap<>();
     final Map<MachinePool, Integer> capacity = new HashMap<>();
     final Map<String, PoolSpec> pools = new TreeMap<>();
-    final Map<JobId, Job> open = new TreeMap<>();
-    final Map<JobId, List<Integer>> began = new TreeMap<>();
-    final List<String> said = new ArrayList<>();
+    final Map<JobId, Job> openJobs = new TreeMap<>();
+    final Map<JobId, List<Integer>> startSteps = new TreeMap<>();
+    final List<String> logLines = new ArrayList<>();
     /** The accounts' pages that are stored in the state service. */
-    final Map<Integer, Sheet> sheets = new TreeMap<>();
+    final Map<Integer, Sheet> storedPages = new TreeMap<>();
 
     List<Team> teams = List.of(new Team("t", 0, 0, 0, 0), new Team("g", 0, 0, 0, 0));
     SchedulerCore core;
-    PoolPlanner plan;
+    PoolPlanner planner;
     Meter meter;
-    double bill;
-    int rents;
+    double returnedMachineCost;
+    int rentedCount;
     int now;
     /** Steps between writes of the accounts' pages to the state service. */
-    int writesEvery = 1;
+    int pageWritePeriod = 1;
     /** The zone whose machines do not report, or null. */
-    String silent;
+    String silentZone;
 
     EffectListener effects = EffectListener.NONE;
 
     private long token;
-    private long serial;
-    private int names;
-    private int jobs;
-    private final List<ScaleOutRequest> asked = new ArrayList<>();
+    private long heartbeatCount;
+    private int machineNameCount;
+    private int jobCount;
+    private final List<ScaleOutRequest> requests = new ArrayList<>();
 
-    WarmPoolHarness(double cacheGb, int perZone) {
+    WarmPoolHarness(double cacheGb, int capacityPerZone) {
         type = new MachineType(
                 "big", new Demand(8, 0, 64), cacheGb, 1.0, 3.6, 1.2, Span.seconds(20), List.of("east", "west"));
         for (String zone : type.zones()) {
-            capacity.put(new MachinePool("big", zone, true), perZone);
-            capacity.put(new MachinePool("big", zone, false), perZone);
+            capacity.put(new MachinePool("big", zone, true), capacityPerZone);
+            capacity.put(new MachinePool("big", zone, false), capacityPerZone);
         }
-        newLeader();
+        startNewLeader();
     }
 
-    static PoolSpec pool(String name, String image, double gb, int least, int most, BurstWindow... windows) {
+    static PoolSpec poolSpec(String name, String image, double gb, int minimum, int maximum, BurstWindow... windows) {
         return new PoolSpec(
                 name,
                 "t",
@@ -124,8 +124,8 @@
                 List.of("big"),
                 List.of(),
                 0.5,
-                least,
-                most,
+                minimum,
+                maximum,
                 0.95,
                 List.of(windows),
                 false,
@@ -133,65 +133,65 @@
                 false);
     }
 
-    static PoolSpec spot(PoolSpec p) {
+    static PoolSpec withSpot(PoolSpec spec) {
         return new PoolSpec(
-                p.name(),
-                p.team(),
-                p.image(),
-                p.gb(),
-                p.replica(),
-                p.types(),
-                p.zones(),
-                p.zonePart(),
-                p.least(),
-                p.most(),
-                p.wanted(),
-                p.windows(),
-                p.learned(),
-                p.budget(),
+                spec.name(),
+                spec.team(),
+                spec.image(),
+                spec.gb(),
+                spec.replica(),
+                spec.types(),
+                spec.zones(),
+                spec.zonePart(),
+                spec.least(),
+                spec.most(),
+                spec.wanted(),
+                spec.windows(),
+                spec.learned(),
+                spec.budget(),
                 true);
     }
 
-    static PoolSpec budget(PoolSpec p, double budget) {
+    static PoolSpec withBudget(PoolSpec spec, double budget) {
         return new PoolSpec(
-                p.name(),
-                p.team(),
-                p.image(),
-                p.gb(),
-                p.replica(),
-                p.types(),
-                p.zones(),
-                p.zonePart(),
-                p.least(),
-                p.most(),
-                p.wanted(),
-                p.windows(),
-                p.learned(),
+                spec.name(),
+                spec.team(),
+                spec.image(),
+                spec.gb(),
+                spec.replica(),
+                spec.types(),
+                spec.zones(),
+                spec.zonePart(),
+                spec.least(),
+                spec.most(),
+                spec.wanted(),
+                spec.windows(),
+                spec.learned(),
                 budget,
-                p.spot());
+                spec.spot());
     }
 
     /** Adds a pool and submits its holder job with one task for each machine. */
-    Job keep(PoolSpec p) {
-        pools.put(p.name(), p);
-        plan.pools(pools.values(), n -> new DemandHistory());
-        return submit(JobSpec.builder(new JobId("run-" + ++jobs))
+    Job addPool(PoolSpec spec) {
+        pools.put(spec.name(), spec);
+        planner.pools(pools.values(), n -> new DemandHistory());
+        return submit(JobSpec.builder(new JobId("run-" + ++jobCount))
                 .jobClass("hold")
-                .team(p.team())
+                .team(spec.team())
                 .kind(JobKind.SERVICE)
                 .urgency(Urgency.STANDARD)
-                .tasks(p.most())
+                .tasks(spec.most())
                 .demand(new Demand(0.01, 0, 0.1))
-                .image(p.image())
-                .imageGb(p.gb())
+                .image(spec.image())
+                .imageGb(spec.gb())
                 .spotAllowed()
                 .build()
-                .with(JobSpec.WARM, p.name()));
+                .with(JobSpec.WARM, spec.name()));
     }
 
     /** Submits a service whose replicas take whole machines. */
-    Job serve(String image, double gb, int replicas) {
-        return submit(JobSpec.builder(new JobId("run-" + ++jobs))
+    Job submitService(String image, double gb, int replicas) {
+        return submit(JobSpec.builder(new JobId("run-" + ++jobCount))
                 .jobClass("serve")
                 .team("t")
                 .kind(JobKind.SERVICE)
@@ -205,8 +205,8 @@
     }
 
     /** Submits an array job of another team. */
-    Job array(String image, double gb, int tasks, double cores, int run) {
-        return submit(JobSpec.builder(new JobId("run-" + ++jobs))
+    Job submitArray(String image, double gb, int tasks, double cores, int runSeconds) {
+        return submit(JobSpec.builder(new JobId("run-" + ++jobCount))
                 .jobClass("guest")
                 .team("g")
                 .kind(JobKind.ARRAY)
@@ -216,43 +216,48 @@
                 .image(image)
                 .imageGb(gb)
                 .spotAllowed()
-                .estimate(Span.seconds(run))
+                .estimate(Span.seconds(runSeconds))
                 .build());
     }
 
     private Job submit(JobSpec spec) {
-        Job job = new Job(spec, at(now).ms(), at(now), new Revision(jobs), new BitSet(), 0, false);
-        open.put(job.id(), job);
-        began.put(job.id(), new ArrayList<>());
+        Job job = new Job(spec, atStep(now).ms(), atStep(now), new Revision(jobCount), new BitSet(), 0, false);
+        openJobs.put(job.id(), job);
+        startSteps.put(job.id(), new ArrayList<>());
         core.addJob(job);
         return job;
     }
 
     void cancel(Job job) {
-        open.remove(job.id());
+        openJobs.remove(job.id());
         core.cancelJob(job.id());
     }
 
-    static Moment at(int step) {
-        return new Moment((BEGIN + step) * 1000L);
+    static Moment atStep(int step) {
+        return new Moment((FIRST_STEP_S + step) * 1000L);
     }
 
     /** Replaces the leader with a new one that knows the jobs, the recorded machines, and the accounts' pages. */
-    void newLeader() {
+    void startNewLeader() {
         core = new SchedulerCore(
                 new FencingToken(++token),
-                SimulatedWorld.RULES,
-                CoreHarness.STANDARD,
-                SimulatedWorld.NO_AIMS,
+                SchedulerFixture.SAFETY_TIMES,
+                CoreHarness.SETTINGS,
+                SchedulerFixture.NO_OBJECTIVES,
                 teams,
                 this);
         core.setTypes(List.of(type));
-        boxes.forEach((name, box) -> {
-            if (box.up <= now) {
-                core.inheritMachine(new MachineId(name), box.pool, at(box.rented), at(box.rented), at(now));
+        machines.forEach((name, simulatedMachine) -> {
+            if (simulatedMachine.upAt <= now) {
+                core.inheritMachine(
+                        new MachineId(name),
+                        simulatedMachine.pool,
+                        atStep(simulatedMachine.rentedAt),
+                        atStep(simulatedMachine.rentedAt),
+                        atStep(now));
             }
         });
-        open.replaceAll((id, job) -> new Job(
+        openJobs.replaceAll((id, job) -> new Job(
                 job.spec(),
                 job.submittedMs(),
                 job.eligibleSince,
@@ -260,30 +265,30 @@
                 job.completedTasks(),
                 job.startBoundToWrite(),
                 true));
-        open.values().forEach(core::addJob);
+        openJobs.values().forEach(core::addJob);
         core.recordsLoaded();
-        plan = new PoolPlanner(teams, () -> List.of(type), CoreHarness.STANDARD.term(), Moment::ms, said::add);
-        meter = new Meter(CoreHarness.STANDARD.minimumPaidTime().ms());
-        core.useWarmCapacity(plan);
-        plan.pools(pools.values(), n -> new DemandHistory());
-        sheets.forEach((n, sheet) -> meter.recall(n, sheet, this::price));
-        plan.recall(meter.lines(), at(now));
+        planner = new PoolPlanner(teams, () -> List.of(type), CoreHarness.SETTINGS.term(), Moment::ms, logLines::add);
+        meter = new Meter(CoreHarness.SETTINGS.minimumPaidTime().ms());
+        core.useWarmCapacity(planner);
+        planner.pools(pools.values(), page -> new DemandHistory());
+        storedPages.forEach((page, sheet) -> meter.recall(page, sheet, this::price));
+        planner.recall(meter.lines(), atStep(now));
         // The machine listing of the cloud also contains booting machines.
-        core.onMachineListing(listed(), at(now), at(now));
+        core.onMachineListing(listMachines(), atStep(now), atStep(now));
     }
 
-    private List<ListedMachine> listed() {
-        return new ArrayList<>(boxes.entrySet().stream()
+    private List<ListedMachine> listMachines() {
+        return new ArrayList<>(machines.entrySet().stream()
                 .map(e -> new ListedMachine(
                         new MachineId(e.getKey()),
                         e.getValue().pool,
                         ListedMachine.Status.RUNNING,
-                        Span.seconds(now - e.getValue().rented)))
+                        Span.seconds(now - e.getValue().rentedAt)))
                 .toList());
     }
 
-    private double price(MachinePool where) {
-        return where.spot() ? type.spotPrice() : type.price();
+    private double price(MachinePool pool) {
+        return pool.spot() ? type.spotPrice() : type.price();
     }
 
     WarmPoolHarness run(int steps) {
@@ -300,218 +305,229 @@
     }
 
     private void step() {
-        core.expireLeases(at(now));
+        core.expireLeases(atStep(now));
         if (now % 2 == 0) {
-            tend();
+            planCapacity();
         }
-        List<Job> toRaise = core.startBoundsToRaise(at(now));
+        List<Job> toRaise = core.startBoundsToRaise(atStep(now));
         effects.boundsToRaise(toRaise);
         for (Job job : toRaise) {
             job.startBoundRecorded(job.startBoundToWrite());
         }
-        int n = 0;
-        for (Map.Entry<String, Box> e : boxes.entrySet()) {
-            if (e.getValue().up <= now) {
-                work(e.getValue());
-                if (!e.getValue().pool.zone().equals(silent) && n++ % 2 == now % 2) {
-                    report(e.getKey(), e.getValue());
+        int reporting = 0;
+        for (Map.Entry<String, SimulatedMachine> entry : machines.entrySet()) {
+            if (entry.getValue().upAt <= now) {
+                runTasks(entry.getValue());
+                if (!entry.getValue().pool.zone().equals(silentZone) && reporting++ % 2 == now % 2) {
+                    sendHeartbeat(entry.getKey(), entry.getValue());
                 }
             }
         }
-        for (Iterator<Job> i = open.values().iterator(); i.hasNext(); ) {
-            Job job = i.next();
+        for (Iterator<Job> jobIterator = openJobs.values().iterator(); jobIterator.hasNext(); ) {
+            Job job = jobIterator.next();
             job.completionsRecorded(job.completedTasks());
             if (job.isComplete()) {
                 effects.effect(EffectListener.JOB_ENDED, job.id().text());
                 core.closeJob(job.id());
-                i.remove();
+                jobIterator.remove();
             }
         }
-        look();
+        meterMachines();
         now++;
     }
 
-    private void tend() {
-        List<ScaleOutRequest> wishes = core.scaleOutRequests(at(now));
-        effects.rents(wishes);
-        for (ScaleOutRequest request : wishes) {
-            asked.add(request);
-            int got = (int) Math.min(
+    private void planCapacity() {
+        List<ScaleOutRequest> newRequests = core.scaleOutRequests(atStep(now));
+        effects.rents(newRequests);
+        for (ScaleOutRequest request : newRequests) {
+            requests.add(request);
+            int granted = (int) Math.min(
                     request.count(),
                     capacity.get(request.pool())
-                            - boxes.values().stream()
+                            - machines.values().stream()
                                     .filter(b -> b.pool.equals(request.pool()))
                                     .count());
-            if (got < request.count()) {
-                core.scaleOutRejected(request.pool(), at(now));
+            if (granted < request.count()) {
+                core.scaleOutRejected(request.pool(), atStep(now));
             }
             List<MachineId> ids = new ArrayList<>();
-            for (int i = 0; i < got; i++) {
-                ids.add(new MachineId(String.format("m%05d", ++names)));
-                boxes.put(
+            for (int i = 0; i < granted; i++) {
+                ids.add(new MachineId(String.format("m%05d", ++machineNameCount)));
+                machines.put(
                         ids.get(i).toString(),
-                        new Box(request.pool(), now, now + (int) type.boot().seconds()));
-                rents++;
+                        new SimulatedMachine(
+                                request.pool(), now, now + (int) type.boot().seconds()));
+                rentedCount++;
             }
-            core.rented(request.pool(), ids, at(now), at(now));
+            core.rented(request.pool(), ids, atStep(now), atStep(now));
         }
-        core.planScaleIn(at(now));
-        List<MachineId> leaving = core.machinesToReturn(100);
-        effects.returns(leaving);
-        leaving.forEach(id -> end(id.toString()));
-        core.returned(leaving, at(now));
+        core.planScaleIn(atStep(now));
+        List<MachineId> returned = core.machinesToReturn(100);
+        effects.returns(returned);
+        returned.forEach(id -> removeMachine(id.toString()));
+        core.returned(returned, atStep(now));
     }
 
     /** Removes a machine and adds its cost to the bill. */
-    void end(String name) {
-        Box box = boxes.remove(name);
-        if (box != null) {
-            bill += price(box.pool) * Math.max(60, now - box.rented) / 3600;
+    void removeMachine(String name) {
+        SimulatedMachine simulatedMachine = machines.remove(name);
+        if (simulatedMachine != null) {
+            returnedMachineCost += price(simulatedMachine.pool) * Math.max(60, now - simulatedMachine.rentedAt) / 3600;
         }
     }
 
     /** Returns what the cloud has charged until now. */
-    double charged() {
-        return bill
-                + boxes.values().stream()
-                        .mapToDouble(b -> price(b.pool) * (now - b.rented) / 3600)
+    double totalCharge() {
+        return returnedMachineCost
+                + machines.values().stream()
+                        .mapToDouble(b -> price(b.pool) * (now - b.rentedAt) / 3600)
                         .sum();
     }
 
     /** Preempts every second spot machine without notice. */
-    void wave() {
-        int n = 0;
-        for (String name : new ArrayList<>(boxes.keySet())) {
-            if (boxes.get(name).pool.spot() && n++ % 2 == 0) {
-                MachinePool where = boxes.get(name).pool;
-                end(name);
-                List<ListedMachine> list = listed();
-                list.add(new ListedMachine(new MachineId(name), where, ListedMachine.Status.FAILED, Span.ZERO));
-                core.onMachineListing(list, at(now), at(now));
+    void preemptSpotMachines() {
+        int index = 0;
+        for (String name : new ArrayList<>(machines.keySet())) {
+            if (machines.get(name).pool.spot() && index++ % 2 == 0) {
+                MachinePool pool = machines.get(name).pool;
+                removeMachine(name);
+                List<ListedMachine> listing = listMachines();
+                listing.add(new ListedMachine(new MachineId(name), pool, ListedMachine.Status.FAILED, Span.ZERO));
+                core.onMachineListing(listing, atStep(now), atStep(now));
             }
         }
     }
 
-    private void work(Box box) {
-        if (box.fetching != null && now >= box.fetched) {
-            String image = box.fetching;
-            box.fetching = null;
-            double gb = box.tasks.values().stream()
-                    .filter(t -> t.spec.image().equals(image))
+    private void runTasks(SimulatedMachine simulatedMachine) {
+        if (simulatedMachine.fetchingImage != null && now >= simulatedMachine.fetchedAt) {
+            String image = simulatedMachine.fetchingImage;
+            simulatedMachine.fetchingImage = null;
+            double gb = simulatedMachine.tasks.values().stream()
+                    .filter(task -> task.spec.image().equals(image))
                     .findFirst()
                     .orElseThrow()
                     .spec
                     .imageGb();
-            box.cache.put(image, gb);
-            for (Iterator<Map.Entry<String, Double>> i = box.cache.entrySet().iterator();
-                    i.hasNext()
-                            && box.cache.values().stream().mapToDouble(d -> d).sum() > type.cacheGb(); ) {
-                if (!i.next().getKey().equals(image)) {
-                    i.remove();
+            simulatedMachine.cache.put(image, gb);
+            for (Iterator<Map.Entry<String, Double>> imageIterator =
+                            simulatedMachine.cache.entrySet().iterator();
+                    imageIterator.hasNext()
+                            && simulatedMachine.cache.values().stream()
+                                            .mapToDouble(d -> d)
+                                            .sum()
+                                    > type.cacheGb(); ) {
+                if (!imageIterator.next().getKey().equals(image)) {
+                    imageIterator.remove();
                 }
             }
         }
-        for (Task t : box.tasks.values()) {
-            if (t.state == TaskState.FETCHING && box.cache.containsKey(t.spec.image())) {
-                t.state = TaskState.RUNNING;
-                t.ends = t.spec.isService()
+        for (SimulatedTask task : simulatedMachine.tasks.values()) {
+            if (task.state == TaskState.FETCHING && simulatedMachine.cache.containsKey(task.spec.image())) {
+                task.state = TaskState.RUNNING;
+                task.endsAt = task.spec.isService()
                         ? Integer.MAX_VALUE
-                        : now + (int) t.spec.estimate().seconds();
-                began.get(t.spec.id()).add(now);
-            } else if (t.state == TaskState.FETCHING && box.fetching == null) {
-                box.fetching = t.spec.image();
-                box.fetched = now + (int) Math.ceil(t.spec.imageGb() / type.fetchGbPerS());
-            } else if (t.state == TaskState.RUNNING && now >= t.ends) {
-                t.state = TaskState.EXITED;
+                        : now + (int) task.spec.estimate().seconds();
+                startSteps.get(task.spec.id()).add(now);
+            } else if (task.state == TaskState.FETCHING && simulatedMachine.fetchingImage == null) {
+                simulatedMachine.fetchingImage = task.spec.image();
+                simulatedMachine.fetchedAt = now + (int) Math.ceil(task.spec.imageGb() / type.fetchGbPerS());
+            } else if (task.state == TaskState.RUNNING && now >= task.endsAt) {
+                task.state = TaskState.EXITED;
             }
         }
     }
 
-    private void report(String name, Box box) {
-        List<TaskStatus> list = new ArrayList<>();
-        box.tasks
+    private void sendHeartbeat(String name, SimulatedMachine simulatedMachine) {
+        List<TaskStatus> statuses = new ArrayList<>();
+        simulatedMachine
+                .tasks
                 .values()
-                .forEach(t -> list.add(
+                .forEach(t -> statuses.add(
                         t.state == TaskState.EXITED
-                                ? SimulatedWorld.exited(t.start, ExitCause.DONE)
+                                ? SchedulerFixture.exitedStatus(t.start, ExitCause.DONE)
                                 : new TaskStatus(t.start.task(), t.start.attempt(), t.state, null, false)));
         Heartbeat heartbeat = new Heartbeat(
                 new MachineId(name),
                 "10.0.0.1:1",
-                box.pool,
-                new HeartbeatNumber(box.session, ++serial),
+                simulatedMachine.pool,
+                new HeartbeatNumber(simulatedMachine.incarnation, ++heartbeatCount),
                 new FencingToken(token),
                 null,
-                list);
-        List<WorkerCommand> orders =
-                new ArrayList<>(core.onHeartbeat(heartbeat, at(now)).commands());
+                statuses);
+        List<WorkerCommand> commands =
+                new ArrayList<>(core.onHeartbeat(heartbeat, atStep(now)).commands());
         if (core.unrecorded(new MachineId(name)).isPresent()) {
             core.recorded(new MachineId(name));
-            orders.addAll(core.startTasks(new MachineId(name), heartbeat.number(), at(now)));
+            commands.addAll(core.startTasks(new MachineId(name), heartbeat.number(), atStep(now)));
         }
-        effects.answer(heartbeat.machine(), new HeartbeatResult.Commands(orders), core.mayAnswer(heartbeat.machine()));
-        for (WorkerCommand command : orders) {
-            if (command instanceof WorkerCommand.Start s) {
-                Job job = open.get(command.task().job());
-                double used = box.tasks.values().stream()
+        effects.answer(
+                heartbeat.machine(), new HeartbeatResult.Commands(commands), core.mayAnswer(heartbeat.machine()));
+        for (WorkerCommand command : commands) {
+            if (command instanceof WorkerCommand.Start start) {
+                Job job = openJobs.get(command.task().job());
+                double usedCores = simulatedMachine.tasks.values().stream()
                         .filter(t -> t.state != TaskState.EXITED)
                         .mapToDouble(t -> t.spec.demand().cores())
                         .sum();
-                if (used + job.spec().demand().cores() > type.capacity().cores() + 1e-6) {
+                if (usedCores + job.spec().demand().cores() > type.capacity().cores() + 1e-6) {
                     throw new AssertionError("started " + command.task() + " without free cores on " + name);
                 }
-                Task task = new Task(s, job.spec());
-                box.tasks.put(command.task(), task);
-                Double held = box.cache.remove(job.spec().image());
-                if (held != null) {
-                    box.cache.put(job.spec().image(), held);
+                SimulatedTask task = new SimulatedTask(start, job.spec());
+                simulatedMachine.tasks.put(command.task(), task);
+                Double cachedGb = simulatedMachine.cache.remove(job.spec().image());
+                if (cachedGb != null) {
+                    simulatedMachine.cache.put(job.spec().image(), cachedGb);
                 }
             } else {
-                Task gone = box.tasks.remove(command.task());
-                if (gone != null
-                        && gone.spec.image().equals(box.fetching)
-                        && box.tasks.values().stream()
-                                .noneMatch(t -> t.spec.image().equals(gone.spec.image()))) {
-                    box.fetching = null;
+                SimulatedTask removed = simulatedMachine.tasks.remove(command.task());
+                if (removed != null
+                        && removed.spec.image().equals(simulatedMachine.fetchingImage)
+                        && simulatedMachine.tasks.values().stream()
+                                .noneMatch(t -> t.spec.image().equals(removed.spec.image()))) {
+                    simulatedMachine.fetchingImage = null;
                 }
             }
         }
     }
 
-    private void look() {
-        List<Meter.Look> looks = new ArrayList<>();
+    private void meterMachines() {
+        List<Meter.Look> observations = new ArrayList<>();
         for (Machine machine : core.machines()) {
-            boolean in = machine.poolMembership() != null
+            boolean inPool = machine.poolMembership() != null
                     && !machine.poolMembership().isEnded();
-            looks.add(new Meter.Look(
+            observations.add(new Meter.Look(
                     machine.id(),
                     machine.pool(),
                     machine.rentedAt().ms(),
-                    in ? new Account(machine.poolMembership().pool(), "t") : new Account("", ""),
-                    in ? machine.poolMembership().image() : "",
-                    in ? machine.poolMembership().imageGb() : 0,
-                    in && machine.imageCache().isCached(machine.poolMembership().image()) ? machine.incarnation() : 0,
+                    inPool ? new Account(machine.poolMembership().pool(), "t") : new Account("", ""),
+                    inPool ? machine.poolMembership().image() : "",
+                    inPool ? machine.poolMembership().imageGb() : 0,
+                    inPool
+                                    && machine.imageCache()
+                                            .isCached(machine.poolMembership().image())
+                            ? machine.incarnation()
+                            : 0,
                     machine.coresByTeam(),
                     8,
                     price(machine.pool()),
                     machine.phase() == Machine.Phase.RETURNING));
         }
-        meter.look(looks, at(now).ms());
-        for (int page : now % writesEvery == 0 ? meter.behind(now % 20 == 0) : List.<Integer>of()) {
-            Sheet next = meter.next(page, sheets.getOrDefault(page, Sheet.EMPTY));
-            effects.page(page, next);
-            sheets.put(page, next);
-            meter.written(page, next);
+        meter.look(observations, atStep(now).ms());
+        for (int page : now % pageWritePeriod == 0 ? meter.behind(now % 20 == 0) : List.<Integer>of()) {
+            Sheet newPage = meter.next(page, storedPages.getOrDefault(page, Sheet.EMPTY));
+            effects.page(page, newPage);
+            storedPages.put(page, newPage);
+            meter.written(page, newPage);
         }
         for (Machine machine : core.machines()) {
             if (!meter.isRecordedInPool(machine.id())) {
-                plan.released(machine);
+                planner.released(machine);
             }
         }
-        Map<String, Double> spent = new HashMap<>();
-        meter.sums().forEach((account, money) -> spent.merge(account.pool(), money, Double::sum));
-        spent.forEach(plan::spent);
-        plan.told()
+        Map<String, Double> spentByPool = new HashMap<>();
+        meter.sums().forEach((account, money) -> spentByPool.merge(account.pool(), money, Double::sum));
+        spentByPool.forEach(planner::spent);
+        planner.told()
                 .forEach(t -> effects.effect(
                         EffectListener.POOL,
                         t.pool(),
@@ -527,20 +543,21 @@
     /**
      * Asserts that every image which the leader believes to be cached by a pool's machine is in the machine's cache.
      */
-    void truthful() {
+    void assertCachesMatch() {
         for (Machine machine : core.machines()) {
-            Box box = boxes.get(machine.id().toString());
-            if (box != null
+            SimulatedMachine simulatedMachine = machines.get(machine.id().toString());
+            if (simulatedMachine != null
                     && machine.poolMembership() != null
                     && machine.imageCache().isCached(machine.poolMembership().image())
-                    && !box.cache.containsKey(machine.poolMembership().image())) {
+                    && !simulatedMachine.cache.containsKey(
+                            machine.poolMembership().image())) {
                 throw new AssertionError("at " + now + " " + machine.id() + " should have cached "
-                        + machine.poolMembership().image() + " but has " + box.cache.keySet());
+                        + machine.poolMembership().image() + " but has " + simulatedMachine.cache.keySet());
             }
         }
     }
 
-    long machines(String pool) {
+    long poolMachineCount(String pool) {
         return core.machines().stream()
                 .filter(machine -> machine.poolMembership() != null
                         && !machine.poolMembership().isEnded()
@@ -549,19 +566,21 @@
     }
 
     /** Returns how many machines actually have the image cached. */
-    long holding(String image) {
-        return boxes.values().stream().filter(b -> b.cache.containsKey(image)).count();
+    long machinesWithImage(String image) {
+        return machines.values().stream()
+                .filter(b -> b.cache.containsKey(image))
+                .count();
     }
 
     /**
      * Returns the sorted seconds from {@code from} until each task of the job began, without tasks that never began.
      */
-    List<Integer> waits(Job job, int from) {
-        return began.get(job.id()).stream().map(t -> t - from).sorted().toList();
+    List<Integer> startDelays(Job job, int from) {
+        return startSteps.get(job.id()).stream().map(t -> t - from).sorted().toList();
     }
 
-    List<ScaleOutRequest> asked() {
-        return asked;
+    List<ScaleOutRequest> requests() {
+        return requests;
     }
 
     @Override
--- a/src/test/java/io/indigoreach/core/scheduling/WarmPoolMeasurement.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolMeasurement.java
@@ -15,80 +15,82 @@
  */
 @EnabledIfSystemProperty(named = "warm.measure", matches = "1")
 class WarmPoolMeasurement {
-    private static final int HOUR = 3600;
+    private static final int HOUR_STEPS = 3600;
     /** Step in which the burst comes. The simulation begins at 00:16:40, and the window opens one minute earlier. */
-    private static final int BURST = 800 + 60;
+    private static final int BURST_STEP = 800 + 60;
 
-    private static final int LASTS = 600;
+    private static final int BURST_STEPS = 600;
 
     @Test
     void measure() {
         for (int machines : new int[] {100, 1000}) {
             for (double gb : new double[] {10, 40, 140}) {
-                for (String way : List.of("none", "pool", "all")) {
-                    one(machines, gb, way);
+                for (String mode : List.of("none", "pool", "all")) {
+                    measureBurst(machines, gb, mode);
                 }
             }
         }
     }
 
     /** Simulates an hour with one burst of replicas for about 40 % of the machines, beside another team's jobs. */
-    private static void one(int machines, double gb, String way) {
-        double mean = machines * 0.4;
-        int replicas = poisson(new SplittableRandom(machines + (long) gb), mean);
-        WarmPoolHarness w = new WarmPoolHarness(200, machines / 2);
-        if (!way.equals("none")) {
-            boolean all = way.equals("all");
-            w.keep(WarmPoolHarness.pool(
+    private static void measureBurst(int machines, double gb, String mode) {
+        double meanReplicas = machines * 0.4;
+        int replicas = poisson(new SplittableRandom(machines + (long) gb), meanReplicas);
+        WarmPoolHarness harness = new WarmPoolHarness(200, machines / 2);
+        if (!mode.equals("none")) {
+            boolean wholeFleet = mode.equals("all");
+            harness.addPool(WarmPoolHarness.poolSpec(
                     "p",
-                    WarmPoolHarness.MODEL,
+                    WarmPoolHarness.MODEL_IMAGE,
                     gb,
-                    all ? machines : machines / 50,
+                    wholeFleet ? machines : machines / 50,
                     machines,
-                    all ? new BurstWindow[0] : new BurstWindow[] {new BurstWindow(30, 40, mean)}));
+                    wholeFleet ? new BurstWindow[0] : new BurstWindow[] {new BurstWindow(30, 40, meanReplicas)}));
         }
         for (int minute = 0; minute < 60; minute++) {
             if (minute % 5 == 0) {
-                w.array("guest", 5, machines / 5, 2, 60);
+                harness.submitArray("guest", 5, machines / 5, 2, 60);
             }
-            if (minute * 60 + 20 == BURST - BURST % 60 + 20) {
-                w.run(BURST - w.now);
-                Job burst = w.serve(WarmPoolHarness.MODEL, gb, replicas);
-                w.run(LASTS);
-                List<Integer> waits = w.waits(burst, BURST);
-                w.cancel(burst);
-                int n = waits.size();
+            if (minute * 60 + 20 == BURST_STEP - BURST_STEP % 60 + 20) {
+                harness.run(BURST_STEP - harness.now);
+                Job burst = harness.submitService(WarmPoolHarness.MODEL_IMAGE, gb, replicas);
+                harness.run(BURST_STEPS);
+                List<Integer> startDelays = harness.startDelays(burst, BURST_STEP);
+                harness.cancel(burst);
+                int started = startDelays.size();
                 System.out.printf(
                         Locale.ROOT,
                         "%5d %5.0f GB %-5s replicas %4d began %4d: median %4s s, 99th %4s s",
                         machines,
                         gb,
-                        way,
+                        mode,
                         replicas,
-                        n,
-                        n < (replicas + 1) / 2 ? "-" : waits.get((replicas + 1) / 2 - 1),
-                        n < Math.ceil(replicas * 0.99) ? "-" : waits.get((int) Math.ceil(replicas * 0.99) - 1));
+                        started,
+                        started < (replicas + 1) / 2 ? "-" : startDelays.get((replicas + 1) / 2 - 1),
+                        started < Math.ceil(replicas * 0.99)
+                                ? "-"
+                                : startDelays.get((int) Math.ceil(replicas * 0.99) - 1));
             }
-            w.run(Math.max(0, (minute + 1) * 60 - w.now));
+            harness.run(Math.max(0, (minute + 1) * 60 - harness.now));
         }
-        w.run(HOUR - w.now);
-        Map<Account, Double> sums = w.meter.sums();
-        String hits = w.plan.told().isEmpty()
+        harness.run(HOUR_STEPS - harness.now);
+        Map<Account, Double> sums = harness.meter.sums();
+        String hits = harness.planner.told().isEmpty()
                 ? ""
                 : String.format(
                         Locale.ROOT,
                         " hits %.3f",
-                        w.plan.told().get(0).hits()
+                        harness.planner.told().get(0).hits()
                                 / Math.max(
                                         1.0,
-                                        (double) w.plan.told().get(0).hits()
-                                                + w.plan.told().get(0).misses()));
+                                        (double) harness.planner.told().get(0).hits()
+                                                + harness.planner.told().get(0).misses()));
         System.out.printf(
                 Locale.ROOT,
                 "%s; metered cost %.2f of %.2f charged: pool %.2f, its team on other machines %.2f, other team %.2f, idle %.2f%n",
                 hits,
                 sums.values().stream().mapToDouble(d -> d).sum(),
-                w.charged(),
+                harness.totalCharge(),
                 sum(sums, "p", "t"),
                 sum(sums, "", "t"),
                 sum(sums, "p", "g") + sum(sums, "", "g"),
@@ -100,10 +102,10 @@
     }
 
     private static int poisson(SplittableRandom random, double mean) {
-        int n = 0;
-        for (double t = random.nextExponential(); t < mean; t += random.nextExponential()) {
-            n++;
+        int count = 0;
+        for (double time = random.nextExponential(); time < mean; time += random.nextExponential()) {
+            count++;
         }
-        return n;
+        return count;
     }
 }
