--- a/src/main/java/io/indigoreach/core/scheduling/ScaleOutTrigger.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleOutTrigger.java
@@ -6,7 +6,7 @@
 import io.indigoreach.core.model.Urgency;
 import java.util.Optional;
 
-/** When a queue scales out, and when a job no longer waits for spot machines. */
+/** Decides when a queue scales out, and when a job stops waiting for spot machines. */
 final class ScaleOutTrigger {
     private final DispatchRules rules;
     private final Estimates estimates;
@@ -20,7 +20,7 @@
         this.jobSizer = jobSizer;
     }
 
-    /** Whether the top job has no place or waits too long for one, or another job behind it does. */
+    /** Returns whether the top job has no place or waits too long for one, or a job behind it waits too long. */
     boolean mustScaleOut(FairShareQueue queue, Job topJob, Moment now) {
         Moment predictedStart =
                 rules.reservations().reservationOf(queue, topJob, now).lastStart();
@@ -29,7 +29,10 @@
                 || queue.jobs().stream().anyMatch(job -> hasWaitedTooLong(job, now) || wouldBootTooLate(job, now));
     }
 
-    /** Behind an urgent job that is served at once others may wait for ever: their wait is past the limit, not predicted. */
+    /**
+     * Compares the actual wait of a job with the limit, because jobs behind an urgent job that is served at once could
+     * otherwise wait for ever.
+     */
     private boolean hasWaitedTooLong(Job job, Moment now) {
         return job.hasStartable()
                 && !job.isSuspectedFaulty()
@@ -38,9 +41,9 @@
     }
 
     /**
-     * Another exception (the paper's section 3 rents when the top job's predicted wait passes the limit): planned work is
-     * submitted as late as its prediction allows, a boot included. Behind a top job that is served soon the trigger would
-     * come only when that boot no longer fits before the departure.
+     * Extends the rule of section 3 of the paper, which rents machines when the predicted wait of the top job exceeds
+     * the limit. Planned work is submitted as late as its prediction allows, which includes a boot. Behind a top job
+     * that is served soon, that rule would scale out only when the boot no longer fits before the deadline.
      */
     private boolean wouldBootTooLate(Job job, Moment now) {
         if (!job.spec.isPlanned() || !job.hasStartable() || job.isSuspectedFaulty()) {
@@ -52,7 +55,7 @@
                 && rules.placement().mayStart(job, now);
     }
 
-    /** When a task would end on a machine that is requested after the wait limit. */
+    /** Returns when a task would end on a machine that is requested after the wait limit. */
     private Moment endOnNewMachine(Job job, MachineType type, Moment now) {
         return now.plus(type.bootTime())
                 .plus(estimates.runTime(job))
@@ -61,9 +64,9 @@
     }
 
     /**
-     * Spot machines are requested first in any case. Where none are to be had, an objective says how long the job may
-     * wait for one; without an objective that is the wait limit, or the design's rule would not hold: of 94 tasks all went
-     * one after the other over a single on-demand machine.
+     * Returns whether the job may use on-demand machines. Spot machines are always requested first; if there are none,
+     * the job waits for the spot patience of its urgency. A job without a reachable objective waits for the wait limit
+     * at most: with a longer wait, 94 tasks ran one after another on a single on-demand machine.
      */
     boolean mayUseOnDemand(Job job, Moment now) {
         Span spotPatience = job.urgency().isMoreUrgentThan(Urgency.STANDARD)
--- a/src/test/java/io/indigoreach/core/scheduling/ConsolidationPolicyTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ConsolidationPolicyTest.java
@@ -20,13 +20,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tasks are moved together when little waits: on two fleets a fifth of what was paid was idle, a task on each machine. */
+/**
+ * Tests that tasks are moved onto fewer machines while few tasks wait. Without this, two deployments paid for machines
+ * with one task each, and a fifth of the paid capacity was idle.
+ */
 class ConsolidationPolicyTest {
     private final SchedulerFixture fixture = new SchedulerFixture();
     private TaskStatus[] statusesOnA;
     private TaskStatus[] statusesOnB;
 
-    /** Three or so tasks on machine a, one on b, each of one of four cores. */
+    /**
+     * Starts {@code tasksOnA} tasks on machine a and one task on machine b, each using one of the machine's four cores.
+     */
     private void startTasks(int tasksOnA, double estimate, double checkpointEvery, boolean oneZone) {
         fixture.core.onRecordsLoaded();
         fixture.addSpotMachine("a", "east", 0);
@@ -47,13 +52,13 @@
 
     @ParameterizedTest
     @CsvSource({
-        "3, 300, 10, false, 40, 0, true,  it is moved to a",
+        "3, 300, 10, false, 40, 0, true,  the task is moved to a",
         "4, 300, 10, false, 40, 0, false, a is full",
-        "3, 300, 0,  false, 40, 0, false, it would lose its work",
-        "3, 300, 10, false, 20, 0, false, it has hardly run",
-        "3, 55,  10, false, 40, 0, false, it ends soon",
-        "3, 300, 10, true,  40, 0, false, its place depends on others",
-        "3, 300, 10, false, 40, 2, false, what waits needs the room"
+        "3, 300, 0,  false, 40, 0, false, the task would lose its progress",
+        "3, 300, 10, false, 20, 0, false, the task started recently",
+        "3, 55,  10, false, 40, 0, false, the task ends soon",
+        "3, 300, 10, true,  40, 0, false, the placement depends on other tasks",
+        "3, 300, 10, false, 40, 2, false, waiting tasks need the free cores"
     })
     void movesTaskOnlyWhenWorthwhile(
             int tasksOnA,
@@ -77,19 +82,22 @@
         assertEquals(List.of(), tasksToStop(fixture.heartbeat("a", seconds, statusesOnA)), message);
     }
 
-    /** It starts on the fuller machine, not where it came from; and is not started before it has surely stopped. */
+    /** A moved task starts on the fuller machine and not on its previous one, and only after its stop is confirmed. */
     @Test
     void movedTaskStartsOnTargetAfterItsStop() {
         startTasks(3, 300, 10, false);
         heartbeatBoth(39);
         fixture.core.planScaleIn(atSeconds(40));
         WorkerCommand stop = fixture.heartbeat("b", 40, statusesOnB).get(0);
-        assertEquals(List.of(), tasksToStart(fixture.heartbeat("a", 41, statusesOnA)), "it is still saving");
+        assertEquals(
+                List.of(),
+                tasksToStart(fixture.heartbeat("a", 41, statusesOnA)),
+                "the task is still saving its progress");
         fixture.core.planScaleIn(atSeconds(42));
         assertEquals(
                 List.of(),
                 tasksToStart(fixture.heartbeat("b", 42, exitedStatus(stop, ExitCause.STOPPED))),
-                "b is being emptied");
+                "b is being drained");
         assertEquals(List.of("run-2/0"), tasksToStart(fixture.heartbeat("a", 43, statusesOnA)));
         fixture.core.planScaleIn(atSeconds(58));
         assertEquals(
@@ -97,10 +105,10 @@
                 fixture.core.machinesToReturn(9).stream()
                         .map(MachineId::toString)
                         .toList(),
-                "returned with its term");
+                "b is returned at the end of its paid term");
     }
 
-    /** One task of four cores fits b only; five of one core are more than the three places on a that are left beside. */
+    /** A task of four cores fits only on b, and five tasks of one core exceed the three free cores of a. */
     @ParameterizedTest
     @CsvSource({"1, 1, 0", "2, 1, 0", "5, 1, 4", "1, 4, 1"})
     void idleMachineStaysCordonedWhileOthersHaveRoom(int tasks, double cores, int startedOnB) {
@@ -120,7 +128,10 @@
                 tasksToStart(fixture.heartbeat("a", 7, statusesOnA)).size());
     }
 
-    /** The replicas of the water kiosks were down longer: they could not use the room that they were left to. */
+    /**
+     * Guards against cordoning an idle machine while a service replica waits. Replicas were down longer when the
+     * machine was kept cordoned because other machines had free cores, which the replicas were not able to use.
+     */
     @Test
     void replicaStartsOnIdleMachine() {
         startTasks(1, 300, 10, false);
@@ -130,7 +141,7 @@
         assertEquals(List.of("run-3/0"), tasksToStart(fixture.heartbeatOnDemand("c", 6)));
     }
 
-    /** The machine that is given up without need goes first: an ordinary one costs four times as much. */
+    /** A surplus on-demand machine is drained before a spot machine, as it costs four times as much. */
     @Test
     void mostExpensiveMachineIsDrainedFirst() {
         startTasks(2, 300, 10, false);
@@ -141,6 +152,9 @@
         fixture.heartbeatOnDemand("c", 39, statusesOnC);
         fixture.core.planScaleIn(atSeconds(40));
         assertEquals(List.of("run-4/0"), tasksToStop(fixture.heartbeatOnDemand("c", 40, statusesOnC)));
-        assertEquals(List.of(), tasksToStop(fixture.heartbeat("b", 40, statusesOnB)), "one at a time of so few");
+        assertEquals(
+                List.of(),
+                tasksToStop(fixture.heartbeat("b", 40, statusesOnB)),
+                "with so few machines, one is drained at a time");
     }
 }
--- a/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
@@ -30,8 +30,9 @@
 import java.util.TreeMap;
 
 /**
- * A deployment in simulated steps of a second round the real core: jobs come, machines of four cores boot for 20 steps and
- * report every second one, pools run out. Nothing is random: the same classes give the same run.
+ * Simulates a deployment around the real scheduler core in steps of one second. Jobs arrive, machines of four cores
+ * boot for 20 steps and report every second step, and machine pools have limited capacity. The simulation uses no
+ * random numbers, so the same workloads give the same run.
  */
 public final class CoreHarness implements SchedulerListener {
     static final SchedulerSettings SETTINGS = new SchedulerSettings(
@@ -48,10 +49,13 @@
             1.4,
             Span.seconds(10));
     private static final int BOOT_STEPS = 20;
-    /** Of the clock: the first step is not at its beginning, where nothing could have come before. */
+    /** Clock value of the first step, in seconds. It is not zero, so that events may lie before the first step. */
     private static final int FIRST_STEP_S = 1000;
 
-    /** Jobs of a class: {@code atStart} in the first step, {@code perStep} a step from {@code from} to {@code until}. */
+    /**
+     * The jobs of one class: {@code jobsAtStart} jobs arrive in the first step, and {@code jobsPerStep} jobs in each step from
+     * {@code fromStep} until {@code untilStep}.
+     */
     public record Workload(
             String jobClass,
             String team,
@@ -124,7 +128,7 @@
                     estimateFactor);
         }
 
-        /** Its owners' estimates are so many times what tasks take. */
+        /** Returns the same workload with estimates of {@code times} the actual run time. */
         public Workload withEstimateFactor(double times) {
             return new Workload(
                     jobClass,
@@ -177,7 +181,7 @@
         }
     }
 
-    /** A job: when it came, how many of its tasks have started, when the last one did, and when it was over. */
+    /** The history of a job: its arrival, the start of each task, and its end. */
     static final class JobHistory {
         final JobSpec spec;
         final int arrivedAt;
@@ -202,7 +206,7 @@
         final MachinePool pool;
         final int upAt;
         final Map<WorkerCommand, Integer> taskEnds = new LinkedHashMap<>();
-        /** Tasks that were told to stop. */
+        /** Tasks that were commanded to stop and have not reported it. */
         final List<TaskId> stopping = new ArrayList<>();
 
         SimulatedMachine(MachinePool pool, int upAt) {
@@ -258,7 +262,7 @@
         startNewLeader();
     }
 
-    /** The leader ends and another begins with the records; every machine will report to it. */
+    /** Replaces the leader with a new one that has read all records and waits for the machines' heartbeats. */
     public void startNewLeader() {
         core = new SchedulerCore(
                 new FencingToken(++token), SchedulerFixture.SAFETY_TIMES, settings, objectives, teams, this);
@@ -301,12 +305,15 @@
         return this;
     }
 
-    /** Part of a class's jobs (or a team's) that were over within so many steps; those that came later do not count. */
+    /**
+     * Returns the fraction of a class's or team's jobs that ended in time, of those that arrived at least that long
+     * ago.
+     */
     double servedFraction(String name, int withinSteps) {
         return servedFraction(name, withinSteps, 0);
     }
 
-    /** The same of those that came from a step on. */
+    /** Returns the same fraction for jobs that arrived at step {@code fromStep} or later. */
     double servedFraction(String name, int withinSteps, int fromStep) {
         List<JobHistory> arrived = histories.values().stream()
                 .filter(f -> f.spec.kind() == JobKind.ARRAY
@@ -320,7 +327,7 @@
                 / (double) arrived.size();
     }
 
-    /** The longest that a job which came from this step on has waited until its last task started. */
+    /** Returns the longest wait until the last task started, of the jobs that arrived at step {@code fromStep} or later. */
     int longestWaitForLastStart(String name, int fromStep) {
         return histories.values().stream()
                 .filter(f -> f.arrivedAt >= fromStep && f.spec.jobClass().equals(name))
@@ -329,7 +336,7 @@
                 .orElse(0);
     }
 
-    /** The longest that a job of a class has waited until its first task started. */
+    /** Returns the longest wait of the class's jobs until the first task started. */
     int longestWaitForFirstStart(String name) {
         return histories.values().stream()
                 .filter(f -> f.spec.jobClass().equals(name))
--- a/src/test/java/io/indigoreach/core/scheduling/SchedulerFixture.java
+++ b/src/test/java/io/indigoreach/core/scheduling/SchedulerFixture.java
@@ -25,7 +25,9 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** A small setting for tests of the core: one machine type in two zones, a leader under token 5, jobs and reports. */
+/**
+ * A fixture for tests of the scheduler core: one machine type in two zones, a leader with token 5, jobs and heartbeats.
+ */
 public final class SchedulerFixture implements SchedulerListener {
     static final MachineType MACHINE_TYPE = new MachineType(
             "quad", new Resources(4, 0, 16), 40, 0.5, 0.2, 0.05, Span.seconds(20), List.of("east", "west"));
@@ -124,7 +126,7 @@
                 .build();
     }
 
-    /** A service: replicas of one core on ordinary machines, until it is cancelled. */
+    /** Returns a service with replicas of one core that may use only on-demand machines. */
     static JobSpec service(int id, int replicas) {
         return JobSpec.builder(new JobId("run-" + id))
                 .jobClass("s")
@@ -155,14 +157,14 @@
         return addInheritedJob(spec, spec.taskCount());
     }
 
-    /** One of whose tasks an earlier leader may have started those below {@code bound}. */
+    /** Adds an inherited job; the previous leader may have started the tasks below {@code startBound}. */
     Job addInheritedJob(JobSpec spec, int startBound) {
         Job job = new Job(spec, ++jobCount, atSeconds(0), new Revision(jobCount), new BitSet(), startBound, true);
         core.addJob(job);
         return job;
     }
 
-    /** A machine that is rented, recorded, and has made its first report. */
+    /** Adds a spot machine that is rented and recorded. */
     void addSpotMachine(String name, String zone, double seconds) {
         core.onMachinesRented(
                 new MachinePool("quad", zone, true),
@@ -183,7 +185,7 @@
                 List.of(tasks));
     }
 
-    /** An ordinary machine that is rented, recorded, and has made its first report. */
+    /** Adds an on-demand machine that is rented and recorded, and sends its first heartbeat. */
     List<WorkerCommand> addOnDemandMachine(String name, double seconds) {
         core.onMachinesRented(
                 new MachinePool("quad", "east", false),
--- a/src/test/java/io/indigoreach/core/scheduling/SimulatedCluster.java
+++ b/src/test/java/io/indigoreach/core/scheduling/SimulatedCluster.java
@@ -26,12 +26,12 @@
 import java.util.Set;
 
 /**
- * Leaders that follow each other, the records that they leave, and machines of four cores with workers that keep to the
- * protocol: sessions, tokens, leases, results that are kept. Tests say when what happens; what breaks a rule on the workers'
- * side is noted.
+ * Simulates successive leaders, their records, and machines of four cores with workers that follow the worker protocol:
+ * sessions, fencing tokens, leases, and results that are kept until the leader reaps them. The test controls the order
+ * and time of all events. Violations of safety rules on the workers are collected.
  */
 public final class SimulatedCluster implements SchedulerListener {
-    /** A worker drops an answer after this long. */
+    /** Seconds after which a worker drops a late answer. */
     static final double ANSWER_TIMEOUT_S = 4;
 
     private static final double LEASE_S =
@@ -44,11 +44,11 @@
         final Map<TaskId, TaskStatus> tasks = new LinkedHashMap<>();
         long session = 1;
         long token;
-        /** When its last answered report was sent. */
+        /** When the last heartbeat that got an answer was sent. */
         double lastAnsweredAt;
-        /** Its reports arrive, answers don't. */
+        /** Whether answers to this machine are lost, while its heartbeats arrive. */
         boolean losesAnswers;
-        /** The last report that it sent. */
+        /** The last heartbeat that the worker sent. */
         Heartbeat lastHeartbeat;
 
         private long heartbeatCount;
@@ -140,7 +140,7 @@
         final BitSet completed = new BitSet();
         int startBound;
         boolean closed;
-        /** When its user was told that it is cancelled. */
+        /** When the cancellation was confirmed to the user. */
         double cancellationConfirmedAt = Double.MAX_VALUE;
 
         JobRecord(JobSpec spec) {
@@ -180,7 +180,7 @@
         return workers.values();
     }
 
-    /** A new leader has taken the key and answers, and has not read the records yet. */
+    /** Starts a new leader that answers heartbeats and has not read the records yet. */
     void startLeader(double now) {
         core = new SchedulerCore(
                 new FencingToken(++token),
@@ -193,12 +193,12 @@
         leaderSince = now;
     }
 
-    /** It has read them: every machine, every open job. */
+    /** Loads the records of every machine and every open job into the leader. */
     void loadRecords() {
         loadRecords(workers.keySet());
     }
 
-    /** It has read them: these machines, every open job. */
+    /** Loads the records of the given machines and every open job into the leader. */
     void loadRecords(Collection<String> recordedMachines) {
         recordedMachines.forEach(name -> core.inheritMachine(
                 new MachineId(name),
@@ -229,13 +229,16 @@
         core.addJob(new Job(spec, 1, SchedulerFixture.atSeconds(now), Revision.ABSENT, new BitSet(), 0, false));
     }
 
-    /** Its user is told that it is cancelled, and the leader has heard of it. */
+    /** Cancels a job: records it as closed and informs the leader. */
     void cancel(JobId id) {
         records.get(id).closed = true;
         core.cancelJob(id);
     }
 
-    /** The leader's answer to a report; null if there is none. Bounds are recorded before any order goes out. */
+    /**
+     * Returns the leader's answer to a heartbeat, or null if the leader does not answer it. Start bounds are recorded
+     * before any command is sent.
+     */
     Answer answerHeartbeat(Heartbeat heartbeat, double now) {
         List<Job> toRaise = core.startBoundsToRaise(SchedulerFixture.atSeconds(now));
         effects.onStartBoundsToRaise(toRaise);
@@ -256,7 +259,7 @@
                 : new Answer(token, heartbeat.number(), result.commands());
     }
 
-    /** A machine reports, and takes the answer if it hears. */
+    /** Sends the machine's heartbeat to the leader, and delivers the answer unless answers are lost. */
     List<WorkerCommand> sendHeartbeat(String name, double now) {
         Worker worker = workers.get(name);
         worker.expireLease(now);
@@ -267,7 +270,7 @@
         return answer == null ? null : answer.commands;
     }
 
-    /** It shows the token, and what it can take is recorded and given to it; the last report is three seconds later. */
+    /** Sends four heartbeats, one per second, after which the machine has the leader's token and its tasks. */
     void joinLeader(String name, double now) {
         for (int i = 0; i < 4; i++) {
             sendHeartbeat(name, now + i);
@@ -278,7 +281,7 @@
         workers.keySet().forEach(name -> sendHeartbeat(name, now));
     }
 
-    /** Results are recorded, and jobs of which all tasks are done. */
+    /** Records the completed tasks, and closes the jobs whose tasks are all completed. */
     void recordResults() {
         for (Job job : new ArrayList<>(core.jobs())) {
             JobRecord jobRecord = records.get(job.id());
@@ -291,13 +294,18 @@
         }
     }
 
-    /** Its user is told that it is cancelled, whoever leads; the leader hears of it by {@link SchedulerCore#cancelJob}. */
+    /**
+     * Confirms a cancellation to the user, without informing the leader. {@link SchedulerCore#cancelJob} informs it.
+     */
     void cancel(JobId id, double now) {
         records.get(id).closed = true;
         records.get(id).cancellationConfirmedAt = now;
     }
 
-    /** Cores that a team's tasks use on the workers, and notes what uses too much or should be gone. */
+    /**
+     * Returns the cores that a team's tasks use on the workers. Records violations: tasks that run after their
+     * cancellation time, and use beyond the team's limit.
+     */
     double usedCores(Team team, double now) {
         double cores = 0;
         for (TaskId task : runningTasks(now)) {
@@ -319,7 +327,7 @@
         return cores;
     }
 
-    /** Every task that is on a machine. */
+    /** Returns every task that runs on a machine with a valid lease. */
     List<TaskId> runningTasks(double now) {
         return workers.values().stream()
                 .flatMap(b -> b.tasks.keySet().stream().filter(t -> b.isRunning(t, now)))
@@ -330,7 +338,7 @@
         return records.get(id).closed;
     }
 
-    /** How many of its tasks have completed on workers. */
+    /** Returns how many of the job's tasks have completed on workers. */
     int completed(JobId id) {
         return (int) completed.stream().filter(t -> t.job().equals(id)).count();
     }
@@ -339,7 +347,7 @@
         return startCount.getOrDefault(task, 0);
     }
 
-    /** How often leaders ordered it, executed or not. */
+    /** Returns how many start commands leaders sent for the task, executed or not. */
     int startCommandCount(TaskId task) {
         return startCommandCount.getOrDefault(task, 0);
     }
@@ -351,7 +359,7 @@
                 .sum();
     }
 
-    /** Where a task is and has not ended; or null. */
+    /** Returns the machine where the task has not exited, or null. */
     Worker workerRunning(TaskId task) {
         return workers.values().stream()
                 .filter(b -> b.tasks.containsKey(task) && b.tasks.get(task).state() != TaskState.EXITED)
--- a/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
@@ -38,12 +38,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Pools on simulated machines with real caches, in steps of a second round the real core, plan and meter. */
+/** Simulates warm pools around the real scheduler core, pool planner and meter in steps of one second. */
 final class WarmPoolHarness implements SchedulerListener {
     static final String MODEL_IMAGE = "weights-1";
     private static final int FIRST_STEP_S = 1000;
 
-    /** A task on a machine. */
+    /** A task on a simulated machine. */
     private static final class SimulatedTask {
         final WorkerCommand.Start start;
         final JobSpec spec;
@@ -56,7 +56,7 @@
         }
     }
 
-    /** A machine; its cache is what it really has, the least recently used image first. */
+    /** A simulated machine with its actual cache, the least recently used image first. */
     static final class SimulatedMachine {
         final MachinePool pool;
         final int rentedAt;
@@ -81,7 +81,7 @@
     final Map<JobId, Job> openJobs = new TreeMap<>();
     final Map<JobId, List<Integer>> startSteps = new TreeMap<>();
     final List<String> logLines = new ArrayList<>();
-    /** The state service. */
+    /** The accounts' pages that are stored in the state service. */
     final Map<Integer, Sheet> storedPages = new TreeMap<>();
 
     List<Team> teams = List.of(new Team("t", 0, 0, 0, 0), new Team("g", 0, 0, 0, 0));
@@ -91,9 +91,9 @@
     double returnedMachineCost;
     int rentedCount;
     int now;
-    /** Steps between writes of the accounts' pages. */
+    /** Steps between writes of the accounts' pages to the state service. */
     int pageWritePeriod = 1;
-    /** A zone that is cut off. */
+    /** The zone whose machines do not report, or null. */
     String silentZone;
 
     EffectListener effects = EffectListener.NONE;
@@ -171,7 +171,7 @@
                 spec.spot());
     }
 
-    /** A pool and its holder, with a task for each machine. */
+    /** Adds a pool and submits its holder job with one task for each machine. */
     Job addPool(PoolSpec spec) {
         pools.put(spec.name(), spec);
         planner.pools(pools.values(), n -> new DemandHistory());
@@ -189,7 +189,7 @@
                 .with(JobSpec.WARM_POOL_FIELD, spec.name()));
     }
 
-    /** Replicas of a model that take whole machines. */
+    /** Submits a service whose replicas take whole machines. */
     Job submitService(String image, double gb, int replicas) {
         return submit(JobSpec.builder(new JobId("run-" + ++jobCount))
                 .jobClass("serve")
@@ -204,7 +204,7 @@
                 .build());
     }
 
-    /** A guest's array. */
+    /** Submits an array job of another team. */
     Job submitArray(String image, double gb, int tasks, double cores, int runSeconds) {
         return submit(JobSpec.builder(new JobId("run-" + ++jobCount))
                 .jobClass("guest")
@@ -237,7 +237,7 @@
         return new Moment((FIRST_STEP_S + step) * 1000L);
     }
 
-    /** The leader ends; the next has the jobs, the machines that were recorded, and the sheets. */
+    /** Replaces the leader with a new one that knows the jobs, the recorded machines, and the accounts' pages. */
     void startNewLeader() {
         core = new SchedulerCore(
                 new FencingToken(++token),
@@ -273,7 +273,7 @@
         planner.pools(pools.values(), page -> new DemandHistory());
         storedPages.forEach((page, sheet) -> meter.recall(page, sheet, this::price));
         planner.recall(meter.lines(), atStep(now));
-        // The list of the cloud, which also names machines that are booting.
+        // The machine listing of the cloud also contains booting machines.
         core.onMachineListing(listMachines(), atStep(now), atStep(now));
     }
 
@@ -295,7 +295,7 @@
         return run(steps, () -> {});
     }
 
-    /** With a check of the test's after each step. */
+    /** Runs {@code check} after each step. */
     WarmPoolHarness run(int steps, Runnable check) {
         for (int i = 0; i < steps; i++) {
             step();
@@ -368,7 +368,7 @@
         core.onMachinesReturned(returned, atStep(now));
     }
 
-    /** The machine is gone. */
+    /** Removes a machine and adds its cost to the bill. */
     void removeMachine(String name) {
         SimulatedMachine simulatedMachine = machines.remove(name);
         if (simulatedMachine != null) {
@@ -376,7 +376,7 @@
         }
     }
 
-    /** What the cloud has charged by now. */
+    /** Returns what the cloud has charged until now. */
     double totalCharge() {
         return returnedMachineCost
                 + machines.values().stream()
@@ -384,7 +384,7 @@
                         .sum();
     }
 
-    /** Spot machines of a pool are taken without notice: every second one. */
+    /** Preempts every second spot machine without notice. */
     void preemptSpotMachines() {
         int index = 0;
         for (String name : new ArrayList<>(machines.keySet())) {
@@ -470,7 +470,7 @@
                         .mapToDouble(t -> t.spec.demand().cores())
                         .sum();
                 if (usedCores + job.spec().demand().cores() > type.capacity().cores() + 1e-6) {
-                    throw new AssertionError("no room on " + name + " for " + command.task());
+                    throw new AssertionError("started " + command.task() + " without free cores on " + name);
                 }
                 SimulatedTask task = new SimulatedTask(start, job.spec());
                 simulatedMachine.tasks.put(command.task(), task);
@@ -540,7 +540,9 @@
                         t.lost()));
     }
 
-    /** What the leader claims of caches is so, and no machine is paid for by two. */
+    /**
+     * Asserts that every image which the leader believes to be cached by a pool's machine is in the machine's cache.
+     */
     void assertCachesMatch() {
         for (Machine machine : core.machines()) {
             SimulatedMachine simulatedMachine = machines.get(machine.id().toString());
@@ -549,8 +551,8 @@
                     && machine.imageCache().isCached(machine.poolMembership().image())
                     && !simulatedMachine.cache.containsKey(
                             machine.poolMembership().image())) {
-                throw new AssertionError("at " + now + " " + machine.id() + " is said to hold "
-                        + machine.poolMembership().image() + " and has " + simulatedMachine.cache.keySet());
+                throw new AssertionError("at " + now + " " + machine.id() + " should have cached "
+                        + machine.poolMembership().image() + " but has " + simulatedMachine.cache.keySet());
             }
         }
     }
@@ -563,14 +565,16 @@
                 .count();
     }
 
-    /** Machines that really have an image. */
+    /** Returns how many machines actually have the image cached. */
     long machinesWithImage(String image) {
         return machines.values().stream()
                 .filter(b -> b.cache.containsKey(image))
                 .count();
     }
 
-    /** Seconds from {@code from} until each task began; those that never did are left out. */
+    /**
+     * Returns the sorted seconds from {@code from} until each task of the job began, without tasks that never began.
+     */
     List<Integer> startDelays(Job job, int from) {
         return startSteps.get(job.id()).stream().map(t -> t - from).sorted().toList();
     }
--- a/src/test/java/io/indigoreach/core/scheduling/WarmPoolTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolTest.java
@@ -14,10 +14,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The hard cases of warm pools, on machines whose caches are simulated: what is claimed is compared with them. */
+/**
+ * Tests warm pools under failures and contention, and compares the leader's view of caches with the simulated caches.
+ */
 public class WarmPoolTest {
     private static final String MODEL_IMAGE = WarmPoolHarness.MODEL_IMAGE;
-    /** Boot, fetch of 40 GB at 1 GB/s, reports, and checks. */
+    /** Steps until a machine is warm: boot, fetch of 40 GB at 1 GB/s, heartbeats and checks. */
     private static final int WARM_UP_STEPS = 20 + 40 + 12;
 
     @Test
@@ -35,9 +37,9 @@
         assertEquals(10, startDelays.size());
         assertTrue(
                 startDelays.get(9) <= 5,
-                "whole machines, so each holder gives way in the answer that starts a replica: " + startDelays);
+                "each holder is stopped in the same answer that starts a replica on its machine: " + startDelays);
         assertEquals(10, harness.planner.told().get(0).hits());
-        assertEquals(10, harness.rentedCount, "nothing is rented for replicas that a warm machine takes");
+        assertEquals(10, harness.rentedCount, "no machine is rented for replicas that start on warm machines");
     }
 
     @Test
@@ -61,8 +63,9 @@
         harness.run(WARM_UP_STEPS + 20, harness::assertCachesMatch);
         List<Integer> startDelays = harness.startDelays(burst, from);
         assertEquals(20, startDelays.size());
-        assertTrue(startDelays.get(9) <= 5, "the half that is left serves at once: " + startDelays);
-        assertTrue(harness.poolMachineCount("p") >= 20, "back at its number: " + harness.poolMachineCount("p"));
+        assertTrue(startDelays.get(9) <= 5, "the remaining half of the machines serves at once: " + startDelays);
+        assertTrue(
+                harness.poolMachineCount("p") >= 20, "the pool has its size again: " + harness.poolMachineCount("p"));
     }
 
     @Test
@@ -89,8 +92,8 @@
         harness.teams = List.of(new Team("t", 0, 0.05, 0, 0), new Team("g", 0, 0, 0, 0));
         harness.startNewLeader();
         harness.run(120, harness::assertCachesMatch);
-        assertEquals(5, harness.poolMachineCount("p"), "five holders of 0.01 cores are what is allowed");
-        assertEquals(5, harness.machines.size(), "the others are returned");
+        assertEquals(5, harness.poolMachineCount("p"), "the team's limit allows five holders of 0.01 cores");
+        assertEquals(5, harness.machines.size(), "the other machines are returned");
         assertTrue(harness.planner.told().get(0).why().contains("limit of team t"));
     }
 
@@ -105,7 +108,7 @@
         harness.run(WARM_UP_STEPS + 60, harness::assertCachesMatch);
         assertEquals(200, harness.poolMachineCount("p"));
         assertEquals(200, harness.machinesWithImage(MODEL_IMAGE));
-        assertEquals(200, harness.rentedCount, "none is rented twice");
+        assertEquals(200, harness.rentedCount, "no machine is rented twice");
         assertTrue(harness.requests().stream().allMatch(r -> r.count() <= 50));
     }
 
@@ -118,8 +121,8 @@
         harness.run(6);
         harness.cancel(holder);
         harness.run(90, harness::assertCachesMatch);
-        assertEquals(5, harness.startDelays(burst, 0).size(), "replicas run on");
-        assertEquals(5, harness.machines.size(), "nobody pays for the other machines: they go");
+        assertEquals(5, harness.startDelays(burst, 0).size(), "the replicas keep running");
+        assertEquals(5, harness.machines.size(), "machines that no pool pays for are returned");
         assertEquals(0, harness.poolMachineCount("p"));
     }
 
@@ -134,7 +137,7 @@
         assertTrue(Math.abs(harness.poolMachineCount("a") - harness.poolMachineCount("b")) == 1);
         long machinesOfA = harness.poolMachineCount("a");
         harness.run(120);
-        assertEquals(machinesOfA, harness.poolMachineCount("a"), "it stays with whom it went to");
+        assertEquals(machinesOfA, harness.poolMachineCount("a"), "the last machine stays in its pool");
     }
 
     @Test
@@ -156,10 +159,10 @@
                     .count();
             fewestReady[0] = (int) Math.min(fewestReady[0], ready);
         });
-        assertTrue(fewestReady[0] >= 10, "fewest " + fewestReady[0]);
+        assertTrue(fewestReady[0] >= 10, "fewest ready machines: " + fewestReady[0]);
         assertTrue(
                 harness.machinesWithImage("weights-2") >= 8,
-                "those with replicas of the old version keep it: " + harness.machinesWithImage("weights-2"));
+                "machines with replicas of the old version keep its image: " + harness.machinesWithImage("weights-2"));
         harness.cancel(oldHolder);
         harness.run(200, harness::assertCachesMatch);
         assertTrue(harness.poolMachineCount("p") <= 12);
@@ -182,10 +185,11 @@
                                         && machine.imageCache().isCached(MODEL_IMAGE))
                                 .count()
                         >= 10,
-                "the other zone has the number");
+                "the other zone has the whole pool");
         harness.silentZone = null;
         harness.run(200, harness::assertCachesMatch);
-        assertEquals(10, harness.poolMachineCount("p"), "and what is too much goes when it comes back");
+        assertEquals(
+                10, harness.poolMachineCount("p"), "surplus machines leave the pool when the zone is reachable again");
     }
 
     private static io.indigoreach.core.warm.PoolSpec withFullZonePart(WarmPoolHarness harness) {
@@ -218,7 +222,7 @@
         harness.run(1);
         assertEquals(0, harness.planner.told().stream().mapToInt(t -> t.ready()).sum());
         harness.run(30, harness::assertCachesMatch);
-        assertEquals(8, harness.planner.told().get(0).ready(), "a start without a fetch each");
+        assertEquals(8, harness.planner.told().get(0).ready(), "each holder starts without a fetch");
         assertEquals(8, harness.rentedCount);
     }
 
@@ -241,14 +245,12 @@
                         && b.cache.keySet().stream().anyMatch(i -> i.startsWith("guest")))
                 .count();
         assertEquals(
-                gb < 60,
-                machinesWithBothImages > 0,
-                "idle cores serve guests whose image fits beside the weights, and no others");
+                gb < 60, machinesWithBothImages > 0, "only jobs whose image fits beside the weights use idle cores");
         harness.run(900);
         assertTrue(
                 harness.openJobs.values().stream()
                         .noneMatch(job -> job.spec().jobClass().equals("guest")),
-                "all guests are served");
+                "all jobs of the other team have ended");
     }
 
     @Test
@@ -264,10 +266,10 @@
         harness.run(250, harness::assertCachesMatch);
         assertTrue(
                 harness.startSteps.get(guaranteedJob.id()).size() >= 1,
-                "nothing is to be rented, so an idle machine of the pool is given");
+                "no machine can be rented, so the pool gives up an idle one");
         harness.run(400, harness::assertCachesMatch);
         assertEquals(2, harness.startSteps.get(guaranteedJob.id()).size());
-        assertEquals(8, harness.poolMachineCount("p"), "and comes back");
+        assertEquals(8, harness.poolMachineCount("p"), "the pool has its size again");
     }
 
     @Test
@@ -280,7 +282,7 @@
                 .filter(e -> e.getKey().pool().equals("p"))
                 .mapToDouble(e -> e.getValue())
                 .sum();
-        // Four machines for a term and a check more, at 3.6 an hour.
+        // The budget may be exceeded by four machines at 3.6 per hour for a term and a check.
         assertTrue(spent >= 1 && spent <= 1 + 4 * 3.6 * 20 / 3600, "spent " + spent);
         assertTrue(harness.logLines.stream().anyMatch(s -> s.contains("budget is over")));
     }
@@ -288,7 +290,7 @@
     @Test
     void poolGrowsBeforeWindowAndShrinksAfterIt() {
         WarmPoolHarness harness = new WarmPoolHarness(200, 40);
-        // The first step is at 1,000 s of the day: the window opens at 00:20, 200 s later, and closes at 00:25.
+        // The first step is 1,000 s after midnight, so the window opens at 00:20, 200 s later, and closes at 00:25.
         harness.addPool(WarmPoolHarness.poolSpec("p", MODEL_IMAGE, 40, 2, 40, new BurstWindow(20, 25, 12)));
         harness.run(80);
         assertEquals(2, harness.poolMachineCount("p"));
@@ -299,7 +301,10 @@
         assertEquals(2, harness.machines.size());
     }
 
-    /** A later leader believes the record: a machine's guard stays until the record does not name it. */
+    /**
+     * A machine that left a pool keeps its image until the record shows that it left, because a new leader would assume
+     * from the old record that the machine still has the image.
+     */
     @Test
     void releasedMachineKeepsImageUntilReleaseIsRecorded() {
         WarmPoolHarness harness = new WarmPoolHarness(60, 8);
@@ -317,14 +322,16 @@
                     .findFirst()
                     .orElse(null);
         }
-        assertTrue(released != null, "the new version is held by one more, so one with the old is let go");
+        assertTrue(
+                released != null,
+                "a machine with the old version leaves the pool when one with the new version is ready");
         assertTrue(released.matchesPool(other) && !released.allows(other));
         harness.pageWritePeriod = 1;
         harness.run(1);
         assertTrue(released.allows(other));
     }
 
-    /** Seeded runs with leaders that end, guests, waves, sessions that end and sheets that are lost. */
+    /** Seeded random runs with leader changes, jobs of another team, services that come and go, and worker restarts. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void randomEventsKeepCacheViewAndAccountsCorrect(long seed) {
@@ -377,7 +384,7 @@
         }
         double metered =
                 harness.meter.sums().values().stream().mapToDouble(d -> d).sum();
-        // A look's period and a check's at each machine's end, and the same for every change of leader.
+        // Metering may miss one step and one check period per rented machine, and 5 s per change of leader.
         double tolerance = (harness.rentedCount * 3 + leaderChanges * 5) * 3.6 / 3600;
         assertEquals(harness.totalCharge(), metered, tolerance);
         assertTrue(harness.poolMachineCount("a") >= 4, "a: " + harness.poolMachineCount("a"));
