--- a/src/main/java/io/indigoreach/api/DependencyService.java
+++ b/src/main/java/io/indigoreach/api/DependencyService.java
@@ -17,18 +17,18 @@
  * leader was able to checks the dependencies itself before it responds. Used on the event loop only.
  */
 final class DependencyService {
-    private static final int MAX_CHECKS_REMEMBERED = 20_000;
+    private static final int MAX_REMEMBERED_CHECKS = 20_000;
     /** The part of the cascade time for which one check of a waiting job holds. */
-    private static final double CHECK_HOLDS = 0.5;
+    private static final double CHECK_VALIDITY_SHARE = 0.5;
 
     private final SteadyClock clock;
-    private final ReferencedJobs submissionLookups;
-    private final ReferencedJobs queryLookups;
+    private final DependencyLookup submissionLookups;
+    private final DependencyLookup queryLookups;
     private final CascadeFreshness freshness;
     private Span cascadeTime = Span.ZERO;
     private Supplier<Future<Boolean>> supportedByAllNodes = () -> Future.succeededFuture(true);
     /** When the last check began that found no cancelled job among the dependencies of a waiting one. */
-    private final Map<JobId, Moment> lastChecks = BoundedMaps.withLimit(MAX_CHECKS_REMEMBERED);
+    private final Map<JobId, Moment> lastCheckTimes = BoundedMaps.withLimit(MAX_REMEMBERED_CHECKS);
 
     /**
      * Creates the service.
@@ -38,12 +38,12 @@
      */
     DependencyService(
             SteadyClock clock,
-            Function<JobId, Future<StoredJob>> finder,
-            Function<JobId, Future<StoredJob>> batchedFinder,
+            Function<JobId, Future<StoredJob>> lookup,
+            Function<JobId, Future<StoredJob>> batchedLookup,
             CascadeFreshness freshness) {
         this.clock = clock;
-        this.submissionLookups = new ReferencedJobs(finder);
-        this.queryLookups = new ReferencedJobs(batchedFinder);
+        this.submissionLookups = new DependencyLookup(lookup);
+        this.queryLookups = new DependencyLookup(batchedLookup);
         this.freshness = freshness;
     }
 
@@ -54,8 +54,8 @@
     }
 
     /** Sets the check whether every node supports dependencies: one that does not would start such a job at once. */
-    void setSupportCheck(Supplier<Future<Boolean>> allNodes) {
-        supportedByAllNodes = allNodes;
+    void setSupportCheck(Supplier<Future<Boolean>> supportCheck) {
+        supportedByAllNodes = supportCheck;
     }
 
     /**
@@ -87,18 +87,18 @@
             return Future.succeededFuture(true);
         }
         Moment now = clock.now();
-        if (!freshness.mayBeStale() || isRecentlyChecked(id, now)) {
+        if (!freshness.mayBeStale() || wasRecentlyChecked(id, now)) {
             return Future.succeededFuture(false);
         }
         return queryLookups.isCancelledByCascade(dependencies).onSuccess(cancelled -> {
             if (!cancelled) {
-                lastChecks.put(id, now);
+                lastCheckTimes.put(id, now);
             }
         });
     }
 
-    private boolean isRecentlyChecked(JobId id, Moment now) {
-        Moment last = lastChecks.getOrDefault(id, Moment.NEVER);
-        return now.since(last).compareTo(cascadeTime.times(CHECK_HOLDS)) < 0;
+    private boolean wasRecentlyChecked(JobId id, Moment now) {
+        Moment lastCheck = lastCheckTimes.getOrDefault(id, Moment.NEVER);
+        return now.since(lastCheck).compareTo(cascadeTime.times(CHECK_VALIDITY_SHARE)) < 0;
     }
 }
--- a/src/main/java/io/indigoreach/api/JobMemory.java
+++ b/src/main/java/io/indigoreach/api/JobCache.java
@@ -16,7 +16,7 @@
  * ended. Final statuses never change and are answered from here; after a data loss both serve as copies of lost records. Used on the event
  * loop only.
  */
-final class JobMemory {
+final class JobCache {
     private static final int MAX_FINISHED = 20_000;
     private static final int MAX_ACCEPTED = 5_000;
 
@@ -26,7 +26,7 @@
     /** Accepted here and not known to have ended: after a data loss no other process may know of these. */
     private final Map<JobId, RememberedState.OpenJob> accepted = BoundedMaps.withLimit(MAX_ACCEPTED);
 
-    JobMemory(SteadyClock clock) {
+    JobCache(SteadyClock clock) {
         this.clock = clock;
         this.confirmedCancellations = new ConfirmedCancellations(clock.now());
     }
@@ -43,17 +43,17 @@
     }
 
     /** Whether this process has accepted the job or seen its final status. */
-    boolean knows(JobId id) {
+    boolean contains(JobId id) {
         return accepted.containsKey(id) || finished.containsKey(id);
     }
 
     /** Remembers a job that was accepted just now. */
-    void rememberAccepted(JobSpec spec, long submittedMs) {
+    void addAccepted(JobSpec spec, long submittedMs) {
         accepted.put(spec.id(), new RememberedState.OpenJob(spec, submittedMs, new BitSet(), spec.taskCount()));
     }
 
     /** Remembers a final status, before any user is told. */
-    FinalRecord rememberFinished(FinalRecord record) {
+    FinalRecord addFinished(FinalRecord record) {
         if (record.status() == JobStatus.CANCELLED) {
             confirmedCancellations.add(record.id(), clock.now());
         }
--- a/src/main/java/io/indigoreach/api/JobLookup.java
+++ b/src/main/java/io/indigoreach/api/JobLookup.java
@@ -31,7 +31,7 @@
      * @param attempt counted from 1
      */
     private record Search(JobId id, Optional<JobSpec> submitted, int attempt) {
-        Search next() {
+        Search nextAttempt() {
             return new Search(id, submitted, attempt + 1);
         }
 
@@ -42,21 +42,21 @@
 
     private final StateClient state;
     private final JobRepairer repairer;
-    private final JobMemory memory;
+    private final JobCache jobCache;
     private final OpenRecordReader batchedReads;
-    private Function<JobId, Future<Boolean>> isKnownToPeers = id -> Future.succeededFuture(false);
+    private Function<JobId, Future<Boolean>> knownToPeersQuery = id -> Future.succeededFuture(false);
 
     /** {@code batchedReads}: reads for queries, whose cost does not grow with their number. */
-    JobLookup(StateClient state, JobRepairer repairer, JobMemory memory, OpenRecordReader batchedReads) {
+    JobLookup(StateClient state, JobRepairer repairer, JobCache jobCache, OpenRecordReader batchedReads) {
         this.state = state;
         this.repairer = repairer;
-        this.memory = memory;
+        this.jobCache = jobCache;
         this.batchedReads = batchedReads;
     }
 
     /** Sets the request to the other controllers whether any of them knows a job. */
     void setPeerQuery(Function<JobId, Future<Boolean>> peerQuery) {
-        isKnownToPeers = peerQuery;
+        knownToPeersQuery = peerQuery;
     }
 
     /** The state of a job, by reads of its own. */
@@ -79,9 +79,9 @@
     }
 
     private Future<StoredJob> search(Search search, OpenRecordReader reader) {
-        Optional<FinalRecord> known = memory.finished(search.id());
-        if (known.isPresent()) {
-            return Future.succeededFuture(new StoredJob.Finished(known.get()));
+        Optional<FinalRecord> cached = jobCache.finished(search.id());
+        if (cached.isPresent()) {
+            return Future.succeededFuture(new StoredJob.Finished(cached.get()));
         }
         return reader.read(search.id())
                 .compose(entry -> entry.isPresent() ? decodeOpen(search, entry.get()) : searchFinal(search));
@@ -95,11 +95,11 @@
         } catch (WireException unreadable) {
             Future<Void> repaired =
                     repairer.repairOpen(id, entry, search.submitted().orElse(null));
-            return searchAgain(search, repaired, unreadable.getMessage());
+            return retrySearch(search, repaired, unreadable.getMessage());
         }
         if (record.status() == JobStatus.DONE) {
             // The job has ended; only the record has not been moved to the final key yet.
-            return Future.succeededFuture(finished(new FinalRecord(id, JobStatus.DONE, record.doneCount())));
+            return Future.succeededFuture(cacheFinished(new FinalRecord(id, JobStatus.DONE, record.doneCount())));
         }
         return state.shouldConfirmRead()
                 ? confirmOpen(search, record)
@@ -114,22 +114,22 @@
 
     private Future<StoredJob> decodeFinal(Search search, StateClient.Entry entry) {
         try {
-            return Future.succeededFuture(finished(JobRecordCodec.readFinal(search.id(), entry.value())));
+            return Future.succeededFuture(cacheFinished(JobRecordCodec.readFinal(search.id(), entry.value())));
         } catch (WireException unreadable) {
             Future<Void> repaired =
                     repairer.repairFinal(search.id(), entry, search.submitted().orElse(null));
-            return searchAgain(search, repaired, unreadable.getMessage());
+            return retrySearch(search, repaired, unreadable.getMessage());
         }
     }
 
-    private StoredJob finished(FinalRecord record) {
-        return new StoredJob.Finished(memory.rememberFinished(record));
+    private StoredJob cacheFinished(FinalRecord record) {
+        return new StoredJob.Finished(jobCache.addFinished(record));
     }
 
-    private Future<StoredJob> searchAgain(Search search, Future<Void> prepared, String failure) {
-        return prepared.compose(done -> search.attempt() < MAX_ATTEMPTS
-                ? search(search.next(), this::readDirectly)
-                : Future.failedFuture(new WireException(failure)));
+    private Future<StoredJob> retrySearch(Search search, Future<Void> precondition, String failureMessage) {
+        return precondition.compose(done -> search.attempt() < MAX_ATTEMPTS
+                ? search(search.nextAttempt(), this::readDirectly)
+                : Future.failedFuture(new WireException(failureMessage)));
     }
 
     private Future<StoredJob> confirmOpen(Search search, JobRecord record) {
@@ -138,7 +138,7 @@
                 .when(RecordKeys.finalKey(search.id()), Revision.ABSENT);
         return state.confirm(unchanged)
                 .compose(holds ->
-                        holds ? Future.succeededFuture(new StoredJob.Open(record)) : searchAfterStaleRead(search));
+                        holds ? Future.succeededFuture(new StoredJob.Open(record)) : retryAfterStaleRead(search));
     }
 
     private Future<StoredJob> confirmUnknown(Search search) {
@@ -146,17 +146,17 @@
             return Future.failedFuture(new WireException("data were lost, and this job may be among them"));
         }
         return state.confirm(bothKeysAbsent(state.transactionInEra(), search.id()))
-                .compose(holds -> holds ? checkMemories(search) : searchAfterStaleRead(search));
+                .compose(holds -> holds ? confirmUnknownToControllers(search) : retryAfterStaleRead(search));
     }
 
-    private Future<StoredJob> searchAfterStaleRead(Search search) {
-        return searchAgain(search.withoutSubmission(), state.checkEra(), "the state service answers with the past");
+    private Future<StoredJob> retryAfterStaleRead(Search search) {
+        return retrySearch(search.withoutSubmission(), state.checkEra(), "the state service answers with the past");
     }
 
     /** No user is told that a job does not exist while any controller remembers it: its record was lost. */
-    private Future<StoredJob> checkMemories(Search search) {
+    private Future<StoredJob> confirmUnknownToControllers(Search search) {
         JobId id = search.id();
-        Future<Boolean> remembered = memory.knows(id) ? Future.succeededFuture(true) : isKnownToPeers.apply(id);
+        Future<Boolean> remembered = jobCache.contains(id) ? Future.succeededFuture(true) : knownToPeersQuery.apply(id);
         return remembered.compose(
                 known -> known ? reportLostRecord(search) : Future.succeededFuture(new StoredJob.Unknown()));
     }
@@ -165,7 +165,7 @@
         return state.confirm(bothKeysAbsent(new StateClient.Txn(), search.id())).compose(absent -> {
             if (!absent) {
                 // Accepted after it was looked up.
-                return searchAgain(
+                return retrySearch(
                         search.withoutSubmission(), Future.succeededFuture(), "the job changes at this moment");
             }
             state.reportMissingRecord(RecordKeys.openKey(search.id()));
--- a/src/main/java/io/indigoreach/api/JobReadBatcher.java
+++ b/src/main/java/io/indigoreach/api/JobReadBatcher.java
@@ -37,103 +37,105 @@
     private final Vertx vertx;
     private final StateClient state;
     private final SteadyClock clock;
-    private final RateLimiter singleReads;
-    private final RateLimiter pageReads;
+    private final RateLimiter singleReadLimiter;
+    private final RateLimiter pageReadLimiter;
     /** Reads that wait for the next listing, by the keys of the records. */
-    private Map<String, Promise<Optional<StateClient.Entry>>> waiting = new HashMap<>();
+    private Map<String, Promise<Optional<StateClient.Entry>>> waitingReads = new HashMap<>();
 
     private final ListingCursor<Promise<Optional<StateClient.Entry>>> cursor = new ListingCursor<>();
-    private boolean listing;
+    private boolean listingInProgress;
 
     /** {@code requestsPerSecond}: the requests to the state service that this node may spend on users' queries. */
     JobReadBatcher(Vertx vertx, StateClient state, SteadyClock clock, double requestsPerSecond) {
         this.vertx = vertx;
         this.state = state;
         this.clock = clock;
-        this.singleReads = new RateLimiter(requestsPerSecond * (1 - LISTING_SHARE), clock.now());
-        this.pageReads = new RateLimiter(Math.max(1, requestsPerSecond * LISTING_SHARE), clock.now());
+        this.singleReadLimiter = new RateLimiter(requestsPerSecond * (1 - LISTING_SHARE), clock.now());
+        this.pageReadLimiter = new RateLimiter(Math.max(1, requestsPerSecond * LISTING_SHARE), clock.now());
     }
 
     @Override
     public Future<Optional<StateClient.Entry>> read(JobId id) {
         String key = RecordKeys.openKey(id);
-        if (!listing && waiting.isEmpty() && singleReads.take(1, clock.now())) {
+        if (!listingInProgress && waitingReads.isEmpty() && singleReadLimiter.take(1, clock.now())) {
             return state.get(key).map(Optional::ofNullable);
         }
-        Promise<Optional<StateClient.Entry>> promise = waiting.computeIfAbsent(key, absent -> Promise.promise());
-        beginListing();
+        Promise<Optional<StateClient.Entry>> promise = waitingReads.computeIfAbsent(key, absent -> Promise.promise());
+        startListing();
         return promise.future();
     }
 
-    private void beginListing() {
-        if (listing || waiting.isEmpty()) {
+    private void startListing() {
+        if (listingInProgress || waitingReads.isEmpty()) {
             return;
         }
-        listing = true;
+        listingInProgress = true;
         readFirstPage();
     }
 
     /** The listing answers all reads that wait when its first page is requested; later ones wait for the next listing. */
     private void readFirstPage() {
         Moment now = clock.now();
-        if (!pageReads.take(1, now)) {
+        if (!pageReadLimiter.take(1, now)) {
             vertx.setTimer(RATE_CHECK_INTERVAL.ms(), timer -> readFirstPage());
             return;
         }
-        cursor.begin(waiting);
-        waiting = new HashMap<>();
+        cursor.begin(waitingReads);
+        waitingReads = new HashMap<>();
         requestPage(now);
     }
 
-    private void readNextPage(Moment begun) {
+    private void readNextPage(Moment startedAt) {
         Moment now = clock.now();
-        if (now.since(begun).compareTo(LISTING_TIMEOUT) >= 0) {
+        if (now.since(startedAt).compareTo(LISTING_TIMEOUT) >= 0) {
             failListing(new WireException("too many open jobs to list them in time"));
             return;
         }
-        if (!pageReads.take(1, now)) {
-            vertx.setTimer(RATE_CHECK_INTERVAL.ms(), timer -> readNextPage(begun));
+        if (!pageReadLimiter.take(1, now)) {
+            vertx.setTimer(RATE_CHECK_INTERVAL.ms(), timer -> readNextPage(startedAt));
             return;
         }
-        requestPage(begun);
+        requestPage(startedAt);
     }
 
-    private void requestPage(Moment begun) {
-        String from = cursor.nextPageStart();
-        state.list(RecordKeys.OPEN_JOBS, RecordKeys.keyBefore(from), PAGE_SIZE).onComplete(page -> {
-            if (page.failed()) {
-                cursor.onPageFailed(from);
-                failListing(new WireException(
-                        "the open jobs cannot be listed: " + page.cause().getMessage()));
-                return;
-            }
-            completeReads(from, page.result());
-            if (cursor.isComplete()) {
-                finishListing();
-            } else {
-                readNextPage(begun);
-            }
-        });
+    private void requestPage(Moment startedAt) {
+        String firstKey = cursor.nextPageStart();
+        state.list(RecordKeys.OPEN_JOBS, RecordKeys.keyBefore(firstKey), PAGE_SIZE)
+                .onComplete(page -> {
+                    if (page.failed()) {
+                        cursor.onPageFailed(firstKey);
+                        failListing(new WireException("the open jobs cannot be listed: "
+                                + page.cause().getMessage()));
+                        return;
+                    }
+                    completeReads(firstKey, page.result());
+                    if (cursor.isComplete()) {
+                        finishListing();
+                    } else {
+                        readNextPage(startedAt);
+                    }
+                });
     }
 
-    private void completeReads(String from, StateClient.Page page) {
-        List<StateClient.Entry> items = page.entries();
+    private void completeReads(String firstKey, StateClient.Page page) {
+        List<StateClient.Entry> entries = page.entries();
         Map<String, StateClient.Entry> byKey = new HashMap<>();
-        items.forEach(item -> byKey.put(item.key(), item));
-        String last =
-                page.hasMore() && !items.isEmpty() ? items.get(items.size() - 1).key() : null;
-        cursor.removeAnswered(from, last)
+        entries.forEach(item -> byKey.put(item.key(), item));
+        String lastKey = page.hasMore() && !entries.isEmpty()
+                ? entries.get(entries.size() - 1).key()
+                : null;
+        cursor.removeAnswered(firstKey, lastKey)
                 .forEach((key, promise) -> promise.complete(Optional.ofNullable(byKey.get(key))));
     }
 
     private void finishListing() {
-        listing = false;
-        beginListing();
+        listingInProgress = false;
+        startListing();
     }
 
     private void failListing(WireException failure) {
-        listing = false;
+        listingInProgress = false;
         cursor.end().values().forEach(promise -> promise.fail(failure));
-        beginListing();
+        startListing();
     }
 }
--- a/src/main/java/io/indigoreach/api/JobService.java
+++ b/src/main/java/io/indigoreach/api/JobService.java
@@ -28,7 +28,7 @@
 public final class JobService {
     private static final int CREATED = 201;
 
-    private final JobMemory memory;
+    private final JobCache jobCache;
     private final JobLookup lookup;
     private final DependencyService dependencies;
     private final JobCancellation cancellation;
@@ -54,13 +54,13 @@
     public JobService(Context context) {
         StateClient state = context.state();
         SteadyClock clock = context.clock();
-        memory = new JobMemory(clock);
+        jobCache = new JobCache(clock);
         JobReadBatcher batchedReads = new JobReadBatcher(context.vertx(), state, clock, context.queriesPerSecond());
-        lookup = new JobLookup(state, context.repairer(), memory, batchedReads);
+        lookup = new JobLookup(state, context.repairer(), jobCache, batchedReads);
         CascadeFreshness freshness = new CascadeFreshness(clock, state::shouldConfirmRead);
-        state.onFailure(freshness::requestFailed);
+        state.onFailure(freshness::recordRequestFailure);
         dependencies = new DependencyService(clock, lookup::find, lookup::findBatched, freshness);
-        cancellation = new JobCancellation(state, lookup, memory, dependencies);
+        cancellation = new JobCancellation(state, lookup, jobCache, dependencies);
         submission = new JobSubmission(new JobSubmission.Context(
                 state,
                 clock,
@@ -68,7 +68,7 @@
                 dependencies,
                 lookup,
                 cancellation,
-                memory));
+                jobCache));
     }
 
     /**
@@ -77,33 +77,33 @@
      */
     public Future<ApiResponse> submit(Buffer body) {
         JobSpec spec = JobCodec.read(MessagePackFormat.readMap(body));
-        Future<ApiResponse> response = submission.submit(spec).map(result -> response(spec.id(), result));
+        Future<ApiResponse> response = submission.submit(spec).map(result -> submissionResponse(spec.id(), result));
         return ErrorResponses.recover(response);
     }
 
-    private static ApiResponse response(JobId id, SubmissionResult result) {
-        return new ApiResponse(result.created() ? CREATED : 200, JobCodec.accepted(id, result.status()), 0);
+    private static ApiResponse submissionResponse(JobId id, SubmissionResult result) {
+        return new ApiResponse(result.created() ? CREATED : 200, JobCodec.writeStatus(id, result.status()), 0);
     }
 
     /** The status and progress of a job: 200 or 404. The future fails if they cannot be determined now. */
-    public Future<ApiResponse> query(String text) {
-        if (!JobId.isValid(text)) {
+    public Future<ApiResponse> query(String idText) {
+        if (!JobId.isValid(idText)) {
             return Future.succeededFuture(ErrorResponses.of(NotFoundException.job()));
         }
-        JobId id = new JobId(text);
+        JobId id = new JobId(idText);
         return lookup.findBatched(id)
                 .compose(found -> cancellation.applyCascade(id, found))
-                .map(current -> progress(id, current));
+                .map(current -> progressResponse(id, current));
     }
 
-    private static ApiResponse progress(JobId id, StoredJob current) {
+    private static ApiResponse progressResponse(JobId id, StoredJob current) {
         if (current instanceof StoredJob.Open open) {
-            JobRecord job = open.job();
-            return ApiResponse.ok(JobCodec.progress(id, job.status(), job.doneCount(), job.running()));
+            JobRecord job = open.jobRecord();
+            return ApiResponse.ok(JobCodec.writeProgress(id, job.status(), job.doneCount(), job.running()));
         }
         if (current instanceof StoredJob.Finished finished) {
-            return ApiResponse.ok(JobCodec.progress(
-                    id, finished.end().status(), finished.end().done(), 0));
+            return ApiResponse.ok(JobCodec.writeProgress(
+                    id, finished.finalRecord().status(), finished.finalRecord().done(), 0));
         }
         return ErrorResponses.of(NotFoundException.job());
     }
@@ -112,19 +112,19 @@
      * Cancels a job: 200 with its final status, or 404, or 503 if its record keeps changing. The future fails if the
      * outcome is unknown.
      */
-    public Future<ApiResponse> cancel(String text) {
-        if (!JobId.isValid(text)) {
+    public Future<ApiResponse> cancel(String idText) {
+        if (!JobId.isValid(idText)) {
             return Future.succeededFuture(ErrorResponses.of(NotFoundException.job()));
         }
-        JobId id = new JobId(text);
+        JobId id = new JobId(idText);
         Future<ApiResponse> response =
-                cancellation.cancel(id).map(status -> ApiResponse.ok(JobCodec.accepted(id, status)));
+                cancellation.cancel(id).map(status -> ApiResponse.ok(JobCodec.writeStatus(id, status)));
         return ErrorResponses.recover(response);
     }
 
     /** Whether this node has accepted the job or seen its final status. */
-    public boolean knows(JobId id) {
-        return memory.knows(id);
+    public boolean isKnown(JobId id) {
+        return jobCache.contains(id);
     }
 
     /**
@@ -133,13 +133,13 @@
      * @param within after a cancellation, the time within which users are told that the dependants are cancelled too
      * @param leadership a value that differs between any two leaderships
      */
-    public void setCascadeTime(Span within, Supplier<Object> leadership) {
-        dependencies.setCascadeTime(within, leadership);
+    public void setCascadeTime(Span cascadeTime, Supplier<Object> leadership) {
+        dependencies.setCascadeTime(cascadeTime, leadership);
     }
 
     /** Sets the check whether every node of the deployment supports dependencies; jobs with dependencies wait for that. */
-    public void setDependencySupportCheck(Supplier<Future<Boolean>> allNodes) {
-        dependencies.setSupportCheck(allNodes);
+    public void setDependencySupportCheck(Supplier<Future<Boolean>> supportCheck) {
+        dependencies.setSupportCheck(supportCheck);
     }
 
     /** Sets the optional features that take part in submissions. */
@@ -154,16 +154,16 @@
 
     /** The cancellations that this node confirms to users, recorded before any user has the response. */
     public ConfirmedCancellations confirmedCancellations() {
-        return memory.confirmedCancellations();
+        return jobCache.confirmedCancellations();
     }
 
     /** What this node remembers of one job. */
     public RememberedState rememberedState(JobId id) {
-        return memory.rememberedState(id);
+        return jobCache.rememberedState(id);
     }
 
     /** What this node remembers of all jobs. */
     public RememberedState rememberedState() {
-        return memory.rememberedState();
+        return jobCache.rememberedState();
     }
 }
--- a/src/main/java/io/indigoreach/api/JobSubmission.java
+++ b/src/main/java/io/indigoreach/api/JobSubmission.java
@@ -32,7 +32,7 @@
             DependencyService dependencies,
             JobLookup lookup,
             JobCancellation cancellation,
-            JobMemory memory) {}
+            JobCache jobCache) {}
 
     /**
      * A job to be written.
@@ -44,11 +44,11 @@
      */
     private record Acceptance(
             JobSpec spec, Map<String, Object> record, boolean cancelled, long submittedMs, int attempt) {
-        Acceptance next() {
+        Acceptance nextAttempt() {
             return new Acceptance(spec, record, cancelled, submittedMs, attempt + 1);
         }
 
-        boolean mayRepeat() {
+        boolean mayRetry() {
             return attempt < MAX_ATTEMPTS;
         }
     }
@@ -75,8 +75,8 @@
      * malformed.
      */
     Future<SubmissionResult> submit(JobSpec spec) {
-        participants.check(spec);
-        Optional<FinalRecord> finished = context.memory().finished(spec.id());
+        participants.validate(spec);
+        Optional<FinalRecord> finished = context.jobCache().finished(spec.id());
         if (finished.isPresent()) {
             return Future.succeededFuture(
                     SubmissionResult.existing(finished.get().status()));
@@ -85,17 +85,17 @@
             return Future.failedFuture(new RetryLaterException("the machine types are not known yet"));
         }
         long submittedMs = context.clock().timeOfDay();
-        Optional<ApiException> rejection = context.admission().rejection(spec, participants, submittedMs);
+        Optional<ApiException> rejection = context.admission().findRejection(spec, participants, submittedMs);
         if (rejection.isPresent()) {
-            return existingOr(spec.id(), rejection.get());
+            return existingOrFail(spec.id(), rejection.get());
         }
         Map<String, Object> record =
-                JobRecordCodec.writeJob(spec, submittedMs, JobStatus.PENDING, new BitSet(), 0, firstStartBound(spec));
+                JobRecordCodec.writeJob(spec, submittedMs, JobStatus.PENDING, new BitSet(), 0, initialStartBound(spec));
         return context.dependencies()
                 .isAnyCancelled(spec.dependencies())
                 .compose(
                         cancelled -> accept(new Acceptance(spec, record, cancelled, submittedMs, 1)),
-                        failure -> existingOr(spec.id(), dependencyFailure(failure)));
+                        failure -> existingOrFail(spec.id(), dependencyFailure(failure)));
     }
 
     private static ApiException dependencyFailure(Throwable failure) {
@@ -108,7 +108,7 @@
      * In a flood of single-task jobs, raising each start bound would cost one more write than the acceptance. With the bound set at
      * once, a later leader starts those that wait only after it has heard from all machines.
      */
-    private static int firstStartBound(JobSpec spec) {
+    private static int initialStartBound(JobSpec spec) {
         // No task of a job with dependencies starts before its release, which is recorded by the write of the bound.
         return spec.taskCount() == 1 && !spec.isService() && spec.dependencies().isEmpty() ? 1 : 0;
     }
@@ -134,7 +134,7 @@
                 .compose(
                         writes -> commit(acceptance, txn, writes)
                                 .recover(failure -> rejectIfUnacceptable(spec.id(), failure)),
-                        failure -> existingOr(spec.id(), failure));
+                        failure -> existingOrFail(spec.id(), failure));
     }
 
     private Future<SubmissionResult> acceptIfEraKnown(Acceptance acceptance) {
@@ -146,39 +146,39 @@
     private Future<Transaction> participantWrites(Acceptance acceptance) {
         return acceptance.cancelled()
                 ? Future.succeededFuture(new Transaction())
-                : participants.writes(acceptance.spec());
+                : participants.prepareAcceptance(acceptance.spec());
     }
 
     private Future<SubmissionResult> commit(Acceptance acceptance, StateClient.Txn txn, Transaction writes) {
         JobId id = acceptance.spec().id();
-        StateClient.Txn complete = acceptance.cancelled()
+        StateClient.Txn withJobWrite = acceptance.cancelled()
                 ? txn.put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))
                 : txn.put(RecordKeys.openKey(id), acceptance.record());
-        return state.commit(complete.addAll(writes))
+        return state.commit(withJobWrite.addAll(writes))
                 .compose(outcome -> outcome.executed()
-                        ? Future.succeededFuture(remember(acceptance, writes, outcome.writtenRevision()))
+                        ? Future.succeededFuture(recordAcceptance(acceptance, writes, outcome.writtenRevision()))
                         : resolveConflict(acceptance, writes, outcome.failedKeys()));
     }
 
-    private SubmissionResult remember(Acceptance acceptance, Transaction writes, Revision revision) {
+    private SubmissionResult recordAcceptance(Acceptance acceptance, Transaction writes, Revision revision) {
         JobSpec spec = acceptance.spec();
-        participants.accepted(spec, writes, revision);
+        participants.onAccepted(spec, writes, revision);
         if (acceptance.cancelled()) {
-            context.memory().rememberFinished(new FinalRecord(spec.id(), JobStatus.CANCELLED, 0));
+            context.jobCache().addFinished(new FinalRecord(spec.id(), JobStatus.CANCELLED, 0));
         } else {
-            context.memory().rememberAccepted(spec, acceptance.submittedMs());
+            context.jobCache().addAccepted(spec, acceptance.submittedMs());
         }
-        return SubmissionResult.createdNow();
+        return SubmissionResult.newlyCreated();
     }
 
     /** {@code failedKeys}: the keys that did not have the expected revisions. */
     private Future<SubmissionResult> resolveConflict(
             Acceptance acceptance, Transaction writes, List<String> failedKeys) {
-        if (failedKeys.equals(List.of(RecordKeys.ERA)) && acceptance.mayRepeat()) {
-            return state.checkEra().compose(checked -> accept(acceptance.next()));
+        if (failedKeys.equals(List.of(RecordKeys.ERA)) && acceptance.mayRetry()) {
+            return state.checkEra().compose(checked -> accept(acceptance.nextAttempt()));
         }
-        if (failedKeys.stream().anyMatch(writes.conditions()::containsKey) && acceptance.mayRepeat()) {
-            return accept(acceptance.next());
+        if (failedKeys.stream().anyMatch(writes.conditions()::containsKey) && acceptance.mayRetry()) {
+            return accept(acceptance.nextAttempt());
         }
         JobSpec spec = acceptance.spec();
         return lookup.findSubmitted(spec).compose(found -> existingOrRetry(spec.id(), found));
@@ -187,22 +187,25 @@
     /** A write that the state service does not take as it is will never be taken: a repetition would only fail again. */
     private Future<SubmissionResult> rejectIfUnacceptable(JobId id, Throwable failure) {
         return failure instanceof TransactionRejectedException
-                ? existingOr(id, RequestRejectedException.of("the state service takes no record of this size"))
+                ? existingOrFail(id, RequestRejectedException.of("the state service takes no record of this size"))
                 : Future.failedFuture(failure);
     }
 
     /** The status of a job that was accepted before; fails with {@code otherwise} if it never was. */
-    private Future<SubmissionResult> existingOr(JobId id, Throwable otherwise) {
+    private Future<SubmissionResult> existingOrFail(JobId id, Throwable failureIfUnknown) {
         return lookup.find(id)
-                .compose(found -> found.isUnknown() ? Future.failedFuture(otherwise) : existing(id, found));
+                .compose(
+                        found -> found.isUnknown() ? Future.failedFuture(failureIfUnknown) : existingResult(id, found));
     }
 
     /** A job that is still unknown was not accepted by this request: the user has to repeat it. */
     private Future<SubmissionResult> existingOrRetry(JobId id, StoredJob found) {
-        return found.isUnknown() ? Future.failedFuture(new RetryLaterException("try again")) : existing(id, found);
+        return found.isUnknown()
+                ? Future.failedFuture(new RetryLaterException("try again"))
+                : existingResult(id, found);
     }
 
-    private Future<SubmissionResult> existing(JobId id, StoredJob found) {
+    private Future<SubmissionResult> existingResult(JobId id, StoredJob found) {
         return context.cancellation()
                 .applyCascade(id, found)
                 .map(current -> SubmissionResult.existing(current.status().orElseThrow()));
--- a/src/main/java/io/indigoreach/api/RequestRejectedException.java
+++ b/src/main/java/io/indigoreach/api/RequestRejectedException.java
@@ -29,9 +29,9 @@
     }
 
     /** 409: {@code against} describes the present state that the request conflicts with, which may change. */
-    public static RequestRejectedException conflict(String reason, Map<String, Object> against) {
+    public static RequestRejectedException conflict(String reason, Map<String, Object> currentState) {
         return new RequestRejectedException(
-                CONFLICT, reason, MessagePackFormat.map("error", reason, "against", against));
+                CONFLICT, reason, MessagePackFormat.map("error", reason, "against", currentState));
     }
 
     /** The HTTP status code of the response. */
--- a/src/main/java/io/indigoreach/api/Resource.java
+++ b/src/main/java/io/indigoreach/api/Resource.java
@@ -15,7 +15,7 @@
      * @param query the query parameters; the first value of each
      * @param body the fields of the body; none if there is no body
      */
-    record Call(String method, List<String> path, Map<String, String> query, Fields body) {
+    record Request(String method, List<String> path, Map<String, String> query, Fields body) {
         /** Whether this only reads. */
         public boolean isGet() {
             return "GET".equals(method);
@@ -31,5 +31,5 @@
      * Serves a request. A future that fails with an {@link ApiException} is answered by its kind, any other failure with 503
      * and {@code Retry-After}. Throws an {@link ApiException}, or {@link io.indigoreach.net.WireException} if the body is malformed.
      */
-    Future<ApiResponse> serve(Call call);
+    Future<ApiResponse> serve(Request call);
 }
--- a/src/main/java/io/indigoreach/api/Route.java
+++ b/src/main/java/io/indigoreach/api/Route.java
@@ -11,7 +11,7 @@
  * @param parameter the variable part of a path that the route serves; empty if it does not serve the path
  * @param handler handles the requests
  */
-record Route(Function<String, Optional<String>> parameter, Handler handler) {
+record Route(Function<String, Optional<String>> parameterExtractor, Handler handler) {
     /** Handles a request; {@code parameter} is the variable part of its path. */
     @FunctionalInterface
     interface Handler {
@@ -20,15 +20,16 @@
 
     /** Serves this path only, without a parameter. */
     static Route exact(String path, Handler handler) {
-        return new Route(requested -> requested.equals(path) ? Optional.of("") : Optional.empty(), handler);
+        return new Route(requestPath -> requestPath.equals(path) ? Optional.of("") : Optional.empty(), handler);
     }
 
     /** Serves {@code prefix + parameter + suffix} if the parameter is {@code accepted}. */
-    static Route between(String prefix, String suffix, Predicate<String> accepted, Handler handler) {
-        return new Route(requested -> middle(requested, prefix, suffix).filter(accepted), handler);
+    static Route withParameter(String prefix, String suffix, Predicate<String> parameterCheck, Handler handler) {
+        return new Route(
+                requestPath -> extractParameter(requestPath, prefix, suffix).filter(parameterCheck), handler);
     }
 
-    private static Optional<String> middle(String path, String prefix, String suffix) {
+    private static Optional<String> extractParameter(String path, String prefix, String suffix) {
         if (!path.startsWith(prefix)) {
             return Optional.empty();
         }
--- a/src/main/java/io/indigoreach/api/SubmissionParticipant.java
+++ b/src/main/java/io/indigoreach/api/SubmissionParticipant.java
@@ -14,14 +14,14 @@
     String field();
 
     /** Throws {@link io.indigoreach.net.WireException} if the field is malformed; nothing is read for this. */
-    void check(JobSpec spec);
+    void validate(JobSpec spec);
 
     /**
      * The writes and conditions to be added to the transaction that accepts the job. Called again if those conditions fail. Fails with a
      * {@link RequestRejectedException} if the job can never run, and with anything else if that cannot be determined now.
      */
-    Future<Transaction> accepting(JobSpec spec);
+    Future<Transaction> prepareAcceptance(JobSpec spec);
 
     /** The writes were committed with the job, at this revision. */
-    default void accepted(Transaction writes, Revision revision) {}
+    default void onAccepted(Transaction writes, Revision revision) {}
 }
--- a/src/main/java/io/indigoreach/api/SubmissionResult.java
+++ b/src/main/java/io/indigoreach/api/SubmissionResult.java
@@ -10,7 +10,7 @@
  */
 record SubmissionResult(boolean created, JobStatus status) {
     /** The job was created. A job that is cancelled from the start is reported as pending too. */
-    static SubmissionResult createdNow() {
+    static SubmissionResult newlyCreated() {
         return new SubmissionResult(true, JobStatus.PENDING);
     }
 
--- a/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
+++ b/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
@@ -23,30 +23,30 @@
  * continues with that. Bound to the node's event loop.
  */
 final class CompletionBlockStore {
-    private static final Span PERIOD = Span.seconds(0.5);
+    private static final Span CLEANUP_PERIOD = Span.seconds(0.5);
 
     /** The blocks of one job. */
     private static final class JobBlocks {
         /** The tasks that the written blocks name as completed. */
-        final BitSet written = new BitSet();
+        final BitSet writtenTasks = new BitSet();
 
         final Set<String> keys = new TreeSet<>();
         /** The blocks of the write in flight, by key. */
         Map<String, BitSet> inFlight = Map.of();
     }
 
-    private final LeaderWrites writes;
+    private final LeaderWriteContext writes;
     private final NodeContext context;
     private final PeriodicTask cleanupTask;
     private final Map<JobId, JobBlocks> blocksByJob = new HashMap<>();
     /** Keys of blocks that are to be deleted, as their jobs are no longer open. */
     private final Map<JobId, Set<String>> orphanedKeys = new LinkedHashMap<>();
 
-    CompletionBlockStore(LeaderWrites writes) {
+    CompletionBlockStore(LeaderWriteContext writes) {
         this.writes = writes;
         this.context = writes.context();
-        this.cleanupTask =
-                new PeriodicTask(context.vertx(), "blocks of finished jobs", PERIOD, this::deleteOrphanedBlocks);
+        this.cleanupTask = new PeriodicTask(
+                context.vertx(), "blocks of finished jobs", CLEANUP_PERIOD, this::deleteOrphanedBlocks);
     }
 
     void start() {
@@ -64,22 +64,22 @@
     }
 
     /** Takes over a block that an earlier leader wrote. */
-    void inherit(String blockKey, BitSet done) {
+    void addInheritedBlock(String blockKey, BitSet completedTasks) {
         JobBlocks blocks = blocksOf(CompletionBits.jobOf(blockKey));
         blocks.keys.add(blockKey);
-        blocks.written.or(done);
+        blocks.writtenTasks.or(completedTasks);
     }
 
     /** All open jobs are known: blocks of other jobs are orphaned. */
-    void loaded(Set<JobId> openJobs) {
+    void onOpenJobsLoaded(Set<JobId> openJobs) {
         List<JobId> finished = blocksByJob.keySet().stream()
                 .filter(id -> !openJobs.contains(id))
                 .toList();
-        finished.forEach(this::jobEnded);
+        finished.forEach(this::onJobFinished);
     }
 
     /** The job is over, and its blocks are to be deleted. */
-    void jobEnded(JobId id) {
+    void onJobFinished(JobId id) {
         JobBlocks blocks = blocksByJob.remove(id);
         if (blocks != null && !blocks.keys.isEmpty()) {
             orphanedKeys.put(id, blocks.keys);
@@ -87,59 +87,65 @@
     }
 
     /** Whether the job's completion bits fit into its own record, so that it has no blocks. */
-    boolean hasRoomInRecord(Job job) {
-        return bits().fitInRecord(job.spec(), job.submittedMs());
+    boolean fitsInJobRecord(Job job) {
+        return completionBits().fitInRecord(job.spec(), job.submittedMs());
     }
 
     /**
      * Whether the job's record fits into a value. If limits were lowered since the job was accepted, its record stays as it is until
      * the job is over.
      */
-    boolean canBeWritten(Job job) {
-        return bits().recordFits(job.spec(), job.submittedMs());
+    boolean isJobRecordWritable(Job job) {
+        return completionBits().recordFits(job.spec(), job.submittedMs());
     }
 
     /** Adds the job's record to a transaction, and as many of its outdated blocks as fit. */
-    void addProgress(StateClient.Txn txn, Job job, BitSet done) {
-        txn.put(RecordKeys.openKey(job.id()), openRecord(job, done));
-        if (hasRoomInRecord(job)) {
+    void addProgress(StateClient.Txn txn, Job job, BitSet completedTasks) {
+        txn.put(RecordKeys.openKey(job.id()), openRecord(job, completedTasks));
+        if (fitsInJobRecord(job)) {
             return;
         }
         JobBlocks blocks = blocksOf(job.id());
-        BitSet unwritten = (BitSet) done.clone();
-        unwritten.andNot(blocks.written);
-        int room = context.limits().txnOps() - txn.size();
-        blocks.inFlight = bits().blocksCovering(job.id(), unwritten, done, room);
+        BitSet unwritten = (BitSet) completedTasks.clone();
+        unwritten.andNot(blocks.writtenTasks);
+        int remainingOperations = context.limits().txnOps() - txn.size();
+        blocks.inFlight = completionBits().blocksCovering(job.id(), unwritten, completedTasks, remainingOperations);
         blocks.inFlight.forEach(
                 (blockKey, completed) -> txn.put(blockKey, CompletionBits.writeBlock(blockKey, completed)));
     }
 
-    private Map<String, Object> openRecord(Job job, BitSet done) {
-        return bits().writeJob(
-                        job.spec(), job.submittedMs(), job.status(), done, job.runningCount(), job.startBoundToWrite());
+    private Map<String, Object> openRecord(Job job, BitSet completedTasks) {
+        return completionBits()
+                .writeJob(
+                        job.spec(),
+                        job.submittedMs(),
+                        job.status(),
+                        completedTasks,
+                        job.runningCount(),
+                        job.startBoundToWrite());
     }
 
     /** The job's last write was executed; returns which of {@code done} are durable. */
-    BitSet written(Job job, BitSet done) {
-        if (hasRoomInRecord(job)) {
-            return done;
+    BitSet onProgressWritten(Job job, BitSet completedTasks) {
+        if (fitsInJobRecord(job)) {
+            return completedTasks;
         }
         JobBlocks blocks = blocksOf(job.id());
         blocks.inFlight.forEach((blockKey, completed) -> {
             blocks.keys.add(blockKey);
-            blocks.written.or(completed);
+            blocks.writtenTasks.or(completed);
         });
         blocks.inFlight = Map.of();
-        return (BitSet) blocks.written.clone();
+        return (BitSet) blocks.writtenTasks.clone();
     }
 
     /** Whether completed tasks did not fit into the last write. */
-    boolean isBehind(Job job) {
-        if (hasRoomInRecord(job)) {
+    boolean hasUnwrittenCompletions(Job job) {
+        if (fitsInJobRecord(job)) {
             return false;
         }
         BitSet unwritten = job.completedTasks();
-        unwritten.andNot(blocksOf(job.id()).written);
+        unwritten.andNot(blocksOf(job.id()).writtenTasks);
         return !unwritten.isEmpty();
     }
 
@@ -147,19 +153,19 @@
         return blocksByJob.computeIfAbsent(id, added -> new JobBlocks());
     }
 
-    private CompletionBits bits() {
+    private CompletionBits completionBits() {
         return new CompletionBits(context.limits());
     }
 
     private Future<Span> deleteOrphanedBlocks() {
         if (orphanedKeys.isEmpty()) {
-            return Future.succeededFuture(PERIOD);
+            return Future.succeededFuture(CLEANUP_PERIOD);
         }
         JobId id = orphanedKeys.keySet().iterator().next();
         List<String> keys =
                 orphanedKeys.get(id).stream().limit(context.limits().txnOps()).toList();
         if (!writes.limiter().takeSpare(keys.size(), context.clock().now())) {
-            return Future.succeededFuture(PERIOD);
+            return Future.succeededFuture(CLEANUP_PERIOD);
         }
         return context.state().get(RecordKeys.finalKey(id)).compose(finalRecord -> {
             if (finalRecord == null) {
@@ -176,15 +182,15 @@
         keys.forEach(txn::delete);
         return context.state().commit(txn).map(outcome -> {
             if (outcome.executed()) {
-                onDeleted(id, keys);
-            } else if (!cleanupTask.isCancelled() && LeaderWrites.isDeposed(outcome)) {
+                onBlocksDeleted(id, keys);
+            } else if (!cleanupTask.isCancelled() && LeaderWriteContext.isDeposed(outcome)) {
                 writes.deposed();
             }
-            return PERIOD;
+            return CLEANUP_PERIOD;
         });
     }
 
-    private void onDeleted(JobId id, List<String> keys) {
+    private void onBlocksDeleted(JobId id, List<String> keys) {
         orphanedKeys.get(id).removeAll(keys);
         if (orphanedKeys.get(id).isEmpty()) {
             orphanedKeys.remove(id);
--- a/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
+++ b/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
@@ -22,7 +22,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(ConnectivityCheck.class);
     private static final Span PERIOD = Span.seconds(1);
     /** An answer of the state service that is older proves nothing about now. */
-    private static final Span ANSWER_TIMEOUT = Span.seconds(2);
+    private static final Span MAX_RESPONSE_AGE = Span.seconds(2);
 
     private final SteadyClock clock;
     private final EventLoopMonitor loopMonitor;
@@ -32,9 +32,9 @@
     private final PeriodicTask task;
     private final IsolationCheck isolation = new IsolationCheck();
     private IsolationCheck.Verdict lastVerdict = IsolationCheck.Verdict.TOGETHER;
-    private Moment lastServedAt;
+    private Moment lastResponseAt;
     /** The state service did not answer this node when it was last asked. */
-    private boolean unserved;
+    private boolean stateUnreachable;
 
     ConnectivityCheck(NodeContext context, Controller controller, PeerClient peers) {
         this.clock = context.clock();
@@ -42,7 +42,7 @@
         this.state = context.state();
         this.controller = controller;
         this.peers = peers;
-        this.lastServedAt = clock.now();
+        this.lastResponseAt = clock.now();
         this.task = new PeriodicTask(context.vertx(), "connectivity", PERIOD, this::step);
     }
 
@@ -65,46 +65,46 @@
     }
 
     /** Whether the last request to the state service was not answered. */
-    boolean isUnserved() {
-        return unserved;
+    boolean isStateUnreachable() {
+        return stateUnreachable;
     }
 
     /**
      * Whether the last request was answered, and lately. In the first second of an outage nodes still report that they are served, so a leader asks
      * them twice.
      */
-    boolean isServed() {
-        return !unserved && clock.now().since(lastServedAt).compareTo(ANSWER_TIMEOUT) < 0;
+    boolean isStateReachable() {
+        return !stateUnreachable && clock.now().since(lastResponseAt).compareTo(MAX_RESPONSE_AGE) < 0;
     }
 
     /** Long enough that in an outage the peers have noticed too, and not because this node's own event loop was blocked. */
-    private boolean isSurelyUnserved() {
-        Span needed = ANSWER_TIMEOUT.times(2);
-        return loopMonitor.hasRunWithoutPauseFor(needed)
-                && clock.now().since(lastServedAt).compareTo(needed) >= 0;
+    private boolean isUnreachableLongEnough() {
+        Span requiredTime = MAX_RESPONSE_AGE.times(2);
+        return loopMonitor.hasRunWithoutPauseFor(requiredTime)
+                && clock.now().since(lastResponseAt).compareTo(requiredTime) >= 0;
     }
 
     private Future<Span> step() {
         return state.checkEra()
-                .map(answer -> {
-                    lastServedAt = clock.now();
+                .map(response -> {
+                    lastResponseAt = clock.now();
                     return false;
                 })
-                .onComplete(result -> unserved = result.failed())
-                .recover(e -> isRefusedAlone())
-                .map(refusedAlone -> {
-                    act(refusedAlone);
+                .onComplete(result -> stateUnreachable = result.failed())
+                .recover(e -> isOnlyThisNodeAffected())
+                .map(onlyThisNodeAffected -> {
+                    applyResult(onlyThisNodeAffected);
                     return PERIOD;
                 });
     }
 
-    private Future<Boolean> isRefusedAlone() {
-        if (!isSurelyUnserved()) {
+    private Future<Boolean> isOnlyThisNodeAffected() {
+        if (!isUnreachableLongEnough()) {
             return Future.succeededFuture(false);
         }
-        return peers.arePeersServed()
-                .map(answers -> isolation.onStateServiceUnresponsive(answers, clock.now()))
-                .map(this::confirm);
+        return peers.canPeersReachState()
+                .map(responses -> isolation.onStateServiceUnresponsive(responses, clock.now()))
+                .map(this::isRepeatedRefusal);
     }
 
     /**
@@ -112,7 +112,7 @@
      * before an outage: its peers had not noticed the outage yet and reported that they were served, so it stepped aside where nobody could
      * follow, and all work of the fleet was lost. The second verdict costs nothing, as the lease ends by then in any case.
      */
-    private boolean confirm(IsolationCheck.Verdict verdict) {
+    private boolean isRepeatedRefusal(IsolationCheck.Verdict verdict) {
         boolean repeated = verdict == lastVerdict;
         if (!repeated) {
             lastVerdict = verdict;
@@ -129,16 +129,16 @@
         }
     }
 
-    private void act(boolean refusedAlone) {
-        if (!unserved && isolation.onStateServiceResponded()) {
+    private void applyResult(boolean onlyThisNodeAffected) {
+        if (!stateUnreachable && isolation.onStateServiceResponded()) {
             lastVerdict = IsolationCheck.Verdict.TOGETHER;
             LOG.info("state service reachable");
         }
-        controller.setCutOff(isolation.isCutOff());
+        controller.setIsolated(isolation.isCutOff());
         if (state.losses().isLossPending()) {
             peers.announceLoss(state.losses().era());
         }
-        Revision leadershipRevision = refusedAlone ? controller.stepAside() : null;
+        Revision leadershipRevision = onlyThisNodeAffected ? controller.resign() : null;
         if (leadershipRevision != null) {
             peers.requestHandover(leadershipRevision);
         }
--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -56,18 +56,18 @@
     /** Asks every other node for its pledge not to lead, and for the cancellations that it confirmed within {@code lookBack}. */
     @FunctionalInterface
     interface PledgeSource {
-        Future<PeerPromises> request(Span lookBack);
+        Future<PledgeResponse> request(Span lookBack);
     }
 
     /** Between two looks at whether a leader is known, while a node starts. */
-    private static final Span LEADER_POLL = Span.seconds(0.05);
+    private static final Span LEADER_POLL_INTERVAL = Span.seconds(0.05);
     /** Reason of a leadership that ends as only this node is without the state service; part of a log line. */
     private static final String UNREACHABLE_FROM_THIS_NODE_ONLY = "unreachable-from-this-node-only";
 
     private final NodeContext context;
     private final LeaderElection election;
     private final FormatGate formatGate;
-    private final WarmUp warmUp;
+    private final HeartbeatWarmUp warmUp;
     /** What this node knew when it last led. */
     private final LeaderMemory leaderMemory = new LeaderMemory();
 
@@ -75,12 +75,12 @@
     /** Null while this node does not lead. */
     private LeadershipTerm term;
 
-    private boolean cutOff;
+    private boolean isolated;
 
     /** {@code renewalLoop}: the event loop of the lease's renewals, which must not wait for anything else. */
     Controller(NodeContext context, Vertx renewalLoop) {
         this.context = context;
-        this.warmUp = new WarmUp(context, () -> term != null);
+        this.warmUp = new HeartbeatWarmUp(context, () -> term != null);
         List<String> nodes = nodeNames(context.config());
         this.election = election(renewalLoop, nodes);
         this.formatGate = new FormatGate(
@@ -121,13 +121,13 @@
     }
 
     /** The state service has lost data: a leader keeps what it knows, and campaigns anew to rebuild from it. */
-    void onStateLoss() {
+    void onStateDataLoss() {
         election.onLeadershipConflict();
     }
 
     /** Whether this node leads and has the job open. */
-    boolean hasOpen(JobId id) {
-        return term != null && term.hasOpen(id);
+    boolean isJobOpen(JobId id) {
+        return term != null && term.isJobOpen(id);
     }
 
     /** What this node knows of one job as the leader, or as the last thing it knew of its end. */
@@ -136,10 +136,10 @@
             return term.rememberedState(id);
         }
         RememberedState rememberedState = new RememberedState();
-        RememberedState.FinishedJob end =
+        RememberedState.FinishedJob finishedJob =
                 leaderMemory.rememberedState().finishedJobs().get(id);
-        if (end != null) {
-            rememberedState.add(id, end);
+        if (finishedJob != null) {
+            rememberedState.add(id, finishedJob);
         }
         return rememberedState;
     }
@@ -154,18 +154,18 @@
     }
 
     /** How to ask every other node for its pledge not to lead, and whether none of them leads now. */
-    void setPeers(PledgeSource pledges, Supplier<Future<Boolean>> noPeerLeads) {
+    void setPeerQueries(PledgeSource pledges, Supplier<Future<Boolean>> noPeerLeads) {
         election.setPeerQueries(() -> requestPledges(pledges), noPeerLeads);
     }
 
     /** Whether every other node has pledged; the cancellations in their answers go to the current term. */
     private Future<Boolean> requestPledges(PledgeSource pledges) {
-        Moment sent = context.clock().now();
-        LeadershipTerm requesting = term;
-        Span lookBack = requesting == null ? Span.ZERO : requesting.cancellationLookBack();
+        Moment sentAt = context.clock().now();
+        LeadershipTerm requestingTerm = term;
+        Span lookBack = requestingTerm == null ? Span.ZERO : requestingTerm.cancellationLookBack();
         return pledges.request(lookBack).map(promises -> {
-            if (requesting != null && requesting == term) {
-                requesting.onPeerCancellations(promises.cancellations(), sent);
+            if (requestingTerm != null && requestingTerm == term) {
+                requestingTerm.onPeerCancellations(promises.cancellations(), sentAt);
             }
             return promises.allPledged();
         });
@@ -186,8 +186,8 @@
     }
 
     /** Removes what a predecessor of this process left behind; true if nobody leads any more. Never fails. */
-    public Future<Boolean> clearPredecessor(Function<String, Future<Boolean>> leads) {
-        return election.clearPredecessorKey(leads);
+    public Future<Boolean> removePredecessorKey(Function<String, Future<Boolean>> leadingQuery) {
+        return election.clearPredecessorKey(leadingQuery);
     }
 
     /**
@@ -195,19 +195,19 @@
      * have ended, hundreds of workers look for a leader at each node as soon as it listens, and the three nodes of 450 machines began to
      * lead only 2.9 to 3.3 s after that.
      */
-    Future<Void> leaderKnown(Moment deadline) {
-        return leaderKnown(election.leadershipRevision(), deadline);
+    Future<Void> awaitLeader(Moment deadline) {
+        return awaitLeader(election.leadershipRevision(), deadline);
     }
 
-    private Future<Void> leaderKnown(Revision previous, Moment deadline) {
-        boolean begun =
+    private Future<Void> awaitLeader(Revision previous, Moment deadline) {
+        boolean leaderElected =
                 election.leaderNode() != null && !election.leadershipRevision().equals(previous);
-        if (election.isLeading() || begun || !context.clock().now().isBefore(deadline)) {
+        if (election.isLeading() || leaderElected || !context.clock().now().isBefore(deadline)) {
             return Future.succeededFuture();
         }
         return context.vertx()
-                .timer(LEADER_POLL.ms(), TimeUnit.MILLISECONDS)
-                .compose(timer -> leaderKnown(previous, deadline));
+                .timer(LEADER_POLL_INTERVAL.ms(), TimeUnit.MILLISECONDS)
+                .compose(timer -> awaitLeader(previous, deadline));
     }
 
     /** Starts to campaign, to raise the data format and to warm up. */
@@ -234,7 +234,7 @@
     }
 
     /** Gives leadership up where this node alone is without the state service; null if it does not lead. */
-    Revision stepAside() {
+    Revision resign() {
         return election.handOver(UNREACHABLE_FROM_THIS_NODE_ONLY);
     }
 
@@ -248,40 +248,40 @@
      * the end of a leader every machine tries every node, and a node that has just started is slow.
      */
     public Future<HeartbeatResponse> onHeartbeat(Supplier<Heartbeat> decoder) {
-        if (!mayAnswer()) {
-            return Future.succeededFuture(HeartbeatResponse.redirect(otherLeader()));
+        if (!mayRespond()) {
+            return Future.succeededFuture(HeartbeatResponse.redirect(redirectTarget()));
         }
-        LeadershipTerm current = term;
+        LeadershipTerm currentTerm = term;
         Heartbeat heartbeat = decoder.get();
         election.recordSeenToken(heartbeat.token());
-        return current.onHeartbeat(heartbeat).map(result -> respond(current, heartbeat, result));
+        return currentTerm.onHeartbeat(heartbeat).map(result -> respond(currentTerm, heartbeat, result));
     }
 
-    private HeartbeatResponse respond(LeadershipTerm asked, Heartbeat heartbeat, HeartbeatResult result) {
+    private HeartbeatResponse respond(LeadershipTerm requestedTerm, Heartbeat heartbeat, HeartbeatResult result) {
         if (result.isSuperseded()) {
             election.onLeadershipConflict();
             return HeartbeatResponse.redirect(null);
         }
         // Checked as the response is written: the leadership may have ended while a record was being written.
-        if (asked == term && mayAnswer() && asked.mayAnswer(heartbeat.machine())) {
-            return new HeartbeatResponse(true, asked.token(), result.commands(), null);
+        if (requestedTerm == term && mayRespond() && requestedTerm.mayRespondTo(heartbeat.machine())) {
+            return new HeartbeatResponse(true, requestedTerm.token(), result.commands(), null);
         }
-        return HeartbeatResponse.redirect(otherLeader());
+        return HeartbeatResponse.redirect(redirectTarget());
     }
 
-    private boolean mayAnswer() {
-        return term != null && election.isValid() && term.isInformedOfCancellations();
+    private boolean mayRespond() {
+        return term != null && election.isValid() && term.knowsRecentCancellations();
     }
 
     /** Neither the state service nor another node answers this one: what it knows of who leads is out of date. */
-    void setCutOff(boolean cutOff) {
-        this.cutOff = cutOff;
+    void setIsolated(boolean isolated) {
+        this.isolated = isolated;
     }
 
     /** Who else leads, for a worker to go to; null if that is not known, as a wrong name costs the worker more than none. */
-    private String otherLeader() {
+    private String redirectTarget() {
         String leader = election.leaderNode();
-        return cutOff || context.config().node().equals(leader) ? null : leader;
+        return isolated || context.config().node().equals(leader) ? null : leader;
     }
 
     @Override
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -38,7 +38,7 @@
     /** Until a missing dependency is looked up again; it returns when a controller that remembers it is asked. */
     private static final Span MISSING_RETRY = Span.seconds(5);
 
-    private final LeaderWrites writes;
+    private final LeaderWriteContext writes;
     private final NodeContext context;
     private final JobRecordLookup lookup;
     private final SchedulerCore core;
@@ -50,7 +50,7 @@
     private final Set<JobId> writesInFlight = new HashSet<>();
     private final Map<JobId, Moment> nextLookupAt = new HashMap<>();
 
-    DependencyTask(LeaderWrites writes, SchedulerCore core, JobStore jobStore) {
+    DependencyTask(LeaderWriteContext writes, SchedulerCore core, JobStore jobStore) {
         this.writes = writes;
         this.context = writes.context();
         this.lookup = new JobRecordLookup(context.state());
@@ -206,7 +206,7 @@
             onCancelled(job.id());
             return Future.succeededFuture();
         }
-        if (LeaderWrites.isDeposed(outcome)) {
+        if (LeaderWriteContext.isDeposed(outcome)) {
             writes.deposed();
             return Future.succeededFuture();
         }
--- a/src/main/java/io/indigoreach/cluster/WarmUp.java
+++ b/src/main/java/io/indigoreach/cluster/HeartbeatWarmUp.java
@@ -43,14 +43,14 @@
  * quarter lost their tasks before it came to them. Done a little at a time, so that users hardly notice; it ends when the node
  * leads, as it then runs the path in any case. Bound to the node's event loop.
  */
-final class WarmUp {
+final class HeartbeatWarmUp {
     /** After the node has started, when it has other things to do. */
     private static final Span START_DELAY = Span.seconds(5);
 
-    private static final Span PAUSE = Span.seconds(0.08);
-    private static final int HEARTBEATS = 350;
-    private static final int MACHINES = 12;
-    private static final int JOBS = 24;
+    private static final Span HEARTBEAT_INTERVAL = Span.seconds(0.08);
+    private static final int HEARTBEAT_COUNT = 350;
+    private static final int MACHINE_COUNT = 12;
+    private static final int JOB_COUNT = 24;
     private static final int TASKS_PER_JOB = 40;
     /** In every so many rounds over all machines the running tasks end. */
     private static final int ROUNDS_PER_RUN = 3;
@@ -68,13 +68,13 @@
     /** The tasks that each machine reports in its next heartbeat. */
     private final Map<Integer, List<TaskStatus>> statuses = new HashMap<>();
 
-    private int heartbeats;
-    private int startCommands;
+    private int heartbeatCount;
+    private int startCommandCount;
 
-    WarmUp(NodeContext context, BooleanSupplier leads) {
+    HeartbeatWarmUp(NodeContext context, BooleanSupplier leads) {
         this.context = context;
         this.leads = leads;
-        this.task = new PeriodicTask(context.vertx(), "warm-up", PAUSE, this::step);
+        this.task = new PeriodicTask(context.vertx(), "warm-up", HEARTBEAT_INTERVAL, this::step);
     }
 
     void start() {
@@ -86,28 +86,28 @@
     }
 
     /** How many start commands its core has given. */
-    int startCommands() {
-        return startCommands;
+    int startCommandCount() {
+        return startCommandCount;
     }
 
     Future<Span> step() {
-        if (leads.getAsBoolean() || heartbeats >= HEARTBEATS) {
+        if (leads.getAsBoolean() || heartbeatCount >= HEARTBEAT_COUNT) {
             core = null;
             statuses.clear();
             task.cancel();
-            return Future.succeededFuture(PAUSE);
+            return Future.succeededFuture(HEARTBEAT_INTERVAL);
         }
         if (core == null) {
             core = newCore();
             addMachines();
             addJobs();
         }
-        sendHeartbeat(heartbeats++ % MACHINES);
-        return Future.succeededFuture(PAUSE);
+        sendHeartbeat(heartbeatCount++ % MACHINE_COUNT);
+        return Future.succeededFuture(HEARTBEAT_INTERVAL);
     }
 
     private SchedulerCore newCore() {
-        SchedulerListener silent = new SchedulerListener() {
+        SchedulerListener noOpListener = new SchedulerListener() {
             @Override
             public void onTaskCompleted(Job job) {}
 
@@ -121,7 +121,7 @@
                 new ServiceLevelObjectives(
                         List.of(new ServiceLevelObjectives.Objective("c0", false, Span.seconds(200)))),
                 List.of(new Team(TEAM, 0, 0, 0, 0)),
-                silent);
+                noOpListener);
     }
 
     private void addMachines() {
@@ -130,15 +130,16 @@
         core.addMachineTypes(List.of(type));
         core.onRecordsLoaded();
         Moment now = context.clock().now();
-        List<MachineId> ids =
-                IntStream.range(0, MACHINES).mapToObj(WarmUp::machine).toList();
+        List<MachineId> ids = IntStream.range(0, MACHINE_COUNT)
+                .mapToObj(HeartbeatWarmUp::machine)
+                .toList();
         core.onMachinesRented(POOL, ids, now, now);
         ids.forEach(core::onMachineRecorded);
     }
 
     private void addJobs() {
         Moment now = context.clock().now();
-        for (int index = 0; index < JOBS; index++) {
+        for (int index = 0; index < JOB_COUNT; index++) {
             core.addJob(new Job(
                     spec(index),
                     context.clock().timeOfDay(),
@@ -176,7 +177,7 @@
                 machine(machine),
                 "0.0.0.0:0",
                 POOL,
-                new HeartbeatNumber(1, heartbeats + 1),
+                new HeartbeatNumber(1, heartbeatCount + 1),
                 TOKEN,
                 null,
                 statuses.getOrDefault(machine, List.of()));
@@ -186,7 +187,7 @@
                 core.onHeartbeat(received, context.clock().now()).commands();
         MessagePackFormat.write(WorkerCodec.writeResponse(TOKEN, commands));
         core.expireLeases(context.clock().now());
-        boolean tasksEnd = heartbeats / MACHINES % ROUNDS_PER_RUN == ROUNDS_PER_RUN - 1;
+        boolean tasksEnd = heartbeatCount / MACHINE_COUNT % ROUNDS_PER_RUN == ROUNDS_PER_RUN - 1;
         statuses.put(machine, nextStatuses(machine, commands, tasksEnd));
     }
 
@@ -199,7 +200,7 @@
         }
         for (WorkerCommand command : commands) {
             if (command instanceof WorkerCommand.Start start) {
-                startCommands++;
+                startCommandCount++;
                 next.add(status(start, tasksEnd));
             }
         }
--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -38,17 +38,17 @@
     private final Revision leadershipRevision;
     private final Runnable onDeposed;
     private final RateLimiter writeLimiter;
-    private final String ownKey;
-    private final Intents intents = new Intents(new HalfOfRecordEach());
+    private final String recordKey;
+    private final Intents intents = new Intents(new RecordSizeLimit());
     /** Earlier leaders' records, with their versions. */
     private final Map<String, Revision> earlierRecords = new LinkedHashMap<>();
 
     private boolean cancelled;
-    private Revision ownRevision = Revision.ABSENT;
+    private Revision recordRevision = Revision.ABSENT;
     /** The own record's version must be read before the next write. */
     private boolean revisionUnknown;
     /** A write was not answered, and may be executed at any time until a later one has been. */
-    private boolean writeUnanswered;
+    private boolean writeOutcomeUnknown;
 
     private Future<Boolean> writeInProgress;
     private Moment lastWriteAt = Moment.NEVER;
@@ -64,26 +64,26 @@
         this.leadershipRevision = leadershipRevision;
         this.onDeposed = onDeposed;
         this.writeLimiter = writeLimiter;
-        this.ownKey = RecordKeys.intentsKey(token);
+        this.recordKey = RecordKeys.intentsKey(token);
     }
 
     /** Requests to rent and machines to be returned may fill half of the record's value each. */
-    private final class HalfOfRecordEach implements Intents.Capacity {
-        private int half() {
+    private final class RecordSizeLimit implements Intents.Capacity {
+        private int bytesPerKind() {
             return (context.limits().maxRecordBytes() - EMPTY_RECORD_BYTES) / 2;
         }
 
         @Override
         public boolean hasRoomForRental(Collection<Intents.Rental> rents, Intents.Rental next) {
             int used = rents.stream().mapToInt(IntentRecordCodec::encodedBytes).sum();
-            return used + IntentRecordCodec.encodedBytes(next) <= half();
+            return used + IntentRecordCodec.encodedBytes(next) <= bytesPerKind();
         }
 
         @Override
         public boolean hasRoomForReturn(Collection<MachineId> returns, MachineId next) {
             int used =
                     returns.stream().mapToInt(IntentRecordCodec::encodedBytes).sum();
-            return used + IntentRecordCodec.encodedBytes(next) <= half();
+            return used + IntentRecordCodec.encodedBytes(next) <= bytesPerKind();
         }
     }
 
@@ -120,7 +120,7 @@
     }
 
     /** Removes earlier leaders' records, as everything in them is completed; as many at a time as a transaction takes. */
-    Future<Void> forgetEarlier() {
+    Future<Void> removeEarlierRecords() {
         List<String> keys = earlierRecords.keySet().stream()
                 .limit(context.limits().txnOps())
                 .toList();
@@ -133,13 +133,13 @@
         return context.state()
                 .commit(txn)
                 .map(outcome -> {
-                    onEarlierRemoved(keys, outcome);
+                    onEarlierRecordsRemoved(keys, outcome);
                     return (Void) null;
                 })
                 .otherwiseEmpty();
     }
 
-    private void onEarlierRemoved(List<String> keys, StateClient.Outcome outcome) {
+    private void onEarlierRecordsRemoved(List<String> keys, StateClient.Outcome outcome) {
         if (outcome.executed()) {
             keys.forEach(earlierRecords::remove);
         } else if (outcome.failedKeys().contains(RecordKeys.LEADER)) {
@@ -159,9 +159,9 @@
             return writeInProgress.transform(result -> record());
         }
         writeInProgress = writeIfNeeded();
-        Future<Boolean> begun = writeInProgress;
-        begun.onComplete(result -> writeInProgress = null);
-        return begun;
+        Future<Boolean> startedWrite = writeInProgress;
+        startedWrite.onComplete(result -> writeInProgress = null);
+        return startedWrite;
     }
 
     private Future<Boolean> writeIfNeeded() {
@@ -169,7 +169,7 @@
         if (intents.hasUnrecordedRequests()) {
             return writeLimiter.take(1, now) ? write(now) : Future.succeededFuture(false);
         }
-        boolean cleanup = (writeUnanswered || intents.isRecordOutdated())
+        boolean cleanup = (writeOutcomeUnknown || intents.isRecordOutdated())
                 && now.since(lastWriteAt).compareTo(CLEANUP_INTERVAL) >= 0
                 && writeLimiter.takeSpare(1, now);
         return cleanup ? write(now).map(true).otherwise(true) : Future.succeededFuture(true);
@@ -177,36 +177,36 @@
 
     private Future<Boolean> write(Moment now) {
         if (revisionUnknown) {
-            return readOwnRevision().map(false);
+            return readRecordRevision().map(false);
         }
         Intents.Content page = intents.content();
         // An absent record stays absent as long as there is nothing to record; the conditions are checked all the same.
-        boolean puts = writeUnanswered || !page.isEmpty() || !ownRevision.equals(Revision.ABSENT);
+        boolean writesRecord = writeOutcomeUnknown || !page.isEmpty() || !recordRevision.equals(Revision.ABSENT);
         StateClient.Txn txn = new StateClient.Txn()
                 .when(RecordKeys.LEADER, leadershipRevision)
-                .when(ownKey, ownRevision);
-        if (puts) {
-            txn.put(ownKey, IntentRecordCodec.writeIntents(page));
+                .when(recordKey, recordRevision);
+        if (writesRecord) {
+            txn.put(recordKey, IntentRecordCodec.writeIntents(page));
         }
         lastWriteAt = now;
         return context.state()
                 .commit(txn)
-                .map(outcome -> onWritten(page, puts, outcome))
+                .map(outcome -> onWritten(page, writesRecord, outcome))
                 .onFailure(this::onWriteFailed);
     }
 
-    private Future<Void> readOwnRevision() {
-        return context.state().get(ownKey).map(entry -> {
-            ownRevision = entry == null ? Revision.ABSENT : entry.revision();
+    private Future<Void> readRecordRevision() {
+        return context.state().get(recordKey).map(entry -> {
+            recordRevision = entry == null ? Revision.ABSENT : entry.revision();
             revisionUnknown = false;
             return null;
         });
     }
 
-    private boolean onWritten(Intents.Content page, boolean puts, StateClient.Outcome outcome) {
+    private boolean onWritten(Intents.Content page, boolean recordWritten, StateClient.Outcome outcome) {
         if (outcome.executed()) {
-            ownRevision = puts ? outcome.writtenRevision() : Revision.ABSENT;
-            writeUnanswered = false;
+            recordRevision = recordWritten ? outcome.writtenRevision() : Revision.ABSENT;
+            writeOutcomeUnknown = false;
             intents.onRecorded(page);
             return true;
         }
@@ -219,6 +219,6 @@
 
     private void onWriteFailed(Throwable cause) {
         revisionUnknown |= !StateClient.wasNotExecuted(cause);
-        writeUnanswered |= revisionUnknown;
+        writeOutcomeUnknown |= revisionUnknown;
     }
 }
--- a/src/main/java/io/indigoreach/cluster/JobLoader.java
+++ b/src/main/java/io/indigoreach/cluster/JobLoader.java
@@ -31,9 +31,9 @@
 final class JobLoader {
     private static final Logger LOG = LoggerFactory.getLogger(JobLoader.class);
     /** For how long a new leader repairs unreadable records before it continues without the rest. */
-    private static final Span REPAIR_TIME = Span.seconds(2);
+    private static final Span REPAIR_TIME_LIMIT = Span.seconds(2);
 
-    private final LeaderJobs jobs;
+    private final JobStoreComponents jobs;
     private final NodeContext context;
     private final CompletionBlockStore completionBlocks;
     private final MachineStore machineStore;
@@ -42,10 +42,10 @@
      * When this term began: no earlier leader has responded to workers since. If it counted from the start of the load instead,
      * silent machines would delay the failover for as long as a slow state service takes, and again with each load that fails.
      */
-    private final Moment termBeganAt;
+    private final Moment termStartedAt;
 
     JobLoader(
-            LeaderJobs jobs,
+            JobStoreComponents jobs,
             CompletionBlockStore completionBlocks,
             MachineStore machineStore,
             CancellationHorizon horizon) {
@@ -54,7 +54,7 @@
         this.completionBlocks = completionBlocks;
         this.machineStore = machineStore;
         this.horizon = horizon;
-        this.termBeganAt = context.clock().now();
+        this.termStartedAt = context.clock().now();
     }
 
     /** Reads every machine and every open job; the result is the revision to watch the open jobs from. */
@@ -66,8 +66,8 @@
 
     /** The state of one load, which is discarded if it fails. */
     private final class Load {
-        private final Map<JobId, BitSet> blockBits = new HashMap<>();
-        private final List<StateClient.Entry> unreadable = new ArrayList<>();
+        private final Map<JobId, BitSet> completedInBlocks = new HashMap<>();
+        private final List<StateClient.Entry> unreadableRecords = new ArrayList<>();
 
         Future<Long> run() {
             // Blocks first: a block that is written between the two listings would otherwise be newer than its job.
@@ -76,17 +76,17 @@
                     .compose(revision -> listAll(RecordKeys.MACHINE_PAGES, JobLoader.this::readMachines))
                     .compose(revision -> listOpenJobs())
                     .compose(revision -> repairUnreadable().map(revision))
-                    .onSuccess(revision -> completionBlocks.loaded(openJobIds()));
+                    .onSuccess(revision -> completionBlocks.onOpenJobsLoaded(openJobIds()));
         }
 
         private void readBlock(StateClient.Entry block) {
             RecordListing.readOrLog(block.key(), () -> {
-                BitSet done = new BitSet();
-                CompletionBits.readBlock(block.key(), block.value(), done);
-                blockBits
+                BitSet completedTasks = new BitSet();
+                CompletionBits.readBlock(block.key(), block.value(), completedTasks);
+                completedInBlocks
                         .computeIfAbsent(CompletionBits.jobOf(block.key()), id -> new BitSet())
-                        .or(done);
-                completionBlocks.inherit(block.key(), done);
+                        .or(completedTasks);
+                completionBlocks.addInheritedBlock(block.key(), completedTasks);
             });
         }
 
@@ -98,43 +98,45 @@
         }
 
         private void readOpenJob(StateClient.Entry entry) {
-            if (!RecordListing.readOrLog(entry.key(), () -> add(RecordKeys.jobOfOpenKey(entry.key()), entry))) {
-                unreadable.add(entry);
+            if (!RecordListing.readOrLog(entry.key(), () -> addJob(RecordKeys.jobOfOpenKey(entry.key()), entry))) {
+                unreadableRecords.add(entry);
             }
         }
 
-        private void add(JobId id, StateClient.Entry entry) {
-            jobs.openJobs().addInherited(JobRecordCodec.readJob(id, entry.value(), entry.revision()), blockBits);
+        private void addJob(JobId id, StateClient.Entry entry) {
+            jobs.openJobs()
+                    .addInherited(JobRecordCodec.readJob(id, entry.value(), entry.revision()), completedInBlocks);
         }
 
         private Future<Void> repairUnreadable() {
-            return repairNext(unreadable.iterator(), context.clock().now().plus(REPAIR_TIME));
+            return repairNext(
+                    unreadableRecords.iterator(), context.clock().now().plus(REPAIR_TIME_LIMIT));
         }
 
         /**
          * Repairs unreadable job records from the memory of other controllers, before any command stops tasks of these jobs. It
          * takes limited time, as all other jobs wait; a user's request for such a job has it repaired too.
          */
-        private Future<Void> repairNext(Iterator<StateClient.Entry> entries, Moment until) {
+        private Future<Void> repairNext(Iterator<StateClient.Entry> entries, Moment deadline) {
             if (!entries.hasNext() || jobs.writer().isCancelled()) {
                 return Future.succeededFuture();
             }
             StateClient.Entry entry = entries.next();
             if (!JobId.isValid(entry.key().substring(RecordKeys.OPEN_JOBS.length()))) {
-                return repairNext(entries, until);
+                return repairNext(entries, deadline);
             }
-            return repairInTime(entry, until)
+            return repairBeforeDeadline(entry, deadline)
                     .recover(failure -> {
                         LOG.error("job not served key={} cause={}", entry.key(), failure.getMessage());
                         return Future.succeededFuture();
                     })
-                    .compose(done -> repairNext(entries, until));
+                    .compose(done -> repairNext(entries, deadline));
         }
 
-        private Future<Void> repairInTime(StateClient.Entry entry, Moment until) {
+        private Future<Void> repairBeforeDeadline(StateClient.Entry entry, Moment deadline) {
             JobId id = RecordKeys.jobOfOpenKey(entry.key());
             jobs.openJobs().markUnreadable(id);
-            if (!context.clock().now().isBefore(until)) {
+            if (!context.clock().now().isBefore(deadline)) {
                 return Future.failedFuture(new WireException("no time left for repairs"));
             }
             return context.repairer()
@@ -142,7 +144,7 @@
                     .compose(done -> context.state().get(entry.key()))
                     .map(repaired -> {
                         if (repaired != null) {
-                            add(id, repaired);
+                            addJob(id, repaired);
                         }
                         jobs.openJobs().markReadable(id);
                         return null;
@@ -152,7 +154,7 @@
 
     private void readMachines(StateClient.Entry page) {
         List<MachineRecord> machines = MachineRecordCodec.readMachines(page.value());
-        machineStore.inherit(page.key(), page.revision(), machines);
+        machineStore.addInheritedPage(page.key(), page.revision(), machines);
         for (MachineRecord machine : machines) {
             // Another node wrote this time, and its clock may be off as far in the other direction as this node's.
             Moment knownToExistAt = context.toSteadyTime(machine.knownToExistMs())
@@ -163,7 +165,7 @@
                             machine.pool(),
                             context.toSteadyTime(machine.rentedMs()),
                             knownToExistAt,
-                            termBeganAt);
+                            termStartedAt);
         }
     }
 
--- a/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
+++ b/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
@@ -31,40 +31,43 @@
  */
 final class JobRecordWriter {
     private static final Logger LOG = LoggerFactory.getLogger(JobRecordWriter.class);
-    private static final Span PERIOD = Span.seconds(0.1);
+    private static final Span STEP_PERIOD = Span.seconds(0.1);
     /** Progress of one job is collected for this long; its completion is written at once. */
     private static final Span PROGRESS_WRITE_PERIOD = Span.seconds(1);
 
     private static final int MAX_WRITES_IN_FLIGHT = 4;
     /** Changes of the transaction that moves a completed job to its final record. */
-    private static final int MOVE_SIZE = 2;
+    private static final int MOVE_OPERATIONS = 2;
 
-    private final LeaderWrites writes;
+    private final LeaderWriteContext writes;
     private final StateClient state;
     private final JobRecordLookup lookup;
     private final SchedulerCore core;
     private final CompletionBlockStore completionBlocks;
     private final FinishedJobs finishedJobs;
     private final PeriodicTask writeTask;
-    private final Set<Job> dirty = new LinkedHashSet<>();
+    private final Set<Job> dirtyJobs = new LinkedHashSet<>();
     private final Set<JobId> writesInFlight = new HashSet<>();
     private final Map<JobId, Moment> lastWriteAt = new HashMap<>();
     /** Completions that were written to the open job's record, which is to be moved when there is room for it. */
-    private final Map<JobId, Revision> finishedInOpenRecords = new LinkedHashMap<>();
+    private final Map<JobId, Revision> completionsToMove = new LinkedHashMap<>();
 
     private final Map<JobId, JobStatus> recordedStatus = new HashMap<>();
     /** Open jobs whose records exceed the limits of the state service and that were logged. */
-    private final Set<JobId> reportedTooLong = new HashSet<>();
+    private final Set<JobId> loggedAsTooLarge = new HashSet<>();
 
     JobRecordWriter(
-            LeaderWrites writes, SchedulerCore core, CompletionBlockStore completionBlocks, FinishedJobs finishedJobs) {
+            LeaderWriteContext writes,
+            SchedulerCore core,
+            CompletionBlockStore completionBlocks,
+            FinishedJobs finishedJobs) {
         this.writes = writes;
         this.state = writes.context().state();
         this.lookup = new JobRecordLookup(state);
         this.core = core;
         this.completionBlocks = completionBlocks;
         this.finishedJobs = finishedJobs;
-        this.writeTask = new PeriodicTask(writes.context().vertx(), "job records", PERIOD, this::step);
+        this.writeTask = new PeriodicTask(writes.context().vertx(), "job records", STEP_PERIOD, this::step);
     }
 
     void start() {
@@ -86,12 +89,12 @@
 
     /** Forgets what is to be written, before the records are loaded. */
     void clear() {
-        dirty.clear();
+        dirtyJobs.clear();
         recordedStatus.clear();
     }
 
     /** A job whose record was read, with the status in it. */
-    void jobAdded(Job job, JobStatus status) {
+    void onJobAdded(Job job, JobStatus status) {
         recordedStatus.put(job.id(), status);
         if (job.isComplete()) {
             markDirty(job);
@@ -100,44 +103,44 @@
 
     /** The record of the job is to be written. */
     void markDirty(Job job) {
-        dirty.add(job);
+        dirtyJobs.add(job);
     }
 
-    boolean isWriting(JobId id) {
+    boolean hasWriteInFlight(JobId id) {
         return writesInFlight.contains(id);
     }
 
     /** The job is over: nothing is written of it any more, except the move to its final record. */
-    void jobFinished(Job job) {
-        dirty.remove(job);
+    void onJobFinished(Job job) {
+        dirtyJobs.remove(job);
         recordedStatus.remove(job.id());
         lastWriteAt.remove(job.id());
-        completionBlocks.jobEnded(job.id());
-        reportedTooLong.remove(job.id());
+        completionBlocks.onJobFinished(job.id());
+        loggedAsTooLarge.remove(job.id());
         finishedJobs.add(job);
     }
 
     private Future<Span> step() {
         Moment now = writes.context().clock().now();
         markChangedStatuses();
-        List<Job> completed = dirty.stream().filter(Job::isComplete).toList();
-        boolean crowded = completed.size() > MAX_WRITES_IN_FLIGHT;
-        List<Job> due = interleave(completed, core.startBoundsToRaise(now));
-        due.addAll(progressDue(now));
-        writeDue(due, crowded, now);
-        if (!finishedInOpenRecords.isEmpty()
-                && !crowded
+        List<Job> completed = dirtyJobs.stream().filter(Job::isComplete).toList();
+        boolean manyCompletions = completed.size() > MAX_WRITES_IN_FLIGHT;
+        List<Job> dueJobs = interleave(completed, core.startBoundsToRaise(now));
+        dueJobs.addAll(findJobsWithDueProgress(now));
+        writeDueRecords(dueJobs, manyCompletions, now);
+        if (!completionsToMove.isEmpty()
+                && !manyCompletions
                 && writesInFlight.size() < MAX_WRITES_IN_FLIGHT
-                && writes.limiter().takeSpare(MOVE_SIZE, now)) {
-            moveFinished();
+                && writes.limiter().takeSpare(MOVE_OPERATIONS, now)) {
+            moveNextCompletedJob();
         }
-        return Future.succeededFuture(PERIOD);
+        return Future.succeededFuture(STEP_PERIOD);
     }
 
     private void markChangedStatuses() {
         for (Job job : core.jobs()) {
             if (job.status() != recordedStatus.get(job.id())) {
-                dirty.add(job);
+                dirtyJobs.add(job);
             }
         }
     }
@@ -159,39 +162,39 @@
         return order;
     }
 
-    private List<Job> progressDue(Moment now) {
-        return dirty.stream()
+    private List<Job> findJobsWithDueProgress(Moment now) {
+        return dirtyJobs.stream()
                 .filter(job -> !isUrgent(job) && isProgressDue(job, now))
                 .toList();
     }
 
     private boolean isProgressDue(Job job, Moment now) {
-        Moment last = lastWriteAt.getOrDefault(job.id(), Moment.NEVER);
-        return now.since(last).compareTo(PROGRESS_WRITE_PERIOD) >= 0;
+        Moment lastWrite = lastWriteAt.getOrDefault(job.id(), Moment.NEVER);
+        return now.since(lastWrite).compareTo(PROGRESS_WRITE_PERIOD) >= 0;
     }
 
     private static boolean isUrgent(Job job) {
         return job.isComplete() || job.needsHigherStartBound();
     }
 
-    private void writeDue(List<Job> due, boolean crowded, Moment now) {
-        for (Job job : due) {
+    private void writeDueRecords(List<Job> dueJobs, boolean manyCompletions, Moment now) {
+        for (Job job : dueJobs) {
             if (writesInFlight.size() >= MAX_WRITES_IN_FLIGHT) {
                 return;
             }
-            if (writesInFlight.contains(job.id()) || isTooLongToWrite(job)) {
+            if (writesInFlight.contains(job.id()) || isTooLargeToWrite(job)) {
                 continue;
             }
-            StateClient.Txn txn = transaction(job, crowded);
-            if (!takeBudget(job, txn, now)) {
+            StateClient.Txn txn = createTransaction(job, manyCompletions);
+            if (!takeWriteRate(job, txn, now)) {
                 return;
             }
-            write(job, txn, now);
+            sendWrite(job, txn, now);
         }
     }
 
     /** Progress, of which there is always more, may not use what a completion or a start needs. */
-    private boolean takeBudget(Job job, StateClient.Txn txn, Moment now) {
+    private boolean takeWriteRate(Job job, StateClient.Txn txn, Moment now) {
         return isUrgent(job)
                 ? writes.limiter().take(txn.size(), now)
                 : writes.limiter().takeSpare(txn.size(), now);
@@ -201,12 +204,12 @@
      * The state service would reject the record each time, and others would wait behind it. Tasks within the recorded start bound
      * continue, and the completion or cancellation, which are short, are written as usual.
      */
-    private boolean isTooLongToWrite(Job job) {
-        if (job.isComplete() || completionBlocks.canBeWritten(job)) {
+    private boolean isTooLargeToWrite(Job job) {
+        if (job.isComplete() || completionBlocks.isJobRecordWritable(job)) {
             return false;
         }
-        dirty.remove(job);
-        if (reportedTooLong.add(job.id())) {
+        dirtyJobs.remove(job);
+        if (loggedAsTooLarge.add(job.id())) {
             LOG.error("record too large key={} job={}", RecordKeys.openKey(job.id()), job.id());
         }
         return true;
@@ -216,37 +219,38 @@
      * The write that is due for a job. A completion moves the job to the final records, which takes two changes; if many wait, it
      * is first written to the open record by one change, and moved later.
      */
-    private StateClient.Txn transaction(Job job, boolean crowded) {
+    private StateClient.Txn createTransaction(Job job, boolean manyCompletions) {
         JobId id = job.id();
         StateClient.Txn txn = writes.newTransaction().when(RecordKeys.openKey(id), job.revision());
         // Without the bits, a later leader would not know from the open record that the job is over.
-        if (job.isComplete() && !(crowded && completionBlocks.hasRoomInRecord(job))) {
-            return moveToFinal(txn, id, JobStatus.DONE, job.spec().taskCount());
+        if (job.isComplete() && !(manyCompletions && completionBlocks.fitsInJobRecord(job))) {
+            return addMoveToFinalRecord(txn, id, JobStatus.DONE, job.spec().taskCount());
         }
         completionBlocks.addProgress(txn, job, job.completedTasks());
         return txn;
     }
 
-    private static StateClient.Txn moveToFinal(StateClient.Txn txn, JobId id, JobStatus status, int completedTasks) {
+    private static StateClient.Txn addMoveToFinalRecord(
+            StateClient.Txn txn, JobId id, JobStatus status, int completedTasks) {
         return txn.delete(RecordKeys.openKey(id))
                 .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(status, completedTasks));
     }
 
     /** Moves one job whose completion is in its open record. Rejected if a later leader or a rebuild has already done so. */
-    private void moveFinished() {
-        JobId id = finishedInOpenRecords.keySet().iterator().next();
-        Revision revision = finishedInOpenRecords.remove(id);
+    private void moveNextCompletedJob() {
+        JobId id = completionsToMove.keySet().iterator().next();
+        Revision revision = completionsToMove.remove(id);
         RememberedState.FinishedJob finished = finishedJobs.get(id);
         if (finished == null) {
             return;
         }
         writesInFlight.add(id);
         StateClient.Txn txn = writes.newTransaction().when(RecordKeys.openKey(id), revision);
-        state.commit(moveToFinal(txn, id, finished.status(), finished.completedTaskCount()))
+        state.commit(addMoveToFinalRecord(txn, id, finished.status(), finished.completedTaskCount()))
                 .onComplete(result -> {
                     writesInFlight.remove(id);
                     if (!isCancelled() && result.failed()) {
-                        finishedInOpenRecords.put(id, revision);
+                        completionsToMove.put(id, revision);
                     }
                 });
     }
@@ -260,14 +264,14 @@
         }
 
         /** Whether the completion went to the open record, which is still to be moved. */
-        boolean keepsOpenRecord() {
+        boolean leavesOpenRecord() {
             return txn.writes().stream().noneMatch(StateClient.Write::isDelete);
         }
     }
 
-    private void write(Job job, StateClient.Txn txn, Moment now) {
+    private void sendWrite(Job job, StateClient.Txn txn, Moment now) {
         SentWrite sent = SentWrite.of(job, txn);
-        dirty.remove(job);
+        dirtyJobs.remove(job);
         writesInFlight.add(job.id());
         lastWriteAt.put(job.id(), now);
         state.commit(txn).onComplete(result -> {
@@ -278,9 +282,9 @@
             if (result.succeeded()) {
                 onResponse(sent, result.result());
             } else {
-                dirty.add(job);
+                dirtyJobs.add(job);
                 if (!StateClient.wasNotExecuted(result.cause())) {
-                    readOutcome(job);
+                    readCurrentRecords(job);
                 }
             }
         });
@@ -293,11 +297,11 @@
             } else {
                 onProgressWritten(sent, outcome.writtenRevision());
             }
-        } else if (LeaderWrites.isDeposed(outcome)) {
+        } else if (LeaderWriteContext.isDeposed(outcome)) {
             writes.deposed();
         } else {
-            dirty.add(sent.job());
-            readOutcome(sent.job());
+            dirtyJobs.add(sent.job());
+            readCurrentRecords(sent.job());
         }
     }
 
@@ -305,28 +309,28 @@
         JobId id = sent.job().id();
         LOG.info("job completed job={}", id);
         core.closeJob(id);
-        jobFinished(sent.job());
-        if (sent.keepsOpenRecord()) {
-            finishedInOpenRecords.put(id, revision);
+        onJobFinished(sent.job());
+        if (sent.leavesOpenRecord()) {
+            completionsToMove.put(id, revision);
         }
     }
 
     private void onProgressWritten(SentWrite sent, Revision revision) {
         Job job = sent.job();
         core.onRevisionSeen(job, revision);
-        job.completionsRecorded(completionBlocks.written(job, sent.completedTasks()));
+        job.completionsRecorded(completionBlocks.onProgressWritten(job, sent.completedTasks()));
         job.startBoundRecorded(sent.startBound());
         // A job that was cancelled before this response must not be remembered, as nothing would remove it again.
         if (core.job(job.id()) == job) {
             recordedStatus.put(job.id(), sent.status());
-            if (completionBlocks.isBehind(job)) {
-                dirty.add(job);
+            if (completionBlocks.hasUnwrittenCompletions(job)) {
+                dirtyJobs.add(job);
             }
         }
     }
 
     /** Reads the job's records after a write that was rejected or has an unknown outcome. */
-    private void readOutcome(Job job) {
+    private void readCurrentRecords(Job job) {
         writesInFlight.add(job.id());
         lookup.openRecord(job.id())
                 .compose(open -> {
@@ -345,7 +349,7 @@
                 return reportIfAbsent(job.id());
             }
             if (!isCancelled()) {
-                onFinalRecord(
+                onFinalRecordRead(
                         job, JobRecordCodec.readFinal(job.id(), record.value()).status());
             }
             return Future.succeededFuture();
@@ -362,13 +366,13 @@
                 .mapEmpty();
     }
 
-    private void onFinalRecord(Job job, JobStatus status) {
+    private void onFinalRecordRead(Job job, JobStatus status) {
         LOG.info("job status changed job={} status={}", job.id(), status);
         if (status == JobStatus.CANCELLED) {
             core.cancelJob(job.id());
         } else {
             core.closeJob(job.id());
         }
-        jobFinished(job);
+        onJobFinished(job);
     }
 }
--- a/src/main/java/io/indigoreach/cluster/JobStore.java
+++ b/src/main/java/io/indigoreach/cluster/JobStore.java
@@ -20,26 +20,26 @@
  */
 final class JobStore {
     private final NodeContext context;
-    private final LeaderJobs jobs;
+    private final JobStoreComponents jobs;
     private final CompletionBlockStore completionBlocks;
     private final JobLoader loader;
-    private final OpenJobEvents events;
+    private final OpenJobChangeHandler changeHandler;
 
     /**
      * @param machineStore receives the machine records that are loaded along with the jobs
      * @param startBoundsTrusted every leader so far has respected the jobs' start bounds
      */
     JobStore(
-            LeaderWrites writes,
+            LeaderWriteContext writes,
             SchedulerCore core,
             MachineStore machineStore,
             boolean startBoundsTrusted,
             CancellationHorizon horizon) {
         this.context = writes.context();
         this.completionBlocks = new CompletionBlockStore(writes);
-        this.jobs = LeaderJobs.create(writes, core, completionBlocks, startBoundsTrusted);
+        this.jobs = JobStoreComponents.create(writes, core, completionBlocks, startBoundsTrusted);
         this.loader = new JobLoader(jobs, completionBlocks, machineStore, horizon);
-        this.events = new OpenJobEvents(jobs, horizon);
+        this.changeHandler = new OpenJobChangeHandler(jobs, horizon);
     }
 
     void start() {
@@ -64,38 +64,38 @@
 
     /** Reads the open jobs again after the watch has lost its position; the result is the revision to continue from. */
     Future<Long> resynchronize() {
-        Set<JobId> present = new HashSet<>();
+        Set<JobId> presentJobs = new HashSet<>();
         return RecordListing.readAll(
                         context.state(),
                         jobs.writes().leadershipRevision(),
                         RecordKeys.OPEN_JOBS,
                         entry -> RecordListing.readOrLog(entry.key(), () -> {
                             JobId id = RecordKeys.jobOfOpenKey(entry.key());
-                            present.add(id);
-                            events.onWritten(id, entry.value(), entry.revision());
+                            presentJobs.add(id);
+                            changeHandler.onWritten(id, entry.value(), entry.revision());
                         }))
                 .map(revision -> {
-                    reportDeleted(present, revision);
+                    handleDeletedRecords(presentJobs, revision);
                     return revision;
                 });
     }
 
-    private void reportDeleted(Set<JobId> present, long revision) {
+    private void handleDeletedRecords(Set<JobId> presentJobs, long revision) {
         for (Job job : List.copyOf(jobs.core().jobs())) {
-            if (!present.contains(job.id()) && job.revision().value() <= revision) {
-                events.onDeleted(job.id());
+            if (!presentJobs.contains(job.id()) && job.revision().value() <= revision) {
+                changeHandler.onDeleted(job.id());
             }
         }
     }
 
     /** The watch reports a written record: see {@link OpenJobEvents#onWritten}. */
     void onOpenRecordWritten(JobId id, Fields value, Revision revision) {
-        events.onWritten(id, value, revision);
+        changeHandler.onWritten(id, value, revision);
     }
 
     /** The watch reports a deleted record: see {@link OpenJobEvents#onDeleted}. */
     void onOpenRecordDeleted(JobId id) {
-        events.onDeleted(id);
+        changeHandler.onDeleted(id);
     }
 
     /** A job is cancelled for certain: see {@link OpenJobs#onCancelled}. */
--- a/src/main/java/io/indigoreach/cluster/LeaderJobs.java
+++ b/src/main/java/io/indigoreach/cluster/JobStoreComponents.java
@@ -3,16 +3,20 @@
 import io.indigoreach.core.scheduling.SchedulerCore;
 
 /** The parts of a {@link JobStore} that loading and the handling of changes share. Bound to the node's event loop. */
-record LeaderJobs(
-        LeaderWrites writes, SchedulerCore core, OpenJobs openJobs, JobRecordWriter writer, FinishedJobs finishedJobs) {
-    static LeaderJobs create(
-            LeaderWrites writes,
+record JobStoreComponents(
+        LeaderWriteContext writes,
+        SchedulerCore core,
+        OpenJobs openJobs,
+        JobRecordWriter writer,
+        FinishedJobs finishedJobs) {
+    static JobStoreComponents create(
+            LeaderWriteContext writes,
             SchedulerCore core,
             CompletionBlockStore completionBlocks,
             boolean startBoundsTrusted) {
         FinishedJobs finishedJobs = new FinishedJobs();
         JobRecordWriter writer = new JobRecordWriter(writes, core, completionBlocks, finishedJobs);
         OpenJobs openJobs = new OpenJobs(writes.context(), core, writer, finishedJobs, startBoundsTrusted);
-        return new LeaderJobs(writes, core, openJobs, writer, finishedJobs);
+        return new JobStoreComponents(writes, core, openJobs, writer, finishedJobs);
     }
 }
--- a/src/main/java/io/indigoreach/cluster/JobWatch.java
+++ b/src/main/java/io/indigoreach/cluster/JobWatch.java
@@ -16,9 +16,9 @@
     private static final Logger LOG = LoggerFactory.getLogger(JobWatch.class);
     private static final Span MAX_WATCH_TIME = Span.seconds(2);
     /** Part of the age that the cancellation horizon may reach which one watch may take. */
-    private static final double WATCH_TIME_SHARE = 0.25;
+    private static final double MAX_WATCH_TIME_SHARE = 0.25;
 
-    private static final Span PAUSE = Span.seconds(0.3);
+    private static final Span RETRY_DELAY = Span.seconds(0.3);
 
     private final NodeContext context;
     private final JobStore jobStore;
@@ -33,7 +33,7 @@
         this.context = context;
         this.jobStore = jobStore;
         this.horizon = horizon;
-        this.watchTask = new PeriodicTask(context.vertx(), "job watch", PAUSE, this::step);
+        this.watchTask = new PeriodicTask(context.vertx(), "job watch", RETRY_DELAY, this::watchOnce);
     }
 
     /** Continues from where {@link #catchUp} ended. */
@@ -56,8 +56,8 @@
                 .mapEmpty();
     }
 
-    private Future<Span> step() {
-        return watch(watchTime(context.config().rules().maxCancellationAge()));
+    private Future<Span> watchOnce() {
+        return watch(maxWatchTime(context.config().rules().maxCancellationAge()));
     }
 
     /** One watch that is answered after {@code maxTime} at the latest. */
@@ -82,7 +82,7 @@
 
     private Span apply(StateClient.Changes changes, Moment sentAt) {
         if (watchTask.isCancelled()) {
-            return PAUSE;
+            return RETRY_DELAY;
         }
         if (changes.compacted()) {
             mustResynchronize = true;
@@ -101,8 +101,8 @@
      * How long one watch may take. The leader answers heartbeats only while its last completed watch is younger than {@code
      * maxCancellationAge}, so watches must end often where that is short; else a quiet service would look like a partition.
      */
-    static Span watchTime(Span maxCancellationAge) {
-        Span share = maxCancellationAge.times(WATCH_TIME_SHARE);
+    static Span maxWatchTime(Span maxCancellationAge) {
+        Span share = maxCancellationAge.times(MAX_WATCH_TIME_SHARE);
         return share.compareTo(MAX_WATCH_TIME) < 0 ? share : MAX_WATCH_TIME;
     }
 
--- a/src/main/java/io/indigoreach/cluster/LeaderWrites.java
+++ b/src/main/java/io/indigoreach/cluster/LeaderWriteContext.java
@@ -12,7 +12,7 @@
  * @param leadershipRevision the revision of the leadership key, on which every write is conditional
  * @param limiter shared by all writers of the term
  */
-record LeaderWrites(
+record LeaderWriteContext(
         NodeContext context,
         FencingToken token,
         Revision leadershipRevision,
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -39,13 +39,13 @@
     /** The share of the state service's write rate that the leader uses; the rest is for submissions and cancellations. */
     private static final double LEADER_WRITE_SHARE = 0.6;
     /** How long a request to the peers may take and still be of use. */
-    private static final Span PEER_REQUEST_TIME = Span.seconds(3);
+    private static final Span MAX_PEER_REQUEST_TIME = Span.seconds(3);
 
     private static final Span SUMMARY_PERIOD = Span.seconds(10);
-    private static final Span LOAD_RETRY = Span.seconds(0.3);
-    private static final Span CATALOGUE_RETRY = Span.seconds(0.2);
+    private static final Span LOAD_RETRY_DELAY = Span.seconds(0.3);
+    private static final Span CATALOGUE_RETRY_DELAY = Span.seconds(0.2);
     /** Until unreadable records are read again. */
-    private static final Span UNREADABLE_RETRY = Span.seconds(5);
+    private static final Span UNREADABLE_RETRY_DELAY = Span.seconds(5);
     /** The kind of an objective on the time until a job starts, as the settings name it. */
     private static final String WAIT_OBJECTIVE = "wait";
 
@@ -61,14 +61,14 @@
     private final LeaderElection election;
     private final Supplier<Future<RememberedState>> gatherRememberedState;
     private final SchedulerCore core;
-    private final LeaderWrites writes;
+    private final LeaderWriteContext writes;
     private final MachineStore machineStore;
     private final JobStore jobStore;
     private final DependencyTask dependencyTask;
     private final FleetManager fleetManager;
     private final JobWatch jobWatch;
     private final FinalRecordWatch finalRecordWatch;
-    private final PartsTask partsTask;
+    private final FeatureTask partsTask;
     private final PeriodicTask loadTask;
     private final PeriodicTask tickTask;
     private final CancellationHorizon cancellationHorizon = new CancellationHorizon();
@@ -88,7 +88,7 @@
         this.gatherRememberedState = gatherRememberedState;
         this.startBoundsTrusted = leadership.startBoundsTrusted();
         this.core = newCore(context, leadership.token(), this);
-        this.writes = new LeaderWrites(
+        this.writes = new LeaderWriteContext(
                 context,
                 leadership.token(),
                 leadership.revision(),
@@ -100,8 +100,8 @@
         this.fleetManager = newFleetManager();
         this.jobWatch = new JobWatch(context, jobStore, cancellationHorizon);
         this.finalRecordWatch = new FinalRecordWatch(context);
-        this.partsTask = new PartsTask(context, core, leadership.revision(), writes.limiter());
-        this.loadTask = new PeriodicTask(context.vertx(), "load records", LOAD_RETRY, this::load);
+        this.partsTask = new FeatureTask(context, core, leadership.revision(), writes.limiter());
+        this.loadTask = new PeriodicTask(context.vertx(), "load records", LOAD_RETRY_DELAY, this::load);
         this.tickTask = new PeriodicTask(context.vertx(), "tick", TICK_PERIOD, this::tick);
     }
 
@@ -161,7 +161,7 @@
      * records are loaded it does not: an earlier leader may have missed a cancellation long ago, and an outage that begins now would
      * keep the records from being read.
      */
-    boolean isInformedOfCancellations() {
+    boolean knowsRecentCancellations() {
         Moment now = context.clock().now();
         Span maxAge = context.config().rules().maxCancellationAge();
         return core.areRecordsLoaded()
@@ -170,7 +170,7 @@
 
     /** For how long back this leader asks its peers for cancellations. */
     Span cancellationLookBack() {
-        return cancellationHorizon.requiredLookBack(context.clock().now(), PEER_REQUEST_TIME);
+        return cancellationHorizon.requiredLookBack(context.clock().now(), MAX_PEER_REQUEST_TIME);
     }
 
     /** Applies the cancellations that all peers together have confirmed, in response to a request of {@code sentAt}. */
@@ -203,26 +203,26 @@
             return Future.succeededFuture(result);
         }
         return machineStore
-                .record(unrecorded.get())
+                .recordMachine(unrecorded.get())
                 .map(recorded -> recorded ? withStartCommands(result, heartbeat) : result);
     }
 
     private HeartbeatResult withStartCommands(HeartbeatResult result, Heartbeat heartbeat) {
-        List<WorkerCommand> all = new ArrayList<>(result.commands());
-        all.addAll(core.startTasks(
+        List<WorkerCommand> allCommands = new ArrayList<>(result.commands());
+        allCommands.addAll(core.startTasks(
                 heartbeat.machine(), heartbeat.number(), context.clock().now()));
-        return new HeartbeatResult.Commands(all);
+        return new HeartbeatResult.Commands(allCommands);
     }
 
     /** Whether a machine's heartbeat may be answered; otherwise its lease is to expire. */
-    boolean mayAnswer(MachineId machine) {
+    boolean mayRespondTo(MachineId machine) {
         return core.mayAnswer(machine);
     }
 
     /** One attempt to load the records. */
     private Future<Span> load() {
         if (!context.catalogue().isKnown()) {
-            return Future.succeededFuture(CATALOGUE_RETRY);
+            return Future.succeededFuture(CATALOGUE_RETRY_DELAY);
         }
         core.addMachineTypes(context.catalogue().types());
         return rebuildIfLost()
@@ -259,7 +259,7 @@
             return Future.failedFuture(failure);
         }
         LOG.error("leadership blocked by unreadable record cause={}", failure.getMessage());
-        return Future.succeededFuture(UNREADABLE_RETRY);
+        return Future.succeededFuture(UNREADABLE_RETRY_DELAY);
     }
 
     /** Writes lost records again, before the load reads them. */
@@ -277,7 +277,7 @@
     }
 
     /** Whether the job is open, as far as this leader has loaded it. */
-    boolean hasOpen(JobId id) {
+    boolean isJobOpen(JobId id) {
         return core.job(id) != null;
     }
 
@@ -314,7 +314,7 @@
             return Future.succeededFuture(TICK_PERIOD);
         }
         if (!startBoundsTrusted && hasNoInheritedJobs()) {
-            return vouchForStartBounds();
+            return confirmStartBounds();
         }
         if (now.since(lastSummaryAt).compareTo(SUMMARY_PERIOD) >= 0) {
             lastSummaryAt = now;
@@ -328,7 +328,7 @@
     }
 
     /** This leader has respected the start bounds of all jobs that are open now, so a later one may rely on them. */
-    private Future<Span> vouchForStartBounds() {
+    private Future<Span> confirmStartBounds() {
         return election.confirmStartBounds().map(recorded -> {
             startBoundsTrusted = recorded;
             return TICK_PERIOD;
--- a/src/main/java/io/indigoreach/cluster/MachinePage.java
+++ b/src/main/java/io/indigoreach/cluster/MachinePage.java
@@ -17,21 +17,21 @@
 
     private final String key;
     /** Of this leadership: the page's first write, made while the page did not exist, may still be executed. */
-    private final boolean own;
+    private final boolean createdInThisTerm;
 
     private final Map<MachineId, MachineRecord> machines = new LinkedHashMap<>();
     private Revision revision;
     private boolean revisionUncertain;
-    private boolean split;
+    private boolean copiedMachines;
 
-    MachinePage(String key, Revision revision, boolean own) {
+    MachinePage(String key, Revision revision, boolean createdInThisTerm) {
         this.key = key;
         this.revision = revision;
-        this.own = own;
+        this.createdInThisTerm = createdInThisTerm;
     }
 
     /** How many bytes of machines a page may hold. */
-    static int capacity(NodeContext context) {
+    static int maxMachineBytes(NodeContext context) {
         return context.limits().maxRecordBytes() - EMPTY_PAGE_BYTES;
     }
 
@@ -61,17 +61,17 @@
     }
 
     /** Machines of this page were copied to other pages, and must still be removed from this one. */
-    boolean isSplit() {
-        return split;
+    boolean hasCopiedMachines() {
+        return copiedMachines;
     }
 
-    void setSplit(boolean newSplit) {
-        split = newSplit;
+    void setHasCopiedMachines(boolean newValue) {
+        copiedMachines = newValue;
     }
 
     /** The page is empty and gets no more machines. */
     boolean isObsolete() {
-        return machines.isEmpty() && !own;
+        return machines.isEmpty() && !createdInThisTerm;
     }
 
     boolean hasReturnedMachines(SchedulerCore core) {
@@ -83,11 +83,11 @@
     }
 
     /** Bytes that are free, or become free at the next write, which removes returned machines. */
-    int freeBytes(SchedulerCore core, int capacity) {
-        int used = machines.values().stream()
+    int freeBytes(SchedulerCore core, int maxMachineBytes) {
+        int usedBytes = machines.values().stream()
                 .filter(machine -> core.isKnownMachine(machine.id()))
                 .mapToInt(MachineRecordCodec::encodedBytes)
                 .sum();
-        return capacity - used;
+        return maxMachineBytes - usedBytes;
     }
 }
--- a/src/main/java/io/indigoreach/cluster/OpenJobs.java
+++ b/src/main/java/io/indigoreach/cluster/OpenJobs.java
@@ -24,7 +24,7 @@
     private final FinishedJobs finishedJobs;
     private final boolean startBoundsTrusted;
     /** Open jobs that are not scheduled, as their records could be neither decoded nor repaired. */
-    private final Set<JobId> unreadable = new HashSet<>();
+    private final Set<JobId> unreadableJobs = new HashSet<>();
 
     /** @param startBoundsTrusted every leader so far has respected the jobs' start bounds */
     OpenJobs(
@@ -47,21 +47,21 @@
     }
 
     /** Adds a job that this leader has not scheduled before, with the completion bits of its blocks. */
-    void addInherited(JobRecord record, Map<JobId, BitSet> blockBits) {
-        add(record, blockBits.getOrDefault(record.id(), new BitSet()), true);
+    void addInherited(JobRecord record, Map<JobId, BitSet> completedInBlocks) {
+        add(record, completedInBlocks.getOrDefault(record.id(), new BitSet()), true);
     }
 
     /**
      * Adds a job whose record the watch reported. A job whose record could not be read until now counts as an earlier leader's, as
      * its tasks may run on any machine.
      */
-    void addReported(JobRecord record) {
-        add(record, new BitSet(), unreadable.contains(record.id()));
+    void addFromWatch(JobRecord record) {
+        add(record, new BitSet(), unreadableJobs.contains(record.id()));
     }
 
-    private void add(JobRecord record, BitSet blockBits, boolean inherited) {
-        BitSet done = (BitSet) blockBits.clone();
-        done.or(record.done());
+    private void add(JobRecord record, BitSet completedInBlocks, boolean inherited) {
+        BitSet completedTasks = (BitSet) completedInBlocks.clone();
+        completedTasks.or(record.done());
         // An earlier leader may have run a version that started tasks without raising their start bounds.
         int startBound = inherited && !startBoundsTrusted ? record.spec().taskCount() : record.startBound();
         Job job = new Job(
@@ -69,19 +69,19 @@
                 record.submittedMs(),
                 context.toSteadyTime(record.submittedMs()),
                 record.revision(),
-                done,
+                completedTasks,
                 startBound,
                 inherited);
         core.addJob(job);
-        writer.jobAdded(job, record.status());
+        writer.onJobAdded(job, record.status());
     }
 
     void markUnreadable(JobId id) {
-        unreadable.add(id);
+        unreadableJobs.add(id);
     }
 
     void markReadable(JobId id) {
-        unreadable.remove(id);
+        unreadableJobs.remove(id);
     }
 
     /** The job's user has cancelled it, according to its record or to another node. Nothing reverts that. */
@@ -90,7 +90,7 @@
         if (job != null) {
             LOG.info("job cancelled job={}", id);
             core.cancelJob(id);
-            writer.jobFinished(job);
+            writer.onJobFinished(job);
         } else {
             // The watch may report the acceptance only now. It would open the job, and during an outage the final
             // record
--- a/src/main/java/io/indigoreach/cluster/PeerProtocol.java
+++ b/src/main/java/io/indigoreach/cluster/PeerProtocol.java
@@ -30,7 +30,7 @@
     static final String PART_PARAMETER = "part";
     static final String JOB_PARAMETER = "id";
 
-    private static final String SERVED = "served";
+    private static final String STATE_REACHABLE = "served";
     private static final String LEADS = "leads";
     private static final String KNOWN = "known";
     private static final String ERA = "era";
@@ -54,12 +54,12 @@
         return Map.of();
     }
 
-    static Map<String, Object> writeStatus(boolean served, boolean leads) {
-        return MessagePackFormat.map(SERVED, served, LEADS, leads);
+    static Map<String, Object> writeStatus(boolean stateReachable, boolean leads) {
+        return MessagePackFormat.map(STATE_REACHABLE, stateReachable, LEADS, leads);
     }
 
-    static boolean readServed(Fields status) {
-        return status.flag(SERVED, false);
+    static boolean readStateReachable(Fields status) {
+        return status.flag(STATE_REACHABLE, false);
     }
 
     /** {@code ifAbsent}: the value for a status without this field. */
--- a/src/main/java/io/indigoreach/cluster/PeerPromises.java
+++ b/src/main/java/io/indigoreach/cluster/PledgeResponse.java
@@ -17,9 +17,9 @@
  * @param allPledged each has pledged not to lead for a while
  * @param cancellations the cancellations that they have confirmed to users
  */
-record PeerPromises(boolean allPledged, CancellationSummary cancellations) {
+record PledgeResponse(boolean allPledged, CancellationSummary cancellations) {
     /** Of a peer that does not answer: it may lead, and may have confirmed any cancellation. */
-    static final PeerPromises NONE = new PeerPromises(false, CancellationSummary.NONE);
+    static final PledgeResponse NONE = new PledgeResponse(false, CancellationSummary.NONE);
 
     private static final String LOOK_BACK = "back_ms";
     private static final String PLEDGED = "pledged";
@@ -28,8 +28,8 @@
     private static final String CANCELLED = "cancelled";
 
     /** What holds for these peers and the others together. */
-    PeerPromises and(PeerPromises other) {
-        return new PeerPromises(allPledged && other.allPledged, cancellations.mergedWith(other.cancellations));
+    PledgeResponse combinedWith(PledgeResponse other) {
+        return new PledgeResponse(allPledged && other.allPledged, cancellations.mergedWith(other.cancellations));
     }
 
     /** The request of a leader that needs the cancellations of the last {@code lookBack}. */
@@ -59,19 +59,19 @@
     }
 
     /** Throws {@link io.indigoreach.net.WireException} for a response that is malformed, or longer than any node's may be. */
-    static PeerPromises read(Fields response) {
+    static PledgeResponse read(Fields response) {
         List<String> ids = response.optionalTexts(CANCELLED);
         boolean pledged = response.flag(PLEDGED, false);
         if (ids == null) {
             // A node of the previous version: it reports since when it has confirmed no cancellation, but no jobs.
             Span covered = new Span(response.whole(TIME_SINCE_LAST, 0));
-            return new PeerPromises(pledged, new CancellationSummary(Set.of(), covered));
+            return new PledgeResponse(pledged, new CancellationSummary(Set.of(), covered));
         }
         if (ids.size() > ConfirmedCancellations.MAX_REMEMBERED || !ids.stream().allMatch(JobId::isValid)) {
             throw Fields.invalid(CANCELLED);
         }
         Set<JobId> jobs = new HashSet<>();
         ids.forEach(id -> jobs.add(new JobId(id)));
-        return new PeerPromises(pledged, new CancellationSummary(jobs, new Span(response.whole(COVERED, 0))));
+        return new PledgeResponse(pledged, new CancellationSummary(jobs, new Span(response.whole(COVERED, 0))));
     }
 }
--- a/src/main/java/io/indigoreach/cluster/RebuildInventory.java
+++ b/src/main/java/io/indigoreach/cluster/RebuildInventory.java
@@ -32,8 +32,8 @@
     /** Completed tasks that are recorded in blocks beside the job's record. */
     private final Map<JobId, BitSet> completedInBlocks = new HashMap<>();
 
-    private final Set<MachineId> machines = new HashSet<>();
-    private int machinePages;
+    private final Set<MachineId> machineIds = new HashSet<>();
+    private int machinePageCount;
 
     RebuildInventory(StateClient state, Revision leadershipRevision) {
         this.state = state;
@@ -41,7 +41,7 @@
     }
 
     /** Reads everything; fails if the state service lists records that are older than this leadership. */
-    Future<Void> read() {
+    Future<Void> load() {
         return readAll(RecordKeys.COMPLETION_BLOCKS, this::readBlock)
                 .compose(revision -> readAll(CompletionBits.SMALL_BLOCKS, this::readBlock))
                 .compose(revision -> readAll(RecordKeys.OPEN_JOBS, this::readOpenJob))
@@ -81,8 +81,8 @@
 
     /** Unlike the others, a page that cannot be read ends the rebuild: the machines on it may hold tasks. */
     private void readMachinePage(StateClient.Entry entry) {
-        machinePages++;
-        MachineRecordCodec.readMachines(entry.value()).forEach(machine -> machines.add(machine.id()));
+        machinePageCount++;
+        MachineRecordCodec.readMachines(entry.value()).forEach(machine -> machineIds.add(machine.id()));
     }
 
     /** The open job's record; null if it is absent or cannot be read. */
@@ -109,11 +109,11 @@
     }
 
     boolean hasMachine(MachineId id) {
-        return machines.contains(id);
+        return machineIds.contains(id);
     }
 
     /** How many pages of machines there are, including those that an earlier attempt of this leadership wrote. */
-    int machinePages() {
-        return machinePages;
+    int machinePageCount() {
+        return machinePageCount;
     }
 }
--- a/src/main/java/io/indigoreach/warm/HolderJoining.java
+++ b/src/main/java/io/indigoreach/warm/HolderJoining.java
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public void check(JobSpec spec) {
+    public void validate(JobSpec spec) {
         if (!(spec.extensions().get(JobSpec.WARM_POOL_FIELD) instanceof String name) || !PoolSpec.isName(name)) {
             throw Fields.invalid(JobSpec.WARM_POOL_FIELD);
         }
@@ -35,7 +35,7 @@
 
     /** Accepted only beside the pool as it was read. */
     @Override
-    public Future<Transaction> accepting(JobSpec spec) {
+    public Future<Transaction> prepareAcceptance(JobSpec spec) {
         String name = (String) spec.extensions().get(JobSpec.WARM_POOL_FIELD);
         return ground.records().run(PoolRoutines.read(PoolRecords.POOLS + name)).map(kept -> {
             refuse(spec, name, kept);
--- a/src/test/java/io/indigoreach/api/JobServiceTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceTest.java
@@ -42,26 +42,26 @@
 
 /** The users' interface over HTTP, two nodes on one stand-in for the state service. */
 class JobServiceTest {
-    private static final Span WAIT = Span.seconds(10);
+    private static final Span REQUEST_TIMEOUT = Span.seconds(10);
     private final Vertx vertx = Vertx.vertx();
     /** Vert.x closes a client that nothing refers to any more, in the middle of a call too: so all are kept. */
-    private final List<Object> kept = new ArrayList<>();
+    private final List<Object> retained = new ArrayList<>();
 
     private final List<JobService> services = new ArrayList<>();
-    private FakeStateService service;
+    private FakeStateService stateService;
     private Endpoint first;
     private Endpoint second;
 
     @BeforeEach
-    void serve() throws Exception {
-        service = await(new FakeStateService().listen(vertx));
+    void startNodes() throws Exception {
+        stateService = await(new FakeStateService().listen(vertx));
         MachineType type =
                 new MachineType("quad", new Resources(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         await(client().commit(new StateClient.Txn()
                 .when(RecordKeys.CATALOGUE, Revision.ABSENT)
                 .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type)))));
-        first = node();
-        second = node();
+        first = startNode();
+        second = startNode();
     }
 
     @AfterEach
@@ -70,22 +70,23 @@
     }
 
     private StateClient client() {
-        return keep(new StateClient(
-                new ServiceClient(vertx, service.endpoint(), 4), new ServiceClient(vertx, service.endpoint(), 1)));
+        return retain(new StateClient(
+                new ServiceClient(vertx, stateService.endpoint(), 4),
+                new ServiceClient(vertx, stateService.endpoint(), 1)));
     }
 
-    private <T> T keep(T client) {
-        kept.add(client);
+    private <T> T retain(T client) {
+        retained.add(client);
         return client;
     }
 
-    private Endpoint node() throws Exception {
-        return node(100);
+    private Endpoint startNode() throws Exception {
+        return startNode(100);
     }
 
-    private Endpoint node(double queriesPerSecond) throws Exception {
+    private Endpoint startNode(double queriesPerSecond) throws Exception {
         Catalogue catalogue =
-                new Catalogue(vertx, client(), new CloudClient(new ServiceClient(vertx, service.endpoint(), 1)));
+                new Catalogue(vertx, client(), new CloudClient(new ServiceClient(vertx, stateService.endpoint(), 1)));
         StateClient state = client();
         JobService jobs = new JobService(new JobService.Context(
                 vertx,
@@ -97,10 +98,10 @@
                 8192,
                 queriesPerSecond));
         services.add(jobs);
-        Endpoint any = new Endpoint("127.0.0.1", 0);
+        Endpoint anyPort = new Endpoint("127.0.0.1", 0);
         Endpoint endpoint = new Endpoint(
                 "127.0.0.1",
-                await(keep(new HttpApi(new HttpApi.Context(vertx, any, jobs, null, catalogue::isKnown, Map.of())))
+                await(retain(new HttpApi(new HttpApi.Context(vertx, anyPort, jobs, null, catalogue::isKnown, Map.of())))
                         .open()));
         catalogue.start();
         while (call(endpoint, HttpMethod.GET, "/ready", null).status() != 200) {
@@ -113,17 +114,19 @@
         return future.toCompletionStage().toCompletableFuture().get();
     }
 
-    private ServiceResponse call(Endpoint at, HttpMethod method, String path, Map<String, Object> body)
+    private ServiceResponse call(Endpoint endpoint, HttpMethod method, String path, Map<String, Object> body)
             throws Exception {
-        ServiceClient client = keep(new ServiceClient(vertx, at, 1));
+        ServiceClient client = retain(new ServiceClient(vertx, endpoint, 1));
         return await(
                 method.equals(HttpMethod.GET)
-                        ? client.get(path, WAIT)
-                        : method.equals(HttpMethod.DELETE) ? client.delete(path, WAIT) : client.post(path, body, WAIT));
+                        ? client.get(path, REQUEST_TIMEOUT)
+                        : method.equals(HttpMethod.DELETE)
+                                ? client.delete(path, REQUEST_TIMEOUT)
+                                : client.post(path, body, REQUEST_TIMEOUT));
     }
 
-    private String status(ServiceResponse reply) {
-        return reply.status() + " " + reply.body().optionalText("status");
+    private String status(ServiceResponse response) {
+        return response.status() + " " + response.body().optionalText("status");
     }
 
     /** Further fields are kept with the job, and a node where nothing reads them refuses the job rather than run it without. */
@@ -131,9 +134,9 @@
     void optionalFieldWithoutParticipantIsRejected() throws Exception {
         Map<String, Object> job = JobCodecTest.job();
         job.put("records", Map.of("group", "g"));
-        ServiceResponse reply = call(first, HttpMethod.POST, "/api/jobs", job);
-        assertEquals(422, reply.status());
-        assertEquals("records: this is not switched on here", reply.body().optionalText("error"));
+        ServiceResponse response = call(first, HttpMethod.POST, "/api/jobs", job);
+        assertEquals(422, response.status());
+        assertEquals("records: this is not switched on here", response.body().optionalText("error"));
         JobSpec spec = JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(job)));
         assertEquals(Map.of("records", Map.of("group", "g")), spec.extensions());
         assertEquals(
@@ -152,7 +155,7 @@
         Map<String, Object> job = JobCodecTest.job();
         job.put("pieces", 100_000L);
         assertEquals("201 pending", status(call(first, HttpMethod.POST, "/api/jobs", job)));
-        service.maxTxnOps = 2;
+        stateService.maxTxnOps = 2;
         assertEquals("200 cancelled", status(call(second, HttpMethod.POST, "/api/jobs/run-000412/cancel", Map.of())));
         assertEquals("200 cancelled", status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
     }
@@ -165,9 +168,9 @@
         List<Object> types = new ArrayList<>((List<?>) job.get("boxkinds"));
         types.addAll(java.util.Collections.nCopies(otherTypes, "k".repeat(100)));
         job.put("boxkinds", types);
-        service.maxValueBytes = valueBytes;
+        stateService.maxValueBytes = valueBytes;
         assertEquals(expected, call(first, HttpMethod.POST, "/api/jobs", job).status());
-        service.maxValueBytes = 512;
+        stateService.maxValueBytes = 512;
         int again = call(second, HttpMethod.POST, "/api/jobs", job).status();
         assertEquals(expected == 201 ? 200 : 422, again);
     }
@@ -183,9 +186,9 @@
         assertEquals("200 cancelled", status(call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job())));
     }
 
-    private Map<String, Object> withDependencies(Object... names) {
+    private Map<String, Object> withDependencies(Object... ids) {
         Map<String, Object> job = JobCodecTest.job();
-        job.put("waits_on", List.of(names));
+        job.put("waits_on", List.of(ids));
         return job;
     }
 
@@ -204,7 +207,7 @@
                     .delete("j/run-1")
                     .put("f/run-1", JobRecordCodec.writeFinal(JobStatus.valueOf(state.toUpperCase(Locale.ROOT)), 0))));
         }
-        service.unavailable = state.equals("refused");
+        stateService.unavailable = state.equals("refused");
     }
 
     /** By what has become of the job that is named: the answer, and what is told later. */
@@ -217,11 +220,11 @@
         "absent, 422 null, 404 null",
         "refused, 503 null, 503 null"
     })
-    void jobMayDependOnAnyAcceptedJob(String state, String answer, String later) throws Exception {
+    void jobMayDependOnAnyAcceptedJob(String state, String submissionResponse, String queryResponse) throws Exception {
         createDependency(state);
-        assertEquals(answer, status(call(first, HttpMethod.POST, "/api/jobs", withDependencies("run-1"))));
-        assertEquals(later, status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
-        assertEquals(later, status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
+        assertEquals(submissionResponse, status(call(first, HttpMethod.POST, "/api/jobs", withDependencies("run-1"))));
+        assertEquals(queryResponse, status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
+        assertEquals(queryResponse, status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
     }
 
     /** What a job that was accepted names now is of no account; before all nodes support dependencies, none is accepted. */
@@ -239,7 +242,7 @@
         }
         assertEquals(
                 List.of(new JobId("run-1")),
-                JobRecordCodec.readJob(new JobId("run-000412"), service.value("j/run-000412"), Revision.ABSENT)
+                JobRecordCodec.readJob(new JobId("run-000412"), stateService.value("j/run-000412"), Revision.ABSENT)
                         .spec()
                         .dependencies()
                         .requiredJobs());
@@ -252,46 +255,47 @@
     @Test
     void staleNodeChecksDependenciesBeforeItResponds() throws Exception {
         createDependency("open");
-        Map<String, Object> between = withDependencies("run-1");
-        between.put("id", "run-2");
-        call(second, HttpMethod.POST, "/api/jobs", between);
+        Map<String, Object> intermediate = withDependencies("run-1");
+        intermediate.put("id", "run-2");
+        call(second, HttpMethod.POST, "/api/jobs", intermediate);
         call(second, HttpMethod.POST, "/api/jobs", withDependencies("run-2"));
         createDependency("cancelled");
-        int before = service.readCount;
+        int readsBefore = stateService.readCount;
         assertEquals("200 pending", status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
-        assertEquals(1, service.readCount - before);
+        assertEquals(1, stateService.readCount - readsBefore);
         services.get(0).setCascadeTime(Span.seconds(60), () -> "");
         assertEquals("200 cancelled", status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
         assertEquals("200 cancelled", status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
-        assertEquals(List.of("j/run-2"), service.keys("j/"));
+        assertEquals(List.of("j/run-2"), stateService.keys("j/"));
     }
 
     /** Six hundred jobs asked about eight times as often took every request that the state service serves, renewals too. */
     @Test
     void queriesBeyondTheNodesShareAreBatched() throws Exception {
-        Endpoint node = node(2);
+        Endpoint node = startNode(2);
         for (int n = 0; n < 30; n++) {
             Map<String, Object> job = JobCodecTest.job();
             job.put("id", "run-" + n);
             call(node, HttpMethod.POST, "/api/jobs", job);
         }
-        int before = service.readCount;
+        int readsBefore = stateService.readCount;
         List<Future<ServiceResponse>> answers = new ArrayList<>();
-        ServiceClient users = keep(new ServiceClient(vertx, node, 90));
+        ServiceClient users = retain(new ServiceClient(vertx, node, 90));
         for (int n = 0; n < 90; n++) {
-            answers.add(users.get("/api/jobs/run-" + n % 30, WAIT));
+            answers.add(users.get("/api/jobs/run-" + n % 30, REQUEST_TIMEOUT));
         }
-        for (ServiceResponse reply : await(Future.all(answers)).<ServiceResponse>list()) {
-            assertEquals("200 pending", status(reply));
+        for (ServiceResponse response : await(Future.all(answers)).<ServiceResponse>list()) {
+            assertEquals("200 pending", status(response));
         }
-        assertTrue(service.readCount - before < 30, "reads: " + (service.readCount - before));
+        assertTrue(stateService.readCount - readsBefore < 30, "reads: " + (stateService.readCount - readsBefore));
     }
 
     /** In a flood of ends a job's end stands in its open record before it is moved: it is over all the same. */
     @Test
     void finalStatusInTheOpenRecordIsFinal() throws Exception {
         call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job());
-        JobSpec spec = JobRecordCodec.readJob(new JobId("run-000412"), service.value("j/run-000412"), Revision.ABSENT)
+        JobSpec spec = JobRecordCodec.readJob(
+                        new JobId("run-000412"), stateService.value("j/run-000412"), Revision.ABSENT)
                 .spec();
         BitSet all = new BitSet();
         all.set(0, spec.taskCount());
@@ -300,17 +304,17 @@
         assertEquals("200 done", status(call(first, HttpMethod.POST, "/api/jobs/run-000412/cancel", Map.of())));
         assertEquals("200 done", status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
         assertEquals("200 done", status(call(second, HttpMethod.POST, "/api/jobs", JobCodecTest.job())));
-        assertEquals(List.of("j/run-000412"), service.keys("j/"), "nobody has taken it for an open job");
+        assertEquals(List.of("j/run-000412"), stateService.keys("j/"), "nobody has taken it for an open job");
     }
 
     @Test
     void submissionIsIdempotentAfterALostResponse() throws Exception {
-        service.loseResponseFilter = txn -> txn.children("writes").stream()
+        stateService.loseResponseFilter = txn -> txn.children("writes").stream()
                 .anyMatch(w -> w.has("write") && w.text("write").equals("j/run-000412"));
         assertEquals(
                 503,
                 call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job()).status());
-        assertEquals(1, service.lostResponses, "it was carried out");
+        assertEquals(1, stateService.lostResponses, "it was carried out");
         assertEquals("200 pending", status(call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job())));
     }
 
@@ -318,7 +322,7 @@
     @Test
     void acceptanceIsConditionalOnTheEraBeforeItWasRead() throws Exception {
         List<List<String>> conditions = new ArrayList<>();
-        service.holdFilter = txn -> {
+        stateService.holdFilter = txn -> {
             List<String> keys =
                     txn.children("when").stream().map(w -> w.text("path")).toList();
             if (keys.contains("j/run-000412")) {
@@ -337,7 +341,7 @@
         other.put("id", "run-5");
         call(first, HttpMethod.POST, "/api/jobs", other);
         call(first, HttpMethod.POST, "/api/jobs/run-5/cancel", Map.of());
-        service.unavailable = true;
+        stateService.unavailable = true;
         assertEquals(
                 503, call(first, HttpMethod.GET, "/api/jobs/run-000412", null).status());
         assertEquals(503, call(second, HttpMethod.GET, "/api/jobs/run-5", null).status());
@@ -364,7 +368,7 @@
     /** A long body is refused, announced or not, and others are served meanwhile. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void longBodyIsRejected(boolean announced) throws Exception {
+    void bodyOverTheLimitIsRejected(boolean withContentLength) throws Exception {
         Promise<Integer> status = Promise.promise();
         vertx.createHttpClient()
                 .request(HttpMethod.POST, first.port(), first.host(), "/api/jobs")
@@ -372,7 +376,7 @@
                     request.response()
                             .onSuccess(r -> status.tryComplete(r.statusCode()))
                             .onFailure(status::tryFail);
-                    if (announced) {
+                    if (withContentLength) {
                         request.putHeader("Content-Length", "70000");
                         request.write(Buffer.buffer(new byte[10]));
                     } else {
--- a/src/test/java/io/indigoreach/cluster/IntentLogTest.java
+++ b/src/test/java/io/indigoreach/cluster/IntentLogTest.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.TermFixture.await;
+import static io.indigoreach.cluster.LeadershipTermFixture.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -23,14 +23,14 @@
     private static final Intents.Rental RENT =
             new Intents.Rental("t3-1", new MachinePool("quad", "east", true), 50, 1000);
     private static final MachineId MACHINE = new MachineId("vm-1");
-    private TermFixture fixture;
+    private LeadershipTermFixture fixture;
     private FakeStateService state;
     private NodeContext context;
     private boolean deposed;
 
     @BeforeEach
     void start() throws Exception {
-        fixture = new TermFixture();
+        fixture = new LeadershipTermFixture();
         state = fixture.state;
         context = fixture.context();
     }
@@ -61,7 +61,7 @@
         assertEquals(new Intents.Content(List.of(RENT), List.of(MACHINE)), page);
         next.intents().addReturns(page.returns());
         assertTrue(await(next.record()));
-        await(next.forgetEarlier());
+        await(next.removeEarlierRecords());
         assertEquals(List.of("i/4"), state.keys("i/"), "what is not completed is in its own record");
         next.intents().completeReturns(page.returns());
         next.intents().add(RENT);
@@ -71,7 +71,7 @@
 
     /** Leaders that followed each other quickly leave more records than a transaction may remove (12 here). */
     @Test
-    void manyEarlierRecordsAreRemovedInParts() throws Exception {
+    void earlierRecordsAreRemovedInBatches() throws Exception {
         for (int token = 10; token < 30; token++) {
             IntentLog log = newLeader(token);
             log.intents().add(RENT);
@@ -79,15 +79,15 @@
         }
         IntentLog last = newLeader(30);
         assertEquals(20, await(last.load()).rentals().size());
-        await(last.forgetEarlier());
+        await(last.removeEarlierRecords());
         assertEquals(8, state.keys("i/").size());
-        await(last.forgetEarlier());
+        await(last.removeEarlierRecords());
         assertEquals(List.of(), state.keys("i/"));
     }
 
     /** As many as the smallest announced value size allows, and one request in any case. */
     @Test
-    void intentsBeyondTheRecordsSizeWait() throws Exception {
+    void intentsBeyondRecordSizeWait() throws Exception {
         context = fixture.context("value_kb = 2.0");
         state.maxValueBytes = 2048;
         IntentLog log = newLeader(3);
@@ -112,7 +112,7 @@
 
     /** A leader that was replaced goes on between its check and its call to the cloud. */
     @Test
-    void replacedLeaderRecordsNothingAndMaySendNothing() throws Exception {
+    void replacedLeaderMayNeitherRecordNorSend() throws Exception {
         IntentLog old = newLeader(3);
         newLeader(4);
         old.intents().add(RENT);
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void intentWithALostAnswerIsRecordedBeforeItIsSent() throws Exception {
+    void intentWithLostResponseIsRecordedBeforeItIsSent() throws Exception {
         IntentLog log = newLeader(3);
         log.intents().add(RENT);
         state.responsesToLose = 1;
--- a/src/test/java/io/indigoreach/cluster/LateElectionTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateElectionTransactionsTest.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.LeaderHarness.await;
+import static io.indigoreach.cluster.LeaderTestSupport.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -29,10 +29,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Transactions of the leader election that get no response ({@link LateTransactionsHarness}). */
-class LateElectionTransactionsTest extends LateTransactionsHarness {
+class LateElectionTransactionsTest extends LateTransactionTestBase {
     private LeaderElection newElection(String node, int peers) {
-        LeaderElection[] made = new LeaderElection[1];
-        made[0] = new LeaderElection(
+        LeaderElection[] election = new LeaderElection[1];
+        election[0] = new LeaderElection(
                 new ElectionSettings(
                         new StateAccess(vertx, client),
                         new StateAccess(vertx, client),
@@ -51,8 +51,8 @@
                         events.add(node + " lost");
                     }
                 });
-        made[0].setPeerQueries(() -> Future.succeededFuture(false), () -> Future.succeededFuture(true));
-        return keep(made[0]);
+        election[0].setPeerQueries(() -> Future.succeededFuture(false), () -> Future.succeededFuture(true));
+        return keepReachable(election[0]);
     }
 
     private void awaitGained(String node) throws Exception {
@@ -64,10 +64,10 @@
     }
 
     /** Stops a node, and lets the leases of its campaigns expire. */
-    private void stopAndExpireLeases(LeaderElection of) throws Exception {
+    private void stopAndExpireLeases(LeaderElection election) throws Exception {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
-        run(() -> {
-            of.stop();
+        runOnEventLoop(() -> {
+            election.stop();
             stopped.complete(null);
         });
         stopped.get(20, TimeUnit.SECONDS);
@@ -78,98 +78,99 @@
 
     static {
         CASES.put("a campaign, after the next one", test -> {
-            LeaderElection a = test.newElection("a", 0);
-            test.loseOne(RecordKeys.LEADER);
-            test.run(a::start);
+            LeaderElection electionA = test.newElection("a", 0);
+            test.suppressNextResponse(RecordKeys.LEADER);
+            test.runOnEventLoop(electionA::start);
             test.awaitGained("a");
-            test.changesNothingMore();
-            assertTrue(a.isValid());
+            test.assertLateExecutionChangesNothing();
+            assertTrue(electionA.isValid());
         });
         CASES.put("a campaign, after its node led and gave up", test -> {
-            LeaderElection a = test.newElection("a", 0);
-            test.loseOne(RecordKeys.LEADER);
-            test.run(a::start);
+            LeaderElection electionA = test.newElection("a", 0);
+            test.suppressNextResponse(RecordKeys.LEADER);
+            test.runOnEventLoop(electionA::start);
             test.awaitGained("a");
-            test.run(() -> a.resign("test"));
-            test.until(() -> !test.service.has(RecordKeys.LEADER));
-            test.changesNothingMore();
+            test.runOnEventLoop(() -> electionA.resign("test"));
+            test.awaitCondition(() -> !test.service.has(RecordKeys.LEADER));
+            test.assertLateExecutionChangesNothing();
             assertFalse(test.service.has(RecordKeys.LEADER));
         });
         CASES.put("a campaign, after another node led and gave up", test -> {
-            LeaderElection a = test.newElection("a", 0);
-            test.loseAll(RecordKeys.LEADER);
-            test.run(a::start);
-            test.untilUnanswered();
-            test.run(a::stop);
-            test.pass();
-            if (test.isAtOnce()) {
+            LeaderElection electionA = test.newElection("a", 0);
+            test.suppressAllResponses(RecordKeys.LEADER);
+            test.runOnEventLoop(electionA::start);
+            test.awaitSuppressedResponse();
+            test.runOnEventLoop(electionA::stop);
+            test.restoreResponses();
+            if (test.isExecutedAtOnce()) {
                 // The key stands under the campaign's grant, which ends by itself.
-                test.stopAndExpireLeases(a);
+                test.stopAndExpireLeases(electionA);
             }
-            LeaderElection b = test.newElection("b", 0);
-            test.run(b::start);
+            LeaderElection electionB = test.newElection("b", 0);
+            test.runOnEventLoop(electionB::start);
             test.awaitGained("b");
-            test.run(() -> b.resign("test"));
-            test.until(() -> !test.service.has(RecordKeys.LEADER));
-            test.changesNothingMore();
+            test.runOnEventLoop(() -> electionB.resign("test"));
+            test.awaitCondition(() -> !test.service.has(RecordKeys.LEADER));
+            test.assertLateExecutionChangesNothing();
         });
         CASES.put("a campaign, after its grant has ended", test -> {
-            LeaderElection a = test.newElection("a", 0);
-            test.loseAll(RecordKeys.LEADER);
-            test.run(a::start);
-            test.untilUnanswered();
-            test.stopAndExpireLeases(a);
-            test.changesNothingMore();
+            LeaderElection electionA = test.newElection("a", 0);
+            test.suppressAllResponses(RecordKeys.LEADER);
+            test.runOnEventLoop(electionA::start);
+            test.awaitSuppressedResponse();
+            test.stopAndExpireLeases(electionA);
+            test.assertLateExecutionChangesNothing();
             assertFalse(test.service.has(RecordKeys.LEADER));
         });
         CASES.put("the removal of a predecessor's key, after its node took it", test -> {
-            test.lead(1);
+            test.gainLeadership(1);
             await(test.client.commit(new StateClient.Txn()
                     .put(RecordKeys.LEADER, MessagePackFormat.map("node", "a", "process", "a0", "token", 1L))));
-            LeaderElection a = test.newElection("a", 2);
-            test.loseOne(RecordKeys.LEADER);
-            await(a.clearPredecessorKey(node -> Future.succeededFuture(false)));
-            test.run(a::start);
+            LeaderElection electionA = test.newElection("a", 2);
+            test.suppressNextResponse(RecordKeys.LEADER);
+            await(electionA.clearPredecessorKey(node -> Future.succeededFuture(false)));
+            test.runOnEventLoop(electionA::start);
             test.awaitGained("a");
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
             assertTrue(test.service.has(RecordKeys.LEADER));
         });
         CASES.put("the removal of the key of one that stood aside, after another took it", test -> {
-            LeaderElection a = test.newElection("a", 0);
-            test.run(a::start);
+            LeaderElection electionA = test.newElection("a", 0);
+            test.runOnEventLoop(electionA::start);
             test.awaitGained("a");
-            LeaderElection b = test.newElection("b", 0);
-            Revision leadershipRevision = a.leadershipRevision();
-            test.loseOne(RecordKeys.LEADER);
-            assertTrue(b.removeKey(leadershipRevision)
+            LeaderElection electionB = test.newElection("b", 0);
+            Revision leadershipRevision = electionA.leadershipRevision();
+            test.suppressNextResponse(RecordKeys.LEADER);
+            assertTrue(electionB
+                    .removeKey(leadershipRevision)
                     .toCompletionStage()
                     .toCompletableFuture()
                     .handle((v, e) -> e != null)
                     .get(20, TimeUnit.SECONDS));
-            test.run(a::stop);
-            test.run(() -> a.resign("test"));
+            test.runOnEventLoop(electionA::stop);
+            test.runOnEventLoop(() -> electionA.resign("test"));
             test.awaitLost("a");
-            test.run(b::start);
+            test.runOnEventLoop(electionB::start);
             test.awaitGained("b");
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
             assertTrue(test.service.has(RecordKeys.LEADER));
         });
         CASES.put("the word for start bounds, after the next leadership", test -> {
             await(test.client.commit(
                     new StateClient.Txn().put(RecordKeys.COUNTER, MessagePackFormat.map("value", 7L))));
-            LeaderElection a = test.newElection("a", 0);
-            test.run(a::start);
+            LeaderElection electionA = test.newElection("a", 0);
+            test.runOnEventLoop(electionA::start);
             test.awaitGained("a");
-            test.loseAll(RecordKeys.COUNTER);
-            test.run(a::confirmStartBounds);
-            test.untilUnanswered();
-            test.pass();
-            test.run(a::onLeadershipConflict);
+            test.suppressAllResponses(RecordKeys.COUNTER);
+            test.runOnEventLoop(electionA::confirmStartBounds);
+            test.awaitSuppressedResponse();
+            test.restoreResponses();
+            test.runOnEventLoop(electionA::onLeadershipConflict);
             test.awaitLost("a");
             test.awaitGained("a");
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
             assertEquals(
-                    test.isAtOnce(),
+                    test.isExecutedAtOnce(),
                     test.service.value(RecordKeys.COUNTER).flag("bounds", false),
                     "said late, an older version may have led in between");
         });
@@ -177,35 +178,35 @@
 
     /** The key stands, by a transaction that its node gave up on: nobody leads by it, and a pledge given since binds. */
     @Test
-    void aCampaignExecutedAfterItsNodeHasPledgedElectsNoLeader() throws Exception {
-        LeaderElection a = newElection("a", 0);
-        loseAll(RecordKeys.LEADER);
-        run(a::start);
-        untilUnanswered();
+    void lateCampaignAfterPledgeElectsNoLeader() throws Exception {
+        LeaderElection election = newElection("a", 0);
+        suppressAllResponses(RecordKeys.LEADER);
+        runOnEventLoop(election::start);
+        awaitSuppressedResponse();
         CompletableFuture<Moment> pledged = new CompletableFuture<>();
         vertx.setPeriodic(1, timer -> {
-            if (!pledged.isDone() && a.pledge()) {
+            if (!pledged.isDone() && election.pledge()) {
                 pledged.complete(clock.now());
                 service.holdFilter = txn -> false;
             }
         });
-        Moment given = pledged.get(20, TimeUnit.SECONDS);
+        Moment pledgedAt = pledged.get(20, TimeUnit.SECONDS);
         assertTrue(service.executeHeldTransactions().contains(200));
         long token = LeaderKey.tokenOf(service.value(RecordKeys.LEADER).map());
-        assertTrue(service.has(RecordKeys.LEADER) && events.isEmpty() && !a.isLeading());
+        assertTrue(service.has(RecordKeys.LEADER) && events.isEmpty() && !election.isLeading());
         awaitGained("a");
-        assertTrue(clock.now().since(given).compareTo(Span.seconds(2)) >= 0, "a pledge binds");
+        assertTrue(clock.now().since(pledgedAt).compareTo(Span.seconds(2)) >= 0, "a pledge binds");
         assertTrue(LeaderKey.tokenOf(service.value(RecordKeys.LEADER).map()) > token);
     }
 
     static List<Object[]> cases() {
-        return bothWays(CASES);
+        return casesInBothModes(CASES);
     }
 
     @ParameterizedTest(name = "{0}: {1}")
     @MethodSource("cases")
-    void aTransactionWithoutAResponseDoesNoHarm(Unanswered when, String name, Case<LateElectionTransactionsTest> play)
-            throws Exception {
-        play(this, when, play);
+    void unansweredTransactionHasNoLateEffect(
+            ExecutionTime executionTime, String name, Case<LateElectionTransactionsTest> testCase) throws Exception {
+        runCase(this, executionTime, testCase);
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LateFeatureTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateFeatureTransactionsTest.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.LeaderHarness.await;
+import static io.indigoreach.cluster.LeaderTestSupport.await;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.indigoreach.core.calendar.CalendarVersion;
@@ -29,8 +29,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Transactions of optional features that get no response ({@link LateTransactionsHarness}). */
-class LateFeatureTransactionsTest extends LateTransactionsHarness {
-    private RoutineRunner records() {
+class LateFeatureTransactionsTest extends LateTransactionTestBase {
+    private RoutineRunner newRoutineRunner() {
         List<RecordFamily> families = new ArrayList<>(Registry.FAMILIES);
         families.add(CalendarVersion.FAMILY);
         families.add(CalendarVersion.TEXT_FAMILY);
@@ -38,7 +38,7 @@
         return new RoutineRunner(vertx, client, clock, new RecordCache(families));
     }
 
-    private static Routine<Boolean> removing(String key) {
+    private static Routine<Boolean> removalOf(String key) {
         return seen -> seen.isWritten() || !seen.failedKeys().isEmpty()
                 ? new Step.End<>(seen.isWritten())
                 : seen.records().isEmpty()
@@ -48,11 +48,11 @@
     }
 
     /** A part's write without an answer, then the same once more, then it comes late. */
-    private <R> void twice(String key, RoutineRunner records, Supplier<Routine<R>> routine) throws Exception {
-        loseOne(key);
+    private <R> void runTwice(String key, RoutineRunner records, Supplier<Routine<R>> routine) throws Exception {
+        suppressNextResponse(key);
         assertTrue(await(records.run(routine.get()).map(false).otherwise(true)));
         await(records.run(routine.get()));
-        changesNothingMore();
+        assertLateExecutionChangesNothing();
     }
 
     private static final Map<String, Case<LateFeatureTransactionsTest>> CASES = new LinkedHashMap<>();
@@ -60,50 +60,51 @@
     static {
         CASES.put(
                 "a record's first write, after its repeat",
-                test -> test.twice("x/", test.records(), () -> new Replacing("x/1", MessagePackFormat.map("n", 1L))));
+                test -> test.runTwice(
+                        "x/", test.newRoutineRunner(), () -> new Replacing("x/1", MessagePackFormat.map("n", 1L))));
         CASES.put("a record's change, after its repeat", test -> {
-            RoutineRunner records = test.records();
+            RoutineRunner records = test.newRoutineRunner();
             await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L))));
-            test.twice("x/", records, () -> new Replacing("x/1", MessagePackFormat.map("n", 2L)));
+            test.runTwice("x/", records, () -> new Replacing("x/1", MessagePackFormat.map("n", 2L)));
         });
         CASES.put("a leader's write, after a change of leader", test -> {
-            RoutineRunner records =
-                    test.records().forLeader(RecordKeys.LEADER, test.lead(1), new RateLimiter(100, test.clock.now()));
-            test.loseOne("x/");
+            RoutineRunner records = test.newRoutineRunner()
+                    .forLeader(RecordKeys.LEADER, test.gainLeadership(1), new RateLimiter(100, test.clock.now()));
+            test.suppressNextResponse("x/");
             assertTrue(await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L)))
                     .map(false)
                     .otherwise(true)));
-            test.lead(4);
-            test.changesNothingMore();
+            test.gainLeadership(4);
+            test.assertLateExecutionChangesNothing();
         });
         CASES.put("a record's removal, after it was written anew", test -> {
-            RoutineRunner records = test.records();
+            RoutineRunner records = test.newRoutineRunner();
             await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L))));
-            test.loseOne("x/");
-            assertTrue(await(records.run(removing("x/1")).map(false).otherwise(true)));
+            test.suppressNextResponse("x/");
+            assertTrue(await(records.run(removalOf("x/1")).map(false).otherwise(true)));
             await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 2L))));
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
         });
         CASES.put("a write, after a loss and a new era", test -> {
-            RoutineRunner records = test.records();
-            test.loseOne("x/");
+            RoutineRunner records = test.newRoutineRunner();
+            test.suppressNextResponse("x/");
             assertTrue(await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L)))
                     .map(false)
                     .otherwise(true)));
-            assertTrue(test.rebuilds(test.lead(1), new RememberedState()));
-            test.changesNothingMore();
+            assertTrue(test.rebuildSucceeds(test.gainLeadership(1), new RememberedState()));
+            test.assertLateExecutionChangesNothing();
         });
         CASES.put(
                 "the registry's beginning",
-                test -> test.twice("own/", test.records(), () -> new Beginning(true, "by test")));
+                test -> test.runTwice("own/", test.newRoutineRunner(), () -> new Beginning(true, "by test")));
         CASES.put(
                 "a claim's end before it began",
-                test -> test.twice("own/", test.records(), () -> new Ending("export-1")));
+                test -> test.runTwice("own/", test.newRoutineRunner(), () -> new Ending("export-1")));
         CASES.put(
                 "a calendar's text",
-                test -> test.twice(
+                test -> test.runTwice(
                         "cal/text/",
-                        test.records(),
+                        test.newRoutineRunner(),
                         () -> new Publishing(
                                 new CalendarVersion(VersionedRecord.absent(CalendarVersion.KEY)),
                                 "d",
@@ -112,9 +113,9 @@
                                 "note")));
         CASES.put(
                 "a calendar's head",
-                test -> test.twice(
+                test -> test.runTwice(
                         CalendarVersion.KEY,
-                        test.records(),
+                        test.newRoutineRunner(),
                         () -> new Publishing(
                                 new CalendarVersion(VersionedRecord.absent(CalendarVersion.KEY)),
                                 "d",
@@ -124,13 +125,13 @@
     }
 
     static List<Object[]> cases() {
-        return bothWays(CASES);
+        return casesInBothModes(CASES);
     }
 
     @ParameterizedTest(name = "{0}: {1}")
     @MethodSource("cases")
-    void aTransactionWithoutAResponseDoesNoHarm(Unanswered when, String name, Case<LateFeatureTransactionsTest> play)
-            throws Exception {
-        play(this, when, play);
+    void unansweredTransactionHasNoLateEffect(
+            ExecutionTime executionTime, String name, Case<LateFeatureTransactionsTest> testCase) throws Exception {
+        runCase(this, executionTime, testCase);
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LateTransactionsHarness.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionTestBase.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.LeaderHarness.await;
+import static io.indigoreach.cluster.LeaderTestSupport.await;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -51,7 +51,7 @@
  * writes. Executed late, after newer transactions, it must change nothing. Executed at once, while only its response is lost,
  * its writer must find it done. The writes are the product's own; the state service stands in. Waits are for events, not times.
  */
-abstract class LateTransactionsHarness {
+abstract class LateTransactionTestBase {
     static final MachinePool POOL = new MachinePool("quad", "a", true);
     static final JobId JOB = new JobId("run-1");
     static final String OPEN = RecordKeys.openKey(JOB);
@@ -59,7 +59,7 @@
     final Vertx vertx = Vertx.vertx();
     final SteadyClock clock = new SteadyClock();
     /** Vert.x closes a client that nothing refers to any more. */
-    private final List<Object> kept = new ArrayList<>();
+    private final List<Object> reachableObjects = new ArrayList<>();
 
     final BlockingQueue<String> events = new ArrayBlockingQueue<>(100);
     FakeStateService service;
@@ -68,33 +68,33 @@
     SchedulerCore core;
 
     /** When a transaction that gets no response is executed. */
-    enum Unanswered {
+    enum ExecutionTime {
         LATE,
         AT_ONCE
     }
 
-    private Unanswered mode = Unanswered.LATE;
+    private ExecutionTime mode = ExecutionTime.LATE;
 
     /** One order of events, played by the test class that has the helpers for it. */
     interface Case<T> {
-        void play(T test) throws Exception;
+        void run(T test) throws Exception;
     }
 
     /** Each case twice, by when the transaction is executed. */
-    static <T> List<Object[]> bothWays(Map<String, Case<T>> table) {
-        List<Object[]> all = new ArrayList<>();
-        table.forEach((name, play) -> {
-            for (Unanswered when : Unanswered.values()) {
-                all.add(new Object[] {when, name, play});
+    static <T> List<Object[]> casesInBothModes(Map<String, Case<T>> cases) {
+        List<Object[]> parameters = new ArrayList<>();
+        cases.forEach((name, testCase) -> {
+            for (ExecutionTime executionTime : ExecutionTime.values()) {
+                parameters.add(new Object[] {executionTime, name, testCase});
             }
         });
-        return all;
+        return parameters;
     }
 
     /** Plays one case. */
-    <T> void play(T test, Unanswered when, Case<T> play) throws Exception {
-        mode = when;
-        play.play(test);
+    <T> void runCase(T test, ExecutionTime executionTime, Case<T> testCase) throws Exception {
+        mode = executionTime;
+        testCase.run(test);
     }
 
     @BeforeEach
@@ -102,11 +102,14 @@
         service = await(new FakeStateService().listen(vertx));
         client = client();
         Catalogue catalogue = new Catalogue(
-                vertx, client, keep(new CloudClient(keep(new ServiceClient(vertx, service.endpoint(), 1)))));
-        context =
-                LeaderHarness.context(vertx, clock, client).catalogue(catalogue).build();
+                vertx,
+                client,
+                keepReachable(new CloudClient(keepReachable(new ServiceClient(vertx, service.endpoint(), 1)))));
+        context = LeaderTestSupport.context(vertx, clock, client)
+                .catalogue(catalogue)
+                .build();
 
-        core = LeaderHarness.loadedCore(context, 3, LeaderHarness.quad());
+        core = LeaderTestSupport.loadedCore(context, 3, LeaderTestSupport.quadCoreType());
     }
 
     @AfterEach
@@ -115,74 +118,74 @@
     }
 
     /** Keeps an object reachable until the test is over. */
-    <T> T keep(T object) {
-        kept.add(object);
+    <T> T keepReachable(T object) {
+        reachableObjects.add(object);
         return object;
     }
 
     StateClient client() {
-        return keep(new StateClient(
-                keep(new ServiceClient(vertx, service.endpoint(), 4)),
-                keep(new ServiceClient(vertx, service.endpoint(), 2))));
+        return keepReachable(new StateClient(
+                keepReachable(new ServiceClient(vertx, service.endpoint(), 4)),
+                keepReachable(new ServiceClient(vertx, service.endpoint(), 2))));
     }
 
-    static void until(Callable<Boolean> holds) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (!holds.call()) {
-            assertTrue(System.nanoTime() < end, "in vain");
+    static void awaitCondition(Callable<Boolean> condition) throws Exception {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (!condition.call()) {
+            assertTrue(System.nanoTime() < deadlineNanos, "in vain");
             Thread.onSpinWait();
         }
     }
 
-    void run(Runnable action) {
+    void runOnEventLoop(Runnable action) {
         vertx.runOnContext(v -> action.run());
     }
 
-    static boolean touches(Fields txn, String key) {
+    static boolean writesKeyWithPrefix(Fields txn, String key) {
         return txn.children("writes").stream()
                 .anyMatch(w -> (w.has("delete") ? w.text("delete") : w.text("write")).startsWith(key));
     }
 
-    boolean isAtOnce() {
-        return mode == Unanswered.AT_ONCE;
+    boolean isExecutedAtOnce() {
+        return mode == ExecutionTime.AT_ONCE;
     }
 
-    void leaveUnanswered(Predicate<Fields> which) {
-        if (isAtOnce()) {
-            service.loseResponseFilter = which;
+    void suppressResponses(Predicate<Fields> filter) {
+        if (isExecutedAtOnce()) {
+            service.loseResponseFilter = filter;
         } else {
-            service.holdFilter = which;
+            service.holdFilter = filter;
         }
     }
 
     /** The next transaction that writes or deletes a key with this prefix gets no response. */
-    void loseOne(String key) {
+    void suppressNextResponse(String key) {
         AtomicBoolean first = new AtomicBoolean(true);
-        leaveUnanswered(txn -> touches(txn, key) && first.getAndSet(false));
+        suppressResponses(txn -> writesKeyWithPrefix(txn, key) && first.getAndSet(false));
     }
 
     /** No transaction that writes or deletes a key with this prefix gets a response. */
-    void loseAll(String key) {
-        leaveUnanswered(txn -> touches(txn, key));
+    void suppressAllResponses(String key) {
+        suppressResponses(txn -> writesKeyWithPrefix(txn, key));
     }
 
     /** From now on all transactions get a response. */
-    void pass() {
-        leaveUnanswered(txn -> false);
+    void restoreResponses() {
+        suppressResponses(txn -> false);
     }
 
-    int unanswered() {
+    int suppressedCount() {
         return service.held() + service.lostResponses;
     }
 
-    void untilUnanswered() throws Exception {
-        until(() -> unanswered() > 0);
+    void awaitSuppressedResponse() throws Exception {
+        awaitCondition(() -> suppressedCount() > 0);
     }
 
     /** Executes the transactions that were held back, which must be rejected; those that were executed at once must stay as they were. */
-    void changesNothingMore() {
-        pass();
-        if (isAtOnce()) {
+    void assertLateExecutionChangesNothing() {
+        restoreResponses();
+        if (isExecutedAtOnce()) {
             assertTrue(service.lostResponses > 0, "every answer came");
             return;
         }
@@ -192,30 +195,32 @@
     }
 
     /** Another leadership term begins. */
-    Revision lead(long token) throws Exception {
-        return LeaderHarness.lead(client, token);
+    Revision gainLeadership(long token) throws Exception {
+        return LeaderTestSupport.gainLeadership(client, token);
     }
 
     /** A job service whose catalogue is known. */
     JobService newJobService() throws Exception {
-        JobService jobService = keep(new JobService(new JobService.Context(
+        JobService jobService = keepReachable(new JobService(new JobService.Context(
                 vertx,
                 client,
                 new JobRepairer(client, clock),
                 context.catalogue(),
-                List.of(LeaderHarness.TEAM),
+                List.of(LeaderTestSupport.TEAM),
                 clock,
                 8192,
                 100)));
         await(client.commit(new StateClient.Txn()
-                .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(LeaderHarness.quad())))));
+                .put(
+                        RecordKeys.CATALOGUE,
+                        CatalogueRecordCodec.writeCatalogue(List.of(LeaderTestSupport.quadCoreType())))));
         context.catalogue().start();
-        until(context.catalogue()::isKnown);
+        awaitCondition(context.catalogue()::isKnown);
         return jobService;
     }
 
     static JobSpec spec(String id, int tasks) {
-        return LeaderHarness.spec(new JobId(id), tasks, "img");
+        return LeaderTestSupport.spec(new JobId(id), tasks, "img");
     }
 
     int submit(JobService jobService) throws Exception {
@@ -230,12 +235,12 @@
                 jobService.cancel(JOB.text()).map(response -> response.status()).otherwise(503));
     }
 
-    <T> T onLoop(Supplier<Future<T>> work) throws Exception {
+    <T> T awaitOnEventLoop(Supplier<Future<T>> work) throws Exception {
         return await(vertx.getOrCreateContext().executeBlocking(() -> null).compose(started -> work.get()));
     }
 
     /** How many machines the pages name. */
-    int recordedMachines() {
+    int recordedMachineCount() {
         return service.keys(RecordKeys.MACHINE_PAGES).stream()
                 .mapToInt(key ->
                         MachineRecordCodec.readMachines(service.value(key)).size())
@@ -256,11 +261,11 @@
     }
 
     /** Rebuilds from what {@link #rememberedState} returns; false if that fails. */
-    boolean rebuilds(Revision leadershipRevision) throws Exception {
-        return rebuilds(leadershipRevision, rememberedState());
+    boolean rebuildSucceeds(Revision leadershipRevision) throws Exception {
+        return rebuildSucceeds(leadershipRevision, rememberedState());
     }
 
-    boolean rebuilds(Revision leadershipRevision, RememberedState rememberedState) throws Exception {
+    boolean rebuildSucceeds(Revision leadershipRevision, RememberedState rememberedState) throws Exception {
         return await(new StateRebuilder(
                         context,
                         new FencingToken(3),
--- a/src/test/java/io/indigoreach/cluster/TermFixture.java
+++ b/src/test/java/io/indigoreach/cluster/LeadershipTermFixture.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** An emulated state service, a client of it, and the context of leadership terms, for tests of what a leader reads and writes. */
-final class TermFixture implements AutoCloseable {
+final class LeadershipTermFixture implements AutoCloseable {
     private static final Span LEASE = Span.seconds(10);
 
     final Vertx vertx = Vertx.vertx();
@@ -25,7 +25,7 @@
     final FakeStateService state;
     final StateClient client;
 
-    TermFixture() throws Exception {
+    LeadershipTermFixture() throws Exception {
         state = await(new FakeStateService().listen(vertx));
         client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
@@ -37,8 +37,8 @@
 
     /** A context without optional features; {@code nextLimits}: limits of the state service that are to come, as in the configuration. */
     NodeContext context(String nextLimits) throws Exception {
-        return LeaderHarness.context(vertx, clock, client)
-                .config(LeaderHarness.config(nextLimits))
+        return LeaderTestSupport.context(vertx, clock, client)
+                .config(LeaderTestSupport.config(nextLimits))
                 .lease(LEASE)
                 .build();
     }
@@ -49,9 +49,9 @@
 
     /** A context with optional features. */
     NodeContext context(List<Parts.Kind> kinds) throws Exception {
-        PlatformConfig config = LeaderHarness.config();
+        PlatformConfig config = LeaderTestSupport.config();
         Parts parts = Parts.of(kinds, vertx, client, clock, null, config, Settings.standard());
-        return LeaderHarness.context(vertx, clock, client)
+        return LeaderTestSupport.context(vertx, clock, client)
                 .config(config)
                 .lease(LEASE)
                 .parts(parts)
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.LeaderHarness.await;
+import static io.indigoreach.cluster.LeaderTestSupport.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -51,7 +51,7 @@
  * up to 25 s, each machine waiting for a change of its own among the twelve a second that the leader may make.
  */
 class MachineStoreTest {
-    private static final int VALUE_BYTES = 8 * 1024;
+    private static final int MAX_VALUE_BYTES = 8 * 1024;
     private static final MachinePool POOL = new MachinePool("quad", "a-zone-of-usual-length", true);
     private static final Revision NO_LEADER = Revision.ABSENT;
     private final Vertx vertx = Vertx.vertx();
@@ -68,14 +68,14 @@
         client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
         CloudClient cloud = new CloudClient(new ServiceClient(vertx, state.endpoint(), 1));
-        context = LeaderHarness.context(vertx, clock, client)
+        context = LeaderTestSupport.context(vertx, clock, client)
                 .cloud(cloud)
                 .catalogue(new Catalogue(vertx, client, cloud))
                 .build();
-        core = LeaderHarness.core(context, 3, context.config().teams());
+        core = LeaderTestSupport.core(context, 3, context.config().teams());
         core.addMachineTypes(List.of(machineType(POOL.zone())));
         core.onRecordsLoaded();
-        machineStore = new MachineStore(LeaderHarness.writes(context, 3, NO_LEADER, 12), core);
+        machineStore = new MachineStore(LeaderTestSupport.writes(context, 3, NO_LEADER, 12), core);
         onLoop(() -> {
             machineStore.start();
             return Future.succeededFuture();
@@ -102,10 +102,10 @@
         core.onHeartbeat(
                 new Heartbeat(id, "10.0.0.1:1", POOL, new HeartbeatNumber(1, 1), new FencingToken(3), null, List.of()),
                 now);
-        return machineStore.record(core.machineToRecord(id).orElseThrow());
+        return machineStore.recordMachine(core.machineToRecord(id).orElseThrow());
     }
 
-    private List<MachineRecord> recorded() {
+    private List<MachineRecord> readRecordedMachines() {
         List<MachineRecord> all = new ArrayList<>();
         for (String key : state.keys(RecordKeys.MACHINE_PAGES)) {
             all.addAll(MachineRecordCodec.readMachines(state.value(key)));
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void hundredsOfMachinesTakeFewChanges() throws Exception {
+    void hundredsOfMachinesAreRecordedInFewWrites() throws Exception {
         List<Boolean> done = onLoop(() -> {
             List<Future<Boolean>> all = new ArrayList<>();
             for (int n = 0; n < 300; n++) {
@@ -123,10 +123,10 @@
             return Future.all(all).map(c -> c.<Boolean>list());
         });
         assertFalse(done.contains(false));
-        assertEquals(300, recorded().size());
+        assertEquals(300, readRecordedMachines().size());
         assertTrue(state.transactionCount <= 4, state.transactionCount + " transactions");
         for (String key : state.keys(RecordKeys.MACHINE_PAGES)) {
-            assertTrue(JsonSize.of(state.value(key).map()) <= VALUE_BYTES);
+            assertTrue(JsonSize.of(state.value(key).map()) <= MAX_VALUE_BYTES);
         }
     }
 
@@ -139,7 +139,7 @@
         assertTrue(onLoop(() -> recordMachine(2)));
         assertEquals(
                 List.of(1, 2),
-                recorded().stream()
+                readRecordedMachines().stream()
                         .map(m -> Integer.parseInt(m.id().text().substring(3)))
                         .toList());
         assertEquals(1, state.keys(RecordKeys.MACHINE_PAGES).size());
@@ -148,16 +148,16 @@
     /** A new leader's reading fails after the machines, and is repeated: more machines than one page takes come up then. */
     @ParameterizedTest
     @ValueSource(ints = {70, 90, 110})
-    void aLoadThatIsRepeatedLosesNoMachine(int machines) throws Exception {
-        MachineRecord earlier =
+    void repeatedLoadLosesNoMachine(int machines) throws Exception {
+        MachineRecord inheritedMachine =
                 new MachineRecord(new MachineId("vm-000900"), POOL, clock.timeOfDay(), clock.timeOfDay());
         long revision = await(client.commit(new StateClient.Txn()
                         .put(
                                 RecordKeys.machinePageKey(new FencingToken(2), 1),
-                                MachineRecordCodec.writeMachines(List.of(earlier)))))
+                                MachineRecordCodec.writeMachines(List.of(inheritedMachine)))))
                 .revision();
         JobStore jobStore = new JobStore(
-                LeaderHarness.writes(context, 3, new Revision(revision), 12),
+                LeaderTestSupport.writes(context, 3, new Revision(revision), 12),
                 core,
                 machineStore,
                 true,
@@ -175,7 +175,10 @@
         assertFalse(done.contains(false));
         assertEquals(
                 machines + 1,
-                recorded().stream().map(MachineRecord::id).distinct().count(),
+                readRecordedMachines().stream()
+                        .map(MachineRecord::id)
+                        .distinct()
+                        .count(),
                 "told as recorded, and is not");
     }
 
@@ -183,38 +186,49 @@
     @Test
     void aPageAboveTheLimitIsSplitWithoutLosingMachines() throws Exception {
         machineStore.cancel();
-        List<MachineRecord> lines = new ArrayList<>();
+        List<MachineRecord> machines = new ArrayList<>();
         Moment now = clock.now();
         for (int n = 0; n < 50; n++) {
             MachineId id = new MachineId(String.format("vm-%06d", n));
-            lines.add(new MachineRecord(id, POOL, clock.timeOfDay(), clock.timeOfDay()));
+            machines.add(new MachineRecord(id, POOL, clock.timeOfDay(), clock.timeOfDay()));
             if (n != 7) {
                 core.inheritMachine(id, POOL, now, now, now);
             }
         }
-        String wide = RecordKeys.machinePageKey(new FencingToken(2), 1);
-        Revision stamp = await(client.commit(new StateClient.Txn().put(wide, MachineRecordCodec.writeMachines(lines))))
+        String oversizedPageKey = RecordKeys.machinePageKey(new FencingToken(2), 1);
+        Revision pageRevision = await(client.commit(
+                        new StateClient.Txn().put(oversizedPageKey, MachineRecordCodec.writeMachines(machines))))
                 .writtenRevision();
         state.maxValueBytes = 2048;
         state.maxTxnOps = 4;
-        NodeContext narrow = NodeContext.builder()
+        NodeContext lowerLimitsContext = NodeContext.builder()
                 .vertx(vertx)
                 .clock(clock)
                 .state(client)
-                .config(LeaderHarness.config("value_kb = 2.0\ntxn_ops = 4"))
+                .config(LeaderTestSupport.config("value_kb = 2.0\ntxn_ops = 4"))
                 .settings(Settings.standard())
                 .lease(Span.seconds(10))
                 .build();
-        machineStore = new MachineStore(LeaderHarness.writes(narrow, 3, NO_LEADER, 12), core);
+        machineStore = new MachineStore(LeaderTestSupport.writes(lowerLimitsContext, 3, NO_LEADER, 12), core);
         onLoop(() -> {
-            machineStore.inherit(wide, stamp, lines);
+            machineStore.addInheritedPage(oversizedPageKey, pageRevision, machines);
             machineStore.start();
             return Future.succeededFuture();
         });
-        while (JsonSize.of(state.value(wide).map()) > 2048) {
-            assertTrue(recorded().stream().map(MachineRecord::id).distinct().count() >= 49);
+        while (JsonSize.of(state.value(oversizedPageKey).map()) > 2048) {
+            assertTrue(readRecordedMachines().stream()
+                            .map(MachineRecord::id)
+                            .distinct()
+                            .count()
+                    >= 49);
         }
-        assertEquals(49, recorded().stream().map(MachineRecord::id).distinct().count(), "all but the one that is gone");
+        assertEquals(
+                49,
+                readRecordedMachines().stream()
+                        .map(MachineRecord::id)
+                        .distinct()
+                        .count(),
+                "all but the one that is gone");
         for (String key : state.keys(RecordKeys.MACHINE_PAGES)) {
             assertTrue(JsonSize.of(state.value(key).map()) <= 2048, key);
         }
@@ -231,49 +245,50 @@
                                 MachineRecordCodec.writeMachines(List.of(new MachineRecord(
                                         new MachineId("vm-000900"), POOL, clock.timeOfDay(), clock.timeOfDay()))))))
                 .revision();
-        SchedulerCore fresh = LeaderHarness.core(context, 3, context.config().teams());
-        fresh.addMachineTypes(List.of(machineType("z")));
+        SchedulerCore newCore =
+                LeaderTestSupport.core(context, 3, context.config().teams());
+        newCore.addMachineTypes(List.of(machineType("z")));
         JobStore jobStore = new JobStore(
-                LeaderHarness.writes(context, 3, new Revision(revision), 12),
-                fresh,
+                LeaderTestSupport.writes(context, 3, new Revision(revision), 12),
+                newCore,
                 machineStore,
                 true,
                 new CancellationHorizon());
-        Moment begun = clock.now();
-        while (clock.now().since(begun).ms() < 50) {
+        Moment termStart = clock.now();
+        while (clock.now().since(termStart).ms() < 50) {
             Thread.onSpinWait();
         }
         onLoop(jobStore::load);
-        fresh.onRecordsLoaded();
-        Span bound = context.config().rules().leaseBound();
-        fresh.expireLeases(before.plus(bound));
-        assertFalse(fresh.isFailoverComplete(), "an earlier leader answered until then");
-        fresh.expireLeases(begun.plus(bound).plus(new Span(1)));
-        assertTrue(fresh.isFailoverComplete());
+        newCore.onRecordsLoaded();
+        Span leaseBound = context.config().rules().leaseBound();
+        newCore.expireLeases(before.plus(leaseBound));
+        assertFalse(newCore.isFailoverComplete(), "an earlier leader answered until then");
+        newCore.expireLeases(termStart.plus(leaseBound).plus(new Span(1)));
+        assertTrue(newCore.isFailoverComplete());
     }
 
     /**
      * A leader whose reading of the records fails half-way reads them once more. Guards against a page that is then in the store twice: the copy that knows only of machines that are gone removed it, with one that held tasks.
      */
     @Test
-    void aPageThatIsInheritedTwiceIsKeptOnce() throws Exception {
-        List<MachineRecord> gone = List.of(new MachineRecord(new MachineId("vm-900"), POOL, 1, 1));
+    void pageThatIsLoadedTwiceIsKeptOnce() throws Exception {
+        List<MachineRecord> returnedMachines = List.of(new MachineRecord(new MachineId("vm-900"), POOL, 1, 1));
         StateClient.Outcome pages = await(client.commit(new StateClient.Txn()
-                .put("m/2-1", MachineRecordCodec.writeMachines(gone))
-                .put("m/2-2", MachineRecordCodec.writeMachines(gone))));
+                .put("m/2-1", MachineRecordCodec.writeMachines(returnedMachines))
+                .put("m/2-2", MachineRecordCodec.writeMachines(returnedMachines))));
         assertTrue(onLoop(() -> {
-            machineStore.inherit("m/2-1", pages.writtenRevision(), gone);
-            machineStore.inherit("m/2-1", pages.writtenRevision(), gone);
-            machineStore.inherit("m/2-2", pages.writtenRevision(), gone);
+            machineStore.addInheritedPage("m/2-1", pages.writtenRevision(), returnedMachines);
+            machineStore.addInheritedPage("m/2-1", pages.writtenRevision(), returnedMachines);
+            machineStore.addInheritedPage("m/2-2", pages.writtenRevision(), returnedMachines);
             return recordMachine(1);
         }));
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (state.has("m/2-2") && System.nanoTime() < end) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (state.has("m/2-2") && System.nanoTime() < deadlineNanos) {
             Thread.onSpinWait();
         }
         assertEquals(
                 List.of("vm-000001"),
-                recorded().stream().map(m -> m.id().text()).toList());
+                readRecordedMachines().stream().map(m -> m.id().text()).toList());
     }
 
     /**
@@ -284,38 +299,39 @@
     void listingsOlderThanTheLeadershipAreRejected() throws Exception {
         long revision = await(client.commit(new StateClient.Txn().put("leader", MessagePackFormat.map("n", 1L))))
                 .revision();
-        for (long key : new long[] {revision, revision + 1}) {
+        for (long leadershipRevision : new long[] {revision, revision + 1}) {
             JobStore jobStore = new JobStore(
-                    LeaderHarness.writes(context, 3, new Revision(key), 12),
+                    LeaderTestSupport.writes(context, 3, new Revision(leadershipRevision), 12),
                     core,
                     machineStore,
                     true,
                     new CancellationHorizon());
             assertEquals(
-                    key == revision, onLoop(() -> jobStore.load().map(r -> true).otherwise(false)));
+                    leadershipRevision == revision,
+                    onLoop(() -> jobStore.load().map(r -> true).otherwise(false)));
         }
     }
 
     /** Of a job whose record says that nothing of it was ever ordered: not believed while an older version may have led. */
     @Test
     void startBoundsAreTrustedOnlyIfEveryLeaderRespectedThem() throws Exception {
-        JobSpec spec = LeaderHarness.spec(new JobId("run-1"), 3, "i");
+        JobSpec spec = LeaderTestSupport.spec(new JobId("run-1"), 3, "i");
         long revision = await(client.commit(new StateClient.Txn()
                         .put(
                                 RecordKeys.openKey(spec.id()),
                                 JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 0))))
                 .revision();
-        for (boolean kept : new boolean[] {false, true}) {
-            SchedulerCore fresh =
-                    LeaderHarness.core(context, 3, context.config().teams());
+        for (boolean startBoundsTrusted : new boolean[] {false, true}) {
+            SchedulerCore newCore =
+                    LeaderTestSupport.core(context, 3, context.config().teams());
             JobStore jobStore = new JobStore(
-                    LeaderHarness.writes(context, 3, new Revision(revision), 12),
-                    fresh,
+                    LeaderTestSupport.writes(context, 3, new Revision(revision), 12),
+                    newCore,
                     machineStore,
-                    kept,
+                    startBoundsTrusted,
                     new CancellationHorizon());
             onLoop(jobStore::load);
-            assertEquals(kept ? 0 : 3, fresh.job(spec.id()).startBoundToWrite());
+            assertEquals(startBoundsTrusted ? 0 : 3, newCore.job(spec.id()).startBoundToWrite());
         }
     }
 }
--- a/src/test/java/io/indigoreach/cluster/GoldenMessagesTest.java
+++ b/src/test/java/io/indigoreach/cluster/ProductionPledgeMessagesTest.java
@@ -17,12 +17,12 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Pledges and told cancellations as the version in production words them, both ways. */
-class GoldenMessagesTest {
+class ProductionPledgeMessagesTest {
     private static final String FILE = "pledges.txt";
 
-    private static ProductionSample answer(boolean pledged, Set<JobId> told) {
-        PeerPromises said = new PeerPromises(pledged, new CancellationSummary(told, Span.seconds(7)));
-        return new ProductionSample(said.write(Span.seconds(2)), PeerPromises::read, said);
+    private static ProductionSample pledgeResponse(boolean pledged, Set<JobId> cancelled) {
+        PledgeResponse response = new PledgeResponse(pledged, new CancellationSummary(cancelled, Span.seconds(7)));
+        return new ProductionSample(response.write(Span.seconds(2)), PledgeResponse::read, response);
     }
 
     static Map<String, ProductionSample> all() {
@@ -30,9 +30,9 @@
         all.put(
                 "question",
                 new ProductionSample(
-                        PeerPromises.writeRequest(Span.seconds(7)), PeerPromises::readRequest, Span.seconds(7)));
-        all.put("no pledge, nothing told", answer(false, Set.of()));
-        all.put("pledge, one told", answer(true, Set.of(new JobId("run-000398"))));
+                        PledgeResponse.writeRequest(Span.seconds(7)), PledgeResponse::readRequest, Span.seconds(7)));
+        all.put("no pledge, nothing told", pledgeResponse(false, Set.of()));
+        all.put("pledge, one told", pledgeResponse(true, Set.of(new JobId("run-000398"))));
         return all;
     }
 
@@ -42,16 +42,16 @@
 
     @ParameterizedTest
     @MethodSource("names")
-    void whatProductionSaidIsReadAndSaidInTheSameWords(String name) {
+    void readsAndWritesProductionEncoding(String name) {
         ProductionSample golden = all().get(name);
         String line = ProductionSample.load(FILE).get(name);
-        Fields said = ProductionSample.fields(line);
-        assertEquals(golden.value(), golden.read().apply(said));
+        Fields encoded = ProductionSample.fields(line);
+        assertEquals(golden.value(), golden.read().apply(encoded));
         assertEquals(line, golden.hex());
     }
 
     @Test
-    void everyLineIsTested() {
+    void everyGoldenLineIsTested() {
         assertEquals(List.copyOf(ProductionSample.load(FILE).keySet()), new ArrayList<>(names()));
     }
 }
