--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.TermFixture.await;
+import static io.indigoreach.cluster.LeadershipTermFixture.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.config.Settings;
@@ -38,12 +38,12 @@
 /** What is missing in the state service is written from memory, what is there stays, and an attempt that ended can be repeated. */
 class StateRebuilderTest {
     private static final FencingToken TOKEN = new FencingToken(3);
-    private TermFixture fixture;
+    private LeadershipTermFixture fixture;
     private FakeStateService state;
 
     @BeforeEach
     void start() throws Exception {
-        fixture = new TermFixture();
+        fixture = new LeadershipTermFixture();
         state = fixture.state;
     }
 
@@ -52,10 +52,11 @@
         fixture.close();
     }
 
-    private void rebuild(NodeContext context, Revision leadershipRevision, int writesPerS, RememberedState remembered)
+    private void rebuild(
+            NodeContext context, Revision leadershipRevision, int writesPerSecond, RememberedState rememberedState)
             throws Exception {
-        RateLimiter writeLimiter = new RateLimiter(writesPerS, fixture.clock.now());
-        await(new StateRebuilder(context, TOKEN, leadershipRevision, writeLimiter, remembered).run());
+        RateLimiter writeLimiter = new RateLimiter(writesPerSecond, fixture.clock.now());
+        await(new StateRebuilder(context, TOKEN, leadershipRevision, writeLimiter, rememberedState).run());
     }
 
     private int recordedMachines() {
@@ -67,7 +68,7 @@
 
     /** The second attempt of a leadership term names no page that is there. */
     @Test
-    void secondAttemptRecordsTheMachinesThatTheFirstDidNot() throws Exception {
+    void secondAttemptRecordsMissingMachines() throws Exception {
         NodeContext context = fixture.context();
         Revision leadershipRevision = fixture.gainLeadership(1);
         RememberedState remembered = new RememberedState();
@@ -86,7 +87,7 @@
     }
 
     /** As another node receives it. */
-    private static RememberedState sent(RememberedState remembered) {
+    private static RememberedState encodeAndDecode(RememberedState remembered) {
         RememberedState received = new RememberedState();
         RememberedStateCodec.read(
                 MessagePackFormat.readMap(MessagePackFormat.write(RememberedStateCodec.write(remembered, 0))),
@@ -107,7 +108,7 @@
         for (String key : List.of("x/gone", "x/older", "x/newer", "y/other")) {
             remembered.add(new VersionedRecord(key, featureRecord(4), Revision.ABSENT));
         }
-        rebuild(context, leadershipRevision, 100, sent(remembered));
+        rebuild(context, leadershipRevision, 100, encodeAndDecode(remembered));
         assertEquals(List.of("x/gone", "x/newer", "x/older"), state.keys("x/"));
         assertEquals(
                 List.of(4L, 9L, 4L),
@@ -146,23 +147,23 @@
      * written anew like one that is gone. Ends that are there cost no write, where thousands are remembered and one is missing.
      */
     @Test
-    void unreadableRecordsAreRebuiltAndPresentOnesCostNothing() throws Exception {
+    void unreadableRecordsAreRebuiltAndPresentOnesAreNotWritten() throws Exception {
         NodeContext context = fixture.context();
-        StateClient.Txn before = new StateClient.Txn()
+        StateClient.Txn existingRecords = new StateClient.Txn()
                 .put("j/run-1", MessagePackFormat.map("at", "x"))
                 .put("j/run-2", MessagePackFormat.map())
                 .put("p/run-3/0", MessagePackFormat.map("bits", 7L));
         RememberedState remembered = new RememberedState();
         for (int number = 10; number < 500; number++) {
             JobId id = new JobId("run-" + number);
-            before.put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(JobStatus.DONE, 1));
+            existingRecords.put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(JobStatus.DONE, 1));
             remembered.add(id, new RememberedState.FinishedJob(JobStatus.DONE, 1));
         }
-        Revision leadershipRevision = gainLeadershipWithoutLimit(before);
+        Revision leadershipRevision = gainLeadershipWithoutLimit(existingRecords);
         JobSpec spec = spec("run-1");
         remembered.add(new RememberedState.OpenJob(spec, 1, new BitSet(), 2));
         remembered.add(new JobId("run-2"), new RememberedState.FinishedJob(JobStatus.CANCELLED, 0));
-        int changes = state.writtenKeys;
+        int changesBefore = state.writtenKeys;
         rebuild(context, leadershipRevision, 1000, remembered);
         assertEquals(
                 "t",
@@ -173,6 +174,6 @@
         assertEquals(
                 JobStatus.CANCELLED,
                 JobRecordCodec.readFinal(spec.id(), state.value("f/run-2")).status());
-        assertEquals(4, state.writtenKeys - changes, "one record, an end and its move, the era");
+        assertEquals(4, state.writtenKeys - changesBefore, "one record, an end and its move, the era");
     }
 }
--- a/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
+++ b/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
@@ -7,7 +7,7 @@
 import io.indigoreach.api.HttpApi;
 import io.indigoreach.api.RequestRejectedException;
 import io.indigoreach.api.SubmissionParticipant;
-import io.indigoreach.cluster.PartRegistry;
+import io.indigoreach.cluster.FeatureRegistry;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
 import io.indigoreach.config.SettingsFile;
@@ -74,7 +74,7 @@
                 100);
         Settings settings = SettingsFile.parse("test", "record_ownership: 1");
         parts = Parts.of(
-                PartRegistry.enabled(settings),
+                FeatureRegistry.enabled(settings),
                 vertx,
                 new StateClient(
                         new ServiceClient(vertx, state.endpoint(), 8), new ServiceClient(vertx, state.endpoint(), 1)),
@@ -207,22 +207,23 @@
                 .estimatedRunTime(Span.seconds(5))
                 .build();
         JobSpec never = plain.with(JobSpec.RECORDS_FIELD, Map.of("ids", List.of("a/1", "a/3")));
-        ExecutionException refused = assertThrows(ExecutionException.class, () -> await(field.accepting(never)));
+        ExecutionException refused =
+                assertThrows(ExecutionException.class, () -> await(field.prepareAcceptance(never)));
         assertTrue(refused.getCause() instanceof RequestRejectedException r
                 && r.status() == 422
                 && r.getMessage().contains("billed by e1"));
         JobSpec waits = plain.with(JobSpec.RECORDS_FIELD, Map.of("prefix", "a/", "from", 2L, "to", 3L));
-        Transaction commit = await(field.accepting(waits));
+        Transaction commit = await(field.prepareAcceptance(waits));
         assertEquals(List.of("own/c/run-1"), List.copyOf(commit.writes().keySet()));
         assertThrows(
                 WireException.class,
-                () -> field.check(plain.with(JobSpec.RECORDS_FIELD, Map.of("ids", List.of("a/1", "a/1")))));
-        assertThrows(WireException.class, () -> field.check(plain.with(JobSpec.RECORDS_FIELD, List.of("a/1"))));
+                () -> field.validate(plain.with(JobSpec.RECORDS_FIELD, Map.of("ids", List.of("a/1", "a/1")))));
+        assertThrows(WireException.class, () -> field.validate(plain.with(JobSpec.RECORDS_FIELD, List.of("a/1"))));
     }
 
     @Test
     void whereItIsOffThereIsNothing() throws Exception {
-        assertEquals(List.of(), PartRegistry.enabled(SettingsFile.parse("test", "")));
+        assertEquals(List.of(), FeatureRegistry.enabled(SettingsFile.parse("test", "")));
         assertEquals(0, state.readCount + state.transactionCount);
     }
 }
