--- a/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
+++ b/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
@@ -13,15 +13,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Checks each second whether the state service answers this node. A node cannot tell an outage from a refusal that only it gets,
- * so it asks its peers ({@link IsolationCheck}). Refused alone or cut off, it is not ready and users are sent elsewhere; in an
- * outage it stays ready, as being taken out and back in would cost more than the outage does. A leader that is refused alone
- * steps aside, and asks a peer to remove its key, so that its lease need not expire first. Bound to the node's event loop.
+ * Checks every second whether this node can reach the state service. A node cannot tell an outage of the service from a failure that
+ * affects only itself, so it queries its peers ({@link IsolationCheck}). If only this node is affected, or if it is isolated, it reports
+ * itself as not ready, and the load balancer sends users to other nodes. During an outage it stays ready, as removing all nodes and adding
+ * them again would cost more than the outage does. A leader that alone cannot reach the service resigns and requests that a peer remove
+ * its leadership key, so that its successor need not wait for the lease to expire. Bound to the node's event loop.
  */
 final class ConnectivityCheck {
     private static final Logger LOG = LoggerFactory.getLogger(ConnectivityCheck.class);
     private static final Span PERIOD = Span.seconds(1);
-    /** An answer of the state service that is older proves nothing about now. */
+    /** Age from which a response of the state service no longer shows that the service is reachable. */
     private static final Span ANSWER_TIMEOUT = Span.seconds(2);
 
     private final SteadyClock clock;
@@ -33,7 +34,7 @@
     private final IsolationCheck isolation = new IsolationCheck();
     private IsolationCheck.Verdict lastVerdict = IsolationCheck.Verdict.TOGETHER;
     private Moment lastServedAt;
-    /** The state service did not answer this node when it was last asked. */
+    /** Whether the last request to the state service failed. */
     private boolean unserved;
 
     ConnectivityCheck(NodeContext context, Controller controller, PeerClient peers) {
@@ -54,30 +55,33 @@
         task.cancel();
     }
 
-    /** Checks at once, or right after the check in progress. */
+    /** Triggers a check now, or as soon as the check in progress has ended. */
     void checkNow() {
         task.wake();
     }
 
-    /** Whether users are better off elsewhere: the state service serves other nodes but not this one, or nobody answers it. */
+    /** Whether other nodes should serve users: only this node cannot reach the state service, or this node is isolated. */
     boolean isOutOfService() {
         return isolation.isOutOfService();
     }
 
-    /** Whether the last request to the state service was not answered. */
+    /** Whether the last request to the state service failed. */
     boolean isUnserved() {
         return unserved;
     }
 
     /**
-     * Whether the last request was answered, and lately. In the first second of an outage nodes still report that they are served, so a leader asks
-     * them twice.
+     * Whether the last request to the state service succeeded, within {@link #ANSWER_TIMEOUT}. In the first second of an outage nodes still
+     * report that they can reach the service, so a leader queries them twice.
      */
     boolean isServed() {
         return !unserved && clock.now().since(lastServedAt).compareTo(ANSWER_TIMEOUT) < 0;
     }
 
-    /** Long enough that in an outage the peers have noticed too, and not because this node's own event loop was blocked. */
+    /**
+     * Whether the state service has been unreachable long enough that, in an outage, the peers have detected it too. False if this node's
+     * event loop was blocked during that time, which could be the cause.
+     */
     private boolean isSurelyUnserved() {
         Span needed = ANSWER_TIMEOUT.times(2);
         return loopMonitor.hasRunWithoutPauseFor(needed)
@@ -108,9 +112,10 @@
     }
 
     /**
-     * Logs a changed verdict; true if this node alone is refused, by two verdicts in a row. Guards against a leader that was refused just
-     * before an outage: its peers had not noticed the outage yet and reported that they were served, so it stepped aside where nobody could
-     * follow, and all work of the fleet was lost. The second verdict costs nothing, as the lease ends by then in any case.
+     * Logs a changed verdict; true if two verdicts in a row are that only this node cannot reach the state service. Guards against a
+     * leader whose requests fail just before an outage: its peers had not detected the outage yet and reported that they reached the
+     * service, so the leader resigned when no other node could be elected, and all running work was lost. Waiting for the second verdict
+     * has no cost, as the lease expires by then in any case.
      */
     private boolean confirm(IsolationCheck.Verdict verdict) {
         boolean repeated = verdict == lastVerdict;
--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -29,17 +29,17 @@
 import java.util.stream.Stream;
 
 /**
- * This node's part among the controllers: it takes part in the election, runs a {@link LeadershipTerm} while it leads, and knows who
- * leads otherwise. Bound to the node's event loop.
+ * Takes part in the leader election, runs a {@link LeadershipTerm} while this node leads, and otherwise redirects workers to the current
+ * leader. Bound to the node's event loop.
  */
 public final class Controller implements LeaderElection.Listener {
     /**
      * The response to a worker's heartbeat.
      *
      * @param accepted whether this node leads and has processed the heartbeat
-     * @param token the token under which the commands are given; null unless accepted
-     * @param commands for the worker; empty unless accepted
-     * @param leader where the worker should go; null if accepted or not known
+     * @param token the fencing token of the leader that issued the commands; null unless accepted
+     * @param commands the commands for the worker; empty unless accepted
+     * @param leader the node to which the worker should send its heartbeats; null if accepted, or if the leader is unknown
      */
     public record HeartbeatResponse(boolean accepted, FencingToken token, List<WorkerCommand> commands, String leader) {
         static HeartbeatResponse redirect(String leader) {
@@ -47,28 +47,28 @@
         }
     }
 
-    /** Collects what the controllers remember of lost records. */
+    /** Collects the controllers' copies of records that the state service has lost. */
     @FunctionalInterface
     interface RememberedStateSource {
         Future<RememberedState> gather();
     }
 
-    /** Asks every other node for its pledge not to lead, and for the cancellations that it confirmed within {@code lookBack}. */
+    /** Requests from every other node a pledge not to lead, and the cancellations that it confirmed within {@code lookBack}. */
     @FunctionalInterface
     interface PledgeSource {
         Future<PeerPromises> request(Span lookBack);
     }
 
-    /** Between two looks at whether a leader is known, while a node starts. */
+    /** Interval between checks for a known leader while the node starts. */
     private static final Span LEADER_POLL = Span.seconds(0.05);
-    /** Reason of a leadership that ends as only this node is without the state service; part of a log line. */
+    /** Logged reason for resigning when only this node cannot reach the state service. */
     private static final String UNREACHABLE_FROM_THIS_NODE_ONLY = "unreachable-from-this-node-only";
 
     private final NodeContext context;
     private final LeaderElection election;
     private final FormatGate formatGate;
     private final WarmUp warmUp;
-    /** What this node knew when it last led. */
+    /** The state that this node held at the end of its last leadership term. */
     private final LeaderMemory leaderMemory = new LeaderMemory();
 
     private RememberedStateSource rememberedStateSource = () -> Future.succeededFuture(new RememberedState());
@@ -77,7 +77,7 @@
 
     private boolean cutOff;
 
-    /** {@code renewalLoop}: the event loop of the lease's renewals, which must not wait for anything else. */
+    /** @param renewalLoop the event loop for lease renewals, which must not be delayed by other work */
     Controller(NodeContext context, Vertx renewalLoop) {
         this.context = context;
         this.warmUp = new WarmUp(context, () -> term != null);
@@ -92,7 +92,7 @@
                 nodes);
     }
 
-    /** All nodes of the deployment in the order of their names. */
+    /** The names of all nodes of the deployment, sorted. */
     private static List<String> nodeNames(PlatformConfig config) {
         Stream<String> peers = config.peers().stream().map(PlatformConfig.Peer::node);
         return Stream.concat(Stream.of(config.node()), peers).sorted().toList();
@@ -115,22 +115,22 @@
         return new LeaderElection(electionSettings, this);
     }
 
-    /** Where to get what the controllers remember of jobs, besides what this node knew as a leader. */
+    /** Sets the source of the other controllers' remembered state, to which this node adds the state of its last term. */
     void setRememberedStateSource(RememberedStateSource source) {
         this.rememberedStateSource = source;
     }
 
-    /** The state service has lost data: a leader keeps what it knows, and campaigns anew to rebuild from it. */
+    /** Called when the state service has lost data. A leader retains its state and campaigns again, to rebuild the records from it. */
     void onStateLoss() {
         election.deposed();
     }
 
-    /** Whether this node leads and has the job open. */
+    /** Whether this node leads and the job is open. */
     boolean hasOpen(JobId id) {
         return term != null && term.hasOpen(id);
     }
 
-    /** What this node knows of one job as the leader, or as the last thing it knew of its end. */
+    /** This node's copy of a job's state if it leads; otherwise the job's final state, if known from the last term. */
     RememberedState rememberedState(JobId id) {
         if (term != null) {
             return term.rememberedState(id);
@@ -152,12 +152,12 @@
         });
     }
 
-    /** How to ask every other node for its pledge not to lead, and whether none of them leads now. */
+    /** Sets how pledges are requested from the other nodes, and how to check that none of them leads. */
     void setPeers(PledgeSource pledges, Supplier<Future<Boolean>> noPeerLeads) {
         election.askPeersBy(() -> requestPledges(pledges), noPeerLeads);
     }
 
-    /** Whether every other node has pledged; the cancellations in their answers go to the current term. */
+    /** Whether every other node has pledged. Passes the cancellations in the responses to the term that requested them. */
     private Future<Boolean> requestPledges(PledgeSource pledges) {
         Moment sent = context.clock().now();
         LeadershipTerm requesting = term;
@@ -170,7 +170,7 @@
         });
     }
 
-    /** Whether every node supports this version's data format. */
+    /** Tracks whether every node supports this version's data format. */
     FormatGate formatGate() {
         return formatGate;
     }
@@ -179,20 +179,20 @@
         return election.isLeading();
     }
 
-    /** Pledges not to lead for a while; false if this node leads or is about to. */
+    /** Pledges not to lead for a limited time; false if this node leads or is being elected. */
     boolean pledge() {
         return election.pledge();
     }
 
-    /** Removes what a predecessor of this process left behind; true if nobody leads any more. Never fails. */
+    /** Removes the leadership key of an earlier process of this node; true if no node leads afterwards. Never fails. */
     public Future<Boolean> clearPredecessor(Function<String, Future<Boolean>> leads) {
         return election.clearPredecessor(leads);
     }
 
     /**
-     * Completes when somebody has begun to lead, or at {@code deadline}. Guards against a listener that is open too early: where all nodes
-     * have ended, hundreds of workers look for a leader at each node as soon as it listens, and the three nodes of 450 machines began to
-     * lead only 2.9 to 3.3 s after that.
+     * Completes when a node has begun to lead, or at {@code deadline}. Guards against opening the HTTP listener too early: after all nodes
+     * have stopped, hundreds of workers connect to each node as soon as it listens, which delays the election. With three nodes and 450
+     * machines, a leader was elected only 2.9 to 3.3 s after the listeners had opened.
      */
     Future<Void> leaderKnown(Moment deadline) {
         return leaderKnown(election.leadershipRevision(), deadline);
@@ -209,14 +209,14 @@
                 .compose(timer -> leaderKnown(previous, deadline));
     }
 
-    /** Starts to campaign, to raise the data format and to warm up. */
+    /** Starts the election campaign, the data format upgrade and the warm-up. */
     public void start() {
         election.start();
         formatGate.start();
         warmUp.start();
     }
 
-    /** Ends the term, if this node leads, without removing the leadership key: its lease expires. */
+    /** Closes the leadership term, if this node leads, and leaves the leadership key to expire with its lease. */
     public void stop() {
         election.stop();
         formatGate.stop();
@@ -227,24 +227,24 @@
         }
     }
 
-    /** Identifies the current leadership: differs between any two, as far as this node has observed them. */
+    /** Identifies the current leadership; the value differs between any two leaderships that this node has observed. */
     Object currentLeadership() {
         return election.leadershipRevision();
     }
 
-    /** Gives leadership up where this node alone is without the state service; null if it does not lead. */
+    /** Resigns because only this node cannot reach the state service. Returns the key's revision, or null if it does not lead. */
     Revision stepAside() {
         return election.stepAside(UNREACHABLE_FROM_THIS_NODE_ONLY);
     }
 
-    /** Removes the key of a leader that has stepped aside. */
+    /** Removes the leadership key of a leader that has resigned. */
     Future<Void> removeKey(Revision leadershipRevision) {
         return election.removeKey(leadershipRevision);
     }
 
     /**
-     * Processes a worker's heartbeat, if this node may act as the leader at this moment. Otherwise it is not even decoded: after
-     * the end of a leader every machine tries every node, and a node that has just started is slow.
+     * Processes a worker's heartbeat if this node may currently act as the leader; otherwise redirects it without decoding it. After a
+     * leader has failed, every machine tries every node, and decoding is slow on a node that has just started.
      */
     public Future<HeartbeatResponse> onHeartbeat(Supplier<Heartbeat> decoder) {
         if (!mayAnswer()) {
@@ -261,7 +261,7 @@
             election.deposed();
             return HeartbeatResponse.redirect(null);
         }
-        // Checked as the response is written: the leadership may have ended while a record was being written.
+        // Checked again before responding: the leadership may have ended while the machine was being recorded.
         if (asked == term && mayAnswer() && asked.mayAnswer(heartbeat.machine())) {
             return new HeartbeatResponse(true, asked.token(), result.commands(), null);
         }
@@ -272,12 +272,12 @@
         return term != null && election.isValid() && term.isInformedOfCancellations();
     }
 
-    /** Neither the state service nor another node answers this one: what it knows of who leads is out of date. */
+    /** Sets whether this node reaches neither the state service nor any peer, which makes the leader it knows unreliable. */
     void setCutOff(boolean cutOff) {
         this.cutOff = cutOff;
     }
 
-    /** Who else leads, for a worker to go to; null if that is not known, as a wrong name costs the worker more than none. */
+    /** The other node that leads, or null if unknown: redirecting a worker to the wrong node costs more than no redirect. */
     private String otherLeader() {
         String leader = election.leader();
         return cutOff || context.config().node().equals(leader) ? null : leader;
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -22,20 +22,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves jobs that depend on others: looks up how dependencies ended that are not open here, and cancels the jobs that depend on a
- * cancelled one, each by a small transaction. If it is interrupted, the next leader derives the remaining cancellations from the
- * final records. Bound to the node's event loop.
+ * Resolves job dependencies: looks up the final status of dependencies that are not among the open jobs, and cancels the dependents of
+ * a cancelled job, with one small transaction each. After an interruption the next leader derives the remaining cancellations from
+ * the final records. Bound to the node's event loop.
  */
 final class DependencyTask {
     private static final Logger LOG = LoggerFactory.getLogger(DependencyTask.class);
     private static final Span PERIOD = Span.seconds(0.1);
     private static final int MAX_READS_IN_FLIGHT = 4;
     private static final int MAX_WRITES_IN_FLIGHT = 4;
-    /** The share of the state service's request rate that lookups may use. */
+    /** Share of the state service's request rate that lookups may use. */
     private static final double READ_SHARE = 0.1;
-    /** Until an open dependency is looked up again; its change is usually watched long before. */
+    /** Delay before an open dependency is looked up again; the watch usually reports its completion earlier. */
     private static final Span OPEN_RETRY = Span.seconds(1);
-    /** Until a missing dependency is looked up again; it returns when a controller that remembers it is asked. */
+    /** Delay before a missing dependency is looked up again; a controller that remembers the job may restore its record. */
     private static final Span MISSING_RETRY = Span.seconds(5);
 
     private final LeaderWrites writes;
@@ -105,7 +105,7 @@
         });
     }
 
-    /** What the records say of a dependency. */
+    /** State of a dependency according to its records. */
     private enum DependencyState {
         DONE,
         CANCELLED,
@@ -138,7 +138,7 @@
         return status == JobStatus.DONE ? DependencyState.DONE : DependencyState.CANCELLED;
     }
 
-    /** A completion in the open record is as final as a final record. */
+    /** A job marked as done in its open record is final, like one with a final record. */
     private static DependencyState stateOfOpen(JobId id, StateClient.Entry record) {
         JobStatus status =
                 JobRecordCodec.readJob(id, record.value(), record.revision()).status();
@@ -157,7 +157,7 @@
                 dependentJobs.cancelled(id);
             }
             case OPEN -> nextLookupAt.put(id, now.plus(OPEN_RETRY));
-            // Neither done nor cancelled may be assumed: its dependents wait until a record is found.
+            // The outcome is unknown, so the dependents wait until a record is found.
             case MISSING -> {
                 LOG.error("dependency missing job={}", id);
                 nextLookupAt.put(id, now.plus(MISSING_RETRY));
--- a/src/main/java/io/indigoreach/cluster/FleetManager.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -22,20 +22,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A leader's requests to the cloud: one task rents machines, one returns them, and one reads the cloud's list of machines. What is to be rented or
- * returned is decided by {@link SchedulerCore}, and recorded in the {@link IntentLog} before it is requested. Bound to the
- * node's event loop.
+ * Sends a leader's requests to the cloud: one task rents machines, one returns them, and one reads the cloud's list of machines.
+ * {@link SchedulerCore} decides which machines to rent or return. Each decision is recorded in the {@link IntentLog} before the
+ * request is sent. Bound to the node's event loop.
  */
 final class FleetManager {
     private static final Logger LOG = LoggerFactory.getLogger(FleetManager.class);
     private static final Span PAUSE = Span.seconds(1);
-    /** After so many tries without an answer a request is repeated less and less often, and does not hold up new ones. */
+    /** Attempts at a fixed interval. After that the interval grows exponentially, and the request no longer delays new ones. */
     private static final int MAX_QUICK_TRIES = 5;
 
     private static final Span MAX_RETRY_PAUSE = Span.seconds(16);
-    /** Until new requests are looked for, while none is due. */
+    /** Delay before the next check for requests to send, while none is due. */
     private static final Span IDLE_PAUSE = Span.seconds(0.25);
-    /** Until an intent that could not be recorded is tried again. */
+    /** Delay before another attempt to record an intent. */
     private static final Span UNRECORDED_PAUSE = Span.seconds(0.1);
 
     private static final Span UNRECORDED_RETURN_PAUSE = Span.seconds(0.2);
@@ -43,10 +43,10 @@
     /**
      * A request to rent machines.
      *
-     * @param name under which it is repeated until it is answered
-     * @param requestedAt when it was first decided on
-     * @param tries how often it was sent without an answer
-     * @param nextTryAt when it may be sent again
+     * @param name idempotency key, which all attempts share
+     * @param requestedAt when the scheduler decided to rent the machines
+     * @param tries number of attempts that got no response
+     * @param nextTryAt earliest time of the next attempt
      */
     private record Request(String name, ScaleOutRequest scaleOut, Moment requestedAt, int tries, Moment nextTryAt) {
         boolean isSlow() {
@@ -72,22 +72,22 @@
     private final SchedulerCore core;
     private final FencingToken token;
     private final BooleanSupplier mayAct;
-    /** Between requests to rent: together with the time of an answer it leaves room for returns and listings. */
+    /** Pause after each rental. Together with the response time it leaves part of the cloud's request rate for returns and listings. */
     private final Span requestInterval;
 
     private final PeriodicTask scaleOutTask;
     private final PeriodicTask scaleInTask;
     private final PeriodicTask listingTask;
     private final IntentLog intentLog;
-    /** To be sent, or sent without an answer so far; only what is recorded is sent. */
+    /** Requests that have no response yet, sent or unsent; a request is sent only after it is recorded. */
     private final Deque<Request> openRequests = new ArrayDeque<>();
-    /** The names of those among them that an earlier leader made. */
+    /** Names of the open requests that earlier leaders created. */
     private final Set<String> inheritedRequests = new HashSet<>();
 
     private int requestCount;
     private Moment lastCheckAt = Moment.NEVER;
 
-    /** {@code mayAct}: whether this node surely leads; otherwise another leader may be using the machines already. */
+    /** @param mayAct whether this node's leadership is valid; if it is not, another leader may already be using the machines */
     FleetManager(
             NodeContext context, SchedulerCore core, FencingToken token, IntentLog intentLog, BooleanSupplier mayAct) {
         this.context = context;
@@ -107,7 +107,7 @@
         listingTask.start();
     }
 
-    /** Ends the tasks; answers that arrive later are ignored. */
+    /** Cancels the tasks; later responses are ignored. */
     void cancel() {
         scaleOutTask.cancel();
         scaleInTask.cancel();
@@ -115,7 +115,7 @@
         intentLog.cancel();
     }
 
-    /** Takes on the requests that earlier leaders had in progress. */
+    /** Loads the requests that earlier leaders had in progress, to continue them. */
     Future<Void> load() {
         return intentLog.load().map(page -> {
             inherit(page);
@@ -170,7 +170,7 @@
         return recorded && maySend ? send(request) : Future.succeededFuture(UNRECORDED_PAUSE);
     }
 
-    /** Once in a check period, opens requests for the machines that are needed now. */
+    /** Creates requests for the machines that are needed now, at most once per check period. */
     private void openNewRequests(Moment now) {
         if (now.since(lastCheckAt).compareTo(context.settings().tuning().checkPeriod()) < 0) {
             return;
@@ -224,7 +224,7 @@
         return requestInterval;
     }
 
-    /** Drops the requests to that pool that were never sent: they would be rejected as well. */
+    /** Drops the unsent requests to the pool, which would be rejected as well. */
     private void onPoolExhausted(MachinePool pool, boolean noCapacity) {
         core.scaleOutRejected(pool, context.clock().now());
         List<Request> futile = openRequests.stream()
@@ -233,12 +233,12 @@
         futile.forEach(this::complete);
         openRequests.removeAll(futile);
         if (noCapacity && openRequests.isEmpty()) {
-            // Work waits and the pool is empty: the next pool is tried at once.
+            // Tasks are waiting and this pool has no capacity: try the next pool without waiting for the check period.
             lastCheckAt = Moment.NEVER;
         }
     }
 
-    /** Without an answer the machines may be rented all the same: a request of the same name gets the same answer. */
+    /** Schedules a retry under the same name: the cloud may have rented the machines, and returns the same result for the same name. */
     private Future<Span> onUnanswered(Request request, Throwable cause) {
         LOG.info("scale-out unanswered count={} pool={} cause={}", request.count(), request.pool(), cause.getMessage());
         openRequests.addFirst(request.unanswered(context.clock().now()));
@@ -284,7 +284,7 @@
             if (!listingTask.isCancelled()) {
                 core.onMachineListing(machines, requestedAt, context.clock().now());
             }
-            // After a failover the listing shows which silent machines are gone, and work waits for that.
+            // After a failover, tasks of machines that send no heartbeats wait until a listing shows whether the machines still exist.
             Span usual = context.settings().span(Settings.Setting.LIST_EVERY_S);
             return core.isFailoverComplete() || usual.compareTo(PAUSE) < 0 ? usual : PAUSE;
         });
--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -19,16 +19,16 @@
 import java.util.Map;
 
 /**
- * The record of a leader's {@link Intents}: one key of its own, each write conditional on the leadership key and on the
- * record's version, so that a leader that was replaced cannot add to it. Records of earlier leaders are read at a failover and
- * removed when everything in them is completed. Bound to the node's event loop.
+ * Persists a leader's {@link Intents} in one record per leadership term. Each write is conditional on the leadership key and on the
+ * record's version, so that a leader that was replaced cannot write to it. The new leader reads the records of earlier leaders at a
+ * failover, and removes them once all their intents are completed. Bound to the node's event loop.
  *
- * <p>Guards against a write without an answer that is executed late: the leader's own record is emptied and never removed, as a
- * write made while it was absent would bring back completed requests, and the next leader would repeat them. Nor is a
- * write without an answer the last one: what it contains may have been given up meanwhile.
+ * <p>Guards against a write that gets no response and is executed late. The leader empties its own record but never removes it:
+ * otherwise a late write that was conditional on the record's absence could restore completed requests, and the next leader would repeat
+ * them. After a write without a response the leader always writes again, as some of the intents in it may since have been dropped.
  */
 final class IntentLog {
-    /** Between writes that only remove what is completed. */
+    /** Minimum interval between writes that only remove completed intents. */
     private static final Span CLEANUP_INTERVAL = Span.seconds(2);
 
     private static final int EMPTY_RECORD_BYTES =
@@ -40,20 +40,20 @@
     private final RateLimiter writeLimiter;
     private final String ownKey;
     private final Intents intents = new Intents(new HalfOfRecordEach());
-    /** Earlier leaders' records, with their versions. */
+    /** Keys and revisions of the earlier leaders' records. */
     private final Map<String, Revision> earlierRecords = new LinkedHashMap<>();
 
     private boolean cancelled;
     private Revision ownRevision = Revision.ABSENT;
-    /** The own record's version must be read before the next write. */
+    /** Whether the revision of this leader's record must be read before the next write. */
     private boolean revisionUnknown;
-    /** A write was not answered, and may be executed at any time until a later one has been. */
+    /** Whether a write got no response; it may still be executed, until a later write has been. */
     private boolean writeUnanswered;
 
     private Future<Boolean> writeInProgress;
     private Moment lastWriteAt = Moment.NEVER;
 
-    /** {@code onDeposed}: called when a write shows that another node leads. */
+    /** @param onDeposed called when a write shows that the leadership key has changed */
     IntentLog(
             NodeContext context,
             FencingToken token,
@@ -67,7 +67,7 @@
         this.ownKey = RecordKeys.intentsKey(token);
     }
 
-    /** Requests to rent and machines to be returned may fill half of the record's value each. */
+    /** Limits rent requests and machine returns to half of the record's maximum size each. */
     private final class HalfOfRecordEach implements Intents.Size {
         private int half() {
             return (context.limits().maxRecordBytes() - EMPTY_RECORD_BYTES) / 2;
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Ends this leadership's use of the log. Guards against a write that fails late, when the same node leads again under a new key: that
-     * leadership goes on.
+     * Ends this term's use of the log. Guards against a write of this term that fails after the same node has been elected again: it
+     * must not depose the new term.
      */
     void cancel() {
         cancelled = true;
@@ -104,7 +104,7 @@
         return intents;
     }
 
-    /** What earlier leaders had in progress. */
+    /** Reads the intents that earlier leaders had in progress. */
     Future<Intents.Page> load() {
         List<Intents.Rent> rents = new ArrayList<>();
         List<MachineId> returns = new ArrayList<>();
@@ -118,7 +118,7 @@
                 .map(revision -> new Intents.Page(rents, returns));
     }
 
-    /** Removes earlier leaders' records, as everything in them is completed; as many at a time as a transaction takes. */
+    /** Removes the records of earlier leaders, once all intents in them are completed; at most one transaction's worth per call. */
     Future<Void> forgetEarlier() {
         List<String> keys = earlierRecords.keySet().stream()
                 .limit(context.limits().txnOps())
@@ -144,14 +144,14 @@
         } else if (outcome.failed().contains(RecordKeys.LEADER)) {
             onLeadershipKeyChanged();
         } else {
-            // Removed by a write whose answer was lost, or added to by a leader that had not been replaced then.
+            // Removed by a write whose response was lost, or changed by its leader before that leader was replaced.
             outcome.failed().forEach(earlierRecords::remove);
         }
     }
 
     /**
-     * Writes the intents if need be. True when the record contains all of them, false if it cannot be written now; one write at a
-     * time.
+     * Writes the intents if they have changed. True when the record contains all of them, false if it cannot be written now. Only one
+     * write is in flight at a time.
      */
     Future<Boolean> record() {
         if (writeInProgress != null) {
@@ -179,7 +179,7 @@
             return readOwnRevision().map(false);
         }
         Intents.Page page = intents.page();
-        // An absent record stays absent as long as there is nothing to record; the conditions are checked all the same.
+        // Without intents, an absent record is not created, but the transaction still checks its conditions.
         boolean puts = writeUnanswered || !page.isEmpty() || !ownRevision.equals(Revision.ABSENT);
         StateClient.Txn txn = new StateClient.Txn()
                 .when(RecordKeys.LEADER, leadershipRevision)
--- a/src/main/java/io/indigoreach/cluster/LeaderWrites.java
+++ b/src/main/java/io/indigoreach/cluster/LeaderWrites.java
@@ -7,10 +7,10 @@
 import io.indigoreach.state.StateClient;
 
 /**
- * What the tasks of one leadership term need for their writes to the state service. All of it is used on the node's event loop.
+ * Shared context of the tasks that write to the state service during one leadership term. Bound to the node's event loop.
  *
  * @param leadershipRevision the revision of the leadership key, on which every write is conditional
- * @param limiter shared by all writers of the term
+ * @param limiter the write rate limit, shared by all writers of the term
  */
 record LeaderWrites(
         NodeContext context,
@@ -18,13 +18,13 @@
         Revision leadershipRevision,
         RateLimiter limiter,
         DepositionListener listener) {
-    /** Called when a write shows that another node holds the leadership key, or that it is gone. */
+    /** Called when a write shows that another node holds the leadership key, or that the key no longer exists. */
     @FunctionalInterface
     interface DepositionListener {
         void deposed();
     }
 
-    /** An empty transaction that is rejected once this term is over. */
+    /** Creates an empty transaction that the state service rejects once this term is over. */
     StateClient.Txn newTransaction() {
         return new StateClient.Txn().when(RecordKeys.LEADER, leadershipRevision);
     }
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -30,30 +30,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One leadership of this node, from gaining the leadership key to losing it: the scheduler core, and the tasks that load its state,
- * write its records and rent its machines. Bound to the node's event loop. A term is started once, and closed once.
+ * One leadership term of this node, from the acquisition of the leadership key to its loss. Owns the scheduler core and the tasks that
+ * load its state, write its records and rent its machines. Bound to the node's event loop. A term is started once and closed once.
  */
 final class LeadershipTerm implements SchedulerListener {
     private static final Logger LOG = LoggerFactory.getLogger(LeadershipTerm.class);
     private static final Span TICK_PERIOD = Span.seconds(0.5);
-    /** The share of the state service's write rate that the leader uses; the rest is for submissions and cancellations. */
+    /** Share of the state service's write rate that the leader uses; submissions and cancellations use the rest. */
     private static final double LEADER_WRITE_SHARE = 0.6;
-    /** How long a request to the peers may take and still be of use. */
+    /** Maximum age of a peer's response; later responses are ignored. */
     private static final Span PEER_REQUEST_TIME = Span.seconds(3);
 
     private static final Span SUMMARY_PERIOD = Span.seconds(10);
     private static final Span LOAD_RETRY = Span.seconds(0.3);
     private static final Span CATALOGUE_RETRY = Span.seconds(0.2);
-    /** Until unreadable records are read again. */
+    /** Delay before unreadable records are read again. */
     private static final Span UNREADABLE_RETRY = Span.seconds(5);
-    /** The kind of an objective on the time until a job starts, as the settings name it. */
+    /** Name, in the settings, of an objective on the time until a job starts. */
     private static final String WAIT_OBJECTIVE = "wait";
 
     /**
-     * The result of a won election.
+     * The leadership that a won election grants.
      *
-     * @param revision of the leadership key
-     * @param startBoundsTrusted whether the start bounds that earlier leaders recorded can be relied on
+     * @param revision the revision of the leadership key
+     * @param startBoundsTrusted whether the start bounds that earlier leaders recorded are reliable
      */
     record Leadership(FencingToken token, Revision revision, boolean startBoundsTrusted) {}
 
@@ -74,10 +74,10 @@
     private final CancellationHorizon cancellationHorizon = new CancellationHorizon();
     private boolean startBoundsTrusted;
     private Moment lastSummaryAt = Moment.NEVER;
-    /** Since when heartbeats are answered. Silence of machines before that is due to this node, however long the load took. */
+    /** When this node began to respond to heartbeats. Gaps in heartbeats before that are not the machines' fault. */
     private Moment servingSince = Moment.NEVER;
 
-    /** @param gatherRememberedState asks all controllers what they remember, if the state service has lost data */
+    /** @param gatherRememberedState collects the remembered state of all controllers after the state service has lost data */
     LeadershipTerm(
             NodeContext context,
             LeaderElection election,
@@ -130,12 +130,12 @@
         return new FleetManager(context, core, writes.token(), intentLog, election::isValid);
     }
 
-    /** Begins to load the records; scheduling starts when they are loaded. */
+    /** Starts loading the records; scheduling starts once they are loaded. */
     void start() {
         loadTask.start();
     }
 
-    /** Ends all tasks of this term. Responses to requests in flight are ignored. */
+    /** Cancels all tasks of this term. Responses to requests in flight are ignored. */
     void close() {
         loadTask.cancel();
         tickTask.cancel();
@@ -153,9 +153,9 @@
     }
 
     /**
-     * Whether this leader knows the cancellations of late and can act on them; otherwise heartbeats get no response. Before the
-     * records are loaded it does not: an earlier leader may have missed a cancellation long ago, and an outage that begins now would
-     * keep the records from being read.
+     * Whether this leader knows all recent cancellations and can apply them; if not, it does not respond to heartbeats. Always false
+     * before the records are loaded: an earlier leader may have missed an old cancellation, and an outage could still prevent the
+     * records from being read.
      */
     boolean isInformedOfCancellations() {
         Moment now = context.clock().now();
@@ -164,14 +164,14 @@
                 && now.since(cancellationHorizon.completeUntil()).compareTo(maxAge) < 0;
     }
 
-    /** For how long back this leader asks its peers for cancellations. */
+    /** The age of the oldest cancellation that this leader requests from its peers. */
     Span cancellationLookBack() {
         return cancellationHorizon.lookBack(context.clock().now(), PEER_REQUEST_TIME);
     }
 
-    /** Applies the cancellations that all peers together have confirmed, in response to a request of {@code sentAt}. */
+    /** Applies the cancellations that the peers reported in response to a request sent at {@code sentAt}. */
     void onPeerCancellations(CancellationSummary summary, Moment sentAt) {
-        // Without the records, the cancellations cannot be applied, so the horizon must not advance.
+        // Cancellations cannot be applied before the records are loaded, so the horizon must not advance.
         if (core.areRecordsLoaded()) {
             summary.cancelled().forEach(jobStore::onCancelled);
             cancellationHorizon.peersAnswered(
@@ -180,8 +180,8 @@
     }
 
     /**
-     * The commands for a worker, unless a newer leader exists. The response to a machine's first heartbeat waits until the machine
-     * is recorded, so that every machine with tasks is known to the next leader.
+     * Returns the commands for a worker, unless the heartbeat shows that a newer leader exists. The response to a machine's first
+     * heartbeat is delayed until the machine is recorded, so that the next leader knows every machine that runs tasks.
      */
     Future<HeartbeatResult> onHeartbeat(Heartbeat heartbeat) {
         HeartbeatResult result = core.onHeartbeat(heartbeat, context.clock().now());
@@ -210,12 +210,12 @@
         return new HeartbeatResult.Commands(all);
     }
 
-    /** Whether a machine's heartbeat may be answered; otherwise its lease is to expire. */
+    /** Whether this leader may respond to a machine's heartbeat; if not, the machine's lease expires. */
     boolean mayAnswer(MachineId machine) {
         return core.mayAnswer(machine);
     }
 
-    /** One attempt to load the records. */
+    /** Makes one attempt to load the records; returns the delay until the next attempt. */
     private Future<Span> load() {
         if (!context.catalogue().isKnown()) {
             return Future.succeededFuture(CATALOGUE_RETRY);
@@ -258,7 +258,7 @@
         return Future.succeededFuture(UNREADABLE_RETRY);
     }
 
-    /** Writes lost records again, before the load reads them. */
+    /** If the state service has lost data, rewrites the lost records before they are loaded. */
     private Future<Void> rebuildIfLost() {
         if (!context.state().losses().isHolding()) {
             return Future.succeededFuture();
@@ -272,12 +272,12 @@
         return rebuilder.run();
     }
 
-    /** Whether the job is open, as far as this leader has loaded it. */
+    /** Whether the job is open, among the jobs that this leader has loaded. */
     boolean hasOpen(JobId id) {
         return core.job(id) != null;
     }
 
-    /** What this leader remembers of one job; empty until all records are loaded. */
+    /** This leader's copy of one job's state; empty until all records are loaded. */
     RememberedState rememberedState(JobId id) {
         RememberedState rememberedState = new RememberedState();
         if (core.areRecordsLoaded()) {
@@ -290,7 +290,7 @@
         return rememberedState;
     }
 
-    /** What this leader remembers of all jobs and machines; empty until all records are loaded. */
+    /** This leader's copy of the state of all jobs and machines; empty until all records are loaded. */
     RememberedState rememberedState() {
         RememberedState rememberedState = new RememberedState();
         if (core.areRecordsLoaded()) {
@@ -323,7 +323,7 @@
         return core.areRecordsLoaded() && core.jobs().stream().noneMatch(Job::isInherited);
     }
 
-    /** This leader has respected the start bounds of all jobs that are open now, so a later one may rely on them. */
+    /** Records that later leaders may rely on the start bounds, as this leader has recorded them for all open jobs. */
     private Future<Span> vouchForStartBounds() {
         return election.confirmStartBounds().map(recorded -> {
             startBoundsTrusted = recorded;
--- a/src/main/java/io/indigoreach/cluster/LocalMemory.java
+++ b/src/main/java/io/indigoreach/cluster/LocalMemory.java
@@ -7,7 +7,7 @@
 import io.indigoreach.core.records.RecordCache;
 
 /**
- * What this process remembers of records, for itself and for its peers: jobs seen by the job service, jobs known as the leader,
+ * This process's copies of records, from which lost records are restored: jobs seen by the job service, jobs known from leading,
  * and the cached records of the optional features. Bound to the node's event loop.
  */
 final class LocalMemory {
@@ -21,7 +21,7 @@
         this.recordCache = recordCache;
     }
 
-    /** All jobs and cached records; what this node knew as a leader is added by {@link Controller}. */
+    /** All jobs and cached records, without this node's state as a leader, which {@link Controller} adds. */
     RememberedState all() {
         RememberedState all = jobService.rememberedState();
         recordCache.all().forEach(all::add);
--- a/src/main/java/io/indigoreach/cluster/Node.java
+++ b/src/main/java/io/indigoreach/cluster/Node.java
@@ -21,21 +21,21 @@
 import java.util.List;
 
 /**
- * A controller node: creates its components, and starts and stops them. Not safe for use from several threads; created and
- * used on the event loop of the given {@link Vertx}.
+ * A controller node: creates its components, and starts and stops them. Not thread-safe; created and used on the event loop of the
+ * given {@link Vertx}.
  */
 public final class Node {
-    /** Part of the state service's requests that all nodes together spend on users' queries. */
+    /** Share of the state service's request rate that all nodes together use for users' queries. */
     private static final double QUERY_SHARE = 0.5;
 
-    /** The longest that a node which starts while nobody leads waits for a leader before it opens its listener. */
+    /** Maximum time that a starting node waits for a leader to be elected before it opens its HTTP listener. */
     private static final Span LEADER_WAIT = Span.seconds(3);
 
     private static final int STATE_CONNECTIONS = 12;
     private static final int STATE_WATCH_CONNECTIONS = 3;
     private static final int CLOUD_CONNECTIONS = 3;
 
-    /** The event loop of the lease's renewals. */
+    /** Event loop for lease renewals only, so that other work cannot delay them. */
     private final Vertx renewalLoop = EventLoops.vertx();
 
     private final SteadyClock clock = new SteadyClock();
@@ -47,12 +47,12 @@
     private final PeerServer peerServer;
     private final HttpApi httpApi;
 
-    /** A node with the optional features that the settings enable. */
+    /** Creates a node with the optional features that the settings enable. */
     public Node(Vertx vertx, PlatformConfig config, Settings settings) throws ConfigException {
         this(vertx, config, settings, PartRegistry.enabled(settings));
     }
 
-    /** A node with the given optional features. */
+    /** Creates a node with the given optional features. */
     public Node(Vertx vertx, PlatformConfig config, Settings settings, List<Parts.Kind> kinds) throws ConfigException {
         this.loopMonitor = new EventLoopMonitor(vertx, clock);
         StateClient state = new StateClient(
@@ -109,7 +109,7 @@
                 context.parts().resources()));
     }
 
-    /** Gives the components what they need of each other, where they could not get it when they were created. */
+    /** Connects components that depend on each other and therefore cannot all be passed to constructors. */
     private void connect(NodeContext context, JobService jobService) {
         controller.setRememberedStateSource(peerClient::rememberedState);
         controller.setPeers(peerClient::requestPledges, peerClient::noPeerLeads);
@@ -122,7 +122,7 @@
         context.state().onLoss(controller::onStateLoss);
     }
 
-    /** Starts serving; the result is the port of the HTTP API. */
+    /** Starts the node; the result is the port of the HTTP API. */
     public Future<Integer> start() {
         return controller.clearPredecessor(peerClient::leads).compose(this::start);
     }
@@ -138,7 +138,7 @@
         });
     }
 
-    /** Starts what answers the other nodes and takes part in the election. */
+    /** Starts the peer server, the election and the periodic checks. */
     private void startControlling() {
         catalogue.start();
         controller.start();
@@ -146,7 +146,7 @@
         connectivity.start();
     }
 
-    /** Stops what was started; the result completes when all connections are closed. */
+    /** Stops the node; the result completes when all connections are closed. */
     public Future<Void> stop() {
         catalogue.stop();
         controller.stop();
--- a/src/main/java/io/indigoreach/cluster/NodeContext.java
+++ b/src/main/java/io/indigoreach/cluster/NodeContext.java
@@ -30,12 +30,12 @@
         return new Builder();
     }
 
-    /** The limits of the state service in force, by which values, transactions and rate limits are sized. */
+    /** The state service's limits currently in force, which bound values, transactions and request rates. */
     PlatformConfig.StateLimits limits() {
         return state.limits().within(config.stateLimits());
     }
 
-    /** The moment of this process's steady clock for a wall-clock time in ms; times in the future count as now. */
+    /** Converts a wall-clock time in ms to this process's steady clock; future times are converted to now. */
     Moment toSteadyTime(long wallClockMs) {
         long elapsedMs = Math.max(0, clock.timeOfDay() - wallClockMs);
         return clock.now().minus(new Span(elapsedMs));
@@ -107,7 +107,7 @@
             return this;
         }
 
-        /** Without one, the node gets a repairer of its own. */
+        /** Sets the repairer; by default one is created from the state client and the clock. */
         Builder repairer(JobRepairer newRepairer) {
             repairer = newRepairer;
             return this;
--- a/src/main/java/io/indigoreach/cluster/PartRegistry.java
+++ b/src/main/java/io/indigoreach/cluster/PartRegistry.java
@@ -10,11 +10,11 @@
 import java.util.List;
 
 /**
- * The optional features that a node can have. It belongs to the composition root of a node, so that the package
- * {@code parts}, on which every feature is built, refers to none of them.
+ * Lists the optional features of a node. Belongs to the composition root, so that the package {@code parts}, on which every feature
+ * is built, does not depend on any feature.
  */
 public final class PartRegistry {
-    /** All optional features: a new one is added here, and nowhere else. */
+    /** All optional features; a new feature is registered only here. */
     private static final List<Parts.Kind> KINDS = List.of(
             new Parts.Kind(Settings.Setting.CALENDAR, CalendarPart.FAMILIES, CalendarPart::new),
             new Parts.Kind(Settings.Setting.RECORD_OWNERSHIP, Registry.FAMILIES, OwnershipPart::new),
--- a/src/main/java/io/indigoreach/cluster/PartsTask.java
+++ b/src/main/java/io/indigoreach/cluster/PartsTask.java
@@ -17,13 +17,13 @@
 import java.util.Map;
 
 /**
- * The work of the optional features during one leadership term: what each does while this node leads, and its garbage collection, one
- * round after the other. It yields to leases, cancellations, acceptances and ends, as it writes only what the leader's write rate
- * has to spare. Bound to the node's event loop.
+ * Runs the optional features during one leadership term: each feature's work as the leader, and its garbage collection, one round at
+ * a time. Uses only the spare capacity of the leader's write rate, so that lease renewals, cancellations, submissions and completions
+ * take precedence. Bound to the node's event loop.
  */
 final class PartsTask {
     private static final Span PERIOD = Span.seconds(1);
-    /** Until the next feature's garbage collection, after one has had its round. */
+    /** Delay between the garbage collection rounds of two features. */
     private static final Span NEXT_ROUND = new Span(1);
 
     private final NodeContext context;
@@ -61,7 +61,7 @@
         for (Part part : context.parts().all()) {
             GarbageCollector collector = part.sweep();
             if (collector != null && !now.isBefore(nextCollection.getOrDefault(part, Moment.NEVER))) {
-                // A collection that fails waits for a period like the others, and does not keep them from their rounds.
+                // Set before the round, so that a failing collection also waits for a period and does not block the other features.
                 nextCollection.put(part, now.plus(PERIOD));
                 return collect(part, collector);
             }
--- a/src/main/java/io/indigoreach/cluster/PeerClient.java
+++ b/src/main/java/io/indigoreach/cluster/PeerClient.java
@@ -21,16 +21,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends requests to the other controllers ({@link PeerProtocol}). A peer that does not answer, or whose answer cannot be read, counts
- * as the least favourable answer; no request fails. Bound to the node's event loop.
+ * Sends requests to the other controllers ({@link PeerProtocol}). If a peer does not respond, or its response is unreadable, the least
+ * favourable response is assumed; no request fails. Bound to the node's event loop.
  */
 final class PeerClient {
     private static final Logger LOG = LoggerFactory.getLogger(PeerClient.class);
-    /** For the status and pledges, which are of use only while they are fresh. */
+    /** Timeout of status and pledge requests, whose responses become outdated quickly. */
     private static final Span STATUS_TIMEOUT = Span.seconds(1);
 
     private static final Span REQUEST_TIMEOUT = Span.seconds(2);
-    /** A user's query waits no longer than this for peers to answer whether they know a job. */
+    /** Timeout of requests for a single job, which users' queries wait for. */
     private static final Span JOB_QUERY_TIMEOUT = Span.seconds(0.7);
 
     private final SteadyClock clock;
@@ -48,7 +48,7 @@
         }
     }
 
-    /** The answers of all peers in the order of the configuration; empty without peers. */
+    /** Returns the responses of all peers in the order of the configuration; empty without peers. */
     private <T> Future<List<T>> requestFromAll(Function<ServiceClient, Future<T>> request) {
         List<Future<T>> responses = new ArrayList<>();
         clients.forEach(client -> responses.add(request.apply(client)));
@@ -57,14 +57,14 @@
                 : Future.all(responses).map(all -> all.<T>list());
     }
 
-    /** For each peer whether the state service answers it; null for a peer that does not answer. */
+    /** For each peer, whether it can reach the state service; null for a peer that does not respond. */
     Future<List<Boolean>> arePeersServed() {
         return requestFromAll(client -> client.get(PeerProtocol.STATUS_PATH, STATUS_TIMEOUT)
                 .map(response -> response.isOk() ? (Boolean) PeerProtocol.readServed(response.body()) : null)
                 .otherwise((Boolean) null));
     }
 
-    /** Whether every peer reports that it does not lead; a peer that does not answer may lead. */
+    /** Whether every peer reports that it does not lead; a peer that does not respond is assumed to lead. */
     Future<Boolean> noPeerLeads() {
         Future<List<Boolean>> leading = requestFromAll(client -> client.get(PeerProtocol.STATUS_PATH, STATUS_TIMEOUT)
                 .map(response -> !response.isOk() || PeerProtocol.readLeads(response.body(), true))
@@ -72,7 +72,7 @@
         return leading.map(answers -> !answers.contains(true));
     }
 
-    /** Whether the peer of that name reports that it leads; false if it does not answer, or there is no such peer. */
+    /** Whether the named peer reports that it leads; false if it does not respond or does not exist. */
     Future<Boolean> leads(String node) {
         for (int index = 0; index < clients.size(); index++) {
             if (peers.get(index).node().equals(node)) {
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Asks every peer for a pledge not to lead, and for the cancellations that it confirmed within {@code lookBack}; the result
-     * includes those that this node confirmed. {@link PeerPromises#NONE} without peers.
+     * Requests from every peer a pledge not to lead, and the cancellations that it confirmed within {@code lookBack}. The result
+     * includes the cancellations that this node confirmed. {@link PeerPromises#NONE} without peers.
      */
     Future<PeerPromises> requestPledges(Span lookBack) {
         if (clients.isEmpty()) {
@@ -120,7 +120,7 @@
         return combined;
     }
 
-    /** What this node and the peers that answer remember of one job. */
+    /** Merges the copies of one job's state that this node and the responding peers hold. */
     Future<RememberedState> rememberedState(JobId id) {
         RememberedState all = memory.ofJob(id);
         return requestFromAll(client -> client.get(PeerProtocol.rememberedJobPath(id), JOB_QUERY_TIMEOUT)
@@ -129,7 +129,7 @@
                 .map(responses -> all);
     }
 
-    /** What this node and the peers that answer remember. */
+    /** Merges the remembered state of this node and of the responding peers. */
     Future<RememberedState> rememberedState() {
         RememberedState all = new RememberedState();
         all.add(memory.all());
@@ -137,7 +137,7 @@
                 .map(responses -> all);
     }
 
-    /** Reads a peer's memory from {@code part} on, until a part says that it is the last or is not answered. */
+    /** Reads a peer's remembered state from {@code part} on, up to its last part or the first request that fails. */
     private static Future<Void> readParts(ServiceClient client, int part, RememberedState into) {
         return client.get(PeerProtocol.rememberedStatePath(part), REQUEST_TIMEOUT)
                 .compose(response -> response.isOk() && RememberedStateCodec.read(response.body(), into)
@@ -145,7 +145,7 @@
                         : Future.succeededFuture());
     }
 
-    /** Whether this node as the leader, or any peer that answers, knows a job. */
+    /** Whether the job is open here while this node leads, or is known to a peer that responds. */
     Future<Boolean> isKnownToAny(JobId id) {
         if (memory.hasOpen(id)) {
             return Future.succeededFuture(true);
@@ -157,14 +157,14 @@
         return known.map(answers -> answers.contains(true));
     }
 
-    /** Reports a data loss: the leader may not have noticed it, and only a leader can rebuild. */
+    /** Reports a data loss of the state service to all peers: the leader, which alone can rebuild, may not have detected it. */
     void announceLoss(long era) {
         clients.forEach(client -> client.post(PeerProtocol.LOSS_PATH, PeerProtocol.writeLoss(era), REQUEST_TIMEOUT));
     }
 
     /**
-     * Asks the peers, one after the other, to remove this node's leadership key until one has done so. If none does, the
-     * key goes when its lease expires.
+     * Requests the removal of this node's leadership key from one peer after another, until a peer has removed it. Otherwise the key
+     * is removed when its lease expires.
      */
     void requestHandover(Revision leadershipRevision) {
         requestHandover(leadershipRevision, 0);
--- a/src/main/java/io/indigoreach/cluster/PeerPromises.java
+++ b/src/main/java/io/indigoreach/cluster/PeerPromises.java
@@ -12,13 +12,13 @@
 import java.util.Set;
 
 /**
- * The answer of one or several peers to a leader that the state service does not answer, and its form on the wire.
+ * The response of one or more peers to a leader that cannot reach the state service, with its encoding.
  *
- * @param allPledged each has pledged not to lead for a while
- * @param cancellations the cancellations that they have confirmed to users
+ * @param allPledged whether each peer has pledged not to lead for a limited time
+ * @param cancellations the cancellations that these peers have confirmed to users
  */
 record PeerPromises(boolean allPledged, CancellationSummary cancellations) {
-    /** Of a peer that does not answer: it may lead, and may have confirmed any cancellation. */
+    /** Assumed for a peer that does not respond: it may lead, and may have confirmed any cancellation. */
     static final PeerPromises NONE = new PeerPromises(false, CancellationSummary.NONE);
 
     private static final String LOOK_BACK = "back_ms";
@@ -27,24 +27,26 @@
     private static final String COVERED = "covered_ms";
     private static final String CANCELLED = "cancelled";
 
-    /** What holds for these peers and the others together. */
+    /** Combines the responses of two groups of peers. */
     PeerPromises and(PeerPromises other) {
         return new PeerPromises(allPledged && other.allPledged, cancellations.and(other.cancellations));
     }
 
-    /** The request of a leader that needs the cancellations of the last {@code lookBack}. */
+    /** Encodes a leader's request for a pledge and for the cancellations of the last {@code lookBack}. */
     static Map<String, Object> writeRequest(Span lookBack) {
         return MessagePackFormat.map(LOOK_BACK, lookBack.ms());
     }
 
-    /** How far back cancellations are asked for; zero for a node of the previous version, which does not say so. */
+    /** Decodes the look-back time of a request; zero if the sender runs the previous version, which does not include it. */
     static Span readRequest(Fields request) {
         return new Span(Math.max(0, request.whole(LOOK_BACK, 0)));
     }
 
     /**
-     * The response; {@code timeSinceLast} is the time since this node confirmed its last cancellation, the only part that a leader of the
-     * previous version reads.
+     * Encodes the response.
+     *
+     * @param timeSinceLast time since this node confirmed its last cancellation; a leader of the previous version reads this in place of
+     *     the cancellations
      */
     Map<String, Object> write(Span timeSinceLast) {
         return MessagePackFormat.map(
@@ -58,12 +60,12 @@
                 cancellations.cancelled().stream().map(JobId::text).toList());
     }
 
-    /** Throws {@link io.indigoreach.net.WireException} for a response that is malformed, or longer than any node's may be. */
+    /** Decodes a response. Throws {@link io.indigoreach.net.WireException} if it is malformed or lists too many cancellations. */
     static PeerPromises read(Fields response) {
         List<String> ids = response.optionalTexts(CANCELLED);
         boolean pledged = response.flag(PLEDGED, false);
         if (ids == null) {
-            // A node of the previous version: it reports since when it has confirmed no cancellation, but no jobs.
+            // A node of the previous version reports only the time since its last cancellation, and no jobs.
             Span covered = new Span(response.whole(TIME_SINCE_LAST, 0));
             return new PeerPromises(pledged, new CancellationSummary(Set.of(), covered));
         }
--- a/src/main/java/io/indigoreach/cluster/PeerProtocol.java
+++ b/src/main/java/io/indigoreach/cluster/PeerProtocol.java
@@ -7,24 +7,24 @@
 import java.util.Map;
 
 /**
- * Paths and small messages of the requests between controllers. {@link PeerServer} answers them, {@link PeerClient} sends them.
- * Pledges are encoded by {@link PeerPromises}, remembered state by {@link io.indigoreach.state.RememberedStateCodec}. Nodes of two versions serve
- * together during an upgrade, so the texts here may not change.
+ * Paths and small messages of the requests between controllers. {@link PeerClient} sends the requests, {@link PeerServer} responds.
+ * {@link PeerPromises} encodes pledges, and {@link io.indigoreach.state.RememberedStateCodec} encodes remembered state. Nodes of two
+ * versions run side by side during an upgrade, so the strings here must not change.
  */
 final class PeerProtocol {
-    /** GET: whether the state service answers the node, and whether it leads. */
+    /** GET: whether the node can reach the state service, and whether it leads. */
     static final String STATUS_PATH = "/standing";
-    /** POST: remove the key of a leader that has stepped aside. */
+    /** POST: removes the leadership key of a leader that has resigned. */
     static final String HANDOVER_PATH = "/handover";
-    /** POST: the state service has lost data. */
+    /** POST: reports that the state service has lost data. */
     static final String LOSS_PATH = "/loss";
-    /** GET: everything that the node remembers, part by part. */
+    /** GET: the node's copies of all records, one part per request. */
     static final String REMEMBERED_STATE_PATH = "/remains";
-    /** POST: a pledge not to lead for a while. */
+    /** POST: requests a pledge not to lead for a limited time. */
     static final String PLEDGE_PATH = "/pledge";
     /** GET: whether the node knows a job. */
     static final String JOB_KNOWN_PATH = "/knows";
-    /** GET: what the node remembers of a job. */
+    /** GET: the node's copy of one job's state. */
     static final String REMEMBERED_JOB_PATH = "/recall";
 
     static final String PART_PARAMETER = "part";
@@ -62,7 +62,7 @@
         return status.flag(SERVED, false);
     }
 
-    /** {@code ifAbsent}: the value for a status without this field. */
+    /** @param ifAbsent the value for a status without this field */
     static boolean readLeads(Fields status, boolean ifAbsent) {
         return status.flag(LEADS, ifAbsent);
     }
@@ -79,7 +79,7 @@
         return MessagePackFormat.map(ERA, era);
     }
 
-    /** The era in which data were lost. */
+    /** Decodes the era in which the state service lost data. */
     static long readLoss(Fields request) {
         return request.whole(ERA);
     }
--- a/src/main/java/io/indigoreach/cluster/PeerServer.java
+++ b/src/main/java/io/indigoreach/cluster/PeerServer.java
@@ -18,7 +18,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Answers the requests of the other controllers ({@link PeerProtocol}). Bound to the node's event loop. */
+/** Serves the requests of the other controllers ({@link PeerProtocol}). Bound to the node's event loop. */
 final class PeerServer {
     private static final Logger LOG = LoggerFactory.getLogger(PeerServer.class);
     private static final int IDLE_TIMEOUT_S = 30;
@@ -103,15 +103,14 @@
     }
 
     /**
-     * A node that the state service answers does not pledge, as the state service decides who leads; it reports its cancellations
-     * all the same.
+     * Builds the response to a pledge request. A node that can reach the state service does not pledge, as the state service then
+     * determines the leader, but it still reports its cancellations.
      */
     private Map<String, Object> pledge(Span lookBack) {
         Moment now = clock.now();
         if (!connectivity.isUnserved()) {
-            // An outage may just have begun, and the leader that asks has little time left: this node checks now
-            // instead of
-            // at its next turn.
+            // An outage may just have begun, and the requesting leader's lease expires soon: check now, not at the next
+            // period.
             connectivity.checkNow();
         }
         boolean pledged = connectivity.isUnserved() && controller.pledge();
--- a/src/main/java/io/indigoreach/cluster/WarmUp.java
+++ b/src/main/java/io/indigoreach/cluster/WarmUp.java
@@ -37,14 +37,14 @@
 import java.util.stream.IntStream;
 
 /**
- * Runs the heartbeat path of a node that does not lead, so that the JIT compiler has compiled it when the node begins to lead: some hundred
- * synthetic heartbeats for synthetic jobs, on a scheduler core of its own. Guards against a slow failover: a node that had never
- * processed a heartbeat took 15 ms for each on a tenth of a core, so that of 426 machines whose leader had fallen silent a
- * quarter lost their tasks before it came to them. Done a little at a time, so that users hardly notice; it ends when the node
- * leads, as it then runs the path in any case. Bound to the node's event loop.
+ * Warms up the heartbeat path of a node that does not lead, so that the JIT compiler has compiled it by the time the node leads.
+ * Processes several hundred synthetic heartbeats for synthetic jobs on a separate scheduler core. Guards against a slow failover: a
+ * node that had never processed a heartbeat took 15 ms for each on a tenth of a core, and of 426 machines whose leader had failed, a
+ * quarter lost their tasks before the new leader responded to them. The heartbeats are spread over time, to limit the effect on users'
+ * requests. The warm-up ends when the node leads, as real heartbeats then run the same path. Bound to the node's event loop.
  */
 final class WarmUp {
-    /** After the node has started, when it has other things to do. */
+    /** Delay after the node's start, which is busy with other work. */
     private static final Span START_DELAY = Span.seconds(5);
 
     private static final Span PAUSE = Span.seconds(0.08);
@@ -52,7 +52,7 @@
     private static final int MACHINES = 12;
     private static final int JOBS = 24;
     private static final int TASKS_PER_JOB = 40;
-    /** In every so many rounds over all machines the running tasks end. */
+    /** Rounds over all machines between the rounds in which all running tasks end. */
     private static final int ROUNDS_PER_RUN = 3;
 
     private static final Demand MACHINE_CAPACITY = new Demand(4, 0, 16);
@@ -65,7 +65,7 @@
     private final BooleanSupplier leads;
     private final PeriodicTask task;
     private SchedulerCore core;
-    /** The tasks that each machine reports in its next heartbeat. */
+    /** Task statuses that each machine reports in its next heartbeat, by machine index. */
     private final Map<Integer, List<TaskStatus>> statuses = new HashMap<>();
 
     private int heartbeats;
@@ -85,7 +85,7 @@
         task.cancel();
     }
 
-    /** How many start commands its core has given. */
+    /** Number of start commands that the synthetic scheduler core has issued. */
     int startCommands() {
         return startCommands;
     }
@@ -150,7 +150,7 @@
         }
     }
 
-    /** Jobs of several classes, urgencies and images, as these take different paths through the scheduler. */
+    /** Returns a job whose class, urgency and image vary with the index, as these take different paths through the scheduler. */
     private static JobSpec spec(int index) {
         return JobSpec.builder(new JobId("run-" + index))
                 .jobClass("c" + index % 3)
@@ -170,7 +170,7 @@
         return new MachineId("vm-" + index);
     }
 
-    /** Processes a machine's heartbeat from the bytes received to the bytes of the response. */
+    /** Processes one heartbeat of a machine, including the decoding of the request and the encoding of the response. */
     private void sendHeartbeat(int machine) {
         Heartbeat sent = new Heartbeat(
                 machine(machine),
--- a/src/main/java/io/indigoreach/cluster/package-info.java
+++ b/src/main/java/io/indigoreach/cluster/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The controller: one node's part in the leader election, the leadership term with its loading and writing of records, the renting
- * of machines, and the peer protocol. Decisions are made by {@link io.indigoreach.core.scheduling.SchedulerCore}; this package does
- * the input and output for them. Its classes are bound to the node's event loop unless they say otherwise, and none of them blocks.
+ * The controller of a node: leader election, leadership terms with their loading and writing of records, machine rental, and the peer
+ * protocol. {@link io.indigoreach.core.scheduling.SchedulerCore} makes the scheduling decisions; this package performs the I/O for them.
+ * Classes are bound to the node's event loop unless documented otherwise, and none of them blocks.
  */
 package io.indigoreach.cluster;
