--- a/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
+++ b/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
@@ -13,11 +13,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Checks every second whether this node can reach the state service. A node cannot tell an outage of the service from a failure that
- * affects only itself, so it queries its peers ({@link IsolationCheck}). If only this node is affected, or if it is isolated, it reports
- * itself as not ready, and the load balancer sends users to other nodes. During an outage it stays ready, as removing all nodes and adding
- * them again would cost more than the outage does. A leader that alone cannot reach the service resigns and requests that a peer remove
- * its leadership key, so that its successor need not wait for the lease to expire. Bound to the node's event loop.
+ * Checks every second whether this node can reach the state service. A node cannot tell an outage of the service from a
+ * failure that affects only itself, so it queries its peers ({@link IsolationCheck}). If only this node is affected, or
+ * if it is isolated, it reports itself as not ready, and the load balancer sends users to other nodes. During an outage
+ * it stays ready, as removing all nodes and adding them again would cost more than the outage does. A leader that alone
+ * cannot reach the service resigns and requests that a peer remove its leadership key, so that its successor need not
+ * wait for the lease to expire. Bound to the node's event loop.
  */
 final class ConnectivityCheck {
     private static final Logger LOG = LoggerFactory.getLogger(ConnectivityCheck.class);
@@ -60,7 +61,9 @@
         task.wake();
     }
 
-    /** Whether other nodes should serve users: only this node cannot reach the state service, or this node is isolated. */
+    /**
+     * Whether other nodes should serve users: only this node cannot reach the state service, or this node is isolated.
+     */
     boolean isOutOfService() {
         return isolation.isOutOfService();
     }
@@ -71,16 +74,16 @@
     }
 
     /**
-     * Whether the last request to the state service succeeded, within {@link #ANSWER_TIMEOUT}. In the first second of an outage nodes still
-     * report that they can reach the service, so a leader queries them twice.
+     * Whether the last request to the state service succeeded, within {@link #ANSWER_TIMEOUT}. In the first second of
+     * an outage nodes still report that they can reach the service, so a leader queries them twice.
      */
     boolean isServed() {
         return !unserved && clock.now().since(lastServedAt).compareTo(ANSWER_TIMEOUT) < 0;
     }
 
     /**
-     * Whether the state service has been unreachable long enough that, in an outage, the peers have detected it too. False if this node's
-     * event loop was blocked during that time, which could be the cause.
+     * Whether the state service has been unreachable long enough that, in an outage, the peers have detected it too.
+     * False if this node's event loop was blocked during that time, which could be the cause.
      */
     private boolean isSurelyUnserved() {
         Span needed = ANSWER_TIMEOUT.times(2);
@@ -112,10 +115,10 @@
     }
 
     /**
-     * Logs a changed verdict; true if two verdicts in a row are that only this node cannot reach the state service. Guards against a
-     * leader whose requests fail just before an outage: its peers had not detected the outage yet and reported that they reached the
-     * service, so the leader resigned when no other node could be elected, and all running work was lost. Waiting for the second verdict
-     * has no cost, as the lease expires by then in any case.
+     * Logs a changed verdict; true if two verdicts in a row are that only this node cannot reach the state service.
+     * Guards against a leader whose requests fail just before an outage: its peers had not detected the outage yet and
+     * reported that they reached the service, so the leader resigned when no other node could be elected, and all
+     * running work was lost. Waiting for the second verdict has no cost, as the lease expires by then in any case.
      */
     private boolean confirm(IsolationCheck.Verdict verdict) {
         boolean repeated = verdict == lastVerdict;
--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -29,8 +29,8 @@
 import java.util.stream.Stream;
 
 /**
- * Takes part in the leader election, runs a {@link LeadershipTerm} while this node leads, and otherwise redirects workers to the current
- * leader. Bound to the node's event loop.
+ * Takes part in the leader election, runs a {@link LeadershipTerm} while this node leads, and otherwise redirects
+ * workers to the current leader. Bound to the node's event loop.
  */
 public final class Controller implements LeaderElection.Listener {
     /**
@@ -53,7 +53,10 @@
         Future<RememberedState> gather();
     }
 
-    /** Requests from every other node a pledge not to lead, and the cancellations that it confirmed within {@code lookBack}. */
+    /**
+     * Requests from every other node a pledge not to lead, and the cancellations that it confirmed within {@code
+     * lookBack}.
+     */
     @FunctionalInterface
     interface PledgeSource {
         Future<PeerPromises> request(Span lookBack);
@@ -115,12 +118,17 @@
         return new LeaderElection(electionSettings, this);
     }
 
-    /** Sets the source of the other controllers' remembered state, to which this node adds the state of its last term. */
+    /**
+     * Sets the source of the other controllers' remembered state, to which this node adds the state of its last term.
+     */
     void setRememberedStateSource(RememberedStateSource source) {
         this.rememberedStateSource = source;
     }
 
-    /** Called when the state service has lost data. A leader retains its state and campaigns again, to rebuild the records from it. */
+    /**
+     * Called when the state service has lost data. A leader retains its state and campaigns again, to rebuild the
+     * records from it.
+     */
     void onStateLoss() {
         election.deposed();
     }
@@ -157,7 +165,9 @@
         election.askPeersBy(() -> requestPledges(pledges), noPeerLeads);
     }
 
-    /** Whether every other node has pledged. Passes the cancellations in the responses to the term that requested them. */
+    /**
+     * Whether every other node has pledged. Passes the cancellations in the responses to the term that requested them.
+     */
     private Future<Boolean> requestPledges(PledgeSource pledges) {
         Moment sent = context.clock().now();
         LeadershipTerm requesting = term;
@@ -190,9 +200,10 @@
     }
 
     /**
-     * Completes when a node has begun to lead, or at {@code deadline}. Guards against opening the HTTP listener too early: after all nodes
-     * have stopped, hundreds of workers connect to each node as soon as it listens, which delays the election. With three nodes and 450
-     * machines, a leader was elected only 2.9 to 3.3 s after the listeners had opened.
+     * Completes when a node has begun to lead, or at {@code deadline}. Guards against opening the HTTP listener too
+     * early: after all nodes have stopped, hundreds of workers connect to each node as soon as it listens, which delays
+     * the election. With three nodes and 450 machines, a leader was elected only 2.9 to 3.3 s after the listeners had
+     * opened.
      */
     Future<Void> leaderKnown(Moment deadline) {
         return leaderKnown(election.leadershipRevision(), deadline);
@@ -232,7 +243,10 @@
         return election.leadershipRevision();
     }
 
-    /** Resigns because only this node cannot reach the state service. Returns the key's revision, or null if it does not lead. */
+    /**
+     * Resigns because only this node cannot reach the state service. Returns the key's revision, or null if it does not
+     * lead.
+     */
     Revision stepAside() {
         return election.stepAside(UNREACHABLE_FROM_THIS_NODE_ONLY);
     }
@@ -243,8 +257,9 @@
     }
 
     /**
-     * Processes a worker's heartbeat if this node may currently act as the leader; otherwise redirects it without decoding it. After a
-     * leader has failed, every machine tries every node, and decoding is slow on a node that has just started.
+     * Processes a worker's heartbeat if this node may currently act as the leader; otherwise redirects it without
+     * decoding it. After a leader has failed, every machine tries every node, and decoding is slow on a node that has
+     * just started.
      */
     public Future<HeartbeatResponse> onHeartbeat(Supplier<Heartbeat> decoder) {
         if (!mayAnswer()) {
@@ -272,12 +287,18 @@
         return term != null && election.isValid() && term.isInformedOfCancellations();
     }
 
-    /** Sets whether this node reaches neither the state service nor any peer, which makes the leader it knows unreliable. */
+    /**
+     * Sets whether this node reaches neither the state service nor any peer, which makes the leader it knows
+     * unreliable.
+     */
     void setCutOff(boolean cutOff) {
         this.cutOff = cutOff;
     }
 
-    /** The other node that leads, or null if unknown: redirecting a worker to the wrong node costs more than no redirect. */
+    /**
+     * The other node that leads, or null if unknown: redirecting a worker to the wrong node costs more than no
+     * redirect.
+     */
     private String otherLeader() {
         String leader = election.leader();
         return cutOff || context.config().node().equals(leader) ? null : leader;
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -22,9 +22,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Resolves job dependencies: looks up the final status of dependencies that are not among the open jobs, and cancels the dependents of
- * a cancelled job, with one small transaction each. After an interruption the next leader derives the remaining cancellations from
- * the final records. Bound to the node's event loop.
+ * Resolves job dependencies: looks up the final status of dependencies that are not among the open jobs, and cancels
+ * the dependents of a cancelled job, with one small transaction each. After an interruption the next leader derives the
+ * remaining cancellations from the final records. Bound to the node's event loop.
  */
 final class DependencyTask {
     private static final Logger LOG = LoggerFactory.getLogger(DependencyTask.class);
@@ -35,7 +35,9 @@
     private static final double READ_SHARE = 0.1;
     /** Delay before an open dependency is looked up again; the watch usually reports its completion earlier. */
     private static final Span OPEN_RETRY = Span.seconds(1);
-    /** Delay before a missing dependency is looked up again; a controller that remembers the job may restore its record. */
+    /**
+     * Delay before a missing dependency is looked up again; a controller that remembers the job may restore its record.
+     */
     private static final Span MISSING_RETRY = Span.seconds(5);
 
     private final LeaderWrites writes;
--- a/src/main/java/io/indigoreach/cluster/FleetManager.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -22,14 +22,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends a leader's requests to the cloud: one task rents machines, one returns them, and one reads the cloud's list of machines.
- * {@link SchedulerCore} decides which machines to rent or return. Each decision is recorded in the {@link IntentLog} before the
- * request is sent. Bound to the node's event loop.
+ * Sends a leader's requests to the cloud: one task rents machines, one returns them, and one reads the cloud's list of
+ * machines. {@link SchedulerCore} decides which machines to rent or return. Each decision is recorded in the {@link
+ * IntentLog} before the request is sent. Bound to the node's event loop.
  */
 final class FleetManager {
     private static final Logger LOG = LoggerFactory.getLogger(FleetManager.class);
     private static final Span PAUSE = Span.seconds(1);
-    /** Attempts at a fixed interval. After that the interval grows exponentially, and the request no longer delays new ones. */
+    /**
+     * Attempts at a fixed interval. After that the interval grows exponentially, and the request no longer delays new
+     * ones.
+     */
     private static final int MAX_QUICK_TRIES = 5;
 
     private static final Span MAX_RETRY_PAUSE = Span.seconds(16);
@@ -72,7 +75,10 @@
     private final SchedulerCore core;
     private final FencingToken token;
     private final BooleanSupplier mayAct;
-    /** Pause after each rental. Together with the response time it leaves part of the cloud's request rate for returns and listings. */
+    /**
+     * Pause after each rental. Together with the response time it leaves part of the cloud's request rate for returns
+     * and listings.
+     */
     private final Span requestInterval;
 
     private final PeriodicTask scaleOutTask;
@@ -87,7 +93,10 @@
     private int requestCount;
     private Moment lastCheckAt = Moment.NEVER;
 
-    /** @param mayAct whether this node's leadership is valid; if it is not, another leader may already be using the machines */
+    /**
+     * @param mayAct whether this node's leadership is valid; if it is not, another leader may already be using the
+     * machines
+     */
     FleetManager(
             NodeContext context, SchedulerCore core, FencingToken token, IntentLog intentLog, BooleanSupplier mayAct) {
         this.context = context;
@@ -238,7 +247,10 @@
         }
     }
 
-    /** Schedules a retry under the same name: the cloud may have rented the machines, and returns the same result for the same name. */
+    /**
+     * Schedules a retry under the same name: the cloud may have rented the machines, and returns the same result for
+     * the same name.
+     */
     private Future<Span> onUnanswered(Request request, Throwable cause) {
         LOG.info("scale-out unanswered count={} pool={} cause={}", request.count(), request.pool(), cause.getMessage());
         openRequests.addFirst(request.unanswered(context.clock().now()));
@@ -284,7 +296,8 @@
             if (!listingTask.isCancelled()) {
                 core.onMachineListing(machines, requestedAt, context.clock().now());
             }
-            // After a failover, tasks of machines that send no heartbeats wait until a listing shows whether the machines still exist.
+            // After a failover, tasks of machines that send no heartbeats wait until a listing shows whether the
+            // machines still exist.
             Span usual = context.settings().span(Settings.Setting.LIST_EVERY_S);
             return core.isFailoverComplete() || usual.compareTo(PAUSE) < 0 ? usual : PAUSE;
         });
--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -19,13 +19,15 @@
 import java.util.Map;
 
 /**
- * Persists a leader's {@link Intents} in one record per leadership term. Each write is conditional on the leadership key and on the
- * record's version, so that a leader that was replaced cannot write to it. The new leader reads the records of earlier leaders at a
- * failover, and removes them once all their intents are completed. Bound to the node's event loop.
+ * Persists a leader's {@link Intents} in one record per leadership term. Each write is conditional on the leadership
+ * key and on the record's version, so that a leader that was replaced cannot write to it. The new leader reads the
+ * records of earlier leaders at a failover, and removes them once all their intents are completed. Bound to the node's
+ * event loop.
  *
- * <p>Guards against a write that gets no response and is executed late. The leader empties its own record but never removes it:
- * otherwise a late write that was conditional on the record's absence could restore completed requests, and the next leader would repeat
- * them. After a write without a response the leader always writes again, as some of the intents in it may since have been dropped.
+ * <p>Guards against a write that gets no response and is executed late. The leader empties its own record but never
+ * removes it: otherwise a late write that was conditional on the record's absence could restore completed requests, and
+ * the next leader would repeat them. After a write without a response the leader always writes again, as some of the
+ * intents in it may since have been dropped.
  */
 final class IntentLog {
     /** Minimum interval between writes that only remove completed intents. */
@@ -87,8 +89,8 @@
     }
 
     /**
-     * Ends this term's use of the log. Guards against a write of this term that fails after the same node has been elected again: it
-     * must not depose the new term.
+     * Ends this term's use of the log. Guards against a write of this term that fails after the same node has been
+     * elected again: it must not depose the new term.
      */
     void cancel() {
         cancelled = true;
@@ -118,7 +120,10 @@
                 .map(revision -> new Intents.Page(rents, returns));
     }
 
-    /** Removes the records of earlier leaders, once all intents in them are completed; at most one transaction's worth per call. */
+    /**
+     * Removes the records of earlier leaders, once all intents in them are completed; at most one transaction's worth
+     * per call.
+     */
     Future<Void> forgetEarlier() {
         List<String> keys = earlierRecords.keySet().stream()
                 .limit(context.limits().txnOps())
@@ -150,8 +155,8 @@
     }
 
     /**
-     * Writes the intents if they have changed. True when the record contains all of them, false if it cannot be written now. Only one
-     * write is in flight at a time.
+     * Writes the intents if they have changed. True when the record contains all of them, false if it cannot be written
+     * now. Only one write is in flight at a time.
      */
     Future<Boolean> record() {
         if (writeInProgress != null) {
--- a/src/main/java/io/indigoreach/cluster/LeaderJobs.java
+++ b/src/main/java/io/indigoreach/cluster/LeaderJobs.java
@@ -2,7 +2,9 @@
 
 import io.indigoreach.core.scheduling.SchedulerCore;
 
-/** The components that a {@link JobStore} shares between loading and change handling. Bound to the node's event loop. */
+/**
+ * The components that a {@link JobStore} shares between loading and change handling. Bound to the node's event loop.
+ */
 record LeaderJobs(
         LeaderWrites writes, SchedulerCore core, OpenJobs openJobs, JobRecordWriter writer, FinishedJobs finishedJobs) {
     static LeaderJobs create(
--- a/src/main/java/io/indigoreach/cluster/LeaderWrites.java
+++ b/src/main/java/io/indigoreach/cluster/LeaderWrites.java
@@ -7,7 +7,8 @@
 import io.indigoreach.state.StateClient;
 
 /**
- * Shared context of the tasks that write to the state service during one leadership term. Bound to the node's event loop.
+ * Shared context of the tasks that write to the state service during one leadership term. Bound to the node's event
+ * loop.
  *
  * @param leadershipRevision the revision of the leadership key, on which every write is conditional
  * @param limiter the write rate limit, shared by all writers of the term
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -30,8 +30,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One leadership term of this node, from the acquisition of the leadership key to its loss. Owns the scheduler core and the tasks that
- * load its state, write its records and rent its machines. Bound to the node's event loop. A term is started once and closed once.
+ * One leadership term of this node, from the acquisition of the leadership key to its loss. Owns the scheduler core and
+ * the tasks that load its state, write its records and rent its machines. Bound to the node's event loop. A term is
+ * started once and closed once.
  */
 final class LeadershipTerm implements SchedulerListener {
     private static final Logger LOG = LoggerFactory.getLogger(LeadershipTerm.class);
@@ -77,7 +78,10 @@
     /** When this node began to respond to heartbeats. Gaps in heartbeats before that are not the machines' fault. */
     private Moment servingSince = Moment.NEVER;
 
-    /** @param gatherRememberedState collects the remembered state of all controllers after the state service has lost data */
+    /**
+     * @param gatherRememberedState collects the remembered state of all controllers after the state service has lost
+     * data
+     */
     LeadershipTerm(
             NodeContext context,
             LeaderElection election,
@@ -153,9 +157,9 @@
     }
 
     /**
-     * Whether this leader knows all recent cancellations and can apply them; if not, it does not respond to heartbeats. Always false
-     * before the records are loaded: an earlier leader may have missed an old cancellation, and an outage could still prevent the
-     * records from being read.
+     * Whether this leader knows all recent cancellations and can apply them; if not, it does not respond to heartbeats.
+     * Always false before the records are loaded: an earlier leader may have missed an old cancellation, and an outage
+     * could still prevent the records from being read.
      */
     boolean isInformedOfCancellations() {
         Moment now = context.clock().now();
@@ -180,8 +184,9 @@
     }
 
     /**
-     * Returns the commands for a worker, unless the heartbeat shows that a newer leader exists. The response to a machine's first
-     * heartbeat is delayed until the machine is recorded, so that the next leader knows every machine that runs tasks.
+     * Returns the commands for a worker, unless the heartbeat shows that a newer leader exists. The response to a
+     * machine's first heartbeat is delayed until the machine is recorded, so that the next leader knows every machine
+     * that runs tasks.
      */
     Future<HeartbeatResult> onHeartbeat(Heartbeat heartbeat) {
         HeartbeatResult result = core.onHeartbeat(heartbeat, context.clock().now());
--- a/src/main/java/io/indigoreach/cluster/LocalMemory.java
+++ b/src/main/java/io/indigoreach/cluster/LocalMemory.java
@@ -7,8 +7,8 @@
 import io.indigoreach.core.records.RecordCache;
 
 /**
- * This process's copies of records, from which lost records are restored: jobs seen by the job service, jobs known from leading,
- * and the cached records of the optional features. Bound to the node's event loop.
+ * This process's copies of records, from which lost records are restored: jobs seen by the job service, jobs known from
+ * leading, and the cached records of the optional features. Bound to the node's event loop.
  */
 final class LocalMemory {
     private final JobService jobService;
--- a/src/main/java/io/indigoreach/cluster/Node.java
+++ b/src/main/java/io/indigoreach/cluster/Node.java
@@ -21,8 +21,8 @@
 import java.util.List;
 
 /**
- * A controller node: creates its components, and starts and stops them. Not thread-safe; created and used on the event loop of the
- * given {@link Vertx}.
+ * A controller node: creates its components, and starts and stops them. Not thread-safe; created and used on the event
+ * loop of the given {@link Vertx}.
  */
 public final class Node {
     /** Share of the state service's request rate that all nodes together use for users' queries. */
--- a/src/main/java/io/indigoreach/cluster/PartsTask.java
+++ b/src/main/java/io/indigoreach/cluster/PartsTask.java
@@ -17,9 +17,9 @@
 import java.util.Map;
 
 /**
- * Runs the optional features during one leadership term: each feature's work as the leader, and its garbage collection, one round at
- * a time. Uses only the spare capacity of the leader's write rate, so that lease renewals, cancellations, submissions and completions
- * take precedence. Bound to the node's event loop.
+ * Runs the optional features during one leadership term: each feature's work as the leader, and its garbage collection,
+ * one round at a time. Uses only the spare capacity of the leader's write rate, so that lease renewals, cancellations,
+ * submissions and completions take precedence. Bound to the node's event loop.
  */
 final class PartsTask {
     private static final Span PERIOD = Span.seconds(1);
@@ -61,7 +61,8 @@
         for (Part part : context.parts().all()) {
             GarbageCollector collector = part.sweep();
             if (collector != null && !now.isBefore(nextCollection.getOrDefault(part, Moment.NEVER))) {
-                // Set before the round, so that a failing collection also waits for a period and does not block the other features.
+                // Set before the round, so that a failing collection also waits for a period and does not block the
+                // other features.
                 nextCollection.put(part, now.plus(PERIOD));
                 return collect(part, collector);
             }
--- a/src/main/java/io/indigoreach/cluster/PeerClient.java
+++ b/src/main/java/io/indigoreach/cluster/PeerClient.java
@@ -21,8 +21,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends requests to the other controllers ({@link PeerProtocol}). If a peer does not respond, or its response is unreadable, the least
- * favourable response is assumed; no request fails. Bound to the node's event loop.
+ * Sends requests to the other controllers ({@link PeerProtocol}). If a peer does not respond, or its response is
+ * unreadable, the least favourable response is assumed; no request fails. Bound to the node's event loop.
  */
 final class PeerClient {
     private static final Logger LOG = LoggerFactory.getLogger(PeerClient.class);
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Requests from every peer a pledge not to lead, and the cancellations that it confirmed within {@code lookBack}. The result
-     * includes the cancellations that this node confirmed. {@link PeerPromises#NONE} without peers.
+     * Requests from every peer a pledge not to lead, and the cancellations that it confirmed within {@code lookBack}.
+     * The result includes the cancellations that this node confirmed. {@link PeerPromises#NONE} without peers.
      */
     Future<PeerPromises> requestPledges(Span lookBack) {
         if (clients.isEmpty()) {
@@ -157,14 +157,17 @@
         return known.map(answers -> answers.contains(true));
     }
 
-    /** Reports a data loss of the state service to all peers: the leader, which alone can rebuild, may not have detected it. */
+    /**
+     * Reports a data loss of the state service to all peers: the leader, which alone can rebuild, may not have detected
+     * it.
+     */
     void announceLoss(long era) {
         clients.forEach(client -> client.post(PeerProtocol.LOSS_PATH, PeerProtocol.writeLoss(era), REQUEST_TIMEOUT));
     }
 
     /**
-     * Requests the removal of this node's leadership key from one peer after another, until a peer has removed it. Otherwise the key
-     * is removed when its lease expires.
+     * Requests the removal of this node's leadership key from one peer after another, until a peer has removed it.
+     * Otherwise the key is removed when its lease expires.
      */
     void requestHandover(Revision leadershipRevision) {
         requestHandover(leadershipRevision, 0);
--- a/src/main/java/io/indigoreach/cluster/PeerPromises.java
+++ b/src/main/java/io/indigoreach/cluster/PeerPromises.java
@@ -37,7 +37,9 @@
         return MessagePackFormat.map(LOOK_BACK, lookBack.ms());
     }
 
-    /** Decodes the look-back time of a request; zero if the sender runs the previous version, which does not include it. */
+    /**
+     * Decodes the look-back time of a request; zero if the sender runs the previous version, which does not include it.
+     */
     static Span readRequest(Fields request) {
         return new Span(Math.max(0, request.whole(LOOK_BACK, 0)));
     }
@@ -60,7 +62,10 @@
                 cancellations.cancelled().stream().map(JobId::text).toList());
     }
 
-    /** Decodes a response. Throws {@link io.indigoreach.net.WireException} if it is malformed or lists too many cancellations. */
+    /**
+     * Decodes a response. Throws {@link io.indigoreach.net.WireException} if it is malformed or lists too many
+     * cancellations.
+     */
     static PeerPromises read(Fields response) {
         List<String> ids = response.optionalTexts(CANCELLED);
         boolean pledged = response.flag(PLEDGED, false);
--- a/src/main/java/io/indigoreach/cluster/PeerProtocol.java
+++ b/src/main/java/io/indigoreach/cluster/PeerProtocol.java
@@ -7,9 +7,10 @@
 import java.util.Map;
 
 /**
- * Paths and small messages of the requests between controllers. {@link PeerClient} sends the requests, {@link PeerServer} responds.
- * {@link PeerPromises} encodes pledges, and {@link io.indigoreach.state.RememberedStateCodec} encodes remembered state. Nodes of two
- * versions run side by side during an upgrade, so the strings here must not change.
+ * Paths and small messages of the requests between controllers. {@link PeerClient} sends the requests, {@link
+ * PeerServer} responds. {@link PeerPromises} encodes pledges, and {@link io.indigoreach.state.RememberedStateCodec}
+ * encodes remembered state. Nodes of two versions run side by side during an upgrade, so the strings here must not
+ * change.
  */
 final class PeerProtocol {
     /** GET: whether the node can reach the state service, and whether it leads. */
--- a/src/main/java/io/indigoreach/cluster/PeerServer.java
+++ b/src/main/java/io/indigoreach/cluster/PeerServer.java
@@ -103,8 +103,8 @@
     }
 
     /**
-     * Builds the response to a pledge request. A node that can reach the state service does not pledge, as the state service then
-     * determines the leader, but it still reports its cancellations.
+     * Builds the response to a pledge request. A node that can reach the state service does not pledge, as the state
+     * service then determines the leader, but it still reports its cancellations.
      */
     private Map<String, Object> pledge(Span lookBack) {
         Moment now = clock.now();
--- a/src/main/java/io/indigoreach/cluster/WarmUp.java
+++ b/src/main/java/io/indigoreach/cluster/WarmUp.java
@@ -37,11 +37,12 @@
 import java.util.stream.IntStream;
 
 /**
- * Warms up the heartbeat path of a node that does not lead, so that the JIT compiler has compiled it by the time the node leads.
- * Processes several hundred synthetic heartbeats for synthetic jobs on a separate scheduler core. Guards against a slow failover: a
- * node that had never processed a heartbeat took 15 ms for each on a tenth of a core, and of 426 machines whose leader had failed, a
- * quarter lost their tasks before the new leader responded to them. The heartbeats are spread over time, to limit the effect on users'
- * requests. The warm-up ends when the node leads, as real heartbeats then run the same path. Bound to the node's event loop.
+ * Warms up the heartbeat path of a node that does not lead, so that the JIT compiler has compiled it by the time the
+ * node leads. Processes several hundred synthetic heartbeats for synthetic jobs on a separate scheduler core. Guards
+ * against a slow failover: a node that had never processed a heartbeat took 15 ms for each on a tenth of a core, and of
+ * 426 machines whose leader had failed, a quarter lost their tasks before the new leader responded to them. The
+ * heartbeats are spread over time, to limit the effect on users' requests. The warm-up ends when the node leads, as
+ * real heartbeats then run the same path. Bound to the node's event loop.
  */
 final class WarmUp {
     /** Delay after the node's start, which is busy with other work. */
@@ -150,7 +151,10 @@
         }
     }
 
-    /** Returns a job whose class, urgency and image vary with the index, as these take different paths through the scheduler. */
+    /**
+     * Returns a job whose class, urgency and image vary with the index, as these take different paths through the
+     * scheduler.
+     */
     private static JobSpec spec(int index) {
         return JobSpec.builder(new JobId("run-" + index))
                 .jobClass("c" + index % 3)
--- a/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Cascaded cancellation of dependent jobs, also across a change of leader. */
+/** Tests that cancellations cascade to dependent jobs, also across a change of leader. */
 @Timeout(30)
 class DependencyTaskTest {
     private final Vertx vertx = Vertx.vertx();
@@ -42,7 +42,7 @@
     private StateStandIn state;
     private StateClient client;
 
-    /** A leadership term, as far as it serves jobs. */
+    /** The parts of a leadership term that handle jobs. */
     private final class Leader {
         final SchedulerCore core;
         final JobStore jobStore;
@@ -74,7 +74,7 @@
             dependencyTask.cancel();
         }
 
-        /** No task of any job waits for a machine. */
+        /** Whether no job has a task waiting for a machine. */
         boolean blocksAll() throws Exception {
             Promise<Boolean> answer = Promise.promise();
             vertx.runOnContext(v -> answer.complete(core.summary().contains(" waiting=0 ")));
@@ -123,11 +123,14 @@
                 .put(RecordKeys.finalKey(id(id)), JobRecordCodec.writeFinal(status, 0))));
     }
 
-    /** A spinning loop takes no notice of the test's own limit: it is bounded here. */
+    /**
+     * Spins until the condition holds. Has its own time limit, as the test's timeout does not interrupt a spinning
+     * loop.
+     */
     private void until(Callable<Boolean> condition) throws Exception {
         Moment end = clock.now().plus(Span.seconds(20));
         while (!condition.call()) {
-            assertTrue(clock.now().isBefore(end), "not reached");
+            assertTrue(clock.now().isBefore(end), "condition not met in time");
             Thread.onSpinWait();
         }
     }
@@ -140,7 +143,7 @@
         }
     }
 
-    /** Two changes each, also if a response is lost; jobs with another open dependency stay open. */
+    /** Each cancellation makes exactly two changes, also if a response is lost; dependents of open jobs stay open. */
     @Test
     void dependentsOfACancelledJobAreCancelled() throws Exception {
         over(1, JobStatus.CANCELLED);
@@ -160,7 +163,7 @@
         awaitCancelled(5);
     }
 
-    /** One write of the first leader is executed, and the others only when it no longer leads. */
+    /** The first leader's other writes are executed only after it has lost the leadership, and must be rejected. */
     @Test
     void theNextLeaderContinuesACascadedCancellation() throws Exception {
         over(1, JobStatus.CANCELLED);
@@ -183,7 +186,7 @@
         awaitCancelled(2, 3, 4, 5, 6, 7);
     }
 
-    /** All tasks are completed, but the write of the completion has not been executed: the dependent waits. */
+    /** While the write of the completion is held back, the dependent must wait, although all tasks are completed. */
     @Test
     void aDependentStartsOnlyAfterTheCompletionIsRecorded() throws Exception {
         state.holding =
@@ -200,7 +203,9 @@
         assertEquals("DONE", state.value("f/run-1").text("status"));
     }
 
-    /** It counts as neither done nor cancelled; its dependents continue as soon as its final record is back. */
+    /**
+     * A missing dependency is neither done nor cancelled; its dependents continue once its final record is restored.
+     */
     @Test
     void aMissingDependencyBlocksItsDependents() throws Exception {
         open(2, 1);
--- a/src/test/java/io/indigoreach/cluster/GoldenMessagesTest.java
+++ b/src/test/java/io/indigoreach/cluster/GoldenMessagesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Pledges and told cancellations as the version in production words them, both ways. */
+/** Tests that pledge messages are compatible with the production version, when read and when written. */
 class GoldenMessagesTest {
     private static final String FILE = "pledges.txt";
 
--- a/src/test/java/io/indigoreach/cluster/GoldenPledgesTest.java
+++ b/src/test/java/io/indigoreach/cluster/GoldenPledgesTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The question for pledges and its answers. */
+/** Golden encodings of pledge requests and responses. */
 class GoldenPledgesTest {
     private static PeerPromises pledge(boolean all, Set<JobId> cancelled) {
         return new PeerPromises(all, new CancellationSummary(cancelled, Span.seconds(7)));
--- a/src/test/java/io/indigoreach/cluster/IntentLogTest.java
+++ b/src/test/java/io/indigoreach/cluster/IntentLogTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Intents are recorded under the leadership key, and whoever leads next reads them. */
+/** Tests that intents are recorded conditionally on the leadership key, and that the next leader reads them. */
 class IntentLogTest {
     private static final Intents.Rent RENT = new Intents.Rent("t3-1", new MachinePool("quad", "east", true), 50, 1000);
     private static final MachineId MACHINE = new MachineId("vm-1");
@@ -39,7 +39,7 @@
         fixture.close();
     }
 
-    /** The log of a leader that has just gained leadership. */
+    /** Creates the log of a leader that has just gained the leadership. */
     private IntentLog newLeader(long token) throws Exception {
         return new IntentLog(
                 context,
@@ -61,14 +61,14 @@
         next.intents().addReturns(page.returns());
         assertTrue(await(next.record()));
         await(next.forgetEarlier());
-        assertEquals(List.of("i/4"), state.keys("i/"), "what is not completed is in its own record");
+        assertEquals(List.of("i/4"), state.keys("i/"), "only the new leader's record remains, with the open intents");
         next.intents().returned(page.returns());
         next.intents().add(RENT);
         assertTrue(await(next.record()));
         assertEquals(List.of("i/4"), state.keys("i/"));
     }
 
-    /** Leaders that followed each other quickly leave more records than a transaction may remove (12 here). */
+    /** Several quick changes of leader can leave more records than one transaction may remove (12 here). */
     @Test
     void manyEarlierRecordsAreRemovedInParts() throws Exception {
         for (int token = 10; token < 30; token++) {
@@ -84,7 +84,7 @@
         assertEquals(List.of(), state.keys("i/"));
     }
 
-    /** As many as the smallest announced value size allows, and one request in any case. */
+    /** The record holds as many intents as the smallest announced value size allows. */
     @Test
     void intentsBeyondTheRecordsSizeWait() throws Exception {
         context = fixture.context("value_kb = 2.0");
@@ -109,7 +109,7 @@
                 "t123-" + n, new MachinePool("quad", "a-zone-of-usual-length", true), 50, 1_800_000_000_000L);
     }
 
-    /** A leader that was replaced goes on between its check and its call to the cloud. */
+    /** A leader may be replaced after it has checked its leadership and before it calls the cloud. */
     @Test
     void replacedLeaderRecordsNothingAndMaySendNothing() throws Exception {
         IntentLog old = newLeader(3);
@@ -121,7 +121,7 @@
         assertEquals(List.of(), state.keys("i/"));
     }
 
-    /** The same node leads again: what its earlier term had in progress fails, and the new term goes on. */
+    /** When the same node leads again, a failed write of its earlier term must not end the new term. */
     @Test
     void endedTermDoesNotDeposeTheNextOne() throws Exception {
         IntentLog old = newLeader(3);
@@ -138,12 +138,12 @@
         log.intents().add(RENT);
         state.losingAnswers = 1;
         assertFalse(await(log.record().otherwise(false)));
-        assertFalse(log.intents().maySend("t3-1"), "it may be there or not");
-        assertFalse(await(log.record()), "its version is read first");
+        assertFalse(log.intents().maySend("t3-1"), "the outcome of the write is unknown");
+        assertFalse(await(log.record()), "the record's revision is read before the next write");
         assertTrue(await(log.record()) && log.intents().maySend("t3-1"));
         Future<Boolean> one = log.record();
         Future<Boolean> other = log.record();
-        assertTrue(await(one) && await(other), "two at once do not get in each other's way");
+        assertTrue(await(one) && await(other), "concurrent calls to record() must not conflict");
         assertFalse(deposed);
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LateElectionTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateElectionTransactionsTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Transactions of the leader election that get no response ({@link LateTransactionsHarness}). */
+/** Tests transactions of the leader election that get no response ({@link LateTransactionsHarness}). */
 class LateElectionTransactionsTest extends LateTransactionsHarness {
     private LeaderElection newElection(String node, int peers) {
         LeaderElection[] made = new LeaderElection[1];
@@ -63,7 +63,7 @@
         assertEquals(node + " lost", events.poll(20, TimeUnit.SECONDS));
     }
 
-    /** Stops a node, and lets the leases of its campaigns expire. */
+    /** Stops a node's election and expires all leases of its campaigns. */
     private void stopAndExpireLeases(LeaderElection of) throws Exception {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
         run(() -> {
@@ -77,7 +77,7 @@
     private static final Map<String, Case<LateElectionTransactionsTest>> CASES = new LinkedHashMap<>();
 
     static {
-        CASES.put("a campaign, after the next one", test -> {
+        CASES.put("campaign, executed after the next campaign", test -> {
             LeaderElection a = test.newElection("a", 0);
             test.loseOne(RecordKeys.LEADER);
             test.run(a::start);
@@ -85,7 +85,7 @@
             test.changesNothingMore();
             assertTrue(a.isValid());
         });
-        CASES.put("a campaign, after its node led and gave up", test -> {
+        CASES.put("campaign, executed after its node has led and resigned", test -> {
             LeaderElection a = test.newElection("a", 0);
             test.loseOne(RecordKeys.LEADER);
             test.run(a::start);
@@ -95,7 +95,7 @@
             test.changesNothingMore();
             assertFalse(test.service.has(RecordKeys.LEADER));
         });
-        CASES.put("a campaign, after another node led and gave up", test -> {
+        CASES.put("campaign, executed after another node has led and resigned", test -> {
             LeaderElection a = test.newElection("a", 0);
             test.loseAll(RecordKeys.LEADER);
             test.run(a::start);
@@ -103,7 +103,7 @@
             test.run(a::stop);
             test.pass();
             if (test.isAtOnce()) {
-                // The key stands under the campaign's grant, which ends by itself.
+                // The campaign has written the key, which is removed when its lease expires.
                 test.stopAndExpireLeases(a);
             }
             LeaderElection b = test.newElection("b", 0);
@@ -113,7 +113,7 @@
             test.until(() -> !test.service.has(RecordKeys.LEADER));
             test.changesNothingMore();
         });
-        CASES.put("a campaign, after its grant has ended", test -> {
+        CASES.put("campaign, executed after its lease has expired", test -> {
             LeaderElection a = test.newElection("a", 0);
             test.loseAll(RecordKeys.LEADER);
             test.run(a::start);
@@ -122,7 +122,7 @@
             test.changesNothingMore();
             assertFalse(test.service.has(RecordKeys.LEADER));
         });
-        CASES.put("the removal of a predecessor's key, after its node took it", test -> {
+        CASES.put("removal of a previous process's key, executed after its node has been elected", test -> {
             test.lead(1);
             await(test.client.commit(new StateClient.Txn()
                     .put(RecordKeys.LEADER, MessagePackFormat.map("node", "a", "process", "a0", "token", 1L))));
@@ -134,7 +134,7 @@
             test.changesNothingMore();
             assertTrue(test.service.has(RecordKeys.LEADER));
         });
-        CASES.put("the removal of the key of one that stood aside, after another took it", test -> {
+        CASES.put("removal of a resigned leader's key, executed after another node has been elected", test -> {
             LeaderElection a = test.newElection("a", 0);
             test.run(a::start);
             test.awaitGained("a");
@@ -154,7 +154,7 @@
             test.changesNothingMore();
             assertTrue(test.service.has(RecordKeys.LEADER));
         });
-        CASES.put("the word for start bounds, after the next leadership", test -> {
+        CASES.put("confirmation of start bounds, executed in the next leadership term", test -> {
             await(test.client.commit(
                     new StateClient.Txn().put(RecordKeys.COUNTER, MessagePackFormat.map("value", 7L))));
             LeaderElection a = test.newElection("a", 0);
@@ -171,11 +171,14 @@
             assertEquals(
                     test.isAtOnce(),
                     test.service.value(RecordKeys.COUNTER).flag("bounds", false),
-                    "said late, an older version may have led in between");
+                    "must be rejected if late, as a leader of an older version may have led since");
         });
     }
 
-    /** The key stands, by a transaction that its node gave up on: nobody leads by it, and a pledge given since binds. */
+    /**
+     * A campaign that got no response is executed late and writes the key. Its node must not lead under that key, and
+     * must respect the pledge that it has given since.
+     */
     @Test
     void aCampaignExecutedAfterItsNodeHasPledgedElectsNoLeader() throws Exception {
         LeaderElection a = newElection("a", 0);
@@ -194,7 +197,8 @@
         long token = LeaderKey.tokenOf(service.value(RecordKeys.LEADER).map());
         assertTrue(service.has(RecordKeys.LEADER) && events.isEmpty() && !a.isLeading());
         awaitGained("a");
-        assertTrue(clock.now().since(given).compareTo(Span.seconds(2)) >= 0, "a pledge binds");
+        assertTrue(
+                clock.now().since(given).compareTo(Span.seconds(2)) >= 0, "must not lead while its pledge is in force");
         assertTrue(LeaderKey.tokenOf(service.value(RecordKeys.LEADER).map()) > token);
     }
 
--- a/src/test/java/io/indigoreach/cluster/LateFeatureTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateFeatureTransactionsTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Transactions of optional features that get no response ({@link LateTransactionsHarness}). */
+/** Tests transactions of optional features that get no response ({@link LateTransactionsHarness}). */
 class LateFeatureTransactionsTest extends LateTransactionsHarness {
     private RoutineRunner records() {
         List<RecordFamily> families = new ArrayList<>(Registry.FAMILIES);
@@ -47,7 +47,7 @@
                                 new Transaction().when(seen.record(key)).delete(key));
     }
 
-    /** A part's write without an answer, then the same once more, then it comes late. */
+    /** Runs a routine whose write gets no response, repeats it, and then executes the first write late. */
     private <R> void twice(String key, RoutineRunner records, Supplier<Routine<R>> routine) throws Exception {
         loseOne(key);
         assertTrue(await(records.run(routine.get()).map(false).otherwise(true)));
@@ -59,14 +59,14 @@
 
     static {
         CASES.put(
-                "a record's first write, after its repeat",
+                "creation of a record, executed after its retry",
                 test -> test.twice("x/", test.records(), () -> new Replacing("x/1", MessagePackFormat.map("n", 1L))));
-        CASES.put("a record's change, after its repeat", test -> {
+        CASES.put("update of a record, executed after its retry", test -> {
             RoutineRunner records = test.records();
             await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L))));
             test.twice("x/", records, () -> new Replacing("x/1", MessagePackFormat.map("n", 2L)));
         });
-        CASES.put("a leader's write, after a change of leader", test -> {
+        CASES.put("write of a leader, executed after a change of leader", test -> {
             RoutineRunner records =
                     test.records().leading(RecordKeys.LEADER, test.lead(1), new RateLimiter(100, test.clock.now()));
             test.loseOne("x/");
@@ -76,7 +76,7 @@
             test.lead(4);
             test.changesNothingMore();
         });
-        CASES.put("a record's removal, after it was written anew", test -> {
+        CASES.put("removal of a record, executed after the record was written again", test -> {
             RoutineRunner records = test.records();
             await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L))));
             test.loseOne("x/");
@@ -84,7 +84,7 @@
             await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 2L))));
             test.changesNothingMore();
         });
-        CASES.put("a write, after a loss and a new era", test -> {
+        CASES.put("write, executed after a data loss and the start of a new era", test -> {
             RoutineRunner records = test.records();
             test.loseOne("x/");
             assertTrue(await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L)))
@@ -94,13 +94,13 @@
             test.changesNothingMore();
         });
         CASES.put(
-                "the registry's beginning",
+                "initialization of the ownership registry",
                 test -> test.twice("own/", test.records(), () -> new Beginning(true, "by test")));
         CASES.put(
-                "a claim's end before it began",
+                "end of a claim that has not begun",
                 test -> test.twice("own/", test.records(), () -> new Ending("export-1")));
         CASES.put(
-                "a calendar's text",
+                "text of a calendar",
                 test -> test.twice(
                         "cal/text/",
                         test.records(),
@@ -111,7 +111,7 @@
                                 1,
                                 "note")));
         CASES.put(
-                "a calendar's head",
+                "version record of a calendar",
                 test -> test.twice(
                         CalendarVersion.KEY,
                         test.records(),
--- a/src/test/java/io/indigoreach/cluster/LateTransactionsHarness.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionsHarness.java
@@ -47,9 +47,11 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /**
- * The set-up of tests in which a transaction gets no response (docs/notes/late-transactions.md), for every kind that the product
- * writes. Executed late, after newer transactions, it must change nothing. Executed at once, while only its response is lost,
- * its writer must find it done. The writes are the product's own; the state service stands in. Waits are for events, not times.
+ * Set-up for tests of transactions that get no response (docs/notes/late-transactions.md), for every kind of
+ * transaction that the controller writes. A transaction that is executed late, after newer ones, must change nothing.
+ * If it is executed at once and only its response is lost, the writer must detect that it was executed. The
+ * transactions come from production code and go to an emulated state service. Tests wait for events and never for a
+ * fixed time.
  */
 abstract class LateTransactionsHarness {
     static final MachinePool POOL = new MachinePool("quad", "a", true);
@@ -58,7 +60,7 @@
     static final Intents.Rent RENT = new Intents.Rent("t3-1", POOL, 50, 1000);
     final Vertx vertx = Vertx.vertx();
     final SteadyClock clock = new SteadyClock();
-    /** Vert.x closes a client that nothing refers to any more. */
+    /** Strong references, as Vert.x closes a client that is no longer reachable. */
     private final List<Object> kept = new ArrayList<>();
 
     final BlockingQueue<String> events = new ArrayBlockingQueue<>(100);
@@ -75,12 +77,12 @@
 
     private Unanswered mode = Unanswered.LATE;
 
-    /** One order of events, played by the test class that has the helpers for it. */
+    /** One sequence of events. {@code T} is the test class that provides the helper methods. */
     interface Case<T> {
         void play(T test) throws Exception;
     }
 
-    /** Each case twice, by when the transaction is executed. */
+    /** Returns the parameters of a test that runs each case once per {@link Unanswered} mode. */
     static <T> List<Object[]> bothWays(Map<String, Case<T>> table) {
         List<Object[]> all = new ArrayList<>();
         table.forEach((name, play) -> {
@@ -91,7 +93,7 @@
         return all;
     }
 
-    /** Plays one case. */
+    /** Runs one case in the given mode. */
     <T> void play(T test, Unanswered when, Case<T> play) throws Exception {
         mode = when;
         play.play(test);
@@ -129,7 +131,7 @@
     static void until(Callable<Boolean> holds) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (!holds.call()) {
-            assertTrue(System.nanoTime() < end, "in vain");
+            assertTrue(System.nanoTime() < end, "condition not met within 20 s");
             Thread.onSpinWait();
         }
     }
@@ -166,7 +168,7 @@
         leaveUnanswered(txn -> touches(txn, key));
     }
 
-    /** From now on all transactions get a response. */
+    /** Lets all transactions get a response from now on. */
     void pass() {
         leaveUnanswered(txn -> false);
     }
@@ -179,24 +181,24 @@
         until(() -> unanswered() > 0);
     }
 
-    /** Executes the transactions that were held back, which must be rejected; those that were executed at once must stay as they were. */
+    /** Executes the transactions that were held back, and checks that all are rejected, or that a response was lost. */
     void changesNothingMore() {
         pass();
         if (isAtOnce()) {
-            assertTrue(service.lost > 0, "every answer came");
+            assertTrue(service.lost > 0, "no response was lost");
             return;
         }
         List<Integer> statuses = service.executeLate();
-        assertFalse(statuses.isEmpty(), "nothing was held back");
-        assertFalse(statuses.contains(200), "carried out late: " + statuses);
+        assertFalse(statuses.isEmpty(), "no transaction was held back");
+        assertFalse(statuses.contains(200), "a late transaction was executed, statuses: " + statuses);
     }
 
-    /** Another leadership term begins. */
+    /** Writes the leadership key, which begins a new leadership term; returns its revision. */
     Revision lead(long token) throws Exception {
         return LeaderHarness.lead(client, token);
     }
 
-    /** A job service whose catalogue is known. */
+    /** Creates a job service whose machine catalogue is loaded. */
     JobService newJobService() throws Exception {
         JobService jobService = keep(new JobService(new JobService.Context(
                 vertx,
@@ -234,7 +236,7 @@
         return await(vertx.getOrCreateContext().executeBlocking(() -> null).compose(started -> work.get()));
     }
 
-    /** How many machines the pages name. */
+    /** Number of machines in all machine records. */
     int recordedMachines() {
         return service.keys(RecordKeys.MACHINE_PAGES).stream()
                 .mapToInt(key ->
@@ -242,7 +244,7 @@
                 .sum();
     }
 
-    /** One machine, one open job with two blocks, one finished job. */
+    /** Remembered state of one machine, one open job with two completion blocks, and one finished job. */
     RememberedState rememberedState() {
         RememberedState rememberedState = new RememberedState();
         Moment now = clock.now();
@@ -255,7 +257,7 @@
         return rememberedState;
     }
 
-    /** Rebuilds from what {@link #rememberedState} returns; false if that fails. */
+    /** Rebuilds the records from {@link #rememberedState()}; false if that fails. */
     boolean rebuilds(Revision leadershipRevision) throws Exception {
         return rebuilds(leadershipRevision, rememberedState());
     }
--- a/src/test/java/io/indigoreach/cluster/LeaderHarness.java
+++ b/src/test/java/io/indigoreach/cluster/LeaderHarness.java
@@ -26,12 +26,12 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** What the tests of a leader's tasks have in common: settings, a context, a scheduler core, and the leadership of a node. */
+/** Shared set-up for tests of a leader's tasks: configuration, context, scheduler core and leadership key. */
 final class LeaderHarness {
     static final Team TEAM = new Team("t", 0, 0, 0, 0);
     private static final long TIMEOUT_S = 20;
 
-    /** A listener to whom nothing matters. */
+    /** A listener that ignores all events. */
     private static final SchedulerListener SILENT = new SchedulerListener() {
         @Override
         public void taskCompleted(Job job) {}
@@ -42,12 +42,12 @@
 
     private LeaderHarness() {}
 
-    /** The settings of a small node. */
+    /** The configuration of a small node. */
     static PlatformConfig config() throws Exception {
         return config("");
     }
 
-    /** The settings of a small node, with limits of the state service that are announced. */
+    /** The configuration of a small node, with announced future limits of the state service. */
     static PlatformConfig config(String announcedLimits) throws Exception {
         return PlatformConfig.parse("test", """
                 node = "a"
@@ -76,7 +76,7 @@
                 """ + announcedLimits);
     }
 
-    /** A context of a small node; the caller adds what else its subject needs. */
+    /** A builder for the context of a small node; the caller adds further components. */
     static NodeContext.Builder context(Vertx vertx, SteadyClock clock, StateClient client) throws Exception {
         return NodeContext.builder()
                 .vertx(vertx)
@@ -87,7 +87,7 @@
                 .lease(Span.seconds(10));
     }
 
-    /** A scheduler core without any machine type. */
+    /** Creates a scheduler core without machine types. */
     static SchedulerCore core(NodeContext context, long token, List<Team> teams) {
         return new SchedulerCore(
                 new FencingToken(token),
@@ -98,7 +98,7 @@
                 SILENT);
     }
 
-    /** A scheduler core that has loaded its records: none. */
+    /** Creates a scheduler core that has finished loading, without any records. */
     static SchedulerCore loadedCore(NodeContext context, long token, MachineType type) {
         SchedulerCore core = core(context, token, List.of(TEAM));
         core.setTypes(List.of(type));
@@ -106,7 +106,7 @@
         return core;
     }
 
-    /** The one machine type of these tests. */
+    /** The only machine type in these tests. */
     static MachineType quad() {
         return new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
     }
@@ -117,7 +117,7 @@
                 .writtenRevision();
     }
 
-    /** The writes of a leader whose deposition has no effect. */
+    /** The write context of a leader, with a deposition listener that does nothing. */
     static LeaderWrites writes(NodeContext context, long token, Revision revision, double writesPerS) {
         return writes(context, token, revision, writesPerS, () -> {});
     }
@@ -132,7 +132,7 @@
         return new LeaderWrites(context, new FencingToken(token), revision, limiter, listener);
     }
 
-    /** A job array with an image name of its own. */
+    /** An array job with the given image. */
     static JobSpec spec(JobId id, int tasks, String image) {
         return JobSpec.builder(id)
                 .jobClass("c")
--- a/src/test/java/io/indigoreach/cluster/PeerPromisesTest.java
+++ b/src/test/java/io/indigoreach/cluster/PeerPromisesTest.java
@@ -19,7 +19,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** A malformed response is no pledge, and never means "nothing was cancelled"; responses of the previous version keep their meaning. */
+/**
+ * Tests that malformed responses are rejected, as they must count neither as a pledge nor as a report of no
+ * cancellations, and that messages stay compatible with the previous version.
+ */
 class PeerPromisesTest {
     private static Fields wire(Map<String, Object> message) {
         return MessagePackFormat.readMap(MessagePackFormat.write(message));
@@ -33,7 +36,7 @@
         assertEquals(Span.seconds(7), PeerPromises.readRequest(wire(PeerPromises.writeRequest(Span.seconds(7)))));
     }
 
-    /** A leader of the previous version reads these fields, and a node of that version writes no others. */
+    /** These two fields are the only ones that the previous version reads and writes. */
     @Test
     void previousVersionReadsAndWritesTheTimeSinceTheLastCancellation() {
         Fields toPreviousVersion =
--- a/src/test/java/io/indigoreach/cluster/TermFixture.java
+++ b/src/test/java/io/indigoreach/cluster/TermFixture.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** An emulated state service, a client of it, and the context of leadership terms, for tests of what a leader reads and writes. */
+/** An emulated state service, a client and contexts of leadership terms, for tests of a leader's reads and writes. */
 final class TermFixture implements AutoCloseable {
     private static final Span LEASE = Span.seconds(10);
 
@@ -35,7 +35,11 @@
         return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     }
 
-    /** A context without optional features; {@code nextLimits}: limits of the state service that are to come, as in the configuration. */
+    /**
+     * Creates a context without optional features.
+     *
+     * @param nextLimits announced future limits of the state service, in the format of the configuration
+     */
     NodeContext context(String nextLimits) throws Exception {
         return LeaderHarness.context(vertx, clock, client)
                 .config(LeaderHarness.config(nextLimits))
@@ -47,7 +51,7 @@
         return context("");
     }
 
-    /** A context with optional features. */
+    /** Creates a context with the given optional features. */
     NodeContext context(List<Parts.Kind> kinds) throws Exception {
         PlatformConfig config = LeaderHarness.config();
         Parts parts = Parts.of(kinds, vertx, client, clock, null, config, Settings.standard());
@@ -58,7 +62,7 @@
                 .build();
     }
 
-    /** Writes the leadership key, together with other records; the result is the key's revision. */
+    /** Writes the leadership key together with the given records; returns the key's revision. */
     Revision gainLeadership(long token, StateClient.Txn records) throws Exception {
         return await(client.commit(records.put(RecordKeys.LEADER, MessagePackFormat.map("t", token))))
                 .writtenRevision();
--- a/src/test/java/io/indigoreach/cluster/WarmUpTest.java
+++ b/src/test/java/io/indigoreach/cluster/WarmUpTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The heartbeat path is compiled only if it runs: tasks are started and ended repeatedly, and none are where the node leads. */
+/** Tests that the warm-up starts and ends tasks, and that it runs no heartbeats on a node that leads. */
 class WarmUpTest {
     @ParameterizedTest
     @CsvSource({"false, 100", "true, 0"})
