--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -39,7 +39,7 @@
      * @param accepted whether this node leads and has processed the heartbeat
      * @param token the fencing token of the leader that issued the commands; null unless accepted
      * @param commands the commands for the worker; empty unless accepted
-     * @param leader the node to which the worker should send its heartbeats; null if accepted, or if the leader is unknown
+     * @param leader the node that the worker should use instead; null if accepted, or if the leader is unknown
      */
     public record HeartbeatResponse(boolean accepted, FencingToken token, List<WorkerCommand> commands, String leader) {
         static HeartbeatResponse redirect(String leader) {
--- a/src/main/java/io/indigoreach/cluster/FleetManager.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -29,10 +29,7 @@
 final class FleetManager {
     private static final Logger LOG = LoggerFactory.getLogger(FleetManager.class);
     private static final Span PAUSE = Span.seconds(1);
-    /**
-     * Attempts at a fixed interval. After that the interval grows exponentially, and the request no longer delays new
-     * ones.
-     */
+    /** Number of attempts before the retry interval grows exponentially and the request no longer delays new ones. */
     private static final int MAX_QUICK_TRIES = 5;
 
     private static final Span MAX_RETRY_PAUSE = Span.seconds(16);
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -39,7 +39,7 @@
     private static final Span TICK_PERIOD = Span.seconds(0.5);
     /** Share of the state service's write rate that the leader uses; submissions and cancellations use the rest. */
     private static final double LEADER_WRITE_SHARE = 0.6;
-    /** Maximum age of a peer's response; later responses are ignored. */
+    /** Maximum duration of a request to the peers; a later response is too old to use. */
     private static final Span PEER_REQUEST_TIME = Span.seconds(3);
 
     private static final Span SUMMARY_PERIOD = Span.seconds(10);
@@ -75,7 +75,7 @@
     private final CancellationHorizon cancellationHorizon = new CancellationHorizon();
     private boolean startBoundsTrusted;
     private Moment lastSummaryAt = Moment.NEVER;
-    /** When this node began to respond to heartbeats. Gaps in heartbeats before that are not the machines' fault. */
+    /** When this node began to respond to heartbeats. Missing heartbeats before that do not count against a machine. */
     private Moment servingSince = Moment.NEVER;
 
     /**
@@ -328,7 +328,7 @@
         return core.areRecordsLoaded() && core.jobs().stream().noneMatch(Job::isInherited);
     }
 
-    /** Records that later leaders may rely on the start bounds, as this leader has recorded them for all open jobs. */
+    /** Records that later leaders may rely on the start bounds, as this leader has respected them for all open jobs. */
     private Future<Span> vouchForStartBounds() {
         return election.confirmStartBounds().map(recorded -> {
             startBoundsTrusted = recorded;
