--- a/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
+++ b/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
@@ -35,14 +35,14 @@
         Map<String, BitSet> inFlight = Map.of();
     }
 
-    private final LeaderWrites writes;
+    private final LeaderWriteContext writes;
     private final NodeContext context;
     private final PeriodicTask cleanupTask;
     private final Map<JobId, JobBlocks> blocksByJob = new HashMap<>();
     /** Keys of blocks that are to be deleted, as their jobs are no longer open. */
     private final Map<JobId, Set<String>> orphanedKeys = new LinkedHashMap<>();
 
-    CompletionBlockStore(LeaderWrites writes) {
+    CompletionBlockStore(LeaderWriteContext writes) {
         this.writes = writes;
         this.context = writes.context();
         this.cleanupTask =
@@ -177,7 +177,7 @@
         return context.state().commit(txn).map(outcome -> {
             if (outcome.done()) {
                 onDeleted(id, keys);
-            } else if (!cleanupTask.isCancelled() && LeaderWrites.isDeposed(outcome)) {
+            } else if (!cleanupTask.isCancelled() && LeaderWriteContext.isDeposed(outcome)) {
                 writes.deposed();
             }
             return PERIOD;
--- a/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
+++ b/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
@@ -24,7 +24,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(ConnectivityCheck.class);
     private static final Span PERIOD = Span.seconds(1);
     /** Age from which a response of the state service no longer shows that the service is reachable. */
-    private static final Span ANSWER_TIMEOUT = Span.seconds(2);
+    private static final Span MAX_RESPONSE_AGE = Span.seconds(2);
 
     private final SteadyClock clock;
     private final EventLoopMonitor loopMonitor;
@@ -34,9 +34,9 @@
     private final PeriodicTask task;
     private final IsolationCheck isolation = new IsolationCheck();
     private IsolationCheck.Verdict lastVerdict = IsolationCheck.Verdict.TOGETHER;
-    private Moment lastServedAt;
+    private Moment lastResponseAt;
     /** Whether the last request to the state service failed. */
-    private boolean unserved;
+    private boolean stateUnreachable;
 
     ConnectivityCheck(NodeContext context, Controller controller, PeerClient peers) {
         this.clock = context.clock();
@@ -44,7 +44,7 @@
         this.state = context.state();
         this.controller = controller;
         this.peers = peers;
-        this.lastServedAt = clock.now();
+        this.lastResponseAt = clock.now();
         this.task = new PeriodicTask(context.vertx(), "connectivity", PERIOD, this::step);
     }
 
@@ -69,49 +69,49 @@
     }
 
     /** Whether the last request to the state service failed. */
-    boolean isUnserved() {
-        return unserved;
+    boolean isStateUnreachable() {
+        return stateUnreachable;
     }
 
     /**
-     * Whether the last request to the state service succeeded, within {@link #ANSWER_TIMEOUT}. In the first second of
+     * Whether the last request to the state service succeeded, within {@link #MAX_RESPONSE_AGE}. In the first second of
      * an outage nodes still report that they can reach the service, so a leader queries them twice.
      */
-    boolean isServed() {
-        return !unserved && clock.now().since(lastServedAt).compareTo(ANSWER_TIMEOUT) < 0;
+    boolean isStateReachable() {
+        return !stateUnreachable && clock.now().since(lastResponseAt).compareTo(MAX_RESPONSE_AGE) < 0;
     }
 
     /**
      * Whether the state service has been unreachable long enough that, in an outage, the peers have detected it too.
      * False if this node's event loop was blocked during that time, which could be the cause.
      */
-    private boolean isSurelyUnserved() {
-        Span needed = ANSWER_TIMEOUT.times(2);
-        return loopMonitor.hasRunWithoutPauseFor(needed)
-                && clock.now().since(lastServedAt).compareTo(needed) >= 0;
+    private boolean isUnreachableBeyondDoubt() {
+        Span requiredTime = MAX_RESPONSE_AGE.times(2);
+        return loopMonitor.hasRunWithoutPauseFor(requiredTime)
+                && clock.now().since(lastResponseAt).compareTo(requiredTime) >= 0;
     }
 
     private Future<Span> step() {
         return state.check()
                 .map(answer -> {
-                    lastServedAt = clock.now();
+                    lastResponseAt = clock.now();
                     return false;
                 })
-                .onComplete(result -> unserved = result.failed())
-                .recover(e -> isRefusedAlone())
-                .map(refusedAlone -> {
-                    act(refusedAlone);
+                .onComplete(result -> stateUnreachable = result.failed())
+                .recover(e -> isOnlyThisNodeAffected())
+                .map(onlyThisNodeAffected -> {
+                    applyResult(onlyThisNodeAffected);
                     return PERIOD;
                 });
     }
 
-    private Future<Boolean> isRefusedAlone() {
-        if (!isSurelyUnserved()) {
+    private Future<Boolean> isOnlyThisNodeAffected() {
+        if (!isUnreachableBeyondDoubt()) {
             return Future.succeededFuture(false);
         }
-        return peers.arePeersServed()
+        return peers.canPeersReachState()
                 .map(answers -> isolation.onUnserved(answers, clock.now()))
-                .map(this::confirm);
+                .map(this::isRepeatedRefusal);
     }
 
     /**
@@ -120,7 +120,7 @@
      * reported that they reached the service, so the leader resigned when no other node could be elected, and all
      * running work was lost. Waiting for the second verdict has no cost, as the lease expires by then in any case.
      */
-    private boolean confirm(IsolationCheck.Verdict verdict) {
+    private boolean isRepeatedRefusal(IsolationCheck.Verdict verdict) {
         boolean repeated = verdict == lastVerdict;
         if (!repeated) {
             lastVerdict = verdict;
@@ -137,16 +137,16 @@
         }
     }
 
-    private void act(boolean refusedAlone) {
-        if (!unserved && isolation.onServed()) {
+    private void applyResult(boolean onlyThisNodeAffected) {
+        if (!stateUnreachable && isolation.onServed()) {
             lastVerdict = IsolationCheck.Verdict.TOGETHER;
             LOG.info("state service reachable");
         }
-        controller.setCutOff(isolation.isCutOff());
+        controller.setIsolated(isolation.isCutOff());
         if (state.losses().isHolding()) {
             peers.announceLoss(state.losses().era());
         }
-        Revision leadershipRevision = refusedAlone ? controller.stepAside() : null;
+        Revision leadershipRevision = onlyThisNodeAffected ? controller.resign() : null;
         if (leadershipRevision != null) {
             peers.requestHandover(leadershipRevision);
         }
--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -59,18 +59,18 @@
      */
     @FunctionalInterface
     interface PledgeSource {
-        Future<PeerPromises> request(Span lookBack);
+        Future<PledgeResponse> request(Span lookBack);
     }
 
     /** Interval between checks for a known leader while the node starts. */
-    private static final Span LEADER_POLL = Span.seconds(0.05);
+    private static final Span LEADER_POLL_INTERVAL = Span.seconds(0.05);
     /** Logged reason for resigning when only this node cannot reach the state service. */
     private static final String UNREACHABLE_FROM_THIS_NODE_ONLY = "unreachable-from-this-node-only";
 
     private final NodeContext context;
     private final LeaderElection election;
     private final FormatGate formatGate;
-    private final WarmUp warmUp;
+    private final HeartbeatWarmUp warmUp;
     /** The state that this node held at the end of its last leadership term. */
     private final LeaderMemory leaderMemory = new LeaderMemory();
 
@@ -78,12 +78,12 @@
     /** Null while this node does not lead. */
     private LeadershipTerm term;
 
-    private boolean cutOff;
+    private boolean isolated;
 
     /** @param renewalLoop the event loop for lease renewals, which must not be delayed by other work */
     Controller(NodeContext context, Vertx renewalLoop) {
         this.context = context;
-        this.warmUp = new WarmUp(context, () -> term != null);
+        this.warmUp = new HeartbeatWarmUp(context, () -> term != null);
         List<String> nodes = nodeNames(context.config());
         this.election = election(renewalLoop, nodes);
         this.formatGate = new FormatGate(
@@ -129,13 +129,13 @@
      * Called when the state service has lost data. A leader retains its state and campaigns again, to rebuild the
      * records from it.
      */
-    void onStateLoss() {
+    void onStateDataLoss() {
         election.deposed();
     }
 
     /** Whether this node leads and the job is open. */
-    boolean hasOpen(JobId id) {
-        return term != null && term.hasOpen(id);
+    boolean isJobOpen(JobId id) {
+        return term != null && term.isJobOpen(id);
     }
 
     /** This node's copy of a job's state if it leads; otherwise the job's final state, if known from the last term. */
@@ -144,9 +144,9 @@
             return term.rememberedState(id);
         }
         RememberedState rememberedState = new RememberedState();
-        RememberedState.FinishedJob end = leaderMemory.known().finished().get(id);
-        if (end != null) {
-            rememberedState.add(id, end);
+        RememberedState.FinishedJob finishedJob = leaderMemory.known().finished().get(id);
+        if (finishedJob != null) {
+            rememberedState.add(id, finishedJob);
         }
         return rememberedState;
     }
@@ -161,7 +161,7 @@
     }
 
     /** Sets how pledges are requested from the other nodes, and how to check that none of them leads. */
-    void setPeers(PledgeSource pledges, Supplier<Future<Boolean>> noPeerLeads) {
+    void setPeerQueries(PledgeSource pledges, Supplier<Future<Boolean>> noPeerLeads) {
         election.askPeersBy(() -> requestPledges(pledges), noPeerLeads);
     }
 
@@ -169,12 +169,12 @@
      * Whether every other node has pledged. Passes the cancellations in the responses to the term that requested them.
      */
     private Future<Boolean> requestPledges(PledgeSource pledges) {
-        Moment sent = context.clock().now();
-        LeadershipTerm requesting = term;
-        Span lookBack = requesting == null ? Span.ZERO : requesting.cancellationLookBack();
+        Moment sentAt = context.clock().now();
+        LeadershipTerm requestingTerm = term;
+        Span lookBack = requestingTerm == null ? Span.ZERO : requestingTerm.cancellationLookBack();
         return pledges.request(lookBack).map(promises -> {
-            if (requesting != null && requesting == term) {
-                requesting.onPeerCancellations(promises.cancellations(), sent);
+            if (requestingTerm != null && requestingTerm == term) {
+                requestingTerm.onPeerCancellations(promises.cancellations(), sentAt);
             }
             return promises.allPledged();
         });
@@ -195,8 +195,8 @@
     }
 
     /** Removes the leadership key of an earlier process of this node; true if no node leads afterwards. Never fails. */
-    public Future<Boolean> clearPredecessor(Function<String, Future<Boolean>> leads) {
-        return election.clearPredecessor(leads);
+    public Future<Boolean> removePredecessorKey(Function<String, Future<Boolean>> leadingQuery) {
+        return election.clearPredecessor(leadingQuery);
     }
 
     /**
@@ -205,19 +205,19 @@
      * the election. With three nodes and 450 machines, a leader was elected only 2.9 to 3.3 s after the listeners had
      * opened.
      */
-    Future<Void> leaderKnown(Moment deadline) {
-        return leaderKnown(election.leadershipRevision(), deadline);
+    Future<Void> awaitLeader(Moment deadline) {
+        return awaitLeader(election.leadershipRevision(), deadline);
     }
 
-    private Future<Void> leaderKnown(Revision previous, Moment deadline) {
-        boolean begun =
+    private Future<Void> awaitLeader(Revision previous, Moment deadline) {
+        boolean leaderElected =
                 election.leader() != null && !election.leadershipRevision().equals(previous);
-        if (election.isLeading() || begun || !context.clock().now().isBefore(deadline)) {
+        if (election.isLeading() || leaderElected || !context.clock().now().isBefore(deadline)) {
             return Future.succeededFuture();
         }
         return context.vertx()
-                .timer(LEADER_POLL.ms(), TimeUnit.MILLISECONDS)
-                .compose(timer -> leaderKnown(previous, deadline));
+                .timer(LEADER_POLL_INTERVAL.ms(), TimeUnit.MILLISECONDS)
+                .compose(timer -> awaitLeader(previous, deadline));
     }
 
     /** Starts the election campaign, the data format upgrade and the warm-up. */
@@ -247,7 +247,7 @@
      * Resigns because only this node cannot reach the state service. Returns the key's revision, or null if it does not
      * lead.
      */
-    Revision stepAside() {
+    Revision resign() {
         return election.stepAside(UNREACHABLE_FROM_THIS_NODE_ONLY);
     }
 
@@ -262,46 +262,46 @@
      * just started.
      */
     public Future<HeartbeatResponse> onHeartbeat(Supplier<Heartbeat> decoder) {
-        if (!mayAnswer()) {
-            return Future.succeededFuture(HeartbeatResponse.redirect(otherLeader()));
+        if (!mayRespond()) {
+            return Future.succeededFuture(HeartbeatResponse.redirect(redirectTarget()));
         }
-        LeadershipTerm current = term;
+        LeadershipTerm currentTerm = term;
         Heartbeat heartbeat = decoder.get();
         election.tokenSeen(heartbeat.token());
-        return current.onHeartbeat(heartbeat).map(result -> respond(current, heartbeat, result));
+        return currentTerm.onHeartbeat(heartbeat).map(result -> respond(currentTerm, heartbeat, result));
     }
 
-    private HeartbeatResponse respond(LeadershipTerm asked, Heartbeat heartbeat, HeartbeatResult result) {
+    private HeartbeatResponse respond(LeadershipTerm requestedTerm, Heartbeat heartbeat, HeartbeatResult result) {
         if (result.isSuperseded()) {
             election.deposed();
             return HeartbeatResponse.redirect(null);
         }
         // Checked again before responding: the leadership may have ended while the machine was being recorded.
-        if (asked == term && mayAnswer() && asked.mayAnswer(heartbeat.machine())) {
-            return new HeartbeatResponse(true, asked.token(), result.commands(), null);
+        if (requestedTerm == term && mayRespond() && requestedTerm.mayRespondTo(heartbeat.machine())) {
+            return new HeartbeatResponse(true, requestedTerm.token(), result.commands(), null);
         }
-        return HeartbeatResponse.redirect(otherLeader());
+        return HeartbeatResponse.redirect(redirectTarget());
     }
 
-    private boolean mayAnswer() {
-        return term != null && election.isValid() && term.isInformedOfCancellations();
+    private boolean mayRespond() {
+        return term != null && election.isValid() && term.knowsRecentCancellations();
     }
 
     /**
      * Sets whether this node reaches neither the state service nor any peer, which makes the leader it knows
      * unreliable.
      */
-    void setCutOff(boolean cutOff) {
-        this.cutOff = cutOff;
+    void setIsolated(boolean isolated) {
+        this.isolated = isolated;
     }
 
     /**
      * The other node that leads, or null if unknown: redirecting a worker to the wrong node costs more than no
      * redirect.
      */
-    private String otherLeader() {
+    private String redirectTarget() {
         String leader = election.leader();
-        return cutOff || context.config().node().equals(leader) ? null : leader;
+        return isolated || context.config().node().equals(leader) ? null : leader;
     }
 
     @Override
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -40,7 +40,7 @@
      */
     private static final Span MISSING_RETRY = Span.seconds(5);
 
-    private final LeaderWrites writes;
+    private final LeaderWriteContext writes;
     private final NodeContext context;
     private final JobRecordLookup lookup;
     private final SchedulerCore core;
@@ -52,7 +52,7 @@
     private final Set<JobId> writesInFlight = new HashSet<>();
     private final Map<JobId, Moment> nextLookupAt = new HashMap<>();
 
-    DependencyTask(LeaderWrites writes, SchedulerCore core, JobStore jobStore) {
+    DependencyTask(LeaderWriteContext writes, SchedulerCore core, JobStore jobStore) {
         this.writes = writes;
         this.context = writes.context();
         this.lookup = new JobRecordLookup(context.state());
@@ -209,7 +209,7 @@
             onCancelled(job.id());
             return Future.succeededFuture();
         }
-        if (LeaderWrites.isDeposed(outcome)) {
+        if (LeaderWriteContext.isDeposed(outcome)) {
             writes.deposed();
             return Future.succeededFuture();
         }
--- a/src/main/java/io/indigoreach/cluster/PartRegistry.java
+++ b/src/main/java/io/indigoreach/cluster/FeatureRegistry.java
@@ -13,17 +13,17 @@
  * Lists the optional features of a node. Belongs to the composition root, so that the package {@code parts}, on which
  * every feature is built, does not depend on any feature.
  */
-public final class PartRegistry {
+public final class FeatureRegistry {
     /** All optional features; a new feature is registered only here. */
-    private static final List<Parts.Kind> KINDS = List.of(
+    private static final List<Parts.Kind> FEATURES = List.of(
             new Parts.Kind(Settings.Setting.CALENDAR, CalendarPart.FAMILIES, CalendarPart::new),
             new Parts.Kind(Settings.Setting.RECORD_OWNERSHIP, Registry.FAMILIES, OwnershipPart::new),
             new Parts.Kind(Settings.Setting.WARM_POOLS, PoolRecords.FAMILIES, WarmPart::new));
 
-    private PartRegistry() {}
+    private FeatureRegistry() {}
 
     /** The optional features that the settings enable. */
     public static List<Parts.Kind> enabled(Settings settings) {
-        return KINDS.stream().filter(kind -> settings.get(kind.knob()) > 0).toList();
+        return FEATURES.stream().filter(kind -> settings.get(kind.knob()) > 0).toList();
     }
 }
--- a/src/main/java/io/indigoreach/cluster/PartsTask.java
+++ b/src/main/java/io/indigoreach/cluster/FeatureTask.java
@@ -21,10 +21,10 @@
  * one round at a time. Uses only the spare capacity of the leader's write rate, so that lease renewals, cancellations,
  * submissions and completions take precedence. Bound to the node's event loop.
  */
-final class PartsTask {
+final class FeatureTask {
     private static final Span PERIOD = Span.seconds(1);
     /** Delay between the garbage collection rounds of two features. */
-    private static final Span NEXT_ROUND = new Span(1);
+    private static final Span ROUND_DELAY = new Span(1);
 
     private final NodeContext context;
     private final SchedulerCore core;
@@ -33,15 +33,15 @@
 
     private final PeriodicTask collectionTask;
     private final List<Part.Term> terms = new ArrayList<>();
-    private final Map<Part, Moment> nextCollection = new HashMap<>();
+    private final Map<Part, Moment> nextCollectionAt = new HashMap<>();
 
-    PartsTask(NodeContext context, SchedulerCore core, Revision leadershipRevision, RateLimiter writeLimiter) {
+    FeatureTask(NodeContext context, SchedulerCore core, Revision leadershipRevision, RateLimiter writeLimiter) {
         this.context = context;
         this.core = core;
         this.routines = context.parts().all().isEmpty()
                 ? null
                 : context.parts().records().leading(RecordKeys.LEADER, leadershipRevision, writeLimiter);
-        this.collectionTask = new PeriodicTask(context.vertx(), "parts", PERIOD, this::collect);
+        this.collectionTask = new PeriodicTask(context.vertx(), "parts", PERIOD, this::collectGarbage);
     }
 
     void start() {
@@ -56,24 +56,24 @@
         terms.forEach(Part.Term::close);
     }
 
-    private Future<Span> collect() {
+    private Future<Span> collectGarbage() {
         Moment now = context.clock().now();
         for (Part part : context.parts().all()) {
             GarbageCollector collector = part.sweep();
-            if (collector != null && !now.isBefore(nextCollection.getOrDefault(part, Moment.NEVER))) {
+            if (collector != null && !now.isBefore(nextCollectionAt.getOrDefault(part, Moment.NEVER))) {
                 // Set before the round, so that a failing collection also waits for a period and does not block the
                 // other features.
-                nextCollection.put(part, now.plus(PERIOD));
-                return collect(part, collector);
+                nextCollectionAt.put(part, now.plus(PERIOD));
+                return collectGarbage(part, collector);
             }
         }
         return Future.succeededFuture(PERIOD);
     }
 
-    private Future<Span> collect(Part part, GarbageCollector collector) {
+    private Future<Span> collectGarbage(Part part, GarbageCollector collector) {
         return routines.run(collector.round()).map(wait -> {
-            nextCollection.put(part, context.clock().now().plus(wait));
-            return NEXT_ROUND;
+            nextCollectionAt.put(part, context.clock().now().plus(wait));
+            return ROUND_DELAY;
         });
     }
 }
--- a/src/main/java/io/indigoreach/cluster/FleetManager.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -28,29 +28,29 @@
  */
 final class FleetManager {
     private static final Logger LOG = LoggerFactory.getLogger(FleetManager.class);
-    private static final Span PAUSE = Span.seconds(1);
+    private static final Span RETRY_INTERVAL = Span.seconds(1);
     /** Number of attempts before the retry interval grows exponentially and the request no longer delays new ones. */
-    private static final int MAX_QUICK_TRIES = 5;
+    private static final int MAX_FAST_ATTEMPTS = 5;
 
-    private static final Span MAX_RETRY_PAUSE = Span.seconds(16);
+    private static final Span MAX_RETRY_INTERVAL = Span.seconds(16);
     /** Delay before the next check for requests to send, while none is due. */
-    private static final Span IDLE_PAUSE = Span.seconds(0.25);
+    private static final Span IDLE_DELAY = Span.seconds(0.25);
     /** Delay before another attempt to record an intent. */
-    private static final Span UNRECORDED_PAUSE = Span.seconds(0.1);
+    private static final Span UNRECORDED_RETRY_DELAY = Span.seconds(0.1);
 
-    private static final Span UNRECORDED_RETURN_PAUSE = Span.seconds(0.2);
+    private static final Span UNRECORDED_RETURN_RETRY_DELAY = Span.seconds(0.2);
 
     /**
      * A request to rent machines.
      *
      * @param name idempotency key, which all attempts share
      * @param requestedAt when the scheduler decided to rent the machines
-     * @param tries number of attempts that got no response
-     * @param nextTryAt earliest time of the next attempt
+     * @param attempts number of attempts that got no response
+     * @param nextAttemptAt earliest time of the next attempt
      */
-    private record Request(String name, ScaleOutRequest scaleOut, Moment requestedAt, int tries, Moment nextTryAt) {
-        boolean isSlow() {
-            return tries > MAX_QUICK_TRIES;
+    private record Request(String name, ScaleOutRequest scaleOut, Moment requestedAt, int attempts, Moment nextAttemptAt) {
+        boolean isBackingOff() {
+            return attempts > MAX_FAST_ATTEMPTS;
         }
 
         MachinePool pool() {
@@ -61,17 +61,17 @@
             return scaleOut.count();
         }
 
-        Request unanswered(Moment now) {
-            Span backoff = PAUSE.times(Math.pow(2, Math.max(0, tries - MAX_QUICK_TRIES)));
-            Span pause = backoff.compareTo(MAX_RETRY_PAUSE) < 0 ? backoff : MAX_RETRY_PAUSE;
-            return new Request(name, scaleOut, requestedAt, tries + 1, now.plus(pause));
+        Request afterFailedAttempt(Moment now) {
+            Span backoff = RETRY_INTERVAL.times(Math.pow(2, Math.max(0, attempts - MAX_FAST_ATTEMPTS)));
+            Span retryDelay = backoff.compareTo(MAX_RETRY_INTERVAL) < 0 ? backoff : MAX_RETRY_INTERVAL;
+            return new Request(name, scaleOut, requestedAt, attempts + 1, now.plus(retryDelay));
         }
     }
 
     private final NodeContext context;
     private final SchedulerCore core;
     private final FencingToken token;
-    private final BooleanSupplier mayAct;
+    private final BooleanSupplier leadershipValid;
     /**
      * Pause after each rental. Together with the response time it leaves part of the cloud's request rate for returns
      * and listings.
@@ -91,20 +91,20 @@
     private Moment lastCheckAt = Moment.NEVER;
 
     /**
-     * @param mayAct whether this node's leadership is valid; if it is not, another leader may already be using the
+     * @param leadershipValid whether this node's leadership is valid; if it is not, another leader may already be using the
      * machines
      */
     FleetManager(
-            NodeContext context, SchedulerCore core, FencingToken token, IntentLog intentLog, BooleanSupplier mayAct) {
+            NodeContext context, SchedulerCore core, FencingToken token, IntentLog intentLog, BooleanSupplier leadershipValid) {
         this.context = context;
         this.intentLog = intentLog;
-        this.mayAct = mayAct;
+        this.leadershipValid = leadershipValid;
         this.requestInterval = Span.seconds(1 / context.config().cloudLimits().requestsPerS());
         this.core = core;
         this.token = token;
-        this.scaleOutTask = new PeriodicTask(context.vertx(), "scale-out", PAUSE, this::scaleOutStep);
-        this.scaleInTask = new PeriodicTask(context.vertx(), "scale-in", PAUSE, this::scaleInStep);
-        this.listingTask = new PeriodicTask(context.vertx(), "machine-listing", PAUSE, this::listingStep);
+        this.scaleOutTask = new PeriodicTask(context.vertx(), "scale-out", RETRY_INTERVAL, this::scaleOutStep);
+        this.scaleInTask = new PeriodicTask(context.vertx(), "scale-in", RETRY_INTERVAL, this::scaleInStep);
+        this.listingTask = new PeriodicTask(context.vertx(), "machine-listing", RETRY_INTERVAL, this::listingStep);
     }
 
     void start() {
@@ -124,12 +124,12 @@
     /** Loads the requests that earlier leaders had in progress, to continue them. */
     Future<Void> load() {
         return intentLog.load().map(page -> {
-            inherit(page);
+            inheritRequests(page);
             return null;
         });
     }
 
-    private void inherit(Intents.Page page) {
+    private void inheritRequests(Intents.Page page) {
         Moment now = context.clock().now();
         core.inheritReturns(page.returns(), now);
         intentLog.intents().addReturns(page.returns());
@@ -148,32 +148,32 @@
     }
 
     private Future<Span> scaleOutStep() {
-        if (!mayAct.getAsBoolean()) {
-            return Future.succeededFuture(PAUSE);
+        if (!leadershipValid.getAsBoolean()) {
+            return Future.succeededFuture(RETRY_INTERVAL);
         }
         Moment now = context.clock().now();
-        if (openRequests.stream().allMatch(Request::isSlow)) {
+        if (openRequests.stream().allMatch(Request::isBackingOff)) {
             openNewRequests(now);
         }
         Request request = openRequests.stream()
-                .filter(open -> !now.isBefore(open.nextTryAt))
+                .filter(open -> !now.isBefore(open.nextAttemptAt))
                 .findFirst()
                 .orElse(null);
         return intentLog
                 .record()
-                .compose(recorded -> request == null ? idle(recorded) : sendIfRecorded(request, recorded));
+                .compose(recorded -> request == null ? removeEarlierRecordsIfIdle(recorded) : sendIfRecorded(request, recorded));
     }
 
-    private Future<Span> idle(boolean recorded) {
+    private Future<Span> removeEarlierRecordsIfIdle(boolean recorded) {
         return recorded && inheritedRequests.isEmpty()
-                ? intentLog.forgetEarlier().map(IDLE_PAUSE)
-                : Future.succeededFuture(IDLE_PAUSE);
+                ? intentLog.removeEarlierRecords().map(IDLE_DELAY)
+                : Future.succeededFuture(IDLE_DELAY);
     }
 
     private Future<Span> sendIfRecorded(Request request, boolean recorded) {
         boolean maySend =
                 inheritedRequests.contains(request.name) || intentLog.intents().maySend(request.name);
-        return recorded && maySend ? send(request) : Future.succeededFuture(UNRECORDED_PAUSE);
+        return recorded && maySend ? send(request) : Future.succeededFuture(UNRECORDED_RETRY_DELAY);
     }
 
     /** Creates requests for the machines that are needed now, at most once per check period. */
@@ -202,12 +202,12 @@
         return context.cloud()
                 .rent(request.name, request.pool(), request.count())
                 .map(rental -> onRental(request, rental))
-                .recover(e -> onUnanswered(request, e));
+                .recover(e -> onRentalFailed(request, e));
     }
 
     private Span onRental(Request request, CloudClient.Rental rental) {
         if (scaleOutTask.isCancelled()) {
-            return PAUSE;
+            return RETRY_INTERVAL;
         }
         if (rental.noCapacity()) {
             LOG.info("scale-out rejected for capacity count={} pool={}", request.count(), request.pool());
@@ -233,11 +233,11 @@
     /** Drops the unsent requests to the pool, which would be rejected as well. */
     private void onPoolExhausted(MachinePool pool, boolean noCapacity) {
         core.scaleOutRejected(pool, context.clock().now());
-        List<Request> futile = openRequests.stream()
-                .filter(open -> open.tries == 0 && open.pool().equals(pool) && !inheritedRequests.contains(open.name))
+        List<Request> unsentRequests = openRequests.stream()
+                .filter(open -> open.attempts == 0 && open.pool().equals(pool) && !inheritedRequests.contains(open.name))
                 .toList();
-        futile.forEach(this::complete);
-        openRequests.removeAll(futile);
+        unsentRequests.forEach(this::complete);
+        openRequests.removeAll(unsentRequests);
         if (noCapacity && openRequests.isEmpty()) {
             // Tasks are waiting and this pool has no capacity: try the next pool without waiting for the check period.
             lastCheckAt = Moment.NEVER;
@@ -248,10 +248,10 @@
      * Schedules a retry under the same name: the cloud may have rented the machines, and returns the same result for
      * the same name.
      */
-    private Future<Span> onUnanswered(Request request, Throwable cause) {
+    private Future<Span> onRentalFailed(Request request, Throwable cause) {
         LOG.info("scale-out unanswered count={} pool={} cause={}", request.count(), request.pool(), cause.getMessage());
-        openRequests.addFirst(request.unanswered(context.clock().now()));
-        return Future.succeededFuture(PAUSE);
+        openRequests.addFirst(request.afterFailedAttempt(context.clock().now()));
+        return Future.succeededFuture(RETRY_INTERVAL);
     }
 
     private void complete(Request request) {
@@ -260,22 +260,22 @@
     }
 
     private Future<Span> scaleInStep() {
-        if (!mayAct.getAsBoolean()) {
-            return Future.succeededFuture(PAUSE);
+        if (!leadershipValid.getAsBoolean()) {
+            return Future.succeededFuture(RETRY_INTERVAL);
         }
         core.setAwakeSince(context.loopMonitor().runningSince());
         core.planScaleIn(context.clock().now());
-        List<MachineId> leaving =
+        List<MachineId> machinesToReturn =
                 intentLog.intents().addReturns(core.machinesToReturn(CloudClient.maxMachinesPerReturn()));
-        if (leaving.isEmpty()) {
+        if (machinesToReturn.isEmpty()) {
             return Future.succeededFuture(context.settings().tuning().checkPeriod());
         }
-        return intentLog.record().compose(recorded -> returnIfRecorded(leaving, recorded));
+        return intentLog.record().compose(recorded -> returnIfRecorded(machinesToReturn, recorded));
     }
 
     private Future<Span> returnIfRecorded(List<MachineId> machines, boolean recorded) {
-        if (!recorded || !intentLog.intents().mayReturn(machines) || !mayAct.getAsBoolean()) {
-            return Future.succeededFuture(UNRECORDED_RETURN_PAUSE);
+        if (!recorded || !intentLog.intents().mayReturn(machines) || !leadershipValid.getAsBoolean()) {
+            return Future.succeededFuture(UNRECORDED_RETURN_RETRY_DELAY);
         }
         return context.cloud().returnMachines(machines).map(answered -> {
             if (!scaleInTask.isCancelled()) {
@@ -295,8 +295,8 @@
             }
             // After a failover, tasks of machines that send no heartbeats wait until a listing shows whether the
             // machines still exist.
-            Span usual = context.settings().span(Settings.Setting.LIST_EVERY_S);
-            return core.isFailoverComplete() || usual.compareTo(PAUSE) < 0 ? usual : PAUSE;
+            Span interval = context.settings().span(Settings.Setting.LIST_EVERY_S);
+            return core.isFailoverComplete() || interval.compareTo(RETRY_INTERVAL) < 0 ? interval : RETRY_INTERVAL;
         });
     }
 }
--- a/src/main/java/io/indigoreach/cluster/WarmUp.java
+++ b/src/main/java/io/indigoreach/cluster/HeartbeatWarmUp.java
@@ -44,14 +44,14 @@
  * heartbeats are spread over time, to limit the effect on users' requests. The warm-up ends when the node leads, as
  * real heartbeats then run the same path. Bound to the node's event loop.
  */
-final class WarmUp {
+final class HeartbeatWarmUp {
     /** Delay after the node's start, which is busy with other work. */
     private static final Span START_DELAY = Span.seconds(5);
 
-    private static final Span PAUSE = Span.seconds(0.08);
-    private static final int HEARTBEATS = 350;
-    private static final int MACHINES = 12;
-    private static final int JOBS = 24;
+    private static final Span HEARTBEAT_INTERVAL = Span.seconds(0.08);
+    private static final int HEARTBEAT_COUNT = 350;
+    private static final int MACHINE_COUNT = 12;
+    private static final int JOB_COUNT = 24;
     private static final int TASKS_PER_JOB = 40;
     /** Rounds over all machines between the rounds in which all running tasks end. */
     private static final int ROUNDS_PER_RUN = 3;
@@ -69,13 +69,13 @@
     /** Task statuses that each machine reports in its next heartbeat, by machine index. */
     private final Map<Integer, List<TaskStatus>> statuses = new HashMap<>();
 
-    private int heartbeats;
-    private int startCommands;
+    private int heartbeatCount;
+    private int startCommandCount;
 
-    WarmUp(NodeContext context, BooleanSupplier leads) {
+    HeartbeatWarmUp(NodeContext context, BooleanSupplier leads) {
         this.context = context;
         this.leads = leads;
-        this.task = new PeriodicTask(context.vertx(), "warm-up", PAUSE, this::step);
+        this.task = new PeriodicTask(context.vertx(), "warm-up", HEARTBEAT_INTERVAL, this::step);
     }
 
     void start() {
@@ -87,28 +87,28 @@
     }
 
     /** Number of start commands that the synthetic scheduler core has issued. */
-    int startCommands() {
-        return startCommands;
+    int startCommandCount() {
+        return startCommandCount;
     }
 
     Future<Span> step() {
-        if (leads.getAsBoolean() || heartbeats >= HEARTBEATS) {
+        if (leads.getAsBoolean() || heartbeatCount >= HEARTBEAT_COUNT) {
             core = null;
             statuses.clear();
             task.cancel();
-            return Future.succeededFuture(PAUSE);
+            return Future.succeededFuture(HEARTBEAT_INTERVAL);
         }
         if (core == null) {
             core = newCore();
             addMachines();
             addJobs();
         }
-        sendHeartbeat(heartbeats++ % MACHINES);
-        return Future.succeededFuture(PAUSE);
+        sendHeartbeat(heartbeatCount++ % MACHINE_COUNT);
+        return Future.succeededFuture(HEARTBEAT_INTERVAL);
     }
 
     private SchedulerCore newCore() {
-        SchedulerListener silent = new SchedulerListener() {
+        SchedulerListener noOpListener = new SchedulerListener() {
             @Override
             public void taskCompleted(Job job) {}
 
@@ -122,7 +122,7 @@
                 new ServiceLevelObjectives(
                         List.of(new ServiceLevelObjectives.Objective("c0", false, Span.seconds(200)))),
                 List.of(new Team(TEAM, 0, 0, 0, 0)),
-                silent);
+                noOpListener);
     }
 
     private void addMachines() {
@@ -132,14 +132,14 @@
         core.recordsLoaded();
         Moment now = context.clock().now();
         List<MachineId> ids =
-                IntStream.range(0, MACHINES).mapToObj(WarmUp::machine).toList();
+                IntStream.range(0, MACHINE_COUNT).mapToObj(HeartbeatWarmUp::machine).toList();
         core.rented(POOL, ids, now, now);
         ids.forEach(core::recorded);
     }
 
     private void addJobs() {
         Moment now = context.clock().now();
-        for (int index = 0; index < JOBS; index++) {
+        for (int index = 0; index < JOB_COUNT; index++) {
             core.addJob(new Job(
                     spec(index),
                     context.clock().timeOfDay(),
@@ -180,7 +180,7 @@
                 machine(machine),
                 "0.0.0.0:0",
                 POOL,
-                new HeartbeatNumber(1, heartbeats + 1),
+                new HeartbeatNumber(1, heartbeatCount + 1),
                 TOKEN,
                 null,
                 statuses.getOrDefault(machine, List.of()));
@@ -190,7 +190,7 @@
                 core.onHeartbeat(received, context.clock().now()).commands();
         MessagePackFormat.write(WorkerCodec.writeResponse(TOKEN, commands));
         core.expireLeases(context.clock().now());
-        boolean tasksEnd = heartbeats / MACHINES % ROUNDS_PER_RUN == ROUNDS_PER_RUN - 1;
+        boolean tasksEnd = heartbeatCount / MACHINE_COUNT % ROUNDS_PER_RUN == ROUNDS_PER_RUN - 1;
         statuses.put(machine, nextStatuses(machine, commands, tasksEnd));
     }
 
@@ -203,7 +203,7 @@
         }
         for (WorkerCommand command : commands) {
             if (command instanceof WorkerCommand.Start start) {
-                startCommands++;
+                startCommandCount++;
                 next.add(status(start, tasksEnd));
             }
         }
--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -40,17 +40,17 @@
     private final Revision leadershipRevision;
     private final Runnable onDeposed;
     private final RateLimiter writeLimiter;
-    private final String ownKey;
-    private final Intents intents = new Intents(new HalfOfRecordEach());
+    private final String recordKey;
+    private final Intents intents = new Intents(new RecordSizeLimit());
     /** Keys and revisions of the earlier leaders' records. */
     private final Map<String, Revision> earlierRecords = new LinkedHashMap<>();
 
     private boolean cancelled;
-    private Revision ownRevision = Revision.ABSENT;
+    private Revision recordRevision = Revision.ABSENT;
     /** Whether the revision of this leader's record must be read before the next write. */
     private boolean revisionUnknown;
     /** Whether a write got no response; it may still be executed, until a later write has been. */
-    private boolean writeUnanswered;
+    private boolean writeOutcomeUnknown;
 
     private Future<Boolean> writeInProgress;
     private Moment lastWriteAt = Moment.NEVER;
@@ -66,25 +66,25 @@
         this.leadershipRevision = leadershipRevision;
         this.onDeposed = onDeposed;
         this.writeLimiter = writeLimiter;
-        this.ownKey = RecordKeys.intentsKey(token);
+        this.recordKey = RecordKeys.intentsKey(token);
     }
 
     /** Limits rent requests and machine returns to half of the record's maximum size each. */
-    private final class HalfOfRecordEach implements Intents.Size {
-        private int half() {
+    private final class RecordSizeLimit implements Intents.Size {
+        private int bytesPerKind() {
             return (context.limits().maxRecordBytes() - EMPTY_RECORD_BYTES) / 2;
         }
 
         @Override
         public boolean hasRoomForRent(Collection<Intents.Rent> rents, Intents.Rent next) {
             int used = rents.stream().mapToInt(IntentRecordCodec::bytes).sum();
-            return used + IntentRecordCodec.bytes(next) <= half();
+            return used + IntentRecordCodec.bytes(next) <= bytesPerKind();
         }
 
         @Override
         public boolean hasRoomForReturn(Collection<MachineId> returns, MachineId next) {
             int used = returns.stream().mapToInt(IntentRecordCodec::bytes).sum();
-            return used + IntentRecordCodec.bytes(next) <= half();
+            return used + IntentRecordCodec.bytes(next) <= bytesPerKind();
         }
     }
 
@@ -124,7 +124,7 @@
      * Removes the records of earlier leaders, once all intents in them are completed; at most one transaction's worth
      * per call.
      */
-    Future<Void> forgetEarlier() {
+    Future<Void> removeEarlierRecords() {
         List<String> keys = earlierRecords.keySet().stream()
                 .limit(context.limits().txnOps())
                 .toList();
@@ -137,13 +137,13 @@
         return context.state()
                 .commit(txn)
                 .map(outcome -> {
-                    onEarlierRemoved(keys, outcome);
+                    onEarlierRecordsRemoved(keys, outcome);
                     return (Void) null;
                 })
                 .otherwiseEmpty();
     }
 
-    private void onEarlierRemoved(List<String> keys, StateClient.Outcome outcome) {
+    private void onEarlierRecordsRemoved(List<String> keys, StateClient.Outcome outcome) {
         if (outcome.done()) {
             keys.forEach(earlierRecords::remove);
         } else if (outcome.failed().contains(RecordKeys.LEADER)) {
@@ -163,9 +163,9 @@
             return writeInProgress.transform(result -> record());
         }
         writeInProgress = writeIfNeeded();
-        Future<Boolean> begun = writeInProgress;
-        begun.onComplete(result -> writeInProgress = null);
-        return begun;
+        Future<Boolean> startedWrite = writeInProgress;
+        startedWrite.onComplete(result -> writeInProgress = null);
+        return startedWrite;
     }
 
     private Future<Boolean> writeIfNeeded() {
@@ -173,7 +173,7 @@
         if (intents.isUnrecorded()) {
             return writeLimiter.take(1, now) ? write(now) : Future.succeededFuture(false);
         }
-        boolean cleanup = (writeUnanswered || intents.isOutdated())
+        boolean cleanup = (writeOutcomeUnknown || intents.isOutdated())
                 && now.since(lastWriteAt).compareTo(CLEANUP_INTERVAL) >= 0
                 && writeLimiter.takeSpare(1, now);
         return cleanup ? write(now).map(true).otherwise(true) : Future.succeededFuture(true);
@@ -181,36 +181,36 @@
 
     private Future<Boolean> write(Moment now) {
         if (revisionUnknown) {
-            return readOwnRevision().map(false);
+            return readRecordRevision().map(false);
         }
         Intents.Page page = intents.page();
         // Without intents, an absent record is not created, but the transaction still checks its conditions.
-        boolean puts = writeUnanswered || !page.isEmpty() || !ownRevision.equals(Revision.ABSENT);
+        boolean writesRecord = writeOutcomeUnknown || !page.isEmpty() || !recordRevision.equals(Revision.ABSENT);
         StateClient.Txn txn = new StateClient.Txn()
                 .when(RecordKeys.LEADER, leadershipRevision)
-                .when(ownKey, ownRevision);
-        if (puts) {
-            txn.put(ownKey, IntentRecordCodec.writeIntents(page));
+                .when(recordKey, recordRevision);
+        if (writesRecord) {
+            txn.put(recordKey, IntentRecordCodec.writeIntents(page));
         }
         lastWriteAt = now;
         return context.state()
                 .commit(txn)
-                .map(outcome -> onWritten(page, puts, outcome))
+                .map(outcome -> onWritten(page, writesRecord, outcome))
                 .onFailure(this::onWriteFailed);
     }
 
-    private Future<Void> readOwnRevision() {
-        return context.state().get(ownKey).map(entry -> {
-            ownRevision = entry == null ? Revision.ABSENT : entry.revision();
+    private Future<Void> readRecordRevision() {
+        return context.state().get(recordKey).map(entry -> {
+            recordRevision = entry == null ? Revision.ABSENT : entry.revision();
             revisionUnknown = false;
             return null;
         });
     }
 
-    private boolean onWritten(Intents.Page page, boolean puts, StateClient.Outcome outcome) {
+    private boolean onWritten(Intents.Page page, boolean recordWritten, StateClient.Outcome outcome) {
         if (outcome.done()) {
-            ownRevision = puts ? outcome.writtenRevision() : Revision.ABSENT;
-            writeUnanswered = false;
+            recordRevision = recordWritten ? outcome.writtenRevision() : Revision.ABSENT;
+            writeOutcomeUnknown = false;
             intents.recorded(page);
             return true;
         }
@@ -223,6 +223,6 @@
 
     private void onWriteFailed(Throwable cause) {
         revisionUnknown |= !StateClient.surelyNotExecuted(cause);
-        writeUnanswered |= revisionUnknown;
+        writeOutcomeUnknown |= revisionUnknown;
     }
 }
--- a/src/main/java/io/indigoreach/cluster/JobLoader.java
+++ b/src/main/java/io/indigoreach/cluster/JobLoader.java
@@ -33,7 +33,7 @@
     /** For how long a new leader repairs unreadable records before it continues without the rest. */
     private static final Span REPAIR_TIME = Span.seconds(2);
 
-    private final LeaderJobs jobs;
+    private final JobStoreComponents jobs;
     private final NodeContext context;
     private final CompletionBlockStore completionBlocks;
     private final MachineStore machineStore;
@@ -45,7 +45,7 @@
     private final Moment termBeganAt;
 
     JobLoader(
-            LeaderJobs jobs,
+            JobStoreComponents jobs,
             CompletionBlockStore completionBlocks,
             MachineStore machineStore,
             CancellationHorizon horizon) {
--- a/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
+++ b/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
@@ -39,7 +39,7 @@
     /** Changes of the transaction that moves a completed job to its final record. */
     private static final int MOVE_SIZE = 2;
 
-    private final LeaderWrites writes;
+    private final LeaderWriteContext writes;
     private final StateClient state;
     private final JobRecordLookup lookup;
     private final SchedulerCore core;
@@ -57,7 +57,7 @@
     private final Set<JobId> reportedTooLong = new HashSet<>();
 
     JobRecordWriter(
-            LeaderWrites writes, SchedulerCore core, CompletionBlockStore completionBlocks, FinishedJobs finishedJobs) {
+            LeaderWriteContext writes, SchedulerCore core, CompletionBlockStore completionBlocks, FinishedJobs finishedJobs) {
         this.writes = writes;
         this.state = writes.context().state();
         this.lookup = new JobRecordLookup(state);
@@ -292,7 +292,7 @@
             } else {
                 onProgressWritten(sent, outcome.writtenRevision());
             }
-        } else if (LeaderWrites.isDeposed(outcome)) {
+        } else if (LeaderWriteContext.isDeposed(outcome)) {
             writes.deposed();
         } else {
             dirty.add(sent.job());
--- a/src/main/java/io/indigoreach/cluster/JobStore.java
+++ b/src/main/java/io/indigoreach/cluster/JobStore.java
@@ -20,7 +20,7 @@
  */
 final class JobStore {
     private final NodeContext context;
-    private final LeaderJobs jobs;
+    private final JobStoreComponents jobs;
     private final CompletionBlockStore completionBlocks;
     private final JobLoader loader;
     private final OpenJobEvents events;
@@ -30,14 +30,14 @@
      * @param startBoundsTrusted every leader so far has respected the jobs' start bounds
      */
     JobStore(
-            LeaderWrites writes,
+            LeaderWriteContext writes,
             SchedulerCore core,
             MachineStore machineStore,
             boolean startBoundsTrusted,
             CancellationHorizon horizon) {
         this.context = writes.context();
         this.completionBlocks = new CompletionBlockStore(writes);
-        this.jobs = LeaderJobs.create(writes, core, completionBlocks, startBoundsTrusted);
+        this.jobs = JobStoreComponents.create(writes, core, completionBlocks, startBoundsTrusted);
         this.loader = new JobLoader(jobs, completionBlocks, machineStore, horizon);
         this.events = new OpenJobEvents(jobs, horizon);
     }
--- a/src/main/java/io/indigoreach/cluster/LeaderWrites.java
+++ b/src/main/java/io/indigoreach/cluster/LeaderWriteContext.java
@@ -13,7 +13,7 @@
  * @param leadershipRevision the revision of the leadership key, on which every write is conditional
  * @param limiter the write rate limit, shared by all writers of the term
  */
-record LeaderWrites(
+record LeaderWriteContext(
         NodeContext context,
         FencingToken token,
         Revision leadershipRevision,
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -40,13 +40,13 @@
     /** Share of the state service's write rate that the leader uses; submissions and cancellations use the rest. */
     private static final double LEADER_WRITE_SHARE = 0.6;
     /** Maximum duration of a request to the peers; a later response is too old to use. */
-    private static final Span PEER_REQUEST_TIME = Span.seconds(3);
+    private static final Span MAX_PEER_RESPONSE_AGE = Span.seconds(3);
 
     private static final Span SUMMARY_PERIOD = Span.seconds(10);
-    private static final Span LOAD_RETRY = Span.seconds(0.3);
-    private static final Span CATALOGUE_RETRY = Span.seconds(0.2);
+    private static final Span LOAD_RETRY_DELAY = Span.seconds(0.3);
+    private static final Span CATALOGUE_RETRY_DELAY = Span.seconds(0.2);
     /** Delay before unreadable records are read again. */
-    private static final Span UNREADABLE_RETRY = Span.seconds(5);
+    private static final Span UNREADABLE_RETRY_DELAY = Span.seconds(5);
     /** Name, in the settings, of an objective on the time until a job starts. */
     private static final String WAIT_OBJECTIVE = "wait";
 
@@ -62,14 +62,14 @@
     private final LeaderElection election;
     private final Supplier<Future<RememberedState>> gatherRememberedState;
     private final SchedulerCore core;
-    private final LeaderWrites writes;
+    private final LeaderWriteContext writes;
     private final MachineStore machineStore;
     private final JobStore jobStore;
     private final DependencyTask dependencyTask;
     private final FleetManager fleetManager;
     private final JobWatch jobWatch;
     private final FinalRecordWatch finalRecordWatch;
-    private final PartsTask partsTask;
+    private final FeatureTask partsTask;
     private final PeriodicTask loadTask;
     private final PeriodicTask tickTask;
     private final CancellationHorizon cancellationHorizon = new CancellationHorizon();
@@ -92,7 +92,7 @@
         this.gatherRememberedState = gatherRememberedState;
         this.startBoundsTrusted = leadership.startBoundsTrusted();
         this.core = newCore(context, leadership.token(), this);
-        this.writes = new LeaderWrites(
+        this.writes = new LeaderWriteContext(
                 context, leadership.token(), leadership.revision(), newWriteLimiter(context), election::deposed);
         this.machineStore = new MachineStore(writes, core);
         this.jobStore = new JobStore(writes, core, machineStore, startBoundsTrusted, cancellationHorizon);
@@ -100,8 +100,8 @@
         this.fleetManager = newFleetManager();
         this.jobWatch = new JobWatch(context, jobStore, cancellationHorizon);
         this.finalRecordWatch = new FinalRecordWatch(context);
-        this.partsTask = new PartsTask(context, core, leadership.revision(), writes.limiter());
-        this.loadTask = new PeriodicTask(context.vertx(), "load records", LOAD_RETRY, this::load);
+        this.partsTask = new FeatureTask(context, core, leadership.revision(), writes.limiter());
+        this.loadTask = new PeriodicTask(context.vertx(), "load records", LOAD_RETRY_DELAY, this::load);
         this.tickTask = new PeriodicTask(context.vertx(), "tick", TICK_PERIOD, this::tick);
     }
 
@@ -161,7 +161,7 @@
      * Always false before the records are loaded: an earlier leader may have missed an old cancellation, and an outage
      * could still prevent the records from being read.
      */
-    boolean isInformedOfCancellations() {
+    boolean knowsRecentCancellations() {
         Moment now = context.clock().now();
         Span maxAge = context.config().rules().maxCancellationAge();
         return core.areRecordsLoaded()
@@ -170,7 +170,7 @@
 
     /** The age of the oldest cancellation that this leader requests from its peers. */
     Span cancellationLookBack() {
-        return cancellationHorizon.lookBack(context.clock().now(), PEER_REQUEST_TIME);
+        return cancellationHorizon.lookBack(context.clock().now(), MAX_PEER_RESPONSE_AGE);
     }
 
     /** Applies the cancellations that the peers reported in response to a request sent at {@code sentAt}. */
@@ -209,21 +209,21 @@
     }
 
     private HeartbeatResult withStartCommands(HeartbeatResult result, Heartbeat heartbeat) {
-        List<WorkerCommand> all = new ArrayList<>(result.commands());
-        all.addAll(core.startTasks(
+        List<WorkerCommand> allCommands = new ArrayList<>(result.commands());
+        allCommands.addAll(core.startTasks(
                 heartbeat.machine(), heartbeat.number(), context.clock().now()));
-        return new HeartbeatResult.Commands(all);
+        return new HeartbeatResult.Commands(allCommands);
     }
 
     /** Whether this leader may respond to a machine's heartbeat; if not, the machine's lease expires. */
-    boolean mayAnswer(MachineId machine) {
+    boolean mayRespondTo(MachineId machine) {
         return core.mayAnswer(machine);
     }
 
     /** Makes one attempt to load the records; returns the delay until the next attempt. */
     private Future<Span> load() {
         if (!context.catalogue().isKnown()) {
-            return Future.succeededFuture(CATALOGUE_RETRY);
+            return Future.succeededFuture(CATALOGUE_RETRY_DELAY);
         }
         core.setTypes(context.catalogue().types());
         return rebuildIfLost()
@@ -260,7 +260,7 @@
             return Future.failedFuture(failure);
         }
         LOG.error("leadership blocked by unreadable record cause={}", failure.getMessage());
-        return Future.succeededFuture(UNREADABLE_RETRY);
+        return Future.succeededFuture(UNREADABLE_RETRY_DELAY);
     }
 
     /** If the state service has lost data, rewrites the lost records before they are loaded. */
@@ -278,7 +278,7 @@
     }
 
     /** Whether the job is open, among the jobs that this leader has loaded. */
-    boolean hasOpen(JobId id) {
+    boolean isJobOpen(JobId id) {
         return core.job(id) != null;
     }
 
@@ -315,7 +315,7 @@
             return Future.succeededFuture(TICK_PERIOD);
         }
         if (!startBoundsTrusted && hasNoInheritedJobs()) {
-            return vouchForStartBounds();
+            return confirmStartBounds();
         }
         if (now.since(lastSummaryAt).compareTo(SUMMARY_PERIOD) >= 0) {
             lastSummaryAt = now;
@@ -329,7 +329,7 @@
     }
 
     /** Records that later leaders may rely on the start bounds, as this leader has respected them for all open jobs. */
-    private Future<Span> vouchForStartBounds() {
+    private Future<Span> confirmStartBounds() {
         return election.confirmStartBounds().map(recorded -> {
             startBoundsTrusted = recorded;
             return TICK_PERIOD;
--- a/src/main/java/io/indigoreach/cluster/MachineStore.java
+++ b/src/main/java/io/indigoreach/cluster/MachineStore.java
@@ -46,7 +46,7 @@
     /** A machine whose heartbeat waits for its record. */
     private record PendingRecord(Promise<Boolean> recorded, Moment since) {}
 
-    private final LeaderWrites writes;
+    private final LeaderWriteContext writes;
     private final NodeContext context;
     private final SchedulerCore core;
     private final PeriodicTask writeTask;
@@ -55,7 +55,7 @@
     private int pagesCreated;
     private Moment lastWriteAt = Moment.NEVER;
 
-    MachineStore(LeaderWrites writes, SchedulerCore core) {
+    MachineStore(LeaderWriteContext writes, SchedulerCore core) {
         this.writes = writes;
         this.context = writes.context();
         this.core = core;
@@ -300,7 +300,7 @@
     private void onResponse(StateClient.Outcome outcome, List<MachinePage> written, Consumer<Revision> onDone) {
         if (outcome.done()) {
             onDone.accept(outcome.writtenRevision());
-        } else if (LeaderWrites.isDeposed(outcome)) {
+        } else if (LeaderWriteContext.isDeposed(outcome)) {
             writes.deposed();
         } else {
             written.forEach(page -> page.setRevisionUncertain(true));
--- a/src/main/java/io/indigoreach/cluster/Node.java
+++ b/src/main/java/io/indigoreach/cluster/Node.java
@@ -26,10 +26,10 @@
  */
 public final class Node {
     /** Share of the state service's request rate that all nodes together use for users' queries. */
-    private static final double QUERY_SHARE = 0.5;
+    private static final double QUERY_RATE_SHARE = 0.5;
 
     /** Maximum time that a starting node waits for a leader to be elected before it opens its HTTP listener. */
-    private static final Span LEADER_WAIT = Span.seconds(3);
+    private static final Span MAX_LEADER_WAIT = Span.seconds(3);
 
     private static final int STATE_CONNECTIONS = 12;
     private static final int STATE_WATCH_CONNECTIONS = 3;
@@ -49,11 +49,11 @@
 
     /** Creates a node with the optional features that the settings enable. */
     public Node(Vertx vertx, PlatformConfig config, Settings settings) throws ConfigException {
-        this(vertx, config, settings, PartRegistry.enabled(settings));
+        this(vertx, config, settings, FeatureRegistry.enabled(settings));
     }
 
     /** Creates a node with the given optional features. */
-    public Node(Vertx vertx, PlatformConfig config, Settings settings, List<Parts.Kind> kinds) throws ConfigException {
+    public Node(Vertx vertx, PlatformConfig config, Settings settings, List<Parts.Kind> features) throws ConfigException {
         this.loopMonitor = new EventLoopMonitor(vertx, clock);
         StateClient state = new StateClient(
                 new ServiceClient(vertx, config.state(), STATE_CONNECTIONS),
@@ -61,7 +61,7 @@
         CloudClient cloud = new CloudClient(new ServiceClient(vertx, config.cloud(), CLOUD_CONNECTIONS));
         this.catalogue = new Catalogue(vertx, state, cloud);
         JobRepairer repairer = new JobRepairer(state, clock, config.stateLimits());
-        Parts parts = Parts.of(kinds, vertx, state, clock, catalogue, config, settings);
+        Parts parts = Parts.of(features, vertx, state, clock, catalogue, config, settings);
         NodeContext context = NodeContext.builder()
                 .vertx(vertx)
                 .clock(clock)
@@ -77,11 +77,11 @@
                 .build();
         this.controller = new Controller(context, renewalLoop);
         JobService jobService = jobService(context);
-        LocalMemory memory = new LocalMemory(jobService, controller, parts.copies());
-        this.peerClient = new PeerClient(vertx, clock, config.peers(), memory);
+        LocalRecords localRecords = new LocalRecords(jobService, controller, parts.copies());
+        this.peerClient = new PeerClient(vertx, clock, config.peers(), localRecords);
         this.connectivity = new ConnectivityCheck(context, controller, peerClient);
-        this.peerServer = new PeerServer(context, controller, memory, connectivity);
-        connect(context, jobService);
+        this.peerServer = new PeerServer(context, controller, localRecords, connectivity);
+        connectComponents(context, jobService);
         this.httpApi = httpApi(context, jobService);
     }
 
@@ -96,7 +96,7 @@
                 config.teams(),
                 context.clock(),
                 config.stateLimits().valueBytes(),
-                config.stateLimits().requestsPerS() * QUERY_SHARE / nodes));
+                config.stateLimits().requestsPerS() * QUERY_RATE_SHARE / nodes));
     }
 
     private HttpApi httpApi(NodeContext context, JobService jobService) {
@@ -110,36 +110,36 @@
     }
 
     /** Connects components that depend on each other and therefore cannot all be passed to constructors. */
-    private void connect(NodeContext context, JobService jobService) {
+    private void connectComponents(NodeContext context, JobService jobService) {
         controller.setRememberedStateSource(peerClient::rememberedState);
-        controller.setPeers(peerClient::requestPledges, peerClient::noPeerLeads);
+        controller.setPeerQueries(peerClient::requestPledges, peerClient::noPeerLeads);
         context.repairer().recallFrom(peerClient::rememberedState);
         jobService.setCascadeTime(context.config().rules().cancellationTime(), controller::currentLeadership);
         jobService.setDependencySupportCheck(() -> controller.formatGate().isOpen());
         jobService.setParticipants(context.parts().joinings());
         context.parts().all().forEach(part -> part.submitting(jobService::submit));
-        jobService.setPeerQuery(peerClient::isKnownToAny);
-        context.state().onLoss(controller::onStateLoss);
+        jobService.setPeerQuery(peerClient::isJobKnown);
+        context.state().onLoss(controller::onStateDataLoss);
     }
 
     /** Starts the node; the result is the port of the HTTP API. */
     public Future<Integer> start() {
-        return controller.clearPredecessor(peerClient::leads).compose(this::start);
+        return controller.removePredecessorKey(peerClient::isLeading).compose(this::start);
     }
 
     private Future<Integer> start(boolean leaderless) {
         if (leaderless) {
-            startControlling();
-            return controller.leaderKnown(clock.now().plus(LEADER_WAIT)).compose(leader -> httpApi.open());
+            startController();
+            return controller.awaitLeader(clock.now().plus(MAX_LEADER_WAIT)).compose(leader -> httpApi.open());
         }
         return httpApi.open().map(port -> {
-            startControlling();
+            startController();
             return port;
         });
     }
 
     /** Starts the peer server, the election and the periodic checks. */
-    private void startControlling() {
+    private void startController() {
         catalogue.start();
         controller.start();
         peerServer.start();
--- a/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
+++ b/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
@@ -26,7 +26,7 @@
     private final FinishedJobs finishedJobs;
     private final CancellationHorizon horizon;
 
-    OpenJobEvents(LeaderJobs jobs, CancellationHorizon horizon) {
+    OpenJobEvents(JobStoreComponents jobs, CancellationHorizon horizon) {
         this.context = jobs.writes().context();
         this.lookup = new JobRecordLookup(context.state());
         this.core = jobs.core();
--- a/src/main/java/io/indigoreach/cluster/PeerClient.java
+++ b/src/main/java/io/indigoreach/cluster/PeerClient.java
@@ -35,14 +35,14 @@
 
     private final SteadyClock clock;
     private final List<PlatformConfig.Peer> peers;
-    private final LocalMemory memory;
+    private final LocalRecords localRecords;
     /** In the order of {@link #peers}. */
     private final List<ServiceClient> clients = new ArrayList<>();
 
-    PeerClient(Vertx vertx, SteadyClock clock, List<PlatformConfig.Peer> peers, LocalMemory memory) {
+    PeerClient(Vertx vertx, SteadyClock clock, List<PlatformConfig.Peer> peers, LocalRecords localRecords) {
         this.clock = clock;
         this.peers = peers;
-        this.memory = memory;
+        this.localRecords = localRecords;
         for (PlatformConfig.Peer peer : peers) {
             clients.add(new ServiceClient(vertx, peer.endpoint(), 1));
         }
@@ -58,9 +58,9 @@
     }
 
     /** For each peer, whether it can reach the state service; null for a peer that does not respond. */
-    Future<List<Boolean>> arePeersServed() {
+    Future<List<Boolean>> canPeersReachState() {
         return requestFromAll(client -> client.get(PeerProtocol.STATUS_PATH, STATUS_TIMEOUT)
-                .map(response -> response.isOk() ? (Boolean) PeerProtocol.readServed(response.body()) : null)
+                .map(response -> response.isOk() ? (Boolean) PeerProtocol.readStateReachable(response.body()) : null)
                 .otherwise((Boolean) null));
     }
 
@@ -73,7 +73,7 @@
     }
 
     /** Whether the named peer reports that it leads; false if it does not respond or does not exist. */
-    Future<Boolean> leads(String node) {
+    Future<Boolean> isLeading(String node) {
         for (int index = 0; index < clients.size(); index++) {
             if (peers.get(index).node().equals(node)) {
                 return clients.get(index)
@@ -87,42 +87,42 @@
 
     /**
      * Requests from every peer a pledge not to lead, and the cancellations that it confirmed within {@code lookBack}.
-     * The result includes the cancellations that this node confirmed. {@link PeerPromises#NONE} without peers.
+     * The result includes the cancellations that this node confirmed. {@link PledgeResponse#NONE} without peers.
      */
-    Future<PeerPromises> requestPledges(Span lookBack) {
+    Future<PledgeResponse> requestPledges(Span lookBack) {
         if (clients.isEmpty()) {
-            return Future.succeededFuture(PeerPromises.NONE);
+            return Future.succeededFuture(PledgeResponse.NONE);
         }
         return requestFromAll(client -> requestPledge(client, lookBack)).map(pledges -> combine(pledges, lookBack));
     }
 
-    private static Future<PeerPromises> requestPledge(ServiceClient client, Span lookBack) {
-        return client.post(PeerProtocol.PLEDGE_PATH, PeerPromises.writeRequest(lookBack), STATUS_TIMEOUT)
-                .map(response -> response.isOk() ? readPledge(response.body()) : PeerPromises.NONE)
-                .otherwise(PeerPromises.NONE);
+    private static Future<PledgeResponse> requestPledge(ServiceClient client, Span lookBack) {
+        return client.post(PeerProtocol.PLEDGE_PATH, PledgeResponse.writeRequest(lookBack), STATUS_TIMEOUT)
+                .map(response -> response.isOk() ? readPledge(response.body()) : PledgeResponse.NONE)
+                .otherwise(PledgeResponse.NONE);
     }
 
-    private static PeerPromises readPledge(Fields response) {
+    private static PledgeResponse readPledge(Fields response) {
         try {
-            return PeerPromises.read(response);
+            return PledgeResponse.read(response);
         } catch (WireException e) {
             LOG.warn("pledge response unreadable cause={}", e.getMessage());
-            return PeerPromises.NONE;
+            return PledgeResponse.NONE;
         }
     }
 
-    private PeerPromises combine(List<PeerPromises> pledges, Span lookBack) {
-        CancellationSummary own = memory.confirmedCancellations().summary(lookBack, clock.now());
-        PeerPromises combined = new PeerPromises(true, own);
-        for (PeerPromises pledge : pledges) {
-            combined = combined.and(pledge);
+    private PledgeResponse combine(List<PledgeResponse> pledges, Span lookBack) {
+        CancellationSummary own = localRecords.confirmedCancellations().summary(lookBack, clock.now());
+        PledgeResponse combined = new PledgeResponse(true, own);
+        for (PledgeResponse pledge : pledges) {
+            combined = combined.combinedWith(pledge);
         }
         return combined;
     }
 
     /** Merges the copies of one job's state that this node and the responding peers hold. */
     Future<RememberedState> rememberedState(JobId id) {
-        RememberedState all = memory.ofJob(id);
+        RememberedState all = localRecords.rememberedState(id);
         return requestFromAll(client -> client.get(PeerProtocol.rememberedJobPath(id), JOB_QUERY_TIMEOUT)
                         .map(response -> response.isOk() && RememberedStateCodec.read(response.body(), all))
                         .otherwise(false))
@@ -132,22 +132,22 @@
     /** Merges the remembered state of this node and of the responding peers. */
     Future<RememberedState> rememberedState() {
         RememberedState all = new RememberedState();
-        all.add(memory.all());
-        return requestFromAll(client -> readParts(client, 0, all).otherwiseEmpty())
+        all.add(localRecords.allRememberedState());
+        return requestFromAll(client -> readRememberedState(client, 0, all).otherwiseEmpty())
                 .map(responses -> all);
     }
 
     /** Reads a peer's remembered state from {@code part} on, up to its last part or the first request that fails. */
-    private static Future<Void> readParts(ServiceClient client, int part, RememberedState into) {
+    private static Future<Void> readRememberedState(ServiceClient client, int part, RememberedState target) {
         return client.get(PeerProtocol.rememberedStatePath(part), REQUEST_TIMEOUT)
-                .compose(response -> response.isOk() && RememberedStateCodec.read(response.body(), into)
-                        ? readParts(client, part + 1, into)
+                .compose(response -> response.isOk() && RememberedStateCodec.read(response.body(), target)
+                        ? readRememberedState(client, part + 1, target)
                         : Future.succeededFuture());
     }
 
     /** Whether the job is open here while this node leads, or is known to a peer that responds. */
-    Future<Boolean> isKnownToAny(JobId id) {
-        if (memory.hasOpen(id)) {
+    Future<Boolean> isJobKnown(JobId id) {
+        if (localRecords.isJobOpen(id)) {
             return Future.succeededFuture(true);
         }
         Future<List<Boolean>> known =
--- a/src/main/java/io/indigoreach/cluster/PeerProtocol.java
+++ b/src/main/java/io/indigoreach/cluster/PeerProtocol.java
@@ -8,7 +8,7 @@
 
 /**
  * Paths and small messages of the requests between controllers. {@link PeerClient} sends the requests, {@link
- * PeerServer} responds. {@link PeerPromises} encodes pledges, and {@link io.indigoreach.state.RememberedStateCodec}
+ * PeerServer} responds. {@link PledgeResponse} encodes pledges, and {@link io.indigoreach.state.RememberedStateCodec}
  * encodes remembered state. Nodes of two versions run side by side during an upgrade, so the strings here must not
  * change.
  */
@@ -31,7 +31,7 @@
     static final String PART_PARAMETER = "part";
     static final String JOB_PARAMETER = "id";
 
-    private static final String SERVED = "served";
+    private static final String STATE_REACHABLE = "served";
     private static final String LEADS = "leads";
     private static final String KNOWN = "known";
     private static final String ERA = "era";
@@ -55,12 +55,12 @@
         return Map.of();
     }
 
-    static Map<String, Object> writeStatus(boolean served, boolean leads) {
-        return MessagePackFormat.map(SERVED, served, LEADS, leads);
+    static Map<String, Object> writeStatus(boolean stateReachable, boolean leads) {
+        return MessagePackFormat.map(STATE_REACHABLE, stateReachable, LEADS, leads);
     }
 
-    static boolean readServed(Fields status) {
-        return status.flag(SERVED, false);
+    static boolean readStateReachable(Fields status) {
+        return status.flag(STATE_REACHABLE, false);
     }
 
     /** @param ifAbsent the value for a status without this field */
--- a/src/main/java/io/indigoreach/cluster/PeerServer.java
+++ b/src/main/java/io/indigoreach/cluster/PeerServer.java
@@ -31,7 +31,7 @@
     private final PlatformConfig config;
     private final StateClient state;
     private final Controller controller;
-    private final LocalMemory memory;
+    private final LocalRecords localRecords;
     private final ConnectivityCheck connectivity;
     private final HttpServer server;
     private final Map<String, Handler<HttpServerRequest>> handlers = Map.of(
@@ -43,12 +43,12 @@
             PeerProtocol.REMEMBERED_JOB_PATH, this::answerRememberedJob,
             PeerProtocol.JOB_KNOWN_PATH, this::answerJobKnown);
 
-    PeerServer(NodeContext context, Controller controller, LocalMemory memory, ConnectivityCheck connectivity) {
+    PeerServer(NodeContext context, Controller controller, LocalRecords localRecords, ConnectivityCheck connectivity) {
         this.clock = context.clock();
         this.config = context.config();
         this.state = context.state();
         this.controller = controller;
-        this.memory = memory;
+        this.localRecords = localRecords;
         this.connectivity = connectivity;
         this.server = context.vertx().createHttpServer(new HttpServerOptions().setIdleTimeout(IDLE_TIMEOUT_S));
         server.requestHandler(this::dispatch);
@@ -73,7 +73,7 @@
     }
 
     private Map<String, Object> status() {
-        return PeerProtocol.writeStatus(connectivity.isServed(), controller.leads());
+        return PeerProtocol.writeStatus(connectivity.isStateReachable(), controller.leads());
     }
 
     private void answerStatus(HttpServerRequest request) {
@@ -94,7 +94,7 @@
 
     private void answerPledge(HttpServerRequest request) {
         request.body()
-                .map(body -> pledge(PeerPromises.readRequest(MessagePackFormat.readMap(body))))
+                .map(body -> pledgeResponse(PledgeResponse.readRequest(MessagePackFormat.readMap(body))))
                 .onSuccess(pledge -> respond(request, OK, pledge))
                 .onFailure(e -> {
                     LOG.warn("pledge request unreadable cause={}", e.getMessage());
@@ -106,17 +106,17 @@
      * Builds the response to a pledge request. A node that can reach the state service does not pledge, as the state
      * service then determines the leader, but it still reports its cancellations.
      */
-    private Map<String, Object> pledge(Span lookBack) {
+    private Map<String, Object> pledgeResponse(Span lookBack) {
         Moment now = clock.now();
-        if (!connectivity.isUnserved()) {
+        if (!connectivity.isStateUnreachable()) {
             // An outage may just have begun, and the requesting leader's lease expires soon: check now, not at the next
             // period.
             connectivity.checkNow();
         }
-        boolean pledged = connectivity.isUnserved() && controller.pledge();
-        CancellationSummary cancellations = memory.confirmedCancellations().summary(lookBack, now);
-        return new PeerPromises(pledged, cancellations)
-                .write(memory.confirmedCancellations().timeSinceLast(now));
+        boolean pledged = connectivity.isStateUnreachable() && controller.pledge();
+        CancellationSummary cancellations = localRecords.confirmedCancellations().summary(lookBack, now);
+        return new PledgeResponse(pledged, cancellations)
+                .write(localRecords.confirmedCancellations().timeSinceLast(now));
     }
 
     private void answerLoss(HttpServerRequest request) {
@@ -131,7 +131,7 @@
             answerNotFound(request);
             return;
         }
-        respond(request, OK, RememberedStateCodec.write(memory.all(), Integer.parseInt(part)));
+        respond(request, OK, RememberedStateCodec.write(localRecords.allRememberedState(), Integer.parseInt(part)));
     }
 
     private void answerRememberedJob(HttpServerRequest request) {
@@ -140,7 +140,7 @@
             answerNotFound(request);
             return;
         }
-        respond(request, OK, RememberedStateCodec.write(memory.ofJob(new JobId(id)), 0));
+        respond(request, OK, RememberedStateCodec.write(localRecords.rememberedState(new JobId(id)), 0));
     }
 
     private void answerJobKnown(HttpServerRequest request) {
@@ -149,6 +149,6 @@
             answerNotFound(request);
             return;
         }
-        respond(request, OK, PeerProtocol.writeJobKnown(memory.knows(new JobId(id))));
+        respond(request, OK, PeerProtocol.writeJobKnown(localRecords.isJobKnown(new JobId(id))));
     }
 }
--- a/src/main/java/io/indigoreach/cluster/PeerPromises.java
+++ b/src/main/java/io/indigoreach/cluster/PledgeResponse.java
@@ -17,9 +17,9 @@
  * @param allPledged whether each peer has pledged not to lead for a limited time
  * @param cancellations the cancellations that these peers have confirmed to users
  */
-record PeerPromises(boolean allPledged, CancellationSummary cancellations) {
+record PledgeResponse(boolean allPledged, CancellationSummary cancellations) {
     /** Assumed for a peer that does not respond: it may lead, and may have confirmed any cancellation. */
-    static final PeerPromises NONE = new PeerPromises(false, CancellationSummary.NONE);
+    static final PledgeResponse NONE = new PledgeResponse(false, CancellationSummary.NONE);
 
     private static final String LOOK_BACK = "back_ms";
     private static final String PLEDGED = "pledged";
@@ -28,8 +28,8 @@
     private static final String CANCELLED = "cancelled";
 
     /** Combines the responses of two groups of peers. */
-    PeerPromises and(PeerPromises other) {
-        return new PeerPromises(allPledged && other.allPledged, cancellations.and(other.cancellations));
+    PledgeResponse combinedWith(PledgeResponse other) {
+        return new PledgeResponse(allPledged && other.allPledged, cancellations.and(other.cancellations));
     }
 
     /** Encodes a leader's request for a pledge and for the cancellations of the last {@code lookBack}. */
@@ -66,19 +66,19 @@
      * Decodes a response. Throws {@link io.indigoreach.net.WireException} if it is malformed or lists too many
      * cancellations.
      */
-    static PeerPromises read(Fields response) {
+    static PledgeResponse read(Fields response) {
         List<String> ids = response.optionalTexts(CANCELLED);
         boolean pledged = response.flag(PLEDGED, false);
         if (ids == null) {
             // A node of the previous version reports only the time since its last cancellation, and no jobs.
             Span covered = new Span(response.whole(TIME_SINCE_LAST, 0));
-            return new PeerPromises(pledged, new CancellationSummary(Set.of(), covered));
+            return new PledgeResponse(pledged, new CancellationSummary(Set.of(), covered));
         }
         if (ids.size() > ConfirmedCancellations.MAX_REMEMBERED || !ids.stream().allMatch(JobId::isValid)) {
             throw Fields.invalid(CANCELLED);
         }
         Set<JobId> jobs = new HashSet<>();
         ids.forEach(id -> jobs.add(new JobId(id)));
-        return new PeerPromises(pledged, new CancellationSummary(jobs, new Span(response.whole(COVERED, 0))));
+        return new PledgeResponse(pledged, new CancellationSummary(jobs, new Span(response.whole(COVERED, 0))));
     }
 }
--- a/src/test/java/io/indigoreach/GoldenListTest.java
+++ b/src/test/java/io/indigoreach/GoldenListTest.java
@@ -60,7 +60,7 @@
         golden("JobRecord.java", "records.txt#job");
         golden("MachineRecord.java", "records.txt#page of machines");
         golden("CompletionBits.java", "records.txt#blocks of values");
-        golden("PeerPromises.java", "pledges.txt#question", "pledges.txt#pledge");
+        golden("PledgeResponse.java", "pledges.txt#question", "pledges.txt#pledge");
         golden(
                 "PeerProtocol.java",
                 "peers.txt#standing",
--- a/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.LeaderHarness.await;
+import static io.indigoreach.cluster.LeaderTestSupport.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -53,15 +53,15 @@
     }
 
     static JobSpec spec(int tasks, int imageName) {
-        return LeaderHarness.spec(ID, tasks, "i".repeat(imageName));
+        return LeaderTestSupport.spec(ID, tasks, "i".repeat(imageName));
     }
 
     private CompletionBlockStore newBlockStore(String announcedLimits) throws Exception {
-        leader = LeaderHarness.lead(client, 1);
-        NodeContext context = LeaderHarness.context(vertx, clock, client)
-                .config(LeaderHarness.config(announcedLimits))
+        leader = LeaderTestSupport.gainLeadership(client, 1);
+        NodeContext context = LeaderTestSupport.context(vertx, clock, client)
+                .config(LeaderTestSupport.config(announcedLimits))
                 .build();
-        return new CompletionBlockStore(LeaderHarness.writes(context, 3, leader, 1000));
+        return new CompletionBlockStore(LeaderTestSupport.writes(context, 3, leader, 1000));
     }
 
     /** What a leader that reads all of it takes to be done; {@code blockStore} inherits the blocks. */
--- a/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.LeaderHarness.await;
+import static io.indigoreach.cluster.LeaderTestSupport.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -49,11 +49,11 @@
         final DependencyTask dependencyTask;
 
         Leader(long token) throws Exception {
-            Revision leadershipRevision = LeaderHarness.lead(client, token);
-            NodeContext context = LeaderHarness.context(vertx, clock, client).build();
+            Revision leadershipRevision = LeaderTestSupport.gainLeadership(client, token);
+            NodeContext context = LeaderTestSupport.context(vertx, clock, client).build();
 
-            core = LeaderHarness.core(context, token, List.of(LeaderHarness.TEAM));
-            LeaderWrites writes = LeaderHarness.writes(context, token, leadershipRevision, 200);
+            core = LeaderTestSupport.core(context, token, List.of(LeaderTestSupport.TEAM));
+            LeaderWriteContext writes = LeaderTestSupport.writes(context, token, leadershipRevision, 200);
             jobStore = new JobStore(writes, core, null, true, new CancellationHorizon());
             dependencyTask = new DependencyTask(writes, core, jobStore);
             leaders.add(this);
@@ -75,7 +75,7 @@
         }
 
         /** Whether no job has a task waiting for a machine. */
-        boolean blocksAll() throws Exception {
+        boolean hasNoWaitingTasks() throws Exception {
             Promise<Boolean> answer = Promise.promise();
             vertx.runOnContext(v -> answer.complete(core.summary().contains(" waiting=0 ")));
             return await(answer.future());
@@ -100,24 +100,24 @@
     }
 
     private static JobSpec spec(int id, int... dependencies) {
-        return LeaderHarness.spec(id(id), 1, "img")
+        return LeaderTestSupport.spec(id(id), 1, "img")
                 .with(JobDependencies.of(IntStream.of(dependencies)
                         .mapToObj(DependencyTaskTest::id)
                         .toList()));
     }
 
-    private void open(int id, int... dependencies) throws Exception {
-        open(spec(id, dependencies), 0);
+    private void writeOpenJob(int id, int... dependencies) throws Exception {
+        writeOpenJob(spec(id, dependencies), 0);
     }
 
-    private void open(JobSpec spec, int done) throws Exception {
+    private void writeOpenJob(JobSpec spec, int done) throws Exception {
         BitSet bits = new BitSet();
         bits.set(0, done);
         await(client.commit(new StateClient.Txn()
                 .put(RecordKeys.openKey(spec.id()), JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, bits, 0, 0))));
     }
 
-    private void over(int id, JobStatus status) throws Exception {
+    private void finishJob(int id, JobStatus status) throws Exception {
         await(client.commit(new StateClient.Txn()
                 .delete(RecordKeys.openKey(id(id)))
                 .put(RecordKeys.finalKey(id(id)), JobRecordCodec.writeFinal(status, 0))));
@@ -127,7 +127,7 @@
      * Spins until the condition holds. Has its own time limit, as the test's timeout does not interrupt a spinning
      * loop.
      */
-    private void until(Callable<Boolean> condition) throws Exception {
+    private void awaitCondition(Callable<Boolean> condition) throws Exception {
         Moment end = clock.now().plus(Span.seconds(20));
         while (!condition.call()) {
             assertTrue(clock.now().isBefore(end), "condition not met in time");
@@ -137,7 +137,7 @@
 
     private void awaitCancelled(int... ids) throws Exception {
         for (int id : ids) {
-            until(() -> state.has(RecordKeys.finalKey(id(id))));
+            awaitCondition(() -> state.has(RecordKeys.finalKey(id(id))));
             assertEquals("CANCELLED", state.value(RecordKeys.finalKey(id(id))).text("status"));
             assertFalse(state.has(RecordKeys.openKey(id(id))));
         }
@@ -145,35 +145,35 @@
 
     /** Each cancellation makes exactly two changes, also if a response is lost; dependents of open jobs stay open. */
     @Test
-    void dependentsOfACancelledJobAreCancelled() throws Exception {
-        over(1, JobStatus.CANCELLED);
-        open(2, 1);
-        open(3, 2);
-        open(4, 3, 9);
-        open(5, 9);
-        open(9);
+    void cancelsDependentsOfCancelledJob() throws Exception {
+        finishJob(1, JobStatus.CANCELLED);
+        writeOpenJob(2, 1);
+        writeOpenJob(3, 2);
+        writeOpenJob(4, 3, 9);
+        writeOpenJob(5, 9);
+        writeOpenJob(9);
         Leader leader = new Leader(3);
         int before = state.changed;
         state.losingAnswers = 1;
         awaitCancelled(2, 3, 4);
         assertEquals(2 * 3, state.changed - before);
         assertEquals(List.of("j/run-5", "j/run-9"), state.keys("j/"));
-        over(9, JobStatus.CANCELLED);
+        finishJob(9, JobStatus.CANCELLED);
         vertx.runOnContext(v -> leader.jobStore.onOpenRecordDeleted(id(9)));
         awaitCancelled(5);
     }
 
     /** The first leader's other writes are executed only after it has lost the leadership, and must be rejected. */
     @Test
-    void theNextLeaderContinuesACascadedCancellation() throws Exception {
-        over(1, JobStatus.CANCELLED);
+    void nextLeaderContinuesCascadedCancellation() throws Exception {
+        finishJob(1, JobStatus.CANCELLED);
         for (int n = 2; n < 8; n++) {
-            open(n, n - 1);
+            writeOpenJob(n, n - 1);
         }
         int[] written = {0};
         state.holding = txn -> written[0]++ > 0;
         Leader first = new Leader(3);
-        until(() -> state.held() > 0);
+        awaitCondition(() -> state.held() > 0);
         Promise<Void> stopped = Promise.promise();
         vertx.runOnContext(v -> {
             first.stop();
@@ -188,18 +188,18 @@
 
     /** While the write of the completion is held back, the dependent must wait, although all tasks are completed. */
     @Test
-    void aDependentStartsOnlyAfterTheCompletionIsRecorded() throws Exception {
+    void dependentStartsOnlyAfterCompletionIsRecorded() throws Exception {
         state.holding =
                 txn -> txn.children("writes").stream().anyMatch(w -> "j/run-1".equals(w.optionalText("delete")));
-        open(spec(1), 1);
-        open(2, 1);
+        writeOpenJob(spec(1), 1);
+        writeOpenJob(2, 1);
         Leader leader = new Leader(3);
-        until(() -> state.held() > 0);
+        awaitCondition(() -> state.held() > 0);
         await(vertx.timer(500, TimeUnit.MILLISECONDS));
-        assertTrue(leader.blocksAll());
+        assertTrue(leader.hasNoWaitingTasks());
         state.holding = txn -> false;
         state.executeLate();
-        until(() -> !leader.blocksAll());
+        awaitCondition(() -> !leader.hasNoWaitingTasks());
         assertEquals("DONE", state.value("f/run-1").text("status"));
     }
 
@@ -207,14 +207,14 @@
      * A missing dependency is neither done nor cancelled; its dependents continue once its final record is restored.
      */
     @Test
-    void aMissingDependencyBlocksItsDependents() throws Exception {
-        open(2, 1);
+    void missingDependencyBlocksDependents() throws Exception {
+        writeOpenJob(2, 1);
         Leader leader = new Leader(3);
         int before = state.transactions;
-        until(() -> state.transactions > before);
-        assertTrue(leader.blocksAll());
+        awaitCondition(() -> state.transactions > before);
+        assertTrue(leader.hasNoWaitingTasks());
         assertFalse(client.losses().isHolding());
-        over(1, JobStatus.DONE);
-        until(() -> !leader.blocksAll());
+        finishJob(1, JobStatus.DONE);
+        awaitCondition(() -> !leader.hasNoWaitingTasks());
     }
 }
--- a/src/test/java/io/indigoreach/cluster/GoldenPledgesTest.java
+++ b/src/test/java/io/indigoreach/cluster/GoldenPledgeMessagesTest.java
@@ -12,43 +12,43 @@
 import org.junit.jupiter.api.Test;
 
 /** Golden encodings of pledge requests and responses. */
-class GoldenPledgesTest {
-    private static PeerPromises pledge(boolean all, Set<JobId> cancelled) {
-        return new PeerPromises(all, new CancellationSummary(cancelled, Span.seconds(7)));
+class GoldenPledgeMessagesTest {
+    private static PledgeResponse pledge(boolean allPledged, Set<JobId> cancelled) {
+        return new PledgeResponse(allPledged, new CancellationSummary(cancelled, Span.seconds(7)));
     }
 
-    private static Map<String, Object> write(PeerPromises p) {
-        return p.write(Span.seconds(2));
+    private static Map<String, Object> write(PledgeResponse response) {
+        return response.write(Span.seconds(2));
     }
 
-    private static Map<String, Object> again(Fields f) {
-        return write(PeerPromises.read(f));
+    private static Map<String, Object> reencode(Fields fields) {
+        return write(PledgeResponse.read(fields));
     }
 
     @Test
-    void whatControllersAskOfALeader() {
+    void pledgeMessagesMatchGoldenFile() {
         GoldenFile golden = new GoldenFile("pledges.txt");
-        golden.both("question", Span.seconds(7.5), PeerPromises::writeRequest, PeerPromises::readRequest)
+        golden.both("question", Span.seconds(7.5), PledgeResponse::writeRequest, PledgeResponse::readRequest)
                 .read(
                         "question of the version before",
                         Map.of(),
-                        f -> PeerPromises.writeRequest(PeerPromises.readRequest(f)))
+                        f -> PledgeResponse.writeRequest(PledgeResponse.readRequest(f)))
                 .read(
                         "question from the future",
                         MessagePackFormat.map("back_ms", -5L),
-                        f -> PeerPromises.writeRequest(PeerPromises.readRequest(f)))
-                .both("nothing", PeerPromises.NONE, GoldenPledgesTest::write, PeerPromises::read)
-                .both("pledge", pledge(true, Set.of()), GoldenPledgesTest::write, PeerPromises::read)
+                        f -> PledgeResponse.writeRequest(PledgeResponse.readRequest(f)))
+                .both("nothing", PledgeResponse.NONE, GoldenPledgeMessagesTest::write, PledgeResponse::read)
+                .both("pledge", pledge(true, Set.of()), GoldenPledgeMessagesTest::write, PledgeResponse::read)
                 .both(
                         "told of one",
                         pledge(false, Set.of(new JobId("run-000398"))),
-                        GoldenPledgesTest::write,
-                        PeerPromises::read)
+                        GoldenPledgeMessagesTest::write,
+                        PledgeResponse::read)
                 .read(
                         "pledge of the version before",
                         MessagePackFormat.map("pledged", true, "quiet_ms", 3000L),
-                        GoldenPledgesTest::again)
-                .refused("told of no job", MessagePackFormat.map("cancelled", List.of("one")), PeerPromises::read);
+                        GoldenPledgeMessagesTest::reencode)
+                .refused("told of no job", MessagePackFormat.map("cancelled", List.of("one")), PledgeResponse::read);
         golden.check();
     }
 }
--- a/src/test/java/io/indigoreach/cluster/WarmUpTest.java
+++ b/src/test/java/io/indigoreach/cluster/HeartbeatWarmUpTest.java
@@ -11,17 +11,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Tests that the warm-up starts and ends tasks, and that it runs no heartbeats on a node that leads. */
-class WarmUpTest {
+class HeartbeatWarmUpTest {
     @ParameterizedTest
     @CsvSource({"false, 100", "true, 0"})
-    void commandsStartsUntilTheNodeLeads(boolean leads, int atLeast) throws Exception {
+    void issuesStartCommandsUnlessNodeLeads(boolean leads, int atLeast) throws Exception {
         Vertx vertx = Vertx.vertx();
         try {
-            WarmUp warmUp = new WarmUp(
+            HeartbeatWarmUp warmUp = new HeartbeatWarmUp(
                     NodeContext.builder()
                             .vertx(vertx)
                             .clock(new SteadyClock())
-                            .config(LeaderHarness.config())
+                            .config(LeaderTestSupport.config())
                             .settings(Settings.standard())
                             .lease(Span.seconds(10))
                             .build(),
@@ -29,8 +29,8 @@
             for (int step = 0; step < 400; step++) {
                 warmUp.step();
             }
-            assertTrue(warmUp.startCommands() >= atLeast, "start commands: " + warmUp.startCommands());
-            assertEquals(leads, warmUp.startCommands() == 0);
+            assertTrue(warmUp.startCommandCount() >= atLeast, "start commands: " + warmUp.startCommandCount());
+            assertEquals(leads, warmUp.startCommandCount() == 0);
         } finally {
             vertx.close();
         }
--- a/src/test/java/io/indigoreach/cluster/IntentLogTest.java
+++ b/src/test/java/io/indigoreach/cluster/IntentLogTest.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.TermFixture.await;
+import static io.indigoreach.cluster.LeadershipTermFixture.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -22,14 +22,14 @@
 class IntentLogTest {
     private static final Intents.Rent RENT = new Intents.Rent("t3-1", new MachinePool("quad", "east", true), 50, 1000);
     private static final MachineId MACHINE = new MachineId("vm-1");
-    private TermFixture fixture;
+    private LeadershipTermFixture fixture;
     private StateStandIn state;
     private NodeContext context;
     private boolean deposed;
 
     @BeforeEach
     void start() throws Exception {
-        fixture = new TermFixture();
+        fixture = new LeadershipTermFixture();
         state = fixture.state;
         context = fixture.context();
     }
@@ -60,7 +60,7 @@
         assertEquals(new Intents.Page(List.of(RENT), List.of(MACHINE)), page);
         next.intents().addReturns(page.returns());
         assertTrue(await(next.record()));
-        await(next.forgetEarlier());
+        await(next.removeEarlierRecords());
         assertEquals(List.of("i/4"), state.keys("i/"), "only the new leader's record remains, with the open intents");
         next.intents().returned(page.returns());
         next.intents().add(RENT);
@@ -70,7 +70,7 @@
 
     /** Several quick changes of leader can leave more records than one transaction may remove (12 here). */
     @Test
-    void manyEarlierRecordsAreRemovedInParts() throws Exception {
+    void earlierRecordsAreRemovedInBatches() throws Exception {
         for (int token = 10; token < 30; token++) {
             IntentLog log = newLeader(token);
             log.intents().add(RENT);
@@ -78,15 +78,15 @@
         }
         IntentLog last = newLeader(30);
         assertEquals(20, await(last.load()).rents().size());
-        await(last.forgetEarlier());
+        await(last.removeEarlierRecords());
         assertEquals(8, state.keys("i/").size());
-        await(last.forgetEarlier());
+        await(last.removeEarlierRecords());
         assertEquals(List.of(), state.keys("i/"));
     }
 
     /** The record holds as many intents as the smallest announced value size allows. */
     @Test
-    void intentsBeyondTheRecordsSizeWait() throws Exception {
+    void intentsBeyondRecordSizeWait() throws Exception {
         context = fixture.context("value_kb = 2.0");
         state.valueBytes = 2048;
         IntentLog log = newLeader(3);
@@ -111,7 +111,7 @@
 
     /** A leader may be replaced after it has checked its leadership and before it calls the cloud. */
     @Test
-    void replacedLeaderRecordsNothingAndMaySendNothing() throws Exception {
+    void replacedLeaderMayNeitherRecordNorSend() throws Exception {
         IntentLog old = newLeader(3);
         newLeader(4);
         old.intents().add(RENT);
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void intentWithALostAnswerIsRecordedBeforeItIsSent() throws Exception {
+    void intentWithLostResponseIsRecordedBeforeItIsSent() throws Exception {
         IntentLog log = newLeader(3);
         log.intents().add(RENT);
         state.losingAnswers = 1;
--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.LeaderHarness.await;
+import static io.indigoreach.cluster.LeaderTestSupport.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -60,10 +60,10 @@
         state = await(new StateStandIn().listen(vertx));
         client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
-        context = LeaderHarness.context(vertx, clock, client).build();
-        Revision leadershipRevision = LeaderHarness.lead(client, 1);
-        core = LeaderHarness.loadedCore(context, 3, LeaderHarness.quad());
-        jobStore = new JobStore(LeaderHarness.writes(context, 3, leadershipRevision, 20), core, null, true, horizon);
+        context = LeaderTestSupport.context(vertx, clock, client).build();
+        Revision leadershipRevision = LeaderTestSupport.gainLeadership(client, 1);
+        core = LeaderTestSupport.loadedCore(context, 3, LeaderTestSupport.quadCoreType());
+        jobStore = new JobStore(LeaderTestSupport.writes(context, 3, leadershipRevision, 20), core, null, true, horizon);
     }
 
     @AfterEach
@@ -72,7 +72,7 @@
     }
 
     private Job job(int id, int tasks, int done, int bound) throws Exception {
-        JobSpec spec = LeaderHarness.spec(new JobId("run-" + id), tasks, "img");
+        JobSpec spec = LeaderTestSupport.spec(new JobId("run-" + id), tasks, "img");
         Revision stamp = await(client.commit(new StateClient.Txn()
                         .put(
                                 RecordKeys.openKey(spec.id()),
@@ -252,8 +252,8 @@
     /** The job was accepted under wider limits: its write is not rejected repeatedly, and other jobs continue with few changes. */
     @Test
     void aRecordAboveTheLimitDelaysNoOtherJob() throws Exception {
-        context = LeaderHarness.context(vertx, clock, client)
-                .config(LeaderHarness.config(CompletionBlockStoreTest.NEXT))
+        context = LeaderTestSupport.context(vertx, clock, client)
+                .config(LeaderTestSupport.config(CompletionBlockStoreTest.NEXT))
                 .build();
         JobSpec spec = CompletionBlockStoreTest.spec(4, 3000);
         Revision stamp = await(client.commit(new StateClient.Txn()
@@ -261,7 +261,7 @@
                 .writtenRevision();
         Job tooLong = new Job(spec, 1, clock.now(), stamp, new BitSet(), 0, false);
         Revision leadershipRevision = await(client.get(RecordKeys.LEADER)).revision();
-        jobStore = new JobStore(LeaderHarness.writes(context, 3, leadershipRevision, 20), core, null, true, horizon);
+        jobStore = new JobStore(LeaderTestSupport.writes(context, 3, leadershipRevision, 20), core, null, true, horizon);
         state.valueBytes = 2048;
         state.txnOps = 4;
         int before = state.changed;
--- a/src/test/java/io/indigoreach/cluster/LastTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/LastTaskTest.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.LeaderHarness.await;
+import static io.indigoreach.cluster.LeaderTestSupport.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -54,8 +54,8 @@
  */
 class LastTaskTest {
     private static final JobId JOB = new JobId("run-1");
-    private static final Team TEAM = LeaderHarness.TEAM;
-    private static final MachineType TYPE = LeaderHarness.quad();
+    private static final Team TEAM = LeaderTestSupport.TEAM;
+    private static final MachineType TYPE = LeaderTestSupport.quadCoreType();
     /** More ends than are written at once: then an end goes into the open job's record first. */
     private static final int CROWD = 8;
 
@@ -87,11 +87,11 @@
         });
         until(catalogue::isKnown);
         NodeContext context =
-                LeaderHarness.context(vertx, clock, leader).catalogue(catalogue).build();
+                LeaderTestSupport.context(vertx, clock, leader).catalogue(catalogue).build();
 
-        core = LeaderHarness.loadedCore(context, 3, TYPE);
+        core = LeaderTestSupport.loadedCore(context, 3, TYPE);
         jobStore = new JobStore(
-                LeaderHarness.writes(context, 3, leadershipRevision, 100), core, null, true, new CancellationHorizon());
+                LeaderTestSupport.writes(context, 3, leadershipRevision, 100), core, null, true, new CancellationHorizon());
     }
 
     @AfterEach
@@ -138,7 +138,7 @@
     }
 
     private static JobSpec spec(JobId id) {
-        return LeaderHarness.spec(id, 1, "img");
+        return LeaderTestSupport.spec(id, 1, "img");
     }
 
     /** A job whose one task has ended, as its leader has just seen. */
--- a/src/test/java/io/indigoreach/cluster/LateElectionTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateElectionTransactionsTest.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.LeaderHarness.await;
+import static io.indigoreach.cluster.LeaderTestSupport.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -28,11 +28,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Tests transactions of the leader election that get no response ({@link LateTransactionsHarness}). */
-class LateElectionTransactionsTest extends LateTransactionsHarness {
+/** Tests transactions of the leader election that get no response ({@link LateTransactionTestBase}). */
+class LateElectionTransactionsTest extends LateTransactionTestBase {
     private LeaderElection newElection(String node, int peers) {
-        LeaderElection[] made = new LeaderElection[1];
-        made[0] = new LeaderElection(
+        LeaderElection[] election = new LeaderElection[1];
+        election[0] = new LeaderElection(
                 new ElectionSettings(
                         new StateAccess(vertx, client),
                         new StateAccess(vertx, client),
@@ -51,8 +51,8 @@
                         events.add(node + " lost");
                     }
                 });
-        made[0].askPeersBy(() -> Future.succeededFuture(false), () -> Future.succeededFuture(true));
-        return keep(made[0]);
+        election[0].askPeersBy(() -> Future.succeededFuture(false), () -> Future.succeededFuture(true));
+        return keepReachable(election[0]);
     }
 
     private void awaitGained(String node) throws Exception {
@@ -64,10 +64,10 @@
     }
 
     /** Stops a node's election and expires all leases of its campaigns. */
-    private void stopAndExpireLeases(LeaderElection of) throws Exception {
+    private void stopAndExpireLeases(LeaderElection election) throws Exception {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
-        run(() -> {
-            of.stop();
+        runOnEventLoop(() -> {
+            election.stop();
             stopped.complete(null);
         });
         stopped.get(20, TimeUnit.SECONDS);
@@ -79,97 +79,97 @@
     static {
         CASES.put("campaign, executed after the next campaign", test -> {
             LeaderElection a = test.newElection("a", 0);
-            test.loseOne(RecordKeys.LEADER);
-            test.run(a::start);
+            test.suppressNextResponse(RecordKeys.LEADER);
+            test.runOnEventLoop(a::start);
             test.awaitGained("a");
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
             assertTrue(a.isValid());
         });
         CASES.put("campaign, executed after its node has led and resigned", test -> {
             LeaderElection a = test.newElection("a", 0);
-            test.loseOne(RecordKeys.LEADER);
-            test.run(a::start);
+            test.suppressNextResponse(RecordKeys.LEADER);
+            test.runOnEventLoop(a::start);
             test.awaitGained("a");
-            test.run(() -> a.abdicate("test"));
-            test.until(() -> !test.service.has(RecordKeys.LEADER));
-            test.changesNothingMore();
+            test.runOnEventLoop(() -> a.abdicate("test"));
+            test.awaitCondition(() -> !test.service.has(RecordKeys.LEADER));
+            test.assertLateExecutionChangesNothing();
             assertFalse(test.service.has(RecordKeys.LEADER));
         });
         CASES.put("campaign, executed after another node has led and resigned", test -> {
             LeaderElection a = test.newElection("a", 0);
-            test.loseAll(RecordKeys.LEADER);
-            test.run(a::start);
-            test.untilUnanswered();
-            test.run(a::stop);
-            test.pass();
-            if (test.isAtOnce()) {
+            test.suppressAllResponses(RecordKeys.LEADER);
+            test.runOnEventLoop(a::start);
+            test.awaitSuppressedResponse();
+            test.runOnEventLoop(a::stop);
+            test.restoreResponses();
+            if (test.isExecutedAtOnce()) {
                 // The campaign has written the key, which is removed when its lease expires.
                 test.stopAndExpireLeases(a);
             }
             LeaderElection b = test.newElection("b", 0);
-            test.run(b::start);
+            test.runOnEventLoop(b::start);
             test.awaitGained("b");
-            test.run(() -> b.abdicate("test"));
-            test.until(() -> !test.service.has(RecordKeys.LEADER));
-            test.changesNothingMore();
+            test.runOnEventLoop(() -> b.abdicate("test"));
+            test.awaitCondition(() -> !test.service.has(RecordKeys.LEADER));
+            test.assertLateExecutionChangesNothing();
         });
         CASES.put("campaign, executed after its lease has expired", test -> {
             LeaderElection a = test.newElection("a", 0);
-            test.loseAll(RecordKeys.LEADER);
-            test.run(a::start);
-            test.untilUnanswered();
+            test.suppressAllResponses(RecordKeys.LEADER);
+            test.runOnEventLoop(a::start);
+            test.awaitSuppressedResponse();
             test.stopAndExpireLeases(a);
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
             assertFalse(test.service.has(RecordKeys.LEADER));
         });
         CASES.put("removal of a previous process's key, executed after its node has been elected", test -> {
-            test.lead(1);
+            test.gainLeadership(1);
             await(test.client.commit(new StateClient.Txn()
                     .put(RecordKeys.LEADER, MessagePackFormat.map("node", "a", "process", "a0", "token", 1L))));
             LeaderElection a = test.newElection("a", 2);
-            test.loseOne(RecordKeys.LEADER);
+            test.suppressNextResponse(RecordKeys.LEADER);
             await(a.clearPredecessor(node -> Future.succeededFuture(false)));
-            test.run(a::start);
+            test.runOnEventLoop(a::start);
             test.awaitGained("a");
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
             assertTrue(test.service.has(RecordKeys.LEADER));
         });
         CASES.put("removal of a resigned leader's key, executed after another node has been elected", test -> {
             LeaderElection a = test.newElection("a", 0);
-            test.run(a::start);
+            test.runOnEventLoop(a::start);
             test.awaitGained("a");
             LeaderElection b = test.newElection("b", 0);
             Revision leadershipRevision = a.leadershipRevision();
-            test.loseOne(RecordKeys.LEADER);
+            test.suppressNextResponse(RecordKeys.LEADER);
             assertTrue(b.removeKey(leadershipRevision)
                     .toCompletionStage()
                     .toCompletableFuture()
                     .handle((v, e) -> e != null)
                     .get(20, TimeUnit.SECONDS));
-            test.run(a::stop);
-            test.run(() -> a.abdicate("test"));
+            test.runOnEventLoop(a::stop);
+            test.runOnEventLoop(() -> a.abdicate("test"));
             test.awaitLost("a");
-            test.run(b::start);
+            test.runOnEventLoop(b::start);
             test.awaitGained("b");
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
             assertTrue(test.service.has(RecordKeys.LEADER));
         });
         CASES.put("confirmation of start bounds, executed in the next leadership term", test -> {
             await(test.client.commit(
                     new StateClient.Txn().put(RecordKeys.COUNTER, MessagePackFormat.map("value", 7L))));
             LeaderElection a = test.newElection("a", 0);
-            test.run(a::start);
+            test.runOnEventLoop(a::start);
             test.awaitGained("a");
-            test.loseAll(RecordKeys.COUNTER);
-            test.run(a::confirmStartBounds);
-            test.untilUnanswered();
-            test.pass();
-            test.run(a::deposed);
+            test.suppressAllResponses(RecordKeys.COUNTER);
+            test.runOnEventLoop(a::confirmStartBounds);
+            test.awaitSuppressedResponse();
+            test.restoreResponses();
+            test.runOnEventLoop(a::deposed);
             test.awaitLost("a");
             test.awaitGained("a");
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
             assertEquals(
-                    test.isAtOnce(),
+                    test.isExecutedAtOnce(),
                     test.service.value(RecordKeys.COUNTER).flag("bounds", false),
                     "must be rejected if late, as a leader of an older version may have led since");
         });
@@ -180,36 +180,36 @@
      * must respect the pledge that it has given since.
      */
     @Test
-    void aCampaignExecutedAfterItsNodeHasPledgedElectsNoLeader() throws Exception {
-        LeaderElection a = newElection("a", 0);
-        loseAll(RecordKeys.LEADER);
-        run(a::start);
-        untilUnanswered();
+    void lateCampaignAfterPledgeElectsNoLeader() throws Exception {
+        LeaderElection election = newElection("a", 0);
+        suppressAllResponses(RecordKeys.LEADER);
+        runOnEventLoop(election::start);
+        awaitSuppressedResponse();
         CompletableFuture<Moment> pledged = new CompletableFuture<>();
         vertx.setPeriodic(1, timer -> {
-            if (!pledged.isDone() && a.pledge()) {
+            if (!pledged.isDone() && election.pledge()) {
                 pledged.complete(clock.now());
                 service.holding = txn -> false;
             }
         });
-        Moment given = pledged.get(20, TimeUnit.SECONDS);
+        Moment pledgedAt = pledged.get(20, TimeUnit.SECONDS);
         assertTrue(service.executeLate().contains(200));
         long token = LeaderKey.tokenOf(service.value(RecordKeys.LEADER).map());
-        assertTrue(service.has(RecordKeys.LEADER) && events.isEmpty() && !a.isLeading());
+        assertTrue(service.has(RecordKeys.LEADER) && events.isEmpty() && !election.isLeading());
         awaitGained("a");
         assertTrue(
-                clock.now().since(given).compareTo(Span.seconds(2)) >= 0, "must not lead while its pledge is in force");
+                clock.now().since(pledgedAt).compareTo(Span.seconds(2)) >= 0, "must not lead while its pledge is in force");
         assertTrue(LeaderKey.tokenOf(service.value(RecordKeys.LEADER).map()) > token);
     }
 
     static List<Object[]> cases() {
-        return bothWays(CASES);
+        return casesInBothModes(CASES);
     }
 
     @ParameterizedTest(name = "{0}: {1}")
     @MethodSource("cases")
-    void aTransactionWithoutAResponseDoesNoHarm(Unanswered when, String name, Case<LateElectionTransactionsTest> play)
+    void unansweredTransactionHasNoLateEffect(ExecutionTime when, String name, Case<LateElectionTransactionsTest> play)
             throws Exception {
-        play(this, when, play);
+        runCase(this, when, play);
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LateFeatureTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateFeatureTransactionsTest.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.LeaderHarness.await;
+import static io.indigoreach.cluster.LeaderTestSupport.await;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.indigoreach.core.calendar.CalendarVersion;
@@ -28,9 +28,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Tests transactions of optional features that get no response ({@link LateTransactionsHarness}). */
-class LateFeatureTransactionsTest extends LateTransactionsHarness {
-    private RoutineRunner records() {
+/** Tests transactions of optional features that get no response ({@link LateTransactionTestBase}). */
+class LateFeatureTransactionsTest extends LateTransactionTestBase {
+    private RoutineRunner newRoutineRunner() {
         List<RecordFamily> families = new ArrayList<>(Registry.FAMILIES);
         families.add(CalendarVersion.FAMILY);
         families.add(CalendarVersion.TEXT_FAMILY);
@@ -38,7 +38,7 @@
         return new RoutineRunner(vertx, client, clock, new RecordCache(families));
     }
 
-    private static Routine<Boolean> removing(String key) {
+    private static Routine<Boolean> removalOf(String key) {
         return seen -> seen.isWritten() || !seen.failed().isEmpty()
                 ? new Step.End<>(seen.isWritten())
                 : seen.records().isEmpty()
@@ -48,11 +48,11 @@
     }
 
     /** Runs a routine whose write gets no response, repeats it, and then executes the first write late. */
-    private <R> void twice(String key, RoutineRunner records, Supplier<Routine<R>> routine) throws Exception {
-        loseOne(key);
+    private <R> void runTwice(String key, RoutineRunner records, Supplier<Routine<R>> routine) throws Exception {
+        suppressNextResponse(key);
         assertTrue(await(records.run(routine.get()).map(false).otherwise(true)));
         await(records.run(routine.get()));
-        changesNothingMore();
+        assertLateExecutionChangesNothing();
     }
 
     private static final Map<String, Case<LateFeatureTransactionsTest>> CASES = new LinkedHashMap<>();
@@ -60,50 +60,50 @@
     static {
         CASES.put(
                 "creation of a record, executed after its retry",
-                test -> test.twice("x/", test.records(), () -> new Replacing("x/1", MessagePackFormat.map("n", 1L))));
+                test -> test.runTwice("x/", test.newRoutineRunner(), () -> new Replacing("x/1", MessagePackFormat.map("n", 1L))));
         CASES.put("update of a record, executed after its retry", test -> {
-            RoutineRunner records = test.records();
+            RoutineRunner records = test.newRoutineRunner();
             await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L))));
-            test.twice("x/", records, () -> new Replacing("x/1", MessagePackFormat.map("n", 2L)));
+            test.runTwice("x/", records, () -> new Replacing("x/1", MessagePackFormat.map("n", 2L)));
         });
         CASES.put("write of a leader, executed after a change of leader", test -> {
             RoutineRunner records =
-                    test.records().leading(RecordKeys.LEADER, test.lead(1), new RateLimiter(100, test.clock.now()));
-            test.loseOne("x/");
+                    test.newRoutineRunner().leading(RecordKeys.LEADER, test.gainLeadership(1), new RateLimiter(100, test.clock.now()));
+            test.suppressNextResponse("x/");
             assertTrue(await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L)))
                     .map(false)
                     .otherwise(true)));
-            test.lead(4);
-            test.changesNothingMore();
+            test.gainLeadership(4);
+            test.assertLateExecutionChangesNothing();
         });
         CASES.put("removal of a record, executed after the record was written again", test -> {
-            RoutineRunner records = test.records();
+            RoutineRunner records = test.newRoutineRunner();
             await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L))));
-            test.loseOne("x/");
-            assertTrue(await(records.run(removing("x/1")).map(false).otherwise(true)));
+            test.suppressNextResponse("x/");
+            assertTrue(await(records.run(removalOf("x/1")).map(false).otherwise(true)));
             await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 2L))));
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
         });
         CASES.put("write, executed after a data loss and the start of a new era", test -> {
-            RoutineRunner records = test.records();
-            test.loseOne("x/");
+            RoutineRunner records = test.newRoutineRunner();
+            test.suppressNextResponse("x/");
             assertTrue(await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L)))
                     .map(false)
                     .otherwise(true)));
-            assertTrue(test.rebuilds(test.lead(1), new RememberedState()));
-            test.changesNothingMore();
+            assertTrue(test.rebuildSucceeds(test.gainLeadership(1), new RememberedState()));
+            test.assertLateExecutionChangesNothing();
         });
         CASES.put(
                 "initialization of the ownership registry",
-                test -> test.twice("own/", test.records(), () -> new Beginning(true, "by test")));
+                test -> test.runTwice("own/", test.newRoutineRunner(), () -> new Beginning(true, "by test")));
         CASES.put(
                 "end of a claim that has not begun",
-                test -> test.twice("own/", test.records(), () -> new Ending("export-1")));
+                test -> test.runTwice("own/", test.newRoutineRunner(), () -> new Ending("export-1")));
         CASES.put(
                 "text of a calendar",
-                test -> test.twice(
+                test -> test.runTwice(
                         "cal/text/",
-                        test.records(),
+                        test.newRoutineRunner(),
                         () -> new Publishing(
                                 new CalendarVersion(VersionedRecord.absent(CalendarVersion.KEY)),
                                 "d",
@@ -112,9 +112,9 @@
                                 "note")));
         CASES.put(
                 "version record of a calendar",
-                test -> test.twice(
+                test -> test.runTwice(
                         CalendarVersion.KEY,
-                        test.records(),
+                        test.newRoutineRunner(),
                         () -> new Publishing(
                                 new CalendarVersion(VersionedRecord.absent(CalendarVersion.KEY)),
                                 "d",
@@ -124,13 +124,13 @@
     }
 
     static List<Object[]> cases() {
-        return bothWays(CASES);
+        return casesInBothModes(CASES);
     }
 
     @ParameterizedTest(name = "{0}: {1}")
     @MethodSource("cases")
-    void aTransactionWithoutAResponseDoesNoHarm(Unanswered when, String name, Case<LateFeatureTransactionsTest> play)
+    void unansweredTransactionHasNoLateEffect(ExecutionTime when, String name, Case<LateFeatureTransactionsTest> play)
             throws Exception {
-        play(this, when, play);
+        runCase(this, when, play);
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.LeaderHarness.await;
+import static io.indigoreach.cluster.LeaderTestSupport.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -28,8 +28,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Transactions on job records that get no response ({@link LateTransactionsHarness}). */
-class LateJobTransactionsTest extends LateTransactionsHarness {
+/** Transactions on job records that get no response ({@link LateTransactionTestBase}). */
+class LateJobTransactionsTest extends LateTransactionTestBase {
     private void isOver(JobStatus how) {
         assertEquals(
                 how,
@@ -38,7 +38,7 @@
     }
 
     private void untilOver(JobId id) throws Exception {
-        until(() -> service.has(RecordKeys.finalKey(id)));
+        awaitCondition(() -> service.has(RecordKeys.finalKey(id)));
     }
 
     /** A job in the state service and in the leader's memory; the first {@code done} of its tasks are done and not recorded. */
@@ -46,7 +46,7 @@
         JobSpec spec = spec(id, tasks);
         Predicate<Fields> holding = service.holding;
         Predicate<Fields> losing = service.losing;
-        pass();
+        restoreResponses();
         Revision stamp = await(client.commit(new StateClient.Txn()
                         .put(
                                 RecordKeys.openKey(spec.id()),
@@ -62,23 +62,23 @@
     }
 
     private JobStore newJobStore(Revision leadershipRevision) throws Exception {
-        return keep(new JobStore(
-                LeaderHarness.writes(context, 3, leadershipRevision, 100, () -> events.add("deposed")),
+        return keepReachable(new JobStore(
+                LeaderTestSupport.writes(context, 3, leadershipRevision, 100, () -> events.add("deposed")),
                 core,
-                new MachineStore(LeaderHarness.writes(context, 3, leadershipRevision, 100), core),
+                new MachineStore(LeaderTestSupport.writes(context, 3, leadershipRevision, 100), core),
                 true,
                 new CancellationHorizon()));
     }
 
     private JobStore leading() throws Exception {
-        return newJobStore(lead(1));
+        return newJobStore(gainLeadership(1));
     }
 
     private void begin(JobStore jobStore, Job... jobs) {
         for (Job job : jobs) {
             jobStore.markDirty(job);
         }
-        run(jobStore::start);
+        runOnEventLoop(jobStore::start);
     }
 
     private int recorded(JobId id) {
@@ -91,60 +91,60 @@
     static {
         CASES.put("an acceptance, after its repeat", test -> {
             JobService jobService = test.newJobService();
-            test.loseOne(OPEN);
+            test.suppressNextResponse(OPEN);
             assertEquals(503, test.submit(jobService));
-            assertEquals(test.isAtOnce() ? 200 : 201, test.submit(jobService));
-            test.changesNothingMore();
+            assertEquals(test.isExecutedAtOnce() ? 200 : 201, test.submit(jobService));
+            test.assertLateExecutionChangesNothing();
         });
         CASES.put("an acceptance, after its job was cancelled", test -> {
             JobService jobService = test.newJobService();
-            test.loseOne(OPEN);
+            test.suppressNextResponse(OPEN);
             assertEquals(503, test.submit(jobService));
-            assertEquals(test.isAtOnce() ? 200 : 201, test.submit(jobService));
+            assertEquals(test.isExecutedAtOnce() ? 200 : 201, test.submit(jobService));
             assertEquals(200, test.cancel(jobService));
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
             assertFalse(test.service.has(OPEN));
         });
         CASES.put("an acceptance, after its job was done under another leader", test -> {
             JobService jobService = test.newJobService();
-            test.loseOne(OPEN);
+            test.suppressNextResponse(OPEN);
             assertEquals(503, test.submit(jobService));
-            JobStore jobStore = test.newJobStore(test.lead(4));
+            JobStore jobStore = test.newJobStore(test.gainLeadership(4));
             test.begin(jobStore, test.job(JOB.text(), 4, 4, 4));
-            test.until(() -> test.service.has(RecordKeys.finalKey(JOB)) && test.core.job(JOB) == null);
-            test.changesNothingMore();
+            test.awaitCondition(() -> test.service.has(RecordKeys.finalKey(JOB)) && test.core.job(JOB) == null);
+            test.assertLateExecutionChangesNothing();
             assertFalse(test.service.has(OPEN));
         });
         CASES.put("a cancellation, after its repeat", test -> {
             JobService jobService = test.newJobService();
             test.submit(jobService);
-            test.loseOne(OPEN);
+            test.suppressNextResponse(OPEN);
             assertEquals(503, test.cancel(jobService));
             assertEquals(200, test.cancel(jobService));
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
         });
         CASES.put("a cancellation, after the job's progress, and before it was done", test -> {
             JobService jobService = test.newJobService();
             JobStore jobStore = test.leading();
             Job job = test.job(JOB.text(), 4, 2, 4);
-            test.loseOne(OPEN);
+            test.suppressNextResponse(OPEN);
             assertEquals(503, test.cancel(jobService));
             test.begin(jobStore, job);
-            test.until(() -> test.isAtOnce() ? test.core.job(JOB) == null : test.recorded(JOB) == 2);
-            test.changesNothingMore();
-            assertEquals(test.isAtOnce(), !test.service.has(OPEN), "its user was told nothing, and asks again");
+            test.awaitCondition(() -> test.isExecutedAtOnce() ? test.core.job(JOB) == null : test.recorded(JOB) == 2);
+            test.assertLateExecutionChangesNothing();
+            assertEquals(test.isExecutedAtOnce(), !test.service.has(OPEN), "its user was told nothing, and asks again");
             assertEquals(200, test.cancel(jobService));
         });
         CASES.put("a cancellation, after the job was done", test -> {
             JobService jobService = test.newJobService();
             JobStore jobStore = test.leading();
             Job job = test.job(JOB.text(), 4, 4, 4);
-            test.loseOne(OPEN);
+            test.suppressNextResponse(OPEN);
             assertEquals(503, test.cancel(jobService));
             test.begin(jobStore, job);
-            test.until(() -> test.core.job(JOB) == null);
-            test.changesNothingMore();
-            test.isOver(test.isAtOnce() ? JobStatus.CANCELLED : JobStatus.DONE);
+            test.awaitCondition(() -> test.core.job(JOB) == null);
+            test.assertLateExecutionChangesNothing();
+            test.isOver(test.isExecutedAtOnce() ? JobStatus.CANCELLED : JobStatus.DONE);
         });
         for (boolean cancelled : new boolean[] {false, true}) {
             CASES.put(
@@ -156,7 +156,7 @@
                         StateClient.Entry entry =
                                 new StateClient.Entry(OPEN, test.service.value(OPEN), unreadable.writtenRevision(), 0);
                         JobRepairer repairer = new JobRepairer(test.client, test.clock);
-                        test.loseOne(OPEN);
+                        test.suppressNextResponse(OPEN);
                         assertTrue(await(repairer.repairOpen(JOB, entry, spec(JOB.text(), 4))
                                 .map(false)
                                 .otherwise(true)));
@@ -164,7 +164,7 @@
                         if (cancelled) {
                             assertEquals(200, test.cancel(jobService));
                         }
-                        test.changesNothingMore();
+                        test.assertLateExecutionChangesNothing();
                         assertEquals(cancelled, !test.service.has(OPEN));
                     });
         }
@@ -175,90 +175,90 @@
             StateClient.Entry entry =
                     new StateClient.Entry(over, test.service.value(over), unreadable.writtenRevision(), 0);
             JobRepairer repairer = new JobRepairer(test.client, test.clock);
-            test.loseOne(over);
+            test.suppressNextResponse(over);
             assertTrue(await(repairer.repairFinal(JOB, entry, null).map(false).otherwise(true)));
             await(repairer.repairFinal(JOB, entry, null));
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
         });
         CASES.put("progress, after newer progress", test -> {
             JobStore jobStore = test.leading();
-            test.loseOne(OPEN);
+            test.suppressNextResponse(OPEN);
             Job job = test.job(JOB.text(), 4, 2, 4);
             test.begin(jobStore, job);
-            test.until(
+            test.awaitCondition(
                     () -> test.recorded(JOB) == 2 && job.unrecordedCompletions().isEmpty());
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
         });
         CASES.put("progress, after the job was cancelled", test -> {
             JobStore jobStore = test.leading();
-            test.loseAll(OPEN);
+            test.suppressAllResponses(OPEN);
             test.begin(jobStore, test.job(JOB.text(), 4, 2, 4));
-            test.untilUnanswered();
-            test.pass();
-            test.until(() -> test.recorded(JOB) == 2);
+            test.awaitSuppressedResponse();
+            test.restoreResponses();
+            test.awaitCondition(() -> test.recorded(JOB) == 2);
             assertEquals(200, test.cancel(test.newJobService()));
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
             assertFalse(test.service.has(OPEN));
         });
         CASES.put("progress, after a change of leader", test -> {
             JobStore jobStore = test.leading();
-            test.loseAll(OPEN);
+            test.suppressAllResponses(OPEN);
             test.begin(jobStore, test.job(JOB.text(), 4, 2, 4));
-            test.untilUnanswered();
-            test.run(jobStore::cancel);
-            test.lead(4);
-            test.changesNothingMore();
-            assertEquals(test.isAtOnce() ? 2 : 0, test.recorded(JOB));
+            test.awaitSuppressedResponse();
+            test.runOnEventLoop(jobStore::cancel);
+            test.gainLeadership(4);
+            test.assertLateExecutionChangesNothing();
+            assertEquals(test.isExecutedAtOnce() ? 2 : 0, test.recorded(JOB));
         });
         CASES.put("a start bound, after a newer one", test -> {
             JobStore jobStore = test.leading();
             test.core.rented(POOL, List.of(new MachineId("vm-1")), test.clock.now(), test.clock.now());
-            test.loseOne(OPEN);
+            test.suppressNextResponse(OPEN);
             Job job = test.job(JOB.text(), 4, 0, 0);
             test.begin(jobStore, job);
-            test.until(() -> test.service.value(OPEN).whole("bound", 0) > 0 && !job.needsHigherStartBound());
-            test.changesNothingMore();
+            test.awaitCondition(() -> test.service.value(OPEN).whole("bound", 0) > 0 && !job.needsHigherStartBound());
+            test.assertLateExecutionChangesNothing();
         });
         CASES.put("a start bound, after a change of leader: what that one orders by stands", test -> {
             JobStore jobStore = test.leading();
             test.core.rented(POOL, List.of(new MachineId("vm-1")), test.clock.now(), test.clock.now());
-            test.loseAll(OPEN);
+            test.suppressAllResponses(OPEN);
             Job job = test.job(JOB.text(), 4, 0, 0);
             test.begin(jobStore, job);
-            test.untilUnanswered();
-            test.run(jobStore::cancel);
-            test.lead(4);
-            test.changesNothingMore();
+            test.awaitSuppressedResponse();
+            test.runOnEventLoop(jobStore::cancel);
+            test.gainLeadership(4);
+            test.assertLateExecutionChangesNothing();
             assertTrue(job.needsHigherStartBound(), "not answered: nothing was ordered by it");
         });
         CASES.put("an end, after its repeat", test -> {
             JobStore jobStore = test.leading();
-            test.loseOne(OPEN);
+            test.suppressNextResponse(OPEN);
             test.begin(jobStore, test.job(JOB.text(), 4, 4, 4));
-            test.until(() -> test.service.has(RecordKeys.finalKey(JOB)) && test.core.job(JOB) == null);
-            test.changesNothingMore();
+            test.awaitCondition(() -> test.service.has(RecordKeys.finalKey(JOB)) && test.core.job(JOB) == null);
+            test.assertLateExecutionChangesNothing();
         });
         CASES.put("an end, after a change of leader", test -> {
             JobStore jobStore = test.leading();
-            test.loseAll(OPEN);
+            test.suppressAllResponses(OPEN);
             test.begin(jobStore, test.job(JOB.text(), 4, 4, 4));
-            test.untilUnanswered();
-            test.run(jobStore::cancel);
-            test.lead(4);
-            test.changesNothingMore();
-            assertEquals(test.isAtOnce(), !test.service.has(OPEN));
+            test.awaitSuppressedResponse();
+            test.runOnEventLoop(jobStore::cancel);
+            test.gainLeadership(4);
+            test.assertLateExecutionChangesNothing();
+            assertEquals(test.isExecutedAtOnce(), !test.service.has(OPEN));
         });
         CASES.put("an end, after its user cancelled", test -> {
             JobStore jobStore = test.leading();
             JobService jobService = test.newJobService();
-            test.loseAll(OPEN);
+            test.suppressAllResponses(OPEN);
             test.begin(jobStore, test.job(JOB.text(), 4, 4, 4));
-            test.untilUnanswered();
-            test.run(jobStore::cancel);
-            test.pass();
+            test.awaitSuppressedResponse();
+            test.runOnEventLoop(jobStore::cancel);
+            test.restoreResponses();
             assertEquals(200, test.cancel(jobService));
-            test.changesNothingMore();
-            test.isOver(test.isAtOnce() ? JobStatus.DONE : JobStatus.CANCELLED);
+            test.assertLateExecutionChangesNothing();
+            test.isOver(test.isExecutedAtOnce() ? JobStatus.DONE : JobStatus.CANCELLED);
         });
         CASES.put("an end in the open record, and its move, each after its repeat", test -> {
             JobStore jobStore = test.leading();
@@ -269,28 +269,28 @@
             AtomicBoolean mark = new AtomicBoolean(true);
             AtomicBoolean move = new AtomicBoolean(true);
             // A mark puts the open record; the first transaction after it that deletes that record moves it.
-            test.leaveUnanswered(txn -> touches(txn, OPEN)
-                    && (touches(txn, RecordKeys.finalKey(JOB))
+            test.suppressResponses(txn -> writesKeyWithPrefix(txn, OPEN)
+                    && (writesKeyWithPrefix(txn, RecordKeys.finalKey(JOB))
                             ? !mark.get() && move.getAndSet(false)
                             : mark.getAndSet(false)));
             test.begin(jobStore, jobs);
             for (Job job : jobs) {
                 test.untilOver(job.id());
             }
-            assertEquals(2, test.unanswered());
-            test.changesNothingMore();
+            assertEquals(2, test.suppressedCount());
+            test.assertLateExecutionChangesNothing();
             assertEquals(List.of(), test.service.keys(RecordKeys.OPEN_JOBS));
         });
     }
 
     static List<Object[]> cases() {
-        return bothWays(CASES);
+        return casesInBothModes(CASES);
     }
 
     @ParameterizedTest(name = "{0}: {1}")
     @MethodSource("cases")
-    void aTransactionWithoutAResponseDoesNoHarm(Unanswered when, String name, Case<LateJobTransactionsTest> play)
+    void aTransactionWithoutAResponseDoesNoHarm(ExecutionTime when, String name, Case<LateJobTransactionsTest> play)
             throws Exception {
-        play(this, when, play);
+        runCase(this, when, play);
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.LeaderHarness.await;
+import static io.indigoreach.cluster.LeaderTestSupport.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -23,8 +23,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Transactions on machine records and cloud requests that get no response ({@link LateTransactionsHarness}). */
-class LateMachineTransactionsTest extends LateTransactionsHarness {
+/** Transactions on machine records and cloud requests that get no response ({@link LateTransactionTestBase}). */
+class LateMachineTransactionsTest extends LateTransactionTestBase {
     private Future<Boolean> recordMachine(MachineStore machineStore, int n) {
         MachineId id = new MachineId("vm-" + n);
         Moment now = clock.now();
@@ -40,14 +40,14 @@
     }
 
     private MachineStore newMachineStore(Revision leadershipRevision) {
-        MachineStore machineStore = keep(new MachineStore(
-                LeaderHarness.writes(context, 3, leadershipRevision, 100, () -> events.add("deposed")), core));
-        run(machineStore::start);
+        MachineStore machineStore = keepReachable(new MachineStore(
+                LeaderTestSupport.writes(context, 3, leadershipRevision, 100, () -> events.add("deposed")), core));
+        runOnEventLoop(machineStore::start);
         return machineStore;
     }
 
     private IntentLog newIntentLog(Revision leadershipRevision) {
-        return keep(new IntentLog(
+        return keepReachable(new IntentLog(
                 context,
                 new FencingToken(3),
                 leadershipRevision,
@@ -69,123 +69,123 @@
 
     static {
         CASES.put("a page's first write, after its repeat", test -> {
-            MachineStore machineStore = test.newMachineStore(test.lead(1));
-            test.loseOne(RecordKeys.MACHINE_PAGES);
-            assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 1)));
-            assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 2)));
-            test.changesNothingMore();
-            assertEquals(2, test.recordedMachines());
+            MachineStore machineStore = test.newMachineStore(test.gainLeadership(1));
+            test.suppressNextResponse(RecordKeys.MACHINE_PAGES);
+            assertTrue(test.awaitOnEventLoop(() -> test.recordMachine(machineStore, 1)));
+            assertTrue(test.awaitOnEventLoop(() -> test.recordMachine(machineStore, 2)));
+            test.assertLateExecutionChangesNothing();
+            assertEquals(2, test.recordedMachineCount());
         });
         CASES.put("a page's first write, after all on it are gone", test -> {
-            MachineStore machineStore = test.newMachineStore(test.lead(1));
-            test.loseOne(RecordKeys.MACHINE_PAGES);
-            assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 1)));
-            test.run(() -> test.returnMachine(1));
-            test.until(() -> test.recordedMachines() == 0);
-            test.changesNothingMore();
-            assertEquals(0, test.recordedMachines(), "a machine that is gone holds the next leader up");
+            MachineStore machineStore = test.newMachineStore(test.gainLeadership(1));
+            test.suppressNextResponse(RecordKeys.MACHINE_PAGES);
+            assertTrue(test.awaitOnEventLoop(() -> test.recordMachine(machineStore, 1)));
+            test.runOnEventLoop(() -> test.returnMachine(1));
+            test.awaitCondition(() -> test.recordedMachineCount() == 0);
+            test.assertLateExecutionChangesNothing();
+            assertEquals(0, test.recordedMachineCount(), "a machine that is gone holds the next leader up");
         });
         CASES.put("a page's first write, after a change of leader", test -> {
-            MachineStore machineStore = test.newMachineStore(test.lead(1));
-            test.loseAll(RecordKeys.MACHINE_PAGES);
-            test.run(() -> test.recordMachine(machineStore, 1));
-            test.untilUnanswered();
-            test.run(machineStore::cancel);
-            test.lead(4);
-            test.changesNothingMore();
+            MachineStore machineStore = test.newMachineStore(test.gainLeadership(1));
+            test.suppressAllResponses(RecordKeys.MACHINE_PAGES);
+            test.runOnEventLoop(() -> test.recordMachine(machineStore, 1));
+            test.awaitSuppressedResponse();
+            test.runOnEventLoop(machineStore::cancel);
+            test.gainLeadership(4);
+            test.assertLateExecutionChangesNothing();
         });
         CASES.put("a page's change, after a newer one", test -> {
-            MachineStore machineStore = test.newMachineStore(test.lead(1));
-            assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 1)));
-            test.loseOne(RecordKeys.MACHINE_PAGES);
-            assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 2)));
-            assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 3)));
-            test.changesNothingMore();
-            assertEquals(3, test.recordedMachines(), "it takes no machine off");
+            MachineStore machineStore = test.newMachineStore(test.gainLeadership(1));
+            assertTrue(test.awaitOnEventLoop(() -> test.recordMachine(machineStore, 1)));
+            test.suppressNextResponse(RecordKeys.MACHINE_PAGES);
+            assertTrue(test.awaitOnEventLoop(() -> test.recordMachine(machineStore, 2)));
+            assertTrue(test.awaitOnEventLoop(() -> test.recordMachine(machineStore, 3)));
+            test.assertLateExecutionChangesNothing();
+            assertEquals(3, test.recordedMachineCount(), "it takes no machine off");
         });
         CASES.put("an earlier leader's page is removed, and again", test -> {
-            MachineStore first = test.newMachineStore(test.lead(1));
-            assertTrue(test.onLoop(() -> test.recordMachine(first, 1)));
-            test.run(first::cancel);
-            test.run(() -> test.returnMachine(1));
-            Revision leadershipRevision = test.lead(4);
+            MachineStore first = test.newMachineStore(test.gainLeadership(1));
+            assertTrue(test.awaitOnEventLoop(() -> test.recordMachine(first, 1)));
+            test.runOnEventLoop(first::cancel);
+            test.runOnEventLoop(() -> test.returnMachine(1));
+            Revision leadershipRevision = test.gainLeadership(4);
             MachineStore next =
-                    new MachineStore(LeaderHarness.writes(test.context, 4, leadershipRevision, 100), test.core);
-            test.loseOne(RecordKeys.MACHINE_PAGES);
+                    new MachineStore(LeaderTestSupport.writes(test.context, 4, leadershipRevision, 100), test.core);
+            test.suppressNextResponse(RecordKeys.MACHINE_PAGES);
             await(RecordListing.readAll(
                     test.client,
                     leadershipRevision,
                     RecordKeys.MACHINE_PAGES,
                     e -> next.inherit(e.key(), e.revision(), MachineRecordCodec.readMachines(e.value()))));
-            test.run(next::start);
-            test.until(() -> test.unanswered() == 1
+            test.runOnEventLoop(next::start);
+            test.awaitCondition(() -> test.suppressedCount() == 1
                     && test.service.keys(RecordKeys.MACHINE_PAGES).isEmpty());
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
         });
         CASES.put("an intent's first record, after its repeat", test -> {
-            IntentLog intentLog = test.newIntentLog(test.lead(1));
+            IntentLog intentLog = test.newIntentLog(test.gainLeadership(1));
             intentLog.intents().add(RENT);
-            test.loseOne(RecordKeys.INTENTS);
+            test.suppressNextResponse(RecordKeys.INTENTS);
             assertFalse(record(intentLog) || intentLog.intents().maySend(RENT.name()), "it may be there or not");
-            test.until(() -> record(intentLog) && intentLog.intents().maySend(RENT.name()));
-            test.changesNothingMore();
+            test.awaitCondition(() -> record(intentLog) && intentLog.intents().maySend(RENT.name()));
+            test.assertLateExecutionChangesNothing();
         });
         CASES.put("an intent's first record, after all in it is settled", test -> {
-            IntentLog intentLog = test.newIntentLog(test.lead(1));
+            IntentLog intentLog = test.newIntentLog(test.gainLeadership(1));
             intentLog.intents().add(RENT);
-            test.loseOne(RecordKeys.INTENTS);
+            test.suppressNextResponse(RecordKeys.INTENTS);
             assertFalse(record(intentLog));
-            test.until(() -> record(intentLog) && intentLog.intents().maySend(RENT.name()));
+            test.awaitCondition(() -> record(intentLog) && intentLog.intents().maySend(RENT.name()));
             intentLog.intents().completed(RENT.name());
-            test.until(() -> record(intentLog) && test.intended().isEmpty());
-            test.changesNothingMore();
+            test.awaitCondition(() -> record(intentLog) && test.intended().isEmpty());
+            test.assertLateExecutionChangesNothing();
             assertTrue(test.intended().isEmpty(), "the next leader would ask once more");
         });
         CASES.put("an intent's first record, after it was given up", test -> {
-            IntentLog intentLog = test.newIntentLog(test.lead(1));
+            IntentLog intentLog = test.newIntentLog(test.gainLeadership(1));
             intentLog.intents().add(RENT);
-            test.loseOne(RecordKeys.INTENTS);
+            test.suppressNextResponse(RecordKeys.INTENTS);
             assertFalse(record(intentLog));
             intentLog.intents().completed(RENT.name());
-            test.until(() -> record(intentLog)
+            test.awaitCondition(() -> record(intentLog)
                     && test.service.has("i/3")
                     && test.intended().isEmpty());
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
             assertTrue(test.intended().isEmpty(), "the next leader would rent what nobody wants");
         });
         CASES.put("an intent, after a change of leader", test -> {
-            IntentLog intentLog = test.newIntentLog(test.lead(1));
+            IntentLog intentLog = test.newIntentLog(test.gainLeadership(1));
             intentLog.intents().add(RENT);
-            test.loseOne(RecordKeys.INTENTS);
+            test.suppressNextResponse(RecordKeys.INTENTS);
             assertFalse(record(intentLog));
-            test.lead(4);
-            test.changesNothingMore();
+            test.gainLeadership(4);
+            test.assertLateExecutionChangesNothing();
             assertFalse(intentLog.intents().maySend(RENT.name()));
         });
         CASES.put("an earlier leader's intents are removed, and again", test -> {
-            IntentLog old = test.newIntentLog(test.lead(1));
+            IntentLog old = test.newIntentLog(test.gainLeadership(1));
             old.intents().add(RENT);
             assertTrue(record(old));
             IntentLog next = new IntentLog(
-                    test.context, new FencingToken(4), test.lead(4), () -> {}, new RateLimiter(100, test.clock.now()));
+                    test.context, new FencingToken(4), test.gainLeadership(4), () -> {}, new RateLimiter(100, test.clock.now()));
             await(next.load());
-            test.loseOne(RecordKeys.INTENTS);
-            await(next.forgetEarlier());
-            assertEquals(test.isAtOnce(), !test.service.has("i/3"));
-            await(next.forgetEarlier());
+            test.suppressNextResponse(RecordKeys.INTENTS);
+            await(next.removeEarlierRecords());
+            assertEquals(test.isExecutedAtOnce(), !test.service.has("i/3"));
+            await(next.removeEarlierRecords());
             assertFalse(test.service.has("i/3"));
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
         });
     }
 
     static List<Object[]> cases() {
-        return bothWays(CASES);
+        return casesInBothModes(CASES);
     }
 
     @ParameterizedTest(name = "{0}: {1}")
     @MethodSource("cases")
-    void aTransactionWithoutAResponseDoesNoHarm(Unanswered when, String name, Case<LateMachineTransactionsTest> play)
+    void aTransactionWithoutAResponseDoesNoHarm(ExecutionTime when, String name, Case<LateMachineTransactionsTest> play)
             throws Exception {
-        play(this, when, play);
+        runCase(this, when, play);
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.LeaderHarness.await;
+import static io.indigoreach.cluster.LeaderTestSupport.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,8 +21,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Transactions of a rebuild after a data loss that get no response ({@link LateTransactionsHarness}). */
-class LateRebuildTransactionsTest extends LateTransactionsHarness {
+/** Transactions of a rebuild after a data loss that get no response ({@link LateTransactionTestBase}). */
+class LateRebuildTransactionsTest extends LateTransactionTestBase {
     private int bound() {
         return JobRecordCodec.readJob(JOB, service.value(OPEN), Revision.ABSENT).bound();
     }
@@ -33,62 +33,62 @@
         for (String key : List.of(RecordKeys.MACHINE_PAGES, OPEN, RecordKeys.FINAL_JOBS, RecordKeys.ERA)) {
             CASES.put("a rebuilding's " + key + ", after the next try", test -> {
                 await(test.client.check());
-                Revision leader = test.lead(1);
-                test.loseOne(key);
-                assertFalse(test.rebuilds(leader));
-                assertTrue(test.rebuilds(leader));
-                test.changesNothingMore();
+                Revision leader = test.gainLeadership(1);
+                test.suppressNextResponse(key);
+                assertFalse(test.rebuildSucceeds(leader));
+                assertTrue(test.rebuildSucceeds(leader));
+                test.assertLateExecutionChangesNothing();
             });
             CASES.put("a rebuilding's " + key + ", after a change of leader", test -> {
                 await(test.client.check());
-                Revision leader = test.lead(1);
-                test.loseOne(key);
-                assertFalse(test.rebuilds(leader));
-                test.lead(4);
-                test.changesNothingMore();
+                Revision leader = test.gainLeadership(1);
+                test.suppressNextResponse(key);
+                assertFalse(test.rebuildSucceeds(leader));
+                test.gainLeadership(4);
+                test.assertLateExecutionChangesNothing();
             });
         }
         CASES.put("a rebuilt page, after the next try and all on it are gone", test -> {
             await(test.client.check());
-            Revision leader = test.lead(1);
-            test.loseOne(RecordKeys.MACHINE_PAGES);
-            assertFalse(test.rebuilds(leader));
-            assertTrue(test.rebuilds(leader));
-            MachineStore machineStore = new MachineStore(LeaderHarness.writes(test.context, 3, leader, 100), test.core);
+            Revision leader = test.gainLeadership(1);
+            test.suppressNextResponse(RecordKeys.MACHINE_PAGES);
+            assertFalse(test.rebuildSucceeds(leader));
+            assertTrue(test.rebuildSucceeds(leader));
+            MachineStore machineStore = new MachineStore(LeaderTestSupport.writes(test.context, 3, leader, 100), test.core);
             await(RecordListing.readAll(
                     test.client,
                     leader,
                     RecordKeys.MACHINE_PAGES,
                     e -> machineStore.inherit(e.key(), e.revision(), MachineRecordCodec.readMachines(e.value()))));
-            test.run(machineStore::start);
-            test.until(() -> test.recordedMachines() == 0);
-            test.changesNothingMore();
-            assertEquals(0, test.recordedMachines());
+            test.runOnEventLoop(machineStore::start);
+            test.awaitCondition(() -> test.recordedMachineCount() == 0);
+            test.assertLateExecutionChangesNothing();
+            assertEquals(0, test.recordedMachineCount());
         });
         CASES.put("a rebuilt job with blocks of bits, after the next try and its end", test -> {
             await(test.client.check());
-            Revision leader = test.lead(1);
-            test.loseOne(OPEN);
-            assertFalse(test.rebuilds(leader));
-            assertTrue(test.rebuilds(leader));
+            Revision leader = test.gainLeadership(1);
+            test.suppressNextResponse(OPEN);
+            assertFalse(test.rebuildSucceeds(leader));
+            assertTrue(test.rebuildSucceeds(leader));
             assertEquals(2, test.service.keys(RecordKeys.COMPLETION_BLOCKS).size());
             assertEquals(200, test.cancel(test.newJobService()));
             // As the leader does behind the end.
             StateClient.Txn removal = new StateClient.Txn();
             test.service.keys(RecordKeys.COMPLETION_BLOCKS).forEach(removal::delete);
             assertTrue(await(test.client.commit(removal)).done());
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
             assertFalse(test.service.has(OPEN));
             assertEquals(List.of(), test.service.keys(RecordKeys.COMPLETION_BLOCKS));
         });
         CASES.put("a rebuilt job, after a next try that no longer knew of it", test -> {
             await(test.client.check());
-            Revision leader = test.lead(1);
-            test.loseOne(OPEN);
-            assertFalse(test.rebuilds(leader));
-            assertTrue(test.rebuilds(leader, new RememberedState()));
-            test.changesNothingMore();
-            if (test.isAtOnce()) {
+            Revision leader = test.gainLeadership(1);
+            test.suppressNextResponse(OPEN);
+            assertFalse(test.rebuildSucceeds(leader));
+            assertTrue(test.rebuildSucceeds(leader, new RememberedState()));
+            test.assertLateExecutionChangesNothing();
+            if (test.isExecutedAtOnce()) {
                 assertEquals(4, test.bound(), "it counts as ordered in whole");
             } else {
                 assertFalse(test.service.has(OPEN), "this leader would take it for a new job, of which nothing runs");
@@ -97,20 +97,20 @@
         CASES.put("an acceptance, after a loss was mended and the job's end was lost", test -> {
             await(test.client.check());
             JobService jobService = test.newJobService();
-            test.loseOne(OPEN);
+            test.suppressNextResponse(OPEN);
             assertEquals(503, test.submit(jobService));
-            assertEquals(test.isAtOnce() ? 200 : 201, test.submit(jobService));
+            assertEquals(test.isExecutedAtOnce() ? 200 : 201, test.submit(jobService));
             assertEquals(200, test.cancel(jobService));
             await(test.client.commit(new StateClient.Txn().delete(RecordKeys.finalKey(JOB))));
-            assertTrue(test.rebuilds(test.lead(1), new RememberedState()));
-            test.changesNothingMore();
+            assertTrue(test.rebuildSucceeds(test.gainLeadership(1), new RememberedState()));
+            test.assertLateExecutionChangesNothing();
             assertFalse(test.service.has(OPEN));
         });
         CASES.put("a deployment's first era, after another process wrote it", test -> {
-            test.loseOne(RecordKeys.ERA);
+            test.suppressNextResponse(RecordKeys.ERA);
             assertTrue(await(test.client.check().map(false).otherwise(true)));
             await(test.client().check());
-            test.changesNothingMore();
+            test.assertLateExecutionChangesNothing();
             await(test.client.check());
             assertTrue(test.client.isEraKnown());
         });
@@ -120,31 +120,31 @@
     @Test
     void anAcceptanceExecutedDuringARebuildDoesNotLowerTheStartBound() throws Exception {
         JobService jobService = newJobService();
-        loseOne(OPEN);
+        suppressNextResponse(OPEN);
         assertEquals(503, submit(jobService));
-        Revision leader = lead(1);
+        Revision leader = gainLeadership(1);
         List<Integer> late = new ArrayList<>();
         service.holding = txn -> {
-            if (touches(txn, OPEN)) {
+            if (writesKeyWithPrefix(txn, OPEN)) {
                 late.addAll(service.executeLate());
             }
             return false;
         };
         RememberedState rememberedState = new RememberedState();
         rememberedState.add(new RememberedState.OpenJob(spec(JOB.text(), 4), 1, new BitSet(), 4));
-        until(() -> rebuilds(leader, rememberedState));
+        awaitCondition(() -> rebuildSucceeds(leader, rememberedState));
         assertEquals(List.of(200), late);
         assertEquals(4, bound());
     }
 
     static List<Object[]> cases() {
-        return bothWays(CASES);
+        return casesInBothModes(CASES);
     }
 
     @ParameterizedTest(name = "{0}: {1}")
     @MethodSource("cases")
-    void aTransactionWithoutAResponseDoesNoHarm(Unanswered when, String name, Case<LateRebuildTransactionsTest> play)
+    void aTransactionWithoutAResponseDoesNoHarm(ExecutionTime when, String name, Case<LateRebuildTransactionsTest> play)
             throws Exception {
-        play(this, when, play);
+        runCase(this, when, play);
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LateTransactionsHarness.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionTestBase.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.LeaderHarness.await;
+import static io.indigoreach.cluster.LeaderTestSupport.await;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -53,7 +53,7 @@
  * transactions come from production code and go to an emulated state service. Tests wait for events and never for a
  * fixed time.
  */
-abstract class LateTransactionsHarness {
+abstract class LateTransactionTestBase {
     static final MachinePool POOL = new MachinePool("quad", "a", true);
     static final JobId JOB = new JobId("run-1");
     static final String OPEN = RecordKeys.openKey(JOB);
@@ -61,7 +61,7 @@
     final Vertx vertx = Vertx.vertx();
     final SteadyClock clock = new SteadyClock();
     /** Strong references, as Vert.x closes a client that is no longer reachable. */
-    private final List<Object> kept = new ArrayList<>();
+    private final List<Object> reachableObjects = new ArrayList<>();
 
     final BlockingQueue<String> events = new ArrayBlockingQueue<>(100);
     StateStandIn service;
@@ -70,23 +70,23 @@
     SchedulerCore core;
 
     /** When a transaction that gets no response is executed. */
-    enum Unanswered {
+    enum ExecutionTime {
         LATE,
         AT_ONCE
     }
 
-    private Unanswered mode = Unanswered.LATE;
+    private ExecutionTime mode = ExecutionTime.LATE;
 
     /** One sequence of events. {@code T} is the test class that provides the helper methods. */
     interface Case<T> {
-        void play(T test) throws Exception;
+        void run(T test) throws Exception;
     }
 
-    /** Returns the parameters of a test that runs each case once per {@link Unanswered} mode. */
-    static <T> List<Object[]> bothWays(Map<String, Case<T>> table) {
+    /** Returns the parameters of a test that runs each case once per {@link ExecutionTime}. */
+    static <T> List<Object[]> casesInBothModes(Map<String, Case<T>> table) {
         List<Object[]> all = new ArrayList<>();
         table.forEach((name, play) -> {
-            for (Unanswered when : Unanswered.values()) {
+            for (ExecutionTime when : ExecutionTime.values()) {
                 all.add(new Object[] {when, name, play});
             }
         });
@@ -94,9 +94,9 @@
     }
 
     /** Runs one case in the given mode. */
-    <T> void play(T test, Unanswered when, Case<T> play) throws Exception {
+    <T> void runCase(T test, ExecutionTime when, Case<T> play) throws Exception {
         mode = when;
-        play.play(test);
+        play.run(test);
     }
 
     @BeforeEach
@@ -104,11 +104,11 @@
         service = await(new StateStandIn().listen(vertx));
         client = client();
         Catalogue catalogue = new Catalogue(
-                vertx, client, keep(new CloudClient(keep(new ServiceClient(vertx, service.endpoint(), 1)))));
+                vertx, client, keepReachable(new CloudClient(keepReachable(new ServiceClient(vertx, service.endpoint(), 1)))));
         context =
-                LeaderHarness.context(vertx, clock, client).catalogue(catalogue).build();
+                LeaderTestSupport.context(vertx, clock, client).catalogue(catalogue).build();
 
-        core = LeaderHarness.loadedCore(context, 3, LeaderHarness.quad());
+        core = LeaderTestSupport.loadedCore(context, 3, LeaderTestSupport.quadCoreType());
     }
 
     @AfterEach
@@ -117,18 +117,18 @@
     }
 
     /** Keeps an object reachable until the test is over. */
-    <T> T keep(T object) {
-        kept.add(object);
+    <T> T keepReachable(T object) {
+        reachableObjects.add(object);
         return object;
     }
 
     StateClient client() {
-        return keep(new StateClient(
-                keep(new ServiceClient(vertx, service.endpoint(), 4)),
-                keep(new ServiceClient(vertx, service.endpoint(), 2))));
+        return keepReachable(new StateClient(
+                keepReachable(new ServiceClient(vertx, service.endpoint(), 4)),
+                keepReachable(new ServiceClient(vertx, service.endpoint(), 2))));
     }
 
-    static void until(Callable<Boolean> holds) throws Exception {
+    static void awaitCondition(Callable<Boolean> holds) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (!holds.call()) {
             assertTrue(System.nanoTime() < end, "condition not met within 20 s");
@@ -136,21 +136,21 @@
         }
     }
 
-    void run(Runnable action) {
+    void runOnEventLoop(Runnable action) {
         vertx.runOnContext(v -> action.run());
     }
 
-    static boolean touches(Fields txn, String key) {
+    static boolean writesKeyWithPrefix(Fields txn, String key) {
         return txn.children("writes").stream()
                 .anyMatch(w -> (w.has("delete") ? w.text("delete") : w.text("write")).startsWith(key));
     }
 
-    boolean isAtOnce() {
-        return mode == Unanswered.AT_ONCE;
+    boolean isExecutedAtOnce() {
+        return mode == ExecutionTime.AT_ONCE;
     }
 
-    void leaveUnanswered(Predicate<Fields> which) {
-        if (isAtOnce()) {
+    void suppressResponses(Predicate<Fields> which) {
+        if (isExecutedAtOnce()) {
             service.losing = which;
         } else {
             service.holding = which;
@@ -158,33 +158,33 @@
     }
 
     /** The next transaction that writes or deletes a key with this prefix gets no response. */
-    void loseOne(String key) {
+    void suppressNextResponse(String key) {
         AtomicBoolean first = new AtomicBoolean(true);
-        leaveUnanswered(txn -> touches(txn, key) && first.getAndSet(false));
+        suppressResponses(txn -> writesKeyWithPrefix(txn, key) && first.getAndSet(false));
     }
 
     /** No transaction that writes or deletes a key with this prefix gets a response. */
-    void loseAll(String key) {
-        leaveUnanswered(txn -> touches(txn, key));
+    void suppressAllResponses(String key) {
+        suppressResponses(txn -> writesKeyWithPrefix(txn, key));
     }
 
     /** Lets all transactions get a response from now on. */
-    void pass() {
-        leaveUnanswered(txn -> false);
+    void restoreResponses() {
+        suppressResponses(txn -> false);
     }
 
-    int unanswered() {
+    int suppressedCount() {
         return service.held() + service.lost;
     }
 
-    void untilUnanswered() throws Exception {
-        until(() -> unanswered() > 0);
+    void awaitSuppressedResponse() throws Exception {
+        awaitCondition(() -> suppressedCount() > 0);
     }
 
     /** Executes the transactions that were held back, and checks that all are rejected, or that a response was lost. */
-    void changesNothingMore() {
-        pass();
-        if (isAtOnce()) {
+    void assertLateExecutionChangesNothing() {
+        restoreResponses();
+        if (isExecutedAtOnce()) {
             assertTrue(service.lost > 0, "no response was lost");
             return;
         }
@@ -194,30 +194,30 @@
     }
 
     /** Writes the leadership key, which begins a new leadership term; returns its revision. */
-    Revision lead(long token) throws Exception {
-        return LeaderHarness.lead(client, token);
+    Revision gainLeadership(long token) throws Exception {
+        return LeaderTestSupport.gainLeadership(client, token);
     }
 
     /** Creates a job service whose machine catalogue is loaded. */
     JobService newJobService() throws Exception {
-        JobService jobService = keep(new JobService(new JobService.Context(
+        JobService jobService = keepReachable(new JobService(new JobService.Context(
                 vertx,
                 client,
                 new JobRepairer(client, clock),
                 context.catalogue(),
-                List.of(LeaderHarness.TEAM),
+                List.of(LeaderTestSupport.TEAM),
                 clock,
                 8192,
                 100)));
         await(client.commit(new StateClient.Txn()
-                .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(LeaderHarness.quad())))));
+                .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(LeaderTestSupport.quadCoreType())))));
         context.catalogue().start();
-        until(context.catalogue()::isKnown);
+        awaitCondition(context.catalogue()::isKnown);
         return jobService;
     }
 
     static JobSpec spec(String id, int tasks) {
-        return LeaderHarness.spec(new JobId(id), tasks, "img");
+        return LeaderTestSupport.spec(new JobId(id), tasks, "img");
     }
 
     int submit(JobService jobService) throws Exception {
@@ -232,12 +232,12 @@
                 jobService.cancel(JOB.text()).map(response -> response.status()).otherwise(503));
     }
 
-    <T> T onLoop(Supplier<Future<T>> work) throws Exception {
+    <T> T awaitOnEventLoop(Supplier<Future<T>> work) throws Exception {
         return await(vertx.getOrCreateContext().executeBlocking(() -> null).compose(started -> work.get()));
     }
 
     /** Number of machines in all machine records. */
-    int recordedMachines() {
+    int recordedMachineCount() {
         return service.keys(RecordKeys.MACHINE_PAGES).stream()
                 .mapToInt(key ->
                         MachineRecordCodec.readMachines(service.value(key)).size())
@@ -258,11 +258,11 @@
     }
 
     /** Rebuilds the records from {@link #rememberedState()}; false if that fails. */
-    boolean rebuilds(Revision leadershipRevision) throws Exception {
-        return rebuilds(leadershipRevision, rememberedState());
+    boolean rebuildSucceeds(Revision leadershipRevision) throws Exception {
+        return rebuildSucceeds(leadershipRevision, rememberedState());
     }
 
-    boolean rebuilds(Revision leadershipRevision, RememberedState rememberedState) throws Exception {
+    boolean rebuildSucceeds(Revision leadershipRevision, RememberedState rememberedState) throws Exception {
         return await(new StateRebuilder(
                         context,
                         new FencingToken(3),
--- a/src/test/java/io/indigoreach/cluster/LeaderHarness.java
+++ b/src/test/java/io/indigoreach/cluster/LeaderTestSupport.java
@@ -27,12 +27,12 @@
 import java.util.concurrent.TimeUnit;
 
 /** Shared set-up for tests of a leader's tasks: configuration, context, scheduler core and leadership key. */
-final class LeaderHarness {
+final class LeaderTestSupport {
     static final Team TEAM = new Team("t", 0, 0, 0, 0);
     private static final long TIMEOUT_S = 20;
 
     /** A listener that ignores all events. */
-    private static final SchedulerListener SILENT = new SchedulerListener() {
+    private static final SchedulerListener NO_OP_LISTENER = new SchedulerListener() {
         @Override
         public void taskCompleted(Job job) {}
 
@@ -40,7 +40,7 @@
         public void log(String line) {}
     };
 
-    private LeaderHarness() {}
+    private LeaderTestSupport() {}
 
     /** The configuration of a small node. */
     static PlatformConfig config() throws Exception {
@@ -95,7 +95,7 @@
                 context.settings().tuning(),
                 new ServiceLevelObjectives(List.of()),
                 teams,
-                SILENT);
+                NO_OP_LISTENER);
     }
 
     /** Creates a scheduler core that has finished loading, without any records. */
@@ -107,29 +107,29 @@
     }
 
     /** The only machine type in these tests. */
-    static MachineType quad() {
+    static MachineType quadCoreType() {
         return new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
     }
 
     /** Writes the leadership key; the result is its revision. */
-    static Revision lead(StateClient client, long token) throws Exception {
+    static Revision gainLeadership(StateClient client, long token) throws Exception {
         return await(client.commit(new StateClient.Txn().put(RecordKeys.LEADER, MessagePackFormat.map("t", token))))
                 .writtenRevision();
     }
 
     /** The write context of a leader, with a deposition listener that does nothing. */
-    static LeaderWrites writes(NodeContext context, long token, Revision revision, double writesPerS) {
+    static LeaderWriteContext writes(NodeContext context, long token, Revision revision, double writesPerS) {
         return writes(context, token, revision, writesPerS, () -> {});
     }
 
-    static LeaderWrites writes(
+    static LeaderWriteContext writes(
             NodeContext context,
             long token,
             Revision revision,
             double writesPerS,
-            LeaderWrites.DepositionListener listener) {
+            LeaderWriteContext.DepositionListener listener) {
         RateLimiter limiter = new RateLimiter(writesPerS, context.clock().now());
-        return new LeaderWrites(context, new FencingToken(token), revision, limiter, listener);
+        return new LeaderWriteContext(context, new FencingToken(token), revision, limiter, listener);
     }
 
     /** An array job with the given image. */
--- a/src/test/java/io/indigoreach/cluster/TermFixture.java
+++ b/src/test/java/io/indigoreach/cluster/LeadershipTermFixture.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** An emulated state service, a client and contexts of leadership terms, for tests of a leader's reads and writes. */
-final class TermFixture implements AutoCloseable {
+final class LeadershipTermFixture implements AutoCloseable {
     private static final Span LEASE = Span.seconds(10);
 
     final Vertx vertx = Vertx.vertx();
@@ -25,7 +25,7 @@
     final StateStandIn state;
     final StateClient client;
 
-    TermFixture() throws Exception {
+    LeadershipTermFixture() throws Exception {
         state = await(new StateStandIn().listen(vertx));
         client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
@@ -41,8 +41,8 @@
      * @param nextLimits announced future limits of the state service, in the format of the configuration
      */
     NodeContext context(String nextLimits) throws Exception {
-        return LeaderHarness.context(vertx, clock, client)
-                .config(LeaderHarness.config(nextLimits))
+        return LeaderTestSupport.context(vertx, clock, client)
+                .config(LeaderTestSupport.config(nextLimits))
                 .lease(LEASE)
                 .build();
     }
@@ -53,9 +53,9 @@
 
     /** Creates a context with the given optional features. */
     NodeContext context(List<Parts.Kind> kinds) throws Exception {
-        PlatformConfig config = LeaderHarness.config();
+        PlatformConfig config = LeaderTestSupport.config();
         Parts parts = Parts.of(kinds, vertx, client, clock, null, config, Settings.standard());
-        return LeaderHarness.context(vertx, clock, client)
+        return LeaderTestSupport.context(vertx, clock, client)
                 .config(config)
                 .lease(LEASE)
                 .parts(parts)
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.LeaderHarness.await;
+import static io.indigoreach.cluster.LeaderTestSupport.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -68,14 +68,14 @@
         client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
         CloudClient cloud = new CloudClient(new ServiceClient(vertx, state.endpoint(), 1));
-        context = LeaderHarness.context(vertx, clock, client)
+        context = LeaderTestSupport.context(vertx, clock, client)
                 .cloud(cloud)
                 .catalogue(new Catalogue(vertx, client, cloud))
                 .build();
-        core = LeaderHarness.core(context, 3, context.config().teams());
+        core = LeaderTestSupport.core(context, 3, context.config().teams());
         core.setTypes(List.of(machineType(POOL.zone())));
         core.recordsLoaded();
-        machineStore = new MachineStore(LeaderHarness.writes(context, 3, NO_LEADER, 12), core);
+        machineStore = new MachineStore(LeaderTestSupport.writes(context, 3, NO_LEADER, 12), core);
         onLoop(() -> {
             machineStore.start();
             return Future.succeededFuture();
@@ -157,7 +157,7 @@
                                 MachineRecordCodec.writeMachines(List.of(earlier)))))
                 .revision();
         JobStore jobStore = new JobStore(
-                LeaderHarness.writes(context, 3, new Revision(revision), 12),
+                LeaderTestSupport.writes(context, 3, new Revision(revision), 12),
                 core,
                 machineStore,
                 true,
@@ -201,11 +201,11 @@
                 .vertx(vertx)
                 .clock(clock)
                 .state(client)
-                .config(LeaderHarness.config("value_kb = 2.0\ntxn_ops = 4"))
+                .config(LeaderTestSupport.config("value_kb = 2.0\ntxn_ops = 4"))
                 .settings(Settings.standard())
                 .lease(Span.seconds(10))
                 .build();
-        machineStore = new MachineStore(LeaderHarness.writes(narrow, 3, NO_LEADER, 12), core);
+        machineStore = new MachineStore(LeaderTestSupport.writes(narrow, 3, NO_LEADER, 12), core);
         onLoop(() -> {
             machineStore.inherit(wide, stamp, lines);
             machineStore.start();
@@ -231,10 +231,10 @@
                                 MachineRecordCodec.writeMachines(List.of(new MachineRecord(
                                         new MachineId("vm-000900"), POOL, clock.timeOfDay(), clock.timeOfDay()))))))
                 .revision();
-        SchedulerCore fresh = LeaderHarness.core(context, 3, context.config().teams());
+        SchedulerCore fresh = LeaderTestSupport.core(context, 3, context.config().teams());
         fresh.setTypes(List.of(machineType("z")));
         JobStore jobStore = new JobStore(
-                LeaderHarness.writes(context, 3, new Revision(revision), 12),
+                LeaderTestSupport.writes(context, 3, new Revision(revision), 12),
                 fresh,
                 machineStore,
                 true,
@@ -286,7 +286,7 @@
                 .revision();
         for (long key : new long[] {revision, revision + 1}) {
             JobStore jobStore = new JobStore(
-                    LeaderHarness.writes(context, 3, new Revision(key), 12),
+                    LeaderTestSupport.writes(context, 3, new Revision(key), 12),
                     core,
                     machineStore,
                     true,
@@ -299,7 +299,7 @@
     /** Of a job whose record says that nothing of it was ever ordered: not believed while an older version may have led. */
     @Test
     void startBoundsAreTrustedOnlyIfEveryLeaderRespectedThem() throws Exception {
-        JobSpec spec = LeaderHarness.spec(new JobId("run-1"), 3, "i");
+        JobSpec spec = LeaderTestSupport.spec(new JobId("run-1"), 3, "i");
         long revision = await(client.commit(new StateClient.Txn()
                         .put(
                                 RecordKeys.openKey(spec.id()),
@@ -307,9 +307,9 @@
                 .revision();
         for (boolean kept : new boolean[] {false, true}) {
             SchedulerCore fresh =
-                    LeaderHarness.core(context, 3, context.config().teams());
+                    LeaderTestSupport.core(context, 3, context.config().teams());
             JobStore jobStore = new JobStore(
-                    LeaderHarness.writes(context, 3, new Revision(revision), 12),
+                    LeaderTestSupport.writes(context, 3, new Revision(revision), 12),
                     fresh,
                     machineStore,
                     kept,
--- a/src/test/java/io/indigoreach/cluster/PeerPromisesTest.java
+++ b/src/test/java/io/indigoreach/cluster/PledgeResponseTest.java
@@ -23,32 +23,32 @@
  * Tests that malformed responses are rejected, as they must count neither as a pledge nor as a report of no
  * cancellations, and that messages stay compatible with the previous version.
  */
-class PeerPromisesTest {
+class PledgeResponseTest {
     private static Fields wire(Map<String, Object> message) {
         return MessagePackFormat.readMap(MessagePackFormat.write(message));
     }
 
     @Test
     void responseIsReadAsItWasWritten() {
-        PeerPromises written = new PeerPromises(
+        PledgeResponse written = new PledgeResponse(
                 true, new CancellationSummary(Set.of(new JobId("run-1"), new JobId("run-22")), Span.seconds(7)));
-        assertEquals(written, PeerPromises.read(wire(written.write(Span.seconds(2)))));
-        assertEquals(Span.seconds(7), PeerPromises.readRequest(wire(PeerPromises.writeRequest(Span.seconds(7)))));
+        assertEquals(written, PledgeResponse.read(wire(written.write(Span.seconds(2)))));
+        assertEquals(Span.seconds(7), PledgeResponse.readRequest(wire(PledgeResponse.writeRequest(Span.seconds(7)))));
     }
 
     /** These two fields are the only ones that the previous version reads and writes. */
     @Test
     void previousVersionReadsAndWritesTheTimeSinceTheLastCancellation() {
         Fields toPreviousVersion =
-                wire(new PeerPromises(true, new CancellationSummary(Set.of(new JobId("run-1")), Span.seconds(7)))
+                wire(new PledgeResponse(true, new CancellationSummary(Set.of(new JobId("run-1")), Span.seconds(7)))
                         .write(Span.seconds(2)));
         assertEquals(
                 List.of(true, 2000L),
                 List.of(toPreviousVersion.flag("pledged", false), toPreviousVersion.whole("quiet_ms")));
         assertEquals(
-                new PeerPromises(true, new CancellationSummary(Set.of(), Span.seconds(2))),
-                PeerPromises.read(wire(Map.of("pledged", true, "quiet_ms", 2000L))));
-        assertEquals(Span.ZERO, PeerPromises.readRequest(wire(Map.of())));
+                new PledgeResponse(true, new CancellationSummary(Set.of(), Span.seconds(2))),
+                PledgeResponse.read(wire(Map.of("pledged", true, "quiet_ms", 2000L))));
+        assertEquals(Span.ZERO, PledgeResponse.readRequest(wire(Map.of())));
     }
 
     static Stream<Map<String, Object>> malformedResponses() {
@@ -69,6 +69,6 @@
     @ParameterizedTest
     @MethodSource("malformedResponses")
     void malformedResponseIsRejected(Map<String, Object> answer) {
-        assertThrows(WireException.class, () -> PeerPromises.read(wire(answer)));
+        assertThrows(WireException.class, () -> PledgeResponse.read(wire(answer)));
     }
 }
--- a/src/test/java/io/indigoreach/cluster/GoldenMessagesTest.java
+++ b/src/test/java/io/indigoreach/cluster/ProductionPledgeMessagesTest.java
@@ -17,21 +17,21 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Tests that pledge messages are compatible with the production version, when read and when written. */
-class GoldenMessagesTest {
+class ProductionPledgeMessagesTest {
     private static final String FILE = "pledges.txt";
 
-    private static Golden answer(boolean pledged, Set<JobId> told) {
-        PeerPromises said = new PeerPromises(pledged, new CancellationSummary(told, Span.seconds(7)));
-        return new Golden(said.write(Span.seconds(2)), PeerPromises::read, said);
+    private static Golden pledgeResponse(boolean pledged, Set<JobId> cancelled) {
+        PledgeResponse response = new PledgeResponse(pledged, new CancellationSummary(cancelled, Span.seconds(7)));
+        return new Golden(response.write(Span.seconds(2)), PledgeResponse::read, response);
     }
 
     static Map<String, Golden> all() {
         Map<String, Golden> all = new LinkedHashMap<>();
         all.put(
                 "question",
-                new Golden(PeerPromises.writeRequest(Span.seconds(7)), PeerPromises::readRequest, Span.seconds(7)));
-        all.put("no pledge, nothing told", answer(false, Set.of()));
-        all.put("pledge, one told", answer(true, Set.of(new JobId("run-000398"))));
+                new Golden(PledgeResponse.writeRequest(Span.seconds(7)), PledgeResponse::readRequest, Span.seconds(7)));
+        all.put("no pledge, nothing told", pledgeResponse(false, Set.of()));
+        all.put("pledge, one told", pledgeResponse(true, Set.of(new JobId("run-000398"))));
         return all;
     }
 
@@ -41,16 +41,16 @@
 
     @ParameterizedTest
     @MethodSource("names")
-    void whatProductionSaidIsReadAndSaidInTheSameWords(String name) {
+    void readsAndWritesProductionEncoding(String name) {
         Golden golden = all().get(name);
         String line = Golden.load(FILE).get(name);
-        Fields said = Golden.fields(line);
-        assertEquals(golden.value(), golden.read().apply(said));
+        Fields encoded = Golden.fields(line);
+        assertEquals(golden.value(), golden.read().apply(encoded));
         assertEquals(line, golden.hex());
     }
 
     @Test
-    void everyLineIsTested() {
+    void everyGoldenLineIsTested() {
         assertEquals(List.copyOf(Golden.load(FILE).keySet()), new ArrayList<>(names()));
     }
 }
--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -1,6 +1,6 @@
 package io.indigoreach.cluster;
 
-import static io.indigoreach.cluster.TermFixture.await;
+import static io.indigoreach.cluster.LeadershipTermFixture.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.indigoreach.config.Settings;
@@ -38,12 +38,12 @@
 /** What is missing in the state service is written from memory, what is there stays, and an attempt that ended can be repeated. */
 class StateRebuilderTest {
     private static final FencingToken TOKEN = new FencingToken(3);
-    private TermFixture fixture;
+    private LeadershipTermFixture fixture;
     private StateStandIn state;
 
     @BeforeEach
     void start() throws Exception {
-        fixture = new TermFixture();
+        fixture = new LeadershipTermFixture();
         state = fixture.state;
     }
 
--- a/src/test/java/io/indigoreach/emulator/LocalCluster.java
+++ b/src/test/java/io/indigoreach/emulator/LocalCluster.java
@@ -5,7 +5,7 @@
 import io.indigoreach.checker.Event;
 import io.indigoreach.checker.History;
 import io.indigoreach.cluster.Node;
-import io.indigoreach.cluster.PartRegistry;
+import io.indigoreach.cluster.FeatureRegistry;
 import io.indigoreach.config.ConfigException;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
@@ -126,7 +126,7 @@
 
     /** Starts a controller with settings of the test's; the result is its port. */
     int start(PlatformConfig config) throws Exception {
-        return start(config, PartRegistry.enabled(settings));
+        return start(config, FeatureRegistry.enabled(settings));
     }
 
     /** The same with parts beside the jobs. */
--- a/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
+++ b/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
@@ -6,7 +6,7 @@
 import io.indigoreach.GoldenHttp;
 import io.indigoreach.GoldenSamples;
 import io.indigoreach.api.HttpApi;
-import io.indigoreach.cluster.PartRegistry;
+import io.indigoreach.cluster.FeatureRegistry;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
 import io.indigoreach.config.SettingsFile;
@@ -277,7 +277,7 @@
             StateClient client = new StateClient(
                     new ServiceClient(vertx, state.endpoint(), 8), new ServiceClient(vertx, state.endpoint(), 1));
             Parts parts = Parts.of(
-                    PartRegistry.enabled(settings), vertx, client, new SteadyClock(), null, config(), settings);
+                    FeatureRegistry.enabled(settings), vertx, client, new SteadyClock(), null, config(), settings);
             HttpApi door = new HttpApi(new HttpApi.Context(
                     vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources()));
             Endpoint node = new Endpoint("127.0.0.1", await(door.open()));
--- a/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
+++ b/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
@@ -7,7 +7,7 @@
 import io.indigoreach.api.HttpApi;
 import io.indigoreach.api.RequestRejectedException;
 import io.indigoreach.api.SubmissionParticipant;
-import io.indigoreach.cluster.PartRegistry;
+import io.indigoreach.cluster.FeatureRegistry;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
 import io.indigoreach.config.SettingsFile;
@@ -74,7 +74,7 @@
                 100);
         Settings settings = SettingsFile.parse("test", "record_ownership: 1");
         parts = Parts.of(
-                PartRegistry.enabled(settings),
+                FeatureRegistry.enabled(settings),
                 vertx,
                 new StateClient(
                         new ServiceClient(vertx, state.endpoint(), 8), new ServiceClient(vertx, state.endpoint(), 1)),
@@ -222,7 +222,7 @@
 
     @Test
     void whereItIsOffThereIsNothing() throws Exception {
-        assertEquals(List.of(), PartRegistry.enabled(SettingsFile.parse("test", "")));
+        assertEquals(List.of(), FeatureRegistry.enabled(SettingsFile.parse("test", "")));
         assertEquals(0, state.reads + state.transactions);
     }
 }
--- a/src/test/java/io/indigoreach/warm/GoldenPoolAnswersTest.java
+++ b/src/test/java/io/indigoreach/warm/GoldenPoolAnswersTest.java
@@ -6,7 +6,7 @@
 import io.indigoreach.api.HttpApi;
 import io.indigoreach.cloud.Catalogue;
 import io.indigoreach.cloud.CloudClient;
-import io.indigoreach.cluster.PartRegistry;
+import io.indigoreach.cluster.FeatureRegistry;
 import io.indigoreach.config.PlatformConfig;
 import io.indigoreach.config.Settings;
 import io.indigoreach.config.SettingsFile;
@@ -89,7 +89,7 @@
             Catalogue catalogue =
                     new Catalogue(vertx, client, new CloudClient(new ServiceClient(vertx, state.endpoint(), 1)));
             Parts parts = Parts.of(
-                    PartRegistry.enabled(settings), vertx, client, new SteadyClock(), catalogue, config(), settings);
+                    FeatureRegistry.enabled(settings), vertx, client, new SteadyClock(), catalogue, config(), settings);
             HttpApi door = new HttpApi(new HttpApi.Context(
                     vertx, new Endpoint("127.0.0.1", 0), null, null, () -> true, parts.resources()));
             answers(new Endpoint("127.0.0.1", await(door.open())), client, catalogue);
