--- a/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
+++ b/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
@@ -85,7 +85,7 @@
      * Whether the state service has been unreachable long enough that, in an outage, the peers have detected it too.
      * False if this node's event loop was blocked during that time, which could be the cause.
      */
-    private boolean isUnreachableBeyondDoubt() {
+    private boolean isUnreachableLongEnough() {
         Span requiredTime = MAX_RESPONSE_AGE.times(2);
         return loopMonitor.hasRunWithoutPauseFor(requiredTime)
                 && clock.now().since(lastResponseAt).compareTo(requiredTime) >= 0;
@@ -93,7 +93,7 @@
 
     private Future<Span> step() {
         return state.check()
-                .map(answer -> {
+                .map(response -> {
                     lastResponseAt = clock.now();
                     return false;
                 })
@@ -106,11 +106,11 @@
     }
 
     private Future<Boolean> isOnlyThisNodeAffected() {
-        if (!isUnreachableBeyondDoubt()) {
+        if (!isUnreachableLongEnough()) {
             return Future.succeededFuture(false);
         }
         return peers.canPeersReachState()
-                .map(answers -> isolation.onUnserved(answers, clock.now()))
+                .map(responses -> isolation.onUnserved(responses, clock.now()))
                 .map(this::isRepeatedRefusal);
     }
 
--- a/src/main/java/io/indigoreach/cluster/Controller.java
+++ b/src/main/java/io/indigoreach/cluster/Controller.java
@@ -144,7 +144,8 @@
             return term.rememberedState(id);
         }
         RememberedState rememberedState = new RememberedState();
-        RememberedState.FinishedJob finishedJob = leaderMemory.known().finished().get(id);
+        RememberedState.FinishedJob finishedJob =
+                leaderMemory.known().finished().get(id);
         if (finishedJob != null) {
             rememberedState.add(id, finishedJob);
         }
--- a/src/main/java/io/indigoreach/cluster/FleetManager.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -48,7 +48,8 @@
      * @param attempts number of attempts that got no response
      * @param nextAttemptAt earliest time of the next attempt
      */
-    private record Request(String name, ScaleOutRequest scaleOut, Moment requestedAt, int attempts, Moment nextAttemptAt) {
+    private record Request(
+            String name, ScaleOutRequest scaleOut, Moment requestedAt, int attempts, Moment nextAttemptAt) {
         boolean isBackingOff() {
             return attempts > MAX_FAST_ATTEMPTS;
         }
@@ -95,7 +96,11 @@
      * machines
      */
     FleetManager(
-            NodeContext context, SchedulerCore core, FencingToken token, IntentLog intentLog, BooleanSupplier leadershipValid) {
+            NodeContext context,
+            SchedulerCore core,
+            FencingToken token,
+            IntentLog intentLog,
+            BooleanSupplier leadershipValid) {
         this.context = context;
         this.intentLog = intentLog;
         this.leadershipValid = leadershipValid;
@@ -161,7 +166,8 @@
                 .orElse(null);
         return intentLog
                 .record()
-                .compose(recorded -> request == null ? removeEarlierRecordsIfIdle(recorded) : sendIfRecorded(request, recorded));
+                .compose(recorded ->
+                        request == null ? removeEarlierRecordsIfIdle(recorded) : sendIfRecorded(request, recorded));
     }
 
     private Future<Span> removeEarlierRecordsIfIdle(boolean recorded) {
@@ -234,7 +240,8 @@
     private void onPoolExhausted(MachinePool pool, boolean noCapacity) {
         core.scaleOutRejected(pool, context.clock().now());
         List<Request> unsentRequests = openRequests.stream()
-                .filter(open -> open.attempts == 0 && open.pool().equals(pool) && !inheritedRequests.contains(open.name))
+                .filter(open ->
+                        open.attempts == 0 && open.pool().equals(pool) && !inheritedRequests.contains(open.name))
                 .toList();
         unsentRequests.forEach(this::complete);
         openRequests.removeAll(unsentRequests);
--- a/src/main/java/io/indigoreach/cluster/HeartbeatWarmUp.java
+++ b/src/main/java/io/indigoreach/cluster/HeartbeatWarmUp.java
@@ -131,8 +131,9 @@
         core.setTypes(List.of(type));
         core.recordsLoaded();
         Moment now = context.clock().now();
-        List<MachineId> ids =
-                IntStream.range(0, MACHINE_COUNT).mapToObj(HeartbeatWarmUp::machine).toList();
+        List<MachineId> ids = IntStream.range(0, MACHINE_COUNT)
+                .mapToObj(HeartbeatWarmUp::machine)
+                .toList();
         core.rented(POOL, ids, now, now);
         ids.forEach(core::recorded);
     }
--- a/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
+++ b/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
@@ -57,7 +57,10 @@
     private final Set<JobId> reportedTooLong = new HashSet<>();
 
     JobRecordWriter(
-            LeaderWriteContext writes, SchedulerCore core, CompletionBlockStore completionBlocks, FinishedJobs finishedJobs) {
+            LeaderWriteContext writes,
+            SchedulerCore core,
+            CompletionBlockStore completionBlocks,
+            FinishedJobs finishedJobs) {
         this.writes = writes;
         this.state = writes.context().state();
         this.lookup = new JobRecordLookup(state);
--- a/src/main/java/io/indigoreach/cluster/JobStoreComponents.java
+++ b/src/main/java/io/indigoreach/cluster/JobStoreComponents.java
@@ -6,7 +6,11 @@
  * The components that a {@link JobStore} shares between loading and change handling. Bound to the node's event loop.
  */
 record JobStoreComponents(
-        LeaderWriteContext writes, SchedulerCore core, OpenJobs openJobs, JobRecordWriter writer, FinishedJobs finishedJobs) {
+        LeaderWriteContext writes,
+        SchedulerCore core,
+        OpenJobs openJobs,
+        JobRecordWriter writer,
+        FinishedJobs finishedJobs) {
     static JobStoreComponents create(
             LeaderWriteContext writes,
             SchedulerCore core,
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -40,7 +40,7 @@
     /** Share of the state service's write rate that the leader uses; submissions and cancellations use the rest. */
     private static final double LEADER_WRITE_SHARE = 0.6;
     /** Maximum duration of a request to the peers; a later response is too old to use. */
-    private static final Span MAX_PEER_RESPONSE_AGE = Span.seconds(3);
+    private static final Span MAX_PEER_REQUEST_TIME = Span.seconds(3);
 
     private static final Span SUMMARY_PERIOD = Span.seconds(10);
     private static final Span LOAD_RETRY_DELAY = Span.seconds(0.3);
@@ -170,7 +170,7 @@
 
     /** The age of the oldest cancellation that this leader requests from its peers. */
     Span cancellationLookBack() {
-        return cancellationHorizon.lookBack(context.clock().now(), MAX_PEER_RESPONSE_AGE);
+        return cancellationHorizon.lookBack(context.clock().now(), MAX_PEER_REQUEST_TIME);
     }
 
     /** Applies the cancellations that the peers reported in response to a request sent at {@code sentAt}. */
--- a/src/main/java/io/indigoreach/cluster/Node.java
+++ b/src/main/java/io/indigoreach/cluster/Node.java
@@ -53,7 +53,8 @@
     }
 
     /** Creates a node with the given optional features. */
-    public Node(Vertx vertx, PlatformConfig config, Settings settings, List<Parts.Kind> features) throws ConfigException {
+    public Node(Vertx vertx, PlatformConfig config, Settings settings, List<Parts.Kind> features)
+            throws ConfigException {
         this.loopMonitor = new EventLoopMonitor(vertx, clock);
         StateClient state = new StateClient(
                 new ServiceClient(vertx, config.state(), STATE_CONNECTIONS),
--- a/src/main/java/io/indigoreach/cluster/PeerClient.java
+++ b/src/main/java/io/indigoreach/cluster/PeerClient.java
@@ -69,7 +69,7 @@
         Future<List<Boolean>> leading = requestFromAll(client -> client.get(PeerProtocol.STATUS_PATH, STATUS_TIMEOUT)
                 .map(response -> !response.isOk() || PeerProtocol.readLeads(response.body(), true))
                 .otherwise(true));
-        return leading.map(answers -> !answers.contains(true));
+        return leading.map(responses -> !responses.contains(true));
     }
 
     /** Whether the named peer reports that it leads; false if it does not respond or does not exist. */
@@ -150,11 +150,11 @@
         if (localRecords.isJobOpen(id)) {
             return Future.succeededFuture(true);
         }
-        Future<List<Boolean>> known =
+        Future<List<Boolean>> responses =
                 requestFromAll(client -> client.get(PeerProtocol.jobKnownPath(id), JOB_QUERY_TIMEOUT)
                         .map(response -> response.isOk() && PeerProtocol.readJobKnown(response.body()))
                         .otherwise(false));
-        return known.map(answers -> answers.contains(true));
+        return responses.map(answers -> answers.contains(true));
     }
 
     /**
--- a/src/main/java/io/indigoreach/cluster/PeerServer.java
+++ b/src/main/java/io/indigoreach/cluster/PeerServer.java
@@ -114,7 +114,8 @@
             connectivity.checkNow();
         }
         boolean pledged = connectivity.isStateUnreachable() && controller.pledge();
-        CancellationSummary cancellations = localRecords.confirmedCancellations().summary(lookBack, now);
+        CancellationSummary cancellations =
+                localRecords.confirmedCancellations().summary(lookBack, now);
         return new PledgeResponse(pledged, cancellations)
                 .write(localRecords.confirmedCancellations().timeSinceLast(now));
     }
--- a/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
@@ -50,7 +50,8 @@
 
         Leader(long token) throws Exception {
             Revision leadershipRevision = LeaderTestSupport.gainLeadership(client, token);
-            NodeContext context = LeaderTestSupport.context(vertx, clock, client).build();
+            NodeContext context =
+                    LeaderTestSupport.context(vertx, clock, client).build();
 
             core = LeaderTestSupport.core(context, token, List.of(LeaderTestSupport.TEAM));
             LeaderWriteContext writes = LeaderTestSupport.writes(context, token, leadershipRevision, 200);
@@ -128,9 +129,9 @@
      * loop.
      */
     private void awaitCondition(Callable<Boolean> condition) throws Exception {
-        Moment end = clock.now().plus(Span.seconds(20));
+        Moment deadline = clock.now().plus(Span.seconds(20));
         while (!condition.call()) {
-            assertTrue(clock.now().isBefore(end), "condition not met in time");
+            assertTrue(clock.now().isBefore(deadline), "condition not met in time");
             Thread.onSpinWait();
         }
     }
--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -63,7 +63,8 @@
         context = LeaderTestSupport.context(vertx, clock, client).build();
         Revision leadershipRevision = LeaderTestSupport.gainLeadership(client, 1);
         core = LeaderTestSupport.loadedCore(context, 3, LeaderTestSupport.quadCoreType());
-        jobStore = new JobStore(LeaderTestSupport.writes(context, 3, leadershipRevision, 20), core, null, true, horizon);
+        jobStore =
+                new JobStore(LeaderTestSupport.writes(context, 3, leadershipRevision, 20), core, null, true, horizon);
     }
 
     @AfterEach
@@ -261,7 +262,8 @@
                 .writtenRevision();
         Job tooLong = new Job(spec, 1, clock.now(), stamp, new BitSet(), 0, false);
         Revision leadershipRevision = await(client.get(RecordKeys.LEADER)).revision();
-        jobStore = new JobStore(LeaderTestSupport.writes(context, 3, leadershipRevision, 20), core, null, true, horizon);
+        jobStore =
+                new JobStore(LeaderTestSupport.writes(context, 3, leadershipRevision, 20), core, null, true, horizon);
         state.valueBytes = 2048;
         state.txnOps = 4;
         int before = state.changed;
--- a/src/test/java/io/indigoreach/cluster/LastTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/LastTaskTest.java
@@ -86,12 +86,17 @@
             return Future.succeededFuture();
         });
         until(catalogue::isKnown);
-        NodeContext context =
-                LeaderTestSupport.context(vertx, clock, leader).catalogue(catalogue).build();
+        NodeContext context = LeaderTestSupport.context(vertx, clock, leader)
+                .catalogue(catalogue)
+                .build();
 
         core = LeaderTestSupport.loadedCore(context, 3, TYPE);
         jobStore = new JobStore(
-                LeaderTestSupport.writes(context, 3, leadershipRevision, 100), core, null, true, new CancellationHorizon());
+                LeaderTestSupport.writes(context, 3, leadershipRevision, 100),
+                core,
+                null,
+                true,
+                new CancellationHorizon());
     }
 
     @AfterEach
--- a/src/test/java/io/indigoreach/cluster/LateElectionTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateElectionTransactionsTest.java
@@ -78,47 +78,47 @@
 
     static {
         CASES.put("campaign, executed after the next campaign", test -> {
-            LeaderElection a = test.newElection("a", 0);
+            LeaderElection electionA = test.newElection("a", 0);
             test.suppressNextResponse(RecordKeys.LEADER);
-            test.runOnEventLoop(a::start);
+            test.runOnEventLoop(electionA::start);
             test.awaitGained("a");
             test.assertLateExecutionChangesNothing();
-            assertTrue(a.isValid());
+            assertTrue(electionA.isValid());
         });
         CASES.put("campaign, executed after its node has led and resigned", test -> {
-            LeaderElection a = test.newElection("a", 0);
+            LeaderElection electionA = test.newElection("a", 0);
             test.suppressNextResponse(RecordKeys.LEADER);
-            test.runOnEventLoop(a::start);
+            test.runOnEventLoop(electionA::start);
             test.awaitGained("a");
-            test.runOnEventLoop(() -> a.abdicate("test"));
+            test.runOnEventLoop(() -> electionA.abdicate("test"));
             test.awaitCondition(() -> !test.service.has(RecordKeys.LEADER));
             test.assertLateExecutionChangesNothing();
             assertFalse(test.service.has(RecordKeys.LEADER));
         });
         CASES.put("campaign, executed after another node has led and resigned", test -> {
-            LeaderElection a = test.newElection("a", 0);
+            LeaderElection electionA = test.newElection("a", 0);
             test.suppressAllResponses(RecordKeys.LEADER);
-            test.runOnEventLoop(a::start);
+            test.runOnEventLoop(electionA::start);
             test.awaitSuppressedResponse();
-            test.runOnEventLoop(a::stop);
+            test.runOnEventLoop(electionA::stop);
             test.restoreResponses();
             if (test.isExecutedAtOnce()) {
                 // The campaign has written the key, which is removed when its lease expires.
-                test.stopAndExpireLeases(a);
+                test.stopAndExpireLeases(electionA);
             }
-            LeaderElection b = test.newElection("b", 0);
-            test.runOnEventLoop(b::start);
+            LeaderElection electionB = test.newElection("b", 0);
+            test.runOnEventLoop(electionB::start);
             test.awaitGained("b");
-            test.runOnEventLoop(() -> b.abdicate("test"));
+            test.runOnEventLoop(() -> electionB.abdicate("test"));
             test.awaitCondition(() -> !test.service.has(RecordKeys.LEADER));
             test.assertLateExecutionChangesNothing();
         });
         CASES.put("campaign, executed after its lease has expired", test -> {
-            LeaderElection a = test.newElection("a", 0);
+            LeaderElection electionA = test.newElection("a", 0);
             test.suppressAllResponses(RecordKeys.LEADER);
-            test.runOnEventLoop(a::start);
+            test.runOnEventLoop(electionA::start);
             test.awaitSuppressedResponse();
-            test.stopAndExpireLeases(a);
+            test.stopAndExpireLeases(electionA);
             test.assertLateExecutionChangesNothing();
             assertFalse(test.service.has(RecordKeys.LEADER));
         });
@@ -126,30 +126,31 @@
             test.gainLeadership(1);
             await(test.client.commit(new StateClient.Txn()
                     .put(RecordKeys.LEADER, MessagePackFormat.map("node", "a", "process", "a0", "token", 1L))));
-            LeaderElection a = test.newElection("a", 2);
+            LeaderElection electionA = test.newElection("a", 2);
             test.suppressNextResponse(RecordKeys.LEADER);
-            await(a.clearPredecessor(node -> Future.succeededFuture(false)));
-            test.runOnEventLoop(a::start);
+            await(electionA.clearPredecessor(node -> Future.succeededFuture(false)));
+            test.runOnEventLoop(electionA::start);
             test.awaitGained("a");
             test.assertLateExecutionChangesNothing();
             assertTrue(test.service.has(RecordKeys.LEADER));
         });
         CASES.put("removal of a resigned leader's key, executed after another node has been elected", test -> {
-            LeaderElection a = test.newElection("a", 0);
-            test.runOnEventLoop(a::start);
+            LeaderElection electionA = test.newElection("a", 0);
+            test.runOnEventLoop(electionA::start);
             test.awaitGained("a");
-            LeaderElection b = test.newElection("b", 0);
-            Revision leadershipRevision = a.leadershipRevision();
+            LeaderElection electionB = test.newElection("b", 0);
+            Revision leadershipRevision = electionA.leadershipRevision();
             test.suppressNextResponse(RecordKeys.LEADER);
-            assertTrue(b.removeKey(leadershipRevision)
+            assertTrue(electionB
+                    .removeKey(leadershipRevision)
                     .toCompletionStage()
                     .toCompletableFuture()
                     .handle((v, e) -> e != null)
                     .get(20, TimeUnit.SECONDS));
-            test.runOnEventLoop(a::stop);
-            test.runOnEventLoop(() -> a.abdicate("test"));
+            test.runOnEventLoop(electionA::stop);
+            test.runOnEventLoop(() -> electionA.abdicate("test"));
             test.awaitLost("a");
-            test.runOnEventLoop(b::start);
+            test.runOnEventLoop(electionB::start);
             test.awaitGained("b");
             test.assertLateExecutionChangesNothing();
             assertTrue(test.service.has(RecordKeys.LEADER));
@@ -157,14 +158,14 @@
         CASES.put("confirmation of start bounds, executed in the next leadership term", test -> {
             await(test.client.commit(
                     new StateClient.Txn().put(RecordKeys.COUNTER, MessagePackFormat.map("value", 7L))));
-            LeaderElection a = test.newElection("a", 0);
-            test.runOnEventLoop(a::start);
+            LeaderElection electionA = test.newElection("a", 0);
+            test.runOnEventLoop(electionA::start);
             test.awaitGained("a");
             test.suppressAllResponses(RecordKeys.COUNTER);
-            test.runOnEventLoop(a::confirmStartBounds);
+            test.runOnEventLoop(electionA::confirmStartBounds);
             test.awaitSuppressedResponse();
             test.restoreResponses();
-            test.runOnEventLoop(a::deposed);
+            test.runOnEventLoop(electionA::deposed);
             test.awaitLost("a");
             test.awaitGained("a");
             test.assertLateExecutionChangesNothing();
@@ -198,7 +199,8 @@
         assertTrue(service.has(RecordKeys.LEADER) && events.isEmpty() && !election.isLeading());
         awaitGained("a");
         assertTrue(
-                clock.now().since(pledgedAt).compareTo(Span.seconds(2)) >= 0, "must not lead while its pledge is in force");
+                clock.now().since(pledgedAt).compareTo(Span.seconds(2)) >= 0,
+                "must not lead while its pledge is in force");
         assertTrue(LeaderKey.tokenOf(service.value(RecordKeys.LEADER).map()) > token);
     }
 
@@ -208,8 +210,8 @@
 
     @ParameterizedTest(name = "{0}: {1}")
     @MethodSource("cases")
-    void unansweredTransactionHasNoLateEffect(ExecutionTime when, String name, Case<LateElectionTransactionsTest> play)
-            throws Exception {
-        runCase(this, when, play);
+    void unansweredTransactionHasNoLateEffect(
+            ExecutionTime executionTime, String name, Case<LateElectionTransactionsTest> testCase) throws Exception {
+        runCase(this, executionTime, testCase);
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LateFeatureTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateFeatureTransactionsTest.java
@@ -60,15 +60,16 @@
     static {
         CASES.put(
                 "creation of a record, executed after its retry",
-                test -> test.runTwice("x/", test.newRoutineRunner(), () -> new Replacing("x/1", MessagePackFormat.map("n", 1L))));
+                test -> test.runTwice(
+                        "x/", test.newRoutineRunner(), () -> new Replacing("x/1", MessagePackFormat.map("n", 1L))));
         CASES.put("update of a record, executed after its retry", test -> {
             RoutineRunner records = test.newRoutineRunner();
             await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L))));
             test.runTwice("x/", records, () -> new Replacing("x/1", MessagePackFormat.map("n", 2L)));
         });
         CASES.put("write of a leader, executed after a change of leader", test -> {
-            RoutineRunner records =
-                    test.newRoutineRunner().leading(RecordKeys.LEADER, test.gainLeadership(1), new RateLimiter(100, test.clock.now()));
+            RoutineRunner records = test.newRoutineRunner()
+                    .leading(RecordKeys.LEADER, test.gainLeadership(1), new RateLimiter(100, test.clock.now()));
             test.suppressNextResponse("x/");
             assertTrue(await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L)))
                     .map(false)
@@ -129,8 +130,8 @@
 
     @ParameterizedTest(name = "{0}: {1}")
     @MethodSource("cases")
-    void unansweredTransactionHasNoLateEffect(ExecutionTime when, String name, Case<LateFeatureTransactionsTest> play)
-            throws Exception {
-        runCase(this, when, play);
+    void unansweredTransactionHasNoLateEffect(
+            ExecutionTime executionTime, String name, Case<LateFeatureTransactionsTest> testCase) throws Exception {
+        runCase(this, executionTime, testCase);
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
@@ -167,7 +167,11 @@
             old.intents().add(RENT);
             assertTrue(record(old));
             IntentLog next = new IntentLog(
-                    test.context, new FencingToken(4), test.gainLeadership(4), () -> {}, new RateLimiter(100, test.clock.now()));
+                    test.context,
+                    new FencingToken(4),
+                    test.gainLeadership(4),
+                    () -> {},
+                    new RateLimiter(100, test.clock.now()));
             await(next.load());
             test.suppressNextResponse(RecordKeys.INTENTS);
             await(next.removeEarlierRecords());
--- a/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
@@ -54,7 +54,8 @@
             test.suppressNextResponse(RecordKeys.MACHINE_PAGES);
             assertFalse(test.rebuildSucceeds(leader));
             assertTrue(test.rebuildSucceeds(leader));
-            MachineStore machineStore = new MachineStore(LeaderTestSupport.writes(test.context, 3, leader, 100), test.core);
+            MachineStore machineStore =
+                    new MachineStore(LeaderTestSupport.writes(test.context, 3, leader, 100), test.core);
             await(RecordListing.readAll(
                     test.client,
                     leader,
--- a/src/test/java/io/indigoreach/cluster/LateTransactionTestBase.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionTestBase.java
@@ -83,20 +83,20 @@
     }
 
     /** Returns the parameters of a test that runs each case once per {@link ExecutionTime}. */
-    static <T> List<Object[]> casesInBothModes(Map<String, Case<T>> table) {
-        List<Object[]> all = new ArrayList<>();
-        table.forEach((name, play) -> {
-            for (ExecutionTime when : ExecutionTime.values()) {
-                all.add(new Object[] {when, name, play});
+    static <T> List<Object[]> casesInBothModes(Map<String, Case<T>> cases) {
+        List<Object[]> parameters = new ArrayList<>();
+        cases.forEach((name, testCase) -> {
+            for (ExecutionTime executionTime : ExecutionTime.values()) {
+                parameters.add(new Object[] {executionTime, name, testCase});
             }
         });
-        return all;
+        return parameters;
     }
 
     /** Runs one case in the given mode. */
-    <T> void runCase(T test, ExecutionTime when, Case<T> play) throws Exception {
-        mode = when;
-        play.run(test);
+    <T> void runCase(T test, ExecutionTime executionTime, Case<T> testCase) throws Exception {
+        mode = executionTime;
+        testCase.run(test);
     }
 
     @BeforeEach
@@ -104,9 +104,12 @@
         service = await(new StateStandIn().listen(vertx));
         client = client();
         Catalogue catalogue = new Catalogue(
-                vertx, client, keepReachable(new CloudClient(keepReachable(new ServiceClient(vertx, service.endpoint(), 1)))));
-        context =
-                LeaderTestSupport.context(vertx, clock, client).catalogue(catalogue).build();
+                vertx,
+                client,
+                keepReachable(new CloudClient(keepReachable(new ServiceClient(vertx, service.endpoint(), 1)))));
+        context = LeaderTestSupport.context(vertx, clock, client)
+                .catalogue(catalogue)
+                .build();
 
         core = LeaderTestSupport.loadedCore(context, 3, LeaderTestSupport.quadCoreType());
     }
@@ -128,10 +131,10 @@
                 keepReachable(new ServiceClient(vertx, service.endpoint(), 2))));
     }
 
-    static void awaitCondition(Callable<Boolean> holds) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (!holds.call()) {
-            assertTrue(System.nanoTime() < end, "condition not met within 20 s");
+    static void awaitCondition(Callable<Boolean> condition) throws Exception {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (!condition.call()) {
+            assertTrue(System.nanoTime() < deadlineNanos, "condition not met within 20 s");
             Thread.onSpinWait();
         }
     }
@@ -149,11 +152,11 @@
         return mode == ExecutionTime.AT_ONCE;
     }
 
-    void suppressResponses(Predicate<Fields> which) {
+    void suppressResponses(Predicate<Fields> filter) {
         if (isExecutedAtOnce()) {
-            service.losing = which;
+            service.losing = filter;
         } else {
-            service.holding = which;
+            service.holding = filter;
         }
     }
 
@@ -210,7 +213,9 @@
                 8192,
                 100)));
         await(client.commit(new StateClient.Txn()
-                .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(LeaderTestSupport.quadCoreType())))));
+                .put(
+                        RecordKeys.CATALOGUE,
+                        CatalogueRecordCodec.writeCatalogue(List.of(LeaderTestSupport.quadCoreType())))));
         context.catalogue().start();
         awaitCondition(context.catalogue()::isKnown);
         return jobService;
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -231,7 +231,8 @@
                                 MachineRecordCodec.writeMachines(List.of(new MachineRecord(
                                         new MachineId("vm-000900"), POOL, clock.timeOfDay(), clock.timeOfDay()))))))
                 .revision();
-        SchedulerCore fresh = LeaderTestSupport.core(context, 3, context.config().teams());
+        SchedulerCore fresh =
+                LeaderTestSupport.core(context, 3, context.config().teams());
         fresh.setTypes(List.of(machineType("z")));
         JobStore jobStore = new JobStore(
                 LeaderTestSupport.writes(context, 3, new Revision(revision), 12),
