--- a/src/test/java/io/indigoreach/cluster/LateElectionTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateElectionTransactionsTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Transactions of the leader election that get no response ({@link LateTransactionsHarness}). */
+/** Tests transactions of the leader election that get no response ({@link LateTransactionTestBase}). */
 class LateElectionTransactionsTest extends LateTransactionTestBase {
     private LeaderElection newElection(String node, int peers) {
         LeaderElection[] election = new LeaderElection[1];
@@ -63,7 +63,7 @@
         assertEquals(node + " lost", events.poll(20, TimeUnit.SECONDS));
     }
 
-    /** Stops a node, and lets the leases of its campaigns expire. */
+    /** Stops a node's election and expires all leases of its campaigns. */
     private void stopAndExpireLeases(LeaderElection election) throws Exception {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
         runOnEventLoop(() -> {
@@ -77,7 +77,7 @@
     private static final Map<String, Case<LateElectionTransactionsTest>> CASES = new LinkedHashMap<>();
 
     static {
-        CASES.put("a campaign, after the next one", test -> {
+        CASES.put("campaign, executed after the next campaign", test -> {
             LeaderElection electionA = test.newElection("a", 0);
             test.suppressNextResponse(RecordKeys.LEADER);
             test.runOnEventLoop(electionA::start);
@@ -85,7 +85,7 @@
             test.assertLateExecutionChangesNothing();
             assertTrue(electionA.isValid());
         });
-        CASES.put("a campaign, after its node led and gave up", test -> {
+        CASES.put("campaign, executed after its node has led and resigned", test -> {
             LeaderElection electionA = test.newElection("a", 0);
             test.suppressNextResponse(RecordKeys.LEADER);
             test.runOnEventLoop(electionA::start);
@@ -95,7 +95,7 @@
             test.assertLateExecutionChangesNothing();
             assertFalse(test.service.has(RecordKeys.LEADER));
         });
-        CASES.put("a campaign, after another node led and gave up", test -> {
+        CASES.put("campaign, executed after another node has led and resigned", test -> {
             LeaderElection electionA = test.newElection("a", 0);
             test.suppressAllResponses(RecordKeys.LEADER);
             test.runOnEventLoop(electionA::start);
@@ -103,7 +103,7 @@
             test.runOnEventLoop(electionA::stop);
             test.restoreResponses();
             if (test.isExecutedAtOnce()) {
-                // The key stands under the campaign's grant, which ends by itself.
+                // The campaign has written the key, which is removed when its lease expires.
                 test.stopAndExpireLeases(electionA);
             }
             LeaderElection electionB = test.newElection("b", 0);
@@ -113,7 +113,7 @@
             test.awaitCondition(() -> !test.service.has(RecordKeys.LEADER));
             test.assertLateExecutionChangesNothing();
         });
-        CASES.put("a campaign, after its grant has ended", test -> {
+        CASES.put("campaign, executed after its lease has expired", test -> {
             LeaderElection electionA = test.newElection("a", 0);
             test.suppressAllResponses(RecordKeys.LEADER);
             test.runOnEventLoop(electionA::start);
@@ -122,7 +122,7 @@
             test.assertLateExecutionChangesNothing();
             assertFalse(test.service.has(RecordKeys.LEADER));
         });
-        CASES.put("the removal of a predecessor's key, after its node took it", test -> {
+        CASES.put("removal of a previous process's key, executed after its node has been elected", test -> {
             test.gainLeadership(1);
             await(test.client.commit(new StateClient.Txn()
                     .put(RecordKeys.LEADER, MessagePackFormat.map("node", "a", "process", "a0", "token", 1L))));
@@ -134,7 +134,7 @@
             test.assertLateExecutionChangesNothing();
             assertTrue(test.service.has(RecordKeys.LEADER));
         });
-        CASES.put("the removal of the key of one that stood aside, after another took it", test -> {
+        CASES.put("removal of a resigned leader's key, executed after another node has been elected", test -> {
             LeaderElection electionA = test.newElection("a", 0);
             test.runOnEventLoop(electionA::start);
             test.awaitGained("a");
@@ -155,7 +155,7 @@
             test.assertLateExecutionChangesNothing();
             assertTrue(test.service.has(RecordKeys.LEADER));
         });
-        CASES.put("the word for start bounds, after the next leadership", test -> {
+        CASES.put("confirmation of start bounds, executed in the next leadership term", test -> {
             await(test.client.commit(
                     new StateClient.Txn().put(RecordKeys.COUNTER, MessagePackFormat.map("value", 7L))));
             LeaderElection electionA = test.newElection("a", 0);
@@ -172,11 +172,14 @@
             assertEquals(
                     test.isExecutedAtOnce(),
                     test.service.value(RecordKeys.COUNTER).flag("bounds", false),
-                    "said late, an older version may have led in between");
+                    "must be rejected if late, as a leader of an older version may have led since");
         });
     }
 
-    /** The key stands, by a transaction that its node gave up on: nobody leads by it, and a pledge given since binds. */
+    /**
+     * A campaign that got no response is executed late and writes the key. Its node must not lead under that key, and
+     * must respect the pledge that it has given since.
+     */
     @Test
     void lateCampaignAfterPledgeElectsNoLeader() throws Exception {
         LeaderElection election = newElection("a", 0);
@@ -195,7 +198,9 @@
         long token = LeaderKey.tokenOf(service.value(RecordKeys.LEADER).map());
         assertTrue(service.has(RecordKeys.LEADER) && events.isEmpty() && !election.isLeading());
         awaitGained("a");
-        assertTrue(clock.now().since(pledgedAt).compareTo(Span.seconds(2)) >= 0, "a pledge binds");
+        assertTrue(
+                clock.now().since(pledgedAt).compareTo(Span.seconds(2)) >= 0,
+                "must not lead while its pledge is in force");
         assertTrue(LeaderKey.tokenOf(service.value(RecordKeys.LEADER).map()) > token);
     }
 
--- a/src/test/java/io/indigoreach/cluster/LateFeatureTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateFeatureTransactionsTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Transactions of optional features that get no response ({@link LateTransactionsHarness}). */
+/** Tests transactions of optional features that get no response ({@link LateTransactionTestBase}). */
 class LateFeatureTransactionsTest extends LateTransactionTestBase {
     private RoutineRunner newRoutineRunner() {
         List<RecordFamily> families = new ArrayList<>(Registry.FAMILIES);
@@ -47,7 +47,7 @@
                                 new Transaction().when(seen.record(key)).delete(key));
     }
 
-    /** A part's write without an answer, then the same once more, then it comes late. */
+    /** Runs a routine whose write gets no response, repeats it, and then executes the first write late. */
     private <R> void runTwice(String key, RoutineRunner records, Supplier<Routine<R>> routine) throws Exception {
         suppressNextResponse(key);
         assertTrue(await(records.run(routine.get()).map(false).otherwise(true)));
@@ -59,15 +59,15 @@
 
     static {
         CASES.put(
-                "a record's first write, after its repeat",
+                "creation of a record, executed after its retry",
                 test -> test.runTwice(
                         "x/", test.newRoutineRunner(), () -> new Replacing("x/1", MessagePackFormat.map("n", 1L))));
-        CASES.put("a record's change, after its repeat", test -> {
+        CASES.put("update of a record, executed after its retry", test -> {
             RoutineRunner records = test.newRoutineRunner();
             await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L))));
             test.runTwice("x/", records, () -> new Replacing("x/1", MessagePackFormat.map("n", 2L)));
         });
-        CASES.put("a leader's write, after a change of leader", test -> {
+        CASES.put("write of a leader, executed after a change of leader", test -> {
             RoutineRunner records = test.newRoutineRunner()
                     .forLeader(RecordKeys.LEADER, test.gainLeadership(1), new RateLimiter(100, test.clock.now()));
             test.suppressNextResponse("x/");
@@ -77,7 +77,7 @@
             test.gainLeadership(4);
             test.assertLateExecutionChangesNothing();
         });
-        CASES.put("a record's removal, after it was written anew", test -> {
+        CASES.put("removal of a record, executed after the record was written again", test -> {
             RoutineRunner records = test.newRoutineRunner();
             await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L))));
             test.suppressNextResponse("x/");
@@ -85,7 +85,7 @@
             await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 2L))));
             test.assertLateExecutionChangesNothing();
         });
-        CASES.put("a write, after a loss and a new era", test -> {
+        CASES.put("write, executed after a data loss and the start of a new era", test -> {
             RoutineRunner records = test.newRoutineRunner();
             test.suppressNextResponse("x/");
             assertTrue(await(records.run(new Replacing("x/1", MessagePackFormat.map("n", 1L)))
@@ -95,13 +95,13 @@
             test.assertLateExecutionChangesNothing();
         });
         CASES.put(
-                "the registry's beginning",
+                "initialization of the ownership registry",
                 test -> test.runTwice("own/", test.newRoutineRunner(), () -> new Beginning(true, "by test")));
         CASES.put(
-                "a claim's end before it began",
+                "end of a claim that has not begun",
                 test -> test.runTwice("own/", test.newRoutineRunner(), () -> new Ending("export-1")));
         CASES.put(
-                "a calendar's text",
+                "text of a calendar",
                 test -> test.runTwice(
                         "cal/text/",
                         test.newRoutineRunner(),
@@ -112,7 +112,7 @@
                                 1,
                                 "note")));
         CASES.put(
-                "a calendar's head",
+                "version record of a calendar",
                 test -> test.runTwice(
                         CalendarVersion.KEY,
                         test.newRoutineRunner(),
--- a/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Transactions on job records that get no response ({@link LateTransactionsHarness}). */
+/** Transactions on job records that get no response ({@link LateTransactionTestBase}). */
 class LateJobTransactionsTest extends LateTransactionTestBase {
     private void assertFinalStatus(JobStatus expectedStatus) {
         assertEquals(
--- a/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Transactions on machine records and cloud requests that get no response ({@link LateTransactionsHarness}). */
+/** Transactions on machine records and cloud requests that get no response ({@link LateTransactionTestBase}). */
 class LateMachineTransactionsTest extends LateTransactionTestBase {
     private Future<Boolean> recordMachine(MachineStore machineStore, int number) {
         MachineId id = new MachineId("vm-" + number);
--- a/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Transactions of a rebuild after a data loss that get no response ({@link LateTransactionsHarness}). */
+/** Transactions of a rebuild after a data loss that get no response ({@link LateTransactionTestBase}). */
 class LateRebuildTransactionsTest extends LateTransactionTestBase {
     private int recordedStartBound() {
         return JobRecordCodec.readJob(JOB, service.value(OPEN), Revision.ABSENT).startBound();
--- a/src/test/java/io/indigoreach/cluster/LateTransactionTestBase.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionTestBase.java
@@ -47,9 +47,11 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /**
- * The set-up of tests in which a transaction gets no response (docs/notes/late-transactions.md), for every kind that the product
- * writes. Executed late, after newer transactions, it must change nothing. Executed at once, while only its response is lost,
- * its writer must find it done. The writes are the product's own; the state service stands in. Waits are for events, not times.
+ * Set-up for tests of transactions that get no response (docs/notes/late-transactions.md), for every kind of
+ * transaction that the controller writes. A transaction that is executed late, after newer ones, must change nothing.
+ * If it is executed at once and only its response is lost, the writer must detect that it was executed. The
+ * transactions come from production code and go to an emulated state service. Tests wait for events and never for a
+ * fixed time.
  */
 abstract class LateTransactionTestBase {
     static final MachinePool POOL = new MachinePool("quad", "a", true);
@@ -58,7 +60,7 @@
     static final Intents.Rental RENT = new Intents.Rental("t3-1", POOL, 50, 1000);
     final Vertx vertx = Vertx.vertx();
     final SteadyClock clock = new SteadyClock();
-    /** Vert.x closes a client that nothing refers to any more. */
+    /** Strong references, as Vert.x closes a client that is no longer reachable. */
     private final List<Object> reachableObjects = new ArrayList<>();
 
     final BlockingQueue<String> events = new ArrayBlockingQueue<>(100);
@@ -75,12 +77,12 @@
 
     private ExecutionTime mode = ExecutionTime.LATE;
 
-    /** One order of events, played by the test class that has the helpers for it. */
+    /** One sequence of events. {@code T} is the test class that provides the helper methods. */
     interface Case<T> {
         void run(T test) throws Exception;
     }
 
-    /** Each case twice, by when the transaction is executed. */
+    /** Returns the parameters of a test that runs each case once per {@link ExecutionTime}. */
     static <T> List<Object[]> casesInBothModes(Map<String, Case<T>> cases) {
         List<Object[]> parameters = new ArrayList<>();
         cases.forEach((name, testCase) -> {
@@ -91,7 +93,7 @@
         return parameters;
     }
 
-    /** Plays one case. */
+    /** Runs one case in the given mode. */
     <T> void runCase(T test, ExecutionTime executionTime, Case<T> testCase) throws Exception {
         mode = executionTime;
         testCase.run(test);
@@ -132,7 +134,7 @@
     static void awaitCondition(Callable<Boolean> condition) throws Exception {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (!condition.call()) {
-            assertTrue(System.nanoTime() < deadlineNanos, "in vain");
+            assertTrue(System.nanoTime() < deadlineNanos, "condition not met within 20 s");
             Thread.onSpinWait();
         }
     }
@@ -169,7 +171,7 @@
         suppressResponses(txn -> writesKeyWithPrefix(txn, key));
     }
 
-    /** From now on all transactions get a response. */
+    /** Lets all transactions get a response from now on. */
     void restoreResponses() {
         suppressResponses(txn -> false);
     }
@@ -182,24 +184,24 @@
         awaitCondition(() -> suppressedCount() > 0);
     }
 
-    /** Executes the transactions that were held back, which must be rejected; those that were executed at once must stay as they were. */
+    /** Executes the transactions that were held back, and checks that all are rejected, or that a response was lost. */
     void assertLateExecutionChangesNothing() {
         restoreResponses();
         if (isExecutedAtOnce()) {
-            assertTrue(service.lostResponses > 0, "every answer came");
+            assertTrue(service.lostResponses > 0, "no response was lost");
             return;
         }
         List<Integer> statuses = service.executeHeldTransactions();
-        assertFalse(statuses.isEmpty(), "nothing was held back");
-        assertFalse(statuses.contains(200), "carried out late: " + statuses);
+        assertFalse(statuses.isEmpty(), "no transaction was held back");
+        assertFalse(statuses.contains(200), "a late transaction was executed, statuses: " + statuses);
     }
 
-    /** Another leadership term begins. */
+    /** Writes the leadership key, which begins a new leadership term; returns its revision. */
     Revision gainLeadership(long token) throws Exception {
         return LeaderTestSupport.gainLeadership(client, token);
     }
 
-    /** A job service whose catalogue is known. */
+    /** Creates a job service whose machine catalogue is loaded. */
     JobService newJobService() throws Exception {
         JobService jobService = keepReachable(new JobService(new JobService.Context(
                 vertx,
@@ -239,7 +241,7 @@
         return await(vertx.getOrCreateContext().executeBlocking(() -> null).compose(started -> work.get()));
     }
 
-    /** How many machines the pages name. */
+    /** Number of machines in all machine records. */
     int recordedMachineCount() {
         return service.keys(RecordKeys.MACHINE_PAGES).stream()
                 .mapToInt(key ->
@@ -247,7 +249,7 @@
                 .sum();
     }
 
-    /** One machine, one open job with two blocks, one finished job. */
+    /** Remembered state of one machine, one open job with two completion blocks, and one finished job. */
     RememberedState rememberedState() {
         RememberedState rememberedState = new RememberedState();
         Moment now = clock.now();
@@ -260,7 +262,7 @@
         return rememberedState;
     }
 
-    /** Rebuilds from what {@link #rememberedState} returns; false if that fails. */
+    /** Rebuilds the records from {@link #rememberedState()}; false if that fails. */
     boolean rebuildSucceeds(Revision leadershipRevision) throws Exception {
         return rebuildSucceeds(leadershipRevision, rememberedState());
     }
