--- a/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
+++ b/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
@@ -17,21 +17,21 @@
 import java.util.TreeSet;
 
 /**
- * The blocks of completion bits of open jobs whose bits do not fit into the job's record. A write of blocks is one transaction with
- * the job's record, whose revision it changes: executed late it is rejected, and cannot replace a newer block. Blocks of a finished
- * job are harmless, so the completion is one short transaction, and they are deleted afterwards, a few at a time; the next leader
- * continues with that. Bound to the node's event loop.
+ * Stores the completion bits of open jobs whose bits do not fit into the job's record, in separate blocks. Blocks are written in one
+ * transaction with the job's record, which changes the record's revision. A transaction that is executed late is therefore rejected
+ * and cannot replace a newer block. Blocks of a finished job are harmless, so the completion itself is one short transaction. The
+ * blocks are deleted afterwards, a few at a time, and the next leader continues the deletion. Bound to the node's event loop.
  */
 final class CompletionBlockStore {
     private static final Span PERIOD = Span.seconds(0.5);
 
     /** The blocks of one job. */
     private static final class JobBlocks {
-        /** The tasks that the written blocks name as completed. */
+        /** Tasks that are marked as completed in the written blocks. */
         final BitSet written = new BitSet();
 
         final Set<String> keys = new TreeSet<>();
-        /** The blocks of the write in flight, by key. */
+        /** Blocks of the write in flight, by key. */
         Map<String, BitSet> inFlight = Map.of();
     }
 
@@ -39,7 +39,7 @@
     private final NodeContext context;
     private final PeriodicTask cleanupTask;
     private final Map<JobId, JobBlocks> blocksByJob = new HashMap<>();
-    /** Keys of blocks that are to be deleted, as their jobs are no longer open. */
+    /** Keys of blocks to delete because their jobs are no longer open. */
     private final Map<JobId, Set<String>> orphanedKeys = new LinkedHashMap<>();
 
     CompletionBlockStore(LeaderWrites writes) {
@@ -57,20 +57,20 @@
         cleanupTask.cancel();
     }
 
-    /** Forgets all blocks, before they are loaded. */
+    /** Clears all blocks before they are loaded. */
     void clear() {
         blocksByJob.clear();
         orphanedKeys.clear();
     }
 
-    /** Takes over a block that an earlier leader wrote. */
+    /** Adds a block that an earlier leader wrote. */
     void inherit(String blockKey, BitSet done) {
         JobBlocks blocks = blocksOf(CompletionBits.jobOf(blockKey));
         blocks.keys.add(blockKey);
         blocks.written.or(done);
     }
 
-    /** All open jobs are known: blocks of other jobs are orphaned. */
+    /** Marks the blocks of all jobs that are not in {@code openJobs} for deletion. */
     void loaded(Set<JobId> openJobs) {
         List<JobId> finished = blocksByJob.keySet().stream()
                 .filter(id -> !openJobs.contains(id))
@@ -78,7 +78,7 @@
         finished.forEach(this::jobEnded);
     }
 
-    /** The job is over, and its blocks are to be deleted. */
+    /** Marks the blocks of a finished job for deletion. */
     void jobEnded(JobId id) {
         JobBlocks blocks = blocksByJob.remove(id);
         if (blocks != null && !blocks.keys.isEmpty()) {
@@ -86,20 +86,20 @@
         }
     }
 
-    /** Whether the job's completion bits fit into its own record, so that it has no blocks. */
+    /** Returns whether the job's completion bits fit into its own record, so that the job needs no blocks. */
     boolean hasRoomInRecord(Job job) {
         return bits().areInRecord(job.spec(), job.submittedMs());
     }
 
     /**
-     * Whether the job's record fits into a value. If limits were lowered since the job was accepted, its record stays as it is until
-     * the job is over.
+     * Returns whether the job's record fits into one value. If the limits were lowered after the job was accepted, its record is not
+     * written again until the job finishes.
      */
     boolean canBeWritten(Job job) {
         return bits().canBeWritten(job.spec(), job.submittedMs());
     }
 
-    /** Adds the job's record to a transaction, and as many of its outdated blocks as fit. */
+    /** Adds the job's record and as many of its outdated blocks as fit to a transaction. */
     void addProgress(StateClient.Txn txn, Job job, BitSet done) {
         txn.put(RecordKeys.openKey(job.id()), openRecord(job, done));
         if (hasRoomInRecord(job)) {
@@ -119,7 +119,7 @@
                         job.spec(), job.submittedMs(), job.status(), done, job.runningCount(), job.startBoundToWrite());
     }
 
-    /** The job's last write was executed; returns which of {@code done} are durable. */
+    /** Handles the success of the job's last write and returns which tasks of {@code done} are durable. */
     BitSet written(Job job, BitSet done) {
         if (hasRoomInRecord(job)) {
             return done;
@@ -133,7 +133,7 @@
         return (BitSet) blocks.written.clone();
     }
 
-    /** Whether completed tasks did not fit into the last write. */
+    /** Returns whether some completed tasks did not fit into the last write. */
     boolean isBehind(Job job) {
         if (hasRoomInRecord(job)) {
             return false;
@@ -163,7 +163,7 @@
         }
         return context.state().get(RecordKeys.finalKey(id)).compose(finalRecord -> {
             if (finalRecord == null) {
-                // The final record was lost, or the open record is unreadable: the blocks may still be needed.
+                // The final record was lost or the open record is unreadable, so the blocks may still be needed.
                 orphanedKeys.remove(id);
                 return Future.succeededFuture(Span.ZERO);
             }
--- a/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
+++ b/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
@@ -7,17 +7,17 @@
 import io.vertx.core.Future;
 
 /**
- * Detects that the final record of a job was deleted, which no node does: without it, a repeated submission would run the job
- * again. {@link JobWatch} watches the records of open jobs. Bound to the node's event loop.
+ * Watches the final records of jobs and reports a deleted one as data loss. No node deletes final records, and without one a
+ * repeated submission would run the job again. {@link JobWatch} watches the records of open jobs. Bound to the node's event loop.
  */
 final class FinalRecordWatch {
     private static final Span MAX_WATCH_TIME = Span.seconds(10);
-    /** Final records are written every second, but hardly ever deleted: changes are collected for this long. */
+    /** Pause between watches. Final records are written every second but hardly ever deleted, so changes are batched. */
     private static final Span PAUSE = Span.seconds(0.5);
 
     private final StateClient state;
     private final PeriodicTask watchTask;
-    /** The revision from which the next watch begins. */
+    /** The revision at which the next watch starts. */
     private long nextRevision;
 
     FinalRecordWatch(NodeContext context) {
--- a/src/main/java/io/indigoreach/cluster/FinishedJobs.java
+++ b/src/main/java/io/indigoreach/cluster/FinishedJobs.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * The jobs that ended during this leadership term, including cancelled ones that were never open here: a delayed change of their
- * records must not open them. Only the most recent ones are kept. Bound to the node's event loop.
+ * The most recent jobs that finished during this leadership term. They include cancelled jobs that this leader never opened: a
+ * delayed change event for their records must not open them. Bound to the node's event loop.
  */
 final class FinishedJobs {
     private static final int MAX_JOBS = 10_000;
@@ -25,18 +25,18 @@
         return jobs.containsKey(id);
     }
 
-    /** How the job ended; null if it is unknown or no longer kept. */
+    /** Returns the final status of the job, or null if the job is unknown or was evicted. */
     RememberedState.FinishedJob get(JobId id) {
         return jobs.get(id);
     }
 
-    /** A job that was open here is over. */
+    /** Adds a job that was open on this leader and has finished. */
     void add(Job job) {
         JobStatus status = job.isCancelled() ? JobStatus.CANCELLED : JobStatus.DONE;
         jobs.put(job.id(), new RememberedState.FinishedJob(status, job.doneCount()));
     }
 
-    /** A job that is not open here was cancelled. */
+    /** Adds a cancelled job that is not open on this leader. */
     void addCancelled(JobId id) {
         jobs.putIfAbsent(id, new RememberedState.FinishedJob(JobStatus.CANCELLED, 0));
     }
--- a/src/main/java/io/indigoreach/cluster/JobLoader.java
+++ b/src/main/java/io/indigoreach/cluster/JobLoader.java
@@ -25,12 +25,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * Reads the records of jobs and machines at a failover, and has unreadable job records repaired. Bound to the node's event loop.
- */
+/** Loads the records of jobs and machines at a failover and repairs unreadable job records. Bound to the node's event loop. */
 final class JobLoader {
     private static final Logger LOG = LoggerFactory.getLogger(JobLoader.class);
-    /** For how long a new leader repairs unreadable records before it continues without the rest. */
+    /** Time limit for repairing unreadable records; the leader continues without the records that remain. */
     private static final Span REPAIR_TIME = Span.seconds(2);
 
     private final LeaderJobs jobs;
@@ -39,8 +37,8 @@
     private final MachineStore machineStore;
     private final CancellationHorizon horizon;
     /**
-     * When this term began: no earlier leader has responded to workers since. If it counted from the start of the load instead,
-     * silent machines would delay the failover for as long as a slow state service takes, and again with each load that fails.
+     * Start of this term, since when no earlier leader has responded to workers. If leases were counted from the start of the load
+     * instead, silent machines would delay the failover by the duration of a slow load, and again after each failed load.
      */
     private final Moment termBeganAt;
 
@@ -57,20 +55,20 @@
         this.termBeganAt = context.clock().now();
     }
 
-    /** Reads every machine and every open job; the result is the revision to watch the open jobs from. */
+    /** Loads all machines and open jobs, and returns the revision from which to watch the open jobs. */
     Future<Long> load() {
         jobs.openJobs().clear();
         completionBlocks.clear();
         return new Load().run();
     }
 
-    /** The state of one load, which is discarded if it fails. */
+    /** The state of one load attempt; discarded if the attempt fails. */
     private final class Load {
         private final Map<JobId, BitSet> blockBits = new HashMap<>();
         private final List<StateClient.Entry> unreadable = new ArrayList<>();
 
         Future<Long> run() {
-            // Blocks first: a block that is written between the two listings would otherwise be newer than its job.
+            // Blocks are read first, as a block written between the two listings would otherwise be newer than its job.
             return listAll(RecordKeys.COMPLETION_BLOCKS, this::readBlock)
                     .compose(revision -> listAll(CompletionBits.SMALL_BLOCKS, this::readBlock))
                     .compose(revision -> listAll(RecordKeys.MACHINE_PAGES, JobLoader.this::readMachines))
@@ -91,7 +89,7 @@
         }
 
         private Future<Long> listOpenJobs() {
-            // The listing does not contain what was cancelled before it was requested.
+            // The listing does not contain jobs that were cancelled before the request.
             Moment requestedAt = context.clock().now();
             return listAll(RecordKeys.OPEN_JOBS, this::readOpenJob)
                     .onSuccess(revision -> horizon.advanceTo(requestedAt));
@@ -112,8 +110,8 @@
         }
 
         /**
-         * Repairs unreadable job records from the memory of other controllers, before any command stops tasks of these jobs. It
-         * takes limited time, as all other jobs wait; a user's request for such a job has it repaired too.
+         * Repairs unreadable job records from the memory of other controllers before any command can stop tasks of these jobs. The
+         * time is limited because all other jobs wait. A user request for an unreadable job also triggers its repair.
          */
         private Future<Void> repairNext(Iterator<StateClient.Entry> entries, Moment until) {
             if (!entries.hasNext() || jobs.writer().isCancelled()) {
@@ -135,7 +133,7 @@
             JobId id = RecordKeys.jobOfOpenKey(entry.key());
             jobs.openJobs().markUnreadable(id);
             if (!context.clock().now().isBefore(until)) {
-                return Future.failedFuture(new WireException("no time left for repairs"));
+                return Future.failedFuture(new WireException("repair time limit reached"));
             }
             return context.repairer()
                     .repairOpen(id, entry, null)
@@ -154,7 +152,7 @@
         List<MachineRecord> machines = MachineRecordCodec.readMachines(page.value());
         machineStore.inherit(page.key(), page.revision(), machines);
         for (MachineRecord machine : machines) {
-            // Another node wrote this time, and its clock may be off as far in the other direction as this node's.
+            // Another node wrote this time, and its clock may deviate in the opposite direction to this node's clock.
             Moment knownToExistAt = context.toSteadyTime(machine.existedMs())
                     .plus(context.config().maxClockError().times(2));
             jobs.core()
--- a/src/main/java/io/indigoreach/cluster/JobRecordLookup.java
+++ b/src/main/java/io/indigoreach/cluster/JobRecordLookup.java
@@ -6,9 +6,9 @@
 import io.indigoreach.state.StateClient;
 import io.vertx.core.Future;
 
-/** Reads the records of single jobs: the open record, and the final one that replaces it when the job is over. */
+/** Reads the records of single jobs: the open record, and the final record that replaces it when the job finishes. */
 final class JobRecordLookup {
-    /** The message if a job has a record although two reads found none: the reads were from different revisions. */
+    /** Error message if a job has a record although two reads at different revisions found none. */
     static final String STALE_READ = "a read was stale";
 
     private final StateClient state;
@@ -17,17 +17,17 @@
         this.state = state;
     }
 
-    /** The record of an open job, or null. */
+    /** Returns the record of an open job, or null if there is none. */
     Future<StateClient.Entry> openRecord(JobId id) {
         return state.get(RecordKeys.openKey(id));
     }
 
-    /** The record of a job that is over, or null. */
+    /** Returns the record of a finished job, or null if there is none. */
     Future<StateClient.Entry> finalRecord(JobId id) {
         return state.get(RecordKeys.finalKey(id));
     }
 
-    /** Whether the job has neither record at one and the same revision, which two reads cannot show. */
+    /** Checks that neither record exists at one single revision, which two separate reads cannot show. */
     Future<Boolean> confirmAbsent(JobId id) {
         return state.confirm(new StateClient.Txn()
                 .when(RecordKeys.openKey(id), Revision.ABSENT)
--- a/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
+++ b/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
@@ -27,16 +27,17 @@
 
 /**
  * Writes the records of open jobs: progress, start bounds and completions. Each write is conditional on the leadership key and on
- * the revision of the job's own record, which its user may delete at any node by cancelling. Bound to the node's event loop.
+ * the revision of the job's record, as a user may cancel the job through any node, which deletes the record. Bound to the node's
+ * event loop.
  */
 final class JobRecordWriter {
     private static final Logger LOG = LoggerFactory.getLogger(JobRecordWriter.class);
     private static final Span PERIOD = Span.seconds(0.1);
-    /** Progress of one job is collected for this long; its completion is written at once. */
+    /** Minimum interval between progress writes of one job; its completion is written immediately. */
     private static final Span PROGRESS_WRITE_PERIOD = Span.seconds(1);
 
     private static final int MAX_WRITES_IN_FLIGHT = 4;
-    /** Changes of the transaction that moves a completed job to its final record. */
+    /** Number of changes in the transaction that moves a completed job to its final record. */
     private static final int MOVE_SIZE = 2;
 
     private final LeaderWrites writes;
@@ -49,11 +50,11 @@
     private final Set<Job> dirty = new LinkedHashSet<>();
     private final Set<JobId> writesInFlight = new HashSet<>();
     private final Map<JobId, Moment> lastWriteAt = new HashMap<>();
-    /** Completions that were written to the open job's record, which is to be moved when there is room for it. */
+    /** Jobs whose completion is in the open record, which must still be moved to the final record, by record revision. */
     private final Map<JobId, Revision> finishedInOpenRecords = new LinkedHashMap<>();
 
     private final Map<JobId, JobStatus> recordedStatus = new HashMap<>();
-    /** Open jobs whose records exceed the limits of the state service and that were logged. */
+    /** Open jobs that were already logged because their records exceed the limits of the state service. */
     private final Set<JobId> reportedTooLong = new HashSet<>();
 
     JobRecordWriter(
@@ -79,18 +80,21 @@
         return writeTask.isCancelled();
     }
 
-    /** Looks for due writes now, or right after the current step. */
+    /** Starts the next step immediately, or right after the current one. */
     void wake() {
         writeTask.wake();
     }
 
-    /** Forgets what is to be written, before the records are loaded. */
+    /** Clears pending writes before the records are loaded. */
     void clear() {
         dirty.clear();
         recordedStatus.clear();
     }
 
-    /** A job whose record was read, with the status in it. */
+    /** Handles a job that was added from its record.
+     *
+     * @param status the status in the record
+     */
     void jobAdded(Job job, JobStatus status) {
         recordedStatus.put(job.id(), status);
         if (job.isComplete()) {
@@ -98,7 +102,7 @@
         }
     }
 
-    /** The record of the job is to be written. */
+    /** Schedules a write of the job's record. */
     void markDirty(Job job) {
         dirty.add(job);
     }
@@ -107,7 +111,7 @@
         return writesInFlight.contains(id);
     }
 
-    /** The job is over: nothing is written of it any more, except the move to its final record. */
+    /** Handles the end of a job. Only the move to its final record may still be written. */
     void jobFinished(Job job) {
         dirty.remove(job);
         recordedStatus.remove(job.id());
@@ -143,8 +147,8 @@
     }
 
     /**
-     * Two completions and one start bound in turn. If all completions went first, machines would be idle during a burst of them, as
-     * no job could start.
+     * Alternates between two completions and one start bound. If all completions were written first, no job could start during a
+     * burst of completions, and machines would be idle.
      */
     private static List<Job> interleave(List<Job> completed, List<Job> startBounds) {
         List<Job> order = new ArrayList<>();
@@ -190,7 +194,7 @@
         }
     }
 
-    /** Progress, of which there is always more, may not use what a completion or a start needs. */
+    /** Reserves write rate. Progress writes, which never end, may only use rate that completions and starts do not need. */
     private boolean takeBudget(Job job, StateClient.Txn txn, Moment now) {
         return isUrgent(job)
                 ? writes.limiter().take(txn.size(), now)
@@ -198,8 +202,9 @@
     }
 
     /**
-     * The state service would reject the record each time, and others would wait behind it. Tasks within the recorded start bound
-     * continue, and the completion or cancellation, which are short, are written as usual.
+     * Returns whether the state service would reject the job's record for its size. Such a record is not written, as its repeated
+     * rejection would delay other jobs. Tasks within the recorded start bound continue to run. The completion and the cancellation
+     * are short and are written as usual.
      */
     private boolean isTooLongToWrite(Job job) {
         if (job.isComplete() || completionBlocks.canBeWritten(job)) {
@@ -213,13 +218,13 @@
     }
 
     /**
-     * The write that is due for a job. A completion moves the job to the final records, which takes two changes; if many wait, it
-     * is first written to the open record by one change, and moved later.
+     * Creates the transaction that is due for a job. A completion moves the job to the final records, which takes two changes. If
+     * many completions wait, the completion is first written to the open record, which takes one change, and moved later.
      */
     private StateClient.Txn transaction(Job job, boolean crowded) {
         JobId id = job.id();
         StateClient.Txn txn = writes.newTransaction().when(RecordKeys.openKey(id), job.revision());
-        // Without the bits, a later leader would not know from the open record that the job is over.
+        // An open record without the completion bits would not tell a later leader that the job is complete.
         if (job.isComplete() && !(crowded && completionBlocks.hasRoomInRecord(job))) {
             return moveToFinal(txn, id, JobStatus.DONE, job.spec().tasks());
         }
@@ -232,7 +237,7 @@
                 .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(status, completedTasks));
     }
 
-    /** Moves one job whose completion is in its open record. Rejected if a later leader or a rebuild has already done so. */
+    /** Moves one completed job to its final record. The write is rejected if a later leader or a rebuild has already moved it. */
     private void moveFinished() {
         JobId id = finishedInOpenRecords.keySet().iterator().next();
         Revision revision = finishedInOpenRecords.remove(id);
@@ -250,7 +255,7 @@
         });
     }
 
-    /** The state of a job when its write was sent, which may have changed by the time of the response. */
+    /** The state of a job when its write was sent; the job may have changed when the response arrives. */
     private record SentWrite(
             Job job, StateClient.Txn txn, BitSet completedTasks, boolean complete, JobStatus status, int startBound) {
         static SentWrite of(Job job, StateClient.Txn txn) {
@@ -258,7 +263,7 @@
                     job, txn, job.completedTasks(), job.isComplete(), job.status(), job.startBoundToWrite());
         }
 
-        /** Whether the completion went to the open record, which is still to be moved. */
+        /** Returns whether the completion was written to the open record, which must still be moved. */
         boolean keepsOpenRecord() {
             return txn.writes().stream().noneMatch(StateClient.Write::isDelete);
         }
@@ -315,7 +320,7 @@
         core.revisionSeen(job, revision);
         job.completionsRecorded(completionBlocks.written(job, sent.completedTasks()));
         job.startBoundRecorded(sent.startBound());
-        // A job that was cancelled before this response must not be remembered, as nothing would remove it again.
+        // The entry of a job that was cancelled before this response would never be removed.
         if (core.job(job.id()) == job) {
             recordedStatus.put(job.id(), sent.status());
             if (completionBlocks.isBehind(job)) {
@@ -324,7 +329,7 @@
         }
     }
 
-    /** Reads the job's records after a write that was rejected or has an unknown outcome. */
+    /** Reads the job's records after a write was rejected or had an unknown outcome. */
     private void readOutcome(Job job) {
         writesInFlight.add(job.id());
         lookup.openRecord(job.id())
--- a/src/main/java/io/indigoreach/cluster/JobStore.java
+++ b/src/main/java/io/indigoreach/cluster/JobStore.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 
 /**
- * A leader's access to the records of jobs: loads them at a failover ({@link JobLoader}), applies what others change
+ * A leader's access to the records of jobs: loads them at a failover ({@link JobLoader}), applies changes that other nodes make
  * ({@link OpenJobEvents}), and writes progress, start bounds and completions ({@link JobRecordWriter}). Bound to the node's event
  * loop.
  */
@@ -27,7 +27,7 @@
 
     /**
      * @param machineStore receives the machine records that are loaded along with the jobs
-     * @param startBoundsTrusted every leader so far has respected the jobs' start bounds
+     * @param startBoundsTrusted whether all earlier leaders have respected the jobs' start bounds
      */
     JobStore(
             LeaderWrites writes,
@@ -52,17 +52,17 @@
         completionBlocks.cancel();
     }
 
-    /** The record of the job is to be written. */
+    /** Schedules a write of the job's record. */
     void markDirty(Job job) {
         jobs.writer().markDirty(job);
     }
 
-    /** Reads every open job and every machine; the result is the revision to watch the open jobs from. */
+    /** Loads all open jobs and machines, and returns the revision from which to watch the open jobs. */
     Future<Long> load() {
         return loader.load();
     }
 
-    /** Reads the open jobs again after the watch has lost its position; the result is the revision to continue from. */
+    /** Reads the open jobs again after the watch has lost its position, and returns the revision at which it continues. */
     Future<Long> resynchronize() {
         Set<JobId> present = new HashSet<>();
         return RecordListing.readAll(
@@ -88,27 +88,27 @@
         }
     }
 
-    /** The watch reports a written record: see {@link OpenJobEvents#onWritten}. */
+    /** Handles a written record that the watch reports; see {@link OpenJobEvents#onWritten}. */
     void onOpenRecordWritten(JobId id, Fields value, Revision revision) {
         events.onWritten(id, value, revision);
     }
 
-    /** The watch reports a deleted record: see {@link OpenJobEvents#onDeleted}. */
+    /** Handles a deleted record that the watch reports; see {@link OpenJobEvents#onDeleted}. */
     void onOpenRecordDeleted(JobId id) {
         events.onDeleted(id);
     }
 
-    /** A job is cancelled for certain: see {@link OpenJobs#onCancelled}. */
+    /** Handles a confirmed cancellation; see {@link OpenJobs#onCancelled}. */
     void onCancelled(JobId id) {
         jobs.openJobs().onCancelled(id);
     }
 
-    /** Adds the jobs that ended during this term. */
+    /** Adds the jobs that finished during this term. */
     void addTo(RememberedState rememberedState) {
         jobs.finishedJobs().addTo(rememberedState);
     }
 
-    /** Adds one job if it ended during this term. */
+    /** Adds one job if it finished during this term. */
     void addTo(RememberedState rememberedState, JobId id) {
         jobs.finishedJobs().addTo(rememberedState, id);
     }
--- a/src/main/java/io/indigoreach/cluster/JobWatch.java
+++ b/src/main/java/io/indigoreach/cluster/JobWatch.java
@@ -11,11 +11,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Watches the open jobs' records, by which the leader learns of jobs that any node accepts or cancels. Bound to the event loop. */
+/** Watches the records of open jobs to find jobs that any node has accepted or cancelled. Bound to the node's event loop. */
 final class JobWatch {
     private static final Logger LOG = LoggerFactory.getLogger(JobWatch.class);
     private static final Span MAX_WATCH_TIME = Span.seconds(2);
-    /** Part of the age that the cancellation horizon may reach which one watch may take. */
+    /** Maximum duration of one watch, as a share of the maximum age of the cancellation horizon. */
     private static final double WATCH_TIME_SHARE = 0.25;
 
     private static final Span PAUSE = Span.seconds(0.3);
@@ -24,9 +24,9 @@
     private final JobStore jobStore;
     private final CancellationHorizon horizon;
     private final PeriodicTask watchTask;
-    /** The revision from which the next watch begins. */
+    /** The revision at which the next watch starts. */
     private long nextRevision;
-    /** The state service no longer has the changes since {@code nextRevision}. */
+    /** Whether the state service no longer has the changes since {@code nextRevision}. */
     private boolean mustResynchronize;
 
     JobWatch(NodeContext context, JobStore jobStore, CancellationHorizon horizon) {
@@ -36,7 +36,7 @@
         this.watchTask = new PeriodicTask(context.vertx(), "job watch", PAUSE, this::step);
     }
 
-    /** Continues from where {@link #catchUp} ended. */
+    /** Starts watching at the revision that {@link #catchUp} reached. */
     void start() {
         watchTask.start();
     }
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Applies the changes since {@code revision} without waiting for more. Called before the first command of a leadership term:
-     * tasks of jobs that were cancelled while the other records were loaded must not start.
+     * Applies the changes since {@code revision} without waiting for further ones. Called before the first command of a leadership
+     * term, as tasks of jobs that were cancelled while the other records were loaded must not start.
      */
     Future<Void> catchUp(long revision) {
         nextRevision = revision;
@@ -60,7 +60,7 @@
         return watch(watchTime(context.config().rules().maxCancellationAge()));
     }
 
-    /** One watch that is answered after {@code maxTime} at the latest. */
+    /** Runs one watch, which the state service ends after {@code maxTime} at the latest. */
     private Future<Span> watch(Span maxTime) {
         Moment sentAt = context.clock().now();
         if (mustResynchronize) {
@@ -89,7 +89,7 @@
             return Span.ZERO;
         }
         nextRevision = Math.max(nextRevision, changes.revision());
-        // Before the horizon advances: a deleted job holds it back until the reason is known.
+        // Applied before the horizon advances, as a deleted record holds the horizon until the reason is known.
         for (StateClient.Change change : changes.changes()) {
             RecordListing.readOrLog(change.key(), () -> apply(change));
         }
@@ -98,8 +98,8 @@
     }
 
     /**
-     * How long one watch may take. The leader answers heartbeats only while its last completed watch is younger than {@code
-     * maxCancellationAge}, so watches must end often where that is short; else a quiet service would look like a partition.
+     * Returns the maximum duration of one watch. The leader responds to heartbeats only while its last completed watch is younger
+     * than {@code maxCancellationAge}. If watches took longer than that, a service without changes would look like a partition.
      */
     static Span watchTime(Span maxCancellationAge) {
         Span share = maxCancellationAge.times(WATCH_TIME_SHARE);
--- a/src/main/java/io/indigoreach/cluster/MachinePage.java
+++ b/src/main/java/io/indigoreach/cluster/MachinePage.java
@@ -10,13 +10,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** One record of the state service with many machines, as a {@link MachineStore} knows it. */
+/** The local copy that {@link MachineStore} keeps of one state record with many machines. */
 final class MachinePage {
-    /** Bytes of a page besides its machines. */
+    /** Size of a page without machines. */
     private static final int EMPTY_PAGE_BYTES = JsonSize.of(MachineRecordCodec.writeMachines(List.of()));
 
     private final String key;
-    /** Of this leadership: the page's first write, made while the page did not exist, may still be executed. */
+    /** Whether this leadership term created the page, so that a delayed first write may still create it. */
     private final boolean own;
 
     private final Map<MachineId, MachineRecord> machines = new LinkedHashMap<>();
@@ -30,7 +30,7 @@
         this.own = own;
     }
 
-    /** How many bytes of machines a page may hold. */
+    /** Returns the maximum number of bytes for machines on a page. */
     static int capacity(NodeContext context) {
         return context.limits().maxRecordBytes() - EMPTY_PAGE_BYTES;
     }
@@ -51,7 +51,7 @@
         revision = newRevision;
     }
 
-    /** A write had no response: the revision must be read before the next write. */
+    /** Returns whether a write had an unknown outcome, so that the revision must be read before the next write. */
     boolean isRevisionUncertain() {
         return revisionUncertain;
     }
@@ -60,7 +60,7 @@
         revisionUncertain = uncertain;
     }
 
-    /** Machines of this page were copied to other pages, and must still be removed from this one. */
+    /** Returns whether machines of this page were copied to another page and must still be removed from this one. */
     boolean isSplit() {
         return split;
     }
@@ -69,7 +69,7 @@
         split = newSplit;
     }
 
-    /** The page is empty and gets no more machines. */
+    /** Returns whether the page is empty and will receive no more machines. */
     boolean isObsolete() {
         return machines.isEmpty() && !own;
     }
@@ -82,7 +82,7 @@
         machines.keySet().removeIf(id -> !core.knows(id));
     }
 
-    /** Bytes that are free, or become free at the next write, which removes returned machines. */
+    /** Returns the number of bytes that will be free after the next write, which removes returned machines. */
     int freeBytes(SchedulerCore core, int capacity) {
         int used = machines.values().stream()
                 .filter(machine -> core.knows(machine.id()))
--- a/src/main/java/io/indigoreach/cluster/MachineStore.java
+++ b/src/main/java/io/indigoreach/cluster/MachineStore.java
@@ -23,27 +23,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's records of machines that may run tasks, many to a page. Hundreds of machines may boot within seconds, and the state
- * service takes few writes per second, so machines that send their first heartbeat during a write share the next one.
+ * Records the machines that may run tasks, many machines to a page. Hundreds of machines may boot within seconds, and the state
+ * service accepts few writes per second, so machines that send their first heartbeat during a write share the next one.
  *
- * <p>The write of a page is conditional on the page's own revision too: an older write that had no response may still be executed,
- * and must not remove machines. Nor may it create a page again. An empty page of this leadership is therefore kept and filled
- * again; the next leader deletes it, as writes of this term are conditional on another revision of the leadership key.
+ * <p>The write of a page is also conditional on the page's own revision, as an older write without a response may still be executed
+ * and must not remove machines. Such a write must not create a deleted page again either. An empty page of this term is therefore
+ * kept and reused. The next leader deletes it: by then, writes of this term are rejected because the leadership key has changed.
  *
  * <p>Bound to the node's event loop.
  */
 final class MachineStore {
     private static final Logger LOG = LoggerFactory.getLogger(MachineStore.class);
     private static final Span PERIOD = Span.seconds(0.1);
-    /** Between two writes; machines that send heartbeats meanwhile share the second one. */
+    /** Minimum interval between two writes; machines that send heartbeats in between share the second write. */
     private static final Span WRITE_PERIOD = Span.seconds(0.2);
-    /** How long the response to a heartbeat may wait for its machine's record. */
+    /** How long a heartbeat response may wait for the record of its machine. */
     private static final Span RECORD_TIMEOUT = Span.seconds(1);
 
     private static final Span COMPACTION_PERIOD = Span.seconds(2);
     private static final int MAX_PAGES_PER_WRITE = 4;
 
-    /** A machine whose heartbeat waits for its record. */
+    /** A machine whose heartbeat response waits until the machine is recorded. */
     private record PendingRecord(Promise<Boolean> recorded, Moment since) {}
 
     private final LeaderWrites writes;
@@ -66,25 +66,24 @@
         writeTask.start();
     }
 
-    /** Ends the writes; heartbeats that wait for a record are answered without tasks. */
+    /** Stops writing. Waiting heartbeats receive a response without tasks. */
     void cancel() {
         writeTask.cancel();
         pending.values().forEach(entry -> entry.recorded().tryComplete(false));
         pending.clear();
     }
 
-    /** Takes over a page that an earlier leader wrote, or this one during a rebuild. */
+    /** Adds a page that an earlier leader wrote, or that this leader wrote during a rebuild. */
     void inherit(String pageKey, Revision revision, List<MachineRecord> machines) {
         boolean own = pageKey.startsWith(RecordKeys.machinePageKey(writes.token(), ""));
         MachinePage page = new MachinePage(pageKey, revision, own);
         machines.forEach(machine -> page.machines().put(machine.id(), machine));
-        // A load that failed may have read it before: two copies of a page would overwrite each other and remove
-        // machines.
+        // A failed load may have added the page before. Two copies of a page would overwrite each other's machines.
         pages.removeIf(known -> known.key().equals(pageKey));
         pages.add(page);
     }
 
-    /** Records a machine, so that its first heartbeat can be answered with tasks; false if that takes too long now. */
+    /** Records a machine so that the response to its first heartbeat may contain tasks; false after a timeout. */
     Future<Boolean> record(Machine machine) {
         Moment now = context.clock().now();
         PendingRecord entry = pending.computeIfAbsent(machine.id(), id -> new PendingRecord(Promise.promise(), now));
@@ -133,7 +132,7 @@
         });
     }
 
-    /** Machines that were returned meanwhile are not recorded, but their heartbeats are answered all the same. */
+    /** Removes machines that were returned in the meantime. Their heartbeats still receive a response. */
     private void removeReturnedFromPending() {
         pending.entrySet().removeIf(entry -> {
             if (core.unrecorded(entry.getKey()).isPresent()) {
@@ -144,7 +143,7 @@
         });
     }
 
-    /** Finds pages with room for the pending machines, as many as one write may contain. */
+    /** Assigns pending machines to pages with free space, up to the number of pages that one write may contain. */
     private Map<MachinePage, List<MachineRecord>> assignToPages(Moment now) {
         Map<MachinePage, List<MachineRecord>> additions = new LinkedHashMap<>();
         Map<MachinePage, Integer> freeBytes = new HashMap<>();
@@ -218,7 +217,7 @@
         }
     }
 
-    /** Removes returned machines from one page while there is nothing else to write. */
+    /** Removes returned machines from one page. Called when no other write is due. */
     private Future<Span> compact(Moment now) {
         if (now.since(lastWriteAt).compareTo(COMPACTION_PERIOD) < 0) {
             return Future.succeededFuture(PERIOD);
@@ -254,8 +253,9 @@
     }
 
     /**
-     * Copies the first machines of a page that a leader under wider limits wrote to a page of this leadership. They are on both
-     * until the rest fits into one value; a machine that is recorded twice is loaded once.
+     * Copies the first machines of a page that exceeds the current limits to a new page. An earlier leader wrote the oversized page
+     * under higher limits. The machines are on both pages until the rest of the old page fits into one value; a machine that is
+     * recorded twice is loaded once.
      */
     private Future<Span> split(MachinePage page) {
         MachinePage part = newPage();
--- a/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
+++ b/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
@@ -13,9 +13,9 @@
 import io.vertx.core.AsyncResult;
 import io.vertx.core.Future;
 
-/** Applies the watched changes of open jobs' records: written, deleted. Bound to the node's event loop. */
+/** Applies the writes and deletions of open jobs' records that the watch reports. Bound to the node's event loop. */
 final class OpenJobEvents {
-    /** Until the reason for a deletion is looked up again after a failure. */
+    /** Delay before the reason for a deletion is looked up again after a failed lookup. */
     private static final Span LOOKUP_RETRY = Span.seconds(0.5);
 
     private final NodeContext context;
@@ -37,8 +37,8 @@
     }
 
     /**
-     * The record of an open job was written: a new job, or one of this leader's own writes. An unreadable record must not keep the
-     * leader from the other changes, cancellations in particular. If its job is known here, it is written again.
+     * Handles a written record: a new job, or one of this leader's own writes. An unreadable record must not prevent the leader from
+     * applying other changes, in particular cancellations. If its job is open on this leader, the record is written again.
      */
     void onWritten(JobId id, Fields value, Revision revision) {
         Job job = core.job(id);
@@ -59,7 +59,7 @@
         }
     }
 
-    /** The record of an open job was deleted: its user has cancelled it, unless this leader has just written its completion. */
+    /** Handles a deleted record: the user has cancelled the job, unless this leader has just written its completion. */
     void onDeleted(JobId id) {
         Job job = core.job(id);
         if (writer.isCancelled() || job == null || (writer.isWriting(id) && job.isComplete())) {
@@ -67,7 +67,7 @@
             return;
         }
         if (job.isComplete()) {
-            // The completion was written without a response, or the user cancelled first: the next write will show.
+            // Either the completion was written without a response or the user cancelled first; the next write shows which.
             writer.markDirty(job);
             horizon.resolved(id);
             return;
@@ -82,7 +82,7 @@
             return;
         }
         if (reason.failed()) {
-            // Until the state service gives the reason, tasks may run although the user was told of the cancellation.
+            // Tasks may still run although the cancellation was confirmed to the user, so the lookup is repeated.
             context.vertx().setTimer(LOOKUP_RETRY.ms(), timer -> onDeleted(id));
             return;
         }
@@ -96,13 +96,13 @@
         horizon.resolved(id);
     }
 
-    /** Why an open record was reported as deleted. */
+    /** The reason why the watch reported an open record as deleted. */
     private enum DeletionReason {
-        /** Its user cancelled the job, which leaves a final record. */
+        /** The user cancelled the job, which leaves a final record. */
         CANCELLED,
         /** The state service has lost data. */
         LOST,
-        /** The change is from before a data loss was repaired. */
+        /** The change predates the repair of a data loss, and the record exists again. */
         STILL_OPEN
     }
 
--- a/src/main/java/io/indigoreach/cluster/OpenJobs.java
+++ b/src/main/java/io/indigoreach/cluster/OpenJobs.java
@@ -12,8 +12,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The open jobs of this leadership term: adds those whose records were read to the scheduler core, and removes cancelled ones. Bound
- * to the node's event loop.
+ * Adds jobs whose records were read to the scheduler core, and removes cancelled ones. Bound to the node's event loop.
  */
 final class OpenJobs {
     private static final Logger LOG = LoggerFactory.getLogger(OpenJobs.class);
@@ -23,10 +22,10 @@
     private final JobRecordWriter writer;
     private final FinishedJobs finishedJobs;
     private final boolean startBoundsTrusted;
-    /** Open jobs that are not scheduled, as their records could be neither decoded nor repaired. */
+    /** Open jobs that are not scheduled because their records could be neither decoded nor repaired. */
     private final Set<JobId> unreadable = new HashSet<>();
 
-    /** @param startBoundsTrusted every leader so far has respected the jobs' start bounds */
+    /** @param startBoundsTrusted whether all earlier leaders have respected the jobs' start bounds */
     OpenJobs(
             NodeContext context,
             SchedulerCore core,
@@ -40,20 +39,20 @@
         this.startBoundsTrusted = startBoundsTrusted;
     }
 
-    /** Forgets the jobs of an earlier load that failed: the watch would not report those that were cancelled since. */
+    /** Removes the jobs of an earlier failed load, as the watch would not report the ones that were cancelled since. */
     void clear() {
         core.forgetJobs();
         writer.clear();
     }
 
-    /** Adds a job that this leader has not scheduled before, with the completion bits of its blocks. */
+    /** Adds a job of an earlier leader, with the completion bits of its blocks. */
     void addInherited(JobRecord record, Map<JobId, BitSet> blockBits) {
         add(record, blockBits.getOrDefault(record.id(), new BitSet()), true);
     }
 
     /**
-     * Adds a job whose record the watch reported. A job whose record could not be read until now counts as an earlier leader's, as
-     * its tasks may run on any machine.
+     * Adds a job whose record the watch reported. A job whose record was unreadable until now is treated as inherited from an earlier
+     * leader, as its tasks may run on any machine.
      */
     void addReported(JobRecord record) {
         add(record, new BitSet(), unreadable.contains(record.id()));
@@ -84,7 +83,7 @@
         unreadable.remove(id);
     }
 
-    /** The job's user has cancelled it, according to its record or to another node. Nothing reverts that. */
+    /** Handles a cancellation that the job's record or another node confirms. A cancellation is never reverted. */
     void onCancelled(JobId id) {
         Job job = core.job(id);
         if (job != null) {
@@ -92,9 +91,8 @@
             core.cancelJob(id);
             writer.jobFinished(job);
         } else {
-            // The watch may report the acceptance only now. It would open the job, and during an outage the final
-            // record
-            // could not be read.
+            // The watch may report the acceptance of the job later, which would open it, and the final record cannot be
+            // read during an outage.
             finishedJobs.addCancelled(id);
         }
     }
--- a/src/main/java/io/indigoreach/cluster/RebuildInventory.java
+++ b/src/main/java/io/indigoreach/cluster/RebuildInventory.java
@@ -18,18 +18,18 @@
 import java.util.function.Consumer;
 
 /**
- * The records of jobs and machines that the state service still has, as {@link StateRebuilder} reads them before it decides what to write.
- * Bound to the node's event loop.
+ * The records of jobs and machines that the state service still has. {@link StateRebuilder} reads them before it decides which
+ * records to write. Bound to the node's event loop.
  */
 final class RebuildInventory {
     private final StateClient state;
     private final Revision leadershipRevision;
     private final Map<JobId, JobRecord> openJobs = new HashMap<>();
-    /** The versions of all open jobs' records, including those that cannot be read. */
+    /** The revisions of all open jobs' records, including unreadable ones. */
     private final Map<JobId, Revision> openRevisions = new HashMap<>();
     /** Jobs whose final record is present and readable. */
     private final Set<JobId> finishedJobs = new HashSet<>();
-    /** Completed tasks that are recorded in blocks beside the job's record. */
+    /** Completed tasks that are recorded in blocks, outside the job's record. */
     private final Map<JobId, BitSet> completedInBlocks = new HashMap<>();
 
     private final Set<MachineId> machines = new HashSet<>();
@@ -40,7 +40,7 @@
         this.leadershipRevision = leadershipRevision;
     }
 
-    /** Reads everything; fails if the state service lists records that are older than this leadership. */
+    /** Reads all records of jobs and machines. Fails if the state service returns a listing older than this leadership. */
     Future<Void> read() {
         return readAll(RecordKeys.COMPLETION_BLOCKS, this::readBlock)
                 .compose(revision -> readAll(CompletionBits.SMALL_BLOCKS, this::readBlock))
@@ -50,7 +50,7 @@
                 .mapEmpty();
     }
 
-    /** Reads the records with a prefix. */
+    /** Passes every record with a prefix to {@code reader}. */
     Future<Long> readAll(String prefix, Consumer<StateClient.Entry> reader) {
         return RecordListing.readAll(state, leadershipRevision, prefix, reader);
     }
@@ -79,23 +79,23 @@
         });
     }
 
-    /** Unlike the others, a page that cannot be read ends the rebuild: the machines on it may hold tasks. */
+    /** Reads a machine page. An unreadable page fails the rebuild, as its machines may run tasks. */
     private void readMachinePage(StateClient.Entry entry) {
         machinePages++;
         MachineRecordCodec.readMachines(entry.value()).forEach(machine -> machines.add(machine.id()));
     }
 
-    /** The open job's record; null if it is absent or cannot be read. */
+    /** Returns the open job's record, or null if it is absent or unreadable. */
     JobRecord openJob(JobId id) {
         return openJobs.get(id);
     }
 
-    /** Whether there is a record of an open job, readable or not. */
+    /** Returns whether the job has an open record, readable or not. */
     boolean hasOpenRecord(JobId id) {
         return openRevisions.containsKey(id);
     }
 
-    /** The version of the open job's record, {@link Revision#ABSENT} if there is none. */
+    /** Returns the revision of the open job's record, or {@link Revision#ABSENT} if there is none. */
     Revision openRevision(JobId id) {
         return openRevisions.getOrDefault(id, Revision.ABSENT);
     }
@@ -112,7 +112,7 @@
         return machines.contains(id);
     }
 
-    /** How many pages of machines there are, including those that an earlier attempt of this leadership wrote. */
+    /** Returns the number of machine pages, including pages that an earlier rebuild attempt of this term wrote. */
     int machinePages() {
         return machinePages;
     }
--- a/src/main/java/io/indigoreach/cluster/RebuildWriter.java
+++ b/src/main/java/io/indigoreach/cluster/RebuildWriter.java
@@ -17,17 +17,17 @@
 import java.util.Map;
 
 /**
- * Commits the writes of a {@link StateRebuilder} in their order, several records to a transaction, within the leader's write rate.
- * A record that was written by somebody else meanwhile is newer, and is left as it is. Bound to the node's event loop.
+ * Commits the writes of a {@link StateRebuilder} in order, several records to a transaction, within the leader's write rate. A record
+ * that another writer has changed since it was read is newer and is not overwritten. Bound to the node's event loop.
  */
 final class RebuildWriter {
-    /** A transaction may have 64 KiB; the rest is for the conditions, which repeat keys. */
+    /** Below the limit of 64 KiB for a transaction, to leave space for conditions, which repeat keys. */
     private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
-    /** Before the write rate is tried again. */
+    /** Delay before write rate is requested again. */
     private static final Span RATE_RETRY = Span.seconds(0.05);
 
-    /** The writes for one record, with their conditions; a condition that fails shows that something newer is there. */
+    /** The writes for one record and their conditions; a failed condition means that the record has a newer version. */
     private record Step(StateClient.Txn txn) {
         int bytes() {
             return JsonSize.of(StateCodec.writeTxn(txn));
@@ -42,7 +42,7 @@
         }
     }
 
-    /** The rebuild cannot go on with what it has read; it is tried again from the beginning. */
+    /** Signals that the records have changed since they were read, so that the rebuild must start again. */
     static final class RebuildInterruptedException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -59,7 +59,7 @@
     private int written;
     private int present;
 
-    /** {@code eraRevision}: the version of the era in which data were lost. */
+    /** @param eraRevision the revision of the era in which data was lost */
     RebuildWriter(NodeContext context, Revision leadershipRevision, Revision eraRevision, RateLimiter writeLimiter) {
         this.context = context;
         this.leadershipRevision = leadershipRevision;
@@ -67,27 +67,27 @@
         this.writeLimiter = writeLimiter;
     }
 
-    /** How many records were written. */
+    /** Returns the number of records that were written. */
     int written() {
         return written;
     }
 
-    /** How many records were left as somebody else had written them. */
+    /** Returns the number of records that were not overwritten because another writer had changed them. */
     int present() {
         return present;
     }
 
-    /** A transaction under the conditions of every write: this leadership, and the era in which data were lost. */
+    /** Creates a transaction with the conditions of every write: this leadership, and the era in which data was lost. */
     StateClient.Txn transaction() {
         return new StateClient.Txn().when(RecordKeys.LEADER, leadershipRevision).when(RecordKeys.ERA, eraRevision);
     }
 
-    /** Adds the writes for one record, which are committed together. */
+    /** Adds the writes for one record, which are committed in one transaction. */
     void add(StateClient.Txn record) {
         steps.add(new Step(record));
     }
 
-    /** Commits all that was added. */
+    /** Commits all added writes. */
     Future<Void> flush() {
         if (steps.isEmpty()) {
             return Future.succeededFuture();
@@ -149,9 +149,9 @@
             return failedByAnotherLeader();
         }
         if (failedKeys.stream().anyMatch(RebuildWriter::mustBeReadAgain)) {
-            return Future.failedFuture(new RebuildInterruptedException("machines or open jobs were written meanwhile"));
+            return Future.failedFuture(new RebuildInterruptedException("machine pages or open jobs were written during the rebuild"));
         }
-        // Written by an earlier attempt whose answer was lost, or by a user at another node: that is newer, and stays.
+        // An earlier attempt whose response was lost, or a user request at another node, has written a newer version.
         List<Step> rest =
                 batch.stream().filter(step -> !step.dependsOnAny(failedKeys)).toList();
         present += batch.size() - rest.size();
@@ -159,19 +159,19 @@
             return Future.succeededFuture();
         }
         if (rest.size() == batch.size()) {
-            return Future.failedFuture(new RebuildInterruptedException("the state service does not say what failed"));
+            return Future.failedFuture(new RebuildInterruptedException("the state service rejected a transaction without naming a failed condition"));
         }
         return awaitRate(size(rest)).compose(ready -> commit(rest));
     }
 
     static <T> Future<T> failedByAnotherLeader() {
-        return Future.failedFuture(new RebuildInterruptedException("another node leads, or the era is another"));
+        return Future.failedFuture(new RebuildInterruptedException("another node has become leader, or the era has changed"));
     }
 
     /**
-     * Whether a key that was written meanwhile ends the attempt, so that everything is read again. A page of machines of an earlier attempt, whose
-     * answer was lost, may lack machines that hold tasks. An acceptance that was executed late states that nothing of the job was ever
-     * started.
+     * Returns whether a concurrent write of this key ends the attempt, so that all records are read again. A machine page from an
+     * earlier attempt whose response was lost may lack machines that run tasks. A job acceptance that was executed late has a start
+     * bound of zero, as if no task had ever been started.
      */
     private static boolean mustBeReadAgain(String key) {
         return key.startsWith(RecordKeys.MACHINE_PAGES) || key.startsWith(RecordKeys.OPEN_JOBS);
--- a/src/main/java/io/indigoreach/cluster/RecordListing.java
+++ b/src/main/java/io/indigoreach/cluster/RecordListing.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads all records with a prefix, page by page. Used on the event loop of its state client. */
+/** Reads all records with a prefix, page by page. Bound to the event loop of its state client. */
 final class RecordListing {
     private static final Logger LOG = LoggerFactory.getLogger(RecordListing.class);
     private static final int PAGE_SIZE = 500;
@@ -28,8 +28,8 @@
     }
 
     /**
-     * Passes every record with a prefix to the consumer. The result is the revision to watch from. It fails if a page is older than
-     * {@code leadershipRevision}, and with {@link UnreadableRecordException} if the consumer cannot decode a record.
+     * Passes every record with a prefix to the consumer and returns the revision from which to watch for changes. Fails if a page is
+     * older than {@code leadershipRevision}, and with {@link UnreadableRecordException} if the consumer cannot decode a record.
      */
     static Future<Long> readAll(
             StateClient state, Revision leadershipRevision, String prefix, Consumer<StateClient.Entry> consumer) {
@@ -42,8 +42,8 @@
 
     private Future<Long> accept(StateClient.Page page, long oldestRevision) {
         if (page.revision() < leadershipRevision.value()) {
-            // The last records of an earlier leader could be missing, in particular machines that run tasks.
-            return Future.failedFuture(new WireException("the state service lists a revision before this leadership"));
+            // The last writes of an earlier leader could be missing, in particular machines that run tasks.
+            return Future.failedFuture(new WireException("the state service returned a listing older than this leadership"));
         }
         List<StateClient.Entry> entries = page.items();
         for (StateClient.Entry entry : entries) {
@@ -53,7 +53,7 @@
                 return Future.failedFuture(new UnreadableRecordException(entry.key(), e));
             }
         }
-        // The oldest page counts: a watch from there reports whatever a later page did not include yet.
+        // A watch from the revision of the oldest page reports all changes that a page did not include yet.
         long revision = Math.min(oldestRevision, page.revision());
         if (page.more() && !entries.isEmpty()) {
             return readFrom(entries.get(entries.size() - 1).key(), revision);
@@ -62,9 +62,9 @@
     }
 
     /**
-     * Runs the decoding of one record and logs a failure; false if it failed. For records that may be skipped: an unreadable job
-     * must not keep others from being served, and the tasks of an unreadable block of completion bits run again, which is
-     * harmless as their results are kept. A page of machines must not be skipped, as its machines may run tasks.
+     * Decodes one record; logs a failure and returns false if it cannot be decoded. Used for records that may be skipped: an
+     * unreadable job must not block other jobs, and the tasks of an unreadable block of completion bits run again, which is harmless
+     * as their results are kept. A machine page must not be skipped, as its machines may run tasks.
      */
     static boolean readOrLog(String key, Runnable decode) {
         try {
--- a/src/main/java/io/indigoreach/cluster/StateRebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -29,15 +29,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes what controllers remember where the state service has lost it. Run by a leader that has just taken the key, before it
- * loads the records and sends any command. Bound to the node's event loop.
+ * Restores records that the state service has lost from the memory of the controllers. A new leader runs it before it loads the
+ * records and sends any command. Bound to the node's event loop.
  *
- * <p>Every write is conditional on the leadership key and on the version that was read of what it changes, or on its absence, so
- * that nothing newer is overwritten. Each can be repeated: a rebuild that ends anywhere is begun again by the next leader.
+ * <p>Every write is conditional on the leadership key and on the revision at which the changed record was read, or on its absence,
+ * so that newer data is never overwritten. Every write can be repeated: if a rebuild is interrupted, the next leader starts it again.
  *
- * <p>Finished jobs come first: while they are missing, a copy of theirs that came back open could be started. The new era is
- * written last, and every write depends on the era before it: a job that came back late, by an earlier attempt's write, would be taken for a
- * new one, of which nothing runs anywhere.
+ * <p>Finished jobs are written first, as tasks of a restored open copy of such a job could start while its final record is missing.
+ * The new era is written last, and every write is conditional on the previous era. Otherwise a delayed write of an earlier attempt
+ * could create a job in the new era, and the leader would treat it as a new job without running tasks.
  */
 final class StateRebuilder {
     private static final Logger LOG = LoggerFactory.getLogger(StateRebuilder.class);
@@ -48,7 +48,7 @@
     private final RateLimiter writeLimiter;
     private final RememberedState remembered;
     private final RebuildInventory inventory;
-    /** Created when the era has been read. */
+    /** Null until the era has been read. */
     private RebuildWriter writer;
 
     private int machinePages;
@@ -67,7 +67,7 @@
         this.inventory = new RebuildInventory(context.state(), leadershipRevision);
     }
 
-    /** Succeeds when everything is written and the new era has begun. */
+    /** Runs the rebuild; succeeds when all records are written and the new era has started. */
     Future<Void> run() {
         LOG.warn("state rebuild started remembered={}", remembered);
         return context.state()
@@ -98,7 +98,7 @@
 
     private void addFinishedJob(JobId id, RememberedState.FinishedJob end) {
         if (inventory.isFinished(id) && !inventory.hasOpenRecord(id)) {
-            // Of thousands that are remembered only a few are missing: the others cost no write.
+            // Of thousands of remembered jobs, only a few are missing; the others need no write.
             return;
         }
         Revision openRevision = inventory.openRevision(id);
@@ -127,7 +127,7 @@
         writer.add(openJobTransaction(id).put(RecordKeys.openKey(id), record));
     }
 
-    /** The job to be written; null if the record that is there says as much already. */
+    /** Merges the job with its present record; null if the record already contains everything that is remembered. */
     private RememberedState.OpenJob mergeWithRecord(JobId id, RememberedState.OpenJob job) {
         JobRecord record = inventory.openJob(id);
         if (record == null) {
@@ -139,14 +139,14 @@
                 job, new RememberedState.OpenJob(record.spec(), record.submittedMs(), completed, record.bound()));
     }
 
-    /** A transaction under the conditions that an open job is as it was read, and has not finished. */
+    /** Creates a transaction on condition that an open job has not changed since it was read and has not finished. */
     private StateClient.Txn openJobTransaction(JobId id) {
         return writer.transaction()
                 .when(RecordKeys.finalKey(id), Revision.ABSENT)
                 .when(RecordKeys.openKey(id), inventory.openRevision(id));
     }
 
-    /** Before the job's record: the next attempt takes a job whose record is there to be complete. */
+    /** Adds blocks before the job's record, as the next attempt assumes that a present job record has all its blocks. */
     private void addCompletionBlocks(JobId id, RememberedState.OpenJob job) {
         if (completionBits().areInRecord(job.spec(), job.submittedMs())) {
             return;
@@ -162,7 +162,7 @@
         return new CompletionBits(context.limits());
     }
 
-    /** Records machines that are on no page, on pages of this leadership of the same size as in {@link MachineStore}. */
+    /** Adds new pages for machines that are on no page, with the same maximum size as in {@link MachineStore}. */
     private void addMachines(List<RememberedState.RentedMachine> missing) {
         Moment now = context.clock().now();
         long timeOfDay = context.clock().timeOfDay();
@@ -192,7 +192,7 @@
         writer.add(writer.transaction().when(key, Revision.ABSENT).put(key, MachineRecordCodec.writeMachines(lines)));
     }
 
-    /** Writes the records of the optional features, family by family. */
+    /** Writes the records of the optional features, one record family after the other. */
     private Future<Void> writeFeatureRecords() {
         Future<Void> done = Future.succeededFuture();
         for (Map.Entry<RecordFamily, List<VersionedRecord>> family :
@@ -202,7 +202,7 @@
         return done;
     }
 
-    /** The remembered records of the features that are enabled; others are left alone. */
+    /** Groups the remembered records by family. Records of disabled features are skipped. */
     private Map<RecordFamily, List<VersionedRecord>> rememberedByFamily() {
         Map<RecordFamily, List<VersionedRecord>> families = new LinkedHashMap<>();
         for (VersionedRecord record : remembered.records()) {
@@ -229,7 +229,7 @@
         return new VersionedRecord(entry.key(), entry.value().map(), entry.revision());
     }
 
-    /** Adds what the family's rule makes of both copies, if the one that is present does not stay. */
+    /** Merges both copies by the rule of the family, and adds a write if the result differs from the present record. */
     private void addFeatureRecord(RecordFamily family, VersionedRecord present, VersionedRecord rememberedRecord) {
         Map<String, Object> value = family.mending().mend(present, rememberedRecord);
         if (value != null) {
@@ -238,7 +238,7 @@
         }
     }
 
-    /** Begins a new era: from now on the state service has all data there are. The evidence of the loss is recorded with it. */
+    /** Starts a new era, which marks the data as complete, and records the evidence of the loss with it. */
     private Future<Void> beginEra() {
         StateClient.Txn txn = writer.transaction().put(RecordKeys.ERA, eraRecord());
         return context.state()
@@ -246,7 +246,7 @@
                 .compose(outcome -> outcome.done() ? context.state().check() : RebuildWriter.failedByAnotherLeader());
     }
 
-    /** With as many of the findings, the latest ones, as one value takes. */
+    /** Creates the era record with as many of the latest findings as fit into one value. */
     private Map<String, Object> eraRecord() {
         List<String> findings = new ArrayList<>(context.state().losses().findings().stream()
                 .map(Object::toString)
