--- a/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
+++ b/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
@@ -17,10 +17,11 @@
 import java.util.TreeSet;
 
 /**
- * Stores the completion bits of open jobs whose bits do not fit into the job's record, in separate blocks. Blocks are written in one
- * transaction with the job's record, which changes the record's revision. A transaction that is executed late is therefore rejected
- * and cannot replace a newer block. Blocks of a finished job are harmless, so the completion itself is one short transaction. The
- * blocks are deleted afterwards, a few at a time, and the next leader continues the deletion. Bound to the node's event loop.
+ * Stores the completion bits of open jobs whose bits do not fit into the job's record, in separate blocks. Blocks are written
+ * in one transaction with the job's record, which changes the record's revision. A transaction that is executed late is
+ * therefore rejected and cannot replace a newer block. Blocks of a finished job are harmless, so the completion itself is one
+ * short transaction. The blocks are deleted afterwards, a few at a time, and the next leader continues the deletion. Bound to
+ * the node's event loop.
  */
 final class CompletionBlockStore {
     private static final Span PERIOD = Span.seconds(0.5);
@@ -92,8 +93,8 @@
     }
 
     /**
-     * Returns whether the job's record fits into one value. If the limits were lowered after the job was accepted, its record is not
-     * written again until the job finishes.
+     * Returns whether the job's record fits into one value. If the limits were lowered after the job was accepted, its record
+     * is not written again until the job finishes.
      */
     boolean canBeWritten(Job job) {
         return bits().canBeWritten(job.spec(), job.submittedMs());
--- a/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
+++ b/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
@@ -8,7 +8,8 @@
 
 /**
  * Watches the final records of jobs and reports a deleted one as data loss. No node deletes final records, and without one a
- * repeated submission would run the job again. {@link JobWatch} watches the records of open jobs. Bound to the node's event loop.
+ * repeated submission would run the job again. {@link JobWatch} watches the records of open jobs. Bound to the node's event
+ * loop.
  */
 final class FinalRecordWatch {
     private static final Span MAX_WATCH_TIME = Span.seconds(10);
--- a/src/main/java/io/indigoreach/cluster/JobLoader.java
+++ b/src/main/java/io/indigoreach/cluster/JobLoader.java
@@ -37,8 +37,8 @@
     private final MachineStore machineStore;
     private final CancellationHorizon horizon;
     /**
-     * Start of this term, since when no earlier leader has responded to workers. If leases were counted from the start of the load
-     * instead, silent machines would delay the failover by the duration of a slow load, and again after each failed load.
+     * Start of this term, since when no earlier leader has responded to workers. If leases were counted from the start of the
+     * load instead, silent machines would delay the failover by the duration of a slow load, and again after each failed load.
      */
     private final Moment termBeganAt;
 
@@ -110,8 +110,8 @@
         }
 
         /**
-         * Repairs unreadable job records from the memory of other controllers before any command can stop tasks of these jobs. The
-         * time is limited because all other jobs wait. A user request for an unreadable job also triggers its repair.
+         * Repairs unreadable job records from the memory of other controllers before any command can stop tasks of these jobs.
+         * The time is limited because all other jobs wait. A user request for an unreadable job also triggers its repair.
          */
         private Future<Void> repairNext(Iterator<StateClient.Entry> entries, Moment until) {
             if (!entries.hasNext() || jobs.writer().isCancelled()) {
--- a/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
+++ b/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
@@ -26,9 +26,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the records of open jobs: progress, start bounds and completions. Each write is conditional on the leadership key and on
- * the revision of the job's record, as a user may cancel the job through any node, which deletes the record. Bound to the node's
- * event loop.
+ * Writes the records of open jobs: progress, start bounds and completions. Each write is conditional on the leadership key and
+ * on the revision of the job's record, as a user may cancel the job through any node, which deletes the record. Bound to the
+ * node's event loop.
  */
 final class JobRecordWriter {
     private static final Logger LOG = LoggerFactory.getLogger(JobRecordWriter.class);
@@ -91,7 +91,8 @@
         recordedStatus.clear();
     }
 
-    /** Handles a job that was added from its record.
+    /**
+     * Handles a job that was added from its record.
      *
      * @param status the status in the record
      */
@@ -147,8 +148,8 @@
     }
 
     /**
-     * Alternates between two completions and one start bound. If all completions were written first, no job could start during a
-     * burst of completions, and machines would be idle.
+     * Alternates between two completions and one start bound. If all completions were written first, no job could start during
+     * a burst of completions, and machines would be idle.
      */
     private static List<Job> interleave(List<Job> completed, List<Job> startBounds) {
         List<Job> order = new ArrayList<>();
@@ -202,9 +203,9 @@
     }
 
     /**
-     * Returns whether the state service would reject the job's record for its size. Such a record is not written, as its repeated
-     * rejection would delay other jobs. Tasks within the recorded start bound continue to run. The completion and the cancellation
-     * are short and are written as usual.
+     * Returns whether the state service would reject the job's record for its size. Such a record is not written, as its
+     * repeated rejection would delay other jobs. Tasks within the recorded start bound continue to run. The completion and the
+     * cancellation are short and are written as usual.
      */
     private boolean isTooLongToWrite(Job job) {
         if (job.isComplete() || completionBlocks.canBeWritten(job)) {
@@ -218,8 +219,8 @@
     }
 
     /**
-     * Creates the transaction that is due for a job. A completion moves the job to the final records, which takes two changes. If
-     * many completions wait, the completion is first written to the open record, which takes one change, and moved later.
+     * Creates the transaction that is due for a job. A completion moves the job to the final records, which takes two changes.
+     * If many completions wait, the completion is first written to the open record, which takes one change, and moved later.
      */
     private StateClient.Txn transaction(Job job, boolean crowded) {
         JobId id = job.id();
@@ -237,7 +238,9 @@
                 .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(status, completedTasks));
     }
 
-    /** Moves one completed job to its final record. The write is rejected if a later leader or a rebuild has already moved it. */
+    /**
+     * Moves one completed job to its final record. The write is rejected if a later leader or a rebuild has already moved it.
+     */
     private void moveFinished() {
         JobId id = finishedInOpenRecords.keySet().iterator().next();
         Revision revision = finishedInOpenRecords.remove(id);
--- a/src/main/java/io/indigoreach/cluster/JobStore.java
+++ b/src/main/java/io/indigoreach/cluster/JobStore.java
@@ -15,8 +15,8 @@
 
 /**
  * A leader's access to the records of jobs: loads them at a failover ({@link JobLoader}), applies changes that other nodes make
- * ({@link OpenJobEvents}), and writes progress, start bounds and completions ({@link JobRecordWriter}). Bound to the node's event
- * loop.
+ * ({@link OpenJobEvents}), and writes progress, start bounds and completions ({@link JobRecordWriter}). Bound to the node's
+ * event loop.
  */
 final class JobStore {
     private final NodeContext context;
--- a/src/main/java/io/indigoreach/cluster/JobWatch.java
+++ b/src/main/java/io/indigoreach/cluster/JobWatch.java
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Applies the changes since {@code revision} without waiting for further ones. Called before the first command of a leadership
-     * term, as tasks of jobs that were cancelled while the other records were loaded must not start.
+     * Applies the changes since {@code revision} without waiting for further ones. Called before the first command of a
+     * leadership term, as tasks of jobs that were cancelled while the other records were loaded must not start.
      */
     Future<Void> catchUp(long revision) {
         nextRevision = revision;
@@ -98,8 +98,9 @@
     }
 
     /**
-     * Returns the maximum duration of one watch. The leader responds to heartbeats only while its last completed watch is younger
-     * than {@code maxCancellationAge}. If watches took longer than that, a service without changes would look like a partition.
+     * Returns the maximum duration of one watch. The leader responds to heartbeats only while its last completed watch is
+     * younger than {@code maxCancellationAge}. If watches took longer than that, a service without changes would look like a
+     * partition.
      */
     static Span watchTime(Span maxCancellationAge) {
         Span share = maxCancellationAge.times(WATCH_TIME_SHARE);
--- a/src/main/java/io/indigoreach/cluster/MachineStore.java
+++ b/src/main/java/io/indigoreach/cluster/MachineStore.java
@@ -26,9 +26,10 @@
  * Records the machines that may run tasks, many machines to a page. Hundreds of machines may boot within seconds, and the state
  * service accepts few writes per second, so machines that send their first heartbeat during a write share the next one.
  *
- * <p>The write of a page is also conditional on the page's own revision, as an older write without a response may still be executed
- * and must not remove machines. Such a write must not create a deleted page again either. An empty page of this term is therefore
- * kept and reused. The next leader deletes it: by then, writes of this term are rejected because the leadership key has changed.
+ * <p>The write of a page is also conditional on the page's own revision, as an older write without a response may still be
+ * executed and must not remove machines. Such a write must not create a deleted page again either. An empty page of this term
+ * is therefore kept and reused. The next leader deletes it: by then, writes of this term are rejected because the leadership
+ * key has changed.
  *
  * <p>Bound to the node's event loop.
  */
@@ -253,9 +254,9 @@
     }
 
     /**
-     * Copies the first machines of a page that exceeds the current limits to a new page. An earlier leader wrote the oversized page
-     * under higher limits. The machines are on both pages until the rest of the old page fits into one value; a machine that is
-     * recorded twice is loaded once.
+     * Copies the first machines of a page that exceeds the current limits to a new page. An earlier leader wrote the oversized
+     * page under higher limits. The machines are on both pages until the rest of the old page fits into one value; a machine
+     * that is recorded twice is loaded once.
      */
     private Future<Span> split(MachinePage page) {
         MachinePage part = newPage();
--- a/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
+++ b/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Handles a written record: a new job, or one of this leader's own writes. An unreadable record must not prevent the leader from
-     * applying other changes, in particular cancellations. If its job is open on this leader, the record is written again.
+     * Handles a written record: a new job, or one of this leader's own writes. An unreadable record must not prevent the leader
+     * from applying other changes, in particular cancellations. If its job is open on this leader, the record is written again.
      */
     void onWritten(JobId id, Fields value, Revision revision) {
         Job job = core.job(id);
--- a/src/main/java/io/indigoreach/cluster/OpenJobs.java
+++ b/src/main/java/io/indigoreach/cluster/OpenJobs.java
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Adds a job whose record the watch reported. A job whose record was unreadable until now is treated as inherited from an earlier
-     * leader, as its tasks may run on any machine.
+     * Adds a job whose record the watch reported. A job whose record was unreadable until now is treated as inherited from an
+     * earlier leader, as its tasks may run on any machine.
      */
     void addReported(JobRecord record) {
         add(record, new BitSet(), unreadable.contains(record.id()));
--- a/src/main/java/io/indigoreach/cluster/RebuildWriter.java
+++ b/src/main/java/io/indigoreach/cluster/RebuildWriter.java
@@ -17,8 +17,8 @@
 import java.util.Map;
 
 /**
- * Commits the writes of a {@link StateRebuilder} in order, several records to a transaction, within the leader's write rate. A record
- * that another writer has changed since it was read is newer and is not overwritten. Bound to the node's event loop.
+ * Commits the writes of a {@link StateRebuilder} in order, several records to a transaction, within the leader's write rate. A
+ * record that another writer has changed since it was read is newer and is not overwritten. Bound to the node's event loop.
  */
 final class RebuildWriter {
     /** Below the limit of 64 KiB for a transaction, to leave space for conditions, which repeat keys. */
@@ -169,9 +169,9 @@
     }
 
     /**
-     * Returns whether a concurrent write of this key ends the attempt, so that all records are read again. A machine page from an
-     * earlier attempt whose response was lost may lack machines that run tasks. A job acceptance that was executed late has a start
-     * bound of zero, as if no task had ever been started.
+     * Returns whether a concurrent write of this key ends the attempt, so that all records are read again. A machine page from
+     * an earlier attempt whose response was lost may lack machines that run tasks. A job acceptance that was executed late has
+     * a start bound of zero, as if no task had ever been started.
      */
     private static boolean mustBeReadAgain(String key) {
         return key.startsWith(RecordKeys.MACHINE_PAGES) || key.startsWith(RecordKeys.OPEN_JOBS);
--- a/src/main/java/io/indigoreach/cluster/RecordListing.java
+++ b/src/main/java/io/indigoreach/cluster/RecordListing.java
@@ -28,8 +28,9 @@
     }
 
     /**
-     * Passes every record with a prefix to the consumer and returns the revision from which to watch for changes. Fails if a page is
-     * older than {@code leadershipRevision}, and with {@link UnreadableRecordException} if the consumer cannot decode a record.
+     * Passes every record with a prefix to the consumer and returns the revision from which to watch for changes. Fails if a
+     * page is older than {@code leadershipRevision}, and with {@link UnreadableRecordException} if the consumer cannot decode a
+     * record.
      */
     static Future<Long> readAll(
             StateClient state, Revision leadershipRevision, String prefix, Consumer<StateClient.Entry> consumer) {
@@ -63,8 +64,8 @@
 
     /**
      * Decodes one record; logs a failure and returns false if it cannot be decoded. Used for records that may be skipped: an
-     * unreadable job must not block other jobs, and the tasks of an unreadable block of completion bits run again, which is harmless
-     * as their results are kept. A machine page must not be skipped, as its machines may run tasks.
+     * unreadable job must not block other jobs, and the tasks of an unreadable block of completion bits run again, which is
+     * harmless as their results are kept. A machine page must not be skipped, as its machines may run tasks.
      */
     static boolean readOrLog(String key, Runnable decode) {
         try {
--- a/src/main/java/io/indigoreach/cluster/StateRebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -32,12 +32,13 @@
  * Restores records that the state service has lost from the memory of the controllers. A new leader runs it before it loads the
  * records and sends any command. Bound to the node's event loop.
  *
- * <p>Every write is conditional on the leadership key and on the revision at which the changed record was read, or on its absence,
- * so that newer data is never overwritten. Every write can be repeated: if a rebuild is interrupted, the next leader starts it again.
+ * <p>Every write is conditional on the leadership key and on the revision at which the changed record was read, or on its
+ * absence, so that newer data is never overwritten. Every write can be repeated: if a rebuild is interrupted, the next leader
+ * starts it again.
  *
- * <p>Finished jobs are written first, as tasks of a restored open copy of such a job could start while its final record is missing.
- * The new era is written last, and every write is conditional on the previous era. Otherwise a delayed write of an earlier attempt
- * could create a job in the new era, and the leader would treat it as a new job without running tasks.
+ * <p>Finished jobs are written first, as tasks of a restored open copy of such a job could start while its final record is
+ * missing. The new era is written last, and every write is conditional on the previous era. Otherwise a delayed write of an
+ * earlier attempt could create a job in the new era, and the leader would treat it as a new job that has never run a task.
  */
 final class StateRebuilder {
     private static final Logger LOG = LoggerFactory.getLogger(StateRebuilder.class);
--- a/src/main/java/io/indigoreach/cluster/UnreadableRecordException.java
+++ b/src/main/java/io/indigoreach/cluster/UnreadableRecordException.java
@@ -3,7 +3,8 @@
 import io.indigoreach.net.WireException;
 
 /**
- * Signals that a record that is required for leadership cannot be decoded. A retry fails until an operator has restored the record.
+ * Signals that a record that is required for leadership cannot be decoded. A retry fails until an operator has restored the
+ * record.
  */
 final class UnreadableRecordException extends RuntimeException {
     UnreadableRecordException(String key, WireException cause) {
--- a/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Done tasks of large jobs, while the state service lowers its limits and leaders end between any two writes. */
+/** Completion bits of large jobs, while the state service lowers its limits and the leader changes between any two writes. */
 class CompletionBlockStoreTest {
     static final String NEXT = "value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 20.0";
     private static final JobId ID = new JobId("run-1");
@@ -64,7 +64,7 @@
         return new CompletionBlockStore(LeaderHarness.writes(context, 3, leader, 1000));
     }
 
-    /** What a leader that reads all of it takes to be done; {@code blockStore} inherits the blocks. */
+    /** Reads the completed tasks as a new leader does, and adds the blocks to {@code blockStore}. */
     private BitSet read(CompletionBlockStore blockStore) throws Exception {
         BitSet done = new BitSet();
         for (String prefix : List.of(RecordKeys.COMPLETION_BLOCKS, CompletionBits.SMALL_BLOCKS)) {
@@ -84,7 +84,7 @@
         return JobRecordCodec.readJob(ID, e.value(), e.revision());
     }
 
-    /** As the version before wrote it. */
+    /** Writes the job and its blocks in the format of the previous version. */
     private void writeAsBefore(JobSpec spec, BitSet done) throws Exception {
         StateClient.Txn txn = new StateClient.Txn()
                 .put(
@@ -121,7 +121,7 @@
             BitSet heard = read(blockStore);
             BitSet lost = (BitSet) recorded.clone();
             lost.andNot(heard);
-            assertTrue(lost.isEmpty(), "lost in life " + life + ": " + lost.cardinality());
+            assertTrue(lost.isEmpty(), "completions lost in term " + life + ": " + lost.cardinality());
             done = heard;
             for (int writes = 1 + random.nextInt(6); writes > 0; writes--) {
                 complete(random, done, tasks);
@@ -130,7 +130,7 @@
                         .when(RecordKeys.LEADER, leader)
                         .when(RecordKeys.openKey(ID), job.revision());
                 blockStore.addProgress(txn, job, done);
-                // The last write of this leader has no answer, and is carried out after the next leader's first.
+                // The last write of this leader has no response and is executed after the next leader takes over.
                 boolean held = writes == 1 && random.nextBoolean();
                 state.holding = t -> held;
                 Future<StateClient.Outcome> outcome = client.commit(txn);
@@ -152,7 +152,7 @@
         assertEquals(0, client.limits().refusals());
     }
 
-    /** The end is two changes however large the job is; its blocks follow, also under the next leader. */
+    /** A completion takes two changes regardless of the job's size. The next leader deletes the blocks that remain. */
     @ParameterizedTest
     @CsvSource({"100000", "9000"})
     void blocksOfAFinishedJobAreDeletedAfterItsCompletion(int tasks) throws Exception {
@@ -186,7 +186,7 @@
         return keys;
     }
 
-    /** Where the settings announce nothing: the next write is smaller, down to one that is taken. */
+    /** Without announced limits, the writes get smaller until the state service accepts one. */
     @ParameterizedTest
     @CsvSource({"2048, 4", "1500, 2"})
     void aRejectionForSizeIsFollowedBySmallerWrites(int valueBytes, int txnOps) throws Exception {
--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -43,7 +43,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A leader's access to job records: bursts of completions, deleted and unreadable records, and loads that are repeated. */
+/** A leader's access to job records: bursts of completions, deleted and unreadable records, and repeated loads. */
 class JobStoreTest {
     private static final int COMPLETIONS = 40;
     private final Vertx vertx = Vertx.vertx();
@@ -112,7 +112,7 @@
         while (now.get(waiting.id()).bound() == 0) {
             now = openRecords();
         }
-        assertTrue(countUnfinished(now) > 1, "the start bound does not wait for all ends");
+        assertTrue(countUnfinished(now) > 1, "the start bound was written only after all completions");
         while (countUnfinished(now) > 1) {
             now = openRecords();
         }
@@ -120,13 +120,13 @@
         while (openRecords().size() > 1) {
             Thread.onSpinWait();
         }
-        assertEquals(COMPLETIONS, await(client.list("f/", null, 1000)).items().size(), "moved in the end");
+        assertEquals(COMPLETIONS, await(client.list("f/", null, 1000)).items().size(), "final records");
     }
 
     /**
-     * Guards against a cancellation that was watched as the state service began to reject this node's requests. The reason for the
-     * deletion could not be read, and as all peers reported no cancellation since, the tasks ran on for the whole outage. If a peer
-     * confirms the cancellation by name, the job ends at once.
+     * Guards against tasks of a cancelled job that run on during an outage. The watch reported the deletion just before the
+     * state service rejected this node's requests, so the reason for the deletion could not be read, and no peer reported a
+     * later cancellation. If a peer confirms the cancellation of the job, the job is cancelled immediately.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -158,29 +158,29 @@
         }
         assertTrue(job.isCancelled());
         onLoop(() -> jobStore.onOpenRecordWritten(job.id(), record(job, 2), new Revision(99)));
-        assertNull(core.job(job.id()), "nothing opens it again");
+        assertNull(core.job(job.id()), "a delayed write must not open the job again");
     }
 
     /**
-     * Guards against a job that was accepted and cancelled while this leader's requests were rejected: a peer confirmed the
-     * cancellation before the watch caught up, the acceptance opened the job, and as its final record could not be read, its one
-     * task could start.
+     * Guards against a job that was accepted and cancelled while the state service rejected this leader's requests. A peer
+     * confirmed the cancellation before the watch reported the acceptance, which then opened the job. Its task could start, as
+     * the final record could not be read.
      */
     @Test
     void aCancellationBeforeTheAcceptanceIsWatchedKeepsTheJobClosed() throws Exception {
         Job job = job(1, 1, 0, 1);
         onLoop(() -> jobStore.onCancelled(job.id()));
         onLoop(() -> jobStore.onOpenRecordWritten(job.id(), record(job, 1), job.revision()));
-        assertNull(core.job(job.id()), "the acceptance comes after the confirmed cancellation");
+        assertNull(core.job(job.id()), "the acceptance must not open a cancelled job");
     }
 
-    /** As a watch brings it. */
+    /** Encodes the job's record as the watch reports it. */
     private static Fields record(Job job, int bound) {
         return MessagePackFormat.readMap(MessagePackFormat.write(
                 JobRecordCodec.writeJob(job.spec(), 1, JobStatus.PENDING, new BitSet(), 0, bound)));
     }
 
-    /** The records fill two pages; when the first one was read and the second one not, a job of each is cancelled. */
+    /** The records fill two listing pages. One job of each page is cancelled after the first page was read. */
     @Test
     void cancellationsBetweenTwoPagesAreApplied() throws Exception {
         JobSpec spec = job(1, 1, 0, 1).spec();
@@ -192,7 +192,7 @@
             assertTrue(await(client.commit(jobs)).done());
         }
         AtomicInteger listings = new AtomicInteger();
-        // Two kinds of blocks of bits, machines, and the first page of the jobs come before it.
+        // Holds the second page of jobs, after both kinds of completion blocks, the machines and the first page of jobs.
         state.delaying = (door, path) -> path.equals("/store") && listings.incrementAndGet() == 5;
         Future<Long> loaded = jobStore.load();
         while (state.delayed() == 0) {
@@ -205,20 +205,20 @@
         }
         onLoop(state::letThrough);
         long revision = await(loaded);
-        assertNotNull(core.job(new JobId("run-1000")), "its page had been read");
+        assertNotNull(core.job(new JobId("run-1000")), "the first page was read before the cancellation");
         assertNull(core.job(new JobId("run-1599")));
         JobWatch watch = new JobWatch(context, jobStore, horizon);
         onLoop(() -> watch.catchUp(revision).onSuccess(v -> watch.start()));
         Moment until = clock.now().plus(Span.seconds(10));
         while (core.job(new JobId("run-1000")) != null) {
-            assertTrue(clock.now().isBefore(until), "the cancellation is not applied");
+            assertTrue(clock.now().isBefore(until), "the cancellation was not applied within 10 s");
             Thread.onSpinWait();
         }
         onLoop(watch::cancel);
         assertEquals(599, core.jobs().size());
     }
 
-    /** Only the catch-up before the first command applies it: no watch is started. */
+    /** No watch is started, so only the catch-up before the first command can apply the cancellation. */
     @Test
     void cancellationsAfterTheListingAreAppliedBeforeTheFirstCommand() throws Exception {
         JobId id = new JobId("run-1000");
@@ -235,7 +235,7 @@
         await(caughtUp.future());
         Moment until = clock.now().plus(Span.seconds(10));
         while (core.job(id) != null) {
-            assertTrue(clock.now().isBefore(until), "the cancellation is not applied");
+            assertTrue(clock.now().isBefore(until), "the cancellation was not applied within 10 s");
             Thread.onSpinWait();
         }
     }
@@ -249,7 +249,7 @@
         await(done.future());
     }
 
-    /** The job was accepted under wider limits: its write is not rejected repeatedly, and other jobs continue with few changes. */
+    /** A job that was accepted under higher limits is not written repeatedly, and other jobs need no additional changes. */
     @Test
     void aRecordAboveTheLimitDelaysNoOtherJob() throws Exception {
         context = LeaderHarness.context(vertx, clock, client)
@@ -275,11 +275,13 @@
             Thread.onSpinWait();
         }
         assertEquals(0, state.tooLarge);
-        assertEquals(3, state.changed - before, "one for the job, two for its end");
+        assertEquals(3, state.changed - before, "one change for the submission of run-2, two for its completion");
         assertTrue(state.has("j/run-1"));
     }
 
-    /** The record becomes unreadable while the leader has the job open: it is written at once, not at the next change. */
+    /**
+     * The record of an open job becomes unreadable. The leader rewrites it immediately, without waiting for the next change.
+     */
     @Test
     void anUnreadableRecordOfAKnownJobIsRewritten() throws Exception {
         Job job = job(1, 4, 2, 4);
@@ -295,7 +297,7 @@
         assertEquals(2, openRecords().get(job.id()).doneCount());
     }
 
-    /** A load fails after the jobs and is repeated; meanwhile one job is cancelled and another makes progress. */
+    /** A load fails after it has read the jobs. Before it is repeated, one job is cancelled and another makes progress. */
     @Test
     void aRepeatedLoadForgetsJobsThatWereCancelledSince() throws Exception {
         Job cancelled = job(1, 2, 0, 2);
@@ -313,7 +315,7 @@
                         JobRecordCodec.writeJob(
                                 core.job(new JobId("run-2")).spec(), 1, JobStatus.RUNNING, done, 1, 2))));
         await(jobStore.load());
-        assertEquals(null, core.job(cancelled.id()), "its tasks are to be stopped, and no watch will tell");
+        assertEquals(null, core.job(cancelled.id()), "the watch would not report the cancellation, and tasks would run on");
         assertEquals(
                 List.of(1, 2),
                 List.of(
@@ -321,7 +323,9 @@
                         core.job(new JobId("run-2")).startBoundToWrite()));
     }
 
-    /** The job waits and the others are served; but without a page of machines, no node may lead. */
+    /**
+     * An unreadable job record blocks only its own job. An unreadable machine page fails the load, so that no node may lead.
+     */
     @Test
     void anUnreadableRecordBlocksOnlyItsOwnJob() throws Exception {
         job(1, 1, 0, 0);
@@ -336,7 +340,7 @@
                 core.jobs().stream().map(job -> job.id().text()).toList());
         jobStore.onOpenRecordWritten(
                 new JobId("run-3"), new Fields(MessagePackFormat.map("class", 5L)), new Revision(9));
-        assertEquals(1, core.jobs().size(), "nor does it end the watch");
+        assertEquals(1, core.jobs().size(), "an unreadable record that the watch reports is skipped");
         Fields repaired = record(core.job(new JobId("run-1")), 1);
         jobStore.onOpenRecordWritten(new JobId("run-3"), repaired, new Revision(10));
         jobStore.onOpenRecordWritten(new JobId("run-4"), repaired, new Revision(11));
@@ -345,7 +349,7 @@
                 List.of(
                         core.job(new JobId("run-3")).isInherited(),
                         core.job(new JobId("run-4")).isInherited()),
-                "what could not be read may be on machines, what is new cannot");
+                "tasks of a repaired job may already run on machines, tasks of a new job cannot");
         await(client.commit(new StateClient.Txn().put("m/3-1", MessagePackFormat.map("machines", "many"))));
         Exception failed = assertThrows(Exception.class, () -> await(jobStore.load()));
         assertTrue(
--- a/src/test/java/io/indigoreach/cluster/JobWatchTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobWatchTest.java
@@ -6,7 +6,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Guards against a leader that took a quiet service for a partition: under a lease of 1.7 s it answered no heartbeat. */
+/**
+ * Guards against a leader that mistook a service without changes for a partition and, with a lease of 1.7 s, sent no heartbeat
+ * responses.
+ */
 class JobWatchTest {
     @ParameterizedTest
     @ValueSource(doubles = {1, 1.7, 5, 14, 120})
--- a/src/test/java/io/indigoreach/cluster/LastTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/LastTaskTest.java
@@ -48,21 +48,21 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A cancellation, a question and a repeated submission meet the end of a job's last task, with no other trouble: the job is done or
- * cancelled, one of them, for ever and at every node. Each controller has a way of its own to the state service, on which
- * requests are held to bring an order about; all run on one event loop.
+ * A cancellation, a query and a repeated submission race with the completion of a job's last task, without other faults. The
+ * job must end as either done or cancelled, and every node must report the same outcome from then on. Each controller has its
+ * own connection to the state service, on which the test delays requests to produce each order; all run on one event loop.
  */
 class LastTaskTest {
     private static final JobId JOB = new JobId("run-1");
     private static final Team TEAM = LeaderHarness.TEAM;
     private static final MachineType TYPE = LeaderHarness.quad();
-    /** More ends than are written at once: then an end goes into the open job's record first. */
+    /** More completions than are written at once, so that a completion is first written to the open job's record. */
     private static final int CROWD = 8;
 
     private final Vertx vertx = Vertx.vertx();
     private final Context loop = vertx.getOrCreateContext();
     private final SteadyClock clock = new SteadyClock();
-    /** Vert.x closes a client that nothing refers to any more. */
+    /** Strong references, as Vert.x closes a client that is no longer referenced. */
     private final List<Object> kept = new ArrayList<>();
 
     private final StateStandIn service = new StateStandIn();
@@ -117,11 +117,11 @@
         return await(ask(request));
     }
 
-    /** As seen on the loop. */
+    /** Waits until the condition, evaluated on the event loop, is true. */
     private void until(BooleanSupplier holds) throws Exception {
         Moment end = clock.now().plus(Span.seconds(20));
         while (!awaitOnLoop(() -> Future.succeededFuture(holds.getAsBoolean()))) {
-            assertTrue(clock.now().isBefore(end), "in vain");
+            assertTrue(clock.now().isBefore(end), "the condition was not met within 20 s");
         }
     }
 
@@ -141,7 +141,7 @@
         return LeaderHarness.spec(id, 1, "img");
     }
 
-    /** A job whose one task has ended, as its leader has just seen. */
+    /** Adds a job whose only task has completed, which the leader has not recorded yet. */
     private void addCompleted(JobId id) throws Exception {
         Revision stamp = awaitOnLoop(() -> leader.commit(new StateClient.Txn().put(RecordKeys.openKey(id), record(id))))
                 .writtenRevision();
@@ -171,11 +171,11 @@
         return ask(() -> jobService.submit(MessagePackFormat.write(JobCodec.write(spec(JOB)))));
     }
 
-    /** {@code held}: whose changes to the job wait while the other's is made, after both have read it. */
+    /** @param held whose change to the job is delayed until the other one's is executed, after both have read the job */
     @ParameterizedTest
     @CsvSource({
-        "nobody, false, done",
-        "nobody, true, done",
+        "none, false, done",
+        "none, true, done",
         "the user, false, done",
         "the user, true, done",
         "the leader, false, cancelled",
@@ -189,7 +189,7 @@
             addCompleted(new JobId("run-" + n));
         }
         Fields before = MessagePackFormat.readMap(MessagePackFormat.write(record(JOB)));
-        // Those at the other node have come already, and are looked after when it is over.
+        // The query and the repeated submission arrive at node b now, and are executed after the job has finished.
         service.delaying = (door, path) -> door.equals("b")
                 || (path.equals("/txn") && (door.equals("a") ? held.equals("the user") : held.equals("the leader")));
         Future<ApiResponse> question = ask(() -> b.query(JOB.text()));
@@ -218,13 +218,13 @@
         assertEquals("200 " + expected, statusOf(await(question)));
         assertEquals("200 " + expected, statusOf(await(repeated)));
         until(() -> core.job(JOB) == null);
-        for (JobService jobService : List.of(a, b, jobService("begun since"))) {
+        for (JobService jobService : List.of(a, b, jobService("started-later"))) {
             assertEquals("200 " + expected, statusOf(awaitOnLoop(() -> jobService.query(JOB.text()))));
             assertEquals("200 " + expected, statusOf(await(submit(jobService))));
             assertEquals("200 " + expected, statusOf(awaitOnLoop(() -> jobService.cancel(JOB.text()))));
         }
         loop.runOnContext(v -> jobStore.onOpenRecordWritten(JOB, before, new Revision(11)));
         until(() -> !service.has(RecordKeys.openKey(JOB)));
-        assertNull(core.job(JOB), "nothing of it can be started");
+        assertNull(core.job(JOB), "a delayed write must not open the job again");
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
@@ -41,7 +41,7 @@
         until(() -> service.has(RecordKeys.finalKey(id)));
     }
 
-    /** A job in the state service and in the leader's memory; the first {@code done} of its tasks are done and not recorded. */
+    /** Adds a job to the state service and to the leader; the first {@code done} of its tasks are complete but not recorded. */
     private Job job(String id, int tasks, int done, int bound) throws Exception {
         JobSpec spec = spec(id, tasks);
         Predicate<Fields> holding = service.holding;
@@ -89,14 +89,14 @@
     private static final Map<String, Case<LateJobTransactionsTest>> CASES = new LinkedHashMap<>();
 
     static {
-        CASES.put("an acceptance, after its repeat", test -> {
+        CASES.put("acceptance, executed after its retry", test -> {
             JobService jobService = test.newJobService();
             test.loseOne(OPEN);
             assertEquals(503, test.submit(jobService));
             assertEquals(test.isAtOnce() ? 200 : 201, test.submit(jobService));
             test.changesNothingMore();
         });
-        CASES.put("an acceptance, after its job was cancelled", test -> {
+        CASES.put("acceptance, executed after the job was cancelled", test -> {
             JobService jobService = test.newJobService();
             test.loseOne(OPEN);
             assertEquals(503, test.submit(jobService));
@@ -105,7 +105,7 @@
             test.changesNothingMore();
             assertFalse(test.service.has(OPEN));
         });
-        CASES.put("an acceptance, after its job was done under another leader", test -> {
+        CASES.put("acceptance, executed after the job completed under another leader", test -> {
             JobService jobService = test.newJobService();
             test.loseOne(OPEN);
             assertEquals(503, test.submit(jobService));
@@ -115,7 +115,7 @@
             test.changesNothingMore();
             assertFalse(test.service.has(OPEN));
         });
-        CASES.put("a cancellation, after its repeat", test -> {
+        CASES.put("cancellation, executed after its retry", test -> {
             JobService jobService = test.newJobService();
             test.submit(jobService);
             test.loseOne(OPEN);
@@ -123,7 +123,7 @@
             assertEquals(200, test.cancel(jobService));
             test.changesNothingMore();
         });
-        CASES.put("a cancellation, after the job's progress, and before it was done", test -> {
+        CASES.put("cancellation, executed after a progress write and before the completion", test -> {
             JobService jobService = test.newJobService();
             JobStore jobStore = test.leading();
             Job job = test.job(JOB.text(), 4, 2, 4);
@@ -132,10 +132,10 @@
             test.begin(jobStore, job);
             test.until(() -> test.isAtOnce() ? test.core.job(JOB) == null : test.recorded(JOB) == 2);
             test.changesNothingMore();
-            assertEquals(test.isAtOnce(), !test.service.has(OPEN), "its user was told nothing, and asks again");
+            assertEquals(test.isAtOnce(), !test.service.has(OPEN), "the user received no response, and retries");
             assertEquals(200, test.cancel(jobService));
         });
-        CASES.put("a cancellation, after the job was done", test -> {
+        CASES.put("cancellation, executed after the completion", test -> {
             JobService jobService = test.newJobService();
             JobStore jobStore = test.leading();
             Job job = test.job(JOB.text(), 4, 4, 4);
@@ -148,7 +148,7 @@
         });
         for (boolean cancelled : new boolean[] {false, true}) {
             CASES.put(
-                    "the mending of an open job's record, after another" + (cancelled ? " and the job's end" : ""),
+                    "repair of an open record, executed after another repair" + (cancelled ? " and a cancellation" : ""),
                     test -> {
                         JobService jobService = test.newJobService();
                         StateClient.Outcome unreadable = await(test.client.commit(
@@ -168,7 +168,7 @@
                         assertEquals(cancelled, !test.service.has(OPEN));
                     });
         }
-        CASES.put("the mending of an end, after another", test -> {
+        CASES.put("repair of a final record, executed after another repair", test -> {
             String over = RecordKeys.finalKey(JOB);
             StateClient.Outcome unreadable =
                     await(test.client.commit(new StateClient.Txn().put(over, MessagePackFormat.map("status", "DONE"))));
@@ -180,7 +180,7 @@
             await(repairer.repairFinal(JOB, entry, null));
             test.changesNothingMore();
         });
-        CASES.put("progress, after newer progress", test -> {
+        CASES.put("progress write, executed after a newer one", test -> {
             JobStore jobStore = test.leading();
             test.loseOne(OPEN);
             Job job = test.job(JOB.text(), 4, 2, 4);
@@ -189,7 +189,7 @@
                     () -> test.recorded(JOB) == 2 && job.unrecordedCompletions().isEmpty());
             test.changesNothingMore();
         });
-        CASES.put("progress, after the job was cancelled", test -> {
+        CASES.put("progress write, executed after the job was cancelled", test -> {
             JobStore jobStore = test.leading();
             test.loseAll(OPEN);
             test.begin(jobStore, test.job(JOB.text(), 4, 2, 4));
@@ -200,7 +200,7 @@
             test.changesNothingMore();
             assertFalse(test.service.has(OPEN));
         });
-        CASES.put("progress, after a change of leader", test -> {
+        CASES.put("progress write, executed after a change of leader", test -> {
             JobStore jobStore = test.leading();
             test.loseAll(OPEN);
             test.begin(jobStore, test.job(JOB.text(), 4, 2, 4));
@@ -210,7 +210,7 @@
             test.changesNothingMore();
             assertEquals(test.isAtOnce() ? 2 : 0, test.recorded(JOB));
         });
-        CASES.put("a start bound, after a newer one", test -> {
+        CASES.put("start bound, executed after a newer one", test -> {
             JobStore jobStore = test.leading();
             test.core.rented(POOL, List.of(new MachineId("vm-1")), test.clock.now(), test.clock.now());
             test.loseOne(OPEN);
@@ -219,7 +219,7 @@
             test.until(() -> test.service.value(OPEN).whole("bound", 0) > 0 && !job.needsHigherStartBound());
             test.changesNothingMore();
         });
-        CASES.put("a start bound, after a change of leader: what that one orders by stands", test -> {
+        CASES.put("start bound, executed after a change of leader", test -> {
             JobStore jobStore = test.leading();
             test.core.rented(POOL, List.of(new MachineId("vm-1")), test.clock.now(), test.clock.now());
             test.loseAll(OPEN);
@@ -229,16 +229,16 @@
             test.run(jobStore::cancel);
             test.lead(4);
             test.changesNothingMore();
-            assertTrue(job.needsHigherStartBound(), "not answered: nothing was ordered by it");
+            assertTrue(job.needsHigherStartBound(), "without a response, no task may start within the new bound");
         });
-        CASES.put("an end, after its repeat", test -> {
+        CASES.put("completion, executed after its retry", test -> {
             JobStore jobStore = test.leading();
             test.loseOne(OPEN);
             test.begin(jobStore, test.job(JOB.text(), 4, 4, 4));
             test.until(() -> test.service.has(RecordKeys.finalKey(JOB)) && test.core.job(JOB) == null);
             test.changesNothingMore();
         });
-        CASES.put("an end, after a change of leader", test -> {
+        CASES.put("completion, executed after a change of leader", test -> {
             JobStore jobStore = test.leading();
             test.loseAll(OPEN);
             test.begin(jobStore, test.job(JOB.text(), 4, 4, 4));
@@ -248,7 +248,7 @@
             test.changesNothingMore();
             assertEquals(test.isAtOnce(), !test.service.has(OPEN));
         });
-        CASES.put("an end, after its user cancelled", test -> {
+        CASES.put("completion, executed after the job was cancelled", test -> {
             JobStore jobStore = test.leading();
             JobService jobService = test.newJobService();
             test.loseAll(OPEN);
@@ -260,7 +260,7 @@
             test.changesNothingMore();
             test.isOver(test.isAtOnce() ? JobStatus.DONE : JobStatus.CANCELLED);
         });
-        CASES.put("an end in the open record, and its move, each after its repeat", test -> {
+        CASES.put("completion in the open record, and its move, each executed after its retry", test -> {
             JobStore jobStore = test.leading();
             Job[] jobs = new Job[8];
             for (int n = 0; n < jobs.length; n++) {
@@ -268,7 +268,7 @@
             }
             AtomicBoolean mark = new AtomicBoolean(true);
             AtomicBoolean move = new AtomicBoolean(true);
-            // A mark puts the open record; the first transaction after it that deletes that record moves it.
+            // Drops the response to the write of the completion to the open record, and to the first move to the final record.
             test.leaveUnanswered(txn -> touches(txn, OPEN)
                     && (touches(txn, RecordKeys.finalKey(JOB))
                             ? !mark.get() && move.getAndSet(false)
--- a/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
@@ -68,7 +68,7 @@
     private static final Map<String, Case<LateMachineTransactionsTest>> CASES = new LinkedHashMap<>();
 
     static {
-        CASES.put("a page's first write, after its repeat", test -> {
+        CASES.put("first write of a machine page, executed after its retry", test -> {
             MachineStore machineStore = test.newMachineStore(test.lead(1));
             test.loseOne(RecordKeys.MACHINE_PAGES);
             assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 1)));
@@ -76,16 +76,16 @@
             test.changesNothingMore();
             assertEquals(2, test.recordedMachines());
         });
-        CASES.put("a page's first write, after all on it are gone", test -> {
+        CASES.put("first write of a machine page, executed after all its machines were returned", test -> {
             MachineStore machineStore = test.newMachineStore(test.lead(1));
             test.loseOne(RecordKeys.MACHINE_PAGES);
             assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 1)));
             test.run(() -> test.returnMachine(1));
             test.until(() -> test.recordedMachines() == 0);
             test.changesNothingMore();
-            assertEquals(0, test.recordedMachines(), "a machine that is gone holds the next leader up");
+            assertEquals(0, test.recordedMachines(), "the next leader would wait for a returned machine");
         });
-        CASES.put("a page's first write, after a change of leader", test -> {
+        CASES.put("first write of a machine page, executed after a change of leader", test -> {
             MachineStore machineStore = test.newMachineStore(test.lead(1));
             test.loseAll(RecordKeys.MACHINE_PAGES);
             test.run(() -> test.recordMachine(machineStore, 1));
@@ -94,16 +94,16 @@
             test.lead(4);
             test.changesNothingMore();
         });
-        CASES.put("a page's change, after a newer one", test -> {
+        CASES.put("update of a machine page, executed after a newer one", test -> {
             MachineStore machineStore = test.newMachineStore(test.lead(1));
             assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 1)));
             test.loseOne(RecordKeys.MACHINE_PAGES);
             assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 2)));
             assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 3)));
             test.changesNothingMore();
-            assertEquals(3, test.recordedMachines(), "it takes no machine off");
+            assertEquals(3, test.recordedMachines(), "an older update must not remove machines");
         });
-        CASES.put("an earlier leader's page is removed, and again", test -> {
+        CASES.put("deletion of an earlier leader's machine page, executed after its retry", test -> {
             MachineStore first = test.newMachineStore(test.lead(1));
             assertTrue(test.onLoop(() -> test.recordMachine(first, 1)));
             test.run(first::cancel);
@@ -122,15 +122,15 @@
                     && test.service.keys(RecordKeys.MACHINE_PAGES).isEmpty());
             test.changesNothingMore();
         });
-        CASES.put("an intent's first record, after its repeat", test -> {
+        CASES.put("first write of an intent, executed after its retry", test -> {
             IntentLog intentLog = test.newIntentLog(test.lead(1));
             intentLog.intents().add(RENT);
             test.loseOne(RecordKeys.INTENTS);
-            assertFalse(record(intentLog) || intentLog.intents().maySend(RENT.name()), "it may be there or not");
+            assertFalse(record(intentLog) || intentLog.intents().maySend(RENT.name()), "the outcome of the write is unknown");
             test.until(() -> record(intentLog) && intentLog.intents().maySend(RENT.name()));
             test.changesNothingMore();
         });
-        CASES.put("an intent's first record, after all in it is settled", test -> {
+        CASES.put("first write of an intent, executed after the intent was completed", test -> {
             IntentLog intentLog = test.newIntentLog(test.lead(1));
             intentLog.intents().add(RENT);
             test.loseOne(RecordKeys.INTENTS);
@@ -139,9 +139,9 @@
             intentLog.intents().completed(RENT.name());
             test.until(() -> record(intentLog) && test.intended().isEmpty());
             test.changesNothingMore();
-            assertTrue(test.intended().isEmpty(), "the next leader would ask once more");
+            assertTrue(test.intended().isEmpty(), "the next leader would send the request again");
         });
-        CASES.put("an intent's first record, after it was given up", test -> {
+        CASES.put("first write of an intent, executed after the intent was abandoned", test -> {
             IntentLog intentLog = test.newIntentLog(test.lead(1));
             intentLog.intents().add(RENT);
             test.loseOne(RecordKeys.INTENTS);
@@ -151,9 +151,9 @@
                     && test.service.has("i/3")
                     && test.intended().isEmpty());
             test.changesNothingMore();
-            assertTrue(test.intended().isEmpty(), "the next leader would rent what nobody wants");
+            assertTrue(test.intended().isEmpty(), "the next leader would rent machines without demand");
         });
-        CASES.put("an intent, after a change of leader", test -> {
+        CASES.put("first write of an intent, executed after a change of leader", test -> {
             IntentLog intentLog = test.newIntentLog(test.lead(1));
             intentLog.intents().add(RENT);
             test.loseOne(RecordKeys.INTENTS);
@@ -162,7 +162,7 @@
             test.changesNothingMore();
             assertFalse(intentLog.intents().maySend(RENT.name()));
         });
-        CASES.put("an earlier leader's intents are removed, and again", test -> {
+        CASES.put("deletion of an earlier leader's intents, executed after its retry", test -> {
             IntentLog old = test.newIntentLog(test.lead(1));
             old.intents().add(RENT);
             assertTrue(record(old));
--- a/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
@@ -31,7 +31,7 @@
 
     static {
         for (String key : List.of(RecordKeys.MACHINE_PAGES, OPEN, RecordKeys.FINAL_JOBS, RecordKeys.ERA)) {
-            CASES.put("a rebuilding's " + key + ", after the next try", test -> {
+            CASES.put("rebuild write of " + key + ", executed after the next attempt", test -> {
                 await(test.client.check());
                 Revision leader = test.lead(1);
                 test.loseOne(key);
@@ -39,7 +39,7 @@
                 assertTrue(test.rebuilds(leader));
                 test.changesNothingMore();
             });
-            CASES.put("a rebuilding's " + key + ", after a change of leader", test -> {
+            CASES.put("rebuild write of " + key + ", executed after a change of leader", test -> {
                 await(test.client.check());
                 Revision leader = test.lead(1);
                 test.loseOne(key);
@@ -48,7 +48,7 @@
                 test.changesNothingMore();
             });
         }
-        CASES.put("a rebuilt page, after the next try and all on it are gone", test -> {
+        CASES.put("rebuilt machine page, executed after the next attempt and after all its machines were returned", test -> {
             await(test.client.check());
             Revision leader = test.lead(1);
             test.loseOne(RecordKeys.MACHINE_PAGES);
@@ -65,7 +65,7 @@
             test.changesNothingMore();
             assertEquals(0, test.recordedMachines());
         });
-        CASES.put("a rebuilt job with blocks of bits, after the next try and its end", test -> {
+        CASES.put("rebuilt job with completion blocks, executed after the next attempt and its cancellation", test -> {
             await(test.client.check());
             Revision leader = test.lead(1);
             test.loseOne(OPEN);
@@ -73,7 +73,7 @@
             assertTrue(test.rebuilds(leader));
             assertEquals(2, test.service.keys(RecordKeys.COMPLETION_BLOCKS).size());
             assertEquals(200, test.cancel(test.newJobService()));
-            // As the leader does behind the end.
+            // The leader deletes the blocks of a finished job in the same way.
             StateClient.Txn removal = new StateClient.Txn();
             test.service.keys(RecordKeys.COMPLETION_BLOCKS).forEach(removal::delete);
             assertTrue(await(test.client.commit(removal)).done());
@@ -81,7 +81,7 @@
             assertFalse(test.service.has(OPEN));
             assertEquals(List.of(), test.service.keys(RecordKeys.COMPLETION_BLOCKS));
         });
-        CASES.put("a rebuilt job, after a next try that no longer knew of it", test -> {
+        CASES.put("rebuilt job, executed after an attempt that did not know the job", test -> {
             await(test.client.check());
             Revision leader = test.lead(1);
             test.loseOne(OPEN);
@@ -89,12 +89,12 @@
             assertTrue(test.rebuilds(leader, new RememberedState()));
             test.changesNothingMore();
             if (test.isAtOnce()) {
-                assertEquals(4, test.bound(), "it counts as ordered in whole");
+                assertEquals(4, test.bound(), "all its tasks may have been started");
             } else {
-                assertFalse(test.service.has(OPEN), "this leader would take it for a new job, of which nothing runs");
+                assertFalse(test.service.has(OPEN), "this leader would treat it as a new job that has never run a task");
             }
         });
-        CASES.put("an acceptance, after a loss was mended and the job's end was lost", test -> {
+        CASES.put("acceptance, executed after the job's final record was lost and a rebuild completed", test -> {
             await(test.client.check());
             JobService jobService = test.newJobService();
             test.loseOne(OPEN);
@@ -106,7 +106,7 @@
             test.changesNothingMore();
             assertFalse(test.service.has(OPEN));
         });
-        CASES.put("a deployment's first era, after another process wrote it", test -> {
+        CASES.put("first era of a deployment, executed after another process wrote it", test -> {
             test.loseOne(RecordKeys.ERA);
             assertTrue(await(test.client.check().map(false).otherwise(true)));
             await(test.client().check());
@@ -116,7 +116,7 @@
         });
     }
 
-    /** Its bound says that nothing was ever ordered, while a controller remembers that all of it was. */
+    /** The accepted record has a start bound of zero, while a controller remembers that all tasks may have been started. */
     @Test
     void anAcceptanceExecutedDuringARebuildDoesNotLowerTheStartBound() throws Exception {
         JobService jobService = newJobService();
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -47,8 +47,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Machines that come up by the hundred are recorded in few changes. Guards against a fleet of 300 that stood idle for
- * up to 25 s, each machine waiting for a change of its own among the twelve a second that the leader may make.
+ * Records of machines. Hundreds of machines that boot together must be recorded in few writes. Guards against a fleet of 300
+ * machines that was idle for up to 25 s, as each machine waited for its own write at a limit of 12 writes per second.
  */
 class MachineStoreTest {
     private static final int VALUE_BYTES = 8 * 1024;
@@ -130,7 +130,7 @@
         }
     }
 
-    /** A write whose answer was lost is neither lost nor written over: its page's version is read first. */
+    /** After a write without a response, the store reads the revision of the page before it writes the page again. */
     @Test
     void aLostResponseLosesNoMachine() throws Exception {
         state.losingAnswers = 1;
@@ -145,7 +145,7 @@
         assertEquals(1, state.keys(RecordKeys.MACHINE_PAGES).size());
     }
 
-    /** A new leader's reading fails after the machines, and is repeated: more machines than one page takes come up then. */
+    /** A load fails after it has read the machines, and is repeated. Then more machines boot than fit on one page. */
     @ParameterizedTest
     @ValueSource(ints = {70, 90, 110})
     void aLoadThatIsRepeatedLosesNoMachine(int machines) throws Exception {
@@ -176,10 +176,10 @@
         assertEquals(
                 machines + 1,
                 recorded().stream().map(MachineRecord::id).distinct().count(),
-                "told as recorded, and is not");
+                "a machine that was reported as recorded has no record");
     }
 
-    /** A page from before the limits shrank is divided; whoever leads after any of its writes reads every machine. */
+    /** A page that exceeds lowered limits is split. After each write, a new leader can read every machine. */
     @Test
     void aPageAboveTheLimitIsSplitWithoutLosingMachines() throws Exception {
         machineStore.cancel();
@@ -214,14 +214,14 @@
         while (JsonSize.of(state.value(wide).map()) > 2048) {
             assertTrue(recorded().stream().map(MachineRecord::id).distinct().count() >= 49);
         }
-        assertEquals(49, recorded().stream().map(MachineRecord::id).distinct().count(), "all but the one that is gone");
+        assertEquals(49, recorded().stream().map(MachineRecord::id).distinct().count(), "all machines except the returned one");
         for (String key : state.keys(RecordKeys.MACHINE_PAGES)) {
             assertTrue(JsonSize.of(state.value(key).map()) <= 2048, key);
         }
         assertEquals(0, state.tooLarge);
     }
 
-    /** Earlier leaders' leases run from when this leadership began, however long its records take to be read. */
+    /** Leases of earlier leaders are counted from the start of this term, regardless of how long the load takes. */
     @Test
     void aSlowLoadDoesNotDelayTheFailover() throws Exception {
         Moment before = clock.now();
@@ -247,13 +247,14 @@
         fresh.recordsLoaded();
         Span bound = context.config().rules().leaseBound();
         fresh.expireLeases(before.plus(bound));
-        assertFalse(fresh.isFailoverComplete(), "an earlier leader answered until then");
+        assertFalse(fresh.isFailoverComplete(), "a lease that an earlier leader renewed just before this term may still be valid");
         fresh.expireLeases(begun.plus(bound).plus(new Span(1)));
         assertTrue(fresh.isFailoverComplete());
     }
 
     /**
-     * A leader whose reading of the records fails half-way reads them once more. Guards against a page that is then in the store twice: the copy that knows only of machines that are gone removed it, with one that held tasks.
+     * A leader whose load fails part-way loads the records again. Guards against a page that was then in the store twice: the
+     * copy with only returned machines deleted the page, although the other copy had a machine that ran tasks.
      */
     @Test
     void aPageThatIsInheritedTwiceIsKeptOnce() throws Exception {
@@ -277,8 +278,8 @@
     }
 
     /**
-     * Lists that are older than the leadership are not believed: a machine that the leader before recorded last could be
-     * missing, and its tasks would be started elsewhere while it has them.
+     * Guards against a listing that is older than the leadership. The last machine that the previous leader recorded could be
+     * missing, and its tasks would be started on another machine while they still run.
      */
     @Test
     void listingsOlderThanTheLeadershipAreRejected() throws Exception {
@@ -296,7 +297,7 @@
         }
     }
 
-    /** Of a job whose record says that nothing of it was ever ordered: not believed while an older version may have led. */
+    /** A start bound of zero in a job's record is trusted only if no leader of an older version can have started tasks. */
     @Test
     void startBoundsAreTrustedOnlyIfEveryLeaderRespectedThem() throws Exception {
         JobSpec spec = LeaderHarness.spec(new JobId("run-1"), 3, "i");
--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -35,7 +35,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What is missing in the state service is written from memory, what is there stays, and an attempt that ended can be repeated. */
+/** A rebuild writes missing records from memory, keeps present records, and can be repeated after it was interrupted. */
 class StateRebuilderTest {
     private static final FencingToken TOKEN = new FencingToken(3);
     private TermFixture fixture;
@@ -65,7 +65,7 @@
                 .sum();
     }
 
-    /** The second attempt of a leadership term names no page that is there. */
+    /** The second attempt of a leadership term uses a page key that does not exist yet. */
     @Test
     void secondAttemptRecordsTheMachinesThatTheFirstDidNot() throws Exception {
         NodeContext context = fixture.context();
@@ -85,7 +85,7 @@
         return MessagePackFormat.map("n", number, VersionedRecord.VERSION, number);
     }
 
-    /** As another node receives it. */
+    /** Encodes and decodes the state, as it is sent between nodes. */
     private static RememberedState sent(RememberedState remembered) {
         RememberedState received = new RememberedState();
         RememberedStateCodec.read(
@@ -94,7 +94,7 @@
         return received;
     }
 
-    /** What is absent or older than a copy is written, what is newer stays, a key of no family is left alone. */
+    /** Absent records and records older than the copy are written; newer records and keys of unknown families are not. */
     @Test
     void featureRecordsAreWrittenByTheirVersions() throws Exception {
         NodeContext context = fixture.context(List.of(new Parts.Kind(
@@ -132,7 +132,7 @@
                 .build();
     }
 
-    /** A leadership key beside more records than a transaction may usually have. */
+    /** Writes the leadership key along with more records than the transaction limit allows. */
     private Revision gainLeadershipWithoutLimit(StateClient.Txn records) throws Exception {
         int limit = state.txnOps;
         state.txnOps = records.size() + 1;
@@ -142,8 +142,8 @@
     }
 
     /**
-     * Guards against a record that cannot be read and stops every rebuild, so that nobody leads and nothing is accepted: it is
-     * written anew like one that is gone. Ends that are there cost no write, where thousands are remembered and one is missing.
+     * Guards against an unreadable record that fails every rebuild, so that no node can become leader and no job is accepted.
+     * The record is written again like a missing one. Present final records need no write, even if thousands are remembered.
      */
     @Test
     void unreadableRecordsAreRebuiltAndPresentOnesCostNothing() throws Exception {
@@ -173,6 +173,6 @@
         assertEquals(
                 JobStatus.CANCELLED,
                 JobRecordCodec.readFinal(spec.id(), state.value("f/run-2")).status());
-        assertEquals(4, state.changed - changes, "one record, an end and its move, the era");
+        assertEquals(4, state.changed - changes, "one open record, one final record with the deletion of the open one, and the era");
     }
 }
