--- a/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
+++ b/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
@@ -67,7 +67,8 @@
             return;
         }
         if (job.isComplete()) {
-            // Either the completion was written without a response or the user cancelled first; the next write shows which.
+            // Either the completion was written without a response or the user cancelled first; the next write shows
+            // which.
             writer.markDirty(job);
             horizon.resolved(id);
             return;
--- a/src/main/java/io/indigoreach/cluster/RebuildWriter.java
+++ b/src/main/java/io/indigoreach/cluster/RebuildWriter.java
@@ -149,7 +149,8 @@
             return failedByAnotherLeader();
         }
         if (failedKeys.stream().anyMatch(RebuildWriter::mustBeReadAgain)) {
-            return Future.failedFuture(new RebuildInterruptedException("machine pages or open jobs were written during the rebuild"));
+            return Future.failedFuture(
+                    new RebuildInterruptedException("machine pages or open jobs were written during the rebuild"));
         }
         // An earlier attempt whose response was lost, or a user request at another node, has written a newer version.
         List<Step> rest =
@@ -159,13 +160,15 @@
             return Future.succeededFuture();
         }
         if (rest.size() == batch.size()) {
-            return Future.failedFuture(new RebuildInterruptedException("the state service rejected a transaction without naming a failed condition"));
+            return Future.failedFuture(new RebuildInterruptedException(
+                    "the state service rejected a transaction without naming a failed condition"));
         }
         return awaitRate(size(rest)).compose(ready -> commit(rest));
     }
 
     static <T> Future<T> failedByAnotherLeader() {
-        return Future.failedFuture(new RebuildInterruptedException("another node has become leader, or the era has changed"));
+        return Future.failedFuture(
+                new RebuildInterruptedException("another node has become leader, or the era has changed"));
     }
 
     /**
--- a/src/main/java/io/indigoreach/cluster/RecordListing.java
+++ b/src/main/java/io/indigoreach/cluster/RecordListing.java
@@ -44,7 +44,8 @@
     private Future<Long> accept(StateClient.Page page, long oldestRevision) {
         if (page.revision() < leadershipRevision.value()) {
             // The last writes of an earlier leader could be missing, in particular machines that run tasks.
-            return Future.failedFuture(new WireException("the state service returned a listing older than this leadership"));
+            return Future.failedFuture(
+                    new WireException("the state service returned a listing older than this leadership"));
         }
         List<StateClient.Entry> entries = page.items();
         for (StateClient.Entry entry : entries) {
--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -192,7 +192,8 @@
             assertTrue(await(client.commit(jobs)).done());
         }
         AtomicInteger listings = new AtomicInteger();
-        // Holds the second page of jobs, after both kinds of completion blocks, the machines and the first page of jobs.
+        // Holds the second page of jobs, after both kinds of completion blocks, the machines and the first page of
+        // jobs.
         state.delaying = (door, path) -> path.equals("/store") && listings.incrementAndGet() == 5;
         Future<Long> loaded = jobStore.load();
         while (state.delayed() == 0) {
@@ -315,7 +316,8 @@
                         JobRecordCodec.writeJob(
                                 core.job(new JobId("run-2")).spec(), 1, JobStatus.RUNNING, done, 1, 2))));
         await(jobStore.load());
-        assertEquals(null, core.job(cancelled.id()), "the watch would not report the cancellation, and tasks would run on");
+        assertEquals(
+                null, core.job(cancelled.id()), "the watch would not report the cancellation, and tasks would run on");
         assertEquals(
                 List.of(1, 2),
                 List.of(
--- a/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
@@ -89,14 +89,14 @@
     private static final Map<String, Case<LateJobTransactionsTest>> CASES = new LinkedHashMap<>();
 
     static {
-        CASES.put("acceptance, executed after its retry", test -> {
+        CASES.put("acceptance, then its retry", test -> {
             JobService jobService = test.newJobService();
             test.loseOne(OPEN);
             assertEquals(503, test.submit(jobService));
             assertEquals(test.isAtOnce() ? 200 : 201, test.submit(jobService));
             test.changesNothingMore();
         });
-        CASES.put("acceptance, executed after the job was cancelled", test -> {
+        CASES.put("acceptance, then the job's cancellation", test -> {
             JobService jobService = test.newJobService();
             test.loseOne(OPEN);
             assertEquals(503, test.submit(jobService));
@@ -105,7 +105,7 @@
             test.changesNothingMore();
             assertFalse(test.service.has(OPEN));
         });
-        CASES.put("acceptance, executed after the job completed under another leader", test -> {
+        CASES.put("acceptance, then the job's completion under another leader", test -> {
             JobService jobService = test.newJobService();
             test.loseOne(OPEN);
             assertEquals(503, test.submit(jobService));
@@ -115,7 +115,7 @@
             test.changesNothingMore();
             assertFalse(test.service.has(OPEN));
         });
-        CASES.put("cancellation, executed after its retry", test -> {
+        CASES.put("cancellation, then its retry", test -> {
             JobService jobService = test.newJobService();
             test.submit(jobService);
             test.loseOne(OPEN);
@@ -123,7 +123,7 @@
             assertEquals(200, test.cancel(jobService));
             test.changesNothingMore();
         });
-        CASES.put("cancellation, executed after a progress write and before the completion", test -> {
+        CASES.put("cancellation, then a progress write of the unfinished job", test -> {
             JobService jobService = test.newJobService();
             JobStore jobStore = test.leading();
             Job job = test.job(JOB.text(), 4, 2, 4);
@@ -135,7 +135,7 @@
             assertEquals(test.isAtOnce(), !test.service.has(OPEN), "the user received no response, and retries");
             assertEquals(200, test.cancel(jobService));
         });
-        CASES.put("cancellation, executed after the completion", test -> {
+        CASES.put("cancellation, then the job's completion", test -> {
             JobService jobService = test.newJobService();
             JobStore jobStore = test.leading();
             Job job = test.job(JOB.text(), 4, 4, 4);
@@ -148,7 +148,7 @@
         });
         for (boolean cancelled : new boolean[] {false, true}) {
             CASES.put(
-                    "repair of an open record, executed after another repair" + (cancelled ? " and a cancellation" : ""),
+                    "repair of an open record, then another repair" + (cancelled ? " and a cancellation" : ""),
                     test -> {
                         JobService jobService = test.newJobService();
                         StateClient.Outcome unreadable = await(test.client.commit(
@@ -168,7 +168,7 @@
                         assertEquals(cancelled, !test.service.has(OPEN));
                     });
         }
-        CASES.put("repair of a final record, executed after another repair", test -> {
+        CASES.put("repair of a final record, then another repair", test -> {
             String over = RecordKeys.finalKey(JOB);
             StateClient.Outcome unreadable =
                     await(test.client.commit(new StateClient.Txn().put(over, MessagePackFormat.map("status", "DONE"))));
@@ -180,7 +180,7 @@
             await(repairer.repairFinal(JOB, entry, null));
             test.changesNothingMore();
         });
-        CASES.put("progress write, executed after a newer one", test -> {
+        CASES.put("progress write, then a newer one", test -> {
             JobStore jobStore = test.leading();
             test.loseOne(OPEN);
             Job job = test.job(JOB.text(), 4, 2, 4);
@@ -189,7 +189,7 @@
                     () -> test.recorded(JOB) == 2 && job.unrecordedCompletions().isEmpty());
             test.changesNothingMore();
         });
-        CASES.put("progress write, executed after the job was cancelled", test -> {
+        CASES.put("progress write, then the job's cancellation", test -> {
             JobStore jobStore = test.leading();
             test.loseAll(OPEN);
             test.begin(jobStore, test.job(JOB.text(), 4, 2, 4));
@@ -200,7 +200,7 @@
             test.changesNothingMore();
             assertFalse(test.service.has(OPEN));
         });
-        CASES.put("progress write, executed after a change of leader", test -> {
+        CASES.put("progress write, then a change of leader", test -> {
             JobStore jobStore = test.leading();
             test.loseAll(OPEN);
             test.begin(jobStore, test.job(JOB.text(), 4, 2, 4));
@@ -210,7 +210,7 @@
             test.changesNothingMore();
             assertEquals(test.isAtOnce() ? 2 : 0, test.recorded(JOB));
         });
-        CASES.put("start bound, executed after a newer one", test -> {
+        CASES.put("start bound, then a newer one", test -> {
             JobStore jobStore = test.leading();
             test.core.rented(POOL, List.of(new MachineId("vm-1")), test.clock.now(), test.clock.now());
             test.loseOne(OPEN);
@@ -219,7 +219,7 @@
             test.until(() -> test.service.value(OPEN).whole("bound", 0) > 0 && !job.needsHigherStartBound());
             test.changesNothingMore();
         });
-        CASES.put("start bound, executed after a change of leader", test -> {
+        CASES.put("start bound, then a change of leader", test -> {
             JobStore jobStore = test.leading();
             test.core.rented(POOL, List.of(new MachineId("vm-1")), test.clock.now(), test.clock.now());
             test.loseAll(OPEN);
@@ -231,14 +231,14 @@
             test.changesNothingMore();
             assertTrue(job.needsHigherStartBound(), "without a response, no task may start within the new bound");
         });
-        CASES.put("completion, executed after its retry", test -> {
+        CASES.put("completion, then its retry", test -> {
             JobStore jobStore = test.leading();
             test.loseOne(OPEN);
             test.begin(jobStore, test.job(JOB.text(), 4, 4, 4));
             test.until(() -> test.service.has(RecordKeys.finalKey(JOB)) && test.core.job(JOB) == null);
             test.changesNothingMore();
         });
-        CASES.put("completion, executed after a change of leader", test -> {
+        CASES.put("completion, then a change of leader", test -> {
             JobStore jobStore = test.leading();
             test.loseAll(OPEN);
             test.begin(jobStore, test.job(JOB.text(), 4, 4, 4));
@@ -248,7 +248,7 @@
             test.changesNothingMore();
             assertEquals(test.isAtOnce(), !test.service.has(OPEN));
         });
-        CASES.put("completion, executed after the job was cancelled", test -> {
+        CASES.put("completion, then the job's cancellation", test -> {
             JobStore jobStore = test.leading();
             JobService jobService = test.newJobService();
             test.loseAll(OPEN);
@@ -260,7 +260,7 @@
             test.changesNothingMore();
             test.isOver(test.isAtOnce() ? JobStatus.DONE : JobStatus.CANCELLED);
         });
-        CASES.put("completion in the open record, and its move, each executed after its retry", test -> {
+        CASES.put("completion in the open record and its move to the final record, then the retry of each", test -> {
             JobStore jobStore = test.leading();
             Job[] jobs = new Job[8];
             for (int n = 0; n < jobs.length; n++) {
@@ -268,7 +268,8 @@
             }
             AtomicBoolean mark = new AtomicBoolean(true);
             AtomicBoolean move = new AtomicBoolean(true);
-            // Drops the response to the write of the completion to the open record, and to the first move to the final record.
+            // Drops the response to the write of the completion to the open record, and to the first move to the final
+            // record.
             test.leaveUnanswered(txn -> touches(txn, OPEN)
                     && (touches(txn, RecordKeys.finalKey(JOB))
                             ? !mark.get() && move.getAndSet(false)
--- a/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
@@ -68,7 +68,7 @@
     private static final Map<String, Case<LateMachineTransactionsTest>> CASES = new LinkedHashMap<>();
 
     static {
-        CASES.put("first write of a machine page, executed after its retry", test -> {
+        CASES.put("first write of a machine page, then its retry", test -> {
             MachineStore machineStore = test.newMachineStore(test.lead(1));
             test.loseOne(RecordKeys.MACHINE_PAGES);
             assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 1)));
@@ -76,7 +76,7 @@
             test.changesNothingMore();
             assertEquals(2, test.recordedMachines());
         });
-        CASES.put("first write of a machine page, executed after all its machines were returned", test -> {
+        CASES.put("first write of a machine page, then the return of all its machines", test -> {
             MachineStore machineStore = test.newMachineStore(test.lead(1));
             test.loseOne(RecordKeys.MACHINE_PAGES);
             assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 1)));
@@ -85,7 +85,7 @@
             test.changesNothingMore();
             assertEquals(0, test.recordedMachines(), "the next leader would wait for a returned machine");
         });
-        CASES.put("first write of a machine page, executed after a change of leader", test -> {
+        CASES.put("first write of a machine page, then a change of leader", test -> {
             MachineStore machineStore = test.newMachineStore(test.lead(1));
             test.loseAll(RecordKeys.MACHINE_PAGES);
             test.run(() -> test.recordMachine(machineStore, 1));
@@ -94,7 +94,7 @@
             test.lead(4);
             test.changesNothingMore();
         });
-        CASES.put("update of a machine page, executed after a newer one", test -> {
+        CASES.put("update of a machine page, then a newer one", test -> {
             MachineStore machineStore = test.newMachineStore(test.lead(1));
             assertTrue(test.onLoop(() -> test.recordMachine(machineStore, 1)));
             test.loseOne(RecordKeys.MACHINE_PAGES);
@@ -103,7 +103,7 @@
             test.changesNothingMore();
             assertEquals(3, test.recordedMachines(), "an older update must not remove machines");
         });
-        CASES.put("deletion of an earlier leader's machine page, executed after its retry", test -> {
+        CASES.put("deletion of an earlier leader's machine page, then its retry", test -> {
             MachineStore first = test.newMachineStore(test.lead(1));
             assertTrue(test.onLoop(() -> test.recordMachine(first, 1)));
             test.run(first::cancel);
@@ -122,15 +122,17 @@
                     && test.service.keys(RecordKeys.MACHINE_PAGES).isEmpty());
             test.changesNothingMore();
         });
-        CASES.put("first write of an intent, executed after its retry", test -> {
+        CASES.put("first write of an intent, then its retry", test -> {
             IntentLog intentLog = test.newIntentLog(test.lead(1));
             intentLog.intents().add(RENT);
             test.loseOne(RecordKeys.INTENTS);
-            assertFalse(record(intentLog) || intentLog.intents().maySend(RENT.name()), "the outcome of the write is unknown");
+            assertFalse(
+                    record(intentLog) || intentLog.intents().maySend(RENT.name()),
+                    "the outcome of the write is unknown");
             test.until(() -> record(intentLog) && intentLog.intents().maySend(RENT.name()));
             test.changesNothingMore();
         });
-        CASES.put("first write of an intent, executed after the intent was completed", test -> {
+        CASES.put("first write of an intent, then the intent's completion", test -> {
             IntentLog intentLog = test.newIntentLog(test.lead(1));
             intentLog.intents().add(RENT);
             test.loseOne(RecordKeys.INTENTS);
@@ -141,7 +143,7 @@
             test.changesNothingMore();
             assertTrue(test.intended().isEmpty(), "the next leader would send the request again");
         });
-        CASES.put("first write of an intent, executed after the intent was abandoned", test -> {
+        CASES.put("first write of an intent, then the intent's removal before it was sent", test -> {
             IntentLog intentLog = test.newIntentLog(test.lead(1));
             intentLog.intents().add(RENT);
             test.loseOne(RecordKeys.INTENTS);
@@ -153,7 +155,7 @@
             test.changesNothingMore();
             assertTrue(test.intended().isEmpty(), "the next leader would rent machines without demand");
         });
-        CASES.put("first write of an intent, executed after a change of leader", test -> {
+        CASES.put("first write of an intent, then a change of leader", test -> {
             IntentLog intentLog = test.newIntentLog(test.lead(1));
             intentLog.intents().add(RENT);
             test.loseOne(RecordKeys.INTENTS);
@@ -162,7 +164,7 @@
             test.changesNothingMore();
             assertFalse(intentLog.intents().maySend(RENT.name()));
         });
-        CASES.put("deletion of an earlier leader's intents, executed after its retry", test -> {
+        CASES.put("deletion of an earlier leader's intents, then its retry", test -> {
             IntentLog old = test.newIntentLog(test.lead(1));
             old.intents().add(RENT);
             assertTrue(record(old));
--- a/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
@@ -31,7 +31,7 @@
 
     static {
         for (String key : List.of(RecordKeys.MACHINE_PAGES, OPEN, RecordKeys.FINAL_JOBS, RecordKeys.ERA)) {
-            CASES.put("rebuild write of " + key + ", executed after the next attempt", test -> {
+            CASES.put("rebuild write of " + key + ", then the next attempt", test -> {
                 await(test.client.check());
                 Revision leader = test.lead(1);
                 test.loseOne(key);
@@ -39,7 +39,7 @@
                 assertTrue(test.rebuilds(leader));
                 test.changesNothingMore();
             });
-            CASES.put("rebuild write of " + key + ", executed after a change of leader", test -> {
+            CASES.put("rebuild write of " + key + ", then a change of leader", test -> {
                 await(test.client.check());
                 Revision leader = test.lead(1);
                 test.loseOne(key);
@@ -48,7 +48,7 @@
                 test.changesNothingMore();
             });
         }
-        CASES.put("rebuilt machine page, executed after the next attempt and after all its machines were returned", test -> {
+        CASES.put("rebuilt machine page, then the next attempt and the return of all its machines", test -> {
             await(test.client.check());
             Revision leader = test.lead(1);
             test.loseOne(RecordKeys.MACHINE_PAGES);
@@ -65,7 +65,7 @@
             test.changesNothingMore();
             assertEquals(0, test.recordedMachines());
         });
-        CASES.put("rebuilt job with completion blocks, executed after the next attempt and its cancellation", test -> {
+        CASES.put("rebuilt job with completion blocks, then the next attempt and the job's cancellation", test -> {
             await(test.client.check());
             Revision leader = test.lead(1);
             test.loseOne(OPEN);
@@ -81,7 +81,7 @@
             assertFalse(test.service.has(OPEN));
             assertEquals(List.of(), test.service.keys(RecordKeys.COMPLETION_BLOCKS));
         });
-        CASES.put("rebuilt job, executed after an attempt that did not know the job", test -> {
+        CASES.put("rebuilt job, then an attempt that does not know the job", test -> {
             await(test.client.check());
             Revision leader = test.lead(1);
             test.loseOne(OPEN);
@@ -91,10 +91,11 @@
             if (test.isAtOnce()) {
                 assertEquals(4, test.bound(), "all its tasks may have been started");
             } else {
-                assertFalse(test.service.has(OPEN), "this leader would treat it as a new job that has never run a task");
+                assertFalse(
+                        test.service.has(OPEN), "this leader would treat it as a new job that has never run a task");
             }
         });
-        CASES.put("acceptance, executed after the job's final record was lost and a rebuild completed", test -> {
+        CASES.put("acceptance, then the loss of the job's final record and a rebuild", test -> {
             await(test.client.check());
             JobService jobService = test.newJobService();
             test.loseOne(OPEN);
@@ -106,7 +107,7 @@
             test.changesNothingMore();
             assertFalse(test.service.has(OPEN));
         });
-        CASES.put("first era of a deployment, executed after another process wrote it", test -> {
+        CASES.put("first era of a deployment, then the write of another process", test -> {
             test.loseOne(RecordKeys.ERA);
             assertTrue(await(test.client.check().map(false).otherwise(true)));
             await(test.client().check());
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -214,7 +214,10 @@
         while (JsonSize.of(state.value(wide).map()) > 2048) {
             assertTrue(recorded().stream().map(MachineRecord::id).distinct().count() >= 49);
         }
-        assertEquals(49, recorded().stream().map(MachineRecord::id).distinct().count(), "all machines except the returned one");
+        assertEquals(
+                49,
+                recorded().stream().map(MachineRecord::id).distinct().count(),
+                "all machines except the returned one");
         for (String key : state.keys(RecordKeys.MACHINE_PAGES)) {
             assertTrue(JsonSize.of(state.value(key).map()) <= 2048, key);
         }
@@ -247,7 +250,7 @@
         fresh.recordsLoaded();
         Span bound = context.config().rules().leaseBound();
         fresh.expireLeases(before.plus(bound));
-        assertFalse(fresh.isFailoverComplete(), "a lease that an earlier leader renewed just before this term may still be valid");
+        assertFalse(fresh.isFailoverComplete(), "a lease from before this term may still be valid");
         fresh.expireLeases(begun.plus(bound).plus(new Span(1)));
         assertTrue(fresh.isFailoverComplete());
     }
@@ -297,7 +300,7 @@
         }
     }
 
-    /** A start bound of zero in a job's record is trusted only if no leader of an older version can have started tasks. */
+    /** A start bound of zero in a job's record is trusted only if all earlier leaders respected start bounds. */
     @Test
     void startBoundsAreTrustedOnlyIfEveryLeaderRespectedThem() throws Exception {
         JobSpec spec = LeaderHarness.spec(new JobId("run-1"), 3, "i");
--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -173,6 +173,7 @@
         assertEquals(
                 JobStatus.CANCELLED,
                 JobRecordCodec.readFinal(spec.id(), state.value("f/run-2")).status());
-        assertEquals(4, state.changed - changes, "one open record, one final record with the deletion of the open one, and the era");
+        assertEquals(
+                4, state.changed - changes, "an open record, a final record, the deletion of its open record, the era");
     }
 }
