--- a/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
+++ b/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
@@ -24,12 +24,12 @@
  * the node's event loop.
  */
 final class CompletionBlockStore {
-    private static final Span PERIOD = Span.seconds(0.5);
+    private static final Span CLEANUP_PERIOD = Span.seconds(0.5);
 
     /** The blocks of one job. */
     private static final class JobBlocks {
         /** Tasks that are marked as completed in the written blocks. */
-        final BitSet written = new BitSet();
+        final BitSet writtenTasks = new BitSet();
 
         final Set<String> keys = new TreeSet<>();
         /** Blocks of the write in flight, by key. */
@@ -46,8 +46,8 @@
     CompletionBlockStore(LeaderWrites writes) {
         this.writes = writes;
         this.context = writes.context();
-        this.cleanupTask =
-                new PeriodicTask(context.vertx(), "blocks of finished jobs", PERIOD, this::deleteOrphanedBlocks);
+        this.cleanupTask = new PeriodicTask(
+                context.vertx(), "blocks of finished jobs", CLEANUP_PERIOD, this::deleteOrphanedBlocks);
     }
 
     void start() {
@@ -65,22 +65,22 @@
     }
 
     /** Adds a block that an earlier leader wrote. */
-    void inherit(String blockKey, BitSet done) {
+    void addInheritedBlock(String blockKey, BitSet completedTasks) {
         JobBlocks blocks = blocksOf(CompletionBits.jobOf(blockKey));
         blocks.keys.add(blockKey);
-        blocks.written.or(done);
+        blocks.writtenTasks.or(completedTasks);
     }
 
     /** Marks the blocks of all jobs that are not in {@code openJobs} for deletion. */
-    void loaded(Set<JobId> openJobs) {
+    void onOpenJobsLoaded(Set<JobId> openJobs) {
         List<JobId> finished = blocksByJob.keySet().stream()
                 .filter(id -> !openJobs.contains(id))
                 .toList();
-        finished.forEach(this::jobEnded);
+        finished.forEach(this::onJobFinished);
     }
 
     /** Marks the blocks of a finished job for deletion. */
-    void jobEnded(JobId id) {
+    void onJobFinished(JobId id) {
         JobBlocks blocks = blocksByJob.remove(id);
         if (blocks != null && !blocks.keys.isEmpty()) {
             orphanedKeys.put(id, blocks.keys);
@@ -88,59 +88,65 @@
     }
 
     /** Returns whether the job's completion bits fit into its own record, so that the job needs no blocks. */
-    boolean hasRoomInRecord(Job job) {
-        return bits().areInRecord(job.spec(), job.submittedMs());
+    boolean fitsInJobRecord(Job job) {
+        return completionBits().areInRecord(job.spec(), job.submittedMs());
     }
 
     /**
      * Returns whether the job's record fits into one value. If the limits were lowered after the job was accepted, its record
      * is not written again until the job finishes.
      */
-    boolean canBeWritten(Job job) {
-        return bits().canBeWritten(job.spec(), job.submittedMs());
+    boolean isJobRecordWritable(Job job) {
+        return completionBits().canBeWritten(job.spec(), job.submittedMs());
     }
 
     /** Adds the job's record and as many of its outdated blocks as fit to a transaction. */
-    void addProgress(StateClient.Txn txn, Job job, BitSet done) {
-        txn.put(RecordKeys.openKey(job.id()), openRecord(job, done));
-        if (hasRoomInRecord(job)) {
+    void addProgress(StateClient.Txn txn, Job job, BitSet completedTasks) {
+        txn.put(RecordKeys.openKey(job.id()), openRecord(job, completedTasks));
+        if (fitsInJobRecord(job)) {
             return;
         }
         JobBlocks blocks = blocksOf(job.id());
-        BitSet unwritten = (BitSet) done.clone();
-        unwritten.andNot(blocks.written);
-        int room = context.limits().txnOps() - txn.size();
-        blocks.inFlight = bits().blocksWith(job.id(), unwritten, done, room);
+        BitSet unwritten = (BitSet) completedTasks.clone();
+        unwritten.andNot(blocks.writtenTasks);
+        int remainingOperations = context.limits().txnOps() - txn.size();
+        blocks.inFlight = completionBits().blocksWith(job.id(), unwritten, completedTasks, remainingOperations);
         blocks.inFlight.forEach(
                 (blockKey, completed) -> txn.put(blockKey, CompletionBits.writeBlock(blockKey, completed)));
     }
 
-    private Map<String, Object> openRecord(Job job, BitSet done) {
-        return bits().writeJob(
-                        job.spec(), job.submittedMs(), job.status(), done, job.runningCount(), job.startBoundToWrite());
+    private Map<String, Object> openRecord(Job job, BitSet completedTasks) {
+        return completionBits()
+                .writeJob(
+                        job.spec(),
+                        job.submittedMs(),
+                        job.status(),
+                        completedTasks,
+                        job.runningCount(),
+                        job.startBoundToWrite());
     }
 
-    /** Handles the success of the job's last write and returns which tasks of {@code done} are durable. */
-    BitSet written(Job job, BitSet done) {
-        if (hasRoomInRecord(job)) {
-            return done;
+    /** Handles the success of the job's last write and returns which of {@code completedTasks} are durable. */
+    BitSet onProgressWritten(Job job, BitSet completedTasks) {
+        if (fitsInJobRecord(job)) {
+            return completedTasks;
         }
         JobBlocks blocks = blocksOf(job.id());
         blocks.inFlight.forEach((blockKey, completed) -> {
             blocks.keys.add(blockKey);
-            blocks.written.or(completed);
+            blocks.writtenTasks.or(completed);
         });
         blocks.inFlight = Map.of();
-        return (BitSet) blocks.written.clone();
+        return (BitSet) blocks.writtenTasks.clone();
     }
 
     /** Returns whether some completed tasks did not fit into the last write. */
-    boolean isBehind(Job job) {
-        if (hasRoomInRecord(job)) {
+    boolean hasUnwrittenCompletions(Job job) {
+        if (fitsInJobRecord(job)) {
             return false;
         }
         BitSet unwritten = job.completedTasks();
-        unwritten.andNot(blocksOf(job.id()).written);
+        unwritten.andNot(blocksOf(job.id()).writtenTasks);
         return !unwritten.isEmpty();
     }
 
@@ -148,19 +154,19 @@
         return blocksByJob.computeIfAbsent(id, added -> new JobBlocks());
     }
 
-    private CompletionBits bits() {
+    private CompletionBits completionBits() {
         return new CompletionBits(context.limits());
     }
 
     private Future<Span> deleteOrphanedBlocks() {
         if (orphanedKeys.isEmpty()) {
-            return Future.succeededFuture(PERIOD);
+            return Future.succeededFuture(CLEANUP_PERIOD);
         }
         JobId id = orphanedKeys.keySet().iterator().next();
         List<String> keys =
                 orphanedKeys.get(id).stream().limit(context.limits().txnOps()).toList();
         if (!writes.limiter().takeSpare(keys.size(), context.clock().now())) {
-            return Future.succeededFuture(PERIOD);
+            return Future.succeededFuture(CLEANUP_PERIOD);
         }
         return context.state().get(RecordKeys.finalKey(id)).compose(finalRecord -> {
             if (finalRecord == null) {
@@ -177,15 +183,15 @@
         keys.forEach(txn::delete);
         return context.state().commit(txn).map(outcome -> {
             if (outcome.done()) {
-                onDeleted(id, keys);
+                onBlocksDeleted(id, keys);
             } else if (!cleanupTask.isCancelled() && LeaderWrites.isDeposed(outcome)) {
                 writes.deposed();
             }
-            return PERIOD;
+            return CLEANUP_PERIOD;
         });
     }
 
-    private void onDeleted(JobId id, List<String> keys) {
+    private void onBlocksDeleted(JobId id, List<String> keys) {
         orphanedKeys.get(id).removeAll(keys);
         if (orphanedKeys.get(id).isEmpty()) {
             orphanedKeys.remove(id);
--- a/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
+++ b/src/main/java/io/indigoreach/cluster/FinalRecordWatch.java
@@ -14,7 +14,7 @@
 final class FinalRecordWatch {
     private static final Span MAX_WATCH_TIME = Span.seconds(10);
     /** Pause between watches. Final records are written every second but hardly ever deleted, so changes are batched. */
-    private static final Span PAUSE = Span.seconds(0.5);
+    private static final Span WATCH_INTERVAL = Span.seconds(0.5);
 
     private final StateClient state;
     private final PeriodicTask watchTask;
@@ -23,7 +23,7 @@
 
     FinalRecordWatch(NodeContext context) {
         this.state = context.state();
-        this.watchTask = new PeriodicTask(context.vertx(), "final record watch", PAUSE, this::step);
+        this.watchTask = new PeriodicTask(context.vertx(), "final record watch", WATCH_INTERVAL, this::watchOnce);
     }
 
     void start(long revision) {
@@ -35,7 +35,7 @@
         watchTask.cancel();
     }
 
-    private Future<Span> step() {
+    private Future<Span> watchOnce() {
         return state.watch(RecordKeys.FINAL_JOBS, nextRevision, MAX_WATCH_TIME).compose(this::apply);
     }
 
@@ -48,13 +48,13 @@
                 .filter(change -> change.value() == null && !watchTask.isCancelled())
                 .findFirst()
                 .ifPresent(change -> state.recordMissing(change.key()));
-        return Future.succeededFuture(PAUSE);
+        return Future.succeededFuture(WATCH_INTERVAL);
     }
 
     private Future<Span> skipToCurrentRevision() {
         return state.list(RecordKeys.FINAL_JOBS, null, 1).map(page -> {
             nextRevision = page.revision();
-            return PAUSE;
+            return WATCH_INTERVAL;
         });
     }
 }
--- a/src/main/java/io/indigoreach/cluster/JobLoader.java
+++ b/src/main/java/io/indigoreach/cluster/JobLoader.java
@@ -29,7 +29,7 @@
 final class JobLoader {
     private static final Logger LOG = LoggerFactory.getLogger(JobLoader.class);
     /** Time limit for repairing unreadable records; the leader continues without the records that remain. */
-    private static final Span REPAIR_TIME = Span.seconds(2);
+    private static final Span REPAIR_TIME_LIMIT = Span.seconds(2);
 
     private final LeaderJobs jobs;
     private final NodeContext context;
@@ -40,7 +40,7 @@
      * Start of this term, since when no earlier leader has responded to workers. If leases were counted from the start of the
      * load instead, silent machines would delay the failover by the duration of a slow load, and again after each failed load.
      */
-    private final Moment termBeganAt;
+    private final Moment termStartedAt;
 
     JobLoader(
             LeaderJobs jobs,
@@ -52,7 +52,7 @@
         this.completionBlocks = completionBlocks;
         this.machineStore = machineStore;
         this.horizon = horizon;
-        this.termBeganAt = context.clock().now();
+        this.termStartedAt = context.clock().now();
     }
 
     /** Loads all machines and open jobs, and returns the revision from which to watch the open jobs. */
@@ -64,8 +64,8 @@
 
     /** The state of one load attempt; discarded if the attempt fails. */
     private final class Load {
-        private final Map<JobId, BitSet> blockBits = new HashMap<>();
-        private final List<StateClient.Entry> unreadable = new ArrayList<>();
+        private final Map<JobId, BitSet> completedInBlocks = new HashMap<>();
+        private final List<StateClient.Entry> unreadableRecords = new ArrayList<>();
 
         Future<Long> run() {
             // Blocks are read first, as a block written between the two listings would otherwise be newer than its job.
@@ -74,17 +74,17 @@
                     .compose(revision -> listAll(RecordKeys.MACHINE_PAGES, JobLoader.this::readMachines))
                     .compose(revision -> listOpenJobs())
                     .compose(revision -> repairUnreadable().map(revision))
-                    .onSuccess(revision -> completionBlocks.loaded(openJobIds()));
+                    .onSuccess(revision -> completionBlocks.onOpenJobsLoaded(openJobIds()));
         }
 
         private void readBlock(StateClient.Entry block) {
             RecordListing.readOrLog(block.key(), () -> {
-                BitSet done = new BitSet();
-                CompletionBits.readBlock(block.key(), block.value(), done);
-                blockBits
+                BitSet completedTasks = new BitSet();
+                CompletionBits.readBlock(block.key(), block.value(), completedTasks);
+                completedInBlocks
                         .computeIfAbsent(CompletionBits.jobOf(block.key()), id -> new BitSet())
-                        .or(done);
-                completionBlocks.inherit(block.key(), done);
+                        .or(completedTasks);
+                completionBlocks.addInheritedBlock(block.key(), completedTasks);
             });
         }
 
@@ -96,43 +96,45 @@
         }
 
         private void readOpenJob(StateClient.Entry entry) {
-            if (!RecordListing.readOrLog(entry.key(), () -> add(RecordKeys.jobOfOpenKey(entry.key()), entry))) {
-                unreadable.add(entry);
+            if (!RecordListing.readOrLog(entry.key(), () -> addJob(RecordKeys.jobOfOpenKey(entry.key()), entry))) {
+                unreadableRecords.add(entry);
             }
         }
 
-        private void add(JobId id, StateClient.Entry entry) {
-            jobs.openJobs().addInherited(JobRecordCodec.readJob(id, entry.value(), entry.revision()), blockBits);
+        private void addJob(JobId id, StateClient.Entry entry) {
+            jobs.openJobs()
+                    .addInherited(JobRecordCodec.readJob(id, entry.value(), entry.revision()), completedInBlocks);
         }
 
         private Future<Void> repairUnreadable() {
-            return repairNext(unreadable.iterator(), context.clock().now().plus(REPAIR_TIME));
+            return repairNext(
+                    unreadableRecords.iterator(), context.clock().now().plus(REPAIR_TIME_LIMIT));
         }
 
         /**
          * Repairs unreadable job records from the memory of other controllers before any command can stop tasks of these jobs.
          * The time is limited because all other jobs wait. A user request for an unreadable job also triggers its repair.
          */
-        private Future<Void> repairNext(Iterator<StateClient.Entry> entries, Moment until) {
+        private Future<Void> repairNext(Iterator<StateClient.Entry> entries, Moment deadline) {
             if (!entries.hasNext() || jobs.writer().isCancelled()) {
                 return Future.succeededFuture();
             }
             StateClient.Entry entry = entries.next();
             if (!JobId.isValid(entry.key().substring(RecordKeys.OPEN_JOBS.length()))) {
-                return repairNext(entries, until);
+                return repairNext(entries, deadline);
             }
-            return repairInTime(entry, until)
+            return repairBeforeDeadline(entry, deadline)
                     .recover(failure -> {
                         LOG.error("job not served key={} cause={}", entry.key(), failure.getMessage());
                         return Future.succeededFuture();
                     })
-                    .compose(done -> repairNext(entries, until));
+                    .compose(done -> repairNext(entries, deadline));
         }
 
-        private Future<Void> repairInTime(StateClient.Entry entry, Moment until) {
+        private Future<Void> repairBeforeDeadline(StateClient.Entry entry, Moment deadline) {
             JobId id = RecordKeys.jobOfOpenKey(entry.key());
             jobs.openJobs().markUnreadable(id);
-            if (!context.clock().now().isBefore(until)) {
+            if (!context.clock().now().isBefore(deadline)) {
                 return Future.failedFuture(new WireException("repair time limit reached"));
             }
             return context.repairer()
@@ -140,7 +142,7 @@
                     .compose(done -> context.state().get(entry.key()))
                     .map(repaired -> {
                         if (repaired != null) {
-                            add(id, repaired);
+                            addJob(id, repaired);
                         }
                         jobs.openJobs().markReadable(id);
                         return null;
@@ -150,7 +152,7 @@
 
     private void readMachines(StateClient.Entry page) {
         List<MachineRecord> machines = MachineRecordCodec.readMachines(page.value());
-        machineStore.inherit(page.key(), page.revision(), machines);
+        machineStore.addInheritedPage(page.key(), page.revision(), machines);
         for (MachineRecord machine : machines) {
             // Another node wrote this time, and its clock may deviate in the opposite direction to this node's clock.
             Moment knownToExistAt = context.toSteadyTime(machine.existedMs())
@@ -161,7 +163,7 @@
                             machine.pool(),
                             context.toSteadyTime(machine.rentedMs()),
                             knownToExistAt,
-                            termBeganAt);
+                            termStartedAt);
         }
     }
 
--- a/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
+++ b/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
@@ -32,13 +32,13 @@
  */
 final class JobRecordWriter {
     private static final Logger LOG = LoggerFactory.getLogger(JobRecordWriter.class);
-    private static final Span PERIOD = Span.seconds(0.1);
+    private static final Span STEP_PERIOD = Span.seconds(0.1);
     /** Minimum interval between progress writes of one job; its completion is written immediately. */
     private static final Span PROGRESS_WRITE_PERIOD = Span.seconds(1);
 
     private static final int MAX_WRITES_IN_FLIGHT = 4;
     /** Number of changes in the transaction that moves a completed job to its final record. */
-    private static final int MOVE_SIZE = 2;
+    private static final int MOVE_OPERATIONS = 2;
 
     private final LeaderWrites writes;
     private final StateClient state;
@@ -47,15 +47,15 @@
     private final CompletionBlockStore completionBlocks;
     private final FinishedJobs finishedJobs;
     private final PeriodicTask writeTask;
-    private final Set<Job> dirty = new LinkedHashSet<>();
+    private final Set<Job> dirtyJobs = new LinkedHashSet<>();
     private final Set<JobId> writesInFlight = new HashSet<>();
     private final Map<JobId, Moment> lastWriteAt = new HashMap<>();
     /** Jobs whose completion is in the open record, which must still be moved to the final record, by record revision. */
-    private final Map<JobId, Revision> finishedInOpenRecords = new LinkedHashMap<>();
+    private final Map<JobId, Revision> completionsToMove = new LinkedHashMap<>();
 
     private final Map<JobId, JobStatus> recordedStatus = new HashMap<>();
     /** Open jobs that were already logged because their records exceed the limits of the state service. */
-    private final Set<JobId> reportedTooLong = new HashSet<>();
+    private final Set<JobId> loggedAsTooLarge = new HashSet<>();
 
     JobRecordWriter(
             LeaderWrites writes, SchedulerCore core, CompletionBlockStore completionBlocks, FinishedJobs finishedJobs) {
@@ -65,7 +65,7 @@
         this.core = core;
         this.completionBlocks = completionBlocks;
         this.finishedJobs = finishedJobs;
-        this.writeTask = new PeriodicTask(writes.context().vertx(), "job records", PERIOD, this::step);
+        this.writeTask = new PeriodicTask(writes.context().vertx(), "job records", STEP_PERIOD, this::step);
     }
 
     void start() {
@@ -87,7 +87,7 @@
 
     /** Clears pending writes before the records are loaded. */
     void clear() {
-        dirty.clear();
+        dirtyJobs.clear();
         recordedStatus.clear();
     }
 
@@ -96,7 +96,7 @@
      *
      * @param status the status in the record
      */
-    void jobAdded(Job job, JobStatus status) {
+    void onJobAdded(Job job, JobStatus status) {
         recordedStatus.put(job.id(), status);
         if (job.isComplete()) {
             markDirty(job);
@@ -105,44 +105,44 @@
 
     /** Schedules a write of the job's record. */
     void markDirty(Job job) {
-        dirty.add(job);
+        dirtyJobs.add(job);
     }
 
-    boolean isWriting(JobId id) {
+    boolean hasWriteInFlight(JobId id) {
         return writesInFlight.contains(id);
     }
 
     /** Handles the end of a job. Only the move to its final record may still be written. */
-    void jobFinished(Job job) {
-        dirty.remove(job);
+    void onJobFinished(Job job) {
+        dirtyJobs.remove(job);
         recordedStatus.remove(job.id());
         lastWriteAt.remove(job.id());
-        completionBlocks.jobEnded(job.id());
-        reportedTooLong.remove(job.id());
+        completionBlocks.onJobFinished(job.id());
+        loggedAsTooLarge.remove(job.id());
         finishedJobs.add(job);
     }
 
     private Future<Span> step() {
         Moment now = writes.context().clock().now();
         markChangedStatuses();
-        List<Job> completed = dirty.stream().filter(Job::isComplete).toList();
-        boolean crowded = completed.size() > MAX_WRITES_IN_FLIGHT;
-        List<Job> due = interleave(completed, core.startBoundsToRaise(now));
-        due.addAll(progressDue(now));
-        writeDue(due, crowded, now);
-        if (!finishedInOpenRecords.isEmpty()
-                && !crowded
+        List<Job> completed = dirtyJobs.stream().filter(Job::isComplete).toList();
+        boolean manyCompletions = completed.size() > MAX_WRITES_IN_FLIGHT;
+        List<Job> dueJobs = interleave(completed, core.startBoundsToRaise(now));
+        dueJobs.addAll(findJobsWithDueProgress(now));
+        writeDueRecords(dueJobs, manyCompletions, now);
+        if (!completionsToMove.isEmpty()
+                && !manyCompletions
                 && writesInFlight.size() < MAX_WRITES_IN_FLIGHT
-                && writes.limiter().takeSpare(MOVE_SIZE, now)) {
-            moveFinished();
+                && writes.limiter().takeSpare(MOVE_OPERATIONS, now)) {
+            moveNextCompletedJob();
         }
-        return Future.succeededFuture(PERIOD);
+        return Future.succeededFuture(STEP_PERIOD);
     }
 
     private void markChangedStatuses() {
         for (Job job : core.jobs()) {
             if (job.status() != recordedStatus.get(job.id())) {
-                dirty.add(job);
+                dirtyJobs.add(job);
             }
         }
     }
@@ -164,39 +164,39 @@
         return order;
     }
 
-    private List<Job> progressDue(Moment now) {
-        return dirty.stream()
+    private List<Job> findJobsWithDueProgress(Moment now) {
+        return dirtyJobs.stream()
                 .filter(job -> !isUrgent(job) && isProgressDue(job, now))
                 .toList();
     }
 
     private boolean isProgressDue(Job job, Moment now) {
-        Moment last = lastWriteAt.getOrDefault(job.id(), Moment.NEVER);
-        return now.since(last).compareTo(PROGRESS_WRITE_PERIOD) >= 0;
+        Moment lastWrite = lastWriteAt.getOrDefault(job.id(), Moment.NEVER);
+        return now.since(lastWrite).compareTo(PROGRESS_WRITE_PERIOD) >= 0;
     }
 
     private static boolean isUrgent(Job job) {
         return job.isComplete() || job.needsHigherStartBound();
     }
 
-    private void writeDue(List<Job> due, boolean crowded, Moment now) {
-        for (Job job : due) {
+    private void writeDueRecords(List<Job> dueJobs, boolean manyCompletions, Moment now) {
+        for (Job job : dueJobs) {
             if (writesInFlight.size() >= MAX_WRITES_IN_FLIGHT) {
                 return;
             }
-            if (writesInFlight.contains(job.id()) || isTooLongToWrite(job)) {
+            if (writesInFlight.contains(job.id()) || isTooLargeToWrite(job)) {
                 continue;
             }
-            StateClient.Txn txn = transaction(job, crowded);
-            if (!takeBudget(job, txn, now)) {
+            StateClient.Txn txn = createTransaction(job, manyCompletions);
+            if (!takeWriteRate(job, txn, now)) {
                 return;
             }
-            write(job, txn, now);
+            sendWrite(job, txn, now);
         }
     }
 
     /** Reserves write rate. Progress writes, which never end, may only use rate that completions and starts do not need. */
-    private boolean takeBudget(Job job, StateClient.Txn txn, Moment now) {
+    private boolean takeWriteRate(Job job, StateClient.Txn txn, Moment now) {
         return isUrgent(job)
                 ? writes.limiter().take(txn.size(), now)
                 : writes.limiter().takeSpare(txn.size(), now);
@@ -207,12 +207,12 @@
      * repeated rejection would delay other jobs. Tasks within the recorded start bound continue to run. The completion and the
      * cancellation are short and are written as usual.
      */
-    private boolean isTooLongToWrite(Job job) {
-        if (job.isComplete() || completionBlocks.canBeWritten(job)) {
+    private boolean isTooLargeToWrite(Job job) {
+        if (job.isComplete() || completionBlocks.isJobRecordWritable(job)) {
             return false;
         }
-        dirty.remove(job);
-        if (reportedTooLong.add(job.id())) {
+        dirtyJobs.remove(job);
+        if (loggedAsTooLarge.add(job.id())) {
             LOG.error("record too large key={} job={}", RecordKeys.openKey(job.id()), job.id());
         }
         return true;
@@ -222,18 +222,19 @@
      * Creates the transaction that is due for a job. A completion moves the job to the final records, which takes two changes.
      * If many completions wait, the completion is first written to the open record, which takes one change, and moved later.
      */
-    private StateClient.Txn transaction(Job job, boolean crowded) {
+    private StateClient.Txn createTransaction(Job job, boolean manyCompletions) {
         JobId id = job.id();
         StateClient.Txn txn = writes.newTransaction().when(RecordKeys.openKey(id), job.revision());
         // An open record without the completion bits would not tell a later leader that the job is complete.
-        if (job.isComplete() && !(crowded && completionBlocks.hasRoomInRecord(job))) {
-            return moveToFinal(txn, id, JobStatus.DONE, job.spec().tasks());
+        if (job.isComplete() && !(manyCompletions && completionBlocks.fitsInJobRecord(job))) {
+            return addMoveToFinalRecord(txn, id, JobStatus.DONE, job.spec().tasks());
         }
         completionBlocks.addProgress(txn, job, job.completedTasks());
         return txn;
     }
 
-    private static StateClient.Txn moveToFinal(StateClient.Txn txn, JobId id, JobStatus status, int completedTasks) {
+    private static StateClient.Txn addMoveToFinalRecord(
+            StateClient.Txn txn, JobId id, JobStatus status, int completedTasks) {
         return txn.delete(RecordKeys.openKey(id))
                 .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(status, completedTasks));
     }
@@ -241,21 +242,22 @@
     /**
      * Moves one completed job to its final record. The write is rejected if a later leader or a rebuild has already moved it.
      */
-    private void moveFinished() {
-        JobId id = finishedInOpenRecords.keySet().iterator().next();
-        Revision revision = finishedInOpenRecords.remove(id);
+    private void moveNextCompletedJob() {
+        JobId id = completionsToMove.keySet().iterator().next();
+        Revision revision = completionsToMove.remove(id);
         RememberedState.FinishedJob finished = finishedJobs.get(id);
         if (finished == null) {
             return;
         }
         writesInFlight.add(id);
         StateClient.Txn txn = writes.newTransaction().when(RecordKeys.openKey(id), revision);
-        state.commit(moveToFinal(txn, id, finished.status(), finished.done())).onComplete(result -> {
-            writesInFlight.remove(id);
-            if (!isCancelled() && result.failed()) {
-                finishedInOpenRecords.put(id, revision);
-            }
-        });
+        state.commit(addMoveToFinalRecord(txn, id, finished.status(), finished.done()))
+                .onComplete(result -> {
+                    writesInFlight.remove(id);
+                    if (!isCancelled() && result.failed()) {
+                        completionsToMove.put(id, revision);
+                    }
+                });
     }
 
     /** The state of a job when its write was sent; the job may have changed when the response arrives. */
@@ -267,14 +269,14 @@
         }
 
         /** Returns whether the completion was written to the open record, which must still be moved. */
-        boolean keepsOpenRecord() {
+        boolean leavesOpenRecord() {
             return txn.writes().stream().noneMatch(StateClient.Write::isDelete);
         }
     }
 
-    private void write(Job job, StateClient.Txn txn, Moment now) {
+    private void sendWrite(Job job, StateClient.Txn txn, Moment now) {
         SentWrite sent = SentWrite.of(job, txn);
-        dirty.remove(job);
+        dirtyJobs.remove(job);
         writesInFlight.add(job.id());
         lastWriteAt.put(job.id(), now);
         state.commit(txn).onComplete(result -> {
@@ -285,9 +287,9 @@
             if (result.succeeded()) {
                 onResponse(sent, result.result());
             } else {
-                dirty.add(job);
+                dirtyJobs.add(job);
                 if (!StateClient.surelyNotExecuted(result.cause())) {
-                    readOutcome(job);
+                    readCurrentRecords(job);
                 }
             }
         });
@@ -303,8 +305,8 @@
         } else if (LeaderWrites.isDeposed(outcome)) {
             writes.deposed();
         } else {
-            dirty.add(sent.job());
-            readOutcome(sent.job());
+            dirtyJobs.add(sent.job());
+            readCurrentRecords(sent.job());
         }
     }
 
@@ -312,28 +314,28 @@
         JobId id = sent.job().id();
         LOG.info("job completed job={}", id);
         core.closeJob(id);
-        jobFinished(sent.job());
-        if (sent.keepsOpenRecord()) {
-            finishedInOpenRecords.put(id, revision);
+        onJobFinished(sent.job());
+        if (sent.leavesOpenRecord()) {
+            completionsToMove.put(id, revision);
         }
     }
 
     private void onProgressWritten(SentWrite sent, Revision revision) {
         Job job = sent.job();
         core.revisionSeen(job, revision);
-        job.completionsRecorded(completionBlocks.written(job, sent.completedTasks()));
+        job.completionsRecorded(completionBlocks.onProgressWritten(job, sent.completedTasks()));
         job.startBoundRecorded(sent.startBound());
         // The entry of a job that was cancelled before this response would never be removed.
         if (core.job(job.id()) == job) {
             recordedStatus.put(job.id(), sent.status());
-            if (completionBlocks.isBehind(job)) {
-                dirty.add(job);
+            if (completionBlocks.hasUnwrittenCompletions(job)) {
+                dirtyJobs.add(job);
             }
         }
     }
 
     /** Reads the job's records after a write was rejected or had an unknown outcome. */
-    private void readOutcome(Job job) {
+    private void readCurrentRecords(Job job) {
         writesInFlight.add(job.id());
         lookup.openRecord(job.id())
                 .compose(open -> {
@@ -352,7 +354,7 @@
                 return reportIfAbsent(job.id());
             }
             if (!isCancelled()) {
-                onFinalRecord(
+                onFinalRecordRead(
                         job, JobRecordCodec.readFinal(job.id(), record.value()).status());
             }
             return Future.succeededFuture();
@@ -369,13 +371,13 @@
                 .mapEmpty();
     }
 
-    private void onFinalRecord(Job job, JobStatus status) {
+    private void onFinalRecordRead(Job job, JobStatus status) {
         LOG.info("job status changed job={} status={}", job.id(), status);
         if (status == JobStatus.CANCELLED) {
             core.cancelJob(job.id());
         } else {
             core.closeJob(job.id());
         }
-        jobFinished(job);
+        onJobFinished(job);
     }
 }
--- a/src/main/java/io/indigoreach/cluster/JobStore.java
+++ b/src/main/java/io/indigoreach/cluster/JobStore.java
@@ -15,15 +15,15 @@
 
 /**
  * A leader's access to the records of jobs: loads them at a failover ({@link JobLoader}), applies changes that other nodes make
- * ({@link OpenJobEvents}), and writes progress, start bounds and completions ({@link JobRecordWriter}). Bound to the node's
- * event loop.
+ * ({@link OpenJobChangeHandler}), and writes progress, start bounds and completions ({@link JobRecordWriter}). Bound to the
+ * node's event loop.
  */
 final class JobStore {
     private final NodeContext context;
     private final LeaderJobs jobs;
     private final CompletionBlockStore completionBlocks;
     private final JobLoader loader;
-    private final OpenJobEvents events;
+    private final OpenJobChangeHandler changeHandler;
 
     /**
      * @param machineStore receives the machine records that are loaded along with the jobs
@@ -39,7 +39,7 @@
         this.completionBlocks = new CompletionBlockStore(writes);
         this.jobs = LeaderJobs.create(writes, core, completionBlocks, startBoundsTrusted);
         this.loader = new JobLoader(jobs, completionBlocks, machineStore, horizon);
-        this.events = new OpenJobEvents(jobs, horizon);
+        this.changeHandler = new OpenJobChangeHandler(jobs, horizon);
     }
 
     void start() {
@@ -64,38 +64,38 @@
 
     /** Reads the open jobs again after the watch has lost its position, and returns the revision at which it continues. */
     Future<Long> resynchronize() {
-        Set<JobId> present = new HashSet<>();
+        Set<JobId> presentJobs = new HashSet<>();
         return RecordListing.readAll(
                         context.state(),
                         jobs.writes().leadershipRevision(),
                         RecordKeys.OPEN_JOBS,
                         entry -> RecordListing.readOrLog(entry.key(), () -> {
                             JobId id = RecordKeys.jobOfOpenKey(entry.key());
-                            present.add(id);
-                            events.onWritten(id, entry.value(), entry.revision());
+                            presentJobs.add(id);
+                            changeHandler.onWritten(id, entry.value(), entry.revision());
                         }))
                 .map(revision -> {
-                    reportDeleted(present, revision);
+                    handleDeletedRecords(presentJobs, revision);
                     return revision;
                 });
     }
 
-    private void reportDeleted(Set<JobId> present, long revision) {
+    private void handleDeletedRecords(Set<JobId> presentJobs, long revision) {
         for (Job job : List.copyOf(jobs.core().jobs())) {
-            if (!present.contains(job.id()) && job.revision().value() <= revision) {
-                events.onDeleted(job.id());
+            if (!presentJobs.contains(job.id()) && job.revision().value() <= revision) {
+                changeHandler.onDeleted(job.id());
             }
         }
     }
 
-    /** Handles a written record that the watch reports; see {@link OpenJobEvents#onWritten}. */
+    /** Handles a written record that the watch reports; see {@link OpenJobChangeHandler#onWritten}. */
     void onOpenRecordWritten(JobId id, Fields value, Revision revision) {
-        events.onWritten(id, value, revision);
+        changeHandler.onWritten(id, value, revision);
     }
 
-    /** Handles a deleted record that the watch reports; see {@link OpenJobEvents#onDeleted}. */
+    /** Handles a deleted record that the watch reports; see {@link OpenJobChangeHandler#onDeleted}. */
     void onOpenRecordDeleted(JobId id) {
-        events.onDeleted(id);
+        changeHandler.onDeleted(id);
     }
 
     /** Handles a confirmed cancellation; see {@link OpenJobs#onCancelled}. */
--- a/src/main/java/io/indigoreach/cluster/JobWatch.java
+++ b/src/main/java/io/indigoreach/cluster/JobWatch.java
@@ -16,9 +16,9 @@
     private static final Logger LOG = LoggerFactory.getLogger(JobWatch.class);
     private static final Span MAX_WATCH_TIME = Span.seconds(2);
     /** Maximum duration of one watch, as a share of the maximum age of the cancellation horizon. */
-    private static final double WATCH_TIME_SHARE = 0.25;
+    private static final double MAX_WATCH_TIME_SHARE = 0.25;
 
-    private static final Span PAUSE = Span.seconds(0.3);
+    private static final Span RETRY_DELAY = Span.seconds(0.3);
 
     private final NodeContext context;
     private final JobStore jobStore;
@@ -33,7 +33,7 @@
         this.context = context;
         this.jobStore = jobStore;
         this.horizon = horizon;
-        this.watchTask = new PeriodicTask(context.vertx(), "job watch", PAUSE, this::step);
+        this.watchTask = new PeriodicTask(context.vertx(), "job watch", RETRY_DELAY, this::watchOnce);
     }
 
     /** Starts watching at the revision that {@link #catchUp} reached. */
@@ -56,8 +56,8 @@
                 .mapEmpty();
     }
 
-    private Future<Span> step() {
-        return watch(watchTime(context.config().rules().maxCancellationAge()));
+    private Future<Span> watchOnce() {
+        return watch(maxWatchTime(context.config().rules().maxCancellationAge()));
     }
 
     /** Runs one watch, which the state service ends after {@code maxTime} at the latest. */
@@ -82,7 +82,7 @@
 
     private Span apply(StateClient.Changes changes, Moment sentAt) {
         if (watchTask.isCancelled()) {
-            return PAUSE;
+            return RETRY_DELAY;
         }
         if (changes.tooOld()) {
             mustResynchronize = true;
@@ -102,8 +102,8 @@
      * younger than {@code maxCancellationAge}. If watches took longer than that, a service without changes would look like a
      * partition.
      */
-    static Span watchTime(Span maxCancellationAge) {
-        Span share = maxCancellationAge.times(WATCH_TIME_SHARE);
+    static Span maxWatchTime(Span maxCancellationAge) {
+        Span share = maxCancellationAge.times(MAX_WATCH_TIME_SHARE);
         return share.compareTo(MAX_WATCH_TIME) < 0 ? share : MAX_WATCH_TIME;
     }
 
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -199,7 +199,7 @@
             return Future.succeededFuture(result);
         }
         return machineStore
-                .record(unrecorded.get())
+                .recordMachine(unrecorded.get())
                 .map(recorded -> recorded ? withStartCommands(result, heartbeat) : result);
     }
 
--- a/src/main/java/io/indigoreach/cluster/MachinePage.java
+++ b/src/main/java/io/indigoreach/cluster/MachinePage.java
@@ -17,21 +17,21 @@
 
     private final String key;
     /** Whether this leadership term created the page, so that a delayed first write may still create it. */
-    private final boolean own;
+    private final boolean createdInThisTerm;
 
     private final Map<MachineId, MachineRecord> machines = new LinkedHashMap<>();
     private Revision revision;
     private boolean revisionUncertain;
-    private boolean split;
+    private boolean copiedMachines;
 
-    MachinePage(String key, Revision revision, boolean own) {
+    MachinePage(String key, Revision revision, boolean createdInThisTerm) {
         this.key = key;
         this.revision = revision;
-        this.own = own;
+        this.createdInThisTerm = createdInThisTerm;
     }
 
     /** Returns the maximum number of bytes for machines on a page. */
-    static int capacity(NodeContext context) {
+    static int maxMachineBytes(NodeContext context) {
         return context.limits().maxRecordBytes() - EMPTY_PAGE_BYTES;
     }
 
@@ -61,17 +61,17 @@
     }
 
     /** Returns whether machines of this page were copied to another page and must still be removed from this one. */
-    boolean isSplit() {
-        return split;
+    boolean hasCopiedMachines() {
+        return copiedMachines;
     }
 
-    void setSplit(boolean newSplit) {
-        split = newSplit;
+    void setHasCopiedMachines(boolean newValue) {
+        copiedMachines = newValue;
     }
 
     /** Returns whether the page is empty and will receive no more machines. */
     boolean isObsolete() {
-        return machines.isEmpty() && !own;
+        return machines.isEmpty() && !createdInThisTerm;
     }
 
     boolean hasReturnedMachines(SchedulerCore core) {
@@ -83,11 +83,11 @@
     }
 
     /** Returns the number of bytes that will be free after the next write, which removes returned machines. */
-    int freeBytes(SchedulerCore core, int capacity) {
-        int used = machines.values().stream()
+    int freeBytes(SchedulerCore core, int maxMachineBytes) {
+        int usedBytes = machines.values().stream()
                 .filter(machine -> core.knows(machine.id()))
                 .mapToInt(MachineRecordCodec::bytes)
                 .sum();
-        return capacity - used;
+        return maxMachineBytes - usedBytes;
     }
 }
--- a/src/main/java/io/indigoreach/cluster/MachineStore.java
+++ b/src/main/java/io/indigoreach/cluster/MachineStore.java
@@ -35,24 +35,24 @@
  */
 final class MachineStore {
     private static final Logger LOG = LoggerFactory.getLogger(MachineStore.class);
-    private static final Span PERIOD = Span.seconds(0.1);
+    private static final Span STEP_PERIOD = Span.seconds(0.1);
     /** Minimum interval between two writes; machines that send heartbeats in between share the second write. */
-    private static final Span WRITE_PERIOD = Span.seconds(0.2);
+    private static final Span MIN_WRITE_INTERVAL = Span.seconds(0.2);
     /** How long a heartbeat response may wait for the record of its machine. */
     private static final Span RECORD_TIMEOUT = Span.seconds(1);
 
-    private static final Span COMPACTION_PERIOD = Span.seconds(2);
+    private static final Span MIN_COMPACTION_INTERVAL = Span.seconds(2);
     private static final int MAX_PAGES_PER_WRITE = 4;
 
     /** A machine whose heartbeat response waits until the machine is recorded. */
-    private record PendingRecord(Promise<Boolean> recorded, Moment since) {}
+    private record PendingRecord(Promise<Boolean> recorded, Moment requestedAt) {}
 
     private final LeaderWrites writes;
     private final NodeContext context;
     private final SchedulerCore core;
     private final PeriodicTask writeTask;
     private final List<MachinePage> pages = new ArrayList<>();
-    private final Map<MachineId, PendingRecord> pending = new LinkedHashMap<>();
+    private final Map<MachineId, PendingRecord> pendingRecords = new LinkedHashMap<>();
     private int pagesCreated;
     private Moment lastWriteAt = Moment.NEVER;
 
@@ -60,7 +60,7 @@
         this.writes = writes;
         this.context = writes.context();
         this.core = core;
-        this.writeTask = new PeriodicTask(context.vertx(), "machine records", PERIOD, this::step);
+        this.writeTask = new PeriodicTask(context.vertx(), "machine records", STEP_PERIOD, this::step);
     }
 
     void start() {
@@ -70,14 +70,14 @@
     /** Stops writing. Waiting heartbeats receive a response without tasks. */
     void cancel() {
         writeTask.cancel();
-        pending.values().forEach(entry -> entry.recorded().tryComplete(false));
-        pending.clear();
+        pendingRecords.values().forEach(entry -> entry.recorded().tryComplete(false));
+        pendingRecords.clear();
     }
 
     /** Adds a page that an earlier leader wrote, or that this leader wrote during a rebuild. */
-    void inherit(String pageKey, Revision revision, List<MachineRecord> machines) {
-        boolean own = pageKey.startsWith(RecordKeys.machinePageKey(writes.token(), ""));
-        MachinePage page = new MachinePage(pageKey, revision, own);
+    void addInheritedPage(String pageKey, Revision revision, List<MachineRecord> machines) {
+        boolean createdInThisTerm = pageKey.startsWith(RecordKeys.machinePageKey(writes.token(), ""));
+        MachinePage page = new MachinePage(pageKey, revision, createdInThisTerm);
         machines.forEach(machine -> page.machines().put(machine.id(), machine));
         // A failed load may have added the page before. Two copies of a page would overwrite each other's machines.
         pages.removeIf(known -> known.key().equals(pageKey));
@@ -85,10 +85,11 @@
     }
 
     /** Records a machine so that the response to its first heartbeat may contain tasks; false after a timeout. */
-    Future<Boolean> record(Machine machine) {
+    Future<Boolean> recordMachine(Machine machine) {
         Moment now = context.clock().now();
-        PendingRecord entry = pending.computeIfAbsent(machine.id(), id -> new PendingRecord(Promise.promise(), now));
-        if (now.since(lastWriteAt).compareTo(WRITE_PERIOD) >= 0) {
+        PendingRecord entry =
+                pendingRecords.computeIfAbsent(machine.id(), id -> new PendingRecord(Promise.promise(), now));
+        if (now.since(lastWriteAt).compareTo(MIN_WRITE_INTERVAL) >= 0) {
             writeTask.wake();
         }
         return entry.recorded().future();
@@ -104,20 +105,22 @@
         if (uncertain != null) {
             return readRevision(uncertain);
         }
-        if (now.since(lastWriteAt).compareTo(WRITE_PERIOD) < 0) {
-            return Future.succeededFuture(PERIOD);
+        if (now.since(lastWriteAt).compareTo(MIN_WRITE_INTERVAL) < 0) {
+            return Future.succeededFuture(STEP_PERIOD);
         }
         removeReturnedFromPending();
-        Map<MachinePage, List<MachineRecord>> additions = assignToPages(now);
+        Map<MachinePage, List<MachineRecord>> additions = assignPendingToPages(now);
         if (additions.isEmpty()) {
-            return compact(now);
+            return compactOnePage(now);
         }
-        return writes.limiter().take(additions.size(), now) ? write(additions, now) : Future.succeededFuture(PERIOD);
+        return writes.limiter().take(additions.size(), now)
+                ? writePages(additions, now)
+                : Future.succeededFuture(STEP_PERIOD);
     }
 
     private void expirePending(Moment now) {
-        List<PendingRecord> expired = pending.values().stream()
-                .filter(entry -> now.since(entry.since()).compareTo(RECORD_TIMEOUT) >= 0)
+        List<PendingRecord> expired = pendingRecords.values().stream()
+                .filter(entry -> now.since(entry.requestedAt()).compareTo(RECORD_TIMEOUT) >= 0)
                 .toList();
         expired.forEach(entry -> entry.recorded().tryComplete(false));
     }
@@ -135,7 +138,7 @@
 
     /** Removes machines that were returned in the meantime. Their heartbeats still receive a response. */
     private void removeReturnedFromPending() {
-        pending.entrySet().removeIf(entry -> {
+        pendingRecords.entrySet().removeIf(entry -> {
             if (core.unrecorded(entry.getKey()).isPresent()) {
                 return false;
             }
@@ -145,15 +148,15 @@
     }
 
     /** Assigns pending machines to pages with free space, up to the number of pages that one write may contain. */
-    private Map<MachinePage, List<MachineRecord>> assignToPages(Moment now) {
+    private Map<MachinePage, List<MachineRecord>> assignPendingToPages(Moment now) {
         Map<MachinePage, List<MachineRecord>> additions = new LinkedHashMap<>();
         Map<MachinePage, Integer> freeBytes = new HashMap<>();
         long wallClockMs = context.clock().timeOfDay();
         int maxPages = Math.min(MAX_PAGES_PER_WRITE, context.limits().txnOps());
-        for (MachineId id : pending.keySet()) {
+        for (MachineId id : pendingRecords.keySet()) {
             MachineRecord machine = toRecord(core.unrecorded(id).orElseThrow(), wallClockMs, now);
             int bytes = MachineRecordCodec.bytes(machine);
-            MachinePage page = pageWithRoom(bytes, freeBytes);
+            MachinePage page = findOrCreatePage(bytes, freeBytes);
             if (additions.size() >= maxPages && !additions.containsKey(page)) {
                 break;
             }
@@ -171,7 +174,7 @@
                 wallClockMs - now.since(machine.knownToExistAt()).ms());
     }
 
-    private MachinePage pageWithRoom(int bytes, Map<MachinePage, Integer> freeBytes) {
+    private MachinePage findOrCreatePage(int bytes, Map<MachinePage, Integer> freeBytes) {
         for (MachinePage page : pages) {
             if (freeBytes.computeIfAbsent(page, this::freeBytes) >= bytes) {
                 return page;
@@ -179,7 +182,7 @@
         }
         MachinePage page = newPage();
         pages.add(page);
-        freeBytes.put(page, MachinePage.capacity(context));
+        freeBytes.put(page, MachinePage.maxMachineBytes(context));
         return page;
     }
 
@@ -188,10 +191,10 @@
     }
 
     private int freeBytes(MachinePage page) {
-        return page.freeBytes(core, MachinePage.capacity(context));
+        return page.freeBytes(core, MachinePage.maxMachineBytes(context));
     }
 
-    private Future<Span> write(Map<MachinePage, List<MachineRecord>> additions, Moment now) {
+    private Future<Span> writePages(Map<MachinePage, List<MachineRecord>> additions, Moment now) {
         StateClient.Txn txn = writes.newTransaction();
         additions.forEach((page, machines) -> {
             page.removeReturnedMachines(core);
@@ -205,39 +208,39 @@
         return commit(txn, List.copyOf(additions.keySet()), revision -> {
             additions.forEach((page, machines) -> {
                 page.setRevision(revision);
-                machines.forEach(machine -> onRecorded(machine.id()));
+                machines.forEach(machine -> onMachineRecorded(machine.id()));
             });
         });
     }
 
-    private void onRecorded(MachineId id) {
+    private void onMachineRecorded(MachineId id) {
         core.recorded(id);
-        PendingRecord entry = pending.remove(id);
+        PendingRecord entry = pendingRecords.remove(id);
         if (entry != null) {
             entry.recorded().tryComplete(true);
         }
     }
 
     /** Removes returned machines from one page. Called when no other write is due. */
-    private Future<Span> compact(Moment now) {
-        if (now.since(lastWriteAt).compareTo(COMPACTION_PERIOD) < 0) {
-            return Future.succeededFuture(PERIOD);
+    private Future<Span> compactOnePage(Moment now) {
+        if (now.since(lastWriteAt).compareTo(MIN_COMPACTION_INTERVAL) < 0) {
+            return Future.succeededFuture(STEP_PERIOD);
         }
         MachinePage page =
                 pages.stream().filter(this::needsCompaction).findFirst().orElse(null);
         if (page == null || !writes.limiter().takeSpare(1, now)) {
-            return Future.succeededFuture(PERIOD);
+            return Future.succeededFuture(STEP_PERIOD);
         }
         page.removeReturnedMachines(core);
         lastWriteAt = now;
-        return freeBytes(page) < 0 ? split(page) : rewrite(page);
+        return freeBytes(page) < 0 ? copyToNewPage(page) : rewritePage(page);
     }
 
     private boolean needsCompaction(MachinePage page) {
-        return page.isSplit() || page.isObsolete() || page.hasReturnedMachines(core);
+        return page.hasCopiedMachines() || page.isObsolete() || page.hasReturnedMachines(core);
     }
 
-    private Future<Span> rewrite(MachinePage page) {
+    private Future<Span> rewritePage(MachinePage page) {
         StateClient.Txn txn = writes.newTransaction().when(page.key(), page.revision());
         if (page.isObsolete()) {
             txn.delete(page.key());
@@ -246,7 +249,7 @@
         }
         return commit(txn, List.of(page), revision -> {
             page.setRevision(revision);
-            page.setSplit(false);
+            page.setHasCopiedMachines(false);
             if (page.isObsolete()) {
                 pages.remove(page);
             }
@@ -258,49 +261,49 @@
      * page under higher limits. The machines are on both pages until the rest of the old page fits into one value; a machine
      * that is recorded twice is loaded once.
      */
-    private Future<Span> split(MachinePage page) {
-        MachinePage part = newPage();
+    private Future<Span> copyToNewPage(MachinePage page) {
+        MachinePage newPage = newPage();
         for (MachineRecord machine : page.machines().values()) {
-            part.machines().put(machine.id(), machine);
-            if (freeBytes(part) < 0) {
-                part.machines().remove(machine.id());
+            newPage.machines().put(machine.id(), machine);
+            if (freeBytes(newPage) < 0) {
+                newPage.machines().remove(machine.id());
                 break;
             }
         }
         StateClient.Txn txn = writes.newTransaction()
-                .when(part.key(), Revision.ABSENT)
+                .when(newPage.key(), Revision.ABSENT)
                 .put(
-                        part.key(),
-                        MachineRecordCodec.writeMachines(part.machines().values()));
-        pages.add(part);
-        return commit(txn, List.of(part), revision -> {
-            part.setRevision(revision);
-            page.machines().keySet().removeAll(part.machines().keySet());
-            page.setSplit(true);
+                        newPage.key(),
+                        MachineRecordCodec.writeMachines(newPage.machines().values()));
+        pages.add(newPage);
+        return commit(txn, List.of(newPage), revision -> {
+            newPage.setRevision(revision);
+            page.machines().keySet().removeAll(newPage.machines().keySet());
+            page.setHasCopiedMachines(true);
         });
     }
 
-    private Future<Span> commit(StateClient.Txn txn, List<MachinePage> written, Consumer<Revision> onDone) {
+    private Future<Span> commit(StateClient.Txn txn, List<MachinePage> written, Consumer<Revision> onCommitted) {
         return context.state()
                 .commit(txn)
                 .map(outcome -> {
                     if (!writeTask.isCancelled()) {
-                        onResponse(outcome, written, onDone);
+                        onResponse(outcome, written, onCommitted);
                     }
-                    return PERIOD;
+                    return STEP_PERIOD;
                 })
                 .recover(failure -> {
                     LOG.debug("machine pages not written cause={}", failure.toString());
                     if (!StateClient.surelyNotExecuted(failure)) {
                         written.forEach(page -> page.setRevisionUncertain(true));
                     }
-                    return Future.succeededFuture(PERIOD);
+                    return Future.succeededFuture(STEP_PERIOD);
                 });
     }
 
-    private void onResponse(StateClient.Outcome outcome, List<MachinePage> written, Consumer<Revision> onDone) {
+    private void onResponse(StateClient.Outcome outcome, List<MachinePage> written, Consumer<Revision> onCommitted) {
         if (outcome.done()) {
-            onDone.accept(outcome.writtenRevision());
+            onCommitted.accept(outcome.writtenRevision());
         } else if (LeaderWrites.isDeposed(outcome)) {
             writes.deposed();
         } else {
--- a/src/main/java/io/indigoreach/cluster/OpenJobEvents.java
+++ b/src/main/java/io/indigoreach/cluster/OpenJobChangeHandler.java
@@ -14,9 +14,9 @@
 import io.vertx.core.Future;
 
 /** Applies the writes and deletions of open jobs' records that the watch reports. Bound to the node's event loop. */
-final class OpenJobEvents {
+final class OpenJobChangeHandler {
     /** Delay before the reason for a deletion is looked up again after a failed lookup. */
-    private static final Span LOOKUP_RETRY = Span.seconds(0.5);
+    private static final Span LOOKUP_RETRY_DELAY = Span.seconds(0.5);
 
     private final NodeContext context;
     private final JobRecordLookup lookup;
@@ -26,7 +26,7 @@
     private final FinishedJobs finishedJobs;
     private final CancellationHorizon horizon;
 
-    OpenJobEvents(LeaderJobs jobs, CancellationHorizon horizon) {
+    OpenJobChangeHandler(LeaderJobs jobs, CancellationHorizon horizon) {
         this.context = jobs.writes().context();
         this.lookup = new JobRecordLookup(context.state());
         this.core = jobs.core();
@@ -49,7 +49,7 @@
             }
         } else if (!finishedJobs.contains(id)) {
             boolean readable = RecordListing.readOrLog(
-                    RecordKeys.openKey(id), () -> openJobs.addReported(JobRecordCodec.readJob(id, value, revision)));
+                    RecordKeys.openKey(id), () -> openJobs.addFromWatch(JobRecordCodec.readJob(id, value, revision)));
             if (readable) {
                 openJobs.markReadable(id);
             } else {
@@ -62,7 +62,7 @@
     /** Handles a deleted record: the user has cancelled the job, unless this leader has just written its completion. */
     void onDeleted(JobId id) {
         Job job = core.job(id);
-        if (writer.isCancelled() || job == null || (writer.isWriting(id) && job.isComplete())) {
+        if (writer.isCancelled() || job == null || (writer.hasWriteInFlight(id) && job.isComplete())) {
             horizon.resolved(id);
             return;
         }
@@ -74,23 +74,23 @@
             return;
         }
         horizon.recordGone(id);
-        readReason(id).onComplete(reason -> onReasonRead(job, reason));
+        findDeletionReason(id).onComplete(reason -> onDeletionReason(job, reason));
     }
 
-    private void onReasonRead(Job job, AsyncResult<DeletionReason> reason) {
+    private void onDeletionReason(Job job, AsyncResult<DeletionReason> reason) {
         JobId id = job.id();
         if (writer.isCancelled()) {
             return;
         }
         if (reason.failed()) {
             // Tasks may still run although the cancellation was confirmed to the user, so the lookup is repeated.
-            context.vertx().setTimer(LOOKUP_RETRY.ms(), timer -> onDeleted(id));
+            context.vertx().setTimer(LOOKUP_RETRY_DELAY.ms(), timer -> onDeleted(id));
             return;
         }
         if (core.job(id) == job) {
             switch (reason.result()) {
                 case CANCELLED -> openJobs.onCancelled(id);
-                case LOST -> context.state().recordMissing(RecordKeys.openKey(id));
+                case RECORD_LOST -> context.state().recordMissing(RecordKeys.openKey(id));
                 case STILL_OPEN -> {}
             }
         }
@@ -102,27 +102,27 @@
         /** The user cancelled the job, which leaves a final record. */
         CANCELLED,
         /** The state service has lost data. */
-        LOST,
+        RECORD_LOST,
         /** The change predates the repair of a data loss, and the record exists again. */
         STILL_OPEN
     }
 
-    private Future<DeletionReason> readReason(JobId id) {
+    private Future<DeletionReason> findDeletionReason(JobId id) {
         return lookup.finalRecord(id)
                 .compose(record ->
-                        record != null ? Future.succeededFuture(DeletionReason.CANCELLED) : readWithoutFinalRecord(id));
+                        record != null ? Future.succeededFuture(DeletionReason.CANCELLED) : checkOpenRecord(id));
     }
 
-    private Future<DeletionReason> readWithoutFinalRecord(JobId id) {
+    private Future<DeletionReason> checkOpenRecord(JobId id) {
         return lookup.openRecord(id)
-                .compose(
-                        record -> record != null ? Future.succeededFuture(DeletionReason.STILL_OPEN) : confirmLost(id));
+                .compose(record ->
+                        record != null ? Future.succeededFuture(DeletionReason.STILL_OPEN) : confirmRecordLost(id));
     }
 
-    private Future<DeletionReason> confirmLost(JobId id) {
+    private Future<DeletionReason> confirmRecordLost(JobId id) {
         return lookup.confirmAbsent(id)
                 .compose(absent -> absent
-                        ? Future.succeededFuture(DeletionReason.LOST)
+                        ? Future.succeededFuture(DeletionReason.RECORD_LOST)
                         : Future.failedFuture(new WireException(JobRecordLookup.STALE_READ)));
     }
 }
--- a/src/main/java/io/indigoreach/cluster/OpenJobs.java
+++ b/src/main/java/io/indigoreach/cluster/OpenJobs.java
@@ -23,7 +23,7 @@
     private final FinishedJobs finishedJobs;
     private final boolean startBoundsTrusted;
     /** Open jobs that are not scheduled because their records could be neither decoded nor repaired. */
-    private final Set<JobId> unreadable = new HashSet<>();
+    private final Set<JobId> unreadableJobs = new HashSet<>();
 
     /** @param startBoundsTrusted whether all earlier leaders have respected the jobs' start bounds */
     OpenJobs(
@@ -46,21 +46,21 @@
     }
 
     /** Adds a job of an earlier leader, with the completion bits of its blocks. */
-    void addInherited(JobRecord record, Map<JobId, BitSet> blockBits) {
-        add(record, blockBits.getOrDefault(record.id(), new BitSet()), true);
+    void addInherited(JobRecord record, Map<JobId, BitSet> completedInBlocks) {
+        add(record, completedInBlocks.getOrDefault(record.id(), new BitSet()), true);
     }
 
     /**
      * Adds a job whose record the watch reported. A job whose record was unreadable until now is treated as inherited from an
      * earlier leader, as its tasks may run on any machine.
      */
-    void addReported(JobRecord record) {
-        add(record, new BitSet(), unreadable.contains(record.id()));
+    void addFromWatch(JobRecord record) {
+        add(record, new BitSet(), unreadableJobs.contains(record.id()));
     }
 
-    private void add(JobRecord record, BitSet blockBits, boolean inherited) {
-        BitSet done = (BitSet) blockBits.clone();
-        done.or(record.done());
+    private void add(JobRecord record, BitSet completedInBlocks, boolean inherited) {
+        BitSet completedTasks = (BitSet) completedInBlocks.clone();
+        completedTasks.or(record.done());
         // An earlier leader may have run a version that started tasks without raising their start bounds.
         int startBound = inherited && !startBoundsTrusted ? record.spec().tasks() : record.bound();
         Job job = new Job(
@@ -68,19 +68,19 @@
                 record.submittedMs(),
                 context.toSteadyTime(record.submittedMs()),
                 record.revision(),
-                done,
+                completedTasks,
                 startBound,
                 inherited);
         core.addJob(job);
-        writer.jobAdded(job, record.status());
+        writer.onJobAdded(job, record.status());
     }
 
     void markUnreadable(JobId id) {
-        unreadable.add(id);
+        unreadableJobs.add(id);
     }
 
     void markReadable(JobId id) {
-        unreadable.remove(id);
+        unreadableJobs.remove(id);
     }
 
     /** Handles a cancellation that the job's record or another node confirms. A cancellation is never reverted. */
@@ -89,7 +89,7 @@
         if (job != null) {
             LOG.info("job cancelled job={}", id);
             core.cancelJob(id);
-            writer.jobFinished(job);
+            writer.onJobFinished(job);
         } else {
             // The watch may report the acceptance of the job later, which would open it, and the final record cannot be
             // read during an outage.
--- a/src/main/java/io/indigoreach/cluster/RebuildInventory.java
+++ b/src/main/java/io/indigoreach/cluster/RebuildInventory.java
@@ -32,8 +32,8 @@
     /** Completed tasks that are recorded in blocks, outside the job's record. */
     private final Map<JobId, BitSet> completedInBlocks = new HashMap<>();
 
-    private final Set<MachineId> machines = new HashSet<>();
-    private int machinePages;
+    private final Set<MachineId> machineIds = new HashSet<>();
+    private int machinePageCount;
 
     RebuildInventory(StateClient state, Revision leadershipRevision) {
         this.state = state;
@@ -41,7 +41,7 @@
     }
 
     /** Reads all records of jobs and machines. Fails if the state service returns a listing older than this leadership. */
-    Future<Void> read() {
+    Future<Void> load() {
         return readAll(RecordKeys.COMPLETION_BLOCKS, this::readBlock)
                 .compose(revision -> readAll(CompletionBits.SMALL_BLOCKS, this::readBlock))
                 .compose(revision -> readAll(RecordKeys.OPEN_JOBS, this::readOpenJob))
@@ -81,8 +81,8 @@
 
     /** Reads a machine page. An unreadable page fails the rebuild, as its machines may run tasks. */
     private void readMachinePage(StateClient.Entry entry) {
-        machinePages++;
-        MachineRecordCodec.readMachines(entry.value()).forEach(machine -> machines.add(machine.id()));
+        machinePageCount++;
+        MachineRecordCodec.readMachines(entry.value()).forEach(machine -> machineIds.add(machine.id()));
     }
 
     /** Returns the open job's record, or null if it is absent or unreadable. */
@@ -109,11 +109,11 @@
     }
 
     boolean hasMachine(MachineId id) {
-        return machines.contains(id);
+        return machineIds.contains(id);
     }
 
     /** Returns the number of machine pages, including pages that an earlier rebuild attempt of this term wrote. */
-    int machinePages() {
-        return machinePages;
+    int machinePageCount() {
+        return machinePageCount;
     }
 }
--- a/src/main/java/io/indigoreach/cluster/RebuildWriter.java
+++ b/src/main/java/io/indigoreach/cluster/RebuildWriter.java
@@ -25,10 +25,10 @@
     private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
     /** Delay before write rate is requested again. */
-    private static final Span RATE_RETRY = Span.seconds(0.05);
+    private static final Span RATE_RETRY_DELAY = Span.seconds(0.05);
 
     /** The writes for one record and their conditions; a failed condition means that the record has a newer version. */
-    private record Step(StateClient.Txn txn) {
+    private record RecordWrite(StateClient.Txn txn) {
         int bytes() {
             return JsonSize.of(StateCodec.writeTxn(txn));
         }
@@ -55,9 +55,9 @@
     private final Revision leadershipRevision;
     private final Revision eraRevision;
     private final RateLimiter writeLimiter;
-    private final Deque<Step> steps = new ArrayDeque<>();
-    private int written;
-    private int present;
+    private final Deque<RecordWrite> pendingWrites = new ArrayDeque<>();
+    private int writtenRecords;
+    private int skippedRecords;
 
     /** @param eraRevision the revision of the era in which data was lost */
     RebuildWriter(NodeContext context, Revision leadershipRevision, Revision eraRevision, RateLimiter writeLimiter) {
@@ -68,105 +68,106 @@
     }
 
     /** Returns the number of records that were written. */
-    int written() {
-        return written;
+    int writtenRecords() {
+        return writtenRecords;
     }
 
     /** Returns the number of records that were not overwritten because another writer had changed them. */
-    int present() {
-        return present;
+    int skippedRecords() {
+        return skippedRecords;
     }
 
     /** Creates a transaction with the conditions of every write: this leadership, and the era in which data was lost. */
-    StateClient.Txn transaction() {
+    StateClient.Txn newTransaction() {
         return new StateClient.Txn().when(RecordKeys.LEADER, leadershipRevision).when(RecordKeys.ERA, eraRevision);
     }
 
     /** Adds the writes for one record, which are committed in one transaction. */
-    void add(StateClient.Txn record) {
-        steps.add(new Step(record));
+    void addRecord(StateClient.Txn recordTransaction) {
+        pendingWrites.add(new RecordWrite(recordTransaction));
     }
 
     /** Commits all added writes. */
     Future<Void> flush() {
-        if (steps.isEmpty()) {
+        if (pendingWrites.isEmpty()) {
             return Future.succeededFuture();
         }
-        List<Step> batch = nextBatch();
-        return awaitRate(size(batch)).compose(ready -> commit(batch)).compose(done -> flush());
+        List<RecordWrite> batch = nextBatch();
+        return awaitWriteRate(totalSize(batch)).compose(ready -> commit(batch)).compose(done -> flush());
     }
 
-    private List<Step> nextBatch() {
-        List<Step> batch = new ArrayList<>();
+    private List<RecordWrite> nextBatch() {
+        List<RecordWrite> batch = new ArrayList<>();
         int size = 0;
         int bytes = 0;
-        while (!steps.isEmpty() && (batch.isEmpty() || fits(steps.peek(), size, bytes))) {
-            Step step = steps.poll();
-            size += step.size();
-            bytes += step.bytes();
-            batch.add(step);
+        while (!pendingWrites.isEmpty() && (batch.isEmpty() || fits(pendingWrites.peek(), size, bytes))) {
+            RecordWrite recordWrite = pendingWrites.poll();
+            size += recordWrite.size();
+            bytes += recordWrite.bytes();
+            batch.add(recordWrite);
         }
         return batch;
     }
 
-    private boolean fits(Step step, int size, int bytes) {
-        return size + step.size() <= context.limits().txnOps() && bytes + step.bytes() <= MAX_TRANSACTION_BYTES;
+    private boolean fits(RecordWrite recordWrite, int size, int bytes) {
+        return size + recordWrite.size() <= context.limits().txnOps()
+                && bytes + recordWrite.bytes() <= MAX_TRANSACTION_BYTES;
     }
 
-    private static int size(List<Step> batch) {
-        return batch.stream().mapToInt(Step::size).sum();
+    private static int totalSize(List<RecordWrite> batch) {
+        return batch.stream().mapToInt(RecordWrite::size).sum();
     }
 
-    private Future<Void> awaitRate(int writes) {
+    private Future<Void> awaitWriteRate(int writes) {
         if (writeLimiter.take(writes, context.clock().now())) {
             return Future.succeededFuture();
         }
-        Promise<Void> later = Promise.promise();
-        context.vertx().setTimer(RATE_RETRY.ms(), timer -> later.complete());
-        return later.future().compose(ready -> awaitRate(writes));
+        Promise<Void> retry = Promise.promise();
+        context.vertx().setTimer(RATE_RETRY_DELAY.ms(), timer -> retry.complete());
+        return retry.future().compose(ready -> awaitWriteRate(writes));
     }
 
-    private Future<Void> commit(List<Step> batch) {
+    private Future<Void> commit(List<RecordWrite> batch) {
         Map<String, Revision> conditions = new LinkedHashMap<>();
         StateClient.Txn combined = new StateClient.Txn();
-        for (Step step : batch) {
-            conditions.putAll(step.txn.conditions());
-            combined.writes().addAll(step.txn.writes());
+        for (RecordWrite recordWrite : batch) {
+            conditions.putAll(recordWrite.txn.conditions());
+            combined.writes().addAll(recordWrite.txn.writes());
         }
         conditions.forEach(combined::when);
         return context.state().commit(combined).compose(outcome -> {
             if (outcome.done()) {
-                written += batch.size();
+                writtenRecords += batch.size();
                 return Future.succeededFuture();
             }
-            return commitWithout(List.copyOf(outcome.failed()), batch);
+            return commitWithoutFailed(List.copyOf(outcome.failed()), batch);
         });
     }
 
     /** Commits a rejected batch once more, without the steps whose conditions failed. */
-    private Future<Void> commitWithout(List<String> failedKeys, List<Step> batch) {
+    private Future<Void> commitWithoutFailed(List<String> failedKeys, List<RecordWrite> batch) {
         if (failedKeys.contains(RecordKeys.LEADER) || failedKeys.contains(RecordKeys.ERA)) {
-            return failedByAnotherLeader();
+            return leadershipOrEraChanged();
         }
-        if (failedKeys.stream().anyMatch(RebuildWriter::mustBeReadAgain)) {
+        if (failedKeys.stream().anyMatch(RebuildWriter::requiresNewInventory)) {
             return Future.failedFuture(
                     new RebuildInterruptedException("machine pages or open jobs were written during the rebuild"));
         }
         // An earlier attempt whose response was lost, or a user request at another node, has written a newer version.
-        List<Step> rest =
+        List<RecordWrite> remaining =
                 batch.stream().filter(step -> !step.dependsOnAny(failedKeys)).toList();
-        present += batch.size() - rest.size();
-        if (rest.isEmpty()) {
+        skippedRecords += batch.size() - remaining.size();
+        if (remaining.isEmpty()) {
             return Future.succeededFuture();
         }
-        if (rest.size() == batch.size()) {
+        if (remaining.size() == batch.size()) {
             return Future.failedFuture(new RebuildInterruptedException(
                     "the state service rejected a transaction without naming a failed condition"));
         }
-        return awaitRate(size(rest)).compose(ready -> commit(rest));
+        return awaitWriteRate(totalSize(remaining)).compose(ready -> commit(remaining));
     }
 
-    static <T> Future<T> failedByAnotherLeader() {
+    static <T> Future<T> leadershipOrEraChanged() {
         return Future.failedFuture(
                 new RebuildInterruptedException("another node has become leader, or the era has changed"));
     }
@@ -176,7 +177,7 @@
      * an earlier attempt whose response was lost may lack machines that run tasks. A job acceptance that was executed late has
      * a start bound of zero, as if no task had ever been started.
      */
-    private static boolean mustBeReadAgain(String key) {
+    private static boolean requiresNewInventory(String key) {
         return key.startsWith(RecordKeys.MACHINE_PAGES) || key.startsWith(RecordKeys.OPEN_JOBS);
     }
 }
--- a/src/main/java/io/indigoreach/cluster/StateRebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -47,70 +47,72 @@
     private final FencingToken token;
     private final Revision leadershipRevision;
     private final RateLimiter writeLimiter;
-    private final RememberedState remembered;
+    private final RememberedState rememberedState;
     private final RebuildInventory inventory;
     /** Null until the era has been read. */
     private RebuildWriter writer;
 
-    private int machinePages;
+    private int machinePageCount;
 
     StateRebuilder(
             NodeContext context,
             FencingToken token,
             Revision leadershipRevision,
             RateLimiter writeLimiter,
-            RememberedState remembered) {
+            RememberedState rememberedState) {
         this.context = context;
         this.token = token;
         this.leadershipRevision = leadershipRevision;
         this.writeLimiter = writeLimiter;
-        this.remembered = remembered;
+        this.rememberedState = rememberedState;
         this.inventory = new RebuildInventory(context.state(), leadershipRevision);
     }
 
     /** Runs the rebuild; succeeds when all records are written and the new era has started. */
     Future<Void> run() {
-        LOG.warn("state rebuild started remembered={}", remembered);
+        LOG.warn("state rebuild started remembered={}", rememberedState);
         return context.state()
                 .get(RecordKeys.ERA)
                 .compose(this::readRecords)
                 .compose(records -> writeJobsAndMachines())
                 .compose(written -> writeFeatureRecords())
-                .compose(written -> beginEra())
-                .onSuccess(begun ->
-                        LOG.warn("state rebuild completed written={} present={}", writer.written(), writer.present()));
+                .compose(written -> startNewEra())
+                .onSuccess(begun -> LOG.warn(
+                        "state rebuild completed written={} present={}",
+                        writer.writtenRecords(),
+                        writer.skippedRecords()));
     }
 
     private Future<Void> readRecords(StateClient.Entry era) {
         Revision eraRevision = era == null ? Revision.ABSENT : era.revision();
         writer = new RebuildWriter(context, leadershipRevision, eraRevision, writeLimiter);
-        return inventory.read();
+        return inventory.load();
     }
 
     private Future<Void> writeJobsAndMachines() {
-        machinePages = inventory.machinePages();
-        remembered.finished().forEach(this::addFinishedJob);
-        addMachines(remembered.machines().stream()
+        machinePageCount = inventory.machinePageCount();
+        rememberedState.finished().forEach(this::addFinishedJob);
+        addMachines(rememberedState.machines().stream()
                 .filter(machine -> !inventory.hasMachine(machine.id()))
                 .toList());
-        remembered.open().forEach(this::addOpenJob);
+        rememberedState.open().forEach(this::addOpenJob);
         return writer.flush();
     }
 
-    private void addFinishedJob(JobId id, RememberedState.FinishedJob end) {
+    private void addFinishedJob(JobId id, RememberedState.FinishedJob finalStatus) {
         if (inventory.isFinished(id) && !inventory.hasOpenRecord(id)) {
             // Of thousands of remembered jobs, only a few are missing; the others need no write.
             return;
         }
         Revision openRevision = inventory.openRevision(id);
-        StateClient.Txn txn = writer.transaction()
+        StateClient.Txn txn = writer.newTransaction()
                 .when(RecordKeys.finalKey(id), Revision.ABSENT)
                 .when(RecordKeys.openKey(id), openRevision)
-                .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(end.status(), end.done()));
+                .put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(finalStatus.status(), finalStatus.done()));
         if (!openRevision.equals(Revision.ABSENT)) {
             txn.delete(RecordKeys.openKey(id));
         }
-        writer.add(txn);
+        writer.addRecord(txn);
     }
 
     private void addOpenJob(RememberedState.OpenJob job) {
@@ -125,7 +127,7 @@
         addCompletionBlocks(id, merged);
         Map<String, Object> record = completionBits()
                 .writeJob(merged.spec(), merged.submittedMs(), JobStatus.PENDING, merged.done(), 0, merged.bound());
-        writer.add(openJobTransaction(id).put(RecordKeys.openKey(id), record));
+        writer.addRecord(openJobTransaction(id).put(RecordKeys.openKey(id), record));
     }
 
     /** Merges the job with its present record; null if the record already contains everything that is remembered. */
@@ -142,7 +144,7 @@
 
     /** Creates a transaction on condition that an open job has not changed since it was read and has not finished. */
     private StateClient.Txn openJobTransaction(JobId id) {
-        return writer.transaction()
+        return writer.newTransaction()
                 .when(RecordKeys.finalKey(id), Revision.ABSENT)
                 .when(RecordKeys.openKey(id), inventory.openRevision(id));
     }
@@ -152,11 +154,11 @@
         if (completionBits().areInRecord(job.spec(), job.submittedMs())) {
             return;
         }
-        BitSet missing = (BitSet) job.done().clone();
-        missing.andNot(inventory.completedInBlocks(id));
-        Map<String, BitSet> blocks = completionBits().blocksWith(id, missing, job.done(), Integer.MAX_VALUE);
+        BitSet missingTasks = (BitSet) job.done().clone();
+        missingTasks.andNot(inventory.completedInBlocks(id));
+        Map<String, BitSet> blocks = completionBits().blocksWith(id, missingTasks, job.done(), Integer.MAX_VALUE);
         blocks.forEach((key, completed) ->
-                writer.add(openJobTransaction(id).put(key, CompletionBits.writeBlock(key, completed))));
+                writer.addRecord(openJobTransaction(id).put(key, CompletionBits.writeBlock(key, completed))));
     }
 
     private CompletionBits completionBits() {
@@ -164,33 +166,35 @@
     }
 
     /** Adds new pages for machines that are on no page, with the same maximum size as in {@link MachineStore}. */
-    private void addMachines(List<RememberedState.RentedMachine> missing) {
+    private void addMachines(List<RememberedState.RentedMachine> missingMachines) {
         Moment now = context.clock().now();
-        long timeOfDay = context.clock().timeOfDay();
+        long wallClockMs = context.clock().timeOfDay();
         List<MachineRecord> page = new ArrayList<>();
         int bytes = 0;
-        for (RememberedState.RentedMachine machine : missing) {
-            MachineRecord line = new MachineRecord(
+        for (RememberedState.RentedMachine machine : missingMachines) {
+            MachineRecord machineRecord = new MachineRecord(
                     machine.id(),
                     machine.pool(),
-                    timeOfDay - now.since(machine.rented()).ms(),
-                    timeOfDay - now.since(machine.existed()).ms());
-            bytes += MachineRecordCodec.bytes(line);
-            if (bytes > MachinePage.capacity(context)) {
+                    wallClockMs - now.since(machine.rented()).ms(),
+                    wallClockMs - now.since(machine.existed()).ms());
+            bytes += MachineRecordCodec.bytes(machineRecord);
+            if (bytes > MachinePage.maxMachineBytes(context)) {
                 addMachinePage(page);
                 page.clear();
-                bytes = MachineRecordCodec.bytes(line);
+                bytes = MachineRecordCodec.bytes(machineRecord);
             }
-            page.add(line);
+            page.add(machineRecord);
         }
         if (!page.isEmpty()) {
             addMachinePage(page);
         }
     }
 
-    private void addMachinePage(List<MachineRecord> lines) {
-        String key = RecordKeys.machinePageKey(token, "r" + ++machinePages);
-        writer.add(writer.transaction().when(key, Revision.ABSENT).put(key, MachineRecordCodec.writeMachines(lines)));
+    private void addMachinePage(List<MachineRecord> machines) {
+        String key = RecordKeys.machinePageKey(token, "r" + ++machinePageCount);
+        writer.addRecord(writer.newTransaction()
+                .when(key, Revision.ABSENT)
+                .put(key, MachineRecordCodec.writeMachines(machines)));
     }
 
     /** Writes the records of the optional features, one record family after the other. */
@@ -206,7 +210,7 @@
     /** Groups the remembered records by family. Records of disabled features are skipped. */
     private Map<RecordFamily, List<VersionedRecord>> rememberedByFamily() {
         Map<RecordFamily, List<VersionedRecord>> families = new LinkedHashMap<>();
-        for (VersionedRecord record : remembered.records()) {
+        for (VersionedRecord record : rememberedState.records()) {
             RecordFamily family = context.parts().copies().familyOf(record.key());
             if (family != null) {
                 families.computeIfAbsent(family, key -> new ArrayList<>()).add(record);
@@ -216,12 +220,14 @@
     }
 
     private Future<Void> writeFamily(RecordFamily family, List<VersionedRecord> records) {
-        Map<String, VersionedRecord> present = new HashMap<>();
+        Map<String, VersionedRecord> presentRecords = new HashMap<>();
         return inventory
-                .readAll(family.prefix(), entry -> present.put(entry.key(), versionedRecord(entry)))
+                .readAll(family.prefix(), entry -> presentRecords.put(entry.key(), versionedRecord(entry)))
                 .compose(revision -> {
                     records.forEach(record -> addFeatureRecord(
-                            family, present.getOrDefault(record.key(), VersionedRecord.absent(record.key())), record));
+                            family,
+                            presentRecords.getOrDefault(record.key(), VersionedRecord.absent(record.key())),
+                            record));
                     return writer.flush();
                 });
     }
@@ -231,20 +237,22 @@
     }
 
     /** Merges both copies by the rule of the family, and adds a write if the result differs from the present record. */
-    private void addFeatureRecord(RecordFamily family, VersionedRecord present, VersionedRecord rememberedRecord) {
-        Map<String, Object> value = family.mending().mend(present, rememberedRecord);
+    private void addFeatureRecord(
+            RecordFamily family, VersionedRecord presentRecord, VersionedRecord rememberedRecord) {
+        Map<String, Object> value = family.mending().mend(presentRecord, rememberedRecord);
         if (value != null) {
             String key = rememberedRecord.key();
-            writer.add(writer.transaction().when(key, present.revision()).put(key, value));
+            writer.addRecord(
+                    writer.newTransaction().when(key, presentRecord.revision()).put(key, value));
         }
     }
 
     /** Starts a new era, which marks the data as complete, and records the evidence of the loss with it. */
-    private Future<Void> beginEra() {
-        StateClient.Txn txn = writer.transaction().put(RecordKeys.ERA, eraRecord());
+    private Future<Void> startNewEra() {
+        StateClient.Txn txn = writer.newTransaction().put(RecordKeys.ERA, eraRecord());
         return context.state()
                 .commit(txn)
-                .compose(outcome -> outcome.done() ? context.state().check() : RebuildWriter.failedByAnotherLeader());
+                .compose(outcome -> outcome.done() ? context.state().check() : RebuildWriter.leadershipOrEraChanged());
     }
 
     /** Creates the era record with as many of the latest findings as fit into one value. */
@@ -262,6 +270,6 @@
     }
 
     private Map<String, Object> eraRecord(List<String> findings) {
-        return EraRecordCodec.writeEra(token, context.clock().timeOfDay(), findings, writer.written());
+        return EraRecordCodec.writeEra(token, context.clock().timeOfDay(), findings, writer.writtenRecords());
     }
 }
--- a/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionBlockStoreTest.java
@@ -32,13 +32,13 @@
 
 /** Completion bits of large jobs, while the state service lowers its limits and the leader changes between any two writes. */
 class CompletionBlockStoreTest {
-    static final String NEXT = "value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 20.0";
+    static final String LOWER_LIMITS = "value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 20.0";
     private static final JobId ID = new JobId("run-1");
     private final Vertx vertx = Vertx.vertx();
     private final SteadyClock clock = new SteadyClock();
     private StateStandIn state;
     private StateClient client;
-    private Revision leader;
+    private Revision leadershipRevision;
 
     @BeforeEach
     void start() throws Exception {
@@ -52,40 +52,41 @@
         await(vertx.close());
     }
 
-    static JobSpec spec(int tasks, int imageName) {
-        return LeaderHarness.spec(ID, tasks, "i".repeat(imageName));
+    static JobSpec spec(int tasks, int imageNameLength) {
+        return LeaderHarness.spec(ID, tasks, "i".repeat(imageNameLength));
     }
 
     private CompletionBlockStore newBlockStore(String announcedLimits) throws Exception {
-        leader = LeaderHarness.lead(client, 1);
+        leadershipRevision = LeaderHarness.lead(client, 1);
         NodeContext context = LeaderHarness.context(vertx, clock, client)
                 .config(LeaderHarness.config(announcedLimits))
                 .build();
-        return new CompletionBlockStore(LeaderHarness.writes(context, 3, leader, 1000));
+        return new CompletionBlockStore(LeaderHarness.writes(context, 3, leadershipRevision, 1000));
     }
 
     /** Reads the completed tasks as a new leader does, and adds the blocks to {@code blockStore}. */
-    private BitSet read(CompletionBlockStore blockStore) throws Exception {
+    private BitSet readCompletedTasks(CompletionBlockStore blockStore) throws Exception {
         BitSet done = new BitSet();
         for (String prefix : List.of(RecordKeys.COMPLETION_BLOCKS, CompletionBits.SMALL_BLOCKS)) {
-            for (StateClient.Entry e : await(client.list(prefix, null, 1000)).items()) {
+            for (StateClient.Entry entry :
+                    await(client.list(prefix, null, 1000)).items()) {
                 BitSet block = new BitSet();
-                CompletionBits.readBlock(e.key(), e.value(), block);
-                blockStore.inherit(e.key(), block);
+                CompletionBits.readBlock(entry.key(), entry.value(), block);
+                blockStore.addInheritedBlock(entry.key(), block);
                 done.or(block);
             }
         }
-        done.or(open().done());
+        done.or(readOpenRecord().done());
         return done;
     }
 
-    private JobRecord open() throws Exception {
-        StateClient.Entry e = await(client.get(RecordKeys.openKey(ID)));
-        return JobRecordCodec.readJob(ID, e.value(), e.revision());
+    private JobRecord readOpenRecord() throws Exception {
+        StateClient.Entry entry = await(client.get(RecordKeys.openKey(ID)));
+        return JobRecordCodec.readJob(ID, entry.value(), entry.revision());
     }
 
     /** Writes the job and its blocks in the format of the previous version. */
-    private void writeAsBefore(JobSpec spec, BitSet done) throws Exception {
+    private void writeInPreviousFormat(JobSpec spec, BitSet done) throws Exception {
         StateClient.Txn txn = new StateClient.Txn()
                 .put(
                         RecordKeys.openKey(ID),
@@ -96,7 +97,7 @@
         assertTrue(await(client.commit(txn)).done());
     }
 
-    private static void complete(SplittableRandom random, BitSet done, int tasks) {
+    private static void completeRandomTasks(SplittableRandom random, BitSet done, int tasks) {
         for (int i = random.nextInt(3000); i > 0; i--) {
             done.set(random.nextInt(tasks));
         }
@@ -104,34 +105,37 @@
 
     @ParameterizedTest
     @CsvSource({"1, 100000, 10", "2, 100000, 900", "3, 8192, 900", "4, 8192, 10", "5, 9000, 10", "6, 1200, 10"})
-    void recordedCompletionsSurviveLowerLimitsAndLeaderChanges(long seed, int tasks, int imageName) throws Exception {
+    void recordedCompletionsSurviveLowerLimitsAndLeaderChanges(long seed, int tasks, int imageNameLength)
+            throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
-        JobSpec spec = spec(tasks, imageName);
+        JobSpec spec = spec(tasks, imageNameLength);
         BitSet done = new BitSet();
         BitSet recorded = new BitSet();
-        complete(random, done, tasks);
-        writeAsBefore(spec, done);
+        completeRandomTasks(random, done, tasks);
+        writeInPreviousFormat(spec, done);
         recorded.or(done);
-        for (int life = 0; life < 8; life++) {
-            if (life == 4) {
+        for (int term = 0; term < 8; term++) {
+            if (term == 4) {
                 state.valueBytes = 2048;
                 state.txnOps = 4;
             }
-            CompletionBlockStore blockStore = newBlockStore(life < 2 ? "" : NEXT);
-            BitSet heard = read(blockStore);
-            BitSet lost = (BitSet) recorded.clone();
-            lost.andNot(heard);
-            assertTrue(lost.isEmpty(), "completions lost in term " + life + ": " + lost.cardinality());
-            done = heard;
-            for (int writes = 1 + random.nextInt(6); writes > 0; writes--) {
-                complete(random, done, tasks);
-                Job job = new Job(spec, 1, clock.now(), open().revision(), done, tasks, true);
+            CompletionBlockStore blockStore = newBlockStore(term < 2 ? "" : LOWER_LIMITS);
+            BitSet loadedCompletions = readCompletedTasks(blockStore);
+            BitSet lostCompletions = (BitSet) recorded.clone();
+            lostCompletions.andNot(loadedCompletions);
+            assertTrue(
+                    lostCompletions.isEmpty(),
+                    "completions lost in term " + term + ": " + lostCompletions.cardinality());
+            done = loadedCompletions;
+            for (int remainingWrites = 1 + random.nextInt(6); remainingWrites > 0; remainingWrites--) {
+                completeRandomTasks(random, done, tasks);
+                Job job = new Job(spec, 1, clock.now(), readOpenRecord().revision(), done, tasks, true);
                 StateClient.Txn txn = new StateClient.Txn()
-                        .when(RecordKeys.LEADER, leader)
+                        .when(RecordKeys.LEADER, leadershipRevision)
                         .when(RecordKeys.openKey(ID), job.revision());
                 blockStore.addProgress(txn, job, done);
                 // The last write of this leader has no response and is executed after the next leader takes over.
-                boolean held = writes == 1 && random.nextBoolean();
+                boolean held = remainingWrites == 1 && random.nextBoolean();
                 state.holding = t -> held;
                 Future<StateClient.Outcome> outcome = client.commit(txn);
                 while (held && state.held() == 0) {
@@ -139,14 +143,14 @@
                 }
                 if (!held) {
                     assertTrue(await(outcome).done());
-                    recorded.or(blockStore.written(job, done));
+                    recorded.or(blockStore.onProgressWritten(job, done));
                 }
             }
             state.holding = t -> false;
-            int waited = state.held();
-            assertTrue(waited <= 1);
-            newBlockStore(NEXT);
-            assertEquals(waited == 0 ? List.of() : List.of(409), state.executeLate());
+            int heldTransactions = state.held();
+            assertTrue(heldTransactions <= 1);
+            newBlockStore(LOWER_LIMITS);
+            assertEquals(heldTransactions == 0 ? List.of() : List.of(409), state.executeLate());
         }
         assertEquals(0, state.tooLarge);
         assertEquals(0, client.limits().refusals());
@@ -158,29 +162,29 @@
     void blocksOfAFinishedJobAreDeletedAfterItsCompletion(int tasks) throws Exception {
         BitSet done = new BitSet();
         done.set(0, tasks - 1);
-        writeAsBefore(spec(tasks, 10), done);
+        writeInPreviousFormat(spec(tasks, 10), done);
         state.txnOps = 4;
-        CompletionBlockStore blockStore = newBlockStore(NEXT);
-        Job job = new Job(spec(tasks, 10), 1, clock.now(), open().revision(), done, tasks, true);
+        CompletionBlockStore blockStore = newBlockStore(LOWER_LIMITS);
+        Job job = new Job(spec(tasks, 10), 1, clock.now(), readOpenRecord().revision(), done, tasks, true);
         StateClient.Txn txn = new StateClient.Txn();
         blockStore.addProgress(txn, job, done);
         assertTrue(await(client.commit(txn)).done() && txn.size() <= 4);
         await(client.commit(new StateClient.Txn()
                 .delete(RecordKeys.openKey(ID))
                 .put(RecordKeys.finalKey(ID), JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
-        CompletionBlockStore next = newBlockStore(NEXT);
-        for (String key : blocks()) {
-            next.inherit(key, new BitSet());
+        CompletionBlockStore next = newBlockStore(LOWER_LIMITS);
+        for (String key : blockKeys()) {
+            next.addInheritedBlock(key, new BitSet());
         }
-        next.loaded(Set.of());
+        next.onOpenJobsLoaded(Set.of());
         vertx.runOnContext(v -> next.start());
-        while (!blocks().isEmpty()) {
+        while (!blockKeys().isEmpty()) {
             Thread.onSpinWait();
         }
         assertTrue(state.has(RecordKeys.finalKey(ID)));
     }
 
-    private List<String> blocks() {
+    private List<String> blockKeys() {
         List<String> keys = new ArrayList<>(state.keys(RecordKeys.COMPLETION_BLOCKS));
         keys.addAll(state.keys(CompletionBits.SMALL_BLOCKS));
         return keys;
@@ -189,28 +193,28 @@
     /** Without announced limits, the writes get smaller until the state service accepts one. */
     @ParameterizedTest
     @CsvSource({"2048, 4", "1500, 2"})
-    void aRejectionForSizeIsFollowedBySmallerWrites(int valueBytes, int txnOps) throws Exception {
+    void rejectedSizesLeadToSmallerWrites(int valueBytes, int txnOps) throws Exception {
         CompletionBlockStore blockStore = newBlockStore("");
         JobSpec spec = spec(100_000, 10);
         BitSet done = new BitSet();
-        writeAsBefore(spec, done);
+        writeInPreviousFormat(spec, done);
         done.set(0, 90_000);
         state.valueBytes = valueBytes;
         state.txnOps = txnOps;
-        Job job = new Job(spec, 1, clock.now(), open().revision(), done, 100_000, true);
-        int tries = 0;
-        while (blockStore.isBehind(job) && tries < 60) {
-            tries++;
+        Job job = new Job(spec, 1, clock.now(), readOpenRecord().revision(), done, 100_000, true);
+        int attempts = 0;
+        while (blockStore.hasUnwrittenCompletions(job) && attempts < 60) {
+            attempts++;
             StateClient.Txn txn = new StateClient.Txn();
             blockStore.addProgress(txn, job, done);
-            boolean taken = await(client.commit(txn).map(true).otherwise(false));
-            if (taken) {
-                blockStore.written(job, done);
+            boolean accepted = await(client.commit(txn).map(true).otherwise(false));
+            if (accepted) {
+                blockStore.onProgressWritten(job, done);
             }
         }
-        assertTrue(!blockStore.isBehind(job), "tries: " + tries);
+        assertTrue(!blockStore.hasUnwrittenCompletions(job), "tries: " + attempts);
         assertTrue(
                 client.limits().refusals() <= 4, "refusals: " + client.limits().refusals());
-        assertEquals(done, read(newBlockStore("")));
+        assertEquals(done, readCompletedTasks(newBlockStore("")));
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LastTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionRaceTest.java
@@ -52,18 +52,18 @@
  * job must end as either done or cancelled, and every node must report the same outcome from then on. Each controller has its
  * own connection to the state service, on which the test delays requests to produce each order; all run on one event loop.
  */
-class LastTaskTest {
+class CompletionRaceTest {
     private static final JobId JOB = new JobId("run-1");
     private static final Team TEAM = LeaderHarness.TEAM;
-    private static final MachineType TYPE = LeaderHarness.quad();
+    private static final MachineType MACHINE_TYPE = LeaderHarness.quad();
     /** More completions than are written at once, so that a completion is first written to the open job's record. */
-    private static final int CROWD = 8;
+    private static final int COMPLETION_BURST = 8;
 
     private final Vertx vertx = Vertx.vertx();
     private final Context loop = vertx.getOrCreateContext();
     private final SteadyClock clock = new SteadyClock();
     /** Strong references, as Vert.x closes a client that is no longer referenced. */
-    private final List<Object> kept = new ArrayList<>();
+    private final List<Object> strongReferences = new ArrayList<>();
 
     private final StateStandIn service = new StateStandIn();
     private StateClient leader;
@@ -74,22 +74,22 @@
     @BeforeEach
     void start() throws Exception {
         awaitOnLoop(() -> service.listen(vertx));
-        leader = client("leader");
-        catalogue = keep(
-                new Catalogue(vertx, leader, new CloudClient(keep(new ServiceClient(vertx, service.endpoint(), 1)))));
+        leader = newStateClient("leader");
+        catalogue = keepReachable(new Catalogue(
+                vertx, leader, new CloudClient(keepReachable(new ServiceClient(vertx, service.endpoint(), 1)))));
         Revision leadershipRevision = awaitOnLoop(() -> leader.commit(new StateClient.Txn()
-                        .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(TYPE)))
+                        .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(MACHINE_TYPE)))
                         .put(RecordKeys.LEADER, MessagePackFormat.map("t", 1L))))
                 .writtenRevision();
         awaitOnLoop(() -> {
             catalogue.start();
             return Future.succeededFuture();
         });
-        until(catalogue::isKnown);
+        awaitCondition(catalogue::isKnown);
         NodeContext context =
                 LeaderHarness.context(vertx, clock, leader).catalogue(catalogue).build();
 
-        core = LeaderHarness.loadedCore(context, 3, TYPE);
+        core = LeaderHarness.loadedCore(context, 3, MACHINE_TYPE);
         jobStore = new JobStore(
                 LeaderHarness.writes(context, 3, leadershipRevision, 100), core, null, true, new CancellationHorizon());
     }
@@ -102,37 +102,38 @@
         });
     }
 
-    private <T> T keep(T object) {
-        kept.add(object);
+    private <T> T keepReachable(T object) {
+        strongReferences.add(object);
         return object;
     }
 
-    private <T> Future<T> ask(Supplier<Future<T>> request) {
-        Promise<T> answer = Promise.promise();
-        loop.runOnContext(v -> request.get().onComplete(answer));
-        return answer.future();
+    private <T> Future<T> runOnLoop(Supplier<Future<T>> request) {
+        Promise<T> response = Promise.promise();
+        loop.runOnContext(v -> request.get().onComplete(response));
+        return response.future();
     }
 
     private <T> T awaitOnLoop(Supplier<Future<T>> request) throws Exception {
-        return await(ask(request));
+        return await(runOnLoop(request));
     }
 
     /** Waits until the condition, evaluated on the event loop, is true. */
-    private void until(BooleanSupplier holds) throws Exception {
-        Moment end = clock.now().plus(Span.seconds(20));
-        while (!awaitOnLoop(() -> Future.succeededFuture(holds.getAsBoolean()))) {
-            assertTrue(clock.now().isBefore(end), "the condition was not met within 20 s");
+    private void awaitCondition(BooleanSupplier condition) throws Exception {
+        Moment deadline = clock.now().plus(Span.seconds(20));
+        while (!awaitOnLoop(() -> Future.succeededFuture(condition.getAsBoolean()))) {
+            assertTrue(clock.now().isBefore(deadline), "the condition was not met within 20 s");
         }
     }
 
-    private StateClient client(String node) throws Exception {
+    private StateClient newStateClient(String node) throws Exception {
         Endpoint endpoint = awaitOnLoop(() -> service.door(vertx, node));
-        return keep(new StateClient(
-                keep(new ServiceClient(vertx, endpoint, 4)), keep(new ServiceClient(vertx, endpoint, 1))));
+        return keepReachable(new StateClient(
+                keepReachable(new ServiceClient(vertx, endpoint, 4)),
+                keepReachable(new ServiceClient(vertx, endpoint, 1))));
     }
 
-    private JobService jobService(String node) throws Exception {
-        StateClient client = client(node);
+    private JobService newJobService(String node) throws Exception {
+        StateClient client = newStateClient(node);
         return new JobService(new JobService.Context(
                 vertx, client, new JobRepairer(client, clock), catalogue, List.of(TEAM), clock, 8192, 100));
     }
@@ -142,17 +143,18 @@
     }
 
     /** Adds a job whose only task has completed, which the leader has not recorded yet. */
-    private void addCompleted(JobId id) throws Exception {
-        Revision stamp = awaitOnLoop(() -> leader.commit(new StateClient.Txn().put(RecordKeys.openKey(id), record(id))))
+    private void addCompletedJob(JobId id) throws Exception {
+        Revision revision = awaitOnLoop(
+                        () -> leader.commit(new StateClient.Txn().put(RecordKeys.openKey(id), encodeOpenRecord(id))))
                 .writtenRevision();
         BitSet done = new BitSet();
         done.set(0);
-        Job job = new Job(spec(id), 1, clock.now(), stamp, done, 1, false);
+        Job job = new Job(spec(id), 1, clock.now(), revision, done, 1, false);
         core.addJob(job);
         jobStore.markDirty(job);
     }
 
-    private static Map<String, Object> record(JobId id) {
+    private static Map<String, Object> encodeOpenRecord(JobId id) {
         return JobRecordCodec.writeJob(spec(id), 1, JobStatus.RUNNING, new BitSet(), 1, 1);
     }
 
@@ -163,15 +165,15 @@
                         == JobStatus.DONE;
     }
 
-    private static String statusOf(ApiResponse answer) {
-        return answer.status() + " " + answer.body().get("status");
+    private static String statusOf(ApiResponse response) {
+        return response.status() + " " + response.body().get("status");
     }
 
     private Future<ApiResponse> submit(JobService jobService) {
-        return ask(() -> jobService.submit(MessagePackFormat.write(JobCodec.write(spec(JOB)))));
+        return runOnLoop(() -> jobService.submit(MessagePackFormat.write(JobCodec.write(spec(JOB)))));
     }
 
-    /** @param held whose change to the job is delayed until the other one's is executed, after both have read the job */
+    /** @param delayedWriter whose change to the job is delayed until the other one's is executed, after both have read the job */
     @ParameterizedTest
     @CsvSource({
         "none, false, done",
@@ -181,33 +183,34 @@
         "the leader, false, cancelled",
         "the leader, true, cancelled"
     })
-    void allNodesReportTheSameOutcomeForever(String held, boolean crowded, String expected) throws Exception {
-        JobService a = jobService("a");
-        JobService b = jobService("b");
-        addCompleted(JOB);
-        for (int n = 2; crowded && n < CROWD; n++) {
-            addCompleted(new JobId("run-" + n));
+    void allNodesReportTheSameOutcome(String delayedWriter, boolean completionBurst, String expected) throws Exception {
+        JobService serviceA = newJobService("a");
+        JobService serviceB = newJobService("b");
+        addCompletedJob(JOB);
+        for (int n = 2; completionBurst && n < COMPLETION_BURST; n++) {
+            addCompletedJob(new JobId("run-" + n));
         }
-        Fields before = MessagePackFormat.readMap(MessagePackFormat.write(record(JOB)));
+        Fields openRecord = MessagePackFormat.readMap(MessagePackFormat.write(encodeOpenRecord(JOB)));
         // The query and the repeated submission arrive at node b now, and are executed after the job has finished.
         service.delaying = (door, path) -> door.equals("b")
-                || (path.equals("/txn") && (door.equals("a") ? held.equals("the user") : held.equals("the leader")));
-        Future<ApiResponse> question = ask(() -> b.query(JOB.text()));
-        Future<ApiResponse> repeated = submit(b);
-        until(() -> service.delayed() == 2);
+                || (path.equals("/txn")
+                        && (door.equals("a") ? delayedWriter.equals("the user") : delayedWriter.equals("the leader")));
+        Future<ApiResponse> query = runOnLoop(() -> serviceB.query(JOB.text()));
+        Future<ApiResponse> repeatedSubmission = submit(serviceB);
+        awaitCondition(() -> service.delayed() == 2);
         Future<ApiResponse> cancellation = null;
-        if (held.equals("the user")) {
-            cancellation = ask(() -> a.cancel(JOB.text()));
-            until(() -> service.delayed() == 3);
+        if (delayedWriter.equals("the user")) {
+            cancellation = runOnLoop(() -> serviceA.cancel(JOB.text()));
+            awaitCondition(() -> service.delayed() == 3);
         }
         loop.runOnContext(v -> jobStore.start());
-        if (held.equals("the leader")) {
-            until(() -> service.delayed() >= 3);
+        if (delayedWriter.equals("the leader")) {
+            awaitCondition(() -> service.delayed() >= 3);
         } else {
-            until(this::isFinished);
+            awaitCondition(this::isFinished);
         }
-        if (!held.equals("the user")) {
-            cancellation = ask(() -> a.cancel(JOB.text()));
+        if (!delayedWriter.equals("the user")) {
+            cancellation = runOnLoop(() -> serviceA.cancel(JOB.text()));
             await(cancellation);
         }
         loop.runOnContext(v -> {
@@ -215,16 +218,16 @@
             service.letThrough();
         });
         assertEquals("200 " + expected, statusOf(await(cancellation)));
-        assertEquals("200 " + expected, statusOf(await(question)));
-        assertEquals("200 " + expected, statusOf(await(repeated)));
-        until(() -> core.job(JOB) == null);
-        for (JobService jobService : List.of(a, b, jobService("started-later"))) {
+        assertEquals("200 " + expected, statusOf(await(query)));
+        assertEquals("200 " + expected, statusOf(await(repeatedSubmission)));
+        awaitCondition(() -> core.job(JOB) == null);
+        for (JobService jobService : List.of(serviceA, serviceB, newJobService("started-later"))) {
             assertEquals("200 " + expected, statusOf(awaitOnLoop(() -> jobService.query(JOB.text()))));
             assertEquals("200 " + expected, statusOf(await(submit(jobService))));
             assertEquals("200 " + expected, statusOf(awaitOnLoop(() -> jobService.cancel(JOB.text()))));
         }
-        loop.runOnContext(v -> jobStore.onOpenRecordWritten(JOB, before, new Revision(11)));
-        until(() -> !service.has(RecordKeys.openKey(JOB)));
+        loop.runOnContext(v -> jobStore.onOpenRecordWritten(JOB, openRecord, new Revision(11)));
+        awaitCondition(() -> !service.has(RecordKeys.openKey(JOB)));
         assertNull(core.job(JOB), "a delayed write must not open the job again");
     }
 }
--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -71,16 +71,16 @@
         await(vertx.close());
     }
 
-    private Job job(int id, int tasks, int done, int bound) throws Exception {
-        JobSpec spec = LeaderHarness.spec(new JobId("run-" + id), tasks, "img");
-        Revision stamp = await(client.commit(new StateClient.Txn()
+    private Job createOpenJob(int number, int tasks, int completedCount, int startBound) throws Exception {
+        JobSpec spec = LeaderHarness.spec(new JobId("run-" + number), tasks, "img");
+        Revision revision = await(client.commit(new StateClient.Txn()
                         .put(
                                 RecordKeys.openKey(spec.id()),
-                                JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, bound))))
+                                JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, startBound))))
                 .writtenRevision();
         BitSet completed = new BitSet();
-        completed.set(0, done);
-        return new Job(spec, 1, clock.now(), stamp, completed, bound, false);
+        completed.set(0, completedCount);
+        return new Job(spec, 1, clock.now(), revision, completed, startBound, false);
     }
 
     /** The records of all open jobs. */
@@ -97,26 +97,26 @@
     }
 
     @Test
-    void aBurstOfCompletionsTakesOneChangeEachAndDelaysNoStart() throws Exception {
+    void completionBurstTakesOneChangeEachAndDelaysNoStart() throws Exception {
         for (int id = 0; id < COMPLETIONS; id++) {
-            Job job = job(id, 1, 1, 1);
+            Job job = createOpenJob(id, 1, 1, 1);
             core.addJob(job);
             jobStore.markDirty(job);
         }
-        Job waiting = job(COMPLETIONS, 40_000, 0, 0);
+        Job waiting = createOpenJob(COMPLETIONS, 40_000, 0, 0);
         core.addJob(waiting);
         core.rented(new MachinePool("quad", "a", true), List.of(new MachineId("vm-1")), clock.now(), clock.now());
-        int before = state.changed;
+        int changesBefore = state.changed;
         vertx.runOnContext(v -> jobStore.start());
-        Map<JobId, JobRecord> now = openRecords();
-        while (now.get(waiting.id()).bound() == 0) {
-            now = openRecords();
+        Map<JobId, JobRecord> records = openRecords();
+        while (records.get(waiting.id()).bound() == 0) {
+            records = openRecords();
         }
-        assertTrue(countUnfinished(now) > 1, "the start bound was written only after all completions");
-        while (countUnfinished(now) > 1) {
-            now = openRecords();
+        assertTrue(countUnfinished(records) > 1, "the start bound was written only after all completions");
+        while (countUnfinished(records) > 1) {
+            records = openRecords();
         }
-        assertTrue(state.changed - before < 2 * COMPLETIONS - 10, "changes: " + (state.changed - before));
+        assertTrue(state.changed - changesBefore < 2 * COMPLETIONS - 10, "changes: " + (state.changed - changesBefore));
         while (openRecords().size() > 1) {
             Thread.onSpinWait();
         }
@@ -131,33 +131,33 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aDeletedRecordHoldsTheHorizonUntilTheReasonIsRead(boolean confirmedByPeer) throws Exception {
-        Job job = job(1, 2, 0, 2);
+        Job job = createOpenJob(1, 2, 0, 2);
         core.addJob(job);
         await(client.commit(new StateClient.Txn()
                 .delete(RecordKeys.openKey(job.id()))
                 .put(RecordKeys.finalKey(job.id()), JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))));
-        Moment before = clock.now();
-        horizon.advanceTo(before);
+        Moment horizonBefore = clock.now();
+        horizon.advanceTo(horizonBefore);
         state.refusing = true;
         await(vertx.timer(20, TimeUnit.MILLISECONDS));
         onLoop(() -> jobStore.onOpenRecordDeleted(job.id()));
-        int refused = state.refusals;
-        while (state.refusals < refused + 2) {
+        int refusalsBefore = state.refusals;
+        while (state.refusals < refusalsBefore + 2) {
             Thread.onSpinWait();
         }
         onLoop(() -> horizon.advanceTo(clock.now()));
-        assertEquals(before, horizon.completeUntil());
+        assertEquals(horizonBefore, horizon.completeUntil());
         assertFalse(job.isCancelled());
         if (confirmedByPeer) {
             onLoop(() -> jobStore.onCancelled(job.id()));
             assertTrue(job.isCancelled());
         }
         state.refusing = confirmedByPeer;
-        while (horizon.completeUntil().equals(before)) {
+        while (horizon.completeUntil().equals(horizonBefore)) {
             onLoop(() -> {});
         }
         assertTrue(job.isCancelled());
-        onLoop(() -> jobStore.onOpenRecordWritten(job.id(), record(job, 2), new Revision(99)));
+        onLoop(() -> jobStore.onOpenRecordWritten(job.id(), encodeOpenRecord(job, 2), new Revision(99)));
         assertNull(core.job(job.id()), "a delayed write must not open the job again");
     }
 
@@ -168,22 +168,22 @@
      */
     @Test
     void aCancellationBeforeTheAcceptanceIsWatchedKeepsTheJobClosed() throws Exception {
-        Job job = job(1, 1, 0, 1);
+        Job job = createOpenJob(1, 1, 0, 1);
         onLoop(() -> jobStore.onCancelled(job.id()));
-        onLoop(() -> jobStore.onOpenRecordWritten(job.id(), record(job, 1), job.revision()));
+        onLoop(() -> jobStore.onOpenRecordWritten(job.id(), encodeOpenRecord(job, 1), job.revision()));
         assertNull(core.job(job.id()), "the acceptance must not open a cancelled job");
     }
 
     /** Encodes the job's record as the watch reports it. */
-    private static Fields record(Job job, int bound) {
+    private static Fields encodeOpenRecord(Job job, int startBound) {
         return MessagePackFormat.readMap(MessagePackFormat.write(
-                JobRecordCodec.writeJob(job.spec(), 1, JobStatus.PENDING, new BitSet(), 0, bound)));
+                JobRecordCodec.writeJob(job.spec(), 1, JobStatus.PENDING, new BitSet(), 0, startBound)));
     }
 
     /** The records fill two listing pages. One job of each page is cancelled after the first page was read. */
     @Test
     void cancellationsBetweenTwoPagesAreApplied() throws Exception {
-        JobSpec spec = job(1, 1, 0, 1).spec();
+        JobSpec spec = createOpenJob(1, 1, 0, 1).spec();
         for (int first = 1000; first < 1600; first += 10) {
             StateClient.Txn jobs = new StateClient.Txn();
             for (int n = first; n < first + 10; n++) {
@@ -210,9 +210,9 @@
         assertNull(core.job(new JobId("run-1599")));
         JobWatch watch = new JobWatch(context, jobStore, horizon);
         onLoop(() -> watch.catchUp(revision).onSuccess(v -> watch.start()));
-        Moment until = clock.now().plus(Span.seconds(10));
+        Moment deadline = clock.now().plus(Span.seconds(10));
         while (core.job(new JobId("run-1000")) != null) {
-            assertTrue(clock.now().isBefore(until), "the cancellation was not applied within 10 s");
+            assertTrue(clock.now().isBefore(deadline), "the cancellation was not applied within 10 s");
             Thread.onSpinWait();
         }
         onLoop(watch::cancel);
@@ -226,7 +226,8 @@
         await(client.commit(new StateClient.Txn()
                 .put(
                         "j/" + id,
-                        JobRecordCodec.writeJob(job(1, 1, 0, 1).spec(), 1, JobStatus.PENDING, new BitSet(), 0, 1))));
+                        JobRecordCodec.writeJob(
+                                createOpenJob(1, 1, 0, 1).spec(), 1, JobStatus.PENDING, new BitSet(), 0, 1))));
         long revision = await(jobStore.load());
         await(client.commit(new StateClient.Txn()
                 .delete("j/" + id)
@@ -234,9 +235,9 @@
         Promise<Void> caughtUp = Promise.promise();
         onLoop(() -> new JobWatch(context, jobStore, horizon).catchUp(revision).onComplete(caughtUp));
         await(caughtUp.future());
-        Moment until = clock.now().plus(Span.seconds(10));
+        Moment deadline = clock.now().plus(Span.seconds(10));
         while (core.job(id) != null) {
-            assertTrue(clock.now().isBefore(until), "the cancellation was not applied within 10 s");
+            assertTrue(clock.now().isBefore(deadline), "the cancellation was not applied within 10 s");
             Thread.onSpinWait();
         }
     }
@@ -254,29 +255,30 @@
     @Test
     void aRecordAboveTheLimitDelaysNoOtherJob() throws Exception {
         context = LeaderHarness.context(vertx, clock, client)
-                .config(LeaderHarness.config(CompletionBlockStoreTest.NEXT))
+                .config(LeaderHarness.config(CompletionBlockStoreTest.LOWER_LIMITS))
                 .build();
         JobSpec spec = CompletionBlockStoreTest.spec(4, 3000);
-        Revision stamp = await(client.commit(new StateClient.Txn()
+        Revision revision = await(client.commit(new StateClient.Txn()
                         .put("j/run-1", JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 0))))
                 .writtenRevision();
-        Job tooLong = new Job(spec, 1, clock.now(), stamp, new BitSet(), 0, false);
+        Job tooLargeJob = new Job(spec, 1, clock.now(), revision, new BitSet(), 0, false);
         Revision leadershipRevision = await(client.get(RecordKeys.LEADER)).revision();
         jobStore = new JobStore(LeaderHarness.writes(context, 3, leadershipRevision, 20), core, null, true, horizon);
         state.valueBytes = 2048;
         state.txnOps = 4;
-        int before = state.changed;
-        core.addJob(tooLong);
-        jobStore.markDirty(tooLong);
-        Job large = job(2, 100_000, 100_000, 100_000);
-        core.addJob(large);
-        jobStore.markDirty(large);
+        int changesBefore = state.changed;
+        core.addJob(tooLargeJob);
+        jobStore.markDirty(tooLargeJob);
+        Job largeJob = createOpenJob(2, 100_000, 100_000, 100_000);
+        core.addJob(largeJob);
+        jobStore.markDirty(largeJob);
         vertx.runOnContext(v -> jobStore.start());
         while (!state.has("f/run-2")) {
             Thread.onSpinWait();
         }
         assertEquals(0, state.tooLarge);
-        assertEquals(3, state.changed - before, "one change for the submission of run-2, two for its completion");
+        assertEquals(
+                3, state.changed - changesBefore, "one change for the submission of run-2, two for its completion");
         assertTrue(state.has("j/run-1"));
     }
 
@@ -285,7 +287,7 @@
      */
     @Test
     void anUnreadableRecordOfAKnownJobIsRewritten() throws Exception {
-        Job job = job(1, 4, 2, 4);
+        Job job = createOpenJob(1, 4, 2, 4);
         core.addJob(job);
         Revision unreadable = await(
                         client.commit(new StateClient.Txn().put("j/run-1", MessagePackFormat.map("class", 5L))))
@@ -301,8 +303,8 @@
     /** A load fails after it has read the jobs. Before it is repeated, one job is cancelled and another makes progress. */
     @Test
     void aRepeatedLoadForgetsJobsThatWereCancelledSince() throws Exception {
-        Job cancelled = job(1, 2, 0, 2);
-        job(2, 2, 0, 1);
+        Job cancelled = createOpenJob(1, 2, 0, 2);
+        createOpenJob(2, 2, 0, 1);
         await(jobStore.load());
         assertEquals(2, core.jobs().size());
         await(client.commit(new StateClient.Txn()
@@ -330,7 +332,7 @@
      */
     @Test
     void anUnreadableRecordBlocksOnlyItsOwnJob() throws Exception {
-        job(1, 1, 0, 0);
+        createOpenJob(1, 1, 0, 0);
         await(client.commit(new StateClient.Txn()
                 .put("j/run-2", MessagePackFormat.map("class", 5L))
                 .put("j/what", MessagePackFormat.map())
@@ -343,7 +345,7 @@
         jobStore.onOpenRecordWritten(
                 new JobId("run-3"), new Fields(MessagePackFormat.map("class", 5L)), new Revision(9));
         assertEquals(1, core.jobs().size(), "an unreadable record that the watch reports is skipped");
-        Fields repaired = record(core.job(new JobId("run-1")), 1);
+        Fields repaired = encodeOpenRecord(core.job(new JobId("run-1")), 1);
         jobStore.onOpenRecordWritten(new JobId("run-3"), repaired, new Revision(10));
         jobStore.onOpenRecordWritten(new JobId("run-4"), repaired, new Revision(11));
         assertEquals(
--- a/src/test/java/io/indigoreach/cluster/JobWatchTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobWatchTest.java
@@ -13,7 +13,8 @@
 class JobWatchTest {
     @ParameterizedTest
     @ValueSource(doubles = {1, 1.7, 5, 14, 120})
-    void watchesEndOftenEnoughInAQuietService(double lease) {
-        assertTrue(JobWatch.watchTime(Span.seconds(lease)).times(2).compareTo(Span.seconds(lease)) <= 0);
+    void watchTimeIsAtMostHalfTheLease(double leaseSeconds) {
+        assertTrue(
+                JobWatch.maxWatchTime(Span.seconds(leaseSeconds)).times(2).compareTo(Span.seconds(leaseSeconds)) <= 0);
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
@@ -30,33 +30,33 @@
 
 /** Transactions on job records that get no response ({@link LateTransactionsHarness}). */
 class LateJobTransactionsTest extends LateTransactionsHarness {
-    private void isOver(JobStatus how) {
+    private void assertFinalStatus(JobStatus expectedStatus) {
         assertEquals(
-                how,
+                expectedStatus,
                 JobRecordCodec.readFinal(JOB, service.value(RecordKeys.finalKey(JOB)))
                         .status());
     }
 
-    private void untilOver(JobId id) throws Exception {
+    private void awaitFinalRecord(JobId id) throws Exception {
         until(() -> service.has(RecordKeys.finalKey(id)));
     }
 
-    /** Adds a job to the state service and to the leader; the first {@code done} of its tasks are complete but not recorded. */
-    private Job job(String id, int tasks, int done, int bound) throws Exception {
+    /** Adds a job to the state service and to the leader; the first {@code completedCount} of its tasks are complete but not recorded. */
+    private Job addOpenJob(String id, int tasks, int completedCount, int startBound) throws Exception {
         JobSpec spec = spec(id, tasks);
         Predicate<Fields> holding = service.holding;
         Predicate<Fields> losing = service.losing;
         pass();
-        Revision stamp = await(client.commit(new StateClient.Txn()
+        Revision revision = await(client.commit(new StateClient.Txn()
                         .put(
                                 RecordKeys.openKey(spec.id()),
-                                JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, bound))))
+                                JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, startBound))))
                 .writtenRevision();
         service.holding = holding;
         service.losing = losing;
-        BitSet over = new BitSet();
-        over.set(0, done);
-        Job job = new Job(spec, 1, clock.now(), stamp, over, bound, false);
+        BitSet completedTasks = new BitSet();
+        completedTasks.set(0, completedCount);
+        Job job = new Job(spec, 1, clock.now(), revision, completedTasks, startBound, false);
         core.addJob(job);
         return job;
     }
@@ -70,18 +70,18 @@
                 new CancellationHorizon()));
     }
 
-    private JobStore leading() throws Exception {
+    private JobStore newLeaderJobStore() throws Exception {
         return newJobStore(lead(1));
     }
 
-    private void begin(JobStore jobStore, Job... jobs) {
+    private void startWriting(JobStore jobStore, Job... jobs) {
         for (Job job : jobs) {
             jobStore.markDirty(job);
         }
         run(jobStore::start);
     }
 
-    private int recorded(JobId id) {
+    private int recordedCompletions(JobId id) {
         return JobRecordCodec.readJob(id, service.value(RecordKeys.openKey(id)), Revision.ABSENT)
                 .doneCount();
     }
@@ -110,7 +110,7 @@
             test.loseOne(OPEN);
             assertEquals(503, test.submit(jobService));
             JobStore jobStore = test.newJobStore(test.lead(4));
-            test.begin(jobStore, test.job(JOB.text(), 4, 4, 4));
+            test.startWriting(jobStore, test.addOpenJob(JOB.text(), 4, 4, 4));
             test.until(() -> test.service.has(RecordKeys.finalKey(JOB)) && test.core.job(JOB) == null);
             test.changesNothingMore();
             assertFalse(test.service.has(OPEN));
@@ -125,26 +125,26 @@
         });
         CASES.put("cancellation, then a progress write of the unfinished job", test -> {
             JobService jobService = test.newJobService();
-            JobStore jobStore = test.leading();
-            Job job = test.job(JOB.text(), 4, 2, 4);
+            JobStore jobStore = test.newLeaderJobStore();
+            Job job = test.addOpenJob(JOB.text(), 4, 2, 4);
             test.loseOne(OPEN);
             assertEquals(503, test.cancel(jobService));
-            test.begin(jobStore, job);
-            test.until(() -> test.isAtOnce() ? test.core.job(JOB) == null : test.recorded(JOB) == 2);
+            test.startWriting(jobStore, job);
+            test.until(() -> test.isAtOnce() ? test.core.job(JOB) == null : test.recordedCompletions(JOB) == 2);
             test.changesNothingMore();
             assertEquals(test.isAtOnce(), !test.service.has(OPEN), "the user received no response, and retries");
             assertEquals(200, test.cancel(jobService));
         });
         CASES.put("cancellation, then the job's completion", test -> {
             JobService jobService = test.newJobService();
-            JobStore jobStore = test.leading();
-            Job job = test.job(JOB.text(), 4, 4, 4);
+            JobStore jobStore = test.newLeaderJobStore();
+            Job job = test.addOpenJob(JOB.text(), 4, 4, 4);
             test.loseOne(OPEN);
             assertEquals(503, test.cancel(jobService));
-            test.begin(jobStore, job);
+            test.startWriting(jobStore, job);
             test.until(() -> test.core.job(JOB) == null);
             test.changesNothingMore();
-            test.isOver(test.isAtOnce() ? JobStatus.CANCELLED : JobStatus.DONE);
+            test.assertFinalStatus(test.isAtOnce() ? JobStatus.CANCELLED : JobStatus.DONE);
         });
         for (boolean cancelled : new boolean[] {false, true}) {
             CASES.put(
@@ -181,50 +181,50 @@
             test.changesNothingMore();
         });
         CASES.put("progress write, then a newer one", test -> {
-            JobStore jobStore = test.leading();
+            JobStore jobStore = test.newLeaderJobStore();
             test.loseOne(OPEN);
-            Job job = test.job(JOB.text(), 4, 2, 4);
-            test.begin(jobStore, job);
-            test.until(
-                    () -> test.recorded(JOB) == 2 && job.unrecordedCompletions().isEmpty());
+            Job job = test.addOpenJob(JOB.text(), 4, 2, 4);
+            test.startWriting(jobStore, job);
+            test.until(() -> test.recordedCompletions(JOB) == 2
+                    && job.unrecordedCompletions().isEmpty());
             test.changesNothingMore();
         });
         CASES.put("progress write, then the job's cancellation", test -> {
-            JobStore jobStore = test.leading();
+            JobStore jobStore = test.newLeaderJobStore();
             test.loseAll(OPEN);
-            test.begin(jobStore, test.job(JOB.text(), 4, 2, 4));
+            test.startWriting(jobStore, test.addOpenJob(JOB.text(), 4, 2, 4));
             test.untilUnanswered();
             test.pass();
-            test.until(() -> test.recorded(JOB) == 2);
+            test.until(() -> test.recordedCompletions(JOB) == 2);
             assertEquals(200, test.cancel(test.newJobService()));
             test.changesNothingMore();
             assertFalse(test.service.has(OPEN));
         });
         CASES.put("progress write, then a change of leader", test -> {
-            JobStore jobStore = test.leading();
+            JobStore jobStore = test.newLeaderJobStore();
             test.loseAll(OPEN);
-            test.begin(jobStore, test.job(JOB.text(), 4, 2, 4));
+            test.startWriting(jobStore, test.addOpenJob(JOB.text(), 4, 2, 4));
             test.untilUnanswered();
             test.run(jobStore::cancel);
             test.lead(4);
             test.changesNothingMore();
-            assertEquals(test.isAtOnce() ? 2 : 0, test.recorded(JOB));
+            assertEquals(test.isAtOnce() ? 2 : 0, test.recordedCompletions(JOB));
         });
         CASES.put("start bound, then a newer one", test -> {
-            JobStore jobStore = test.leading();
+            JobStore jobStore = test.newLeaderJobStore();
             test.core.rented(POOL, List.of(new MachineId("vm-1")), test.clock.now(), test.clock.now());
             test.loseOne(OPEN);
-            Job job = test.job(JOB.text(), 4, 0, 0);
-            test.begin(jobStore, job);
+            Job job = test.addOpenJob(JOB.text(), 4, 0, 0);
+            test.startWriting(jobStore, job);
             test.until(() -> test.service.value(OPEN).whole("bound", 0) > 0 && !job.needsHigherStartBound());
             test.changesNothingMore();
         });
         CASES.put("start bound, then a change of leader", test -> {
-            JobStore jobStore = test.leading();
+            JobStore jobStore = test.newLeaderJobStore();
             test.core.rented(POOL, List.of(new MachineId("vm-1")), test.clock.now(), test.clock.now());
             test.loseAll(OPEN);
-            Job job = test.job(JOB.text(), 4, 0, 0);
-            test.begin(jobStore, job);
+            Job job = test.addOpenJob(JOB.text(), 4, 0, 0);
+            test.startWriting(jobStore, job);
             test.untilUnanswered();
             test.run(jobStore::cancel);
             test.lead(4);
@@ -232,16 +232,16 @@
             assertTrue(job.needsHigherStartBound(), "without a response, no task may start within the new bound");
         });
         CASES.put("completion, then its retry", test -> {
-            JobStore jobStore = test.leading();
+            JobStore jobStore = test.newLeaderJobStore();
             test.loseOne(OPEN);
-            test.begin(jobStore, test.job(JOB.text(), 4, 4, 4));
+            test.startWriting(jobStore, test.addOpenJob(JOB.text(), 4, 4, 4));
             test.until(() -> test.service.has(RecordKeys.finalKey(JOB)) && test.core.job(JOB) == null);
             test.changesNothingMore();
         });
         CASES.put("completion, then a change of leader", test -> {
-            JobStore jobStore = test.leading();
+            JobStore jobStore = test.newLeaderJobStore();
             test.loseAll(OPEN);
-            test.begin(jobStore, test.job(JOB.text(), 4, 4, 4));
+            test.startWriting(jobStore, test.addOpenJob(JOB.text(), 4, 4, 4));
             test.untilUnanswered();
             test.run(jobStore::cancel);
             test.lead(4);
@@ -249,22 +249,22 @@
             assertEquals(test.isAtOnce(), !test.service.has(OPEN));
         });
         CASES.put("completion, then the job's cancellation", test -> {
-            JobStore jobStore = test.leading();
+            JobStore jobStore = test.newLeaderJobStore();
             JobService jobService = test.newJobService();
             test.loseAll(OPEN);
-            test.begin(jobStore, test.job(JOB.text(), 4, 4, 4));
+            test.startWriting(jobStore, test.addOpenJob(JOB.text(), 4, 4, 4));
             test.untilUnanswered();
             test.run(jobStore::cancel);
             test.pass();
             assertEquals(200, test.cancel(jobService));
             test.changesNothingMore();
-            test.isOver(test.isAtOnce() ? JobStatus.DONE : JobStatus.CANCELLED);
+            test.assertFinalStatus(test.isAtOnce() ? JobStatus.DONE : JobStatus.CANCELLED);
         });
         CASES.put("completion in the open record and its move to the final record, then the retry of each", test -> {
-            JobStore jobStore = test.leading();
+            JobStore jobStore = test.newLeaderJobStore();
             Job[] jobs = new Job[8];
             for (int n = 0; n < jobs.length; n++) {
-                jobs[n] = test.job("run-" + (n + 1), 1, 1, 1);
+                jobs[n] = test.addOpenJob("run-" + (n + 1), 1, 1, 1);
             }
             AtomicBoolean mark = new AtomicBoolean(true);
             AtomicBoolean move = new AtomicBoolean(true);
@@ -274,9 +274,9 @@
                     && (touches(txn, RecordKeys.finalKey(JOB))
                             ? !mark.get() && move.getAndSet(false)
                             : mark.getAndSet(false)));
-            test.begin(jobStore, jobs);
+            test.startWriting(jobStore, jobs);
             for (Job job : jobs) {
-                test.untilOver(job.id());
+                test.awaitFinalRecord(job.id());
             }
             assertEquals(2, test.unanswered());
             test.changesNothingMore();
@@ -290,8 +290,8 @@
 
     @ParameterizedTest(name = "{0}: {1}")
     @MethodSource("cases")
-    void aTransactionWithoutAResponseDoesNoHarm(Unanswered when, String name, Case<LateJobTransactionsTest> play)
-            throws Exception {
-        play(this, when, play);
+    void transactionWithoutResponseKeepsStateConsistent(
+            Unanswered execution, String name, Case<LateJobTransactionsTest> testCase) throws Exception {
+        play(this, execution, testCase);
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
@@ -25,18 +25,18 @@
 
 /** Transactions on machine records and cloud requests that get no response ({@link LateTransactionsHarness}). */
 class LateMachineTransactionsTest extends LateTransactionsHarness {
-    private Future<Boolean> recordMachine(MachineStore machineStore, int n) {
-        MachineId id = new MachineId("vm-" + n);
+    private Future<Boolean> recordMachine(MachineStore machineStore, int number) {
+        MachineId id = new MachineId("vm-" + number);
         Moment now = clock.now();
         core.rented(POOL, List.of(id), now, now);
         core.onHeartbeat(
                 new Heartbeat(id, "10.0.0.1:1", POOL, new HeartbeatNumber(1, 1), new FencingToken(3), null, List.of()),
                 now);
-        return machineStore.record(core.unrecorded(id).orElseThrow());
+        return machineStore.recordMachine(core.unrecorded(id).orElseThrow());
     }
 
-    private void returnMachine(int n) {
-        core.returned(List.of(new MachineId("vm-" + n)), clock.now());
+    private void returnMachine(int number) {
+        core.returned(List.of(new MachineId("vm-" + number)), clock.now());
     }
 
     private MachineStore newMachineStore(Revision leadershipRevision) {
@@ -55,11 +55,11 @@
                 new RateLimiter(100, clock.now())));
     }
 
-    private static boolean record(IntentLog intentLog) throws Exception {
+    private static boolean recordIntents(IntentLog intentLog) throws Exception {
         return await(intentLog.record().otherwise(false));
     }
 
-    private Intents.Page intended() throws Exception {
+    private Intents.Page recordedIntents() throws Exception {
         return service.has("i/3")
                 ? IntentRecordCodec.readIntents(service.value("i/3"))
                 : new Intents.Page(List.of(), List.of());
@@ -116,7 +116,7 @@
                     test.client,
                     leadershipRevision,
                     RecordKeys.MACHINE_PAGES,
-                    e -> next.inherit(e.key(), e.revision(), MachineRecordCodec.readMachines(e.value()))));
+                    e -> next.addInheritedPage(e.key(), e.revision(), MachineRecordCodec.readMachines(e.value()))));
             test.run(next::start);
             test.until(() -> test.unanswered() == 1
                     && test.service.keys(RecordKeys.MACHINE_PAGES).isEmpty());
@@ -127,39 +127,39 @@
             intentLog.intents().add(RENT);
             test.loseOne(RecordKeys.INTENTS);
             assertFalse(
-                    record(intentLog) || intentLog.intents().maySend(RENT.name()),
+                    recordIntents(intentLog) || intentLog.intents().maySend(RENT.name()),
                     "the outcome of the write is unknown");
-            test.until(() -> record(intentLog) && intentLog.intents().maySend(RENT.name()));
+            test.until(() -> recordIntents(intentLog) && intentLog.intents().maySend(RENT.name()));
             test.changesNothingMore();
         });
         CASES.put("first write of an intent, then the intent's completion", test -> {
             IntentLog intentLog = test.newIntentLog(test.lead(1));
             intentLog.intents().add(RENT);
             test.loseOne(RecordKeys.INTENTS);
-            assertFalse(record(intentLog));
-            test.until(() -> record(intentLog) && intentLog.intents().maySend(RENT.name()));
+            assertFalse(recordIntents(intentLog));
+            test.until(() -> recordIntents(intentLog) && intentLog.intents().maySend(RENT.name()));
             intentLog.intents().completed(RENT.name());
-            test.until(() -> record(intentLog) && test.intended().isEmpty());
+            test.until(() -> recordIntents(intentLog) && test.recordedIntents().isEmpty());
             test.changesNothingMore();
-            assertTrue(test.intended().isEmpty(), "the next leader would send the request again");
+            assertTrue(test.recordedIntents().isEmpty(), "the next leader would send the request again");
         });
         CASES.put("first write of an intent, then the intent's removal before it was sent", test -> {
             IntentLog intentLog = test.newIntentLog(test.lead(1));
             intentLog.intents().add(RENT);
             test.loseOne(RecordKeys.INTENTS);
-            assertFalse(record(intentLog));
+            assertFalse(recordIntents(intentLog));
             intentLog.intents().completed(RENT.name());
-            test.until(() -> record(intentLog)
+            test.until(() -> recordIntents(intentLog)
                     && test.service.has("i/3")
-                    && test.intended().isEmpty());
+                    && test.recordedIntents().isEmpty());
             test.changesNothingMore();
-            assertTrue(test.intended().isEmpty(), "the next leader would rent machines without demand");
+            assertTrue(test.recordedIntents().isEmpty(), "the next leader would rent machines without demand");
         });
         CASES.put("first write of an intent, then a change of leader", test -> {
             IntentLog intentLog = test.newIntentLog(test.lead(1));
             intentLog.intents().add(RENT);
             test.loseOne(RecordKeys.INTENTS);
-            assertFalse(record(intentLog));
+            assertFalse(recordIntents(intentLog));
             test.lead(4);
             test.changesNothingMore();
             assertFalse(intentLog.intents().maySend(RENT.name()));
@@ -167,7 +167,7 @@
         CASES.put("deletion of an earlier leader's intents, then its retry", test -> {
             IntentLog old = test.newIntentLog(test.lead(1));
             old.intents().add(RENT);
-            assertTrue(record(old));
+            assertTrue(recordIntents(old));
             IntentLog next = new IntentLog(
                     test.context, new FencingToken(4), test.lead(4), () -> {}, new RateLimiter(100, test.clock.now()));
             await(next.load());
@@ -186,8 +186,8 @@
 
     @ParameterizedTest(name = "{0}: {1}")
     @MethodSource("cases")
-    void aTransactionWithoutAResponseDoesNoHarm(Unanswered when, String name, Case<LateMachineTransactionsTest> play)
-            throws Exception {
-        play(this, when, play);
+    void transactionWithoutResponseKeepsStateConsistent(
+            Unanswered execution, String name, Case<LateMachineTransactionsTest> testCase) throws Exception {
+        play(this, execution, testCase);
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
@@ -23,7 +23,7 @@
 
 /** Transactions of a rebuild after a data loss that get no response ({@link LateTransactionsHarness}). */
 class LateRebuildTransactionsTest extends LateTransactionsHarness {
-    private int bound() {
+    private int recordedStartBound() {
         return JobRecordCodec.readJob(JOB, service.value(OPEN), Revision.ABSENT).bound();
     }
 
@@ -59,7 +59,8 @@
                     test.client,
                     leader,
                     RecordKeys.MACHINE_PAGES,
-                    e -> machineStore.inherit(e.key(), e.revision(), MachineRecordCodec.readMachines(e.value()))));
+                    e -> machineStore.addInheritedPage(
+                            e.key(), e.revision(), MachineRecordCodec.readMachines(e.value()))));
             test.run(machineStore::start);
             test.until(() -> test.recordedMachines() == 0);
             test.changesNothingMore();
@@ -89,7 +90,7 @@
             assertTrue(test.rebuilds(leader, new RememberedState()));
             test.changesNothingMore();
             if (test.isAtOnce()) {
-                assertEquals(4, test.bound(), "all its tasks may have been started");
+                assertEquals(4, test.recordedStartBound(), "all its tasks may have been started");
             } else {
                 assertFalse(
                         test.service.has(OPEN), "this leader would treat it as a new job that has never run a task");
@@ -123,19 +124,19 @@
         JobService jobService = newJobService();
         loseOne(OPEN);
         assertEquals(503, submit(jobService));
-        Revision leader = lead(1);
-        List<Integer> late = new ArrayList<>();
+        Revision leadershipRevision = lead(1);
+        List<Integer> lateStatuses = new ArrayList<>();
         service.holding = txn -> {
             if (touches(txn, OPEN)) {
-                late.addAll(service.executeLate());
+                lateStatuses.addAll(service.executeLate());
             }
             return false;
         };
         RememberedState rememberedState = new RememberedState();
         rememberedState.add(new RememberedState.OpenJob(spec(JOB.text(), 4), 1, new BitSet(), 4));
-        until(() -> rebuilds(leader, rememberedState));
-        assertEquals(List.of(200), late);
-        assertEquals(4, bound());
+        until(() -> rebuilds(leadershipRevision, rememberedState));
+        assertEquals(List.of(200), lateStatuses);
+        assertEquals(4, recordedStartBound());
     }
 
     static List<Object[]> cases() {
@@ -144,8 +145,8 @@
 
     @ParameterizedTest(name = "{0}: {1}")
     @MethodSource("cases")
-    void aTransactionWithoutAResponseDoesNoHarm(Unanswered when, String name, Case<LateRebuildTransactionsTest> play)
-            throws Exception {
-        play(this, when, play);
+    void transactionWithoutResponseKeepsStateConsistent(
+            Unanswered execution, String name, Case<LateRebuildTransactionsTest> testCase) throws Exception {
+        play(this, execution, testCase);
     }
 }
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -51,7 +51,7 @@
  * machines that was idle for up to 25 s, as each machine waited for its own write at a limit of 12 writes per second.
  */
 class MachineStoreTest {
-    private static final int VALUE_BYTES = 8 * 1024;
+    private static final int MAX_VALUE_BYTES = 8 * 1024;
     private static final MachinePool POOL = new MachinePool("quad", "a-zone-of-usual-length", true);
     private static final Revision NO_LEADER = Revision.ABSENT;
     private final Vertx vertx = Vertx.vertx();
@@ -102,10 +102,10 @@
         core.onHeartbeat(
                 new Heartbeat(id, "10.0.0.1:1", POOL, new HeartbeatNumber(1, 1), new FencingToken(3), null, List.of()),
                 now);
-        return machineStore.record(core.unrecorded(id).orElseThrow());
+        return machineStore.recordMachine(core.unrecorded(id).orElseThrow());
     }
 
-    private List<MachineRecord> recorded() {
+    private List<MachineRecord> readRecordedMachines() {
         List<MachineRecord> all = new ArrayList<>();
         for (String key : state.keys(RecordKeys.MACHINE_PAGES)) {
             all.addAll(MachineRecordCodec.readMachines(state.value(key)));
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void hundredsOfMachinesTakeFewChanges() throws Exception {
+    void hundredsOfMachinesAreRecordedInFewWrites() throws Exception {
         List<Boolean> done = onLoop(() -> {
             List<Future<Boolean>> all = new ArrayList<>();
             for (int n = 0; n < 300; n++) {
@@ -123,10 +123,10 @@
             return Future.all(all).map(c -> c.<Boolean>list());
         });
         assertFalse(done.contains(false));
-        assertEquals(300, recorded().size());
+        assertEquals(300, readRecordedMachines().size());
         assertTrue(state.transactions <= 4, state.transactions + " transactions");
         for (String key : state.keys(RecordKeys.MACHINE_PAGES)) {
-            assertTrue(JsonSize.of(state.value(key).map()) <= VALUE_BYTES);
+            assertTrue(JsonSize.of(state.value(key).map()) <= MAX_VALUE_BYTES);
         }
     }
 
@@ -139,7 +139,7 @@
         assertTrue(onLoop(() -> recordMachine(2)));
         assertEquals(
                 List.of(1, 2),
-                recorded().stream()
+                readRecordedMachines().stream()
                         .map(m -> Integer.parseInt(m.id().text().substring(3)))
                         .toList());
         assertEquals(1, state.keys(RecordKeys.MACHINE_PAGES).size());
@@ -148,13 +148,13 @@
     /** A load fails after it has read the machines, and is repeated. Then more machines boot than fit on one page. */
     @ParameterizedTest
     @ValueSource(ints = {70, 90, 110})
-    void aLoadThatIsRepeatedLosesNoMachine(int machines) throws Exception {
-        MachineRecord earlier =
+    void repeatedLoadLosesNoMachine(int machines) throws Exception {
+        MachineRecord inheritedMachine =
                 new MachineRecord(new MachineId("vm-000900"), POOL, clock.timeOfDay(), clock.timeOfDay());
         long revision = await(client.commit(new StateClient.Txn()
                         .put(
                                 RecordKeys.machinePageKey(new FencingToken(2), 1),
-                                MachineRecordCodec.writeMachines(List.of(earlier)))))
+                                MachineRecordCodec.writeMachines(List.of(inheritedMachine)))))
                 .revision();
         JobStore jobStore = new JobStore(
                 LeaderHarness.writes(context, 3, new Revision(revision), 12),
@@ -175,7 +175,10 @@
         assertFalse(done.contains(false));
         assertEquals(
                 machines + 1,
-                recorded().stream().map(MachineRecord::id).distinct().count(),
+                readRecordedMachines().stream()
+                        .map(MachineRecord::id)
+                        .distinct()
+                        .count(),
                 "a machine that was reported as recorded has no record");
     }
 
@@ -183,21 +186,22 @@
     @Test
     void aPageAboveTheLimitIsSplitWithoutLosingMachines() throws Exception {
         machineStore.cancel();
-        List<MachineRecord> lines = new ArrayList<>();
+        List<MachineRecord> machines = new ArrayList<>();
         Moment now = clock.now();
         for (int n = 0; n < 50; n++) {
             MachineId id = new MachineId(String.format("vm-%06d", n));
-            lines.add(new MachineRecord(id, POOL, clock.timeOfDay(), clock.timeOfDay()));
+            machines.add(new MachineRecord(id, POOL, clock.timeOfDay(), clock.timeOfDay()));
             if (n != 7) {
                 core.inheritMachine(id, POOL, now, now, now);
             }
         }
-        String wide = RecordKeys.machinePageKey(new FencingToken(2), 1);
-        Revision stamp = await(client.commit(new StateClient.Txn().put(wide, MachineRecordCodec.writeMachines(lines))))
+        String oversizedPageKey = RecordKeys.machinePageKey(new FencingToken(2), 1);
+        Revision pageRevision = await(client.commit(
+                        new StateClient.Txn().put(oversizedPageKey, MachineRecordCodec.writeMachines(machines))))
                 .writtenRevision();
         state.valueBytes = 2048;
         state.txnOps = 4;
-        NodeContext narrow = NodeContext.builder()
+        NodeContext lowerLimitsContext = NodeContext.builder()
                 .vertx(vertx)
                 .clock(clock)
                 .state(client)
@@ -205,18 +209,25 @@
                 .settings(Settings.standard())
                 .lease(Span.seconds(10))
                 .build();
-        machineStore = new MachineStore(LeaderHarness.writes(narrow, 3, NO_LEADER, 12), core);
+        machineStore = new MachineStore(LeaderHarness.writes(lowerLimitsContext, 3, NO_LEADER, 12), core);
         onLoop(() -> {
-            machineStore.inherit(wide, stamp, lines);
+            machineStore.addInheritedPage(oversizedPageKey, pageRevision, machines);
             machineStore.start();
             return Future.succeededFuture();
         });
-        while (JsonSize.of(state.value(wide).map()) > 2048) {
-            assertTrue(recorded().stream().map(MachineRecord::id).distinct().count() >= 49);
+        while (JsonSize.of(state.value(oversizedPageKey).map()) > 2048) {
+            assertTrue(readRecordedMachines().stream()
+                            .map(MachineRecord::id)
+                            .distinct()
+                            .count()
+                    >= 49);
         }
         assertEquals(
                 49,
-                recorded().stream().map(MachineRecord::id).distinct().count(),
+                readRecordedMachines().stream()
+                        .map(MachineRecord::id)
+                        .distinct()
+                        .count(),
                 "all machines except the returned one");
         for (String key : state.keys(RecordKeys.MACHINE_PAGES)) {
             assertTrue(JsonSize.of(state.value(key).map()) <= 2048, key);
@@ -234,25 +245,25 @@
                                 MachineRecordCodec.writeMachines(List.of(new MachineRecord(
                                         new MachineId("vm-000900"), POOL, clock.timeOfDay(), clock.timeOfDay()))))))
                 .revision();
-        SchedulerCore fresh = LeaderHarness.core(context, 3, context.config().teams());
-        fresh.setTypes(List.of(machineType("z")));
+        SchedulerCore newCore = LeaderHarness.core(context, 3, context.config().teams());
+        newCore.setTypes(List.of(machineType("z")));
         JobStore jobStore = new JobStore(
                 LeaderHarness.writes(context, 3, new Revision(revision), 12),
-                fresh,
+                newCore,
                 machineStore,
                 true,
                 new CancellationHorizon());
-        Moment begun = clock.now();
-        while (clock.now().since(begun).ms() < 50) {
+        Moment termStart = clock.now();
+        while (clock.now().since(termStart).ms() < 50) {
             Thread.onSpinWait();
         }
         onLoop(jobStore::load);
-        fresh.recordsLoaded();
-        Span bound = context.config().rules().leaseBound();
-        fresh.expireLeases(before.plus(bound));
-        assertFalse(fresh.isFailoverComplete(), "a lease from before this term may still be valid");
-        fresh.expireLeases(begun.plus(bound).plus(new Span(1)));
-        assertTrue(fresh.isFailoverComplete());
+        newCore.recordsLoaded();
+        Span leaseBound = context.config().rules().leaseBound();
+        newCore.expireLeases(before.plus(leaseBound));
+        assertFalse(newCore.isFailoverComplete(), "a lease from before this term may still be valid");
+        newCore.expireLeases(termStart.plus(leaseBound).plus(new Span(1)));
+        assertTrue(newCore.isFailoverComplete());
     }
 
     /**
@@ -260,24 +271,24 @@
      * copy with only returned machines deleted the page, although the other copy had a machine that ran tasks.
      */
     @Test
-    void aPageThatIsInheritedTwiceIsKeptOnce() throws Exception {
-        List<MachineRecord> gone = List.of(new MachineRecord(new MachineId("vm-900"), POOL, 1, 1));
+    void pageThatIsLoadedTwiceIsKeptOnce() throws Exception {
+        List<MachineRecord> returnedMachines = List.of(new MachineRecord(new MachineId("vm-900"), POOL, 1, 1));
         StateClient.Outcome pages = await(client.commit(new StateClient.Txn()
-                .put("m/2-1", MachineRecordCodec.writeMachines(gone))
-                .put("m/2-2", MachineRecordCodec.writeMachines(gone))));
+                .put("m/2-1", MachineRecordCodec.writeMachines(returnedMachines))
+                .put("m/2-2", MachineRecordCodec.writeMachines(returnedMachines))));
         assertTrue(onLoop(() -> {
-            machineStore.inherit("m/2-1", pages.writtenRevision(), gone);
-            machineStore.inherit("m/2-1", pages.writtenRevision(), gone);
-            machineStore.inherit("m/2-2", pages.writtenRevision(), gone);
+            machineStore.addInheritedPage("m/2-1", pages.writtenRevision(), returnedMachines);
+            machineStore.addInheritedPage("m/2-1", pages.writtenRevision(), returnedMachines);
+            machineStore.addInheritedPage("m/2-2", pages.writtenRevision(), returnedMachines);
             return recordMachine(1);
         }));
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (state.has("m/2-2") && System.nanoTime() < end) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (state.has("m/2-2") && System.nanoTime() < deadlineNanos) {
             Thread.onSpinWait();
         }
         assertEquals(
                 List.of("vm-000001"),
-                recorded().stream().map(m -> m.id().text()).toList());
+                readRecordedMachines().stream().map(m -> m.id().text()).toList());
     }
 
     /**
@@ -288,15 +299,16 @@
     void listingsOlderThanTheLeadershipAreRejected() throws Exception {
         long revision = await(client.commit(new StateClient.Txn().put("leader", MessagePackFormat.map("n", 1L))))
                 .revision();
-        for (long key : new long[] {revision, revision + 1}) {
+        for (long leadershipRevision : new long[] {revision, revision + 1}) {
             JobStore jobStore = new JobStore(
-                    LeaderHarness.writes(context, 3, new Revision(key), 12),
+                    LeaderHarness.writes(context, 3, new Revision(leadershipRevision), 12),
                     core,
                     machineStore,
                     true,
                     new CancellationHorizon());
             assertEquals(
-                    key == revision, onLoop(() -> jobStore.load().map(r -> true).otherwise(false)));
+                    leadershipRevision == revision,
+                    onLoop(() -> jobStore.load().map(r -> true).otherwise(false)));
         }
     }
 
@@ -309,17 +321,17 @@
                                 RecordKeys.openKey(spec.id()),
                                 JobRecordCodec.writeJob(spec, 1, JobStatus.PENDING, new BitSet(), 0, 0))))
                 .revision();
-        for (boolean kept : new boolean[] {false, true}) {
-            SchedulerCore fresh =
+        for (boolean startBoundsTrusted : new boolean[] {false, true}) {
+            SchedulerCore newCore =
                     LeaderHarness.core(context, 3, context.config().teams());
             JobStore jobStore = new JobStore(
                     LeaderHarness.writes(context, 3, new Revision(revision), 12),
-                    fresh,
+                    newCore,
                     machineStore,
-                    kept,
+                    startBoundsTrusted,
                     new CancellationHorizon());
             onLoop(jobStore::load);
-            assertEquals(kept ? 0 : 3, fresh.job(spec.id()).startBoundToWrite());
+            assertEquals(startBoundsTrusted ? 0 : 3, newCore.job(spec.id()).startBoundToWrite());
         }
     }
 }
--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -52,10 +52,11 @@
         fixture.close();
     }
 
-    private void rebuild(NodeContext context, Revision leadershipRevision, int writesPerS, RememberedState remembered)
+    private void rebuild(
+            NodeContext context, Revision leadershipRevision, int writesPerSecond, RememberedState rememberedState)
             throws Exception {
-        RateLimiter writeLimiter = new RateLimiter(writesPerS, fixture.clock.now());
-        await(new StateRebuilder(context, TOKEN, leadershipRevision, writeLimiter, remembered).run());
+        RateLimiter writeLimiter = new RateLimiter(writesPerSecond, fixture.clock.now());
+        await(new StateRebuilder(context, TOKEN, leadershipRevision, writeLimiter, rememberedState).run());
     }
 
     private int recordedMachines() {
@@ -67,7 +68,7 @@
 
     /** The second attempt of a leadership term uses a page key that does not exist yet. */
     @Test
-    void secondAttemptRecordsTheMachinesThatTheFirstDidNot() throws Exception {
+    void secondAttemptRecordsMissingMachines() throws Exception {
         NodeContext context = fixture.context();
         Revision leadershipRevision = fixture.gainLeadership(1);
         RememberedState remembered = new RememberedState();
@@ -86,7 +87,7 @@
     }
 
     /** Encodes and decodes the state, as it is sent between nodes. */
-    private static RememberedState sent(RememberedState remembered) {
+    private static RememberedState encodeAndDecode(RememberedState remembered) {
         RememberedState received = new RememberedState();
         RememberedStateCodec.read(
                 MessagePackFormat.readMap(MessagePackFormat.write(RememberedStateCodec.write(remembered, 0))),
@@ -107,7 +108,7 @@
         for (String key : List.of("x/gone", "x/older", "x/newer", "y/other")) {
             remembered.add(new VersionedRecord(key, featureRecord(4), Revision.ABSENT));
         }
-        rebuild(context, leadershipRevision, 100, sent(remembered));
+        rebuild(context, leadershipRevision, 100, encodeAndDecode(remembered));
         assertEquals(List.of("x/gone", "x/newer", "x/older"), state.keys("x/"));
         assertEquals(
                 List.of(4L, 9L, 4L),
@@ -146,23 +147,23 @@
      * The record is written again like a missing one. Present final records need no write, even if thousands are remembered.
      */
     @Test
-    void unreadableRecordsAreRebuiltAndPresentOnesCostNothing() throws Exception {
+    void unreadableRecordsAreRebuiltAndPresentOnesAreNotWritten() throws Exception {
         NodeContext context = fixture.context();
-        StateClient.Txn before = new StateClient.Txn()
+        StateClient.Txn existingRecords = new StateClient.Txn()
                 .put("j/run-1", MessagePackFormat.map("at", "x"))
                 .put("j/run-2", MessagePackFormat.map())
                 .put("p/run-3/0", MessagePackFormat.map("bits", 7L));
         RememberedState remembered = new RememberedState();
         for (int number = 10; number < 500; number++) {
             JobId id = new JobId("run-" + number);
-            before.put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(JobStatus.DONE, 1));
+            existingRecords.put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(JobStatus.DONE, 1));
             remembered.add(id, new RememberedState.FinishedJob(JobStatus.DONE, 1));
         }
-        Revision leadershipRevision = gainLeadershipWithoutLimit(before);
+        Revision leadershipRevision = gainLeadershipWithoutLimit(existingRecords);
         JobSpec spec = spec("run-1");
         remembered.add(new RememberedState.OpenJob(spec, 1, new BitSet(), 2));
         remembered.add(new JobId("run-2"), new RememberedState.FinishedJob(JobStatus.CANCELLED, 0));
-        int changes = state.changed;
+        int changesBefore = state.changed;
         rebuild(context, leadershipRevision, 1000, remembered);
         assertEquals(
                 "t",
@@ -174,6 +175,8 @@
                 JobStatus.CANCELLED,
                 JobRecordCodec.readFinal(spec.id(), state.value("f/run-2")).status());
         assertEquals(
-                4, state.changed - changes, "an open record, a final record, the deletion of its open record, the era");
+                4,
+                state.changed - changesBefore,
+                "an open record, a final record, the deletion of its open record, the era");
     }
 }
