--- a/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
+++ b/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
@@ -50,7 +50,7 @@
     private final Set<Job> dirtyJobs = new LinkedHashSet<>();
     private final Set<JobId> writesInFlight = new HashSet<>();
     private final Map<JobId, Moment> lastWriteAt = new HashMap<>();
-    /** Jobs whose completion is in the open record, which must still be moved to the final record, by record revision. */
+    /** Jobs whose completion must still be moved from the open record to a final record, with the open record's revision. */
     private final Map<JobId, Revision> completionsToMove = new LinkedHashMap<>();
 
     private final Map<JobId, JobStatus> recordedStatus = new HashMap<>();
--- a/src/main/java/io/indigoreach/cluster/OpenJobChangeHandler.java
+++ b/src/main/java/io/indigoreach/cluster/OpenJobChangeHandler.java
@@ -67,8 +67,8 @@
             return;
         }
         if (job.isComplete()) {
-            // Either the completion was written without a response or the user cancelled first; the next write shows
-            // which.
+            // Either the completion was written without a response, or the user cancelled first. The next write finds
+            // out.
             writer.markDirty(job);
             horizon.resolved(id);
             return;
--- a/src/main/java/io/indigoreach/cluster/RebuildWriter.java
+++ b/src/main/java/io/indigoreach/cluster/RebuildWriter.java
@@ -144,7 +144,7 @@
         });
     }
 
-    /** Commits a rejected batch once more, without the steps whose conditions failed. */
+    /** Commits a rejected batch once more, without the record writes whose conditions failed. */
     private Future<Void> commitWithoutFailed(List<String> failedKeys, List<RecordWrite> batch) {
         if (failedKeys.contains(RecordKeys.LEADER) || failedKeys.contains(RecordKeys.ERA)) {
             return leadershipOrEraChanged();
--- a/src/main/java/io/indigoreach/cluster/StateRebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -29,8 +29,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Restores records that the state service has lost from the memory of the controllers. A new leader runs it before it loads the
- * records and sends any command. Bound to the node's event loop.
+ * Restores records that the state service has lost, using the copies in the memory of the controllers. A new leader runs it before
+ * it loads the records and sends any command. Bound to the node's event loop.
  *
  * <p>Every write is conditional on the leadership key and on the revision at which the changed record was read, or on its
  * absence, so that newer data is never overwritten. Every write can be repeated: if a rebuild is interrupted, the next leader
