--- a/src/test/java/io/indigoreach/cluster/CompletionRaceTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionRaceTest.java
@@ -48,21 +48,21 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A cancellation, a question and a repeated submission meet the end of a job's last task, with no other trouble: the job is done or
- * cancelled, one of them, for ever and at every node. Each controller has a way of its own to the state service, on which
- * requests are held to bring an order about; all run on one event loop.
+ * A cancellation, a query and a repeated submission race with the completion of a job's last task, without other faults. The
+ * job must end as either done or cancelled, and every node must report the same outcome from then on. Each controller has its
+ * own connection to the state service, on which the test delays requests to produce each order; all run on one event loop.
  */
 class CompletionRaceTest {
     private static final JobId JOB = new JobId("run-1");
     private static final Team TEAM = LeaderTestSupport.TEAM;
     private static final MachineType MACHINE_TYPE = LeaderTestSupport.quadCoreType();
-    /** More ends than are written at once: then an end goes into the open job's record first. */
+    /** More completions than are written at once, so that a completion is first written to the open job's record. */
     private static final int COMPLETION_BURST = 8;
 
     private final Vertx vertx = Vertx.vertx();
     private final Context loop = vertx.getOrCreateContext();
     private final SteadyClock clock = new SteadyClock();
-    /** Vert.x closes a client that nothing refers to any more. */
+    /** Strong references, as Vert.x closes a client that is no longer referenced. */
     private final List<Object> strongReferences = new ArrayList<>();
 
     private final FakeStateService service = new FakeStateService();
@@ -122,11 +122,11 @@
         return await(runOnLoop(request));
     }
 
-    /** As seen on the loop. */
+    /** Waits until the condition, evaluated on the event loop, is true. */
     private void awaitCondition(BooleanSupplier condition) throws Exception {
         Moment deadline = clock.now().plus(Span.seconds(20));
         while (!awaitOnLoop(() -> Future.succeededFuture(condition.getAsBoolean()))) {
-            assertTrue(clock.now().isBefore(deadline), "in vain");
+            assertTrue(clock.now().isBefore(deadline), "the condition was not met within 20 s");
         }
     }
 
@@ -147,7 +147,7 @@
         return LeaderTestSupport.spec(id, 1, "img");
     }
 
-    /** A job whose one task has ended, as its leader has just seen. */
+    /** Adds a job whose only task has completed, which the leader has not recorded yet. */
     private void addCompletedJob(JobId id) throws Exception {
         Revision revision = awaitOnLoop(
                         () -> leader.commit(new StateClient.Txn().put(RecordKeys.openKey(id), encodeOpenRecord(id))))
@@ -178,11 +178,11 @@
         return runOnLoop(() -> jobService.submit(MessagePackFormat.write(JobCodec.write(spec(JOB)))));
     }
 
-    /** {@code held}: whose changes to the job wait while the other's is made, after both have read it. */
+    /** @param delayedWriter whose change to the job is delayed until the other one's is executed, after both have read the job */
     @ParameterizedTest
     @CsvSource({
-        "nobody, false, done",
-        "nobody, true, done",
+        "none, false, done",
+        "none, true, done",
         "the user, false, done",
         "the user, true, done",
         "the leader, false, cancelled",
@@ -196,7 +196,7 @@
             addCompletedJob(new JobId("run-" + n));
         }
         Fields openRecord = MessagePackFormat.readMap(MessagePackFormat.write(encodeOpenRecord(JOB)));
-        // Those at the other node have come already, and are looked after when it is over.
+        // The query and the repeated submission arrive at node b now, and are executed after the job has finished.
         service.delayFilter = (door, path) -> door.equals("b")
                 || (path.equals("/txn")
                         && (door.equals("a") ? delayedWriter.equals("the user") : delayedWriter.equals("the leader")));
@@ -226,13 +226,13 @@
         assertEquals("200 " + expected, statusOf(await(query)));
         assertEquals("200 " + expected, statusOf(await(repeatedSubmission)));
         awaitCondition(() -> core.job(JOB) == null);
-        for (JobService jobService : List.of(serviceA, serviceB, newJobService("begun since"))) {
+        for (JobService jobService : List.of(serviceA, serviceB, newJobService("started-later"))) {
             assertEquals("200 " + expected, statusOf(awaitOnLoop(() -> jobService.query(JOB.text()))));
             assertEquals("200 " + expected, statusOf(await(submit(jobService))));
             assertEquals("200 " + expected, statusOf(awaitOnLoop(() -> jobService.cancel(JOB.text()))));
         }
         loop.runOnContext(v -> jobStore.onOpenRecordWritten(JOB, openRecord, new Revision(11)));
         awaitCondition(() -> !service.has(RecordKeys.openKey(JOB)));
-        assertNull(core.job(JOB), "nothing of it can be started");
+        assertNull(core.job(JOB), "a delayed write must not open the job again");
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
@@ -41,7 +41,7 @@
         awaitCondition(() -> service.has(RecordKeys.finalKey(id)));
     }
 
-    /** A job in the state service and in the leader's memory; the first {@code done} of its tasks are done and not recorded. */
+    /** Adds a job to the state service and to the leader; the first {@code completedCount} of its tasks are complete but not recorded. */
     private Job addOpenJob(String id, int tasks, int completedCount, int startBound) throws Exception {
         JobSpec spec = spec(id, tasks);
         Predicate<Fields> holding = service.holdFilter;
@@ -89,14 +89,14 @@
     private static final Map<String, Case<LateJobTransactionsTest>> CASES = new LinkedHashMap<>();
 
     static {
-        CASES.put("an acceptance, after its repeat", test -> {
+        CASES.put("acceptance, then its retry", test -> {
             JobService jobService = test.newJobService();
             test.suppressNextResponse(OPEN);
             assertEquals(503, test.submit(jobService));
             assertEquals(test.isExecutedAtOnce() ? 200 : 201, test.submit(jobService));
             test.assertLateExecutionChangesNothing();
         });
-        CASES.put("an acceptance, after its job was cancelled", test -> {
+        CASES.put("acceptance, then the job's cancellation", test -> {
             JobService jobService = test.newJobService();
             test.suppressNextResponse(OPEN);
             assertEquals(503, test.submit(jobService));
@@ -105,7 +105,7 @@
             test.assertLateExecutionChangesNothing();
             assertFalse(test.service.has(OPEN));
         });
-        CASES.put("an acceptance, after its job was done under another leader", test -> {
+        CASES.put("acceptance, then the job's completion under another leader", test -> {
             JobService jobService = test.newJobService();
             test.suppressNextResponse(OPEN);
             assertEquals(503, test.submit(jobService));
@@ -115,7 +115,7 @@
             test.assertLateExecutionChangesNothing();
             assertFalse(test.service.has(OPEN));
         });
-        CASES.put("a cancellation, after its repeat", test -> {
+        CASES.put("cancellation, then its retry", test -> {
             JobService jobService = test.newJobService();
             test.submit(jobService);
             test.suppressNextResponse(OPEN);
@@ -123,7 +123,7 @@
             assertEquals(200, test.cancel(jobService));
             test.assertLateExecutionChangesNothing();
         });
-        CASES.put("a cancellation, after the job's progress, and before it was done", test -> {
+        CASES.put("cancellation, then a progress write of the unfinished job", test -> {
             JobService jobService = test.newJobService();
             JobStore jobStore = test.newLeaderJobStore();
             Job job = test.addOpenJob(JOB.text(), 4, 2, 4);
@@ -133,10 +133,11 @@
             test.awaitCondition(
                     () -> test.isExecutedAtOnce() ? test.core.job(JOB) == null : test.recordedCompletions(JOB) == 2);
             test.assertLateExecutionChangesNothing();
-            assertEquals(test.isExecutedAtOnce(), !test.service.has(OPEN), "its user was told nothing, and asks again");
+            assertEquals(
+                    test.isExecutedAtOnce(), !test.service.has(OPEN), "the user received no response, and retries");
             assertEquals(200, test.cancel(jobService));
         });
-        CASES.put("a cancellation, after the job was done", test -> {
+        CASES.put("cancellation, then the job's completion", test -> {
             JobService jobService = test.newJobService();
             JobStore jobStore = test.newLeaderJobStore();
             Job job = test.addOpenJob(JOB.text(), 4, 4, 4);
@@ -149,7 +150,7 @@
         });
         for (boolean cancelled : new boolean[] {false, true}) {
             CASES.put(
-                    "the mending of an open job's record, after another" + (cancelled ? " and the job's end" : ""),
+                    "repair of an open record, then another repair" + (cancelled ? " and a cancellation" : ""),
                     test -> {
                         JobService jobService = test.newJobService();
                         StateClient.Outcome unreadable = await(test.client.commit(
@@ -169,7 +170,7 @@
                         assertEquals(cancelled, !test.service.has(OPEN));
                     });
         }
-        CASES.put("the mending of an end, after another", test -> {
+        CASES.put("repair of a final record, then another repair", test -> {
             String over = RecordKeys.finalKey(JOB);
             StateClient.Outcome unreadable =
                     await(test.client.commit(new StateClient.Txn().put(over, MessagePackFormat.map("status", "DONE"))));
@@ -181,7 +182,7 @@
             await(repairer.repairFinal(JOB, entry, null));
             test.assertLateExecutionChangesNothing();
         });
-        CASES.put("progress, after newer progress", test -> {
+        CASES.put("progress write, then a newer one", test -> {
             JobStore jobStore = test.newLeaderJobStore();
             test.suppressNextResponse(OPEN);
             Job job = test.addOpenJob(JOB.text(), 4, 2, 4);
@@ -190,7 +191,7 @@
                     && job.unrecordedCompletions().isEmpty());
             test.assertLateExecutionChangesNothing();
         });
-        CASES.put("progress, after the job was cancelled", test -> {
+        CASES.put("progress write, then the job's cancellation", test -> {
             JobStore jobStore = test.newLeaderJobStore();
             test.suppressAllResponses(OPEN);
             test.startWriting(jobStore, test.addOpenJob(JOB.text(), 4, 2, 4));
@@ -201,7 +202,7 @@
             test.assertLateExecutionChangesNothing();
             assertFalse(test.service.has(OPEN));
         });
-        CASES.put("progress, after a change of leader", test -> {
+        CASES.put("progress write, then a change of leader", test -> {
             JobStore jobStore = test.newLeaderJobStore();
             test.suppressAllResponses(OPEN);
             test.startWriting(jobStore, test.addOpenJob(JOB.text(), 4, 2, 4));
@@ -211,7 +212,7 @@
             test.assertLateExecutionChangesNothing();
             assertEquals(test.isExecutedAtOnce() ? 2 : 0, test.recordedCompletions(JOB));
         });
-        CASES.put("a start bound, after a newer one", test -> {
+        CASES.put("start bound, then a newer one", test -> {
             JobStore jobStore = test.newLeaderJobStore();
             test.core.onMachinesRented(POOL, List.of(new MachineId("vm-1")), test.clock.now(), test.clock.now());
             test.suppressNextResponse(OPEN);
@@ -220,7 +221,7 @@
             test.awaitCondition(() -> test.service.value(OPEN).whole("bound", 0) > 0 && !job.needsHigherStartBound());
             test.assertLateExecutionChangesNothing();
         });
-        CASES.put("a start bound, after a change of leader: what that one orders by stands", test -> {
+        CASES.put("start bound, then a change of leader", test -> {
             JobStore jobStore = test.newLeaderJobStore();
             test.core.onMachinesRented(POOL, List.of(new MachineId("vm-1")), test.clock.now(), test.clock.now());
             test.suppressAllResponses(OPEN);
@@ -230,16 +231,16 @@
             test.runOnEventLoop(jobStore::cancel);
             test.gainLeadership(4);
             test.assertLateExecutionChangesNothing();
-            assertTrue(job.needsHigherStartBound(), "not answered: nothing was ordered by it");
+            assertTrue(job.needsHigherStartBound(), "without a response, no task may start within the new bound");
         });
-        CASES.put("an end, after its repeat", test -> {
+        CASES.put("completion, then its retry", test -> {
             JobStore jobStore = test.newLeaderJobStore();
             test.suppressNextResponse(OPEN);
             test.startWriting(jobStore, test.addOpenJob(JOB.text(), 4, 4, 4));
             test.awaitCondition(() -> test.service.has(RecordKeys.finalKey(JOB)) && test.core.job(JOB) == null);
             test.assertLateExecutionChangesNothing();
         });
-        CASES.put("an end, after a change of leader", test -> {
+        CASES.put("completion, then a change of leader", test -> {
             JobStore jobStore = test.newLeaderJobStore();
             test.suppressAllResponses(OPEN);
             test.startWriting(jobStore, test.addOpenJob(JOB.text(), 4, 4, 4));
@@ -249,7 +250,7 @@
             test.assertLateExecutionChangesNothing();
             assertEquals(test.isExecutedAtOnce(), !test.service.has(OPEN));
         });
-        CASES.put("an end, after its user cancelled", test -> {
+        CASES.put("completion, then the job's cancellation", test -> {
             JobStore jobStore = test.newLeaderJobStore();
             JobService jobService = test.newJobService();
             test.suppressAllResponses(OPEN);
@@ -261,7 +262,7 @@
             test.assertLateExecutionChangesNothing();
             test.assertFinalStatus(test.isExecutedAtOnce() ? JobStatus.DONE : JobStatus.CANCELLED);
         });
-        CASES.put("an end in the open record, and its move, each after its repeat", test -> {
+        CASES.put("completion in the open record and its move to the final record, then the retry of each", test -> {
             JobStore jobStore = test.newLeaderJobStore();
             Job[] jobs = new Job[8];
             for (int n = 0; n < jobs.length; n++) {
@@ -269,7 +270,8 @@
             }
             AtomicBoolean mark = new AtomicBoolean(true);
             AtomicBoolean move = new AtomicBoolean(true);
-            // A mark puts the open record; the first transaction after it that deletes that record moves it.
+            // Drops the response to the write of the completion to the open record, and to the first move to the final
+            // record.
             test.suppressResponses(txn -> writesKeyWithPrefix(txn, OPEN)
                     && (writesKeyWithPrefix(txn, RecordKeys.finalKey(JOB))
                             ? !mark.get() && move.getAndSet(false)
--- a/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateMachineTransactionsTest.java
@@ -68,7 +68,7 @@
     private static final Map<String, Case<LateMachineTransactionsTest>> CASES = new LinkedHashMap<>();
 
     static {
-        CASES.put("a page's first write, after its repeat", test -> {
+        CASES.put("first write of a machine page, then its retry", test -> {
             MachineStore machineStore = test.newMachineStore(test.gainLeadership(1));
             test.suppressNextResponse(RecordKeys.MACHINE_PAGES);
             assertTrue(test.awaitOnEventLoop(() -> test.recordMachine(machineStore, 1)));
@@ -76,16 +76,16 @@
             test.assertLateExecutionChangesNothing();
             assertEquals(2, test.recordedMachineCount());
         });
-        CASES.put("a page's first write, after all on it are gone", test -> {
+        CASES.put("first write of a machine page, then the return of all its machines", test -> {
             MachineStore machineStore = test.newMachineStore(test.gainLeadership(1));
             test.suppressNextResponse(RecordKeys.MACHINE_PAGES);
             assertTrue(test.awaitOnEventLoop(() -> test.recordMachine(machineStore, 1)));
             test.runOnEventLoop(() -> test.returnMachine(1));
             test.awaitCondition(() -> test.recordedMachineCount() == 0);
             test.assertLateExecutionChangesNothing();
-            assertEquals(0, test.recordedMachineCount(), "a machine that is gone holds the next leader up");
+            assertEquals(0, test.recordedMachineCount(), "the next leader would wait for a returned machine");
         });
-        CASES.put("a page's first write, after a change of leader", test -> {
+        CASES.put("first write of a machine page, then a change of leader", test -> {
             MachineStore machineStore = test.newMachineStore(test.gainLeadership(1));
             test.suppressAllResponses(RecordKeys.MACHINE_PAGES);
             test.runOnEventLoop(() -> test.recordMachine(machineStore, 1));
@@ -94,16 +94,16 @@
             test.gainLeadership(4);
             test.assertLateExecutionChangesNothing();
         });
-        CASES.put("a page's change, after a newer one", test -> {
+        CASES.put("update of a machine page, then a newer one", test -> {
             MachineStore machineStore = test.newMachineStore(test.gainLeadership(1));
             assertTrue(test.awaitOnEventLoop(() -> test.recordMachine(machineStore, 1)));
             test.suppressNextResponse(RecordKeys.MACHINE_PAGES);
             assertTrue(test.awaitOnEventLoop(() -> test.recordMachine(machineStore, 2)));
             assertTrue(test.awaitOnEventLoop(() -> test.recordMachine(machineStore, 3)));
             test.assertLateExecutionChangesNothing();
-            assertEquals(3, test.recordedMachineCount(), "it takes no machine off");
+            assertEquals(3, test.recordedMachineCount(), "an older update must not remove machines");
         });
-        CASES.put("an earlier leader's page is removed, and again", test -> {
+        CASES.put("deletion of an earlier leader's machine page, then its retry", test -> {
             MachineStore first = test.newMachineStore(test.gainLeadership(1));
             assertTrue(test.awaitOnEventLoop(() -> test.recordMachine(first, 1)));
             test.runOnEventLoop(first::cancel);
@@ -122,18 +122,18 @@
                     && test.service.keys(RecordKeys.MACHINE_PAGES).isEmpty());
             test.assertLateExecutionChangesNothing();
         });
-        CASES.put("an intent's first record, after its repeat", test -> {
+        CASES.put("first write of an intent, then its retry", test -> {
             IntentLog intentLog = test.newIntentLog(test.gainLeadership(1));
             intentLog.intents().add(RENT);
             test.suppressNextResponse(RecordKeys.INTENTS);
             assertFalse(
                     recordIntents(intentLog) || intentLog.intents().maySendRental(RENT.name()),
-                    "it may be there or not");
+                    "the outcome of the write is unknown");
             test.awaitCondition(
                     () -> recordIntents(intentLog) && intentLog.intents().maySendRental(RENT.name()));
             test.assertLateExecutionChangesNothing();
         });
-        CASES.put("an intent's first record, after all in it is settled", test -> {
+        CASES.put("first write of an intent, then the intent's completion", test -> {
             IntentLog intentLog = test.newIntentLog(test.gainLeadership(1));
             intentLog.intents().add(RENT);
             test.suppressNextResponse(RecordKeys.INTENTS);
@@ -144,9 +144,9 @@
             test.awaitCondition(
                     () -> recordIntents(intentLog) && test.recordedIntents().isEmpty());
             test.assertLateExecutionChangesNothing();
-            assertTrue(test.recordedIntents().isEmpty(), "the next leader would ask once more");
+            assertTrue(test.recordedIntents().isEmpty(), "the next leader would send the request again");
         });
-        CASES.put("an intent's first record, after it was given up", test -> {
+        CASES.put("first write of an intent, then the intent's removal before it was sent", test -> {
             IntentLog intentLog = test.newIntentLog(test.gainLeadership(1));
             intentLog.intents().add(RENT);
             test.suppressNextResponse(RecordKeys.INTENTS);
@@ -156,9 +156,9 @@
                     && test.service.has("i/3")
                     && test.recordedIntents().isEmpty());
             test.assertLateExecutionChangesNothing();
-            assertTrue(test.recordedIntents().isEmpty(), "the next leader would rent what nobody wants");
+            assertTrue(test.recordedIntents().isEmpty(), "the next leader would rent machines without demand");
         });
-        CASES.put("an intent, after a change of leader", test -> {
+        CASES.put("first write of an intent, then a change of leader", test -> {
             IntentLog intentLog = test.newIntentLog(test.gainLeadership(1));
             intentLog.intents().add(RENT);
             test.suppressNextResponse(RecordKeys.INTENTS);
@@ -167,7 +167,7 @@
             test.assertLateExecutionChangesNothing();
             assertFalse(intentLog.intents().maySendRental(RENT.name()));
         });
-        CASES.put("an earlier leader's intents are removed, and again", test -> {
+        CASES.put("deletion of an earlier leader's intents, then its retry", test -> {
             IntentLog old = test.newIntentLog(test.gainLeadership(1));
             old.intents().add(RENT);
             assertTrue(recordIntents(old));
--- a/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateRebuildTransactionsTest.java
@@ -31,7 +31,7 @@
 
     static {
         for (String key : List.of(RecordKeys.MACHINE_PAGES, OPEN, RecordKeys.FINAL_JOBS, RecordKeys.ERA)) {
-            CASES.put("a rebuilding's " + key + ", after the next try", test -> {
+            CASES.put("rebuild write of " + key + ", then the next attempt", test -> {
                 await(test.client.checkEra());
                 Revision leader = test.gainLeadership(1);
                 test.suppressNextResponse(key);
@@ -39,7 +39,7 @@
                 assertTrue(test.rebuildSucceeds(leader));
                 test.assertLateExecutionChangesNothing();
             });
-            CASES.put("a rebuilding's " + key + ", after a change of leader", test -> {
+            CASES.put("rebuild write of " + key + ", then a change of leader", test -> {
                 await(test.client.checkEra());
                 Revision leader = test.gainLeadership(1);
                 test.suppressNextResponse(key);
@@ -48,7 +48,7 @@
                 test.assertLateExecutionChangesNothing();
             });
         }
-        CASES.put("a rebuilt page, after the next try and all on it are gone", test -> {
+        CASES.put("rebuilt machine page, then the next attempt and the return of all its machines", test -> {
             await(test.client.checkEra());
             Revision leader = test.gainLeadership(1);
             test.suppressNextResponse(RecordKeys.MACHINE_PAGES);
@@ -67,7 +67,7 @@
             test.assertLateExecutionChangesNothing();
             assertEquals(0, test.recordedMachineCount());
         });
-        CASES.put("a rebuilt job with blocks of bits, after the next try and its end", test -> {
+        CASES.put("rebuilt job with completion blocks, then the next attempt and the job's cancellation", test -> {
             await(test.client.checkEra());
             Revision leader = test.gainLeadership(1);
             test.suppressNextResponse(OPEN);
@@ -75,7 +75,7 @@
             assertTrue(test.rebuildSucceeds(leader));
             assertEquals(2, test.service.keys(RecordKeys.COMPLETION_BLOCKS).size());
             assertEquals(200, test.cancel(test.newJobService()));
-            // As the leader does behind the end.
+            // The leader deletes the blocks of a finished job in the same way.
             StateClient.Txn removal = new StateClient.Txn();
             test.service.keys(RecordKeys.COMPLETION_BLOCKS).forEach(removal::delete);
             assertTrue(await(test.client.commit(removal)).executed());
@@ -83,7 +83,7 @@
             assertFalse(test.service.has(OPEN));
             assertEquals(List.of(), test.service.keys(RecordKeys.COMPLETION_BLOCKS));
         });
-        CASES.put("a rebuilt job, after a next try that no longer knew of it", test -> {
+        CASES.put("rebuilt job, then an attempt that does not know the job", test -> {
             await(test.client.checkEra());
             Revision leader = test.gainLeadership(1);
             test.suppressNextResponse(OPEN);
@@ -91,12 +91,13 @@
             assertTrue(test.rebuildSucceeds(leader, new RememberedState()));
             test.assertLateExecutionChangesNothing();
             if (test.isExecutedAtOnce()) {
-                assertEquals(4, test.recordedStartBound(), "it counts as ordered in whole");
+                assertEquals(4, test.recordedStartBound(), "all its tasks may have been started");
             } else {
-                assertFalse(test.service.has(OPEN), "this leader would take it for a new job, of which nothing runs");
+                assertFalse(
+                        test.service.has(OPEN), "this leader would treat it as a new job that has never run a task");
             }
         });
-        CASES.put("an acceptance, after a loss was mended and the job's end was lost", test -> {
+        CASES.put("acceptance, then the loss of the job's final record and a rebuild", test -> {
             await(test.client.checkEra());
             JobService jobService = test.newJobService();
             test.suppressNextResponse(OPEN);
@@ -108,7 +109,7 @@
             test.assertLateExecutionChangesNothing();
             assertFalse(test.service.has(OPEN));
         });
-        CASES.put("a deployment's first era, after another process wrote it", test -> {
+        CASES.put("first era of a deployment, then the write of another process", test -> {
             test.suppressNextResponse(RecordKeys.ERA);
             assertTrue(await(test.client.checkEra().map(false).otherwise(true)));
             await(test.client().checkEra());
@@ -118,7 +119,7 @@
         });
     }
 
-    /** Its bound says that nothing was ever ordered, while a controller remembers that all of it was. */
+    /** The accepted record has a start bound of zero, while a controller remembers that all tasks may have been started. */
     @Test
     void anAcceptanceExecutedDuringARebuildDoesNotLowerTheStartBound() throws Exception {
         JobService jobService = newJobService();
