--- a/src/main/java/io/indigoreach/api/ApiException.java
+++ b/src/main/java/io/indigoreach/api/ApiException.java
@@ -1,8 +1,9 @@
 package io.indigoreach.api;
 
 /**
- * A request that is not carried out, by what its sender can do about it. {@link ErrorResponses} maps each kind to a status code
- * and a body. The message is the reason that the sender is given. No stack trace is recorded.
+ * Base class of the failures that concern the client. Each subclass stands for one way in which the client can react.
+ * {@link ErrorResponses} maps each subclass to a status code and a body. The message is sent to the client as the reason. No
+ * stack trace is recorded.
  */
 public abstract sealed class ApiException extends RuntimeException
         permits MalformedRequestException, NotFoundException, RequestRejectedException, RetryLaterException {
--- a/src/main/java/io/indigoreach/api/BoundedMaps.java
+++ b/src/main/java/io/indigoreach/api/BoundedMaps.java
@@ -3,11 +3,11 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Maps of limited size. */
+/** Creates maps of limited size. */
 final class BoundedMaps {
     private BoundedMaps() {}
 
-    /** A map that drops its oldest entry when it would get more than {@code limit}. */
+    /** Returns a map that removes its oldest entry when an insertion would exceed {@code limit} entries. */
     static <K, V> Map<K, V> withLimit(int limit) {
         return new LinkedHashMap<>() {
             @Override
--- a/src/main/java/io/indigoreach/api/CascadeFreshness.java
+++ b/src/main/java/io/indigoreach/api/CascadeFreshness.java
@@ -8,9 +8,9 @@
 import java.util.function.Supplier;
 
 /**
- * Whether open records may lack a cancellation that the leader should have cascaded to them by now. That is so if, within the
- * cascade time, a request of this node to the state service failed, or another leadership began, or this node started.
- * Used on the event loop only.
+ * Tracks whether open records may lack a cancellation that the leader should already have cascaded to them. They may lack it if
+ * the state service may serve stale reads, or if, within the last cascade time, a request of this node to the state service
+ * failed, the leadership changed, or this node started. Used on the event loop only.
  */
 final class CascadeFreshness {
     private final SteadyClock clock;
@@ -20,7 +20,7 @@
     private Object lastLeadership;
     private Moment disturbedAt;
 
-    /** {@code stateServiceDoubted}: whether the answers of the state service may themselves be stale. */
+    /** {@code stateServiceDoubted}: returns whether reads from the state service may be stale. */
     CascadeFreshness(SteadyClock clock, BooleanSupplier stateServiceDoubted) {
         this.clock = clock;
         this.stateServiceDoubted = stateServiceDoubted;
@@ -30,8 +30,8 @@
     /**
      * Sets the cascade time.
      *
-     * @param time for how long after a cancellation a user may be told that a dependant still waits
-     * @param currentLeadership a value that differs between any two leaderships
+     * @param time how long after a cancellation users may still see a dependent job as waiting
+     * @param currentLeadership returns a value that is different for each leadership
      */
     void setCascadeTime(Span time, Supplier<Object> currentLeadership) {
         cascadeTime = time;
@@ -43,7 +43,7 @@
         disturbedAt = clock.now();
     }
 
-    /** Whether open records may lack a cascaded cancellation. */
+    /** Returns whether open records may lack a cascaded cancellation. */
     boolean mayBeStale() {
         Object current = leadership.get();
         if (!Objects.equals(current, lastLeadership)) {
--- a/src/main/java/io/indigoreach/api/DependencyService.java
+++ b/src/main/java/io/indigoreach/api/DependencyService.java
@@ -12,13 +12,13 @@
 import java.util.function.Supplier;
 
 /**
- * What a node decides about jobs with dependencies: whether one may be accepted, and whether one that its record calls open
- * is to be cancelled because a dependency is. The leader ends such jobs within moments; a node that cannot be sure that the
- * leader was able to checks the dependencies itself before it responds. Used on the event loop only.
+ * Decides whether a job with dependencies may be accepted, and whether an open job has to be cancelled because one of its
+ * dependencies was cancelled. Normally the leader cascades cancellations to dependent jobs shortly after the cancellation. While
+ * a node cannot rely on that, it checks the dependencies itself before it responds. Used on the event loop only.
  */
 final class DependencyService {
     private static final int MAX_CHECKS_REMEMBERED = 20_000;
-    /** The part of the cascade time for which one check of a waiting job holds. */
+    /** Fraction of the cascade time for which the result of a dependency check stays valid. */
     private static final double CHECK_HOLDS = 0.5;
 
     private final SteadyClock clock;
@@ -27,14 +27,15 @@
     private final CascadeFreshness freshness;
     private Span cascadeTime = Span.ZERO;
     private Supplier<Future<Boolean>> supportedByAllNodes = () -> Future.succeededFuture(true);
-    /** When the last check began that found no cancelled job among the dependencies of a waiting one. */
+    /** Start time of the last check of each waiting job that found no cancelled dependency. */
     private final Map<JobId, Moment> lastChecks = BoundedMaps.withLimit(MAX_CHECKS_REMEMBERED);
 
     /**
      * Creates the service.
      *
-     * @param finder looks up a job by a read of its own
-     * @param batchedFinder looks up a job at a cost that does not grow with the number of lookups, but takes longer if there are many
+     * @param finder looks up a job with a separate read
+     * @param batchedFinder looks up a job with batched reads: the request rate to the state service is bounded, but a lookup takes
+     *     longer under load
      */
     DependencyService(
             SteadyClock clock,
@@ -47,21 +48,21 @@
         this.freshness = freshness;
     }
 
-    /** Sets the time after a cancellation within which users are told that the dependants are cancelled too. */
+    /** Sets the time after a cancellation within which users see the dependent jobs as cancelled. */
     void setCascadeTime(Span time, Supplier<Object> leadership) {
         cascadeTime = time;
         freshness.setCascadeTime(time, leadership);
     }
 
-    /** Sets the check whether every node supports dependencies: one that does not would start such a job at once. */
+    /** Sets the check whether every node supports dependencies. A node that does not would start such a job at once. */
     void setSupportCheck(Supplier<Future<Boolean>> allNodes) {
         supportedByAllNodes = allNodes;
     }
 
     /**
-     * Whether a new job with these dependencies is cancelled from the start, as one of them is. Fails with a
-     * {@link RequestRejectedException} if one was never accepted, with a {@link RetryLaterException} if not every node supports
-     * dependencies yet, and with anything else if a dependency cannot be read.
+     * Returns whether a dependency of a new job is cancelled, in which case the new job is cancelled from the start. Fails with a
+     * {@link RequestRejectedException} if a dependency was never accepted or is a service, with a {@link RetryLaterException} if
+     * not every node supports dependencies yet, and with any other exception if a dependency cannot be read.
      */
     Future<Boolean> isAnyCancelled(JobDependencies dependencies) {
         if (dependencies.isEmpty()) {
@@ -75,9 +76,9 @@
     }
 
     /**
-     * Whether an open job whose record says that it waits is to be reported cancelled.
+     * Returns whether an open job that waits for its dependencies has to be cancelled because one of them was.
      *
-     * @param knownCancelled whether this node knows that a job is cancelled
+     * @param knownCancelled returns whether this node knows that a job is cancelled
      */
     Future<Boolean> isCancelledByCascade(JobId id, JobDependencies dependencies, Predicate<JobId> knownCancelled) {
         if (!dependencies.isWaiting()) {
--- a/src/main/java/io/indigoreach/api/ErrorResponses.java
+++ b/src/main/java/io/indigoreach/api/ErrorResponses.java
@@ -2,21 +2,24 @@
 
 import io.vertx.core.Future;
 
-/** The only place that maps failures to status codes and bodies. */
+/** Maps failures to status codes and bodies. */
 public final class ErrorResponses {
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
 
     private ErrorResponses() {}
 
-    /** The response to a request that failed; any failure that is no {@link ApiException} means that it may be repeated. */
+    /**
+     * Returns the response to a failed request. Any failure other than an {@link ApiException} is mapped to 503, so the client
+     * may retry.
+     */
     public static ApiResponse of(Throwable failure) {
         return failure instanceof ApiException known
                 ? of(known)
                 : ApiResponse.retryLater("the state service does not answer");
     }
 
-    /** The same result, with an {@link ApiException} replaced by its response. Other failures are kept. */
+    /** Replaces a failure with an {@link ApiException} by its response, and keeps other failures. */
     static Future<ApiResponse> recover(Future<ApiResponse> result) {
         return result.recover(failure -> failure instanceof ApiException known
                 ? Future.succeededFuture(of(known))
--- a/src/main/java/io/indigoreach/api/HttpApi.java
+++ b/src/main/java/io/indigoreach/api/HttpApi.java
@@ -46,19 +46,19 @@
     private final HttpServer server;
     private final List<Route> routes;
 
-    /** Queries of jobs that wait for the state service; beyond a limit others are rejected, and go first when they retry. */
+    /** Admits job queries. Queries beyond the limit are rejected, and their clients have precedence when they retry. */
     private final FairAdmission queries = new FairAdmission();
-    /** Submissions and cancellations: queries, however many, do not keep them out. */
+    /** Admits submissions and cancellations, with a limit of their own so that queries cannot crowd them out. */
     private final FairAdmission commands = new FairAdmission();
-    /** Requests of the optional features. */
+    /** Admits requests to the optional features. */
     private final FairAdmission resourceRequests = new FairAdmission();
 
     /**
-     * What the listener serves.
+     * The address and the services of the listener.
      *
      * @param endpoint the address to listen on
-     * @param ready whether this node should get users
-     * @param resources what the optional features serve, by the names of the resources
+     * @param ready returns whether this node is ready to serve users
+     * @param resources the resources of the optional features by name
      */
     public record Context(
             Vertx vertx,
@@ -84,7 +84,7 @@
         server.invalidRequestHandler(request -> request.connection().close());
     }
 
-    /** Opens the listener; the result is its port, chosen by the system if the endpoint's port is 0. */
+    /** Opens the listener. The result is its port, which the system chooses if the endpoint's port is 0. */
     public Future<Integer> open() {
         Endpoint endpoint = context.endpoint();
         return server.listen(endpoint.port(), endpoint.host()).map(listening -> {
@@ -98,7 +98,7 @@
         return server.close();
     }
 
-    /** The routing table: the first route that serves the path handles the request. */
+    /** Returns the routing table. The first route that matches the path handles the request. */
     private List<Route> routes() {
         return List.of(
                 Route.exact(WorkerCodec.HEARTBEAT, (request, none) -> receiveHeartbeat(request)),
@@ -162,7 +162,7 @@
         write(request, ApiResponse.error(NOT_FOUND, "no such path"));
     }
 
-    /** {@code path}: what follows {@link #API}, the name of the resource first. */
+    /** {@code path}: the path after {@link #API}; its first segment is the name of the resource. */
     private void serveResource(HttpServerRequest request, String path) {
         Resource resource = resource(path).orElseThrow();
         if (request.method().equals(HttpMethod.GET)) {
@@ -197,7 +197,7 @@
         return new Resource.Call(request.method().name(), segments, query, fields);
     }
 
-    /** Identifies a client by its connection: a retry after a rejection mostly comes on the same one. */
+    /** Identifies a client by its connection, since most clients retry on the same connection after a rejection. */
     private static String client(HttpServerRequest request) {
         return request.connection().remoteAddress().toString();
     }
@@ -226,7 +226,7 @@
         return false;
     }
 
-    /** Hands the body to the work if the method is right; a body that is too long is rejected. */
+    /** Reads the body and passes it to {@code work}. Rejects other methods, and bodies that are too long. */
     private void withBody(HttpServerRequest request, HttpMethod method, Function<Buffer, Future<ApiResponse>> work) {
         if (!allows(request, method)) {
             return;
@@ -240,7 +240,7 @@
                 .onComplete(written -> request.connection().close());
     }
 
-    /** Writes the result of the work, or the response that stands for its failure. */
+    /** Starts the work and writes its result, or the response to its failure. */
     private void respond(HttpServerRequest request, Supplier<Future<ApiResponse>> work) {
         start(work).onComplete(done -> {
             if (done.succeeded()) {
@@ -259,8 +259,8 @@
     }
 
     /**
-     * Starts the work. A {@link WireException} that is thrown here concerns the request; one in a failed future concerns an
-     * answer of the state service.
+     * Starts the work. A {@link WireException} that is thrown synchronously means that the request is malformed. One in a failed
+     * future concerns a response of the state service.
      */
     private static Future<ApiResponse> start(Supplier<Future<ApiResponse>> work) {
         try {
--- a/src/main/java/io/indigoreach/api/JobAdmission.java
+++ b/src/main/java/io/indigoreach/api/JobAdmission.java
@@ -9,14 +9,14 @@
 import java.util.Collection;
 import java.util.Optional;
 
-/** Whether a job can ever run here and its record fits the state service; nothing is read for this. */
+/** Checks whether a job can ever run on this cluster and whether its record fits into the state service. Sends no requests. */
 final class JobAdmission {
     private final Catalogue catalogue;
     private final Collection<Team> teams;
     private final StateClient state;
     private final int maxValueBytes;
 
-    /** {@code maxValueBytes}: the largest value of the state service by the settings, in bytes of JSON. */
+    /** {@code maxValueBytes}: the configured size limit of a value in the state service, in bytes of JSON. */
     JobAdmission(Catalogue catalogue, Collection<Team> teams, StateClient state, int maxValueBytes) {
         this.catalogue = catalogue;
         this.teams = teams;
@@ -24,12 +24,15 @@
         this.maxValueBytes = maxValueBytes;
     }
 
-    /** Whether admission can be decided: the machine types are known. */
+    /** Returns whether the machine types are known, which admission depends on. */
     boolean isReady() {
         return catalogue.isKnown();
     }
 
-    /** Why the job is rejected, if it is. {@code submittedMs}: by the time of day. */
+    /**
+     * Returns the reason for rejecting the job, or empty if it is admitted. {@code submittedMs}: the time of day of the
+     * submission.
+     */
     Optional<ApiException> rejection(JobSpec spec, SubmissionParticipants participants, long submittedMs) {
         Optional<String> reason = Optional.ofNullable(Admission.refusal(spec, teams, catalogue.types()))
                 .or(() -> participants.unknownField(spec).map(field -> field + ": this is not switched on here"));
--- a/src/main/java/io/indigoreach/api/JobCancellation.java
+++ b/src/main/java/io/indigoreach/api/JobCancellation.java
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Cancels a job. The result is its final status, which is another one if it had ended before. Fails with
-     * {@link NotFoundException} or {@link RetryLaterException}.
+     * Cancels a job. The result is its final status, which is {@link JobStatus#DONE} if the job had been done before. Fails with
+     * {@link NotFoundException} if the job does not exist, and with {@link RetryLaterException} if its record keeps changing.
      */
     Future<JobStatus> cancel(JobId id) {
         return cancel(id, 1);
@@ -54,7 +54,7 @@
                 memory.rememberFinished(cancelled(open.job()));
                 return Future.succeededFuture(JobStatus.CANCELLED);
             }
-            // The leader has written the job's progress in between.
+            // The leader has updated the record since it was read.
             return attempt < MAX_ATTEMPTS
                     ? cancel(id, attempt + 1)
                     : Future.failedFuture(new RetryLaterException("the job changes at this moment"));
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Applies the cancellation cascade to a job that was looked up. An open job with a cancelled dependency is cancelled even if
-     * its final record is not written yet: it is written here, before the user is told, so that no later answer differs.
+     * Applies the cancellation cascade to a job that was looked up. If an open job has a cancelled dependency, its final record is
+     * written here before the response is sent, so that no later response contradicts it.
      */
     Future<StoredJob> applyCascade(JobId id, StoredJob found) {
         if (!(found instanceof StoredJob.Open open)) {
@@ -85,8 +85,8 @@
     }
 
     /**
-     * Moves the job to its final key, if its record is unchanged. Blocks of completion bits beside the record are left to the leader, as they
-     * may be more than one transaction can delete.
+     * Returns the transaction that moves the job to its final key if its record is unchanged. The leader deletes the job's separate
+     * blocks of completion bits, because there may be more of them than one transaction can delete.
      */
     private static StateClient.Txn cancelling(JobRecord open) {
         return new StateClient.Txn()
--- a/src/main/java/io/indigoreach/api/JobCodec.java
+++ b/src/main/java/io/indigoreach/api/JobCodec.java
@@ -17,40 +17,40 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The messages of the users' interface: how jobs and their status are written and read. */
+/** Writes and reads the messages of the users' interface: submissions, job status and progress. */
 public final class JobCodec {
     private static final int MAX_TASKS = 100_000;
     private static final int MAX_NAME_LENGTH = 200;
     private static final int MAX_MACHINE_TYPES = 64;
     private static final double MAX_AMOUNT = 1e9;
-    /** The most dependencies of a job: their ids have to fit into its record, and each is looked up. */
+    /** The maximum number of dependencies of a job. Their ids have to fit into its record, and each of them is looked up. */
     public static final int MAX_DEPENDENCIES = 100;
 
-    /** The path of submissions; a job's own path is this, a slash and its id. */
+    /** Path of submissions. The path of a job is this path followed by a slash and the job's id. */
     public static final String JOBS = "/api/jobs";
-    /** What follows a job's own path in the path of its cancellation. */
+    /** Suffix of a job's path that makes the path of its cancellation. */
     public static final String CANCEL = "/cancel";
-    /** The path of the readiness check. */
+    /** Path of the readiness check. */
     public static final String READY = "/ready";
-    /** The field with the ids of the jobs that have to be done before this one. */
+    /** Field with the ids of the jobs that have to be done before this one starts. */
     static final String WAITS_ON = "waits_on";
     /**
-     * Fields of the optional features. A node keeps them with the job whether it supports them or not, so that a node that
-     * does loses nothing.
+     * Fields of the optional features. Every node stores them with the job, even if it does not support them, so that they are
+     * not lost to the nodes that do.
      */
     public static final List<String> OPTIONAL_FIELDS = List.of(JobSpec.RECORDS, "plan", JobSpec.WARM);
 
     /**
-     * Status and progress of a job, as a user is told.
+     * Status and progress of a job, as reported to users.
      *
-     * @param done tasks that are done
-     * @param running tasks that run
+     * @param done the number of tasks that are done
+     * @param running the number of tasks that are running
      */
     public record Progress(JobId id, JobStatus status, int done, int running) {}
 
     private JobCodec() {}
 
-    /** A submission, as users write it. */
+    /** Writes a submission. */
     public static Map<String, Object> write(JobSpec spec) {
         Map<String, Object> fields = MessagePackFormat.map(
                 "id", spec.id().text(),
@@ -107,8 +107,8 @@
     }
 
     /**
-     * Reads a job; throws {@link WireException} with a short reason if it is malformed. If several fields are, the reason names the
-     * first one in the order in which they are read here.
+     * Reads a submission. Throws a {@link WireException} if it is malformed. If several fields are malformed, the reason names the
+     * one that is read first.
      */
     public static JobSpec read(Fields fields) {
         JobId id = id(fields);
@@ -179,7 +179,7 @@
         if (names == null) {
             return JobDependencies.NONE;
         }
-        // A repeated id is most likely a mistake for another one, which the job would then not wait for.
+        // A repeated id is probably a typing error for another job, and the new job would not wait for that one.
         boolean repeated = new HashSet<>(names).size() < names.size();
         if (names.size() > MAX_DEPENDENCIES || names.contains(own.text()) || repeated) {
             throw Fields.invalid(WAITS_ON);
@@ -249,12 +249,12 @@
         }
     }
 
-    /** The response to a submission or cancellation. */
+    /** Writes the response to a submission or cancellation. */
     static Map<String, Object> accepted(JobId id, JobStatus status) {
         return MessagePackFormat.map("id", id.text(), "status", lowerCase(status));
     }
 
-    /** The response to a query. */
+    /** Writes the response to a query. */
     static Map<String, Object> progress(JobId id, JobStatus status, int done, int running) {
         return MessagePackFormat.map("id", id.text(), "status", lowerCase(status), "done", done, "running", running);
     }
--- a/src/main/java/io/indigoreach/api/JobLookup.java
+++ b/src/main/java/io/indigoreach/api/JobLookup.java
@@ -16,19 +16,20 @@
 import java.util.function.Function;
 
 /**
- * Looks up the state of a job: in memory if it has ended, otherwise in the state service. The open key is read first, as a job
- * moves from there to the final key and never back. That neither key exists is confirmed by a comparison, since a read may be older than
- * the acceptance; so is any read while the answers of the state service are doubted. Unreadable records are repaired. A lookup
- * fails if the state cannot be determined now. Used on the event loop only.
+ * Looks up the state of a job: in memory if this process has seen its final record, otherwise in the state service. The open key
+ * is read before the final key, because a job moves from the open to the final key and never back. If neither key is found, a
+ * transaction confirms that both are absent, since a stale read may predate the job's acceptance. While reads of the state
+ * service are suspect, open records are confirmed in the same way. Unreadable records are repaired. A lookup fails if the state
+ * cannot be determined now. Used on the event loop only.
  */
 final class JobLookup {
     private static final int MAX_ATTEMPTS = 3;
 
     /**
-     * One lookup.
+     * The parameters of one attempt of a lookup.
      *
-     * @param submitted the specification that the user submits again, from which an unreadable record can be repaired
-     * @param attempt counted from 1
+     * @param submitted the specification if the user submits the job again; an unreadable record can be repaired from it
+     * @param attempt the number of the attempt, starting at 1
      */
     private record Search(JobId id, Optional<JobSpec> submitted, int attempt) {
         Search next() {
@@ -46,7 +47,7 @@
     private final OpenRecordReader batchedReads;
     private Function<JobId, Future<Boolean>> isKnownToPeers = id -> Future.succeededFuture(false);
 
-    /** {@code batchedReads}: reads for queries, whose cost does not grow with their number. */
+    /** {@code batchedReads}: batches the reads of queries, so that their request rate is bounded. */
     JobLookup(StateClient state, JobRepairer repairer, JobMemory memory, OpenRecordReader batchedReads) {
         this.state = state;
         this.repairer = repairer;
@@ -54,22 +55,22 @@
         this.batchedReads = batchedReads;
     }
 
-    /** Sets the request to the other controllers whether any of them knows a job. */
+    /** Sets the query that finds out whether any other controller remembers a job. */
     void setPeerQuery(Function<JobId, Future<Boolean>> peerQuery) {
         isKnownToPeers = peerQuery;
     }
 
-    /** The state of a job, by reads of its own. */
+    /** Looks up a job with separate reads. */
     Future<StoredJob> find(JobId id) {
         return search(new Search(id, Optional.empty(), 1), this::readDirectly);
     }
 
-    /** The state of a job for a query: when there are many, they share listings. */
+    /** Looks up a job for a query. Under load, queries share listings of the open jobs. */
     Future<StoredJob> findBatched(JobId id) {
         return search(new Search(id, Optional.empty(), 1), batchedReads);
     }
 
-    /** The state of a job that its user submits again; an unreadable record is repaired from {@code spec}. */
+    /** Looks up a job that its user submits again. An unreadable record is repaired from {@code spec}. */
     Future<StoredJob> findSubmitted(JobSpec spec) {
         return search(new Search(spec.id(), Optional.of(spec), 1), this::readDirectly);
     }
@@ -98,7 +99,7 @@
             return searchAgain(search, repaired, unreadable.getMessage());
         }
         if (record.status() == JobStatus.DONE) {
-            // The job has ended; only the record has not been moved to the final key yet.
+            // The job is done, but its record has not been moved to the final key yet.
             return Future.succeededFuture(finished(new FinalRecord(id, JobStatus.DONE, record.doneCount())));
         }
         return state.areReadsSuspect()
@@ -143,17 +144,17 @@
 
     private Future<StoredJob> confirmUnknown(Search search) {
         if (state.losses().isHolding()) {
-            return Future.failedFuture(new WireException("data were lost, and this job may be among them"));
+            return Future.failedFuture(new WireException("the state service lost data, and job " + search.id() + " may have been lost"));
         }
         return state.confirm(bothKeysAbsent(state.transactionInEra(), search.id()))
                 .compose(holds -> holds ? checkMemories(search) : searchAfterStaleRead(search));
     }
 
     private Future<StoredJob> searchAfterStaleRead(Search search) {
-        return searchAgain(search.withoutSubmission(), state.check(), "the state service answers with the past");
+        return searchAgain(search.withoutSubmission(), state.check(), "the state service returned a stale read of job " + search.id());
     }
 
-    /** No user is told that a job does not exist while any controller remembers it: its record was lost. */
+    /** Reports a job as unknown only if no controller remembers it. If one does, the job's record was lost. */
     private Future<StoredJob> checkMemories(Search search) {
         JobId id = search.id();
         Future<Boolean> remembered = memory.knows(id) ? Future.succeededFuture(true) : isKnownToPeers.apply(id);
@@ -164,12 +165,12 @@
     private Future<StoredJob> reportLostRecord(Search search) {
         return state.confirm(bothKeysAbsent(new StateClient.Txn(), search.id())).compose(absent -> {
             if (!absent) {
-                // Accepted after it was looked up.
+                // The job was accepted after the lookup had read its keys.
                 return searchAgain(
-                        search.withoutSubmission(), Future.succeededFuture(), "the job changes at this moment");
+                        search.withoutSubmission(), Future.succeededFuture(), "job " + search.id() + " changed during the lookup");
             }
             state.recordMissing(RecordKeys.openKey(search.id()));
-            return Future.failedFuture(new WireException("the record of this job was lost"));
+            return Future.failedFuture(new WireException("the record of job " + search.id() + " was lost"));
         });
     }
 
--- a/src/main/java/io/indigoreach/api/JobMemory.java
+++ b/src/main/java/io/indigoreach/api/JobMemory.java
@@ -12,9 +12,9 @@
 import java.util.Optional;
 
 /**
- * What this process remembers of jobs: final statuses that it has seen, and jobs that it accepted and does not know to have
- * ended. Final statuses never change and are answered from here; after a data loss both serve as copies of lost records. Used on the event
- * loop only.
+ * Caches the final records that this process has seen, and the jobs that it accepted and that have not ended as far as it knows.
+ * A final status never changes, so it is served from this cache. After a data loss of the state service, lost records are
+ * restored from both. Used on the event loop only.
  */
 final class JobMemory {
     private static final int MAX_FINISHED = 20_000;
@@ -23,7 +23,7 @@
     private final SteadyClock clock;
     private final ConfirmedCancellations confirmedCancellations;
     private final Map<JobId, FinalRecord> finished = BoundedMaps.withLimit(MAX_FINISHED);
-    /** Accepted here and not known to have ended: after a data loss no other process may know of these. */
+    /** Jobs accepted by this process and not known to have ended. After a data loss, this may be the only copy of them. */
     private final Map<JobId, RememberedState.OpenJob> accepted = BoundedMaps.withLimit(MAX_ACCEPTED);
 
     JobMemory(SteadyClock clock) {
@@ -31,28 +31,28 @@
         this.confirmedCancellations = new ConfirmedCancellations(clock.now());
     }
 
-    /** The final record of the job, if this process has seen it. */
+    /** Returns the final record of the job if this process has seen it. */
     Optional<FinalRecord> finished(JobId id) {
         return Optional.ofNullable(finished.get(id));
     }
 
-    /** Whether this process has seen that the job is cancelled. */
+    /** Returns whether this process has seen that the job is cancelled. */
     boolean isCancelled(JobId id) {
         FinalRecord record = finished.get(id);
         return record != null && record.status() == JobStatus.CANCELLED;
     }
 
-    /** Whether this process has accepted the job or seen its final status. */
+    /** Returns whether this process has accepted the job or seen its final status. */
     boolean knows(JobId id) {
         return accepted.containsKey(id) || finished.containsKey(id);
     }
 
-    /** Remembers a job that was accepted just now. */
+    /** Adds a job that was just accepted. */
     void rememberAccepted(JobSpec spec, long submittedMs) {
         accepted.put(spec.id(), new RememberedState.OpenJob(spec, submittedMs, new BitSet(), spec.tasks()));
     }
 
-    /** Remembers a final status, before any user is told. */
+    /** Adds a final record. Called before the final status is sent to any user. */
     FinalRecord rememberFinished(FinalRecord record) {
         if (record.status() == JobStatus.CANCELLED) {
             confirmedCancellations.add(record.id(), clock.now());
@@ -62,12 +62,12 @@
         return record;
     }
 
-    /** The cancellations that this process has confirmed to users or is about to. */
+    /** Returns the cancellations that this process has confirmed or is about to confirm to users. */
     ConfirmedCancellations confirmedCancellations() {
         return confirmedCancellations;
     }
 
-    /** What is remembered of one job. */
+    /** Returns the cached state of one job. */
     RememberedState rememberedState(JobId id) {
         RememberedState remembered = new RememberedState();
         if (finished.containsKey(id)) {
@@ -78,7 +78,7 @@
         return remembered;
     }
 
-    /** What is remembered of all jobs. */
+    /** Returns the cached state of all jobs. */
     RememberedState rememberedState() {
         RememberedState remembered = new RememberedState();
         finished.values().forEach(record -> remembered.add(record.id(), finishedJob(record)));
--- a/src/main/java/io/indigoreach/api/JobReadBatcher.java
+++ b/src/main/java/io/indigoreach/api/JobReadBatcher.java
@@ -18,20 +18,23 @@
 import java.util.Optional;
 
 /**
- * Reads records of open jobs for queries at a cost that does not grow with their number: reads beyond this node's share of
- * the state service's requests are answered together, by listings of all open jobs. Without this, 600 jobs that were queried
- * eight times as often as usual had left the leader's lease renewals without an answer.
+ * Reads records of open jobs for queries at a bounded request rate. Reads beyond this node's share of the state service's request
+ * limit are batched: a listing of all open jobs answers them together. Without batching, 600 jobs queried eight times as often as
+ * usual left the leader's lease renewals unanswered.
  *
- * <p>A read waits for a listing that begins after it, page by page, so its result is never older than one that was given to anybody before.
- * Used on the event loop only.
+ * <p>A batched read is answered only by a page requested after the read arrived, so its result is never older than the result of
+ * an earlier read. Used on the event loop only.
  */
 final class JobReadBatcher implements OpenRecordReader {
     private static final int PAGE_SIZE = 500;
-    /** The part of this node's share that is reserved for listings. */
+    /** Fraction of this node's request limit that is reserved for listings. */
     private static final double LISTING_SHARE = 0.25;
-    /** The longest a listing may take: users who have waited longer have gone. The reads left are the first of the next listing. */
+    /**
+     * Maximum duration of a listing; clients that waited longer have timed out. The remaining reads fail, and the next listing
+     * starts at their keys.
+     */
     private static final Span LISTING_TIMEOUT = Span.seconds(1.5);
-    /** Between two checks whether the rate limit permits a page. */
+    /** Interval between checks whether the rate limit permits reading a page. */
     private static final Span RATE_CHECK_INTERVAL = Span.seconds(0.1);
 
     private final Vertx vertx;
@@ -39,13 +42,13 @@
     private final SteadyClock clock;
     private final RateLimiter singleReads;
     private final RateLimiter pageReads;
-    /** Reads that wait for the next listing, by the keys of the records. */
+    /** Reads that wait for the next listing, by record key. */
     private Map<String, Promise<Optional<StateClient.Entry>>> waiting = new HashMap<>();
 
     private final ListingCursor<Promise<Optional<StateClient.Entry>>> cursor = new ListingCursor<>();
     private boolean listing;
 
-    /** {@code requestsPerSecond}: the requests to the state service that this node may spend on users' queries. */
+    /** {@code requestsPerSecond}: the limit of this node's requests to the state service for users' queries. */
     JobReadBatcher(Vertx vertx, StateClient state, SteadyClock clock, double requestsPerSecond) {
         this.vertx = vertx;
         this.state = state;
@@ -73,7 +76,9 @@
         readFirstPage();
     }
 
-    /** The listing answers all reads that wait when its first page is requested; later ones wait for the next listing. */
+    /**
+     * Starts a listing for all reads that are waiting when its first page is requested. Later reads wait for the next listing.
+     */
     private void readFirstPage() {
         Moment now = clock.now();
         if (!pageReads.take(1, now)) {
@@ -88,7 +93,7 @@
     private void readNextPage(Moment begun) {
         Moment now = clock.now();
         if (now.since(begun).compareTo(LISTING_TIMEOUT) >= 0) {
-            failListing(new WireException("too many open jobs to list them in time"));
+            failListing(new WireException("listing of the open jobs timed out after " + LISTING_TIMEOUT.seconds() + " s"));
             return;
         }
         if (!pageReads.take(1, now)) {
@@ -104,7 +109,7 @@
             if (page.failed()) {
                 cursor.failed(from);
                 failListing(new WireException(
-                        "the open jobs cannot be listed: " + page.cause().getMessage()));
+                        "listing of the open jobs failed: " + page.cause().getMessage()));
                 return;
             }
             completeReads(from, page.result());
--- a/src/main/java/io/indigoreach/api/JobService.java
+++ b/src/main/java/io/indigoreach/api/JobService.java
@@ -21,9 +21,10 @@
 import java.util.function.Supplier;
 
 /**
- * Serves users' requests about jobs at any node. Each response rests on the state service, except that a final status once seen is
- * answered from memory, as it never changes; so no node gives an older answer than another gave before. The work is done by
- * {@link JobSubmission}, {@link JobLookup}, {@link JobCancellation} and {@link JobMemory}. Used on the event loop only.
+ * Serves users' requests for jobs at any node. Responses are based on the state service, except that a final status that this node
+ * has seen is served from memory, because it never changes. So no node responds with an older state than another node has
+ * already returned. Delegates to {@link JobSubmission}, {@link JobLookup} and {@link JobCancellation}; {@link JobMemory} caches
+ * job states. Used on the event loop only.
  */
 public final class JobService {
     private static final int CREATED = 201;
@@ -35,10 +36,10 @@
     private final JobSubmission submission;
 
     /**
-     * What the service is built on.
+     * The dependencies and limits of the service.
      *
-     * @param maxValueBytes the largest value of the state service by the settings, in bytes of JSON
-     * @param queriesPerSecond requests to the state service that this node may spend on users' queries
+     * @param maxValueBytes the configured size limit of a value in the state service, in bytes of JSON
+     * @param queriesPerSecond the limit of this node's requests to the state service for users' queries
      */
     public record Context(
             Vertx vertx,
@@ -50,7 +51,7 @@
             int maxValueBytes,
             double queriesPerSecond) {}
 
-    /** Registers for failures of the state service; sends nothing yet. */
+    /** Creates the service and registers for failures of the state service. Sends no requests. */
     public JobService(Context context) {
         StateClient state = context.state();
         SteadyClock clock = context.clock();
@@ -72,8 +73,8 @@
     }
 
     /**
-     * Accepts a job: 201, or 200 with the current status if it was accepted before. The future fails if the outcome is
-     * unknown. Throws {@link io.indigoreach.net.WireException} if the body is malformed.
+     * Accepts a job. Responds with 201, or with 200 and the current status if the job was accepted before. The future fails if the
+     * outcome is unknown. Throws {@link io.indigoreach.net.WireException} if the body is malformed.
      */
     public Future<ApiResponse> submit(Buffer body) {
         JobSpec spec = JobCodec.read(MessagePackFormat.readMap(body));
@@ -85,7 +86,7 @@
         return new ApiResponse(result.created() ? CREATED : 200, JobCodec.accepted(id, result.status()), 0);
     }
 
-    /** The status and progress of a job: 200 or 404. The future fails if they cannot be determined now. */
+    /** Responds with 200 and the status and progress of a job, or with 404. The future fails if they cannot be determined now. */
     public Future<ApiResponse> query(String text) {
         if (!JobId.isValid(text)) {
             return Future.succeededFuture(ErrorResponses.of(NotFoundException.job()));
@@ -109,8 +110,8 @@
     }
 
     /**
-     * Cancels a job: 200 with its final status, or 404, or 503 if its record keeps changing. The future fails if the
-     * outcome is unknown.
+     * Cancels a job. Responds with 200 and the final status, with 404, or with 503 if the job's record keeps changing. The future
+     * fails if the outcome is unknown.
      */
     public Future<ApiResponse> cancel(String text) {
         if (!JobId.isValid(text)) {
@@ -122,22 +123,25 @@
         return ErrorResponses.recover(response);
     }
 
-    /** Whether this node has accepted the job or seen its final status. */
+    /** Returns whether this node has accepted the job or seen its final status. */
     public boolean knows(JobId id) {
         return memory.knows(id);
     }
 
     /**
-     * Sets what the cancellation cascade rests on.
+     * Sets the parameters of the cancellation cascade.
      *
-     * @param within after a cancellation, the time within which users are told that the dependants are cancelled too
-     * @param leadership a value that differs between any two leaderships
+     * @param within the time after a cancellation within which users see the dependent jobs as cancelled
+     * @param leadership returns a value that is different for each leadership
      */
     public void setCascadeTime(Span within, Supplier<Object> leadership) {
         dependencies.setCascadeTime(within, leadership);
     }
 
-    /** Sets the check whether every node of the deployment supports dependencies; jobs with dependencies wait for that. */
+    /**
+     * Sets the check whether every node of the deployment supports dependencies. Until then, jobs with dependencies are
+     * rejected with 503.
+     */
     public void setDependencySupportCheck(Supplier<Future<Boolean>> allNodes) {
         dependencies.setSupportCheck(allNodes);
     }
@@ -147,22 +151,22 @@
         submission.setParticipants(new SubmissionParticipants(optionalFeatures));
     }
 
-    /** Sets the request to the other controllers whether any of them knows a job. */
+    /** Sets the query that finds out whether any other controller remembers a job. */
     public void setPeerQuery(Function<JobId, Future<Boolean>> peerQuery) {
         lookup.setPeerQuery(peerQuery);
     }
 
-    /** The cancellations that this node confirms to users, recorded before any user has the response. */
+    /** Returns the cancellations that this node confirms to users. Each is recorded before the response is sent. */
     public ConfirmedCancellations confirmedCancellations() {
         return memory.confirmedCancellations();
     }
 
-    /** What this node remembers of one job. */
+    /** Returns the state of one job that this node remembers. */
     public RememberedState rememberedState(JobId id) {
         return memory.rememberedState(id);
     }
 
-    /** What this node remembers of all jobs. */
+    /** Returns the state of all jobs that this node remembers. */
     public RememberedState rememberedState() {
         return memory.rememberedState();
     }
--- a/src/main/java/io/indigoreach/api/JobSubmission.java
+++ b/src/main/java/io/indigoreach/api/JobSubmission.java
@@ -18,13 +18,13 @@
 import java.util.Optional;
 
 /**
- * Accepts jobs. A submission is idempotent by the job's id: a job that was accepted once stays accepted, whatever would be
- * decided about the repeated request now. Used on the event loop only.
+ * Accepts jobs. A submission is idempotent by the job's id: a job that was accepted once stays accepted, even if the repeated
+ * request would now be rejected. Used on the event loop only.
  */
 final class JobSubmission {
     private static final int MAX_ATTEMPTS = 3;
 
-    /** The objects that a submission works with. */
+    /** The collaborators of this class. */
     record Context(
             StateClient state,
             SteadyClock clock,
@@ -35,12 +35,12 @@
             JobMemory memory) {}
 
     /**
-     * A job to be written.
+     * One attempt to write an accepted job.
      *
-     * @param record the value of its open key
-     * @param cancelled whether it is cancelled from the start, as a dependency is
-     * @param submittedMs by the time of day
-     * @param attempt counted from 1
+     * @param record the value of the job's open key
+     * @param cancelled whether the job is cancelled from the start because a dependency is cancelled
+     * @param submittedMs the time of day of the submission
+     * @param attempt the number of the attempt, starting at 1
      */
     private record Acceptance(
             JobSpec spec, Map<String, Object> record, boolean cancelled, long submittedMs, int attempt) {
@@ -64,14 +64,14 @@
         this.lookup = context.lookup();
     }
 
-    /** Sets the optional features that take part. */
+    /** Sets the optional features that take part in submissions. */
     void setParticipants(SubmissionParticipants optionalFeatures) {
         participants = optionalFeatures;
     }
 
     /**
-     * Accepts a job, or finds that it was accepted before. Fails with an {@link ApiException} if it is not accepted, and with
-     * anything else if the outcome is unknown. Throws {@link io.indigoreach.net.WireException} if an optional field is
+     * Accepts a job, or finds that it was accepted before. Fails with an {@link ApiException} if the job is not accepted, and with
+     * any other exception if the outcome is unknown. Throws {@link io.indigoreach.net.WireException} if an optional field is
      * malformed.
      */
     Future<SubmissionResult> submit(JobSpec spec) {
@@ -105,22 +105,23 @@
     }
 
     /**
-     * In a flood of single-task jobs, raising each start bound would cost one more write than the acceptance. With the bound set at
-     * once, a later leader starts those that wait only after it has heard from all machines.
+     * Returns the start bound that is written with the acceptance. Raising the bound later would cost a second write per job, which
+     * doubles the writes under a flood of single-task jobs. In return, a new leader has to wait for the heartbeats of all machines
+     * before it starts the waiting jobs among them.
      */
     private static int firstStartBound(JobSpec spec) {
-        // No task of a job with dependencies starts before its release, which is recorded by the write of the bound.
+        // The write that raises the bound also records that the dependencies are done, and no task starts before that write.
         return spec.tasks() == 1 && !spec.isService() && spec.dependencies().isEmpty() ? 1 : 0;
     }
 
     /**
-     * Writes the job, only in an era that is known and while no data loss is being repaired: a lost job may have ended, and
-     * must not run again.
+     * Writes the job, but only if the era is known and no data loss is being repaired: the job may have been lost after it ended,
+     * and must not run again.
      */
     private Future<SubmissionResult> accept(Acceptance acceptance) {
         if (!state.isEraKnown()) {
-            // Without the condition on the era, a transaction without an answer could be executed after a rebuild that
-            // no longer knows of the job's end.
+            // Without the condition on the era, a delayed transaction could be executed after a rebuild that has lost the
+            // job's final record.
             return state.check().compose(checked -> acceptIfEraKnown(acceptance));
         }
         JobSpec spec = acceptance.spec();
@@ -171,7 +172,7 @@
         return SubmissionResult.createdNow();
     }
 
-    /** {@code failedKeys}: the keys that did not have the expected revisions. */
+    /** Retries or looks up the job. {@code failedKeys}: the keys that did not have the expected revisions. */
     private Future<SubmissionResult> resolveConflict(
             Acceptance acceptance, Transaction writes, List<String> failedKeys) {
         if (failedKeys.equals(List.of(RecordKeys.ERA)) && acceptance.mayRepeat()) {
@@ -184,20 +185,20 @@
         return lookup.findSubmitted(spec).compose(found -> existingOrRetry(spec.id(), found));
     }
 
-    /** A write that the state service does not take as it is will never be taken: a repetition would only fail again. */
+    /** Rejects a job whose write violates the limits of the state service, since a retry would fail in the same way. */
     private Future<SubmissionResult> rejectIfUnacceptable(JobId id, Throwable failure) {
         return failure instanceof TransactionRejectedException
                 ? existingOr(id, RequestRejectedException.of("the state service takes no record of this size"))
                 : Future.failedFuture(failure);
     }
 
-    /** The status of a job that was accepted before; fails with {@code otherwise} if it never was. */
+    /** Returns the status of a job that was accepted before. Fails with {@code otherwise} if the job was never accepted. */
     private Future<SubmissionResult> existingOr(JobId id, Throwable otherwise) {
         return lookup.find(id)
                 .compose(found -> found.isUnknown() ? Future.failedFuture(otherwise) : existing(id, found));
     }
 
-    /** A job that is still unknown was not accepted by this request: the user has to repeat it. */
+    /** Returns the status of a job that was found. Otherwise this request did not accept the job, and the client has to retry. */
     private Future<SubmissionResult> existingOrRetry(JobId id, StoredJob found) {
         return found.isUnknown() ? Future.failedFuture(new RetryLaterException("try again")) : existing(id, found);
     }
--- a/src/main/java/io/indigoreach/api/MalformedRequestException.java
+++ b/src/main/java/io/indigoreach/api/MalformedRequestException.java
@@ -1,8 +1,8 @@
 package io.indigoreach.api;
 
-/** A request that cannot be read, or has a field with an invalid value: the sender has to correct it. */
+/** Thrown if a request cannot be read or a field has an invalid value. The client has to correct the request. */
 public final class MalformedRequestException extends ApiException {
-    /** {@code reason}: as it is sent to the user. */
+    /** {@code reason}: the error text that is sent to the client. */
     public MalformedRequestException(String reason) {
         super(reason);
     }
--- a/src/main/java/io/indigoreach/api/NotFoundException.java
+++ b/src/main/java/io/indigoreach/api/NotFoundException.java
@@ -1,13 +1,13 @@
 package io.indigoreach.api;
 
-/** What the request refers to does not exist. */
+/** Thrown if the job or other entity that a request refers to does not exist. */
 public final class NotFoundException extends ApiException {
-    /** {@code reason}: as it is sent to the user. */
+    /** {@code reason}: the error text that is sent to the client. */
     public NotFoundException(String reason) {
         super(reason);
     }
 
-    /** No job with this id was ever accepted. */
+    /** Returns the failure for a job that was never accepted. */
     static NotFoundException job() {
         return new NotFoundException("no such job");
     }
--- a/src/main/java/io/indigoreach/api/ReferencedJobs.java
+++ b/src/main/java/io/indigoreach/api/ReferencedJobs.java
@@ -15,10 +15,10 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** Looks up the jobs that others depend on, a few at a time. Used on the event loop only. */
+/** Looks up the dependencies of jobs in small batches. Used on the event loop only. */
 final class ReferencedJobs {
     private static final int BATCH_SIZE = 8;
-    /** The most jobs that one check looks up. The user repeats the query; the jobs found to have ended are remembered. */
+    /** The maximum number of jobs that one check looks up. Clients may retry the query; jobs that were found to have ended are cached. */
     private static final int MAX_LOOKUPS = 200;
 
     private final Function<JobId, Future<StoredJob>> finder;
@@ -28,9 +28,8 @@
     }
 
     /**
-     * For a submission: whether one of these jobs is cancelled, so that the new one is too. Fails with a
-     * {@link RequestRejectedException} if one was never accepted or is a service, and with anything else if that cannot be
-     * determined now.
+     * Returns whether one of the dependencies of a submitted job is cancelled. Fails with a {@link RequestRejectedException} if one
+     * was never accepted or is a service, and with any other exception if that cannot be determined now.
      */
     Future<Boolean> isAnyCancelled(List<JobId> ids) {
         return isAnyCancelled(new ArrayDeque<>(ids), false);
@@ -51,7 +50,7 @@
         });
     }
 
-    /** Why a job may not depend on these, by the first one at fault. */
+    /** Returns the rejection for the first of these jobs that another job may not depend on. */
     private static Optional<RequestRejectedException> rejection(List<JobId> ids, List<StoredJob> jobs) {
         for (int index = 0; index < ids.size(); index++) {
             StoredJob job = jobs.get(index);
@@ -68,20 +67,20 @@
     }
 
     /**
-     * Whether a waiting job depends on a cancelled one, directly or through others that are still open. Only a final record
-     * counts as a cancellation.
+     * Returns whether a waiting job depends on a cancelled job, directly or through jobs that are still open. A job counts as
+     * cancelled only if its final record says so.
      */
     Future<Boolean> isCancelledByCascade(JobDependencies dependencies) {
         return search(new ArrayDeque<>(dependencies.requiredJobs()), new HashSet<>(dependencies.requiredJobs()));
     }
 
-    /** Breadth-first; {@code seen} contains the jobs looked up and those in {@code remaining}. */
+    /** Searches breadth-first. {@code seen} contains the jobs that were looked up and those in {@code remaining}. */
     private Future<Boolean> search(Deque<JobId> remaining, Set<JobId> seen) {
         if (remaining.isEmpty()) {
             return Future.succeededFuture(false);
         }
         if (seen.size() > MAX_LOOKUPS) {
-            return Future.failedFuture(new WireException("too many jobs before this one to look at all of them"));
+            return Future.failedFuture(new WireException("more than " + MAX_LOOKUPS + " direct and indirect dependencies to look up"));
         }
         return findAll(takeBatch(remaining)).compose(jobs -> {
             if (jobs.stream().anyMatch(StoredJob::isCancelled)) {
--- a/src/main/java/io/indigoreach/api/RequestRejectedException.java
+++ b/src/main/java/io/indigoreach/api/RequestRejectedException.java
@@ -3,7 +3,7 @@
 import io.indigoreach.net.MessagePackFormat;
 import java.util.Map;
 
-/** A well-formed request that is rejected for good: repeating it unchanged does not help. */
+/** Thrown if a well-formed request is rejected. Retrying it unchanged does not help. */
 public final class RequestRejectedException extends ApiException {
     private static final int CONFLICT = 409;
     private static final int UNPROCESSABLE = 422;
@@ -17,18 +17,18 @@
         this.body = body;
     }
 
-    /** 422: the value of {@code field} can never be accepted. */
+    /** Returns a rejection with 422: the value of {@code field} can never be accepted. */
     public static RequestRejectedException of(String field, String reason) {
         return new RequestRejectedException(
                 UNPROCESSABLE, reason, MessagePackFormat.map("error", field + ": " + reason, "field", field));
     }
 
-    /** 422: the request as a whole can never be accepted. */
+    /** Returns a rejection with 422: the request as a whole can never be accepted. */
     static RequestRejectedException of(String reason) {
         return new RequestRejectedException(UNPROCESSABLE, reason, MessagePackFormat.map("error", reason));
     }
 
-    /** 409: {@code against} describes the present state that the request conflicts with, which may change. */
+    /** Returns a rejection with 409. {@code against} describes the current state that the request conflicts with. */
     public static RequestRejectedException conflict(String reason, Map<String, Object> against) {
         return new RequestRejectedException(
                 CONFLICT, reason, MessagePackFormat.map("error", reason, "against", against));
--- a/src/main/java/io/indigoreach/api/Resource.java
+++ b/src/main/java/io/indigoreach/api/Resource.java
@@ -5,31 +5,31 @@
 import java.util.List;
 import java.util.Map;
 
-/** What an optional feature serves under {@code /api/NAME}, at any node. Called on the event loop. */
+/** HTTP resource of an optional feature, served under {@code /api/NAME} at every node. Called on the event loop. */
 public interface Resource {
     /**
-     * A request.
+     * A request to a resource.
      *
-     * @param method the HTTP method, in capitals
-     * @param path the decoded segments of the path after the resource's own
-     * @param query the query parameters; the first value of each
-     * @param body the fields of the body; none if there is no body
+     * @param method the HTTP method in upper case
+     * @param path the decoded segments of the path after the resource's name
+     * @param query the first value of each query parameter
+     * @param body the fields of the body; empty if the request has no body
      */
     record Call(String method, List<String> path, Map<String, String> query, Fields body) {
-        /** Whether this only reads. */
+        /** Returns whether the method is GET. */
         public boolean isGet() {
             return "GET".equals(method);
         }
 
-        /** Whether this is a POST. */
+        /** Returns whether the method is POST. */
         public boolean isPost() {
             return "POST".equals(method);
         }
     }
 
     /**
-     * Serves a request. A future that fails with an {@link ApiException} is answered by its kind, any other failure with 503
-     * and {@code Retry-After}. Throws an {@link ApiException}, or {@link io.indigoreach.net.WireException} if the body is malformed.
+     * Serves a request. If the future fails with an {@link ApiException}, {@link ErrorResponses} maps it to a response; any other
+     * failure is mapped to 503 with {@code Retry-After}. Throws an {@link ApiException}, or {@link io.indigoreach.net.WireException} if the body is malformed.
      */
     Future<ApiResponse> serve(Call call);
 }
--- a/src/main/java/io/indigoreach/api/RetryLaterException.java
+++ b/src/main/java/io/indigoreach/api/RetryLaterException.java
@@ -1,8 +1,8 @@
 package io.indigoreach.api;
 
-/** A request that cannot be carried out or decided at this moment: the sender may repeat it unchanged. */
+/** Thrown if a request cannot be processed now. The client may retry it unchanged. */
 public final class RetryLaterException extends ApiException {
-    /** {@code reason}: as it is sent to the user. */
+    /** {@code reason}: the error text that is sent to the client. */
     public RetryLaterException(String reason) {
         super(reason);
     }
--- a/src/main/java/io/indigoreach/api/Route.java
+++ b/src/main/java/io/indigoreach/api/Route.java
@@ -6,10 +6,10 @@
 import java.util.function.Predicate;
 
 /**
- * One row of the routing table.
+ * An entry of the routing table.
  *
- * @param parameter the variable part of a path that the route serves; empty if it does not serve the path
- * @param handler handles the requests
+ * @param parameter extracts the variable part of a path; empty if the route does not match the path
+ * @param handler handles matching requests
  */
 record Route(Function<String, Optional<String>> parameter, Handler handler) {
     /** Handles a request; {@code parameter} is the variable part of its path. */
@@ -18,12 +18,12 @@
         void handle(HttpServerRequest request, String parameter);
     }
 
-    /** Serves this path only, without a parameter. */
+    /** Returns a route that matches only this path; its parameter is empty. */
     static Route exact(String path, Handler handler) {
         return new Route(requested -> requested.equals(path) ? Optional.of("") : Optional.empty(), handler);
     }
 
-    /** Serves {@code prefix + parameter + suffix} if the parameter is {@code accepted}. */
+    /** Returns a route that matches {@code prefix + parameter + suffix} if {@code accepted} holds for the parameter. */
     static Route between(String prefix, String suffix, Predicate<String> accepted, Handler handler) {
         return new Route(requested -> middle(requested, prefix, suffix).filter(accepted), handler);
     }
--- a/src/main/java/io/indigoreach/api/StoredJob.java
+++ b/src/main/java/io/indigoreach/api/StoredJob.java
@@ -6,7 +6,7 @@
 import io.indigoreach.state.JobRecord;
 import java.util.Optional;
 
-/** The state of a job, as the state service keeps it. */
+/** The state of a job as stored in the state service. */
 sealed interface StoredJob {
     /** The job has not ended. */
     record Open(JobRecord job) implements StoredJob {}
@@ -17,22 +17,22 @@
     /** The job was never accepted. */
     record Unknown() implements StoredJob {}
 
-    /** Whether the job was never accepted. */
+    /** Returns whether the job was never accepted. */
     default boolean isUnknown() {
         return this instanceof Unknown;
     }
 
-    /** Whether the job has ended by a cancellation. */
+    /** Returns whether the job was cancelled. */
     default boolean isCancelled() {
         return this instanceof Finished finished && finished.end().status() == JobStatus.CANCELLED;
     }
 
-    /** The specification of an open job; empty for any other. */
+    /** Returns the specification of an open job, or empty if the job is not open. */
     default Optional<JobSpec> openSpec() {
         return this instanceof Open open ? Optional.of(open.job().spec()) : Optional.empty();
     }
 
-    /** The status of a job that was accepted; empty for an unknown one. */
+    /** Returns the status of the job, or empty if it was never accepted. */
     default Optional<JobStatus> status() {
         if (this instanceof Open open) {
             return Optional.of(open.job().status());
--- a/src/main/java/io/indigoreach/api/SubmissionParticipant.java
+++ b/src/main/java/io/indigoreach/api/SubmissionParticipant.java
@@ -6,22 +6,23 @@
 import io.vertx.core.Future;
 
 /**
- * An optional feature that takes part in the acceptance of jobs which have its field ({@link JobSpec#more()}). Called on the
- * event loop.
+ * An optional feature that takes part in the acceptance of jobs whose submission has its field (see {@link JobSpec#more()}).
+ * Called on the event loop.
  */
 public interface SubmissionParticipant {
-    /** The field's name, one of {@link JobCodec#OPTIONAL_FIELDS}. */
+    /** Returns the name of the feature's field, one of {@link JobCodec#OPTIONAL_FIELDS}. */
     String field();
 
-    /** Throws {@link io.indigoreach.net.WireException} if the field is malformed; nothing is read for this. */
+    /** Throws a {@link io.indigoreach.net.WireException} if the field is malformed. Sends no requests. */
     void check(JobSpec spec);
 
     /**
-     * The writes and conditions to be added to the transaction that accepts the job. Called again if those conditions fail. Fails with a
-     * {@link RequestRejectedException} if the job can never run, and with anything else if that cannot be determined now.
+     * Returns the writes and conditions that are added to the transaction that accepts the job. Called again if one of those
+     * conditions fails. The future fails with a {@link RequestRejectedException} if the job can never run, and with any other
+     * exception if that cannot be determined now.
      */
     Future<Transaction> accepting(JobSpec spec);
 
-    /** The writes were committed with the job, at this revision. */
+    /** Called after the writes were committed with the job, at this revision. */
     default void accepted(Transaction writes, Revision revision) {}
 }
--- a/src/main/java/io/indigoreach/api/SubmissionParticipants.java
+++ b/src/main/java/io/indigoreach/api/SubmissionParticipants.java
@@ -9,12 +9,12 @@
 
 /** The optional features that take part in submissions. */
 record SubmissionParticipants(List<SubmissionParticipant> all) {
-    /** Throws {@link io.indigoreach.net.WireException} if the field of a participant is malformed. */
+    /** Throws a {@link io.indigoreach.net.WireException} if the field of a participant is malformed. */
     void check(JobSpec spec) {
         concerned(spec).forEach(participant -> participant.check(spec));
     }
 
-    /** The first optional field of the job that no participant handles. */
+    /** Returns the first optional field of the job that no participant handles. */
     Optional<String> unknownField(JobSpec spec) {
         return spec.more().keySet().stream()
                 .filter(field -> all.stream()
@@ -22,7 +22,7 @@
                 .findFirst();
     }
 
-    /** The writes of all participants concerned, requested one after the other; empty for most jobs. */
+    /** Collects the writes of the participants whose field the job has, one participant after the other. */
     Future<Transaction> writes(JobSpec spec) {
         Future<Transaction> writes = Future.succeededFuture(new Transaction());
         for (SubmissionParticipant participant : concerned(spec)) {
@@ -31,7 +31,7 @@
         return writes;
     }
 
-    /** Informs the participants that their writes were committed with the job, at {@code revision}. */
+    /** Notifies the participants that their writes were committed with the job, at {@code revision}. */
     void accepted(JobSpec spec, Transaction writes, Revision revision) {
         concerned(spec).forEach(participant -> participant.accepted(writes, revision));
     }
--- a/src/main/java/io/indigoreach/api/SubmissionResult.java
+++ b/src/main/java/io/indigoreach/api/SubmissionResult.java
@@ -5,16 +5,16 @@
 /**
  * The result of a submission.
  *
- * @param created whether this request created the job; false: it existed already, and the request is a repetition
- * @param status the status that the user is told
+ * @param created whether this request created the job; false if the job had been accepted before
+ * @param status the status that is reported to the user
  */
 record SubmissionResult(boolean created, JobStatus status) {
-    /** The job was created. A job that is cancelled from the start is reported as pending too. */
+    /** Returns the result for a new job. A job that is cancelled from the start is also reported as pending. */
     static SubmissionResult createdNow() {
         return new SubmissionResult(true, JobStatus.PENDING);
     }
 
-    /** The job existed. */
+    /** Returns the result for a job that had been accepted before. */
     static SubmissionResult existing(JobStatus status) {
         return new SubmissionResult(false, status);
     }
--- a/src/main/java/io/indigoreach/worker/HeartbeatEndpoint.java
+++ b/src/main/java/io/indigoreach/worker/HeartbeatEndpoint.java
@@ -9,17 +9,20 @@
 /** Receives the workers' heartbeats. Used on the event loop only. */
 public final class HeartbeatEndpoint {
     private static final int OK = 200;
-    /** This node does not lead: the body names the leader, if it is known. */
+    /** Status of the response of a node that is not the leader. The body contains the leader's address if it is known. */
     private static final int MISDIRECTED_REQUEST = 421;
 
     private final Controller controller;
 
-    /** {@code controller}: accepts heartbeats while its node leads. */
+    /** {@code controller}: accepts heartbeats while its node is the leader. */
     public HeartbeatEndpoint(Controller controller) {
         this.controller = controller;
     }
 
-    /** The response to a heartbeat; throws {@link io.indigoreach.net.WireException} if it cannot be read. */
+    /**
+     * Processes a heartbeat and returns the response. Throws a {@link io.indigoreach.net.WireException} if the heartbeat is
+     * malformed.
+     */
     public Future<ApiResponse> receive(Buffer body) {
         return controller
                 .onHeartbeat(() -> WorkerCodec.read(MessagePackFormat.readMap(body)))
--- a/src/main/java/io/indigoreach/worker/WorkerCodec.java
+++ b/src/main/java/io/indigoreach/worker/WorkerCodec.java
@@ -20,24 +20,24 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The messages between controllers and workers: heartbeats and commands, written and read. */
+/** Writes and reads the messages between controllers and workers: heartbeats and commands. */
 public final class WorkerCodec {
-    /** Path of heartbeats, at a controller. */
+    /** Path at a controller that receives heartbeats. */
     public static final String HEARTBEAT = "/checkin";
-    /** Path of direct commands, at a worker. */
+    /** Path at a worker that receives direct commands. */
     public static final String DIRECT = "/do";
-    /** Path of a worker's own status, at the worker. */
+    /** Path at a worker that returns its status. */
     public static final String INSPECT = "/inspect";
 
-    /** The response to a heartbeat that was accepted: commands under the leader's fencing token. */
+    /** The response to an accepted heartbeat: commands with the leader's fencing token. */
     public record HeartbeatResponse(FencingToken token, List<WorkerCommand> commands) {}
 
-    /** Commands sent to a worker's own address, for one of its incarnations. Without a token or incarnation, these are null. */
+    /** Commands sent to a worker's address, for one incarnation of the worker. A missing token or incarnation is null. */
     public record Direct(FencingToken token, Long incarnation, List<WorkerCommand> commands) {}
 
     private WorkerCodec() {}
 
-    /** A heartbeat, as a worker sends it. */
+    /** Writes a heartbeat. */
     public static Map<String, Object> write(Heartbeat heartbeat) {
         return MessagePackFormat.map(
                 "box", heartbeat.machine().text(),
@@ -68,7 +68,7 @@
         return fields;
     }
 
-    /** Reads a heartbeat; throws {@link WireException} if it is malformed. */
+    /** Reads a heartbeat. Throws a {@link WireException} if it is malformed. */
     public static Heartbeat read(Fields fields) {
         try {
             List<TaskStatus> tasks = new ArrayList<>();
@@ -98,7 +98,7 @@
                 fields.flag("kept", false));
     }
 
-    /** An unknown state counts as running: the task exists. */
+    /** Parses a task state. An unknown state is read as running, because the worker has reported that the task exists. */
     private static TaskState state(String text) {
         return switch (text) {
             case "pulling" -> TaskState.FETCHING;
@@ -129,7 +129,7 @@
         };
     }
 
-    /** The response to a heartbeat that was accepted. */
+    /** Writes the response to an accepted heartbeat. */
     public static Map<String, Object> writeResponse(FencingToken token, List<WorkerCommand> orders) {
         return MessagePackFormat.map(
                 "baton",
@@ -138,19 +138,22 @@
                 orders.stream().map(WorkerCodec::write).toList());
     }
 
-    /** Reads such a response. Without a token it is to be discarded, so its token is lower than any. */
+    /**
+     * Reads the response to an accepted heartbeat. A missing token is read as -1, below every valid token, so that the worker
+     * discards the response.
+     */
     public static HeartbeatResponse readResponse(Fields fields) {
         return new HeartbeatResponse(new FencingToken(fields.whole("baton", -1)), readCommands(fields));
     }
 
-    /** A direct command. */
+    /** Writes direct commands. */
     public static Map<String, Object> writeDirect(Direct direct) {
         Map<String, Object> fields = writeResponse(direct.token(), direct.commands());
         fields.put("shift", direct.incarnation());
         return fields;
     }
 
-    /** Reads a direct command. */
+    /** Reads direct commands. */
     public static Direct readDirect(Fields fields) {
         return new Direct(
                 fields.has("baton") ? new FencingToken(fields.whole("baton")) : null,
@@ -198,12 +201,12 @@
         };
     }
 
-    /** The response to a heartbeat at a node that does not lead; without a leader's address, the worker tries the next node. */
+    /** Writes the response of a node that is not the leader. If {@code leader} is null, the worker tries the next node. */
     public static Map<String, Object> writeLeader(String leader) {
         return leader == null ? Map.of() : MessagePackFormat.map("foreman", leader);
     }
 
-    /** The leader's address in a response with status 421, or null. */
+    /** Returns the leader's address from a response with status 421, or null if the leader is unknown. */
     public static String readLeader(Fields fields) {
         return fields.optionalText("foreman");
     }
--- a/src/test/java/io/indigoreach/api/GoldenUsersTest.java
+++ b/src/test/java/io/indigoreach/api/GoldenUsersTest.java
@@ -34,10 +34,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What users send, and every kind of answer that they get. */
+/** Compares the messages of the users' interface, and every kind of response, with golden files. */
 class GoldenUsersTest {
     private final Vertx vertx = Vertx.vertx();
-    /** Vert.x closes a client that nothing refers to any more. */
+    /** Strong references to clients and listeners: Vert.x closes a client that is no longer reachable. */
     private final List<Object> kept = new ArrayList<>();
 
     private StateStandIn state;
@@ -259,7 +259,7 @@
         return "k".repeat(200);
     }
 
-    /** Of a job that is not there yet. */
+    /** Sets the id of a job that was not submitted before. */
     private static Map<String, Object> other(Map<String, Object> job) {
         job.put("id", "run-62");
         return job;
--- a/src/test/java/io/indigoreach/api/JobCodecTest.java
+++ b/src/test/java/io/indigoreach/api/JobCodecTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What users may send, what is malformed, and what can never run. */
+/** Tests the reading of submissions: valid and malformed fields, and jobs that can never run. */
 class JobCodecTest {
     static Map<String, Object> job() {
         return MessagePackFormat.map(
@@ -164,7 +164,10 @@
         }
     }
 
-    /** Empty, cut short, bytes left over, not a map, a key that is no text, a list that claims to be huge, binary. */
+    /**
+     * Empty or truncated bodies, trailing bytes, bodies that are not a map, non-string keys, oversized length prefixes, binary
+     * values.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
--- a/src/test/java/io/indigoreach/api/JobServiceLossTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceLossTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What users are told while the state service has lost data, by one node and without a leader. */
+/** Tests the responses to users after the state service has lost data, at one node without a leader. */
 class JobServiceLossTest {
     private final Vertx vertx = Vertx.vertx();
     private StateStandIn service;
@@ -74,7 +74,7 @@
         return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     }
 
-    /** A failure is answered with 503 by the HTTP API. */
+    /** The HTTP API maps a failure to 503. */
     private static int status(Future<ApiResponse> answer) throws Exception {
         return await(answer.map(ApiResponse::status).otherwise(503));
     }
@@ -128,10 +128,10 @@
         StateClient.Txn all = new StateClient.Txn();
         service.keys("").forEach(all::delete);
         await(client().commit(all));
-        assertEquals(503, status(jobs.query("run-9")), "it may have been there, on the first question already");
+        assertEquals(503, status(jobs.query("run-9")), "a lost job may have had this id, and the first query already detects the loss");
         assertEquals(503, status(jobs.query("run-1")));
-        assertEquals(503, submit(3), "it may have been over");
-        assertEquals(200, status(jobs.query("run-2")), "what was told stays");
+        assertEquals(503, submit(3), "a lost job with this id may have ended");
+        assertEquals(200, status(jobs.query("run-2")), "a final status that was reported stays");
         assertEquals(200, submit(2));
         await(client().commit(
                         new StateClient.Txn().put(RecordKeys.ERA, EraRecordCodec.writeEra(new FencingToken(77)))));
@@ -139,7 +139,7 @@
         assertEquals(List.of(404, 201), List.of(status(jobs.query("run-9")), submit(3)));
     }
 
-    /** One record is gone and the era is not: this node remembers, or another one does. */
+    /** The record of one job is lost but the era is not, while this node or another controller remembers the job. */
     @Test
     void jobRememberedByAControllerIsNotReportedUnknown() throws Exception {
         assertEquals(201, submit(1));
@@ -156,8 +156,8 @@
     }
 
     /**
-     * A record that cannot be read: this node remembers the job, another does, or its user submits it again; an end that anybody
-     * remembers stays the end. Before, its user's questions got 503 for good.
+     * An unreadable record is repaired from this node's memory, from another node's memory, or from a repeated submission. A final
+     * status that any node remembers is kept. Without the repair, every query of the job got 503.
      */
     @ParameterizedTest
     @CsvSource({
@@ -191,7 +191,7 @@
                         ? "503 null"
                         : answered.startsWith("503") ? "200 pending" : answered,
                 response(queried.submit(job(1))),
-                "its user submits it again");
+                "repeated submission");
         assertEquals(
                 answered.endsWith("done") || prefix.equals("f/") ? List.of() : List.of("j/run-1"), service.keys("j/"));
         assertEquals(false, state.losses().isHolding());
--- a/src/test/java/io/indigoreach/api/JobServiceTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceTest.java
@@ -40,11 +40,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The users' interface over HTTP, two nodes on one stand-in for the state service. */
+/** Tests the users' interface over HTTP with two nodes that share a fake state service. */
 class JobServiceTest {
     private static final Span WAIT = Span.seconds(10);
     private final Vertx vertx = Vertx.vertx();
-    /** Vert.x closes a client that nothing refers to any more, in the middle of a call too: so all are kept. */
+    /** Strong references to all clients: Vert.x closes a client that is no longer reachable, even during a request. */
     private final List<Object> kept = new ArrayList<>();
 
     private final List<JobService> services = new ArrayList<>();
@@ -125,7 +125,10 @@
         return reply.status() + " " + reply.body().optionalText("status");
     }
 
-    /** Further fields are kept with the job, and a node where nothing reads them refuses the job rather than run it without. */
+    /**
+     * Optional fields are stored with the job. A node without a participant for a field rejects the job instead of ignoring the
+     * field.
+     */
     @Test
     void optionalFieldWithoutParticipantIsRejected() throws Exception {
         Map<String, Object> job = JobCodecTest.job();
@@ -145,7 +148,10 @@
                         .spec());
     }
 
-    /** The end decides; blocks of done tasks, which may be more than a transaction takes, are removed behind it. */
+    /**
+     * The cancellation writes only the final record and deletes the open one; there may be more completion blocks than a
+     * transaction can delete.
+     */
     @Test
     void largeJobIsCancelledWithTwoWrites() throws Exception {
         Map<String, Object> job = JobCodecTest.job();
@@ -156,7 +162,10 @@
         assertEquals("200 cancelled", status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
     }
 
-    /** What no record can hold is refused at once, whether the settings say so or only the state service; what is known stays. */
+    /**
+     * A job whose record exceeds the limit in the settings or of the state service is rejected. A job accepted earlier stays
+     * accepted.
+     */
     @ParameterizedTest
     @CsvSource({"62, 8192, 422", "20, 8192, 201", "20, 2048, 422"})
     void specificationTooLargeForARecordIsRejected(int otherTypes, int valueBytes, int expected) throws Exception {
@@ -206,7 +215,7 @@
         service.refusing = state.equals("refused");
     }
 
-    /** By what has become of the job that is named: the answer, and what is told later. */
+    /** Columns: the state of the dependency, the response to the submission, and the response to later queries. */
     @ParameterizedTest
     @CsvSource({
         "open, 201 pending, 200 pending",
@@ -223,7 +232,9 @@
         assertEquals(later, status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
     }
 
-    /** What a job that was accepted names now is of no account; before all nodes support dependencies, none is accepted. */
+    /**
+     * A repeated submission does not change the dependencies. Jobs with dependencies are rejected until all nodes support them.
+     */
     @Test
     void dependenciesAreThoseOfTheFirstSubmission() throws Exception {
         createDependency("open");
@@ -245,8 +256,8 @@
     }
 
     /**
-     * The node that told of the cancellation is gone, and no leader has swept: a node in doubt, here as it has just begun, looks for
-     * itself, through a job that is open; one that is not asks for nothing more than the job's record.
+     * A dependency is cancelled, and no leader has cascaded the cancellation. A node that cannot rely on the leader, here because it
+     * has just started, checks the dependencies itself, including indirect ones. Any other node reads only the job's record.
      */
     @Test
     void staleNodeChecksDependenciesBeforeItResponds() throws Exception {
@@ -265,7 +276,10 @@
         assertEquals(List.of("j/run-2"), service.keys("j/"));
     }
 
-    /** Six hundred jobs asked about eight times as often took every request that the state service serves, renewals too. */
+    /**
+     * Without batching, 600 jobs queried eight times as often as usual used up the state service's request limit, so lease
+     * renewals failed.
+     */
     @Test
     void queriesBeyondTheNodesShareAreBatched() throws Exception {
         Endpoint node = node(2);
@@ -286,7 +300,10 @@
         assertTrue(service.reads - before < 30, "reads: " + (service.reads - before));
     }
 
-    /** In a flood of ends a job's end stands in its open record before it is moved: it is over all the same. */
+    /**
+     * When many jobs end at once, the final status is first written to the open record and moved later. It is final from the
+     * first write.
+     */
     @Test
     void finalStatusInTheOpenRecordIsFinal() throws Exception {
         call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job());
@@ -299,7 +316,7 @@
         assertEquals("200 done", status(call(first, HttpMethod.POST, "/api/jobs/run-000412/cancel", Map.of())));
         assertEquals("200 done", status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
         assertEquals("200 done", status(call(second, HttpMethod.POST, "/api/jobs", JobCodecTest.job())));
-        assertEquals(List.of("j/run-000412"), service.keys("j/"), "nobody has taken it for an open job");
+        assertEquals(List.of("j/run-000412"), service.keys("j/"), "the open record is unchanged");
     }
 
     @Test
@@ -309,11 +326,14 @@
         assertEquals(
                 503,
                 call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job()).status());
-        assertEquals(1, service.lost, "it was carried out");
+        assertEquals(1, service.lost, "the transaction was executed, and its response was lost");
         assertEquals("200 pending", status(call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job())));
     }
 
-    /** Without the era's condition it would come through a rebuilding, in an era that does not know of the job's end. */
+    /**
+     * Without the condition on the era, a delayed transaction could be executed after a rebuild that has lost the job's final
+     * record.
+     */
     @Test
     void acceptanceIsConditionalOnTheEraBeforeItWasRead() throws Exception {
         List<List<String>> conditions = new ArrayList<>();
@@ -340,7 +360,7 @@
         assertEquals(
                 503, call(first, HttpMethod.GET, "/api/jobs/run-000412", null).status());
         assertEquals(503, call(second, HttpMethod.GET, "/api/jobs/run-5", null).status());
-        assertEquals(503, call(first, HttpMethod.GET, "/api/jobs/run-404", null).status(), "404 only on its word");
+        assertEquals(503, call(first, HttpMethod.GET, "/api/jobs/run-404", null).status(), "404 requires a confirmation by the state service");
         assertEquals("200 cancelled", status(call(first, HttpMethod.GET, "/api/jobs/run-5", null)));
     }
 
@@ -360,7 +380,7 @@
                 status, call(first, HttpMethod.valueOf(method), path, Map.of()).status());
     }
 
-    /** A long body is refused, announced or not, and others are served meanwhile. */
+    /** A body over the limit is rejected, with or without Content-Length, and other requests are still served. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void longBodyIsRejected(boolean announced) throws Exception {
--- a/src/test/java/io/indigoreach/api/OddRequestsTest.java
+++ b/src/test/java/io/indigoreach/api/OddRequestsTest.java
@@ -40,7 +40,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** What is answered to requests that are odd, over HTTP, and that nothing of them is stored. */
+/** Tests the HTTP responses to malformed, infeasible and excess requests, and that rejected jobs are not stored. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class OddRequestsTest {
     private static final Span WAIT = Span.seconds(10);
@@ -52,7 +52,7 @@
     private HttpClient http;
     private ServiceClient user;
     private Endpoint node;
-    /** Vert.x closes clients that nothing refers to any more. */
+    /** Strong references to all clients: Vert.x closes a client that is no longer reachable. */
     private final List<Object> kept = new ArrayList<>();
 
     @BeforeAll
@@ -174,14 +174,14 @@
         assertEquals(List.of(), service.keys("j/run-1"));
     }
 
-    /** Such a body says two things, and whoever reads it may take either. */
+    /** A body with a repeated field is ambiguous: a reader may use either value. */
     @ParameterizedTest
     @CsvSource({"id", "pieces", "unheard_of"})
     void repeatedFieldIsMalformed(String field) throws Exception {
         byte[] once = MessagePackFormat.write(with("run-1", field, 2)).getBytes();
         byte[] again = MessagePackFormat.write(Map.of(field, "run-2")).getBytes();
         Buffer twice = Buffer.buffer().appendBytes(once).appendBytes(again, 1, again.length - 1);
-        // A map of 21 entries has its number in the third byte.
+        // A map with 21 entries has the low byte of its size in the third byte.
         twice.setByte(2, (byte) (once[2] + 1));
         Future<String> status = http.request(HttpMethod.POST, node.port(), node.host(), "/api/jobs")
                 .compose(r -> r.send(twice))
@@ -240,12 +240,15 @@
         assertEquals(201, submit(job).status());
         ServiceResponse again = submit(job);
         assertEquals("200 pending", again.status() + " " + again.body().text("status"));
-        // Whatever it says now, the job was accepted.
+        // The job stays accepted, although this request on its own would be rejected.
         ServiceResponse other = submit(with(id, "hall", "nowhere"));
         assertEquals("200 pending", other.status() + " " + other.body().text("status"));
     }
 
-    /** The state service takes every request and answers none: who finds no place is told so at once, all others in time. */
+    /**
+     * While the state service does not respond, requests beyond the admission limit get 503 at once, and all others within the
+     * timeout.
+     */
     @ParameterizedTest
     @CsvSource({"false", "true"})
     void requestsBeyondTheAdmissionLimitAreRejectedAtOnce(boolean submissions) throws Exception {
@@ -268,8 +271,8 @@
             assertEquals(503, reply.status());
         }
         double longest = (System.nanoTime() - begun) / 1e9;
-        assertTrue(refused[0] >= 150, refused[0] + " are refused at once");
-        assertTrue(longest < 6, "the last is answered after " + longest + " s");
+        assertTrue(refused[0] >= 150, refused[0] + " were rejected at once");
+        assertTrue(longest < 6, "last response after " + longest + " s");
     }
 
     @Test
--- a/src/test/java/io/indigoreach/worker/GoldenWorkersTest.java
+++ b/src/test/java/io/indigoreach/worker/GoldenWorkersTest.java
@@ -21,7 +21,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Workers' reports and the orders that they are answered with. */
+/** Compares heartbeats, their responses and direct commands with a golden file. */
 class GoldenWorkersTest {
     private static final JobId JOB = new JobId("run-000412");
 
