--- a/src/main/java/io/indigoreach/api/JobLookup.java
+++ b/src/main/java/io/indigoreach/api/JobLookup.java
@@ -144,14 +144,18 @@
 
     private Future<StoredJob> confirmUnknown(Search search) {
         if (state.losses().isHolding()) {
-            return Future.failedFuture(new WireException("the state service lost data, and job " + search.id() + " may have been lost"));
+            return Future.failedFuture(
+                    new WireException("the state service lost data, and job " + search.id() + " may have been lost"));
         }
         return state.confirm(bothKeysAbsent(state.transactionInEra(), search.id()))
                 .compose(holds -> holds ? checkMemories(search) : searchAfterStaleRead(search));
     }
 
     private Future<StoredJob> searchAfterStaleRead(Search search) {
-        return searchAgain(search.withoutSubmission(), state.check(), "the state service returned a stale read of job " + search.id());
+        return searchAgain(
+                search.withoutSubmission(),
+                state.check(),
+                "the state service returned a stale read of job " + search.id());
     }
 
     /** Reports a job as unknown only if no controller remembers it. If one does, the job's record was lost. */
@@ -167,7 +171,9 @@
             if (!absent) {
                 // The job was accepted after the lookup had read its keys.
                 return searchAgain(
-                        search.withoutSubmission(), Future.succeededFuture(), "job " + search.id() + " changed during the lookup");
+                        search.withoutSubmission(),
+                        Future.succeededFuture(),
+                        "job " + search.id() + " changed during the lookup");
             }
             state.recordMissing(RecordKeys.openKey(search.id()));
             return Future.failedFuture(new WireException("the record of job " + search.id() + " was lost"));
--- a/src/main/java/io/indigoreach/api/JobReadBatcher.java
+++ b/src/main/java/io/indigoreach/api/JobReadBatcher.java
@@ -93,7 +93,8 @@
     private void readNextPage(Moment begun) {
         Moment now = clock.now();
         if (now.since(begun).compareTo(LISTING_TIMEOUT) >= 0) {
-            failListing(new WireException("listing of the open jobs timed out after " + LISTING_TIMEOUT.seconds() + " s"));
+            failListing(
+                    new WireException("listing of the open jobs timed out after " + LISTING_TIMEOUT.seconds() + " s"));
             return;
         }
         if (!pageReads.take(1, now)) {
--- a/src/main/java/io/indigoreach/api/JobSubmission.java
+++ b/src/main/java/io/indigoreach/api/JobSubmission.java
@@ -110,7 +110,8 @@
      * before it starts the waiting jobs among them.
      */
     private static int firstStartBound(JobSpec spec) {
-        // The write that raises the bound also records that the dependencies are done, and no task starts before that write.
+        // The write that raises the bound also records that the dependencies are done, and no task starts before that
+        // write.
         return spec.tasks() == 1 && !spec.isService() && spec.dependencies().isEmpty() ? 1 : 0;
     }
 
@@ -120,7 +121,8 @@
      */
     private Future<SubmissionResult> accept(Acceptance acceptance) {
         if (!state.isEraKnown()) {
-            // Without the condition on the era, a delayed transaction could be executed after a rebuild that has lost the
+            // Without the condition on the era, a delayed transaction could be executed after a rebuild that has lost
+            // the
             // job's final record.
             return state.check().compose(checked -> acceptIfEraKnown(acceptance));
         }
--- a/src/main/java/io/indigoreach/api/ReferencedJobs.java
+++ b/src/main/java/io/indigoreach/api/ReferencedJobs.java
@@ -80,7 +80,8 @@
             return Future.succeededFuture(false);
         }
         if (seen.size() > MAX_LOOKUPS) {
-            return Future.failedFuture(new WireException("more than " + MAX_LOOKUPS + " direct and indirect dependencies to look up"));
+            return Future.failedFuture(
+                    new WireException("more than " + MAX_LOOKUPS + " direct and indirect dependencies to look up"));
         }
         return findAll(takeBatch(remaining)).compose(jobs -> {
             if (jobs.stream().anyMatch(StoredJob::isCancelled)) {
--- a/src/test/java/io/indigoreach/api/JobServiceLossTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceLossTest.java
@@ -128,7 +128,10 @@
         StateClient.Txn all = new StateClient.Txn();
         service.keys("").forEach(all::delete);
         await(client().commit(all));
-        assertEquals(503, status(jobs.query("run-9")), "a lost job may have had this id, and the first query already detects the loss");
+        assertEquals(
+                503,
+                status(jobs.query("run-9")),
+                "a lost job may have had this id, and the first query already detects the loss");
         assertEquals(503, status(jobs.query("run-1")));
         assertEquals(503, submit(3), "a lost job with this id may have ended");
         assertEquals(200, status(jobs.query("run-2")), "a final status that was reported stays");
--- a/src/test/java/io/indigoreach/api/JobServiceTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceTest.java
@@ -360,7 +360,10 @@
         assertEquals(
                 503, call(first, HttpMethod.GET, "/api/jobs/run-000412", null).status());
         assertEquals(503, call(second, HttpMethod.GET, "/api/jobs/run-5", null).status());
-        assertEquals(503, call(first, HttpMethod.GET, "/api/jobs/run-404", null).status(), "404 requires a confirmation by the state service");
+        assertEquals(
+                503,
+                call(first, HttpMethod.GET, "/api/jobs/run-404", null).status(),
+                "404 requires a confirmation by the state service");
         assertEquals("200 cancelled", status(call(first, HttpMethod.GET, "/api/jobs/run-5", null)));
     }
 
