--- a/src/main/java/io/indigoreach/api/ApiResponse.java
+++ b/src/main/java/io/indigoreach/api/ApiResponse.java
@@ -13,7 +13,7 @@
 public record ApiResponse(int status, Map<String, Object> body, int retryAfterS) {
     private static final int OK = 200;
     private static final int SERVICE_UNAVAILABLE = 503;
-    private static final int RETRY_AFTER_S = 1;
+    private static final int DEFAULT_RETRY_AFTER_S = 1;
 
     /** Returns a response with status 200 and this body. */
     public static ApiResponse ok(Map<String, Object> body) {
@@ -27,6 +27,6 @@
 
     /** Returns a response with status 503, the reason and {@code Retry-After}. */
     public static ApiResponse retryLater(String reason) {
-        return new ApiResponse(SERVICE_UNAVAILABLE, MessagePackFormat.map("error", reason), RETRY_AFTER_S);
+        return new ApiResponse(SERVICE_UNAVAILABLE, MessagePackFormat.map("error", reason), DEFAULT_RETRY_AFTER_S);
     }
 }
--- a/src/main/java/io/indigoreach/api/CascadeFreshness.java
+++ b/src/main/java/io/indigoreach/api/CascadeFreshness.java
@@ -14,17 +14,17 @@
  */
 final class CascadeFreshness {
     private final SteadyClock clock;
-    private final BooleanSupplier stateServiceDoubted;
+    private final BooleanSupplier readsSuspect;
     private Span cascadeTime = Span.ZERO;
     private Supplier<Object> leadership = () -> "";
     private Object lastLeadership;
-    private Moment disturbedAt;
+    private Moment lastDisruption;
 
-    /** {@code stateServiceDoubted}: returns whether reads from the state service may be stale. */
-    CascadeFreshness(SteadyClock clock, BooleanSupplier stateServiceDoubted) {
+    /** {@code readsSuspect}: returns whether reads from the state service may be stale. */
+    CascadeFreshness(SteadyClock clock, BooleanSupplier readsSuspect) {
         this.clock = clock;
-        this.stateServiceDoubted = stateServiceDoubted;
-        this.disturbedAt = clock.now();
+        this.readsSuspect = readsSuspect;
+        this.lastDisruption = clock.now();
     }
 
     /**
@@ -39,8 +39,8 @@
     }
 
     /** Records that a request to the state service has failed. */
-    void requestFailed() {
-        disturbedAt = clock.now();
+    void recordRequestFailure() {
+        lastDisruption = clock.now();
     }
 
     /** Returns whether open records may lack a cascaded cancellation. */
@@ -48,9 +48,8 @@
         Object current = leadership.get();
         if (!Objects.equals(current, lastLeadership)) {
             lastLeadership = current;
-            disturbedAt = clock.now();
+            lastDisruption = clock.now();
         }
-        return stateServiceDoubted.getAsBoolean()
-                || clock.now().since(disturbedAt).compareTo(cascadeTime) < 0;
+        return readsSuspect.getAsBoolean() || clock.now().since(lastDisruption).compareTo(cascadeTime) < 0;
     }
 }
--- a/src/main/java/io/indigoreach/api/ReferencedJobs.java
+++ b/src/main/java/io/indigoreach/api/DependencyLookup.java
@@ -16,15 +16,15 @@
 import java.util.function.Function;
 
 /** Looks up the dependencies of jobs in small batches. Used on the event loop only. */
-final class ReferencedJobs {
+final class DependencyLookup {
     private static final int BATCH_SIZE = 8;
     /** The maximum number of jobs that one check looks up. Clients may retry the query; jobs that were found to have ended are cached. */
     private static final int MAX_LOOKUPS = 200;
 
-    private final Function<JobId, Future<StoredJob>> finder;
+    private final Function<JobId, Future<StoredJob>> jobLookup;
 
-    ReferencedJobs(Function<JobId, Future<StoredJob>> finder) {
-        this.finder = finder;
+    DependencyLookup(Function<JobId, Future<StoredJob>> jobLookup) {
+        this.jobLookup = jobLookup;
     }
 
     /**
@@ -40,8 +40,8 @@
             return Future.succeededFuture(cancelledBefore);
         }
         List<JobId> batch = takeBatch(remaining);
-        return findAll(batch).compose(jobs -> {
-            Optional<RequestRejectedException> rejection = rejection(batch, jobs);
+        return lookUpAll(batch).compose(jobs -> {
+            Optional<RequestRejectedException> rejection = findRejection(batch, jobs);
             if (rejection.isPresent()) {
                 return Future.failedFuture(rejection.get());
             }
@@ -51,7 +51,7 @@
     }
 
     /** Returns the rejection for the first of these jobs that another job may not depend on. */
-    private static Optional<RequestRejectedException> rejection(List<JobId> ids, List<StoredJob> jobs) {
+    private static Optional<RequestRejectedException> findRejection(List<JobId> ids, List<StoredJob> jobs) {
         for (int index = 0; index < ids.size(); index++) {
             StoredJob job = jobs.get(index);
             if (job.isUnknown()) {
@@ -83,19 +83,19 @@
             return Future.failedFuture(
                     new WireException("more than " + MAX_LOOKUPS + " direct and indirect dependencies to look up"));
         }
-        return findAll(takeBatch(remaining)).compose(jobs -> {
+        return lookUpAll(takeBatch(remaining)).compose(jobs -> {
             if (jobs.stream().anyMatch(StoredJob::isCancelled)) {
                 return Future.succeededFuture(true);
             }
             jobs.stream()
-                    .flatMap(job -> waitingFor(job).stream())
+                    .flatMap(job -> unfinishedDependencies(job).stream())
                     .filter(seen::add)
                     .forEach(remaining::add);
             return search(remaining, seen);
         });
     }
 
-    private static List<JobId> waitingFor(StoredJob job) {
+    private static List<JobId> unfinishedDependencies(StoredJob job) {
         return job.openSpec()
                 .map(JobSpec::dependencies)
                 .filter(JobDependencies::isWaiting)
@@ -111,8 +111,8 @@
         return batch;
     }
 
-    private Future<List<StoredJob>> findAll(Collection<JobId> batch) {
-        List<Future<StoredJob>> lookups = batch.stream().map(finder).toList();
+    private Future<List<StoredJob>> lookUpAll(Collection<JobId> batch) {
+        List<Future<StoredJob>> lookups = batch.stream().map(jobLookup).toList();
         return Future.all(lookups)
                 .map(all -> lookups.stream().map(Future::result).toList());
     }
--- a/src/main/java/io/indigoreach/api/DependencyService.java
+++ b/src/main/java/io/indigoreach/api/DependencyService.java
@@ -17,34 +17,34 @@
  * a node cannot rely on that, it checks the dependencies itself before it responds. Used on the event loop only.
  */
 final class DependencyService {
-    private static final int MAX_CHECKS_REMEMBERED = 20_000;
+    private static final int MAX_REMEMBERED_CHECKS = 20_000;
     /** Fraction of the cascade time for which the result of a dependency check stays valid. */
-    private static final double CHECK_HOLDS = 0.5;
+    private static final double CHECK_VALIDITY_SHARE = 0.5;
 
     private final SteadyClock clock;
-    private final ReferencedJobs submissionLookups;
-    private final ReferencedJobs queryLookups;
+    private final DependencyLookup submissionLookups;
+    private final DependencyLookup queryLookups;
     private final CascadeFreshness freshness;
     private Span cascadeTime = Span.ZERO;
     private Supplier<Future<Boolean>> supportedByAllNodes = () -> Future.succeededFuture(true);
     /** Start time of the last check of each waiting job that found no cancelled dependency. */
-    private final Map<JobId, Moment> lastChecks = BoundedMaps.withLimit(MAX_CHECKS_REMEMBERED);
+    private final Map<JobId, Moment> lastCheckTimes = BoundedMaps.withLimit(MAX_REMEMBERED_CHECKS);
 
     /**
      * Creates the service.
      *
-     * @param finder looks up a job with a separate read
-     * @param batchedFinder looks up a job with batched reads: the request rate to the state service is bounded, but a lookup takes
+     * @param lookup looks up a job with a separate read
+     * @param batchedLookup looks up a job with batched reads: the request rate to the state service is bounded, but a lookup takes
      *     longer under load
      */
     DependencyService(
             SteadyClock clock,
-            Function<JobId, Future<StoredJob>> finder,
-            Function<JobId, Future<StoredJob>> batchedFinder,
+            Function<JobId, Future<StoredJob>> lookup,
+            Function<JobId, Future<StoredJob>> batchedLookup,
             CascadeFreshness freshness) {
         this.clock = clock;
-        this.submissionLookups = new ReferencedJobs(finder);
-        this.queryLookups = new ReferencedJobs(batchedFinder);
+        this.submissionLookups = new DependencyLookup(lookup);
+        this.queryLookups = new DependencyLookup(batchedLookup);
         this.freshness = freshness;
     }
 
@@ -55,8 +55,8 @@
     }
 
     /** Sets the check whether every node supports dependencies. A node that does not would start such a job at once. */
-    void setSupportCheck(Supplier<Future<Boolean>> allNodes) {
-        supportedByAllNodes = allNodes;
+    void setSupportCheck(Supplier<Future<Boolean>> supportCheck) {
+        supportedByAllNodes = supportCheck;
     }
 
     /**
@@ -88,18 +88,18 @@
             return Future.succeededFuture(true);
         }
         Moment now = clock.now();
-        if (!freshness.mayBeStale() || isRecentlyChecked(id, now)) {
+        if (!freshness.mayBeStale() || wasRecentlyChecked(id, now)) {
             return Future.succeededFuture(false);
         }
         return queryLookups.isCancelledByCascade(dependencies).onSuccess(cancelled -> {
             if (!cancelled) {
-                lastChecks.put(id, now);
+                lastCheckTimes.put(id, now);
             }
         });
     }
 
-    private boolean isRecentlyChecked(JobId id, Moment now) {
-        Moment last = lastChecks.getOrDefault(id, Moment.NEVER);
-        return now.since(last).compareTo(cascadeTime.times(CHECK_HOLDS)) < 0;
+    private boolean wasRecentlyChecked(JobId id, Moment now) {
+        Moment lastCheck = lastCheckTimes.getOrDefault(id, Moment.NEVER);
+        return now.since(lastCheck).compareTo(cascadeTime.times(CHECK_VALIDITY_SHARE)) < 0;
     }
 }
--- a/src/main/java/io/indigoreach/api/HttpApi.java
+++ b/src/main/java/io/indigoreach/api/HttpApi.java
@@ -32,8 +32,8 @@
 /** The HTTP listener for users, workers and health checks. Requests are handled on the event loop. */
 public final class HttpApi {
     private static final Logger LOG = LoggerFactory.getLogger(HttpApi.class);
-    private static final String API = "/api/";
-    private static final String JOB = JobCodec.JOBS + "/";
+    private static final String RESOURCE_PATH_PREFIX = "/api/";
+    private static final String JOB_PATH_PREFIX = JobCodec.JOBS_PATH + "/";
     private static final int IDLE_TIMEOUT_S = 75;
     private static final int MAX_REQUEST_LINE_BYTES = 2048;
     private static final int MAX_HEADER_BYTES = 8192;
@@ -47,11 +47,11 @@
     private final List<Route> routes;
 
     /** Admits job queries. Queries beyond the limit are rejected, and their clients have precedence when they retry. */
-    private final FairAdmission queries = new FairAdmission();
+    private final FairAdmission queryAdmission = new FairAdmission();
     /** Admits submissions and cancellations, with a limit of their own so that queries cannot crowd them out. */
-    private final FairAdmission commands = new FairAdmission();
+    private final FairAdmission commandAdmission = new FairAdmission();
     /** Admits requests to the optional features. */
-    private final FairAdmission resourceRequests = new FairAdmission();
+    private final FairAdmission resourceAdmission = new FairAdmission();
 
     /**
      * The address and the services of the listener.
@@ -101,13 +101,14 @@
     /** Returns the routing table. The first route that matches the path handles the request. */
     private List<Route> routes() {
         return List.of(
-                Route.exact(WorkerCodec.HEARTBEAT, (request, none) -> receiveHeartbeat(request)),
-                Route.exact(JobCodec.READY, (request, none) -> reportReadiness(request)),
-                Route.exact(JobCodec.JOBS, (request, none) -> submit(request)),
-                Route.between(JOB, JobCodec.CANCEL, id -> true, this::cancel),
-                Route.between(JOB, "", id -> id.indexOf('/') < 0, this::query),
-                Route.between(JOB, "", path -> true, (request, path) -> rejectPath(request)),
-                Route.between(API, "", path -> resource(path).isPresent(), this::serveResource));
+                Route.exact(WorkerCodec.HEARTBEAT_PATH, (request, none) -> receiveHeartbeat(request)),
+                Route.exact(JobCodec.READY_PATH, (request, none) -> reportReadiness(request)),
+                Route.exact(JobCodec.JOBS_PATH, (request, none) -> submit(request)),
+                Route.withParameter(JOB_PATH_PREFIX, JobCodec.CANCEL_PATH_SUFFIX, id -> true, this::cancel),
+                Route.withParameter(JOB_PATH_PREFIX, "", id -> id.indexOf('/') < 0, this::query),
+                Route.withParameter(JOB_PATH_PREFIX, "", path -> true, (request, path) -> rejectPath(request)),
+                Route.withParameter(
+                        RESOURCE_PATH_PREFIX, "", path -> findResource(path).isPresent(), this::serveResource));
     }
 
     private void handle(HttpServerRequest request) {
@@ -117,7 +118,7 @@
             return;
         }
         for (Route route : routes) {
-            Optional<String> parameter = route.parameter().apply(path);
+            Optional<String> parameter = route.parameterExtractor().apply(path);
             if (parameter.isPresent()) {
                 route.handler().handle(request, parameter.get());
                 return;
@@ -131,7 +132,7 @@
     }
 
     private void reportReadiness(HttpServerRequest request) {
-        if (allows(request, HttpMethod.GET)) {
+        if (requireMethod(request, HttpMethod.GET)) {
             write(
                     request,
                     context.ready().getAsBoolean() ? ApiResponse.ok(Map.of()) : ApiResponse.retryLater("starting"));
@@ -142,19 +143,24 @@
         withBody(
                 request,
                 HttpMethod.POST,
-                body -> admit(commands, client(request), () -> context.jobs().submit(body)));
+                body -> admit(
+                        commandAdmission,
+                        clientKey(request),
+                        () -> context.jobs().submit(body)));
     }
 
     private void cancel(HttpServerRequest request, String id) {
         withBody(
                 request,
                 HttpMethod.POST,
-                body -> admit(commands, id, () -> context.jobs().cancel(id)));
+                body -> admit(commandAdmission, id, () -> context.jobs().cancel(id)));
     }
 
     private void query(HttpServerRequest request, String id) {
-        if (allows(request, HttpMethod.GET)) {
-            respond(request, () -> admit(queries, id, () -> context.jobs().query(id)));
+        if (requireMethod(request, HttpMethod.GET)) {
+            respond(
+                    request,
+                    () -> admit(queryAdmission, id, () -> context.jobs().query(id)));
         }
     }
 
@@ -162,9 +168,9 @@
         write(request, ApiResponse.error(NOT_FOUND, "no such path"));
     }
 
-    /** {@code path}: the path after {@link #API}; its first segment is the name of the resource. */
+    /** {@code path}: the path after {@link #RESOURCE_PATH_PREFIX}; its first segment is the name of the resource. */
     private void serveResource(HttpServerRequest request, String path) {
-        Resource resource = resource(path).orElseThrow();
+        Resource resource = findResource(path).orElseThrow();
         if (request.method().equals(HttpMethod.GET)) {
             respond(request, () -> serve(resource, request, path, Buffer.buffer()));
         } else {
@@ -173,10 +179,11 @@
     }
 
     private Future<ApiResponse> serve(Resource resource, HttpServerRequest request, String path, Buffer body) {
-        return admit(resourceRequests, client(request), () -> resource.serve(call(request, path, body)));
+        return admit(
+                resourceAdmission, clientKey(request), () -> resource.serve(readResourceRequest(request, path, body)));
     }
 
-    private Optional<Resource> resource(String path) {
+    private Optional<Resource> findResource(String path) {
         return Optional.ofNullable(context.resources().get(resourceName(path)));
     }
 
@@ -185,26 +192,26 @@
         return end < 0 ? path : path.substring(0, end);
     }
 
-    private static Resource.Call call(HttpServerRequest request, String path, Buffer body) {
+    private static Resource.Request readResourceRequest(HttpServerRequest request, String path, Buffer body) {
         Fields fields = body.length() == 0 ? new Fields(Map.of()) : MessagePackFormat.readMap(body);
         Map<String, String> query = new HashMap<>();
         request.params().forEach(parameter -> query.putIfAbsent(parameter.getKey(), parameter.getValue()));
-        String rest = path.substring(resourceName(path).length());
-        List<String> segments = Arrays.stream(rest.split("/"))
+        String pathAfterName = path.substring(resourceName(path).length());
+        List<String> segments = Arrays.stream(pathAfterName.split("/"))
                 .filter(segment -> !segment.isEmpty())
                 .map(segment -> URLDecoder.decode(segment, StandardCharsets.UTF_8))
                 .toList();
-        return new Resource.Call(request.method().name(), segments, query, fields);
+        return new Resource.Request(request.method().name(), segments, query, fields);
     }
 
     /** Identifies a client by its connection, since most clients retry on the same connection after a rejection. */
-    private static String client(HttpServerRequest request) {
+    private static String clientKey(HttpServerRequest request) {
         return request.connection().remoteAddress().toString();
     }
 
     private static Future<ApiResponse> admit(
-            FairAdmission admission, String client, Supplier<Future<ApiResponse>> work) {
-        if (!admission.tryEnter(client)) {
+            FairAdmission admission, String clientKey, Supplier<Future<ApiResponse>> work) {
+        if (!admission.tryEnter(clientKey)) {
             return Future.succeededFuture(ApiResponse.retryLater("too many requests at this node"));
         }
         Future<ApiResponse> result;
@@ -217,7 +224,7 @@
         return result.onComplete(done -> admission.leave());
     }
 
-    private boolean allows(HttpServerRequest request, HttpMethod method) {
+    private boolean requireMethod(HttpServerRequest request, HttpMethod method) {
         if (request.method().equals(method)) {
             return true;
         }
@@ -228,7 +235,7 @@
 
     /** Reads the body and passes it to {@code work}. Rejects other methods, and bodies that are too long. */
     private void withBody(HttpServerRequest request, HttpMethod method, Function<Buffer, Future<ApiResponse>> work) {
-        if (!allows(request, method)) {
+        if (!requireMethod(request, method)) {
             return;
         }
         RequestBody.gather(request, body -> respond(request, () -> work.apply(body)), () -> rejectLongBody(request));
@@ -242,7 +249,7 @@
 
     /** Starts the work and writes its result, or the response to its failure. */
     private void respond(HttpServerRequest request, Supplier<Future<ApiResponse>> work) {
-        start(work).onComplete(done -> {
+        startWork(work).onComplete(done -> {
             if (done.succeeded()) {
                 write(request, done.result());
                 return;
@@ -262,7 +269,7 @@
      * Starts the work. A {@link WireException} that is thrown synchronously means that the request is malformed. One in a failed
      * future concerns a response of the state service.
      */
-    private static Future<ApiResponse> start(Supplier<Future<ApiResponse>> work) {
+    private static Future<ApiResponse> startWork(Supplier<Future<ApiResponse>> work) {
         try {
             return work.get();
         } catch (WireException malformed) {
@@ -272,15 +279,15 @@
         }
     }
 
-    private static Future<Void> write(HttpServerRequest request, ApiResponse answer) {
+    private static Future<Void> write(HttpServerRequest request, ApiResponse apiResponse) {
         HttpServerResponse response = request.response();
         if (response.closed() || response.ended()) {
             return Future.succeededFuture();
         }
-        response.setStatusCode(answer.status()).putHeader("Content-Type", "application/msgpack");
-        if (answer.retryAfterS() > 0) {
-            response.putHeader("Retry-After", Integer.toString(answer.retryAfterS()));
+        response.setStatusCode(apiResponse.status()).putHeader("Content-Type", "application/msgpack");
+        if (apiResponse.retryAfterS() > 0) {
+            response.putHeader("Retry-After", Integer.toString(apiResponse.retryAfterS()));
         }
-        return response.end(MessagePackFormat.write(answer.body()));
+        return response.end(MessagePackFormat.write(apiResponse.body()));
     }
 }
--- a/src/main/java/io/indigoreach/api/JobAdmission.java
+++ b/src/main/java/io/indigoreach/api/JobAdmission.java
@@ -33,13 +33,13 @@
      * Returns the reason for rejecting the job, or empty if it is admitted. {@code submittedMs}: the time of day of the
      * submission.
      */
-    Optional<ApiException> rejection(JobSpec spec, SubmissionParticipants participants, long submittedMs) {
+    Optional<ApiException> findRejection(JobSpec spec, SubmissionParticipants participants, long submittedMs) {
         Optional<String> reason = Optional.ofNullable(Admission.refusal(spec, teams, catalogue.types()))
                 .or(() -> participants.unknownField(spec).map(field -> field + ": this is not switched on here"));
-        return reason.<ApiException>map(RequestRejectedException::of).or(() -> tooLarge(spec, submittedMs));
+        return reason.<ApiException>map(RequestRejectedException::of).or(() -> findSizeRejection(spec, submittedMs));
     }
 
-    private Optional<ApiException> tooLarge(JobSpec spec, long submittedMs) {
+    private Optional<ApiException> findSizeRejection(JobSpec spec, long submittedMs) {
         int bytes = CompletionBits.recordBytes(spec, submittedMs);
         int maxBytes = state.limits().room(maxValueBytes);
         if (bytes <= maxBytes) {
--- a/src/main/java/io/indigoreach/api/JobMemory.java
+++ b/src/main/java/io/indigoreach/api/JobCache.java
@@ -16,7 +16,7 @@
  * A final status never changes, so it is served from this cache. After a data loss of the state service, lost records are
  * restored from both. Used on the event loop only.
  */
-final class JobMemory {
+final class JobCache {
     private static final int MAX_FINISHED = 20_000;
     private static final int MAX_ACCEPTED = 5_000;
 
@@ -26,7 +26,7 @@
     /** Jobs accepted by this process and not known to have ended. After a data loss, this may be the only copy of them. */
     private final Map<JobId, RememberedState.OpenJob> accepted = BoundedMaps.withLimit(MAX_ACCEPTED);
 
-    JobMemory(SteadyClock clock) {
+    JobCache(SteadyClock clock) {
         this.clock = clock;
         this.confirmedCancellations = new ConfirmedCancellations(clock.now());
     }
@@ -43,17 +43,17 @@
     }
 
     /** Returns whether this process has accepted the job or seen its final status. */
-    boolean knows(JobId id) {
+    boolean contains(JobId id) {
         return accepted.containsKey(id) || finished.containsKey(id);
     }
 
     /** Adds a job that was just accepted. */
-    void rememberAccepted(JobSpec spec, long submittedMs) {
+    void addAccepted(JobSpec spec, long submittedMs) {
         accepted.put(spec.id(), new RememberedState.OpenJob(spec, submittedMs, new BitSet(), spec.tasks()));
     }
 
     /** Adds a final record. Called before the final status is sent to any user. */
-    FinalRecord rememberFinished(FinalRecord record) {
+    FinalRecord addFinished(FinalRecord record) {
         if (record.status() == JobStatus.CANCELLED) {
             confirmedCancellations.add(record.id(), clock.now());
         }
--- a/src/main/java/io/indigoreach/api/JobCancellation.java
+++ b/src/main/java/io/indigoreach/api/JobCancellation.java
@@ -19,13 +19,13 @@
 
     private final StateClient state;
     private final JobLookup lookup;
-    private final JobMemory memory;
+    private final JobCache jobCache;
     private final DependencyService dependencies;
 
-    JobCancellation(StateClient state, JobLookup lookup, JobMemory memory, DependencyService dependencies) {
+    JobCancellation(StateClient state, JobLookup lookup, JobCache jobCache, DependencyService dependencies) {
         this.state = state;
         this.lookup = lookup;
-        this.memory = memory;
+        this.jobCache = jobCache;
         this.dependencies = dependencies;
     }
 
@@ -43,15 +43,15 @@
 
     private Future<JobStatus> cancel(JobId id, StoredJob found, int attempt) {
         if (found instanceof StoredJob.Finished finished) {
-            return Future.succeededFuture(finished.end().status());
+            return Future.succeededFuture(finished.finalRecord().status());
         }
         if (!(found instanceof StoredJob.Open open)) {
             return Future.failedFuture(NotFoundException.job());
         }
-        return state.commit(cancelling(open.job())).compose(outcome -> {
+        return state.commit(cancellationTransaction(open.jobRecord())).compose(outcome -> {
             if (outcome.done()) {
                 LOG.info("job cancelled by user job={}", id);
-                memory.rememberFinished(cancelled(open.job()));
+                jobCache.addFinished(cancelledRecord(open.jobRecord()));
                 return Future.succeededFuture(JobStatus.CANCELLED);
             }
             // The leader has updated the record since it was read.
@@ -70,17 +70,18 @@
             return Future.succeededFuture(found);
         }
         return dependencies
-                .isCancelledByCascade(id, open.job().spec().dependencies(), memory::isCancelled)
-                .compose(cancelled -> cancelled ? cancelByCascade(id, open.job()) : Future.succeededFuture(found));
+                .isCancelledByCascade(id, open.jobRecord().spec().dependencies(), jobCache::isCancelled)
+                .compose(
+                        cancelled -> cancelled ? cancelByCascade(id, open.jobRecord()) : Future.succeededFuture(found));
     }
 
     private Future<StoredJob> cancelByCascade(JobId id, JobRecord open) {
-        return state.commit(cancelling(open)).compose(outcome -> {
+        return state.commit(cancellationTransaction(open)).compose(outcome -> {
             if (!outcome.done()) {
                 return Future.failedFuture(new WireException("the job changes at this moment"));
             }
             LOG.info("job cancelled by dependency job={}", id);
-            return Future.succeededFuture(new StoredJob.Finished(memory.rememberFinished(cancelled(open))));
+            return Future.succeededFuture(new StoredJob.Finished(jobCache.addFinished(cancelledRecord(open))));
         });
     }
 
@@ -88,14 +89,14 @@
      * Returns the transaction that moves the job to its final key if its record is unchanged. The leader deletes the job's separate
      * blocks of completion bits, because there may be more of them than one transaction can delete.
      */
-    private static StateClient.Txn cancelling(JobRecord open) {
+    private static StateClient.Txn cancellationTransaction(JobRecord open) {
         return new StateClient.Txn()
                 .when(RecordKeys.openKey(open.id()), open.revision())
                 .delete(RecordKeys.openKey(open.id()))
                 .put(RecordKeys.finalKey(open.id()), JobRecordCodec.writeFinal(JobStatus.CANCELLED, open.doneCount()));
     }
 
-    private static FinalRecord cancelled(JobRecord open) {
+    private static FinalRecord cancelledRecord(JobRecord open) {
         return new FinalRecord(open.id(), JobStatus.CANCELLED, open.doneCount());
     }
 }
--- a/src/main/java/io/indigoreach/api/JobCodec.java
+++ b/src/main/java/io/indigoreach/api/JobCodec.java
@@ -27,11 +27,11 @@
     public static final int MAX_DEPENDENCIES = 100;
 
     /** Path of submissions. The path of a job is this path followed by a slash and the job's id. */
-    public static final String JOBS = "/api/jobs";
+    public static final String JOBS_PATH = "/api/jobs";
     /** Suffix of a job's path that makes the path of its cancellation. */
-    public static final String CANCEL = "/cancel";
+    public static final String CANCEL_PATH_SUFFIX = "/cancel";
     /** Path of the readiness check. */
-    public static final String READY = "/ready";
+    public static final String READY_PATH = "/ready";
     /** Field with the ids of the jobs that have to be done before this one starts. */
     static final String WAITS_ON = "waits_on";
     /**
@@ -43,10 +43,10 @@
     /**
      * Status and progress of a job, as reported to users.
      *
-     * @param done the number of tasks that are done
-     * @param running the number of tasks that are running
+     * @param doneTasks the number of tasks that are done
+     * @param runningTasks the number of tasks that are running
      */
-    public record Progress(JobId id, JobStatus status, int done, int running) {}
+    public record Progress(JobId id, JobStatus status, int doneTasks, int runningTasks) {}
 
     private JobCodec() {}
 
@@ -111,35 +111,35 @@
      * one that is read first.
      */
     public static JobSpec read(Fields fields) {
-        JobId id = id(fields);
-        int tasks = tasks(fields);
-        List<String> types = machineTypes(fields);
-        String zone = zone(fields);
-        Span due = fields.has("due_s") ? seconds(fields, "due_s") : null;
+        JobId id = readId(fields);
+        int tasks = readTaskCount(fields);
+        List<String> types = readMachineTypes(fields);
+        String zone = readZone(fields);
+        Span due = fields.has("due_s") ? readSeconds(fields, "due_s") : null;
         return new JobSpec(
                 id,
-                name(fields, "jobclass"),
-                name(fields, "owner"),
-                kind(fields.text("shape")),
-                urgency(fields.text("urgency")),
+                readName(fields, "jobclass"),
+                readName(fields, "owner"),
+                parseKind(fields.text("shape")),
+                parseUrgency(fields.text("urgency")),
                 tasks,
-                new Demand(amount(fields, "cores"), amount(fields, "gpus"), amount(fields, "ram_gb")),
-                name(fields, "bundle"),
-                amount(fields, "pull_gb"),
+                new Demand(readAmount(fields, "cores"), readAmount(fields, "gpus"), readAmount(fields, "ram_gb")),
+                readName(fields, "bundle"),
+                readAmount(fields, "pull_gb"),
                 types,
                 zone,
-                flag(fields, "one_zone"),
-                flag(fields, "spread"),
-                flag(fields, "loaners"),
-                seconds(fields, "expected_s"),
-                seconds(fields, "snapshot_every_s"),
-                seconds(fields, "snapshot_s"),
+                readFlag(fields, "one_zone"),
+                readFlag(fields, "spread"),
+                readFlag(fields, "loaners"),
+                readSeconds(fields, "expected_s"),
+                readSeconds(fields, "snapshot_every_s"),
+                readSeconds(fields, "snapshot_s"),
                 due,
-                optionalFields(fields),
-                dependencies(id, fields));
+                readOptionalFields(fields),
+                readDependencies(id, fields));
     }
 
-    private static JobId id(Fields fields) {
+    private static JobId readId(Fields fields) {
         String text = fields.text("id");
         if (!JobId.isValid(text)) {
             throw Fields.invalid("id");
@@ -147,7 +147,7 @@
         return new JobId(text);
     }
 
-    private static int tasks(Fields fields) {
+    private static int readTaskCount(Fields fields) {
         long tasks = fields.whole("pieces");
         if (tasks < 1 || tasks > MAX_TASKS) {
             throw Fields.invalid("pieces");
@@ -155,7 +155,7 @@
         return (int) tasks;
     }
 
-    private static List<String> machineTypes(Fields fields) {
+    private static List<String> readMachineTypes(Fields fields) {
         List<String> types = fields.optionalTexts("boxkinds");
         if (types != null) {
             if (types.size() > MAX_MACHINE_TYPES) {
@@ -166,7 +166,7 @@
         return types;
     }
 
-    private static String zone(Fields fields) {
+    private static String readZone(Fields fields) {
         String zone = fields.optionalText("hall");
         if (zone != null) {
             checkName("hall", zone);
@@ -174,23 +174,23 @@
         return zone;
     }
 
-    private static JobDependencies dependencies(JobId own, Fields fields) {
-        List<String> names = fields.optionalTexts(WAITS_ON);
-        if (names == null) {
+    private static JobDependencies readDependencies(JobId jobId, Fields fields) {
+        List<String> ids = fields.optionalTexts(WAITS_ON);
+        if (ids == null) {
             return JobDependencies.NONE;
         }
         // A repeated id is probably a typing error for another job, and the new job would not wait for that one.
-        boolean repeated = new HashSet<>(names).size() < names.size();
-        if (names.size() > MAX_DEPENDENCIES || names.contains(own.text()) || repeated) {
+        boolean repeated = new HashSet<>(ids).size() < ids.size();
+        if (ids.size() > MAX_DEPENDENCIES || ids.contains(jobId.text()) || repeated) {
             throw Fields.invalid(WAITS_ON);
         }
-        if (!names.stream().allMatch(JobId::isValid)) {
+        if (!ids.stream().allMatch(JobId::isValid)) {
             throw Fields.invalid(WAITS_ON);
         }
-        return JobDependencies.of(names.stream().map(JobId::new).toList());
+        return JobDependencies.of(ids.stream().map(JobId::new).toList());
     }
 
-    private static Map<String, Object> optionalFields(Fields fields) {
+    private static Map<String, Object> readOptionalFields(Fields fields) {
         Map<String, Object> optional = new LinkedHashMap<>();
         for (String name : OPTIONAL_FIELDS) {
             if (fields.has(name)) {
@@ -200,7 +200,7 @@
         return optional;
     }
 
-    private static JobKind kind(String text) {
+    private static JobKind parseKind(String text) {
         return switch (text) {
             case "array" -> JobKind.ARRAY;
             case "service" -> JobKind.SERVICE;
@@ -208,7 +208,7 @@
         };
     }
 
-    private static Urgency urgency(String text) {
+    private static Urgency parseUrgency(String text) {
         return switch (text) {
             case "production" -> Urgency.PRODUCTION;
             case "high" -> Urgency.HIGH;
@@ -218,7 +218,7 @@
         };
     }
 
-    private static double amount(Fields fields, String name) {
+    private static double readAmount(Fields fields, String name) {
         double value = fields.number(name);
         if (value < 0 || value > MAX_AMOUNT) {
             throw Fields.invalid(name);
@@ -226,18 +226,18 @@
         return value;
     }
 
-    private static Span seconds(Fields fields, String name) {
-        return Span.seconds(amount(fields, name));
+    private static Span readSeconds(Fields fields, String name) {
+        return Span.seconds(readAmount(fields, name));
     }
 
-    private static boolean flag(Fields fields, String name) {
+    private static boolean readFlag(Fields fields, String name) {
         if (!fields.has(name)) {
             throw new WireException("missing field " + name);
         }
         return fields.flag(name, false);
     }
 
-    private static String name(Fields fields, String field) {
+    private static String readName(Fields fields, String field) {
         String value = fields.text(field);
         checkName(field, value);
         return value;
@@ -250,12 +250,12 @@
     }
 
     /** Writes the response to a submission or cancellation. */
-    static Map<String, Object> accepted(JobId id, JobStatus status) {
+    static Map<String, Object> writeStatus(JobId id, JobStatus status) {
         return MessagePackFormat.map("id", id.text(), "status", lowerCase(status));
     }
 
     /** Writes the response to a query. */
-    static Map<String, Object> progress(JobId id, JobStatus status, int done, int running) {
+    static Map<String, Object> writeProgress(JobId id, JobStatus status, int done, int running) {
         return MessagePackFormat.map("id", id.text(), "status", lowerCase(status), "done", done, "running", running);
     }
 
--- a/src/main/java/io/indigoreach/api/JobLookup.java
+++ b/src/main/java/io/indigoreach/api/JobLookup.java
@@ -32,7 +32,7 @@
      * @param attempt the number of the attempt, starting at 1
      */
     private record Search(JobId id, Optional<JobSpec> submitted, int attempt) {
-        Search next() {
+        Search nextAttempt() {
             return new Search(id, submitted, attempt + 1);
         }
 
@@ -43,21 +43,21 @@
 
     private final StateClient state;
     private final JobRepairer repairer;
-    private final JobMemory memory;
+    private final JobCache jobCache;
     private final OpenRecordReader batchedReads;
-    private Function<JobId, Future<Boolean>> isKnownToPeers = id -> Future.succeededFuture(false);
+    private Function<JobId, Future<Boolean>> knownToPeersQuery = id -> Future.succeededFuture(false);
 
     /** {@code batchedReads}: batches the reads of queries, so that their request rate is bounded. */
-    JobLookup(StateClient state, JobRepairer repairer, JobMemory memory, OpenRecordReader batchedReads) {
+    JobLookup(StateClient state, JobRepairer repairer, JobCache jobCache, OpenRecordReader batchedReads) {
         this.state = state;
         this.repairer = repairer;
-        this.memory = memory;
+        this.jobCache = jobCache;
         this.batchedReads = batchedReads;
     }
 
     /** Sets the query that finds out whether any other controller remembers a job. */
     void setPeerQuery(Function<JobId, Future<Boolean>> peerQuery) {
-        isKnownToPeers = peerQuery;
+        knownToPeersQuery = peerQuery;
     }
 
     /** Looks up a job with separate reads. */
@@ -80,9 +80,9 @@
     }
 
     private Future<StoredJob> search(Search search, OpenRecordReader reader) {
-        Optional<FinalRecord> known = memory.finished(search.id());
-        if (known.isPresent()) {
-            return Future.succeededFuture(new StoredJob.Finished(known.get()));
+        Optional<FinalRecord> cached = jobCache.finished(search.id());
+        if (cached.isPresent()) {
+            return Future.succeededFuture(new StoredJob.Finished(cached.get()));
         }
         return reader.read(search.id())
                 .compose(entry -> entry.isPresent() ? decodeOpen(search, entry.get()) : searchFinal(search));
@@ -96,11 +96,11 @@
         } catch (WireException unreadable) {
             Future<Void> repaired =
                     repairer.repairOpen(id, entry, search.submitted().orElse(null));
-            return searchAgain(search, repaired, unreadable.getMessage());
+            return retrySearch(search, repaired, unreadable.getMessage());
         }
         if (record.status() == JobStatus.DONE) {
             // The job is done, but its record has not been moved to the final key yet.
-            return Future.succeededFuture(finished(new FinalRecord(id, JobStatus.DONE, record.doneCount())));
+            return Future.succeededFuture(cacheFinished(new FinalRecord(id, JobStatus.DONE, record.doneCount())));
         }
         return state.areReadsSuspect()
                 ? confirmOpen(search, record)
@@ -115,22 +115,22 @@
 
     private Future<StoredJob> decodeFinal(Search search, StateClient.Entry entry) {
         try {
-            return Future.succeededFuture(finished(JobRecordCodec.readFinal(search.id(), entry.value())));
+            return Future.succeededFuture(cacheFinished(JobRecordCodec.readFinal(search.id(), entry.value())));
         } catch (WireException unreadable) {
             Future<Void> repaired =
                     repairer.repairFinal(search.id(), entry, search.submitted().orElse(null));
-            return searchAgain(search, repaired, unreadable.getMessage());
+            return retrySearch(search, repaired, unreadable.getMessage());
         }
     }
 
-    private StoredJob finished(FinalRecord record) {
-        return new StoredJob.Finished(memory.rememberFinished(record));
+    private StoredJob cacheFinished(FinalRecord record) {
+        return new StoredJob.Finished(jobCache.addFinished(record));
     }
 
-    private Future<StoredJob> searchAgain(Search search, Future<Void> prepared, String failure) {
-        return prepared.compose(done -> search.attempt() < MAX_ATTEMPTS
-                ? search(search.next(), this::readDirectly)
-                : Future.failedFuture(new WireException(failure)));
+    private Future<StoredJob> retrySearch(Search search, Future<Void> precondition, String failureMessage) {
+        return precondition.compose(done -> search.attempt() < MAX_ATTEMPTS
+                ? search(search.nextAttempt(), this::readDirectly)
+                : Future.failedFuture(new WireException(failureMessage)));
     }
 
     private Future<StoredJob> confirmOpen(Search search, JobRecord record) {
@@ -139,7 +139,7 @@
                 .when(RecordKeys.finalKey(search.id()), Revision.ABSENT);
         return state.confirm(unchanged)
                 .compose(holds ->
-                        holds ? Future.succeededFuture(new StoredJob.Open(record)) : searchAfterStaleRead(search));
+                        holds ? Future.succeededFuture(new StoredJob.Open(record)) : retryAfterStaleRead(search));
     }
 
     private Future<StoredJob> confirmUnknown(Search search) {
@@ -148,20 +148,20 @@
                     new WireException("the state service lost data, and job " + search.id() + " may have been lost"));
         }
         return state.confirm(bothKeysAbsent(state.transactionInEra(), search.id()))
-                .compose(holds -> holds ? checkMemories(search) : searchAfterStaleRead(search));
+                .compose(holds -> holds ? confirmUnknownToControllers(search) : retryAfterStaleRead(search));
     }
 
-    private Future<StoredJob> searchAfterStaleRead(Search search) {
-        return searchAgain(
+    private Future<StoredJob> retryAfterStaleRead(Search search) {
+        return retrySearch(
                 search.withoutSubmission(),
                 state.check(),
                 "the state service returned a stale read of job " + search.id());
     }
 
     /** Reports a job as unknown only if no controller remembers it. If one does, the job's record was lost. */
-    private Future<StoredJob> checkMemories(Search search) {
+    private Future<StoredJob> confirmUnknownToControllers(Search search) {
         JobId id = search.id();
-        Future<Boolean> remembered = memory.knows(id) ? Future.succeededFuture(true) : isKnownToPeers.apply(id);
+        Future<Boolean> remembered = jobCache.contains(id) ? Future.succeededFuture(true) : knownToPeersQuery.apply(id);
         return remembered.compose(
                 known -> known ? reportLostRecord(search) : Future.succeededFuture(new StoredJob.Unknown()));
     }
@@ -170,7 +170,7 @@
         return state.confirm(bothKeysAbsent(new StateClient.Txn(), search.id())).compose(absent -> {
             if (!absent) {
                 // The job was accepted after the lookup had read its keys.
-                return searchAgain(
+                return retrySearch(
                         search.withoutSubmission(),
                         Future.succeededFuture(),
                         "job " + search.id() + " changed during the lookup");
--- a/src/main/java/io/indigoreach/api/JobReadBatcher.java
+++ b/src/main/java/io/indigoreach/api/JobReadBatcher.java
@@ -40,39 +40,39 @@
     private final Vertx vertx;
     private final StateClient state;
     private final SteadyClock clock;
-    private final RateLimiter singleReads;
-    private final RateLimiter pageReads;
+    private final RateLimiter singleReadLimiter;
+    private final RateLimiter pageReadLimiter;
     /** Reads that wait for the next listing, by record key. */
-    private Map<String, Promise<Optional<StateClient.Entry>>> waiting = new HashMap<>();
+    private Map<String, Promise<Optional<StateClient.Entry>>> waitingReads = new HashMap<>();
 
     private final ListingCursor<Promise<Optional<StateClient.Entry>>> cursor = new ListingCursor<>();
-    private boolean listing;
+    private boolean listingInProgress;
 
     /** {@code requestsPerSecond}: the limit of this node's requests to the state service for users' queries. */
     JobReadBatcher(Vertx vertx, StateClient state, SteadyClock clock, double requestsPerSecond) {
         this.vertx = vertx;
         this.state = state;
         this.clock = clock;
-        this.singleReads = new RateLimiter(requestsPerSecond * (1 - LISTING_SHARE), clock.now());
-        this.pageReads = new RateLimiter(Math.max(1, requestsPerSecond * LISTING_SHARE), clock.now());
+        this.singleReadLimiter = new RateLimiter(requestsPerSecond * (1 - LISTING_SHARE), clock.now());
+        this.pageReadLimiter = new RateLimiter(Math.max(1, requestsPerSecond * LISTING_SHARE), clock.now());
     }
 
     @Override
     public Future<Optional<StateClient.Entry>> read(JobId id) {
         String key = RecordKeys.openKey(id);
-        if (!listing && waiting.isEmpty() && singleReads.take(1, clock.now())) {
+        if (!listingInProgress && waitingReads.isEmpty() && singleReadLimiter.take(1, clock.now())) {
             return state.get(key).map(Optional::ofNullable);
         }
-        Promise<Optional<StateClient.Entry>> promise = waiting.computeIfAbsent(key, absent -> Promise.promise());
-        beginListing();
+        Promise<Optional<StateClient.Entry>> promise = waitingReads.computeIfAbsent(key, absent -> Promise.promise());
+        startListing();
         return promise.future();
     }
 
-    private void beginListing() {
-        if (listing || waiting.isEmpty()) {
+    private void startListing() {
+        if (listingInProgress || waitingReads.isEmpty()) {
             return;
         }
-        listing = true;
+        listingInProgress = true;
         readFirstPage();
     }
 
@@ -81,64 +81,67 @@
      */
     private void readFirstPage() {
         Moment now = clock.now();
-        if (!pageReads.take(1, now)) {
+        if (!pageReadLimiter.take(1, now)) {
             vertx.setTimer(RATE_CHECK_INTERVAL.ms(), timer -> readFirstPage());
             return;
         }
-        cursor.begin(waiting);
-        waiting = new HashMap<>();
+        cursor.begin(waitingReads);
+        waitingReads = new HashMap<>();
         requestPage(now);
     }
 
-    private void readNextPage(Moment begun) {
+    private void readNextPage(Moment startedAt) {
         Moment now = clock.now();
-        if (now.since(begun).compareTo(LISTING_TIMEOUT) >= 0) {
+        if (now.since(startedAt).compareTo(LISTING_TIMEOUT) >= 0) {
             failListing(
                     new WireException("listing of the open jobs timed out after " + LISTING_TIMEOUT.seconds() + " s"));
             return;
         }
-        if (!pageReads.take(1, now)) {
-            vertx.setTimer(RATE_CHECK_INTERVAL.ms(), timer -> readNextPage(begun));
+        if (!pageReadLimiter.take(1, now)) {
+            vertx.setTimer(RATE_CHECK_INTERVAL.ms(), timer -> readNextPage(startedAt));
             return;
         }
-        requestPage(begun);
+        requestPage(startedAt);
     }
 
-    private void requestPage(Moment begun) {
-        String from = cursor.next();
-        state.list(RecordKeys.OPEN_JOBS, RecordKeys.keyBefore(from), PAGE_SIZE).onComplete(page -> {
-            if (page.failed()) {
-                cursor.failed(from);
-                failListing(new WireException(
-                        "listing of the open jobs failed: " + page.cause().getMessage()));
-                return;
-            }
-            completeReads(from, page.result());
-            if (cursor.isOver()) {
-                finishListing();
-            } else {
-                readNextPage(begun);
-            }
-        });
+    private void requestPage(Moment startedAt) {
+        String firstKey = cursor.next();
+        state.list(RecordKeys.OPEN_JOBS, RecordKeys.keyBefore(firstKey), PAGE_SIZE)
+                .onComplete(page -> {
+                    if (page.failed()) {
+                        cursor.failed(firstKey);
+                        failListing(new WireException("listing of the open jobs failed: "
+                                + page.cause().getMessage()));
+                        return;
+                    }
+                    completeReads(firstKey, page.result());
+                    if (cursor.isOver()) {
+                        finishListing();
+                    } else {
+                        readNextPage(startedAt);
+                    }
+                });
     }
 
-    private void completeReads(String from, StateClient.Page page) {
-        List<StateClient.Entry> items = page.items();
+    private void completeReads(String firstKey, StateClient.Page page) {
+        List<StateClient.Entry> entries = page.items();
         Map<String, StateClient.Entry> byKey = new HashMap<>();
-        items.forEach(item -> byKey.put(item.key(), item));
-        String last =
-                page.more() && !items.isEmpty() ? items.get(items.size() - 1).key() : null;
-        cursor.answered(from, last).forEach((key, promise) -> promise.complete(Optional.ofNullable(byKey.get(key))));
+        entries.forEach(item -> byKey.put(item.key(), item));
+        String lastKey = page.more() && !entries.isEmpty()
+                ? entries.get(entries.size() - 1).key()
+                : null;
+        cursor.answered(firstKey, lastKey)
+                .forEach((key, promise) -> promise.complete(Optional.ofNullable(byKey.get(key))));
     }
 
     private void finishListing() {
-        listing = false;
-        beginListing();
+        listingInProgress = false;
+        startListing();
     }
 
     private void failListing(WireException failure) {
-        listing = false;
+        listingInProgress = false;
         cursor.end().values().forEach(promise -> promise.fail(failure));
-        beginListing();
+        startListing();
     }
 }
--- a/src/main/java/io/indigoreach/api/JobService.java
+++ b/src/main/java/io/indigoreach/api/JobService.java
@@ -23,13 +23,13 @@
 /**
  * Serves users' requests for jobs at any node. Responses are based on the state service, except that a final status that this node
  * has seen is served from memory, because it never changes. So no node responds with an older state than another node has
- * already returned. Delegates to {@link JobSubmission}, {@link JobLookup} and {@link JobCancellation}; {@link JobMemory} caches
+ * already returned. Delegates to {@link JobSubmission}, {@link JobLookup} and {@link JobCancellation}; {@link JobCache} caches
  * job states. Used on the event loop only.
  */
 public final class JobService {
     private static final int CREATED = 201;
 
-    private final JobMemory memory;
+    private final JobCache jobCache;
     private final JobLookup lookup;
     private final DependencyService dependencies;
     private final JobCancellation cancellation;
@@ -55,13 +55,13 @@
     public JobService(Context context) {
         StateClient state = context.state();
         SteadyClock clock = context.clock();
-        memory = new JobMemory(clock);
+        jobCache = new JobCache(clock);
         JobReadBatcher batchedReads = new JobReadBatcher(context.vertx(), state, clock, context.queriesPerSecond());
-        lookup = new JobLookup(state, context.repairer(), memory, batchedReads);
+        lookup = new JobLookup(state, context.repairer(), jobCache, batchedReads);
         CascadeFreshness freshness = new CascadeFreshness(clock, state::areReadsSuspect);
-        state.onFailure(freshness::requestFailed);
+        state.onFailure(freshness::recordRequestFailure);
         dependencies = new DependencyService(clock, lookup::find, lookup::findBatched, freshness);
-        cancellation = new JobCancellation(state, lookup, memory, dependencies);
+        cancellation = new JobCancellation(state, lookup, jobCache, dependencies);
         submission = new JobSubmission(new JobSubmission.Context(
                 state,
                 clock,
@@ -69,7 +69,7 @@
                 dependencies,
                 lookup,
                 cancellation,
-                memory));
+                jobCache));
     }
 
     /**
@@ -78,33 +78,33 @@
      */
     public Future<ApiResponse> submit(Buffer body) {
         JobSpec spec = JobCodec.read(MessagePackFormat.readMap(body));
-        Future<ApiResponse> response = submission.submit(spec).map(result -> response(spec.id(), result));
+        Future<ApiResponse> response = submission.submit(spec).map(result -> submissionResponse(spec.id(), result));
         return ErrorResponses.recover(response);
     }
 
-    private static ApiResponse response(JobId id, SubmissionResult result) {
-        return new ApiResponse(result.created() ? CREATED : 200, JobCodec.accepted(id, result.status()), 0);
+    private static ApiResponse submissionResponse(JobId id, SubmissionResult result) {
+        return new ApiResponse(result.created() ? CREATED : 200, JobCodec.writeStatus(id, result.status()), 0);
     }
 
     /** Responds with 200 and the status and progress of a job, or with 404. The future fails if they cannot be determined now. */
-    public Future<ApiResponse> query(String text) {
-        if (!JobId.isValid(text)) {
+    public Future<ApiResponse> query(String idText) {
+        if (!JobId.isValid(idText)) {
             return Future.succeededFuture(ErrorResponses.of(NotFoundException.job()));
         }
-        JobId id = new JobId(text);
+        JobId id = new JobId(idText);
         return lookup.findBatched(id)
                 .compose(found -> cancellation.applyCascade(id, found))
-                .map(current -> progress(id, current));
+                .map(current -> progressResponse(id, current));
     }
 
-    private static ApiResponse progress(JobId id, StoredJob current) {
+    private static ApiResponse progressResponse(JobId id, StoredJob current) {
         if (current instanceof StoredJob.Open open) {
-            JobRecord job = open.job();
-            return ApiResponse.ok(JobCodec.progress(id, job.status(), job.doneCount(), job.running()));
+            JobRecord job = open.jobRecord();
+            return ApiResponse.ok(JobCodec.writeProgress(id, job.status(), job.doneCount(), job.running()));
         }
         if (current instanceof StoredJob.Finished finished) {
-            return ApiResponse.ok(JobCodec.progress(
-                    id, finished.end().status(), finished.end().done(), 0));
+            return ApiResponse.ok(JobCodec.writeProgress(
+                    id, finished.finalRecord().status(), finished.finalRecord().done(), 0));
         }
         return ErrorResponses.of(NotFoundException.job());
     }
@@ -113,37 +113,37 @@
      * Cancels a job. Responds with 200 and the final status, with 404, or with 503 if the job's record keeps changing. The future
      * fails if the outcome is unknown.
      */
-    public Future<ApiResponse> cancel(String text) {
-        if (!JobId.isValid(text)) {
+    public Future<ApiResponse> cancel(String idText) {
+        if (!JobId.isValid(idText)) {
             return Future.succeededFuture(ErrorResponses.of(NotFoundException.job()));
         }
-        JobId id = new JobId(text);
+        JobId id = new JobId(idText);
         Future<ApiResponse> response =
-                cancellation.cancel(id).map(status -> ApiResponse.ok(JobCodec.accepted(id, status)));
+                cancellation.cancel(id).map(status -> ApiResponse.ok(JobCodec.writeStatus(id, status)));
         return ErrorResponses.recover(response);
     }
 
     /** Returns whether this node has accepted the job or seen its final status. */
-    public boolean knows(JobId id) {
-        return memory.knows(id);
+    public boolean isKnown(JobId id) {
+        return jobCache.contains(id);
     }
 
     /**
      * Sets the parameters of the cancellation cascade.
      *
-     * @param within the time after a cancellation within which users see the dependent jobs as cancelled
+     * @param cascadeTime the time after a cancellation within which users see the dependent jobs as cancelled
      * @param leadership returns a value that is different for each leadership
      */
-    public void setCascadeTime(Span within, Supplier<Object> leadership) {
-        dependencies.setCascadeTime(within, leadership);
+    public void setCascadeTime(Span cascadeTime, Supplier<Object> leadership) {
+        dependencies.setCascadeTime(cascadeTime, leadership);
     }
 
     /**
      * Sets the check whether every node of the deployment supports dependencies. Until then, jobs with dependencies are
      * rejected with 503.
      */
-    public void setDependencySupportCheck(Supplier<Future<Boolean>> allNodes) {
-        dependencies.setSupportCheck(allNodes);
+    public void setDependencySupportCheck(Supplier<Future<Boolean>> supportCheck) {
+        dependencies.setSupportCheck(supportCheck);
     }
 
     /** Sets the optional features that take part in submissions. */
@@ -158,16 +158,16 @@
 
     /** Returns the cancellations that this node confirms to users. Each is recorded before the response is sent. */
     public ConfirmedCancellations confirmedCancellations() {
-        return memory.confirmedCancellations();
+        return jobCache.confirmedCancellations();
     }
 
     /** Returns the state of one job that this node remembers. */
     public RememberedState rememberedState(JobId id) {
-        return memory.rememberedState(id);
+        return jobCache.rememberedState(id);
     }
 
     /** Returns the state of all jobs that this node remembers. */
     public RememberedState rememberedState() {
-        return memory.rememberedState();
+        return jobCache.rememberedState();
     }
 }
--- a/src/main/java/io/indigoreach/api/JobSubmission.java
+++ b/src/main/java/io/indigoreach/api/JobSubmission.java
@@ -32,7 +32,7 @@
             DependencyService dependencies,
             JobLookup lookup,
             JobCancellation cancellation,
-            JobMemory memory) {}
+            JobCache jobCache) {}
 
     /**
      * One attempt to write an accepted job.
@@ -44,11 +44,11 @@
      */
     private record Acceptance(
             JobSpec spec, Map<String, Object> record, boolean cancelled, long submittedMs, int attempt) {
-        Acceptance next() {
+        Acceptance nextAttempt() {
             return new Acceptance(spec, record, cancelled, submittedMs, attempt + 1);
         }
 
-        boolean mayRepeat() {
+        boolean mayRetry() {
             return attempt < MAX_ATTEMPTS;
         }
     }
@@ -75,8 +75,8 @@
      * malformed.
      */
     Future<SubmissionResult> submit(JobSpec spec) {
-        participants.check(spec);
-        Optional<FinalRecord> finished = context.memory().finished(spec.id());
+        participants.validate(spec);
+        Optional<FinalRecord> finished = context.jobCache().finished(spec.id());
         if (finished.isPresent()) {
             return Future.succeededFuture(
                     SubmissionResult.existing(finished.get().status()));
@@ -85,17 +85,17 @@
             return Future.failedFuture(new RetryLaterException("the machine types are not known yet"));
         }
         long submittedMs = context.clock().timeOfDay();
-        Optional<ApiException> rejection = context.admission().rejection(spec, participants, submittedMs);
+        Optional<ApiException> rejection = context.admission().findRejection(spec, participants, submittedMs);
         if (rejection.isPresent()) {
-            return existingOr(spec.id(), rejection.get());
+            return existingOrFail(spec.id(), rejection.get());
         }
         Map<String, Object> record =
-                JobRecordCodec.writeJob(spec, submittedMs, JobStatus.PENDING, new BitSet(), 0, firstStartBound(spec));
+                JobRecordCodec.writeJob(spec, submittedMs, JobStatus.PENDING, new BitSet(), 0, initialStartBound(spec));
         return context.dependencies()
                 .isAnyCancelled(spec.dependencies())
                 .compose(
                         cancelled -> accept(new Acceptance(spec, record, cancelled, submittedMs, 1)),
-                        failure -> existingOr(spec.id(), dependencyFailure(failure)));
+                        failure -> existingOrFail(spec.id(), dependencyFailure(failure)));
     }
 
     private static ApiException dependencyFailure(Throwable failure) {
@@ -109,7 +109,7 @@
      * doubles the writes under a flood of single-task jobs. In return, a new leader has to wait for the heartbeats of all machines
      * before it starts the waiting jobs among them.
      */
-    private static int firstStartBound(JobSpec spec) {
+    private static int initialStartBound(JobSpec spec) {
         // The write that raises the bound also records that the dependencies are done, and no task starts before that
         // write.
         return spec.tasks() == 1 && !spec.isService() && spec.dependencies().isEmpty() ? 1 : 0;
@@ -137,7 +137,7 @@
                 .compose(
                         writes -> commit(acceptance, txn, writes)
                                 .recover(failure -> rejectIfUnacceptable(spec.id(), failure)),
-                        failure -> existingOr(spec.id(), failure));
+                        failure -> existingOrFail(spec.id(), failure));
     }
 
     private Future<SubmissionResult> acceptIfEraKnown(Acceptance acceptance) {
@@ -149,39 +149,39 @@
     private Future<Transaction> participantWrites(Acceptance acceptance) {
         return acceptance.cancelled()
                 ? Future.succeededFuture(new Transaction())
-                : participants.writes(acceptance.spec());
+                : participants.prepareAcceptance(acceptance.spec());
     }
 
     private Future<SubmissionResult> commit(Acceptance acceptance, StateClient.Txn txn, Transaction writes) {
         JobId id = acceptance.spec().id();
-        StateClient.Txn complete = acceptance.cancelled()
+        StateClient.Txn withJobWrite = acceptance.cancelled()
                 ? txn.put(RecordKeys.finalKey(id), JobRecordCodec.writeFinal(JobStatus.CANCELLED, 0))
                 : txn.put(RecordKeys.openKey(id), acceptance.record());
-        return state.commit(complete.and(writes))
+        return state.commit(withJobWrite.and(writes))
                 .compose(outcome -> outcome.done()
-                        ? Future.succeededFuture(remember(acceptance, writes, outcome.writtenRevision()))
+                        ? Future.succeededFuture(recordAcceptance(acceptance, writes, outcome.writtenRevision()))
                         : resolveConflict(acceptance, writes, outcome.failed()));
     }
 
-    private SubmissionResult remember(Acceptance acceptance, Transaction writes, Revision revision) {
+    private SubmissionResult recordAcceptance(Acceptance acceptance, Transaction writes, Revision revision) {
         JobSpec spec = acceptance.spec();
-        participants.accepted(spec, writes, revision);
+        participants.onAccepted(spec, writes, revision);
         if (acceptance.cancelled()) {
-            context.memory().rememberFinished(new FinalRecord(spec.id(), JobStatus.CANCELLED, 0));
+            context.jobCache().addFinished(new FinalRecord(spec.id(), JobStatus.CANCELLED, 0));
         } else {
-            context.memory().rememberAccepted(spec, acceptance.submittedMs());
+            context.jobCache().addAccepted(spec, acceptance.submittedMs());
         }
-        return SubmissionResult.createdNow();
+        return SubmissionResult.newlyCreated();
     }
 
     /** Retries or looks up the job. {@code failedKeys}: the keys that did not have the expected revisions. */
     private Future<SubmissionResult> resolveConflict(
             Acceptance acceptance, Transaction writes, List<String> failedKeys) {
-        if (failedKeys.equals(List.of(RecordKeys.ERA)) && acceptance.mayRepeat()) {
-            return state.check().compose(checked -> accept(acceptance.next()));
+        if (failedKeys.equals(List.of(RecordKeys.ERA)) && acceptance.mayRetry()) {
+            return state.check().compose(checked -> accept(acceptance.nextAttempt()));
         }
-        if (failedKeys.stream().anyMatch(writes.conditions()::containsKey) && acceptance.mayRepeat()) {
-            return accept(acceptance.next());
+        if (failedKeys.stream().anyMatch(writes.conditions()::containsKey) && acceptance.mayRetry()) {
+            return accept(acceptance.nextAttempt());
         }
         JobSpec spec = acceptance.spec();
         return lookup.findSubmitted(spec).compose(found -> existingOrRetry(spec.id(), found));
@@ -190,22 +190,25 @@
     /** Rejects a job whose write violates the limits of the state service, since a retry would fail in the same way. */
     private Future<SubmissionResult> rejectIfUnacceptable(JobId id, Throwable failure) {
         return failure instanceof TransactionRejectedException
-                ? existingOr(id, RequestRejectedException.of("the state service takes no record of this size"))
+                ? existingOrFail(id, RequestRejectedException.of("the state service takes no record of this size"))
                 : Future.failedFuture(failure);
     }
 
-    /** Returns the status of a job that was accepted before. Fails with {@code otherwise} if the job was never accepted. */
-    private Future<SubmissionResult> existingOr(JobId id, Throwable otherwise) {
+    /** Returns the status of a job that was accepted before. Fails with {@code failureIfUnknown} if the job was never accepted. */
+    private Future<SubmissionResult> existingOrFail(JobId id, Throwable failureIfUnknown) {
         return lookup.find(id)
-                .compose(found -> found.isUnknown() ? Future.failedFuture(otherwise) : existing(id, found));
+                .compose(
+                        found -> found.isUnknown() ? Future.failedFuture(failureIfUnknown) : existingResult(id, found));
     }
 
     /** Returns the status of a job that was found. Otherwise this request did not accept the job, and the client has to retry. */
     private Future<SubmissionResult> existingOrRetry(JobId id, StoredJob found) {
-        return found.isUnknown() ? Future.failedFuture(new RetryLaterException("try again")) : existing(id, found);
+        return found.isUnknown()
+                ? Future.failedFuture(new RetryLaterException("try again"))
+                : existingResult(id, found);
     }
 
-    private Future<SubmissionResult> existing(JobId id, StoredJob found) {
+    private Future<SubmissionResult> existingResult(JobId id, StoredJob found) {
         return context.cancellation()
                 .applyCascade(id, found)
                 .map(current -> SubmissionResult.existing(current.status().orElseThrow()));
--- a/src/main/java/io/indigoreach/api/RequestRejectedException.java
+++ b/src/main/java/io/indigoreach/api/RequestRejectedException.java
@@ -28,10 +28,10 @@
         return new RequestRejectedException(UNPROCESSABLE, reason, MessagePackFormat.map("error", reason));
     }
 
-    /** Returns a rejection with 409. {@code against} describes the current state that the request conflicts with. */
-    public static RequestRejectedException conflict(String reason, Map<String, Object> against) {
+    /** Returns a rejection with 409. {@code currentState} describes the current state that the request conflicts with. */
+    public static RequestRejectedException conflict(String reason, Map<String, Object> currentState) {
         return new RequestRejectedException(
-                CONFLICT, reason, MessagePackFormat.map("error", reason, "against", against));
+                CONFLICT, reason, MessagePackFormat.map("error", reason, "against", currentState));
     }
 
     /** The HTTP status code of the response. */
--- a/src/main/java/io/indigoreach/api/Resource.java
+++ b/src/main/java/io/indigoreach/api/Resource.java
@@ -15,7 +15,7 @@
      * @param query the first value of each query parameter
      * @param body the fields of the body; empty if the request has no body
      */
-    record Call(String method, List<String> path, Map<String, String> query, Fields body) {
+    record Request(String method, List<String> path, Map<String, String> query, Fields body) {
         /** Returns whether the method is GET. */
         public boolean isGet() {
             return "GET".equals(method);
@@ -31,5 +31,5 @@
      * Serves a request. If the future fails with an {@link ApiException}, {@link ErrorResponses} maps it to a response; any other
      * failure is mapped to 503 with {@code Retry-After}. Throws an {@link ApiException}, or {@link io.indigoreach.net.WireException} if the body is malformed.
      */
-    Future<ApiResponse> serve(Call call);
+    Future<ApiResponse> serve(Request call);
 }
--- a/src/main/java/io/indigoreach/api/Route.java
+++ b/src/main/java/io/indigoreach/api/Route.java
@@ -8,10 +8,10 @@
 /**
  * An entry of the routing table.
  *
- * @param parameter extracts the variable part of a path; empty if the route does not match the path
+ * @param parameterExtractor extracts the variable part of a path; empty if the route does not match the path
  * @param handler handles matching requests
  */
-record Route(Function<String, Optional<String>> parameter, Handler handler) {
+record Route(Function<String, Optional<String>> parameterExtractor, Handler handler) {
     /** Handles a request; {@code parameter} is the variable part of its path. */
     @FunctionalInterface
     interface Handler {
@@ -20,15 +20,16 @@
 
     /** Returns a route that matches only this path; its parameter is empty. */
     static Route exact(String path, Handler handler) {
-        return new Route(requested -> requested.equals(path) ? Optional.of("") : Optional.empty(), handler);
+        return new Route(requestPath -> requestPath.equals(path) ? Optional.of("") : Optional.empty(), handler);
     }
 
-    /** Returns a route that matches {@code prefix + parameter + suffix} if {@code accepted} holds for the parameter. */
-    static Route between(String prefix, String suffix, Predicate<String> accepted, Handler handler) {
-        return new Route(requested -> middle(requested, prefix, suffix).filter(accepted), handler);
+    /** Returns a route that matches {@code prefix + parameter + suffix} if {@code parameterCheck} accepts the parameter. */
+    static Route withParameter(String prefix, String suffix, Predicate<String> parameterCheck, Handler handler) {
+        return new Route(
+                requestPath -> extractParameter(requestPath, prefix, suffix).filter(parameterCheck), handler);
     }
 
-    private static Optional<String> middle(String path, String prefix, String suffix) {
+    private static Optional<String> extractParameter(String path, String prefix, String suffix) {
         if (!path.startsWith(prefix)) {
             return Optional.empty();
         }
--- a/src/main/java/io/indigoreach/api/SubmissionParticipant.java
+++ b/src/main/java/io/indigoreach/api/SubmissionParticipant.java
@@ -14,15 +14,15 @@
     String field();
 
     /** Throws a {@link io.indigoreach.net.WireException} if the field is malformed. Sends no requests. */
-    void check(JobSpec spec);
+    void validate(JobSpec spec);
 
     /**
      * Returns the writes and conditions that are added to the transaction that accepts the job. Called again if one of those
      * conditions fails. The future fails with a {@link RequestRejectedException} if the job can never run, and with any other
      * exception if that cannot be determined now.
      */
-    Future<Transaction> accepting(JobSpec spec);
+    Future<Transaction> prepareAcceptance(JobSpec spec);
 
     /** Called after the writes were committed with the job, at this revision. */
-    default void accepted(Transaction writes, Revision revision) {}
+    default void onAccepted(Transaction writes, Revision revision) {}
 }
--- a/src/main/java/io/indigoreach/api/SubmissionResult.java
+++ b/src/main/java/io/indigoreach/api/SubmissionResult.java
@@ -10,7 +10,7 @@
  */
 record SubmissionResult(boolean created, JobStatus status) {
     /** Returns the result for a new job. A job that is cancelled from the start is also reported as pending. */
-    static SubmissionResult createdNow() {
+    static SubmissionResult newlyCreated() {
         return new SubmissionResult(true, JobStatus.PENDING);
     }
 
--- a/src/main/java/io/indigoreach/calendar/CalendarResource.java
+++ b/src/main/java/io/indigoreach/calendar/CalendarResource.java
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public Future<ApiResponse> serve(Call call) {
+    public Future<ApiResponse> serve(Request call) {
         List<String> path = call.path();
         String what = path.isEmpty() ? "" : path.get(0);
         if (call.isPost() && path.isEmpty()) {
--- a/src/main/java/io/indigoreach/calendar/PlanJoining.java
+++ b/src/main/java/io/indigoreach/calendar/PlanJoining.java
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public void check(JobSpec spec) {
+    public void validate(JobSpec spec) {
         name(spec);
         day(spec);
     }
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public Future<Transaction> accepting(JobSpec spec) {
+    public Future<Transaction> prepareAcceptance(JobSpec spec) {
         return records.run(PageChange.reading(day(spec), name(spec))).map(page -> {
             Transaction change =
                     page == null ? null : page.accepting(name(spec), spec.id(), spec.tasks(), time.getAsLong());
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public void accepted(Transaction change, Revision stamp) {
+    public void onAccepted(Transaction change, Revision stamp) {
         records.written(change, stamp);
     }
 }
--- a/src/main/java/io/indigoreach/cluster/LocalMemory.java
+++ b/src/main/java/io/indigoreach/cluster/LocalMemory.java
@@ -40,7 +40,7 @@
     }
 
     boolean knows(JobId id) {
-        return jobService.knows(id) || controller.hasOpen(id);
+        return jobService.isKnown(id) || controller.hasOpen(id);
     }
 
     /** The cancellations that this node has reported to users. */
--- a/src/main/java/io/indigoreach/emulator/WorkerPool.java
+++ b/src/main/java/io/indigoreach/emulator/WorkerPool.java
@@ -119,7 +119,7 @@
                 return;
             }
             ServiceClient used = hears ? caller(node) : new ServiceClient(vertx, node.endpoint(), 1);
-            used.post(WorkerCodec.HEARTBEAT, WorkerCodec.write(heartbeat), PATIENCE)
+            used.post(WorkerCodec.HEARTBEAT_PATH, WorkerCodec.write(heartbeat), PATIENCE)
                     .onComplete(done -> {
                         if (!hears) {
                             used.close();
@@ -203,10 +203,10 @@
                 vertx.setTimer(50, t -> serve(request, reply));
                 return;
             }
-            if (request.path().equals(WorkerCodec.INSPECT) && request.is(HttpMethod.GET)) {
+            if (request.path().equals(WorkerCodec.INSPECT_PATH) && request.is(HttpMethod.GET)) {
                 reply.accept(report(200, now));
-            } else if (request.path().equals(WorkerCodec.DIRECT) && request.is(HttpMethod.POST)) {
-                WorkerCodec.Direct direct = WorkerCodec.readDirect(request.body());
+            } else if (request.path().equals(WorkerCodec.DIRECT_COMMANDS_PATH) && request.is(HttpMethod.POST)) {
+                WorkerCodec.DirectCommands direct = WorkerCodec.readDirectCommands(request.body());
                 if (direct.token() == null || direct.incarnation() == null) {
                     reply.accept(new ServiceResponse(
                             400, new Fields(MessagePackFormat.map("error", "token or session is missing"))));
--- a/src/main/java/io/indigoreach/emulator/model/WorkerModel.java
+++ b/src/main/java/io/indigoreach/emulator/model/WorkerModel.java
@@ -370,7 +370,7 @@
     }
 
     /** Direct orders; false: nothing was executed, as token or session do not match. */
-    public boolean direct(Moment now, WorkerCodec.Direct direct) {
+    public boolean direct(Moment now, WorkerCodec.DirectCommands direct) {
         advance(now);
         if (direct.token().value() < token.value() || direct.incarnation() != session) {
             return false;
--- a/src/main/java/io/indigoreach/load/Users.java
+++ b/src/main/java/io/indigoreach/load/Users.java
@@ -139,7 +139,7 @@
         for (int i = 0; i < probes.size(); i++) {
             int node = i;
             probes.get(i)
-                    .get(JobCodec.READY, PROBE)
+                    .get(JobCodec.READY_PATH, PROBE)
                     .onComplete(r -> ready[node] = r.succeeded() && r.result().isOk());
         }
     }
@@ -181,7 +181,7 @@
         if (closed) {
             return;
         }
-        ask(Question.SUBMIT, mine.spec.id(), JobCodec.JOBS, JobCodec.write(mine.spec), SUBMIT_PATIENCE)
+        ask(Question.SUBMIT, mine.spec.id(), JobCodec.JOBS_PATH, JobCodec.write(mine.spec), SUBMIT_PATIENCE)
                 .onSuccess(r -> {
                     Moment now = clock.now();
                     if (r.status() == 200 || r.status() == 201) {
@@ -203,7 +203,7 @@
         if (closed || mine.isOver()) {
             return;
         }
-        ask(Question.POLL, mine.spec.id(), JobCodec.JOBS + "/" + mine.spec.id(), null, POLL_PATIENCE)
+        ask(Question.POLL, mine.spec.id(), JobCodec.JOBS_PATH + "/" + mine.spec.id(), null, POLL_PATIENCE)
                 .onSuccess(r -> {
                     if (r.isOk()) {
                         take(mine, r, over);
@@ -223,7 +223,7 @@
         ask(
                         Question.CANCEL,
                         mine.spec.id(),
-                        JobCodec.JOBS + "/" + mine.spec.id() + JobCodec.CANCEL,
+                        JobCodec.JOBS_PATH + "/" + mine.spec.id() + JobCodec.CANCEL_PATH_SUFFIX,
                         Map.of(),
                         SUBMIT_PATIENCE)
                 .onSuccess(r -> {
@@ -241,8 +241,8 @@
         }
         JobCodec.Progress p = JobCodec.readProgress(r.body());
         mine.status = p.status();
-        mine.done = Math.max(mine.done, p.done());
-        mine.running = p.running();
+        mine.done = Math.max(mine.done, p.doneTasks());
+        mine.running = p.runningTasks();
         if (mine.isOver()) {
             mine.over = clock.now();
             over.tryComplete(mine);
--- a/src/main/java/io/indigoreach/ownership/OwnershipService.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipService.java
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public Future<ApiResponse> serve(Call call) {
+    public Future<ApiResponse> serve(Request call) {
         String verb = call.path().isEmpty() ? "" : call.path().get(0);
         Future<ApiResponse> done = call.isPost() && call.path().size() == 1
                 ? change(verb, call.body())
@@ -109,7 +109,7 @@
         }
     }
 
-    private Future<ApiResponse> look(String verb, Call call) {
+    private Future<ApiResponse> look(String verb, Request call) {
         String group = call.query().get("group");
         if (group != null && (!RecordId.isValid(group) || group.indexOf('/') >= 0)) {
             throw Fields.invalid("group");
@@ -156,7 +156,7 @@
                         && now - s.sinceMs() > OVERDUE_S * 1000);
     }
 
-    private static List<RecordId> asked(Call call) {
+    private static List<RecordId> asked(Request call) {
         String ids = call.query().getOrDefault("id", "");
         Set<RecordId> asked = new LinkedHashSet<>();
         Arrays.stream(ids.split(",")).forEach(id -> asked.add(RecordsCodec.id("id", id)));
--- a/src/main/java/io/indigoreach/ownership/RecordsField.java
+++ b/src/main/java/io/indigoreach/ownership/RecordsField.java
@@ -38,12 +38,12 @@
     }
 
     @Override
-    public void check(JobSpec spec) {
+    public void validate(JobSpec spec) {
         RecordsCodec.readField(spec);
     }
 
     @Override
-    public Future<Transaction> accepting(JobSpec spec) {
+    public Future<Transaction> prepareAcceptance(JobSpec spec) {
         Future<Transaction> known = preparing.get(spec.id());
         if (known != null) {
             return known;
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public void accepted(Transaction change, Revision stamp) {
+    public void onAccepted(Transaction change, Revision stamp) {
         records.written(change, stamp);
     }
 }
--- a/src/main/java/io/indigoreach/tools/Cluster.java
+++ b/src/main/java/io/indigoreach/tools/Cluster.java
@@ -71,7 +71,8 @@
     /** Submits a job; with an emulator, uploads first what its tasks do. */
     JobCodec.Progress submit(JobSpec spec, Depot.Conduct conduct) {
         upload(spec, conduct);
-        return JobCodec.readProgress(ask(JobCodec.JOBS, JobCodec.write(spec)).body());
+        return JobCodec.readProgress(
+                ask(JobCodec.JOBS_PATH, JobCodec.write(spec)).body());
     }
 
     /** With an emulator, what a job's tasks do; else nothing. */
@@ -89,13 +90,13 @@
 
     /** How a job stands; null if there is none. */
     JobCodec.Progress status(JobId id) {
-        ServiceResponse r = ask(JobCodec.JOBS + "/" + id, null);
+        ServiceResponse r = ask(JobCodec.JOBS_PATH + "/" + id, null);
         return r.status() == 404 ? null : JobCodec.readProgress(r.body());
     }
 
     /** The state after cancelling; null if there is no such job. */
     JobCodec.Progress cancel(JobId id) {
-        ServiceResponse r = ask(JobCodec.JOBS + "/" + id + JobCodec.CANCEL, Map.of());
+        ServiceResponse r = ask(JobCodec.JOBS_PATH + "/" + id + JobCodec.CANCEL_PATH_SUFFIX, Map.of());
         return r.status() == 404 ? null : JobCodec.readProgress(r.body());
     }
 
--- a/src/main/java/io/indigoreach/tools/Lines.java
+++ b/src/main/java/io/indigoreach/tools/Lines.java
@@ -14,9 +14,15 @@
                 ? new JsonObject()
                         .put("id", p.id().text())
                         .put("status", status)
-                        .put("done", p.done())
-                        .put("running", p.running())
+                        .put("done", p.doneTasks())
+                        .put("running", p.runningTasks())
                         .encode()
-                : String.format(Locale.ROOT, "%-24s %-10s %6d done %6d running", p.id(), status, p.done(), p.running());
+                : String.format(
+                        Locale.ROOT,
+                        "%-24s %-10s %6d done %6d running",
+                        p.id(),
+                        status,
+                        p.doneTasks(),
+                        p.runningTasks());
     }
 }
--- a/src/main/java/io/indigoreach/warm/HolderJoining.java
+++ b/src/main/java/io/indigoreach/warm/HolderJoining.java
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public void check(JobSpec spec) {
+    public void validate(JobSpec spec) {
         if (!(spec.more().get(JobSpec.WARM) instanceof String name) || !PoolSpec.isName(name)) {
             throw Fields.invalid(JobSpec.WARM);
         }
@@ -35,7 +35,7 @@
 
     /** Accepted only beside the pool as it was read. */
     @Override
-    public Future<Transaction> accepting(JobSpec spec) {
+    public Future<Transaction> prepareAcceptance(JobSpec spec) {
         String name = (String) spec.more().get(JobSpec.WARM);
         return ground.records().run(PoolRoutines.read(PoolRecords.POOLS + name)).map(kept -> {
             refuse(spec, name, kept);
--- a/src/main/java/io/indigoreach/warm/PoolsResource.java
+++ b/src/main/java/io/indigoreach/warm/PoolsResource.java
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public Future<ApiResponse> serve(Call call) {
+    public Future<ApiResponse> serve(Request call) {
         if (call.path().isEmpty() && call.isGet()) {
             return call.query().containsKey("sums") ? sums() : list(call.query().get("after"));
         }
--- a/src/main/java/io/indigoreach/worker/HeartbeatEndpoint.java
+++ b/src/main/java/io/indigoreach/worker/HeartbeatEndpoint.java
@@ -26,8 +26,8 @@
     public Future<ApiResponse> receive(Buffer body) {
         return controller
                 .onHeartbeat(() -> WorkerCodec.read(MessagePackFormat.readMap(body)))
-                .map(answer -> answer.accepted()
-                        ? new ApiResponse(OK, WorkerCodec.writeResponse(answer.token(), answer.commands()), 0)
-                        : new ApiResponse(MISDIRECTED_REQUEST, WorkerCodec.writeLeader(answer.leader()), 0));
+                .map(reply -> reply.accepted()
+                        ? new ApiResponse(OK, WorkerCodec.writeResponse(reply.token(), reply.commands()), 0)
+                        : new ApiResponse(MISDIRECTED_REQUEST, WorkerCodec.writeLeader(reply.leader()), 0));
     }
 }
--- a/src/main/java/io/indigoreach/worker/WorkerCodec.java
+++ b/src/main/java/io/indigoreach/worker/WorkerCodec.java
@@ -23,17 +23,17 @@
 /** Writes and reads the messages between controllers and workers: heartbeats and commands. */
 public final class WorkerCodec {
     /** Path at a controller that receives heartbeats. */
-    public static final String HEARTBEAT = "/checkin";
+    public static final String HEARTBEAT_PATH = "/checkin";
     /** Path at a worker that receives direct commands. */
-    public static final String DIRECT = "/do";
+    public static final String DIRECT_COMMANDS_PATH = "/do";
     /** Path at a worker that returns its status. */
-    public static final String INSPECT = "/inspect";
+    public static final String INSPECT_PATH = "/inspect";
 
     /** The response to an accepted heartbeat: commands with the leader's fencing token. */
     public record HeartbeatResponse(FencingToken token, List<WorkerCommand> commands) {}
 
     /** Commands sent to a worker's address, for one incarnation of the worker. A missing token or incarnation is null. */
-    public record Direct(FencingToken token, Long incarnation, List<WorkerCommand> commands) {}
+    public record DirectCommands(FencingToken token, Long incarnation, List<WorkerCommand> commands) {}
 
     private WorkerCodec() {}
 
@@ -48,17 +48,22 @@
                 "shift", heartbeat.number().incarnation(),
                 "serial", heartbeat.number().sequence(),
                 "baton", heartbeat.token().value(),
-                "warning_s", seconds(heartbeat.preemptionNotice()),
+                "warning_s", secondsOrNull(heartbeat.preemptionNotice()),
                 "pieces", heartbeat.tasks().stream().map(WorkerCodec::write).toList());
     }
 
-    private static Double seconds(Span time) {
+    private static Double secondsOrNull(Span time) {
         return time == null ? null : time.seconds();
     }
 
     private static Map<String, Object> write(TaskStatus status) {
         Map<String, Object> fields = MessagePackFormat.map(
-                "piece", status.task().toString(), "try", status.attempt().value(), "status", text(status.state()));
+                "piece",
+                status.task().toString(),
+                "try",
+                status.attempt().value(),
+                "status",
+                stateName(status.state()));
         if (status.state() == TaskState.EXITED) {
             fields.put("cause", status.cause().name().toLowerCase(Locale.ROOT));
             if (status.saved()) {
@@ -89,17 +94,17 @@
     }
 
     private static TaskStatus readStatus(Fields fields) {
-        TaskState state = state(fields.text("status"));
+        TaskState state = parseState(fields.text("status"));
         return new TaskStatus(
                 TaskId.parse(fields.text("piece")),
                 new Attempt(fields.whole("try")),
                 state,
-                state == TaskState.EXITED ? cause(fields.optionalText("cause")) : null,
+                state == TaskState.EXITED ? parseCause(fields.optionalText("cause")) : null,
                 fields.flag("kept", false));
     }
 
     /** Parses a task state. An unknown state is read as running, because the worker has reported that the task exists. */
-    private static TaskState state(String text) {
+    private static TaskState parseState(String text) {
         return switch (text) {
             case "pulling" -> TaskState.FETCHING;
             case "saving" -> TaskState.SAVING;
@@ -108,7 +113,7 @@
         };
     }
 
-    private static String text(TaskState state) {
+    private static String stateName(TaskState state) {
         return switch (state) {
             case FETCHING -> "pulling";
             case SAVING -> "saving";
@@ -117,7 +122,7 @@
         };
     }
 
-    private static ExitCause cause(String text) {
+    private static ExitCause parseCause(String text) {
         return switch (text == null ? "" : text) {
             case "done" -> ExitCause.DONE;
             case "stopped" -> ExitCause.STOPPED;
@@ -130,12 +135,12 @@
     }
 
     /** Writes the response to an accepted heartbeat. */
-    public static Map<String, Object> writeResponse(FencingToken token, List<WorkerCommand> orders) {
+    public static Map<String, Object> writeResponse(FencingToken token, List<WorkerCommand> commands) {
         return MessagePackFormat.map(
                 "baton",
                 token.value(),
                 "orders",
-                orders.stream().map(WorkerCodec::write).toList());
+                commands.stream().map(WorkerCodec::write).toList());
     }
 
     /**
@@ -147,15 +152,15 @@
     }
 
     /** Writes direct commands. */
-    public static Map<String, Object> writeDirect(Direct direct) {
+    public static Map<String, Object> writeDirectCommands(DirectCommands direct) {
         Map<String, Object> fields = writeResponse(direct.token(), direct.commands());
         fields.put("shift", direct.incarnation());
         return fields;
     }
 
     /** Reads direct commands. */
-    public static Direct readDirect(Fields fields) {
-        return new Direct(
+    public static DirectCommands readDirectCommands(Fields fields) {
+        return new DirectCommands(
                 fields.has("baton") ? new FencingToken(fields.whole("baton")) : null,
                 fields.has("shift") ? (Long) fields.whole("shift") : null,
                 readCommands(fields));
--- a/src/test/java/io/indigoreach/CodecsTest.java
+++ b/src/test/java/io/indigoreach/CodecsTest.java
@@ -149,8 +149,8 @@
                 WorkerCodec.writeResponse(new FencingToken(41), List.of(command))
                         .get("orders")
                         .toString());
-        WorkerCodec.Direct d = new WorkerCodec.Direct(new FencingToken(41), 5L, List.of(command));
-        assertEquals(d, WorkerCodec.readDirect(sent(WorkerCodec.writeDirect(d))));
+        WorkerCodec.DirectCommands d = new WorkerCodec.DirectCommands(new FencingToken(41), 5L, List.of(command));
+        assertEquals(d, WorkerCodec.readDirectCommands(sent(WorkerCodec.writeDirectCommands(d))));
     }
 
     /** An answer without a token is lower than any token; what is no order is refused whole. */
--- a/src/test/java/io/indigoreach/api/GoldenUsersTest.java
+++ b/src/test/java/io/indigoreach/api/GoldenUsersTest.java
@@ -38,9 +38,9 @@
 class GoldenUsersTest {
     private final Vertx vertx = Vertx.vertx();
     /** Strong references to clients and listeners: Vert.x closes a client that is no longer reachable. */
-    private final List<Object> kept = new ArrayList<>();
+    private final List<Object> retained = new ArrayList<>();
 
-    private StateStandIn state;
+    private StateStandIn stateService;
     private Endpoint node;
 
     @AfterEach
@@ -65,11 +65,11 @@
     }
 
     @Test
-    void whatUsersAndNodesSay() {
+    void messagesMatchTheGoldenFile() {
         GoldenFile golden = new GoldenFile("users.txt");
-        golden.text("path of jobs", JobCodec.JOBS)
-                .text("end of the path to cancel", JobCodec.CANCEL)
-                .text("path of readiness", JobCodec.READY);
+        golden.text("path of jobs", JobCodec.JOBS_PATH)
+                .text("end of the path to cancel", JobCodec.CANCEL_PATH_SUFFIX)
+                .text("path of readiness", JobCodec.READY_PATH);
         GoldenSamples.jobs()
                 .forEach((name, spec) -> golden.both("submission " + name, spec, JobCodec::write, JobCodec::read));
         golden.read("submission in other words", GoldenSamples.submission(), f -> JobCodec.write(JobCodec.read(f)));
@@ -122,43 +122,44 @@
                         JobCodec::read)
                 .refused("submission that names no job", with("waits_on", List.of("one")), JobCodec::read);
         for (JobStatus status : JobStatus.values()) {
-            golden.written("accepted, status " + status.ordinal(), JobCodec.accepted(GoldenSamples.ID, status))
+            golden.written("accepted, status " + status.ordinal(), JobCodec.writeStatus(GoldenSamples.ID, status))
                     .both(
                             "progress, status " + status.ordinal(),
                             new JobCodec.Progress(GoldenSamples.ID, status, 7, 300),
-                            p -> JobCodec.progress(p.id(), p.status(), p.done(), p.running()),
+                            p -> JobCodec.writeProgress(p.id(), p.status(), p.doneTasks(), p.runningTasks()),
                             JobCodec::readProgress);
         }
-        golden.read("accepted, read", JobCodec.accepted(GoldenSamples.ID, JobStatus.PENDING), f -> {
+        golden.read("accepted, read", JobCodec.writeStatus(GoldenSamples.ID, JobStatus.PENDING), f -> {
             JobCodec.Progress p = JobCodec.readProgress(f);
-            return JobCodec.progress(p.id(), p.status(), p.done(), p.running());
+            return JobCodec.writeProgress(p.id(), p.status(), p.doneTasks(), p.runningTasks());
         });
-        answer(golden, "done", ApiResponse.ok(MessagePackFormat.map("id", "x")));
-        answer(golden, "error", ApiResponse.error(400, "why"));
-        answer(golden, "later", ApiResponse.retryLater("why"));
-        answer(golden, "refusal of a field", ErrorResponses.of(RequestRejectedException.of("field", "why")));
-        answer(
+        checkResponse(golden, "done", ApiResponse.ok(MessagePackFormat.map("id", "x")));
+        checkResponse(golden, "error", ApiResponse.error(400, "why"));
+        checkResponse(golden, "later", ApiResponse.retryLater("why"));
+        checkResponse(golden, "refusal of a field", ErrorResponses.of(RequestRejectedException.of("field", "why")));
+        checkResponse(
                 golden,
                 "refusal by a conflict",
                 ErrorResponses.of(RequestRejectedException.conflict("why", MessagePackFormat.map("version", 3L))));
-        answer(golden, "refusal of what is not there", ErrorResponses.of(new NotFoundException("why")));
+        checkResponse(golden, "refusal of what is not there", ErrorResponses.of(new NotFoundException("why")));
         golden.check();
     }
 
-    private static void answer(GoldenFile golden, String name, ApiResponse answer) {
-        golden.text("status of " + name, answer.status() + " " + answer.retryAfterS())
-                .written("answer " + name, answer.body());
+    private static void checkResponse(GoldenFile golden, String name, ApiResponse response) {
+        golden.text("status of " + name, response.status() + " " + response.retryAfterS())
+                .written("answer " + name, response.body());
     }
 
     private StateClient client() {
         StateClient client = new StateClient(
-                new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
-        kept.add(client);
+                new ServiceClient(vertx, stateService.endpoint(), 4),
+                new ServiceClient(vertx, stateService.endpoint(), 1));
+        retained.add(client);
         return client;
     }
 
-    private Catalogue serve() throws Exception {
-        state = await(new StateStandIn().listen(vertx));
+    private Catalogue startNode() throws Exception {
+        stateService = await(new StateStandIn().listen(vertx));
         MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         await(client().commit(new StateClient.Txn()
                 .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type)))
@@ -174,35 +175,35 @@
                                 1,
                                 2))));
         Catalogue catalogue =
-                new Catalogue(vertx, client(), new CloudClient(new ServiceClient(vertx, state.endpoint(), 1)));
-        StateClient own = client();
-        JobService desk = new JobService(new JobService.Context(
+                new Catalogue(vertx, client(), new CloudClient(new ServiceClient(vertx, stateService.endpoint(), 1)));
+        StateClient nodeState = client();
+        JobService jobs = new JobService(new JobService.Context(
                 vertx,
-                own,
-                new JobRepairer(own, new SteadyClock()),
+                nodeState,
+                new JobRepairer(nodeState, new SteadyClock()),
                 catalogue,
                 List.of(new Team("t", 0, 8, 0, 0)),
                 new SteadyClock(),
                 8192,
                 100));
-        HttpApi door = new HttpApi(
-                new HttpApi.Context(vertx, new Endpoint("127.0.0.1", 0), desk, null, catalogue::isKnown, Map.of()));
-        kept.add(door);
-        node = new Endpoint("127.0.0.1", await(door.open()));
+        HttpApi api = new HttpApi(
+                new HttpApi.Context(vertx, new Endpoint("127.0.0.1", 0), jobs, null, catalogue::isKnown, Map.of()));
+        retained.add(api);
+        node = new Endpoint("127.0.0.1", await(api.open()));
         return catalogue;
     }
 
     private String submit(Map<String, Object> job) throws IOException {
-        return GoldenHttp.post(node, JobCodec.JOBS, job);
+        return GoldenHttp.post(node, JobCodec.JOBS_PATH, job);
     }
 
-    private String raw(String method, String path, String body) throws IOException {
+    private String sendRaw(String method, String path, String body) throws IOException {
         return GoldenHttp.ask(node, method, path, body.getBytes(StandardCharsets.ISO_8859_1), Set.of());
     }
 
     @Test
-    void whatANodeAnswersOverHttp() throws Exception {
-        Catalogue catalogue = serve();
+    void httpResponsesMatchTheGoldenFile() throws Exception {
+        Catalogue catalogue = startNode();
         GoldenFile golden = new GoldenFile("users-http.txt");
         golden.text("not ready", GoldenHttp.get(node, "/ready"))
                 .text("submission before the types are known", submit(GoldenSamples.submission()));
@@ -227,27 +228,29 @@
                 .text("poll of what runs", GoldenHttp.get(node, "/api/jobs/run-7"));
         golden.text("a field is missing", submit(without("pieces")))
                 .text("a field is invalid", submit(with("shape", "circle")))
-                .text("a team is unknown", submit(other(with("owner", "nobody"))))
-                .text("no type fits", submit(other(with("cores", 5.0))))
-                .text("more than the team may use", submit(other(service(9))))
-                .text("a part is off", submit(other(with("records", Map.of("ids", List.of("a/1"))))))
-                .text("too long a description", submit(other(with("boxkinds", Collections.nCopies(60, long200())))))
-                .text("after no job", submit(waiting("run-999")))
-                .text("after a cancelled job", submit(waiting("run-6")))
+                .text("a team is unknown", submit(withUnusedId(with("owner", "nobody"))))
+                .text("no type fits", submit(withUnusedId(with("cores", 5.0))))
+                .text("more than the team may use", submit(withUnusedId(service(9))))
+                .text("a part is off", submit(withUnusedId(with("records", Map.of("ids", List.of("a/1"))))))
+                .text(
+                        "too long a description",
+                        submit(withUnusedId(with("boxkinds", Collections.nCopies(60, longMachineType())))))
+                .text("after no job", submit(withDependency("run-999")))
+                .text("after a cancelled job", submit(withDependency("run-6")))
                 .text("poll after a cancelled job", GoldenHttp.get(node, "/api/jobs/run-61"));
-        golden.text("no body", raw("POST", "/api/jobs", ""))
-                .text("not a map", raw("POST", "/api/jobs", "\u0001"))
-                .text("not MessagePack", raw("POST", "/api/jobs", "\u00c1"))
-                .text("bytes behind", raw("POST", "/api/jobs", "\u0080\u0080"))
+        golden.text("no body", sendRaw("POST", "/api/jobs", ""))
+                .text("not a map", sendRaw("POST", "/api/jobs", "\u0001"))
+                .text("not MessagePack", sendRaw("POST", "/api/jobs", "\u00c1"))
+                .text("bytes behind", sendRaw("POST", "/api/jobs", "\u0080\u0080"))
                 .text("too long a body", GoldenHttp.announce(node, "/api/jobs", 70_000))
                 .text("another method for jobs", GoldenHttp.get(node, "/api/jobs"))
-                .text("another method for a poll", raw("POST", "/api/jobs/run-5", ""))
+                .text("another method for a poll", sendRaw("POST", "/api/jobs/run-5", ""))
                 .text("another method for a cancel", GoldenHttp.get(node, "/api/jobs/run-5/cancel"))
-                .text("another method for readiness", raw("POST", "/ready", ""))
+                .text("another method for readiness", sendRaw("POST", "/ready", ""))
                 .text("no path", GoldenHttp.get(node, "/nowhere"))
                 .text("no path below jobs", GoldenHttp.get(node, "/api/jobs/run-5/tasks"))
                 .text("a part's path where it is off", GoldenHttp.get(node, "/api/pools"));
-        state.refusing = true;
+        stateService.refusing = true;
         golden.text("submission in an outage", submit(with("id", "run-8")))
                 .text("poll in an outage", GoldenHttp.get(node, "/api/jobs/run-8"))
                 .text("cancel in an outage", GoldenHttp.post(node, "/api/jobs/run-8/cancel", Map.of()))
@@ -255,12 +258,12 @@
         golden.check();
     }
 
-    private static String long200() {
+    private static String longMachineType() {
         return "k".repeat(200);
     }
 
     /** Sets the id of a job that was not submitted before. */
-    private static Map<String, Object> other(Map<String, Object> job) {
+    private static Map<String, Object> withUnusedId(Map<String, Object> job) {
         job.put("id", "run-62");
         return job;
     }
@@ -271,9 +274,9 @@
         return job;
     }
 
-    private static Map<String, Object> waiting(String on) {
+    private static Map<String, Object> withDependency(String dependency) {
         Map<String, Object> job = with("id", "run-61");
-        job.put("waits_on", List.of(on));
+        job.put("waits_on", List.of(dependency));
         return job;
     }
 }
--- a/src/test/java/io/indigoreach/api/OddRequestsTest.java
+++ b/src/test/java/io/indigoreach/api/InvalidRequestsTest.java
@@ -42,29 +42,29 @@
 
 /** Tests the HTTP responses to malformed, infeasible and excess requests, and that rejected jobs are not stored. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
-class OddRequestsTest {
-    private static final Span WAIT = Span.seconds(10);
+class InvalidRequestsTest {
+    private static final Span REQUEST_TIMEOUT = Span.seconds(10);
     private static final Set<String> NULLABLE = Set.of("boxkinds", "hall", "due_s");
     private static final Object ABSENT = new Object();
 
     private final Vertx vertx = Vertx.vertx();
-    private StateStandIn service;
+    private StateStandIn stateService;
     private HttpClient http;
     private ServiceClient user;
     private Endpoint node;
     /** Strong references to all clients: Vert.x closes a client that is no longer reachable. */
-    private final List<Object> kept = new ArrayList<>();
+    private final List<Object> retained = new ArrayList<>();
 
     @BeforeAll
-    void serve() throws Exception {
-        service = await(new StateStandIn().listen(vertx));
-        StateClient state = new StateClient(caller(4), caller(1));
+    void startNode() throws Exception {
+        stateService = await(new StateStandIn().listen(vertx));
+        StateClient state = new StateClient(stateServiceClient(4), stateServiceClient(1));
         MachineType type = new MachineType("quad", new Demand(4, 1, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         MachineType far = new MachineType("far", new Demand(8, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("b"));
         await(state.commit(new StateClient.Txn()
                 .when(RecordKeys.CATALOGUE, Revision.ABSENT)
                 .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type, far)))));
-        Catalogue catalogue = new Catalogue(vertx, state, new CloudClient(caller(1)));
+        Catalogue catalogue = new Catalogue(vertx, state, new CloudClient(stateServiceClient(1)));
         SteadyClock clock = new SteadyClock();
         List<Team> teams =
                 List.of(new Team("t", 0, 64, 0, 0), new Team("small", 0, 2, 0, 0), new Team("cpu", 0, 0, 0, 0.5));
@@ -72,23 +72,23 @@
                 vertx, state, new JobRepairer(state, clock), catalogue, teams, clock, 8192, 1000));
         HttpApi api = new HttpApi(
                 new HttpApi.Context(vertx, new Endpoint("127.0.0.1", 0), jobs, null, catalogue::isKnown, Map.of()));
-        kept.addAll(List.of(state, catalogue, api));
+        retained.addAll(List.of(state, catalogue, api));
         node = new Endpoint("127.0.0.1", await(api.open()));
         user = new ServiceClient(vertx, node, 300);
         http = vertx.createHttpClient();
         catalogue.start();
-        while (await(user.get("/ready", WAIT)).status() != 200) {
+        while (await(user.get("/ready", REQUEST_TIMEOUT)).status() != 200) {
             Thread.onSpinWait();
         }
     }
 
-    private ServiceClient caller(int connections) {
-        return new ServiceClient(vertx, service.endpoint(), connections);
+    private ServiceClient stateServiceClient(int connections) {
+        return new ServiceClient(vertx, stateService.endpoint(), connections);
     }
 
     @AfterEach
-    void serveAgain() {
-        service.delaying = (endpoint, path) -> false;
+    void resumeResponses() {
+        stateService.delaying = (endpoint, path) -> false;
     }
 
     @AfterAll
@@ -101,7 +101,7 @@
     }
 
     private ServiceResponse submit(Map<String, Object> job) throws Exception {
-        return await(user.post("/api/jobs", job, WAIT));
+        return await(user.post("/api/jobs", job, REQUEST_TIMEOUT));
     }
 
     private static Map<String, Object> with(String id, String field, Object value) {
@@ -166,12 +166,12 @@
     @ParameterizedTest
     @MethodSource("malformed")
     void malformedFieldIsRejectedAndNotStored(String field, Object value) throws Exception {
-        ServiceResponse reply = submit(with("run-1", field, value));
-        assertEquals(400, reply.status());
+        ServiceResponse response = submit(with("run-1", field, value));
+        assertEquals(400, response.status());
         assertTrue(
-                reply.body().text("error").endsWith(" field " + field),
-                reply.body().text("error"));
-        assertEquals(List.of(), service.keys("j/run-1"));
+                response.body().text("error").endsWith(" field " + field),
+                response.body().text("error"));
+        assertEquals(List.of(), stateService.keys("j/run-1"));
     }
 
     /** A body with a repeated field is ambiguous: a reader may use either value. */
@@ -187,7 +187,7 @@
                 .compose(r -> r.send(twice))
                 .map(r -> "" + r.statusCode());
         assertEquals("400", await(status));
-        assertEquals(List.of(), service.keys("j/run-1"));
+        assertEquals(List.of(), stateService.keys("j/run-1"));
     }
 
     @ParameterizedTest
@@ -216,10 +216,10 @@
             job.put("gpus", 1.0);
         }
         assertEquals(422, submit(job).status());
-        assertEquals(List.of(), service.keys("j/run-2"));
+        assertEquals(List.of(), stateService.keys("j/run-2"));
     }
 
-    static List<Object[]> fine() {
+    static List<Object[]> valid() {
         List<Object[]> rows = new ArrayList<>();
         NULLABLE.forEach(field -> add(rows, field, ABSENT, null));
         for (String amount :
@@ -233,9 +233,9 @@
     }
 
     @ParameterizedTest
-    @MethodSource("fine")
+    @MethodSource("valid")
     void validJobIsAcceptedAndSubmissionIsIdempotent(String field, Object value) throws Exception {
-        String id = "run-" + (70_000 + service.keys("j/").size());
+        String id = "run-" + (70_000 + stateService.keys("j/").size());
         Map<String, Object> job = with(id, field, value);
         assertEquals(201, submit(job).status());
         ServiceResponse again = submit(job);
@@ -252,32 +252,32 @@
     @ParameterizedTest
     @CsvSource({"false", "true"})
     void requestsBeyondTheAdmissionLimitAreRejectedAtOnce(boolean submissions) throws Exception {
-        service.delaying = (endpoint, path) -> path.startsWith("/store") || path.equals("/txn");
-        Map<Integer, Future<ServiceResponse>> answers = new LinkedHashMap<>();
-        int[] refused = {0};
-        long begun = System.nanoTime();
+        stateService.delaying = (endpoint, path) -> path.startsWith("/store") || path.equals("/txn");
+        Map<Integer, Future<ServiceResponse>> responses = new LinkedHashMap<>();
+        int[] rejected = {0};
+        long startNanos = System.nanoTime();
         for (int n = 0; n < 250; n++) {
             String id = "run-" + (50_000 + n);
-            answers.put(
+            responses.put(
                     n,
                     (submissions
-                                    ? user.post("/api/jobs", with(id, "unheard_of", 1), WAIT)
-                                    : user.get("/api/jobs/" + id, WAIT))
-                            .onSuccess(r ->
-                                    refused[0] += service.delayed() > 0 && System.nanoTime() - begun < 1.5e9 ? 1 : 0));
+                                    ? user.post("/api/jobs", with(id, "unheard_of", 1), REQUEST_TIMEOUT)
+                                    : user.get("/api/jobs/" + id, REQUEST_TIMEOUT))
+                            .onSuccess(r -> rejected[0] +=
+                                    stateService.delayed() > 0 && System.nanoTime() - startNanos < 1.5e9 ? 1 : 0));
         }
-        for (ServiceResponse reply :
-                await(Future.all(List.copyOf(answers.values()))).<ServiceResponse>list()) {
-            assertEquals(503, reply.status());
+        for (ServiceResponse response :
+                await(Future.all(List.copyOf(responses.values()))).<ServiceResponse>list()) {
+            assertEquals(503, response.status());
         }
-        double longest = (System.nanoTime() - begun) / 1e9;
-        assertTrue(refused[0] >= 150, refused[0] + " were rejected at once");
-        assertTrue(longest < 6, "last response after " + longest + " s");
+        double elapsedS = (System.nanoTime() - startNanos) / 1e9;
+        assertTrue(rejected[0] >= 150, rejected[0] + " were rejected at once");
+        assertTrue(elapsedS < 6, "last response after " + elapsedS + " s");
     }
 
     @Test
     void unavailableResponseHasRetryAfter() throws Exception {
-        service.delaying = (endpoint, path) -> path.startsWith("/store");
+        stateService.delaying = (endpoint, path) -> path.startsWith("/store");
         Future<String> answer = http.request(HttpMethod.GET, node.port(), node.host(), "/api/jobs/run-60000")
                 .compose(r -> r.send())
                 .map(r -> r.statusCode() + " " + r.getHeader("Retry-After"));
--- a/src/test/java/io/indigoreach/api/JobCodecTest.java
+++ b/src/test/java/io/indigoreach/api/JobCodecTest.java
@@ -78,16 +78,16 @@
                 cases.add(new Object[] {field, null});
             }
         }
-        for (Object bad : new Object[] {0, -1, 100_001, 1.5, "3", true}) {
-            cases.add(new Object[] {"pieces", bad});
+        for (Object invalid : new Object[] {0, -1, 100_001, 1.5, "3", true}) {
+            cases.add(new Object[] {"pieces", invalid});
         }
         for (String amount : List.of("cores", "gpus", "ram_gb", "pull_gb", "expected_s", "snapshot_every_s", "due_s")) {
-            for (Object bad : new Object[] {-1.0, Double.NaN, Double.POSITIVE_INFINITY, "1", 1e300}) {
-                cases.add(new Object[] {amount, bad});
+            for (Object invalid : new Object[] {-1.0, Double.NaN, Double.POSITIVE_INFINITY, "1", 1e300}) {
+                cases.add(new Object[] {amount, invalid});
             }
         }
-        for (Object bad : new Object[] {"", "run-", "run-1x", "job-1", "run-1/2", 7, "run-" + "1".repeat(30)}) {
-            cases.add(new Object[] {"id", bad});
+        for (Object invalid : new Object[] {"", "run-", "run-1x", "job-1", "run-1/2", 7, "run-" + "1".repeat(30)}) {
+            cases.add(new Object[] {"id", invalid});
         }
         cases.add(new Object[] {"shape", "gang"});
         cases.add(new Object[] {"urgency", "normal"});
@@ -98,7 +98,7 @@
         List<String> tooMany = IntStream.rangeClosed(1, JobCodec.MAX_DEPENDENCIES + 1)
                 .mapToObj(n -> "run-" + n)
                 .toList();
-        for (Object bad : new Object[] {
+        for (Object invalid : new Object[] {
             "run-1",
             7,
             Map.of(),
@@ -108,7 +108,7 @@
             List.of("run-1", "run-1"),
             tooMany
         }) {
-            cases.add(new Object[] {"waits_on", bad});
+            cases.add(new Object[] {"waits_on", invalid});
         }
         return cases;
     }
@@ -118,22 +118,22 @@
     void malformedJobIsReportedWithItsField(String field, Object value) {
         Map<String, Object> job = job();
         job.put(field, value);
-        WireException e = assertThrows(
+        WireException failure = assertThrows(
                 WireException.class, () -> JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(job))));
-        assertEquals(field, e.getMessage().substring(e.getMessage().lastIndexOf(' ') + 1));
+        assertEquals(field, failure.getMessage().substring(failure.getMessage().lastIndexOf(' ') + 1));
     }
 
     @Test
     void nullEqualsAbsent() {
-        Map<String, Object> with = job();
-        with.put("boxkinds", null);
-        with.put("due_s", null);
-        with.put("waits_on", List.of());
-        Map<String, Object> lacking = job();
-        lacking.keySet().removeAll(List.of("boxkinds", "due_s", "hall"));
+        Map<String, Object> jobWithNulls = job();
+        jobWithNulls.put("boxkinds", null);
+        jobWithNulls.put("due_s", null);
+        jobWithNulls.put("waits_on", List.of());
+        Map<String, Object> jobWithoutFields = job();
+        jobWithoutFields.keySet().removeAll(List.of("boxkinds", "due_s", "hall"));
         assertEquals(
-                JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(with))),
-                JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(lacking))));
+                JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(jobWithNulls))),
+                JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(jobWithoutFields))));
     }
 
     @ParameterizedTest
--- a/src/test/java/io/indigoreach/api/JobServiceLossTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceLossTest.java
@@ -43,7 +43,7 @@
     private JobService jobs;
 
     @BeforeEach
-    void serve() throws Exception {
+    void startService() throws Exception {
         service = await(new StateStandIn().listen(vertx));
         state = client();
         MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
@@ -75,8 +75,8 @@
     }
 
     /** The HTTP API maps a failure to 503. */
-    private static int status(Future<ApiResponse> answer) throws Exception {
-        return await(answer.map(ApiResponse::status).otherwise(503));
+    private static int status(Future<ApiResponse> response) throws Exception {
+        return await(response.map(ApiResponse::status).otherwise(503));
     }
 
     private int submit(int id) throws Exception {
@@ -122,12 +122,12 @@
     }
 
     @Test
-    void noJobIsReportedUnknownUntilALaterEraBegins() throws Exception {
+    void absentJobsAreUnavailableAfterADataLossUntilANewEraBegins() throws Exception {
         assertEquals(List.of(201, 201, 404), List.of(submit(1), submit(2), status(jobs.query("run-9"))));
         assertEquals(200, status(jobs.cancel("run-2")));
-        StateClient.Txn all = new StateClient.Txn();
-        service.keys("").forEach(all::delete);
-        await(client().commit(all));
+        StateClient.Txn deletion = new StateClient.Txn();
+        service.keys("").forEach(deletion::delete);
+        await(client().commit(deletion));
         assertEquals(
                 503,
                 status(jobs.query("run-9")),
@@ -171,8 +171,8 @@
         "ended, f/, 200 done",
         "nowhere, f/, 503 null"
     })
-    void unreadableRecordIsRepaired(String remembered, String prefix, String answered) throws Exception {
-        JobService queried = remembered.equals("here") ? jobs : other();
+    void unreadableRecordIsRepaired(String remembered, String prefix, String expected) throws Exception {
+        JobService queried = remembered.equals("here") ? jobs : otherNodeJobs();
         assertEquals(201, submit(1));
         if (remembered.equals("elsewhere")) {
             repairer.recallFrom(id -> Future.succeededFuture(jobs.rememberedState(id)));
@@ -188,26 +188,26 @@
             txn.delete("j/run-1");
         }
         await(client().commit(txn.put(prefix + "run-1", MessagePackFormat.map("status", "SPOILT", "class", 5L))));
-        assertEquals(answered, response(queried.query("run-1")));
+        assertEquals(expected, response(queried.query("run-1")));
         assertEquals(
-                prefix.equals("f/") && answered.startsWith("503")
+                prefix.equals("f/") && expected.startsWith("503")
                         ? "503 null"
-                        : answered.startsWith("503") ? "200 pending" : answered,
+                        : expected.startsWith("503") ? "200 pending" : expected,
                 response(queried.submit(job(1))),
                 "repeated submission");
         assertEquals(
-                answered.endsWith("done") || prefix.equals("f/") ? List.of() : List.of("j/run-1"), service.keys("j/"));
+                expected.endsWith("done") || prefix.equals("f/") ? List.of() : List.of("j/run-1"), service.keys("j/"));
         assertEquals(false, state.losses().isHolding());
     }
 
     /** The job service of another node that has accepted nothing, with the same repairer. */
-    private JobService other() {
+    private JobService otherNodeJobs() {
         return new JobService(new JobService.Context(
                 vertx, state, repairer, catalogue, List.of(new Team("t", 0, 0, 0, 0)), new SteadyClock(), 8192, 100));
     }
 
-    private static String response(Future<ApiResponse> answer) throws Exception {
-        ApiResponse response = await(answer.otherwise(ApiResponse.retryLater("no")));
+    private static String response(Future<ApiResponse> responseFuture) throws Exception {
+        ApiResponse response = await(responseFuture.otherwise(ApiResponse.retryLater("no")));
         return response.status() + " " + response.body().get("status");
     }
 }
--- a/src/test/java/io/indigoreach/api/JobServiceTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceTest.java
@@ -42,25 +42,25 @@
 
 /** Tests the users' interface over HTTP with two nodes that share a fake state service. */
 class JobServiceTest {
-    private static final Span WAIT = Span.seconds(10);
+    private static final Span REQUEST_TIMEOUT = Span.seconds(10);
     private final Vertx vertx = Vertx.vertx();
     /** Strong references to all clients: Vert.x closes a client that is no longer reachable, even during a request. */
-    private final List<Object> kept = new ArrayList<>();
+    private final List<Object> retained = new ArrayList<>();
 
     private final List<JobService> services = new ArrayList<>();
-    private StateStandIn service;
+    private StateStandIn stateService;
     private Endpoint first;
     private Endpoint second;
 
     @BeforeEach
-    void serve() throws Exception {
-        service = await(new StateStandIn().listen(vertx));
+    void startNodes() throws Exception {
+        stateService = await(new StateStandIn().listen(vertx));
         MachineType type = new MachineType("quad", new Demand(4, 0, 16), 40, 1, 1, 1, Span.seconds(20), List.of("a"));
         await(client().commit(new StateClient.Txn()
                 .when(RecordKeys.CATALOGUE, Revision.ABSENT)
                 .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(List.of(type)))));
-        first = node();
-        second = node();
+        first = startNode();
+        second = startNode();
     }
 
     @AfterEach
@@ -69,22 +69,23 @@
     }
 
     private StateClient client() {
-        return keep(new StateClient(
-                new ServiceClient(vertx, service.endpoint(), 4), new ServiceClient(vertx, service.endpoint(), 1)));
+        return retain(new StateClient(
+                new ServiceClient(vertx, stateService.endpoint(), 4),
+                new ServiceClient(vertx, stateService.endpoint(), 1)));
     }
 
-    private <T> T keep(T client) {
-        kept.add(client);
+    private <T> T retain(T client) {
+        retained.add(client);
         return client;
     }
 
-    private Endpoint node() throws Exception {
-        return node(100);
+    private Endpoint startNode() throws Exception {
+        return startNode(100);
     }
 
-    private Endpoint node(double queriesPerSecond) throws Exception {
+    private Endpoint startNode(double queriesPerSecond) throws Exception {
         Catalogue catalogue =
-                new Catalogue(vertx, client(), new CloudClient(new ServiceClient(vertx, service.endpoint(), 1)));
+                new Catalogue(vertx, client(), new CloudClient(new ServiceClient(vertx, stateService.endpoint(), 1)));
         StateClient state = client();
         JobService jobs = new JobService(new JobService.Context(
                 vertx,
@@ -96,10 +97,10 @@
                 8192,
                 queriesPerSecond));
         services.add(jobs);
-        Endpoint any = new Endpoint("127.0.0.1", 0);
+        Endpoint anyPort = new Endpoint("127.0.0.1", 0);
         Endpoint endpoint = new Endpoint(
                 "127.0.0.1",
-                await(keep(new HttpApi(new HttpApi.Context(vertx, any, jobs, null, catalogue::isKnown, Map.of())))
+                await(retain(new HttpApi(new HttpApi.Context(vertx, anyPort, jobs, null, catalogue::isKnown, Map.of())))
                         .open()));
         catalogue.start();
         while (call(endpoint, HttpMethod.GET, "/ready", null).status() != 200) {
@@ -112,17 +113,19 @@
         return future.toCompletionStage().toCompletableFuture().get();
     }
 
-    private ServiceResponse call(Endpoint at, HttpMethod method, String path, Map<String, Object> body)
+    private ServiceResponse call(Endpoint endpoint, HttpMethod method, String path, Map<String, Object> body)
             throws Exception {
-        ServiceClient client = keep(new ServiceClient(vertx, at, 1));
+        ServiceClient client = retain(new ServiceClient(vertx, endpoint, 1));
         return await(
                 method.equals(HttpMethod.GET)
-                        ? client.get(path, WAIT)
-                        : method.equals(HttpMethod.DELETE) ? client.delete(path, WAIT) : client.post(path, body, WAIT));
+                        ? client.get(path, REQUEST_TIMEOUT)
+                        : method.equals(HttpMethod.DELETE)
+                                ? client.delete(path, REQUEST_TIMEOUT)
+                                : client.post(path, body, REQUEST_TIMEOUT));
     }
 
-    private String status(ServiceResponse reply) {
-        return reply.status() + " " + reply.body().optionalText("status");
+    private String status(ServiceResponse response) {
+        return response.status() + " " + response.body().optionalText("status");
     }
 
     /**
@@ -133,9 +136,9 @@
     void optionalFieldWithoutParticipantIsRejected() throws Exception {
         Map<String, Object> job = JobCodecTest.job();
         job.put("records", Map.of("group", "g"));
-        ServiceResponse reply = call(first, HttpMethod.POST, "/api/jobs", job);
-        assertEquals(422, reply.status());
-        assertEquals("records: this is not switched on here", reply.body().optionalText("error"));
+        ServiceResponse response = call(first, HttpMethod.POST, "/api/jobs", job);
+        assertEquals(422, response.status());
+        assertEquals("records: this is not switched on here", response.body().optionalText("error"));
         JobSpec spec = JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(job)));
         assertEquals(Map.of("records", Map.of("group", "g")), spec.more());
         assertEquals(
@@ -157,7 +160,7 @@
         Map<String, Object> job = JobCodecTest.job();
         job.put("pieces", 100_000L);
         assertEquals("201 pending", status(call(first, HttpMethod.POST, "/api/jobs", job)));
-        service.txnOps = 2;
+        stateService.txnOps = 2;
         assertEquals("200 cancelled", status(call(second, HttpMethod.POST, "/api/jobs/run-000412/cancel", Map.of())));
         assertEquals("200 cancelled", status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
     }
@@ -173,9 +176,9 @@
         List<Object> types = new ArrayList<>((List<?>) job.get("boxkinds"));
         types.addAll(java.util.Collections.nCopies(otherTypes, "k".repeat(100)));
         job.put("boxkinds", types);
-        service.valueBytes = valueBytes;
+        stateService.valueBytes = valueBytes;
         assertEquals(expected, call(first, HttpMethod.POST, "/api/jobs", job).status());
-        service.valueBytes = 512;
+        stateService.valueBytes = 512;
         int again = call(second, HttpMethod.POST, "/api/jobs", job).status();
         assertEquals(expected == 201 ? 200 : 422, again);
     }
@@ -191,9 +194,9 @@
         assertEquals("200 cancelled", status(call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job())));
     }
 
-    private Map<String, Object> withDependencies(Object... names) {
+    private Map<String, Object> withDependencies(Object... ids) {
         Map<String, Object> job = JobCodecTest.job();
-        job.put("waits_on", List.of(names));
+        job.put("waits_on", List.of(ids));
         return job;
     }
 
@@ -212,7 +215,7 @@
                     .delete("j/run-1")
                     .put("f/run-1", JobRecordCodec.writeFinal(JobStatus.valueOf(state.toUpperCase(Locale.ROOT)), 0))));
         }
-        service.refusing = state.equals("refused");
+        stateService.refusing = state.equals("refused");
     }
 
     /** Columns: the state of the dependency, the response to the submission, and the response to later queries. */
@@ -225,11 +228,11 @@
         "absent, 422 null, 404 null",
         "refused, 503 null, 503 null"
     })
-    void jobMayDependOnAnyAcceptedJob(String state, String answer, String later) throws Exception {
+    void jobMayDependOnAnyAcceptedJob(String state, String submissionResponse, String queryResponse) throws Exception {
         createDependency(state);
-        assertEquals(answer, status(call(first, HttpMethod.POST, "/api/jobs", withDependencies("run-1"))));
-        assertEquals(later, status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
-        assertEquals(later, status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
+        assertEquals(submissionResponse, status(call(first, HttpMethod.POST, "/api/jobs", withDependencies("run-1"))));
+        assertEquals(queryResponse, status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
+        assertEquals(queryResponse, status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
     }
 
     /**
@@ -249,7 +252,7 @@
         }
         assertEquals(
                 List.of(new JobId("run-1")),
-                JobRecordCodec.readJob(new JobId("run-000412"), service.value("j/run-000412"), Revision.ABSENT)
+                JobRecordCodec.readJob(new JobId("run-000412"), stateService.value("j/run-000412"), Revision.ABSENT)
                         .spec()
                         .dependencies()
                         .requiredJobs());
@@ -262,18 +265,18 @@
     @Test
     void staleNodeChecksDependenciesBeforeItResponds() throws Exception {
         createDependency("open");
-        Map<String, Object> between = withDependencies("run-1");
-        between.put("id", "run-2");
-        call(second, HttpMethod.POST, "/api/jobs", between);
+        Map<String, Object> intermediate = withDependencies("run-1");
+        intermediate.put("id", "run-2");
+        call(second, HttpMethod.POST, "/api/jobs", intermediate);
         call(second, HttpMethod.POST, "/api/jobs", withDependencies("run-2"));
         createDependency("cancelled");
-        int before = service.reads;
+        int readsBefore = stateService.reads;
         assertEquals("200 pending", status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
-        assertEquals(1, service.reads - before);
+        assertEquals(1, stateService.reads - readsBefore);
         services.get(0).setCascadeTime(Span.seconds(60), () -> "");
         assertEquals("200 cancelled", status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
         assertEquals("200 cancelled", status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
-        assertEquals(List.of("j/run-2"), service.keys("j/"));
+        assertEquals(List.of("j/run-2"), stateService.keys("j/"));
     }
 
     /**
@@ -282,22 +285,22 @@
      */
     @Test
     void queriesBeyondTheNodesShareAreBatched() throws Exception {
-        Endpoint node = node(2);
+        Endpoint node = startNode(2);
         for (int n = 0; n < 30; n++) {
             Map<String, Object> job = JobCodecTest.job();
             job.put("id", "run-" + n);
             call(node, HttpMethod.POST, "/api/jobs", job);
         }
-        int before = service.reads;
+        int readsBefore = stateService.reads;
         List<Future<ServiceResponse>> answers = new ArrayList<>();
-        ServiceClient users = keep(new ServiceClient(vertx, node, 90));
+        ServiceClient users = retain(new ServiceClient(vertx, node, 90));
         for (int n = 0; n < 90; n++) {
-            answers.add(users.get("/api/jobs/run-" + n % 30, WAIT));
+            answers.add(users.get("/api/jobs/run-" + n % 30, REQUEST_TIMEOUT));
         }
-        for (ServiceResponse reply : await(Future.all(answers)).<ServiceResponse>list()) {
-            assertEquals("200 pending", status(reply));
+        for (ServiceResponse response : await(Future.all(answers)).<ServiceResponse>list()) {
+            assertEquals("200 pending", status(response));
         }
-        assertTrue(service.reads - before < 30, "reads: " + (service.reads - before));
+        assertTrue(stateService.reads - readsBefore < 30, "reads: " + (stateService.reads - readsBefore));
     }
 
     /**
@@ -307,7 +310,8 @@
     @Test
     void finalStatusInTheOpenRecordIsFinal() throws Exception {
         call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job());
-        JobSpec spec = JobRecordCodec.readJob(new JobId("run-000412"), service.value("j/run-000412"), Revision.ABSENT)
+        JobSpec spec = JobRecordCodec.readJob(
+                        new JobId("run-000412"), stateService.value("j/run-000412"), Revision.ABSENT)
                 .spec();
         BitSet all = new BitSet();
         all.set(0, spec.tasks());
@@ -316,17 +320,17 @@
         assertEquals("200 done", status(call(first, HttpMethod.POST, "/api/jobs/run-000412/cancel", Map.of())));
         assertEquals("200 done", status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
         assertEquals("200 done", status(call(second, HttpMethod.POST, "/api/jobs", JobCodecTest.job())));
-        assertEquals(List.of("j/run-000412"), service.keys("j/"), "the open record is unchanged");
+        assertEquals(List.of("j/run-000412"), stateService.keys("j/"), "the open record is unchanged");
     }
 
     @Test
     void submissionIsIdempotentAfterALostResponse() throws Exception {
-        service.losing = txn -> txn.children("writes").stream()
+        stateService.losing = txn -> txn.children("writes").stream()
                 .anyMatch(w -> w.has("write") && w.text("write").equals("j/run-000412"));
         assertEquals(
                 503,
                 call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job()).status());
-        assertEquals(1, service.lost, "the transaction was executed, and its response was lost");
+        assertEquals(1, stateService.lost, "the transaction was executed, and its response was lost");
         assertEquals("200 pending", status(call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job())));
     }
 
@@ -337,7 +341,7 @@
     @Test
     void acceptanceIsConditionalOnTheEraBeforeItWasRead() throws Exception {
         List<List<String>> conditions = new ArrayList<>();
-        service.holding = txn -> {
+        stateService.holding = txn -> {
             List<String> keys =
                     txn.children("when").stream().map(w -> w.text("path")).toList();
             if (keys.contains("j/run-000412")) {
@@ -356,7 +360,7 @@
         other.put("id", "run-5");
         call(first, HttpMethod.POST, "/api/jobs", other);
         call(first, HttpMethod.POST, "/api/jobs/run-5/cancel", Map.of());
-        service.refusing = true;
+        stateService.refusing = true;
         assertEquals(
                 503, call(first, HttpMethod.GET, "/api/jobs/run-000412", null).status());
         assertEquals(503, call(second, HttpMethod.GET, "/api/jobs/run-5", null).status());
@@ -386,7 +390,7 @@
     /** A body over the limit is rejected, with or without Content-Length, and other requests are still served. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void longBodyIsRejected(boolean announced) throws Exception {
+    void bodyOverTheLimitIsRejected(boolean withContentLength) throws Exception {
         Promise<Integer> status = Promise.promise();
         vertx.createHttpClient()
                 .request(HttpMethod.POST, first.port(), first.host(), "/api/jobs")
@@ -394,7 +398,7 @@
                     request.response()
                             .onSuccess(r -> status.tryComplete(r.statusCode()))
                             .onFailure(status::tryFail);
-                    if (announced) {
+                    if (withContentLength) {
                         request.putHeader("Content-Length", "70000");
                         request.write(Buffer.buffer(new byte[10]));
                     } else {
--- a/src/test/java/io/indigoreach/calendar/GoldenCalendarTest.java
+++ b/src/test/java/io/indigoreach/calendar/GoldenCalendarTest.java
@@ -242,7 +242,7 @@
         golden.text("page, read", Boolean.toString(read.equals(marks.get(marks.size() - 1))));
     }
 
-    private Resource.Call call(String method, String path, Map<String, Object> body) {
+    private Resource.Request call(String method, String path, Map<String, Object> body) {
         int question = path.indexOf('?');
         Map<String, String> query = new HashMap<>();
         if (question >= 0) {
@@ -251,7 +251,7 @@
                     .forEach(q -> query.put(q[0], q[1]));
         }
         String only = question < 0 ? path : path.substring(0, question);
-        return new Resource.Call(
+        return new Resource.Request(
                 method, Arrays.stream(only.split("/")).filter(s -> !s.isEmpty()).toList(), query, new Fields(body));
     }
 
@@ -328,8 +328,8 @@
                     .with(Choice.FIELD, MessagePackFormat.map("name", "kochi-tankers", "day", day));
             ApiResponse answer;
             try {
-                joining.check(spec);
-                await(joining.accepting(spec));
+                joining.validate(spec);
+                await(joining.prepareAcceptance(spec));
                 answer = ApiResponse.ok(Map.of());
             } catch (WireException e) {
                 answer = ApiResponse.error(400, e.getMessage());
--- a/src/test/java/io/indigoreach/checker/FrontDoors.java
+++ b/src/test/java/io/indigoreach/checker/FrontDoors.java
@@ -146,7 +146,7 @@
         for (int n = 0; n < nodes.length(); n++) {
             Node other = nodes.get(n);
             if (n != asking && other != null) {
-                words.add(on(other.loop, () -> Future.succeededFuture(other.desk.knows(id))));
+                words.add(on(other.loop, () -> Future.succeededFuture(other.desk.isKnown(id))));
             }
         }
         return Future.all(words).map(all -> all.<Boolean>list().contains(true));
--- a/src/test/java/io/indigoreach/emulator/AskedJobs.java
+++ b/src/test/java/io/indigoreach/emulator/AskedJobs.java
@@ -66,7 +66,7 @@
     ServiceResponse submit(int node, JobSpec spec) throws Exception {
         for (int tries = 0; tries < 100; tries++) {
             ServiceResponse r =
-                    LocalCluster.await(nodes.get(node).post(JobCodec.JOBS, JobCodec.write(spec), Span.seconds(5)));
+                    LocalCluster.await(nodes.get(node).post(JobCodec.JOBS_PATH, JobCodec.write(spec), Span.seconds(5)));
             if (r.status() < 300) {
                 return r;
             }
@@ -84,7 +84,8 @@
             submit(n % nodes.size(), spec);
             expected.put(spec.id().text(), OPEN);
         }
-        LocalCluster.await(nodes.get(0).post(JobCodec.JOBS + "/run-2" + JobCodec.CANCEL, Map.of(), Span.seconds(5)));
+        LocalCluster.await(nodes.get(0)
+                .post(JobCodec.JOBS_PATH + "/run-2" + JobCodec.CANCEL_PATH_SUFFIX, Map.of(), Span.seconds(5)));
         expected.put("run-2", "cancelled");
         while (!"done".equals(told(ask(nodes.get(0), "run-1")))) {
             LocalCluster.await(cluster.vertx.timer(100, TimeUnit.MILLISECONDS));
@@ -93,7 +94,7 @@
     }
 
     static ServiceResponse ask(ServiceClient node, String job) throws Exception {
-        return LocalCluster.await(node.get(JobCodec.JOBS + "/" + job, Span.seconds(2))
+        return LocalCluster.await(node.get(JobCodec.JOBS_PATH + "/" + job, Span.seconds(2))
                 .otherwise(new ServiceResponse(0, new Fields(Map.of()))));
     }
 
@@ -139,7 +140,9 @@
     }
 
     void awaitReady(ServiceClient node, int status, double latestS) throws Exception {
-        while (LocalCluster.await(node.get(JobCodec.READY, Span.seconds(2))).status() != status) {
+        while (LocalCluster.await(node.get(JobCodec.READY_PATH, Span.seconds(2)))
+                        .status()
+                != status) {
             assertTrue(
                     cluster.clock.now().isBefore(cluster.emulator.startedAt().plus(Span.seconds(latestS))),
                     "not yet " + status);
--- a/src/test/java/io/indigoreach/emulator/CloseLooksClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/CloseLooksClusterTest.java
@@ -92,15 +92,15 @@
     private Future<Call> ask(Question question, JobSpec spec, int n) {
         int at = n % nodes.size();
         ServiceClient node = nodes.get(at);
-        String path = JobCodec.JOBS + "/" + spec.id();
+        String path = JobCodec.JOBS_PATH + "/" + spec.id();
         if (question == Question.CANCEL) {
             cluster.history.add(new Event.CancelAsked(cluster.clock.now(), spec.id()));
         }
         long begin = System.nanoTime();
         Future<ServiceResponse> reply = switch (question) {
-            case SUBMIT -> node.post(JobCodec.JOBS, JobCodec.write(spec), PATIENCE);
+            case SUBMIT -> node.post(JobCodec.JOBS_PATH, JobCodec.write(spec), PATIENCE);
             case POLL -> node.get(path, PATIENCE);
-            case CANCEL -> node.post(path + JobCodec.CANCEL, Map.of(), PATIENCE);
+            case CANCEL -> node.post(path + JobCodec.CANCEL_PATH_SUFFIX, Map.of(), PATIENCE);
         };
         return reply.transform(r -> {
             int http = r.succeeded() ? r.result().status() : 0;
--- a/src/test/java/io/indigoreach/emulator/CutOffTest.java
+++ b/src/test/java/io/indigoreach/emulator/CutOffTest.java
@@ -56,7 +56,7 @@
         ServiceClient cut = nodes.get(0);
         until(controllers > 1 ? 10 : 20);
         awaitReady(cut, controllers > 1 ? 503 : 200, 24);
-        ServiceResponse sentOn = LocalCluster.await(cut.post(WorkerCodec.HEARTBEAT, Map.of(), Span.seconds(2)));
+        ServiceResponse sentOn = LocalCluster.await(cut.post(WorkerCodec.HEARTBEAT_PATH, Map.of(), Span.seconds(2)));
         assertEquals(421, sentOn.status());
         assertEquals(
                 Map.of(),
--- a/src/test/java/io/indigoreach/emulator/DependencyClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/DependencyClusterTest.java
@@ -57,8 +57,8 @@
         while (cluster.history.events().stream().noneMatch(Event.Running.class::isInstance)) {
             LocalCluster.await(cluster.vertx.timer(20, TimeUnit.MILLISECONDS));
         }
-        LocalCluster.await(
-                nodes.get(leader).post(JobCodec.JOBS + "/run-1" + JobCodec.CANCEL, Map.of(), Span.seconds(5)));
+        LocalCluster.await(nodes.get(leader)
+                .post(JobCodec.JOBS_PATH + "/run-1" + JobCodec.CANCEL_PATH_SUFFIX, Map.of(), Span.seconds(5)));
         Moment told = cluster.clock.now();
         while (ends() < 3) {
             LocalCluster.await(cluster.vertx.timer(5, TimeUnit.MILLISECONDS));
--- a/src/test/java/io/indigoreach/emulator/GoldenPeersTest.java
+++ b/src/test/java/io/indigoreach/emulator/GoldenPeersTest.java
@@ -78,11 +78,11 @@
                     .text("asked for a job without an id", get(peers, "/knows?id=one"));
             // A leader sends workers away until it has read the records, however soon it says that it leads.
             await(
-                    () -> !post(users, WorkerCodec.HEARTBEAT, Map.of()).startsWith("421 "),
+                    () -> !post(users, WorkerCodec.HEARTBEAT_PATH, Map.of()).startsWith("421 "),
                     "the leader answered no worker");
-            golden.text("answer to a worker's first report", post(users, WorkerCodec.HEARTBEAT, report()))
-                    .text("answer to a malformed report", post(users, WorkerCodec.HEARTBEAT, Map.of()))
-                    .text("answer to a report by another method", get(users, WorkerCodec.HEARTBEAT));
+            golden.text("answer to a worker's first report", post(users, WorkerCodec.HEARTBEAT_PATH, report()))
+                    .text("answer to a malformed report", post(users, WorkerCodec.HEARTBEAT_PATH, Map.of()))
+                    .text("answer to a report by another method", get(users, WorkerCodec.HEARTBEAT_PATH));
         }
         golden.check();
     }
@@ -150,7 +150,7 @@
         String[] answer = new String[1];
         await(
                 () -> {
-                    answer[0] = post(users, WorkerCodec.HEARTBEAT, report());
+                    answer[0] = post(users, WorkerCodec.HEARTBEAT_PATH, report());
                     return answer[0].startsWith("421 ");
                 },
                 "reports are answered as by a leader");
--- a/src/test/java/io/indigoreach/emulator/HandoverDayTest.java
+++ b/src/test/java/io/indigoreach/emulator/HandoverDayTest.java
@@ -117,7 +117,7 @@
             if (cluster.history.events().stream().anyMatch(e -> takesLeadership(e, "node-0"))) {
                 // It is not even read where it may not be answered; else it is malformed.
                 ServiceResponse report =
-                        LocalCluster.await(nodes.get(0).post(WorkerCodec.HEARTBEAT, Map.of(), Span.seconds(2)));
+                        LocalCluster.await(nodes.get(0).post(WorkerCodec.HEARTBEAT_PATH, Map.of(), Span.seconds(2)));
                 assertEquals(421, report.status(), "the old leader takes reports while the next one leads");
                 refused++;
             }
--- a/src/test/java/io/indigoreach/emulator/PlantedTest.java
+++ b/src/test/java/io/indigoreach/emulator/PlantedTest.java
@@ -87,7 +87,7 @@
                                                         Span.seconds(5));
                                 answer.onSuccess(a -> {
                                             ServiceResponse told =
-                                                    r.path().equals(WorkerCodec.HEARTBEAT) ? reports.apply(a) : a;
+                                                    r.path().equals(WorkerCodec.HEARTBEAT_PATH) ? reports.apply(a) : a;
                                             r.response()
                                                     .setStatusCode(told.status())
                                                     .end(MessagePackFormat.write(
--- a/src/test/java/io/indigoreach/emulator/UnheardCancellationTest.java
+++ b/src/test/java/io/indigoreach/emulator/UnheardCancellationTest.java
@@ -76,8 +76,8 @@
     private Moment cancel(int node, JobId job) throws Exception {
         Moment asked = cluster.clock.now();
         cluster.history.add(new Event.CancelAsked(asked, job));
-        ServiceResponse r = LocalCluster.await(
-                nodes.get(node).post(JobCodec.JOBS + "/" + job + JobCodec.CANCEL, Map.of(), Span.seconds(5)));
+        ServiceResponse r = LocalCluster.await(nodes.get(node)
+                .post(JobCodec.JOBS_PATH + "/" + job + JobCodec.CANCEL_PATH_SUFFIX, Map.of(), Span.seconds(5)));
         assertEquals("cancelled", told(r));
         cluster.history.add(new Event.Answered(
                 cluster.clock.now(),
--- a/src/test/java/io/indigoreach/emulator/WarmPoolsTest.java
+++ b/src/test/java/io/indigoreach/emulator/WarmPoolsTest.java
@@ -117,13 +117,13 @@
             assertEquals(6, conflict.body().child("against").whole("most"));
             assertEquals(
                     422,
-                    ask(cluster, JobCodec.JOBS, JobCodec.write(holder(9, "t", "none")))
+                    ask(cluster, JobCodec.JOBS_PATH, JobCodec.write(holder(9, "t", "none")))
                             .status());
             LocalCluster.await(cluster.emulator.upload(
                     new DepotCodec.Upload(holder(1, "t", "p"), new Depot.Conduct(Span.ZERO, 0.1, false))));
             assertEquals(
                     201,
-                    ask(cluster, JobCodec.JOBS, JobCodec.write(holder(1, "t", "p")))
+                    ask(cluster, JobCodec.JOBS_PATH, JobCodec.write(holder(1, "t", "p")))
                             .status());
             // The first end while machines boot and fetch.
             List<PlatformConfig> nodes = cluster.emulator.nodes();
--- a/src/test/java/io/indigoreach/emulator/model/WorkerModelTest.java
+++ b/src/test/java/io/indigoreach/emulator/model/WorkerModelTest.java
@@ -275,14 +275,19 @@
     @Test
     void takesDirectOrders() {
         go(3, 5);
-        assertFalse(worker.direct(now, new WorkerCodec.Direct(new FencingToken(4), 1L, List.of(start(1, 0, 7)))));
-        assertFalse(worker.direct(now, new WorkerCodec.Direct(new FencingToken(5), 2L, List.of(start(1, 0, 7)))));
-        assertTrue(worker.direct(now, new WorkerCodec.Direct(new FencingToken(6), 1L, List.of(start(1, 0, 7)))));
+        assertFalse(
+                worker.direct(now, new WorkerCodec.DirectCommands(new FencingToken(4), 1L, List.of(start(1, 0, 7)))));
+        assertFalse(
+                worker.direct(now, new WorkerCodec.DirectCommands(new FencingToken(5), 2L, List.of(start(1, 0, 7)))));
+        assertTrue(
+                worker.direct(now, new WorkerCodec.DirectCommands(new FencingToken(6), 1L, List.of(start(1, 0, 7)))));
         assertEquals("run-1/0/7 FETCHING", states());
-        assertFalse(worker.direct(now, new WorkerCodec.Direct(new FencingToken(5), 1L, List.of(stop(1, 0, 7, 0)))));
+        assertFalse(
+                worker.direct(now, new WorkerCodec.DirectCommands(new FencingToken(5), 1L, List.of(stop(1, 0, 7, 0)))));
         now = now.plus(Span.seconds(7));
         assertFalse(
-                worker.direct(now, new WorkerCodec.Direct(new FencingToken(6), 1L, List.of())), "the session is over");
+                worker.direct(now, new WorkerCodec.DirectCommands(new FencingToken(6), 1L, List.of())),
+                "the session is over");
     }
 
     /** A machine that hangs within its lease goes on where it was; beyond it, nothing is left. */
--- a/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
+++ b/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
@@ -207,17 +207,18 @@
                 .estimate(Span.seconds(5))
                 .build();
         JobSpec never = plain.with(JobSpec.RECORDS, Map.of("ids", List.of("a/1", "a/3")));
-        ExecutionException refused = assertThrows(ExecutionException.class, () -> await(field.accepting(never)));
+        ExecutionException refused =
+                assertThrows(ExecutionException.class, () -> await(field.prepareAcceptance(never)));
         assertTrue(refused.getCause() instanceof RequestRejectedException r
                 && r.status() == 422
                 && r.getMessage().contains("billed by e1"));
         JobSpec waits = plain.with(JobSpec.RECORDS, Map.of("prefix", "a/", "from", 2L, "to", 3L));
-        Transaction commit = await(field.accepting(waits));
+        Transaction commit = await(field.prepareAcceptance(waits));
         assertEquals(List.of("own/c/run-1"), List.copyOf(commit.writes().keySet()));
         assertThrows(
                 WireException.class,
-                () -> field.check(plain.with(JobSpec.RECORDS, Map.of("ids", List.of("a/1", "a/1")))));
-        assertThrows(WireException.class, () -> field.check(plain.with(JobSpec.RECORDS, List.of("a/1"))));
+                () -> field.validate(plain.with(JobSpec.RECORDS, Map.of("ids", List.of("a/1", "a/1")))));
+        assertThrows(WireException.class, () -> field.validate(plain.with(JobSpec.RECORDS, List.of("a/1"))));
     }
 
     @Test
--- a/src/test/java/io/indigoreach/worker/GoldenWorkersTest.java
+++ b/src/test/java/io/indigoreach/worker/GoldenWorkersTest.java
@@ -25,7 +25,7 @@
 class GoldenWorkersTest {
     private static final JobId JOB = new JobId("run-000412");
 
-    private static Heartbeat report(Span notice, List<TaskStatus> tasks) {
+    private static Heartbeat heartbeat(Span notice, List<TaskStatus> tasks) {
         return new Heartbeat(
                 new MachineId("vm-000231"),
                 "10.1.0.232:9000",
@@ -38,19 +38,19 @@
 
     private static List<TaskStatus> tasks() {
         List<TaskStatus> tasks = new ArrayList<>();
-        for (TaskState s : List.of(TaskState.FETCHING, TaskState.RUNNING, TaskState.SAVING)) {
-            tasks.add(new TaskStatus(new TaskId(JOB, tasks.size()), new Attempt(2), s, null, false));
+        for (TaskState state : List.of(TaskState.FETCHING, TaskState.RUNNING, TaskState.SAVING)) {
+            tasks.add(new TaskStatus(new TaskId(JOB, tasks.size()), new Attempt(2), state, null, false));
         }
-        for (ExitCause c : ExitCause.values()) {
+        for (ExitCause cause : ExitCause.values()) {
             for (boolean saved : new boolean[] {false, true}) {
                 tasks.add(new TaskStatus(
-                        new TaskId(JOB, tasks.size()), new Attempt(7_000_001_000L), TaskState.EXITED, c, saved));
+                        new TaskId(JOB, tasks.size()), new Attempt(7_000_001_000L), TaskState.EXITED, cause, saved));
             }
         }
         return tasks;
     }
 
-    private static List<WorkerCommand> orders() {
+    private static List<WorkerCommand> commands() {
         TaskId task = new TaskId(JOB, 3);
         return List.of(
                 new WorkerCommand.Start(task, new Attempt(2)),
@@ -59,7 +59,7 @@
                 new WorkerCommand.Reap(task, new Attempt(2)));
     }
 
-    private static Map<String, Object> sent(Map<String, Object> task) {
+    private static Map<String, Object> heartbeatFields(Map<String, Object> task) {
         return MessagePackFormat.map(
                 "box",
                 "vm-1",
@@ -77,43 +77,47 @@
                 List.of(task));
     }
 
-    private static Map<String, Object> readReport(Fields f) {
-        return WorkerCodec.write(WorkerCodec.read(f));
+    private static Map<String, Object> rewriteHeartbeat(Fields fields) {
+        return WorkerCodec.write(WorkerCodec.read(fields));
     }
 
-    private static Map<String, Object> write(WorkerCodec.HeartbeatResponse a) {
-        return WorkerCodec.writeResponse(a.token(), a.commands());
+    private static Map<String, Object> write(WorkerCodec.HeartbeatResponse response) {
+        return WorkerCodec.writeResponse(response.token(), response.commands());
     }
 
     @Test
-    void whatWorkersAndNodesSay() {
+    void messagesMatchTheGoldenFile() {
         GoldenFile golden = new GoldenFile("workers.txt");
-        golden.text("path of reports", WorkerCodec.HEARTBEAT)
-                .text("path of direct orders", WorkerCodec.DIRECT)
-                .text("path of inspections", WorkerCodec.INSPECT);
-        golden.both("report without tasks", report(null, List.of()), WorkerCodec::write, WorkerCodec::read)
-                .both("report of every task", report(null, tasks()), WorkerCodec::write, WorkerCodec::read)
-                .both("report with notice", report(Span.seconds(7.5), tasks()), WorkerCodec::write, WorkerCodec::read)
+        golden.text("path of reports", WorkerCodec.HEARTBEAT_PATH)
+                .text("path of direct orders", WorkerCodec.DIRECT_COMMANDS_PATH)
+                .text("path of inspections", WorkerCodec.INSPECT_PATH);
+        golden.both("report without tasks", heartbeat(null, List.of()), WorkerCodec::write, WorkerCodec::read)
+                .both("report of every task", heartbeat(null, tasks()), WorkerCodec::write, WorkerCodec::read)
+                .both(
+                        "report with notice",
+                        heartbeat(Span.seconds(7.5), tasks()),
+                        WorkerCodec::write,
+                        WorkerCodec::read)
                 .read(
                         "report of a first contact",
-                        sent(MessagePackFormat.map("piece", "run-1/0", "try", 1L, "status", "dancing")),
-                        GoldenWorkersTest::readReport)
+                        heartbeatFields(MessagePackFormat.map("piece", "run-1/0", "try", 1L, "status", "dancing")),
+                        GoldenWorkersTest::rewriteHeartbeat)
                 .read(
                         "report of another cause",
-                        sent(MessagePackFormat.map(
+                        heartbeatFields(MessagePackFormat.map(
                                 "piece", "run-1/0", "try", 1L, "status", "exited", "cause", "meteor")),
-                        GoldenWorkersTest::readReport)
+                        GoldenWorkersTest::rewriteHeartbeat)
                 .read(
                         "report without a cause",
-                        sent(MessagePackFormat.map("piece", "run-1/0", "try", 1L, "status", "exited")),
-                        GoldenWorkersTest::readReport)
+                        heartbeatFields(MessagePackFormat.map("piece", "run-1/0", "try", 1L, "status", "exited")),
+                        GoldenWorkersTest::rewriteHeartbeat)
                 .refused(
                         "report of no task",
-                        sent(MessagePackFormat.map("piece", "run-1", "try", 1L, "status", "running")),
+                        heartbeatFields(MessagePackFormat.map("piece", "run-1", "try", 1L, "status", "running")),
                         WorkerCodec::read)
                 .refused(
                         "report of a task without a try",
-                        sent(MessagePackFormat.map("piece", "run-1/0", "status", "running")),
+                        heartbeatFields(MessagePackFormat.map("piece", "run-1/0", "status", "running")),
                         WorkerCodec::read)
                 .refused("empty report", Map.of(), WorkerCodec::read);
         golden.both(
@@ -123,7 +127,7 @@
                         WorkerCodec::readResponse)
                 .both(
                         "answer of every order",
-                        new WorkerCodec.HeartbeatResponse(new FencingToken(7_000_001), orders()),
+                        new WorkerCodec.HeartbeatResponse(new FencingToken(7_000_001), commands()),
                         GoldenWorkersTest::write,
                         WorkerCodec::readResponse)
                 .read(
@@ -151,14 +155,14 @@
                 .again("sent elsewhere, read", "10.0.0.1:8080", WorkerCodec::writeLeader, WorkerCodec::readLeader);
         golden.both(
                         "direct orders",
-                        new WorkerCodec.Direct(new FencingToken(41), 5L, orders()),
-                        WorkerCodec::writeDirect,
-                        WorkerCodec::readDirect)
+                        new WorkerCodec.DirectCommands(new FencingToken(41), 5L, commands()),
+                        WorkerCodec::writeDirectCommands,
+                        WorkerCodec::readDirectCommands)
                 .both(
                         "direct orders without a session",
-                        new WorkerCodec.Direct(new FencingToken(41), null, List.of()),
-                        WorkerCodec::writeDirect,
-                        WorkerCodec::readDirect);
+                        new WorkerCodec.DirectCommands(new FencingToken(41), null, List.of()),
+                        WorkerCodec::writeDirectCommands,
+                        WorkerCodec::readDirectCommands);
         golden.check();
     }
 }
