--- a/src/main/java/io/indigoreach/api/SubmissionParticipants.java
+++ b/src/main/java/io/indigoreach/api/SubmissionParticipants.java
@@ -9,12 +9,12 @@
 
 /** The optional features that take part in submissions. */
 record SubmissionParticipants(List<SubmissionParticipant> participants) {
-    /** Throws {@link io.indigoreach.net.WireException} if the field of a participant is malformed. */
+    /** Throws a {@link io.indigoreach.net.WireException} if the field of a participant is malformed. */
     void validate(JobSpec spec) {
         participantsFor(spec).forEach(participant -> participant.validate(spec));
     }
 
-    /** The first optional field of the job that no participant handles. */
+    /** Returns the first optional field of the job that no participant handles. */
     Optional<String> unknownField(JobSpec spec) {
         return spec.extensions().keySet().stream()
                 .filter(field -> participants.stream()
@@ -22,7 +22,7 @@
                 .findFirst();
     }
 
-    /** The writes of all participants concerned, requested one after the other; empty for most jobs. */
+    /** Collects the writes of the participants whose field the job has, one participant after the other. */
     Future<Transaction> prepareAcceptance(JobSpec spec) {
         Future<Transaction> writes = Future.succeededFuture(new Transaction());
         for (SubmissionParticipant participant : participantsFor(spec)) {
@@ -32,7 +32,7 @@
         return writes;
     }
 
-    /** Informs the participants that their writes were committed with the job, at {@code revision}. */
+    /** Notifies the participants that their writes were committed with the job, at {@code revision}. */
     void onAccepted(JobSpec spec, Transaction writes, Revision revision) {
         participantsFor(spec).forEach(participant -> participant.onAccepted(writes, revision));
     }
--- a/src/test/java/io/indigoreach/api/JobServiceTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceTest.java
@@ -40,11 +40,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The users' interface over HTTP, two nodes on one stand-in for the state service. */
+/** Tests the users' interface over HTTP with two nodes that share a fake state service. */
 class JobServiceTest {
     private static final Span REQUEST_TIMEOUT = Span.seconds(10);
     private final Vertx vertx = Vertx.vertx();
-    /** Vert.x closes a client that nothing refers to any more, in the middle of a call too: so all are kept. */
+    /** Strong references to all clients: Vert.x closes a client that is no longer reachable, even during a request. */
     private final List<Object> retained = new ArrayList<>();
 
     private final List<JobService> services = new ArrayList<>();
@@ -129,7 +129,10 @@
         return response.status() + " " + response.body().optionalText("status");
     }
 
-    /** Further fields are kept with the job, and a node where nothing reads them refuses the job rather than run it without. */
+    /**
+     * Optional fields are stored with the job. A node without a participant for a field rejects the job instead of ignoring the
+     * field.
+     */
     @Test
     void optionalFieldWithoutParticipantIsRejected() throws Exception {
         Map<String, Object> job = JobCodecTest.job();
@@ -149,7 +152,10 @@
                         .spec());
     }
 
-    /** The end decides; blocks of done tasks, which may be more than a transaction takes, are removed behind it. */
+    /**
+     * The cancellation writes only the final record and deletes the open one; there may be more completion blocks than a
+     * transaction can delete.
+     */
     @Test
     void largeJobIsCancelledWithTwoWrites() throws Exception {
         Map<String, Object> job = JobCodecTest.job();
@@ -160,7 +166,10 @@
         assertEquals("200 cancelled", status(call(first, HttpMethod.GET, "/api/jobs/run-000412", null)));
     }
 
-    /** What no record can hold is refused at once, whether the settings say so or only the state service; what is known stays. */
+    /**
+     * A job whose record exceeds the limit in the settings or of the state service is rejected. A job accepted earlier stays
+     * accepted.
+     */
     @ParameterizedTest
     @CsvSource({"62, 8192, 422", "20, 8192, 201", "20, 2048, 422"})
     void specificationTooLargeForARecordIsRejected(int otherTypes, int valueBytes, int expected) throws Exception {
@@ -210,7 +219,7 @@
         stateService.unavailable = state.equals("refused");
     }
 
-    /** By what has become of the job that is named: the answer, and what is told later. */
+    /** Columns: the state of the dependency, the response to the submission, and the response to later queries. */
     @ParameterizedTest
     @CsvSource({
         "open, 201 pending, 200 pending",
@@ -227,7 +236,9 @@
         assertEquals(queryResponse, status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
     }
 
-    /** What a job that was accepted names now is of no account; before all nodes support dependencies, none is accepted. */
+    /**
+     * A repeated submission does not change the dependencies. Jobs with dependencies are rejected until all nodes support them.
+     */
     @Test
     void dependenciesAreThoseOfTheFirstSubmission() throws Exception {
         createDependency("open");
@@ -249,8 +260,8 @@
     }
 
     /**
-     * The node that told of the cancellation is gone, and no leader has swept: a node in doubt, here as it has just begun, looks for
-     * itself, through a job that is open; one that is not asks for nothing more than the job's record.
+     * A dependency is cancelled, and no leader has cascaded the cancellation. A node that cannot rely on the leader, here because it
+     * has just started, checks the dependencies itself, including indirect ones. Any other node reads only the job's record.
      */
     @Test
     void staleNodeChecksDependenciesBeforeItResponds() throws Exception {
@@ -269,7 +280,10 @@
         assertEquals(List.of("j/run-2"), stateService.keys("j/"));
     }
 
-    /** Six hundred jobs asked about eight times as often took every request that the state service serves, renewals too. */
+    /**
+     * Without batching, 600 jobs queried eight times as often as usual used up the state service's request limit, so lease
+     * renewals failed.
+     */
     @Test
     void queriesBeyondTheNodesShareAreBatched() throws Exception {
         Endpoint node = startNode(2);
@@ -290,7 +304,10 @@
         assertTrue(stateService.readCount - readsBefore < 30, "reads: " + (stateService.readCount - readsBefore));
     }
 
-    /** In a flood of ends a job's end stands in its open record before it is moved: it is over all the same. */
+    /**
+     * When many jobs end at once, the final status is first written to the open record and moved later. It is final from the
+     * first write.
+     */
     @Test
     void finalStatusInTheOpenRecordIsFinal() throws Exception {
         call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job());
@@ -304,7 +321,7 @@
         assertEquals("200 done", status(call(first, HttpMethod.POST, "/api/jobs/run-000412/cancel", Map.of())));
         assertEquals("200 done", status(call(second, HttpMethod.GET, "/api/jobs/run-000412", null)));
         assertEquals("200 done", status(call(second, HttpMethod.POST, "/api/jobs", JobCodecTest.job())));
-        assertEquals(List.of("j/run-000412"), stateService.keys("j/"), "nobody has taken it for an open job");
+        assertEquals(List.of("j/run-000412"), stateService.keys("j/"), "the open record is unchanged");
     }
 
     @Test
@@ -314,11 +331,14 @@
         assertEquals(
                 503,
                 call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job()).status());
-        assertEquals(1, stateService.lostResponses, "it was carried out");
+        assertEquals(1, stateService.lostResponses, "the transaction was executed, and its response was lost");
         assertEquals("200 pending", status(call(first, HttpMethod.POST, "/api/jobs", JobCodecTest.job())));
     }
 
-    /** Without the era's condition it would come through a rebuilding, in an era that does not know of the job's end. */
+    /**
+     * Without the condition on the era, a delayed transaction could be executed after a rebuild that has lost the job's final
+     * record.
+     */
     @Test
     void acceptanceIsConditionalOnTheEraBeforeItWasRead() throws Exception {
         List<List<String>> conditions = new ArrayList<>();
@@ -345,7 +365,10 @@
         assertEquals(
                 503, call(first, HttpMethod.GET, "/api/jobs/run-000412", null).status());
         assertEquals(503, call(second, HttpMethod.GET, "/api/jobs/run-5", null).status());
-        assertEquals(503, call(first, HttpMethod.GET, "/api/jobs/run-404", null).status(), "404 only on its word");
+        assertEquals(
+                503,
+                call(first, HttpMethod.GET, "/api/jobs/run-404", null).status(),
+                "404 requires a confirmation by the state service");
         assertEquals("200 cancelled", status(call(first, HttpMethod.GET, "/api/jobs/run-5", null)));
     }
 
@@ -365,7 +388,7 @@
                 status, call(first, HttpMethod.valueOf(method), path, Map.of()).status());
     }
 
-    /** A long body is refused, announced or not, and others are served meanwhile. */
+    /** A body over the limit is rejected, with or without Content-Length, and other requests are still served. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void bodyOverTheLimitIsRejected(boolean withContentLength) throws Exception {
