--- a/src/main/java/io/indigoreach/api/JobReadBatcher.java
+++ b/src/main/java/io/indigoreach/api/JobReadBatcher.java
@@ -60,7 +60,7 @@
     @Override
     public Future<Optional<StateClient.Entry>> read(JobId id) {
         String key = RecordKeys.openKey(id);
-        if (!listingInProgress && waitingReads.isEmpty() && singleReadLimiter.take(1, clock.now())) {
+        if (!listingInProgress && waitingReads.isEmpty() && singleReadLimiter.tryAcquire(1, clock.now())) {
             return state.get(key).map(Optional::ofNullable);
         }
         Promise<Optional<StateClient.Entry>> promise = waitingReads.computeIfAbsent(key, absent -> Promise.promise());
@@ -81,7 +81,7 @@
      */
     private void readFirstPage() {
         Moment now = clock.now();
-        if (!pageReadLimiter.take(1, now)) {
+        if (!pageReadLimiter.tryAcquire(1, now)) {
             vertx.setTimer(RATE_CHECK_INTERVAL.ms(), timer -> readFirstPage());
             return;
         }
@@ -97,7 +97,7 @@
                     new WireException("listing of the open jobs timed out after " + LISTING_TIMEOUT.seconds() + " s"));
             return;
         }
-        if (!pageReadLimiter.take(1, now)) {
+        if (!pageReadLimiter.tryAcquire(1, now)) {
             vertx.setTimer(RATE_CHECK_INTERVAL.ms(), timer -> readNextPage(startedAt));
             return;
         }
--- a/src/main/java/io/indigoreach/cloud/Catalogue.java
+++ b/src/main/java/io/indigoreach/cloud/Catalogue.java
@@ -16,30 +16,30 @@
  * from the cloud if there is no copy; the node that finds none writes it. Used on the event loop only.
  */
 public final class Catalogue {
-    private static final Span RETRY = Span.seconds(1);
+    private static final Span RETRY_INTERVAL = Span.seconds(1);
 
     private final StateClient state;
     private final CloudClient cloud;
-    private final PeriodicTask reader;
+    private final PeriodicTask readTask;
     private List<MachineType> types = List.of();
-    private boolean hasCopy;
+    private boolean isStored;
 
     /** Reads nothing until {@link #start()}. */
     public Catalogue(Vertx vertx, StateClient state, CloudClient cloud) {
         this.state = state;
         this.cloud = cloud;
-        this.reader = new PeriodicTask(vertx, "catalogue", RETRY, this::step);
+        this.readTask = new PeriodicTask(vertx, "catalogue", RETRY_INTERVAL, this::readStep);
     }
 
     /** Starts reading, and repeats until the types are known. */
     public Catalogue start() {
-        reader.start();
+        readTask.start();
         return this;
     }
 
     /** Stops reading. */
     public void stop() {
-        reader.cancel();
+        readTask.cancel();
     }
 
     /** Whether the types are known. */
@@ -54,22 +54,22 @@
 
     /** The types as the cloud lists them now, with the present spot prices. */
     public Future<List<MachineType>> readCurrentTypes() {
-        return cloud.catalogue();
+        return cloud.readMachineTypes();
     }
 
-    private Future<Span> step() {
+    private Future<Span> readStep() {
         if (isKnown()) {
-            reader.cancel();
-            return Future.succeededFuture(RETRY);
+            readTask.cancel();
+            return Future.succeededFuture(RETRY_INTERVAL);
         }
         return state.get(RecordKeys.CATALOGUE).compose(entry -> {
             if (entry != null) {
                 types = CatalogueRecordCodec.readCatalogue(entry.value());
-                hasCopy = isKnown();
+                isStored = isKnown();
                 return Future.succeededFuture(Span.ZERO);
             }
-            return cloud.catalogue().compose(found -> {
-                types = List.copyOf(found);
+            return cloud.readMachineTypes().compose(listedTypes -> {
+                types = List.copyOf(listedTypes);
                 return writeCopy().map(Span.ZERO);
             });
         });
@@ -77,14 +77,14 @@
 
     /** The description of a type does not change, so the first node to read it may write the copy. */
     private Future<Void> writeCopy() {
-        if (hasCopy || types.isEmpty()) {
+        if (isStored || types.isEmpty()) {
             return Future.succeededFuture();
         }
         return state.commit(new StateClient.Txn()
                         .when(RecordKeys.CATALOGUE, Revision.ABSENT)
                         .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(types)))
                 .map(outcome -> {
-                    hasCopy = true;
+                    isStored = true;
                     return null;
                 });
     }
--- a/src/main/java/io/indigoreach/cloud/CloudCodec.java
+++ b/src/main/java/io/indigoreach/cloud/CloudCodec.java
@@ -14,36 +14,36 @@
 /** The messages of the cloud's interface: its paths, and each request and response, written and read. */
 public final class CloudCodec {
     /** Path of the machine types. */
-    public static final String TYPES = "/catalog";
+    public static final String TYPES_PATH = "/catalog";
     /** Path of the list of machines, and of rentals. */
-    public static final String MACHINES = "/machines";
+    public static final String MACHINES_PATH = "/machines";
     /** Path of returns. */
-    public static final String RETURN = "/machines/return";
+    public static final String RETURN_PATH = "/machines/return";
     /** Query parameter of the list: the last machine of the page before. */
-    public static final String AFTER = "since";
+    public static final String AFTER_PARAMETER = "since";
     /** Query parameter of the list: the most machines in a page. */
-    public static final String MOST = "most";
+    public static final String PAGE_SIZE_PARAMETER = "most";
     /** The error of a rental for which the pool has no capacity. */
-    public static final String NO_CAPACITY = "no capacity";
+    public static final String NO_CAPACITY_ERROR = "no capacity";
     /** The most machines in a page of the list. */
-    public static final int MAX_LISTED = 500;
+    public static final int MAX_MACHINES_PER_PAGE = 500;
     /** The most machines in a rental. */
-    public static final int MAX_RENTED = 50;
+    public static final int MAX_MACHINES_PER_RENTAL = 50;
     /** The most machines in a return. */
-    public static final int MAX_RETURNED = 100;
+    public static final int MAX_MACHINES_PER_RETURN = 100;
 
     /**
      * A rental request.
      *
      * @param name identifies the request, so that it can be repeated
      */
-    public record Rental(String name, MachinePool pool, int count) {}
+    public record RentalRequest(String idempotencyKey, MachinePool pool, int count) {}
 
     /** A machine in the list, with its address, which is null while it is not known. */
-    public record Listed(ListedMachine machine, String address) {}
+    public record ListEntry(ListedMachine machine, String address) {}
 
     /** A page of the list of machines. */
-    public record Page(List<Listed> machines, boolean more) {}
+    public record Page(List<ListEntry> machines, boolean hasMore) {}
 
     /** The boot time of a type that does not say, in seconds. */
     private static final double DEFAULT_BOOT_S = 60;
@@ -51,7 +51,8 @@
     private CloudCodec() {}
 
     static String listPath(MachineId after) {
-        return MACHINES + "?" + MOST + "=" + MAX_LISTED + (after == null ? "" : "&" + AFTER + "=" + after);
+        return MACHINES_PATH + "?" + PAGE_SIZE_PARAMETER + "=" + MAX_MACHINES_PER_PAGE
+                + (after == null ? "" : "&" + AFTER_PARAMETER + "=" + after);
     }
 
     /** The response with the machine types. */
@@ -91,9 +92,9 @@
                 zones == null ? List.of() : zones);
     }
 
-    static Map<String, Object> writeRental(Rental rental) {
+    static Map<String, Object> writeRental(RentalRequest rental) {
         return MessagePackFormat.map(
-                "hire", rental.name(),
+                "hire", rental.idempotencyKey(),
                 "boxkind", rental.pool().type(),
                 "hall", rental.pool().zone(),
                 "loaners", rental.pool().spot(),
@@ -101,10 +102,10 @@
     }
 
     /** Reads a rental request. */
-    public static Rental readRental(Fields fields) {
-        String name = fields.text("hire");
+    public static RentalRequest readRental(Fields fields) {
+        String idempotencyKey = fields.text("hire");
         MachinePool pool = readPool(fields);
-        return new Rental(name, pool, (int) fields.whole("count"));
+        return new RentalRequest(idempotencyKey, pool, (int) fields.wholeNumber("count"));
     }
 
     private static MachinePool readPool(Fields fields) {
@@ -112,13 +113,13 @@
     }
 
     /** Machine names: those rented, in a response; those to be returned, in a request. */
-    public static Map<String, Object> writeNames(List<MachineId> machines) {
+    public static Map<String, Object> writeMachineIds(List<MachineId> machines) {
         return MessagePackFormat.map(
                 "boxes", machines.stream().map(MachineId::text).toList());
     }
 
     /** Reads machine names. */
-    public static List<MachineId> readNames(Fields fields) {
+    public static List<MachineId> readMachineIds(Fields fields) {
         List<String> names = fields.optionalTexts("boxes");
         return names == null ? List.of() : names.stream().map(MachineId::new).toList();
     }
@@ -126,38 +127,38 @@
     /** A page of the list of machines. */
     public static Map<String, Object> writePage(Page page) {
         List<Map<String, Object>> machines =
-                page.machines().stream().map(CloudCodec::writeListed).toList();
-        return MessagePackFormat.map("boxes", machines, "truncated", page.more());
+                page.machines().stream().map(CloudCodec::writeListEntry).toList();
+        return MessagePackFormat.map("boxes", machines, "truncated", page.hasMore());
     }
 
-    private static Map<String, Object> writeListed(Listed listed) {
-        ListedMachine machine = listed.machine();
+    private static Map<String, Object> writeListEntry(ListEntry entry) {
+        ListedMachine machine = entry.machine();
         return MessagePackFormat.map(
                 "id", machine.id().text(),
-                "endpoint", listed.address(),
+                "endpoint", entry.address(),
                 "boxkind", machine.pool().type(),
                 "hall", machine.pool().zone(),
                 "loaners", machine.pool().spot(),
-                "status", text(machine.status()),
+                "status", statusText(machine.status()),
                 "held_s", machine.timeSinceRequest().seconds());
     }
 
     static Page readPage(Fields fields) {
-        List<Listed> machines =
-                fields.children("boxes").stream().map(CloudCodec::readListed).toList();
+        List<ListEntry> machines =
+                fields.children("boxes").stream().map(CloudCodec::readListEntry).toList();
         return new Page(machines, fields.flag("truncated", false));
     }
 
-    private static Listed readListed(Fields fields) {
+    private static ListEntry readListEntry(Fields fields) {
         ListedMachine machine = new ListedMachine(
                 new MachineId(fields.text("id")),
                 readPool(fields),
-                status(fields.text("status")),
+                parseStatus(fields.text("status")),
                 Span.seconds(fields.number("held_s", 0)));
-        return new Listed(machine, fields.optionalText("endpoint"));
+        return new ListEntry(machine, fields.optionalText("endpoint"));
     }
 
-    private static String text(ListedMachine.Status status) {
+    private static String statusText(ListedMachine.Status status) {
         return switch (status) {
             case STARTING -> "starting";
             case FAILED -> "failed";
@@ -165,7 +166,7 @@
         };
     }
 
-    private static ListedMachine.Status status(String text) {
+    private static ListedMachine.Status parseStatus(String text) {
         return switch (text) {
             case "starting" -> ListedMachine.Status.STARTING;
             case "failed" -> ListedMachine.Status.FAILED;
--- a/src/main/java/io/indigoreach/cluster/FeatureRegistry.java
+++ b/src/main/java/io/indigoreach/cluster/FeatureRegistry.java
@@ -15,15 +15,17 @@
  */
 public final class FeatureRegistry {
     /** All optional features; a new feature is registered only here. */
-    private static final List<Parts.Kind> FEATURES = List.of(
-            new Parts.Kind(Settings.Setting.CALENDAR, CalendarPart.FAMILIES, CalendarPart::new),
-            new Parts.Kind(Settings.Setting.RECORD_OWNERSHIP, Registry.FAMILIES, OwnershipPart::new),
-            new Parts.Kind(Settings.Setting.WARM_POOLS, PoolRecords.FAMILIES, WarmPart::new));
+    private static final List<Parts.Definition> FEATURES = List.of(
+            new Parts.Definition(Settings.Setting.CALENDAR, CalendarPart.FAMILIES, CalendarPart::new),
+            new Parts.Definition(Settings.Setting.RECORD_OWNERSHIP, Registry.FAMILIES, OwnershipPart::new),
+            new Parts.Definition(Settings.Setting.WARM_POOLS, PoolRecords.FAMILIES, WarmPart::new));
 
     private FeatureRegistry() {}
 
     /** The optional features that the settings enable. */
-    public static List<Parts.Kind> enabled(Settings settings) {
-        return FEATURES.stream().filter(kind -> settings.get(kind.knob()) > 0).toList();
+    public static List<Parts.Definition> enabled(Settings settings) {
+        return FEATURES.stream()
+                .filter(kind -> settings.get(kind.setting()) > 0)
+                .toList();
     }
 }
--- a/src/main/java/io/indigoreach/cluster/FeatureTask.java
+++ b/src/main/java/io/indigoreach/cluster/FeatureTask.java
@@ -32,7 +32,7 @@
     private final RoutineRunner routines;
 
     private final PeriodicTask collectionTask;
-    private final List<Part.Term> terms = new ArrayList<>();
+    private final List<Part.LeaderTask> terms = new ArrayList<>();
     private final Map<Part, Moment> nextCollectionAt = new HashMap<>();
 
     FeatureTask(NodeContext context, SchedulerCore core, Revision leadershipRevision, RateLimiter writeLimiter) {
@@ -40,26 +40,26 @@
         this.core = core;
         this.routines = context.parts().all().isEmpty()
                 ? null
-                : context.parts().records().forLeader(RecordKeys.LEADER, leadershipRevision, writeLimiter);
+                : context.parts().recordRoutines().forLeader(RecordKeys.LEADER, leadershipRevision, writeLimiter);
         this.collectionTask = new PeriodicTask(context.vertx(), "parts", PERIOD, this::collectGarbage);
     }
 
     void start() {
         if (routines != null) {
-            context.parts().all().forEach(part -> terms.add(part.reigning(core, routines)));
+            context.parts().all().forEach(part -> terms.add(part.startLeaderTask(core, routines)));
             collectionTask.start();
         }
     }
 
     void cancel() {
         collectionTask.cancel();
-        terms.forEach(Part.Term::close);
+        terms.forEach(Part.LeaderTask::close);
     }
 
     private Future<Span> collectGarbage() {
         Moment now = context.clock().now();
         for (Part part : context.parts().all()) {
-            GarbageCollector collector = part.sweep();
+            GarbageCollector collector = part.garbageCollector();
             if (collector != null && !now.isBefore(nextCollectionAt.getOrDefault(part, Moment.NEVER))) {
                 // Set before the round, so that a failing collection also waits for a period and does not block the
                 // other features.
--- a/src/main/java/io/indigoreach/cluster/FleetManager.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -184,7 +184,9 @@
 
     /** Creates requests for the machines that are needed now, at most once per check period. */
     private void openNewRequests(Moment now) {
-        if (now.since(lastCheckAt).compareTo(context.settings().tuning().checkPeriod()) < 0) {
+        if (now.since(lastCheckAt)
+                        .compareTo(context.settings().schedulerSettings().checkPeriod())
+                < 0) {
             return;
         }
         lastCheckAt = now;
@@ -211,7 +213,7 @@
                 .recover(e -> onRentalFailed(request, e));
     }
 
-    private Span onRental(Request request, CloudClient.Rental rental) {
+    private Span onRental(Request request, CloudClient.RentalResult rental) {
         if (scaleOutTask.isCancelled()) {
             return RETRY_INTERVAL;
         }
@@ -275,7 +277,7 @@
         List<MachineId> machinesToReturn =
                 intentLog.intents().addReturns(core.machinesToReturn(CloudClient.maxMachinesPerReturn()));
         if (machinesToReturn.isEmpty()) {
-            return Future.succeededFuture(context.settings().tuning().checkPeriod());
+            return Future.succeededFuture(context.settings().schedulerSettings().checkPeriod());
         }
         return intentLog.record().compose(recorded -> returnIfRecorded(machinesToReturn, recorded));
     }
@@ -290,13 +292,13 @@
                 core.onMachinesReturned(machines, context.clock().now());
                 LOG.info("scale-in completed machines={}", machines);
             }
-            return context.settings().tuning().checkPeriod();
+            return context.settings().schedulerSettings().checkPeriod();
         });
     }
 
     private Future<Span> listingStep() {
         Moment requestedAt = context.clock().now();
-        return context.cloud().list().map(machines -> {
+        return context.cloud().listMachines().map(machines -> {
             if (!listingTask.isCancelled()) {
                 core.onMachineListing(machines, requestedAt, context.clock().now());
             }
--- a/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
+++ b/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
@@ -136,7 +136,7 @@
         if (!completionsToMove.isEmpty()
                 && !manyCompletions
                 && writesInFlight.size() < MAX_WRITES_IN_FLIGHT
-                && writes.limiter().takeSpare(MOVE_OPERATIONS, now)) {
+                && writes.limiter().tryAcquireSpare(MOVE_OPERATIONS, now)) {
             moveNextCompletedJob();
         }
         return Future.succeededFuture(STEP_PERIOD);
@@ -201,8 +201,8 @@
     /** Reserves write rate. Progress writes, which never end, may only use rate that completions and starts do not need. */
     private boolean takeWriteRate(Job job, StateClient.Txn txn, Moment now) {
         return isUrgent(job)
-                ? writes.limiter().take(txn.size(), now)
-                : writes.limiter().takeSpare(txn.size(), now);
+                ? writes.limiter().tryAcquire(txn.size(), now)
+                : writes.limiter().tryAcquireSpare(txn.size(), now);
     }
 
     /**
--- a/src/main/java/io/indigoreach/cluster/JobWatch.java
+++ b/src/main/java/io/indigoreach/cluster/JobWatch.java
@@ -57,7 +57,7 @@
     }
 
     private Future<Span> watchOnce() {
-        return watch(maxWatchTime(context.config().rules().maxCancellationAge()));
+        return watch(maxWatchTime(context.config().safetyTimes().maxCancellationAge()));
     }
 
     /** Runs one watch, which the state service ends after {@code maxTime} at the latest. */
--- a/src/main/java/io/indigoreach/cluster/MachineStore.java
+++ b/src/main/java/io/indigoreach/cluster/MachineStore.java
@@ -113,7 +113,7 @@
         if (additions.isEmpty()) {
             return compactOnePage(now);
         }
-        return writes.limiter().take(additions.size(), now)
+        return writes.limiter().tryAcquire(additions.size(), now)
                 ? writePages(additions, now)
                 : Future.succeededFuture(STEP_PERIOD);
     }
@@ -228,7 +228,7 @@
         }
         MachinePage page =
                 pages.stream().filter(this::needsCompaction).findFirst().orElse(null);
-        if (page == null || !writes.limiter().takeSpare(1, now)) {
+        if (page == null || !writes.limiter().tryAcquireSpare(1, now)) {
             return Future.succeededFuture(STEP_PERIOD);
         }
         page.removeReturnedMachines(core);
--- a/src/main/java/io/indigoreach/cluster/Node.java
+++ b/src/main/java/io/indigoreach/cluster/Node.java
@@ -53,7 +53,7 @@
     }
 
     /** Creates a node with the given optional features. */
-    public Node(Vertx vertx, PlatformConfig config, Settings settings, List<Parts.Kind> features)
+    public Node(Vertx vertx, PlatformConfig config, Settings settings, List<Parts.Definition> features)
             throws ConfigException {
         this.loopMonitor = new EventLoopMonitor(vertx, clock);
         StateClient state = new StateClient(
@@ -72,13 +72,13 @@
                 .catalogue(catalogue)
                 .config(config)
                 .settings(settings)
-                .lease(settings.leaderLease(config.rules()))
+                .lease(settings.leaderLease(config.safetyTimes()))
                 .parts(parts)
                 .repairer(repairer)
                 .build();
         this.controller = new Controller(context, renewalLoop);
         JobService jobService = jobService(context);
-        LocalRecords localRecords = new LocalRecords(jobService, controller, parts.copies());
+        LocalRecords localRecords = new LocalRecords(jobService, controller, parts.recordCache());
         this.peerClient = new PeerClient(vertx, clock, config.peers(), localRecords);
         this.connectivity = new ConnectivityCheck(context, controller, peerClient);
         this.peerServer = new PeerServer(context, controller, localRecords, connectivity);
@@ -115,10 +115,10 @@
         controller.setRememberedStateSource(peerClient::rememberedState);
         controller.setPeerQueries(peerClient::requestPledges, peerClient::noPeerLeads);
         context.repairer().setRememberedStateQuery(peerClient::rememberedState);
-        jobService.setCascadeTime(context.config().rules().cancellationTime(), controller::currentLeadership);
+        jobService.setCascadeTime(context.config().safetyTimes().cancellationTime(), controller::currentLeadership);
         jobService.setDependencySupportCheck(() -> controller.formatGate().isOpen());
-        jobService.setParticipants(context.parts().joinings());
-        context.parts().all().forEach(part -> part.submitting(jobService::submit));
+        jobService.setParticipants(context.parts().submissionParticipants());
+        context.parts().all().forEach(part -> part.setJobSubmitter(jobService::submit));
         jobService.setPeerQuery(peerClient::isJobKnown);
         context.state().onLoss(controller::onStateDataLoss);
     }
--- a/src/main/java/io/indigoreach/cluster/PeerProtocol.java
+++ b/src/main/java/io/indigoreach/cluster/PeerProtocol.java
@@ -82,7 +82,7 @@
 
     /** Decodes the era in which the state service lost data. */
     static long readLoss(Fields request) {
-        return request.whole(ERA);
+        return request.wholeNumber(ERA);
     }
 
     static Map<String, Object> writeHandover(Revision leadershipRevision) {
@@ -90,6 +90,6 @@
     }
 
     static Revision readHandover(Fields request) {
-        return new Revision(request.whole(LEADERSHIP_REVISION));
+        return new Revision(request.wholeNumber(LEADERSHIP_REVISION));
     }
 }
--- a/src/main/java/io/indigoreach/cluster/PledgeResponse.java
+++ b/src/main/java/io/indigoreach/cluster/PledgeResponse.java
@@ -41,7 +41,7 @@
      * Decodes the look-back time of a request; zero if the sender runs the previous version, which does not include it.
      */
     static Span readRequest(Fields request) {
-        return new Span(Math.max(0, request.whole(LOOK_BACK, 0)));
+        return new Span(Math.max(0, request.wholeNumber(LOOK_BACK, 0)));
     }
 
     /**
@@ -71,7 +71,7 @@
         boolean pledged = response.flag(PLEDGED, false);
         if (ids == null) {
             // A node of the previous version reports only the time since its last cancellation, and no jobs.
-            Span covered = new Span(response.whole(TIME_SINCE_LAST, 0));
+            Span covered = new Span(response.wholeNumber(TIME_SINCE_LAST, 0));
             return new PledgeResponse(pledged, new CancellationSummary(Set.of(), covered));
         }
         if (ids.size() > ConfirmedCancellations.MAX_REMEMBERED || !ids.stream().allMatch(JobId::isValid)) {
@@ -79,6 +79,6 @@
         }
         Set<JobId> jobs = new HashSet<>();
         ids.forEach(id -> jobs.add(new JobId(id)));
-        return new PledgeResponse(pledged, new CancellationSummary(jobs, new Span(response.whole(COVERED, 0))));
+        return new PledgeResponse(pledged, new CancellationSummary(jobs, new Span(response.wholeNumber(COVERED, 0))));
     }
 }
--- a/src/main/java/io/indigoreach/cluster/RebuildWriter.java
+++ b/src/main/java/io/indigoreach/cluster/RebuildWriter.java
@@ -119,7 +119,7 @@
     }
 
     private Future<Void> awaitWriteRate(int writes) {
-        if (writeLimiter.take(writes, context.clock().now())) {
+        if (writeLimiter.tryAcquire(writes, context.clock().now())) {
             return Future.succeededFuture();
         }
         Promise<Void> retry = Promise.promise();
--- a/src/main/java/io/indigoreach/config/PlatformConfig.java
+++ b/src/main/java/io/indigoreach/config/PlatformConfig.java
@@ -41,7 +41,7 @@
         Span maxClockError,
         List<Team> teams,
         List<Objective> objectives,
-        SafetyTimes rules,
+        SafetyTimes safetyTimes,
         StateLimits stateLimits,
         CloudLimits cloudLimits,
         int maxConnections) {
@@ -58,7 +58,7 @@
      * @param within the time that is aimed at
      * @param share the part of the jobs that should meet it, 0 to 1
      */
-    public record Objective(String kind, String jobClass, Span within, double share) {}
+    public record Objective(String kind, String jobClass, Span targetTime, double share) {}
 
     /** The limits of the state service: for each the smaller of the current and the announced one. {@code valueBytes} counts compact JSON. */
     public record StateLimits(double requestsPerS, double writesPerS, int valueBytes, int txnOps) {
@@ -66,10 +66,10 @@
         public static final int MIN_TXN_OPS = 2;
 
         /** The part of a value's limit that is used: the rest is for a service that counts spaces or escapes. */
-        private static final double FILLED = 0.8;
+        private static final double USED_FRACTION_OF_VALUE_LIMIT = 0.8;
 
         /** The smaller of each of the two. */
-        public StateLimits atMost(StateLimits other) {
+        public StateLimits minimum(StateLimits other) {
             return new StateLimits(
                     Math.min(requestsPerS, other.requestsPerS),
                     Math.min(writesPerS, other.writesPerS),
@@ -79,12 +79,12 @@
 
         /** The longest value to be written, in bytes by {@link io.indigoreach.net.JsonSize}. */
         public int maxRecordBytes() {
-            return (int) (valueBytes * FILLED);
+            return (int) (valueBytes * USED_FRACTION_OF_VALUE_LIMIT);
         }
     }
 
     /** The limits of the cloud; {@code listLag}: the age of its list of machines at most. */
-    public record CloudLimits(double requestsPerS, Span listLag) {}
+    public record CloudLimits(double requestsPerS, Span maxListAge) {}
 
     /** Reads and checks the file. */
     public static PlatformConfig read(Path file) throws ConfigException {
@@ -98,8 +98,8 @@
     }
 
     /** Parses a text; {@code name} is the file's name in error messages. */
-    public static PlatformConfig parse(String name, String text) throws ConfigException {
-        return PlatformConfigReader.parse(name, text);
+    public static PlatformConfig parse(String fileName, String text) throws ConfigException {
+        return PlatformConfigReader.parse(fileName, text);
     }
 
     /** The file that {@link #parse} reads this from; announced limits are written as if they applied already. */
--- a/src/main/java/io/indigoreach/net/EventLoopMonitor.java
+++ b/src/main/java/io/indigoreach/net/EventLoopMonitor.java
@@ -12,7 +12,7 @@
 public final class EventLoopMonitor {
     private static final Span CHECK_INTERVAL = Span.seconds(0.25);
     /** A check that comes later than this after the one before was delayed by the process itself. */
-    private static final Span PAUSE = Span.seconds(1);
+    private static final Span PAUSE_THRESHOLD = Span.seconds(1);
 
     private final Vertx vertx;
     private final SteadyClock clock;
@@ -32,7 +32,7 @@
     /** Since when the loop has run without a pause; the first call after a pause detects it. */
     public Moment runningSince() {
         Moment now = clock.now();
-        if (now.since(lastCheck).compareTo(PAUSE) > 0) {
+        if (now.since(lastCheck).compareTo(PAUSE_THRESHOLD) > 0) {
             runningSince = now;
         }
         lastCheck = now;
--- a/src/main/java/io/indigoreach/net/Fields.java
+++ b/src/main/java/io/indigoreach/net/Fields.java
@@ -36,7 +36,7 @@
     }
 
     /** A required whole number; a floating-point number without a fraction counts as one. */
-    public long whole(String name) {
+    public long wholeNumber(String name) {
         Object value = map.get(name);
         if (value == null) {
             throw missing(name);
@@ -51,8 +51,8 @@
     }
 
     /** A whole number, or {@code absent}. */
-    public long whole(String name, long absent) {
-        return has(name) ? whole(name) : absent;
+    public long wholeNumber(String name, long defaultValue) {
+        return has(name) ? wholeNumber(name) : defaultValue;
     }
 
     /** A required finite number. */
@@ -68,15 +68,15 @@
     }
 
     /** A finite number, or {@code absent}. */
-    public double number(String name, double absent) {
-        return has(name) ? number(name) : absent;
+    public double number(String name, double defaultValue) {
+        return has(name) ? number(name) : defaultValue;
     }
 
     /** A boolean, or {@code absent}. */
-    public boolean flag(String name, boolean absent) {
+    public boolean flag(String name, boolean defaultValue) {
         Object value = map.get(name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (!(value instanceof Boolean flag)) {
             throw invalid(name);
--- a/src/main/java/io/indigoreach/net/RequestBody.java
+++ b/src/main/java/io/indigoreach/net/RequestBody.java
@@ -20,17 +20,18 @@
      * @param whole called with the body when it is complete
      * @param tooLong called instead, once it is longer than {@link #MAX_BYTES}; it is not kept
      */
-    public static void gather(HttpServerRequest request, Consumer<Buffer> whole, Runnable tooLong) {
-        String length = request.getHeader("Content-Length");
-        if (length != null && (length.length() > MAX_LENGTH_DIGITS || Long.parseLong(length) > MAX_BYTES)) {
-            tooLong.run();
+    public static void read(HttpServerRequest request, Consumer<Buffer> onComplete, Runnable onTooLong) {
+        String contentLength = request.getHeader("Content-Length");
+        if (contentLength != null
+                && (contentLength.length() > MAX_LENGTH_DIGITS || Long.parseLong(contentLength) > MAX_BYTES)) {
+            onTooLong.run();
             return;
         }
         Buffer body = Buffer.buffer();
         request.handler(chunk -> {
             if (body.length() + chunk.length() > MAX_BYTES) {
                 if (!request.response().ended()) {
-                    tooLong.run();
+                    onTooLong.run();
                 }
                 return;
             }
@@ -38,7 +39,7 @@
         });
         request.endHandler(ended -> {
             if (!request.response().ended()) {
-                whole.accept(body);
+                onComplete.accept(body);
             }
         });
     }
--- a/src/main/java/io/indigoreach/parts/Part.java
+++ b/src/main/java/io/indigoreach/parts/Part.java
@@ -20,32 +20,32 @@
     /** Its word in the settings and in the address: {@code /api/NAME}. */
     String name();
 
-    List<RecordFamily> families();
+    List<RecordFamily> recordFamilies();
 
     /** What it serves to people. */
     Resource resource();
 
     /** Its say in the acceptance of jobs; null if it has none. */
-    default SubmissionParticipant joining() {
+    default SubmissionParticipant submissionParticipant() {
         return null;
     }
 
     /** Where it may submit jobs: the desk at which users' come in. */
-    default void submitting(Function<Buffer, Future<ApiResponse>> desk) {}
+    default void setJobSubmitter(Function<Buffer, Future<ApiResponse>> submitJob) {}
 
     /** The leader's clean-up; null if there is none. */
-    default GarbageCollector sweep() {
+    default GarbageCollector garbageCollector() {
         return null;
     }
 
     /** A leadership of this node begins, its records read. What the part does for it ends when the result is closed. */
-    default Term reigning(SchedulerCore core, RoutineRunner records) {
+    default LeaderTask startLeaderTask(SchedulerCore core, RoutineRunner recordRoutines) {
         return () -> {};
     }
 
     /** A part's work for one leadership. */
     @FunctionalInterface
-    interface Term {
+    interface LeaderTask {
         void close();
     }
 }
--- a/src/main/java/io/indigoreach/parts/Parts.java
+++ b/src/main/java/io/indigoreach/parts/Parts.java
@@ -23,7 +23,7 @@
     public record Environment(
             Vertx vertx,
             SteadyClock clock,
-            RoutineRunner records,
+            RoutineRunner recordRoutines,
             Catalogue catalogue,
             PlatformConfig config,
             Settings settings) {}
@@ -34,54 +34,59 @@
      * @param knob the setting that does, by being 1
      * @param families its records
      */
-    public record Kind(Settings.Setting knob, List<RecordFamily> families, Function<Environment, Part> maker) {}
+    public record Definition(
+            Settings.Setting setting, List<RecordFamily> recordFamilies, Function<Environment, Part> factory) {}
 
     public static final Parts NONE = new Parts(List.of(), new RecordCache(List.of()), null);
 
     private final List<Part> all;
-    private final RecordCache copies;
-    private final RoutineRunner records;
+    private final RecordCache recordCache;
+    private final RoutineRunner recordRoutines;
 
-    private Parts(List<Part> all, RecordCache copies, RoutineRunner records) {
-        this.all = all;
-        this.copies = copies;
-        this.records = records;
+    private Parts(List<Part> parts, RecordCache recordCache, RoutineRunner recordRoutines) {
+        this.all = parts;
+        this.recordCache = recordCache;
+        this.recordRoutines = recordRoutines;
     }
 
     /** Of these kinds. */
     public static Parts of(
-            List<Kind> kinds,
+            List<Definition> definitions,
             Vertx vertx,
             StateClient state,
             SteadyClock clock,
             Catalogue catalogue,
             PlatformConfig config,
             Settings settings) {
-        RecordCache copies = new RecordCache(
-                kinds.stream().flatMap(k -> k.families().stream()).toList());
-        RoutineRunner records = new RoutineRunner(vertx, state, clock, copies);
-        Environment ground = new Environment(vertx, clock, records, catalogue, config, settings);
-        return new Parts(kinds.stream().map(k -> k.maker().apply(ground)).toList(), copies, records);
+        RecordCache recordCache = new RecordCache(
+                definitions.stream().flatMap(k -> k.recordFamilies().stream()).toList());
+        RoutineRunner recordRoutines = new RoutineRunner(vertx, state, clock, recordCache);
+        Environment environment = new Environment(vertx, clock, recordRoutines, catalogue, config, settings);
+        return new Parts(
+                definitions.stream().map(k -> k.factory().apply(environment)).toList(), recordCache, recordRoutines);
     }
 
     public List<Part> all() {
         return all;
     }
 
-    public RoutineRunner records() {
-        return records;
+    public RoutineRunner recordRoutines() {
+        return recordRoutines;
     }
 
     /** What this node remembers of their records. */
-    public RecordCache copies() {
-        return copies;
+    public RecordCache recordCache() {
+        return recordCache;
     }
 
     public Map<String, Resource> resources() {
         return all.stream().collect(Collectors.toMap(Part::name, Part::resource));
     }
 
-    public List<SubmissionParticipant> joinings() {
-        return all.stream().map(Part::joining).filter(Objects::nonNull).toList();
+    public List<SubmissionParticipant> submissionParticipants() {
+        return all.stream()
+                .map(Part::submissionParticipant)
+                .filter(Objects::nonNull)
+                .toList();
     }
 }
--- a/src/main/java/io/indigoreach/state/CounterRecord.java
+++ b/src/main/java/io/indigoreach/state/CounterRecord.java
@@ -37,13 +37,13 @@
         boolean startBounds = value.flag(BOUNDS_FIELD, false);
         if (!value.has(FORMAT_FIELD)) {
             return new CounterRecord(
-                    new FencingToken(value.whole(ORIGINAL_HIGHEST_FIELD)), startBounds, ORIGINAL_FORMAT);
+                    new FencingToken(value.wholeNumber(ORIGINAL_HIGHEST_FIELD)), startBounds, ORIGINAL_FORMAT);
         }
-        long format = value.whole(FORMAT_FIELD);
+        long format = value.wholeNumber(FORMAT_FIELD);
         if (format <= ORIGINAL_FORMAT || format > NEWEST_FORMAT) {
             throw new WireException("the data format " + format + " is not known to this version of the program");
         }
-        return new CounterRecord(new FencingToken(value.whole(HIGHEST_FIELD)), startBounds, (int) format);
+        return new CounterRecord(new FencingToken(value.wholeNumber(HIGHEST_FIELD)), startBounds, (int) format);
     }
 
     /** Reads the counter from an entry; {@link #NONE} if the entry is null. */
--- a/src/main/java/io/indigoreach/state/DependencyCodec.java
+++ b/src/main/java/io/indigoreach/state/DependencyCodec.java
@@ -50,7 +50,7 @@
         for (String number : additionalFields.text(NEEDS_FIELD).split(SEPARATOR, -1)) {
             requiredJobs.add(new JobId(JOB_ID_PREFIX + number));
         }
-        return new JobDependencies(requiredJobs, additionalFields.whole(RELEASED_FIELD, 0));
+        return new JobDependencies(requiredJobs, additionalFields.wholeNumber(RELEASED_FIELD, 0));
     }
 
     /** Removes the dependencies from the additional fields. */
--- a/src/main/java/io/indigoreach/state/EffectiveLimits.java
+++ b/src/main/java/io/indigoreach/state/EffectiveLimits.java
@@ -23,7 +23,7 @@
 
     /** The stricter of the configured and the observed limits. */
     public StateLimits applyTo(StateLimits configured) {
-        return configured.atMost(observed);
+        return configured.minimum(observed);
     }
 
     /** The maximum size of a record if the settings allow {@code valueBytes}. */
@@ -56,7 +56,7 @@
                 largestKey,
                 largestBytes,
                 rejections);
-        observed = observed.atMost(new StateLimits(
+        observed = observed.minimum(new StateLimits(
                 observed.requestsPerS(),
                 observed.writesPerS(),
                 largestBytes > MIN_VALUE_BYTES ? Math.max(MIN_VALUE_BYTES, largestBytes / 2) : observed.valueBytes(),
--- a/src/main/java/io/indigoreach/state/EraRecordCodec.java
+++ b/src/main/java/io/indigoreach/state/EraRecordCodec.java
@@ -27,8 +27,8 @@
         List<String> findings = era.optionalTexts("findings");
         List<String> lines = new ArrayList<>();
         if (findings != null) {
-            lines.add("found and rebuilt by " + Instant.ofEpochMilli(era.whole("at")) + ": " + era.whole("written")
-                    + " records written anew");
+            lines.add("found and rebuilt by " + Instant.ofEpochMilli(era.wholeNumber("at")) + ": "
+                    + era.wholeNumber("written") + " records written anew");
             lines.addAll(findings);
         }
         return lines;
@@ -36,7 +36,7 @@
 
     /** The number of the era. */
     public static long readEra(Fields era) {
-        return era.whole("token");
+        return era.wholeNumber("token");
     }
 
     private EraRecordCodec() {}
--- a/src/main/java/io/indigoreach/state/FormatGate.java
+++ b/src/main/java/io/indigoreach/state/FormatGate.java
@@ -146,7 +146,7 @@
     }
 
     private static boolean supportsNewest(Fields record) {
-        return record.whole(FORMAT_FIELD, CounterRecord.ORIGINAL_FORMAT) >= CounterRecord.NEWEST_FORMAT;
+        return record.wholeNumber(FORMAT_FIELD, CounterRecord.ORIGINAL_FORMAT) >= CounterRecord.NEWEST_FORMAT;
     }
 
     private Future<Void> raiseIfAllNodesSupport() {
--- a/src/main/java/io/indigoreach/state/StateCodec.java
+++ b/src/main/java/io/indigoreach/state/StateCodec.java
@@ -98,7 +98,10 @@
     /** Decodes a key with its value from a response or an item of a page. */
     public static StateClient.Entry readEntry(Fields body) {
         return new StateClient.Entry(
-                body.text("path"), readValue(body, "data"), new Revision(body.whole("stamp")), body.whole("permit", 0));
+                body.text("path"),
+                readValue(body, "data"),
+                new Revision(body.wholeNumber("stamp")),
+                body.wholeNumber("permit", 0));
     }
 
     /** The body of a response with only a revision: for an absent key or an executed transaction. */
@@ -108,7 +111,7 @@
 
     /** Decodes the store's revision from a response. */
     public static long readRevision(Fields body) {
-        return body.whole("ledger_rev");
+        return body.wholeNumber("ledger_rev");
     }
 
     /** The body of a response to a listing. */
@@ -151,13 +154,13 @@
     public static StateClient.Txn readTxn(Fields body) {
         StateClient.Txn txn = new StateClient.Txn();
         for (Fields condition : body.children("when")) {
-            txn.when(condition.text("path"), new Revision(condition.whole("stamp")));
+            txn.when(condition.text("path"), new Revision(condition.wholeNumber("stamp")));
         }
         for (Fields write : body.children("writes")) {
             if (write.has("delete")) {
                 txn.delete(write.text("delete"));
             } else {
-                txn.put(write.text("write"), readValue(write, "data").map(), write.whole("permit", 0));
+                txn.put(write.text("write"), readValue(write, "data").map(), write.wholeNumber("permit", 0));
             }
         }
         return txn;
@@ -170,7 +173,8 @@
 
     static StateClient.Outcome readConflict(Fields body) {
         List<String> failed = body.optionalTexts("failed");
-        return new StateClient.Outcome(false, body.whole("ledger_rev", 0), failed == null ? List.of() : failed, false);
+        return new StateClient.Outcome(
+                false, body.wholeNumber("ledger_rev", 0), failed == null ? List.of() : failed, false);
     }
 
     /** The body of a request for a lease. */
@@ -180,7 +184,7 @@
 
     /** Decodes the time after which the requested lease expires unless it is renewed. */
     public static Span readLeaseTime(Fields body) {
-        return new Span(body.whole("life_ms"));
+        return new Span(body.wholeNumber("life_ms"));
     }
 
     /** The body of the response with a granted lease. */
@@ -189,7 +193,7 @@
     }
 
     static long readLease(Fields body) {
-        return body.whole("permit");
+        return body.wholeNumber("permit");
     }
 
     /** The body of a response to a watch. */
@@ -217,7 +221,7 @@
     static StateClient.Changes readChanges(Fields body) {
         List<StateClient.Change> changes = new ArrayList<>();
         for (Fields event : body.children("events")) {
-            Revision revision = new Revision(event.whole("stamp"));
+            Revision revision = new Revision(event.wholeNumber("stamp"));
             changes.add(
                     event.has("write")
                             ? new StateClient.Change(event.text("write"), readValue(event, "data"), revision)
--- a/src/main/java/io/indigoreach/worker/WorkerCodec.java
+++ b/src/main/java/io/indigoreach/worker/WorkerCodec.java
@@ -84,8 +84,8 @@
                     new MachineId(fields.text("box")),
                     fields.text("endpoint"),
                     new MachinePool(fields.text("boxkind"), fields.text("hall"), fields.flag("loaners", false)),
-                    new HeartbeatNumber(fields.whole("shift"), fields.whole("serial")),
-                    new FencingToken(fields.whole("baton", 0)),
+                    new HeartbeatNumber(fields.wholeNumber("shift"), fields.wholeNumber("serial")),
+                    new FencingToken(fields.wholeNumber("baton", 0)),
                     fields.has("warning_s") ? Span.seconds(Math.max(0, fields.number("warning_s"))) : null,
                     tasks);
         } catch (IllegalArgumentException e) {
@@ -97,7 +97,7 @@
         TaskState state = parseState(fields.text("status"));
         return new TaskStatus(
                 TaskId.parse(fields.text("piece")),
-                new Attempt(fields.whole("try")),
+                new Attempt(fields.wholeNumber("try")),
                 state,
                 state == TaskState.EXITED ? parseCause(fields.optionalText("cause")) : null,
                 fields.flag("kept", false));
@@ -148,7 +148,7 @@
      * discards the response.
      */
     public static HeartbeatResponse readResponse(Fields fields) {
-        return new HeartbeatResponse(new FencingToken(fields.whole("baton", -1)), readCommands(fields));
+        return new HeartbeatResponse(new FencingToken(fields.wholeNumber("baton", -1)), readCommands(fields));
     }
 
     /** Writes direct commands. */
@@ -161,8 +161,8 @@
     /** Reads direct commands. */
     public static DirectCommands readDirectCommands(Fields fields) {
         return new DirectCommands(
-                fields.has("baton") ? new FencingToken(fields.whole("baton")) : null,
-                fields.has("shift") ? (Long) fields.whole("shift") : null,
+                fields.has("baton") ? new FencingToken(fields.wholeNumber("baton")) : null,
+                fields.has("shift") ? (Long) fields.wholeNumber("shift") : null,
                 readCommands(fields));
     }
 
@@ -197,7 +197,7 @@
 
     private static WorkerCommand readCommand(Fields fields) {
         TaskId task = TaskId.parse(fields.text("piece"));
-        Attempt attempt = new Attempt(fields.whole("try"));
+        Attempt attempt = new Attempt(fields.wholeNumber("try"));
         return switch (fields.text("verb")) {
             case "start" -> new WorkerCommand.Start(task, attempt);
             case "stop" -> new WorkerCommand.Stop(task, attempt, Span.seconds(fields.number("wind_down_s", 0)));
--- a/src/test/java/io/indigoreach/cluster/GoldenPledgeMessagesTest.java
+++ b/src/test/java/io/indigoreach/cluster/GoldenPledgeMessagesTest.java
@@ -28,27 +28,29 @@
     @Test
     void pledgeMessagesMatchGoldenFile() {
         GoldenFile golden = new GoldenFile("pledges.txt");
-        golden.both("question", Span.seconds(7.5), PledgeResponse::writeRequest, PledgeResponse::readRequest)
-                .read(
+        golden.expectRoundTrip("question", Span.seconds(7.5), PledgeResponse::writeRequest, PledgeResponse::readRequest)
+                .expectDecoded(
                         "question of the version before",
                         Map.of(),
                         f -> PledgeResponse.writeRequest(PledgeResponse.readRequest(f)))
-                .read(
+                .expectDecoded(
                         "question from the future",
                         MessagePackFormat.map("back_ms", -5L),
                         f -> PledgeResponse.writeRequest(PledgeResponse.readRequest(f)))
-                .both("nothing", PledgeResponse.NONE, GoldenPledgeMessagesTest::write, PledgeResponse::read)
-                .both("pledge", pledge(true, Set.of()), GoldenPledgeMessagesTest::write, PledgeResponse::read)
-                .both(
+                .expectRoundTrip("nothing", PledgeResponse.NONE, GoldenPledgeMessagesTest::write, PledgeResponse::read)
+                .expectRoundTrip(
+                        "pledge", pledge(true, Set.of()), GoldenPledgeMessagesTest::write, PledgeResponse::read)
+                .expectRoundTrip(
                         "told of one",
                         pledge(false, Set.of(new JobId("run-000398"))),
                         GoldenPledgeMessagesTest::write,
                         PledgeResponse::read)
-                .read(
+                .expectDecoded(
                         "pledge of the version before",
                         MessagePackFormat.map("pledged", true, "quiet_ms", 3000L),
                         GoldenPledgeMessagesTest::reencode)
-                .refused("told of no job", MessagePackFormat.map("cancelled", List.of("one")), PledgeResponse::read);
-        golden.check();
+                .expectRejected(
+                        "told of no job", MessagePackFormat.map("cancelled", List.of("one")), PledgeResponse::read);
+        golden.verify();
     }
 }
--- a/src/test/java/io/indigoreach/cluster/HeartbeatWarmUpTest.java
+++ b/src/test/java/io/indigoreach/cluster/HeartbeatWarmUpTest.java
@@ -22,7 +22,7 @@
                             .vertx(vertx)
                             .clock(new SteadyClock())
                             .config(LeaderTestSupport.config())
-                            .settings(Settings.standard())
+                            .settings(Settings.defaults())
                             .lease(Span.seconds(10))
                             .build(),
                     () -> leads);
--- a/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
@@ -218,7 +218,8 @@
             test.suppressNextResponse(OPEN);
             Job job = test.addOpenJob(JOB.text(), 4, 0, 0);
             test.startWriting(jobStore, job);
-            test.awaitCondition(() -> test.service.value(OPEN).whole("bound", 0) > 0 && !job.needsHigherStartBound());
+            test.awaitCondition(
+                    () -> test.service.value(OPEN).wholeNumber("bound", 0) > 0 && !job.needsHigherStartBound());
             test.assertLateExecutionChangesNothing();
         });
         CASES.put("start bound, then a change of leader", test -> {
--- a/src/test/java/io/indigoreach/cluster/LeadershipTermFixture.java
+++ b/src/test/java/io/indigoreach/cluster/LeadershipTermFixture.java
@@ -52,9 +52,9 @@
     }
 
     /** Creates a context with the given optional features. */
-    NodeContext context(List<Parts.Kind> kinds) throws Exception {
+    NodeContext context(List<Parts.Definition> kinds) throws Exception {
         PlatformConfig config = LeaderTestSupport.config();
-        Parts parts = Parts.of(kinds, vertx, client, clock, null, config, Settings.standard());
+        Parts parts = Parts.of(kinds, vertx, client, clock, null, config, Settings.defaults());
         return LeaderTestSupport.context(vertx, clock, client)
                 .config(config)
                 .lease(LEASE)
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -206,7 +206,7 @@
                 .clock(clock)
                 .state(client)
                 .config(LeaderTestSupport.config("value_kb = 2.0\ntxn_ops = 4"))
-                .settings(Settings.standard())
+                .settings(Settings.defaults())
                 .lease(Span.seconds(10))
                 .build();
         machineStore = new MachineStore(LeaderTestSupport.writes(lowerLimitsContext, 3, NO_LEADER, 12), core);
@@ -260,7 +260,7 @@
         }
         onLoop(jobStore::load);
         newCore.onRecordsLoaded();
-        Span leaseBound = context.config().rules().leaseBound();
+        Span leaseBound = context.config().safetyTimes().leaseBound();
         newCore.expireLeases(before.plus(leaseBound));
         assertFalse(newCore.isFailoverComplete(), "a lease from before this term may still be valid");
         newCore.expireLeases(termStart.plus(leaseBound).plus(new Span(1)));
--- a/src/test/java/io/indigoreach/cluster/PledgeResponseTest.java
+++ b/src/test/java/io/indigoreach/cluster/PledgeResponseTest.java
@@ -44,7 +44,7 @@
                         .write(Span.seconds(2)));
         assertEquals(
                 List.of(true, 2000L),
-                List.of(toPreviousVersion.flag("pledged", false), toPreviousVersion.whole("quiet_ms")));
+                List.of(toPreviousVersion.flag("pledged", false), toPreviousVersion.wholeNumber("quiet_ms")));
         assertEquals(
                 new PledgeResponse(true, new CancellationSummary(Set.of(), Span.seconds(2))),
                 PledgeResponse.read(wire(Map.of("pledged", true, "quiet_ms", 2000L))));
--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -98,7 +98,7 @@
     /** Absent records and records older than the copy are written; newer records and keys of unknown families are not. */
     @Test
     void featureRecordsAreWrittenByTheirVersions() throws Exception {
-        NodeContext context = fixture.context(List.of(new Parts.Kind(
+        NodeContext context = fixture.context(List.of(new Parts.Definition(
                 Settings.Setting.CHECK_S,
                 List.of(new RecordFamily("x/", 10, true, RecordFamily.MergeRule.KEEP_NEWER)),
                 ground -> null)));
@@ -113,7 +113,7 @@
         assertEquals(
                 List.of(4L, 9L, 4L),
                 state.keys("x/").stream()
-                        .map(key -> state.value(key).whole("n"))
+                        .map(key -> state.value(key).wholeNumber("n"))
                         .toList());
         assertEquals(List.of(), state.keys("y/"));
     }
--- a/src/test/java/io/indigoreach/state/FakeStateService.java
+++ b/src/test/java/io/indigoreach/state/FakeStateService.java
@@ -225,7 +225,7 @@
                             : MessagePackFormat.map(
                                     "path", path.substring(7), "data", entry.data, "stamp", entry.revision));
         } else if (path.equals("/grants")) {
-            leaseTimesNs.put(++lastLease, MessagePackFormat.readMap(body).whole("life_ms") * 1_000_000);
+            leaseTimesNs.put(++lastLease, MessagePackFormat.readMap(body).wholeNumber("life_ms") * 1_000_000);
             leases.put(lastLease, System.nanoTime() + leaseTimesNs.get(lastLease));
             reply(request, 200, MessagePackFormat.map("permit", lastLease));
         } else if (path.startsWith("/grants/")) {
@@ -277,12 +277,12 @@
         List<String> failed = new ArrayList<>();
         for (Fields when : txn.children("when")) {
             StoredEntry entry = entries.get(when.text("path"));
-            if ((entry == null ? 0 : entry.revision) != when.whole("stamp")) {
+            if ((entry == null ? 0 : entry.revision) != when.wholeNumber("stamp")) {
                 failed.add(when.text("path"));
             }
         }
         for (Fields write : txn.children("writes")) {
-            if (write.has("permit") && !leases.containsKey(write.whole("permit"))) {
+            if (write.has("permit") && !leases.containsKey(write.wholeNumber("permit"))) {
                 return new ServiceResponse(400, new Fields(MessagePackFormat.map("error", "no such lease")));
             }
         }
@@ -298,7 +298,7 @@
                 delete(write.text("delete"));
             } else {
                 Map<String, Object> data = write.child("data").map();
-                entries.put(write.text("write"), new StoredEntry(data, revision, write.whole("permit", 0)));
+                entries.put(write.text("write"), new StoredEntry(data, revision, write.wholeNumber("permit", 0)));
                 changes.add(MessagePackFormat.map("write", write.text("write"), "data", data, "stamp", revision));
             }
         }
--- a/src/test/java/io/indigoreach/state/GoldenStoredRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenStoredRecordsTest.java
@@ -25,7 +25,7 @@
 
 /** Golden tests of the records of jobs, machines and leaderships, their keys, and the remembered state that peers exchange. */
 class GoldenStoredRecordsTest {
-    private static final JobId ID = GoldenSamples.ID;
+    private static final JobId ID = GoldenSamples.JOB_ID;
     private static final Revision REVISION = new Revision(9);
     private static final FencingToken TOKEN = new FencingToken(7_000_001);
     private static final MachinePool POOL = new MachinePool("quad", "a", true);
@@ -60,32 +60,41 @@
     private void checkJob(String name, JobSpec spec, JobStatus status, BitSet done) {
         BitSet bitsInRecord = spec.taskCount() > CompletionBlockCodec.MAX_TASKS_IN_RECORD ? new BitSet() : done;
         JobRecord record = new JobRecord(
-                spec, GoldenSamples.AT, status, bitsInRecord, done.cardinality(), 3, spec.taskCount(), REVISION);
-        golden.both(name, record, GoldenStoredRecordsTest::write, f -> JobRecordCodec.readJob(ID, f, REVISION));
+                spec,
+                GoldenSamples.TIME_OF_DAY_MS,
+                status,
+                bitsInRecord,
+                done.cardinality(),
+                3,
+                spec.taskCount(),
+                REVISION);
+        golden.expectRoundTrip(
+                name, record, GoldenStoredRecordsTest::write, f -> JobRecordCodec.readJob(ID, f, REVISION));
     }
 
     private void checkJobs() {
         GoldenSamples.jobs().forEach((name, spec) -> checkJob("job " + name, spec, JobStatus.PENDING, new BitSet()));
         for (JobStatus status : JobStatus.values()) {
-            checkJob("job of status " + status.ordinal(), GoldenSamples.bare(100), status, everyThird(100));
+            checkJob("job of status " + status.ordinal(), GoldenSamples.minimalJob(100), status, everyThird(100));
         }
         JobDependencies released = GoldenSamples.jobs().get("chained").dependencies();
         checkJob(
                 "job released from its chain",
-                GoldenSamples.bare(4).with(new JobDependencies(released.requiredJobs(), GoldenSamples.AT)),
+                GoldenSamples.minimalJob(4)
+                        .with(new JobDependencies(released.requiredJobs(), GoldenSamples.TIME_OF_DAY_MS)),
                 JobStatus.RUNNING,
                 new BitSet());
-        checkJob("job of 8192", GoldenSamples.bare(8192), JobStatus.RUNNING, everyThird(8192));
-        checkJob("job of 40000", GoldenSamples.bare(40_000), JobStatus.RUNNING, firstTasks(20_000));
-        Map<String, Object> withoutStartBound =
-                write(new JobRecord(GoldenSamples.bare(2), 1, JobStatus.PENDING, new BitSet(), 0, 0, 0, REVISION));
+        checkJob("job of 8192", GoldenSamples.minimalJob(8192), JobStatus.RUNNING, everyThird(8192));
+        checkJob("job of 40000", GoldenSamples.minimalJob(40_000), JobStatus.RUNNING, firstTasks(20_000));
+        Map<String, Object> withoutStartBound = write(
+                new JobRecord(GoldenSamples.minimalJob(2), 1, JobStatus.PENDING, new BitSet(), 0, 0, 0, REVISION));
         withoutStartBound.remove("bound");
-        golden.read(
+        golden.expectDecoded(
                 "job without a start bound", withoutStartBound, f -> write(JobRecordCodec.readJob(ID, f, REVISION)));
-        golden.refused(
+        golden.expectRejected(
                 "job without tasks", MessagePackFormat.map("class", "c"), f -> JobRecordCodec.readJob(ID, f, REVISION));
         for (JobStatus status : List.of(JobStatus.DONE, JobStatus.CANCELLED)) {
-            golden.both(
+            golden.expectRoundTrip(
                     "end of status " + status.ordinal(),
                     new FinalRecord(ID, status, 17),
                     r -> JobRecordCodec.writeFinal(r.status(), r.done()),
@@ -97,11 +106,12 @@
         BitSet done = everyThird(40_000);
         for (int n = 0; n < 2; n++) {
             int block = n;
-            golden.again("block " + n + " of 40000", done, all -> LegacyCompletionBlocks.writeBlock(all, block), f -> {
-                BitSet into = new BitSet();
-                LegacyCompletionBlocks.readBlock(RecordKeys.completionBlockKey(ID, block), f, into);
-                return into;
-            });
+            golden.expectReencoded(
+                    "block " + n + " of 40000", done, all -> LegacyCompletionBlocks.writeBlock(all, block), f -> {
+                        BitSet into = new BitSet();
+                        LegacyCompletionBlocks.readBlock(RecordKeys.completionBlockKey(ID, block), f, into);
+                        return into;
+                    });
         }
         for (int bytes : new int[] {8192, 2048, 512}) {
             CompletionBits bits = new CompletionBits(new PlatformConfig.StateLimits(100, 100, bytes, 16));
@@ -109,7 +119,7 @@
             missing.set(9_000);
             missing.set(39_999);
             bits.blocksCovering(ID, missing, done, 16)
-                    .forEach((key, covered) -> golden.again(
+                    .forEach((key, covered) -> golden.expectReencoded(
                             "blocks of values of " + bytes + " bytes, " + key,
                             covered,
                             some -> CompletionBits.writeBlock(key, some),
@@ -118,84 +128,110 @@
                                 CompletionBits.readBlock(key, f, into);
                                 return into;
                             }));
-            golden.written(
+            golden.expectEncoded(
                     "job in values of " + bytes + " bytes",
                     bits.writeJob(
-                            GoldenSamples.bare(2000), GoldenSamples.AT, JobStatus.RUNNING, everyThird(2000), 1, 2));
+                            GoldenSamples.minimalJob(2000),
+                            GoldenSamples.TIME_OF_DAY_MS,
+                            JobStatus.RUNNING,
+                            everyThird(2000),
+                            1,
+                            2));
         }
     }
 
     private void checkMachines() {
         List<MachineRecord> machines = List.of(
-                new MachineRecord(new MachineId("vm-000231"), POOL, GoldenSamples.AT, GoldenSamples.AT + 20_000),
-                new MachineRecord(new MachineId("vm-000232"), new MachinePool("g8", "b", false), GoldenSamples.AT, 0));
-        golden.both("page of machines", machines, MachineRecordCodec::writeMachines, MachineRecordCodec::readMachines)
-                .both(
+                new MachineRecord(
+                        new MachineId("vm-000231"),
+                        POOL,
+                        GoldenSamples.TIME_OF_DAY_MS,
+                        GoldenSamples.TIME_OF_DAY_MS + 20_000),
+                new MachineRecord(
+                        new MachineId("vm-000232"),
+                        new MachinePool("g8", "b", false),
+                        GoldenSamples.TIME_OF_DAY_MS,
+                        0));
+        golden.expectRoundTrip(
+                        "page of machines",
+                        machines,
+                        MachineRecordCodec::writeMachines,
+                        MachineRecordCodec::readMachines)
+                .expectRoundTrip(
                         "empty page of machines",
                         List.of(),
                         MachineRecordCodec::writeMachines,
                         MachineRecordCodec::readMachines)
-                .both(
+                .expectRoundTrip(
                         "intents",
                         new Intents.Content(
-                                List.of(new Intents.Rental("7000001-1", POOL, 50, GoldenSamples.AT)),
+                                List.of(new Intents.Rental("7000001-1", POOL, 50, GoldenSamples.TIME_OF_DAY_MS)),
                                 List.of(new MachineId("vm-000233"))),
                         IntentRecordCodec::writeIntents,
                         IntentRecordCodec::readIntents)
-                .both(
+                .expectRoundTrip(
                         "no intents",
                         new Intents.Content(List.of(), List.of()),
                         IntentRecordCodec::writeIntents,
                         IntentRecordCodec::readIntents)
-                .both(
+                .expectRoundTrip(
                         "catalogue",
-                        GoldenSamples.TYPES,
+                        GoldenSamples.MACHINE_TYPES,
                         CatalogueRecordCodec::writeCatalogue,
                         CatalogueRecordCodec::readCatalogue)
-                .text(
+                .expectText(
                         "bytes that limits are kept by",
                         MachineRecordCodec.encodedBytes(machines.get(0)) + " "
                                 + IntentRecordCodec.encodedBytes(
-                                        new Intents.Rental("7000001-1", POOL, 50, GoldenSamples.AT))
+                                        new Intents.Rental("7000001-1", POOL, 50, GoldenSamples.TIME_OF_DAY_MS))
                                 + " "
                                 + IntentRecordCodec.encodedBytes(new MachineId("vm-000233")) + " "
-                                + CompletionBits.recordBytes(GoldenSamples.full(6, Urgency.HIGH), GoldenSamples.AT));
+                                + CompletionBits.recordBytes(
+                                        GoldenSamples.fullJob(6, Urgency.HIGH), GoldenSamples.TIME_OF_DAY_MS));
     }
 
     private void checkLeadershipRecords() {
         for (int format : new int[] {CounterRecord.ORIGINAL_FORMAT, CounterRecord.DEPENDENCIES_FORMAT}) {
             for (boolean bounds : new boolean[] {false, true}) {
-                golden.both(
+                golden.expectRoundTrip(
                         "counter of format " + format + (bounds ? " with bounds" : ""),
                         new CounterRecord(TOKEN, bounds, format),
                         CounterRecord::write,
                         CounterRecord::read);
             }
         }
-        golden.refused(
+        golden.expectRejected(
                 "counter of a later format",
                 MessagePackFormat.map("highest", 7L, "format", CounterRecord.NEWEST_FORMAT + 1L),
                 CounterRecord::read);
-        golden.written("format that a node knows", FormatGate.writeSupport())
-                .both(
+        golden.expectEncoded("format that a node knows", FormatGate.writeSupport())
+                .expectRoundTrip(
                         "leader",
                         new LeaderKey("worker-1", "5f-1700000000000", TOKEN, REVISION),
                         k -> LeaderKey.write(k.node(), k.process(), k.token()),
                         f -> LeaderKey.read(f, REVISION))
-                .both("era", TOKEN.value(), t -> EraRecordCodec.writeEra(new FencingToken(t)), EraRecordCodec::readEra)
-                .written(
+                .expectRoundTrip(
+                        "era",
+                        TOKEN.value(),
+                        t -> EraRecordCodec.writeEra(new FencingToken(t)),
+                        EraRecordCodec::readEra)
+                .expectEncoded(
                         "era after a loss",
-                        EraRecordCodec.writeEra(TOKEN, GoldenSamples.AT, List.of("era: 0 where 1 was known"), 12))
-                .text(
+                        EraRecordCodec.writeEra(
+                                TOKEN, GoldenSamples.TIME_OF_DAY_MS, List.of("era: 0 where 1 was known"), 12))
+                .expectText(
                         "words for a loss",
                         String.join(
                                 "\n",
                                 EraRecordCodec.describeLoss(encodeAndDecode(EraRecordCodec.writeEra(
-                                        TOKEN, GoldenSamples.AT, List.of("era: 0 where 1 was known"), 12)))));
+                                        TOKEN,
+                                        GoldenSamples.TIME_OF_DAY_MS,
+                                        List.of("era: 0 where 1 was known"),
+                                        12)))));
     }
 
     private void checkKeys() {
-        golden.text(
+        golden.expectText(
                 "keys",
                 String.join(
                         " ",
@@ -216,7 +252,10 @@
     private static RememberedState rememberedState() {
         RememberedState all = new RememberedState();
         all.add(new RememberedState.OpenJob(
-                GoldenSamples.jobs().get("chained, with records and a plan"), GoldenSamples.AT, new BitSet(), 1));
+                GoldenSamples.jobs().get("chained, with records and a plan"),
+                GoldenSamples.TIME_OF_DAY_MS,
+                new BitSet(),
+                1));
         all.add(new JobId("run-000398"), new RememberedState.FinishedJob(JobStatus.CANCELLED, 2));
         all.add(new JobId("run-000399"), new RememberedState.FinishedJob(JobStatus.DONE, 8));
         all.add(new RememberedState.RentedMachine(new MachineId("vm-1"), POOL, new Moment(1), new Moment(2)));
@@ -238,19 +277,19 @@
     }
 
     private void checkRememberedState() {
-        golden.again(
+        golden.expectReencoded(
                         "memory",
                         rememberedState(),
                         r -> RememberedStateCodec.write(r, 0),
                         GoldenStoredRecordsTest::readRememberedState)
-                .again(
+                .expectReencoded(
                         "empty memory",
                         new RememberedState(),
                         r -> RememberedStateCodec.write(r, 0),
                         GoldenStoredRecordsTest::readRememberedState)
-                .written("first part of a long memory", RememberedStateCodec.write(largeRememberedState(), 0))
-                .written("second part of a long memory", RememberedStateCodec.write(largeRememberedState(), 1))
-                .text(
+                .expectEncoded("first part of a long memory", RememberedStateCodec.write(largeRememberedState(), 0))
+                .expectEncoded("second part of a long memory", RememberedStateCodec.write(largeRememberedState(), 1))
+                .expectText(
                         "whether there are more parts",
                         RememberedStateCodec.read(
                                         encodeAndDecode(RememberedStateCodec.write(largeRememberedState(), 0)),
@@ -275,6 +314,6 @@
         checkLeadershipRecords();
         checkKeys();
         checkRememberedState();
-        golden.check();
+        golden.verify();
     }
 }
--- a/src/test/java/io/indigoreach/state/MixedVersionCluster.java
+++ b/src/test/java/io/indigoreach/state/MixedVersionCluster.java
@@ -44,7 +44,7 @@
                             ? Future.succeededFuture()
                             : client.get(RecordKeys.COUNTER).compose(counter -> {
                                 long counterToken =
-                                        counter == null ? 0 : counter.value().whole("value");
+                                        counter == null ? 0 : counter.value().wholeNumber("value");
                                 return client.grantLease(LEASE_TIME)
                                         .map(lease -> campaignTxn(counterToken + 1000, counter, lease));
                             }));
--- a/src/test/java/io/indigoreach/state/RoutineRunnerTest.java
+++ b/src/test/java/io/indigoreach/state/RoutineRunnerTest.java
@@ -83,7 +83,7 @@
         assertEquals(1, await(runner.run(increment("a/1"))));
         assertEquals(2, await(runner.run(increment("a/1"))));
         assertEquals(2, runner.cache().get("a/1").version());
-        assertEquals(2, service.value("a/1").whole("n"));
+        assertEquals(2, service.value("a/1").wholeNumber("n"));
     }
 
     @Test
@@ -121,7 +121,7 @@
         assertEquals(1, await(leaderRunner.run(increment("a/1"))));
         await(client.commit(new StateClient.Txn().delete(RecordKeys.LEADER)));
         assertThrows(ExecutionException.class, () -> await(leaderRunner.run(increment("a/1"))));
-        assertEquals(1, service.value("a/1").whole("n"));
+        assertEquals(1, service.value("a/1").wholeNumber("n"));
     }
 
     @Test
--- a/src/test/java/io/indigoreach/worker/GoldenWorkersTest.java
+++ b/src/test/java/io/indigoreach/worker/GoldenWorkersTest.java
@@ -88,53 +88,55 @@
     @Test
     void messagesMatchTheGoldenFile() {
         GoldenFile golden = new GoldenFile("workers.txt");
-        golden.text("path of reports", WorkerCodec.HEARTBEAT_PATH)
-                .text("path of direct orders", WorkerCodec.DIRECT_COMMANDS_PATH)
-                .text("path of inspections", WorkerCodec.INSPECT_PATH);
-        golden.both("report without tasks", heartbeat(null, List.of()), WorkerCodec::write, WorkerCodec::read)
-                .both("report of every task", heartbeat(null, tasks()), WorkerCodec::write, WorkerCodec::read)
-                .both(
+        golden.expectText("path of reports", WorkerCodec.HEARTBEAT_PATH)
+                .expectText("path of direct orders", WorkerCodec.DIRECT_COMMANDS_PATH)
+                .expectText("path of inspections", WorkerCodec.INSPECT_PATH);
+        golden.expectRoundTrip(
+                        "report without tasks", heartbeat(null, List.of()), WorkerCodec::write, WorkerCodec::read)
+                .expectRoundTrip(
+                        "report of every task", heartbeat(null, tasks()), WorkerCodec::write, WorkerCodec::read)
+                .expectRoundTrip(
                         "report with notice",
                         heartbeat(Span.seconds(7.5), tasks()),
                         WorkerCodec::write,
                         WorkerCodec::read)
-                .read(
+                .expectDecoded(
                         "report of a first contact",
                         heartbeatFields(MessagePackFormat.map("piece", "run-1/0", "try", 1L, "status", "dancing")),
                         GoldenWorkersTest::rewriteHeartbeat)
-                .read(
+                .expectDecoded(
                         "report of another cause",
                         heartbeatFields(MessagePackFormat.map(
                                 "piece", "run-1/0", "try", 1L, "status", "exited", "cause", "meteor")),
                         GoldenWorkersTest::rewriteHeartbeat)
-                .read(
+                .expectDecoded(
                         "report without a cause",
                         heartbeatFields(MessagePackFormat.map("piece", "run-1/0", "try", 1L, "status", "exited")),
                         GoldenWorkersTest::rewriteHeartbeat)
-                .refused(
+                .expectRejected(
                         "report of no task",
                         heartbeatFields(MessagePackFormat.map("piece", "run-1", "try", 1L, "status", "running")),
                         WorkerCodec::read)
-                .refused(
+                .expectRejected(
                         "report of a task without a try",
                         heartbeatFields(MessagePackFormat.map("piece", "run-1/0", "status", "running")),
                         WorkerCodec::read)
-                .refused("empty report", Map.of(), WorkerCodec::read);
-        golden.both(
+                .expectRejected("empty report", Map.of(), WorkerCodec::read);
+        golden.expectRoundTrip(
                         "answer without orders",
                         new WorkerCodec.HeartbeatResponse(new FencingToken(41), List.of()),
                         GoldenWorkersTest::write,
                         WorkerCodec::readResponse)
-                .both(
+                .expectRoundTrip(
                         "answer of every order",
                         new WorkerCodec.HeartbeatResponse(new FencingToken(7_000_001), commands()),
                         GoldenWorkersTest::write,
                         WorkerCodec::readResponse)
-                .read(
+                .expectDecoded(
                         "answer without a token",
                         MessagePackFormat.map("orders", List.of()),
                         f -> write(WorkerCodec.readResponse(f)))
-                .read(
+                .expectDecoded(
                         "stop without a time",
                         MessagePackFormat.map(
                                 "baton",
@@ -142,7 +144,7 @@
                                 "orders",
                                 List.of(MessagePackFormat.map("verb", "stop", "piece", "run-1/0", "try", 1L))),
                         f -> write(WorkerCodec.readResponse(f)))
-                .refused(
+                .expectRejected(
                         "answer of another order",
                         MessagePackFormat.map(
                                 "baton",
@@ -150,19 +152,20 @@
                                 "orders",
                                 List.of(MessagePackFormat.map("verb", "dance", "piece", "run-1/0", "try", 1L))),
                         WorkerCodec::readResponse)
-                .written("sent elsewhere", WorkerCodec.writeLeader("10.0.0.1:8080"))
-                .written("sent to anyone", WorkerCodec.writeLeader(null))
-                .again("sent elsewhere, read", "10.0.0.1:8080", WorkerCodec::writeLeader, WorkerCodec::readLeader);
-        golden.both(
+                .expectEncoded("sent elsewhere", WorkerCodec.writeLeader("10.0.0.1:8080"))
+                .expectEncoded("sent to anyone", WorkerCodec.writeLeader(null))
+                .expectReencoded(
+                        "sent elsewhere, read", "10.0.0.1:8080", WorkerCodec::writeLeader, WorkerCodec::readLeader);
+        golden.expectRoundTrip(
                         "direct orders",
                         new WorkerCodec.DirectCommands(new FencingToken(41), 5L, commands()),
                         WorkerCodec::writeDirectCommands,
                         WorkerCodec::readDirectCommands)
-                .both(
+                .expectRoundTrip(
                         "direct orders without a session",
                         new WorkerCodec.DirectCommands(new FencingToken(41), null, List.of()),
                         WorkerCodec::writeDirectCommands,
                         WorkerCodec::readDirectCommands);
-        golden.check();
+        golden.verify();
     }
 }
