--- a/src/main/java/io/indigoreach/cli/Commands.java
+++ b/src/main/java/io/indigoreach/cli/Commands.java
@@ -9,14 +9,14 @@
 import java.nio.file.Path;
 import org.slf4j.LoggerFactory;
 
-/** The commands of a node. Each returns the exit code of the process. */
+/** The commands of the node's command line. Each returns the exit code of the process. */
 final class Commands {
-    /** In place of an exit code: the process goes on serving. */
+    /** Returned in place of an exit code if the process keeps serving. */
     static final int SERVING = -1;
 
     private Commands() {}
 
-    /** Validates both files, then serves. */
+    /** Validates both files, then starts the node. */
     static int serve(String config, String settings) throws ConfigException {
         if (config == null) {
             throw new ConfigException("--config FILE is needed; see --help");
@@ -30,7 +30,7 @@
         return SERVING;
     }
 
-    /** Validates the files that are given. */
+    /** Validates the given files. */
     static int check(String config, String settings) throws ConfigException {
         if (config == null && settings == null) {
             throw new ConfigException("check: nothing to check; give --config FILE, --settings FILE or --list");
@@ -43,7 +43,7 @@
         return 0;
     }
 
-    /** Prints the operators' settings. */
+    /** Prints the operators' settings with units, defaults and ranges. */
     static int list() {
         for (Settings.Setting setting : Settings.Setting.values()) {
             System.out.println(setting.help());
--- a/src/main/java/io/indigoreach/cli/Logging.java
+++ b/src/main/java/io/indigoreach/cli/Logging.java
@@ -1,10 +1,10 @@
 package io.indigoreach.cli;
 
-/** Configures the log on standard error; must run before the first logger is created. */
+/** Configures logging to standard error. Must be called before the first logger is created. */
 final class Logging {
     private Logging() {}
 
-    /** Takes {@code error}, {@code info} or {@code debug}; anything else counts as {@code info}. */
+    /** Sets the log level to {@code error}, {@code info} or {@code debug}; any other value means {@code info}. */
     static void configure(String level) {
         String known = "error".equals(level) || "debug".equals(level) ? level : "info";
         set("defaultLogLevel", "error");
--- a/src/main/java/io/indigoreach/cli/Main.java
+++ b/src/main/java/io/indigoreach/cli/Main.java
@@ -19,7 +19,7 @@
 
     private Main() {}
 
-    /** Runs a command; exits with 0, with 1 after a wrong file, or with 2 after wrong arguments, unless the node serves. */
+    /** Runs a command. Unless the node serves, exits with 0, with 1 for an invalid file, or with 2 for invalid arguments. */
     public static void main(String[] args) {
         Logging.configure(System.getenv("LOG_LEVEL"));
         int code;
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Returns the exit code, or {@link Commands#SERVING} when the process is to go on. */
+    /** Returns the exit code, or {@link Commands#SERVING} if the process keeps serving. */
     static int run(String[] args) throws ParseException, ConfigException {
         Options options = options();
         CommandLine line = new DefaultParser(false).parse(options, args);
--- a/src/main/java/io/indigoreach/cli/Rehearsal.java
+++ b/src/main/java/io/indigoreach/cli/Rehearsal.java
@@ -23,8 +23,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs a node for a moment against a stand-in for the state service and the cloud on loopback, so that the build can put the
- * classes that serving loads into the class-data archive.
+ * Runs a node for a few seconds against a mock of the state service and the cloud on the loopback interface. The build uses this run
+ * to record the classes that serving loads in the class-data sharing archive.
  */
 final class Rehearsal {
     private static final String PLATFORM = """
@@ -62,7 +62,7 @@
 
     private Rehearsal() {}
 
-    /** Returns the exit code: 0, or 1 if the run takes longer than 20 s. */
+    /** Runs the node and returns the exit code: 0, or 1 if the run takes longer than 20 s. */
     static int run() {
         Vertx vertx = EventLoops.vertx();
         Rehearsal rehearsal = new Rehearsal();
@@ -91,8 +91,8 @@
                                 .compose(done -> user.post("/api/jobs", job(), wait))
                                 .compose(done -> user.get("/api/jobs/run-1", wait))
                                 .compose(done -> vertx.timer(400, TimeUnit.MILLISECONDS))
-                                // The first response contains the token: a heartbeat under an older one is ignored,
-                                // and nothing is started.
+                                // The first response contains the fencing token. The node ignores heartbeats with an
+                                // older token, and starts no tasks for them.
                                 .compose(done -> user.post("/checkin", heartbeat(1, 0), wait))
                                 .compose(response -> user.post(
                                         "/checkin", heartbeat(2, response.body().whole("baton")), wait))
@@ -149,7 +149,7 @@
 
     private void respondToWatch(HttpServerRequest request) {
         if (!request.getParam("starts").equals("j/")) {
-            // Nothing changes there: the watch stays open.
+            // These keys never change, so the watch request stays open.
             request.response().closeHandler(closed -> {});
             return;
         }
--- a/src/main/java/io/indigoreach/cloud/Catalogue.java
+++ b/src/main/java/io/indigoreach/cloud/Catalogue.java
@@ -12,8 +12,8 @@
 import java.util.List;
 
 /**
- * The machine types. They are read from the copy in the state service, so that a node can start during an outage of the cloud, and
- * from the cloud if there is no copy; the node that finds none writes it. Used on the event loop only.
+ * Caches the machine types of the cloud. They are read from a copy in the state service, so that a node can start during a cloud
+ * outage. If the copy does not exist, the node reads the types from the cloud and stores the copy. Used on the event loop only.
  */
 public final class Catalogue {
     private static final Span RETRY = Span.seconds(1);
@@ -24,14 +24,14 @@
     private List<MachineType> types = List.of();
     private boolean hasCopy;
 
-    /** Reads nothing until {@link #start()}. */
+    /** Creates an empty catalogue; {@link #start()} starts reading. */
     public Catalogue(Vertx vertx, StateClient state, CloudClient cloud) {
         this.state = state;
         this.cloud = cloud;
         this.reader = new PeriodicTask(vertx, "catalogue", RETRY, this::step);
     }
 
-    /** Starts reading, and repeats until the types are known. */
+    /** Starts reading, and retries until the types are known. */
     public Catalogue start() {
         reader.start();
         return this;
@@ -42,17 +42,17 @@
         reader.cancel();
     }
 
-    /** Whether the types are known. */
+    /** Returns whether the types are known. */
     public boolean isKnown() {
         return !types.isEmpty();
     }
 
-    /** The types, with the prices of the time when they were read; empty if they are not known. */
+    /** Returns the types, with their prices as of the read; empty if the types are not known yet. */
     public List<MachineType> types() {
         return types;
     }
 
-    /** The types as the cloud lists them now, with the present spot prices. */
+    /** Reads the types from the cloud, with the current spot prices. */
     public Future<List<MachineType>> readCurrentTypes() {
         return cloud.catalogue();
     }
@@ -75,7 +75,7 @@
         });
     }
 
-    /** The description of a type does not change, so the first node to read it may write the copy. */
+    /** Stores the copy unless it exists. Descriptions of types do not change, so the first node to read them can write it. */
     private Future<Void> writeCopy() {
         if (hasCopy || types.isEmpty()) {
             return Future.succeededFuture();
--- a/src/main/java/io/indigoreach/cloud/CloudClient.java
+++ b/src/main/java/io/indigoreach/cloud/CloudClient.java
@@ -14,10 +14,10 @@
 import java.util.List;
 
 /**
- * The client of the cloud. A failed future means that there is no usable response: the request may have been executed, or may still be.
+ * Client of the cloud's API. If a future fails, the outcome is unknown: the cloud may have executed the request, or may still execute it.
  */
 public final class CloudClient {
-    /** The result of a rental: the machines, or none because the pool has no capacity. */
+    /** The result of a rental request: the rented machines, or none if the pool has no capacity. */
     public record Rental(List<MachineId> machines, boolean noCapacity) {}
 
     private static final int SERVICE_UNAVAILABLE = 503;
@@ -25,22 +25,22 @@
 
     private final ServiceClient caller;
 
-    /** {@code caller}: a client of the cloud's address. */
+    /** Creates a client that sends its requests through {@code caller}. */
     public CloudClient(ServiceClient caller) {
         this.caller = caller;
     }
 
-    /** The most machines that one request may return. */
+    /** Returns the maximum number of machines in one return request. */
     public static int maxMachinesPerReturn() {
         return CloudCodec.MAX_RETURNED;
     }
 
-    /** The machine types, with the present spot prices. */
+    /** Reads the machine types, with the current spot prices. */
     public Future<List<MachineType>> catalogue() {
         return caller.get(CloudCodec.TYPES, TIMEOUT).map(response -> CloudCodec.readTypes(ok(response)));
     }
 
-    /** Rents up to {@code count} machines. The request is idempotent: a name that was answered gets the same result again. */
+    /** Rents up to {@code count} machines. The request is idempotent: a repeat with the same {@code name} gets the same result. */
     public Future<Rental> rent(String name, MachinePool pool, int count) {
         return caller.post(
                         CloudCodec.MACHINES, CloudCodec.writeRental(new CloudCodec.Rental(name, pool, count)), TIMEOUT)
@@ -49,7 +49,7 @@
                         : new Rental(CloudCodec.readNames(ok(response)), false));
     }
 
-    /** Returns machines. On success they and everything on them no longer exist. */
+    /** Returns machines to the cloud. After success, the machines and the tasks on them no longer exist. */
     public Future<Void> returnMachines(List<MachineId> machines) {
         return caller.post(CloudCodec.RETURN, CloudCodec.writeNames(machines), TIMEOUT)
                 .map(response -> {
@@ -58,7 +58,7 @@
                 });
     }
 
-    /** The machines that this deployment rents, read page by page. */
+    /** Lists the machines that this deployment rents, reading all pages. */
     public Future<List<ListedMachine>> list() {
         return page(null, new ArrayList<>());
     }
@@ -82,6 +82,6 @@
         if (response.isOk()) {
             return response.body();
         }
-        throw new WireException("the cloud answers " + response.status());
+        throw new WireException("cloud request failed: HTTP status " + response.status());
     }
 }
--- a/src/main/java/io/indigoreach/cloud/CloudCodec.java
+++ b/src/main/java/io/indigoreach/cloud/CloudCodec.java
@@ -11,41 +11,41 @@
 import java.util.List;
 import java.util.Map;
 
-/** The messages of the cloud's interface: its paths, and each request and response, written and read. */
+/** Encodes and decodes the requests and responses of the cloud's API, and defines its paths. */
 public final class CloudCodec {
-    /** Path of the machine types. */
+    /** Path for reading the machine types. */
     public static final String TYPES = "/catalog";
-    /** Path of the list of machines, and of rentals. */
+    /** Path for listing machines (GET) and renting machines (POST). */
     public static final String MACHINES = "/machines";
-    /** Path of returns. */
+    /** Path for returning machines. */
     public static final String RETURN = "/machines/return";
-    /** Query parameter of the list: the last machine of the page before. */
+    /** Query parameter of the machine list: the last machine of the previous page. */
     public static final String AFTER = "since";
-    /** Query parameter of the list: the most machines in a page. */
+    /** Query parameter of the machine list: the maximum page size. */
     public static final String MOST = "most";
-    /** The error of a rental for which the pool has no capacity. */
+    /** The error text of a rental response if the pool has no capacity. */
     public static final String NO_CAPACITY = "no capacity";
-    /** The most machines in a page of the list. */
+    /** Maximum number of machines in a page of the list. */
     public static final int MAX_LISTED = 500;
-    /** The most machines in a rental. */
+    /** Maximum number of machines in a rental request. */
     public static final int MAX_RENTED = 50;
-    /** The most machines in a return. */
+    /** Maximum number of machines in a return request. */
     public static final int MAX_RETURNED = 100;
 
     /**
      * A rental request.
      *
-     * @param name identifies the request, so that it can be repeated
+     * @param name the idempotency key: the cloud answers a repeat with the same result
      */
     public record Rental(String name, MachinePool pool, int count) {}
 
-    /** A machine in the list, with its address, which is null while it is not known. */
+    /** An entry of the machine list; the address is null until the machine has one. */
     public record Listed(ListedMachine machine, String address) {}
 
-    /** A page of the list of machines. */
+    /** A page of the machine list. */
     public record Page(List<Listed> machines, boolean more) {}
 
-    /** The boot time of a type that does not say, in seconds. */
+    /** Boot time of a machine type whose description has none, in seconds. */
     private static final double DEFAULT_BOOT_S = 60;
 
     private CloudCodec() {}
@@ -54,7 +54,7 @@
         return MACHINES + "?" + MOST + "=" + MAX_LISTED + (after == null ? "" : "&" + AFTER + "=" + after);
     }
 
-    /** The response with the machine types. */
+    /** Encodes the response that lists the machine types. */
     public static Map<String, Object> writeTypes(List<MachineType> types) {
         return MessagePackFormat.map(
                 "boxkinds", types.stream().map(CloudCodec::writeType).toList());
@@ -100,7 +100,7 @@
                 "count", rental.count());
     }
 
-    /** Reads a rental request. */
+    /** Decodes a rental request. */
     public static Rental readRental(Fields fields) {
         String name = fields.text("hire");
         MachinePool pool = readPool(fields);
@@ -111,19 +111,19 @@
         return new MachinePool(fields.text("boxkind"), fields.text("hall"), fields.flag("loaners", false));
     }
 
-    /** Machine names: those rented, in a response; those to be returned, in a request. */
+    /** Encodes machine ids: the rented machines in a rental response, or the machines in a return request. */
     public static Map<String, Object> writeNames(List<MachineId> machines) {
         return MessagePackFormat.map(
                 "boxes", machines.stream().map(MachineId::text).toList());
     }
 
-    /** Reads machine names. */
+    /** Decodes machine ids. */
     public static List<MachineId> readNames(Fields fields) {
         List<String> names = fields.optionalTexts("boxes");
         return names == null ? List.of() : names.stream().map(MachineId::new).toList();
     }
 
-    /** A page of the list of machines. */
+    /** Encodes a page of the machine list. */
     public static Map<String, Object> writePage(Page page) {
         List<Map<String, Object>> machines =
                 page.machines().stream().map(CloudCodec::writeListed).toList();
--- a/src/main/java/io/indigoreach/cloud/package-info.java
+++ b/src/main/java/io/indigoreach/cloud/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The client of the cloud, its codec ({@link io.indigoreach.cloud.CloudCodec}), and the catalogue of machine types.
+ * Client and codec of the cloud's API ({@link io.indigoreach.cloud.CloudCodec}), and the catalogue of machine types.
  */
 package io.indigoreach.cloud;
--- a/src/main/java/io/indigoreach/config/ConfigException.java
+++ b/src/main/java/io/indigoreach/config/ConfigException.java
@@ -1,8 +1,8 @@
 package io.indigoreach.config;
 
-/** A settings file that cannot be used; the message is one line that names the file and the field. No stack trace is recorded. */
+/** Thrown if a configuration file is invalid. The message is one line that names the file and the field. Has no stack trace. */
 public final class ConfigException extends Exception {
-    /** {@code message}: one line. */
+    /** Creates an exception with a one-line message. */
     public ConfigException(String message) {
         super(message, null, false, false);
     }
--- a/src/main/java/io/indigoreach/config/PlatformConfig.java
+++ b/src/main/java/io/indigoreach/config/PlatformConfig.java
@@ -10,24 +10,24 @@
 import java.util.List;
 
 /**
- * The platform's file: the identity of this node, the addresses that it uses, and the limits that apply to it. Unknown fields are
- * ignored.
+ * The platform configuration: the identity of this node, the addresses that it uses, and the limits that apply to it. Unknown
+ * fields of the file are ignored.
  *
  * @param node the name of this node
  * @param zone the availability zone of this node
- * @param listen the address for users and workers
- * @param peerListen the address for the other nodes
+ * @param listen the listen address for users and workers
+ * @param peerListen the listen address for the other nodes
  * @param peers the other nodes
  * @param cloud the address of the cloud
  * @param state the address of the state service
  * @param zones the availability zones in which machines can be rented
- * @param maxClockError the most by which the time of day may be wrong
+ * @param maxClockError the maximum error of the time of day
  * @param teams the teams with their quotas; at least one
  * @param objectives the service-level objectives
- * @param rules the times that safety rests on
+ * @param rules the lease, heartbeat and cancellation times that the safety rules depend on
  * @param stateLimits the limits of the state service
  * @param cloudLimits the limits of the cloud
- * @param maxConnections the most connections that a node may have open
+ * @param maxConnections the maximum number of open connections of a node
  */
 public record PlatformConfig(
         String node,
@@ -54,21 +54,21 @@
     /**
      * A service-level objective of a job class.
      *
-     * @param kind what is measured
-     * @param within the time that is aimed at
-     * @param share the part of the jobs that should meet it, 0 to 1
+     * @param kind the measured quantity
+     * @param within the target time
+     * @param share the fraction of the jobs that should meet the target, 0 to 1
      */
     public record Objective(String kind, String jobClass, Span within, double share) {}
 
-    /** The limits of the state service: for each the smaller of the current and the announced one. {@code valueBytes} counts compact JSON. */
+    /** The limits of the state service, each the smaller of the current and the announced limit. {@code valueBytes} counts compact JSON. */
     public record StateLimits(double requestsPerS, double writesPerS, int valueBytes, int txnOps) {
-        /** The fewest writes in a transaction that a node can work with: the leadership key and the counter, and a job's two keys, change together. */
+        /** Minimum number of writes per transaction: a node changes the leadership key and the counter, or a job's two keys, together. */
         public static final int MIN_TXN_OPS = 2;
 
-        /** The part of a value's limit that is used: the rest is for a service that counts spaces or escapes. */
+        /** The fraction of the value limit that records use. The rest is a reserve in case the service counts spaces or escapes. */
         private static final double FILLED = 0.8;
 
-        /** The smaller of each of the two. */
+        /** Returns the smaller of the two values for each limit. */
         public StateLimits atMost(StateLimits other) {
             return new StateLimits(
                     Math.min(requestsPerS, other.requestsPerS),
@@ -77,16 +77,16 @@
                     Math.min(txnOps, other.txnOps));
         }
 
-        /** The longest value to be written, in bytes by {@link io.indigoreach.net.JsonSize}. */
+        /** Returns the maximum size of a record, in bytes as counted by {@link io.indigoreach.net.JsonSize}. */
         public int maxRecordBytes() {
             return (int) (valueBytes * FILLED);
         }
     }
 
-    /** The limits of the cloud; {@code listLag}: the age of its list of machines at most. */
+    /** The limits of the cloud; {@code listLag} is the maximum age of its list of machines. */
     public record CloudLimits(double requestsPerS, Span listLag) {}
 
-    /** Reads and checks the file. */
+    /** Reads and validates the file. */
     public static PlatformConfig read(Path file) throws ConfigException {
         String text;
         try {
@@ -97,12 +97,12 @@
         return parse(file.toString(), text);
     }
 
-    /** Parses a text; {@code name} is the file's name in error messages. */
+    /** Parses a configuration; {@code name} is the file name for error messages. */
     public static PlatformConfig parse(String name, String text) throws ConfigException {
         return PlatformConfigReader.parse(name, text);
     }
 
-    /** The file that {@link #parse} reads this from; announced limits are written as if they applied already. */
+    /** Returns the text of a file that {@link #parse} reads as this configuration. Announced limits are written as current limits. */
     public String toText() {
         return PlatformConfigWriter.write(this);
     }
--- a/src/main/java/io/indigoreach/config/PlatformConfigReader.java
+++ b/src/main/java/io/indigoreach/config/PlatformConfigReader.java
@@ -13,14 +13,14 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads the platform's file. Of several errors the first one in the order of the reads here is reported. */
+/** Reads the platform configuration from TOML. If a file has several errors, the first one in the order of reading is reported. */
 final class PlatformConfigReader {
     private static final double DEFAULT_CLOCK_SKEW_MS = 100;
     private static final double DEFAULT_MAX_CONNECTIONS = 1000;
 
     private PlatformConfigReader() {}
 
-    /** Parses a text; {@code name} is the file's name in error messages. */
+    /** Parses a configuration; {@code name} is the file name for error messages. */
     static PlatformConfig parse(String name, String text) throws ConfigException {
         TomlSection root = root(name, text);
         TomlSection settings = root.section("settings");
@@ -103,7 +103,7 @@
                 Span.seconds(cloud.amount("list_lag_s", 0)));
     }
 
-    /** Announced limits apply from the first start on, as it is not known when the service will lower them. */
+    /** Applies announced limits immediately, because the time at which the service lowers its limits is unknown. */
     private static StateLimits stateLimits(TomlSection state) throws ConfigException {
         state.warnOfUnknownFields(Set.of("rps", "write_rps", "value_kb", "txn_ops", "next"));
         StateLimits current = new StateLimits(
--- a/src/main/java/io/indigoreach/config/PlatformConfigWriter.java
+++ b/src/main/java/io/indigoreach/config/PlatformConfigWriter.java
@@ -11,11 +11,11 @@
 import io.indigoreach.core.scheduling.SafetyTimes;
 import java.util.LinkedHashMap;
 
-/** Writes the platform's file, for tools that start nodes. */
+/** Writes a platform configuration as TOML. Used by tools that start nodes. */
 final class PlatformConfigWriter {
     private PlatformConfigWriter() {}
 
-    /** The text of the file. */
+    /** Returns the text of the file. */
     static String write(PlatformConfig config) {
         Config root = table(
                 "node", config.node(),
--- a/src/main/java/io/indigoreach/config/Settings.java
+++ b/src/main/java/io/indigoreach/config/Settings.java
@@ -7,9 +7,9 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The operators' own settings: each with its unit, default, range and meaning. */
+/** The operators' settings, each with a unit, a default, a range and a description. */
 public final class Settings {
-    /** One setting; its name in the file is the constant's in lower case. */
+    /** A setting. Its name in the file is the constant's name in lower case. */
     public enum Setting {
         WAIT_LIMIT_S(10, 0, 3600, "s", "predicted wait of a queue's top job above which machines are rented"),
         SHORT_JOB_S(15, 0, 86400, "s", "estimated run time below which a job counts as short when renting"),
@@ -50,12 +50,12 @@
             this.meaning = meaning;
         }
 
-        /** The name in the file. */
+        /** Returns the setting's name in the file. */
         public String field() {
             return name().toLowerCase(Locale.ROOT);
         }
 
-        /** A line for help texts. */
+        /** Returns a line of help text. */
         public String help() {
             return String.format(
                     Locale.ROOT,
@@ -75,7 +75,7 @@
 
     private final Map<Setting, Double> values = new EnumMap<>(Setting.class);
 
-    /** Every setting at its default. */
+    /** Returns settings that all have their default values. */
     public static Settings standard() {
         Settings settings = new Settings();
         for (Setting setting : Setting.values()) {
@@ -93,17 +93,17 @@
         values.put(setting, value);
     }
 
-    /** The value in the unit of the setting. */
+    /** Returns a value in the unit of its setting. */
     public double get(Setting setting) {
         return values.get(setting);
     }
 
-    /** The value of a setting in seconds. */
+    /** Returns the value of a setting whose unit is seconds. */
     public Span span(Setting setting) {
         return Span.seconds(get(setting));
     }
 
-    /** The settings of the scheduler core. */
+    /** Returns the settings of the scheduler core. */
     public SchedulerSettings tuning() {
         return new SchedulerSettings(
                 span(Setting.WAIT_LIMIT_S),
@@ -121,10 +121,10 @@
     }
 
     /**
-     * The length of the leader's lease: as set, but never longer than a leader may be without knowledge of cancellations. With the default
-     * a worker whose leader falls silent finds the next leader as soon as it gives the old one up ({@link
-     * SafetyTimes#responseTimeout} and a second). An outage of the state service is bridged by the other nodes' pledges.
-     * Throws {@link ConfigException} if these times leave no room for a lease.
+     * Returns the length of the leader's lease: the configured length, limited to the maximum time for which a leader may not receive
+     * cancellations. With the default, a new leader is elected by the time a worker gives up a failed leader ({@link
+     * SafetyTimes#responseTimeout} plus one second). During an outage of the state service, the other nodes' pledges extend the
+     * leadership. Throws {@link ConfigException} if the safety times leave less than one second for a lease.
      */
     public Span leaderLease(SafetyTimes rules) throws ConfigException {
         Span most = rules.maxCancellationAge();
--- a/src/main/java/io/indigoreach/config/SettingsFile.java
+++ b/src/main/java/io/indigoreach/config/SettingsFile.java
@@ -11,13 +11,13 @@
 import java.nio.file.Path;
 
 /**
- * Reads the operators' settings in protobuf text format. The message's descriptor is made from {@link Settings.Setting},
- * so that each setting is declared in one place. Loaded only when there is such a file.
+ * Reads the operators' settings in protobuf text format. The message descriptor is generated from {@link Settings.Setting},
+ * so that each setting is declared in one place. This class is loaded only if a settings file is used.
  */
 public final class SettingsFile {
     private SettingsFile() {}
 
-    /** Reads the file; throws {@link ConfigException} with one line if it is wrong. */
+    /** Reads the file; throws {@link ConfigException} with a one-line message if it is invalid. */
     public static Settings read(Path file) throws ConfigException {
         String text;
         try {
@@ -28,7 +28,7 @@
         return parse(file.toString(), text);
     }
 
-    /** Parses a text; {@code name} is the file's name in error messages. */
+    /** Parses settings; {@code name} is the file name for error messages. */
     public static Settings parse(String name, String text) throws ConfigException {
         Settings settings = Settings.standard();
         try {
--- a/src/main/java/io/indigoreach/config/TomlSection.java
+++ b/src/main/java/io/indigoreach/config/TomlSection.java
@@ -11,20 +11,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A table of a TOML file, read with checks. A {@link ConfigException} names the file and the field at fault.
+ * A table of a TOML file with type-checked access. A {@link ConfigException} names the file and the invalid field.
  *
- * @param file the file's name, for messages
+ * @param file the file name for error messages
  * @param path the path of the table in the file; empty for the root
  */
 record TomlSection(String file, String path, UnmodifiableConfig config) {
     private static final Logger LOG = LoggerFactory.getLogger(TomlSection.class);
 
-    /** The failure of a field. */
+    /** Creates the exception for an invalid field. */
     ConfigException fault(String field, String what) {
         return new ConfigException(file + ": " + (path.isEmpty() ? "" : path + ".") + field + ": " + what);
     }
 
-    /** A required table. */
+    /** Returns a required table. */
     TomlSection section(String field) throws ConfigException {
         Object value = config.get(List.of(field));
         if (!(value instanceof UnmodifiableConfig table)) {
@@ -33,12 +33,12 @@
         return new TomlSection(file, path.isEmpty() ? field : path + "." + field, table);
     }
 
-    /** A table; without fields if absent. */
+    /** Returns an optional table; an empty one if it is absent. */
     TomlSection optionalSection(String field) throws ConfigException {
         return config.get(List.of(field)) == null ? new TomlSection(file, field, Config.inMemory()) : section(field);
     }
 
-    /** A list of tables; empty if absent. */
+    /** Returns a list of tables; an empty one if it is absent. */
     List<TomlSection> sections(String field) throws ConfigException {
         Object value = config.get(List.of(field));
         List<TomlSection> tables = new ArrayList<>();
@@ -58,7 +58,7 @@
         return tables;
     }
 
-    /** A required text that is not empty. */
+    /** Returns a required, nonempty string. */
     String text(String field) throws ConfigException {
         Object value = config.get(List.of(field));
         if (!(value instanceof String text) || text.isEmpty()) {
@@ -67,7 +67,7 @@
         return text;
     }
 
-    /** A required list of texts. */
+    /** Returns a required list of strings. */
     List<String> texts(String field) throws ConfigException {
         Object value = config.get(List.of(field));
         if (!(value instanceof List<?> list) || !list.stream().allMatch(String.class::isInstance)) {
@@ -76,7 +76,7 @@
         return list.stream().map(String.class::cast).toList();
     }
 
-    /** A required address with a port. */
+    /** Returns a required address with a port. */
     Endpoint endpoint(String field) throws ConfigException {
         try {
             return Endpoint.parse(text(field));
@@ -85,7 +85,7 @@
         }
     }
 
-    /** A number of at least 0, or {@code absent}. */
+    /** Returns a nonnegative number, or {@code absent} if there is none. */
     double amount(String field, double absent) throws ConfigException {
         Object value = config.get(List.of(field));
         if (value == null) {
@@ -97,7 +97,7 @@
         return number.doubleValue();
     }
 
-    /** A required number above 0. */
+    /** Returns a required positive number. */
     double positive(String field) throws ConfigException {
         double value = amount(field, -1);
         if (value <= 0) {
@@ -106,19 +106,19 @@
         return value;
     }
 
-    /** A number above 0, or {@code absent}. */
+    /** Returns a positive number, or {@code absent} if there is none. */
     double positiveOr(String field, double absent) throws ConfigException {
         return config.get(List.of(field)) == null ? absent : positive(field);
     }
 
-    /** Warns of unknown fields. They are no error, as a newer platform may have more fields than this version knows. */
+    /** Logs a warning for each unknown field. Unknown fields are valid, because newer platform versions may add fields. */
     void warnOfUnknownFields(Set<String> known) {
         config.valueMap().keySet().stream()
                 .filter(field -> !known.contains(field))
                 .forEach(field -> LOG.warn("unknown setting ignored file={} field={}.{}", file, path, field));
     }
 
-    /** A required time above 0, in seconds. */
+    /** Returns a required positive duration, which the file has in seconds. */
     Span span(String field) throws ConfigException {
         return Span.seconds(positive(field));
     }
--- a/src/main/java/io/indigoreach/net/Endpoint.java
+++ b/src/main/java/io/indigoreach/net/Endpoint.java
@@ -4,10 +4,10 @@
  * An address to listen on or to connect to.
  *
  * @param host an IP address
- * @param port 0 to 65535; 0: chosen by the system
+ * @param port 0 to 65535; for 0 the operating system chooses a free port
  */
 public record Endpoint(String host, int port) {
-    /** Parses {@code HOST:PORT}; throws {@link IllegalArgumentException} if it is none. */
+    /** Parses {@code HOST:PORT}; throws {@link IllegalArgumentException} if the text has another form. */
     public static Endpoint parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0) {
--- a/src/main/java/io/indigoreach/net/EventLoopMonitor.java
+++ b/src/main/java/io/indigoreach/net/EventLoopMonitor.java
@@ -5,13 +5,14 @@
 import io.vertx.core.Vertx;
 
 /**
- * Measures since when the event loop has run without a pause. A process that was stopped for seconds, or has too little CPU time
- * for its load, handles timers, heartbeats and responses all at once, and timeouts before the heartbeats that contradict them. So a node
- * suspects itself before it declares anything else silent (Dadgar and others, "Lifeguard", 2017). Used on that event loop only.
+ * Measures for how long the event loop has run without a pause. After a process was suspended for seconds, or if it has too little
+ * CPU time, it handles timers, heartbeats and responses in one batch, and timeouts before the heartbeats that contradict them. So a
+ * node checks its own event loop before it declares another process unresponsive (Dadgar and others, "Lifeguard", 2017). Used on that
+ * event loop only.
  */
 public final class EventLoopMonitor {
     private static final Span CHECK_INTERVAL = Span.seconds(0.25);
-    /** A check that comes later than this after the one before was delayed by the process itself. */
+    /** Interval between two checks above which the event loop counts as paused. */
     private static final Span PAUSE = Span.seconds(1);
 
     private final Vertx vertx;
@@ -29,7 +30,7 @@
         this.timer = vertx.setPeriodic(CHECK_INTERVAL.ms(), timer -> runningSince());
     }
 
-    /** Since when the loop has run without a pause; the first call after a pause detects it. */
+    /** Returns the time since when the event loop has run without a pause. The first call after a pause detects the pause. */
     public Moment runningSince() {
         Moment now = clock.now();
         if (now.since(lastCheck).compareTo(PAUSE) > 0) {
@@ -39,12 +40,12 @@
         return runningSince;
     }
 
-    /** Whether the loop has run without a pause for this time. */
+    /** Returns whether the event loop has run without a pause for this time. */
     public boolean hasRunWithoutPauseFor(Span time) {
         return clock.now().since(runningSince()).compareTo(time) >= 0;
     }
 
-    /** Ends the checks. */
+    /** Stops the checks. */
     public void close() {
         vertx.cancelTimer(timer);
     }
--- a/src/main/java/io/indigoreach/net/EventLoops.java
+++ b/src/main/java/io/indigoreach/net/EventLoops.java
@@ -5,11 +5,11 @@
 import io.vertx.core.file.FileSystemOptions;
 import java.util.concurrent.TimeUnit;
 
-/** Creates Vert.x instances with a single event loop each: the machines have a tenth of a core and no disk. */
+/** Creates Vert.x instances with one event loop each, because controller machines have a tenth of a core and no disk. */
 public final class EventLoops {
     private EventLoops() {}
 
-    /** A new instance with one event loop and one worker thread, and without file caches. */
+    /** Creates an instance with one event loop, one worker thread and no file cache. */
     public static Vertx vertx() {
         return Vertx.vertx(new VertxOptions()
                 .setEventLoopPoolSize(1)
--- a/src/main/java/io/indigoreach/net/Fields.java
+++ b/src/main/java/io/indigoreach/net/Fields.java
@@ -5,19 +5,19 @@
 import java.util.Map;
 
 /**
- * The fields of a message, read with checks. An absent field and null are the same; unknown fields are ignored. Reading a
- * required field that is missing, or any field of another type, throws {@link WireException}.
+ * The fields of a message, with type-checked access. An absent field is equivalent to null; unknown fields are ignored. Reading a
+ * missing required field, or a field of another type, throws {@link WireException}.
  */
 public record Fields(Map<String, Object> map) {
-    /** Below this every whole number has an exact floating-point form. */
+    /** Below this limit, a {@code double} represents every integer exactly. */
     private static final double MAX_EXACT_DOUBLE = 9e15;
 
-    /** Whether the field is there and not null. */
+    /** Returns whether the field is present and not null. */
     public boolean has(String name) {
         return map.get(name) != null;
     }
 
-    /** A required text. */
+    /** Returns a required string. */
     public String text(String name) {
         String value = optionalText(name);
         if (value == null) {
@@ -26,7 +26,7 @@
         return value;
     }
 
-    /** A text, or null if absent. */
+    /** Returns a string, or null if it is absent. */
     public String optionalText(String name) {
         Object value = map.get(name);
         if (value != null && !(value instanceof String)) {
@@ -35,7 +35,7 @@
         return (String) value;
     }
 
-    /** A required whole number; a floating-point number without a fraction counts as one. */
+    /** Returns a required integer; a floating-point number without a fraction is accepted. */
     public long whole(String name) {
         Object value = map.get(name);
         if (value == null) {
@@ -50,12 +50,12 @@
         throw invalid(name);
     }
 
-    /** A whole number, or {@code absent}. */
+    /** Returns an integer, or {@code absent} if there is none. */
     public long whole(String name, long absent) {
         return has(name) ? whole(name) : absent;
     }
 
-    /** A required finite number. */
+    /** Returns a required finite number. */
     public double number(String name) {
         Object value = map.get(name);
         if (value == null) {
@@ -67,12 +67,12 @@
         return number.doubleValue();
     }
 
-    /** A finite number, or {@code absent}. */
+    /** Returns a finite number, or {@code absent} if there is none. */
     public double number(String name, double absent) {
         return has(name) ? number(name) : absent;
     }
 
-    /** A boolean, or {@code absent}. */
+    /** Returns a boolean, or {@code absent} if there is none. */
     public boolean flag(String name, boolean absent) {
         Object value = map.get(name);
         if (value == null) {
@@ -84,7 +84,7 @@
         return flag;
     }
 
-    /** A required map. */
+    /** Returns a required map. */
     public Fields child(String name) {
         if (!has(name)) {
             throw missing(name);
@@ -92,7 +92,7 @@
         return new Fields(MessagePackFormat.asMap(map.get(name)));
     }
 
-    /** A list of maps; absent is empty. */
+    /** Returns a list of maps; an empty one if it is absent. */
     public List<Fields> children(String name) {
         List<Fields> values = new ArrayList<>();
         for (Object element : list(name)) {
@@ -101,7 +101,7 @@
         return values;
     }
 
-    /** A list of texts, or null if absent. */
+    /** Returns a list of strings, or null if it is absent. */
     public List<String> optionalTexts(String name) {
         if (!has(name)) {
             return null;
@@ -116,7 +116,7 @@
         return values;
     }
 
-    /** A list of lists; absent is empty. */
+    /** Returns a list of lists; an empty one if it is absent. */
     public List<List<?>> lists(String name) {
         List<List<?>> values = new ArrayList<>();
         for (Object element : list(name)) {
@@ -139,7 +139,7 @@
         return list;
     }
 
-    /** The failure for a field with an invalid value. */
+    /** Creates the exception for a field with an invalid value. */
     public static WireException invalid(String name) {
         return new WireException("invalid field " + name);
     }
--- a/src/main/java/io/indigoreach/net/JsonSize.java
+++ b/src/main/java/io/indigoreach/net/JsonSize.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * The length of a body as compact JSON in UTF-8, in bytes. The protocol counts its limits in this form although bodies are sent as
- * MessagePack, so this is the only measure for anything that a limit applies to.
+ * Computes the size of a body as compact JSON in UTF-8, in bytes. Bodies are sent as MessagePack, but the protocol defines its size
+ * limits for JSON, so every size that is compared with a limit is computed here.
  */
 public final class JsonSize {
     private JsonSize() {}
 
-    /** The length of a map, list, text, number, boolean or null, in bytes. */
+    /** Returns the size of a map, list, string, number, boolean or null, in bytes. */
     public static int of(Object value) {
         if (value instanceof String text) {
             return text(text);
@@ -32,7 +32,7 @@
         return String.valueOf(value).length();
     }
 
-    /** Half of a surrogate pair counts 3 here; the form takes 4 bytes for a pair. */
+    /** Overestimates surrogate pairs: each half counts 3 bytes, while UTF-8 encodes a pair in 4 bytes. */
     private static int length(char character) {
         if (character == '"' || character == '\\') {
             return 2;
--- a/src/main/java/io/indigoreach/net/MessagePackFormat.java
+++ b/src/main/java/io/indigoreach/net/MessagePackFormat.java
@@ -11,19 +11,18 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * MessagePack bodies as maps, lists, text, numbers, booleans and null. Integers become {@link Long}, other numbers
- * {@link Double}. Depth and list lengths are bounded, so that no body can
- * make a reader allocate more than its own length justifies.
+ * Converts MessagePack bodies to and from maps, lists, strings, numbers, booleans and null. Integers become {@link Long}, other
+ * numbers {@link Double}. Nesting depth and list lengths are limited, so that a short body cannot cause a large allocation.
  */
 public final class MessagePackFormat {
     private static final int MAX_DEPTH = 16;
-    /** The buffer for text that is split over several buffers, in characters: a body is one buffer, and the default is 8,192. */
+    /** Reduces the buffer for strings that span several input buffers from 8,192 to 128 characters: a body is a single buffer. */
     private static final MessagePack.UnpackerConfig READER =
             new MessagePack.UnpackerConfig().withStringDecoderBufferSize(128);
 
     private MessagePackFormat() {}
 
-    /** The map that a body contains; throws {@link WireException} if it is anything else. */
+    /** Decodes a body that contains a map; throws {@link WireException} if it contains another value. */
     public static Fields readMap(Buffer body) {
         return new Fields(asMap(read(body)));
     }
@@ -41,7 +40,7 @@
         }
     }
 
-    /** {@code size}: the length of the whole message in bytes, which no list can exceed. */
+    /** Reads a value; {@code size} is the size of the whole message in bytes, which limits the length of a list. */
     private static Object read(MessageUnpacker in, int depth, int size) throws IOException {
         if (depth > MAX_DEPTH) {
             throw new WireException("nested too deeply");
@@ -63,7 +62,7 @@
             case MAP:
                 return readMap(in, depth, size);
             default:
-                throw new WireException("a value of an unexpected kind");
+                throw new WireException("a value of an unsupported type");
         }
     }
 
@@ -88,14 +87,14 @@
             }
             String key = in.unpackString();
             if (map.containsKey(key)) {
-                throw new WireException("a key that is there twice");
+                throw new WireException("a duplicate key");
             }
             map.put(key, read(in, depth + 1, size));
         }
         return map;
     }
 
-    /** The bytes of a value; throws {@link IllegalArgumentException} if it is of another type than the ones above. */
+    /** Encodes a value; throws {@link IllegalArgumentException} if its type is not supported. */
     public static Buffer write(Object value) {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             write(out, value);
@@ -130,11 +129,11 @@
                 write(out, element);
             }
         } else {
-            throw new IllegalArgumentException("cannot be sent: " + value.getClass());
+            throw new IllegalArgumentException("unsupported type: " + value.getClass());
         }
     }
 
-    /** A map from alternating keys and values, in this order. */
+    /** Creates a map from alternating keys and values, in this order. */
     public static Map<String, Object> map(Object... keysAndValues) {
         Map<String, Object> map = new LinkedHashMap<>();
         for (int i = 0; i < keysAndValues.length; i += 2) {
--- a/src/main/java/io/indigoreach/net/PeriodicTask.java
+++ b/src/main/java/io/indigoreach/net/PeriodicTask.java
@@ -8,7 +8,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A step that is repeated: each result is the pause until the next step. A step that fails is logged and followed by a fixed pause.
+ * Repeats a step. The result of a step is the pause before the next one. After a failed step, which is logged, the pause is fixed.
  * A cancellation takes effect after the running step. Used on one event loop only.
  */
 public final class PeriodicTask {
@@ -26,11 +26,11 @@
     private long timer = NO_TIMER;
 
     /**
-     * Creates the task; {@link #start()} takes the first step.
+     * Creates a task; {@link #start()} runs its first step.
      *
      * @param name identifies the task in the log
-     * @param pauseAfterFailure the pause after a step that failed or threw
-     * @param step one step
+     * @param pauseAfterFailure the pause after a step that failed or threw an exception
+     * @param step starts a step; the future completes with the pause before the next step
      */
     public PeriodicTask(Vertx vertx, String name, Span pauseAfterFailure, Supplier<Future<Span>> step) {
         this.vertx = vertx;
@@ -39,13 +39,13 @@
         this.step = step;
     }
 
-    /** Takes the first step now. */
+    /** Runs the first step immediately. */
     public PeriodicTask start() {
         takeStep();
         return this;
     }
 
-    /** Takes the next step now, or 1 ms after the running one. */
+    /** Runs the next step immediately, or 1 ms after the running step ends. */
     public void wake() {
         if (running) {
             wakeRequested = true;
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Ends the task: no further step is taken. */
+    /** Cancels the task: no further step runs. */
     public void cancel() {
         cancelled = true;
         if (timer != NO_TIMER) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Whether the task was ended. */
+    /** Returns whether the task was cancelled. */
     public boolean isCancelled() {
         return cancelled;
     }
--- a/src/main/java/io/indigoreach/net/RequestBody.java
+++ b/src/main/java/io/indigoreach/net/RequestBody.java
@@ -4,12 +4,12 @@
 import io.vertx.core.http.HttpServerRequest;
 import java.util.function.Consumer;
 
-/** Reads the body of a request up to a limit. */
+/** Reads the body of an HTTP request, up to a size limit. */
 public final class RequestBody {
-    /** The longest body that the protocol allows, in bytes. */
+    /** Maximum body size of the protocol, in bytes. */
     public static final int MAX_BYTES = 64 * 1024;
 
-    /** A longer number is above the limit in any case, and might not fit a {@code long}. */
+    /** Maximum digits of a parsed Content-Length: a longer number exceeds the limit and might overflow a {@code long}. */
     private static final int MAX_LENGTH_DIGITS = 9;
 
     private RequestBody() {}
@@ -17,8 +17,8 @@
     /**
      * Reads the body.
      *
-     * @param whole called with the body when it is complete
-     * @param tooLong called instead, once it is longer than {@link #MAX_BYTES}; it is not kept
+     * @param whole called with the complete body
+     * @param tooLong called instead if the body exceeds {@link #MAX_BYTES}; the body is discarded
      */
     public static void gather(HttpServerRequest request, Consumer<Buffer> whole, Runnable tooLong) {
         String length = request.getHeader("Content-Length");
--- a/src/main/java/io/indigoreach/net/ServiceClient.java
+++ b/src/main/java/io/indigoreach/net/ServiceClient.java
@@ -14,19 +14,20 @@
 import java.util.Map;
 
 /**
- * An HTTP client of one other service. A failed future means that there is no response: the request may have been executed, or may still be.
+ * An HTTP client of one service. If a future fails, the outcome is unknown: the service may have executed the request, or may still
+ * execute it.
  */
 public final class ServiceClient {
     private static final Span CONNECT_TIMEOUT = Span.seconds(1);
 
     private static final int KEEP_ALIVE_S = 30;
-    /** Requests that wait for a connection; more fail at once. */
+    /** Maximum number of requests that wait for a connection; further requests fail immediately. */
     private static final int MAX_QUEUED = 200;
 
     private final HttpClient client;
     private final Endpoint endpoint;
 
-    /** {@code connections}: the most at a time. */
+    /** Creates a client with at most {@code connections} open connections. */
     public ServiceClient(Vertx vertx, Endpoint endpoint, int connections) {
         this.endpoint = endpoint;
         HttpClientOptions options = new HttpClientOptions()
@@ -38,17 +39,17 @@
                 options, new PoolOptions().setHttp1MaxSize(connections).setMaxWaitQueueSize(MAX_QUEUED));
     }
 
-    /** Sends a GET; fails if nothing is received for {@code timeout}. */
+    /** Sends a GET request; fails if no data arrives for {@code timeout}. */
     public Future<ServiceResponse> get(String path, Span timeout) {
         return call(HttpMethod.GET, path, null, timeout);
     }
 
-    /** Sends a POST with a MessagePack body; fails if nothing is received for {@code timeout}. */
+    /** Sends a POST request with a MessagePack body; fails if no data arrives for {@code timeout}. */
     public Future<ServiceResponse> post(String path, Map<String, Object> body, Span timeout) {
         return call(HttpMethod.POST, path, body, timeout);
     }
 
-    /** Sends a DELETE; fails if nothing is received for {@code timeout}. */
+    /** Sends a DELETE request; fails if no data arrives for {@code timeout}. */
     public Future<ServiceResponse> delete(String path, Span timeout) {
         return call(HttpMethod.DELETE, path, null, timeout);
     }
@@ -78,7 +79,7 @@
                 .map(fields -> new ServiceResponse(status, fields));
     }
 
-    /** A closed client throws. A task that still calls as the process ends gets a failed future, as for any other cause. */
+    /** Returns a failed future if the client is closed, because tasks may still send requests during shutdown. */
     private Future<HttpClientRequest> open(RequestOptions options) {
         try {
             return client.request(options);
@@ -87,7 +88,7 @@
         }
     }
 
-    /** The body of an error may be anything; that of a success must be readable, otherwise there is no response. */
+    /** Decodes the body. An unreadable body of an error response counts as empty; one of a success response throws. */
     private static Fields read(int status, Buffer bytes) {
         try {
             return MessagePackFormat.readMap(bytes);
--- a/src/main/java/io/indigoreach/net/ServiceResponse.java
+++ b/src/main/java/io/indigoreach/net/ServiceResponse.java
@@ -1,13 +1,13 @@
 package io.indigoreach.net;
 
 /**
- * A response of another service.
+ * An HTTP response of a service.
  *
  * @param status the HTTP status code
- * @param body without fields if there is none, or if that of an error could not be read
+ * @param body empty if the response has no body, or if the body of an error response could not be read
  */
 public record ServiceResponse(int status, Fields body) {
-    /** Whether the status is 200. */
+    /** Returns whether the status is 200. */
     public boolean isOk() {
         return status == 200;
     }
--- a/src/main/java/io/indigoreach/net/SteadyClock.java
+++ b/src/main/java/io/indigoreach/net/SteadyClock.java
@@ -2,14 +2,14 @@
 
 import io.indigoreach.core.model.Moment;
 
-/** The monotonic clock of this process, and its time of day. */
+/** Provides the monotonic time and the time of day. */
 public final class SteadyClock {
-    /** The monotonic time, in whole milliseconds; comparable within this process only. */
+    /** Returns the monotonic time, in whole milliseconds; comparable only within this process. */
     public Moment now() {
         return new Moment(System.nanoTime() / 1_000_000);
     }
 
-    /** Milliseconds since 1970, within the platform's bound of true time; not monotonic. */
+    /** Returns milliseconds since 1970, not monotonic; the platform configuration gives the maximum clock error. */
     public long timeOfDay() {
         return System.currentTimeMillis();
     }
--- a/src/main/java/io/indigoreach/net/WireException.java
+++ b/src/main/java/io/indigoreach/net/WireException.java
@@ -1,8 +1,8 @@
 package io.indigoreach.net;
 
-/** A message that cannot be read, or a reply that cannot be used; the text is a short reason. No stack trace is recorded. */
+/** Thrown if a message cannot be decoded or a response cannot be used. The message is a short reason. Has no stack trace. */
 public final class WireException extends RuntimeException {
-    /** {@code reason}: as it may be sent to the other side. */
+    /** Creates an exception; {@code reason} may be sent to the peer. */
     public WireException(String reason) {
         super(reason, null, false, false);
     }
--- a/src/main/java/io/indigoreach/net/package-info.java
+++ b/src/main/java/io/indigoreach/net/package-info.java
@@ -1,5 +1,4 @@
 /**
- * Input and output that does not depend on a protocol: MessagePack, HTTP calls and bodies, event loops, periodic tasks, rate limits
- * and the clock.
+ * Protocol-independent I/O: MessagePack, HTTP requests and bodies, event loops, periodic tasks, rate limits and the clock.
  */
 package io.indigoreach.net;
--- a/src/main/java/io/indigoreach/parts/Part.java
+++ b/src/main/java/io/indigoreach/parts/Part.java
@@ -13,39 +13,41 @@
 import java.util.function.Function;
 
 /**
- * A matter beside the jobs that rests on the controllers' shared state: what it keeps, serves and cleans up, told in one place
- * so that parts do not meet each other. Only those that the settings switch on are built; the others cost nothing.
+ * An optional feature of the controllers, such as the calendar: its records, its HTTP resource, its work on the leader and its garbage
+ * collection. Parts do not depend on each other. Only the parts that the settings enable are created.
  */
 public interface Part {
-    /** Its word in the settings and in the address: {@code /api/NAME}. */
+    /** Returns the name of the part, as in its HTTP path {@code /api/NAME}. */
     String name();
 
+    /** Returns the families of records that the part stores in the state service. */
     List<RecordFamily> families();
 
-    /** What it serves to people. */
+    /** Returns the HTTP resource of the part. */
     Resource resource();
 
-    /** Its say in the acceptance of jobs; null if it has none. */
+    /** Returns the part's participant in job submissions, or null if it has none. */
     default SubmissionParticipant joining() {
         return null;
     }
 
-    /** Where it may submit jobs: the desk at which users' come in. */
+    /** Passes the function that submits a job, for parts that submit jobs of their own. */
     default void submitting(Function<Buffer, Future<ApiResponse>> desk) {}
 
-    /** The leader's clean-up; null if there is none. */
+    /** Returns the garbage collector that the leader runs for the part, or null if the part has none. */
     default GarbageCollector sweep() {
         return null;
     }
 
-    /** A leadership of this node begins, its records read. What the part does for it ends when the result is closed. */
+    /** Starts the part's work on a new leader, after the leader has read its records. Closing the result stops the work. */
     default Term reigning(SchedulerCore core, RoutineRunner records) {
         return () -> {};
     }
 
-    /** A part's work for one leadership. */
+    /** The work of a part during one leadership term. */
     @FunctionalInterface
     interface Term {
+        /** Stops the work at the end of the leadership term. */
         void close();
     }
 }
--- a/src/main/java/io/indigoreach/parts/Parts.java
+++ b/src/main/java/io/indigoreach/parts/Parts.java
@@ -17,9 +17,9 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** The parts of a node beside the jobs: those that the settings switch on. */
+/** The optional parts of a node that the settings enable. */
 public final class Parts {
-    /** What a part is built from. */
+    /** The dependencies of a part's constructor. */
     public record Environment(
             Vertx vertx,
             SteadyClock clock,
@@ -29,13 +29,15 @@
             Settings settings) {}
 
     /**
-     * A part that can be switched on.
+     * Describes a part that a setting enables.
      *
-     * @param knob the setting that does, by being 1
-     * @param families its records
+     * @param knob the setting that enables the part if it is 1
+     * @param families the families of records that the part stores
+     * @param maker creates the part
      */
     public record Kind(Settings.Setting knob, List<RecordFamily> families, Function<Environment, Part> maker) {}
 
+    /** No parts. */
     public static final Parts NONE = new Parts(List.of(), new RecordCache(List.of()), null);
 
     private final List<Part> all;
@@ -48,7 +50,7 @@
         this.records = records;
     }
 
-    /** Of these kinds. */
+    /** Creates the parts of these kinds. */
     public static Parts of(
             List<Kind> kinds,
             Vertx vertx,
@@ -64,23 +66,27 @@
         return new Parts(kinds.stream().map(k -> k.maker().apply(ground)).toList(), copies, records);
     }
 
+    /** Returns the parts, in the order of their kinds. */
     public List<Part> all() {
         return all;
     }
 
+    /** Returns the runner of routines on the parts' records. */
     public RoutineRunner records() {
         return records;
     }
 
-    /** What this node remembers of their records. */
+    /** Returns this node's cache of the parts' records. */
     public RecordCache copies() {
         return copies;
     }
 
+    /** Returns the HTTP resources by the names of their parts. */
     public Map<String, Resource> resources() {
         return all.stream().collect(Collectors.toMap(Part::name, Part::resource));
     }
 
+    /** Returns the participants in job submissions. */
     public List<SubmissionParticipant> joinings() {
         return all.stream().map(Part::joining).filter(Objects::nonNull).toList();
     }
--- a/src/main/java/io/indigoreach/parts/package-info.java
+++ b/src/main/java/io/indigoreach/parts/package-info.java
@@ -1,2 +1,2 @@
-/** What the optional parts of a node (calendar, ownership, warm pools) have in common, and which of them the settings switch on. */
+/** Common interface of the optional parts of a node (calendar, ownership, warm pools), and the set that the settings enable. */
 package io.indigoreach.parts;
--- a/src/test/java/io/indigoreach/ArchitecturePageTest.java
+++ b/src/test/java/io/indigoreach/ArchitecturePageTest.java
@@ -19,14 +19,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The developers' pages name classes that exist: each is looked up among the sources, by file and by nested type. */
+/** Checks that every class named in the developers' pages exists in the sources, as a file or as a nested type. */
 class ArchitecturePageTest {
     private static final String ROOT = "io.indigoreach.";
     private static final Path MAIN = Path.of("src", "main", "java");
     private static final Path TEST = Path.of("src", "test", "java");
     private static final Pattern BLOCK = Pattern.compile("(?ms)^```(\\w*)\\n(.*?)^```$");
     private static final Pattern QUOTED = Pattern.compile("`([^`\\n]+)`");
-    /** A class, qualified or not, as nested as it likes; words in capitals, such as a status, are none. */
+    /** A class name, qualified or simple, possibly nested. Names in capitals only, such as a status, are filtered out later. */
     private static final Pattern CLASS = Pattern.compile("(?:[a-z][a-z0-9]*\\.)*[A-Z]\\w*(?:\\.[A-Z]\\w*)*");
 
     private static final Pattern TWO_HUMPS = Pattern.compile("\\b[A-Z][a-z0-9]+[A-Z]\\w*\\b");
@@ -34,7 +34,7 @@
             Pattern.compile("(?m)^ *(?:(?:public|protected|private|static|final|abstract|"
                     + "sealed|non-sealed) +)*(?:class|record|interface|enum) +([A-Z]\\w*)");
 
-    /** Every type under a directory: {@code core.Job}, and of a nested one {@code core.Outer.Inner}. */
+    /** Returns every type under a directory, such as {@code core.Job}, or {@code core.Outer.Inner} if it is nested. */
     private static Set<String> types(Path root) throws IOException {
         Set<String> all = new TreeSet<>();
         try (Stream<Path> files = Files.walk(root)) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** The classes that a page names, in the order of their mention: in back ticks, and in diagrams. */
+    /** Returns the classes that a page names in diagrams and in back ticks, in order of appearance within each. */
     private static List<String> named(String page) {
         List<String> names = new ArrayList<>();
         Matcher block = BLOCK.matcher(page);
@@ -111,7 +111,7 @@
     void namesClassesThatExist(String page) throws IOException {
         String text = Files.readString(Path.of("docs", page));
         assertTrue(named(text).size() > 40, () -> page + " names " + named(text));
-        assertEquals(Set.of(), missing(text), page + " names what is no class");
+        assertEquals(Set.of(), missing(text), page + " names classes that do not exist");
     }
 
     @Test
@@ -132,7 +132,7 @@
                 missing(page));
     }
 
-    /** Where a reader meets a class for the first time, its package stands with it. */
+    /** The first mention of a class on the page includes its package. */
     @Test
     void qualifiesAtTheFirstMention() throws IOException {
         Set<String> seen = new LinkedHashSet<>();
--- a/src/test/java/io/indigoreach/ArchitectureTest.java
+++ b/src/test/java/io/indigoreach/ArchitectureTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** The layers: what may use what. */
+/** Checks the dependencies between packages and the restrictions on what each layer may use. */
 class ArchitectureTest {
     private static final String[] NODE = {
         "io.indigoreach.core..",
@@ -47,7 +47,7 @@
         "io.indigoreach.tools..",
         "io.indigoreach.store.."
     };
-    /** The wire's own words, where the code has others. Words that both use, such as cores, tell nothing. */
+    /** Names in messages that differ from the names in the code. Names that both use, such as cores, cannot be checked. */
     private static final Set<String> WORDS = Set.of(
             "baton",
             "hire",
@@ -142,13 +142,13 @@
                 .check(classes);
     }
 
-    /** The rooms of the core use what they rest on, and none of them the other way round too. */
+    /** The packages of the core have no cyclic dependencies. */
     @Test
     void theRoomsOfTheCoreFormNoCircle() {
         slices().matching("io.indigoreach.core.(*)..").should().beFreeOfCycles().check(classes);
     }
 
-    /** A machine, a job, a placement and the cluster change by their own methods alone, so that every transition has a name. */
+    /** Only the classes themselves write the fields of Machine, Job, Placement and Cluster, so that every state transition is a named method. */
     @Test
     void schedulingStateIsWrittenByItsOwnerOnly() {
         Set<String> owners = Set.of("Machine", "Job", "Placement", "Cluster");
@@ -163,7 +163,7 @@
         assertEquals(List.of(), writes);
     }
 
-    /** What every part rests on names none of them, and no part names the composition root that does. */
+    /** The common package of the parts does not depend on any part, and no part depends on the package that registers the parts. */
     @Test
     void partsAreRegisteredFromOutside() {
         String[] parts = {"io.indigoreach.calendar..", "io.indigoreach.ownership..", "io.indigoreach.warm.."};
@@ -183,7 +183,7 @@
                 .check(classes);
     }
 
-    /** The emulator's model decides by what it is told: no sockets, files, threads or clocks. */
+    /** The emulator's model depends only on its inputs: it uses no sockets, files, threads, clocks or random numbers. */
     @Test
     void theModelIsPure() {
         noClasses()
@@ -214,7 +214,7 @@
                 .check(classes);
     }
 
-    /** A node carries nothing that it does not need. */
+    /** The node does not depend on the tools or their libraries. */
     @Test
     void theNodeUsesNoTools() {
         noClasses()
@@ -234,8 +234,8 @@
     }
 
     /**
-     * A direct command without an answer may be carried out much later, while answers to reports are dropped after seconds: the rules
-     * rest on no node sending any.
+     * Nodes send no direct commands. A worker may execute an unanswered direct command much later, whereas heartbeat responses expire
+     * within seconds; the safety rules rely on this.
      */
     @Test
     void nodesSendNoDirectCommands() throws IOException {
@@ -252,7 +252,7 @@
         assertEquals(
                 List.of("WorkerCodec.java", "WorkerModel.java", "WorkerPool.java"),
                 strays,
-                "beside the emulated workers");
+                "source files that use direct commands, which only the codec and the emulated workers may");
     }
 
     @Test
--- a/src/test/java/io/indigoreach/CodecsTest.java
+++ b/src/test/java/io/indigoreach/CodecsTest.java
@@ -38,7 +38,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** What one side writes the other reads, through bytes. The words themselves are those of the protocol's examples. */
+/** Messages survive encoding to bytes and decoding. The field names are those of the protocol's examples. */
 class CodecsTest {
     private static final TaskId TASK = new TaskId(new JobId("run-000412"), 3);
 
@@ -153,7 +153,7 @@
         assertEquals(d, WorkerCodec.readDirect(sent(WorkerCodec.writeDirect(d))));
     }
 
-    /** An answer without a token is lower than any token; what is no order is refused whole. */
+    /** A response without a token gets a token below all others; a response with an invalid command is rejected as a whole. */
     @Test
     void answersThatLackSomething() {
         assertEquals(-1, WorkerCodec.readResponse(sent(Map.of())).token().value());
--- a/src/test/java/io/indigoreach/GoldenFile.java
+++ b/src/test/java/io/indigoreach/GoldenFile.java
@@ -22,13 +22,13 @@
 import org.junit.jupiter.api.function.Executable;
 
 /**
- * Messages, records and lines of text that leave the process, as a version of the program wrote them: a file under
- * {@code src/test/resources/golden}, a line a case, with its name, a tab and its bytes in hex or its text. Code that is only
- * arranged anew writes the same bytes, and reads them.
+ * Compares messages, records and texts that leave the process with the output of an earlier version. A golden file under
+ * {@code src/test/resources/golden} has one line per case: its name, a tab, and its bytes in hex or its text. A refactoring must
+ * write the same bytes and be able to read them.
  *
- * <p>Where the bytes are meant to change, {@code mvn test -Dtest='Golden*Test' -Dgolden.write=true} writes the files anew, for their
- * difference to be read before it is committed. Such a run checks nothing, so every test of it fails; and it is refused where
- * the environment has {@code CI}.
+ * <p>If the bytes change intentionally, {@code mvn test -Dtest='Golden*Test' -Dgolden.write=true} rewrites the files, and the author
+ * reviews the diff before committing it. Such a run checks nothing, so all of its tests fail. It is not permitted if the
+ * environment variable {@code CI} is set.
  */
 public final class GoldenFile {
     public static final Path DIRECTORY = Path.of("src", "test", "resources", "golden");
@@ -44,7 +44,7 @@
         this.golden = WRITES ? Map.of() : load(file);
     }
 
-    /** The lines of a file, by their names. */
+    /** Returns the values of a golden file by case name. */
     public static Map<String, String> load(String file) {
         Map<String, String> lines = new LinkedHashMap<>();
         try {
@@ -67,21 +67,21 @@
         return MessagePackFormat.readMap(Buffer.buffer(HexFormat.of().parseHex(hex)));
     }
 
-    /** A text that has to be the same, such as an answer, a path or the line that tells a fault. */
+    /** Expects the golden text, such as a response, a path or an error line. */
     public GoldenFile text(String name, String text) {
-        assertEquals(null, written.put(name, text), "two cases of the name " + name);
+        assertEquals(null, written.put(name, text), "duplicate case name " + name);
         checks.add(() -> assertEquals(golden.get(name), text, name));
         return this;
     }
 
-    /** What is only written here. */
+    /** Expects the golden bytes of a message that this program only writes. */
     public GoldenFile written(String name, Map<String, Object> message) {
-        assertEquals(null, written.put(name, hex(message)), "two cases of the name " + name);
+        assertEquals(null, written.put(name, hex(message)), "duplicate case name " + name);
         checks.add(() -> assertEquals(golden.get(name), hex(message), () -> name + ": " + readable(name, message)));
         return this;
     }
 
-    /** What is written from a map whose order is another in each run: its fields are compared in the order of their names. */
+    /** Expects the golden bytes of a message whose field order differs between runs; the fields are sorted before the comparison. */
     public GoldenFile unordered(String name, Map<String, Object> message) {
         return written(name, sorted(message));
     }
@@ -97,7 +97,7 @@
         return "golden " + (line == null ? "none" : fields(line).map()) + ", written " + message;
     }
 
-    /** Written as it is golden; the golden one is read, and written again as it was. */
+    /** Expects that the value is encoded as the golden bytes, and that decoding and encoding these gives the same bytes. */
     public <T> GoldenFile again(
             String name, T value, Function<T, Map<String, Object>> writer, Function<Fields, T> reader) {
         written(name, writer.apply(value));
@@ -105,20 +105,20 @@
             assertNotNull(golden.get(name), name);
             Map<String, Object> again = writer.apply(reader.apply(fields(golden.get(name))));
             assertEquals(
-                    golden.get(name), hex(again), () -> name + ", read and written again: " + readable(name, again));
+                    golden.get(name), hex(again), () -> name + ", after decoding and encoding: " + readable(name, again));
         });
         return this;
     }
 
-    /** The same, and what is read is the value. */
+    /** Like the above, and expects that the golden bytes are decoded as the value. */
     public <T> GoldenFile both(
             String name, T value, Function<T, Map<String, Object>> writer, Function<Fields, T> reader) {
         again(name, value, writer, reader);
-        checks.add(() -> assertEquals(value, reader.apply(fields(golden.get(name))), name + ", read"));
+        checks.add(() -> assertEquals(value, reader.apply(fields(golden.get(name))), name + ", decoded value"));
         return this;
     }
 
-    /** What others write in other words than this program would: how it is sent, and how it is written once it is read. */
+    /** Expects that a message in a form which only other programs write is decoded, and that the result is encoded as the golden bytes. */
     public GoldenFile read(
             String name, Map<String, Object> sent, Function<Fields, Map<String, Object>> readAndWritten) {
         String as = name + ", as read";
@@ -128,14 +128,14 @@
         return this;
     }
 
-    /** What cannot be read, and the reason that is given for it. */
+    /** Expects that a message cannot be decoded, with the golden error message. */
     public GoldenFile refused(String name, Map<String, Object> sent, Function<Fields, ?> reader) {
         written(name, sent);
         Fields read = fields(WRITES ? hex(sent) : golden.getOrDefault(name, hex(sent)));
         return text(name + ", refused", fault(() -> reader.apply(read)));
     }
 
-    /** The message with which something fails; "no fault" if it does not. */
+    /** Returns the message of the exception that the code throws, or "no fault" if it throws none. */
     public static String fault(Executable what) {
         try {
             what.execute();
@@ -145,17 +145,17 @@
         }
     }
 
-    /** Everything that was added, and that the file has no line besides. */
+    /** Checks all added cases, and that the file contains no other cases. */
     public void check() {
         if (WRITES) {
             write();
         }
-        checks.add(() -> assertEquals(List.copyOf(golden.keySet()), List.copyOf(written.keySet()), "the cases"));
+        checks.add(() -> assertEquals(List.copyOf(golden.keySet()), List.copyOf(written.keySet()), "names of the cases"));
         assertAll(file, checks);
     }
 
     private void write() {
-        assertEquals(null, System.getenv("CI"), "golden files are not written by the build server");
+        assertEquals(null, System.getenv("CI"), "golden files must not be written in CI");
         StringBuilder lines = new StringBuilder();
         written.forEach((name, value) ->
                 lines.append(escaped(name)).append('\t').append(escaped(value)).append('\n'));
@@ -165,7 +165,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        fail(DIRECTORY.resolve(file) + " is written anew: read the difference, and run again without golden.write");
+        fail(DIRECTORY.resolve(file) + " was rewritten: review the diff, and run again without golden.write");
     }
 
     private static String escaped(String text) {
--- a/src/test/java/io/indigoreach/GoldenHttp.java
+++ b/src/test/java/io/indigoreach/GoldenHttp.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Requests over a connection of their own, and their answers with all that golden files hold of them. */
+/** Sends HTTP requests over separate connections, and formats the responses as they are stored in golden files. */
 public final class GoldenHttp {
     private static final int PATIENCE_MS = 20_000;
     private static final Set<String> HEADERS = Set.of("content-type", "retry-after", "allow");
@@ -32,13 +32,13 @@
         return ask(at, "POST", path, MessagePackFormat.write(body).getBytes(), Set.of());
     }
 
-    /** Status, headers and body; the fields named in {@code ofTheMoment} have values of the moment, and show no more than their type. */
+    /** Returns status, headers and body. The values of the fields named in {@code ofTheMoment} change between runs and are masked. */
     public static String ask(Endpoint at, String method, String path, byte[] body, Set<String> ofTheMoment)
             throws IOException {
         return send(at, method, path, body.length, body, ofTheMoment);
     }
 
-    /** Says that a body of such a length will come, and sends none of it. */
+    /** Sends a request with this Content-Length but without a body. */
     public static String announce(Endpoint at, String path, int length) throws IOException {
         return send(at, "POST", path, length, new byte[0], Set.of());
     }
@@ -78,7 +78,7 @@
         return head[0].split(" ")[1] + " " + headers + " " + HexFormat.of().formatHex(body);
     }
 
-    /** A message without what is of the moment: numbers of such fields are 0, and times within texts are left out. */
+    /** Masks the values that change between runs: numbers in the named fields become 0, and times in strings become placeholders. */
     public static Object still(Object value, Set<String> ofTheMoment) {
         if (value instanceof Map<?, ?> map) {
             Map<String, Object> out = new LinkedHashMap<>();
--- a/src/test/java/io/indigoreach/GoldenListTest.java
+++ b/src/test/java/io/indigoreach/GoldenListTest.java
@@ -19,15 +19,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Everything that writes messages or records has golden cases. What is listed here goes by the names of source files, in whatever
- * package they are; a class that is renamed is renamed here too, and its golden cases stay as they are.
+ * Checks that every class that writes messages or records has golden cases. The lists here contain names of source files without
+ * their packages. If a class is renamed, its entry here changes, but its golden cases do not.
  */
 class GoldenListTest {
     private static final Path SOURCES = Path.of("src", "main", "java");
-    /** What builds a message, a record or a line of JSON by itself. */
+    /** Matches code that builds a message, a record or a line of JSON. */
     private static final Pattern SERIALISES = Pattern.compile("\\bMessagePackFormat\\.map\\(|\\bnew JsonObject\\(");
 
-    /** By source file: the golden file, and how its cases there begin. */
+    /** For each source file, the golden files and the prefixes of its cases in them. */
     private static final Map<String, Set<String>> GOLDEN = new LinkedHashMap<>();
 
     private static void golden(String source, String... cases) {
@@ -100,10 +100,10 @@
         golden("RecordsQuestions.java", "verbs.txt#records holders");
     }
 
-    /** What only plays another's part, or is read by nobody but its writer: no golden cases, and the reason. No codec is among them. */
+    /** Source files without golden cases, with the reasons. They emulate other processes, or only their writer reads the output. Codecs are not permitted. */
     private static final Map<String, String> WITHOUT = Map.ofEntries(
-            Map.entry("MessagePackFormat.java", "writes whatever it is given"),
-            Map.entry("Rehearsal.java", "a stand-in, within the build"),
+            Map.entry("MessagePackFormat.java", "encodes any map"),
+            Map.entry("Rehearsal.java", "a mock that only the build uses"),
             Map.entry("GatedListener.java", "errors of the emulator's listeners"),
             Map.entry("CloudServer.java", "errors of the emulated cloud"),
             Map.entry("CloudModel.java", "errors of the emulated cloud"),
@@ -111,10 +111,10 @@
             Map.entry("StateModel.java", "errors of the emulated state service"),
             Map.entry("WorkerPool.java", "errors of emulated workers"),
             Map.entry("Emulator.java", "errors of the depot"),
-            Map.entry("Measurements.java", "a measurement's own requests"),
+            Map.entry("Measurements.java", "requests of measurements"),
             Map.entry("Report.java", "an experiment's report, with measured values"));
 
-    /** The text of each source file, by its name. */
+    /** Returns the text of each source file by file name. */
     private static Map<String, String> sources() throws IOException {
         Map<String, String> sources = new TreeMap<>();
         try (Stream<Path> files = Files.walk(SOURCES)) {
--- a/src/test/java/io/indigoreach/GoldenSamples.java
+++ b/src/test/java/io/indigoreach/GoldenSamples.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The jobs and machine types of golden files. Not to be changed: the files hold their bytes. */
+/** Sample jobs and machine types of golden files. Changes here would change the bytes in these files. */
 public final class GoldenSamples {
     public static final JobId ID = new JobId("run-000412");
     /** A time of day, in milliseconds since 1970. */
@@ -25,7 +25,7 @@
 
     private GoldenSamples() {}
 
-    /** No field that may be absent. */
+    /** Returns a job without optional fields except the estimate. */
     public static JobSpec bare(int tasks) {
         return JobSpec.builder(ID)
                 .jobClass("stock-reconcile")
@@ -40,7 +40,7 @@
                 .build();
     }
 
-    /** Every field but those of the parts beside the jobs. */
+    /** Returns a job with every field except those of the optional parts. */
     public static JobSpec full(int tasks, Urgency urgency) {
         return JobSpec.builder(ID)
                 .jobClass("refill-routes")
@@ -63,7 +63,7 @@
                 .build();
     }
 
-    /** Jobs of every kind, by words for it. */
+    /** Returns jobs of every kind by their descriptions. */
     public static Map<String, JobSpec> jobs() {
         Map<String, JobSpec> jobs = new LinkedHashMap<>();
         jobs.put("bare", bare(100));
@@ -87,7 +87,7 @@
         return jobs;
     }
 
-    /** A submission as a user may word it: whole numbers for amounts, absent and null fields, and fields unknown here. */
+    /** Returns a submission as another client may encode it: with integers for amounts, absent and null fields, and an unknown field. */
     public static Map<String, Object> submission() {
         return MessagePackFormat.map(
                 "id",
--- a/src/test/java/io/indigoreach/OnCallPageTest.java
+++ b/src/test/java/io/indigoreach/OnCallPageTest.java
@@ -15,10 +15,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The operators' page explains every event that a node logs, and no other. An event is a line's words before its fields. */
+/** Checks that the operators' page explains exactly the events that a node logs. An event is the text of a log line before its fields. */
 class OnCallPageTest {
     private static final Path MAIN = Path.of("src", "main", "java", "io", "indigoreach");
-    /** What a node does not carry: the tools speak to whoever started them. */
+    /** Packages of the tools, which are not part of a node and print their output for the person who runs them. */
     private static final Set<String> TOOLS =
             Set.of("emulator", "experiment", "load", "checker", "scenario", "store", "tools");
 
@@ -57,7 +57,7 @@
         Set<String> out = new TreeSet<>();
         Matcher call = LOGGED.matcher(sources);
         while (call.find()) {
-            // A line that is put together elsewhere comes as one argument; the other test looks for its words.
+            // The line is composed elsewhere and passed as one argument; everyExplainedEventIsLogged searches for its text.
             if (!call.group(1).equals("{}")) {
                 out.add(event(call.group(1)));
             }
@@ -65,7 +65,7 @@
         return out;
     }
 
-    /** The events that the page's tables explain, without their fields. */
+    /** Returns the events that the page's tables explain, without their fields. */
     private static Set<String> explained(String page) {
         Set<String> out = new TreeSet<>();
         boolean inEvents = false;
--- a/src/test/java/io/indigoreach/OutwardNamesTest.java
+++ b/src/test/java/io/indigoreach/OutwardNamesTest.java
@@ -20,7 +20,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Every name of {@code outward-names.txt}, which other programs and stored data rely on, occurs in the form in which it leaves the process. */
+/** Checks that every name in {@code outward-names.txt} still leaves the process. Other programs and stored data depend on these names. */
 class OutwardNamesTest {
     private static final Path LIST = Path.of("src", "test", "resources", "outward-names.txt");
     private static final Path SOURCES = Path.of("src", "main", "java");
@@ -36,7 +36,7 @@
     private static final Pattern ENUM = Pattern.compile("\\benum +\\w+");
     private static final Pattern CONSTANT = Pattern.compile("(?m)^ *([A-Z][A-Z_]*) *(?=[(,;{]|$)");
 
-    /** Names that are looked for in the same place. */
+    /** The names that are searched for in the same place. */
     private record Section(String place, List<String> names) {}
 
     private static List<Section> sections() throws IOException {
@@ -71,7 +71,7 @@
                 + String.join("\n", files(RESOURCES, ""));
     }
 
-    /** The golden files, with their bytes as text. */
+    /** Returns the text of the golden files, with hex bytes decoded. */
     private static String golden() throws IOException {
         String text = String.join("\n", files(GOLDEN, ".txt")).replace("\\n", "\n");
         return text + "\n" + HEX.matcher(text).replaceAll(found -> Matcher.quoteReplacement(decoded(found.group())));
@@ -92,7 +92,7 @@
         return missing;
     }
 
-    /** What no enum has of these constants, which one enum has to have together. */
+    /** Returns the constants that are missing from the enum that declares the most of them; one enum must declare them all. */
     private static Set<String> missingConstants(List<String> names) throws IOException {
         Set<String> fewest = new LinkedHashSet<>(names);
         for (String source : files(SOURCES, ".java")) {
@@ -115,7 +115,7 @@
             case "golden" -> missing(section.names(), golden());
             case "deploy" -> missing(section.names(), String.join("\n", files(DEPLOY, ".toml")));
             case "enum" -> missingConstants(section.names());
-            default -> throw new IllegalArgumentException("no such place: " + section.place());
+            default -> throw new IllegalArgumentException("unknown place: " + section.place());
         };
     }
 
--- a/src/test/java/io/indigoreach/cloud/GoldenCloudTest.java
+++ b/src/test/java/io/indigoreach/cloud/GoldenCloudTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What is asked of the cloud, and its answers. */
+/** Compares requests to the cloud, and its responses, with golden bytes. */
 class GoldenCloudTest {
     private static final MachinePool POOL = new MachinePool("quad", "a", true);
 
--- a/src/test/java/io/indigoreach/config/ConfigTest.java
+++ b/src/test/java/io/indigoreach/config/ConfigTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Both files: what is read, and the one line that a wrong one gets. */
+/** Tests the reading of the platform's and the operators' files, and the one-line errors for invalid files. */
 class ConfigTest {
     private static final String PLATFORM = """
             node = "n0"
@@ -55,7 +55,7 @@
         assertEquals("10.0.0.2:8081", config.peers().get(0).endpoint().toString());
     }
 
-    /** Tools write the file that a node reads. */
+    /** Nodes read the files that tools write. */
     @Test
     void platformFileRoundTrips() throws ConfigException {
         PlatformConfig config = PlatformConfig.parse("f", PLATFORM);
@@ -82,7 +82,7 @@
                         .getMessage());
     }
 
-    /** A field that is absent is today's, a larger one changes nothing, and what is not known is no fault. */
+    /** An absent announced limit equals the current one, a larger one has no effect, and unknown fields are accepted. */
     @ParameterizedTest
     @CsvSource({
         "'', 20, 8192, 16",
@@ -143,7 +143,7 @@
                 message);
     }
 
-    /** An isolated leader cannot hear of cancellations: its lease, the workers' and a margin must fit into cancel_s. */
+    /** An isolated leader does not receive cancellations, so its lease, the workers' lease and a margin must fit into cancel_s. */
     @ParameterizedTest
     @CsvSource({"12, 32, 5, 5", "12, 32, 60, 15.688", "22, 42, 60, 15.678"})
     void leaderLeaseLeavesTimeForCancellations(double lease, double cancel, double wanted, double length)
--- a/src/test/java/io/indigoreach/config/GoldenSettingsTest.java
+++ b/src/test/java/io/indigoreach/config/GoldenSettingsTest.java
@@ -5,7 +5,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The platform's file as it is written, and the one line that a wrong file of the platform or the operators gets. */
+/** Compares the written platform file, and the one-line errors for invalid files, with golden texts. */
 class GoldenSettingsTest {
     private static final String PLATFORM = """
             node = "n0"
--- a/src/test/java/io/indigoreach/knownred/KnownRedExtension.java
+++ b/src/test/java/io/indigoreach/knownred/KnownRedExtension.java
@@ -10,8 +10,8 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Runs the tests of {@link KnownRedList} like all others, and passes over their failures: they count as skipped, with what was seen. One that
- * passes fails the build, so that the list holds nothing that is mended. Registered for every test class by {@code META-INF/services}.
+ * Runs the tests of {@link KnownRedList}, and reports their failures as skipped, with the observed failure. A listed test that passes
+ * fails the build, so that fixed tests are removed from the list. Registered for every test class by {@code META-INF/services}.
  */
 public final class KnownRedExtension implements InvocationInterceptor {
     private static final Pattern ROW = Pattern.compile("\\[test-template-invocation:#(\\d+)]$");
@@ -52,7 +52,7 @@
         }
     }
 
-    /** The row of a table of cases; 0 for a test that is none. */
+    /** Returns the number of the invocation of a parameterized test, or 0 for other tests. */
     private static int row(String uniqueId) {
         Matcher matcher = ROW.matcher(uniqueId);
         return matcher.find() ? Integer.parseInt(matcher.group(1)) : 0;
@@ -62,10 +62,10 @@
         try {
             invocation.proceed();
         } catch (TestAbortedException e) {
-            throw new AssertionFailedError("listed as known to fail, and did not run: " + entry, e);
+            throw new AssertionFailedError("listed as known to fail, but did not run: " + entry, e);
         } catch (Exception | AssertionError e) {
             throw new TestAbortedException("known to fail: " + entry.seen() + " (" + entry.issue() + ")", e);
         }
-        throw new AssertionFailedError("listed as known to fail, and passes; take it off the list: " + entry);
+        throw new AssertionFailedError("listed as known to fail, but passes; remove it from the list: " + entry);
     }
 }
--- a/src/test/java/io/indigoreach/knownred/KnownRedList.java
+++ b/src/test/java/io/indigoreach/knownred/KnownRedList.java
@@ -10,7 +10,7 @@
 import java.util.regex.Pattern;
 
 /**
- * The tests that fail for a known fault, as {@code KNOWN-RED.txt} lists them.
+ * The tests that fail because of a known fault, as listed in {@code KNOWN-RED.txt}.
  *
  * @param entries in the order of the file
  */
@@ -19,14 +19,14 @@
     private static final String COMMENT = "#";
     private static final Pattern LINE = Pattern.compile("(?<class>[\\w.]+)#(?<method>\\w+)(\\[(?<row>[1-9]\\d*)])?"
             + " \\| (?<command>[^|]+) \\| (?<seen>[^|]+) \\| (?<issue>[^|]+)");
-    /** The row of an entry that means a whole method. */
+    /** The row number of an entry that applies to all invocations of a method. */
     private static final int EVERY_ROW = 0;
 
     /**
      * One test.
      *
-     * @param row of a table of cases, the first is 1; 0 for every row, or for a test without rows
-     * @param command the command that shows the failure, with the seed if there is one
+     * @param row the invocation of a parameterized test, from 1; 0 for all invocations or for other tests
+     * @param command the command that reproduces the failure, with the seed if there is one
      * @param seen what was observed when it failed
      * @param issue the open issue for the fault
      */
@@ -36,7 +36,7 @@
         }
     }
 
-    /** The list of this repository. */
+    /** Loads the list of this repository. */
     static KnownRedList load() {
         try {
             return parse(Files.readAllLines(FILE));
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Throws {@link IllegalArgumentException} if a line is not an entry with all its parts. */
+    /** Parses the lines of the file; throws {@link IllegalArgumentException} if an entry is incomplete. */
     static KnownRedList parse(List<String> lines) {
         return new KnownRedList(lines.stream()
                 .filter(line -> !line.isBlank() && !line.startsWith(COMMENT))
--- a/src/test/java/io/indigoreach/knownred/KnownRedTest.java
+++ b/src/test/java/io/indigoreach/knownred/KnownRedTest.java
@@ -21,7 +21,7 @@
 import org.opentest4j.AssertionFailedError;
 import org.opentest4j.TestAbortedException;
 
-/** The list of tests that are known to fail is valid, and just those are passed over. */
+/** Checks that the list of known failures is valid, and that only the failures of listed tests are ignored. */
 class KnownRedTest {
     private static final String THIS = KnownRedTest.class.getName();
     private static final String CASE = "sample";
@@ -123,7 +123,7 @@
         }));
     }
 
-    /** How a test ends. */
+    /** The result of a test. */
     private enum Outcome {
         PASSED,
         FAILED,
@@ -149,7 +149,7 @@
 
     void sample() {}
 
-    /** Stands for the test {@link #sample}. */
+    /** Creates a stub context for the test {@link #sample}. */
     private static ExtensionContext context(int row) {
         return (ExtensionContext) Proxy.newProxyInstance(
                 ExtensionContext.class.getClassLoader(),
--- a/src/test/java/io/indigoreach/knownred/package-info.java
+++ b/src/test/java/io/indigoreach/knownred/package-info.java
@@ -1,2 +1,2 @@
-/** Tests that are known to fail: the list of them, and what passes over just these. */
+/** The list of tests that are known to fail, and the JUnit extension that ignores their failures. */
 package io.indigoreach.knownred;
--- a/src/test/java/io/indigoreach/net/ServiceClientTest.java
+++ b/src/test/java/io/indigoreach/net/ServiceClientTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 class ServiceClientTest {
-    /** Routines that are between two steps as the process ends are not to log a fault. */
+    /** Tasks that run during shutdown may still send requests; the client must return a failed future instead of throwing. */
     @Test
     void callAfterCloseFailsWithoutThrowing() throws Exception {
         Vertx vertx = Vertx.vertx();
