--- a/src/main/java/io/indigoreach/net/MessagePackFormat.java
+++ b/src/main/java/io/indigoreach/net/MessagePackFormat.java
@@ -62,7 +62,7 @@
             case MAP:
                 return readMap(in, depth, size);
             default:
-                throw new WireException("a value of an unsupported type");
+                throw new WireException("a value of an unexpected kind");
         }
     }
 
@@ -87,7 +87,7 @@
             }
             String key = in.unpackString();
             if (map.containsKey(key)) {
-                throw new WireException("a duplicate key");
+                throw new WireException("a key that is there twice");
             }
             map.put(key, read(in, depth + 1, size));
         }
--- a/src/test/java/io/indigoreach/GoldenFile.java
+++ b/src/test/java/io/indigoreach/GoldenFile.java
@@ -110,7 +110,7 @@
         return this;
     }
 
-    /** Like the above, and expects that the golden bytes are decoded as the value. */
+    /** Like {@link #again}, and expects that the golden bytes are decoded as the value. */
     public <T> GoldenFile both(
             String name, T value, Function<T, Map<String, Object>> writer, Function<Fields, T> reader) {
         again(name, value, writer, reader);
