--- a/src/main/java/io/indigoreach/api/HttpApi.java
+++ b/src/main/java/io/indigoreach/api/HttpApi.java
@@ -231,7 +231,7 @@
         if (!allows(request, method)) {
             return;
         }
-        RequestBody.gather(request, body -> respond(request, () -> work.apply(body)), () -> rejectLongBody(request));
+        RequestBody.read(request, body -> respond(request, () -> work.apply(body)), () -> rejectLongBody(request));
     }
 
     private void rejectLongBody(HttpServerRequest request) {
--- a/src/main/java/io/indigoreach/api/JobCodec.java
+++ b/src/main/java/io/indigoreach/api/JobCodec.java
@@ -102,8 +102,8 @@
         return new Progress(
                 new JobId(fields.text("id")),
                 JobStatus.valueOf(fields.text("status").toUpperCase(Locale.ROOT)),
-                (int) fields.whole("done", 0),
-                (int) fields.whole("running", 0));
+                (int) fields.wholeNumber("done", 0),
+                (int) fields.wholeNumber("running", 0));
     }
 
     /**
@@ -148,7 +148,7 @@
     }
 
     private static int tasks(Fields fields) {
-        long tasks = fields.whole("pieces");
+        long tasks = fields.wholeNumber("pieces");
         if (tasks < 1 || tasks > MAX_TASKS) {
             throw Fields.invalid("pieces");
         }
--- a/src/main/java/io/indigoreach/api/JobReadBatcher.java
+++ b/src/main/java/io/indigoreach/api/JobReadBatcher.java
@@ -57,7 +57,7 @@
     @Override
     public Future<Optional<StateClient.Entry>> read(JobId id) {
         String key = RecordKeys.openKey(id);
-        if (!listing && waiting.isEmpty() && singleReads.take(1, clock.now())) {
+        if (!listing && waiting.isEmpty() && singleReads.tryAcquire(1, clock.now())) {
             return state.get(key).map(Optional::ofNullable);
         }
         Promise<Optional<StateClient.Entry>> promise = waiting.computeIfAbsent(key, absent -> Promise.promise());
@@ -76,7 +76,7 @@
     /** The listing answers all reads that wait when its first page is requested; later ones wait for the next listing. */
     private void readFirstPage() {
         Moment now = clock.now();
-        if (!pageReads.take(1, now)) {
+        if (!pageReads.tryAcquire(1, now)) {
             vertx.setTimer(RATE_CHECK_INTERVAL.ms(), timer -> readFirstPage());
             return;
         }
@@ -91,7 +91,7 @@
             failListing(new WireException("too many open jobs to list them in time"));
             return;
         }
-        if (!pageReads.take(1, now)) {
+        if (!pageReads.tryAcquire(1, now)) {
             vertx.setTimer(RATE_CHECK_INTERVAL.ms(), timer -> readNextPage(begun));
             return;
         }
--- a/src/main/java/io/indigoreach/calendar/CalendarCodec.java
+++ b/src/main/java/io/indigoreach/calendar/CalendarCodec.java
@@ -80,7 +80,8 @@
         Map<String, Register.Entry> blocks = new LinkedHashMap<>();
         f.lists("blocks")
                 .forEach(b -> blocks.put((String) b.get(0), new Register.Entry(whole(b.get(1)), whole(b.get(2)))));
-        return new Stored(read(f), new Register(f.whole("next_block", 1), blocks), f.has("file") ? f.text("file") : "");
+        return new Stored(
+                read(f), new Register(f.wholeNumber("next_block", 1), blocks), f.has("file") ? f.text("file") : "");
     }
 
     /** Names a text by its contents. */
@@ -196,10 +197,10 @@
                                 p -> new Plan(
                                         p.text("name"),
                                         p.text("depot"),
-                                        time(p.whole("at")),
+                                        time(p.wholeNumber("at")),
                                         new Plan.Days(
                                                 numbers(p, "weekdays"), numbers(p, "month_days"), numbers(p, "months")),
-                                        new Span(p.whole("margin_ms")),
+                                        new Span(p.wholeNumber("margin_ms")),
                                         checked(
                                                 "on_holiday",
                                                 () -> Plan.OnHoliday.valueOf(
--- a/src/main/java/io/indigoreach/calendar/CalendarPart.java
+++ b/src/main/java/io/indigoreach/calendar/CalendarPart.java
@@ -52,27 +52,27 @@
     }
 
     @Override
-    public List<RecordFamily> families() {
+    public List<RecordFamily> recordFamilies() {
         return FAMILIES;
     }
 
     @Override
     public Resource resource() {
-        return new CalendarResource(ground.records(), calendars, forecasts, time);
+        return new CalendarResource(ground.recordRoutines(), calendars, forecasts, time);
     }
 
     @Override
-    public SubmissionParticipant joining() {
-        return new PlanJoining(ground.records(), time);
+    public SubmissionParticipant submissionParticipant() {
+        return new PlanJoining(ground.recordRoutines(), time);
     }
 
     @Override
-    public void submitting(Function<Buffer, Future<ApiResponse>> submissions) {
+    public void setJobSubmitter(Function<Buffer, Future<ApiResponse>> submissions) {
         desk = submissions;
     }
 
     @Override
-    public Term reigning(SchedulerCore core, RoutineRunner records) {
+    public LeaderTask startLeaderTask(SchedulerCore core, RoutineRunner records) {
         return new PlanScheduler(ground.vertx(), core, records, calendars, forecasts, desk, ground.clock(), time)
                 .start();
     }
--- a/src/main/java/io/indigoreach/calendar/CalendarResource.java
+++ b/src/main/java/io/indigoreach/calendar/CalendarResource.java
@@ -114,7 +114,7 @@
 
     /** The next version, if the one that it was made from is still in force. */
     private Future<ApiResponse> set(Fields body) {
-        int base = (int) body.whole("base");
+        int base = (int) body.wholeNumber("base");
         String note = body.has("note") ? body.text("note") : "";
         if (note.length() > LONGEST_NOTE) {
             throw Fields.invalid("note");
--- a/src/main/java/io/indigoreach/calendar/PlanScheduler.java
+++ b/src/main/java/io/indigoreach/calendar/PlanScheduler.java
@@ -47,7 +47,7 @@
  * to its end, and says what can't be ready. All that it must not do twice is decided on the occurrences' pages; what it remembers
  * only spares reading them. So it may end anywhere, and two of them at once do no harm.
  */
-final class PlanScheduler implements Part.Term {
+final class PlanScheduler implements Part.LeaderTask {
     private static final Logger LOG = LoggerFactory.getLogger(PlanScheduler.class);
     private static final Span STEP = Span.seconds(1);
     /** Between two submissions: 500 plans of one minute leave users most of the changes. See {@link Forecast}. */
--- a/src/main/java/io/indigoreach/cli/Commands.java
+++ b/src/main/java/io/indigoreach/cli/Commands.java
@@ -17,12 +17,12 @@
     private Commands() {}
 
     /** Validates both files, then starts the node. */
-    static int serve(String config, String settings) throws ConfigException {
-        if (config == null) {
+    static int serve(String configFile, String settingsFile) throws ConfigException {
+        if (configFile == null) {
             throw new ConfigException("--config FILE is needed; see --help");
         }
-        PlatformConfig platform = PlatformConfig.read(Path.of(config));
-        Node node = new Node(EventLoops.vertx(), platform, read(settings));
+        PlatformConfig platform = PlatformConfig.read(Path.of(configFile));
+        Node node = new Node(EventLoops.vertx(), platform, readSettings(settingsFile));
         node.start().onFailure(failure -> {
             LoggerFactory.getLogger(Commands.class).error("startup failed cause={}", failure.getMessage());
             System.exit(1);
@@ -31,27 +31,28 @@
     }
 
     /** Validates the given files. */
-    static int check(String config, String settings) throws ConfigException {
-        if (config == null && settings == null) {
+    static int check(String configFile, String settingsFile) throws ConfigException {
+        if (configFile == null && settingsFile == null) {
             throw new ConfigException("check: nothing to check; give --config FILE, --settings FILE or --list");
         }
-        Settings own = read(settings);
-        if (config != null) {
-            own.leaderLease(PlatformConfig.read(Path.of(config)).rules());
+        Settings operatorSettings = readSettings(settingsFile);
+        if (configFile != null) {
+            operatorSettings.leaderLease(
+                    PlatformConfig.read(Path.of(configFile)).safetyTimes());
         }
         System.out.println("ok");
         return 0;
     }
 
     /** Prints the operators' settings with units, defaults and ranges. */
-    static int list() {
+    static int listSettings() {
         for (Settings.Setting setting : Settings.Setting.values()) {
             System.out.println(setting.help());
         }
         return 0;
     }
 
-    private static Settings read(String settings) throws ConfigException {
-        return settings == null ? Settings.standard() : SettingsFile.read(Path.of(settings));
+    private static Settings readSettings(String settingsFile) throws ConfigException {
+        return settingsFile == null ? Settings.defaults() : SettingsFile.read(Path.of(settingsFile));
     }
 }
--- a/src/main/java/io/indigoreach/cli/Logging.java
+++ b/src/main/java/io/indigoreach/cli/Logging.java
@@ -6,9 +6,9 @@
 
     /** Sets the log level to {@code error}, {@code info} or {@code debug}; any other value means {@code info}. */
     static void configure(String level) {
-        String known = "error".equals(level) || "debug".equals(level) ? level : "info";
+        String effectiveLevel = "error".equals(level) || "debug".equals(level) ? level : "info";
         set("defaultLogLevel", "error");
-        set("log.io.indigoreach", known);
+        set("log.io.indigoreach", effectiveLevel);
         set("logFile", "System.err");
         set("showThreadName", "false");
         set("showShortLogName", "true");
--- a/src/main/java/io/indigoreach/cli/Rehearsal.java
+++ b/src/main/java/io/indigoreach/cli/Rehearsal.java
@@ -27,7 +27,7 @@
  * to record the classes that serving loads in the class-data sharing archive.
  */
 final class Rehearsal {
-    private static final String PLATFORM = """
+    private static final String PLATFORM_CONFIG = """
             node = "a"
             domain = "z"
             serve_on = "127.0.0.1:0"
@@ -66,39 +66,41 @@
     static int run() {
         Vertx vertx = EventLoops.vertx();
         Rehearsal rehearsal = new Rehearsal();
-        HttpServer standIn = vertx.createHttpServer().requestHandler(rehearsal::answer);
-        CountDownLatch over = new CountDownLatch(1);
-        standIn.listen(0, "127.0.0.1")
-                .compose(listening -> rehearsal.serve(vertx, listening.actualPort()))
-                .onComplete(done -> over.countDown());
+        HttpServer mockServer = vertx.createHttpServer().requestHandler(rehearsal::handleRequest);
+        CountDownLatch finished = new CountDownLatch(1);
+        mockServer
+                .listen(0, "127.0.0.1")
+                .compose(listening -> rehearsal.runNode(vertx, listening.actualPort()))
+                .onComplete(done -> finished.countDown());
         try {
-            return over.await(20, TimeUnit.SECONDS) ? 0 : 1;
+            return finished.await(20, TimeUnit.SECONDS) ? 0 : 1;
         } catch (InterruptedException e) {
             return 1;
         }
     }
 
-    private Future<Void> serve(Vertx vertx, int port) {
-        Span wait = Span.seconds(3);
+    private Future<Void> runNode(Vertx vertx, int mockPort) {
+        Span timeout = Span.seconds(3);
         try {
-            PlatformConfig config = PlatformConfig.parse("rehearsal", String.format(PLATFORM, port, port));
-            return new Node(vertx, config, Settings.standard())
+            PlatformConfig config =
+                    PlatformConfig.parse("rehearsal", String.format(PLATFORM_CONFIG, mockPort, mockPort));
+            return new Node(vertx, config, Settings.defaults())
                     .start()
-                    .compose(own -> {
-                        ServiceClient user = new ServiceClient(vertx, new Endpoint("127.0.0.1", own), 2);
+                    .compose(nodePort -> {
+                        ServiceClient userClient = new ServiceClient(vertx, new Endpoint("127.0.0.1", nodePort), 2);
                         return vertx.timer(700, TimeUnit.MILLISECONDS)
-                                .compose(done -> user.get("/ready", wait))
-                                .compose(done -> user.post("/api/jobs", job(), wait))
-                                .compose(done -> user.get("/api/jobs/run-1", wait))
+                                .compose(done -> userClient.get("/ready", timeout))
+                                .compose(done -> userClient.post("/api/jobs", jobSubmission(), timeout))
+                                .compose(done -> userClient.get("/api/jobs/run-1", timeout))
                                 .compose(done -> vertx.timer(400, TimeUnit.MILLISECONDS))
                                 // The first response contains the fencing token. The node ignores heartbeats with an
                                 // older token, and starts no tasks for them.
-                                .compose(done -> user.post("/checkin", heartbeat(1, 0), wait))
-                                .compose(response -> user.post(
-                                        "/checkin", heartbeat(2, response.body().whole("baton")), wait))
-                                .compose(response -> user.post(
-                                        "/checkin", heartbeat(3, response.body().whole("baton")), wait))
-                                .compose(done -> user.post("/api/jobs/run-1/cancel", Map.of(), wait))
+                                .compose(done -> userClient.post("/checkin", heartbeat(1, 0), timeout))
+                                .compose(response -> userClient.post(
+                                        "/checkin", heartbeat(2, response.body().wholeNumber("baton")), timeout))
+                                .compose(response -> userClient.post(
+                                        "/checkin", heartbeat(3, response.body().wholeNumber("baton")), timeout))
+                                .compose(done -> userClient.post("/api/jobs/run-1/cancel", Map.of(), timeout))
                                 .compose(done -> vertx.timer(700, TimeUnit.MILLISECONDS));
                     })
                     .mapEmpty();
@@ -107,7 +109,7 @@
         }
     }
 
-    private void answer(HttpServerRequest request) {
+    private void handleRequest(HttpServerRequest request) {
         request.body().onSuccess(body -> respond(request));
     }
 
@@ -122,7 +124,7 @@
             case "/store/era" ->
                 reply(request, 200, MessagePackFormat.map("path", "era", "data", Map.of("token", 1L), "stamp", 1L));
             case "/store/j/run-1" ->
-                reply(request, 200, MessagePackFormat.map("path", "j/run-1", "data", record(), "stamp", 1L));
+                reply(request, 200, MessagePackFormat.map("path", "j/run-1", "data", jobRecord(), "stamp", 1L));
             case "/catalog" -> reply(request, 200, MessagePackFormat.map("boxkinds", List.of(machineType())));
             case "/machines" -> respondAsCloud(request);
             case "/grants" -> reply(request, 200, MessagePackFormat.map("permit", 1L));
@@ -138,11 +140,11 @@
     }
 
     private static void respondAsCloud(HttpServerRequest request) {
-        boolean listing = request.method().name().equals("GET");
+        boolean isListRequest = request.method().name().equals("GET");
         reply(
                 request,
                 200,
-                listing
+                isListRequest
                         ? MessagePackFormat.map("boxes", List.of(), "truncated", false)
                         : MessagePackFormat.map("boxes", List.of("vm-1")));
     }
@@ -153,7 +155,7 @@
             request.response().closeHandler(closed -> {});
             return;
         }
-        Map<String, Object> event = MessagePackFormat.map("write", "j/run-1", "data", record(), "stamp", ++revision);
+        Map<String, Object> event = MessagePackFormat.map("write", "j/run-1", "data", jobRecord(), "stamp", ++revision);
         reply(request, 200, MessagePackFormat.map("ledger_rev", revision, "events", List.of(event)));
     }
 
@@ -185,9 +187,9 @@
         request.response().setStatusCode(status).end(MessagePackFormat.write(body));
     }
 
-    private static Map<String, Object> record() {
+    private static Map<String, Object> jobRecord() {
         return JobRecordCodec.writeJob(
-                JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(job()))),
+                JobCodec.read(MessagePackFormat.readMap(MessagePackFormat.write(jobSubmission()))),
                 1L,
                 JobStatus.PENDING,
                 new BitSet(),
@@ -195,7 +197,7 @@
                 4);
     }
 
-    private static Map<String, Object> job() {
+    private static Map<String, Object> jobSubmission() {
         return MessagePackFormat.map(
                 "id",
                 "run-1",
--- a/src/main/java/io/indigoreach/cloud/Catalogue.java
+++ b/src/main/java/io/indigoreach/cloud/Catalogue.java
@@ -16,30 +16,30 @@
  * outage. If the copy does not exist, the node reads the types from the cloud and stores the copy. Used on the event loop only.
  */
 public final class Catalogue {
-    private static final Span RETRY = Span.seconds(1);
+    private static final Span RETRY_INTERVAL = Span.seconds(1);
 
     private final StateClient state;
     private final CloudClient cloud;
-    private final PeriodicTask reader;
+    private final PeriodicTask readTask;
     private List<MachineType> types = List.of();
-    private boolean hasCopy;
+    private boolean isStored;
 
     /** Creates an empty catalogue; {@link #start()} starts reading. */
     public Catalogue(Vertx vertx, StateClient state, CloudClient cloud) {
         this.state = state;
         this.cloud = cloud;
-        this.reader = new PeriodicTask(vertx, "catalogue", RETRY, this::step);
+        this.readTask = new PeriodicTask(vertx, "catalogue", RETRY_INTERVAL, this::readStep);
     }
 
     /** Starts reading, and retries until the types are known. */
     public Catalogue start() {
-        reader.start();
+        readTask.start();
         return this;
     }
 
     /** Stops reading. */
     public void stop() {
-        reader.cancel();
+        readTask.cancel();
     }
 
     /** Returns whether the types are known. */
@@ -54,22 +54,22 @@
 
     /** Reads the types from the cloud, with the current spot prices. */
     public Future<List<MachineType>> readCurrentTypes() {
-        return cloud.catalogue();
+        return cloud.readMachineTypes();
     }
 
-    private Future<Span> step() {
+    private Future<Span> readStep() {
         if (isKnown()) {
-            reader.cancel();
-            return Future.succeededFuture(RETRY);
+            readTask.cancel();
+            return Future.succeededFuture(RETRY_INTERVAL);
         }
         return state.get(RecordKeys.CATALOGUE).compose(entry -> {
             if (entry != null) {
                 types = CatalogueRecordCodec.readCatalogue(entry.value());
-                hasCopy = isKnown();
+                isStored = isKnown();
                 return Future.succeededFuture(Span.ZERO);
             }
-            return cloud.catalogue().compose(found -> {
-                types = List.copyOf(found);
+            return cloud.readMachineTypes().compose(listedTypes -> {
+                types = List.copyOf(listedTypes);
                 return writeCopy().map(Span.ZERO);
             });
         });
@@ -77,14 +77,14 @@
 
     /** Stores the copy unless it exists. Descriptions of types do not change, so the first node to read them can write it. */
     private Future<Void> writeCopy() {
-        if (hasCopy || types.isEmpty()) {
+        if (isStored || types.isEmpty()) {
             return Future.succeededFuture();
         }
         return state.commit(new StateClient.Txn()
                         .when(RecordKeys.CATALOGUE, Revision.ABSENT)
                         .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(types)))
                 .map(outcome -> {
-                    hasCopy = true;
+                    isStored = true;
                     return null;
                 });
     }
--- a/src/main/java/io/indigoreach/cloud/CloudClient.java
+++ b/src/main/java/io/indigoreach/cloud/CloudClient.java
@@ -18,67 +18,71 @@
  */
 public final class CloudClient {
     /** The result of a rental request: the rented machines, or none if the pool has no capacity. */
-    public record Rental(List<MachineId> machines, boolean noCapacity) {}
+    public record RentalResult(List<MachineId> machines, boolean noCapacity) {}
 
     private static final int SERVICE_UNAVAILABLE = 503;
-    private static final Span TIMEOUT = Span.seconds(4);
+    private static final Span REQUEST_TIMEOUT = Span.seconds(4);
 
-    private final ServiceClient caller;
+    private final ServiceClient client;
 
-    /** Creates a client that sends its requests through {@code caller}. */
-    public CloudClient(ServiceClient caller) {
-        this.caller = caller;
+    /** Creates a client that sends its requests through {@code client}. */
+    public CloudClient(ServiceClient client) {
+        this.client = client;
     }
 
     /** Returns the maximum number of machines in one return request. */
     public static int maxMachinesPerReturn() {
-        return CloudCodec.MAX_RETURNED;
+        return CloudCodec.MAX_MACHINES_PER_RETURN;
     }
 
     /** Reads the machine types, with the current spot prices. */
-    public Future<List<MachineType>> catalogue() {
-        return caller.get(CloudCodec.TYPES, TIMEOUT).map(response -> CloudCodec.readTypes(ok(response)));
+    public Future<List<MachineType>> readMachineTypes() {
+        return client.get(CloudCodec.TYPES_PATH, REQUEST_TIMEOUT)
+                .map(response -> CloudCodec.readTypes(requireSuccess(response)));
     }
 
-    /** Rents up to {@code count} machines. The request is idempotent: a repeat with the same {@code name} gets the same result. */
-    public Future<Rental> rent(String name, MachinePool pool, int count) {
-        return caller.post(
-                        CloudCodec.MACHINES, CloudCodec.writeRental(new CloudCodec.Rental(name, pool, count)), TIMEOUT)
+    /** Rents up to {@code count} machines. The request is idempotent: a repeat with the same key gets the same result. */
+    public Future<RentalResult> rent(String idempotencyKey, MachinePool pool, int count) {
+        return client.post(
+                        CloudCodec.MACHINES_PATH,
+                        CloudCodec.writeRental(new CloudCodec.RentalRequest(idempotencyKey, pool, count)),
+                        REQUEST_TIMEOUT)
                 .map(response -> lacksCapacity(response)
-                        ? new Rental(List.of(), true)
-                        : new Rental(CloudCodec.readNames(ok(response)), false));
+                        ? new RentalResult(List.of(), true)
+                        : new RentalResult(CloudCodec.readMachineIds(requireSuccess(response)), false));
     }
 
     /** Returns machines to the cloud. After success, the machines and the tasks on them no longer exist. */
     public Future<Void> returnMachines(List<MachineId> machines) {
-        return caller.post(CloudCodec.RETURN, CloudCodec.writeNames(machines), TIMEOUT)
+        return client.post(CloudCodec.RETURN_PATH, CloudCodec.writeMachineIds(machines), REQUEST_TIMEOUT)
                 .map(response -> {
-                    ok(response);
+                    requireSuccess(response);
                     return null;
                 });
     }
 
     /** Lists the machines that this deployment rents, reading all pages. */
-    public Future<List<ListedMachine>> list() {
-        return page(null, new ArrayList<>());
+    public Future<List<ListedMachine>> listMachines() {
+        return readRemainingPages(null, new ArrayList<>());
     }
 
-    private Future<List<ListedMachine>> page(MachineId after, List<ListedMachine> earlier) {
-        return caller.get(CloudCodec.listPath(after), TIMEOUT).compose(response -> {
-            CloudCodec.Page page = CloudCodec.readPage(ok(response));
-            page.machines().forEach(listed -> earlier.add(listed.machine()));
-            return page.more() && !page.machines().isEmpty()
-                    ? page(earlier.get(earlier.size() - 1).id(), earlier)
-                    : Future.succeededFuture(earlier);
+    private Future<List<ListedMachine>> readRemainingPages(MachineId after, List<ListedMachine> machinesSoFar) {
+        return client.get(CloudCodec.listPath(after), REQUEST_TIMEOUT).compose(response -> {
+            CloudCodec.Page page = CloudCodec.readPage(requireSuccess(response));
+            page.machines().forEach(listed -> machinesSoFar.add(listed.machine()));
+            return page.hasMore() && !page.machines().isEmpty()
+                    ? readRemainingPages(
+                            machinesSoFar.get(machinesSoFar.size() - 1).id(), machinesSoFar)
+                    : Future.succeededFuture(machinesSoFar);
         });
     }
 
     private static boolean lacksCapacity(ServiceResponse response) {
         return response.status() == SERVICE_UNAVAILABLE
-                && CloudCodec.NO_CAPACITY.equals(response.body().optionalText("error"));
+                && CloudCodec.NO_CAPACITY_ERROR.equals(response.body().optionalText("error"));
     }
 
-    private static Fields ok(ServiceResponse response) {
+    private static Fields requireSuccess(ServiceResponse response) {
         if (response.isOk()) {
             return response.body();
         }
--- a/src/main/java/io/indigoreach/cloud/CloudCodec.java
+++ b/src/main/java/io/indigoreach/cloud/CloudCodec.java
@@ -14,36 +14,36 @@
 /** Encodes and decodes the requests and responses of the cloud's API, and defines its paths. */
 public final class CloudCodec {
     /** Path for reading the machine types. */
-    public static final String TYPES = "/catalog";
+    public static final String TYPES_PATH = "/catalog";
     /** Path for listing machines (GET) and renting machines (POST). */
-    public static final String MACHINES = "/machines";
+    public static final String MACHINES_PATH = "/machines";
     /** Path for returning machines. */
-    public static final String RETURN = "/machines/return";
+    public static final String RETURN_PATH = "/machines/return";
     /** Query parameter of the machine list: the last machine of the previous page. */
-    public static final String AFTER = "since";
+    public static final String AFTER_PARAMETER = "since";
     /** Query parameter of the machine list: the maximum page size. */
-    public static final String MOST = "most";
+    public static final String PAGE_SIZE_PARAMETER = "most";
     /** The error text of a rental response if the pool has no capacity. */
-    public static final String NO_CAPACITY = "no capacity";
+    public static final String NO_CAPACITY_ERROR = "no capacity";
     /** Maximum number of machines in a page of the list. */
-    public static final int MAX_LISTED = 500;
+    public static final int MAX_MACHINES_PER_PAGE = 500;
     /** Maximum number of machines in a rental request. */
-    public static final int MAX_RENTED = 50;
+    public static final int MAX_MACHINES_PER_RENTAL = 50;
     /** Maximum number of machines in a return request. */
-    public static final int MAX_RETURNED = 100;
+    public static final int MAX_MACHINES_PER_RETURN = 100;
 
     /**
      * A rental request.
      *
-     * @param name the idempotency key: the cloud answers a repeat with the same result
+     * @param idempotencyKey identifies the request: the cloud answers a repeat with the same result
      */
-    public record Rental(String name, MachinePool pool, int count) {}
+    public record RentalRequest(String idempotencyKey, MachinePool pool, int count) {}
 
     /** An entry of the machine list; the address is null until the machine has one. */
-    public record Listed(ListedMachine machine, String address) {}
+    public record ListEntry(ListedMachine machine, String address) {}
 
     /** A page of the machine list. */
-    public record Page(List<Listed> machines, boolean more) {}
+    public record Page(List<ListEntry> machines, boolean hasMore) {}
 
     /** Boot time of a machine type whose description has none, in seconds. */
     private static final double DEFAULT_BOOT_S = 60;
@@ -51,7 +51,8 @@
     private CloudCodec() {}
 
     static String listPath(MachineId after) {
-        return MACHINES + "?" + MOST + "=" + MAX_LISTED + (after == null ? "" : "&" + AFTER + "=" + after);
+        return MACHINES_PATH + "?" + PAGE_SIZE_PARAMETER + "=" + MAX_MACHINES_PER_PAGE
+                + (after == null ? "" : "&" + AFTER_PARAMETER + "=" + after);
     }
 
     /** Encodes the response that lists the machine types. */
@@ -91,9 +92,9 @@
                 zones == null ? List.of() : zones);
     }
 
-    static Map<String, Object> writeRental(Rental rental) {
+    static Map<String, Object> writeRental(RentalRequest rental) {
         return MessagePackFormat.map(
-                "hire", rental.name(),
+                "hire", rental.idempotencyKey(),
                 "boxkind", rental.pool().type(),
                 "hall", rental.pool().zone(),
                 "loaners", rental.pool().spot(),
@@ -101,10 +102,10 @@
     }
 
     /** Decodes a rental request. */
-    public static Rental readRental(Fields fields) {
-        String name = fields.text("hire");
+    public static RentalRequest readRental(Fields fields) {
+        String idempotencyKey = fields.text("hire");
         MachinePool pool = readPool(fields);
-        return new Rental(name, pool, (int) fields.whole("count"));
+        return new RentalRequest(idempotencyKey, pool, (int) fields.wholeNumber("count"));
     }
 
     private static MachinePool readPool(Fields fields) {
@@ -112,13 +113,13 @@
     }
 
     /** Encodes machine ids: the rented machines in a rental response, or the machines in a return request. */
-    public static Map<String, Object> writeNames(List<MachineId> machines) {
+    public static Map<String, Object> writeMachineIds(List<MachineId> machines) {
         return MessagePackFormat.map(
                 "boxes", machines.stream().map(MachineId::text).toList());
     }
 
     /** Decodes machine ids. */
-    public static List<MachineId> readNames(Fields fields) {
+    public static List<MachineId> readMachineIds(Fields fields) {
         List<String> names = fields.optionalTexts("boxes");
         return names == null ? List.of() : names.stream().map(MachineId::new).toList();
     }
@@ -126,38 +127,38 @@
     /** Encodes a page of the machine list. */
     public static Map<String, Object> writePage(Page page) {
         List<Map<String, Object>> machines =
-                page.machines().stream().map(CloudCodec::writeListed).toList();
-        return MessagePackFormat.map("boxes", machines, "truncated", page.more());
+                page.machines().stream().map(CloudCodec::writeListEntry).toList();
+        return MessagePackFormat.map("boxes", machines, "truncated", page.hasMore());
     }
 
-    private static Map<String, Object> writeListed(Listed listed) {
-        ListedMachine machine = listed.machine();
+    private static Map<String, Object> writeListEntry(ListEntry entry) {
+        ListedMachine machine = entry.machine();
         return MessagePackFormat.map(
                 "id", machine.id().text(),
-                "endpoint", listed.address(),
+                "endpoint", entry.address(),
                 "boxkind", machine.pool().type(),
                 "hall", machine.pool().zone(),
                 "loaners", machine.pool().spot(),
-                "status", text(machine.status()),
+                "status", statusText(machine.status()),
                 "held_s", machine.sinceRequested().seconds());
     }
 
     static Page readPage(Fields fields) {
-        List<Listed> machines =
-                fields.children("boxes").stream().map(CloudCodec::readListed).toList();
+        List<ListEntry> machines =
+                fields.children("boxes").stream().map(CloudCodec::readListEntry).toList();
         return new Page(machines, fields.flag("truncated", false));
     }
 
-    private static Listed readListed(Fields fields) {
+    private static ListEntry readListEntry(Fields fields) {
         ListedMachine machine = new ListedMachine(
                 new MachineId(fields.text("id")),
                 readPool(fields),
-                status(fields.text("status")),
+                parseStatus(fields.text("status")),
                 Span.seconds(fields.number("held_s", 0)));
-        return new Listed(machine, fields.optionalText("endpoint"));
+        return new ListEntry(machine, fields.optionalText("endpoint"));
     }
 
-    private static String text(ListedMachine.Status status) {
+    private static String statusText(ListedMachine.Status status) {
         return switch (status) {
             case STARTING -> "starting";
             case FAILED -> "failed";
@@ -165,7 +166,7 @@
         };
     }
 
-    private static ListedMachine.Status status(String text) {
+    private static ListedMachine.Status parseStatus(String text) {
         return switch (text) {
             case "starting" -> ListedMachine.Status.STARTING;
             case "failed" -> ListedMachine.Status.FAILED;
--- a/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
+++ b/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
@@ -158,7 +158,7 @@
         JobId id = orphanedKeys.keySet().iterator().next();
         List<String> keys =
                 orphanedKeys.get(id).stream().limit(context.limits().txnOps()).toList();
-        if (!writes.limiter().takeSpare(keys.size(), context.clock().now())) {
+        if (!writes.limiter().tryAcquireSpare(keys.size(), context.clock().now())) {
             return Future.succeededFuture(PERIOD);
         }
         return context.state().get(RecordKeys.finalKey(id)).compose(finalRecord -> {
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -88,7 +88,7 @@
             if (readsInFlight.contains(id) || now.isBefore(nextLookupAt.getOrDefault(id, Moment.NEVER))) {
                 continue;
             }
-            if (!readLimiter.take(1, now)) {
+            if (!readLimiter.tryAcquire(1, now)) {
                 return;
             }
             lookUp(id);
@@ -175,7 +175,7 @@
                 continue;
             }
             StateClient.Txn txn = cancellation(job);
-            if (!writes.limiter().take(txn.size(), now)) {
+            if (!writes.limiter().tryAcquire(txn.size(), now)) {
                 return;
             }
             writesInFlight.add(id);
--- a/src/main/java/io/indigoreach/cluster/FleetManager.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -172,7 +172,9 @@
 
     /** Once in a check period, opens requests for the machines that are needed now. */
     private void openNewRequests(Moment now) {
-        if (now.since(lastCheckAt).compareTo(context.settings().tuning().checkPeriod()) < 0) {
+        if (now.since(lastCheckAt)
+                        .compareTo(context.settings().schedulerSettings().checkPeriod())
+                < 0) {
             return;
         }
         lastCheckAt = now;
@@ -199,7 +201,7 @@
                 .recover(e -> onUnanswered(request, e));
     }
 
-    private Span onRental(Request request, CloudClient.Rental rental) {
+    private Span onRental(Request request, CloudClient.RentalResult rental) {
         if (scaleOutTask.isCancelled()) {
             return PAUSE;
         }
@@ -259,7 +261,7 @@
         List<MachineId> leaving =
                 intentLog.intents().addReturns(core.machinesToReturn(CloudClient.maxMachinesPerReturn()));
         if (leaving.isEmpty()) {
-            return Future.succeededFuture(context.settings().tuning().checkPeriod());
+            return Future.succeededFuture(context.settings().schedulerSettings().checkPeriod());
         }
         return intentLog.record().compose(recorded -> returnIfRecorded(leaving, recorded));
     }
@@ -274,13 +276,13 @@
                 core.returned(machines, context.clock().now());
                 LOG.info("scale-in completed machines={}", machines);
             }
-            return context.settings().tuning().checkPeriod();
+            return context.settings().schedulerSettings().checkPeriod();
         });
     }
 
     private Future<Span> listingStep() {
         Moment requestedAt = context.clock().now();
-        return context.cloud().list().map(machines -> {
+        return context.cloud().listMachines().map(machines -> {
             if (!listingTask.isCancelled()) {
                 core.onMachineListing(machines, requestedAt, context.clock().now());
             }
--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -124,7 +124,7 @@
                 .limit(context.limits().txnOps())
                 .toList();
         if (keys.isEmpty()
-                || !writeLimiter.takeSpare(keys.size(), context.clock().now())) {
+                || !writeLimiter.tryAcquireSpare(keys.size(), context.clock().now())) {
             return Future.succeededFuture();
         }
         StateClient.Txn txn = new StateClient.Txn().when(RecordKeys.LEADER, leadershipRevision);
@@ -166,11 +166,11 @@
     private Future<Boolean> writeIfNeeded() {
         Moment now = context.clock().now();
         if (intents.isUnrecorded()) {
-            return writeLimiter.take(1, now) ? write(now) : Future.succeededFuture(false);
+            return writeLimiter.tryAcquire(1, now) ? write(now) : Future.succeededFuture(false);
         }
         boolean cleanup = (writeUnanswered || intents.isOutdated())
                 && now.since(lastWriteAt).compareTo(CLEANUP_INTERVAL) >= 0
-                && writeLimiter.takeSpare(1, now);
+                && writeLimiter.tryAcquireSpare(1, now);
         return cleanup ? write(now).map(true).otherwise(true) : Future.succeededFuture(true);
     }
 
--- a/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
+++ b/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
@@ -128,7 +128,7 @@
         if (!finishedInOpenRecords.isEmpty()
                 && !crowded
                 && writesInFlight.size() < MAX_WRITES_IN_FLIGHT
-                && writes.limiter().takeSpare(MOVE_SIZE, now)) {
+                && writes.limiter().tryAcquireSpare(MOVE_SIZE, now)) {
             moveFinished();
         }
         return Future.succeededFuture(PERIOD);
@@ -193,8 +193,8 @@
     /** Progress, of which there is always more, may not use what a completion or a start needs. */
     private boolean takeBudget(Job job, StateClient.Txn txn, Moment now) {
         return isUrgent(job)
-                ? writes.limiter().take(txn.size(), now)
-                : writes.limiter().takeSpare(txn.size(), now);
+                ? writes.limiter().tryAcquire(txn.size(), now)
+                : writes.limiter().tryAcquireSpare(txn.size(), now);
     }
 
     /**
--- a/src/main/java/io/indigoreach/cluster/JobWatch.java
+++ b/src/main/java/io/indigoreach/cluster/JobWatch.java
@@ -57,7 +57,7 @@
     }
 
     private Future<Span> step() {
-        return watch(watchTime(context.config().rules().maxCancellationAge()));
+        return watch(watchTime(context.config().safetyTimes().maxCancellationAge()));
     }
 
     /** One watch that is answered after {@code maxTime} at the latest. */
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -104,8 +104,8 @@
     private static SchedulerCore newCore(NodeContext context, FencingToken token, SchedulerListener listener) {
         return new SchedulerCore(
                 token,
-                context.config().rules(),
-                context.settings().tuning(),
+                context.config().safetyTimes(),
+                context.settings().schedulerSettings(),
                 objectives(context.config()),
                 context.config().teams(),
                 listener);
@@ -113,9 +113,9 @@
 
     private static ServiceLevelObjectives objectives(PlatformConfig config) {
         return new ServiceLevelObjectives(config.objectives().stream()
-                .filter(objective -> objective.within().ms() > 0)
+                .filter(objective -> objective.targetTime().ms() > 0)
                 .map(objective -> new ServiceLevelObjectives.Objective(
-                        objective.jobClass(), WAIT_OBJECTIVE.equals(objective.kind()), objective.within()))
+                        objective.jobClass(), WAIT_OBJECTIVE.equals(objective.kind()), objective.targetTime()))
                 .toList());
     }
 
@@ -159,7 +159,7 @@
      */
     boolean isInformedOfCancellations() {
         Moment now = context.clock().now();
-        Span maxAge = context.config().rules().maxCancellationAge();
+        Span maxAge = context.config().safetyTimes().maxCancellationAge();
         return core.areRecordsLoaded()
                 && now.since(cancellationHorizon.completeUntil()).compareTo(maxAge) < 0;
     }
--- a/src/main/java/io/indigoreach/cluster/MachineStore.java
+++ b/src/main/java/io/indigoreach/cluster/MachineStore.java
@@ -112,7 +112,9 @@
         if (additions.isEmpty()) {
             return compact(now);
         }
-        return writes.limiter().take(additions.size(), now) ? write(additions, now) : Future.succeededFuture(PERIOD);
+        return writes.limiter().tryAcquire(additions.size(), now)
+                ? write(additions, now)
+                : Future.succeededFuture(PERIOD);
     }
 
     private void expirePending(Moment now) {
@@ -225,7 +227,7 @@
         }
         MachinePage page =
                 pages.stream().filter(this::needsCompaction).findFirst().orElse(null);
-        if (page == null || !writes.limiter().takeSpare(1, now)) {
+        if (page == null || !writes.limiter().tryAcquireSpare(1, now)) {
             return Future.succeededFuture(PERIOD);
         }
         page.removeReturnedMachines(core);
--- a/src/main/java/io/indigoreach/cluster/Node.java
+++ b/src/main/java/io/indigoreach/cluster/Node.java
@@ -53,7 +53,8 @@
     }
 
     /** A node with the given optional features. */
-    public Node(Vertx vertx, PlatformConfig config, Settings settings, List<Parts.Kind> kinds) throws ConfigException {
+    public Node(Vertx vertx, PlatformConfig config, Settings settings, List<Parts.Definition> kinds)
+            throws ConfigException {
         this.loopMonitor = new EventLoopMonitor(vertx, clock);
         StateClient state = new StateClient(
                 new ServiceClient(vertx, config.state(), STATE_CONNECTIONS),
@@ -71,13 +72,13 @@
                 .catalogue(catalogue)
                 .config(config)
                 .settings(settings)
-                .lease(settings.leaderLease(config.rules()))
+                .lease(settings.leaderLease(config.safetyTimes()))
                 .parts(parts)
                 .repairer(repairer)
                 .build();
         this.controller = new Controller(context, renewalLoop);
         JobService jobService = jobService(context);
-        LocalMemory memory = new LocalMemory(jobService, controller, parts.copies());
+        LocalMemory memory = new LocalMemory(jobService, controller, parts.recordCache());
         this.peerClient = new PeerClient(vertx, clock, config.peers(), memory);
         this.connectivity = new ConnectivityCheck(context, controller, peerClient);
         this.peerServer = new PeerServer(context, controller, memory, connectivity);
@@ -114,10 +115,10 @@
         controller.setRememberedStateSource(peerClient::rememberedState);
         controller.setPeers(peerClient::requestPledges, peerClient::noPeerLeads);
         context.repairer().recallFrom(peerClient::rememberedState);
-        jobService.setCascadeTime(context.config().rules().cancellationTime(), controller::currentLeadership);
+        jobService.setCascadeTime(context.config().safetyTimes().cancellationTime(), controller::currentLeadership);
         jobService.setDependencySupportCheck(() -> controller.formatGate().isOpen());
-        jobService.setParticipants(context.parts().joinings());
-        context.parts().all().forEach(part -> part.submitting(jobService::submit));
+        jobService.setParticipants(context.parts().submissionParticipants());
+        context.parts().all().forEach(part -> part.setJobSubmitter(jobService::submit));
         jobService.setPeerQuery(peerClient::isKnownToAny);
         context.state().onLoss(controller::onStateLoss);
     }
--- a/src/main/java/io/indigoreach/cluster/PartRegistry.java
+++ b/src/main/java/io/indigoreach/cluster/PartRegistry.java
@@ -15,15 +15,15 @@
  */
 public final class PartRegistry {
     /** All optional features: a new one is added here, and nowhere else. */
-    private static final List<Parts.Kind> KINDS = List.of(
-            new Parts.Kind(Settings.Setting.CALENDAR, CalendarPart.FAMILIES, CalendarPart::new),
-            new Parts.Kind(Settings.Setting.RECORD_OWNERSHIP, Registry.FAMILIES, OwnershipPart::new),
-            new Parts.Kind(Settings.Setting.WARM_POOLS, PoolRecords.FAMILIES, WarmPart::new));
+    private static final List<Parts.Definition> KINDS = List.of(
+            new Parts.Definition(Settings.Setting.CALENDAR, CalendarPart.FAMILIES, CalendarPart::new),
+            new Parts.Definition(Settings.Setting.RECORD_OWNERSHIP, Registry.FAMILIES, OwnershipPart::new),
+            new Parts.Definition(Settings.Setting.WARM_POOLS, PoolRecords.FAMILIES, WarmPart::new));
 
     private PartRegistry() {}
 
     /** The optional features that the settings enable. */
-    public static List<Parts.Kind> enabled(Settings settings) {
-        return KINDS.stream().filter(kind -> settings.get(kind.knob()) > 0).toList();
+    public static List<Parts.Definition> enabled(Settings settings) {
+        return KINDS.stream().filter(kind -> settings.get(kind.setting()) > 0).toList();
     }
 }
--- a/src/main/java/io/indigoreach/cluster/PartsTask.java
+++ b/src/main/java/io/indigoreach/cluster/PartsTask.java
@@ -32,7 +32,7 @@
     private final RoutineRunner routines;
 
     private final PeriodicTask collectionTask;
-    private final List<Part.Term> terms = new ArrayList<>();
+    private final List<Part.LeaderTask> terms = new ArrayList<>();
     private final Map<Part, Moment> nextCollection = new HashMap<>();
 
     PartsTask(NodeContext context, SchedulerCore core, Revision leadershipRevision, RateLimiter writeLimiter) {
@@ -40,26 +40,26 @@
         this.core = core;
         this.routines = context.parts().all().isEmpty()
                 ? null
-                : context.parts().records().leading(RecordKeys.LEADER, leadershipRevision, writeLimiter);
+                : context.parts().recordRoutines().leading(RecordKeys.LEADER, leadershipRevision, writeLimiter);
         this.collectionTask = new PeriodicTask(context.vertx(), "parts", PERIOD, this::collect);
     }
 
     void start() {
         if (routines != null) {
-            context.parts().all().forEach(part -> terms.add(part.reigning(core, routines)));
+            context.parts().all().forEach(part -> terms.add(part.startLeaderTask(core, routines)));
             collectionTask.start();
         }
     }
 
     void cancel() {
         collectionTask.cancel();
-        terms.forEach(Part.Term::close);
+        terms.forEach(Part.LeaderTask::close);
     }
 
     private Future<Span> collect() {
         Moment now = context.clock().now();
         for (Part part : context.parts().all()) {
-            GarbageCollector collector = part.sweep();
+            GarbageCollector collector = part.garbageCollector();
             if (collector != null && !now.isBefore(nextCollection.getOrDefault(part, Moment.NEVER))) {
                 // A collection that fails waits for a period like the others, and does not keep them from their rounds.
                 nextCollection.put(part, now.plus(PERIOD));
--- a/src/main/java/io/indigoreach/cluster/PeerPromises.java
+++ b/src/main/java/io/indigoreach/cluster/PeerPromises.java
@@ -39,7 +39,7 @@
 
     /** How far back cancellations are asked for; zero for a node of the previous version, which does not say so. */
     static Span readRequest(Fields request) {
-        return new Span(Math.max(0, request.whole(LOOK_BACK, 0)));
+        return new Span(Math.max(0, request.wholeNumber(LOOK_BACK, 0)));
     }
 
     /**
@@ -64,7 +64,7 @@
         boolean pledged = response.flag(PLEDGED, false);
         if (ids == null) {
             // A node of the previous version: it reports since when it has confirmed no cancellation, but no jobs.
-            Span covered = new Span(response.whole(TIME_SINCE_LAST, 0));
+            Span covered = new Span(response.wholeNumber(TIME_SINCE_LAST, 0));
             return new PeerPromises(pledged, new CancellationSummary(Set.of(), covered));
         }
         if (ids.size() > ConfirmedCancellations.MAX_REMEMBERED || !ids.stream().allMatch(JobId::isValid)) {
@@ -72,6 +72,6 @@
         }
         Set<JobId> jobs = new HashSet<>();
         ids.forEach(id -> jobs.add(new JobId(id)));
-        return new PeerPromises(pledged, new CancellationSummary(jobs, new Span(response.whole(COVERED, 0))));
+        return new PeerPromises(pledged, new CancellationSummary(jobs, new Span(response.wholeNumber(COVERED, 0))));
     }
 }
--- a/src/main/java/io/indigoreach/cluster/PeerProtocol.java
+++ b/src/main/java/io/indigoreach/cluster/PeerProtocol.java
@@ -81,7 +81,7 @@
 
     /** The era in which data were lost. */
     static long readLoss(Fields request) {
-        return request.whole(ERA);
+        return request.wholeNumber(ERA);
     }
 
     static Map<String, Object> writeHandover(Revision leadershipRevision) {
@@ -89,6 +89,6 @@
     }
 
     static Revision readHandover(Fields request) {
-        return new Revision(request.whole(LEADERSHIP_REVISION));
+        return new Revision(request.wholeNumber(LEADERSHIP_REVISION));
     }
 }
--- a/src/main/java/io/indigoreach/cluster/RebuildWriter.java
+++ b/src/main/java/io/indigoreach/cluster/RebuildWriter.java
@@ -118,7 +118,7 @@
     }
 
     private Future<Void> awaitRate(int writes) {
-        if (writeLimiter.take(writes, context.clock().now())) {
+        if (writeLimiter.tryAcquire(writes, context.clock().now())) {
             return Future.succeededFuture();
         }
         Promise<Void> later = Promise.promise();
--- a/src/main/java/io/indigoreach/cluster/StateRebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -206,7 +206,7 @@
     private Map<RecordFamily, List<VersionedRecord>> rememberedByFamily() {
         Map<RecordFamily, List<VersionedRecord>> families = new LinkedHashMap<>();
         for (VersionedRecord record : remembered.records()) {
-            RecordFamily family = context.parts().copies().familyOf(record.key());
+            RecordFamily family = context.parts().recordCache().familyOf(record.key());
             if (family != null) {
                 families.computeIfAbsent(family, key -> new ArrayList<>()).add(record);
             }
--- a/src/main/java/io/indigoreach/cluster/WarmUp.java
+++ b/src/main/java/io/indigoreach/cluster/WarmUp.java
@@ -116,8 +116,8 @@
         };
         return new SchedulerCore(
                 TOKEN,
-                context.config().rules(),
-                context.settings().tuning(),
+                context.config().safetyTimes(),
+                context.settings().schedulerSettings(),
                 new ServiceLevelObjectives(
                         List.of(new ServiceLevelObjectives.Objective("c0", false, Span.seconds(200)))),
                 List.of(new Team(TEAM, 0, 0, 0, 0)),
--- a/src/main/java/io/indigoreach/config/PlatformConfig.java
+++ b/src/main/java/io/indigoreach/config/PlatformConfig.java
@@ -24,7 +24,7 @@
  * @param maxClockError the maximum error of the time of day
  * @param teams the teams with their quotas; at least one
  * @param objectives the service-level objectives
- * @param rules the lease, heartbeat and cancellation times that the safety rules depend on
+ * @param safetyTimes the lease, heartbeat and cancellation times that the safety rules depend on
  * @param stateLimits the limits of the state service
  * @param cloudLimits the limits of the cloud
  * @param maxConnections the maximum number of open connections of a node
@@ -41,7 +41,7 @@
         Span maxClockError,
         List<Team> teams,
         List<Objective> objectives,
-        SafetyTimes rules,
+        SafetyTimes safetyTimes,
         StateLimits stateLimits,
         CloudLimits cloudLimits,
         int maxConnections) {
@@ -55,10 +55,10 @@
      * A service-level objective of a job class.
      *
      * @param kind the measured quantity
-     * @param within the target time
+     * @param targetTime the target time
      * @param share the fraction of the jobs that should meet the target, 0 to 1
      */
-    public record Objective(String kind, String jobClass, Span within, double share) {}
+    public record Objective(String kind, String jobClass, Span targetTime, double share) {}
 
     /** The limits of the state service, each the smaller of the current and the announced limit. {@code valueBytes} counts compact JSON. */
     public record StateLimits(double requestsPerS, double writesPerS, int valueBytes, int txnOps) {
@@ -66,10 +66,10 @@
         public static final int MIN_TXN_OPS = 2;
 
         /** The fraction of the value limit that records use. The rest is a reserve in case the service counts spaces or escapes. */
-        private static final double FILLED = 0.8;
+        private static final double USED_FRACTION_OF_VALUE_LIMIT = 0.8;
 
         /** Returns the smaller of the two values for each limit. */
-        public StateLimits atMost(StateLimits other) {
+        public StateLimits minimum(StateLimits other) {
             return new StateLimits(
                     Math.min(requestsPerS, other.requestsPerS),
                     Math.min(writesPerS, other.writesPerS),
@@ -79,12 +79,12 @@
 
         /** Returns the maximum size of a record, in bytes as counted by {@link io.indigoreach.net.JsonSize}. */
         public int maxRecordBytes() {
-            return (int) (valueBytes * FILLED);
+            return (int) (valueBytes * USED_FRACTION_OF_VALUE_LIMIT);
         }
     }
 
-    /** The limits of the cloud; {@code listLag} is the maximum age of its list of machines. */
-    public record CloudLimits(double requestsPerS, Span listLag) {}
+    /** The limits of the cloud; {@code maxListAge} is the maximum age of its list of machines. */
+    public record CloudLimits(double requestsPerS, Span maxListAge) {}
 
     /** Reads and validates the file. */
     public static PlatformConfig read(Path file) throws ConfigException {
@@ -97,9 +97,9 @@
         return parse(file.toString(), text);
     }
 
-    /** Parses a configuration; {@code name} is the file name for error messages. */
-    public static PlatformConfig parse(String name, String text) throws ConfigException {
-        return PlatformConfigReader.parse(name, text);
+    /** Parses a configuration; {@code fileName} is used in error messages. */
+    public static PlatformConfig parse(String fileName, String text) throws ConfigException {
+        return PlatformConfigReader.parse(fileName, text);
     }
 
     /** Returns the text of a file that {@link #parse} reads as this configuration. Announced limits are written as current limits. */
--- a/src/main/java/io/indigoreach/config/PlatformConfigReader.java
+++ b/src/main/java/io/indigoreach/config/PlatformConfigReader.java
@@ -20,17 +20,17 @@
 
     private PlatformConfigReader() {}
 
-    /** Parses a configuration; {@code name} is the file name for error messages. */
-    static PlatformConfig parse(String name, String text) throws ConfigException {
-        TomlSection root = root(name, text);
+    /** Parses a configuration; {@code fileName} is used in error messages. */
+    static PlatformConfig parse(String fileName, String text) throws ConfigException {
+        TomlSection root = root(fileName, text);
         TomlSection settings = root.section("settings");
         TomlSection workers = settings.section("workers");
         TomlSection state = settings.section("state");
         TomlSection cloud = settings.section("cloud");
         List<Peer> peers = peers(root);
-        List<Team> teams = teams(name, settings);
+        List<Team> teams = teams(fileName, settings);
         List<Objective> objectives = objectives(settings);
-        SafetyTimes rules = safetyTimes(workers, cloud);
+        SafetyTimes safetyTimes = safetyTimes(workers, cloud);
         TomlSection endpoints = root.section("endpoints");
         return new PlatformConfig(
                 root.text("node"),
@@ -44,18 +44,18 @@
                 new Span((long) settings.amount("skew_ms", DEFAULT_CLOCK_SKEW_MS)),
                 teams,
                 objectives,
-                rules,
+                safetyTimes,
                 stateLimits(state),
                 new CloudLimits(cloud.positive("rps"), Span.seconds(cloud.amount("list_lag_s", 0))),
                 (int) settings.optionalSection("machine_limits").amount("max_connections", DEFAULT_MAX_CONNECTIONS));
     }
 
-    private static TomlSection root(String name, String text) throws ConfigException {
+    private static TomlSection root(String fileName, String text) throws ConfigException {
         try {
-            return new TomlSection(name, "", new TomlParser().parse(text));
+            return new TomlSection(fileName, "", new TomlParser().parse(text));
         } catch (ParsingException e) {
-            throw new ConfigException(
-                    name + ": not TOML: " + e.getMessage().lines().findFirst().orElse(""));
+            throw new ConfigException(fileName + ": not TOML: "
+                    + e.getMessage().lines().findFirst().orElse(""));
         }
     }
 
@@ -67,7 +67,7 @@
         return List.copyOf(peers);
     }
 
-    private static List<Team> teams(String name, TomlSection settings) throws ConfigException {
+    private static List<Team> teams(String fileName, TomlSection settings) throws ConfigException {
         List<Team> teams = new ArrayList<>();
         for (TomlSection team : settings.sections("teams")) {
             teams.add(new Team(
@@ -78,7 +78,7 @@
                     team.amount("gpus_max", 0)));
         }
         if (teams.isEmpty()) {
-            throw new ConfigException(name + ": settings.teams: no team");
+            throw new ConfigException(fileName + ": settings.teams: no team");
         }
         return List.copyOf(teams);
     }
@@ -113,7 +113,7 @@
                 txnOps(state, state.positive("txn_ops")));
         TomlSection next = state.optionalSection("next");
         next.warnOfUnknownFields(Set.of("write_rps", "value_kb", "txn_ops"));
-        return current.atMost(new StateLimits(
+        return current.minimum(new StateLimits(
                 current.requestsPerS(),
                 next.positiveOr("write_rps", current.writesPerS()),
                 kibibytes(next.positiveOr("value_kb", current.valueBytes() / PlatformConfig.KIBIBYTE)),
@@ -126,7 +126,7 @@
 
     private static int txnOps(TomlSection section, double amount) throws ConfigException {
         if (amount < StateLimits.MIN_TXN_OPS) {
-            throw section.fault("txn_ops", "must be at least " + StateLimits.MIN_TXN_OPS);
+            throw section.invalidField("txn_ops", "must be at least " + StateLimits.MIN_TXN_OPS);
         }
         return (int) amount;
     }
--- a/src/main/java/io/indigoreach/config/PlatformConfigWriter.java
+++ b/src/main/java/io/indigoreach/config/PlatformConfigWriter.java
@@ -45,7 +45,7 @@
                 config.objectives().stream()
                         .map(PlatformConfigWriter::objective)
                         .toList());
-        settings.set("workers", workers(config.rules()));
+        settings.set("workers", workers(config.safetyTimes()));
         settings.set("state", state(config.stateLimits()));
         settings.set("cloud", cloud(config.cloudLimits()));
         settings.set("machine_limits", table("max_connections", config.maxConnections()));
@@ -72,15 +72,15 @@
         return table(
                 "kind", objective.kind(),
                 "class", objective.jobClass(),
-                "within_s", objective.within().seconds(),
+                "within_s", objective.targetTime().seconds(),
                 "share", objective.share());
     }
 
-    private static Config workers(SafetyTimes rules) {
+    private static Config workers(SafetyTimes safetyTimes) {
         return table(
-                "report_s", rules.heartbeatPeriod().seconds(),
-                "lease_s", rules.workerLease().seconds(),
-                "cancel_s", rules.cancellationTime().seconds());
+                "report_s", safetyTimes.heartbeatPeriod().seconds(),
+                "lease_s", safetyTimes.workerLease().seconds(),
+                "cancel_s", safetyTimes.cancellationTime().seconds());
     }
 
     private static Config state(StateLimits limits) {
@@ -93,7 +93,7 @@
 
     private static Config cloud(CloudLimits limits) {
         return table(
-                "rps", limits.requestsPerS(), "list_lag_s", limits.listLag().seconds());
+                "rps", limits.requestsPerS(), "list_lag_s", limits.maxListAge().seconds());
     }
 
     private static Config table(Object... keysAndValues) {
--- a/src/main/java/io/indigoreach/config/Settings.java
+++ b/src/main/java/io/indigoreach/config/Settings.java
@@ -36,22 +36,22 @@
                 0, 0, 1, "off or on", "keeps which job or export run may bill a record; the same at all nodes"),
         WARM_POOLS(0, 0, 1, "1 or 0", "whether teams may keep machines that hold an image ahead of its replicas");
 
-        final double standard;
-        final double least;
-        final double most;
+        final double defaultValue;
+        final double minimum;
+        final double maximum;
         final String unit;
-        final String meaning;
+        final String description;
 
-        Setting(double standard, double least, double most, String unit, String meaning) {
-            this.standard = standard;
-            this.least = least;
-            this.most = most;
+        Setting(double defaultValue, double minimum, double maximum, String unit, String description) {
+            this.defaultValue = defaultValue;
+            this.minimum = minimum;
+            this.maximum = maximum;
             this.unit = unit;
-            this.meaning = meaning;
+            this.description = description;
         }
 
         /** Returns the setting's name in the file. */
-        public String field() {
+        public String fieldName() {
             return name().toLowerCase(Locale.ROOT);
         }
 
@@ -60,15 +60,15 @@
             return String.format(
                     Locale.ROOT,
                     "%-22s %s%s (default %s, %s to %s)",
-                    field(),
-                    meaning,
+                    fieldName(),
+                    description,
                     unit.isEmpty() ? "" : ", in " + unit,
-                    plain(standard),
-                    plain(least),
-                    plain(most));
+                    format(defaultValue),
+                    format(minimum),
+                    format(maximum));
         }
 
-        private static String plain(double value) {
+        private static String format(double value) {
             return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
         }
     }
@@ -76,19 +76,19 @@
     private final Map<Setting, Double> values = new EnumMap<>(Setting.class);
 
     /** Returns settings that all have their default values. */
-    public static Settings standard() {
+    public static Settings defaults() {
         Settings settings = new Settings();
         for (Setting setting : Setting.values()) {
-            settings.values.put(setting, setting.standard);
+            settings.values.put(setting, setting.defaultValue);
         }
         return settings;
     }
 
     /** Sets a value; throws {@link ConfigException} if it is out of range. */
     void set(Setting setting, double value) throws ConfigException {
-        if (!(value >= setting.least && value <= setting.most)) {
-            throw new ConfigException(setting.field() + ": must be from " + Setting.plain(setting.least) + " to "
-                    + Setting.plain(setting.most) + " " + setting.unit);
+        if (!(value >= setting.minimum && value <= setting.maximum)) {
+            throw new ConfigException(setting.fieldName() + ": must be from " + Setting.format(setting.minimum) + " to "
+                    + Setting.format(setting.maximum) + " " + setting.unit);
         }
         values.put(setting, value);
     }
@@ -104,7 +104,7 @@
     }
 
     /** Returns the settings of the scheduler core. */
-    public SchedulerSettings tuning() {
+    public SchedulerSettings schedulerSettings() {
         return new SchedulerSettings(
                 span(Setting.WAIT_LIMIT_S),
                 span(Setting.SHORT_JOB_S),
@@ -126,12 +126,12 @@
      * SafetyTimes#responseTimeout} plus one second). During an outage of the state service, the other nodes' pledges extend the
      * leadership. Throws {@link ConfigException} if the safety times leave less than one second for a lease.
      */
-    public Span leaderLease(SafetyTimes rules) throws ConfigException {
-        Span most = rules.maxCancellationAge();
-        if (most.compareTo(Span.seconds(1)) < 0) {
+    public Span leaderLease(SafetyTimes safetyTimes) throws ConfigException {
+        Span maxLease = safetyTimes.maxCancellationAge();
+        if (maxLease.compareTo(Span.seconds(1)) < 0) {
             throw new ConfigException("settings.workers.cancel_s: too short beside lease_s for any leader's lease");
         }
-        Span wanted = span(Setting.LEADER_LEASE_S);
-        return wanted.compareTo(most) > 0 ? most : wanted;
+        Span configuredLease = span(Setting.LEADER_LEASE_S);
+        return configuredLease.compareTo(maxLease) > 0 ? maxLease : configuredLease;
     }
 }
--- a/src/main/java/io/indigoreach/config/SettingsFile.java
+++ b/src/main/java/io/indigoreach/config/SettingsFile.java
@@ -28,24 +28,24 @@
         return parse(file.toString(), text);
     }
 
-    /** Parses settings; {@code name} is the file name for error messages. */
-    public static Settings parse(String name, String text) throws ConfigException {
-        Settings settings = Settings.standard();
+    /** Parses settings; {@code fileName} is used in error messages. */
+    public static Settings parse(String fileName, String text) throws ConfigException {
+        Settings settings = Settings.defaults();
         try {
             Descriptors.Descriptor descriptor = descriptor();
             DynamicMessage.Builder message = DynamicMessage.newBuilder(descriptor);
             TextFormat.merge(text, message);
             for (Settings.Setting setting : Settings.Setting.values()) {
-                Descriptors.FieldDescriptor field = descriptor.findFieldByName(setting.field());
+                Descriptors.FieldDescriptor field = descriptor.findFieldByName(setting.fieldName());
                 if (message.hasField(field)) {
                     settings.set(setting, (Double) message.getField(field));
                 }
             }
             return settings;
         } catch (TextFormat.ParseException e) {
-            throw new ConfigException(name + ": " + e.getMessage().replaceAll("\\s+", " "));
+            throw new ConfigException(fileName + ": " + e.getMessage().replaceAll("\\s+", " "));
         } catch (ConfigException e) {
-            throw new ConfigException(name + ": " + e.getMessage());
+            throw new ConfigException(fileName + ": " + e.getMessage());
         } catch (Descriptors.DescriptorValidationException e) {
             throw new IllegalStateException(e);
         }
@@ -55,7 +55,7 @@
         DescriptorProto.Builder message = DescriptorProto.newBuilder().setName("Settings");
         for (Settings.Setting setting : Settings.Setting.values()) {
             message.addField(FieldDescriptorProto.newBuilder()
-                    .setName(setting.field())
+                    .setName(setting.fieldName())
                     .setNumber(setting.ordinal() + 1)
                     .setType(FieldDescriptorProto.Type.TYPE_DOUBLE)
                     .setLabel(FieldDescriptorProto.Label.LABEL_OPTIONAL));
--- a/src/main/java/io/indigoreach/config/TomlSection.java
+++ b/src/main/java/io/indigoreach/config/TomlSection.java
@@ -20,15 +20,15 @@
     private static final Logger LOG = LoggerFactory.getLogger(TomlSection.class);
 
     /** Creates the exception for an invalid field. */
-    ConfigException fault(String field, String what) {
-        return new ConfigException(file + ": " + (path.isEmpty() ? "" : path + ".") + field + ": " + what);
+    ConfigException invalidField(String field, String problem) {
+        return new ConfigException(file + ": " + (path.isEmpty() ? "" : path + ".") + field + ": " + problem);
     }
 
     /** Returns a required table. */
     TomlSection section(String field) throws ConfigException {
         Object value = config.get(List.of(field));
         if (!(value instanceof UnmodifiableConfig table)) {
-            throw fault(field, value == null ? "missing" : "not a table");
+            throw invalidField(field, value == null ? "missing" : "not a table");
         }
         return new TomlSection(file, path.isEmpty() ? field : path + "." + field, table);
     }
@@ -46,11 +46,11 @@
             return tables;
         }
         if (!(value instanceof List<?> list)) {
-            throw fault(field, "not a list of tables");
+            throw invalidField(field, "not a list of tables");
         }
         for (Object element : list) {
             if (!(element instanceof UnmodifiableConfig table)) {
-                throw fault(field, "not a list of tables");
+                throw invalidField(field, "not a list of tables");
             }
             tables.add(new TomlSection(
                     file, (path.isEmpty() ? "" : path + ".") + field + "[" + tables.size() + "]", table));
@@ -62,7 +62,7 @@
     String text(String field) throws ConfigException {
         Object value = config.get(List.of(field));
         if (!(value instanceof String text) || text.isEmpty()) {
-            throw fault(field, value == null ? "missing" : "not a text");
+            throw invalidField(field, value == null ? "missing" : "not a text");
         }
         return text;
     }
@@ -71,7 +71,7 @@
     List<String> texts(String field) throws ConfigException {
         Object value = config.get(List.of(field));
         if (!(value instanceof List<?> list) || !list.stream().allMatch(String.class::isInstance)) {
-            throw fault(field, value == null ? "missing" : "not a list of texts");
+            throw invalidField(field, value == null ? "missing" : "not a list of texts");
         }
         return list.stream().map(String.class::cast).toList();
     }
@@ -81,18 +81,18 @@
         try {
             return Endpoint.parse(text(field));
         } catch (IllegalArgumentException e) {
-            throw fault(field, "not an address with a port");
+            throw invalidField(field, "not an address with a port");
         }
     }
 
-    /** Returns a nonnegative number, or {@code absent} if there is none. */
-    double amount(String field, double absent) throws ConfigException {
+    /** Returns a nonnegative number, or {@code defaultValue} if there is none. */
+    double amount(String field, double defaultValue) throws ConfigException {
         Object value = config.get(List.of(field));
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (!(value instanceof Number number) || !Double.isFinite(number.doubleValue()) || number.doubleValue() < 0) {
-            throw fault(field, "not a number of at least 0");
+            throw invalidField(field, "not a number of at least 0");
         }
         return number.doubleValue();
     }
@@ -101,14 +101,14 @@
     double positive(String field) throws ConfigException {
         double value = amount(field, -1);
         if (value <= 0) {
-            throw fault(field, value < 0 ? "missing" : "must be above 0");
+            throw invalidField(field, value < 0 ? "missing" : "must be above 0");
         }
         return value;
     }
 
-    /** Returns a positive number, or {@code absent} if there is none. */
-    double positiveOr(String field, double absent) throws ConfigException {
-        return config.get(List.of(field)) == null ? absent : positive(field);
+    /** Returns a positive number, or {@code defaultValue} if there is none. */
+    double positiveOr(String field, double defaultValue) throws ConfigException {
+        return config.get(List.of(field)) == null ? defaultValue : positive(field);
     }
 
     /** Logs a warning for each unknown field. Unknown fields are valid, because newer platform versions may add fields. */
--- a/src/main/java/io/indigoreach/emulator/CloudServer.java
+++ b/src/main/java/io/indigoreach/emulator/CloudServer.java
@@ -76,15 +76,17 @@
         ServiceResponse answer;
         try {
             answer = switch (r.path()) {
-                case CloudCodec.TYPES -> model.types(now);
-                case CloudCodec.RETURN -> model.giveBack(now, CloudCodec.readNames(r.body()));
-                case CloudCodec.MACHINES ->
+                case CloudCodec.TYPES_PATH -> model.types(now);
+                case CloudCodec.RETURN_PATH -> model.giveBack(now, CloudCodec.readMachineIds(r.body()));
+                case CloudCodec.MACHINES_PATH ->
                     post
                             ? model.rent(now, CloudCodec.readRental(r.body()))
                             : model.list(
                                     now,
-                                    r.text(CloudCodec.AFTER) == null ? null : new MachineId(r.text(CloudCodec.AFTER)),
-                                    (int) r.number(CloudCodec.MOST, 500));
+                                    r.text(CloudCodec.AFTER_PARAMETER) == null
+                                            ? null
+                                            : new MachineId(r.text(CloudCodec.AFTER_PARAMETER)),
+                                    (int) r.number(CloudCodec.PAGE_SIZE_PARAMETER, 500));
                 default -> new ServiceResponse(404, new Fields(MessagePackFormat.map("error", "no such path")));
             };
         } catch (IllegalArgumentException e) {
--- a/src/main/java/io/indigoreach/emulator/DepotCodec.java
+++ b/src/main/java/io/indigoreach/emulator/DepotCodec.java
@@ -43,6 +43,10 @@
     }
 
     public static Summary readSummary(Fields f) {
-        return new Summary((int) f.whole("booting"), (int) f.whole("up"), (int) f.whole("failed"), f.number("spent"));
+        return new Summary(
+                (int) f.wholeNumber("booting"),
+                (int) f.wholeNumber("up"),
+                (int) f.wholeNumber("failed"),
+                f.number("spent"));
     }
 }
--- a/src/main/java/io/indigoreach/emulator/DiskDurability.java
+++ b/src/main/java/io/indigoreach/emulator/DiskDurability.java
@@ -172,10 +172,10 @@
     static Mutation read(byte[] record) {
         Fields f = MessagePackFormat.readMap(Buffer.buffer(record));
         return new Mutation(
-                f.whole("revision"),
+                f.wholeNumber("revision"),
                 StateCodec.readTxn(f).writes(),
-                f.whole("lease"),
-                f.whole("life"),
-                f.whole("version"));
+                f.wholeNumber("lease"),
+                f.wholeNumber("life"),
+                f.wholeNumber("version"));
     }
 }
--- a/src/main/java/io/indigoreach/emulator/GatedListener.java
+++ b/src/main/java/io/indigoreach/emulator/GatedListener.java
@@ -140,7 +140,7 @@
     }
 
     private void take(HttpServerRequest http) {
-        RequestBody.gather(
+        RequestBody.read(
                 http,
                 body -> {
                     Verdict verdict =
--- a/src/main/java/io/indigoreach/emulator/Measurements.java
+++ b/src/main/java/io/indigoreach/emulator/Measurements.java
@@ -230,12 +230,14 @@
                         HOST,
                         List.of(new WorkerPool.Node("node-0", new Endpoint(HOST, port))));
                 cloud[0] = new CloudServer(vertx, clock, d, open(clock), new SplittableRandom(3), 0, pool[0]::on);
-                for (int rented = 0; rented < count; rented += CloudCodec.MAX_RENTED) {
+                for (int rented = 0; rented < count; rented += CloudCodec.MAX_MACHINES_PER_RENTAL) {
                     cloud[0].model()
                             .rent(
                                     clock.now(),
-                                    new CloudCodec.Rental(
-                                            "r-" + rented, new MachinePool("m", "z", false), CloudCodec.MAX_RENTED));
+                                    new CloudCodec.RentalRequest(
+                                            "r-" + rented,
+                                            new MachinePool("m", "z", false),
+                                            CloudCodec.MAX_MACHINES_PER_RENTAL));
                 }
                 return vertx.timer(8, java.util.concurrent.TimeUnit.SECONDS);
             });
--- a/src/main/java/io/indigoreach/emulator/model/CloudModel.java
+++ b/src/main/java/io/indigoreach/emulator/model/CloudModel.java
@@ -138,7 +138,7 @@
 
     public ServiceResponse types(Moment now) {
         advance(now);
-        if (!requests.take(1, now)) {
+        if (!requests.tryAcquire(1, now)) {
             return tooMany();
         }
         return ok(CloudCodec.writeTypes(types.stream()
@@ -154,9 +154,9 @@
                 .toList()));
     }
 
-    public ServiceResponse rent(Moment now, CloudCodec.Rental r) {
+    public ServiceResponse rent(Moment now, CloudCodec.RentalRequest r) {
         advance(now);
-        if (!requests.take(1, now)) {
+        if (!requests.tryAcquire(1, now)) {
             return tooMany();
         }
         MachineType type = types.stream()
@@ -166,14 +166,14 @@
         if (type == null
                 || !deployment.zones().contains(r.pool().zone())
                 || r.count() < 1
-                || r.count() > CloudCodec.MAX_RENTED
-                || r.name().isEmpty()) {
+                || r.count() > CloudCodec.MAX_MACHINES_PER_RENTAL
+                || r.idempotencyKey().isEmpty()) {
             return new ServiceResponse(
                     400, new Fields(MessagePackFormat.map("error", "no such type or zone, or not 1 to 50 machines")));
         }
-        List<MachineId> known = answered.get(r.name());
+        List<MachineId> known = answered.get(r.idempotencyKey());
         if (known != null) {
-            return ok(CloudCodec.writeNames(known));
+            return ok(CloudCodec.writeMachineIds(known));
         }
         long used = machines.values().stream()
                 .filter(machine -> machine.gone == null && machine.pool.equals(r.pool()))
@@ -185,14 +185,14 @@
                 .sum();
         int n = (int) Math.min(r.count(), there - used);
         if (n <= 0) {
-            return new ServiceResponse(503, new Fields(MessagePackFormat.map("error", CloudCodec.NO_CAPACITY)));
+            return new ServiceResponse(503, new Fields(MessagePackFormat.map("error", CloudCodec.NO_CAPACITY_ERROR)));
         }
         List<MachineId> names = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             names.add(create(now, type, r.pool()).id);
         }
-        answered.put(r.name(), names);
-        return ok(CloudCodec.writeNames(names));
+        answered.put(r.idempotencyKey(), names);
+        return ok(CloudCodec.writeMachineIds(names));
     }
 
     private Machine create(Moment now, MachineType type, MachinePool pool) {
@@ -223,10 +223,10 @@
 
     public ServiceResponse giveBack(Moment now, List<MachineId> given) {
         advance(now);
-        if (!requests.take(1, now)) {
+        if (!requests.tryAcquire(1, now)) {
             return tooMany();
         }
-        if (given.size() > CloudCodec.MAX_RETURNED) {
+        if (given.size() > CloudCodec.MAX_MACHINES_PER_RETURN) {
             return new ServiceResponse(400, new Fields(MessagePackFormat.map("error", "100 machines at most")));
         }
         for (MachineId id : given) {
@@ -241,13 +241,13 @@
     /** The list as it was a while ago, and now and then as it was before the list given last. */
     public ServiceResponse list(Moment now, MachineId after, int most) {
         advance(now);
-        if (!requests.take(1, now)) {
+        if (!requests.tryAcquire(1, now)) {
             return tooMany();
         }
         double lag = deployment.cloud().listLagS();
         Moment then = now.minus(Span.seconds(
                 lag * (random.nextInt(6) == 0 ? 1 + random.nextDouble() : 0.3 + 0.7 * random.nextDouble())));
-        List<CloudCodec.Listed> page = new ArrayList<>();
+        List<CloudCodec.ListEntry> page = new ArrayList<>();
         boolean more = false;
         for (Machine machine : (after == null ? machines : machines.tailMap(after, false)).values()) {
             boolean there = (machine.listed || !machine.rented.isAfter(then))
@@ -255,7 +255,7 @@
             if (!there) {
                 continue;
             }
-            if (page.size() >= Math.min(Math.max(1, most), CloudCodec.MAX_LISTED)) {
+            if (page.size() >= Math.min(Math.max(1, most), CloudCodec.MAX_MACHINES_PER_PAGE)) {
                 more = true;
                 break;
             }
@@ -263,7 +263,7 @@
             boolean booted = machine.isUp && !machine.up.isAfter(then);
             boolean stopped =
                     machine.failed != null && !machine.failed.plus(STILL_LISTED).isAfter(then);
-            page.add(new CloudCodec.Listed(
+            page.add(new CloudCodec.ListEntry(
                     new ListedMachine(
                             machine.id,
                             machine.pool,
--- a/src/main/java/io/indigoreach/emulator/model/StateModel.java
+++ b/src/main/java/io/indigoreach/emulator/model/StateModel.java
@@ -144,7 +144,7 @@
 
     /** The entry of a key as of a revision, a negative one meaning now: an older one is a service that breaks its word. */
     public ServiceResponse get(Moment now, String key, long asOf) {
-        if (!requests.take(1, now)) {
+        if (!requests.tryAcquire(1, now)) {
             return tooMany();
         }
         if (!isKey(key)) {
@@ -157,7 +157,7 @@
     }
 
     public ServiceResponse list(Moment now, String prefix, String after, int most, long asOf) {
-        if (!requests.take(1, now)) {
+        if (!requests.tryAcquire(1, now)) {
             return tooMany();
         }
         if (prefix == null || most < 1) {
@@ -186,14 +186,14 @@
 
     /** Atomic: all of it, or nothing. */
     public ServiceResponse commit(Moment now, Txn txn) {
-        if (!requests.take(1, now)) {
+        if (!requests.tryAcquire(1, now)) {
             return tooMany();
         }
         String fault = fault(txn);
         if (fault != null) {
             return malformed(fault);
         }
-        if (!writes.take(txn.size(), now)) {
+        if (!writes.tryAcquire(txn.size(), now)) {
             return tooMany();
         }
         for (Write w : txn.writes()) {
@@ -241,7 +241,7 @@
     }
 
     public ServiceResponse grant(Moment now, Span life) {
-        if (!requests.take(1, now)) {
+        if (!requests.tryAcquire(1, now)) {
             return tooMany();
         }
         if (life.ms() < LEAST_LIFE_MS || life.ms() > MOST_LIFE_MS) {
@@ -255,7 +255,7 @@
     }
 
     public ServiceResponse renew(Moment now, long id) {
-        if (!requests.take(1, now)) {
+        if (!requests.tryAcquire(1, now)) {
             return tooMany();
         }
         if (!isAlive(id, now)) {
@@ -266,7 +266,7 @@
     }
 
     public ServiceResponse drop(Moment now, long id) {
-        if (!requests.take(1, now)) {
+        if (!requests.tryAcquire(1, now)) {
             return tooMany();
         }
         if (!isAlive(id, now)) {
@@ -278,7 +278,7 @@
 
     /** Answers at once or when something happens; the result can be given up, and is null if nothing is left to. */
     public Watch watch(Moment now, String prefix, long since, Span wait, Consumer<ServiceResponse> reply) {
-        ServiceResponse refusal = !requests.take(1, now)
+        ServiceResponse refusal = !requests.tryAcquire(1, now)
                 ? tooMany()
                 : prefix == null || since < 0 || wait.ms() < 0 || wait.ms() > 60_000
                         ? malformed("a watch needs a prefix, " + "a revision and a wait of at most 60,000 ms")
--- a/src/main/java/io/indigoreach/net/EventLoopMonitor.java
+++ b/src/main/java/io/indigoreach/net/EventLoopMonitor.java
@@ -13,7 +13,7 @@
 public final class EventLoopMonitor {
     private static final Span CHECK_INTERVAL = Span.seconds(0.25);
     /** Interval between two checks above which the event loop counts as paused. */
-    private static final Span PAUSE = Span.seconds(1);
+    private static final Span PAUSE_THRESHOLD = Span.seconds(1);
 
     private final Vertx vertx;
     private final SteadyClock clock;
@@ -33,7 +33,7 @@
     /** Returns the time since when the event loop has run without a pause. The first call after a pause detects the pause. */
     public Moment runningSince() {
         Moment now = clock.now();
-        if (now.since(lastCheck).compareTo(PAUSE) > 0) {
+        if (now.since(lastCheck).compareTo(PAUSE_THRESHOLD) > 0) {
             runningSince = now;
         }
         lastCheck = now;
--- a/src/main/java/io/indigoreach/net/Fields.java
+++ b/src/main/java/io/indigoreach/net/Fields.java
@@ -36,7 +36,7 @@
     }
 
     /** Returns a required integer; a floating-point number without a fraction is accepted. */
-    public long whole(String name) {
+    public long wholeNumber(String name) {
         Object value = map.get(name);
         if (value == null) {
             throw missing(name);
@@ -50,9 +50,9 @@
         throw invalid(name);
     }
 
-    /** Returns an integer, or {@code absent} if there is none. */
-    public long whole(String name, long absent) {
-        return has(name) ? whole(name) : absent;
+    /** Returns an integer, or {@code defaultValue} if there is none. */
+    public long wholeNumber(String name, long defaultValue) {
+        return has(name) ? wholeNumber(name) : defaultValue;
     }
 
     /** Returns a required finite number. */
@@ -67,16 +67,16 @@
         return number.doubleValue();
     }
 
-    /** Returns a finite number, or {@code absent} if there is none. */
-    public double number(String name, double absent) {
-        return has(name) ? number(name) : absent;
+    /** Returns a finite number, or {@code defaultValue} if there is none. */
+    public double number(String name, double defaultValue) {
+        return has(name) ? number(name) : defaultValue;
     }
 
-    /** Returns a boolean, or {@code absent} if there is none. */
-    public boolean flag(String name, boolean absent) {
+    /** Returns a boolean, or {@code defaultValue} if there is none. */
+    public boolean flag(String name, boolean defaultValue) {
         Object value = map.get(name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (!(value instanceof Boolean flag)) {
             throw invalid(name);
--- a/src/main/java/io/indigoreach/net/JsonSize.java
+++ b/src/main/java/io/indigoreach/net/JsonSize.java
@@ -13,12 +13,12 @@
     /** Returns the size of a map, list, string, number, boolean or null, in bytes. */
     public static int of(Object value) {
         if (value instanceof String text) {
-            return text(text);
+            return textSize(text);
         }
         if (value instanceof Map<?, ?> map) {
             int bytes = 2 + Math.max(0, map.size() - 1);
             for (Map.Entry<?, ?> entry : map.entrySet()) {
-                bytes += text((String) entry.getKey()) + 1 + of(entry.getValue());
+                bytes += textSize((String) entry.getKey()) + 1 + of(entry.getValue());
             }
             return bytes;
         }
@@ -33,7 +33,7 @@
     }
 
     /** Overestimates surrogate pairs: each half counts 3 bytes, while UTF-8 encodes a pair in 4 bytes. */
-    private static int length(char character) {
+    private static int characterSize(char character) {
         if (character == '"' || character == '\\') {
             return 2;
         }
@@ -46,10 +46,10 @@
         return character < 0x800 ? 2 : 3;
     }
 
-    private static int text(String text) {
+    private static int textSize(String text) {
         int bytes = 2;
         for (int i = 0; i < text.length(); i++) {
-            bytes += length(text.charAt(i));
+            bytes += characterSize(text.charAt(i));
         }
         return bytes;
     }
--- a/src/main/java/io/indigoreach/net/MessagePackFormat.java
+++ b/src/main/java/io/indigoreach/net/MessagePackFormat.java
@@ -17,7 +17,7 @@
 public final class MessagePackFormat {
     private static final int MAX_DEPTH = 16;
     /** Reduces the buffer for strings that span several input buffers from 8,192 to 128 characters: a body is a single buffer. */
-    private static final MessagePack.UnpackerConfig READER =
+    private static final MessagePack.UnpackerConfig UNPACKER_CONFIG =
             new MessagePack.UnpackerConfig().withStringDecoderBufferSize(128);
 
     private MessagePackFormat() {}
@@ -29,104 +29,105 @@
 
     static Object read(Buffer body) {
         byte[] bytes = body.getBytes();
-        try (MessageUnpacker in = READER.newUnpacker(bytes)) {
-            Object value = read(in, 0, bytes.length);
-            if (in.hasNext()) {
+        try (MessageUnpacker unpacker = UNPACKER_CONFIG.newUnpacker(bytes)) {
+            Object value = read(unpacker, 0, bytes.length);
+            if (unpacker.hasNext()) {
                 throw new WireException("bytes after the end of the message");
             }
             return value;
         } catch (IOException | RuntimeException e) {
-            throw e instanceof WireException w ? w : new WireException("not MessagePack");
+            throw e instanceof WireException wireException ? wireException : new WireException("not MessagePack");
         }
     }
 
-    /** Reads a value; {@code size} is the size of the whole message in bytes, which limits the length of a list. */
-    private static Object read(MessageUnpacker in, int depth, int size) throws IOException {
+    /** Reads a value; {@code messageSize} is the size of the whole message in bytes, which limits the length of a list. */
+    private static Object read(MessageUnpacker unpacker, int depth, int messageSize) throws IOException {
         if (depth > MAX_DEPTH) {
             throw new WireException("nested too deeply");
         }
-        switch (in.getNextFormat().getValueType()) {
+        switch (unpacker.getNextFormat().getValueType()) {
             case NIL:
-                in.unpackNil();
+                unpacker.unpackNil();
                 return null;
             case BOOLEAN:
-                return in.unpackBoolean();
+                return unpacker.unpackBoolean();
             case INTEGER:
-                return in.unpackBigInteger().longValue();
+                return unpacker.unpackBigInteger().longValue();
             case FLOAT:
-                return in.unpackDouble();
+                return unpacker.unpackDouble();
             case STRING:
-                return in.unpackString();
+                return unpacker.unpackString();
             case ARRAY:
-                return readList(in, depth, size);
+                return readList(unpacker, depth, messageSize);
             case MAP:
-                return readMap(in, depth, size);
+                return readMap(unpacker, depth, messageSize);
             default:
                 throw new WireException("a value of an unexpected kind");
         }
     }
 
-    private static List<Object> readList(MessageUnpacker in, int depth, int size) throws IOException {
-        int length = in.unpackArrayHeader();
-        if (length > size) {
+    private static List<Object> readList(MessageUnpacker unpacker, int depth, int messageSize) throws IOException {
+        int length = unpacker.unpackArrayHeader();
+        if (length > messageSize) {
             throw new WireException("a list longer than its message");
         }
         List<Object> list = new ArrayList<>(length);
         for (int i = 0; i < length; i++) {
-            list.add(read(in, depth + 1, size));
+            list.add(read(unpacker, depth + 1, messageSize));
         }
         return list;
     }
 
-    private static Map<String, Object> readMap(MessageUnpacker in, int depth, int size) throws IOException {
-        int length = in.unpackMapHeader();
+    private static Map<String, Object> readMap(MessageUnpacker unpacker, int depth, int messageSize)
+            throws IOException {
+        int length = unpacker.unpackMapHeader();
         Map<String, Object> map = new LinkedHashMap<>();
         for (int i = 0; i < length; i++) {
-            if (!in.getNextFormat().getValueType().isStringType()) {
+            if (!unpacker.getNextFormat().getValueType().isStringType()) {
                 throw new WireException("a key that is not text");
             }
-            String key = in.unpackString();
+            String key = unpacker.unpackString();
             if (map.containsKey(key)) {
                 throw new WireException("a key that is there twice");
             }
-            map.put(key, read(in, depth + 1, size));
+            map.put(key, read(unpacker, depth + 1, messageSize));
         }
         return map;
     }
 
     /** Encodes a value; throws {@link IllegalArgumentException} if its type is not supported. */
     public static Buffer write(Object value) {
-        try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-            write(out, value);
-            return Buffer.buffer(out.toByteArray());
+        try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
+            write(packer, value);
+            return Buffer.buffer(packer.toByteArray());
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static void write(MessageBufferPacker out, Object value) throws IOException {
+    private static void write(MessageBufferPacker packer, Object value) throws IOException {
         if (value == null) {
-            out.packNil();
+            packer.packNil();
         } else if (value instanceof String text) {
-            out.packString(text);
+            packer.packString(text);
         } else if (value instanceof Boolean flag) {
-            out.packBoolean(flag);
+            packer.packBoolean(flag);
         } else if (value instanceof Integer number) {
-            out.packInt(number);
+            packer.packInt(number);
         } else if (value instanceof Long number) {
-            out.packLong(number);
+            packer.packLong(number);
         } else if (value instanceof Double number) {
-            out.packDouble(number);
+            packer.packDouble(number);
         } else if (value instanceof Map<?, ?> map) {
-            out.packMapHeader(map.size());
+            packer.packMapHeader(map.size());
             for (Map.Entry<?, ?> entry : map.entrySet()) {
-                out.packString((String) entry.getKey());
-                write(out, entry.getValue());
+                packer.packString((String) entry.getKey());
+                write(packer, entry.getValue());
             }
         } else if (value instanceof List<?> list) {
-            out.packArrayHeader(list.size());
+            packer.packArrayHeader(list.size());
             for (Object element : list) {
-                write(out, element);
+                write(packer, element);
             }
         } else {
             throw new IllegalArgumentException("unsupported type: " + value.getClass());
--- a/src/main/java/io/indigoreach/net/PeriodicTask.java
+++ b/src/main/java/io/indigoreach/net/PeriodicTask.java
@@ -41,7 +41,7 @@
 
     /** Runs the first step immediately. */
     public PeriodicTask start() {
-        takeStep();
+        runStep();
         return this;
     }
 
@@ -51,7 +51,7 @@
             wakeRequested = true;
         } else if (!cancelled && timer != NO_TIMER) {
             vertx.cancelTimer(timer);
-            takeStep();
+            runStep();
         }
     }
 
@@ -69,7 +69,7 @@
         return cancelled;
     }
 
-    private void takeStep() {
+    private void runStep() {
         timer = NO_TIMER;
         if (cancelled) {
             return;
@@ -95,7 +95,7 @@
                         done.cause().toString());
             }
             Span pause = done.succeeded() ? done.result() : pauseAfterFailure;
-            timer = vertx.setTimer(Math.max(1, wakeRequested ? 1 : pause.ms()), fired -> takeStep());
+            timer = vertx.setTimer(Math.max(1, wakeRequested ? 1 : pause.ms()), fired -> runStep());
         });
     }
 }
--- a/src/main/java/io/indigoreach/net/RateLimiter.java
+++ b/src/main/java/io/indigoreach/net/RateLimiter.java
@@ -10,25 +10,25 @@
     private Moment updatedAt;
 
     /** Creates a full bucket whose capacity is one second's worth of tokens. */
-    public RateLimiter(double perSecond, Moment created) {
-        this(perSecond, 1, created);
+    public RateLimiter(double perSecond, Moment createdAt) {
+        this(perSecond, 1, createdAt);
     }
 
-    /** Creates a full bucket whose capacity is {@code burstS} seconds' worth of tokens, at least one token. */
-    public RateLimiter(double perSecond, double burstS, Moment created) {
+    /** Creates a full bucket whose capacity is {@code burstSeconds} seconds' worth of tokens, at least one token. */
+    public RateLimiter(double perSecond, double burstSeconds, Moment createdAt) {
         this.perSecond = perSecond;
-        this.capacity = Math.max(1, perSecond * burstS);
+        this.capacity = Math.max(1, perSecond * burstSeconds);
         this.available = capacity;
-        this.updatedAt = created;
+        this.updatedAt = createdAt;
     }
 
     /** Takes {@code amount} tokens only if half of the capacity remains: for low-priority requests. */
-    public boolean takeSpare(double amount, Moment now) {
-        return take(0, now) && available - amount >= capacity / 2 && take(amount, now);
+    public boolean tryAcquireSpare(double amount, Moment now) {
+        return tryAcquire(0, now) && available - amount >= capacity / 2 && tryAcquire(amount, now);
     }
 
     /** Takes {@code amount} tokens, or none if fewer are available; a full bucket permits any amount. */
-    public boolean take(double amount, Moment now) {
+    public boolean tryAcquire(double amount, Moment now) {
         available =
                 Math.min(capacity, available + perSecond * now.since(updatedAt).seconds());
         updatedAt = now;
--- a/src/main/java/io/indigoreach/net/RequestBody.java
+++ b/src/main/java/io/indigoreach/net/RequestBody.java
@@ -17,20 +17,21 @@
     /**
      * Reads the body.
      *
-     * @param whole called with the complete body
-     * @param tooLong called instead if the body exceeds {@link #MAX_BYTES}; the body is discarded
+     * @param onComplete called with the complete body
+     * @param onTooLong called instead if the body exceeds {@link #MAX_BYTES}; the body is discarded
      */
-    public static void gather(HttpServerRequest request, Consumer<Buffer> whole, Runnable tooLong) {
-        String length = request.getHeader("Content-Length");
-        if (length != null && (length.length() > MAX_LENGTH_DIGITS || Long.parseLong(length) > MAX_BYTES)) {
-            tooLong.run();
+    public static void read(HttpServerRequest request, Consumer<Buffer> onComplete, Runnable onTooLong) {
+        String contentLength = request.getHeader("Content-Length");
+        if (contentLength != null
+                && (contentLength.length() > MAX_LENGTH_DIGITS || Long.parseLong(contentLength) > MAX_BYTES)) {
+            onTooLong.run();
             return;
         }
         Buffer body = Buffer.buffer();
         request.handler(chunk -> {
             if (body.length() + chunk.length() > MAX_BYTES) {
                 if (!request.response().ended()) {
-                    tooLong.run();
+                    onTooLong.run();
                 }
                 return;
             }
@@ -38,7 +39,7 @@
         });
         request.endHandler(ended -> {
             if (!request.response().ended()) {
-                whole.accept(body);
+                onComplete.accept(body);
             }
         });
     }
--- a/src/main/java/io/indigoreach/net/ServiceClient.java
+++ b/src/main/java/io/indigoreach/net/ServiceClient.java
@@ -27,8 +27,8 @@
     private final HttpClient client;
     private final Endpoint endpoint;
 
-    /** Creates a client with at most {@code connections} open connections. */
-    public ServiceClient(Vertx vertx, Endpoint endpoint, int connections) {
+    /** Creates a client with at most {@code maxConnections} open connections. */
+    public ServiceClient(Vertx vertx, Endpoint endpoint, int maxConnections) {
         this.endpoint = endpoint;
         HttpClientOptions options = new HttpClientOptions()
                 .setConnectTimeout((int) CONNECT_TIMEOUT.ms())
@@ -36,25 +36,25 @@
                 .setTcpNoDelay(true)
                 .setDecompressionSupported(false);
         this.client = vertx.createHttpClient(
-                options, new PoolOptions().setHttp1MaxSize(connections).setMaxWaitQueueSize(MAX_QUEUED));
+                options, new PoolOptions().setHttp1MaxSize(maxConnections).setMaxWaitQueueSize(MAX_QUEUED));
     }
 
     /** Sends a GET request; fails if no data arrives for {@code timeout}. */
     public Future<ServiceResponse> get(String path, Span timeout) {
-        return call(HttpMethod.GET, path, null, timeout);
+        return send(HttpMethod.GET, path, null, timeout);
     }
 
     /** Sends a POST request with a MessagePack body; fails if no data arrives for {@code timeout}. */
     public Future<ServiceResponse> post(String path, Map<String, Object> body, Span timeout) {
-        return call(HttpMethod.POST, path, body, timeout);
+        return send(HttpMethod.POST, path, body, timeout);
     }
 
     /** Sends a DELETE request; fails if no data arrives for {@code timeout}. */
     public Future<ServiceResponse> delete(String path, Span timeout) {
-        return call(HttpMethod.DELETE, path, null, timeout);
+        return send(HttpMethod.DELETE, path, null, timeout);
     }
 
-    private Future<ServiceResponse> call(HttpMethod method, String path, Map<String, Object> body, Span timeout) {
+    private Future<ServiceResponse> send(HttpMethod method, String path, Map<String, Object> body, Span timeout) {
         RequestOptions options = new RequestOptions()
                 .setHost(endpoint.host())
                 .setPort(endpoint.port())
@@ -62,25 +62,25 @@
                 .setURI(path)
                 .setConnectTimeout(CONNECT_TIMEOUT.ms())
                 .setIdleTimeout(timeout.ms());
-        return open(options).compose(request -> {
+        return openRequest(options).compose(request -> {
             if (body != null) {
                 request.putHeader("Content-Type", "application/msgpack");
             }
             Future<HttpClientResponse> sent =
                     body == null ? request.send() : request.send(MessagePackFormat.write(body));
-            return sent.compose(ServiceClient::receive);
+            return sent.compose(ServiceClient::readResponse);
         });
     }
 
-    private static Future<ServiceResponse> receive(HttpClientResponse response) {
+    private static Future<ServiceResponse> readResponse(HttpClientResponse response) {
         int status = response.statusCode();
         return response.body()
-                .map(bytes -> bytes.length() == 0 ? new Fields(Map.of()) : read(status, bytes))
+                .map(bytes -> bytes.length() == 0 ? new Fields(Map.of()) : decodeBody(status, bytes))
                 .map(fields -> new ServiceResponse(status, fields));
     }
 
     /** Returns a failed future if the client is closed, because tasks may still send requests during shutdown. */
-    private Future<HttpClientRequest> open(RequestOptions options) {
+    private Future<HttpClientRequest> openRequest(RequestOptions options) {
         try {
             return client.request(options);
         } catch (IllegalStateException e) {
@@ -89,7 +89,7 @@
     }
 
     /** Decodes the body. An unreadable body of an error response counts as empty; one of a success response throws. */
-    private static Fields read(int status, Buffer bytes) {
+    private static Fields decodeBody(int status, Buffer bytes) {
         try {
             return MessagePackFormat.readMap(bytes);
         } catch (WireException e) {
--- a/src/main/java/io/indigoreach/ownership/OwnershipGate.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipGate.java
@@ -27,7 +27,7 @@
  * While this node leads: of each open job that names records, which tasks wait for them. Such a job begins wholly withheld; once
  * all of its records are its own it is not asked for again, as nobody but a person can take them from it.
  */
-final class OwnershipGate implements Part.Term {
+final class OwnershipGate implements Part.LeaderTask {
     private static final Logger LOG = LoggerFactory.getLogger(OwnershipGate.class);
     private static final Span PERIOD = Span.seconds(0.5);
     private static final Span AGAIN = Span.seconds(2);
--- a/src/main/java/io/indigoreach/ownership/OwnershipPart.java
+++ b/src/main/java/io/indigoreach/ownership/OwnershipPart.java
@@ -39,7 +39,7 @@
         double perS = ground.config().stateLimits().writesPerS()
                 * WRITES
                 / (ground.config().peers().size() + 1);
-        RoutineRunner within = ground.records()
+        RoutineRunner within = ground.recordRoutines()
                 .within(new RateLimiter(perS, 2 * most / perS, ground.clock().now()));
         this.desk = new OwnershipService(within, registry, most, ground.clock());
         this.field = new RecordsField(within, registry, most);
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public List<RecordFamily> families() {
+    public List<RecordFamily> recordFamilies() {
         return Registry.FAMILIES;
     }
 
@@ -68,17 +68,17 @@
     }
 
     @Override
-    public SubmissionParticipant joining() {
+    public SubmissionParticipant submissionParticipant() {
         return field;
     }
 
     @Override
-    public GarbageCollector sweep() {
+    public GarbageCollector garbageCollector() {
         return tidy;
     }
 
     @Override
-    public Term reigning(SchedulerCore core, RoutineRunner records) {
+    public LeaderTask startLeaderTask(SchedulerCore core, RoutineRunner records) {
         int most = (int)
                 Math.max(LEAST, Math.min(MOST, ground.config().stateLimits().writesPerS() * LEADERS));
         return new OwnershipGate(ground, core, records, registry, most).start();
--- a/src/main/java/io/indigoreach/ownership/RecordsCodec.java
+++ b/src/main/java/io/indigoreach/ownership/RecordsCodec.java
@@ -45,8 +45,8 @@
     static List<RecordId> ids(Fields f, int most) {
         List<RecordId> ids;
         if (f.has("prefix")) {
-            long from = f.whole("from");
-            long to = f.whole("to");
+            long from = f.wholeNumber("from");
+            long to = f.wholeNumber("to");
             String prefix = f.text("prefix");
             if (from < 0
                     || to < from
@@ -85,7 +85,7 @@
     }
 
     static Holder holder(Fields f) {
-        long attempt = f.whole("attempt", 0);
+        long attempt = f.wholeNumber("attempt", 0);
         if (attempt < 0) {
             throw Fields.invalid("attempt");
         }
@@ -95,7 +95,7 @@
         if (!JobId.isValid(f.text("job"))) {
             throw Fields.invalid("job");
         }
-        long task = f.whole("task");
+        long task = f.wholeNumber("task");
         if (task < 0) {
             throw Fields.invalid("task");
         }
@@ -105,7 +105,7 @@
     static Map<RecordId, Long> fences(Fields f) {
         Map<RecordId, Long> fences = new LinkedHashMap<>();
         Fields given = f.child("fences");
-        given.map().keySet().forEach(id -> fences.put(id("fences", id), given.whole(id)));
+        given.map().keySet().forEach(id -> fences.put(id("fences", id), given.wholeNumber(id)));
         if (fences.isEmpty() || fences.size() > MOST_IDS) {
             throw Fields.invalid("fences");
         }
--- a/src/main/java/io/indigoreach/parts/Part.java
+++ b/src/main/java/io/indigoreach/parts/Part.java
@@ -21,32 +21,32 @@
     String name();
 
     /** Returns the families of records that the part stores in the state service. */
-    List<RecordFamily> families();
+    List<RecordFamily> recordFamilies();
 
     /** Returns the HTTP resource of the part. */
     Resource resource();
 
     /** Returns the part's participant in job submissions, or null if it has none. */
-    default SubmissionParticipant joining() {
+    default SubmissionParticipant submissionParticipant() {
         return null;
     }
 
     /** Passes the function that submits a job, for parts that submit jobs of their own. */
-    default void submitting(Function<Buffer, Future<ApiResponse>> desk) {}
+    default void setJobSubmitter(Function<Buffer, Future<ApiResponse>> submitJob) {}
 
     /** Returns the garbage collector that the leader runs for the part, or null if the part has none. */
-    default GarbageCollector sweep() {
+    default GarbageCollector garbageCollector() {
         return null;
     }
 
     /** Starts the part's work on a new leader, after the leader has read its records. Closing the result stops the work. */
-    default Term reigning(SchedulerCore core, RoutineRunner records) {
+    default LeaderTask startLeaderTask(SchedulerCore core, RoutineRunner recordRoutines) {
         return () -> {};
     }
 
     /** The work of a part during one leadership term. */
     @FunctionalInterface
-    interface Term {
+    interface LeaderTask {
         /** Stops the work at the end of the leadership term. */
         void close();
     }
--- a/src/main/java/io/indigoreach/parts/Parts.java
+++ b/src/main/java/io/indigoreach/parts/Parts.java
@@ -23,7 +23,7 @@
     public record Environment(
             Vertx vertx,
             SteadyClock clock,
-            RoutineRunner records,
+            RoutineRunner recordRoutines,
             Catalogue catalogue,
             PlatformConfig config,
             Settings settings) {}
@@ -31,54 +31,56 @@
     /**
      * Describes a part that a setting enables.
      *
-     * @param knob the setting that enables the part if it is 1
-     * @param families the families of records that the part stores
-     * @param maker creates the part
+     * @param setting the setting that enables the part if it is 1
+     * @param recordFamilies the families of records that the part stores
+     * @param factory creates the part
      */
-    public record Kind(Settings.Setting knob, List<RecordFamily> families, Function<Environment, Part> maker) {}
+    public record Definition(
+            Settings.Setting setting, List<RecordFamily> recordFamilies, Function<Environment, Part> factory) {}
 
     /** No parts. */
     public static final Parts NONE = new Parts(List.of(), new RecordCache(List.of()), null);
 
     private final List<Part> all;
-    private final RecordCache copies;
-    private final RoutineRunner records;
+    private final RecordCache recordCache;
+    private final RoutineRunner recordRoutines;
 
-    private Parts(List<Part> all, RecordCache copies, RoutineRunner records) {
-        this.all = all;
-        this.copies = copies;
-        this.records = records;
+    private Parts(List<Part> parts, RecordCache recordCache, RoutineRunner recordRoutines) {
+        this.all = parts;
+        this.recordCache = recordCache;
+        this.recordRoutines = recordRoutines;
     }
 
-    /** Creates the parts of these kinds. */
+    /** Creates the parts of these definitions. */
     public static Parts of(
-            List<Kind> kinds,
+            List<Definition> definitions,
             Vertx vertx,
             StateClient state,
             SteadyClock clock,
             Catalogue catalogue,
             PlatformConfig config,
             Settings settings) {
-        RecordCache copies = new RecordCache(
-                kinds.stream().flatMap(k -> k.families().stream()).toList());
-        RoutineRunner records = new RoutineRunner(vertx, state, clock, copies);
-        Environment ground = new Environment(vertx, clock, records, catalogue, config, settings);
-        return new Parts(kinds.stream().map(k -> k.maker().apply(ground)).toList(), copies, records);
+        RecordCache recordCache = new RecordCache(
+                definitions.stream().flatMap(k -> k.recordFamilies().stream()).toList());
+        RoutineRunner recordRoutines = new RoutineRunner(vertx, state, clock, recordCache);
+        Environment environment = new Environment(vertx, clock, recordRoutines, catalogue, config, settings);
+        return new Parts(
+                definitions.stream().map(k -> k.factory().apply(environment)).toList(), recordCache, recordRoutines);
     }
 
-    /** Returns the parts, in the order of their kinds. */
+    /** Returns the parts, in the order of their definitions. */
     public List<Part> all() {
         return all;
     }
 
     /** Returns the runner of routines on the parts' records. */
-    public RoutineRunner records() {
-        return records;
+    public RoutineRunner recordRoutines() {
+        return recordRoutines;
     }
 
     /** Returns this node's cache of the parts' records. */
-    public RecordCache copies() {
-        return copies;
+    public RecordCache recordCache() {
+        return recordCache;
     }
 
     /** Returns the HTTP resources by the names of their parts. */
@@ -87,7 +89,10 @@
     }
 
     /** Returns the participants in job submissions. */
-    public List<SubmissionParticipant> joinings() {
-        return all.stream().map(Part::joining).filter(Objects::nonNull).toList();
+    public List<SubmissionParticipant> submissionParticipants() {
+        return all.stream()
+                .map(Part::submissionParticipant)
+                .filter(Objects::nonNull)
+                .toList();
     }
 }
--- a/src/main/java/io/indigoreach/scenario/Fault.java
+++ b/src/main/java/io/indigoreach/scenario/Fault.java
@@ -112,7 +112,7 @@
         if (kind != Kind.STATE_LIMITS) {
             return before;
         }
-        return before.atMost(new StateLimits(
+        return before.minimum(new StateLimits(
                 before.requestsPerS(),
                 writeRps > 0 ? writeRps : before.writesPerS(),
                 valueKb > 0 ? (int) (valueKb * 1024) : before.valueBytes(),
--- a/src/main/java/io/indigoreach/state/CatalogueRecordCodec.java
+++ b/src/main/java/io/indigoreach/state/CatalogueRecordCodec.java
@@ -51,7 +51,7 @@
                     type.number("fetch"),
                     type.number("price"),
                     type.number("spot"),
-                    new Span(type.whole("boot")),
+                    new Span(type.wholeNumber("boot")),
                     type.optionalTexts("zones")));
         }
         return types;
--- a/src/main/java/io/indigoreach/state/CounterRecord.java
+++ b/src/main/java/io/indigoreach/state/CounterRecord.java
@@ -36,13 +36,13 @@
     public static CounterRecord read(Fields value) {
         boolean bounds = value.flag(BOUNDS, false);
         if (!value.has(FORMAT)) {
-            return new CounterRecord(new FencingToken(value.whole(FIRST_HIGHEST)), bounds, FIRST);
+            return new CounterRecord(new FencingToken(value.wholeNumber(FIRST_HIGHEST)), bounds, FIRST);
         }
-        long format = value.whole(FORMAT);
+        long format = value.wholeNumber(FORMAT);
         if (format <= FIRST || format > KNOWN) {
             throw new WireException("the data format " + format + " is not known to this version of the program");
         }
-        return new CounterRecord(new FencingToken(value.whole(HIGHEST)), bounds, (int) format);
+        return new CounterRecord(new FencingToken(value.wholeNumber(HIGHEST)), bounds, (int) format);
     }
 
     /** {@link #NONE} if there is no counter. */
--- a/src/main/java/io/indigoreach/state/DependencyCodec.java
+++ b/src/main/java/io/indigoreach/state/DependencyCodec.java
@@ -48,7 +48,7 @@
         for (String number : more.text(NEEDS).split(SEPARATOR, -1)) {
             needs.add(new JobId(PREFIX + number));
         }
-        return new JobDependencies(needs, more.whole(RELEASED, 0));
+        return new JobDependencies(needs, more.wholeNumber(RELEASED, 0));
     }
 
     /** The further fields without the chain. */
--- a/src/main/java/io/indigoreach/state/EffectiveLimits.java
+++ b/src/main/java/io/indigoreach/state/EffectiveLimits.java
@@ -23,7 +23,7 @@
 
     /** What holds under these settings. */
     public StateLimits within(StateLimits settings) {
-        return settings.atMost(observed);
+        return settings.minimum(observed);
     }
 
     /** How long a value may become where the settings allow {@code valueBytes}. */
@@ -55,7 +55,7 @@
                 key,
                 largest,
                 refusals);
-        observed = observed.atMost(new StateLimits(
+        observed = observed.minimum(new StateLimits(
                 observed.requestsPerS(),
                 observed.writesPerS(),
                 largest > MIN_VALUE_BYTES ? Math.max(MIN_VALUE_BYTES, largest / 2) : observed.valueBytes(),
--- a/src/main/java/io/indigoreach/state/EraRecordCodec.java
+++ b/src/main/java/io/indigoreach/state/EraRecordCodec.java
@@ -25,8 +25,8 @@
         List<String> findings = era.optionalTexts("findings");
         List<String> out = new ArrayList<>();
         if (findings != null) {
-            out.add("found and rebuilt by " + Instant.ofEpochMilli(era.whole("at")) + ": " + era.whole("written")
-                    + " records written anew");
+            out.add("found and rebuilt by " + Instant.ofEpochMilli(era.wholeNumber("at")) + ": "
+                    + era.wholeNumber("written") + " records written anew");
             out.addAll(findings);
         }
         return out;
@@ -34,7 +34,7 @@
 
     /** The number of the era. */
     public static long readEra(Fields era) {
-        return era.whole("token");
+        return era.wholeNumber("token");
     }
 
     private EraRecordCodec() {}
--- a/src/main/java/io/indigoreach/state/FormatGate.java
+++ b/src/main/java/io/indigoreach/state/FormatGate.java
@@ -143,7 +143,7 @@
     }
 
     private static boolean supportsNewest(Fields record) {
-        return record.whole(FORMAT, CounterRecord.FIRST) >= CounterRecord.KNOWN;
+        return record.wholeNumber(FORMAT, CounterRecord.FIRST) >= CounterRecord.KNOWN;
     }
 
     private Future<Void> raiseIfAllSupport() {
--- a/src/main/java/io/indigoreach/state/JobRecordCodec.java
+++ b/src/main/java/io/indigoreach/state/JobRecordCodec.java
@@ -104,23 +104,23 @@
     public static RecordRepair.ReadableFields readRest(Fields fields) {
         return new RecordRepair.ReadableFields(
                 RecordReader.orNull(() -> JobStatus.valueOf(fields.text("status"))),
-                RecordReader.orNull(() -> fields.whole("done")),
-                RecordReader.orNull(() -> fields.whole("at")));
+                RecordReader.orNull(() -> fields.wholeNumber("done")),
+                RecordReader.orNull(() -> fields.wholeNumber("at")));
     }
 
     private static JobRecord job(JobId id, Fields fields, Revision revision) {
-        if (fields.whole("tasks") < 1) {
+        if (fields.wholeNumber("tasks") < 1) {
             throw Fields.invalid("tasks");
         }
         JobSpec spec = spec(id, fields);
         return new JobRecord(
                 spec,
-                fields.whole("at"),
+                fields.wholeNumber("at"),
                 JobStatus.valueOf(fields.text("status")),
                 CompletionBlockCodec.decode(fields.optionalText(CompletionBlockCodec.BITS_FIELD)),
-                (int) fields.whole("done", 0),
-                (int) fields.whole("running", 0),
-                (int) fields.whole("bound", spec.tasks()),
+                (int) fields.wholeNumber("done", 0),
+                (int) fields.wholeNumber("running", 0),
+                (int) fields.wholeNumber("bound", spec.tasks()),
                 revision);
     }
 
@@ -131,7 +131,7 @@
                 fields.text("team"),
                 JobKind.valueOf(fields.text("shape")),
                 Urgency.valueOf(fields.text("urgency")),
-                (int) fields.whole("tasks"),
+                (int) fields.wholeNumber("tasks"),
                 new Demand(fields.number("cores"), fields.number("gpus"), fields.number("ram")),
                 fields.text("image"),
                 fields.number("gb"),
@@ -140,10 +140,10 @@
                 fields.flag("one_zone", false),
                 fields.flag("spread", false),
                 fields.flag("spot", false),
-                new Span(fields.whole("est")),
-                new Span(fields.whole("save_every", 0)),
-                new Span(fields.whole("save", 0)),
-                fields.has("due") ? new Span(fields.whole("due")) : null,
+                new Span(fields.wholeNumber("est")),
+                new Span(fields.wholeNumber("save_every", 0)),
+                new Span(fields.wholeNumber("save", 0)),
+                fields.has("due") ? new Span(fields.wholeNumber("due")) : null,
                 fields.has("more")
                         ? DependencyCodec.without(fields.child("more").map())
                         : Map.of(),
@@ -157,8 +157,8 @@
 
     /** Throws {@link WireException} if it cannot be read. */
     public static FinalRecord readFinal(JobId id, Fields fields) {
-        return RecordReader.read(
-                () -> new FinalRecord(id, JobStatus.valueOf(fields.text("status")), (int) fields.whole("done", 0)));
+        return RecordReader.read(() ->
+                new FinalRecord(id, JobStatus.valueOf(fields.text("status")), (int) fields.wholeNumber("done", 0)));
     }
 
     private JobRecordCodec() {}
--- a/src/main/java/io/indigoreach/state/LeaderKey.java
+++ b/src/main/java/io/indigoreach/state/LeaderKey.java
@@ -11,12 +11,12 @@
     /** Throws {@link io.indigoreach.net.WireException} if the key cannot be read. */
     public static LeaderKey read(Fields value, Revision revision) {
         return new LeaderKey(
-                value.text("node"), value.text("process"), new FencingToken(value.whole("token")), revision);
+                value.text("node"), value.text("process"), new FencingToken(value.wholeNumber("token")), revision);
     }
 
     /** The token in the value of a leadership key. */
     public static long tokenOf(Map<String, Object> value) {
-        return new Fields(value).whole("token");
+        return new Fields(value).wholeNumber("token");
     }
 
     static Map<String, Object> write(String node, String process, FencingToken token) {
--- a/src/main/java/io/indigoreach/state/RememberedStateCodec.java
+++ b/src/main/java/io/indigoreach/state/RememberedStateCodec.java
@@ -69,7 +69,8 @@
         for (Fields item : body.children("over")) {
             into.add(
                     new JobId(item.text("id")),
-                    new RememberedState.FinishedJob(JobStatus.valueOf(item.text("status")), (int) item.whole("done")));
+                    new RememberedState.FinishedJob(
+                            JobStatus.valueOf(item.text("status")), (int) item.wholeNumber("done")));
         }
         for (Fields item : body.children("open")) {
             JobRecord record = JobRecordCodec.readJob(new JobId(item.text("id")), item.child("job"), Revision.ABSENT);
--- a/src/main/java/io/indigoreach/state/RoutineRunner.java
+++ b/src/main/java/io/indigoreach/state/RoutineRunner.java
@@ -200,7 +200,7 @@
     }
 
     private Future<StepResult> write(Transaction change, int attempt) {
-        if (budget != null && !budget.takeSpare(change.writes().size(), clock.now())) {
+        if (budget != null && !budget.tryAcquireSpare(change.writes().size(), clock.now())) {
             return pause().compose(v -> write(change, attempt));
         }
         StateClient.Txn txn = state.transactionInEra().and(change);
--- a/src/main/java/io/indigoreach/state/StateCodec.java
+++ b/src/main/java/io/indigoreach/state/StateCodec.java
@@ -97,7 +97,10 @@
     /** A key with its value, from a response or an item of a page. */
     public static StateClient.Entry readEntry(Fields body) {
         return new StateClient.Entry(
-                body.text("path"), unwrapped(body, "data"), new Revision(body.whole("stamp")), body.whole("permit", 0));
+                body.text("path"),
+                unwrapped(body, "data"),
+                new Revision(body.wholeNumber("stamp")),
+                body.wholeNumber("permit", 0));
     }
 
     /** What is said where there is only the revision to tell: a key that is absent, a transaction that is done. */
@@ -107,7 +110,7 @@
 
     /** The revision of the store in a response. */
     public static long readRevision(Fields body) {
-        return body.whole("ledger_rev");
+        return body.wholeNumber("ledger_rev");
     }
 
     /** The body of a listing's response. */
@@ -150,13 +153,13 @@
     public static StateClient.Txn readTxn(Fields body) {
         StateClient.Txn txn = new StateClient.Txn();
         for (Fields condition : body.children("when")) {
-            txn.when(condition.text("path"), new Revision(condition.whole("stamp")));
+            txn.when(condition.text("path"), new Revision(condition.wholeNumber("stamp")));
         }
         for (Fields write : body.children("writes")) {
             if (write.has("delete")) {
                 txn.delete(write.text("delete"));
             } else {
-                txn.put(write.text("write"), unwrapped(write, "data").map(), write.whole("permit", 0));
+                txn.put(write.text("write"), unwrapped(write, "data").map(), write.wholeNumber("permit", 0));
             }
         }
         return txn;
@@ -169,7 +172,8 @@
 
     static StateClient.Outcome readConflict(Fields body) {
         List<String> failed = body.optionalTexts("failed");
-        return new StateClient.Outcome(false, body.whole("ledger_rev", 0), failed == null ? List.of() : failed, false);
+        return new StateClient.Outcome(
+                false, body.wholeNumber("ledger_rev", 0), failed == null ? List.of() : failed, false);
     }
 
     /** The body of a request for a lease. */
@@ -179,7 +183,7 @@
 
     /** How long the requested lease lasts without renewal. */
     public static Span readLife(Fields body) {
-        return new Span(body.whole("life_ms"));
+        return new Span(body.wholeNumber("life_ms"));
     }
 
     /** The body of a granted lease. */
@@ -188,7 +192,7 @@
     }
 
     static long readLease(Fields body) {
-        return body.whole("permit");
+        return body.wholeNumber("permit");
     }
 
     /** The body of a watch's response. */
@@ -216,7 +220,7 @@
     static StateClient.Changes readChanges(Fields body) {
         List<StateClient.Change> changes = new ArrayList<>();
         for (Fields event : body.children("events")) {
-            Revision revision = new Revision(event.whole("stamp"));
+            Revision revision = new Revision(event.wholeNumber("stamp"));
             changes.add(
                     event.has("write")
                             ? new StateClient.Change(event.text("write"), unwrapped(event, "data"), revision)
--- a/src/main/java/io/indigoreach/tools/CalendarVerb.java
+++ b/src/main/java/io/indigoreach/tools/CalendarVerb.java
@@ -116,20 +116,20 @@
         Calendar calendar = read(file, form);
         String text = CalendarCodec.pack(new CalendarCodec.Stored(calendar, Register.EMPTY, Files.readString(file)));
         try (Cluster c = cluster.open()) {
-            int from = base >= 0 ? base : (int) get(c, "").whole("version");
+            int from = base >= 0 ? base : (int) get(c, "").wholeNumber("version");
             ServiceResponse r = c.call("POST", PATH, MessagePackFormat.map("base", from, "text", text, "note", note));
             if (r.status() == 409) {
                 Fields against = r.body().child("against");
                 throw new Failure(
                         Tool.WRONG,
-                        "version " + against.whole("version") + " is in force (" + against.optionalText("note")
+                        "version " + against.wholeNumber("version") + " is in force (" + against.optionalText("note")
                                 + "), and this was made from " + from
                                 + ": look at it with calendar show --file, then set again");
             }
             if (r.status() != 200) {
                 throw new Failure(Tool.WRONG, r.status() + " " + r.body().optionalText("error"));
             }
-            print(cluster.json, r.body(), "calendar " + r.body().whole("version") + " is in force");
+            print(cluster.json, r.body(), "calendar " + r.body().wholeNumber("version") + " is in force");
             if (!cluster.json) {
                 CalendarCheck.missing(calendar, new JavaZones(), today())
                         .forEach(m -> System.out.println("to be entered: " + m));
@@ -170,7 +170,7 @@
             throws ConfigException {
         try (Cluster c = cluster.open()) {
             Fields f = get(c, version > 0 ? "/versions/" + version : "");
-            if (f.whole("version") == 0) {
+            if (f.wholeNumber("version") == 0) {
                 System.out.println("no calendar was ever set");
                 return Tool.DONE;
             }
@@ -184,7 +184,7 @@
                         new JsonObject(f.map()).put("file", stored.file()).encode());
                 return Tool.DONE;
             }
-            System.out.println("version    " + f.whole("version"));
+            System.out.println("version    " + f.wholeNumber("version"));
             Calendar k = stored.calendar();
             k.depots().forEach(d -> System.out.println("depot      " + d.name() + " (" + d.zone() + ")"));
             k.regions()
@@ -198,8 +198,8 @@
                     .forEach(p -> System.out.println("plan       " + p.name() + " before " + p.depot() + ", "
                             + p.template().tasks() + " tasks of " + p.template().jobClass()));
             for (Fields v : f.children("history")) {
-                System.out.println("set        " + v.whole("version") + " at "
-                        + new JavaZones().text("UTC", v.whole("at")) + " " + v.text("note"));
+                System.out.println("set        " + v.wholeNumber("version") + " at "
+                        + new JavaZones().text("UTC", v.wholeNumber("at")) + " " + v.text("note"));
             }
         }
         return Tool.DONE;
@@ -229,7 +229,7 @@
                                     o.text("plan") + "@" + o.text("day"),
                                     o.text("kind"),
                                     o.has("departs_local") ? o.text("departs_local") : "-",
-                                    o.whole("tasks"),
+                                    o.wholeNumber("tasks"),
                                     o.text("reason")));
                 }
                 from = f.has("more") ? Day.parse(f.text("more")) : end;
@@ -255,7 +255,7 @@
             if (!cluster.json) {
                 unknown.forEach(u -> System.out.println("not started " + u));
             }
-            return f.whole("bad") > 0 || !unknown.isEmpty() ? Tool.BROKEN : Tool.DONE;
+            return f.wholeNumber("bad") > 0 || !unknown.isEmpty() ? Tool.BROKEN : Tool.DONE;
         }
     }
 
@@ -275,7 +275,7 @@
                         o.text("verdict"),
                         o.text("plan") + "@" + o.text("day"),
                         o.text("departs_local"),
-                        new JavaZones().text("UTC", o.whole("latest_start")),
+                        new JavaZones().text("UTC", o.wholeNumber("latest_start")),
                         o.has("needed_s") ? Math.round(o.number("needed_s")) + " s" : "-",
                         o.has("state") ? o.text("state") : "",
                         String.join("; ", more))
--- a/src/main/java/io/indigoreach/tools/CheckVerb.java
+++ b/src/main/java/io/indigoreach/tools/CheckVerb.java
@@ -58,9 +58,9 @@
         if (config == null && settings == null && scenario == null && job == null) {
             throw new Failure(Tool.USAGE, "check: nothing to check; name a file, or --list FORM");
         }
-        Settings own = settings == null ? Settings.standard() : SettingsFile.read(settings);
+        Settings own = settings == null ? Settings.defaults() : SettingsFile.read(settings);
         if (config != null) {
-            own.leaderLease(PlatformConfig.read(config).rules());
+            own.leaderLease(PlatformConfig.read(config).safetyTimes());
         }
         if (scenario != null) {
             TextForm.read(scenario, Scenario.class);
--- a/src/main/java/io/indigoreach/tools/Cluster.java
+++ b/src/main/java/io/indigoreach/tools/Cluster.java
@@ -174,7 +174,7 @@
         if (file.cloud().isEmpty()) {
             throw new Failure(Tool.WRONG, "the cluster's file names no cloud");
         }
-        return await(new CloudClient(new ServiceClient(vertx, Endpoint.parse(file.cloud()), 1)).list());
+        return await(new CloudClient(new ServiceClient(vertx, Endpoint.parse(file.cloud()), 1)).listMachines());
     }
 
     private StateClient state() {
--- a/src/main/java/io/indigoreach/tools/PoolsVerb.java
+++ b/src/main/java/io/indigoreach/tools/PoolsVerb.java
@@ -76,7 +76,7 @@
             System.out.println(
                     cluster.json
                             ? new JsonObject(f.map()).encode()
-                            : "pool " + f.text("name") + " is at version " + f.whole("version"));
+                            : "pool " + f.text("name") + " is at version " + f.wholeNumber("version"));
             return Tool.DONE;
         }
     }
@@ -103,9 +103,9 @@
                                             after,
                                             p.text("team"),
                                             p.text("image"),
-                                            p.whole("least"),
-                                            p.whole("most"),
-                                            p.whole("version")));
+                                            p.wholeNumber("least"),
+                                            p.wholeNumber("most"),
+                                            p.wholeNumber("version")));
                 }
                 more = f.flag("more", false);
             }
@@ -133,11 +133,11 @@
                 return Tool.DONE;
             }
             Fields s = f.child("stands");
-            System.out.println("wanted     " + s.whole("target", 0) + " machines: " + s.text("why"));
-            System.out.println("has        " + s.whole("machines", 0) + ", of which " + s.whole("ready", 0) + " hold "
-                    + f.text("image") + " and " + s.whole("coming", 0) + " boot or fetch it");
-            System.out.println("started    " + s.whole("hits", 0) + " replicas where it was held, "
-                    + s.whole("misses", 0) + " where it was not, since the last change of leader");
+            System.out.println("wanted     " + s.wholeNumber("target", 0) + " machines: " + s.text("why"));
+            System.out.println("has        " + s.wholeNumber("machines", 0) + ", of which " + s.wholeNumber("ready", 0)
+                    + " hold " + f.text("image") + " and " + s.wholeNumber("coming", 0) + " boot or fetch it");
+            System.out.println("started    " + s.wholeNumber("hits", 0) + " replicas where it was held, "
+                    + s.wholeNumber("misses", 0) + " where it was not, since the last change of leader");
             return Tool.DONE;
         }
     }
--- a/src/main/java/io/indigoreach/tools/RecordsQuestions.java
+++ b/src/main/java/io/indigoreach/tools/RecordsQuestions.java
@@ -33,8 +33,8 @@
                 Fields f = get(c, "jobs/" + job);
                 print(
                         f.map(),
-                        job + " has " + (f.whole("records") - f.whole("lacking")) + " of " + f.whole("records")
-                                + " records; it waits for");
+                        job + " has " + (f.wholeNumber("records") - f.wholeNumber("lacking")) + " of "
+                                + f.wholeNumber("records") + " records; it waits for");
                 if (!cluster.json) {
                     f.children("waits_for").forEach(r -> print(r.map(), line(r)));
                 }
@@ -104,7 +104,7 @@
                 "%-40s %-13s %s",
                 r.text("id"),
                 r.text("state"),
-                !r.has("by") ? "" : r.text("by") + " since " + Instant.ofEpochSecond(r.whole("since_s")));
+                !r.has("by") ? "" : r.text("by") + " since " + Instant.ofEpochSecond(r.wholeNumber("since_s")));
     }
 
     private static String query(String group, String after) {
--- a/src/main/java/io/indigoreach/warm/HolderJoining.java
+++ b/src/main/java/io/indigoreach/warm/HolderJoining.java
@@ -37,10 +37,12 @@
     @Override
     public Future<Transaction> accepting(JobSpec spec) {
         String name = (String) spec.more().get(JobSpec.WARM);
-        return ground.records().run(PoolRoutines.read(PoolRecords.POOLS + name)).map(kept -> {
-            refuse(spec, name, kept);
-            return new Transaction().when(kept);
-        });
+        return ground.recordRoutines()
+                .run(PoolRoutines.read(PoolRecords.POOLS + name))
+                .map(kept -> {
+                    refuse(spec, name, kept);
+                    return new Transaction().when(kept);
+                });
     }
 
     private static void refuse(JobSpec spec, String name, VersionedRecord kept) {
--- a/src/main/java/io/indigoreach/warm/PoolCodec.java
+++ b/src/main/java/io/indigoreach/warm/PoolCodec.java
@@ -115,7 +115,7 @@
     }
 
     private static int count(Fields f, String name) {
-        long value = f.whole(name);
+        long value = f.wholeNumber(name);
         if (value < 0 || value > LARGEST) {
             throw Fields.invalid(name);
         }
--- a/src/main/java/io/indigoreach/warm/PoolsResource.java
+++ b/src/main/java/io/indigoreach/warm/PoolsResource.java
@@ -50,11 +50,11 @@
                 ? explain(name)
                 : set(
                         PoolCodec.read(name, call.body()),
-                        call.body().has(EXPECTED) ? call.body().whole(EXPECTED) : -1);
+                        call.body().has(EXPECTED) ? call.body().wholeNumber(EXPECTED) : -1);
     }
 
     private Future<ApiResponse> list(String after) {
-        return ground.records().run(PoolRoutines.all(PoolRecords.POOLS)).map(all -> {
+        return ground.recordRoutines().run(PoolRoutines.all(PoolRecords.POOLS)).map(all -> {
             List<Object> pools = new ArrayList<>();
             boolean more = false;
             for (VersionedRecord k : all) {
@@ -85,7 +85,7 @@
 
     /** All pages' sums together: each is as new as its last write. */
     private Future<ApiResponse> sums() {
-        return ground.records().run(PoolRoutines.all(PoolRecords.SHEETS)).map(all -> {
+        return ground.recordRoutines().run(PoolRoutines.all(PoolRecords.SHEETS)).map(all -> {
             Map<Account, Double> sums = new TreeMap<>();
             long lines = 0;
             for (VersionedRecord k : all) {
@@ -98,24 +98,26 @@
     }
 
     private Future<ApiResponse> explain(String name) {
-        return ground.records().run(PoolRoutines.read(PoolRecords.POOLS + name)).compose(pool -> {
-            if (!pool.exists()) {
-                throw new NotFoundException("no pool " + name);
-            }
-            return ground.records()
-                    .run(PoolRoutines.read(PoolRecords.TOLD + name))
-                    .map(told -> {
-                        Map<String, Object> answer = new LinkedHashMap<>(Map.of("name", name));
-                        answer.putAll(PoolRoutines.plain(pool));
-                        answer.put("version", pool.version());
-                        answer.put(
-                                "stands",
-                                told.exists()
-                                        ? PoolRoutines.plain(told)
-                                        : MessagePackFormat.map("why", "no leader has planned it yet"));
-                        return ApiResponse.ok(answer);
-                    });
-        });
+        return ground.recordRoutines()
+                .run(PoolRoutines.read(PoolRecords.POOLS + name))
+                .compose(pool -> {
+                    if (!pool.exists()) {
+                        throw new NotFoundException("no pool " + name);
+                    }
+                    return ground.recordRoutines()
+                            .run(PoolRoutines.read(PoolRecords.TOLD + name))
+                            .map(told -> {
+                                Map<String, Object> answer = new LinkedHashMap<>(Map.of("name", name));
+                                answer.putAll(PoolRoutines.plain(pool));
+                                answer.put("version", pool.version());
+                                answer.put(
+                                        "stands",
+                                        told.exists()
+                                                ? PoolRoutines.plain(told)
+                                                : MessagePackFormat.map("why", "no leader has planned it yet"));
+                                return ApiResponse.ok(answer);
+                            });
+                });
     }
 
     private Future<ApiResponse> set(PoolSpec pool, long expected) {
@@ -132,7 +134,7 @@
             throw RequestRejectedException.of("windows", "the description is too long");
         }
         long[] version = new long[1];
-        return ground.records()
+        return ground.recordRoutines()
                 .run(PoolRoutines.replace(
                         PoolRecords.POOLS + pool.name(),
                         there -> {
--- a/src/main/java/io/indigoreach/warm/WarmPart.java
+++ b/src/main/java/io/indigoreach/warm/WarmPart.java
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public List<RecordFamily> families() {
+    public List<RecordFamily> recordFamilies() {
         return PoolRecords.FAMILIES;
     }
 
@@ -33,12 +33,12 @@
     }
 
     @Override
-    public SubmissionParticipant joining() {
+    public SubmissionParticipant submissionParticipant() {
         return new HolderJoining(ground);
     }
 
     @Override
-    public Term reigning(SchedulerCore core, RoutineRunner records) {
+    public LeaderTask startLeaderTask(SchedulerCore core, RoutineRunner records) {
         return new WarmPoolTerm(ground, core, records).start();
     }
 }
--- a/src/main/java/io/indigoreach/warm/WarmPoolTerm.java
+++ b/src/main/java/io/indigoreach/warm/WarmPoolTerm.java
@@ -31,7 +31,7 @@
 import org.slf4j.LoggerFactory;
 
 /** The pools' work for one leadership: reads what earlier leaders recorded, looks at the machines, writes lines and sums. */
-final class WarmPoolTerm implements Part.Term {
+final class WarmPoolTerm implements Part.LeaderTask {
     private static final Logger LOG = LoggerFactory.getLogger(WarmPoolTerm.class);
     private static final Span PERIOD = Span.seconds(1);
     private static final Span POOLS_EVERY = Span.seconds(5);
@@ -68,10 +68,11 @@
         this.plan = new PoolPlanner(
                 ground.config().teams(),
                 ground.catalogue()::types,
-                ground.settings().tuning().term(),
+                ground.settings().schedulerSettings().term(),
                 this::timeOfDay,
                 LOG::info);
-        this.meter = new Meter(ground.settings().tuning().minimumPaidTime().ms());
+        this.meter = new Meter(
+                ground.settings().schedulerSettings().minimumPaidTime().ms());
         this.duty = new PeriodicTask(ground.vertx(), "pools", PERIOD, this::step);
         core.useWarmCapacity(plan);
     }
--- a/src/main/java/io/indigoreach/worker/WorkerCodec.java
+++ b/src/main/java/io/indigoreach/worker/WorkerCodec.java
@@ -79,8 +79,8 @@
                     new MachineId(fields.text("box")),
                     fields.text("endpoint"),
                     new MachinePool(fields.text("boxkind"), fields.text("hall"), fields.flag("loaners", false)),
-                    new HeartbeatNumber(fields.whole("shift"), fields.whole("serial")),
-                    new FencingToken(fields.whole("baton", 0)),
+                    new HeartbeatNumber(fields.wholeNumber("shift"), fields.wholeNumber("serial")),
+                    new FencingToken(fields.wholeNumber("baton", 0)),
                     fields.has("warning_s") ? Span.seconds(Math.max(0, fields.number("warning_s"))) : null,
                     tasks);
         } catch (IllegalArgumentException e) {
@@ -92,7 +92,7 @@
         TaskState state = state(fields.text("status"));
         return new TaskStatus(
                 TaskId.parse(fields.text("piece")),
-                new Attempt(fields.whole("try")),
+                new Attempt(fields.wholeNumber("try")),
                 state,
                 state == TaskState.EXITED ? cause(fields.optionalText("cause")) : null,
                 fields.flag("kept", false));
@@ -140,7 +140,7 @@
 
     /** Reads such a response. Without a token it is to be discarded, so its token is lower than any. */
     public static HeartbeatResponse readResponse(Fields fields) {
-        return new HeartbeatResponse(new FencingToken(fields.whole("baton", -1)), readCommands(fields));
+        return new HeartbeatResponse(new FencingToken(fields.wholeNumber("baton", -1)), readCommands(fields));
     }
 
     /** A direct command. */
@@ -153,8 +153,8 @@
     /** Reads a direct command. */
     public static Direct readDirect(Fields fields) {
         return new Direct(
-                fields.has("baton") ? new FencingToken(fields.whole("baton")) : null,
-                fields.has("shift") ? (Long) fields.whole("shift") : null,
+                fields.has("baton") ? new FencingToken(fields.wholeNumber("baton")) : null,
+                fields.has("shift") ? (Long) fields.wholeNumber("shift") : null,
                 readCommands(fields));
     }
 
@@ -189,7 +189,7 @@
 
     private static WorkerCommand readCommand(Fields fields) {
         TaskId task = TaskId.parse(fields.text("piece"));
-        Attempt attempt = new Attempt(fields.whole("try"));
+        Attempt attempt = new Attempt(fields.wholeNumber("try"));
         return switch (fields.text("verb")) {
             case "start" -> new WorkerCommand.Start(task, attempt);
             case "stop" -> new WorkerCommand.Stop(task, attempt, Span.seconds(fields.number("wind_down_s", 0)));
--- a/src/test/java/io/indigoreach/ArchitecturePageTest.java
+++ b/src/test/java/io/indigoreach/ArchitecturePageTest.java
@@ -29,30 +29,30 @@
     /** A class name, qualified or simple, possibly nested. Names in capitals only, such as a status, are filtered out later. */
     private static final Pattern CLASS = Pattern.compile("(?:[a-z][a-z0-9]*\\.)*[A-Z]\\w*(?:\\.[A-Z]\\w*)*");
 
-    private static final Pattern TWO_HUMPS = Pattern.compile("\\b[A-Z][a-z0-9]+[A-Z]\\w*\\b");
+    private static final Pattern CAMEL_CASE_CLASS = Pattern.compile("\\b[A-Z][a-z0-9]+[A-Z]\\w*\\b");
     private static final Pattern DECLARED =
             Pattern.compile("(?m)^ *(?:(?:public|protected|private|static|final|abstract|"
                     + "sealed|non-sealed) +)*(?:class|record|interface|enum) +([A-Z]\\w*)");
 
     /** Returns every type under a directory, such as {@code core.Job}, or {@code core.Outer.Inner} if it is nested. */
     private static Set<String> types(Path root) throws IOException {
-        Set<String> all = new TreeSet<>();
+        Set<String> types = new TreeSet<>();
         try (Stream<Path> files = Files.walk(root)) {
             files.filter(f -> f.toString().endsWith(".java")).forEach(file -> {
                 String path = root.relativize(file).toString();
                 String name = path.substring(0, path.length() - ".java".length())
                         .replace(file.getFileSystem().getSeparator(), ".");
-                String top = name.startsWith(ROOT) ? name.substring(ROOT.length()) : name;
-                all.add(top);
+                String topLevel = name.startsWith(ROOT) ? name.substring(ROOT.length()) : name;
+                types.add(topLevel);
                 Matcher nested = DECLARED.matcher(read(file));
                 while (nested.find()) {
-                    if (!top.endsWith("." + nested.group(1)) && !top.equals(nested.group(1))) {
-                        all.add(top + "." + nested.group(1));
+                    if (!topLevel.endsWith("." + nested.group(1)) && !topLevel.equals(nested.group(1))) {
+                        types.add(topLevel + "." + nested.group(1));
                     }
                 }
             });
         }
-        return all;
+        return types;
     }
 
     private static String read(Path file) {
@@ -64,13 +64,13 @@
     }
 
     /** Returns the classes that a page names in diagrams and in back ticks, in order of appearance within each. */
-    private static List<String> named(String page) {
+    private static List<String> classesNamedOn(String page) {
         List<String> names = new ArrayList<>();
         Matcher block = BLOCK.matcher(page);
         StringBuilder text = new StringBuilder();
         while (block.find()) {
             if (block.group(1).equals("mermaid")) {
-                Matcher word = TWO_HUMPS.matcher(block.group(2));
+                Matcher word = CAMEL_CASE_CLASS.matcher(block.group(2));
                 while (word.find()) {
                     names.add(word.group());
                 }
@@ -89,7 +89,7 @@
         return names;
     }
 
-    private static boolean isAmong(Set<String> types, String name) {
+    private static boolean containsClass(Set<String> types, String name) {
         return types.contains(name)
                 || (Character.isUpperCase(name.charAt(0)) && types.stream().anyMatch(t -> t.endsWith("." + name)));
     }
@@ -97,25 +97,25 @@
     private static Set<String> missing(String page) throws IOException {
         Set<String> types = types(MAIN);
         types.addAll(types(TEST));
-        Set<String> out = new LinkedHashSet<>();
-        for (String name : named(page)) {
-            if (!isAmong(types, name)) {
-                out.add(name);
+        Set<String> missing = new LinkedHashSet<>();
+        for (String name : classesNamedOn(page)) {
+            if (!containsClass(types, name)) {
+                missing.add(name);
             }
         }
-        return out;
+        return missing;
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"ARCHITECTURE.md", "GLOSSARY.md", "DESIGN.md"})
-    void namesClassesThatExist(String page) throws IOException {
+    void pageNamesOnlyExistingClasses(String page) throws IOException {
         String text = Files.readString(Path.of("docs", page));
-        assertTrue(named(text).size() > 40, () -> page + " names " + named(text));
+        assertTrue(classesNamedOn(text).size() > 40, () -> page + " names " + classesNamedOn(text));
         assertEquals(Set.of(), missing(text), page + " names classes that do not exist");
     }
 
     @Test
-    void aStaleNameIsFound() throws IOException {
+    void unknownClassNamesAreDetected() throws IOException {
         String page = """
                 `net.NoSuchTask` and `ArchitecturePageTest`, `core.ArchitecturePageTest`, `POST /do`, `DONE`, `Retry-After`
                 ```mermaid
@@ -134,19 +134,19 @@
 
     /** The first mention of a class on the page includes its package. */
     @Test
-    void qualifiesAtTheFirstMention() throws IOException {
+    void firstMentionsAreQualified() throws IOException {
         Set<String> seen = new LinkedHashSet<>();
-        Set<String> bare = new LinkedHashSet<>();
+        Set<String> unqualified = new LinkedHashSet<>();
         Set<String> tests = types(TEST);
         String text = BLOCK.matcher(Files.readString(Path.of("docs", "ARCHITECTURE.md")))
                 .replaceAll("");
-        for (String name : named(text)) {
+        for (String name : classesNamedOn(text)) {
             String simple = name.substring(name.lastIndexOf('.') + 1);
-            boolean isQualified = Character.isLowerCase(name.charAt(0)) || isAmong(tests, name);
+            boolean isQualified = Character.isLowerCase(name.charAt(0)) || containsClass(tests, name);
             if (seen.add(simple) && !isQualified) {
-                bare.add(name);
+                unqualified.add(name);
             }
         }
-        assertEquals(Set.of(), bare);
+        assertEquals(Set.of(), unqualified);
     }
 }
--- a/src/test/java/io/indigoreach/ArchitectureTest.java
+++ b/src/test/java/io/indigoreach/ArchitectureTest.java
@@ -22,7 +22,7 @@
 
 /** Checks the dependencies between packages and the restrictions on what each layer may use. */
 class ArchitectureTest {
-    private static final String[] NODE = {
+    private static final String[] NODE_PACKAGES = {
         "io.indigoreach.core..",
         "io.indigoreach.state..",
         "io.indigoreach.cloud..",
@@ -38,7 +38,7 @@
         "io.indigoreach.warm..",
         "io.indigoreach.accounts.."
     };
-    private static final String[] TOOLS = {
+    private static final String[] TOOL_PACKAGES = {
         "io.indigoreach.emulator..",
         "io.indigoreach.scenario..",
         "io.indigoreach.checker..",
@@ -48,7 +48,7 @@
         "io.indigoreach.store.."
     };
     /** Names in messages that differ from the names in the code. Names that both use, such as cores, cannot be checked. */
-    private static final Set<String> WORDS = Set.of(
+    private static final Set<String> WIRE_ONLY_NAMES = Set.of(
             "baton",
             "hire",
             "permit",
@@ -97,14 +97,14 @@
     private static JavaClasses classes;
 
     @BeforeAll
-    static void read() {
+    static void importClasses() {
         classes = new ClassFileImporter()
                 .withImportOption(new ImportOption.DoNotIncludeTests())
                 .importPackages("io.indigoreach");
     }
 
     @Test
-    void theCoreIsPure() {
+    void coreHasNoInputOutputOrClock() {
         noClasses()
                 .that()
                 .resideInAPackage("io.indigoreach.core..")
@@ -144,7 +144,7 @@
 
     /** The packages of the core have no cyclic dependencies. */
     @Test
-    void theRoomsOfTheCoreFormNoCircle() {
+    void corePackagesHaveNoCycles() {
         slices().matching("io.indigoreach.core.(*)..").should().beFreeOfCycles().check(classes);
     }
 
@@ -165,7 +165,7 @@
 
     /** The common package of the parts does not depend on any part, and no part depends on the package that registers the parts. */
     @Test
-    void partsAreRegisteredFromOutside() {
+    void partsAndTheirRegistryAreDecoupled() {
         String[] parts = {"io.indigoreach.calendar..", "io.indigoreach.ownership..", "io.indigoreach.warm.."};
         noClasses()
                 .that()
@@ -185,7 +185,7 @@
 
     /** The emulator's model depends only on its inputs: it uses no sockets, files, threads, clocks or random numbers. */
     @Test
-    void theModelIsPure() {
+    void emulatorModelHasNoInputOutputClockOrRandomness() {
         noClasses()
                 .that()
                 .resideInAPackage("io.indigoreach.emulator.model..")
@@ -216,17 +216,17 @@
 
     /** The node does not depend on the tools or their libraries. */
     @Test
-    void theNodeUsesNoTools() {
+    void nodeDoesNotDependOnTools() {
         noClasses()
                 .that()
-                .resideInAnyPackage(NODE)
+                .resideInAnyPackage(NODE_PACKAGES)
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage(TOOLS)
+                .resideInAnyPackage(TOOL_PACKAGES)
                 .check(classes);
         noClasses()
                 .that()
-                .resideInAnyPackage(NODE)
+                .resideInAnyPackage(NODE_PACKAGES)
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("picocli..", "org.HdrHistogram..", "ch.qos.logback..")
@@ -240,39 +240,39 @@
     @Test
     void nodesSendNoDirectCommands() throws IOException {
         Pattern direct = Pattern.compile("\\b(DIRECT|INSPECT|WorkerCodec\\.Direct)\\b|\"/(do|inspect)\"");
-        List<String> strays = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         try (var walk = Files.walk(Path.of("src/main/java"))) {
-            for (Path p : walk.filter(f -> f.toString().endsWith(".java")).toList()) {
-                if (direct.matcher(Files.readString(p)).find()) {
-                    strays.add(p.getFileName().toString());
+            for (Path path : walk.filter(f -> f.toString().endsWith(".java")).toList()) {
+                if (direct.matcher(Files.readString(path)).find()) {
+                    violations.add(path.getFileName().toString());
                 }
             }
         }
-        strays.sort(null);
+        violations.sort(null);
         assertEquals(
                 List.of("WorkerCodec.java", "WorkerModel.java", "WorkerPool.java"),
-                strays,
+                violations,
                 "source files that use direct commands, which only the codec and the emulated workers may");
     }
 
     @Test
-    void wireWordsStandOnlyInCodecs() throws IOException {
+    void wireNamesOccurOnlyInCodecs() throws IOException {
         Pattern literal = Pattern.compile("\"([a-z_]+)\"");
-        List<String> strays = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         int files = 0;
         try (var walk = Files.walk(Path.of("src/main/java"))) {
-            for (Path p : walk.filter(f -> f.toString().endsWith(".java")).toList()) {
+            for (Path path : walk.filter(f -> f.toString().endsWith(".java")).toList()) {
                 files++;
-                Matcher m = literal.matcher(Files.readString(p));
-                while (m.find()) {
-                    if (WORDS.contains(m.group(1))
-                            && !CODECS.contains(p.getFileName().toString())) {
-                        strays.add(p.getFileName() + ": " + m.group(1));
+                Matcher matcher = literal.matcher(Files.readString(path));
+                while (matcher.find()) {
+                    if (WIRE_ONLY_NAMES.contains(matcher.group(1))
+                            && !CODECS.contains(path.getFileName().toString())) {
+                        violations.add(path.getFileName() + ": " + matcher.group(1));
                     }
                 }
             }
         }
-        assertEquals(List.of(), strays);
+        assertEquals(List.of(), violations);
         assertTrue(files > 100);
     }
 }
--- a/src/test/java/io/indigoreach/CodecsTest.java
+++ b/src/test/java/io/indigoreach/CodecsTest.java
@@ -42,12 +42,12 @@
 class CodecsTest {
     private static final TaskId TASK = new TaskId(new JobId("run-000412"), 3);
 
-    private static Fields sent(Map<String, Object> message) {
+    private static Fields encodeAndDecode(Map<String, Object> message) {
         return MessagePackFormat.readMap(MessagePackFormat.write(message));
     }
 
     @Test
-    void jobs() {
+    void jobsRoundTrip() {
         JobSpec full = JobSpec.builder(new JobId("run-000412"))
                 .jobClass("train")
                 .team("vision")
@@ -67,7 +67,7 @@
                 .checkpointTime(Span.seconds(4))
                 .due(Span.seconds(900))
                 .build();
-        JobSpec bare = JobSpec.builder(new JobId("run-1"))
+        JobSpec minimal = JobSpec.builder(new JobId("run-1"))
                 .jobClass("c")
                 .team("t")
                 .kind(JobKind.ARRAY)
@@ -77,10 +77,10 @@
                 .image("i")
                 .imageGb(0)
                 .build();
-        assertEquals(full, JobCodec.read(sent(JobCodec.write(full))));
-        assertEquals(bare, JobCodec.read(sent(JobCodec.write(bare))));
-        JobSpec chained = bare.with(JobDependencies.of(List.of(new JobId("run-007"), new JobId("run-8"))));
-        assertEquals(chained, JobCodec.read(sent(JobCodec.write(chained))));
+        assertEquals(full, JobCodec.read(encodeAndDecode(JobCodec.write(full))));
+        assertEquals(minimal, JobCodec.read(encodeAndDecode(JobCodec.write(minimal))));
+        JobSpec dependent = minimal.with(JobDependencies.of(List.of(new JobId("run-007"), new JobId("run-8"))));
+        assertEquals(dependent, JobCodec.read(encodeAndDecode(JobCodec.write(dependent))));
         assertEquals(
                 List.of(
                         "id",
@@ -107,13 +107,13 @@
     }
 
     @Test
-    void reports() {
+    void heartbeatsRoundTrip() {
         List<TaskStatus> tasks = new ArrayList<>();
-        for (TaskState s : List.of(TaskState.FETCHING, TaskState.RUNNING, TaskState.SAVING)) {
-            tasks.add(new TaskStatus(TASK, new Attempt(2), s, null, false));
+        for (TaskState state : List.of(TaskState.FETCHING, TaskState.RUNNING, TaskState.SAVING)) {
+            tasks.add(new TaskStatus(TASK, new Attempt(2), state, null, false));
         }
-        for (ExitCause c : ExitCause.values()) {
-            tasks.add(new TaskStatus(TASK, new Attempt(3), TaskState.EXITED, c, c == ExitCause.STOPPED));
+        for (ExitCause cause : ExitCause.values()) {
+            tasks.add(new TaskStatus(TASK, new Attempt(3), TaskState.EXITED, cause, cause == ExitCause.STOPPED));
         }
         for (Span notice : new Span[] {null, Span.seconds(7)}) {
             Heartbeat heartbeat = new Heartbeat(
@@ -124,11 +124,11 @@
                     new FencingToken(41),
                     notice,
                     tasks);
-            assertEquals(heartbeat, WorkerCodec.read(sent(WorkerCodec.write(heartbeat))));
+            assertEquals(heartbeat, WorkerCodec.read(encodeAndDecode(WorkerCodec.write(heartbeat))));
         }
     }
 
-    static Stream<Arguments> orders() {
+    static Stream<Arguments> commandsRoundTrip() {
         return Stream.of(
                 Arguments.of(new WorkerCommand.Start(TASK, new Attempt(2)), "{verb=start, piece=run-000412/3, try=2}"),
                 Arguments.of(
@@ -139,44 +139,45 @@
 
     @ParameterizedTest
     @MethodSource
-    void orders(WorkerCommand command, String words) {
-        WorkerCodec.HeartbeatResponse a =
-                WorkerCodec.readResponse(sent(WorkerCodec.writeResponse(new FencingToken(41), List.of(command))));
-        assertEquals(List.of(command), a.commands());
-        assertEquals(41, a.token().value());
+    void commandsRoundTrip(WorkerCommand command, String expectedText) {
+        WorkerCodec.HeartbeatResponse response = WorkerCodec.readResponse(
+                encodeAndDecode(WorkerCodec.writeResponse(new FencingToken(41), List.of(command))));
+        assertEquals(List.of(command), response.commands());
+        assertEquals(41, response.token().value());
         assertEquals(
-                "[" + words + "]",
+                "[" + expectedText + "]",
                 WorkerCodec.writeResponse(new FencingToken(41), List.of(command))
                         .get("orders")
                         .toString());
-        WorkerCodec.Direct d = new WorkerCodec.Direct(new FencingToken(41), 5L, List.of(command));
-        assertEquals(d, WorkerCodec.readDirect(sent(WorkerCodec.writeDirect(d))));
+        WorkerCodec.Direct direct = new WorkerCodec.Direct(new FencingToken(41), 5L, List.of(command));
+        assertEquals(direct, WorkerCodec.readDirect(encodeAndDecode(WorkerCodec.writeDirect(direct))));
     }
 
     /** A response without a token gets a token below all others; a response with an invalid command is rejected as a whole. */
     @Test
-    void answersThatLackSomething() {
-        assertEquals(-1, WorkerCodec.readResponse(sent(Map.of())).token().value());
+    void incompleteResponses() {
+        assertEquals(
+                -1, WorkerCodec.readResponse(encodeAndDecode(Map.of())).token().value());
         assertThrows(
                 WireException.class,
-                () -> WorkerCodec.readResponse(sent(MessagePackFormat.map(
+                () -> WorkerCodec.readResponse(encodeAndDecode(MessagePackFormat.map(
                         "orders", List.of(MessagePackFormat.map("verb", "dance", "piece", "run-1/0", "try", 1))))));
         assertThrows(
                 WireException.class,
-                () -> WorkerCodec.readResponse(sent(MessagePackFormat.map(
+                () -> WorkerCodec.readResponse(encodeAndDecode(MessagePackFormat.map(
                         "orders", List.of(MessagePackFormat.map("verb", "reap", "piece", "nonsense", "try", 1))))));
     }
 
     @Test
-    void transactions() {
+    void transactionsRoundTrip() {
         Txn txn = new Txn()
                 .when("a/b", Revision.ABSENT)
                 .put("a/b", MessagePackFormat.map("n", 1L), 7)
                 .put("x", MessagePackFormat.map("n", 2L))
                 .delete("c/d");
-        Txn read = StateCodec.readTxn(sent(StateCodec.writeTxn(txn)));
-        assertEquals(txn.conditions(), read.conditions());
-        assertEquals(txn.writes(), read.writes());
+        Txn decoded = StateCodec.readTxn(encodeAndDecode(StateCodec.writeTxn(txn)));
+        assertEquals(txn.conditions(), decoded.conditions());
+        assertEquals(txn.writes(), decoded.writes());
         assertEquals(
                 "{when=[{path=a/b, stamp=0}], writes=[{write=a/b, data={n=1}, permit=7}, {write=x, data={n=2}}, "
                         + "{delete=c/d}]}",
--- a/src/test/java/io/indigoreach/GoldenFile.java
+++ b/src/test/java/io/indigoreach/GoldenFile.java
@@ -32,26 +32,26 @@
  */
 public final class GoldenFile {
     public static final Path DIRECTORY = Path.of("src", "test", "resources", "golden");
-    private static final boolean WRITES = Boolean.getBoolean("golden.write");
+    private static final boolean UPDATES_FILES = Boolean.getBoolean("golden.write");
 
-    private final String file;
-    private final Map<String, String> golden;
-    private final Map<String, String> written = new LinkedHashMap<>();
+    private final String fileName;
+    private final Map<String, String> expected;
+    private final Map<String, String> expectEncoded = new LinkedHashMap<>();
     private final List<Executable> checks = new ArrayList<>();
 
-    public GoldenFile(String file) {
-        this.file = file;
-        this.golden = WRITES ? Map.of() : load(file);
+    public GoldenFile(String fileName) {
+        this.fileName = fileName;
+        this.expected = UPDATES_FILES ? Map.of() : load(fileName);
     }
 
     /** Returns the values of a golden file by case name. */
-    public static Map<String, String> load(String file) {
+    public static Map<String, String> load(String fileName) {
         Map<String, String> lines = new LinkedHashMap<>();
         try {
-            for (String line : Files.readAllLines(DIRECTORY.resolve(file))) {
+            for (String line : Files.readAllLines(DIRECTORY.resolve(fileName))) {
                 int tab = line.indexOf('\t');
                 assertEquals(
-                        null, lines.put(unescaped(line.substring(0, tab)), unescaped(line.substring(tab + 1))), line);
+                        null, lines.put(unescape(line.substring(0, tab)), unescape(line.substring(tab + 1))), line);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -59,86 +59,91 @@
         return lines;
     }
 
-    public static String hex(Map<String, Object> message) {
+    public static String encodeHex(Map<String, Object> message) {
         return HexFormat.of().formatHex(MessagePackFormat.write(message).getBytes());
     }
 
-    private static Fields fields(String hex) {
+    private static Fields decode(String hex) {
         return MessagePackFormat.readMap(Buffer.buffer(HexFormat.of().parseHex(hex)));
     }
 
     /** Expects the golden text, such as a response, a path or an error line. */
-    public GoldenFile text(String name, String text) {
-        assertEquals(null, written.put(name, text), "duplicate case name " + name);
-        checks.add(() -> assertEquals(golden.get(name), text, name));
+    public GoldenFile expectText(String name, String text) {
+        assertEquals(null, expectEncoded.put(name, text), "duplicate case name " + name);
+        checks.add(() -> assertEquals(expected.get(name), text, name));
         return this;
     }
 
     /** Expects the golden bytes of a message that this program only writes. */
-    public GoldenFile written(String name, Map<String, Object> message) {
-        assertEquals(null, written.put(name, hex(message)), "duplicate case name " + name);
-        checks.add(() -> assertEquals(golden.get(name), hex(message), () -> name + ": " + readable(name, message)));
+    public GoldenFile expectEncoded(String name, Map<String, Object> message) {
+        assertEquals(null, expectEncoded.put(name, encodeHex(message)), "duplicate case name " + name);
+        checks.add(() -> assertEquals(
+                expected.get(name), encodeHex(message), () -> name + ": " + describeDifference(name, message)));
         return this;
     }
 
     /** Expects the golden bytes of a message whose field order differs between runs; the fields are sorted before the comparison. */
-    public GoldenFile unordered(String name, Map<String, Object> message) {
-        return written(name, sorted(message));
+    public GoldenFile expectEncodedUnordered(String name, Map<String, Object> message) {
+        return expectEncoded(name, sorted(message));
     }
 
     private static Map<String, Object> sorted(Map<?, ?> map) {
         Map<String, Object> sorted = new TreeMap<>();
-        map.forEach((key, value) -> sorted.put((String) key, value instanceof Map<?, ?> m ? sorted(m) : value));
+        map.forEach((key, value) ->
+                sorted.put((String) key, value instanceof Map<?, ?> nested ? sorted(nested) : value));
         return sorted;
     }
 
-    private String readable(String name, Map<String, Object> message) {
-        String line = golden.get(name);
-        return "golden " + (line == null ? "none" : fields(line).map()) + ", written " + message;
+    private String describeDifference(String name, Map<String, Object> message) {
+        String line = expected.get(name);
+        return "golden " + (line == null ? "none" : decode(line).map()) + ", written " + message;
     }
 
     /** Expects that the value is encoded as the golden bytes, and that decoding and encoding these gives the same bytes. */
-    public <T> GoldenFile again(
+    public <T> GoldenFile expectReencoded(
             String name, T value, Function<T, Map<String, Object>> writer, Function<Fields, T> reader) {
-        written(name, writer.apply(value));
+        expectEncoded(name, writer.apply(value));
         checks.add(() -> {
-            assertNotNull(golden.get(name), name);
-            Map<String, Object> again = writer.apply(reader.apply(fields(golden.get(name))));
+            assertNotNull(expected.get(name), name);
+            Map<String, Object> reencoded = writer.apply(reader.apply(decode(expected.get(name))));
             assertEquals(
-                    golden.get(name), hex(again), () -> name + ", after decoding and encoding: " + readable(name, again));
+                    expected.get(name),
+                    encodeHex(reencoded),
+                    () -> name + ", after decoding and encoding: " + describeDifference(name, reencoded));
         });
         return this;
     }
 
-    /** Like {@link #again}, and expects that the golden bytes are decoded as the value. */
-    public <T> GoldenFile both(
+    /** Like {@link #expectReencoded}, and expects that the golden bytes are decoded as the value. */
+    public <T> GoldenFile expectRoundTrip(
             String name, T value, Function<T, Map<String, Object>> writer, Function<Fields, T> reader) {
-        again(name, value, writer, reader);
-        checks.add(() -> assertEquals(value, reader.apply(fields(golden.get(name))), name + ", decoded value"));
+        expectReencoded(name, value, writer, reader);
+        checks.add(() -> assertEquals(value, reader.apply(decode(expected.get(name))), name + ", decoded value"));
         return this;
     }
 
     /** Expects that a message in a form which only other programs write is decoded, and that the result is encoded as the golden bytes. */
-    public GoldenFile read(
-            String name, Map<String, Object> sent, Function<Fields, Map<String, Object>> readAndWritten) {
-        String as = name + ", as read";
-        written(name, sent);
-        written.put(as, hex(readAndWritten.apply(fields(hex(sent)))));
-        checks.add(() -> assertEquals(golden.get(as), hex(readAndWritten.apply(fields(golden.get(name)))), as));
+    public GoldenFile expectDecoded(
+            String name, Map<String, Object> sent, Function<Fields, Map<String, Object>> decodeAndEncode) {
+        String decodedName = name + ", as read";
+        expectEncoded(name, sent);
+        expectEncoded.put(decodedName, encodeHex(decodeAndEncode.apply(decode(encodeHex(sent)))));
+        checks.add(() -> assertEquals(
+                expected.get(decodedName), encodeHex(decodeAndEncode.apply(decode(expected.get(name)))), decodedName));
         return this;
     }
 
     /** Expects that a message cannot be decoded, with the golden error message. */
-    public GoldenFile refused(String name, Map<String, Object> sent, Function<Fields, ?> reader) {
-        written(name, sent);
-        Fields read = fields(WRITES ? hex(sent) : golden.getOrDefault(name, hex(sent)));
-        return text(name + ", refused", fault(() -> reader.apply(read)));
+    public GoldenFile expectRejected(String name, Map<String, Object> sent, Function<Fields, ?> reader) {
+        expectEncoded(name, sent);
+        Fields fields = decode(UPDATES_FILES ? encodeHex(sent) : expected.getOrDefault(name, encodeHex(sent)));
+        return expectText(name + ", refused", failureMessage(() -> reader.apply(fields)));
     }
 
     /** Returns the message of the exception that the code throws, or "no fault" if it throws none. */
-    public static String fault(Executable what) {
+    public static String failureMessage(Executable code) {
         try {
-            what.execute();
+            code.execute();
             return "no fault";
         } catch (Throwable e) {
             return e.getMessage();
@@ -146,41 +151,42 @@
     }
 
     /** Checks all added cases, and that the file contains no other cases. */
-    public void check() {
-        if (WRITES) {
-            write();
+    public void verify() {
+        if (UPDATES_FILES) {
+            rewriteFile();
         }
-        checks.add(() -> assertEquals(List.copyOf(golden.keySet()), List.copyOf(written.keySet()), "names of the cases"));
-        assertAll(file, checks);
+        checks.add(() -> assertEquals(
+                List.copyOf(expected.keySet()), List.copyOf(expectEncoded.keySet()), "names of the cases"));
+        assertAll(fileName, checks);
     }
 
-    private void write() {
+    private void rewriteFile() {
         assertEquals(null, System.getenv("CI"), "golden files must not be written in CI");
         StringBuilder lines = new StringBuilder();
-        written.forEach((name, value) ->
-                lines.append(escaped(name)).append('\t').append(escaped(value)).append('\n'));
+        expectEncoded.forEach((name, value) ->
+                lines.append(escape(name)).append('\t').append(escape(value)).append('\n'));
         try {
             Files.createDirectories(DIRECTORY);
-            Files.writeString(DIRECTORY.resolve(file), lines);
+            Files.writeString(DIRECTORY.resolve(fileName), lines);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        fail(DIRECTORY.resolve(file) + " was rewritten: review the diff, and run again without golden.write");
+        fail(DIRECTORY.resolve(fileName) + " was rewritten: review the diff, and run again without golden.write");
     }
 
-    private static String escaped(String text) {
+    private static String escape(String text) {
         return text.replace("\\", "\\\\")
                 .replace("\n", "\\n")
                 .replace("\t", "\\t")
                 .replace("\r", "\\r");
     }
 
-    private static String unescaped(String line) {
+    private static String unescape(String line) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < line.length(); i++) {
-            char c = line.charAt(i);
-            if (c != '\\') {
-                text.append(c);
+            char character = line.charAt(i);
+            if (character != '\\') {
+                text.append(character);
                 continue;
             }
             char next = line.charAt(++i);
--- a/src/test/java/io/indigoreach/GoldenListTest.java
+++ b/src/test/java/io/indigoreach/GoldenListTest.java
@@ -25,83 +25,83 @@
 class GoldenListTest {
     private static final Path SOURCES = Path.of("src", "main", "java");
     /** Matches code that builds a message, a record or a line of JSON. */
-    private static final Pattern SERIALISES = Pattern.compile("\\bMessagePackFormat\\.map\\(|\\bnew JsonObject\\(");
+    private static final Pattern SERIALISATION = Pattern.compile("\\bMessagePackFormat\\.map\\(|\\bnew JsonObject\\(");
 
     /** For each source file, the golden files and the prefixes of its cases in them. */
-    private static final Map<String, Set<String>> GOLDEN = new LinkedHashMap<>();
+    private static final Map<String, Set<String>> CASES_BY_SOURCE = new LinkedHashMap<>();
 
-    private static void golden(String source, String... cases) {
-        GOLDEN.put(source, Set.of(cases));
+    private static void addCases(String source, String... casePrefixes) {
+        CASES_BY_SOURCE.put(source, Set.of(casePrefixes));
     }
 
     static {
-        golden("JobCodec.java", "users.txt#submission ", "users.txt#accepted", "users.txt#progress");
-        golden("ApiResponse.java", "users.txt#answer ", "users-http.txt#");
-        golden("RequestRejectedException.java", "users.txt#answer refusal");
-        golden("WorkerCodec.java", "workers.txt#report", "workers.txt#answer", "workers.txt#direct");
-        golden("CloudCodec.java", "cloud.txt#types", "cloud.txt#rental", "cloud.txt#names", "cloud.txt#page");
-        golden(
+        addCases("JobCodec.java", "users.txt#submission ", "users.txt#accepted", "users.txt#progress");
+        addCases("ApiResponse.java", "users.txt#answer ", "users-http.txt#");
+        addCases("RequestRejectedException.java", "users.txt#answer refusal");
+        addCases("WorkerCodec.java", "workers.txt#report", "workers.txt#answer", "workers.txt#direct");
+        addCases("CloudCodec.java", "cloud.txt#types", "cloud.txt#rental", "cloud.txt#names", "cloud.txt#page");
+        addCases(
                 "StateCodec.java",
                 "state-service.txt#entry",
                 "state-service.txt#transaction",
                 "state-service.txt#changes");
-        golden("JobRecordCodec.java", "records.txt#job", "records.txt#end");
-        golden("CompletionBlockCodec.java", "records.txt#block");
-        golden("IntentRecordCodec.java", "records.txt#intents");
-        golden("MachineRecordCodec.java", "records.txt#page of machines");
-        golden("CatalogueRecordCodec.java", "records.txt#catalogue");
-        golden("EraRecordCodec.java", "records.txt#era");
-        golden("DependencyCodec.java", "records.txt#job chained", "records.txt#job released from its chain");
-        golden("RememberedStateCodec.java", "records.txt#memory");
-        golden("CounterRecord.java", "records.txt#counter");
-        golden("FormatGate.java", "records.txt#format that a node knows");
-        golden("LeaderKey.java", "records.txt#leader");
-        golden("FinalRecord.java", "records.txt#end");
-        golden("JobRecord.java", "records.txt#job");
-        golden("MachineRecord.java", "records.txt#page of machines");
-        golden("CompletionBits.java", "records.txt#blocks of values");
-        golden("PeerPromises.java", "pledges.txt#question", "pledges.txt#pledge");
-        golden(
+        addCases("JobRecordCodec.java", "records.txt#job", "records.txt#end");
+        addCases("CompletionBlockCodec.java", "records.txt#block");
+        addCases("IntentRecordCodec.java", "records.txt#intents");
+        addCases("MachineRecordCodec.java", "records.txt#page of machines");
+        addCases("CatalogueRecordCodec.java", "records.txt#catalogue");
+        addCases("EraRecordCodec.java", "records.txt#era");
+        addCases("DependencyCodec.java", "records.txt#job chained", "records.txt#job released from its chain");
+        addCases("RememberedStateCodec.java", "records.txt#memory");
+        addCases("CounterRecord.java", "records.txt#counter");
+        addCases("FormatGate.java", "records.txt#format that a node knows");
+        addCases("LeaderKey.java", "records.txt#leader");
+        addCases("FinalRecord.java", "records.txt#end");
+        addCases("JobRecord.java", "records.txt#job");
+        addCases("MachineRecord.java", "records.txt#page of machines");
+        addCases("CompletionBits.java", "records.txt#blocks of values");
+        addCases("PeerPromises.java", "pledges.txt#question", "pledges.txt#pledge");
+        addCases(
                 "PeerProtocol.java",
                 "peers.txt#standing",
                 "peers.txt#pledge",
                 "peers.txt#a job recalled",
                 "peers-asked.txt#/");
-        golden("CalendarCodec.java", "calendar.txt#calendar");
-        golden("CalendarResource.java", "calendar.txt#answer ");
-        golden("RunTimes.java", "calendar.txt#run times");
-        golden("DayPage.java", "calendar.txt#page of state");
-        golden("Mark.java", "calendar.txt#page of state");
-        golden("CalendarVersion.java", "calendar.txt#calendar cal/head/");
-        golden("Publishing.java", "calendar.txt#text cal/text/");
-        golden("RecordsCodec.java", "ownership-words.txt#outcome", "ownership-words.txt#shown");
-        golden("OwnershipService.java", "ownership-http.txt#");
-        golden("Page.java", "ownership-records.txt#claimed, own/p/");
-        golden("Claim.java", "ownership-records.txt#claimed, own/c/");
-        golden("Registry.java", "ownership-records.txt#begun, own/r/");
-        golden("PoolCodec.java", "pools.txt#pool", "pools.txt#sheet", "pools.txt#told", "pools.txt#seen");
-        golden("PoolsResource.java", "pools-http.txt#");
-        golden("DepotCodec.java", "depot.txt#upload", "depot.txt#summary");
-        golden("DiskDurability.java", "disk.txt#writes", "disk.txt#lease");
-        golden("PlatformConfig.java", "settings.txt#platform's file", "settings.txt#wrong");
-        golden("ClusterFile.java", "forms.txt#cluster, written");
-        golden("PoolFile.java", "forms.txt#pool, as sent");
-        golden("CalendarVerb.java", "verbs.txt#calendar");
-        golden("DutiesVerb.java", "verbs.txt#duties");
-        golden("JobsVerb.java", "verbs.txt#jobs");
-        golden("Lines.java", "verbs.txt#status");
-        golden("MachinesVerb.java", "verbs.txt#machines");
-        golden("PoolsVerb.java", "verbs.txt#pools");
-        golden("RecordsAction.java", "verbs.txt#records claim");
-        golden("RecordsAuthor.java", "verbs.txt#records begin");
-        golden("RecordsBiller.java", "verbs.txt#records billing");
-        golden("RecordsBilling.java", "verbs.txt#records billed");
-        golden("RecordsDecisions.java", "verbs.txt#records resolve");
-        golden("RecordsQuestions.java", "verbs.txt#records holders");
+        addCases("CalendarCodec.java", "calendar.txt#calendar");
+        addCases("CalendarResource.java", "calendar.txt#answer ");
+        addCases("RunTimes.java", "calendar.txt#run times");
+        addCases("DayPage.java", "calendar.txt#page of state");
+        addCases("Mark.java", "calendar.txt#page of state");
+        addCases("CalendarVersion.java", "calendar.txt#calendar cal/head/");
+        addCases("Publishing.java", "calendar.txt#text cal/text/");
+        addCases("RecordsCodec.java", "ownership-words.txt#outcome", "ownership-words.txt#shown");
+        addCases("OwnershipService.java", "ownership-http.txt#");
+        addCases("Page.java", "ownership-records.txt#claimed, own/p/");
+        addCases("Claim.java", "ownership-records.txt#claimed, own/c/");
+        addCases("Registry.java", "ownership-records.txt#begun, own/r/");
+        addCases("PoolCodec.java", "pools.txt#pool", "pools.txt#sheet", "pools.txt#told", "pools.txt#seen");
+        addCases("PoolsResource.java", "pools-http.txt#");
+        addCases("DepotCodec.java", "depot.txt#upload", "depot.txt#summary");
+        addCases("DiskDurability.java", "disk.txt#writes", "disk.txt#lease");
+        addCases("PlatformConfig.java", "settings.txt#platform's file", "settings.txt#wrong");
+        addCases("ClusterFile.java", "forms.txt#cluster, written");
+        addCases("PoolFile.java", "forms.txt#pool, as sent");
+        addCases("CalendarVerb.java", "verbs.txt#calendar");
+        addCases("DutiesVerb.java", "verbs.txt#duties");
+        addCases("JobsVerb.java", "verbs.txt#jobs");
+        addCases("Lines.java", "verbs.txt#status");
+        addCases("MachinesVerb.java", "verbs.txt#machines");
+        addCases("PoolsVerb.java", "verbs.txt#pools");
+        addCases("RecordsAction.java", "verbs.txt#records claim");
+        addCases("RecordsAuthor.java", "verbs.txt#records begin");
+        addCases("RecordsBiller.java", "verbs.txt#records billing");
+        addCases("RecordsBilling.java", "verbs.txt#records billed");
+        addCases("RecordsDecisions.java", "verbs.txt#records resolve");
+        addCases("RecordsQuestions.java", "verbs.txt#records holders");
     }
 
     /** Source files without golden cases, with the reasons. They emulate other processes, or only their writer reads the output. Codecs are not permitted. */
-    private static final Map<String, String> WITHOUT = Map.ofEntries(
+    private static final Map<String, String> EXEMPT = Map.ofEntries(
             Map.entry("MessagePackFormat.java", "encodes any map"),
             Map.entry("Rehearsal.java", "a mock that only the build uses"),
             Map.entry("GatedListener.java", "errors of the emulator's listeners"),
@@ -130,39 +130,41 @@
     }
 
     @Test
-    void whateverSerialisesHasGoldenCases() throws IOException {
-        Set<String> lacking = new TreeSet<>();
+    void everySerialisingClassHasGoldenCases() throws IOException {
+        Set<String> sourcesWithoutCases = new TreeSet<>();
         sources().forEach((name, text) -> {
-            boolean isExcused = !isCodec(name) && WITHOUT.containsKey(name);
-            if ((isCodec(name) || SERIALISES.matcher(text).find()) && !GOLDEN.containsKey(name) && !isExcused) {
-                lacking.add(name);
+            boolean isExempt = !isCodec(name) && EXEMPT.containsKey(name);
+            if ((isCodec(name) || SERIALISATION.matcher(text).find())
+                    && !CASES_BY_SOURCE.containsKey(name)
+                    && !isExempt) {
+                sourcesWithoutCases.add(name);
             }
         });
-        assertEquals(Set.of(), lacking, "without golden cases");
+        assertEquals(Set.of(), sourcesWithoutCases, "without golden cases");
     }
 
     @Test
-    void whatIsListedIsThere() throws IOException {
-        Set<String> listed = new TreeSet<>(GOLDEN.keySet());
-        listed.addAll(WITHOUT.keySet());
+    void listedSourcesAndCasesExist() throws IOException {
+        Set<String> listed = new TreeSet<>(CASES_BY_SOURCE.keySet());
+        listed.addAll(EXEMPT.keySet());
         listed.removeAll(sources().keySet());
         assertEquals(Set.of(), listed, "no source file of this name");
-        GOLDEN.forEach((source, all) -> all.forEach(cases -> {
-            String[] at = cases.split("#", -1);
-            Set<String> names = GoldenFile.load(at[0]).keySet();
-            assertTrue(names.stream().anyMatch(n -> n.startsWith(at[1])), source + " has no case " + cases);
+        CASES_BY_SOURCE.forEach((source, all) -> all.forEach(cases -> {
+            String[] fileAndPrefix = cases.split("#", -1);
+            Set<String> names = GoldenFile.load(fileAndPrefix[0]).keySet();
+            assertTrue(names.stream().anyMatch(n -> n.startsWith(fileAndPrefix[1])), source + " has no case " + cases);
         }));
     }
 
     @Test
-    void everyGoldenFileIsOfSomethingListed() throws IOException {
-        Set<String> used = new HashSet<>();
-        GOLDEN.values().forEach(all -> all.forEach(cases -> used.add(cases.split("#", -1)[0])));
+    void everyGoldenFileBelongsToAListedSource() throws IOException {
+        Set<String> listed = new HashSet<>();
+        CASES_BY_SOURCE.values().forEach(all -> all.forEach(cases -> listed.add(cases.split("#", -1)[0])));
         try (Stream<Path> files = Files.list(GoldenFile.DIRECTORY)) {
-            List<String> there =
+            List<String> existing =
                     files.map(f -> f.getFileName().toString()).sorted().toList();
-            assertFalse(there.isEmpty());
-            assertEquals(List.copyOf(new TreeSet<>(used)), there);
+            assertFalse(existing.isEmpty());
+            assertEquals(List.copyOf(new TreeSet<>(listed)), existing);
         }
     }
 }
--- a/src/test/java/io/indigoreach/GoldenSamples.java
+++ b/src/test/java/io/indigoreach/GoldenSamples.java
@@ -15,19 +15,19 @@
 
 /** Sample jobs and machine types of golden files. Changes here would change the bytes in these files. */
 public final class GoldenSamples {
-    public static final JobId ID = new JobId("run-000412");
+    public static final JobId JOB_ID = new JobId("run-000412");
     /** A time of day, in milliseconds since 1970. */
-    public static final long AT = 1_700_000_000_123L;
+    public static final long TIME_OF_DAY_MS = 1_700_000_000_123L;
 
-    public static final List<MachineType> TYPES = List.of(
+    public static final List<MachineType> MACHINE_TYPES = List.of(
             new MachineType("quad", new Demand(4, 0, 16), 40, 0.5, 1, 0.3, Span.seconds(20), List.of("a", "b")),
             new MachineType("g8", new Demand(32.5, 8, 256), 500, 2, 12.25, 0, Span.seconds(90.5), List.of()));
 
     private GoldenSamples() {}
 
     /** Returns a job without optional fields except the estimate. */
-    public static JobSpec bare(int tasks) {
-        return JobSpec.builder(ID)
+    public static JobSpec minimalJob(int tasks) {
+        return JobSpec.builder(JOB_ID)
                 .jobClass("stock-reconcile")
                 .team("fleet-ops")
                 .kind(JobKind.ARRAY)
@@ -41,8 +41,8 @@
     }
 
     /** Returns a job with every field except those of the optional parts. */
-    public static JobSpec full(int tasks, Urgency urgency) {
-        return JobSpec.builder(ID)
+    public static JobSpec fullJob(int tasks, Urgency urgency) {
+        return JobSpec.builder(JOB_ID)
                 .jobClass("refill-routes")
                 .team("fleet-ops")
                 .kind(JobKind.SERVICE)
@@ -66,22 +66,26 @@
     /** Returns jobs of every kind by their descriptions. */
     public static Map<String, JobSpec> jobs() {
         Map<String, JobSpec> jobs = new LinkedHashMap<>();
-        jobs.put("bare", bare(100));
+        jobs.put("bare", minimalJob(100));
         for (Urgency urgency : Urgency.values()) {
-            jobs.put("every field, urgency " + urgency.ordinal(), full(6, urgency));
+            jobs.put("every field, urgency " + urgency.ordinal(), fullJob(6, urgency));
         }
-        jobs.put("chained", bare(4).with(JobDependencies.of(List.of(new JobId("run-000398"), new JobId("run-7")))));
+        jobs.put(
+                "chained",
+                minimalJob(4).with(JobDependencies.of(List.of(new JobId("run-000398"), new JobId("run-7")))));
         jobs.put(
                 "of a plan",
-                full(2, Urgency.STANDARD)
+                fullJob(2, Urgency.STANDARD)
                         .with("plan", MessagePackFormat.map("name", "kochi-tankers", "day", "2027-08-24")));
         jobs.put(
                 "with records",
-                bare(3).with(JobSpec.RECORDS, MessagePackFormat.map("prefix", "KL-1/farm-", "from", 1L, "to", 3L)));
-        jobs.put("holder", bare(2).with(JobSpec.WARM, "model-a"));
+                minimalJob(3)
+                        .with(JobSpec.RECORDS, MessagePackFormat.map("prefix", "KL-1/farm-", "from", 1L, "to", 3L)));
+        jobs.put("holder", minimalJob(2).with(JobSpec.WARM, "model-a"));
         jobs.put(
                 "chained, with records and a plan",
-                bare(1).with(JobSpec.RECORDS, MessagePackFormat.map("ids", List.of("a/1")))
+                minimalJob(1)
+                        .with(JobSpec.RECORDS, MessagePackFormat.map("ids", List.of("a/1")))
                         .with("plan", MessagePackFormat.map("name", "p", "day", "2027-08-24"))
                         .with(JobDependencies.of(List.of(new JobId("run-1")))));
         return jobs;
@@ -91,7 +95,7 @@
     public static Map<String, Object> submission() {
         return MessagePackFormat.map(
                 "id",
-                ID.text(),
+                JOB_ID.text(),
                 "jobclass",
                 "c",
                 "owner",
