--- a/src/test/java/io/indigoreach/OnCallPageTest.java
+++ b/src/test/java/io/indigoreach/OnCallPageTest.java
@@ -22,7 +22,7 @@
     private static final Set<String> TOOLS =
             Set.of("emulator", "experiment", "load", "checker", "scenario", "store", "tools");
 
-    private static final Pattern LOGGED = Pattern.compile(
+    private static final Pattern LOG_CALL = Pattern.compile(
             "(?:(?:\\bLOG|getLogger\\([^)]*\\))\\s*\\.\\s*(?:error|warn|info|debug)|\\blog|\\bsay\\.accept)\\(\\s*\"((?:[^\"\\\\]|\\\\.)*)\"");
     private static final Pattern LITERAL = Pattern.compile("\"((?:[^\"\\\\\\n]|\\\\.)*)\"");
     private static final Pattern FIELD = Pattern.compile("(?:^| )\\w+=.*", Pattern.DOTALL);
@@ -53,21 +53,22 @@
         }
     }
 
-    private static Set<String> logged(String sources) {
-        Set<String> out = new TreeSet<>();
-        Matcher call = LOGGED.matcher(sources);
+    private static Set<String> loggedEvents(String sources) {
+        Set<String> events = new TreeSet<>();
+        Matcher call = LOG_CALL.matcher(sources);
         while (call.find()) {
-            // The line is composed elsewhere and passed as one argument; everyExplainedEventIsLogged searches for its text.
+            // The line is composed elsewhere and passed as one argument; everyExplainedEventIsLogged searches for its
+            // text.
             if (!call.group(1).equals("{}")) {
-                out.add(event(call.group(1)));
+                events.add(event(call.group(1)));
             }
         }
-        return out;
+        return events;
     }
 
     /** Returns the events that the page's tables explain, without their fields. */
-    private static Set<String> explained(String page) {
-        Set<String> out = new TreeSet<>();
+    private static Set<String> explainedEvents(String page) {
+        Set<String> events = new TreeSet<>();
         boolean inEvents = false;
         Matcher row = ROW.matcher(page);
         while (row.find()) {
@@ -77,11 +78,11 @@
             Matcher quoted = QUOTED.matcher(cell);
             while (inEvents && quoted.find()) {
                 if (!event(quoted.group(1)).isEmpty() && !quoted.group(1).startsWith("silent")) {
-                    out.add(event(quoted.group(1)));
+                    events.add(event(quoted.group(1)));
                 }
             }
         }
-        return out;
+        return events;
     }
 
     private static String page() throws IOException {
@@ -90,30 +91,30 @@
 
     @Test
     void everyLoggedEventIsExplained() throws IOException {
-        Set<String> logged = logged(sources());
+        Set<String> logged = loggedEvents(sources());
         assertTrue(logged.size() > 40, () -> "found only " + logged);
-        logged.removeAll(explained(page()));
+        logged.removeAll(explainedEvents(page()));
         assertEquals(Set.of(), logged);
     }
 
     @Test
     void everyExplainedEventIsLogged() throws IOException {
-        Set<String> words = new TreeSet<>();
+        Set<String> literals = new TreeSet<>();
         Matcher literal = LITERAL.matcher(sources());
         while (literal.find()) {
-            words.add(event(literal.group(1)));
+            literals.add(event(literal.group(1)));
         }
-        Set<String> explained = explained(page());
+        Set<String> explained = explainedEvents(page());
         assertTrue(explained.size() > 40, () -> "found only " + explained);
-        explained.removeAll(words);
+        explained.removeAll(literals);
         assertEquals(Set.of(), explained);
     }
 
     @Test
-    void linesAreReadByTheirWordsBeforeTheFields() {
+    void eventsAreParsedWithoutFields() {
         assertEquals(
                 Set.of("machine lost its lease", "peer listener failed", "warm pool shrinking", "in words alone"),
-                logged("""
+                loggedEvents("""
                         LOG.error(
                                 "peer listener failed address={} cause={}", a, b);
                         listener.log("machine lost its lease machine=" + m.id);
@@ -121,7 +122,7 @@
                         LOG.info("in words alone");
                         LOG.info("{}", line);
                         """));
-        assertEquals(Set.of("a b", "c"), explained("""
+        assertEquals(Set.of("a b", "c"), explainedEvents("""
                 | state | x |
                 | `never this` | x |
                 | event | x |
--- a/src/test/java/io/indigoreach/OutwardNamesTest.java
+++ b/src/test/java/io/indigoreach/OutwardNamesTest.java
@@ -39,7 +39,7 @@
     /** The names that are searched for in the same place. */
     private record Section(String place, List<String> names) {}
 
-    private static List<Section> sections() throws IOException {
+    private static List<Section> readSections() throws IOException {
         List<Section> sections = new ArrayList<>();
         for (String line : Files.readAllLines(LIST)) {
             if (line.startsWith(SECTION)) {
@@ -52,7 +52,7 @@
         return sections;
     }
 
-    private static List<String> files(Path directory, String ending) throws IOException {
+    private static List<String> readFiles(Path directory, String ending) throws IOException {
         try (Stream<Path> paths = Files.walk(directory)) {
             List<String> texts = new ArrayList<>();
             for (Path path : paths.filter(
@@ -65,19 +65,19 @@
         }
     }
 
-    private static String literals() throws IOException {
-        String sources = String.join("\n", files(SOURCES, ".java"));
+    private static String literalText() throws IOException {
+        String sources = String.join("\n", readFiles(SOURCES, ".java"));
         return LITERAL.matcher(sources).results().map(found -> found.group(1)).collect(Collectors.joining("\n"))
-                + String.join("\n", files(RESOURCES, ""));
+                + String.join("\n", readFiles(RESOURCES, ""));
     }
 
     /** Returns the text of the golden files, with hex bytes decoded. */
-    private static String golden() throws IOException {
-        String text = String.join("\n", files(GOLDEN, ".txt")).replace("\\n", "\n");
-        return text + "\n" + HEX.matcher(text).replaceAll(found -> Matcher.quoteReplacement(decoded(found.group())));
+    private static String goldenText() throws IOException {
+        String text = String.join("\n", readFiles(GOLDEN, ".txt")).replace("\\n", "\n");
+        return text + "\n" + HEX.matcher(text).replaceAll(found -> Matcher.quoteReplacement(decodeHex(found.group())));
     }
 
-    private static String decoded(String hex) {
+    private static String decodeHex(String hex) {
         return new String(HexFormat.of().parseHex(hex), StandardCharsets.ISO_8859_1);
     }
 
@@ -94,42 +94,42 @@
 
     /** Returns the constants that are missing from the enum that declares the most of them; one enum must declare them all. */
     private static Set<String> missingConstants(List<String> names) throws IOException {
-        Set<String> fewest = new LinkedHashSet<>(names);
-        for (String source : files(SOURCES, ".java")) {
+        Set<String> fewestMissing = new LinkedHashSet<>(names);
+        for (String source : readFiles(SOURCES, ".java")) {
             Set<String> declared = new HashSet<>();
             if (ENUM.matcher(source).find()) {
                 CONSTANT.matcher(source).results().forEach(found -> declared.add(found.group(1)));
             }
             Set<String> missing = new LinkedHashSet<>(names);
             missing.removeAll(declared);
-            if (missing.size() < fewest.size()) {
-                fewest = missing;
+            if (missing.size() < fewestMissing.size()) {
+                fewestMissing = missing;
             }
         }
-        return fewest;
+        return fewestMissing;
     }
 
     private static Set<String> missing(Section section) throws IOException {
         return switch (section.place()) {
-            case "literals" -> missing(section.names(), literals());
-            case "golden" -> missing(section.names(), golden());
-            case "deploy" -> missing(section.names(), String.join("\n", files(DEPLOY, ".toml")));
+            case "literals" -> missing(section.names(), literalText());
+            case "golden" -> missing(section.names(), goldenText());
+            case "deploy" -> missing(section.names(), String.join("\n", readFiles(DEPLOY, ".toml")));
             case "enum" -> missingConstants(section.names());
             default -> throw new IllegalArgumentException("unknown place: " + section.place());
         };
     }
 
     @Test
-    void everyNameLeavesTheProcessAsListed() throws IOException {
+    void everyListedNameOccurs() throws IOException {
         List<String> missing = new ArrayList<>();
-        for (Section section : sections()) {
+        for (Section section : readSections()) {
             missing(section).forEach(name -> missing.add(section.place() + ": " + name));
         }
         assertEquals(List.of(), missing);
     }
 
     @Test
-    void namesThatLeaveNowhereAreMissing() throws IOException {
+    void unknownNamesAreReportedMissing() throws IOException {
         List<String> unknown = List.of("no_such_name");
         for (String place : List.of("literals", "golden", "deploy", "enum")) {
             assertEquals(Set.copyOf(unknown), missing(new Section(place, unknown)), place);
@@ -138,7 +138,7 @@
 
     @Test
     void noSectionIsEmpty() throws IOException {
-        List<Section> sections = sections();
+        List<Section> sections = readSections();
         assertTrue(sections.size() > 1);
         sections.forEach(section -> assertFalse(section.names().isEmpty(), section.place()));
     }
--- a/src/test/java/io/indigoreach/api/GoldenUsersTest.java
+++ b/src/test/java/io/indigoreach/api/GoldenUsersTest.java
@@ -67,15 +67,17 @@
     @Test
     void whatUsersAndNodesSay() {
         GoldenFile golden = new GoldenFile("users.txt");
-        golden.text("path of jobs", JobCodec.JOBS)
-                .text("end of the path to cancel", JobCodec.CANCEL)
-                .text("path of readiness", JobCodec.READY);
+        golden.expectText("path of jobs", JobCodec.JOBS)
+                .expectText("end of the path to cancel", JobCodec.CANCEL)
+                .expectText("path of readiness", JobCodec.READY);
         GoldenSamples.jobs()
-                .forEach((name, spec) -> golden.both("submission " + name, spec, JobCodec::write, JobCodec::read));
-        golden.read("submission in other words", GoldenSamples.submission(), f -> JobCodec.write(JobCodec.read(f)));
+                .forEach((name, spec) ->
+                        golden.expectRoundTrip("submission " + name, spec, JobCodec::write, JobCodec::read));
+        golden.expectDecoded(
+                "submission in other words", GoldenSamples.submission(), f -> JobCodec.write(JobCodec.read(f)));
         for (String field : GoldenSamples.submission().keySet()) {
             if (!Set.of("boxkinds", "due_s", "some_new_field").contains(field)) {
-                golden.refused("submission without " + field, without(field), JobCodec::read);
+                golden.expectRejected("submission without " + field, without(field), JobCodec::read);
             }
         }
         MessagePackFormat.map(
@@ -114,22 +116,23 @@
                         "waits_on",
                         List.of("run-000412"))
                 .forEach((field, value) ->
-                        golden.refused("submission with another " + field, with(field, value), JobCodec::read));
-        golden.refused("submission of too many tasks", with("pieces", 100_001L), JobCodec::read)
-                .refused(
+                        golden.expectRejected("submission with another " + field, with(field, value), JobCodec::read));
+        golden.expectRejected("submission of too many tasks", with("pieces", 100_001L), JobCodec::read)
+                .expectRejected(
                         "submission that names a job twice",
                         with("waits_on", List.of("run-1", "run-1")),
                         JobCodec::read)
-                .refused("submission that names no job", with("waits_on", List.of("one")), JobCodec::read);
+                .expectRejected("submission that names no job", with("waits_on", List.of("one")), JobCodec::read);
         for (JobStatus status : JobStatus.values()) {
-            golden.written("accepted, status " + status.ordinal(), JobCodec.accepted(GoldenSamples.ID, status))
-                    .both(
+            golden.expectEncoded(
+                            "accepted, status " + status.ordinal(), JobCodec.accepted(GoldenSamples.JOB_ID, status))
+                    .expectRoundTrip(
                             "progress, status " + status.ordinal(),
-                            new JobCodec.Progress(GoldenSamples.ID, status, 7, 300),
+                            new JobCodec.Progress(GoldenSamples.JOB_ID, status, 7, 300),
                             p -> JobCodec.progress(p.id(), p.status(), p.done(), p.running()),
                             JobCodec::readProgress);
         }
-        golden.read("accepted, read", JobCodec.accepted(GoldenSamples.ID, JobStatus.PENDING), f -> {
+        golden.expectDecoded("accepted, read", JobCodec.accepted(GoldenSamples.JOB_ID, JobStatus.PENDING), f -> {
             JobCodec.Progress p = JobCodec.readProgress(f);
             return JobCodec.progress(p.id(), p.status(), p.done(), p.running());
         });
@@ -142,12 +145,12 @@
                 "refusal by a conflict",
                 ErrorResponses.of(RequestRejectedException.conflict("why", MessagePackFormat.map("version", 3L))));
         answer(golden, "refusal of what is not there", ErrorResponses.of(new NotFoundException("why")));
-        golden.check();
+        golden.verify();
     }
 
     private static void answer(GoldenFile golden, String name, ApiResponse answer) {
-        golden.text("status of " + name, answer.status() + " " + answer.retryAfterS())
-                .written("answer " + name, answer.body());
+        golden.expectText("status of " + name, answer.status() + " " + answer.retryAfterS())
+                .expectEncoded("answer " + name, answer.body());
     }
 
     private StateClient client() {
@@ -197,62 +200,63 @@
     }
 
     private String raw(String method, String path, String body) throws IOException {
-        return GoldenHttp.ask(node, method, path, body.getBytes(StandardCharsets.ISO_8859_1), Set.of());
+        return GoldenHttp.exchange(node, method, path, body.getBytes(StandardCharsets.ISO_8859_1), Set.of());
     }
 
     @Test
     void whatANodeAnswersOverHttp() throws Exception {
         Catalogue catalogue = serve();
         GoldenFile golden = new GoldenFile("users-http.txt");
-        golden.text("not ready", GoldenHttp.get(node, "/ready"))
-                .text("submission before the types are known", submit(GoldenSamples.submission()));
+        golden.expectText("not ready", GoldenHttp.get(node, "/ready"))
+                .expectText("submission before the types are known", submit(GoldenSamples.submission()));
         catalogue.start();
         while (!catalogue.isKnown()) {
             Thread.onSpinWait();
         }
-        golden.text("ready", GoldenHttp.get(node, "/ready"))
-                .text("poll of no job", GoldenHttp.get(node, "/api/jobs/run-000412"))
-                .text("poll of a malformed id", GoldenHttp.get(node, "/api/jobs/412"))
-                .text("cancel of no job", GoldenHttp.post(node, "/api/jobs/run-000412/cancel", Map.of()))
-                .text("cancel of a malformed id", GoldenHttp.post(node, "/api/jobs/412/cancel", Map.of()))
-                .text("accepted", submit(GoldenSamples.submission()))
-                .text("accepted again", submit(GoldenSamples.submission()))
-                .text("poll", GoldenHttp.get(node, "/api/jobs/run-000412"))
-                .text("cancelled", GoldenHttp.post(node, "/api/jobs/run-000412/cancel", Map.of()))
-                .text("cancelled again", GoldenHttp.post(node, "/api/jobs/run-000412/cancel", Map.of()))
-                .text("poll of what is cancelled", GoldenHttp.get(node, "/api/jobs/run-000412"))
-                .text("submission of what is cancelled", submit(GoldenSamples.submission()))
-                .text("poll of what is done", GoldenHttp.get(node, "/api/jobs/run-5"))
-                .text("cancel of what is done", GoldenHttp.post(node, "/api/jobs/run-5/cancel", Map.of()))
-                .text("poll of what runs", GoldenHttp.get(node, "/api/jobs/run-7"));
-        golden.text("a field is missing", submit(without("pieces")))
-                .text("a field is invalid", submit(with("shape", "circle")))
-                .text("a team is unknown", submit(other(with("owner", "nobody"))))
-                .text("no type fits", submit(other(with("cores", 5.0))))
-                .text("more than the team may use", submit(other(service(9))))
-                .text("a part is off", submit(other(with("records", Map.of("ids", List.of("a/1"))))))
-                .text("too long a description", submit(other(with("boxkinds", Collections.nCopies(60, long200())))))
-                .text("after no job", submit(waiting("run-999")))
-                .text("after a cancelled job", submit(waiting("run-6")))
-                .text("poll after a cancelled job", GoldenHttp.get(node, "/api/jobs/run-61"));
-        golden.text("no body", raw("POST", "/api/jobs", ""))
-                .text("not a map", raw("POST", "/api/jobs", "\u0001"))
-                .text("not MessagePack", raw("POST", "/api/jobs", "\u00c1"))
-                .text("bytes behind", raw("POST", "/api/jobs", "\u0080\u0080"))
-                .text("too long a body", GoldenHttp.announce(node, "/api/jobs", 70_000))
-                .text("another method for jobs", GoldenHttp.get(node, "/api/jobs"))
-                .text("another method for a poll", raw("POST", "/api/jobs/run-5", ""))
-                .text("another method for a cancel", GoldenHttp.get(node, "/api/jobs/run-5/cancel"))
-                .text("another method for readiness", raw("POST", "/ready", ""))
-                .text("no path", GoldenHttp.get(node, "/nowhere"))
-                .text("no path below jobs", GoldenHttp.get(node, "/api/jobs/run-5/tasks"))
-                .text("a part's path where it is off", GoldenHttp.get(node, "/api/pools"));
+        golden.expectText("ready", GoldenHttp.get(node, "/ready"))
+                .expectText("poll of no job", GoldenHttp.get(node, "/api/jobs/run-000412"))
+                .expectText("poll of a malformed id", GoldenHttp.get(node, "/api/jobs/412"))
+                .expectText("cancel of no job", GoldenHttp.post(node, "/api/jobs/run-000412/cancel", Map.of()))
+                .expectText("cancel of a malformed id", GoldenHttp.post(node, "/api/jobs/412/cancel", Map.of()))
+                .expectText("accepted", submit(GoldenSamples.submission()))
+                .expectText("accepted again", submit(GoldenSamples.submission()))
+                .expectText("poll", GoldenHttp.get(node, "/api/jobs/run-000412"))
+                .expectText("cancelled", GoldenHttp.post(node, "/api/jobs/run-000412/cancel", Map.of()))
+                .expectText("cancelled again", GoldenHttp.post(node, "/api/jobs/run-000412/cancel", Map.of()))
+                .expectText("poll of what is cancelled", GoldenHttp.get(node, "/api/jobs/run-000412"))
+                .expectText("submission of what is cancelled", submit(GoldenSamples.submission()))
+                .expectText("poll of what is done", GoldenHttp.get(node, "/api/jobs/run-5"))
+                .expectText("cancel of what is done", GoldenHttp.post(node, "/api/jobs/run-5/cancel", Map.of()))
+                .expectText("poll of what runs", GoldenHttp.get(node, "/api/jobs/run-7"));
+        golden.expectText("a field is missing", submit(without("pieces")))
+                .expectText("a field is invalid", submit(with("shape", "circle")))
+                .expectText("a team is unknown", submit(other(with("owner", "nobody"))))
+                .expectText("no type fits", submit(other(with("cores", 5.0))))
+                .expectText("more than the team may use", submit(other(service(9))))
+                .expectText("a part is off", submit(other(with("records", Map.of("ids", List.of("a/1"))))))
+                .expectText(
+                        "too long a description", submit(other(with("boxkinds", Collections.nCopies(60, long200())))))
+                .expectText("after no job", submit(waiting("run-999")))
+                .expectText("after a cancelled job", submit(waiting("run-6")))
+                .expectText("poll after a cancelled job", GoldenHttp.get(node, "/api/jobs/run-61"));
+        golden.expectText("no body", raw("POST", "/api/jobs", ""))
+                .expectText("not a map", raw("POST", "/api/jobs", "\u0001"))
+                .expectText("not MessagePack", raw("POST", "/api/jobs", "\u00c1"))
+                .expectText("bytes behind", raw("POST", "/api/jobs", "\u0080\u0080"))
+                .expectText("too long a body", GoldenHttp.sendWithoutBody(node, "/api/jobs", 70_000))
+                .expectText("another method for jobs", GoldenHttp.get(node, "/api/jobs"))
+                .expectText("another method for a poll", raw("POST", "/api/jobs/run-5", ""))
+                .expectText("another method for a cancel", GoldenHttp.get(node, "/api/jobs/run-5/cancel"))
+                .expectText("another method for readiness", raw("POST", "/ready", ""))
+                .expectText("no path", GoldenHttp.get(node, "/nowhere"))
+                .expectText("no path below jobs", GoldenHttp.get(node, "/api/jobs/run-5/tasks"))
+                .expectText("a part's path where it is off", GoldenHttp.get(node, "/api/pools"));
         state.refusing = true;
-        golden.text("submission in an outage", submit(with("id", "run-8")))
-                .text("poll in an outage", GoldenHttp.get(node, "/api/jobs/run-8"))
-                .text("cancel in an outage", GoldenHttp.post(node, "/api/jobs/run-8/cancel", Map.of()))
-                .text("poll of what is over, in an outage", GoldenHttp.get(node, "/api/jobs/run-5"));
-        golden.check();
+        golden.expectText("submission in an outage", submit(with("id", "run-8")))
+                .expectText("poll in an outage", GoldenHttp.get(node, "/api/jobs/run-8"))
+                .expectText("cancel in an outage", GoldenHttp.post(node, "/api/jobs/run-8/cancel", Map.of()))
+                .expectText("poll of what is over, in an outage", GoldenHttp.get(node, "/api/jobs/run-5"));
+        golden.verify();
     }
 
     private static String long200() {
--- a/src/test/java/io/indigoreach/calendar/GoldenCalendarTest.java
+++ b/src/test/java/io/indigoreach/calendar/GoldenCalendarTest.java
@@ -102,7 +102,7 @@
                 Span.seconds(900),
                 Plan.OnHoliday.EARLIER,
                 List.of(new Plan.Boost("onam", 2.5)),
-                GoldenSamples.bare(8));
+                GoldenSamples.minimalJob(8));
         Plan monthly = new Plan(
                 "kochi-month",
                 "kochi",
@@ -111,14 +111,16 @@
                 Span.seconds(60.5),
                 Plan.OnHoliday.SKIP,
                 List.of(),
-                GoldenSamples.bare(4));
+                GoldenSamples.minimalJob(4));
         return new Calendar(64.5, List.of(region), List.of(season), List.of(depot), List.of(daily, monthly));
     }
 
     private static CalendarCodec.Stored stored() {
         Calendar calendar = calendar();
         return new CalendarCodec.Stored(
-                calendar, Register.EMPTY.forPlans(calendar.plans(), GoldenSamples.AT), "# as it was written\n");
+                calendar,
+                Register.EMPTY.forPlans(calendar.plans(), GoldenSamples.TIME_OF_DAY_MS),
+                "# as it was written\n");
     }
 
     /** What is packed, as the deflated bytes may differ between versions of Java. */
@@ -158,22 +160,22 @@
     }
 
     private void texts() {
-        golden.both("calendar", stored(), GoldenCalendarTest::pack, GoldenCalendarTest::unpack)
-                .both(
+        golden.expectRoundTrip("calendar", stored(), GoldenCalendarTest::pack, GoldenCalendarTest::unpack)
+                .expectRoundTrip(
                         "empty calendar",
                         new CalendarCodec.Stored(Calendar.EMPTY, Register.EMPTY, ""),
                         GoldenCalendarTest::pack,
                         GoldenCalendarTest::unpack)
-                .refused("calendar without cores", with("cores", null), GoldenCalendarTest::unpack)
-                .refused(
+                .expectRejected("calendar without cores", with("cores", null), GoldenCalendarTest::unpack)
+                .expectRejected(
                         "calendar with a plan of another kind",
                         with(
                                 "plans",
                                 List.of(MessagePackFormat.map("name", "p", "depot", "d", "at", 1L, "margin_ms", 1L))),
                         GoldenCalendarTest::unpack)
-                .refused("calendar with other depots", with("depots", List.of(1L)), GoldenCalendarTest::unpack)
-                .text("not packed", GoldenFile.fault(() -> CalendarCodec.unpack("no base 64!")))
-                .text("digest", CalendarCodec.digest("a text"));
+                .expectRejected("calendar with other depots", with("depots", List.of(1L)), GoldenCalendarTest::unpack)
+                .expectText("not packed", GoldenFile.failureMessage(() -> CalendarCodec.unpack("no base 64!")))
+                .expectText("digest", CalendarCodec.digest("a text"));
     }
 
     private void runs() {
@@ -183,7 +185,7 @@
         }
         runs.failed("tours", 30, 3);
         String key = runs.nextChanged();
-        golden.text("key of run times", key).again("run times", runs, r -> r.value(key), f -> {
+        golden.expectText("key of run times", key).expectReencoded("run times", runs, r -> r.value(key), f -> {
             RunTimes read = new RunTimes();
             read.read(new VersionedRecord(key, f.map(), Revision.ABSENT));
             return read;
@@ -206,8 +208,8 @@
 
     private void kept(String name, String prefix) {
         List<String> keys = state.keys(prefix);
-        golden.text("keys of " + name, String.join(" ", keys).replaceAll("[0-9a-f]{32}", "DIGEST"));
-        keys.forEach(key -> golden.unordered(
+        golden.expectText("keys of " + name, String.join(" ", keys).replaceAll("[0-9a-f]{32}", "DIGEST"));
+        keys.forEach(key -> golden.expectEncodedUnordered(
                 name + " " + key.replaceAll("[0-9a-f]{32}", "DIGEST"),
                 withoutText(state.value(key).map())));
     }
@@ -239,7 +241,7 @@
             kept("page of state " + m.state().ordinal(), "cal/day/");
         }
         Mark read = await(records.run(PageChange.reading(DAY, "kochi-tankers"))).mark("kochi-tankers");
-        golden.text("page, read", Boolean.toString(read.equals(marks.get(marks.size() - 1))));
+        golden.expectText("page, read", Boolean.toString(read.equals(marks.get(marks.size() - 1))));
     }
 
     private Resource.Call call(String method, String path, Map<String, Object> body) {
@@ -270,8 +272,8 @@
         } catch (WireException e) {
             answer = ApiResponse.error(400, e.getMessage());
         }
-        golden.text("status of " + name, answer.status() + " " + answer.retryAfterS())
-                .written("answer " + name, withoutText(answer.body()));
+        golden.expectText("status of " + name, answer.status() + " " + answer.retryAfterS())
+                .expectEncoded("answer " + name, withoutText(answer.body()));
     }
 
     private void resource(RoutineRunner records, Catalogue catalogue) throws Exception {
@@ -322,9 +324,9 @@
     /** A plan's job that nobody started, or whose occurrence is settled. */
     private void joining(RoutineRunner records) {
         PlanJoining joining = new PlanJoining(records, () -> NOW);
-        golden.text("field of plans", joining.field());
+        golden.expectText("field of plans", joining.field());
         for (String day : List.of("2027-08-24", "2027-08-25", "tomorrow")) {
-            JobSpec spec = GoldenSamples.full(2, Urgency.HIGH)
+            JobSpec spec = GoldenSamples.fullJob(2, Urgency.HIGH)
                     .with(Choice.FIELD, MessagePackFormat.map("name", "kochi-tankers", "day", day));
             ApiResponse answer;
             try {
@@ -336,8 +338,8 @@
             } catch (Exception e) {
                 answer = ErrorResponses.of((ApiException) e.getCause());
             }
-            golden.text("status of a plan's job " + day, answer.status() + " " + answer.retryAfterS())
-                    .unordered("answer to a plan's job " + day, answer.body());
+            golden.expectText("status of a plan's job " + day, answer.status() + " " + answer.retryAfterS())
+                    .expectEncodedUnordered("answer to a plan's job " + day, answer.body());
         }
     }
 
@@ -349,13 +351,13 @@
         StateClient client = new StateClient(
                 new ServiceClient(vertx, state.endpoint(), 4), new ServiceClient(vertx, state.endpoint(), 1));
         await(client.commit(new StateClient.Txn()
-                .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(GoldenSamples.TYPES))));
+                .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(GoldenSamples.MACHINE_TYPES))));
         RoutineRunner records = records(vertx, state);
         pages(records);
         Catalogue catalogue =
                 new Catalogue(vertx, client, new CloudClient(new ServiceClient(vertx, state.endpoint(), 1)));
         resource(records, catalogue);
         joining(records);
-        golden.check();
+        golden.verify();
     }
 }
--- a/src/test/java/io/indigoreach/cloud/GoldenCloudTest.java
+++ b/src/test/java/io/indigoreach/cloud/GoldenCloudTest.java
@@ -16,11 +16,11 @@
 class GoldenCloudTest {
     private static final MachinePool POOL = new MachinePool("quad", "a", true);
 
-    private static List<CloudCodec.Listed> machines() {
-        List<CloudCodec.Listed> machines = new ArrayList<>();
+    private static List<CloudCodec.ListEntry> machines() {
+        List<CloudCodec.ListEntry> machines = new ArrayList<>();
         for (ListedMachine.Status status : ListedMachine.Status.values()) {
             MachineId id = new MachineId("vm-00023" + machines.size());
-            machines.add(new CloudCodec.Listed(
+            machines.add(new CloudCodec.ListEntry(
                     new ListedMachine(id, POOL, status, Span.seconds(1.5)),
                     status == ListedMachine.Status.STARTING ? null : "10.1.0.232:9000"));
         }
@@ -28,59 +28,62 @@
     }
 
     @Test
-    void whatIsAskedAndAnswered() {
+    void cloudMessagesMatchGoldenFile() {
         GoldenFile golden = new GoldenFile("cloud.txt");
-        golden.text("path of types", CloudCodec.TYPES)
-                .text("path of machines", CloudCodec.MACHINES)
-                .text("path of returns", CloudCodec.RETURN)
-                .text("first page", CloudCodec.listPath(null))
-                .text("next page", CloudCodec.listPath(new MachineId("vm-000231")))
-                .text("reason without capacity", CloudCodec.NO_CAPACITY)
-                .text(
+        golden.expectText("path of types", CloudCodec.TYPES_PATH)
+                .expectText("path of machines", CloudCodec.MACHINES_PATH)
+                .expectText("path of returns", CloudCodec.RETURN_PATH)
+                .expectText("first page", CloudCodec.listPath(null))
+                .expectText("next page", CloudCodec.listPath(new MachineId("vm-000231")))
+                .expectText("reason without capacity", CloudCodec.NO_CAPACITY_ERROR)
+                .expectText(
                         "most at once",
-                        CloudCodec.MAX_LISTED + " " + CloudCodec.MAX_RENTED + " " + CloudCodec.MAX_RETURNED);
-        golden.both("types", GoldenSamples.TYPES, CloudCodec::writeTypes, CloudCodec::readTypes)
-                .read(
+                        CloudCodec.MAX_MACHINES_PER_PAGE + " " + CloudCodec.MAX_MACHINES_PER_RENTAL + " "
+                                + CloudCodec.MAX_MACHINES_PER_RETURN);
+        golden.expectRoundTrip("types", GoldenSamples.MACHINE_TYPES, CloudCodec::writeTypes, CloudCodec::readTypes)
+                .expectDecoded(
                         "types with the fewest fields",
                         MessagePackFormat.map(
                                 "boxkinds",
                                 List.of(MessagePackFormat.map("label", "k", "cores", 4L, "ram_gb", 16L, "price", 1L))),
                         f -> CloudCodec.writeTypes(CloudCodec.readTypes(f)))
-                .refused(
+                .expectRejected(
                         "types without a price",
                         MessagePackFormat.map(
                                 "boxkinds", List.of(MessagePackFormat.map("label", "k", "cores", 4L, "ram_gb", 16L))),
                         CloudCodec::readTypes);
-        golden.both(
+        golden.expectRoundTrip(
                         "rental",
-                        new CloudCodec.Rental("7000001-1", POOL, 50),
+                        new CloudCodec.RentalRequest("7000001-1", POOL, 50),
                         CloudCodec::writeRental,
                         CloudCodec::readRental)
-                .both(
+                .expectRoundTrip(
                         "rental of ordinary machines",
-                        new CloudCodec.Rental("7000001-2", new MachinePool("g8", "b", false), 1),
+                        new CloudCodec.RentalRequest("7000001-2", new MachinePool("g8", "b", false), 1),
                         CloudCodec::writeRental,
                         CloudCodec::readRental);
-        golden.both(
+        golden.expectRoundTrip(
                         "names",
                         List.of(new MachineId("vm-000231"), new MachineId("vm-000232")),
-                        CloudCodec::writeNames,
-                        CloudCodec::readNames)
-                .both("no names", List.of(), CloudCodec::writeNames, CloudCodec::readNames)
-                .read("no field of names", Map.of(), f -> CloudCodec.writeNames(CloudCodec.readNames(f)));
-        golden.both(
+                        CloudCodec::writeMachineIds,
+                        CloudCodec::readMachineIds)
+                .expectRoundTrip("no names", List.of(), CloudCodec::writeMachineIds, CloudCodec::readMachineIds)
+                .expectDecoded(
+                        "no field of names", Map.of(), f -> CloudCodec.writeMachineIds(CloudCodec.readMachineIds(f)));
+        golden.expectRoundTrip(
                         "page of machines",
                         new CloudCodec.Page(machines(), true),
                         CloudCodec::writePage,
                         CloudCodec::readPage)
-                .both("last page", new CloudCodec.Page(List.of(), false), CloudCodec::writePage, CloudCodec::readPage)
-                .read(
+                .expectRoundTrip(
+                        "last page", new CloudCodec.Page(List.of(), false), CloudCodec::writePage, CloudCodec::readPage)
+                .expectDecoded(
                         "machine of an unknown status",
                         MessagePackFormat.map(
                                 "boxes",
                                 List.of(MessagePackFormat.map(
                                         "id", "vm-1", "boxkind", "k", "hall", "z", "status", "asleep"))),
                         f -> CloudCodec.writePage(CloudCodec.readPage(f)));
-        golden.check();
+        golden.verify();
     }
 }
--- a/src/test/java/io/indigoreach/cluster/GoldenPledgesTest.java
+++ b/src/test/java/io/indigoreach/cluster/GoldenPledgesTest.java
@@ -28,27 +28,28 @@
     @Test
     void whatControllersAskOfALeader() {
         GoldenFile golden = new GoldenFile("pledges.txt");
-        golden.both("question", Span.seconds(7.5), PeerPromises::writeRequest, PeerPromises::readRequest)
-                .read(
+        golden.expectRoundTrip("question", Span.seconds(7.5), PeerPromises::writeRequest, PeerPromises::readRequest)
+                .expectDecoded(
                         "question of the version before",
                         Map.of(),
                         f -> PeerPromises.writeRequest(PeerPromises.readRequest(f)))
-                .read(
+                .expectDecoded(
                         "question from the future",
                         MessagePackFormat.map("back_ms", -5L),
                         f -> PeerPromises.writeRequest(PeerPromises.readRequest(f)))
-                .both("nothing", PeerPromises.NONE, GoldenPledgesTest::write, PeerPromises::read)
-                .both("pledge", pledge(true, Set.of()), GoldenPledgesTest::write, PeerPromises::read)
-                .both(
+                .expectRoundTrip("nothing", PeerPromises.NONE, GoldenPledgesTest::write, PeerPromises::read)
+                .expectRoundTrip("pledge", pledge(true, Set.of()), GoldenPledgesTest::write, PeerPromises::read)
+                .expectRoundTrip(
                         "told of one",
                         pledge(false, Set.of(new JobId("run-000398"))),
                         GoldenPledgesTest::write,
                         PeerPromises::read)
-                .read(
+                .expectDecoded(
                         "pledge of the version before",
                         MessagePackFormat.map("pledged", true, "quiet_ms", 3000L),
                         GoldenPledgesTest::again)
-                .refused("told of no job", MessagePackFormat.map("cancelled", List.of("one")), PeerPromises::read);
-        golden.check();
+                .expectRejected(
+                        "told of no job", MessagePackFormat.map("cancelled", List.of("one")), PeerPromises::read);
+        golden.verify();
     }
 }
--- a/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
@@ -216,7 +216,7 @@
             test.loseOne(OPEN);
             Job job = test.job(JOB.text(), 4, 0, 0);
             test.begin(jobStore, job);
-            test.until(() -> test.service.value(OPEN).whole("bound", 0) > 0 && !job.needsHigherStartBound());
+            test.until(() -> test.service.value(OPEN).wholeNumber("bound", 0) > 0 && !job.needsHigherStartBound());
             test.changesNothingMore();
         });
         CASES.put("a start bound, after a change of leader: what that one orders by stands", test -> {
--- a/src/test/java/io/indigoreach/cluster/LeaderHarness.java
+++ b/src/test/java/io/indigoreach/cluster/LeaderHarness.java
@@ -83,7 +83,7 @@
                 .clock(clock)
                 .state(client)
                 .config(config())
-                .settings(Settings.standard())
+                .settings(Settings.defaults())
                 .lease(Span.seconds(10));
     }
 
@@ -91,8 +91,8 @@
     static SchedulerCore core(NodeContext context, long token, List<Team> teams) {
         return new SchedulerCore(
                 new FencingToken(token),
-                context.config().rules(),
-                context.settings().tuning(),
+                context.config().safetyTimes(),
+                context.settings().schedulerSettings(),
                 new ServiceLevelObjectives(List.of()),
                 teams,
                 SILENT);
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -202,7 +202,7 @@
                 .clock(clock)
                 .state(client)
                 .config(LeaderHarness.config("value_kb = 2.0\ntxn_ops = 4"))
-                .settings(Settings.standard())
+                .settings(Settings.defaults())
                 .lease(Span.seconds(10))
                 .build();
         machineStore = new MachineStore(LeaderHarness.writes(narrow, 3, NO_LEADER, 12), core);
@@ -245,7 +245,7 @@
         }
         onLoop(jobStore::load);
         fresh.recordsLoaded();
-        Span bound = context.config().rules().leaseBound();
+        Span bound = context.config().safetyTimes().leaseBound();
         fresh.expireLeases(before.plus(bound));
         assertFalse(fresh.isFailoverComplete(), "an earlier leader answered until then");
         fresh.expireLeases(begun.plus(bound).plus(new Span(1)));
--- a/src/test/java/io/indigoreach/cluster/PeerPromisesTest.java
+++ b/src/test/java/io/indigoreach/cluster/PeerPromisesTest.java
@@ -41,7 +41,7 @@
                         .write(Span.seconds(2)));
         assertEquals(
                 List.of(true, 2000L),
-                List.of(toPreviousVersion.flag("pledged", false), toPreviousVersion.whole("quiet_ms")));
+                List.of(toPreviousVersion.flag("pledged", false), toPreviousVersion.wholeNumber("quiet_ms")));
         assertEquals(
                 new PeerPromises(true, new CancellationSummary(Set.of(), Span.seconds(2))),
                 PeerPromises.read(wire(Map.of("pledged", true, "quiet_ms", 2000L))));
--- a/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
+++ b/src/test/java/io/indigoreach/cluster/StateRebuilderTest.java
@@ -97,7 +97,7 @@
     /** What is absent or older than a copy is written, what is newer stays, a key of no family is left alone. */
     @Test
     void featureRecordsAreWrittenByTheirVersions() throws Exception {
-        NodeContext context = fixture.context(List.of(new Parts.Kind(
+        NodeContext context = fixture.context(List.of(new Parts.Definition(
                 Settings.Setting.CHECK_S,
                 List.of(new RecordFamily("x/", 10, true, RecordFamily.Mending.NEWER)),
                 ground -> null)));
@@ -112,7 +112,7 @@
         assertEquals(
                 List.of(4L, 9L, 4L),
                 state.keys("x/").stream()
-                        .map(key -> state.value(key).whole("n"))
+                        .map(key -> state.value(key).wholeNumber("n"))
                         .toList());
         assertEquals(List.of(), state.keys("y/"));
     }
--- a/src/test/java/io/indigoreach/cluster/TermFixture.java
+++ b/src/test/java/io/indigoreach/cluster/TermFixture.java
@@ -48,9 +48,9 @@
     }
 
     /** A context with optional features. */
-    NodeContext context(List<Parts.Kind> kinds) throws Exception {
+    NodeContext context(List<Parts.Definition> kinds) throws Exception {
         PlatformConfig config = LeaderHarness.config();
-        Parts parts = Parts.of(kinds, vertx, client, clock, null, config, Settings.standard());
+        Parts parts = Parts.of(kinds, vertx, client, clock, null, config, Settings.defaults());
         return LeaderHarness.context(vertx, clock, client)
                 .config(config)
                 .lease(LEASE)
--- a/src/test/java/io/indigoreach/cluster/WarmUpTest.java
+++ b/src/test/java/io/indigoreach/cluster/WarmUpTest.java
@@ -22,7 +22,7 @@
                             .vertx(vertx)
                             .clock(new SteadyClock())
                             .config(LeaderHarness.config())
-                            .settings(Settings.standard())
+                            .settings(Settings.defaults())
                             .lease(Span.seconds(10))
                             .build(),
                     () -> leads);
--- a/src/test/java/io/indigoreach/config/ConfigTest.java
+++ b/src/test/java/io/indigoreach/config/ConfigTest.java
@@ -11,7 +11,7 @@
 
 /** Tests the reading of the platform's and the operators' files, and the one-line errors for invalid files. */
 class ConfigTest {
-    private static final String PLATFORM = """
+    private static final String PLATFORM_FILE = """
             node = "n0"
             domain = "east"
             serve_on = "10.0.0.1:8080"
@@ -48,17 +48,17 @@
 
     @Test
     void platformFileIsReadAndUnknownFieldsAreIgnored() throws ConfigException {
-        PlatformConfig config = PlatformConfig.parse("f", PLATFORM);
+        PlatformConfig config = PlatformConfig.parse("f", PLATFORM_FILE);
         assertEquals("n0", config.node());
         assertEquals(8192, config.stateLimits().valueBytes());
-        assertEquals(Span.seconds(12), config.rules().workerLease());
+        assertEquals(Span.seconds(12), config.safetyTimes().workerLease());
         assertEquals("10.0.0.2:8081", config.peers().get(0).endpoint().toString());
     }
 
     /** Nodes read the files that tools write. */
     @Test
     void platformFileRoundTrips() throws ConfigException {
-        PlatformConfig config = PlatformConfig.parse("f", PLATFORM);
+        PlatformConfig config = PlatformConfig.parse("f", PLATFORM_FILE);
         assertEquals(config, PlatformConfig.parse("g", config.toText()));
     }
 
@@ -74,8 +74,8 @@
                 "txn_ops = 16               | txn_ops = 1        | f: settings.state.txn_ops: must be at least 2",
                 "[settings.cloud]           | [settings.cloudy]  | f: settings.cloud: missing"
             })
-    void wrongPlatformFileIsReportedWithItsField(String line, String instead, String message) {
-        String text = PLATFORM.replace(line.strip(), instead == null ? "" : instead.strip());
+    void invalidPlatformFieldIsReported(String line, String replacement, String message) {
+        String text = PLATFORM_FILE.replace(line.strip(), replacement == null ? "" : replacement.strip());
         assertEquals(
                 message,
                 assertThrows(ConfigException.class, () -> PlatformConfig.parse("f", text))
@@ -91,7 +91,7 @@
         "'value_kb = 64\nwrite_rps = 70.0\ntxn_ops = 17', 20, 8192, 16"
     })
     void announcedLimitsApplyFromTheStart(String next, double writes, int bytes, int ops) throws ConfigException {
-        PlatformConfig config = PlatformConfig.parse("f", PLATFORM + "\n[settings.state.next]\n" + next);
+        PlatformConfig config = PlatformConfig.parse("f", PLATFORM_FILE + "\n[settings.state.next]\n" + next);
         assertEquals(new PlatformConfig.StateLimits(150, writes, bytes, ops), config.stateLimits());
         assertEquals(config, PlatformConfig.parse("g", config.toText()));
     }
@@ -102,8 +102,8 @@
         "txn_ops = 1, f: settings.state.next.txn_ops: must be at least 2",
         "write_rps = \"many\", f: settings.state.next.write_rps: not a number of at least 0"
     })
-    void wrongAnnouncedLimitIsReportedWithItsField(String line, String message) {
-        String text = PLATFORM + "\n[settings.state.next]\n" + line;
+    void invalidAnnouncedLimitIsReported(String line, String message) {
+        String text = PLATFORM_FILE + "\n[settings.state.next]\n" + line;
         assertEquals(
                 message,
                 assertThrows(ConfigException.class, () -> PlatformConfig.parse("f", text))
@@ -120,9 +120,11 @@
     @Test
     void operatorsSettingsOverrideDefaults() throws ConfigException {
         Settings settings = SettingsFile.parse("s", "wait_limit_s: 20 # a remark\nspot_patience_s: 90.5");
-        assertEquals(Span.seconds(20), settings.tuning().waitLimit());
-        assertEquals(Span.seconds(90.5), settings.tuning().spotPatience());
-        assertEquals(Settings.standard().tuning().term(), settings.tuning().term());
+        assertEquals(Span.seconds(20), settings.schedulerSettings().waitLimit());
+        assertEquals(Span.seconds(90.5), settings.schedulerSettings().spotPatience());
+        assertEquals(
+                Settings.defaults().schedulerSettings().term(),
+                settings.schedulerSettings().term());
     }
 
     @ParameterizedTest
@@ -133,7 +135,7 @@
         "check_s 5, s:",
         "check_s: nan, check_s"
     })
-    void wrongOperatorsSettingIsReportedWithFileAndField(String text, String named) {
+    void invalidSettingIsReportedWithFileAndField(String text, String named) {
         String message = assertThrows(ConfigException.class, () -> SettingsFile.parse("s", text))
                 .getMessage();
         assertTrue(
@@ -146,19 +148,20 @@
     /** An isolated leader does not receive cancellations, so its lease, the workers' lease and a margin must fit into cancel_s. */
     @ParameterizedTest
     @CsvSource({"12, 32, 5, 5", "12, 32, 60, 15.688", "22, 42, 60, 15.678"})
-    void leaderLeaseLeavesTimeForCancellations(double lease, double cancel, double wanted, double length)
+    void leaderLeaseLeavesTimeForCancellations(double lease, double cancel, double configured, double expected)
             throws ConfigException {
         PlatformConfig config = PlatformConfig.parse(
                 "f",
-                PLATFORM.replace("lease_s = 12.0", "lease_s = " + lease)
+                PLATFORM_FILE
+                        .replace("lease_s = 12.0", "lease_s = " + lease)
                         .replace("cancel_s = 32.0", "cancel_s = " + cancel));
-        Settings settings = SettingsFile.parse("s", "leader_lease_s: " + wanted);
-        assertEquals(Span.seconds(length), settings.leaderLease(config.rules()));
+        Settings settings = SettingsFile.parse("s", "leader_lease_s: " + configured);
+        assertEquals(Span.seconds(expected), settings.leaderLease(config.safetyTimes()));
     }
 
     @Test
     void platformWithoutTimeForALeaderLeaseIsRejected() throws ConfigException {
-        PlatformConfig config = PlatformConfig.parse("f", PLATFORM.replace("cancel_s = 32.0", "cancel_s = 15.0"));
-        assertThrows(ConfigException.class, () -> Settings.standard().leaderLease(config.rules()));
+        PlatformConfig config = PlatformConfig.parse("f", PLATFORM_FILE.replace("cancel_s = 32.0", "cancel_s = 15.0"));
+        assertThrows(ConfigException.class, () -> Settings.defaults().leaderLease(config.safetyTimes()));
     }
 }
--- a/src/test/java/io/indigoreach/config/GoldenSettingsTest.java
+++ b/src/test/java/io/indigoreach/config/GoldenSettingsTest.java
@@ -7,7 +7,7 @@
 
 /** Compares the written platform file, and the one-line errors for invalid files, with golden texts. */
 class GoldenSettingsTest {
-    private static final String PLATFORM = """
+    private static final String PLATFORM_FILE = """
             node = "n0"
             domain = "east"
             serve_on = "10.0.0.1:8080"
@@ -50,7 +50,7 @@
             max_connections = 500
             """;
 
-    private static final String[][] WRONG = {
+    private static final String[][] INVALID_PLATFORM_CHANGES = {
         {"node = \"n0\"", ""},
         {"node = \"n0\"", "node = 3"},
         {"node = \"n0\"", "node = = 3"},
@@ -87,7 +87,7 @@
         {"max_connections = 500", "max_connections = \"many\""},
     };
 
-    private static final String[] WRONG_SETTINGS = {
+    private static final String[] INVALID_SETTINGS = {
         "no_such_setting: 3",
         "wait_limit_s: -1",
         "wait_limit_s: 1\nterm_s: 'x'",
@@ -99,38 +99,42 @@
     };
 
     @Test
-    void whatIsWrittenAndToldOfFiles() throws ConfigException {
+    void platformFileAndErrorsMatchGoldenFile() throws ConfigException {
         GoldenFile golden = new GoldenFile("settings.txt");
-        PlatformConfig config = PlatformConfig.parse("f", PLATFORM);
-        golden.text("platform's file", config.toText())
-                .text(
+        PlatformConfig config = PlatformConfig.parse("f", PLATFORM_FILE);
+        golden.expectText("platform's file", config.toText())
+                .expectText(
                         "platform's file, read and written again",
                         PlatformConfig.parse("f", config.toText()).toText());
-        for (String[] change : WRONG) {
-            String text = PLATFORM.replace(change[0] + "\n", change[1] + "\n");
-            golden.text(
+        for (String[] change : INVALID_PLATFORM_CHANGES) {
+            String text = PLATFORM_FILE.replace(change[0] + "\n", change[1] + "\n");
+            golden.expectText(
                     "wrong: " + change[0] + " -> " + change[1],
-                    GoldenFile.fault(() -> PlatformConfig.parse("f", text)));
+                    GoldenFile.failureMessage(() -> PlatformConfig.parse("f", text)));
         }
-        for (String text : WRONG_SETTINGS) {
-            golden.text("wrong: " + text.replace("\n", " ; "), GoldenFile.fault(() -> SettingsFile.parse("s", text)));
+        for (String text : INVALID_SETTINGS) {
+            golden.expectText(
+                    "wrong: " + text.replace("\n", " ; "),
+                    GoldenFile.failureMessage(() -> SettingsFile.parse("s", text)));
         }
         for (String cancel : new String[] {"15.0", "13.0"}) {
-            PlatformConfig tight =
-                    PlatformConfig.parse("f", PLATFORM.replace("cancel_s = 32.0", "cancel_s = " + cancel));
-            golden.text(
+            PlatformConfig shortCancellation =
+                    PlatformConfig.parse("f", PLATFORM_FILE.replace("cancel_s = 32.0", "cancel_s = " + cancel));
+            golden.expectText(
                     "too short cancel_s " + cancel,
-                    GoldenFile.fault(() -> Settings.standard().leaderLease(tight.rules())));
+                    GoldenFile.failureMessage(() -> Settings.defaults().leaderLease(shortCancellation.safetyTimes())));
         }
-        golden.text(
+        golden.expectText(
                 "settings, listed",
                 Arrays.stream(Settings.Setting.values())
                         .map(Settings.Setting::help)
                         .collect(Collectors.joining("\n")));
-        golden.text("no such file", GoldenFile.fault(() -> PlatformConfig.read(java.nio.file.Path.of("/nowhere/x"))))
-                .text(
+        golden.expectText(
+                        "no such file",
+                        GoldenFile.failureMessage(() -> PlatformConfig.read(java.nio.file.Path.of("/nowhere/x"))))
+                .expectText(
                         "no such settings",
-                        GoldenFile.fault(() -> SettingsFile.read(java.nio.file.Path.of("/nowhere/x"))));
-        golden.check();
+                        GoldenFile.failureMessage(() -> SettingsFile.read(java.nio.file.Path.of("/nowhere/x"))));
+        golden.verify();
     }
 }
--- a/src/test/java/io/indigoreach/emulator/CalendarClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/CalendarClusterTest.java
@@ -145,8 +145,8 @@
         SplittableRandom random = new SplittableRandom(seed);
         long zero = System.nanoTime();
         LongSupplier fast = () -> BEGIN + (System.nanoTime() - zero) / 1_000_000 * FASTER;
-        List<Parts.Kind> kinds = List.of(
-                new Parts.Kind(Settings.Setting.CALENDAR, CalendarPart.FAMILIES, g -> new CalendarPart(g, fast)));
+        List<Parts.Definition> kinds = List.of(
+                new Parts.Definition(Settings.Setting.CALENDAR, CalendarPart.FAMILIES, g -> new CalendarPart(g, fast)));
         Calendar calendar = calendar(0);
         Map<JobId, Occurrence> wanted = wanted(calendar, BEGIN);
         assertTrue(wanted.size() >= 6, wanted.size() + " occurrences");
--- a/src/test/java/io/indigoreach/emulator/GoldenDepotTest.java
+++ b/src/test/java/io/indigoreach/emulator/GoldenDepotTest.java
@@ -18,16 +18,18 @@
     @Test
     void whatIsAskedAndAnswered() {
         GoldenFile golden = new GoldenFile("depot.txt");
-        golden.text("path of uploads", DepotCodec.UPLOAD).text("path of the summary", DepotCodec.SUMMARY);
+        golden.expectText("path of uploads", DepotCodec.UPLOAD).expectText("path of the summary", DepotCodec.SUMMARY);
         GoldenSamples.jobs()
-                .forEach((name, spec) -> golden.both(
+                .forEach((name, spec) -> golden.expectRoundTrip(
                         "upload " + name,
                         new DepotCodec.Upload(spec, new Depot.Conduct(Span.seconds(12.5), 0.25, true)),
                         DepotCodec::write,
                         DepotCodec::read));
-        golden.read("upload of a job alone", GoldenSamples.submission(), f -> DepotCodec.write(DepotCodec.read(f)))
-                .both("summary", new DepotCodec.Summary(3, 40, 1, 12.75), DepotCodec::write, DepotCodec::readSummary);
-        golden.check();
+        golden.expectDecoded(
+                        "upload of a job alone", GoldenSamples.submission(), f -> DepotCodec.write(DepotCodec.read(f)))
+                .expectRoundTrip(
+                        "summary", new DepotCodec.Summary(3, 40, 1, 12.75), DepotCodec::write, DepotCodec::readSummary);
+        golden.verify();
     }
 
     private static Mutation read(Fields f) {
@@ -46,22 +48,23 @@
                 new StateClient.Write("j/run-1", MessagePackFormat.map("n", 1L), 0),
                 new StateClient.Write("leader", MessagePackFormat.map("", List.of(1L)), 7),
                 new StateClient.Write("f/run-2", null, 0));
-        golden.both("writes", new Mutation(41, writes, 0, 0, 0), GoldenDepotTest::write, GoldenDepotTest::read)
-                .both(
+        golden.expectRoundTrip(
+                        "writes", new Mutation(41, writes, 0, 0, 0), GoldenDepotTest::write, GoldenDepotTest::read)
+                .expectRoundTrip(
                         "copy of a key",
                         new Mutation(41, writes.subList(0, 1), 0, 0, 9),
                         GoldenDepotTest::write,
                         GoldenDepotTest::read)
-                .both(
+                .expectRoundTrip(
                         "lease granted",
                         new Mutation(41, List.of(), 7, 4500, 0),
                         GoldenDepotTest::write,
                         GoldenDepotTest::read)
-                .both(
+                .expectRoundTrip(
                         "lease ended",
                         new Mutation(42, List.of(), 7, 0, 0),
                         GoldenDepotTest::write,
                         GoldenDepotTest::read);
-        golden.check();
+        golden.verify();
     }
 }
--- a/src/test/java/io/indigoreach/emulator/GoldenPeersTest.java
+++ b/src/test/java/io/indigoreach/emulator/GoldenPeersTest.java
@@ -38,11 +38,12 @@
             Set.of("quiet_ms", "covered_ms", "back_ms", "at", "stamp", "era", "bound", "baton");
 
     private static String get(Endpoint at, String path) throws Exception {
-        return GoldenHttp.ask(at, "GET", path, new byte[0], OF_THE_MOMENT);
+        return GoldenHttp.exchange(at, "GET", path, new byte[0], OF_THE_MOMENT);
     }
 
     private static String post(Endpoint at, String path, Map<String, Object> body) throws Exception {
-        return GoldenHttp.ask(at, "POST", path, MessagePackFormat.write(body).getBytes(), OF_THE_MOMENT);
+        return GoldenHttp.exchange(
+                at, "POST", path, MessagePackFormat.write(body).getBytes(), OF_THE_MOMENT);
     }
 
     @Test
@@ -53,42 +54,45 @@
             Endpoint users = new Endpoint(config.listen().host(), cluster.start(config));
             Endpoint peers = config.peerListen();
             awaitLeading(config);
-            golden.text("standing of a leader", get(peers, "/standing"))
-                    .text("nothing known", get(peers, "/knows?id=run-1"))
-                    .text("nothing recalled", get(peers, "/recall?id=run-1"))
-                    .text("nothing remembered", get(peers, "/remains?part=0"));
+            golden.expectText("standing of a leader", get(peers, "/standing"))
+                    .expectText("nothing known", get(peers, "/knows?id=run-1"))
+                    .expectText("nothing recalled", get(peers, "/recall?id=run-1"))
+                    .expectText("nothing remembered", get(peers, "/remains?part=0"));
             DepotCodec.Upload upload =
                     new DepotCodec.Upload(LocalCluster.job(1, 3, 60), new Depot.Conduct(Span.seconds(60), 0, false));
             LocalCluster.await(cluster.emulator.upload(upload));
             GoldenHttp.post(users, "/api/jobs", io.indigoreach.api.JobCodec.write(upload.spec()));
-            golden.text("a job known", get(peers, "/knows?id=run-1"))
-                    .text("a job recalled", get(peers, "/recall?id=run-1"))
-                    .text("a job remembered", get(peers, "/remains?part=0"))
-                    .text("no later part", get(peers, "/remains?part=1"))
-                    .text("pledge of what is served", post(peers, "/pledge", MessagePackFormat.map("back_ms", 7000L)));
+            golden.expectText("a job known", get(peers, "/knows?id=run-1"))
+                    .expectText("a job recalled", get(peers, "/recall?id=run-1"))
+                    .expectText("a job remembered", get(peers, "/remains?part=0"))
+                    .expectText("no later part", get(peers, "/remains?part=1"))
+                    .expectText(
+                            "pledge of what is served",
+                            post(peers, "/pledge", MessagePackFormat.map("back_ms", 7000L)));
             GoldenHttp.post(users, "/api/jobs/run-1/cancel", Map.of());
-            golden.text(
+            golden.expectText(
                             "pledge with a told cancellation",
                             post(peers, "/pledge", MessagePackFormat.map("back_ms", 7000L)))
-                    .text(
+                    .expectText(
                             "malformed question for a pledge",
                             post(peers, "/pledge", MessagePackFormat.map("back_ms", "long")))
-                    .text("told of a loss", post(peers, "/loss", MessagePackFormat.map("era", 0L)))
-                    .text("asked to remove another key", post(peers, "/handover", MessagePackFormat.map("stamp", 1L)))
-                    .text("asked for a job without an id", get(peers, "/knows?id=one"));
+                    .expectText("told of a loss", post(peers, "/loss", MessagePackFormat.map("era", 0L)))
+                    .expectText(
+                            "asked to remove another key", post(peers, "/handover", MessagePackFormat.map("stamp", 1L)))
+                    .expectText("asked for a job without an id", get(peers, "/knows?id=one"));
             // A leader sends workers away until it has read the records, however soon it says that it leads.
             await(
                     () -> !post(users, WorkerCodec.HEARTBEAT, Map.of()).startsWith("421 "),
                     "the leader answered no worker");
-            golden.text("answer to a worker's first report", post(users, WorkerCodec.HEARTBEAT, report()))
-                    .text("answer to a malformed report", post(users, WorkerCodec.HEARTBEAT, Map.of()))
-                    .text("answer to a report by another method", get(users, WorkerCodec.HEARTBEAT));
+            golden.expectText("answer to a worker's first report", post(users, WorkerCodec.HEARTBEAT, report()))
+                    .expectText("answer to a malformed report", post(users, WorkerCodec.HEARTBEAT, Map.of()))
+                    .expectText("answer to a report by another method", get(users, WorkerCodec.HEARTBEAT));
         }
-        golden.check();
+        golden.verify();
     }
 
     private static String hex(Map<String, Object> message) {
-        return GoldenFile.hex(message);
+        return GoldenFile.encodeHex(message);
     }
 
     /** Plays the other controllers: what they were asked first of each kind, by its path; they say that they do not lead. */
@@ -108,8 +112,8 @@
             request.body().onSuccess(body -> {
                 String sent = body.length() == 0
                         ? ""
-                        : Golden.hex(MessagePackFormat.write(
-                                GoldenHttp.still(MessagePackFormat.readMap(body).map(), OF_THE_MOMENT)));
+                        : Golden.hex(MessagePackFormat.write(GoldenHttp.maskVolatileValues(
+                                MessagePackFormat.readMap(body).map(), OF_THE_MOMENT)));
                 asked.putIfAbsent(request.path(), request.method() + " " + request.uri() + " " + sent);
                 boolean isKnown = request.path().equals("/standing");
                 request.response()
@@ -195,7 +199,7 @@
             state.refusing = true;
             others.await("/standing");
             others.await("/handover");
-            golden.text("answer to a report where another node may lead", awaitSentElsewhere(users));
+            golden.expectText("answer to a report where another node may lead", awaitSentElsewhere(users));
             others.served = false;
             state.serveAgain();
             awaitLeading(own);
@@ -210,8 +214,8 @@
             LocalCluster.await(client.commit(new StateClient.Txn().delete(RecordKeys.ERA)));
             others.await("/loss");
             others.await("/remains");
-            new TreeMap<>(others.asked).forEach(golden::text);
+            new TreeMap<>(others.asked).forEach(golden::expectText);
         }
-        golden.check();
+        golden.verify();
     }
 }
--- a/src/test/java/io/indigoreach/emulator/LocalCluster.java
+++ b/src/test/java/io/indigoreach/emulator/LocalCluster.java
@@ -74,7 +74,7 @@
     private final Set<Integer> stopped = new HashSet<>();
     private Users users;
     /** The operators' settings of every controller. */
-    Settings settings = Settings.standard();
+    Settings settings = Settings.defaults();
 
     LocalCluster(int controllers, String faults) throws Exception {
         this(controllers, 9, faults);
@@ -130,7 +130,7 @@
     }
 
     /** The same with parts beside the jobs. */
-    int start(PlatformConfig config, List<Parts.Kind> kinds) throws Exception {
+    int start(PlatformConfig config, List<Parts.Definition> kinds) throws Exception {
         Vertx runtime = Vertx.vertx();
         Promise<Integer> port = Promise.promise();
         history.add(new Event.Process(clock.now(), config.node(), true));
@@ -260,7 +260,7 @@
                 c.maxClockError(),
                 c.teams(),
                 c.objectives(),
-                c.rules(),
+                c.safetyTimes(),
                 c.stateLimits(),
                 c.cloudLimits(),
                 c.maxConnections());
--- a/src/test/java/io/indigoreach/emulator/PlantedTest.java
+++ b/src/test/java/io/indigoreach/emulator/PlantedTest.java
@@ -69,7 +69,7 @@
 
         Future<Integer> listen(Vertx vertx, int port) {
             return vertx.createHttpServer()
-                    .requestHandler(r -> RequestBody.gather(
+                    .requestHandler(r -> RequestBody.read(
                             r,
                             body -> {
                                 Map<String, Object> sent = body.length() == 0
--- a/src/test/java/io/indigoreach/emulator/RecordsClusterTest.java
+++ b/src/test/java/io/indigoreach/emulator/RecordsClusterTest.java
@@ -99,7 +99,7 @@
             Future<Users.Mine> job = cluster.run(spec, 0);
             cluster.awaitEvents(e -> e instanceof Event.Off, 2);
             ServiceResponse waits = LocalCluster.await(run.ask("jobs/run-1", null));
-            assertEquals(1, waits.body().whole("lacking"));
+            assertEquals(1, waits.body().wholeNumber("lacking"));
             assertEquals("e1", waits.body().children("waits_for").get(0).text("by"));
             assertEquals(
                     List.of(),
--- a/src/test/java/io/indigoreach/emulator/RecordsContention.java
+++ b/src/test/java/io/indigoreach/emulator/RecordsContention.java
@@ -165,7 +165,7 @@
                                         "attempt",
                                         attempt.value()),
                                 task.job() + "/" + task.index(),
-                                List.of(f.text("prefix") + (f.whole("from") + task.index())));
+                                List.of(f.text("prefix") + (f.wholeNumber("from") + task.index())));
                     }
                 }
             }
--- a/src/test/java/io/indigoreach/emulator/StateServerTest.java
+++ b/src/test/java/io/indigoreach/emulator/StateServerTest.java
@@ -173,7 +173,7 @@
                         .items()
                         .size());
         assertTrue(LocalCluster.await(client.renew(lease, Span.seconds(2))));
-        assertEquals(1, LocalCluster.await(client.get("leased")).value().whole("n"));
+        assertEquals(1, LocalCluster.await(client.get("leased")).value().wholeNumber("n"));
         assertEquals(152, LocalCluster.await(client.commit(put("k/0", 1))).revision());
     }
 
@@ -186,7 +186,7 @@
         assertTrue(LocalCluster.await(other.commit(put("a", 2).when("a", Revision.ABSENT)))
                 .done());
         assertTrue(fails(first), "it got no answer");
-        assertEquals(2, LocalCluster.await(other.get("a")).value().whole("n"));
+        assertEquals(2, LocalCluster.await(other.get("a")).value().wholeNumber("n"));
         assertEquals(1, server.model().revision());
     }
 
@@ -206,7 +206,7 @@
             refused |= why.contains("refused");
             again = refused && why.equals("open");
         }
-        assertEquals(1, LocalCluster.await(client.get("a")).value().whole("n"));
+        assertEquals(1, LocalCluster.await(client.get("a")).value().wholeNumber("n"));
     }
 
     /** A lost answer: executed all the same, so that the repeated one finds its key written. */
--- a/src/test/java/io/indigoreach/emulator/WarmPoolsTest.java
+++ b/src/test/java/io/indigoreach/emulator/WarmPoolsTest.java
@@ -92,7 +92,7 @@
         Fields stands = null;
         for (int n = 0; n < seconds * 5; n++) {
             stands = ask(cluster, "/api/pools/p", null).body().child("stands");
-            if (stands.whole("ready", -1) == machines && stands.whole("since") >= from) {
+            if (stands.wholeNumber("ready", -1) == machines && stands.wholeNumber("since") >= from) {
                 return;
             }
             LocalCluster.await(cluster.vertx.timer(200, java.util.concurrent.TimeUnit.MILLISECONDS));
@@ -114,7 +114,7 @@
             assertEquals(200, ask(cluster, "/api/pools/p", pool).status());
             ServiceResponse conflict = ask(cluster, "/api/pools/p", with("if_version", 0L, "most", 7L));
             assertEquals(409, conflict.status());
-            assertEquals(6, conflict.body().child("against").whole("most"));
+            assertEquals(6, conflict.body().child("against").wholeNumber("most"));
             assertEquals(
                     422,
                     ask(cluster, JobCodec.JOBS, JobCodec.write(holder(9, "t", "none")))
@@ -193,7 +193,7 @@
             if (put >= charged - 2 * perSecond && one) {
                 double now = LocalCluster.await(cluster.emulator.summary()).spent();
                 assertTrue(put <= now + 3 * perSecond, put + " of " + now);
-                assertEquals(6, f.whole("machines"));
+                assertEquals(6, f.wholeNumber("machines"));
                 return;
             }
             LocalCluster.await(cluster.vertx.timer(500, java.util.concurrent.TimeUnit.MILLISECONDS));
--- a/src/test/java/io/indigoreach/emulator/model/CloudModelTest.java
+++ b/src/test/java/io/indigoreach/emulator/model/CloudModelTest.java
@@ -47,8 +47,8 @@
     }
 
     private static List<MachineId> rent(CloudModel cloud, double s, String name, MachinePool pool, int count) {
-        ServiceResponse r = cloud.rent(at(s), new CloudCodec.Rental(name, pool, count));
-        return r.isOk() ? CloudCodec.readNames(r.body()) : List.of();
+        ServiceResponse r = cloud.rent(at(s), new CloudCodec.RentalRequest(name, pool, count));
+        return r.isOk() ? CloudCodec.readMachineIds(r.body()) : List.of();
     }
 
     private static List<String> listed(CloudModel cloud, double s) {
@@ -66,7 +66,8 @@
         assertEquals(1, rent(cloud, 1, "r-2", ORDINARY, 4).size(), "filled in part");
         assertEquals(
                 503,
-                cloud.rent(at(2), new CloudCodec.Rental("r-3", ORDINARY, 1)).status());
+                cloud.rent(at(2), new CloudCodec.RentalRequest("r-3", ORDINARY, 1))
+                        .status());
         cloud.giveBack(at(3), first);
         assertEquals(1, rent(cloud, 4, "r-3", ORDINARY, 1).size());
         assertEquals(first, rent(cloud, 5, "r-1", ORDINARY, 4), "though they are gone");
@@ -78,7 +79,7 @@
         assertEquals(
                 status,
                 cloud("", "")
-                        .rent(T, new CloudCodec.Rental("r", new MachinePool(type, zone, true), count))
+                        .rent(T, new CloudCodec.RentalRequest("r", new MachinePool(type, zone, true), count))
                         .status());
     }
 
--- a/src/test/java/io/indigoreach/emulator/model/StateModelPropertyTest.java
+++ b/src/test/java/io/indigoreach/emulator/model/StateModelPropertyTest.java
@@ -82,7 +82,7 @@
                     }
                 }
                 case PUT_LEASED -> txn.put(key, MessagePackFormat.map("n", (long) step.value), lease);
-                case GRANT -> lease = model.grant(now, Span.seconds(1)).body().whole("permit");
+                case GRANT -> lease = model.grant(now, Span.seconds(1)).body().wholeNumber("permit");
                 case END_LEASES -> {
                     now = now.plus(Span.seconds(2));
                     model.advance(now);
@@ -153,7 +153,7 @@
                         new Plain(
                                 (int) new Fields(MessagePackFormat.readMap(MessagePackFormat.write(w.value()))
                                                 .map())
-                                        .whole("n"),
+                                        .wholeNumber("n"),
                                 history.size(),
                                 w.lease()));
             }
@@ -167,13 +167,13 @@
             Plain wanted = plain.get(key);
             assertEquals(wanted == null ? 404 : 200, reply.status());
             if (wanted != null) {
-                assertEquals(wanted.stamp, reply.body().whole("stamp"));
+                assertEquals(wanted.stamp, reply.body().wholeNumber("stamp"));
                 assertEquals(
                         wanted.value,
                         new Fields(MessagePackFormat.readMap(MessagePackFormat.write(
                                                 reply.body().child("data").map()))
                                         .map())
-                                .whole("n"));
+                                .wholeNumber("n"));
             }
         }
         assertEquals(
@@ -190,8 +190,8 @@
             model.watch(now, "", since, Span.ZERO, heard::add);
             long last = since;
             for (Fields event : heard.get(0).body().children("events")) {
-                assertTrue(event.whole("stamp") >= last);
-                last = event.whole("stamp");
+                assertTrue(event.wholeNumber("stamp") >= last);
+                last = event.wholeNumber("stamp");
                 if (event.has("write")) {
                     stamps.put(event.text("write"), last);
                 } else {
--- a/src/test/java/io/indigoreach/emulator/model/StateModelTest.java
+++ b/src/test/java/io/indigoreach/emulator/model/StateModelTest.java
@@ -92,7 +92,7 @@
     void countsChanges() {
         model.commit(T, new Txn().put("a", value(1)).put("b", value(1)).delete("never"));
         assertEquals(1, model.revision());
-        assertEquals(1, new Fields(model.get(T, "b", -1).body().map()).whole("stamp"));
+        assertEquals(1, new Fields(model.get(T, "b", -1).body().map()).wholeNumber("stamp"));
         model.commit(T, new Txn().delete("never"));
         assertEquals(1, model.revision());
         assertEquals(404, model.get(T, "never", -1).status());
@@ -133,7 +133,7 @@
     /** A lease never ends early, at most 100 ms late, and takes its keys along in one change. */
     @Test
     void endsLeases() {
-        long lease = model.grant(T, Span.seconds(1)).body().whole("permit");
+        long lease = model.grant(T, Span.seconds(1)).body().wholeNumber("permit");
         model.commit(
                 T, new Txn().put("a", value(1), lease).put("b", value(2), lease).put("c", value(3)));
         model.advance(T.plus(new Span(999)));
@@ -149,7 +149,7 @@
     /** A renewal that arrives when the lease has ended is too late, even if its end was not noticed yet. */
     @Test
     void refusesARenewalThatCameTooLate() {
-        long lease = model.grant(T, Span.seconds(1)).body().whole("permit");
+        long lease = model.grant(T, Span.seconds(1)).body().wholeNumber("permit");
         assertEquals(200, model.renew(T.plus(new Span(900)), lease).status());
         assertEquals(200, model.renew(T.plus(new Span(1899)), lease).status());
         assertEquals(404, model.renew(T.plus(new Span(3000)), lease).status());
@@ -162,8 +162,8 @@
     /** A key written without its lease, or with another, is no longer taken along by the first. */
     @Test
     void detachesKeys() {
-        long one = model.grant(T, Span.seconds(1)).body().whole("permit");
-        long two = model.grant(T, Span.seconds(9)).body().whole("permit");
+        long one = model.grant(T, Span.seconds(1)).body().wholeNumber("permit");
+        long two = model.grant(T, Span.seconds(9)).body().wholeNumber("permit");
         model.commit(T, new Txn().put("a", value(1), one).put("b", value(1), one));
         model.commit(T, new Txn().put("a", value(2)).put("b", value(2), two));
         model.advance(T.plus(Span.seconds(2)));
@@ -178,7 +178,7 @@
     @Test
     void holdsWatchesAndLeasesInAnOutage() {
         List<ServiceResponse> heard = new ArrayList<>();
-        long lease = model.grant(T, Span.seconds(1)).body().whole("permit");
+        long lease = model.grant(T, Span.seconds(1)).body().wholeNumber("permit");
         put("x/1", 1);
         model.watch(T, "x/", 1, Span.seconds(2), heard::add);
         model.outage(T, true);
@@ -204,7 +204,7 @@
         model.commit(T, new Txn().delete("x/1").put("x/2", value(2)));
         assertEquals(2, heard.size());
         assertEquals(2, heard.get(1).body().children("events").size());
-        assertEquals(4, heard.get(1).body().whole("ledger_rev"));
+        assertEquals(4, heard.get(1).body().wholeNumber("ledger_rev"));
     }
 
     /** Beyond the window of changes that are kept, the keys are to be read again. */
@@ -230,7 +230,7 @@
         Txn large = new Txn().put("a", MessagePackFormat.map("v", "x".repeat(4000)));
         Txn many = new Txn().put("b", value(1)).put("c", value(1)).put("d", value(1));
         assertEquals(200, shrinking.commit(T, large).status());
-        shrinking.limit(today.atMost(new StateLimits(1e6, 2, 2048, 2)), T);
+        shrinking.limit(today.minimum(new StateLimits(1e6, 2, 2048, 2)), T);
         assertEquals(400, shrinking.commit(T, large).status());
         assertEquals(400, shrinking.commit(T, many).status());
         assertEquals(200, shrinking.get(T, "a", -1).status());
@@ -272,8 +272,8 @@
         put("b", 3);
         model.commit(T, new Txn().delete("a"));
         assertEquals(404, model.get(T, "a", 4).status());
-        assertEquals(2, model.get(T, "a", 3).body().child("data").whole("n"));
-        assertEquals(1, model.get(T, "a", 1).body().child("data").whole("n"));
+        assertEquals(2, model.get(T, "a", 3).body().child("data").wholeNumber("n"));
+        assertEquals(1, model.get(T, "a", 1).body().child("data").wholeNumber("n"));
         assertEquals(404, model.get(T, "b", 2).status());
         assertEquals(2, model.list(T, "", null, 10, 3).body().children("items").size());
         assertEquals(404, model.get(T, "a", -1).status());
@@ -282,7 +282,7 @@
     /** A restart from what was told to the sink, or from a copy of the contents, gives the same service. */
     @Test
     void isRestored() {
-        long lease = model.grant(T, Span.seconds(5)).body().whole("permit");
+        long lease = model.grant(T, Span.seconds(5)).body().wholeNumber("permit");
         model.commit(T, new Txn().put("a", value(1), lease).put("b", value(2)));
         put("c", 3);
         model.commit(T, new Txn().delete("b"));
@@ -291,7 +291,7 @@
             changes.forEach(change -> again.restore(change, T));
             assertEquals(model.revision(), again.revision());
             assertEquals(model.list(T, "", null, 10, -1), again.list(T, "", null, 10, -1));
-            assertEquals(lease + 1, again.grant(T, Span.seconds(5)).body().whole("permit"));
+            assertEquals(lease + 1, again.grant(T, Span.seconds(5)).body().wholeNumber("permit"));
             again.advance(T.plus(Span.seconds(6)));
             assertEquals(404, again.get(T.plus(Span.seconds(6)), "a", -1).status());
         }
--- a/src/test/java/io/indigoreach/emulator/model/WorkerModelTest.java
+++ b/src/test/java/io/indigoreach/emulator/model/WorkerModelTest.java
@@ -72,7 +72,7 @@
                 capacity { type: "m" zone: "z" count: 1 }
                 team { name: "t" }
                 """, Deployment.class), new SplittableRandom(1), T, 0);
-        cloud.rent(T, new CloudCodec.Rental("r", new MachinePool("m", "z", false), 1));
+        cloud.rent(T, new CloudCodec.RentalRequest("r", new MachinePool("m", "z", false), 1));
         for (int n = 1; n <= 5; n++) {
             depot.upload(job(n, n == 5 ? 3 : 1, n == 4 ? 2 : 0), new Depot.Conduct(Span.seconds(10), 0, n == 3));
         }
--- a/src/test/java/io/indigoreach/knownred/KnownRedTest.java
+++ b/src/test/java/io/indigoreach/knownred/KnownRedTest.java
@@ -23,8 +23,8 @@
 
 /** Checks that the list of known failures is valid, and that only the failures of listed tests are ignored. */
 class KnownRedTest {
-    private static final String THIS = KnownRedTest.class.getName();
-    private static final String CASE = "sample";
+    private static final String THIS_CLASS = KnownRedTest.class.getName();
+    private static final String SAMPLE_METHOD = "sample";
 
     @Test
     void everyListedTestExists() {
@@ -54,12 +54,12 @@
                 "no.such.Class#method | command | seen | 1",
                 "io.indigoreach.knownred.KnownRedTest#isTest | command | no test | 1"
             })
-    void whatIsNoTestDoesNotExist(String line) {
+    void nonTestsAreReportedMissing(String line) {
         assertTrue(!exists(KnownRedList.parse(List.of(line)).entries().get(0)));
     }
 
     @Test
-    void commentsAndEmptyLinesAreNoEntries() {
+    void commentsAndEmptyLinesAreIgnored() {
         KnownRedList list =
                 KnownRedList.parse(List.of("# a comment", "", "a.B#c[2] | mvn -Dseed=4 | 3 starts of 5 | issue 7"));
         assertEquals(
@@ -80,12 +80,12 @@
                 "a.B#c | command | seen | ",
                 "a.B#c | command | seen | 7 | more"
             })
-    void aLineThatIsNoEntryIsAnError(String line) {
+    void invalidEntriesAreRejected(String line) {
         assertThrows(IllegalArgumentException.class, () -> KnownRedList.parse(List.of(line)));
     }
 
     @Test
-    void theListHasNoFixedLength() {
+    void listLengthIsUnlimited() {
         List<String> lines = IntStream.range(0, 7)
                 .mapToObj(i -> "a.B#c" + i + " | command | seen | 1")
                 .toList();
@@ -105,8 +105,8 @@
         "other, 0, true, FAILED",
         "other, 0, false, PASSED",
     })
-    void onlyAListedTestThatFailsIsPassedOver(String listed, int row, boolean fails, Outcome expected) {
-        KnownRedList list = KnownRedList.parse(List.of(THIS + "#" + listed + " | command | seen | 1"));
+    void onlyFailuresOfListedTestsAreIgnored(String listed, int row, boolean fails, Outcome expected) {
+        KnownRedList list = KnownRedList.parse(List.of(THIS_CLASS + "#" + listed + " | command | seen | 1"));
         assertEquals(expected, outcome(new KnownRedExtension(list), row, () -> {
             if (fails) {
                 throw new IllegalStateException("fails");
@@ -116,8 +116,8 @@
     }
 
     @Test
-    void aListedTestThatDoesNotRunIsNotPassedOver() {
-        KnownRedList list = KnownRedList.parse(List.of(THIS + "#" + CASE + " | command | seen | 1"));
+    void listedTestThatDoesNotRunFails() {
+        KnownRedList list = KnownRedList.parse(List.of(THIS_CLASS + "#" + SAMPLE_METHOD + " | command | seen | 1"));
         assertEquals(Outcome.FAILED, outcome(new KnownRedExtension(list), 0, () -> {
             throw new TestAbortedException("an assumption does not hold");
         }));
@@ -156,7 +156,7 @@
                 new Class<?>[] {ExtensionContext.class},
                 (proxy, method, arguments) -> switch (method.getName()) {
                     case "getRequiredTestClass" -> KnownRedTest.class;
-                    case "getRequiredTestMethod" -> KnownRedTest.class.getDeclaredMethod(CASE);
+                    case "getRequiredTestMethod" -> KnownRedTest.class.getDeclaredMethod(SAMPLE_METHOD);
                     case "getUniqueId" ->
                         row == 0
                                 ? "[method:sample()]"
--- a/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
+++ b/src/test/java/io/indigoreach/ownership/GoldenOwnershipTest.java
@@ -62,7 +62,7 @@
     /** What a part's routines have written, at times that are the same in every run. */
     private static final class Store {
         private final TreeMap<String, VersionedRecord> records = new TreeMap<>();
-        private long now = GoldenSamples.AT;
+        private long now = GoldenSamples.TIME_OF_DAY_MS;
         private long revision = 10;
 
         <R> R run(Routine<R> routine) {
@@ -108,8 +108,8 @@
     }
 
     private void kept(GoldenFile golden, String after, Store store) {
-        golden.text("keys " + after, String.join(" ", store.records.keySet()));
-        store.records.forEach((key, record) -> golden.written(after + ", " + key, record.value()));
+        golden.expectText("keys " + after, String.join(" ", store.records.keySet()));
+        store.records.forEach((key, record) -> golden.expectEncoded(after + ", " + key, record.value()));
     }
 
     /** Each of them reads what those before it have written, so what is written is read too. */
@@ -142,8 +142,8 @@
         kept(golden, "accepted with a job", store);
         Registry another = OwnershipPart.registry();
         Map<RecordId, Shown> read = store.run(Edit.show(another, ids("a/1", "a/2", "b/1", "c/1", "d/1")));
-        read.forEach((id, s) -> golden.written("shown " + id, RecordsCodec.write(id, s)));
-        golden.check();
+        read.forEach((id, s) -> golden.expectEncoded("shown " + id, RecordsCodec.write(id, s)));
+        golden.verify();
     }
 
     private static String told(Fields f, Function<Fields, Object> reader) {
@@ -157,25 +157,25 @@
     @Test
     void whatPeopleSay() {
         GoldenFile golden = new GoldenFile("ownership-words.txt");
-        golden.text(
+        golden.expectText(
                         "list",
                         told(
                                 new Fields(MessagePackFormat.map("ids", List.of("a/1", "b"))),
                                 f -> RecordsCodec.ids(f, 400)))
-                .text(
+                .expectText(
                         "range",
                         told(
                                 new Fields(MessagePackFormat.map("prefix", "KL-1/farm-", "from", 9L, "to", 11L)),
                                 f -> RecordsCodec.ids(f, 400)))
-                .text("run", RecordsCodec.run(new Fields(MessagePackFormat.map("run", "export-1"))))
-                .text("task", holder(MessagePackFormat.map("job", "run-1", "task", 3L, "attempt", 2L)))
-                .text("export", holder(MessagePackFormat.map("run", "export-1")))
-                .text(
+                .expectText("run", RecordsCodec.run(new Fields(MessagePackFormat.map("run", "export-1"))))
+                .expectText("task", holder(MessagePackFormat.map("job", "run-1", "task", 3L, "attempt", 2L)))
+                .expectText("export", holder(MessagePackFormat.map("run", "export-1")))
+                .expectText(
                         "fences",
                         RecordsCodec.fences(new Fields(
                                         MessagePackFormat.map("fences", MessagePackFormat.map("a/1", 7L, "a/2", 8L))))
                                 .toString())
-                .text(
+                .expectText(
                         "reason",
                         RecordsCodec.reason(new Fields(MessagePackFormat.map("by", "anna", "reason", " why "))));
         assertEquals(
@@ -183,48 +183,54 @@
                 Stream.of("free", "billed", "doubt")
                         .map(as -> RecordsCodec.state(new Fields(MessagePackFormat.map("as", as))))
                         .toList());
-        golden.refused("no ids", Map.of(), f -> RecordsCodec.ids(f, 400))
-                .refused("too many ids", MessagePackFormat.map("ids", List.of("a", "b")), f -> RecordsCodec.ids(f, 1))
-                .refused("malformed id", MessagePackFormat.map("ids", List.of("a//b")), f -> RecordsCodec.ids(f, 400))
-                .refused("id twice", MessagePackFormat.map("ids", List.of("a", "a")), f -> RecordsCodec.ids(f, 400))
-                .refused(
+        golden.expectRejected("no ids", Map.of(), f -> RecordsCodec.ids(f, 400))
+                .expectRejected(
+                        "too many ids", MessagePackFormat.map("ids", List.of("a", "b")), f -> RecordsCodec.ids(f, 1))
+                .expectRejected(
+                        "malformed id", MessagePackFormat.map("ids", List.of("a//b")), f -> RecordsCodec.ids(f, 400))
+                .expectRejected(
+                        "id twice", MessagePackFormat.map("ids", List.of("a", "a")), f -> RecordsCodec.ids(f, 400))
+                .expectRejected(
                         "range backwards",
                         MessagePackFormat.map("prefix", "a/", "from", 2L, "to", 1L),
                         f -> RecordsCodec.ids(f, 400))
-                .refused("job's name for a run", MessagePackFormat.map("run", "run-1"), RecordsCodec::run)
-                .refused("malformed job", MessagePackFormat.map("job", "1", "task", 1L), RecordsCodec::holder)
-                .refused("negative task", MessagePackFormat.map("job", "run-1", "task", -1L), RecordsCodec::holder)
-                .refused("negative attempt", MessagePackFormat.map("run", "e", "attempt", -1L), RecordsCodec::holder)
-                .refused("no fences", MessagePackFormat.map("fences", Map.of()), RecordsCodec::fences)
-                .refused(
+                .expectRejected("job's name for a run", MessagePackFormat.map("run", "run-1"), RecordsCodec::run)
+                .expectRejected("malformed job", MessagePackFormat.map("job", "1", "task", 1L), RecordsCodec::holder)
+                .expectRejected(
+                        "negative task", MessagePackFormat.map("job", "run-1", "task", -1L), RecordsCodec::holder)
+                .expectRejected(
+                        "negative attempt", MessagePackFormat.map("run", "e", "attempt", -1L), RecordsCodec::holder)
+                .expectRejected("no fences", MessagePackFormat.map("fences", Map.of()), RecordsCodec::fences)
+                .expectRejected(
                         "malformed author", MessagePackFormat.map("by", "an na", "reason", "why"), RecordsCodec::reason)
-                .refused("no reason", MessagePackFormat.map("by", "anna", "reason", " "), RecordsCodec::reason)
-                .refused(
+                .expectRejected("no reason", MessagePackFormat.map("by", "anna", "reason", " "), RecordsCodec::reason)
+                .expectRejected(
                         "reason with quotes", MessagePackFormat.map("by", "anna", "reason", "\""), RecordsCodec::reason)
-                .refused("another state", MessagePackFormat.map("as", "gone"), RecordsCodec::state);
+                .expectRejected("another state", MessagePackFormat.map("as", "gone"), RecordsCodec::state);
         Map<RecordId, Entry> done = new LinkedHashMap<>();
         for (Entry.State s : Entry.State.values()) {
             done.put(new RecordId("a/" + s.ordinal()), new Entry(s, 900 + s.ordinal(), "export-1", "", 2, 5));
         }
-        golden.written("outcome", RecordsCodec.write(new Outcome(done, List.of(), false)))
-                .written(
+        golden.expectEncoded("outcome", RecordsCodec.write(new Outcome(done, List.of(), false)))
+                .expectEncoded(
                         "outcome against others",
                         RecordsCodec.write(new Outcome(Map.of(), List.of("a/1 is billed by x", "and b"), false)))
-                .written(
+                .expectEncoded(
                         "shown",
                         RecordsCodec.write(
-                                new RecordId("a/1"), new Shown("billing", "run-1/3", 917, 2, GoldenSamples.AT)))
-                .written("shown as free", RecordsCodec.write(new RecordId("a/2"), new Shown("free", "", 0, 0, 0)))
-                .text(
+                                new RecordId("a/1"),
+                                new Shown("billing", "run-1/3", 917, 2, GoldenSamples.TIME_OF_DAY_MS)))
+                .expectEncoded("shown as free", RecordsCodec.write(new RecordId("a/2"), new Shown("free", "", 0, 0, 0)))
+                .expectText(
                         "records of a job",
                         RecordsCodec.readField(GoldenSamples.jobs().get("with records"))
                                 .list()
                                 .toString())
-                .text(
+                .expectText(
                         "records of a service",
-                        GoldenFile.fault(() -> RecordsCodec.readField(GoldenSamples.full(1, Urgency.HIGH)
+                        GoldenFile.failureMessage(() -> RecordsCodec.readField(GoldenSamples.fullJob(1, Urgency.HIGH)
                                 .with("records", MessagePackFormat.map("ids", List.of("a"))))));
-        golden.check();
+        golden.verify();
     }
 
     private static String holder(Map<String, Object> words) {
@@ -237,7 +243,7 @@
     }
 
     private static String post(Endpoint node, String what, Object... body) throws Exception {
-        return GoldenHttp.ask(
+        return GoldenHttp.exchange(
                 node,
                 "POST",
                 "/api/records/" + what,
@@ -246,7 +252,7 @@
     }
 
     private static String get(Endpoint node, String what) throws Exception {
-        return GoldenHttp.ask(node, "GET", "/api/records/" + what, new byte[0], OF_THE_MOMENT);
+        return GoldenHttp.exchange(node, "GET", "/api/records/" + what, new byte[0], OF_THE_MOMENT);
     }
 
     private static PlatformConfig config() {
@@ -289,41 +295,41 @@
 
     private void answers(Endpoint node, StateClient client) throws Exception {
         GoldenFile golden = new GoldenFile("ownership-http.txt");
-        golden.text("claim before the beginning", post(node, "claim", "run", "e1", "ids", List.of("a/1")))
-                .text("begin", post(node, "begin", "by", "anna", "reason", "first day"))
-                .text("begin again", post(node, "begin", "by", "anna", "reason", "once more"))
-                .text("compared", post(node, "compared", "by", "anna", "reason", "books"))
-                .text("claim", post(node, "claim", "run", "e1", "ids", List.of("a/1", "a/2", "b/1")))
-                .text("claim of another", post(node, "claim", "run", "e2", "ids", List.of("a/1", "a/3")))
-                .text("billing", post(node, "billing", "run", "e1", "ids", List.of("a/1", "a/2")))
-                .text("billing of another", post(node, "billing", "run", "e2", "ids", List.of("a/1")))
-                .text(
+        golden.expectText("claim before the beginning", post(node, "claim", "run", "e1", "ids", List.of("a/1")))
+                .expectText("begin", post(node, "begin", "by", "anna", "reason", "first day"))
+                .expectText("begin again", post(node, "begin", "by", "anna", "reason", "once more"))
+                .expectText("compared", post(node, "compared", "by", "anna", "reason", "books"))
+                .expectText("claim", post(node, "claim", "run", "e1", "ids", List.of("a/1", "a/2", "b/1")))
+                .expectText("claim of another", post(node, "claim", "run", "e2", "ids", List.of("a/1", "a/3")))
+                .expectText("billing", post(node, "billing", "run", "e1", "ids", List.of("a/1", "a/2")))
+                .expectText("billing of another", post(node, "billing", "run", "e2", "ids", List.of("a/1")))
+                .expectText(
                         "billed under another fence",
                         post(node, "billed", "run", "e1", "fences", MessagePackFormat.map("a/2", 1L)))
-                .text("show", get(node, "show?id=a/1,b/1,c/1"))
-                .text("show of a malformed id", get(node, "show?id=a//1"))
-                .text("holders", get(node, "holders"))
-                .text("holders of a group", get(node, "holders?group=b"))
-                .text("holders of a malformed group", get(node, "holders?group=a/b"))
-                .text(
+                .expectText("show", get(node, "show?id=a/1,b/1,c/1"))
+                .expectText("show of a malformed id", get(node, "show?id=a//1"))
+                .expectText("holders", get(node, "holders"))
+                .expectText("holders of a group", get(node, "holders?group=b"))
+                .expectText("holders of a malformed group", get(node, "holders?group=a/b"))
+                .expectText(
                         "put in doubt",
                         post(node, "resolve", "as", "doubt", "by", "anna", "reason", "gone", "ids", List.of("a/2")))
-                .text("doubt", get(node, "doubt"))
-                .text(
+                .expectText("doubt", get(node, "doubt"))
+                .expectText(
                         "resolved",
                         post(node, "resolve", "as", "billed", "by", "anna", "reason", "x", "ids", List.of("a/2")))
-                .text("billing what is billed", post(node, "billing", "run", "e3", "ids", List.of("a/2")))
-                .text("release", post(node, "release", "run", "e1"))
-                .text("malformed run", post(node, "claim", "run", "run-1", "ids", List.of("a/1")))
-                .text("no open job", get(node, "jobs/run-1"))
-                .text("no path", post(node, "dance"))
-                .text("no question", get(node, "dance"));
+                .expectText("billing what is billed", post(node, "billing", "run", "e3", "ids", List.of("a/2")))
+                .expectText("release", post(node, "release", "run", "e1"))
+                .expectText("malformed run", post(node, "claim", "run", "run-1", "ids", List.of("a/1")))
+                .expectText("no open job", get(node, "jobs/run-1"))
+                .expectText("no path", post(node, "dance"))
+                .expectText("no question", get(node, "dance"));
         await(client.commit(new StateClient.Txn()
                 .put("j/run-1", job(GoldenSamples.jobs().get("with records")))
-                .put("j/run-2", job(GoldenSamples.bare(1)))));
-        golden.text("what a job waits for", get(node, "jobs/run-1"))
-                .text("a job without records", get(node, "jobs/run-2"));
-        golden.check();
+                .put("j/run-2", job(GoldenSamples.minimalJob(1)))));
+        golden.expectText("what a job waits for", get(node, "jobs/run-1"))
+                .expectText("a job without records", get(node, "jobs/run-2"));
+        golden.verify();
     }
 
     private static Map<String, Object> job(JobSpec spec) {
--- a/src/test/java/io/indigoreach/state/GoldenKeptRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenKeptRecordsTest.java
@@ -25,7 +25,7 @@
 
 /** The records of jobs, machines and leaderships with their keys, and what controllers tell each other of them. */
 class GoldenKeptRecordsTest {
-    private static final JobId ID = GoldenSamples.ID;
+    private static final JobId ID = GoldenSamples.JOB_ID;
     private static final Revision STAMP = new Revision(9);
     private static final FencingToken TOKEN = new FencingToken(7_000_001);
     private static final MachinePool POOL = new MachinePool("quad", "a", true);
@@ -59,32 +59,33 @@
 
     private void job(String name, JobSpec spec, JobStatus status, BitSet done) {
         BitSet inside = spec.tasks() > CompletionBlockCodec.MAX_TASKS_IN_RECORD ? new BitSet() : done;
-        JobRecord record =
-                new JobRecord(spec, GoldenSamples.AT, status, inside, done.cardinality(), 3, spec.tasks(), STAMP);
-        golden.both(name, record, GoldenKeptRecordsTest::write, f -> JobRecordCodec.readJob(ID, f, STAMP));
+        JobRecord record = new JobRecord(
+                spec, GoldenSamples.TIME_OF_DAY_MS, status, inside, done.cardinality(), 3, spec.tasks(), STAMP);
+        golden.expectRoundTrip(name, record, GoldenKeptRecordsTest::write, f -> JobRecordCodec.readJob(ID, f, STAMP));
     }
 
     private void jobs() {
         GoldenSamples.jobs().forEach((name, spec) -> job("job " + name, spec, JobStatus.PENDING, new BitSet()));
         for (JobStatus status : JobStatus.values()) {
-            job("job of status " + status.ordinal(), GoldenSamples.bare(100), status, everyThird(100));
+            job("job of status " + status.ordinal(), GoldenSamples.minimalJob(100), status, everyThird(100));
         }
         JobDependencies released = GoldenSamples.jobs().get("chained").dependencies();
         job(
                 "job released from its chain",
-                GoldenSamples.bare(4).with(new JobDependencies(released.requiredJobs(), GoldenSamples.AT)),
+                GoldenSamples.minimalJob(4)
+                        .with(new JobDependencies(released.requiredJobs(), GoldenSamples.TIME_OF_DAY_MS)),
                 JobStatus.RUNNING,
                 new BitSet());
-        job("job of 8192", GoldenSamples.bare(8192), JobStatus.RUNNING, everyThird(8192));
-        job("job of 40000", GoldenSamples.bare(40_000), JobStatus.RUNNING, first(20_000));
+        job("job of 8192", GoldenSamples.minimalJob(8192), JobStatus.RUNNING, everyThird(8192));
+        job("job of 40000", GoldenSamples.minimalJob(40_000), JobStatus.RUNNING, first(20_000));
         Map<String, Object> without =
-                write(new JobRecord(GoldenSamples.bare(2), 1, JobStatus.PENDING, new BitSet(), 0, 0, 0, STAMP));
+                write(new JobRecord(GoldenSamples.minimalJob(2), 1, JobStatus.PENDING, new BitSet(), 0, 0, 0, STAMP));
         without.remove("bound");
-        golden.read("job without a start bound", without, f -> write(JobRecordCodec.readJob(ID, f, STAMP)));
-        golden.refused(
+        golden.expectDecoded("job without a start bound", without, f -> write(JobRecordCodec.readJob(ID, f, STAMP)));
+        golden.expectRejected(
                 "job without tasks", MessagePackFormat.map("class", "c"), f -> JobRecordCodec.readJob(ID, f, STAMP));
         for (JobStatus status : List.of(JobStatus.DONE, JobStatus.CANCELLED)) {
-            golden.both(
+            golden.expectRoundTrip(
                     "end of status " + status.ordinal(),
                     new FinalRecord(ID, status, 17),
                     r -> JobRecordCodec.writeFinal(r.status(), r.done()),
@@ -96,7 +97,7 @@
         BitSet done = everyThird(40_000);
         for (int n = 0; n < 2; n++) {
             int block = n;
-            golden.again("block " + n + " of 40000", done, all -> TestBlocks.writeBlock(all, block), f -> {
+            golden.expectReencoded("block " + n + " of 40000", done, all -> TestBlocks.writeBlock(all, block), f -> {
                 BitSet into = new BitSet();
                 TestBlocks.readBlock(RecordKeys.blockKey(ID, block), f, into);
                 return into;
@@ -108,7 +109,7 @@
             missing.set(9_000);
             missing.set(39_999);
             bits.blocksWith(ID, missing, done, 16)
-                    .forEach((key, covered) -> golden.again(
+                    .forEach((key, covered) -> golden.expectReencoded(
                             "blocks of values of " + bytes + " bytes, " + key,
                             covered,
                             some -> CompletionBits.writeBlock(key, some),
@@ -117,83 +118,110 @@
                                 CompletionBits.readBlock(key, f, into);
                                 return into;
                             }));
-            golden.written(
+            golden.expectEncoded(
                     "job in values of " + bytes + " bytes",
                     bits.writeJob(
-                            GoldenSamples.bare(2000), GoldenSamples.AT, JobStatus.RUNNING, everyThird(2000), 1, 2));
+                            GoldenSamples.minimalJob(2000),
+                            GoldenSamples.TIME_OF_DAY_MS,
+                            JobStatus.RUNNING,
+                            everyThird(2000),
+                            1,
+                            2));
         }
     }
 
     private void machines() {
         List<MachineRecord> machines = List.of(
-                new MachineRecord(new MachineId("vm-000231"), POOL, GoldenSamples.AT, GoldenSamples.AT + 20_000),
-                new MachineRecord(new MachineId("vm-000232"), new MachinePool("g8", "b", false), GoldenSamples.AT, 0));
-        golden.both("page of machines", machines, MachineRecordCodec::writeMachines, MachineRecordCodec::readMachines)
-                .both(
+                new MachineRecord(
+                        new MachineId("vm-000231"),
+                        POOL,
+                        GoldenSamples.TIME_OF_DAY_MS,
+                        GoldenSamples.TIME_OF_DAY_MS + 20_000),
+                new MachineRecord(
+                        new MachineId("vm-000232"),
+                        new MachinePool("g8", "b", false),
+                        GoldenSamples.TIME_OF_DAY_MS,
+                        0));
+        golden.expectRoundTrip(
+                        "page of machines",
+                        machines,
+                        MachineRecordCodec::writeMachines,
+                        MachineRecordCodec::readMachines)
+                .expectRoundTrip(
                         "empty page of machines",
                         List.of(),
                         MachineRecordCodec::writeMachines,
                         MachineRecordCodec::readMachines)
-                .both(
+                .expectRoundTrip(
                         "intents",
                         new Intents.Page(
-                                List.of(new Intents.Rent("7000001-1", POOL, 50, GoldenSamples.AT)),
+                                List.of(new Intents.Rent("7000001-1", POOL, 50, GoldenSamples.TIME_OF_DAY_MS)),
                                 List.of(new MachineId("vm-000233"))),
                         IntentRecordCodec::writeIntents,
                         IntentRecordCodec::readIntents)
-                .both(
+                .expectRoundTrip(
                         "no intents",
                         new Intents.Page(List.of(), List.of()),
                         IntentRecordCodec::writeIntents,
                         IntentRecordCodec::readIntents)
-                .both(
+                .expectRoundTrip(
                         "catalogue",
-                        GoldenSamples.TYPES,
+                        GoldenSamples.MACHINE_TYPES,
                         CatalogueRecordCodec::writeCatalogue,
                         CatalogueRecordCodec::readCatalogue)
-                .text(
+                .expectText(
                         "bytes that limits are kept by",
                         MachineRecordCodec.bytes(machines.get(0)) + " "
-                                + IntentRecordCodec.bytes(new Intents.Rent("7000001-1", POOL, 50, GoldenSamples.AT))
+                                + IntentRecordCodec.bytes(
+                                        new Intents.Rent("7000001-1", POOL, 50, GoldenSamples.TIME_OF_DAY_MS))
                                 + " "
                                 + IntentRecordCodec.bytes(new MachineId("vm-000233")) + " "
-                                + CompletionBits.recordBytes(GoldenSamples.full(6, Urgency.HIGH), GoldenSamples.AT));
+                                + CompletionBits.recordBytes(
+                                        GoldenSamples.fullJob(6, Urgency.HIGH), GoldenSamples.TIME_OF_DAY_MS));
     }
 
     private void leaderships() {
         for (int format : new int[] {CounterRecord.FIRST, CounterRecord.CHAINS}) {
             for (boolean bounds : new boolean[] {false, true}) {
-                golden.both(
+                golden.expectRoundTrip(
                         "counter of format " + format + (bounds ? " with bounds" : ""),
                         new CounterRecord(TOKEN, bounds, format),
                         CounterRecord::write,
                         CounterRecord::read);
             }
         }
-        golden.refused(
+        golden.expectRejected(
                 "counter of a later format",
                 MessagePackFormat.map("highest", 7L, "format", CounterRecord.KNOWN + 1L),
                 CounterRecord::read);
-        golden.written("format that a node knows", FormatGate.write())
-                .both(
+        golden.expectEncoded("format that a node knows", FormatGate.write())
+                .expectRoundTrip(
                         "leader",
                         new LeaderKey("worker-1", "5f-1700000000000", TOKEN, STAMP),
                         k -> LeaderKey.write(k.node(), k.process(), k.token()),
                         f -> LeaderKey.read(f, STAMP))
-                .both("era", TOKEN.value(), t -> EraRecordCodec.writeEra(new FencingToken(t)), EraRecordCodec::readEra)
-                .written(
+                .expectRoundTrip(
+                        "era",
+                        TOKEN.value(),
+                        t -> EraRecordCodec.writeEra(new FencingToken(t)),
+                        EraRecordCodec::readEra)
+                .expectEncoded(
                         "era after a loss",
-                        EraRecordCodec.writeEra(TOKEN, GoldenSamples.AT, List.of("era: 0 where 1 was known"), 12))
-                .text(
+                        EraRecordCodec.writeEra(
+                                TOKEN, GoldenSamples.TIME_OF_DAY_MS, List.of("era: 0 where 1 was known"), 12))
+                .expectText(
                         "words for a loss",
                         String.join(
                                 "\n",
                                 EraRecordCodec.readLoss(sent(EraRecordCodec.writeEra(
-                                        TOKEN, GoldenSamples.AT, List.of("era: 0 where 1 was known"), 12)))));
+                                        TOKEN,
+                                        GoldenSamples.TIME_OF_DAY_MS,
+                                        List.of("era: 0 where 1 was known"),
+                                        12)))));
     }
 
     private void keys() {
-        golden.text(
+        golden.expectText(
                 "keys",
                 String.join(
                         " ",
@@ -214,7 +242,10 @@
     private static RememberedState remains() {
         RememberedState all = new RememberedState();
         all.add(new RememberedState.OpenJob(
-                GoldenSamples.jobs().get("chained, with records and a plan"), GoldenSamples.AT, new BitSet(), 1));
+                GoldenSamples.jobs().get("chained, with records and a plan"),
+                GoldenSamples.TIME_OF_DAY_MS,
+                new BitSet(),
+                1));
         all.add(new JobId("run-000398"), new RememberedState.FinishedJob(JobStatus.CANCELLED, 2));
         all.add(new JobId("run-000399"), new RememberedState.FinishedJob(JobStatus.DONE, 8));
         all.add(new RememberedState.RentedMachine(new MachineId("vm-1"), POOL, new Moment(1), new Moment(2)));
@@ -235,15 +266,16 @@
     }
 
     private void memory() {
-        golden.again("memory", remains(), r -> RememberedStateCodec.write(r, 0), GoldenKeptRecordsTest::remembered)
-                .again(
+        golden.expectReencoded(
+                        "memory", remains(), r -> RememberedStateCodec.write(r, 0), GoldenKeptRecordsTest::remembered)
+                .expectReencoded(
                         "empty memory",
                         new RememberedState(),
                         r -> RememberedStateCodec.write(r, 0),
                         GoldenKeptRecordsTest::remembered)
-                .written("first part of a long memory", RememberedStateCodec.write(many(), 0))
-                .written("second part of a long memory", RememberedStateCodec.write(many(), 1))
-                .text(
+                .expectEncoded("first part of a long memory", RememberedStateCodec.write(many(), 0))
+                .expectEncoded("second part of a long memory", RememberedStateCodec.write(many(), 1))
+                .expectText(
                         "whether there are more parts",
                         RememberedStateCodec.read(sent(RememberedStateCodec.write(many(), 0)), new RememberedState())
                                 + " "
@@ -265,6 +297,6 @@
         leaderships();
         keys();
         memory();
-        golden.check();
+        golden.verify();
     }
 }
--- a/src/test/java/io/indigoreach/state/GoldenStateServiceTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenStateServiceTest.java
@@ -40,60 +40,60 @@
     @Test
     void whatIsAskedAndAnswered() {
         GoldenFile golden = new GoldenFile("state-service.txt");
-        golden.text("path of transactions", StateCodec.TXN)
-                .text("path of a key", StateCodec.keyPath("j/run-1"))
-                .text("first page", StateCodec.listPath("j/", null, 500))
-                .text("next page", StateCodec.listPath("j/", "j/run-1", 500))
-                .text("watch", StateCodec.watchPath("j/", 41, Span.seconds(20.5)))
-                .text("path of leases", StateCodec.LEASES)
-                .text("path of a lease", StateCodec.leasePath(7))
-                .text("path of a renewal", StateCodec.leasePath(7) + StateCodec.RENEW)
-                .text("reason where a lease is gone", StateCodec.NO_SUCH_LEASE);
-        golden.both("entry", entry("j/run-1", VALUE, 0), StateCodec::writeEntry, StateCodec::readEntry)
-                .both(
+        golden.expectText("path of transactions", StateCodec.TXN)
+                .expectText("path of a key", StateCodec.keyPath("j/run-1"))
+                .expectText("first page", StateCodec.listPath("j/", null, 500))
+                .expectText("next page", StateCodec.listPath("j/", "j/run-1", 500))
+                .expectText("watch", StateCodec.watchPath("j/", 41, Span.seconds(20.5)))
+                .expectText("path of leases", StateCodec.LEASES)
+                .expectText("path of a lease", StateCodec.leasePath(7))
+                .expectText("path of a renewal", StateCodec.leasePath(7) + StateCodec.RENEW)
+                .expectText("reason where a lease is gone", StateCodec.NO_SUCH_LEASE);
+        golden.expectRoundTrip("entry", entry("j/run-1", VALUE, 0), StateCodec::writeEntry, StateCodec::readEntry)
+                .expectRoundTrip(
                         "entry under a lease",
                         entry("leader", MessagePackFormat.map("n", 1L), 7),
                         StateCodec::writeEntry,
                         StateCodec::readEntry)
-                .both(
+                .expectRoundTrip(
                         "entry of any data",
                         entry("x", MessagePackFormat.map("", "text"), 0),
                         StateCodec::writeEntry,
                         StateCodec::readEntry)
-                .refused(
+                .expectRejected(
                         "entry without a version",
                         MessagePackFormat.map("path", "x", "data", Map.of()),
                         StateCodec::readEntry)
-                .both("revision", 41L, StateCodec::writeRevision, StateCodec::readRevision);
-        golden.both(
+                .expectRoundTrip("revision", 41L, StateCodec::writeRevision, StateCodec::readRevision);
+        golden.expectRoundTrip(
                         "page",
                         new StateClient.Page(
                                 List.of(entry("j/run-1", VALUE, 0), entry("j/run-2", Map.of(), 3)), true, 41),
                         StateCodec::writePage,
                         StateCodec::readPage)
-                .both(
+                .expectRoundTrip(
                         "last page",
                         new StateClient.Page(List.of(), false, 41),
                         StateCodec::writePage,
                         StateCodec::readPage);
-        golden.again("transaction", txn(), StateCodec::writeTxn, GoldenStateServiceTest::read)
-                .again(
+        golden.expectReencoded("transaction", txn(), StateCodec::writeTxn, GoldenStateServiceTest::read)
+                .expectReencoded(
                         "comparison",
                         new StateClient.Txn().when("era", new Revision(9)),
                         StateCodec::writeTxn,
                         GoldenStateServiceTest::read)
-                .refused(
+                .expectRejected(
                         "transaction without a key",
                         MessagePackFormat.map("writes", List.of(MessagePackFormat.map("data", Map.of()))),
                         GoldenStateServiceTest::read)
-                .both(
+                .expectRoundTrip(
                         "conflict",
                         new StateClient.Outcome(false, 41, List.of("era", "j/run-1"), false),
                         GoldenStateServiceTest::write,
                         StateCodec::readConflict);
-        golden.both("life of a lease", Span.seconds(4.5), StateCodec::writeLife, StateCodec::readLife)
-                .both("lease", 7L, StateCodec::writeLease, StateCodec::readLease);
-        golden.both(
+        golden.expectRoundTrip("life of a lease", Span.seconds(4.5), StateCodec::writeLife, StateCodec::readLife)
+                .expectRoundTrip("lease", 7L, StateCodec::writeLease, StateCodec::readLease);
+        golden.expectRoundTrip(
                         "changes",
                         new StateClient.Changes(
                                 List.of(
@@ -103,11 +103,11 @@
                                 false),
                         StateCodec::writeChanges,
                         StateCodec::readChanges)
-                .both(
+                .expectRoundTrip(
                         "no changes",
                         new StateClient.Changes(List.of(), 41, false),
                         StateCodec::writeChanges,
                         StateCodec::readChanges);
-        golden.check();
+        golden.verify();
     }
 }
--- a/src/test/java/io/indigoreach/state/RoutineRunnerTest.java
+++ b/src/test/java/io/indigoreach/state/RoutineRunnerTest.java
@@ -81,7 +81,7 @@
         assertEquals(1, await(records.run(adding("a/1"))));
         assertEquals(2, await(records.run(adding("a/1"))));
         assertEquals(2, records.copies().get("a/1").version());
-        assertEquals(2, service.value("a/1").whole("n"));
+        assertEquals(2, service.value("a/1").wholeNumber("n"));
     }
 
     @Test
@@ -119,7 +119,7 @@
         assertEquals(1, await(leading.run(adding("a/1"))));
         await(client.commit(new StateClient.Txn().delete(RecordKeys.LEADER)));
         assertThrows(ExecutionException.class, () -> await(leading.run(adding("a/1"))));
-        assertEquals(1, service.value("a/1").whole("n"));
+        assertEquals(1, service.value("a/1").wholeNumber("n"));
     }
 
     @Test
--- a/src/test/java/io/indigoreach/state/StateStandIn.java
+++ b/src/test/java/io/indigoreach/state/StateStandIn.java
@@ -222,7 +222,7 @@
                             ? MessagePackFormat.map("ledger_rev", revision)
                             : MessagePackFormat.map("path", path.substring(7), "data", item.data, "stamp", item.stamp));
         } else if (path.equals("/grants")) {
-            lives.put(++lastLease, MessagePackFormat.readMap(body).whole("life_ms") * 1_000_000);
+            lives.put(++lastLease, MessagePackFormat.readMap(body).wholeNumber("life_ms") * 1_000_000);
             leases.put(lastLease, System.nanoTime() + lives.get(lastLease));
             reply(request, 200, MessagePackFormat.map("permit", lastLease));
         } else if (path.startsWith("/grants/")) {
@@ -274,12 +274,12 @@
         List<String> failed = new ArrayList<>();
         for (Fields when : txn.children("when")) {
             Item item = items.get(when.text("path"));
-            if ((item == null ? 0 : item.stamp) != when.whole("stamp")) {
+            if ((item == null ? 0 : item.stamp) != when.wholeNumber("stamp")) {
                 failed.add(when.text("path"));
             }
         }
         for (Fields write : txn.children("writes")) {
-            if (write.has("permit") && !leases.containsKey(write.whole("permit"))) {
+            if (write.has("permit") && !leases.containsKey(write.wholeNumber("permit"))) {
                 return new ServiceResponse(400, new Fields(MessagePackFormat.map("error", "no such lease")));
             }
         }
@@ -295,7 +295,7 @@
                 delete(write.text("delete"));
             } else {
                 Map<String, Object> data = write.child("data").map();
-                items.put(write.text("write"), new Item(data, revision, write.whole("permit", 0)));
+                items.put(write.text("write"), new Item(data, revision, write.wholeNumber("permit", 0)));
                 changes.add(MessagePackFormat.map("write", write.text("write"), "data", data, "stamp", revision));
             }
         }
--- a/src/test/java/io/indigoreach/state/VersionProcesses.java
+++ b/src/test/java/io/indigoreach/state/VersionProcesses.java
@@ -41,7 +41,7 @@
                             ? Future.succeededFuture()
                             : client.get(RecordKeys.COUNTER).compose(counter -> {
                                 long counted =
-                                        counter == null ? 0 : counter.value().whole("value");
+                                        counter == null ? 0 : counter.value().wholeNumber("value");
                                 return client.grant(LIFE).map(lease -> campaign(counted + 1000, counter, lease));
                             }));
         }
--- a/src/test/java/io/indigoreach/tools/GoldenVerbsTest.java
+++ b/src/test/java/io/indigoreach/tools/GoldenVerbsTest.java
@@ -113,10 +113,10 @@
             }
             ToolTest.Told told = ToolTest.tell(all.toArray(new String[0]));
             String as = name + (json.isEmpty() ? "" : " as JSON");
-            golden.text(as + ", exit code", Integer.toString(told.code()))
-                    .text(as + ", asked", still(String.join("\n", asked)))
-                    .text(as + ", output", still(told.out()))
-                    .text(as + ", errors", still(told.err()));
+            golden.expectText(as + ", exit code", Integer.toString(told.code()))
+                    .expectText(as + ", asked", still(String.join("\n", asked)))
+                    .expectText(as + ", output", still(told.out()))
+                    .expectText(as + ", errors", still(told.err()));
         }
     }
 
@@ -144,7 +144,12 @@
                         "j/run-00041" + items.size(),
                         "data",
                         JobRecordCodec.writeJob(
-                                spec, GoldenSamples.AT, JobStatus.RUNNING, BitSet.valueOf(new long[] {5}), 3, 4),
+                                spec,
+                                GoldenSamples.TIME_OF_DAY_MS,
+                                JobStatus.RUNNING,
+                                BitSet.valueOf(new long[] {5}),
+                                3,
+                                4),
                         "stamp",
                         9L)));
         when("GET /store", 200, MessagePackFormat.map("items", items, "truncated", false, "ledger_rev", 9L));
@@ -182,7 +187,8 @@
                                 "i/7000001",
                                 MessagePackFormat.map(
                                         "rents",
-                                        List.of(List.of("7000001-1", "quad", "a", true, 50L, GoldenSamples.AT)),
+                                        List.of(List.of(
+                                                "7000001-1", "quad", "a", true, 50L, GoldenSamples.TIME_OF_DAY_MS)),
                                         "condemned",
                                         List.of("vm-9")))),
                         "truncated",
@@ -196,7 +202,7 @@
                         "era",
                         EraRecordCodec.writeEra(
                                 new FencingToken(7_000_001),
-                                GoldenSamples.AT,
+                                GoldenSamples.TIME_OF_DAY_MS,
                                 List.of("era: 0 where 1 was known"),
                                 12)));
         tell("duties", "duties");
@@ -222,7 +228,8 @@
                         "text",
                         text,
                         "history",
-                        List.of(MessagePackFormat.map("version", 3L, "at", GoldenSamples.AT, "note", "Onam's dates"))));
+                        List.of(MessagePackFormat.map(
+                                "version", 3L, "at", GoldenSamples.TIME_OF_DAY_MS, "note", "Onam's dates"))));
         String file = file("calendar", form);
         when("POST /api/calendar", 200, MessagePackFormat.map("version", 4L));
         tell("calendar set", "calendar", "set", file, "--note", "a note");
@@ -233,7 +240,7 @@
                         "error",
                         "another version is in force",
                         "against",
-                        MessagePackFormat.map("version", 9L, "at", GoldenSamples.AT, "note", "by others")));
+                        MessagePackFormat.map("version", 9L, "at", GoldenSamples.TIME_OF_DAY_MS, "note", "by others")));
         tell("calendar set, another is in force", "calendar", "set", file, "--base", "2");
         when("POST /api/calendar", 422, MessagePackFormat.map("error", "text: why", "field", "text"));
         tell("calendar set, refused", "calendar", "set", file);
@@ -247,7 +254,7 @@
                 "kind",
                 "runs",
                 "departs",
-                GoldenSamples.AT,
+                GoldenSamples.TIME_OF_DAY_MS,
                 "departs_local",
                 "2027-08-24T04:30+05:30",
                 "tasks",
@@ -272,7 +279,7 @@
                 "mend",
                 "4 more cores",
                 "latest_start",
-                GoldenSamples.AT,
+                GoldenSamples.TIME_OF_DAY_MS,
                 "needed_s",
                 1200.5,
                 "alone_s",
@@ -282,7 +289,7 @@
                 "decided_by",
                 3L,
                 "since",
-                GoldenSamples.AT,
+                GoldenSamples.TIME_OF_DAY_MS,
                 "note",
                 ""));
         when(
@@ -415,7 +422,7 @@
         calendars();
         pools();
         records();
-        golden.check();
+        golden.verify();
     }
 
     private static final Map<String, Class<? extends Record>> FORMS = new LinkedHashMap<>();
@@ -432,16 +439,16 @@
     private static void wrong(GoldenFile golden, String form, String good, String... changes) {
         for (int i = 0; i < changes.length; i += 2) {
             String text = good.replace(changes[i], changes[i + 1]);
-            golden.text(
+            golden.expectText(
                     "wrong " + form + ": " + changes[i] + " -> " + changes[i + 1],
-                    GoldenFile.fault(() -> TextForm.parse("f", text, FORMS.get(form))));
+                    GoldenFile.failureMessage(() -> TextForm.parse("f", text, FORMS.get(form))));
         }
     }
 
     @Test
     void filesAndWhatIsToldOfThem() throws ConfigException, IOException {
         GoldenFile forms = new GoldenFile("forms.txt");
-        FORMS.forEach((name, form) -> forms.text("fields of " + name, String.join("\n", TextForm.fields(form))));
+        FORMS.forEach((name, form) -> forms.expectText("fields of " + name, String.join("\n", TextForm.fields(form))));
         String scenario = Files.readString(Path.of("examples", "emulate.textproto"));
         String job = Files.readString(Path.of("examples", "jobs", "refill-routes.textproto"));
         String pool = Files.readString(Path.of("examples", "pools", "pool.textproto"));
@@ -466,11 +473,11 @@
         wrong(forms, "scenario", "name: \"x\"\nlength_s: 5", "length_s: 5", "length_s: -1", "x\"", "x");
         wrong(forms, "pool", pool, "most:", "# most:", "image_gb:", "gb:");
         wrong(forms, "calendar", calendar, "depot {", "depo {", "zone:", "# zone:");
-        forms.text("cluster, written", new ClusterFile(List.of("h:1", "h:2"), "s:1", "c:1", "d:1").toText());
+        forms.expectText("cluster, written", new ClusterFile(List.of("h:1", "h:2"), "s:1", "c:1", "d:1").toText());
         PoolFile read = TextForm.parse("f", pool, PoolFile.class);
-        forms.written("pool, as sent", read.body());
-        forms.text(
+        forms.expectEncoded("pool, as sent", read.body());
+        forms.expectText(
                 "settings, listed", ToolTest.tell("check", "--list", "settings").out());
-        forms.check();
+        forms.verify();
     }
 }
--- a/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
+++ b/src/test/java/io/indigoreach/tools/RecordsVerbTest.java
@@ -193,7 +193,7 @@
         tell("claim --run e1 a/1 a/2");
         tell("billing --run e1 a/1");
         tell("billed --run e1 a/1=" + tell("billing --run e1 a/1").out().trim().split(" ")[1]);
-        SubmissionParticipant field = parts.joinings().get(0);
+        SubmissionParticipant field = parts.submissionParticipants().get(0);
         JobSpec plain = JobSpec.builder(new JobId("run-1"))
                 .jobClass("c")
                 .team("t")
--- a/src/test/java/io/indigoreach/warm/GoldenPoolAnswersTest.java
+++ b/src/test/java/io/indigoreach/warm/GoldenPoolAnswersTest.java
@@ -84,7 +84,7 @@
             StateClient client = new StateClient(
                     new ServiceClient(vertx, state.endpoint(), 8), new ServiceClient(vertx, state.endpoint(), 1));
             await(client.commit(new StateClient.Txn()
-                    .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(GoldenSamples.TYPES))));
+                    .put(RecordKeys.CATALOGUE, CatalogueRecordCodec.writeCatalogue(GoldenSamples.MACHINE_TYPES))));
             Settings settings = SettingsFile.parse("test", "warm_pools: 1");
             Catalogue catalogue =
                     new Catalogue(vertx, client, new CloudClient(new ServiceClient(vertx, state.endpoint(), 1)));
@@ -100,27 +100,27 @@
 
     private static void answers(Endpoint node, StateClient client, Catalogue catalogue) throws Exception {
         GoldenFile golden = new GoldenFile("pools-http.txt");
-        golden.text("set before the types are known", set(node, "model-a", "least", 2L));
+        golden.expectText("set before the types are known", set(node, "model-a", "least", 2L));
         catalogue.start();
         while (!catalogue.isKnown()) {
             Thread.onSpinWait();
         }
-        golden.text("no pools", GoldenHttp.get(node, "/api/pools"))
-                .text("set", set(node, "model-a", "least", 2L))
-                .text("set again", set(node, "model-a", "least", 2L))
-                .text("set anew", set(node, "model-a", "least", 3L))
-                .text("set at another version", set(node, "model-a", "if_version", 1L))
-                .text("set for another team", set(node, "model-a", "team", "other"))
-                .text("set for an unknown team", set(node, "model-b", "team", "nobody"))
-                .text("set of an unknown type", set(node, "model-b", "types", List.of("none")))
-                .text("set of too large an image", set(node, "model-b", "gb", 41.0))
-                .text("set of a malformed field", set(node, "model-b", "gb", "much"))
-                .text("set of a malformed name", set(node, "Model", "least", 2L))
-                .text("listed", GoldenHttp.get(node, "/api/pools"))
-                .text("listed after the last", GoldenHttp.get(node, "/api/pools?after=model-a"))
-                .text("explained before it is planned", GoldenHttp.get(node, "/api/pools/model-a"))
-                .text("no pool", GoldenHttp.get(node, "/api/pools/model-z"))
-                .text("no path", GoldenHttp.get(node, "/api/pools/a/b"));
+        golden.expectText("no pools", GoldenHttp.get(node, "/api/pools"))
+                .expectText("set", set(node, "model-a", "least", 2L))
+                .expectText("set again", set(node, "model-a", "least", 2L))
+                .expectText("set anew", set(node, "model-a", "least", 3L))
+                .expectText("set at another version", set(node, "model-a", "if_version", 1L))
+                .expectText("set for another team", set(node, "model-a", "team", "other"))
+                .expectText("set for an unknown team", set(node, "model-b", "team", "nobody"))
+                .expectText("set of an unknown type", set(node, "model-b", "types", List.of("none")))
+                .expectText("set of too large an image", set(node, "model-b", "gb", 41.0))
+                .expectText("set of a malformed field", set(node, "model-b", "gb", "much"))
+                .expectText("set of a malformed name", set(node, "Model", "least", 2L))
+                .expectText("listed", GoldenHttp.get(node, "/api/pools"))
+                .expectText("listed after the last", GoldenHttp.get(node, "/api/pools?after=model-a"))
+                .expectText("explained before it is planned", GoldenHttp.get(node, "/api/pools/model-a"))
+                .expectText("no pool", GoldenHttp.get(node, "/api/pools/model-z"))
+                .expectText("no path", GoldenHttp.get(node, "/api/pools/a/b"));
         Map<String, Object> sheet = MessagePackFormat.map(
                 "lines",
                 List.of(List.of("vm-1", "quad", "a", true, 1L, 2L, "model-a", "vision", "img-07", 6.2, 8L)),
@@ -133,9 +133,9 @@
         told.put("v", 9L);
         await(client.commit(
                 new StateClient.Txn().put(PoolRecords.sheet(0), sheet).put(PoolRecords.TOLD + "model-a", told)));
-        golden.text("explained", GoldenHttp.get(node, "/api/pools/model-a"))
-                .text("who pays", GoldenHttp.get(node, "/api/pools?sums=1"));
-        golden.check();
+        golden.expectText("explained", GoldenHttp.get(node, "/api/pools/model-a"))
+                .expectText("who pays", GoldenHttp.get(node, "/api/pools?sums=1"));
+        golden.verify();
     }
 
     private static String set(Endpoint node, String name, String field, Object value) throws Exception {
--- a/src/test/java/io/indigoreach/warm/GoldenPoolsTest.java
+++ b/src/test/java/io/indigoreach/warm/GoldenPoolsTest.java
@@ -55,8 +55,8 @@
                 new Line(
                         first,
                         new MachinePool("g8", "a", true),
-                        GoldenSamples.AT,
-                        GoldenSamples.AT + 1,
+                        GoldenSamples.TIME_OF_DAY_MS,
+                        GoldenSamples.TIME_OF_DAY_MS + 1,
                         new Account("model-a", "vision"),
                         "img-07",
                         6.2,
@@ -67,8 +67,8 @@
                 new Line(
                         second,
                         new MachinePool("quad", "b", false),
-                        GoldenSamples.AT,
-                        GoldenSamples.AT,
+                        GoldenSamples.TIME_OF_DAY_MS,
+                        GoldenSamples.TIME_OF_DAY_MS,
                         new Account("", ""),
                         "",
                         0,
@@ -89,7 +89,7 @@
     @Test
     void whatIsKeptAndSent() {
         GoldenFile golden = new GoldenFile("pools.txt");
-        golden.text(
+        golden.expectText(
                 "keys",
                 String.join(
                         " ",
@@ -99,10 +99,10 @@
                         PoolRecords.SEEN,
                         PoolRecords.sheet(7),
                         Integer.toString(PoolRecords.sheetOf(PoolRecords.sheet(12)))));
-        golden.both("pool", FULL, PoolCodec::write, f -> PoolCodec.read("model-a", f))
-                .read("pool with the fewest fields", fewest(), f -> PoolCodec.write(PoolCodec.read("p", f)));
+        golden.expectRoundTrip("pool", FULL, PoolCodec::write, f -> PoolCodec.read("model-a", f))
+                .expectDecoded("pool with the fewest fields", fewest(), f -> PoolCodec.write(PoolCodec.read("p", f)));
         for (String field : fewest().keySet()) {
-            golden.refused("pool without " + field, with(field, null), f -> PoolCodec.read("p", f));
+            golden.expectRejected("pool without " + field, with(field, null), f -> PoolCodec.read("p", f));
         }
         MessagePackFormat.map(
                         "team",
@@ -125,13 +125,15 @@
                         "g8",
                         "spot",
                         1L)
-                .forEach((field, value) ->
-                        golden.refused("pool with another " + field, with(field, value), f -> PoolCodec.read("p", f)));
-        golden.both("sheet", sheet(), PoolCodec::write, f -> PoolCodec.readSheet(f.map()))
-                .both("empty sheet", Sheet.EMPTY, PoolCodec::write, f -> PoolCodec.readSheet(f.map()))
-                .written("told", PoolCodec.write(new PoolStatus("model-a", 12, "two bursts", 10, 8, 2, 300, 4, 0.125)))
-                .again("seen", seen(), PoolCodec::write, f -> PoolCodec.readSeen(f.map()))
-                .again("nothing seen", new DemandHistory(), PoolCodec::write, f -> PoolCodec.readSeen(f.map()));
-        golden.check();
+                .forEach((field, value) -> golden.expectRejected(
+                        "pool with another " + field, with(field, value), f -> PoolCodec.read("p", f)));
+        golden.expectRoundTrip("sheet", sheet(), PoolCodec::write, f -> PoolCodec.readSheet(f.map()))
+                .expectRoundTrip("empty sheet", Sheet.EMPTY, PoolCodec::write, f -> PoolCodec.readSheet(f.map()))
+                .expectEncoded(
+                        "told", PoolCodec.write(new PoolStatus("model-a", 12, "two bursts", 10, 8, 2, 300, 4, 0.125)))
+                .expectReencoded("seen", seen(), PoolCodec::write, f -> PoolCodec.readSeen(f.map()))
+                .expectReencoded(
+                        "nothing seen", new DemandHistory(), PoolCodec::write, f -> PoolCodec.readSeen(f.map()));
+        golden.verify();
     }
 }
--- a/src/test/java/io/indigoreach/worker/GoldenWorkersTest.java
+++ b/src/test/java/io/indigoreach/worker/GoldenWorkersTest.java
@@ -88,49 +88,50 @@
     @Test
     void whatWorkersAndNodesSay() {
         GoldenFile golden = new GoldenFile("workers.txt");
-        golden.text("path of reports", WorkerCodec.HEARTBEAT)
-                .text("path of direct orders", WorkerCodec.DIRECT)
-                .text("path of inspections", WorkerCodec.INSPECT);
-        golden.both("report without tasks", report(null, List.of()), WorkerCodec::write, WorkerCodec::read)
-                .both("report of every task", report(null, tasks()), WorkerCodec::write, WorkerCodec::read)
-                .both("report with notice", report(Span.seconds(7.5), tasks()), WorkerCodec::write, WorkerCodec::read)
-                .read(
+        golden.expectText("path of reports", WorkerCodec.HEARTBEAT)
+                .expectText("path of direct orders", WorkerCodec.DIRECT)
+                .expectText("path of inspections", WorkerCodec.INSPECT);
+        golden.expectRoundTrip("report without tasks", report(null, List.of()), WorkerCodec::write, WorkerCodec::read)
+                .expectRoundTrip("report of every task", report(null, tasks()), WorkerCodec::write, WorkerCodec::read)
+                .expectRoundTrip(
+                        "report with notice", report(Span.seconds(7.5), tasks()), WorkerCodec::write, WorkerCodec::read)
+                .expectDecoded(
                         "report of a first contact",
                         sent(MessagePackFormat.map("piece", "run-1/0", "try", 1L, "status", "dancing")),
                         GoldenWorkersTest::readReport)
-                .read(
+                .expectDecoded(
                         "report of another cause",
                         sent(MessagePackFormat.map(
                                 "piece", "run-1/0", "try", 1L, "status", "exited", "cause", "meteor")),
                         GoldenWorkersTest::readReport)
-                .read(
+                .expectDecoded(
                         "report without a cause",
                         sent(MessagePackFormat.map("piece", "run-1/0", "try", 1L, "status", "exited")),
                         GoldenWorkersTest::readReport)
-                .refused(
+                .expectRejected(
                         "report of no task",
                         sent(MessagePackFormat.map("piece", "run-1", "try", 1L, "status", "running")),
                         WorkerCodec::read)
-                .refused(
+                .expectRejected(
                         "report of a task without a try",
                         sent(MessagePackFormat.map("piece", "run-1/0", "status", "running")),
                         WorkerCodec::read)
-                .refused("empty report", Map.of(), WorkerCodec::read);
-        golden.both(
+                .expectRejected("empty report", Map.of(), WorkerCodec::read);
+        golden.expectRoundTrip(
                         "answer without orders",
                         new WorkerCodec.HeartbeatResponse(new FencingToken(41), List.of()),
                         GoldenWorkersTest::write,
                         WorkerCodec::readResponse)
-                .both(
+                .expectRoundTrip(
                         "answer of every order",
                         new WorkerCodec.HeartbeatResponse(new FencingToken(7_000_001), orders()),
                         GoldenWorkersTest::write,
                         WorkerCodec::readResponse)
-                .read(
+                .expectDecoded(
                         "answer without a token",
                         MessagePackFormat.map("orders", List.of()),
                         f -> write(WorkerCodec.readResponse(f)))
-                .read(
+                .expectDecoded(
                         "stop without a time",
                         MessagePackFormat.map(
                                 "baton",
@@ -138,7 +139,7 @@
                                 "orders",
                                 List.of(MessagePackFormat.map("verb", "stop", "piece", "run-1/0", "try", 1L))),
                         f -> write(WorkerCodec.readResponse(f)))
-                .refused(
+                .expectRejected(
                         "answer of another order",
                         MessagePackFormat.map(
                                 "baton",
@@ -146,19 +147,20 @@
                                 "orders",
                                 List.of(MessagePackFormat.map("verb", "dance", "piece", "run-1/0", "try", 1L))),
                         WorkerCodec::readResponse)
-                .written("sent elsewhere", WorkerCodec.writeLeader("10.0.0.1:8080"))
-                .written("sent to anyone", WorkerCodec.writeLeader(null))
-                .again("sent elsewhere, read", "10.0.0.1:8080", WorkerCodec::writeLeader, WorkerCodec::readLeader);
-        golden.both(
+                .expectEncoded("sent elsewhere", WorkerCodec.writeLeader("10.0.0.1:8080"))
+                .expectEncoded("sent to anyone", WorkerCodec.writeLeader(null))
+                .expectReencoded(
+                        "sent elsewhere, read", "10.0.0.1:8080", WorkerCodec::writeLeader, WorkerCodec::readLeader);
+        golden.expectRoundTrip(
                         "direct orders",
                         new WorkerCodec.Direct(new FencingToken(41), 5L, orders()),
                         WorkerCodec::writeDirect,
                         WorkerCodec::readDirect)
-                .both(
+                .expectRoundTrip(
                         "direct orders without a session",
                         new WorkerCodec.Direct(new FencingToken(41), null, List.of()),
                         WorkerCodec::writeDirect,
                         WorkerCodec::readDirect);
-        golden.check();
+        golden.verify();
     }
 }
