--- a/src/main/java/io/indigoreach/parts/Parts.java
+++ b/src/main/java/io/indigoreach/parts/Parts.java
@@ -17,9 +17,9 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** The parts of a node beside the jobs: those that the settings switch on. */
+/** The optional parts of a node that the settings enable. */
 public final class Parts {
-    /** What a part is built from. */
+    /** The dependencies of a part's constructor. */
     public record Environment(
             Vertx vertx,
             SteadyClock clock,
@@ -29,14 +29,16 @@
             Settings settings) {}
 
     /**
-     * A part that can be switched on.
+     * Describes a part that a setting enables.
      *
-     * @param knob the setting that does, by being 1
-     * @param families its records
+     * @param setting the setting that enables the part if it is 1
+     * @param recordFamilies the families of records that the part stores
+     * @param factory creates the part
      */
     public record Definition(
             Settings.Setting setting, List<RecordFamily> recordFamilies, Function<Environment, Part> factory) {}
 
+    /** No parts. */
     public static final Parts NONE = new Parts(List.of(), new RecordCache(List.of()), null);
 
     private final List<Part> all;
@@ -49,7 +51,7 @@
         this.recordRoutines = recordRoutines;
     }
 
-    /** Of these kinds. */
+    /** Creates the parts of these definitions. */
     public static Parts of(
             List<Definition> definitions,
             Vertx vertx,
@@ -66,23 +68,27 @@
                 definitions.stream().map(k -> k.factory().apply(environment)).toList(), recordCache, recordRoutines);
     }
 
+    /** Returns the parts, in the order of their definitions. */
     public List<Part> all() {
         return all;
     }
 
+    /** Returns the runner of routines on the parts' records. */
     public RoutineRunner recordRoutines() {
         return recordRoutines;
     }
 
-    /** What this node remembers of their records. */
+    /** Returns this node's cache of the parts' records. */
     public RecordCache recordCache() {
         return recordCache;
     }
 
+    /** Returns the HTTP resources by the names of their parts. */
     public Map<String, Resource> resources() {
         return all.stream().collect(Collectors.toMap(Part::name, Part::resource));
     }
 
+    /** Returns the participants in job submissions. */
     public List<SubmissionParticipant> submissionParticipants() {
         return all.stream()
                 .map(Part::submissionParticipant)
--- a/src/test/java/io/indigoreach/GoldenHttp.java
+++ b/src/test/java/io/indigoreach/GoldenHttp.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Requests over a connection of their own, and their answers with all that golden files hold of them. */
+/** Sends HTTP requests over separate connections, and formats the responses as they are stored in golden files. */
 public final class GoldenHttp {
     private static final int READ_TIMEOUT_MS = 20_000;
     private static final Set<String> COMPARED_HEADERS = Set.of("content-type", "retry-after", "allow");
@@ -32,13 +32,13 @@
         return exchange(endpoint, "POST", path, MessagePackFormat.write(body).getBytes(), Set.of());
     }
 
-    /** Status, headers and body; the fields named in {@code ofTheMoment} have values of the moment, and show no more than their type. */
+    /** Returns status, headers and body. The values of the fields named in {@code volatileFields} change between runs and are masked. */
     public static String exchange(
             Endpoint endpoint, String method, String path, byte[] body, Set<String> volatileFields) throws IOException {
         return send(endpoint, method, path, body.length, body, volatileFields);
     }
 
-    /** Says that a body of such a length will come, and sends none of it. */
+    /** Sends a request with this Content-Length but without a body. */
     public static String sendWithoutBody(Endpoint endpoint, String path, int length) throws IOException {
         return send(endpoint, "POST", path, length, new byte[0], Set.of());
     }
@@ -78,7 +78,7 @@
         return head[0].split(" ")[1] + " " + headers + " " + HexFormat.of().formatHex(body);
     }
 
-    /** A message without what is of the moment: numbers of such fields are 0, and times within texts are left out. */
+    /** Masks the values that change between runs: numbers in the named fields become 0, and times in strings become placeholders. */
     public static Object maskVolatileValues(Object value, Set<String> volatileFields) {
         if (value instanceof Map<?, ?> map) {
             Map<String, Object> masked = new LinkedHashMap<>();
