--- a/src/main/java/io/indigoreach/api/CascadeFreshness.java
+++ b/src/main/java/io/indigoreach/api/CascadeFreshness.java
@@ -8,9 +8,10 @@
 import java.util.function.Supplier;
 
 /**
- * Tracks whether open records may lack a cancellation that the leader should already have cascaded to them. They may lack it if
- * the state service may serve stale reads, or if, within the last cascade time, a request of this node to the state service
- * failed, the leadership changed, or this node started. Used on the event loop only.
+ * Tracks whether this node can rely on open records to show the cancellations that the leader should already have
+ * cascaded to them. It cannot if reads from the state service may be stale, or if within the last cascade time (see
+ * {@link #setCascadeTime}) a request of this node to the state service failed, the leadership changed, or this node
+ * started. Used on the event loop only.
  */
 final class CascadeFreshness {
     private final SteadyClock clock;
@@ -20,7 +21,7 @@
     private Object lastLeadership;
     private Moment lastDisruption;
 
-    /** {@code readsSuspect}: returns whether reads from the state service may be stale. */
+    /** @param readsSuspect returns whether reads from the state service may be stale */
     CascadeFreshness(SteadyClock clock, BooleanSupplier readsSuspect) {
         this.clock = clock;
         this.readsSuspect = readsSuspect;
--- a/src/main/java/io/indigoreach/api/DependencyLookup.java
+++ b/src/main/java/io/indigoreach/api/DependencyLookup.java
@@ -81,7 +81,7 @@
         }
         if (seen.size() > MAX_LOOKUPS) {
             return Future.failedFuture(
-                    new WireException("more than " + MAX_LOOKUPS + " direct and indirect dependencies to look up"));
+                    new WireException("the job has more than " + MAX_LOOKUPS + " direct and indirect dependencies"));
         }
         return lookUpAll(takeBatch(remaining)).compose(jobs -> {
             if (jobs.stream().anyMatch(StoredJob::isCancelled)) {
--- a/src/main/java/io/indigoreach/api/JobCache.java
+++ b/src/main/java/io/indigoreach/api/JobCache.java
@@ -23,7 +23,10 @@
     private final SteadyClock clock;
     private final ConfirmedCancellations confirmedCancellations;
     private final Map<JobId, FinalRecord> finished = BoundedMaps.withLimit(MAX_FINISHED);
-    /** Jobs accepted by this process and not known to have ended. After a data loss, this may be the only copy of them. */
+    /**
+     * Jobs that this process accepted and that have not ended as far as it knows. After a data loss, this may be the
+     * only copy of their records.
+     */
     private final Map<JobId, RememberedState.OpenJob> accepted = BoundedMaps.withLimit(MAX_ACCEPTED);
 
     JobCache(SteadyClock clock) {
--- a/src/main/java/io/indigoreach/api/JobCancellation.java
+++ b/src/main/java/io/indigoreach/api/JobCancellation.java
@@ -78,7 +78,7 @@
     private Future<StoredJob> cancelByCascade(JobId id, JobRecord open) {
         return state.commit(cancellationTransaction(open)).compose(outcome -> {
             if (!outcome.executed()) {
-                return Future.failedFuture(new WireException("the job changes at this moment"));
+                return Future.failedFuture(new WireException("the job was modified concurrently"));
             }
             LOG.info("job cancelled by dependency job={}", id);
             return Future.succeededFuture(new StoredJob.Finished(jobCache.addFinished(cancelledRecord(open))));
--- a/src/main/java/io/indigoreach/api/JobCodec.java
+++ b/src/main/java/io/indigoreach/api/JobCodec.java
@@ -17,7 +17,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Writes and reads the messages of the users' interface: submissions, job status and progress. */
+/** Encodes and decodes the messages of the user API: submissions, job status and progress. */
 public final class JobCodec {
     private static final int MAX_TASKS = 100_000;
     private static final int MAX_NAME_LENGTH = 200;
--- a/src/main/java/io/indigoreach/api/JobReadBatcher.java
+++ b/src/main/java/io/indigoreach/api/JobReadBatcher.java
@@ -30,8 +30,8 @@
     /** Fraction of this node's request limit that is reserved for listings. */
     private static final double LISTING_SHARE = 0.25;
     /**
-     * Maximum duration of a listing; clients that waited longer have timed out. The remaining reads fail, and the next listing
-     * starts at their keys.
+     * Maximum duration of a listing; clients that wait longer have timed out. When it is over, the reads not answered
+     * yet fail, and the next listing starts at their keys.
      */
     private static final Span LISTING_TIMEOUT = Span.seconds(1.5);
     /** Interval between checks whether the rate limit permits reading a page. */
@@ -48,7 +48,7 @@
     private final ListingCursor<Promise<Optional<StateClient.Entry>>> cursor = new ListingCursor<>();
     private boolean listingInProgress;
 
-    /** {@code requestsPerSecond}: the limit of this node's requests to the state service for users' queries. */
+    /** @param requestsPerSecond the limit of this node's requests to the state service for users' queries */
     JobReadBatcher(Vertx vertx, StateClient state, SteadyClock clock, double requestsPerSecond) {
         this.vertx = vertx;
         this.state = state;
--- a/src/main/java/io/indigoreach/api/JobSubmission.java
+++ b/src/main/java/io/indigoreach/api/JobSubmission.java
@@ -18,13 +18,13 @@
 import java.util.Optional;
 
 /**
- * Accepts jobs. A submission is idempotent by the job's id: a job that was accepted once stays accepted, even if the repeated
- * request would now be rejected. Used on the event loop only.
+ * Accepts jobs. A submission is idempotent by the job's id: a job that has been accepted stays accepted, even if the
+ * same request would be rejected now. Used on the event loop only.
  */
 final class JobSubmission {
     private static final int MAX_ATTEMPTS = 3;
 
-    /** The collaborators of this class. */
+    /** The services that this class uses. */
     record Context(
             StateClient state,
             SteadyClock clock,
@@ -174,7 +174,11 @@
         return SubmissionResult.newlyCreated();
     }
 
-    /** Retries or looks up the job. {@code failedKeys}: the keys that did not have the expected revisions. */
+    /**
+     * Retries or looks up the job.
+     *
+     * @param failedKeys the keys that did not have the expected revisions
+     */
     private Future<SubmissionResult> resolveConflict(
             Acceptance acceptance, Transaction writes, List<String> failedKeys) {
         if (failedKeys.equals(List.of(RecordKeys.ERA)) && acceptance.mayRetry()) {
--- a/src/main/java/io/indigoreach/api/MalformedRequestException.java
+++ b/src/main/java/io/indigoreach/api/MalformedRequestException.java
@@ -2,7 +2,11 @@
 
 /** Thrown if a request cannot be read or a field has an invalid value. The client has to correct the request. */
 public final class MalformedRequestException extends ApiException {
-    /** {@code reason}: the error text that is sent to the client. */
+    /**
+     * Creates the failure of a request.
+     *
+     * @param reason the error text that is sent to the client
+     */
     public MalformedRequestException(String reason) {
         super(reason);
     }
--- a/src/main/java/io/indigoreach/api/NotFoundException.java
+++ b/src/main/java/io/indigoreach/api/NotFoundException.java
@@ -2,7 +2,11 @@
 
 /** Thrown if the job or other entity that a request refers to does not exist. */
 public final class NotFoundException extends ApiException {
-    /** {@code reason}: the error text that is sent to the client. */
+    /**
+     * Creates the failure of a request.
+     *
+     * @param reason the error text that is sent to the client
+     */
     public NotFoundException(String reason) {
         super(reason);
     }
--- a/src/main/java/io/indigoreach/api/RetryLaterException.java
+++ b/src/main/java/io/indigoreach/api/RetryLaterException.java
@@ -2,7 +2,11 @@
 
 /** Thrown if a request cannot be processed now. The client may retry it unchanged. */
 public final class RetryLaterException extends ApiException {
-    /** {@code reason}: the error text that is sent to the client. */
+    /**
+     * Creates the failure of a request.
+     *
+     * @param reason the error text that is sent to the client
+     */
     public RetryLaterException(String reason) {
         super(reason);
     }
--- a/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
+++ b/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
@@ -74,16 +74,16 @@
     }
 
     /**
-     * Whether the last request to the state service succeeded, within {@link #MAX_RESPONSE_AGE}. In the first second of
-     * an outage nodes still report that they can reach the service, so a leader queries them twice.
+     * Whether the last request to the state service succeeded, within {@link #MAX_RESPONSE_AGE}. During the first
+     * second of an outage, nodes still report the service as reachable; a leader therefore queries them twice.
      */
     boolean isStateReachable() {
         return !stateUnreachable && clock.now().since(lastResponseAt).compareTo(MAX_RESPONSE_AGE) < 0;
     }
 
     /**
-     * Whether the state service has been unreachable long enough that, in an outage, the peers have detected it too.
-     * False if this node's event loop was blocked during that time, which could be the cause.
+     * Whether the state service has been unreachable for so long that, if this is an outage, the peers have detected it
+     * as well. False if this node's event loop was blocked in that time, because that could be the cause.
      */
     private boolean isUnreachableLongEnough() {
         Span requiredTime = MAX_RESPONSE_AGE.times(2);
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -107,7 +107,7 @@
         });
     }
 
-    /** State of a dependency according to its records. */
+    /** The state of a required job according to the job records. */
     private enum DependencyState {
         DONE,
         CANCELLED,
--- a/src/main/java/io/indigoreach/cluster/FeatureRegistry.java
+++ b/src/main/java/io/indigoreach/cluster/FeatureRegistry.java
@@ -10,8 +10,8 @@
 import java.util.List;
 
 /**
- * Lists the optional features of a node. Belongs to the composition root, so that the package {@code parts}, on which
- * every feature is built, does not depend on any feature.
+ * Lists the optional features of a node. It is in this package, which assembles the node, because {@code parts} must
+ * not depend on any feature that is built on it.
  */
 public final class FeatureRegistry {
     /** All optional features; a new feature is registered only here. */
--- a/src/main/java/io/indigoreach/cluster/FleetManager.java
+++ b/src/main/java/io/indigoreach/cluster/FleetManager.java
@@ -29,7 +29,10 @@
 final class FleetManager {
     private static final Logger LOG = LoggerFactory.getLogger(FleetManager.class);
     private static final Span RETRY_INTERVAL = Span.seconds(1);
-    /** Number of attempts before the retry interval grows exponentially and the request no longer delays new ones. */
+    /**
+     * Number of attempts at a fixed interval. After these, the retry interval grows exponentially, and new requests no
+     * longer wait for this one.
+     */
     private static final int MAX_FAST_ATTEMPTS = 5;
 
     private static final Span MAX_RETRY_INTERVAL = Span.seconds(16);
--- a/src/main/java/io/indigoreach/cluster/HeartbeatWarmUp.java
+++ b/src/main/java/io/indigoreach/cluster/HeartbeatWarmUp.java
@@ -45,7 +45,7 @@
  * real heartbeats then run the same path. Bound to the node's event loop.
  */
 final class HeartbeatWarmUp {
-    /** Delay after the node's start, which is busy with other work. */
+    /** Delay from the node's start to the warm-up, because the node is busy with other work while it starts. */
     private static final Span START_DELAY = Span.seconds(5);
 
     private static final Span HEARTBEAT_INTERVAL = Span.seconds(0.08);
--- a/src/main/java/io/indigoreach/cluster/JobLoader.java
+++ b/src/main/java/io/indigoreach/cluster/JobLoader.java
@@ -135,7 +135,8 @@
             JobId id = RecordKeys.jobOfOpenKey(entry.key());
             jobs.openJobs().markUnreadable(id);
             if (!context.clock().now().isBefore(deadline)) {
-                return Future.failedFuture(new WireException("repair time limit reached"));
+                return Future.failedFuture(
+                        new WireException("repairing unreadable job records took longer than the time limit"));
             }
             return context.repairer()
                     .repairOpen(id, entry, null)
--- a/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
+++ b/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
@@ -54,7 +54,7 @@
     private final Map<JobId, Revision> completionsToMove = new LinkedHashMap<>();
 
     private final Map<JobId, JobStatus> recordedStatus = new HashMap<>();
-    /** Open jobs that were already logged because their records exceed the limits of the state service. */
+    /** Open jobs whose records exceed the limits of the state service and for which this was already logged. */
     private final Set<JobId> loggedAsTooLarge = new HashSet<>();
 
     JobRecordWriter(
@@ -228,7 +228,8 @@
     private StateClient.Txn createTransaction(Job job, boolean manyCompletions) {
         JobId id = job.id();
         StateClient.Txn txn = writes.newTransaction().when(RecordKeys.openKey(id), job.revision());
-        // An open record without the completion bits would not tell a later leader that the job is complete.
+        // A complete job is moved to its final record, unless there are many completions and its completion bits fit
+        // into the open record. Without these bits, a later leader could not see that the job is complete.
         if (job.isComplete() && !(manyCompletions && completionBlocks.fitsInJobRecord(job))) {
             return addMoveToFinalRecord(txn, id, JobStatus.DONE, job.spec().taskCount());
         }
--- a/src/main/java/io/indigoreach/cluster/JobStore.java
+++ b/src/main/java/io/indigoreach/cluster/JobStore.java
@@ -27,7 +27,7 @@
 
     /**
      * @param machineStore receives the machine records that are loaded along with the jobs
-     * @param startBoundsTrusted whether all earlier leaders have respected the jobs' start bounds
+     * @param startBoundsTrusted whether no earlier leader started a task at or above a job's recorded start bound
      */
     JobStore(
             LeaderWriteContext writes,
--- a/src/main/java/io/indigoreach/cluster/JobWatch.java
+++ b/src/main/java/io/indigoreach/cluster/JobWatch.java
@@ -15,7 +15,7 @@
 final class JobWatch {
     private static final Logger LOG = LoggerFactory.getLogger(JobWatch.class);
     private static final Span MAX_WATCH_TIME = Span.seconds(2);
-    /** Maximum duration of one watch, as a share of the maximum age of the cancellation horizon. */
+    /** Maximum duration of one watch request, as a fraction of the maximum age of the cancellation horizon. */
     private static final double MAX_WATCH_TIME_SHARE = 0.25;
 
     private static final Span RETRY_DELAY = Span.seconds(0.3);
@@ -46,8 +46,9 @@
     }
 
     /**
-     * Applies the changes since {@code revision} without waiting for further ones. Called before the first command of a
-     * leadership term, as tasks of jobs that were cancelled while the other records were loaded must not start.
+     * Applies the changes since {@code revision} without waiting for further ones. Must be called before the first
+     * command of a leadership term: jobs may have been cancelled while the other records were loaded, and their tasks
+     * must not start.
      */
     Future<Void> catchUp(long revision) {
         nextRevision = revision;
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -47,7 +47,7 @@
     private static final Span CATALOGUE_RETRY_DELAY = Span.seconds(0.2);
     /** Delay before unreadable records are read again. */
     private static final Span UNREADABLE_RETRY_DELAY = Span.seconds(5);
-    /** Name, in the settings, of an objective on the time until a job starts. */
+    /** Name that the settings use for the start-time objective of a job class. */
     private static final String WAIT_OBJECTIVE = "wait";
 
     /**
@@ -172,7 +172,7 @@
                 && now.since(cancellationHorizon.completeUntil()).compareTo(maxAge) < 0;
     }
 
-    /** The age of the oldest cancellation that this leader requests from its peers. */
+    /** How far back in time this leader asks its peers for cancellations. */
     Span cancellationLookBack() {
         return cancellationHorizon.requiredLookBack(context.clock().now(), MAX_PEER_REQUEST_TIME);
     }
--- a/src/main/java/io/indigoreach/cluster/MachinePage.java
+++ b/src/main/java/io/indigoreach/cluster/MachinePage.java
@@ -60,7 +60,7 @@
         revisionUncertain = uncertain;
     }
 
-    /** Returns whether machines of this page were copied to another page and must still be removed from this one. */
+    /** Returns whether this page still contains machines that have been copied to another page. */
     boolean hasCopiedMachines() {
         return copiedMachines;
     }
--- a/src/main/java/io/indigoreach/cluster/OpenJobs.java
+++ b/src/main/java/io/indigoreach/cluster/OpenJobs.java
@@ -25,7 +25,7 @@
     /** Open jobs that are not scheduled because their records could be neither decoded nor repaired. */
     private final Set<JobId> unreadableJobs = new HashSet<>();
 
-    /** @param startBoundsTrusted whether all earlier leaders have respected the jobs' start bounds */
+    /** @param startBoundsTrusted whether no earlier leader started a task at or above a job's recorded start bound */
     OpenJobs(
             NodeContext context,
             SchedulerCore core,
@@ -45,7 +45,7 @@
         writer.clear();
     }
 
-    /** Adds a job of an earlier leader, with the completion bits of its blocks. */
+    /** Adds a job that an earlier leader recorded, with the completion bits from the job's completion blocks. */
     void addInherited(JobRecord record, Map<JobId, BitSet> completedInBlocks) {
         add(record, completedInBlocks.getOrDefault(record.id(), new BitSet()), true);
     }
--- a/src/main/java/io/indigoreach/cluster/PeerClient.java
+++ b/src/main/java/io/indigoreach/cluster/PeerClient.java
@@ -22,7 +22,8 @@
 
 /**
  * Sends requests to the other controllers ({@link PeerProtocol}). If a peer does not respond, or its response is
- * unreadable, the least favourable response is assumed; no request fails. Bound to the node's event loop.
+ * unreadable, the least favourable response is assumed, so the returned futures never fail. Bound to the node's event
+ * loop.
  */
 final class PeerClient {
     private static final Logger LOG = LoggerFactory.getLogger(PeerClient.class);
@@ -158,8 +159,8 @@
     }
 
     /**
-     * Reports a data loss of the state service to all peers: the leader, which alone can rebuild, may not have detected
-     * it.
+     * Reports to all peers that the state service has lost data. Only the leader can rebuild the data, and it may not
+     * have detected the loss.
      */
     void announceLoss(long era) {
         clients.forEach(client -> client.post(PeerProtocol.LOSS_PATH, PeerProtocol.writeLoss(era), REQUEST_TIMEOUT));
--- a/src/main/java/io/indigoreach/cluster/RebuildWriter.java
+++ b/src/main/java/io/indigoreach/cluster/RebuildWriter.java
@@ -21,7 +21,10 @@
  * record that another writer has changed since it was read is newer and is not overwritten. Bound to the node's event loop.
  */
 final class RebuildWriter {
-    /** Below the limit of 64 KiB for a transaction, to leave space for conditions, which repeat keys. */
+    /**
+     * Maximum size of the writes of one transaction, in bytes. It is below the transaction limit of 64 KiB because the
+     * conditions repeat the keys.
+     */
     private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
     /** Delay before write rate is requested again. */
@@ -150,10 +153,11 @@
             return leadershipOrEraChanged();
         }
         if (failedKeys.stream().anyMatch(RebuildWriter::requiresNewInventory)) {
-            return Future.failedFuture(
-                    new RebuildInterruptedException("machine pages or open jobs were written during the rebuild"));
+            return Future.failedFuture(new RebuildInterruptedException(
+                    "another writer changed machine pages or open jobs during the rebuild"));
         }
-        // An earlier attempt whose response was lost, or a user request at another node, has written a newer version.
+        // A condition failed because the record has a newer version, written either by an earlier attempt whose
+        // response was lost or by a user request at another node.
         List<RecordWrite> remaining =
                 batch.stream().filter(step -> !step.dependsOnAny(failedKeys)).toList();
         skippedRecords += batch.size() - remaining.size();
@@ -168,8 +172,8 @@
     }
 
     static <T> Future<T> leadershipOrEraChanged() {
-        return Future.failedFuture(
-                new RebuildInterruptedException("another node has become leader, or the era has changed"));
+        return Future.failedFuture(new RebuildInterruptedException(
+                "rebuild interrupted: another node has become leader, or the era has changed"));
     }
 
     /**
--- a/src/main/java/io/indigoreach/cluster/StateRebuilder.java
+++ b/src/main/java/io/indigoreach/cluster/StateRebuilder.java
@@ -101,7 +101,7 @@
 
     private void addFinishedJob(JobId id, RememberedState.FinishedJob finalStatus) {
         if (inventory.isFinished(id) && !inventory.hasOpenRecord(id)) {
-            // Of thousands of remembered jobs, only a few are missing; the others need no write.
+            // Usually only a few of thousands of remembered jobs are missing; those that are present need no write.
             return;
         }
         Revision openRevision = inventory.openRevision(id);
--- a/src/main/java/io/indigoreach/core/dependency/DependencyGraph.java
+++ b/src/main/java/io/indigoreach/core/dependency/DependencyGraph.java
@@ -81,7 +81,7 @@
         markForCancellation(removeDependents(job));
     }
 
-    /** Removes a job that no longer waits, even if some of its dependencies are unmet. */
+    /** Removes a job that no longer waits, for example a cancelled one; it may still have unmet dependencies. */
     public void removeWaiting(JobId job) {
         jobsToCancel.remove(job);
         Set<JobId> unmetJobs = unmet.remove(job);
--- a/src/main/java/io/indigoreach/core/leadership/IsolationCheck.java
+++ b/src/main/java/io/indigoreach/core/leadership/IsolationCheck.java
@@ -9,17 +9,18 @@
  * Determines why the state service does not respond to this node, from the reports of the other nodes:
  *
  * <ul>
- *   <li>If another node is served, the state service refuses only this node.
- *   <li>If other nodes respond and none of them is served, there is an outage, during which all nodes stay ready.
- *   <li>If no node responds, this node is cut off, or an outage coincides with a partition between all nodes. The node cannot distinguish
- *       these cases and can serve no user in either, so it is not ready.
+ *   <li>If the state service responds to another node, only this node is refused.
+ *   <li>If other nodes respond but the state service responds to none of them, there is an outage, during which all
+ *       nodes stay ready.
+ *   <li>If no node responds, this node is cut off, or an outage coincides with a partition between all nodes. The node
+ *       cannot distinguish these cases and can serve no user in either, so it is not ready.
  * </ul>
  *
  * <p>In a deployment of one node every failure counts as an outage.
  *
- * <p>When the load balancer removes a node, users lose it for at least 3 s after it is healthy again, and for twice as long with each further
- * removal within two minutes. So a second verdict of being cut off needs a longer silence: a node with an unstable connection is removed once,
- * and later only for partitions that last longer than the removal.
+ * <p>When the load balancer removes a node, users lose it for at least 3 s after it is healthy again, and for twice as
+ * long with each further removal within two minutes. So a second verdict of being cut off needs a longer silence: a
+ * node with an unstable connection is removed once, and later only for partitions that last longer than the removal.
  */
 public final class IsolationCheck {
     /** How this node is connected. */
--- a/src/main/java/io/indigoreach/core/leadership/TokenGenerator.java
+++ b/src/main/java/io/indigoreach/core/leadership/TokenGenerator.java
@@ -25,7 +25,7 @@
     private long highestKnown;
     /** The highest token that this process has campaigned with; it may or may not be in use. */
     private long lastCampaigned;
-    /** {@link #lastCampaigned} before the last campaign. */
+    /** The highest token that this process had campaigned with before its last campaign. */
     private long previouslyCampaigned;
 
     /**
@@ -52,7 +52,10 @@
         return new FencingToken(highestKnown);
     }
 
-    /** Whether the state service's counter was lost or reset: it is below a token that has been in use. */
+    /**
+     * Whether the state service has lost or reset the counter, that is, whether the counter is below a token already in
+     * use.
+     */
     public boolean isCounterBehind(FencingToken counter) {
         return counter.value() < highestKnown;
     }
--- a/src/main/java/io/indigoreach/core/loss/LeaderMemory.java
+++ b/src/main/java/io/indigoreach/core/loss/LeaderMemory.java
@@ -10,11 +10,9 @@
     /** Records that a term of this node begins; {@code succeedsItself}: no other node has led since its last term. */
     public void beginTerm(boolean succeedsItself) {
         if (!succeedsItself) {
-            // Open jobs are forgotten now and not at the end of the term: a term that ends before it has read the
-            // records
-            // adds nothing, and if this node then succeeds itself, it would take the open jobs of two terms ago for up
-            // to
-            // date.
+            // Open jobs are cleared at the start of a term, not at its end. A term that ends before it has read the
+            // records adds no open jobs; if this node then leads again with no other leader in between, it would
+            // otherwise treat the open jobs from two terms ago as current.
             RememberedState finishedJobs = new RememberedState();
             rememberedState.finishedJobs().forEach(finishedJobs::add);
             rememberedState = finishedJobs;
--- a/src/main/java/io/indigoreach/core/loss/LossDetector.java
+++ b/src/main/java/io/indigoreach/core/loss/LossDetector.java
@@ -57,7 +57,10 @@
         return confirmed < era && recordLoss(new Evidence("era", era, confirmed));
     }
 
-    /** Checks the revision of a transaction against an earlier response with revision {@code known}; revisions only increase. */
+    /**
+     * Records a loss if the revision of a transaction is below {@code known}, the revision of an earlier response;
+     * revisions only increase.
+     */
     public boolean checkRevision(long known, long received) {
         return received < known && recordLoss(new Evidence("revision", known, received));
     }
--- a/src/main/java/io/indigoreach/core/model/JobSpec.java
+++ b/src/main/java/io/indigoreach/core/model/JobSpec.java
@@ -50,7 +50,7 @@
         Span relativeDeadline,
         Map<String, Object> extensions,
         JobDependencies dependencies) {
-    /** The field of record ownership that names the records to which the tasks need exclusive access. */
+    /** The submission field of the record-ownership feature: the records to which the tasks need exclusive access. */
     public static final String RECORDS_FIELD = "records";
     /** The field that names the warm pool whose image the job holds. */
     public static final String WARM_POOL_FIELD = "warm";
@@ -117,8 +117,8 @@
     }
 
     /**
-     * Whether the tasks only make machines fetch an image. Such tasks run on members of a warm pool, bypass the queues, and cause
-     * machines neither to be rented nor to be kept.
+     * Whether the tasks only prefetch an image. Such tasks run on members of a warm pool, bypass the queues, and have
+     * no effect on scale-out or scale-in.
      */
     public boolean isWarmPoolHolder() {
         return extensions.containsKey(WARM_POOL_FIELD);
--- a/src/main/java/io/indigoreach/core/model/Span.java
+++ b/src/main/java/io/indigoreach/core/model/Span.java
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Returns this duration plus 0.1%, rounded up. Clocks may run fast or slow by 0.05%; after the result has passed on one machine's
-     * clock, at least the original duration has passed on another's.
+     * Returns this duration plus 0.1%, rounded up. Each clock may run fast or slow by 0.05%. If one machine waits for
+     * the returned duration, at least the original duration passes on the clock of every other machine.
      */
     public Span plusClockDrift() {
         return new Span(ms + (ms + 999) / 1000);
--- a/src/main/java/io/indigoreach/core/model/Team.java
+++ b/src/main/java/io/indigoreach/core/model/Team.java
@@ -4,9 +4,9 @@
  * A team with its guaranteed resources and its limits.
  *
  * @param guaranteedCores the guaranteed cores
- * @param maxCores the most cores that the team's tasks may use together; 0 if there is no limit
+ * @param maxCores the maximum number of cores that the team's tasks may use in total; 0 means no limit
  * @param guaranteedGpus the guaranteed GPUs
- * @param maxGpus the most GPUs that the team's tasks may use together; 0 if there is no limit
+ * @param maxGpus the maximum number of GPUs that the team's tasks may use in total; 0 means no limit
  */
 public record Team(String name, double guaranteedCores, double maxCores, double guaranteedGpus, double maxGpus) {
     /** Sums of fractional amounts may differ by rounding errors. */
--- a/src/main/java/io/indigoreach/core/records/RecordCache.java
+++ b/src/main/java/io/indigoreach/core/records/RecordCache.java
@@ -16,7 +16,7 @@
             if (byFamily.keySet().stream()
                     .anyMatch(other -> other.contains(family.prefix()) || family.contains(other.prefix()))) {
                 throw new IllegalArgumentException(
-                        "the prefix of a record family overlaps with another: " + family.prefix());
+                        "the prefix " + family.prefix() + " overlaps with the prefix of another record family");
             }
             byFamily.put(family, new LinkedHashMap<>(16, 0.75f, true) {
                 @Override
--- a/src/main/java/io/indigoreach/core/records/RecordFamily.java
+++ b/src/main/java/io/indigoreach/core/records/RecordFamily.java
@@ -3,10 +3,12 @@
 import java.util.Map;
 
 /**
- * The records of an optional feature under one prefix, with the rules for loss detection, rebuilding and garbage collection.
+ * The records of an optional feature under one prefix, with the rules for loss detection, rebuilding and garbage
+ * collection.
  *
  * @param prefix the prefix of the keys; ends in a slash and does not start with the prefix of another family
- * @param maxRemembered the most records that each controller remembers in case the state service loses them
+ * @param maxRemembered the maximum number of records that each controller keeps in memory in case the state service
+ *     loses them
  * @param permanent whether the records are never deleted, so that a missing one shows a loss
  * @param mergeRule how to rebuild a lost record
  */
--- a/src/main/java/io/indigoreach/core/scheduling/ArrivalRate.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ArrivalRate.java
@@ -32,8 +32,8 @@
 
     /**
      * Returns the work that arrives per second: the arrivals of matching jobs in the window times their mean size. The
-     * part of the window with the most arrivals is left out, as a burst of jobs is not a steady rate. The window begins
-     * at the first call at the earliest, because jobs that came earlier may have ended and are then unknown.
+     * part of the window with the most arrivals is left out, as a burst of jobs is not a steady rate. The window never
+     * starts before the first call: jobs that arrived earlier may have ended, and ended jobs are not known here.
      */
     double workPerSecond(Predicate<Job> filter, ToDoubleFunction<Job> size, Span maximumWindow, Moment now) {
         firstQueryAt = firstQueryAt == null ? now : firstQueryAt;
--- a/src/main/java/io/indigoreach/core/scheduling/Backlog.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Backlog.java
@@ -35,7 +35,7 @@
      * @param secondsLeft seconds until the latest start of that work
      * @param bootSeconds seconds that a machine takes to boot
      * @param minimumPaidSeconds minimum time that a rented machine is paid for
-     * @param laterMachines machines kept busy by work that arrives later and goes first
+     * @param laterMachines machines occupied by work that arrives later but takes precedence
      */
     void requireStartWithin(double secondsLeft, double bootSeconds, double minimumPaidSeconds, double laterMachines) {
         double usefulSeconds = secondsLeft - bootSeconds;
--- a/src/main/java/io/indigoreach/core/scheduling/CapacityForecast.java
+++ b/src/main/java/io/indigoreach/core/scheduling/CapacityForecast.java
@@ -4,9 +4,9 @@
 import io.indigoreach.core.model.Moment;
 
 /**
- * Forecasts the work that the spot or on-demand machines of one type can do for a queue: the running machines minus the
- * work of their present tasks, and the booting machines. The share of a machine that service replicas hold does not
- * count as capacity.
+ * Forecasts how much work the spot or on-demand machines of one type can do for a queue. It counts running machines,
+ * less the remaining work of their current tasks, and booting machines. The share of a machine that service replicas
+ * hold does not count as capacity.
  *
  * @param upMachines running machines, without the shares that replicas hold
  * @param idleMachines running machines that have no tasks
--- a/src/main/java/io/indigoreach/core/scheduling/ConsolidationPolicy.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ConsolidationPolicy.java
@@ -50,7 +50,7 @@
     private void planDraining(FairShareQueue queue, Moment now) {
         List<Machine> machines = new ArrayList<>();
         for (Machine machine : cluster.machinesServing(queue)) {
-            // A machine drains until its stopped tasks have left it.
+            // A draining machine stays in that state until all tasks that were stopped on it have exited.
             machine.endDrainingIfNoneStopping();
             machine.uncordon();
             if (machine.isUsable()
--- a/src/main/java/io/indigoreach/core/scheduling/CordonRules.java
+++ b/src/main/java/io/indigoreach/core/scheduling/CordonRules.java
@@ -25,7 +25,7 @@
 
     /**
      * Returns whether the waiting jobs of a queue fit into the free resources of some machines, each job by itself and
-     * all jobs by their sum of cores. Returns false if a waiting job should be able to use every machine.
+     * all jobs by their sum of cores. Returns false if {@link #needsEveryMachine} holds for a waiting job.
      */
     boolean fitsIn(FairShareQueue queue, Collection<Resources> free, Moment now) {
         double cores = 0;
--- a/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
+++ b/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 
 /**
- * Releases the jobs that depend on others, within one leadership term. A job with unmet dependencies is in no queue, so
- * that it holds no reservation and causes no scale-out. It is enqueued when the completion of all required jobs is
- * durable. Its waiting time counts from then, but its deadline counts from the submission.
+ * Tracks the jobs that depend on others during one leadership term, and releases them. A job with unmet dependencies is
+ * in no queue; it therefore holds no reservation and triggers no scale-out. It is enqueued when the completion of all
+ * required jobs is durable. Its waiting time counts from then, but its deadline counts from the submission.
  */
 public final class DependentJobs {
     private static final Span TARGET_INTERVAL = Span.seconds(1);
@@ -65,7 +65,7 @@
         graph.onCancelled(id);
     }
 
-    /** Required jobs that are not open on this leader, so that their ends must be read from the state service. */
+    /** Required jobs that are not open on this leader; their outcome must be read from the state service. */
     public Set<JobId> jobsToLookUp() {
         return graph.jobsToLookUp();
     }
--- a/src/main/java/io/indigoreach/core/scheduling/GuaranteeEnforcement.java
+++ b/src/main/java/io/indigoreach/core/scheduling/GuaranteeEnforcement.java
@@ -68,8 +68,9 @@
     }
 
     /**
-     * Gives an idle warm-pool machine to a team that waits for its guarantee, if the team that pays for the pool is
-     * beyond its own guarantee. Tasks beyond that guarantee would be stopped in the same way.
+     * Gives an idle warm-pool machine to a team that waits for its guarantee, if the team that pays for the pool uses
+     * more than it is guaranteed. The idle machine is thus treated like a running task beyond the guarantee, which
+     * would be preempted.
      */
     private void yieldPoolMachine(FairShareQueue queue, Job topJob, Machine machine, Moment now) {
         Job holder = machine.poolMembership == null ? null : machine.poolMembership.holder();
--- a/src/main/java/io/indigoreach/core/scheduling/Job.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Job.java
@@ -47,13 +47,13 @@
 
     int failures;
     Moment retryNotBefore = Moment.NEVER;
-    /** Until this moment tasks that were stopped to empty their machine start only on machines that have the image. */
+    /** Until this moment, tasks preempted to drain their machine restart only on machines with the image cached. */
     Moment imageLocalityUntil = Moment.NEVER;
     /** When a placement was last added or removed. The waiting tasks may have been waiting only since then. */
     Moment placementsChangedAt = Moment.NEVER;
     /** Whether the job has missed the longest objective of its class. */
     boolean missedObjectives;
-    /** Whether the job's class is under-served or the job has aged. Such jobs go first on a part of the machines. */
+    /** Whether the job's class is under-served or the job has aged. Such jobs take precedence on some machines. */
     boolean underServed;
     /** Whether a task of the job is known to have run, under this leader or an earlier one. */
     private boolean hasRun;
--- a/src/main/java/io/indigoreach/core/scheduling/JobSizer.java
+++ b/src/main/java/io/indigoreach/core/scheduling/JobSizer.java
@@ -8,7 +8,8 @@
 /** Chooses the machine type for a job and computes how many machines its tasks need. */
 final class JobSizer {
     /**
-     * Fraction of the owner's estimate that counts for short jobs until a task of their class has been observed to end.
+     * Fraction of the owner's estimate that is used for short jobs until a task of their class has been observed to
+     * complete.
      */
     private static final double UNSEEN_ESTIMATE_FRACTION = 1.0 / 3;
 
--- a/src/main/java/io/indigoreach/core/scheduling/LeaseMonitor.java
+++ b/src/main/java/io/indigoreach/core/scheduling/LeaseMonitor.java
@@ -47,8 +47,8 @@
 
     /**
      * Whether no heartbeat has come from any of several machines for the suspicion timeout of a single one. It is then
-     * more likely that this node is cut off than that all of them failed at once. Waiting for half a lease was too
-     * long: other nodes redirected workers that had abandoned this node back to it, and their leases expired. Machines
+     * more likely that this node is cut off than that all of them failed at once. The threshold is not half a lease: in
+     * that time, other nodes redirected workers that had left this node back to it until their leases expired. Machines
      * inherited from an earlier leader need time to find this one: a leader that stepped down 4.7 s after a failover,
      * while all 447 workers were still connected to a paused node, cost 557 tasks.
      */
--- a/src/main/java/io/indigoreach/core/scheduling/Machine.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Machine.java
@@ -31,50 +31,50 @@
     final MachinePool pool;
     final MachineType type;
     Phase phase = Phase.BOOTING;
-    /** When it was requested; its paid terms count from this moment. */
+    /** When this machine was requested; its paid terms count from this moment. */
     Moment rentedAt;
     /**
-     * Whether it is recorded in the state service. Only then may it get tasks, as a later leader then waits for its
-     * heartbeat.
+     * Whether this machine is recorded in the state service. Only then may it get tasks, as a later leader then waits
+     * for its heartbeat.
      */
     boolean recorded;
 
     HeartbeatNumber lastHeartbeat = HeartbeatNumber.NONE;
-    /** When its last answered heartbeat arrived; its lease ends at most the lease bound later. */
+    /** When the machine's last answered heartbeat arrived; its lease ends at most the lease bound later. */
     Moment lastAnsweredAt;
     /**
-     * Whether its lease has expired since: its tasks have ended, and if it is alive it continues with a new
-     * incarnation.
+     * Whether the machine's lease has expired since: its tasks have ended, and if the machine is alive it continues
+     * with a new incarnation.
      */
     boolean leaseExpired;
-    /** Whether its task list was reconciled with a heartbeat that carries the current token. */
+    /** Whether the machine's task list was reconciled with a heartbeat that carries the current token. */
     boolean reconciled;
-    /** When the cloud will preempt it, or null if no preemption is announced. */
+    /** When the cloud will preempt this machine, or null if no preemption is announced. */
     Moment preemptionAt;
 
     Moment idleSince;
     String queueName;
     final ImageCache imageCache;
-    /** Its membership in a warm pool, or null. */
+    /** This machine's membership in a warm pool, or null. */
     PoolMembership poolMembership;
 
     final Set<JobId> failedJobs = new HashSet<>();
     boolean quarantined;
     final AsymmetricPartitionDetector partitionDetector = new AsymmetricPartitionDetector();
-    /** Whether it exceeds the demand at its price; it gets no new tasks for now. */
+    /** Whether this machine exceeds the demand at its price; it gets no new tasks for now. */
     boolean surplus;
     /**
-     * The queue for which it is cordoned, or null: it gets no new tasks while the other machines of this queue have
-     * room for all waiting tasks.
+     * The queue for which this machine is cordoned, or null if it is not cordoned. A cordoned machine gets no new tasks
+     * while the other machines of the queue have room for all waiting tasks.
      */
     FairShareQueue cordonedFor;
-    /** Whether its tasks are being moved to other machines. */
+    /** Whether this machine's tasks are being moved to other machines. */
     boolean draining;
-    /** Number of its tasks that belong to ended jobs and have no placement; they still count against their teams. */
+    /** Number of the machine's tasks of ended jobs, which have no placement but still count against their teams. */
     int orphanTasks;
-    /** A moment at which it is known to have existed. If a listing of a later moment lacks it, it no longer exists. */
+    /** When this machine is known to have existed. If a listing of a later moment lacks it, it no longer exists. */
     Moment knownToExistAt;
-    /** Number of consecutive listings in which it was missing. */
+    /** Number of consecutive listings in which this machine was missing. */
     int missedListings;
 
     Moment returningSince;
@@ -129,24 +129,24 @@
         throw new IllegalStateException("machine " + id + " cannot become " + newPhase + " while it is " + phase);
     }
 
-    /** Handles its first heartbeat, or the first one after its lease expired. */
+    /** Handles this machine's first heartbeat, or the first one after its lease expired. */
     void markUp(Moment now) {
         transition(Phase.UP, Phase.BOOTING, Phase.LOST);
         idleSince = now;
     }
 
-    /** Marks it as lost, as its lease expired without a heartbeat. */
+    /** Marks this machine as lost, as its lease expired without a heartbeat. */
     void markLost() {
         transition(Phase.LOST, Phase.BOOTING, Phase.UP);
     }
 
-    /** Starts its return to the cloud; it is never used again. */
+    /** Starts returning this machine to the cloud; it is never used again. */
     void beginReturn(Moment now) {
         transition(Phase.RETURNING, Phase.BOOTING, Phase.UP, Phase.LOST);
         returningSince = now;
     }
 
-    /** Marks it as recorded by an earlier leader. No earlier leader has led since {@code now}. */
+    /** Marks this machine as recorded by an earlier leader, which may have renewed its lease until {@code now}. */
     void markInherited(Moment existedAt, Moment now) {
         recorded = true;
         lastAnsweredAt = now;
@@ -159,7 +159,7 @@
         lastHeartbeat = number;
     }
 
-    /** Marks it as recorded in the state service. */
+    /** Marks this machine as recorded in the state service. */
     void markRecorded() {
         recorded = true;
     }
@@ -168,28 +168,28 @@
         lastHeartbeat = number;
     }
 
-    /** Renews its lease, as one of its heartbeats is answered now. */
+    /** Renews this machine's lease, as one of its heartbeats is answered now. */
     void renewLease(Moment now) {
         lastAnsweredAt = now;
         leaseExpired = false;
     }
 
-    /** Marks its lease as expired. */
+    /** Marks this machine's lease as expired. */
     void expireLease() {
         leaseExpired = true;
     }
 
-    /** Handles its adoption from the cloud's listing: its lease may have been renewed up to now. */
+    /** Handles the adoption of this machine from the cloud's listing: its lease may have been renewed up to now. */
     void markAdopted(Moment now) {
         lastAnsweredAt = now;
     }
 
-    /** Marks its task list as reconciled with a heartbeat that carries the current fencing token. */
+    /** Marks this machine's task list as reconciled with a heartbeat that carries the current fencing token. */
     void markReconciled() {
         reconciled = true;
     }
 
-    /** Sets when the cloud will preempt it, according to its last heartbeat; null if no preemption is announced. */
+    /** Sets when the cloud will preempt this machine, as its last heartbeat reported; null if not announced. */
     void setPreemptionAt(Moment at) {
         preemptionAt = at;
     }
@@ -209,12 +209,12 @@
         knownToExistAt = moment;
     }
 
-    /** Handles a listing that contains it. */
+    /** Handles a listing that contains this machine. */
     void resetMissedListings() {
         missedListings = 0;
     }
 
-    /** Handles a listing that should contain it but does not. */
+    /** Handles a listing that should contain this machine but does not. */
     void countMissedListing() {
         missedListings++;
     }
@@ -227,22 +227,22 @@
         orphanTasks = count;
     }
 
-    /** Quarantines it because tasks fail on it: it gets no new tasks and is returned once it is idle. */
+    /** Quarantines this machine because tasks fail on it: it gets no new tasks and is returned once it is idle. */
     void quarantine() {
         quarantined = true;
     }
 
-    /** Assigns it to a queue. */
+    /** Assigns this machine to a queue. */
     void assignTo(FairShareQueue queue) {
         queueName = queue.name;
     }
 
-    /** Sets whether it exceeds the demand at its price. */
+    /** Sets whether this machine exceeds the demand at its price. */
     void setSurplus(boolean isSurplus) {
         surplus = isSurplus;
     }
 
-    /** Cordons it: it gets no new tasks while the queue's other machines have room for all waiting tasks. */
+    /** Cordons this machine: it gets no tasks while the queue's other machines have room for all waiting tasks. */
     void cordonFor(FairShareQueue queue) {
         cordonedFor = queue;
     }
@@ -251,7 +251,7 @@
         cordonedFor = null;
     }
 
-    /** Starts moving its tasks to other machines. */
+    /** Starts moving this machine's tasks to other machines. */
     void beginDraining() {
         draining = true;
     }
@@ -297,7 +297,7 @@
         placements.remove(placement);
     }
 
-    /** Whether no task except holders is placed on it. */
+    /** Whether no task except holders is placed on this machine. */
     public boolean isIdle() {
         return placements.isIdle();
     }
@@ -314,18 +314,18 @@
         return poolMembership;
     }
 
-    /** Sets its membership in a warm pool; null ends the membership. */
+    /** Sets this machine's membership in a warm pool; null ends the membership. */
     public void poolMembership(PoolMembership membership) {
         poolMembership = membership;
         surplus &= membership == null;
     }
 
-    /** The incarnation of its last heartbeat; 0 before its first heartbeat to this leader. */
+    /** The incarnation of this machine's last heartbeat; 0 before its first heartbeat to this leader. */
     public long incarnation() {
         return lastHeartbeat.incarnation();
     }
 
-    /** Whether it is booting or up, and not about to be preempted, quarantined or partitioned. */
+    /** Whether this machine is booting or up, and not about to be preempted, quarantined or partitioned. */
     public boolean isExpectedToServe() {
         return (phase == Phase.BOOTING || phase == Phase.UP)
                 && preemptionAt == null
@@ -333,7 +333,7 @@
                 && !partitionDetector.isConfirmed();
     }
 
-    /** Whether a holder, a task that only keeps an image cached, is placed on it. */
+    /** Whether a holder, a task that only keeps an image cached, is placed on this machine. */
     public boolean hasHolder() {
         return placements.hasHolder();
     }
@@ -343,12 +343,12 @@
         return placements.coresByTeam();
     }
 
-    /** The holder on it that is not being stopped, or null. */
+    /** The holder on this machine that is not being stopped, or null. */
     Placement holder() {
         return placements.holder().orElse(null);
     }
 
-    /** The job of the holder on it, or null. */
+    /** The job of the holder on this machine, or null. */
     public Job holderJob() {
         Placement holder = holder();
         return holder == null ? null : holder.job;
@@ -358,42 +358,42 @@
         return placements.hasTaskWithImage(image);
     }
 
-    /** Whether it is up, and not about to be preempted, quarantined or partitioned. */
+    /** Whether this machine is up, and not about to be preempted, quarantined or partitioned. */
     boolean isHealthy() {
         return phase == Phase.UP && preemptionAt == null && !quarantined && !partitionDetector.isConfirmed();
     }
 
-    /** Whether it must be recorded before it can get tasks: it is up, but a later leader would not know it. */
+    /** Whether this machine must be recorded before it gets tasks: it is up, but a later leader would not know it. */
     boolean needsRecord() {
         return !recorded && phase == Phase.UP;
     }
 
-    /** Whether it can get new tasks: it is healthy, and a later leader will know it. */
+    /** Whether this machine can get new tasks: it is healthy, and a later leader will know it. */
     public boolean isUsable() {
         return recorded && isHealthy();
     }
 
     /**
-     * Whether it is being returned because answers do not reach it. No answer may renew its lease, so that its tasks
-     * end with it.
+     * Whether this machine is being returned because answers do not reach it. No answer may renew its lease, so that
+     * its tasks end when the lease expires.
      */
     boolean isReturnedAsUnreachable() {
         return phase == Phase.RETURNING && partitionDetector.isConfirmed();
     }
 
-    /** Whether it is booting, and was requested less than {@code bootTimes} of its type's boot times ago. */
+    /** Whether this machine is booting, and was requested less than {@code bootTimes} of its type's boot times ago. */
     boolean isBooting(Moment now, double bootTimes) {
         return phase == Phase.BOOTING
                 && now.isBefore(rentedAt.plus(type.bootTime().times(bootTimes)));
     }
 
-    /** Whether the job may use it, considering its type, zone, price kind and warm pool membership. */
+    /** Whether the job may use this machine, considering its type, zone, price kind and warm pool membership. */
     boolean allows(JobSpec spec) {
         return matchesPool(spec)
                 && (poolMembership == null || poolMembership.admits(spec, imageCache, freeResources()));
     }
 
-    /** Whether the job may use its type, zone and price kind. */
+    /** Whether the job may use this machine's type, zone and price kind. */
     boolean matchesPool(JobSpec spec) {
         return spec.allowsType(pool.type()) && spec.allowsZone(pool.zone()) && spec.allowsPricing(pool.spot());
     }
--- a/src/main/java/io/indigoreach/core/scheduling/MachineAdoptionPolicy.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachineAdoptionPolicy.java
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Handles a complete listing, all of whose machines are known by now. Names are in the order of creation: a machine
-     * that was created before a machine of an earlier listing, and is missing from a listing of a later moment, no
-     * longer exists.
+     * Handles a complete listing, all of whose machines are known by now. Machine names are assigned in order of
+     * creation. If a machine's name precedes one that an earlier listing contained, and a listing of a later state
+     * lacks it, the machine no longer exists.
      */
     void onListing(Collection<MachineId> listing, Moment requestedAt, Moment now) {
         if (newestListed != null && !newestListedAt.isAfter(requestedAt.minus(safetyTimes.oldestListing()))) {
--- a/src/main/java/io/indigoreach/core/scheduling/MachinePlacements.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachinePlacements.java
@@ -53,7 +53,7 @@
         return holderCount > 0;
     }
 
-    /** A holder that is not being stopped; empty if there is none. */
+    /** The placement of a warm-pool holder task that is not being stopped; empty if there is none. */
     Optional<Placement> holder() {
         if (holderCount == 0) {
             return Optional.empty();
--- a/src/main/java/io/indigoreach/core/scheduling/ObjectiveBudget.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ObjectiveBudget.java
@@ -18,7 +18,7 @@
     private final ServiceLevelObjectives objectives;
     private final Estimates estimates;
     private final Span minimumPaidTime;
-    /** The cores that unbounded fillers of each queue may still take, recomputed once per {@link #BUDGET_CACHE_TIME}. */
+    /** The cores that unbounded fillers of each queue may still take, recomputed every {@link #BUDGET_CACHE_TIME}. */
     private final Map<FairShareQueue, CoreBudget> budgets = new HashMap<>();
 
     ObjectiveBudget(Cluster cluster, ServiceLevelObjectives objectives, Estimates estimates, Span minimumPaidTime) {
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Whether the job's tasks are long, have no objective, and cannot be preempted by jobs of the same urgency. Once
-     * such tasks are on every machine, all jobs with an objective wait until they end.
+     * Whether the job's tasks are long, have no objective, and cannot be preempted by jobs of the same urgency. If
+     * such tasks occupied every machine, no job with an objective could start until one of them ended.
      */
     boolean isUnboundedFiller(Job job) {
         return objectives.hasNoObjective(job)
--- a/src/main/java/io/indigoreach/core/scheduling/PoolMembership.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PoolMembership.java
@@ -5,9 +5,9 @@
 import io.indigoreach.core.model.Span;
 
 /**
- * A machine's membership in a warm pool. The pool alone pays for the machine, the machine caches the pool's image, and
- * other tasks are admitted only if they neither evict the image nor delay the start of a replica. A machine has at most
- * one membership, so that no two pools pay for it, and that it never has to cache two images that do not fit together.
+ * A machine's membership in a warm pool. The machine's cost is charged only to this pool, and it keeps the pool's image
+ * cached. Other tasks are admitted only if they neither evict the image nor delay the start of a replica. A machine has
+ * at most one membership: otherwise two pools would pay for it, and their images might not fit into its cache together.
  */
 public final class PoolMembership {
     private final String pool;
--- a/src/main/java/io/indigoreach/core/scheduling/PreemptionPolicy.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PreemptionPolicy.java
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Urgent jobs may preempt others, and so may jobs whose objective falls due before a rented machine would be up.
+     * Urgent jobs may preempt others. So may jobs whose objective would be missed before a newly rented machine is up.
      */
     private boolean mayPreempt(Job topJob, MachineType type) {
         return topJob.urgency().isMoreUrgentThan(Urgency.STANDARD)
--- a/src/main/java/io/indigoreach/core/scheduling/QueueNeed.java
+++ b/src/main/java/io/indigoreach/core/scheduling/QueueNeed.java
@@ -22,7 +22,10 @@
         return byType.computeIfAbsent(type, name -> new MachineTypeNeed());
     }
 
-    /** Returns how many of the job's tasks the team's limit allows after those counted before, and counts them. */
+    /**
+     * Adds the job's tasks to the planned cores of its team as far as the team's limit allows; returns how many were
+     * added.
+     */
     int countWithinTeamLimit(Job job, TeamUsage team) {
         int tasks = Math.min(
                 job.startableCount(), team.remainingTasks(job.spec.demand(), plannedCores.getOrDefault(team, 0.0)));
@@ -38,7 +41,10 @@
         return shortWork.getOrDefault(type, 0.0);
     }
 
-    /** Returns true for the first short job, whose tasks are all counted, and false for the short jobs behind it. */
+    /**
+     * Registers a short job. Returns true for the first one, all of whose tasks count towards the need, and false for
+     * later ones.
+     */
     boolean registerShortJob() {
         boolean first = !hasShortJob;
         hasShortJob = true;
--- a/src/main/java/io/indigoreach/core/scheduling/ReservedCapacity.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ReservedCapacity.java
@@ -22,7 +22,10 @@
     private static final double RESERVED_FRACTION = 0.125;
     private static final Span SELECTION_LIFE = Span.seconds(1);
 
-    /** The reserved machines and eligible jobs, least remaining work first; no machines while no eligible job waits. */
+    /**
+     * The reserved machines, and the eligible jobs in order of increasing remaining work. No machine is reserved while
+     * no eligible job waits.
+     */
     private record Selection(Set<MachineId> machines, List<Job> eligibleJobs, Moment selectedAt) {}
 
     private final Cluster cluster;
--- a/src/main/java/io/indigoreach/core/scheduling/SafetyTimes.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SafetyTimes.java
@@ -62,7 +62,7 @@
                 .plus(Span.seconds(1));
     }
 
-    /** Maximum age of the state that a listing requested now describes. */
+    /** How old the state in a listing can be at most, counted back from the time of the request. */
     public Span oldestListing() {
         return listingLag.times(2).plusClockDrift().plus(Span.seconds(1));
     }
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleInPolicy.java
@@ -90,7 +90,10 @@
         return failureDetector.isMachineFailure(machine, now) ? "silent-since-failover" : null;
     }
 
-    /** Keeps lost machines while most machines are lost, as the fault is then probably between them and this leader. */
+    /**
+     * Does not return lost machines while most machines are lost: the likely cause is then the network between the
+     * leader and the machines.
+     */
     private String reasonWhileLost(Machine machine, Moment now, boolean mostMachinesLost) {
         return !mostMachinesLost && now.since(machine.lastAnsweredAt).compareTo(lostTimeout(machine)) > 0
                 ? "silent-since-lease-expiry"
--- a/src/main/java/io/indigoreach/core/scheduling/ScaleOutTrigger.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ScaleOutTrigger.java
@@ -20,7 +20,11 @@
         this.jobSizer = jobSizer;
     }
 
-    /** Returns whether the top job has no place or waits too long for one, or a job behind it waits too long. */
+    /**
+     * Returns whether more machines are needed: no start can be predicted for the top job, its predicted wait exceeds
+     * the limit, a job has waited too long, or a planned job would miss its deadline on a machine that is requested
+     * after the wait limit.
+     */
     boolean mustScaleOut(FairShareQueue queue, Job topJob, Moment now) {
         Moment predictedStart =
                 rules.reservations().reservationOf(queue, topJob, now).lastStart();
@@ -65,8 +69,9 @@
 
     /**
      * Returns whether the job may use on-demand machines. Spot machines are always requested first; if there are none,
-     * the job waits for the spot patience of its urgency. A job without a reachable objective waits for the wait limit
-     * at most: with a longer wait, 94 tasks ran one after another on a single on-demand machine.
+     * the job waits for the spot patience of its urgency. A planned job, a job without an objective, and a job past the
+     * age limit of its objective wait at most for the wait limit: with a longer wait, 94 tasks ran one after another on
+     * a single on-demand machine.
      */
     boolean mayUseOnDemand(Job job, Moment now) {
         Span spotPatience = job.urgency().isMoreUrgentThan(Urgency.STANDARD)
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
@@ -203,8 +203,8 @@
     }
 
     /**
-     * The machine, if it must be recorded before it can get tasks. A machine that has never sent a heartbeat cannot run
-     * tasks, so a later leader need not wait for it and it needs no record.
+     * The machine with this id if it must be recorded before it gets tasks, otherwise empty. A machine that has never
+     * sent a heartbeat cannot run tasks, so it needs no record: later leaders do not have to wait for it.
      */
     public Optional<Machine> machineToRecord(MachineId id) {
         return Optional.ofNullable(cluster.machines.get(id)).filter(Machine::needsRecord);
--- a/src/main/java/io/indigoreach/core/scheduling/TeamUsage.java
+++ b/src/main/java/io/indigoreach/core/scheduling/TeamUsage.java
@@ -23,7 +23,7 @@
         return team.isWithinLimits(coresInUse + demand.cores(), gpusInUse + demand.gpus());
     }
 
-    /** The number of further tasks with this demand that the limit allows in addition to {@code plannedCores}. */
+    /** How many more tasks with this demand fit within the core limit if {@code plannedCores} are already planned. */
     int remainingTasks(Resources demand, double plannedCores) {
         return team.maxCores() > 0 && demand.cores() > 0
                 ? (int) ((team.maxCores() - coresInUse - plannedCores) / demand.cores())
--- a/src/main/java/io/indigoreach/core/scheduling/WaitReason.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WaitReason.java
@@ -24,7 +24,7 @@
     NO_POOL_MEMBERSHIP,
     /** The cluster has no machine that the job may use. */
     NO_MACHINE,
-    /** The job's zone constraints, given its other placements, exclude the zones of the machines. */
+    /** The job's zone constraints and its existing placements exclude the zones of all machines it could use. */
     ZONE_CONSTRAINT,
     /** A machine that the job may use is booting. */
     BOOTING,
--- a/src/main/java/io/indigoreach/core/scheduling/WarmCapacity.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WarmCapacity.java
@@ -13,8 +13,8 @@
     WarmCapacity NONE = new WarmCapacity() {};
 
     /**
-     * Plans the pools once per check, before idle machines are returned. {@code termEnds} matches machines whose paid
-     * term ends before the next check.
+     * Plans the pools once per check, before idle machines are returned. The predicate matches machines whose paid term
+     * ends before the next check.
      */
     default void plan(Collection<Machine> machines, Collection<Job> jobs, Predicate<Machine> termEnds, Moment now) {}
 
@@ -28,7 +28,9 @@
         return List.of();
     }
 
-    /** Gives up the machine to a team that waits for its guaranteed cores and can use it. */
+    /**
+     * Releases the machine from its warm pool, for a team that waits for its guaranteed cores and can use the machine.
+     */
     default void releaseForGuarantee(Machine machine, Moment now) {}
 
     /** Records that the cloud has no capacity in the machine pool. */
--- a/src/main/java/io/indigoreach/net/EventLoopMonitor.java
+++ b/src/main/java/io/indigoreach/net/EventLoopMonitor.java
@@ -30,7 +30,10 @@
         this.timer = vertx.setPeriodic(CHECK_INTERVAL.ms(), timer -> runningSince());
     }
 
-    /** Returns the time since when the event loop has run without a pause. The first call after a pause detects the pause. */
+    /**
+     * Returns the moment from which the event loop has run without a pause. A pause is noticed only at the first call
+     * after it.
+     */
     public Moment runningSince() {
         Moment now = clock.now();
         if (now.since(lastCheck).compareTo(PAUSE_THRESHOLD) > 0) {
--- a/src/main/java/io/indigoreach/net/MessagePackFormat.java
+++ b/src/main/java/io/indigoreach/net/MessagePackFormat.java
@@ -16,7 +16,10 @@
  */
 public final class MessagePackFormat {
     private static final int MAX_DEPTH = 16;
-    /** Reduces the buffer for strings that span several input buffers from 8,192 to 128 characters: a body is a single buffer. */
+    /**
+     * A body is a single buffer, so the decoder's buffer for strings that span several input buffers is reduced from
+     * 8,192 to 128 characters.
+     */
     private static final MessagePack.UnpackerConfig UNPACKER_CONFIG =
             new MessagePack.UnpackerConfig().withStringDecoderBufferSize(128);
 
--- a/src/main/java/io/indigoreach/parts/Part.java
+++ b/src/main/java/io/indigoreach/parts/Part.java
@@ -44,10 +44,10 @@
         return () -> {};
     }
 
-    /** The work of a part during one leadership term. */
+    /** What an optional feature does during one leadership term. */
     @FunctionalInterface
     interface LeaderTask {
-        /** Stops the work at the end of the leadership term. */
+        /** Stops the feature's work at the end of the leadership term. */
         void close();
     }
 }
--- a/src/main/java/io/indigoreach/state/DependencyCodec.java
+++ b/src/main/java/io/indigoreach/state/DependencyCodec.java
@@ -17,7 +17,10 @@
 final class DependencyCodec {
     private static final String NEEDS_FIELD = "needs";
     private static final String RELEASED_FIELD = "released";
-    /** The prefix of every job id. It is omitted, which halves the size of a hundred typical ids. */
+    /**
+     * The prefix that all job ids share. It is left out of the encoding, which halves the size of a hundred typical
+     * ids.
+     */
     private static final String JOB_ID_PREFIX = "run-";
 
     private static final String SEPARATOR = ",";
--- a/src/main/java/io/indigoreach/state/FormatGate.java
+++ b/src/main/java/io/indigoreach/state/FormatGate.java
@@ -75,8 +75,8 @@
     }
 
     /**
-     * Whether the newest data format is in force, so that all nodes support job dependencies. False also while the state service
-     * does not respond. Never fails.
+     * Whether the newest data format is known to be active, which means that all nodes support job dependencies. False
+     * while that is not known and the state service does not respond; the future never fails.
      */
     public Future<Boolean> isOpen() {
         if (election.dataFormat().isNewest()) {
--- a/src/main/java/io/indigoreach/state/GivenPledges.java
+++ b/src/main/java/io/indigoreach/state/GivenPledges.java
@@ -27,7 +27,11 @@
         this.predecessorMayHavePledged = hasPeers;
     }
 
-    /** {@code query}: queries all peers; true if every peer has replied that it does not lead. */
+    /**
+     * Sets the query for a leader among the peers.
+     *
+     * @param query asks all peers whether they lead; completes with true if each peer has replied that it does not
+     */
     void setLeaderlessQuery(Supplier<Future<Boolean>> query) {
         leaderlessQuery = query;
     }
--- a/src/main/java/io/indigoreach/state/JobRepairer.java
+++ b/src/main/java/io/indigoreach/state/JobRepairer.java
@@ -69,8 +69,9 @@
                             .put(
                                     RecordKeys.finalKey(id),
                                     JobRecordCodec.writeFinal(finished.status(), finished.completedTaskCount())));
-            // Keeps the completion blocks, as their bits remain valid. Tasks whose completion is recorded neither there
-            // nor in the record run again and end at once.
+            // Does not delete the completion blocks, because their bits are still valid. Tasks whose completion is
+            // recorded neither there nor in the job record are started again; their results are kept, so they exit
+            // immediately.
             CompletionBits bits = new CompletionBits(state.limits().applyTo(limits));
             repaired.openJobs()
                     .forEach(job -> txn.put(
--- a/src/main/java/io/indigoreach/state/LeaderElection.java
+++ b/src/main/java/io/indigoreach/state/LeaderElection.java
@@ -51,7 +51,7 @@
     private static final Span OWN_KEY_WATCH_TIME = Span.seconds(2);
     /** The maximum duration of one watch request of a follower on the leadership key. */
     private static final Span FOLLOWER_WATCH_TIME = Span.seconds(10);
-    /** No revision to watch from: the next step reads the key first. */
+    /** Marks that there is no revision to start a watch from; the next step then reads the key first. */
     private static final long NOT_WATCHED = -1;
 
     private final StateClient state;
@@ -136,7 +136,7 @@
         return leading;
     }
 
-    /** The data format that this process has seen raised. */
+    /** Tracks the highest data format that this process has read from the token counter or written to it. */
     DataFormatTracker dataFormat() {
         return dataFormat;
     }
--- a/src/main/java/io/indigoreach/state/LeadershipValidity.java
+++ b/src/main/java/io/indigoreach/state/LeadershipValidity.java
@@ -40,7 +40,9 @@
         return renewer.renewedAt().plus(safeTime(leaseTime));
     }
 
-    /** Whether at {@code now} no renewal has succeeded for so long that the leader should request pledges. */
+    /**
+     * Whether the last successful lease renewal is so long before {@code now} that the leader should request pledges.
+     */
     boolean isRenewalOverdue(Moment now) {
         return now.since(renewer.renewedAt()).compareTo(RENEWAL_OVERDUE) >= 0;
     }
--- a/src/main/java/io/indigoreach/state/RecordReader.java
+++ b/src/main/java/io/indigoreach/state/RecordReader.java
@@ -5,7 +5,10 @@
 
 /** Reads records and converts the exceptions that malformed values cause into {@link WireException}. */
 final class RecordReader {
-    /** The result of {@code reader}; a malformed value causes a {@link WireException}, other exceptions pass through. */
+    /**
+     * Returns the result of {@code reader}. Throws a {@link WireException} if the value is malformed; does not catch
+     * other exceptions.
+     */
     static <T> T read(Supplier<T> reader) {
         try {
             return reader.get();
--- a/src/main/java/io/indigoreach/state/RoutineRunner.java
+++ b/src/main/java/io/indigoreach/state/RoutineRunner.java
@@ -40,7 +40,7 @@
 
     private final RateLimiter budget;
 
-    /** Creates a runner whose writes depend on no leadership and whose requests are not limited. */
+    /** Creates a runner whose writes do not require leadership and whose requests are not rate-limited. */
     public RoutineRunner(Vertx vertx, StateClient state, SteadyClock clock, RecordCache cache) {
         this(vertx, state, clock, cache, null, null);
     }
@@ -159,14 +159,15 @@
         return attempt < MAX_ATTEMPTS
                 ? state.checkEra().compose(v -> readBatch(keys, attempt + 1))
                 : Future.failedFuture(new WireException(
-                        "records kept changing during " + MAX_ATTEMPTS + " attempts to read " + keys));
+                        "could not read a consistent version of " + keys + " in " + MAX_ATTEMPTS
+                                + " attempts, because they kept changing"));
     }
 
     private Future<List<VersionedRecord>> acceptConfirmed(
             List<VersionedRecord> read, List<VersionedRecord> olderThanCache) {
         olderThanCache.forEach(this::handleOlderRecord);
         if (state.losses().isLossPending()) {
-            return Future.failedFuture(new WireException("state data were lost"));
+            return Future.failedFuture(new WireException("the state service lost data during the operation"));
         }
         read.forEach(cache::add);
         return Future.succeededFuture(read);
--- a/src/main/java/io/indigoreach/state/StateClient.java
+++ b/src/main/java/io/indigoreach/state/StateClient.java
@@ -191,8 +191,8 @@
     }
 
     /**
-     * A transaction that fails if data were lost since the era was last confirmed. A new process that has not read the era yet
-     * gets a transaction without this condition.
+     * Returns a transaction that the state service rejects if data were lost since the era was last confirmed. If this
+     * process has not read the era yet, the transaction has no such condition.
      */
     public Txn transactionInEra() {
         return losses.era() == 0 ? new Txn() : new Txn().when(RecordKeys.ERA, eraRevision);
--- a/src/main/java/io/indigoreach/worker/WorkerCodec.java
+++ b/src/main/java/io/indigoreach/worker/WorkerCodec.java
@@ -32,7 +32,10 @@
     /** The response to an accepted heartbeat: commands with the leader's fencing token. */
     public record HeartbeatResponse(FencingToken token, List<WorkerCommand> commands) {}
 
-    /** Commands sent to a worker's address, for one incarnation of the worker. A missing token or incarnation is null. */
+    /**
+     * Commands that the leader sends to a worker's address outside heartbeat responses, for one incarnation of the
+     * worker. The token and the incarnation are null if absent.
+     */
     public record DirectCommands(FencingToken token, Long incarnation, List<WorkerCommand> commands) {}
 
     private WorkerCodec() {}
--- a/src/test/java/io/indigoreach/GoldenListTest.java
+++ b/src/test/java/io/indigoreach/GoldenListTest.java
@@ -19,8 +19,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks that every class that writes messages or records has golden cases. The lists here contain names of source files without
- * their packages. If a class is renamed, its entry here changes, but its golden cases do not.
+ * Checks that every class that writes messages or records has golden cases. The lists here contain names of source
+ * files without their packages. If a class is renamed, its entry here must be updated; its golden cases stay as they
+ * are.
  */
 class GoldenListTest {
     private static final Path SOURCES = Path.of("src", "main", "java");
@@ -100,7 +101,10 @@
         addCases("RecordsQuestions.java", "verbs.txt#records holders");
     }
 
-    /** Source files without golden cases, with the reasons. They emulate other processes, or only their writer reads the output. Codecs are not permitted. */
+    /**
+     * Source files that need no golden cases, with the reason: they emulate other processes, or no other process reads
+     * their output. A codec must not be listed here.
+     */
     private static final Map<String, String> EXEMPT = Map.ofEntries(
             Map.entry("MessagePackFormat.java", "encodes any map"),
             Map.entry("Rehearsal.java", "a mock that only the build uses"),
--- a/src/test/java/io/indigoreach/api/InvalidRequestsTest.java
+++ b/src/test/java/io/indigoreach/api/InvalidRequestsTest.java
@@ -175,14 +175,14 @@
         assertEquals(List.of(), stateService.keys("j/run-1"));
     }
 
-    /** A body with a repeated field is ambiguous: a reader may use either value. */
+    /** A body with a repeated field is rejected, because a reader could use either value. */
     @ParameterizedTest
     @CsvSource({"id", "pieces", "unheard_of"})
     void repeatedFieldIsMalformed(String field) throws Exception {
         byte[] once = MessagePackFormat.write(with("run-1", field, 2)).getBytes();
         byte[] again = MessagePackFormat.write(Map.of(field, "run-2")).getBytes();
         Buffer twice = Buffer.buffer().appendBytes(once).appendBytes(again, 1, again.length - 1);
-        // A map with 21 entries has the low byte of its size in the third byte.
+        // The third byte is the low byte of the map size (21 entries); it is increased by one for the appended field.
         twice.setByte(2, (byte) (once[2] + 1));
         Future<String> status = http.request(HttpMethod.POST, node.port(), node.host(), "/api/jobs")
                 .compose(r -> r.send(twice))
--- a/src/test/java/io/indigoreach/api/JobServiceLossTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceLossTest.java
@@ -201,7 +201,7 @@
         assertEquals(false, state.losses().isLossPending());
     }
 
-    /** The job service of another node that has accepted nothing, with the same repairer. */
+    /** Creates the job service of another node, which has accepted no jobs and uses the same repairer. */
     private JobService otherNodeJobs() {
         return new JobService(new JobService.Context(
                 vertx, state, repairer, catalogue, List.of(new Team("t", 0, 0, 0, 0)), new SteadyClock(), 8192, 100));
--- a/src/test/java/io/indigoreach/api/JobServiceTest.java
+++ b/src/test/java/io/indigoreach/api/JobServiceTest.java
@@ -260,8 +260,8 @@
     }
 
     /**
-     * A dependency is cancelled, and no leader has cascaded the cancellation. A node that cannot rely on the leader, here because it
-     * has just started, checks the dependencies itself, including indirect ones. Any other node reads only the job's record.
+     * A dependency was cancelled, but no leader has cascaded it. A node that cannot rely on the leader (here: it has
+     * just started) checks direct and indirect dependencies itself; other nodes read only the job's own record.
      */
     @Test
     void staleNodeChecksDependenciesBeforeItResponds() throws Exception {
--- a/src/test/java/io/indigoreach/cluster/CompletionRaceTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionRaceTest.java
@@ -56,7 +56,10 @@
     private static final JobId JOB = new JobId("run-1");
     private static final Team TEAM = LeaderTestSupport.TEAM;
     private static final MachineType MACHINE_TYPE = LeaderTestSupport.quadCoreType();
-    /** More completions than are written at once, so that a completion is first written to the open job's record. */
+    /**
+     * Exclusive upper bound of the job numbers in a burst. The 7 completions exceed the maximum number of writes in
+     * flight, so a completion is first written to the open job's record.
+     */
     private static final int COMPLETION_BURST = 8;
 
     private final Vertx vertx = Vertx.vertx();
@@ -178,7 +181,10 @@
         return runOnLoop(() -> jobService.submit(MessagePackFormat.write(JobCodec.write(spec(JOB)))));
     }
 
-    /** @param delayedWriter whose change to the job is delayed until the other one's is executed, after both have read the job */
+    /**
+     * @param delayedWriter the writer (user or leader) whose change is delayed: both read the job, then the other
+     *     writer's change is executed first
+     */
     @ParameterizedTest
     @CsvSource({
         "none, false, done",
--- a/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
+++ b/src/test/java/io/indigoreach/cluster/DependencyTaskTest.java
@@ -75,7 +75,7 @@
             dependencyTask.cancel();
         }
 
-        /** Whether no job has a task waiting for a machine. */
+        /** Returns true if no task of any job waits for a machine. */
         boolean hasNoWaitingTasks() throws Exception {
             Promise<Boolean> answer = Promise.promise();
             vertx.runOnContext(v -> answer.complete(core.summary().contains(" waiting=0 ")));
--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -196,8 +196,8 @@
             assertTrue(await(client.commit(jobs)).executed());
         }
         AtomicInteger listings = new AtomicInteger();
-        // Holds the second page of jobs, after both kinds of completion blocks, the machines and the first page of
-        // jobs.
+        // Delays the fifth listing, which reads the second page of jobs (the listings before it: two kinds of
+        // completion blocks, the machines, the first page of jobs).
         state.delayFilter = (door, path) -> path.equals("/store") && listings.incrementAndGet() == 5;
         Future<Long> loaded = jobStore.load();
         while (state.delayed() == 0) {
--- a/src/test/java/io/indigoreach/cluster/LateElectionTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateElectionTransactionsTest.java
@@ -103,7 +103,7 @@
             test.runOnEventLoop(electionA::stop);
             test.restoreResponses();
             if (test.isExecutedAtOnce()) {
-                // The campaign has written the key, which is removed when its lease expires.
+                // The campaign of node a has written the leadership key; the key is removed when its lease expires.
                 test.stopAndExpireLeases(electionA);
             }
             LeaderElection electionB = test.newElection("b", 0);
--- a/src/test/java/io/indigoreach/cluster/LateTransactionTestBase.java
+++ b/src/test/java/io/indigoreach/cluster/LateTransactionTestBase.java
@@ -184,7 +184,10 @@
         awaitCondition(() -> suppressedCount() > 0);
     }
 
-    /** Executes the transactions that were held back, and checks that all are rejected, or that a response was lost. */
+    /**
+     * Checks that late execution changes nothing: executes the delayed transactions, all of which must be rejected. In
+     * the mode in which they were executed at once, only checks that a response was lost.
+     */
     void assertLateExecutionChangesNothing() {
         restoreResponses();
         if (isExecutedAtOnce()) {
--- a/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/MachineStoreTest.java
@@ -47,8 +47,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Records of machines. Hundreds of machines that boot together must be recorded in few writes. Guards against a fleet of 300
- * machines that was idle for up to 25 s, as each machine waited for its own write at a limit of 12 writes per second.
+ * Records of machines. Hundreds of machines that boot together must be recorded in few writes. Guards against slow
+ * recording: 300 machines were once idle for up to 25 s, because each waited for its own write at a limit of 12
+ * writes per second.
  */
 class MachineStoreTest {
     private static final int MAX_VALUE_BYTES = 8 * 1024;
@@ -235,7 +236,10 @@
         assertEquals(0, state.oversizedTransactions);
     }
 
-    /** Leases of earlier leaders are counted from the start of this term, regardless of how long the load takes. */
+    /**
+     * The time to wait for leases that earlier leaders granted is counted from the start of this term, regardless of
+     * how long loading takes.
+     */
     @Test
     void aSlowLoadDoesNotDelayTheFailover() throws Exception {
         Moment before = clock.now();
--- a/src/test/java/io/indigoreach/config/ConfigTest.java
+++ b/src/test/java/io/indigoreach/config/ConfigTest.java
@@ -55,7 +55,7 @@
         assertEquals("10.0.0.2:8081", config.peers().get(0).endpoint().toString());
     }
 
-    /** Nodes read the files that tools write. */
+    /** A platform file that is written from a parsed configuration parses to the same configuration. */
     @Test
     void platformFileRoundTrips() throws ConfigException {
         PlatformConfig config = PlatformConfig.parse("f", PLATFORM_FILE);
@@ -82,7 +82,10 @@
                         .getMessage());
     }
 
-    /** An absent announced limit equals the current one, a larger one has no effect, and unknown fields are accepted. */
+    /**
+     * If the service announces no limit, or a larger one than the current one, the current limit stays in force. A
+     * smaller one applies from the start. Unknown fields are ignored.
+     */
     @ParameterizedTest
     @CsvSource({
         "'', 20, 8192, 16",
--- a/src/test/java/io/indigoreach/core/EffectHash.java
+++ b/src/test/java/io/indigoreach/core/EffectHash.java
@@ -96,7 +96,7 @@
             }
         } else {
             // The text of other objects may contain names from the code, or an identity hash.
-            throw new IllegalArgumentException("not a plain value: " + value.getClass());
+            throw new IllegalArgumentException("cannot hash a value of type " + value.getClass());
         }
     }
 }
--- a/src/test/java/io/indigoreach/core/intent/IntentsTest.java
+++ b/src/test/java/io/indigoreach/core/intent/IntentsTest.java
@@ -227,7 +227,10 @@
                     .forEach(id -> violations.add(id + " is used though its return was requested"));
         }
 
-        /** The next leader knows the record and the machines that send heartbeats, but not those of rentals that are executed late. */
+        /**
+         * The next leader knows the recorded requests and the machines that send heartbeats, but not machines whose
+         * rental is executed late.
+         */
         private void failover() {
             leaderNumber++;
             Set<MachineId> previouslyKnown = knownToLeader;
--- a/src/test/java/io/indigoreach/core/leadership/CancellationHorizonTest.java
+++ b/src/test/java/io/indigoreach/core/leadership/CancellationHorizonTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A leader may go on without the state service only as long as it cannot have missed a confirmed cancellation. */
+/** A leader may continue without the state service only while it is certain to know every confirmed cancellation. */
 class CancellationHorizonTest {
     /** Cancellations until 10 s are known; all nodes have responded at 21 s to requests sent at 20 s. */
     @ParameterizedTest
@@ -49,7 +49,10 @@
         assertEquals(atSeconds(20), horizon.completeUntil());
     }
 
-    /** Guards against a new leader that cannot read the records, and so may not know even old cancellations. */
+    /**
+     * The horizon is undefined until the records are read, because a new leader may not know even old cancellations
+     * before that.
+     */
     @Test
     void horizonIsUndefinedBeforeTheRecordsAreRead() {
         CancellationHorizon horizon = new CancellationHorizon();
--- a/src/test/java/io/indigoreach/core/loss/LossTablesTest.java
+++ b/src/test/java/io/indigoreach/core/loss/LossTablesTest.java
@@ -22,7 +22,10 @@
 
 /** The evidence for a data loss, and the merging of remembered records. */
 class LossTablesTest {
-    /** Steps: e5 era 5 is confirmed; r9<3 revision 3 after 9, c9<3 counter 3 after 9; g a record is missing; t5 a peer reports a loss in era 5. */
+    /**
+     * Step codes: "e5" = era 5 is confirmed; "r9<3" = revision 3 is read after revision 9; "c9<3" = counter 3 is read
+     * after 9; "g" = a record is missing; "t5" = a peer reports a loss in era 5.
+     */
     @ParameterizedTest
     @CsvSource({
         "e0, false",
@@ -87,7 +90,10 @@
                 startBound);
     }
 
-    /** In any order, an end takes precedence, completed tasks are merged, and the larger start bound is kept. */
+    /**
+     * The result of merging does not depend on the order: a finished job takes precedence over an open one, completed
+     * tasks are united, and the larger start bound is kept.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void orderOfCopiesDoesNotMatter(long seed) {
--- a/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancellationSimulation.java
@@ -105,7 +105,7 @@
     EffectListener effects = EffectListener.NONE;
     /** Tasks of jobs that were not cancelled, killed because a lease expired. */
     int lostTasks;
-    /** How often a leader stopped cancelled jobs because of peers' answers while the state service did not serve it. */
+    /** How often a leader stopped cancelled jobs that peers reported while it could not reach the state service. */
     int stopsByPeerAnswers;
 
     CancellationSimulation(SafetyTimes safetyTimes, int nodes, int jobs, long seed, DisabledGuard disabledGuard) {
@@ -208,8 +208,8 @@
     }
 
     /**
-     * A user cancels a job at a node, which learns the result {@code responseDelay} later and confirms it {@code confirmationDelay} after
-     * that.
+     * A user cancels a job at a node, which learns the result {@code responseDelay} later and confirms it
+     * {@code confirmationDelay} after that.
      */
     void cancel(double time, int node, JobId job, double responseDelay, double confirmationDelay) {
         schedule(time, () -> {
--- a/src/test/java/io/indigoreach/core/scheduling/CancelledTaskRenewalTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CancelledTaskRenewalTest.java
@@ -38,9 +38,9 @@
         RECORDED,
         /** No record mentions the machine. */
         UNKNOWN,
-        /** An earlier leader recorded the machine and its return; the cloud does not answer. */
+        /** An earlier leader recorded the machine and the request to return it, to which the cloud does not respond. */
         RECORDED_AND_RETURNED,
-        /** An earlier leader recorded only the machine's return; the cloud does not answer. */
+        /** An earlier leader recorded only the request to return the machine, to which the cloud does not respond. */
         RETURNED
     }
 
--- a/src/test/java/io/indigoreach/core/scheduling/ConcurrentFaultsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ConcurrentFaultsTest.java
@@ -124,8 +124,8 @@
 
     /**
      * A leader ends while machines with a long task each are unreachable, or send heartbeats but receive no answers.
-     * Another machine is idle. The inherited task starts there at the expected time, and never before the worker has
-     * killed it.
+     * Another machine is idle. A task of an unreachable machine is restarted there at the expected time, and never
+     * before its worker has killed the earlier copy.
      */
     @ParameterizedTest
     @CsvSource({
--- a/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
+++ b/src/test/java/io/indigoreach/core/scheduling/CoreHarness.java
@@ -206,7 +206,7 @@
         final MachinePool pool;
         final int upAt;
         final Map<WorkerCommand, Integer> taskEnds = new LinkedHashMap<>();
-        /** Tasks that were commanded to stop and have not reported it. */
+        /** Tasks that received a stop command and have not reported their end yet. */
         final List<TaskId> stopping = new ArrayList<>();
 
         SimulatedMachine(MachinePool pool, int upAt) {
@@ -327,7 +327,7 @@
                 / (double) arrived.size();
     }
 
-    /** Returns the longest wait until the last task started, of the jobs that arrived at step {@code fromStep} or later. */
+    /** Returns the longest time from arrival to last start of a class's jobs that arrived from {@code fromStep}. */
     int longestWaitForLastStart(String name, int fromStep) {
         return histories.values().stream()
                 .filter(f -> f.arrivedAt >= fromStep && f.spec.jobClass().equals(name))
--- a/src/test/java/io/indigoreach/core/scheduling/DependentJobsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependentJobsTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Dependent jobs of a leader: what they hold while they wait, and which times count from the release. */
+/** Tests what dependent jobs reserve while they wait, and which times are measured from their release. */
 class DependentJobsTest {
     private final SchedulerFixture world = new SchedulerFixture(SchedulerFixture.teamWithCoreLimit(4));
 
--- a/src/test/java/io/indigoreach/core/scheduling/FailoverTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FailoverTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a leader may conclude from heartbeats and listings, and when it may start tasks, so that no task runs twice. */
+/** Tests what a leader concludes from heartbeats and listings, and that it starts no task that may still run. */
 class FailoverTest {
     private final SchedulerFixture world = new SchedulerFixture();
 
@@ -148,8 +148,8 @@
     }
 
     /**
-     * Machines that never came up need no record: two recorded ones held back a whole queue for 24 s (incident
-     * inc-e504).
+     * Machines that never booted are not recorded. In incident inc-e504, two such machines were recorded and blocked a
+     * whole queue for 24 s.
      */
     @Test
     void onlyMachinesWithAHeartbeatAreRecorded() {
--- a/src/test/java/io/indigoreach/core/scheduling/FleetCostTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/FleetCostTest.java
@@ -23,8 +23,8 @@
 
 /**
  * Measures the cost of one second of heartbeats in machines visited. Guards against decisions that iterate over the
- * whole fleet for each heartbeat, which with 450 machines uses all of the processor time when the scheduler has a tenth
- * of a core.
+ * whole fleet for each heartbeat. With 450 machines and a tenth of a core, such a decision would use all of the
+ * processor time.
  */
 class FleetCostTest {
     @ParameterizedTest
--- a/src/test/java/io/indigoreach/core/scheduling/InheritedRequestsTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/InheritedRequestsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Rental and return requests of earlier leaders, and the cloud's answers to them. */
+/** Tests how a leader handles rental and return requests of earlier leaders, and the cloud's responses to them. */
 class InheritedRequestsTest {
     /** A request name that was used twice returned an on-demand machine for a spot request, and the reverse. */
     @Test
--- a/src/test/java/io/indigoreach/core/scheduling/MinimumServiceTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/MinimumServiceTest.java
@@ -57,7 +57,7 @@
         assertEquals(1, harness.servedFraction("usual", 800), "all jobs are served in the end");
     }
 
-    /** Guards against good service in the last hour that hides the starvation of a class by a current burst. */
+    /** A class that was served well in the last hour still gets its minimum service when a burst starves it now. */
     @Test
     void pastServiceDoesNotHideCurrentStarvation() {
         int begin = 3600;
@@ -124,8 +124,8 @@
     }
 
     /**
-     * Guards against scale-out by the top job alone: longer jobs wait behind a service and short jobs that start at
-     * once.
+     * Guards against a scale-out decision that considers only the top job. Here the top jobs, a service and short jobs,
+     * start at once, while longer jobs behind them wait.
      */
     @Test
     void waitsFallBelowLimitAfterFailover() {
--- a/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulation.java
@@ -58,7 +58,7 @@
     private static final double MAX_FAILOVER_S =
             2 * SchedulerFixture.SAFETY_TIMES.leaseBound().seconds() + 0.2;
 
-    /** A guard that a run can disable, to show that a rule is then violated. */
+    /** A safeguard that a run can disable, to check that the simulation then detects a violation. */
     public enum DisabledGuard {
         NONE,
         /** A new leader waits for the machines that earlier leaders recorded. */
@@ -129,7 +129,7 @@
     private double loadedAt;
 
     private boolean loaded;
-    /** Whether the final phase has begun, without new faults and new jobs. */
+    /** Whether the final phase has begun, in which no faults are injected and no jobs are submitted. */
     private boolean finalPhase;
     /** Tasks of array jobs that have completed. */
     private final Set<TaskId> completed = new HashSet<>();
--- a/src/test/java/io/indigoreach/core/scheduling/RandomSimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/RandomSimulationTest.java
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Each optional fault alone, and late commands outside heartbeat answers, lead to a violation if the guard is
-     * disabled.
+     * If the guard is disabled, each optional fault by itself causes a violation, and so do late commands that are not
+     * sent in heartbeat responses.
      */
     @ParameterizedTest
     @CsvSource({
--- a/src/test/java/io/indigoreach/core/scheduling/ScaleOutTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ScaleOutTest.java
@@ -222,8 +222,8 @@
     }
 
     /**
-     * An on-demand machine beyond the need gets no new tasks, but only after some time (incident inc-bdad): one of two
-     * machines still gets tasks for a minute or two after the need for them ended.
+     * A surplus on-demand machine stops getting new tasks only after a delay (incident inc-bdad): when two machines are
+     * no longer needed, one of them still gets tasks for one or two minutes.
      */
     @ParameterizedTest
     @CsvSource({"0, 2", "45, 1", "90, 1", "400, 0"})
--- a/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ServiceTest.java
@@ -154,8 +154,8 @@
     }
 
     /**
-     * Reports the loss at {@code now}: the machine fails at 2.5 s, or sends no heartbeats, or is missing from the
-     * listing.
+     * Simulates the state at {@code now} of machine a, lost in the way that {@code loss} names: it is listed as failed
+     * from 2.5 s on, its lease expires without heartbeats, or it is missing from the listing.
      */
     private static void simulateLoss(SchedulerFixture world, String loss, double now) {
         ListedMachine machineB = listed("b", ListedMachine.Status.RUNNING);
--- a/src/test/java/io/indigoreach/core/scheduling/ShortQueueTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/ShortQueueTest.java
@@ -16,9 +16,9 @@
  */
 class ShortQueueTest {
     /**
-     * Short jobs of 20 tasks of 6 s run four at once on a machine, which takes 30 s per job. No task has ended yet, so
-     * a third of the estimate counts. The existing machine is free for 35 s of the wait limit of 45 s, and machines are
-     * paid by the minute.
+     * Each short job has 20 tasks of 6 s; a machine runs four at once, so a job takes 30 s of a machine. No task has
+     * ended yet, so only a third of the estimate is used. The existing machine has 35 s left of the wait limit of 45 s;
+     * machines are billed by the minute. The requests must cover the work of the whole queue.
      */
     @ParameterizedTest
     @CsvSource({"1, 1", "20, 3", "200, 33", "1000, 167"})
--- a/src/test/java/io/indigoreach/core/scheduling/SimulatedCluster.java
+++ b/src/test/java/io/indigoreach/core/scheduling/SimulatedCluster.java
@@ -359,7 +359,7 @@
                 .sum();
     }
 
-    /** Returns the machine where the task has not exited, or null. */
+    /** Returns the machine where the task is in any state but exited, or null if there is none. */
     Worker workerRunning(TaskId task) {
         return workers.values().stream()
                 .filter(b -> b.tasks.containsKey(task) && b.tasks.get(task).state() != TaskState.EXITED)
--- a/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulation.java
+++ b/src/test/java/io/indigoreach/core/scheduling/TeamLimitSimulation.java
@@ -159,7 +159,9 @@
     }
 
     /**
-     * Starts the fault on about half of the machines, each for a random time; a hung worker resumes within its lease.
+     * Injects the simulated fault. If controllers are down, it affects all machines until {@code termStart}; in a zone
+     * partition, those that the old leader cannot reach. Otherwise it affects about half of the machines, for a random
+     * duration per machine; a hung worker resumes before its lease expires.
      */
     private void startFaults(double now, double termStart) {
         for (SimulatedCluster.Worker box : cluster.workers()) {
--- a/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolHarness.java
@@ -237,7 +237,7 @@
         return new Moment((FIRST_STEP_S + step) * 1000L);
     }
 
-    /** Replaces the leader with a new one that knows the jobs, the recorded machines, and the accounts' pages. */
+    /** Replaces the leader with one that knows the jobs, recorded machines and stored pages of the cost accounts. */
     void startNewLeader() {
         core = new SchedulerCore(
                 new FencingToken(++token),
--- a/src/test/java/io/indigoreach/core/scheduling/WarmPoolTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/WarmPoolTest.java
@@ -282,7 +282,8 @@
                 .filter(e -> e.getKey().pool().equals("p"))
                 .mapToDouble(e -> e.getValue())
                 .sum();
-        // The budget may be exceeded by four machines at 3.6 per hour for a term and a check.
+        // Spending may exceed the budget by the cost of four machines at 3.6 per hour, for one paid term plus one check
+        // interval.
         assertTrue(spent >= 1 && spent <= 1 + 4 * 3.6 * 20 / 3600, "spent " + spent);
         assertTrue(harness.logLines.stream().anyMatch(s -> s.contains("budget is over")));
     }
--- a/src/test/java/io/indigoreach/knownred/KnownRedExtension.java
+++ b/src/test/java/io/indigoreach/knownred/KnownRedExtension.java
@@ -10,8 +10,9 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Runs the tests of {@link KnownRedList}, and reports their failures as skipped, with the observed failure. A listed test that passes
- * fails the build, so that fixed tests are removed from the list. Registered for every test class by {@code META-INF/services}.
+ * Runs the tests of {@link KnownRedList}. A failing listed test is reported as skipped, with its failure; a listed
+ * test that passes breaks the build, so that it gets removed from the list. Registered for every test class by
+ * {@code META-INF/services}.
  */
 public final class KnownRedExtension implements InvocationInterceptor {
     private static final Pattern ROW = Pattern.compile("\\[test-template-invocation:#(\\d+)]$");
--- a/src/test/java/io/indigoreach/state/FakeStateService.java
+++ b/src/test/java/io/indigoreach/state/FakeStateService.java
@@ -52,7 +52,7 @@
     public volatile int rejectedRequests;
     /** Callers whose requests are rejected, by the names of their {@link #addEndpoint endpoints}; their open watches wait. */
     public final Set<String> rejectedCallers = new HashSet<>();
-    /** Selects requests, by the caller's endpoint name and the path, that wait until {@link #executeDelayed}. */
+    /** Selects the requests to delay until {@link #executeDelayed}, by the caller's endpoint name and the path. */
     public BiPredicate<String, String> delayFilter = (door, path) -> false;
     /** Whether leases expire; after an outage each lease gets its full time again. */
     public boolean leasesExpire;
@@ -151,8 +151,8 @@
             return executeHeld();
         }
         CompletableFuture<List<Integer>> statuses = new CompletableFuture<>();
-        // Does not call this method again: another connection may have set the event loop meanwhile, and a loop that
-        // waits for itself would deadlock.
+        // The callback calls executeHeld, not executeHeldTransactions: another connection may have changed the event
+        // loop meanwhile, and a loop that waits for itself deadlocks.
         currentLoop.runOnContext(v -> statuses.complete(executeHeld()));
         return statuses.orTimeout(TIMEOUT_S, TimeUnit.SECONDS).join();
     }
--- a/src/test/java/io/indigoreach/state/LeaderElectionTest.java
+++ b/src/test/java/io/indigoreach/state/LeaderElectionTest.java
@@ -107,7 +107,10 @@
         assertEquals("b1 gained 2", nextEvent());
     }
 
-    /** A starting node waits for a leader before it accepts requests if the deployment has had a leader and has none now. */
+    /**
+     * If the deployment had a leader earlier and has none now, a starting node accepts no requests until a leader is
+     * elected.
+     */
     @ParameterizedTest
     @CsvSource({
         "-, false, false, false",
@@ -292,7 +295,10 @@
         assertTrue(events.isEmpty(), "leadership changed although the lease never ended");
     }
 
-    /** Guards against two leaders: a node whose pledge, or whose previous process's pledge, may be in force does not campaign. */
+    /**
+     * Guards against two leaders: a node does not campaign while a pledge that it gave, possibly before a restart, may
+     * still be valid.
+     */
     @Test
     void pledgeDefersCampaigning() throws Exception {
         LeaderElection nodeA = startNode("a", "a1", 2);
