--- a/src/main/java/io/indigoreach/api/CascadeFreshness.java
+++ b/src/main/java/io/indigoreach/api/CascadeFreshness.java
@@ -17,7 +17,7 @@
     private final SteadyClock clock;
     private final BooleanSupplier readsSuspect;
     private Span cascadeTime = Span.ZERO;
-    private Supplier<Object> leadership = () -> "";
+    private Supplier<Object> leadershipId = () -> "";
     private Object lastLeadership;
     private Moment lastDisruption;
 
@@ -36,7 +36,7 @@
      */
     void setCascadeTime(Span time, Supplier<Object> currentLeadership) {
         cascadeTime = time;
-        leadership = currentLeadership;
+        leadershipId = currentLeadership;
     }
 
     /** Records that a request to the state service has failed. */
@@ -46,7 +46,7 @@
 
     /** Returns whether open records may lack a cascaded cancellation. */
     boolean mayBeStale() {
-        Object current = leadership.get();
+        Object current = leadershipId.get();
         if (!Objects.equals(current, lastLeadership)) {
             lastLeadership = current;
             lastDisruption = clock.now();
--- a/src/main/java/io/indigoreach/api/DependencyLookup.java
+++ b/src/main/java/io/indigoreach/api/DependencyLookup.java
@@ -71,11 +71,12 @@
      * cancelled only if its final record says so.
      */
     Future<Boolean> isCancelledByCascade(JobDependencies dependencies) {
-        return search(new ArrayDeque<>(dependencies.requiredJobs()), new HashSet<>(dependencies.requiredJobs()));
+        return searchForCancelled(
+                new ArrayDeque<>(dependencies.requiredJobs()), new HashSet<>(dependencies.requiredJobs()));
     }
 
     /** Searches breadth-first. {@code seen} contains the jobs that were looked up and those in {@code remaining}. */
-    private Future<Boolean> search(Deque<JobId> remaining, Set<JobId> seen) {
+    private Future<Boolean> searchForCancelled(Deque<JobId> remaining, Set<JobId> seen) {
         if (remaining.isEmpty()) {
             return Future.succeededFuture(false);
         }
@@ -91,7 +92,7 @@
                     .flatMap(job -> unfinishedDependencies(job).stream())
                     .filter(seen::add)
                     .forEach(remaining::add);
-            return search(remaining, seen);
+            return searchForCancelled(remaining, seen);
         });
     }
 
--- a/src/main/java/io/indigoreach/api/JobSubmission.java
+++ b/src/main/java/io/indigoreach/api/JobSubmission.java
@@ -79,7 +79,7 @@
         Optional<FinalRecord> finished = context.jobCache().finished(spec.id());
         if (finished.isPresent()) {
             return Future.succeededFuture(
-                    SubmissionResult.existing(finished.get().status()));
+                    SubmissionResult.forExistingJob(finished.get().status()));
         }
         if (!context.admission().isReady()) {
             return Future.failedFuture(new RetryLaterException("the machine types are not known yet"));
@@ -215,6 +215,6 @@
     private Future<SubmissionResult> existingResult(JobId id, StoredJob found) {
         return context.cancellation()
                 .applyCascade(id, found)
-                .map(current -> SubmissionResult.existing(current.status().orElseThrow()));
+                .map(current -> SubmissionResult.forExistingJob(current.status().orElseThrow()));
     }
 }
--- a/src/main/java/io/indigoreach/api/SubmissionResult.java
+++ b/src/main/java/io/indigoreach/api/SubmissionResult.java
@@ -15,7 +15,7 @@
     }
 
     /** Returns the result for a job that had been accepted before. */
-    static SubmissionResult existing(JobStatus status) {
+    static SubmissionResult forExistingJob(JobStatus status) {
         return new SubmissionResult(false, status);
     }
 }
--- a/src/main/java/io/indigoreach/checker/Checker.java
+++ b/src/main/java/io/indigoreach/checker/Checker.java
@@ -161,7 +161,7 @@
                 ? "type " + pool.type()
                 : !spec.allowsZone(pool.zone())
                         ? "zone " + pool.zone()
-                        : !spec.allowsPricing(pool.spot()) ? "a spot machine" : null;
+                        : !spec.allowsPurchaseType(pool.spot()) ? "a spot machine" : null;
         int inZone = 1;
         for (Stay mate : mates) {
             if (s.from.isBefore(mate.to)) {
--- a/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
+++ b/src/main/java/io/indigoreach/cluster/CompletionBlockStore.java
@@ -36,16 +36,16 @@
         Map<String, BitSet> inFlight = Map.of();
     }
 
-    private final LeaderWriteContext writes;
+    private final LeaderWriteContext writeContext;
     private final NodeContext context;
     private final PeriodicTask cleanupTask;
     private final Map<JobId, JobBlocks> blocksByJob = new HashMap<>();
     /** Keys of blocks to delete because their jobs are no longer open. */
     private final Map<JobId, Set<String>> orphanedKeys = new LinkedHashMap<>();
 
-    CompletionBlockStore(LeaderWriteContext writes) {
-        this.writes = writes;
-        this.context = writes.context();
+    CompletionBlockStore(LeaderWriteContext writeContext) {
+        this.writeContext = writeContext;
+        this.context = writeContext.context();
         this.cleanupTask = new PeriodicTask(
                 context.vertx(), "blocks of finished jobs", CLEANUP_PERIOD, this::deleteOrphanedBlocks);
     }
@@ -165,7 +165,7 @@
         JobId id = orphanedKeys.keySet().iterator().next();
         List<String> keys =
                 orphanedKeys.get(id).stream().limit(context.limits().txnOps()).toList();
-        if (!writes.limiter().tryAcquireSpare(keys.size(), context.clock().now())) {
+        if (!writeContext.limiter().tryAcquireSpare(keys.size(), context.clock().now())) {
             return Future.succeededFuture(CLEANUP_PERIOD);
         }
         return context.state().get(RecordKeys.finalKey(id)).compose(finalRecord -> {
@@ -179,13 +179,13 @@
     }
 
     private Future<Span> deleteBlocks(JobId id, List<String> keys, StateClient.Entry finalRecord) {
-        StateClient.Txn txn = writes.newTransaction().when(finalRecord.key(), finalRecord.revision());
+        StateClient.Txn txn = writeContext.newTransaction().when(finalRecord.key(), finalRecord.revision());
         keys.forEach(txn::delete);
         return context.state().commit(txn).map(outcome -> {
             if (outcome.executed()) {
                 onBlocksDeleted(id, keys);
             } else if (!cleanupTask.isCancelled() && LeaderWriteContext.isDeposed(outcome)) {
-                writes.deposed();
+                writeContext.onLeadershipLost();
             }
             return CLEANUP_PERIOD;
         });
--- a/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
+++ b/src/main/java/io/indigoreach/cluster/ConnectivityCheck.java
@@ -86,9 +86,9 @@
      * as well. False if this node's event loop was blocked in that time, because that could be the cause.
      */
     private boolean isUnreachableLongEnough() {
-        Span requiredTime = MAX_RESPONSE_AGE.times(2);
-        return loopMonitor.hasRunWithoutPauseFor(requiredTime)
-                && clock.now().since(lastResponseAt).compareTo(requiredTime) >= 0;
+        Span requiredUnreachableTime = MAX_RESPONSE_AGE.times(2);
+        return loopMonitor.hasRunWithoutPauseFor(requiredUnreachableTime)
+                && clock.now().since(lastResponseAt).compareTo(requiredUnreachableTime) >= 0;
     }
 
     private Future<Span> step() {
--- a/src/main/java/io/indigoreach/cluster/DependencyTask.java
+++ b/src/main/java/io/indigoreach/cluster/DependencyTask.java
@@ -153,10 +153,10 @@
         }
         Moment now = context.clock().now();
         switch (state) {
-            case DONE -> dependentJobs.jobDone(id);
+            case DONE -> dependentJobs.onJobDone(id);
             case CANCELLED -> {
                 LOG.info("cancellation cascaded job={}", id);
-                dependentJobs.jobCancelled(id);
+                dependentJobs.onJobCancelled(id);
             }
             case OPEN -> nextLookupAt.put(id, now.plus(OPEN_RETRY));
             // The outcome is unknown, so the dependents wait until a record is found.
@@ -209,7 +209,7 @@
             return Future.succeededFuture();
         }
         if (LeaderWriteContext.isDeposed(outcome)) {
-            writes.deposed();
+            writes.onLeadershipLost();
             return Future.succeededFuture();
         }
         return readOutcome(job);
@@ -238,7 +238,7 @@
     }
 
     private void onCancelled(JobId id) {
-        dependentJobs.jobCancelled(id);
+        dependentJobs.onJobCancelled(id);
         jobStore.onCancelled(id);
     }
 }
--- a/src/main/java/io/indigoreach/cluster/IntentLog.java
+++ b/src/main/java/io/indigoreach/cluster/IntentLog.java
@@ -48,7 +48,7 @@
     private boolean cancelled;
     private Revision recordRevision = Revision.ABSENT;
     /** Whether the revision of this leader's record must be read before the next write. */
-    private boolean revisionUnknown;
+    private boolean recordRevisionUnknown;
     /** Whether a write got no response; it may still be executed, until a later write has been. */
     private boolean writeOutcomeUnknown;
 
@@ -181,7 +181,7 @@
     }
 
     private Future<Boolean> write(Moment now) {
-        if (revisionUnknown) {
+        if (recordRevisionUnknown) {
             return readRecordRevision().map(false);
         }
         Intents.Content page = intents.content();
@@ -203,7 +203,7 @@
     private Future<Void> readRecordRevision() {
         return context.state().get(recordKey).map(entry -> {
             recordRevision = entry == null ? Revision.ABSENT : entry.revision();
-            revisionUnknown = false;
+            recordRevisionUnknown = false;
             return null;
         });
     }
@@ -218,12 +218,12 @@
         if (outcome.failedKeys().contains(RecordKeys.LEADER)) {
             onLeadershipKeyChanged();
         }
-        revisionUnknown = true;
+        recordRevisionUnknown = true;
         return false;
     }
 
     private void onWriteFailed(Throwable cause) {
-        revisionUnknown |= !StateClient.wasNotExecuted(cause);
-        writeOutcomeUnknown |= revisionUnknown;
+        recordRevisionUnknown |= !StateClient.wasNotExecuted(cause);
+        writeOutcomeUnknown |= recordRevisionUnknown;
     }
 }
--- a/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
+++ b/src/main/java/io/indigoreach/cluster/JobRecordWriter.java
@@ -51,7 +51,7 @@
     private final Set<JobId> writesInFlight = new HashSet<>();
     private final Map<JobId, Moment> lastWriteAt = new HashMap<>();
     /** Jobs whose completion must still be moved from the open record to a final record, with the open record's revision. */
-    private final Map<JobId, Revision> completionsToMove = new LinkedHashMap<>();
+    private final Map<JobId, Revision> completedJobsToMove = new LinkedHashMap<>();
 
     private final Map<JobId, JobStatus> recordedStatus = new HashMap<>();
     /** Open jobs whose records exceed the limits of the state service and for which this was already logged. */
@@ -133,7 +133,7 @@
         List<Job> dueJobs = interleave(completed, core.startBoundsToRaise(now));
         dueJobs.addAll(findJobsWithDueProgress(now));
         writeDueRecords(dueJobs, manyCompletions, now);
-        if (!completionsToMove.isEmpty()
+        if (!completedJobsToMove.isEmpty()
                 && !manyCompletions
                 && writesInFlight.size() < MAX_WRITES_IN_FLIGHT
                 && writes.limiter().tryAcquireSpare(MOVE_OPERATIONS, now)) {
@@ -247,8 +247,8 @@
      * Moves one completed job to its final record. The write is rejected if a later leader or a rebuild has already moved it.
      */
     private void moveNextCompletedJob() {
-        JobId id = completionsToMove.keySet().iterator().next();
-        Revision revision = completionsToMove.remove(id);
+        JobId id = completedJobsToMove.keySet().iterator().next();
+        Revision revision = completedJobsToMove.remove(id);
         RememberedState.FinishedJob finished = finishedJobs.get(id);
         if (finished == null) {
             return;
@@ -259,7 +259,7 @@
                 .onComplete(result -> {
                     writesInFlight.remove(id);
                     if (!isCancelled() && result.failed()) {
-                        completionsToMove.put(id, revision);
+                        completedJobsToMove.put(id, revision);
                     }
                 });
     }
@@ -307,7 +307,7 @@
                 onProgressWritten(sent, outcome.writtenRevision());
             }
         } else if (LeaderWriteContext.isDeposed(outcome)) {
-            writes.deposed();
+            writes.onLeadershipLost();
         } else {
             dirtyJobs.add(sent.job());
             readCurrentRecords(sent.job());
@@ -320,7 +320,7 @@
         core.closeJob(id);
         onJobFinished(sent.job());
         if (sent.leavesOpenRecord()) {
-            completionsToMove.put(id, revision);
+            completedJobsToMove.put(id, revision);
         }
     }
 
@@ -355,7 +355,7 @@
     private Future<Void> readFinalRecord(Job job) {
         return lookup.finalRecord(job.id()).compose(record -> {
             if (record == null) {
-                return reportIfAbsent(job.id());
+                return reportLossIfAbsent(job.id());
             }
             if (!isCancelled()) {
                 onFinalRecordRead(
@@ -365,7 +365,7 @@
         });
     }
 
-    private Future<Void> reportIfAbsent(JobId id) {
+    private Future<Void> reportLossIfAbsent(JobId id) {
         return lookup.confirmAbsent(id)
                 .onSuccess(absent -> {
                     if (absent && !isCancelled()) {
--- a/src/main/java/io/indigoreach/cluster/JobStore.java
+++ b/src/main/java/io/indigoreach/cluster/JobStore.java
@@ -53,7 +53,7 @@
     }
 
     /** Schedules a write of the job's record. */
-    void markDirty(Job job) {
+    void scheduleWrite(Job job) {
         jobs.writer().markDirty(job);
     }
 
--- a/src/main/java/io/indigoreach/cluster/LeaderWriteContext.java
+++ b/src/main/java/io/indigoreach/cluster/LeaderWriteContext.java
@@ -18,11 +18,11 @@
         FencingToken token,
         Revision leadershipRevision,
         RateLimiter limiter,
-        DepositionListener listener) {
+        LeadershipLostListener listener) {
     /** Called when a write shows that another node holds the leadership key, or that the key no longer exists. */
     @FunctionalInterface
-    interface DepositionListener {
-        void deposed();
+    interface LeadershipLostListener {
+        void onLeadershipLost();
     }
 
     /** Creates an empty transaction that the state service rejects once this term is over. */
@@ -35,7 +35,7 @@
         return outcome.failedKeys().contains(RecordKeys.LEADER);
     }
 
-    void deposed() {
-        listener.deposed();
+    void onLeadershipLost() {
+        listener.onLeadershipLost();
     }
 }
--- a/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
+++ b/src/main/java/io/indigoreach/cluster/LeadershipTerm.java
@@ -74,7 +74,7 @@
     private final PeriodicTask tickTask;
     private final CancellationHorizon cancellationHorizon = new CancellationHorizon();
     private boolean startBoundsTrusted;
-    private Moment lastSummaryAt = Moment.NEVER;
+    private Moment lastSummaryLoggedAt = Moment.NEVER;
     /** When this node began to respond to heartbeats. Missing heartbeats before that do not count against a machine. */
     private Moment servingSince = Moment.NEVER;
 
@@ -321,8 +321,8 @@
         if (!startBoundsTrusted && hasNoInheritedJobs()) {
             return confirmStartBounds();
         }
-        if (now.since(lastSummaryAt).compareTo(SUMMARY_PERIOD) >= 0) {
-            lastSummaryAt = now;
+        if (now.since(lastSummaryLoggedAt).compareTo(SUMMARY_PERIOD) >= 0) {
+            lastSummaryLoggedAt = now;
             LOG.info("{}", core.summary());
         }
         return Future.succeededFuture(TICK_PERIOD);
@@ -342,7 +342,7 @@
 
     @Override
     public void onTaskCompleted(Job job) {
-        jobStore.markDirty(job);
+        jobStore.scheduleWrite(job);
     }
 
     @Override
--- a/src/main/java/io/indigoreach/cluster/MachineStore.java
+++ b/src/main/java/io/indigoreach/cluster/MachineStore.java
@@ -98,12 +98,12 @@
     private Future<Span> step() {
         Moment now = context.clock().now();
         expirePending(now);
-        MachinePage uncertain = pages.stream()
+        MachinePage pageWithUncertainRevision = pages.stream()
                 .filter(MachinePage::isRevisionUncertain)
                 .findFirst()
                 .orElse(null);
-        if (uncertain != null) {
-            return readRevision(uncertain);
+        if (pageWithUncertainRevision != null) {
+            return readRevision(pageWithUncertainRevision);
         }
         if (now.since(lastWriteAt).compareTo(MIN_WRITE_INTERVAL) < 0) {
             return Future.succeededFuture(STEP_PERIOD);
@@ -305,7 +305,7 @@
         if (outcome.executed()) {
             onCommitted.accept(outcome.writtenRevision());
         } else if (LeaderWriteContext.isDeposed(outcome)) {
-            writes.deposed();
+            writes.onLeadershipLost();
         } else {
             written.forEach(page -> page.setRevisionUncertain(true));
         }
--- a/src/main/java/io/indigoreach/cluster/PeerProtocol.java
+++ b/src/main/java/io/indigoreach/cluster/PeerProtocol.java
@@ -81,7 +81,7 @@
     }
 
     /** Decodes the era in which the state service lost data. */
-    static long readLoss(Fields request) {
+    static long readLossEra(Fields request) {
         return request.wholeNumber(ERA);
     }
 
--- a/src/main/java/io/indigoreach/cluster/PeerServer.java
+++ b/src/main/java/io/indigoreach/cluster/PeerServer.java
@@ -122,7 +122,7 @@
 
     private void answerLoss(HttpServerRequest request) {
         request.body()
-                .onSuccess(body -> state.reportLossFromPeer(PeerProtocol.readLoss(MessagePackFormat.readMap(body))))
+                .onSuccess(body -> state.reportLossFromPeer(PeerProtocol.readLossEra(MessagePackFormat.readMap(body))))
                 .onComplete(body -> respond(request, OK, PeerProtocol.writeEmpty()));
     }
 
--- a/src/main/java/io/indigoreach/core/leadership/CancellationHorizon.java
+++ b/src/main/java/io/indigoreach/core/leadership/CancellationHorizon.java
@@ -50,11 +50,11 @@
 
     /** Returns the moment before which every cancellation that was confirmed to a user is known and acted on. */
     public Moment completeUntil() {
-        Moment until = knownUntil;
-        for (Moment since : unresolved.values()) {
-            until = since.isBefore(until) ? since : until;
+        Moment horizon = knownUntil;
+        for (Moment unresolvedSince : unresolved.values()) {
+            horizon = unresolvedSince.isBefore(horizon) ? unresolvedSince : horizon;
         }
-        return until;
+        return horizon;
     }
 
     /** Returns how far back the responses of the other nodes must reach to advance the horizon, if they take up to {@code roundTrip}. */
--- a/src/main/java/io/indigoreach/core/leadership/IsolationCheck.java
+++ b/src/main/java/io/indigoreach/core/leadership/IsolationCheck.java
@@ -68,8 +68,8 @@
      * @param peersServed for each other node whether the state service serves it, or null if the node does not respond
      */
     public Verdict onStateServiceUnresponsive(List<Boolean> peersServed, Moment now) {
-        boolean allSilent = !peersServed.isEmpty() && peersServed.stream().allMatch(Objects::isNull);
-        if (!allSilent) {
+        boolean allPeersSilent = !peersServed.isEmpty() && peersServed.stream().allMatch(Objects::isNull);
+        if (!allPeersSilent) {
             silentSince = Moment.NEVER;
             verdict = peersServed.contains(true) ? Verdict.REFUSED_ALONE : Verdict.TOGETHER;
             return verdict;
--- a/src/main/java/io/indigoreach/core/leadership/TokenGenerator.java
+++ b/src/main/java/io/indigoreach/core/leadership/TokenGenerator.java
@@ -24,9 +24,9 @@
     /** The highest token known to have been in use. */
     private long highestKnown;
     /** The highest token that this process has campaigned with; it may or may not be in use. */
-    private long lastCampaigned;
+    private long lastCampaignToken;
     /** The highest token that this process had campaigned with before its last campaign. */
-    private long previouslyCampaigned;
+    private long previousCampaignToken;
 
     /**
      * @param nodeIndex this node's index among all nodes, in the order of their names
@@ -72,11 +72,11 @@
      * @param timeOfDayMs the time of day in milliseconds since 1970
      */
     public FencingToken next(FencingToken counter, long timeOfDayMs) {
-        long nextSecond = (Math.max(counter.value(), Math.max(highestKnown, lastCampaigned)) >> NODE_BITS) + 1;
+        long nextSecond = (Math.max(counter.value(), Math.max(highestKnown, lastCampaignToken)) >> NODE_BITS) + 1;
         long tokenSecond = Math.max(nextSecond, Math.max(secondsSinceEpoch(timeOfDayMs), earliestSecond));
-        previouslyCampaigned = lastCampaigned;
-        lastCampaigned = tokenSecond << NODE_BITS | nodeIndex;
-        return new FencingToken(lastCampaigned);
+        previousCampaignToken = lastCampaignToken;
+        lastCampaignToken = tokenSecond << NODE_BITS | nodeIndex;
+        return new FencingToken(lastCampaignToken);
     }
 
     /**
@@ -85,8 +85,8 @@
      * again.
      */
     public void release(FencingToken token) {
-        if (lastCampaigned == token.value()) {
-            lastCampaigned = previouslyCampaigned;
+        if (lastCampaignToken == token.value()) {
+            lastCampaignToken = previousCampaignToken;
         }
     }
 }
--- a/src/main/java/io/indigoreach/core/model/JobSpec.java
+++ b/src/main/java/io/indigoreach/core/model/JobSpec.java
@@ -138,7 +138,7 @@
     }
 
     /** Whether a task may run on a spot machine, if {@code spot} is true, or on an on-demand machine otherwise. */
-    public boolean allowsPricing(boolean spot) {
+    public boolean allowsPurchaseType(boolean spot) {
         return spotAllowed || !spot;
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/AvailableMachineCounter.java
+++ b/src/main/java/io/indigoreach/core/scheduling/AvailableMachineCounter.java
@@ -5,11 +5,11 @@
 /** Counts the machines that a queue can use before it needs to scale out. */
 final class AvailableMachineCounter {
     private final Cluster cluster;
-    private final double bootPatience;
+    private final double bootTimeoutFactor;
 
-    AvailableMachineCounter(Cluster cluster, double bootPatience) {
+    AvailableMachineCounter(Cluster cluster, double bootTimeoutFactor) {
         this.cluster = cluster;
-        this.bootPatience = bootPatience;
+        this.bootTimeoutFactor = bootTimeoutFactor;
     }
 
     /** Counts the idle and booting machines of the type, without machines whose boot is overdue. */
@@ -21,7 +21,7 @@
                     || (machine.poolMembership != null && !isWarmFor(queue, machine))) {
                 continue;
             }
-            if (machine.isBooting(now, bootPatience)
+            if (machine.isBooting(now, bootTimeoutFactor)
                     || (machine.isHealthy() && machine.isIdle() && isUsableByQueue(queue, machine))) {
                 count++;
             }
--- a/src/main/java/io/indigoreach/core/scheduling/ConsolidationPolicy.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ConsolidationPolicy.java
@@ -155,26 +155,27 @@
             Machine machine, List<Machine> fullerMachines, Map<Machine, Resources> freeAfterMoves) {
         Map<Machine, Resources> reserved = new HashMap<>(freeAfterMoves);
         for (Placement placement : machine.placements().values()) {
-            Machine target = null;
+            Machine destination = null;
             for (Machine candidate : fullerMachines) {
-                if (isTarget(candidate, placement.job)
+                if (canReceiveTask(candidate, placement.job)
                         && placement.demand().fitsIn(reserved.getOrDefault(candidate, candidate.freeResources()))) {
-                    target = candidate;
+                    destination = candidate;
                     break;
                 }
             }
-            if (target == null) {
+            if (destination == null) {
                 return false;
             }
             reserved.put(
-                    target,
-                    reserved.getOrDefault(target, target.freeResources()).minus(placement.demand()));
+                    destination,
+                    reserved.getOrDefault(destination, destination.freeResources())
+                            .minus(placement.demand()));
         }
         freeAfterMoves.putAll(reserved);
         return true;
     }
 
-    private static boolean isTarget(Machine machine, Job job) {
+    private static boolean canReceiveTask(Machine machine, Job job) {
         boolean keepsTasks = !machine.isIdle() && !machine.draining && !machine.surplus;
         return keepsTasks
                 && machine.imageCache.contains(job.spec.image())
--- a/src/main/java/io/indigoreach/core/scheduling/CordonRules.java
+++ b/src/main/java/io/indigoreach/core/scheduling/CordonRules.java
@@ -27,9 +27,9 @@
      * Returns whether the waiting jobs of a queue fit into the free resources of some machines, each job by itself and
      * all jobs by their sum of cores. Returns false if {@link #needsEveryMachine} holds for a waiting job.
      */
-    boolean fitsIn(FairShareQueue queue, Collection<Resources> free, Moment now) {
+    boolean fitsIn(FairShareQueue queue, Collection<Resources> freeResources, Moment now) {
         double cores = 0;
-        for (Resources machineFree : free) {
+        for (Resources machineFree : freeResources) {
             cores += machineFree.cores();
         }
         for (Job job : queue.jobs()) {
@@ -40,16 +40,16 @@
                 return false;
             }
             cores -= job.startableCount() * job.spec.demand().cores();
-            if (cores < 0 || !fitsIn(job, free)) {
+            if (cores < 0 || !fitsIn(job, freeResources)) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean fitsIn(Job job, Collection<Resources> free) {
+    private static boolean fitsIn(Job job, Collection<Resources> freeResources) {
         int missing = job.startableCount();
-        for (Iterator<Resources> freeIterator = free.iterator(); missing > 0 && freeIterator.hasNext(); ) {
+        for (Iterator<Resources> freeIterator = freeResources.iterator(); missing > 0 && freeIterator.hasNext(); ) {
             missing -= job.spec.demand().countFittingIn(freeIterator.next());
         }
         return missing <= 0;
--- a/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
+++ b/src/main/java/io/indigoreach/core/scheduling/DependentJobs.java
@@ -33,7 +33,7 @@
         this.estimates = estimates;
     }
 
-    void jobAdded(Job job) {
+    void onJobAdded(Job job) {
         graph.onOpened(job.id());
         if (job.hasUnmetDependencies()) {
             graph.add(job.id(), job.spec.dependencies().requiredJobs(), cluster.jobs::containsKey);
@@ -44,7 +44,7 @@
     }
 
     /** Removes a job that has ended or is no longer served. If others require it, its end is read from its record. */
-    void jobRemoved(Job job) {
+    void onJobRemoved(Job job) {
         inheritedWaitingJobs.remove(job);
         graph.onEnded(job.id());
     }
@@ -56,12 +56,12 @@
     }
 
     /** Notes that the state service has recorded the job as done. */
-    public void jobDone(JobId id) {
+    public void onJobDone(JobId id) {
         graph.onDone(id);
     }
 
     /** Notes that the state service has recorded the job as cancelled. */
-    public void jobCancelled(JobId id) {
+    public void onJobCancelled(JobId id) {
         graph.onCancelled(id);
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Dispatcher.java
@@ -140,7 +140,7 @@
             if (job.hasStartable()
                     && rules.placement().mayStart(job, batch.now())
                     && batch.machine().freeResources().cores() > CORES_EPSILON) {
-                startExemptFromBudget(queue, job, batch);
+                startTasksExemptFromBudget(queue, job, batch);
             }
         }
     }
@@ -166,13 +166,13 @@
     private void startOverdueJobs(CommandBatch batch) {
         Machine machine = batch.machine();
         Moment now = batch.now();
-        boolean ownQueueTried = !takesOverdueJobsOnly(machine, now);
-        FairShareQueue ownQueue = cluster.queueOf(machine);
-        Job topJob = ownQueue == null
+        boolean machineQueueTried = !takesOverdueJobsOnly(machine, now);
+        FairShareQueue machineQueue = cluster.queueOf(machine);
+        Job topJob = machineQueue == null
                 ? null
-                : rules.reservations().topJob(ownQueue, now).orElse(null);
+                : rules.reservations().topJob(machineQueue, now).orElse(null);
         for (FairShareQueue queue : queuesFor(machine)) {
-            if (queue == ownQueue && ownQueueTried) {
+            if (queue == machineQueue && machineQueueTried) {
                 continue;
             }
             for (Job job : rules.order().sortedJobs(queue, now)) {
@@ -183,7 +183,7 @@
                         && job.hasStartable()
                         && rules.placement().mayStart(job, now)) {
                     boolean wasIdle = machine.isIdle();
-                    start(queue, job, reservationOf(ownQueue, topJob == job ? null : topJob, now), batch);
+                    start(queue, job, reservationOf(machineQueue, topJob == job ? null : topJob, now), batch);
                     if (wasIdle && !machine.isIdle()) {
                         machine.assignTo(queue);
                     }
@@ -199,7 +199,7 @@
                 && !now.isBefore(job.placementsChangedAt.plus(OVERDUE_AFTER));
     }
 
-    private void startExemptFromBudget(FairShareQueue queue, Job job, CommandBatch batch) {
+    private void startTasksExemptFromBudget(FairShareQueue queue, Job job, CommandBatch batch) {
         start(queue, job, Optional.empty(), batch, true);
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/FailureDetector.java
+++ b/src/main/java/io/indigoreach/core/scheduling/FailureDetector.java
@@ -89,7 +89,7 @@
 
     /** Whether the machine is up, or was recorded by an earlier leader and has not sent this leader a heartbeat yet. */
     static boolean mayHoldTasks(Machine machine) {
-        return machine.phase == Machine.Phase.UP || (machine.phase == Machine.Phase.BOOTING && machine.recorded);
+        return machine.phase == Machine.Phase.UP || (machine.phase == Machine.Phase.BOOTING && machine.hasRecord);
     }
 
     /**
--- a/src/main/java/io/indigoreach/core/scheduling/ImageCache.java
+++ b/src/main/java/io/indigoreach/core/scheduling/ImageCache.java
@@ -141,7 +141,7 @@
      * fit too.
      */
     public boolean hasRoomWithoutEvicting(String keep, String other, double sizeGb) {
-        return capacityGb <= 0 || gbUsedLaterThan(keep, other) + sizeGb + sizeGb(keep) <= capacityGb;
+        return capacityGb <= 0 || sizeGbOfImagesUsedAfter(keep, other) + sizeGb + sizeGb(keep) <= capacityGb;
     }
 
     /**
@@ -149,7 +149,7 @@
      * evicted.
      */
     public boolean isEvictionLikely(String keep) {
-        return capacityGb > 0 && gbUsedLaterThan(keep, keep) > (capacityGb - sizeGb(keep)) / 2;
+        return capacityGb > 0 && sizeGbOfImagesUsedAfter(keep, keep) > (capacityGb - sizeGb(keep)) / 2;
     }
 
     private double sizeGb(String image) {
@@ -157,12 +157,12 @@
         return entry == null ? 0 : entry.sizeGb;
     }
 
-    private double gbUsedLaterThan(String keep, String except) {
+    private double sizeGbOfImagesUsedAfter(String image, String excluded) {
         double laterGb = 0;
-        boolean isLater = !entries.containsKey(keep);
+        boolean isLater = !entries.containsKey(image);
         for (Map.Entry<String, Entry> cached : entries.entrySet()) {
-            laterGb += isLater && !cached.getKey().equals(except) ? cached.getValue().sizeGb : 0;
-            isLater |= cached.getKey().equals(keep);
+            laterGb += isLater && !cached.getKey().equals(excluded) ? cached.getValue().sizeGb : 0;
+            isLater |= cached.getKey().equals(image);
         }
         return laterGb;
     }
--- a/src/main/java/io/indigoreach/core/scheduling/Job.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Job.java
@@ -315,9 +315,9 @@
     }
 
     /** Notes the revision at which the job's record was written or read. Older revisions are ignored. */
-    void updateRevision(Revision observed) {
-        if (observed.isAfter(revision)) {
-            revision = observed;
+    void updateRevision(Revision observedRevision) {
+        if (observedRevision.isAfter(revision)) {
+            revision = observedRevision;
         }
     }
 
@@ -371,7 +371,7 @@
     }
 
     /** The zone of the job's placements, to which a one-zone job is bound; null if it has no placements. */
-    String boundZone() {
+    String zoneOfPlacements() {
         return placements.anyZone().orElse(null);
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/JobSizer.java
+++ b/src/main/java/io/indigoreach/core/scheduling/JobSizer.java
@@ -50,7 +50,7 @@
 
     /** Returns whether the job's specification and the zone of its other tasks allow the zone. */
     static boolean mayRunInZone(Job job, String zone) {
-        String boundZone = job.spec.singleZone() ? job.boundZone() : null;
+        String boundZone = job.spec.singleZone() ? job.zoneOfPlacements() : null;
         return job.spec.allowsZone(zone) && (boundZone == null || boundZone.equals(zone));
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/LeaseMonitor.java
+++ b/src/main/java/io/indigoreach/core/scheduling/LeaseMonitor.java
@@ -60,7 +60,7 @@
         Moment undiscoveredSince = now.minus(Span.max(safetyTimes.suspicionTimeout(), safetyTimes.leaderDiscovery()));
         int silentMachines = 0;
         for (Machine machine : cluster.machines.values()) {
-            if (machine.recorded && machine.phase != Machine.Phase.RETURNING) {
+            if (machine.hasRecord && machine.phase != Machine.Phase.RETURNING) {
                 if (machine.lastAnsweredAt.isAfter(machine.reconciled ? suspectedSince : undiscoveredSince)) {
                     return false;
                 }
--- a/src/main/java/io/indigoreach/core/scheduling/Machine.java
+++ b/src/main/java/io/indigoreach/core/scheduling/Machine.java
@@ -37,7 +37,7 @@
      * Whether this machine is recorded in the state service. Only then may it get tasks, as a later leader then waits
      * for its heartbeat.
      */
-    boolean recorded;
+    boolean hasRecord;
 
     HeartbeatNumber lastHeartbeat = HeartbeatNumber.NONE;
     /** When the machine's last answered heartbeat arrived; its lease ends at most the lease bound later. */
@@ -112,7 +112,7 @@
     }
 
     public boolean isRecorded() {
-        return recorded;
+        return hasRecord;
     }
 
     public int taskCount() {
@@ -148,7 +148,7 @@
 
     /** Marks this machine as recorded by an earlier leader, which may have renewed its lease until {@code now}. */
     void markInherited(Moment existedAt, Moment now) {
-        recorded = true;
+        hasRecord = true;
         lastAnsweredAt = now;
         knownToExistAt = existedAt;
     }
@@ -161,7 +161,7 @@
 
     /** Marks this machine as recorded in the state service. */
     void markRecorded() {
-        recorded = true;
+        hasRecord = true;
     }
 
     void setLastHeartbeat(HeartbeatNumber number) {
@@ -365,12 +365,12 @@
 
     /** Whether this machine must be recorded before it gets tasks: it is up, but a later leader would not know it. */
     boolean needsRecord() {
-        return !recorded && phase == Phase.UP;
+        return !hasRecord && phase == Phase.UP;
     }
 
     /** Whether this machine can get new tasks: it is healthy, and a later leader will know it. */
     public boolean isUsable() {
-        return recorded && isHealthy();
+        return hasRecord && isHealthy();
     }
 
     /**
@@ -395,6 +395,6 @@
 
     /** Whether the job may use this machine's type, zone and price kind. */
     boolean matchesPool(JobSpec spec) {
-        return spec.allowsType(pool.type()) && spec.allowsZone(pool.zone()) && spec.allowsPricing(pool.spot());
+        return spec.allowsType(pool.type()) && spec.allowsZone(pool.zone()) && spec.allowsPurchaseType(pool.spot());
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/MachineAdoptionPolicy.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachineAdoptionPolicy.java
@@ -64,11 +64,11 @@
             return false;
         }
         HeartbeatNumber answered = answeredHeartbeats.get(id);
-        boolean proven = answered != null && heartbeat.number().compareTo(answered) > 0;
-        if (proven) {
+        boolean existenceProven = answered != null && heartbeat.number().compareTo(answered) > 0;
+        if (existenceProven) {
             answeredHeartbeats.remove(id);
         }
-        return proven;
+        return existenceProven;
     }
 
     /**
--- a/src/main/java/io/indigoreach/core/scheduling/MachineRegistry.java
+++ b/src/main/java/io/indigoreach/core/scheduling/MachineRegistry.java
@@ -154,7 +154,7 @@
         for (ListedMachine listed : listing) {
             if (!isReturnedOrInProgress(listed.id())) {
                 listedIds.add(listed.id());
-                onListed(listed, now);
+                onMachineListed(listed, now);
             }
         }
         adoption.onListing(listedIds, requestedAt, now);
@@ -165,7 +165,7 @@
         }
     }
 
-    private void onListed(ListedMachine listed, Moment now) {
+    private void onMachineListed(ListedMachine listed, Moment now) {
         Machine machine = cluster.machines.get(listed.id());
         if (listed.status() == ListedMachine.Status.FAILED) {
             if (machine == null || machine.phase != Machine.Phase.RETURNING) {
--- a/src/main/java/io/indigoreach/core/scheduling/PlacementRules.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PlacementRules.java
@@ -39,7 +39,7 @@
             return false;
         }
         if (job.spec.singleZone()) {
-            String boundZone = job.boundZone();
+            String boundZone = job.zoneOfPlacements();
             if (boundZone != null && !boundZone.equals(zone)) {
                 return false;
             }
--- a/src/main/java/io/indigoreach/core/scheduling/PreemptionPolicy.java
+++ b/src/main/java/io/indigoreach/core/scheduling/PreemptionPolicy.java
@@ -17,7 +17,7 @@
     static final Span MINIMUM_RUN = Span.seconds(32);
 
     /** A task that does not save its progress may be preempted only if it has run for at most this long. */
-    private static final Span MAXIMUM_LOST_RUN = Span.seconds(6);
+    private static final Span MAXIMUM_LOST_RUN_TIME = Span.seconds(6);
 
     private final Cluster cluster;
     private final ServiceLevelObjectives objectives;
@@ -119,7 +119,7 @@
      */
     private boolean losesLittleProgress(Placement placement, Job topJob, Moment now) {
         return placeShortages.timeToObjective(topJob, now).ms() > 0
-                && now.since(placement.stateSince).compareTo(MAXIMUM_LOST_RUN) <= 0
+                && now.since(placement.stateSince).compareTo(MAXIMUM_LOST_RUN_TIME) <= 0
                 && objectives.latestStartForStartObjective(placement.job) == null
                 && !placement.job.spec.isService();
     }
--- a/src/main/java/io/indigoreach/core/scheduling/QueueOrder.java
+++ b/src/main/java/io/indigoreach/core/scheduling/QueueOrder.java
@@ -83,7 +83,7 @@
     private static boolean allowsPool(Job job, MachinePool pool) {
         return job.spec.allowsType(pool.type())
                 && job.spec.allowsZone(pool.zone())
-                && job.spec.allowsPricing(pool.spot());
+                && job.spec.allowsPurchaseType(pool.spot());
     }
 
     /**
--- a/src/main/java/io/indigoreach/core/scheduling/RememberedStateBuilder.java
+++ b/src/main/java/io/indigoreach/core/scheduling/RememberedStateBuilder.java
@@ -13,7 +13,7 @@
             rememberedState.add(of(job));
         }
         for (Machine machine : cluster.machines.values()) {
-            if (machine.recorded) {
+            if (machine.hasRecord) {
                 rememberedState.add(new RememberedState.RentedMachine(
                         machine.id, machine.pool, machine.rentedAt, machine.knownToExistAt));
             }
--- a/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SchedulerCore.java
@@ -115,7 +115,7 @@
     public void addJob(Job job) {
         if (!cluster.jobs.containsKey(job.id())) {
             cluster.addJob(job);
-            dependentJobs.jobAdded(job);
+            dependentJobs.onJobAdded(job);
             inheritedTaskReleaser.onJobAdded(job);
         }
     }
@@ -139,7 +139,7 @@
         if (job != null) {
             job.cancel();
             cluster.removeJob(job);
-            dependentJobs.jobRemoved(job);
+            dependentJobs.onJobRemoved(job);
         }
     }
 
@@ -148,8 +148,8 @@
         Job job = cluster.jobs.get(id);
         if (job != null) {
             cluster.removeJob(job);
-            dependentJobs.jobRemoved(job);
-            dependentJobs.jobDone(id);
+            dependentJobs.onJobRemoved(job);
+            dependentJobs.onJobDone(id);
         }
     }
 
--- a/src/main/java/io/indigoreach/core/scheduling/SummaryFormatter.java
+++ b/src/main/java/io/indigoreach/core/scheduling/SummaryFormatter.java
@@ -19,9 +19,9 @@
         for (Job job : cluster.jobs.values()) {
             waiting += job.waitingCount();
         }
-        int other = cluster.machines.size() - up - booting;
+        int otherMachineCount = cluster.machines.size() - up - booting;
         return "scheduler summary jobs=" + cluster.jobs.size() + " waiting=" + waiting + " placed=" + placed + " up="
-                + up + " idle=" + idle + " booting=" + booting + " other=" + other
+                + up + " idle=" + idle + " booting=" + booting + " other=" + otherMachineCount
                 + (failover.isComplete() ? "" : " unreconciled=" + failover.unreconciledCount());
     }
 }
--- a/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WaitExplainer.java
@@ -68,7 +68,7 @@
         if (!rules.placement().isPlaceable(job, machine)) {
             return WaitReason.ZONE_CONSTRAINT;
         }
-        if (booting || !machine.recorded) {
+        if (booting || !machine.hasRecord) {
             return booting ? WaitReason.BOOTING : WaitReason.MACHINE_NOT_RECORDED;
         }
         if (FaultTracker.isExcluded(job, machine)) {
--- a/src/main/java/io/indigoreach/core/scheduling/WarmCapacity.java
+++ b/src/main/java/io/indigoreach/core/scheduling/WarmCapacity.java
@@ -16,7 +16,11 @@
      * Plans the pools once per check, before idle machines are returned. The predicate matches machines whose paid term
      * ends before the next check.
      */
-    default void plan(Collection<Machine> machines, Collection<Job> jobs, Predicate<Machine> termEnds, Moment now) {}
+    default void plan(
+            Collection<Machine> machines,
+            Collection<Job> jobs,
+            Predicate<Machine> paidTermEndsBeforeNextCheck,
+            Moment now) {}
 
     /** Returns whether a machine is kept for expected work even if no waiting job can use it. */
     default boolean isRetained(Machine machine) {
--- a/src/main/java/io/indigoreach/emulator/WorkerPool.java
+++ b/src/main/java/io/indigoreach/emulator/WorkerPool.java
@@ -158,7 +158,7 @@
                 }
                 step();
             } else {
-                int named = reply.status() == 421 ? index(WorkerCodec.readLeader(reply.body())) : -1;
+                int named = reply.status() == 421 ? index(WorkerCodec.readLeaderAddress(reply.body())) : -1;
                 if (named >= 0 && named != target) {
                     move(heartbeat, named, MOVES_WITHIN.times(random.nextDouble()));
                 } else {
--- a/src/main/java/io/indigoreach/state/FormatGate.java
+++ b/src/main/java/io/indigoreach/state/FormatGate.java
@@ -132,7 +132,7 @@
                 return Future.succeededFuture();
             }
             Revision revision = entry == null ? Revision.ABSENT : entry.revision();
-            return state.commit(new StateClient.Txn().when(key, revision).put(key, writeSupport()))
+            return state.commit(new StateClient.Txn().when(key, revision).put(key, encodeSupportedFormat()))
                     .map(outcome -> {
                         checkedAt = outcome.executed() ? clock.now() : checkedAt;
                         return null;
@@ -141,7 +141,7 @@
     }
 
     /** The value of the record of a node of this version. */
-    static Map<String, Object> writeSupport() {
+    static Map<String, Object> encodeSupportedFormat() {
         return MessagePackFormat.map(FORMAT_FIELD, (long) CounterRecord.NEWEST_FORMAT);
     }
 
--- a/src/main/java/io/indigoreach/state/GivenPledges.java
+++ b/src/main/java/io/indigoreach/state/GivenPledges.java
@@ -7,13 +7,13 @@
 import java.util.function.Supplier;
 
 /**
- * The pledges that this node has given: promises to a leader not to campaign for {@link #PLEDGE_TIME}. Pledges are kept in
+ * The pledges that this node has given: promises to a leader not to campaign for {@link #PLEDGE_DURATION}. Pledges are kept in
  * memory only, so a new process assumes that the previous process of this node may have given one. Bound to the node's event
  * loop.
  */
 final class GivenPledges {
     /** How long a pledge is in force: several pledge request intervals, but no longer than a process takes to start. */
-    static final Span PLEDGE_TIME = Span.seconds(2);
+    static final Span PLEDGE_DURATION = Span.seconds(2);
 
     private final SteadyClock clock;
     private final Moment startedAt;
@@ -36,9 +36,9 @@
         leaderlessQuery = query;
     }
 
-    /** Gives a pledge that is in force for {@link #PLEDGE_TIME} from now on. */
+    /** Gives a pledge that is in force for {@link #PLEDGE_DURATION} from now on. */
     void give() {
-        boundUntil = clock.now().plus(PLEDGE_TIME);
+        boundUntil = clock.now().plus(PLEDGE_DURATION);
     }
 
     /** Whether a pledge that this process gave is still in force. */
@@ -51,7 +51,7 @@
      * its time has passed, nor if no peer leads: a later leader requests its pledges from this process.
      */
     Future<Boolean> mayPredecessorBeBound() {
-        predecessorMayHavePledged &= clock.now().isBefore(startedAt.plus(PLEDGE_TIME));
+        predecessorMayHavePledged &= clock.now().isBefore(startedAt.plus(PLEDGE_DURATION));
         if (!predecessorMayHavePledged) {
             return Future.succeededFuture(false);
         }
--- a/src/main/java/io/indigoreach/state/LeaderElection.java
+++ b/src/main/java/io/indigoreach/state/LeaderElection.java
@@ -122,7 +122,7 @@
         return leading && validity.isValid();
     }
 
-    /** Pledges not to campaign for {@link GivenPledges#PLEDGE_TIME}; false if this node leads or has a campaign in progress. */
+    /** Pledges not to campaign for {@link GivenPledges#PLEDGE_DURATION}; false if this node leads or has a campaign in progress. */
     public boolean pledge() {
         if (leading || campaigning) {
             return false;
--- a/src/main/java/io/indigoreach/state/LeadershipValidity.java
+++ b/src/main/java/io/indigoreach/state/LeadershipValidity.java
@@ -49,7 +49,7 @@
 
     /** Extends the validity after all peers have given the pledges that were requested at {@code requestedAt}. */
     void extendByPledges(Moment requestedAt) {
-        pledgedUntil = requestedAt.plus(safeTime(GivenPledges.PLEDGE_TIME));
+        pledgedUntil = requestedAt.plus(safeTime(GivenPledges.PLEDGE_DURATION));
     }
 
     /** Discards the pledges received so far, because leadership was gained or lost. */
--- a/src/main/java/io/indigoreach/state/RememberedStateCodec.java
+++ b/src/main/java/io/indigoreach/state/RememberedStateCodec.java
@@ -21,22 +21,22 @@
 
     /** Encodes the part with this number, counted from 0. */
     public static Map<String, Object> write(RememberedState rememberedState, int part) {
-        List<Object> finished = new ArrayList<>();
+        List<Object> encodedFinishedJobs = new ArrayList<>();
         rememberedState.finishedJobs().entrySet().stream()
                 .skip((long) part * JOBS_PER_PART)
                 .limit(JOBS_PER_PART)
-                .forEach(e -> finished.add(MessagePackFormat.map(
+                .forEach(e -> encodedFinishedJobs.add(MessagePackFormat.map(
                         "id",
                         e.getKey().text(),
                         "status",
                         e.getValue().status().name(),
                         "done",
                         e.getValue().completedTaskCount())));
-        List<Object> open = new ArrayList<>();
+        List<Object> encodedOpenJobs = new ArrayList<>();
         rememberedState.openJobs().stream()
                 .skip((long) part * JOBS_PER_PART)
                 .limit(JOBS_PER_PART)
-                .forEach(job -> open.add(MessagePackFormat.map(
+                .forEach(job -> encodedOpenJobs.add(MessagePackFormat.map(
                         "id",
                         job.spec().id().text(),
                         "job",
@@ -49,9 +49,9 @@
                 .forEach(k -> records.add(MessagePackFormat.map("key", k.key(), "value", k.value())));
         Map<String, Object> message = MessagePackFormat.map(
                 "over",
-                finished,
+                encodedFinishedJobs,
                 "open",
-                open,
+                encodedOpenJobs,
                 "more",
                 Math.max(
                                         rememberedState.finishedJobs().size(),
--- a/src/main/java/io/indigoreach/state/RoutineRunner.java
+++ b/src/main/java/io/indigoreach/state/RoutineRunner.java
@@ -158,9 +158,8 @@
     private Future<List<VersionedRecord>> readAgain(List<String> keys, int attempt) {
         return attempt < MAX_ATTEMPTS
                 ? state.checkEra().compose(v -> readBatch(keys, attempt + 1))
-                : Future.failedFuture(new WireException(
-                        "could not read a consistent version of " + keys + " in " + MAX_ATTEMPTS
-                                + " attempts, because they kept changing"));
+                : Future.failedFuture(new WireException("could not read a consistent version of " + keys + " in "
+                        + MAX_ATTEMPTS + " attempts, because they kept changing"));
     }
 
     private Future<List<VersionedRecord>> acceptConfirmed(
--- a/src/main/java/io/indigoreach/state/StateClient.java
+++ b/src/main/java/io/indigoreach/state/StateClient.java
@@ -130,7 +130,7 @@
 
     private Runnable onLoss = () -> {};
     private Runnable onFailure = () -> {};
-    private Future<Void> pendingCheck;
+    private Future<Void> pendingEraCheck;
 
     /** {@code watchClient} has separate connections, because a watch request occupies its connection while it waits. */
     public StateClient(ServiceClient requestClient, ServiceClient watchClient) {
@@ -208,13 +208,13 @@
      * node. Concurrent callers share one request, because after a change of the era every submission in progress calls this.
      */
     public Future<Void> checkEra() {
-        if (pendingCheck == null) {
+        if (pendingEraCheck == null) {
             Future<Void> started = readEra();
-            pendingCheck = started;
-            started.onComplete(r -> pendingCheck = null);
+            pendingEraCheck = started;
+            started.onComplete(r -> pendingEraCheck = null);
             return started;
         }
-        return pendingCheck;
+        return pendingEraCheck;
     }
 
     private Future<Void> readEra() {
--- a/src/main/java/io/indigoreach/worker/WorkerCodec.java
+++ b/src/main/java/io/indigoreach/worker/WorkerCodec.java
@@ -215,7 +215,7 @@
     }
 
     /** Returns the leader's address from a response with status 421, or null if the leader is unknown. */
-    public static String readLeader(Fields fields) {
+    public static String readLeaderAddress(Fields fields) {
         return fields.optionalText("foreman");
     }
 }
--- a/src/test/java/io/indigoreach/ArchitectureTest.java
+++ b/src/test/java/io/indigoreach/ArchitectureTest.java
@@ -239,7 +239,8 @@
      */
     @Test
     void nodesSendNoDirectCommands() throws IOException {
-        Pattern direct = Pattern.compile("\\b(DIRECT_COMMANDS_PATH|INSPECT_PATH|WorkerCodec\\.DirectCommands)\\b|\"/(do|inspect)\"");
+        Pattern direct = Pattern.compile(
+                "\\b(DIRECT_COMMANDS_PATH|INSPECT_PATH|WorkerCodec\\.DirectCommands)\\b|\"/(do|inspect)\"");
         List<String> violations = new ArrayList<>();
         try (var walk = Files.walk(Path.of("src/main/java"))) {
             for (Path path : walk.filter(f -> f.toString().endsWith(".java")).toList()) {
--- a/src/test/java/io/indigoreach/cluster/CompletionRaceTest.java
+++ b/src/test/java/io/indigoreach/cluster/CompletionRaceTest.java
@@ -159,7 +159,7 @@
         done.set(0);
         Job job = new Job(spec(id), 1, clock.now(), revision, done, 1, false);
         core.addJob(job);
-        jobStore.markDirty(job);
+        jobStore.scheduleWrite(job);
     }
 
     private static Map<String, Object> encodeOpenRecord(JobId id) {
--- a/src/test/java/io/indigoreach/cluster/JobStoreTest.java
+++ b/src/test/java/io/indigoreach/cluster/JobStoreTest.java
@@ -102,7 +102,7 @@
         for (int id = 0; id < COMPLETIONS; id++) {
             Job job = createOpenJob(id, 1, 1, 1);
             core.addJob(job);
-            jobStore.markDirty(job);
+            jobStore.scheduleWrite(job);
         }
         Job waiting = createOpenJob(COMPLETIONS, 40_000, 0, 0);
         core.addJob(waiting);
@@ -273,10 +273,10 @@
         state.maxTxnOps = 4;
         int changesBefore = state.writtenKeys;
         core.addJob(tooLargeJob);
-        jobStore.markDirty(tooLargeJob);
+        jobStore.scheduleWrite(tooLargeJob);
         Job largeJob = createOpenJob(2, 100_000, 100_000, 100_000);
         core.addJob(largeJob);
-        jobStore.markDirty(largeJob);
+        jobStore.scheduleWrite(largeJob);
         vertx.runOnContext(v -> jobStore.start());
         while (!state.has("f/run-2")) {
             Thread.onSpinWait();
--- a/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
+++ b/src/test/java/io/indigoreach/cluster/LateJobTransactionsTest.java
@@ -76,7 +76,7 @@
 
     private void startWriting(JobStore jobStore, Job... jobs) {
         for (Job job : jobs) {
-            jobStore.markDirty(job);
+            jobStore.scheduleWrite(job);
         }
         runOnEventLoop(jobStore::start);
     }
--- a/src/test/java/io/indigoreach/cluster/LeaderTestSupport.java
+++ b/src/test/java/io/indigoreach/cluster/LeaderTestSupport.java
@@ -127,7 +127,7 @@
             long token,
             Revision revision,
             double writesPerS,
-            LeaderWriteContext.DepositionListener listener) {
+            LeaderWriteContext.LeadershipLostListener listener) {
         RateLimiter limiter = new RateLimiter(writesPerS, context.clock().now());
         return new LeaderWriteContext(context, new FencingToken(token), revision, limiter, listener);
     }
--- a/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
+++ b/src/test/java/io/indigoreach/core/scheduling/DependencySimulationTest.java
@@ -210,10 +210,10 @@
 
     private void deliverEnd(JobId id) {
         if (recordedEnds.get(id) == JobStatus.DONE) {
-            leader.dependentJobs().jobDone(id);
+            leader.dependentJobs().onJobDone(id);
             leader.closeJob(id);
         } else {
-            leader.dependentJobs().jobCancelled(id);
+            leader.dependentJobs().onJobCancelled(id);
             leader.cancelJob(id);
         }
     }
--- a/src/test/java/io/indigoreach/state/GoldenRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenRecordsTest.java
@@ -242,7 +242,7 @@
                     counter, CounterRecord.read(MessagePackFormat.readMap(MessagePackFormat.write(counter.write()))));
             lines.put("raised counter " + bounds, ProductionSample.hex(MessagePackFormat.write(counter.write())));
         }
-        lines.put("a node's format", ProductionSample.hex(MessagePackFormat.write(FormatGate.writeSupport())));
+        lines.put("a node's format", ProductionSample.hex(MessagePackFormat.write(FormatGate.encodeSupportedFormat())));
         assertEquals(ProductionSample.load("new.txt"), lines);
     }
 }
--- a/src/test/java/io/indigoreach/state/GoldenStoredRecordsTest.java
+++ b/src/test/java/io/indigoreach/state/GoldenStoredRecordsTest.java
@@ -204,7 +204,7 @@
                 "counter of a later format",
                 MessagePackFormat.map("highest", 7L, "format", CounterRecord.NEWEST_FORMAT + 1L),
                 CounterRecord::read);
-        golden.expectEncoded("format that a node knows", FormatGate.writeSupport())
+        golden.expectEncoded("format that a node knows", FormatGate.encodeSupportedFormat())
                 .expectRoundTrip(
                         "leader",
                         new LeaderKey("worker-1", "5f-1700000000000", TOKEN, REVISION),
--- a/src/test/java/io/indigoreach/state/HandoverTest.java
+++ b/src/test/java/io/indigoreach/state/HandoverTest.java
@@ -382,7 +382,7 @@
         }
         cluster.waitUntil(nodeA.election::isValid);
         assertTrue(
-                clock.now().since(pledgedAt).compareTo(GivenPledges.PLEDGE_TIME) >= 0,
+                clock.now().since(pledgedAt).compareTo(GivenPledges.PLEDGE_DURATION) >= 0,
                 "node a gained leadership before its pledge expired");
         assertEquals(List.of(), cluster.violations);
     }
--- a/src/test/java/io/indigoreach/state/LeaderElectionTest.java
+++ b/src/test/java/io/indigoreach/state/LeaderElectionTest.java
@@ -317,14 +317,14 @@
         });
         Moment pledgeTime = pledgedAt.get();
         assertEquals("b1 gained 2", nextEvent());
-        assertTrue(clock.now().since(pledgeTime).compareTo(GivenPledges.PLEDGE_TIME) >= 0);
+        assertTrue(clock.now().since(pledgeTime).compareTo(GivenPledges.PLEDGE_DURATION) >= 0);
         vertx.runOnContext(v -> nodeB.stop());
         Moment startedAt = clock.now();
         LeaderElection nodeC = startNode("c", "c1", 2);
         service.endLeases();
         assertEquals("c1 gained 3", nextEvent());
         assertTrue(
-                clock.now().since(startedAt).compareTo(GivenPledges.PLEDGE_TIME) >= 0,
+                clock.now().since(startedAt).compareTo(GivenPledges.PLEDGE_DURATION) >= 0,
                 "node c campaigned although its previous process may have pledged");
         service.endLeases();
         assertEquals("c1 lost", nextEvent());
--- a/src/test/java/io/indigoreach/worker/GoldenWorkersTest.java
+++ b/src/test/java/io/indigoreach/worker/GoldenWorkersTest.java
@@ -155,7 +155,10 @@
                 .expectEncoded("sent elsewhere", WorkerCodec.writeLeader("10.0.0.1:8080"))
                 .expectEncoded("sent to anyone", WorkerCodec.writeLeader(null))
                 .expectReencoded(
-                        "sent elsewhere, read", "10.0.0.1:8080", WorkerCodec::writeLeader, WorkerCodec::readLeader);
+                        "sent elsewhere, read",
+                        "10.0.0.1:8080",
+                        WorkerCodec::writeLeader,
+                        WorkerCodec::readLeaderAddress);
         golden.expectRoundTrip(
                         "direct orders",
                         new WorkerCodec.DirectCommands(new FencingToken(41), 5L, commands()),
